--- /dev/null
+++ b/replica/wire_test.go
@@ -0,0 +1,33 @@
+package replica
+
+import (
+	"encoding/hex"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"wheelrill/share"
+)
+
+// TestEncodedCalls pins the calls between members: one of the last release is to understand one of this.
+func TestEncodedCalls(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value any
+		want  string
+	}{
+		{"a call that brings an entry", call{Entry: &share.Entry{Member: "a", Life: 1, Seq: 2}},
+			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
+		{"a call that asks who it is", call{Who: true}, "a102f5"},
+		{"a call to join", call{Name: "a", ID: "a/1"}, "a20361610463612f31"},
+		{"an answer", answer{Stands: true, Why: "b", ID: "a/1", Part: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
+	} {
+		body, err := cbor.Marshal(c.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := hex.EncodeToString(body); got != c.want {
+			t.Errorf("%s is encoded as %s, and was %s", c.name, got, c.want)
+		}
+	}
+}
