--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -50,7 +50,7 @@
 	f := &fleet{module: m, pending: map[int]arrival{}, evidence: share.NewEvidence(), terms: terms}
 	var err error
 	if f.node, err = replica.New(replica.Place{Name: with.Name, Members: with.Members, Folder: with.Folder,
-		Credentials: with.Credentials, Terms: terms}, record{m, f}, c.log.to); err != nil {
+		Credentials: with.Credentials, Terms: terms}, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
 	// What the decisions may send is our part of it.
@@ -67,21 +67,23 @@
 	return nil
 }
 
-// record hands on to the module what becomes of the record.
-type record struct {
+// recordEvents hands on to the module what becomes of the record.
+type recordEvents struct {
 	*module
 	fleet *fleet
 }
 
-func (r record) Recorded(e share.Entry) { r.post(func() { r.fleet.desk.Recorded(e, r.now) }) }
+func (r recordEvents) Recorded(e share.Entry) { r.post(func() { r.fleet.desk.Recorded(e, r.now) }) }
 
-func (r record) Restored(book *share.Book) { r.post(func() { r.fleet.desk.Restored(book, r.now) }) }
+func (r recordEvents) Restored(record *share.Record) {
+	r.post(func() { r.fleet.desk.Restored(record, r.now) })
+}
 
-func (r record) Answered(life, seq uint64) {
+func (r recordEvents) Answered(life, seq uint64) {
 	r.post(func() { r.fleet.desk.Answered(life, seq, r.now) })
 }
 
-func (r record) Failed(life, seq uint64) {
+func (r recordEvents) Failed(life, seq uint64) {
 	r.post(func() { r.fleet.desk.Failed(life, seq, r.now) })
 }
 
--- a/replica/machine.go
+++ b/replica/machine.go
@@ -10,14 +10,14 @@
 	"wheelrill/share"
 )
 
-// machine takes the entries of raft's log into a book, and hands them on in their order.
+// machine takes the entries of raft's log into a record, and hands them on in their order.
 type machine struct {
 	events Events
 	failed func(err error)
 
-	mutex sync.Mutex
-	book  *share.Book
-	bytes int // of the last snapshot
+	mutex  sync.Mutex
+	record *share.Record
+	bytes  int // of the last snapshot
 }
 
 // Apply takes one entry in. One that cannot be read stands on the record of every member alike, and changes nothing.
@@ -28,43 +28,43 @@
 		return nil
 	}
 	m.mutex.Lock()
-	m.book.Take(e)
+	m.record.Apply(e)
 	m.mutex.Unlock()
 	m.events.Recorded(e)
 	return nil
 }
 
-// with looks at the book.
-func (m *machine) with(what func(*share.Book)) {
+// with looks at the record.
+func (m *machine) with(what func(*share.Record)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	what(m.book)
+	what(m.record)
 }
 
-// Snapshot gives the book as it stands.
+// Snapshot gives the record as it stands.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	body, err := cbor.Marshal(m.book)
+	body, err := cbor.Marshal(m.record)
 	m.bytes = len(body)
 	return snapshot(body), err
 }
 
-// Restore takes a book in place of all entries before.
+// Restore takes a record in place of all entries before.
 func (m *machine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	body, err := io.ReadAll(from)
 	if err != nil {
 		return err
 	}
-	ours, theirs := share.NewBook(), share.NewBook()
-	for _, book := range []*share.Book{ours, theirs} {
-		if err := cbor.Unmarshal(body, book); err != nil {
+	ours, theirs := share.NewRecord(), share.NewRecord()
+	for _, record := range []*share.Record{ours, theirs} {
+		if err := cbor.Unmarshal(body, record); err != nil {
 			return err
 		}
 	}
 	m.mutex.Lock()
-	m.book, m.bytes = ours, len(body)
+	m.record, m.bytes = ours, len(body)
 	m.mutex.Unlock()
 	m.events.Restored(theirs)
 	return nil
--- a/replica/node.go
+++ b/replica/node.go
@@ -29,7 +29,7 @@
 // Events are told what becomes of the record, the entries in their order. They may wait, but not for the Node.
 type Events interface {
 	Recorded(share.Entry)
-	Restored(*share.Book)
+	Restored(*share.Record)
 	Answered(life, seq uint64)
 	Failed(life, seq uint64)
 }
@@ -152,7 +152,7 @@
 // open begins a life of raft: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.place.Name + "/" + rand.Text()[:8]
-	m := &machine{events: n.events, book: share.NewBook(), failed: func(err error) {
+	m := &machine{events: n.events, record: share.NewRecord(), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -316,7 +316,7 @@
 	n.lead.Lock()
 	now := n.clock()
 	n.witness.Came(e.Life, e.Seq, over, now)
-	m.with(func(book *share.Book) { e.Recorded = n.witness.Recorded(book, now) })
+	m.with(func(record *share.Record) { e.Recorded = n.witness.Recorded(record, now) })
 	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
 	n.lead.Unlock()
 	body, err := cbor.Marshal(e)
@@ -416,7 +416,7 @@
 				n.log.Error("record_lost", "error", err.Error())
 				return
 			}
-			n.events.Restored(share.NewBook())
+			n.events.Restored(share.NewRecord())
 			r, _ = n.now()
 			lost, index = 0, 0
 		}
@@ -430,8 +430,8 @@
 	var silent []string
 	n.lead.Lock()
 	now := n.clock()
-	m.with(func(book *share.Book) {
-		for name, life := range book.Members {
+	m.with(func(record *share.Record) {
+		for name, life := range record.Members {
 			if name != n.place.Name && n.witness.Silent(life, now, 2*n.place.Terms.Renew) {
 				silent = append(silent, name)
 			}
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -73,7 +73,7 @@
 func (r *reader) Recorded(e share.Entry) {
 	r.note(fmt.Sprintf("recorded %s %d %d", e.Member, e.Life, e.Seq))
 }
-func (r *reader) Restored(*share.Book) { r.note("restored") }
+func (r *reader) Restored(*share.Record) { r.note("restored") }
 func (r *reader) Answered(life, seq uint64) {
 	r.note(fmt.Sprintf("answered %d %d", life, seq))
 }
@@ -379,25 +379,25 @@
 }
 
 func TestMachine(t *testing.T) {
-	m, r := &machine{events: newReader(), book: share.NewBook()}, newReader()
-	m.book.Take(share.Entry{Member: "a", Life: 1, Seq: 1, Claims: []int{4}, Edition: 1,
+	m, r := &machine{events: newReader(), record: share.NewRecord()}, newReader()
+	m.record.Apply(share.Entry{Member: "a", Life: 1, Seq: 1, Claims: []int{4}, Edition: 1,
 		Laid: []share.Laid{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &machine{events: r, book: share.NewBook()}
+	other := &machine{events: r, record: share.NewRecord()}
 	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))); err != nil {
 		t.Fatal(err)
 	}
-	if life := other.book.Lives[1]; life.Tables[2].Lines["s"].Weight != 0.5 || other.book.Proxies[4].Owner != "a" {
-		t.Errorf("restored %+v", other.book)
+	if life := other.record.Lives[1]; life.Tables[2].Lines["s"].Weight != 0.5 || other.record.Proxies[4].Owner != "a" {
+		t.Errorf("restored %+v", other.record)
 	}
 	if told, _ := r.has("restored"); !told {
 		t.Error("not told of it")
 	}
-	if err := other.Restore(io.NopCloser(strings.NewReader("no book"))); err == nil || other.book.Proxies[4].Owner != "a" {
-		t.Errorf("a damaged snapshot changed the book: %v", err)
+	if err := other.Restore(io.NopCloser(strings.NewReader("no record"))); err == nil || other.record.Proxies[4].Owner != "a" {
+		t.Errorf("a damaged snapshot changed the record: %v", err)
 	}
 }
 
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -12,7 +12,7 @@
 )
 
 // The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
-// cuts and lost answers. Real desks, book and witness; the log, the network and the proxy are the model's.
+// cuts and lost answers. Real desks, record and witness; the log, the network and the proxy are the model's.
 
 var modelTerms = Terms{Lease: 3, Renew: 1, Span: 5, Messages: 16, Members: 2}
 
@@ -21,7 +21,7 @@
 	now     int64
 	log     []Entry
 	witness *Witness
-	book    *Book // the leader's
+	record  *Record // the leader's
 	members []*player
 	stream  int // whose stream the proxy has
 	serial  int
@@ -152,9 +152,9 @@
 				e := p.out[0]
 				p.out, moved = p.out[1:], true
 				w.witness.Came(e.Life, e.Seq, p.conn, w.now)
-				e.Recorded, e.Stamp = w.witness.Recorded(w.book, w.now), Stamp{1, w.now}
+				e.Recorded, e.Stamp = w.witness.Recorded(w.record, w.now), Stamp{1, w.now}
 				w.log = append(w.log, e)
-				w.book.Take(e)
+				w.record.Apply(e)
 				if p.deaf { // and is repeated, over a connection anew
 					p.conn++
 					p.out, repeated[p] = append(p.out, e), true
@@ -278,7 +278,7 @@
 }
 
 func begin() *world {
-	w := &world{now: 100, witness: NewWitness(modelTerms), book: NewBook(), lines: map[string]float64{}}
+	w := &world{now: 100, witness: NewWitness(modelTerms), record: NewRecord(), lines: map[string]float64{}}
 	for i := range modelTerms.Members {
 		w.members = append(w.members, &player{w: w, index: i})
 		w.start(w.members[i])
@@ -321,12 +321,12 @@
 			fmt.Fprint(h, since(a.at), since(a.last), since(a.sure))
 		}
 	}
-	hold := w.book.Proxies[0]
+	hold := w.record.Proxies[0]
 	for _, move := range hold.Moves {
 		fmt.Fprint(h, " ", since(move.At))
 	}
-	fmt.Fprint(h, hold.Owner, hold.Edition, w.book.Members[hold.Owner] == hold.Life)
-	if life := w.book.Lives[hold.Life]; life != nil && life.Tables[0] != nil {
+	fmt.Fprint(h, hold.Owner, hold.Edition, w.record.Members[hold.Owner] == hold.Life)
+	if life := w.record.Lives[hold.Life]; life != nil && life.Tables[0] != nil {
 		for _, id := range slices.Sorted(maps.Keys(life.Tables[0].Lines)) {
 			fmt.Fprint(h, id, life.Tables[0].Lines[id])
 		}
@@ -431,10 +431,10 @@
 		{"a witness that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
 			func(w *world) { w.witness.lease = 1 << 40 }},
 		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(w *world) {
-			for _, book := range []*Book{w.book, w.members[0].desk.book, w.members[1].desk.book} {
-				h := book.Proxies[0]
+			for _, record := range []*Record{w.record, w.members[0].desk.record, w.members[1].desk.record} {
+				h := record.Proxies[0]
 				h.Moves = nil
-				book.Proxies[0] = h
+				record.Proxies[0] = h
 			}
 			for _, p := range w.members {
 				clear(p.desk.strays)
@@ -443,7 +443,7 @@
 		}},
 		{"a closed life that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
 			func(w *world) {
-				for id, life := range w.book.Lives {
+				for id, life := range w.record.Lives {
 					if life.Closed {
 						w.witness.came[id] = arrivals{at: w.now, sure: w.now}
 					}
--- a/share/desk.go
+++ b/share/desk.go
@@ -49,10 +49,10 @@
 
 // Desk is one member at work on the record.
 type Desk struct {
-	host  Host
-	terms Terms
-	name  string
-	book  *Book
+	host   Host
+	terms  Terms
+	name   string
+	record *Record
 
 	life, seq uint64
 	proposed  int64  // when the entry under way was first proposed
@@ -93,7 +93,7 @@
 
 // New makes the desk of a member that has just started.
 func New(host Host, name string, terms Terms, now int64) *Desk {
-	d := &Desk{host: host, terms: terms, name: name, book: NewBook(), started: now, stood: now, last: now - terms.Renew,
+	d := &Desk{host: host, terms: terms, name: name, record: NewRecord(), started: now, stood: now, last: now - terms.Renew,
 		tables: map[int]map[string]float64{}, proxies: map[int]*charge{}, strays: map[int][]int64{},
 		leaders: map[uint64]heard{}}
 	d.enter(now)
@@ -104,7 +104,7 @@
 // heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would take them from.
 func (d *Desk) enter(now int64) {
 	d.life, d.seq, d.under = d.host.Chance(), 0, nil
-	d.next = Entry{Floor: d.book.Token, Edition: d.edition}
+	d.next = Entry{Floor: d.record.Token, Edition: d.edition}
 	for _, number := range slices.Sorted(maps.Keys(d.tables)) {
 		laid := Laid{Table: number}
 		for _, id := range slices.Sorted(maps.Keys(d.tables[number])) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Book is the record as far as it was taken in.
-func (d *Desk) Book() *Book { return d.book }
+// Record is the record as far as it was taken in.
+func (d *Desk) Record() *Record { return d.record }
 
 // Alone tells whether we write off the record.
 func (d *Desk) Alone() bool { return d.alone }
@@ -249,7 +249,7 @@
 
 // Closed tells whether our end stands on the record.
 func (d *Desk) Closed() bool {
-	life := d.book.Lives[d.life]
+	life := d.record.Lives[d.life]
 	return d.closing && life != nil && life.Closed
 }
 
@@ -337,9 +337,9 @@
 // Recorded takes the next entry of the record, of whatever member.
 func (d *Desk) Recorded(e Entry, now int64) {
 	d.hears(e.Stamp, now)
-	moves, taken := d.book.Take(e)
+	moves, taken := d.record.Apply(e)
 	if !taken {
-		if e.Life == d.life && d.book.Members[d.name] != d.life { // another has entered under our name
+		if e.Life == d.life && d.record.Members[d.name] != d.life { // another has entered under our name
 			d.goAlone(now)
 		}
 		return
@@ -347,7 +347,7 @@
 	for _, m := range moves {
 		d.moved(m, now)
 	}
-	switch entered := d.book.Lives[d.life] != nil; {
+	switch entered := d.record.Lives[d.life] != nil; {
 	case e.Life == d.life && e.Seq == 1:
 		d.learnStanding()
 	case entered && e.Member != d.name: // what stood on the record before we came is old
@@ -362,24 +362,24 @@
 
 // learnStanding tells what others have withdrawn, and what they saw the fleet do, to one that has just come.
 func (d *Desk) learnStanding() {
-	for _, member := range slices.Sorted(maps.Keys(d.book.Fits)) {
+	for _, member := range slices.Sorted(maps.Keys(d.record.Fits)) {
 		if member != d.name {
-			d.host.Fitted(d.book.Fits[member])
+			d.host.Fitted(d.record.Fits[member])
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(d.book.Away)) {
-		for _, member := range slices.Sorted(maps.Keys(d.book.Away[id])) {
+	for _, id := range slices.Sorted(maps.Keys(d.record.Away)) {
+		for _, member := range slices.Sorted(maps.Keys(d.record.Away[id])) {
 			if member != d.name {
-				d.host.Learned(member, d.book.Away[id][member])
+				d.host.Learned(member, d.record.Away[id][member])
 			}
 		}
 	}
 }
 
 // Restored takes the record as a whole, in place of the entries that led to it.
-func (d *Desk) Restored(book *Book, now int64) {
-	d.book = book
-	for proxy, h := range book.Proxies {
+func (d *Desk) Restored(record *Record, now int64) {
+	d.record = record
+	for proxy, h := range record.Proxies {
 		for _, move := range h.Moves {
 			d.hears(move, now)
 		}
--- a/share/evidence_test.go
+++ b/share/evidence_test.go
@@ -88,7 +88,7 @@
 		if p.stands(d, 10); !slices.Equal(p.learned, []string{"{2 1}"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if moves, _ := d.book.Take(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Came, []float64{4, 0}) {
+		if moves, _ := d.record.Apply(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Came, []float64{4, 0}) {
 			t.Errorf("moved %+v", moves)
 		}
 	})
--- a/share/book.go
+++ b/share/record.go
@@ -2,7 +2,7 @@
 // proxy, what that proxy was surely told, how many messages may still have gone to it, and what others heard of
 // backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
 //
-// A Book is the record, the same at every member once the same entries were taken in. A Desk is one member at work on
+// A Record is the replicated record, the same at every member once the same entries were taken in. A Desk is one member at work on
 // it. A Witness is what the leader of the record knows besides.
 package share
 
@@ -76,8 +76,8 @@
 	Wait    int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
 }
 
-// Book is the record.
-type Book struct {
+// Record is the replicated record: what every member concludes from the same entries.
+type Record struct {
 	Token   uint64                     `cbor:"1,keyasint"` // the last one given
 	Members map[string]uint64          `cbor:"2,keyasint"` // the life of each
 	Lives   map[uint64]*Life           `cbor:"3,keyasint"`
@@ -145,67 +145,67 @@
 	mostMoves = 4  // moves within it up to which an owner has some messages in any case
 )
 
-// NewBook makes an empty record.
-func NewBook() *Book {
-	return &Book{Members: map[string]uint64{}, Lives: map[uint64]*Life{}, Proxies: map[int]Holding{},
+// NewRecord makes an empty record.
+func NewRecord() *Record {
+	return &Record{Members: map[string]uint64{}, Lives: map[uint64]*Life{}, Proxies: map[int]Holding{},
 		Away: map[string]map[string]Seen{}, Came: map[int][]float64{}, Fits: map[string]Fit{},
 		Past: map[string][]uint64{}}
 }
 
-// Take takes in the next entry. It is false for one that was taken in before, and for one of a life that is over: its
+// Apply takes in the next entry. It is false for one that was taken in before, and for one of a life that is over: its
 // member has entered anew since, or has closed.
-func (b *Book) Take(e Entry) (moves []Move, taken bool) {
+func (r *Record) Apply(e Entry) (moves []Move, taken bool) {
 	// A repeat of an entering that was under way for long must not bring back a life that is over.
-	if e.Seq == 1 && b.Lives[e.Life] == nil && !slices.Contains(b.Past[e.Member], e.Life) {
-		b.enter(e)
+	if e.Seq == 1 && r.Lives[e.Life] == nil && !slices.Contains(r.Past[e.Member], e.Life) {
+		r.enter(e)
 	}
-	life := b.Lives[e.Life]
-	if life == nil || b.Members[e.Member] != e.Life || e.Seq != life.Seq+1 || life.Closed {
+	life := r.Lives[e.Life]
+	if life == nil || r.Members[e.Member] != e.Life || e.Seq != life.Seq+1 || life.Closed {
 		return nil, false
 	}
 	life.Seq = e.Seq
-	b.Token = max(b.Token, e.Floor)
-	b.lay(life, e)
+	r.Token = max(r.Token, e.Floor)
+	r.applyTables(life, e)
 	for _, t := range e.Told {
-		if h, ok := b.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Life == e.Life && t.Edition >= h.Edition {
+		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Life == e.Life && t.Edition >= h.Edition {
 			h.Edition, h.Tables, h.Sure = t.Edition, t.Tables, t.Sure
-			b.Proxies[t.Proxy] = h
+			r.Proxies[t.Proxy] = h
 		}
 	}
 	for _, s := range e.Seen {
-		b.see(e.Member, s)
+		r.setWithdrawn(e.Member, s)
 	}
 	for _, c := range e.Came {
-		b.Came[c.Proxy] = c.Rates
+		r.Came[c.Proxy] = c.Rates
 	}
 	if e.Fit != (Fit{}) {
-		b.Fits[e.Member] = e.Fit
+		r.Fits[e.Member] = e.Fit
 	}
 	for _, proxy := range e.Claims {
-		moves = append(moves, b.claim(proxy, e, false))
+		moves = append(moves, r.claim(proxy, e, false))
 	}
 	for _, proxy := range e.Again {
-		moves = append(moves, b.claim(proxy, e, true))
+		moves = append(moves, r.claim(proxy, e, true))
 	}
 	if e.Closing {
 		life.Closed = true
-		b.unsee(e.Member)
+		r.clearWithdrawn(e.Member)
 	}
-	b.sweep()
+	r.dropUnused()
 	return moves, true
 }
 
-func (b *Book) enter(e Entry) {
-	if last, ok := b.Members[e.Member]; ok {
-		past := append(b.Past[e.Member], last)
-		b.Past[e.Member] = slices.Clone(past[max(0, len(past)-pastKept):])
+func (r *Record) enter(e Entry) {
+	if last, ok := r.Members[e.Member]; ok {
+		past := append(r.Past[e.Member], last)
+		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-pastKept):])
 	}
-	b.Members[e.Member] = e.Life
-	b.Lives[e.Life] = &Life{Member: e.Member, Tables: map[int]*Table{}}
-	b.unsee(e.Member) // it has forgotten what it withdrew
+	r.Members[e.Member] = e.Life
+	r.Lives[e.Life] = &Life{Member: e.Member, Tables: map[int]*Table{}}
+	r.clearWithdrawn(e.Member) // it has forgotten what it withdrew
 }
 
-func (b *Book) lay(life *Life, e Entry) {
+func (r *Record) applyTables(life *Life, e Entry) {
 	life.Edition = max(life.Edition, e.Edition)
 	for _, laid := range e.Laid {
 		t := life.Tables[laid.Table]
@@ -243,47 +243,47 @@
 	}
 }
 
-func (b *Book) see(member string, s Seen) {
+func (r *Record) setWithdrawn(member string, s Seen) {
 	if s.Away {
-		if b.Away[s.Backend] == nil {
-			b.Away[s.Backend] = map[string]Seen{}
+		if r.Away[s.Backend] == nil {
+			r.Away[s.Backend] = map[string]Seen{}
 		}
-		b.Away[s.Backend][member] = s
-	} else if at := b.Away[s.Backend]; at != nil {
+		r.Away[s.Backend][member] = s
+	} else if at := r.Away[s.Backend]; at != nil {
 		if delete(at, member); len(at) == 0 {
-			delete(b.Away, s.Backend)
+			delete(r.Away, s.Backend)
 		}
 	}
 }
 
-func (b *Book) unsee(member string) {
-	for _, id := range slices.Collect(maps.Keys(b.Away)) {
-		b.see(member, Seen{Backend: id})
+func (r *Record) clearWithdrawn(member string) {
+	for _, id := range slices.Collect(maps.Keys(r.Away)) {
+		r.setWithdrawn(member, Seen{Backend: id})
 	}
 }
 
 // claim moves a proxy. What it holds is known if all that its last owner wrote is on the record, and if nobody else
 // can have had it since: a member off the record serves whoever comes to it, and cannot say so.
-func (b *Book) claim(proxy int, e Entry, again bool) Move {
-	from := b.Proxies[proxy]
-	b.Token++
-	m := Move{Proxy: proxy, From: from, To: Holding{Owner: e.Member, Life: e.Life, Token: b.Token}}
+func (r *Record) claim(proxy int, e Entry, again bool) Move {
+	from := r.Proxies[proxy]
+	r.Token++
+	m := Move{Proxy: proxy, From: from, To: Holding{Owner: e.Member, Life: e.Life, Token: r.Token}}
 	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
 		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-mostMoves-1):]
 	}
-	m.Came = b.Came[proxy]
-	last := b.Lives[from.Life]
+	m.Came = r.Came[proxy]
+	last := r.Lives[from.Life]
 	sure := func(id uint64) bool { return id == e.Life || slices.Contains(e.Recorded, id) }
 	m.Known = last != nil && len(e.Recorded) > 0 && (sure(from.Life) || last.Closed)
-	for _, id := range b.Members {
+	for _, id := range r.Members {
 		m.Known = m.Known && sure(id)
 	}
 	if m.Known {
-		m.Base, m.Known = b.base(from, last)
+		m.Base, m.Known = r.base(from, last)
 		m.Clean = m.Known && from.Sure && last.clean(from.Edition)
 	}
-	b.Proxies[proxy] = m.To
+	r.Proxies[proxy] = m.To
 	return m
 }
 
@@ -302,7 +302,7 @@
 }
 
 // base is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (b *Book) base(h Holding, life *Life) (by []Base, known bool) {
+func (r *Record) base(h Holding, life *Life) (by []Base, known bool) {
 	if h.Edition == 0 || len(h.Tables) == 0 {
 		return nil, false
 	}
@@ -324,17 +324,17 @@
 	return by, true
 }
 
-// sweep forgets lives that are over and own nothing.
-func (b *Book) sweep() {
+// dropUnused forgets lives that are over and own nothing.
+func (r *Record) dropUnused() {
 	used := map[uint64]bool{}
-	for _, life := range b.Members {
+	for _, life := range r.Members {
 		used[life] = true
 	}
-	if len(used) == len(b.Lives) {
+	if len(used) == len(r.Lives) {
 		return
 	}
-	for _, h := range b.Proxies {
+	for _, h := range r.Proxies {
 		used[h.Life] = true
 	}
-	maps.DeleteFunc(b.Lives, func(id uint64, _ *Life) bool { return !used[id] })
+	maps.DeleteFunc(r.Lives, func(id uint64, _ *Life) bool { return !used[id] })
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -67,7 +67,7 @@
 			t.Fatalf("granted %v before its claim stands", p.granted)
 		}
 		p.stands(d, 40, 1, 2, 1000)
-		if h := d.book.Proxies[5]; p.granted[5] != "2 true 0" || h.Owner != "n0" || d.Owned() != 1 {
+		if h := d.record.Proxies[5]; p.granted[5] != "2 true 0" || h.Owner != "n0" || d.Owned() != 1 {
 			t.Errorf("granted %v, on the record %+v", p.granted, h)
 		}
 	})
@@ -117,13 +117,13 @@
 		p.stands(d, 1300)
 		d.Spoke(4, 1350)
 		p.stands(d, 1400) // what was under way
-		if again := p.stands(d, 1410); !slices.Equal(again.Again, []int{4}) || d.Owned() != 1 || len(d.book.Proxies[4].Moves) > 0 {
-			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.Owned(), d.book.Proxies[4].Moves)
+		if again := p.stands(d, 1410); !slices.Equal(again.Again, []int{4}) || d.Owned() != 1 || len(d.record.Proxies[4].Moves) > 0 {
+			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.Owned(), d.record.Proxies[4].Moves)
 		}
-		if _, taken := d.book.Take(old); taken {
+		if _, taken := d.record.Apply(old); taken {
 			t.Error("an entry of the life that is over was taken in")
 		}
-		if life := d.book.Lives[e.Life]; life.Tables[0].Lines["a"].Weight != 0 || life.Tables[0].Lines["b"].Weight != 1 {
+		if life := d.record.Lives[e.Life]; life.Tables[0].Lines["a"].Weight != 0 || life.Tables[0].Lines["b"].Weight != 1 {
 			t.Errorf("on the record %+v", life.Tables[0])
 		}
 	})
@@ -150,7 +150,7 @@
 		}
 		for i := range mostMoves { // and so on: beyond some it has none of its own
 			d.Left(5)
-			d.Recorded(Entry{Member: []string{"n1", "n2"}[i%2], Life: uint64(i%2 + 1), Seq: d.book.Lives[uint64(i%2+1)].Seq + 1, Claims: []int{5},
+			d.Recorded(Entry{Member: []string{"n1", "n2"}[i%2], Life: uint64(i%2 + 1), Seq: d.record.Lives[uint64(i%2+1)].Seq + 1, Claims: []int{5},
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		d.Joined(5, 230)
@@ -212,20 +212,20 @@
 		d.Spoke(5, 300)
 		d.Elapsed(300)
 		p.stands(d, 310)
-		if p.stands(d, 320); d.book.Proxies[5].Owner != "n0" || d.book.Proxies[4].Owner != "n1" {
-			t.Errorf("on the record %+v", d.book.Proxies)
+		if p.stands(d, 320); d.record.Proxies[5].Owner != "n0" || d.record.Proxies[4].Owner != "n1" {
+			t.Errorf("on the record %+v", d.record.Proxies)
 		}
 	})
 }
 
 func TestBook(t *testing.T) {
 	t.Run("a line set after what a proxy confirmed is in doubt, also one that was taken out", func(t *testing.T) {
-		b := NewBook()
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1,
+		b := NewRecord()
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1,
 			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
 			Told: []Told{{3, 1, 1, []int{0}, true}}})
-		moves, _ := b.Take(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, Recorded: []uint64{1}})
+		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, Recorded: []uint64{1}})
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Doubt["a"] || !base[0].Doubt["b"] || base[0].Doubt["c"] || base[0].Lines["c"] != 1 {
 			t.Errorf("base %+v", base)
@@ -238,61 +238,61 @@
 			set, heard uint64
 			clean      bool
 		}{{true, 0, 2, 2, true}, {true, 1, 2, 2, false}, {true, 0, 3, 2, false}, {false, 0, 2, 2, false}} {
-			b := NewBook()
-			b.Take(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-			b.Take(Entry{Member: "n0", Life: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
+			b := NewRecord()
+			b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
+			b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
 				Told: []Told{{3, 1, story.heard, []int{0}, story.sure}}})
-			if moves, _ := b.Take(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, Recorded: []uint64{1}}); moves[0].Clean != story.clean ||
+			if moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, Recorded: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
 			}
 		}
 	})
 	t.Run("what is remembered of lines taken out has an end, from which on a base is not known", func(t *testing.T) {
-		b := NewBook()
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
+		b := NewRecord()
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
 		for seq := uint64(3); seq < 400; seq++ {
-			b.Take(Entry{Member: "n0", Life: 1, Seq: seq, Edition: seq,
+			b.Apply(Entry{Member: "n0", Life: 1, Seq: seq, Edition: seq,
 				Laid: []Laid{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
 		}
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
 		if n := len(b.Lives[1].Tables[0].Lines); n > mostOut+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
-		moves, _ := b.Take(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3, 4}, Recorded: []uint64{1}})
+		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3, 4}, Recorded: []uint64{1}})
 		if moves[0].Known || !moves[1].Known {
 			t.Errorf("moves %+v", moves)
 		}
 	})
 	t.Run("an entry counts once, a closed life not at all, and lives that own nothing are forgotten", func(t *testing.T) {
-		b := NewBook()
+		b := NewRecord()
 		first := Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}}
-		b.Take(first)
-		if _, taken := b.Take(first); taken || b.Token != 1 {
+		b.Apply(first)
+		if _, taken := b.Apply(first); taken || b.Token != 1 {
 			t.Errorf("taken twice, token %d", b.Token)
 		}
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 2, Closing: true})
-		if _, taken := b.Take(Entry{Member: "n0", Life: 1, Seq: 3, Claims: []int{4}}); taken {
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Closing: true})
+		if _, taken := b.Apply(Entry{Member: "n0", Life: 1, Seq: 3, Claims: []int{4}}); taken {
 			t.Error("a closed life went on")
 		}
-		b.Take(Entry{Member: "n0", Life: 2, Seq: 1, Floor: 40})
+		b.Apply(Entry{Member: "n0", Life: 2, Seq: 1, Floor: 40})
 		if len(b.Lives) != 2 {
 			t.Errorf("%d lives while the older owns a proxy", len(b.Lives))
 		}
-		if moves, _ := b.Take(Entry{Member: "n1", Life: 9, Seq: 1, Claims: []int{3}}); len(b.Lives) != 2 || moves[0].To.Token != 41 {
+		if moves, _ := b.Apply(Entry{Member: "n1", Life: 9, Seq: 1, Claims: []int{3}}); len(b.Lives) != 2 || moves[0].To.Token != 41 {
 			t.Errorf("lives %v, moves %+v", b.Lives, moves)
 		}
 	})
 	t.Run("a repeat of an entering brings no life back that is over, also one that is forgotten", func(t *testing.T) {
-		b := NewBook()
-		b.Take(Entry{Member: "n0", Life: 1, Seq: 1})
-		b.Take(Entry{Member: "n0", Life: 2, Seq: 1})
-		if _, taken := b.Take(Entry{Member: "n0", Life: 1, Seq: 1}); taken || b.Members["n0"] != 2 || b.Lives[1] != nil {
+		b := NewRecord()
+		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1})
+		b.Apply(Entry{Member: "n0", Life: 2, Seq: 1})
+		if _, taken := b.Apply(Entry{Member: "n0", Life: 1, Seq: 1}); taken || b.Members["n0"] != 2 || b.Lives[1] != nil {
 			t.Errorf("the life is %d of %v", b.Members["n0"], b.Lives)
 		}
 		for life := uint64(3); life < 99; life++ {
-			b.Take(Entry{Member: "n0", Life: life, Seq: 1})
+			b.Apply(Entry{Member: "n0", Life: life, Seq: 1})
 		}
 		if len(b.Past["n0"]) != pastKept {
 			t.Errorf("%d lives are kept", len(b.Past["n0"]))
@@ -315,8 +315,8 @@
 			d.Recorded(Entry{Member: member, Life: life, Seq: 2, Seen: []Seen{{Backend: "a", Tries: 5, Failed: 5, Away: true}}}, 10)
 		}
 		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 3, Seen: []Seen{{Backend: "a", Tries: 5}}}, 20)
-		if len(d.book.Away["a"]) != 1 || len(p.learned) > 0 {
-			t.Errorf("withdrawn %v, learned %v before we came", d.book.Away, p.learned)
+		if len(d.record.Away["a"]) != 1 || len(p.learned) > 0 {
+			t.Errorf("withdrawn %v, learned %v before we came", d.record.Away, p.learned)
 		}
 		if p.stands(d, 30); !slices.Equal(p.learned, []string{"n2 a"}) {
 			t.Errorf("learned %v", p.learned)
@@ -324,8 +324,8 @@
 		if d.Recorded(Entry{Member: "n1", Life: 1, Seq: 4, Seen: []Seen{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n2", Life: 5, Seq: 1}, 40); len(d.book.Away) != 0 {
-			t.Errorf("withdrawn %v", d.book.Away)
+		if d.Recorded(Entry{Member: "n2", Life: 5, Seq: 1}, 40); len(d.record.Away) != 0 {
+			t.Errorf("withdrawn %v", d.record.Away)
 		}
 	})
 }
--- a/share/wire_test.go
+++ b/share/wire_test.go
@@ -16,16 +16,16 @@
 		Told: []Told{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
 		Seen: []Seen{seen}, Came: []Came{{Proxy: 5, Rates: []float64{1.5, 0}}}, Fit: Fit{Proven: 2, Able: 3},
 		Recorded: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
-	book := NewBook()
-	book.Token = 7
-	book.Members["n1"] = 77
-	book.Lives[77] = &Life{Member: "n1", Seq: 2, Closed: true, Edition: 9,
+	record := NewRecord()
+	record.Token = 7
+	record.Members["n1"] = 77
+	record.Lives[77] = &Life{Member: "n1", Seq: 2, Closed: true, Edition: 9,
 		Tables: map[int]*Table{2: {Lines: map[string]Stood{"a": {Weight: 0.5, At: 9}}, Floor: 1}}}
-	book.Proxies[5] = Holding{Owner: "n1", Life: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
-	book.Away["a"] = map[string]Seen{"n1": seen}
-	book.Came[5] = []float64{1.5}
-	book.Fits["n1"] = Fit{Proven: 2, Able: 3}
-	book.Past["n1"] = []uint64{76}
+	record.Proxies[5] = Holding{Owner: "n1", Life: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
+	record.Away["a"] = map[string]Seen{"n1": seen}
+	record.Came[5] = []float64{1.5}
+	record.Fits["n1"] = Fit{Proven: 2, Able: 3}
+	record.Past["n1"] = []uint64{76}
 	for _, c := range []struct {
 		name  string
 		value any
@@ -35,7 +35,7 @@
 		{"an entry", entry, "af01626e3102184d0301040305f50681050f810607090881a201020281a201616102fb3fe00000000000000981a50105" +
 			"020403080482020205f50a81a70161610205030404190bb8051907d006f5071902bc0d81a201050282fb3ff800000000" +
 			"0000fb00000000000000000ea201fb400000000000000002fb40080000000000000b82184d184e0ca20109021904d2"},
-		{"a record", book, "a8010702a1626e31184d03a1184da501626e31020203f5040905a102a201a16161a201fb3fe000000000000002090201" +
+		{"a record", record, "a8010702a1626e31184d03a1184da501626e31020203f5040905a102a201a16161a201fb3fe000000000000002090201" +
 			"04a105a701626e3102184d030704090581020681a20109020107f505a16161a1626e31a70161610205030404190bb805" +
 			"1907d006f5071902bc06a10581fb3ff800000000000007a1626e31a201fb400000000000000002fb4008000000000000" +
 			"08a1626e3181184c"},
--- a/share/witness.go
+++ b/share/witness.go
@@ -61,11 +61,11 @@
 
 // Recorded names the lives that have surely written nothing off the record so far. One that has not entered yet may
 // serve off the record as well, so it names none before all have.
-func (w *Witness) Recorded(book *Book, now int64) (lives []uint64) {
-	for id, life := range book.Lives {
+func (w *Witness) Recorded(record *Record, now int64) (lives []uint64) {
+	for id, life := range record.Lives {
 		a, came := w.came[id]
 		at, gone := w.gone[life.Member]
-		switch current := book.Members[life.Member] == id; {
+		switch current := record.Members[life.Member] == id; {
 		case came && a.sure >= 0 && now-a.sure < w.lease,
 			current && life.Closed && came && now-a.at < w.lease,
 			current && gone && now-at < w.lease && (!came || a.at <= at):
@@ -73,11 +73,11 @@
 		}
 	}
 	for id, a := range w.came {
-		if book.Lives[id] == nil && now-a.at > w.lease { // it never got in, or is forgotten
+		if record.Lives[id] == nil && now-a.at > w.lease { // it never got in, or is forgotten
 			delete(w.came, id)
 		}
 	}
-	if len(book.Members) < w.members {
+	if len(record.Members) < w.members {
 		return nil
 	}
 	return lives
