--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -62,7 +62,7 @@
 	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
 		c.plan.admit)
 	m.fleet, f.name = f, with.Name
-	f.desk = share.New(f, with.Name, terms, m.now)
+	f.coordinator = share.New(f, with.Name, terms, m.now)
 	f.tick(m.now)
 	return nil
 }
@@ -73,27 +73,29 @@
 	fleet *fleet
 }
 
-func (r recordEvents) Recorded(e share.Entry) { r.post(func() { r.fleet.desk.Recorded(e, r.now) }) }
+func (r recordEvents) Recorded(e share.Entry) {
+	r.post(func() { r.fleet.coordinator.Recorded(e, r.now) })
+}
 
 func (r recordEvents) Restored(record *share.Record) {
-	r.post(func() { r.fleet.desk.Restored(record, r.now) })
+	r.post(func() { r.fleet.coordinator.Restored(record, r.now) })
 }
 
 func (r recordEvents) Answered(life, seq uint64) {
-	r.post(func() { r.fleet.desk.Answered(life, seq, r.now) })
+	r.post(func() { r.fleet.coordinator.Answered(life, seq, r.now) })
 }
 
 func (r recordEvents) Failed(life, seq uint64) {
-	r.post(func() { r.fleet.desk.Failed(life, seq, r.now) })
+	r.post(func() { r.fleet.coordinator.Failed(life, seq, r.now) })
 }
 
-// fleet is the module's side of sharing: it joins the desk with the decisions, the tables and the streams.
+// fleet is the module's side of sharing: it joins the coordinator with the decisions, the tables and the streams.
 type fleet struct {
-	module *module
-	name   string
-	desk   *share.Desk
-	node   *replica.Node
-	terms  share.Terms
+	module      *module
+	name        string
+	coordinator *share.Coordinator
+	node        *replica.Node
+	terms       share.Terms
 
 	pending  map[int]arrival // proxies that joined and are not granted yet
 	held     []leaving       // in their order
@@ -120,9 +122,9 @@
 func (f *fleet) close() {
 	m := f.module
 	m.now = max(m.clock(), m.now+1)
-	f.desk.Close(m.now)
+	f.coordinator.Close(m.now)
 	late := time.After(m.limits.farewell)
-	for !f.desk.Closed() {
+	for !f.coordinator.Closed() {
 		select {
 		case what := <-m.mail:
 			m.now = max(m.clock(), m.now+1)
@@ -132,27 +134,27 @@
 			return
 		}
 	}
-	m.log.say("sharing", "closed", true, "owned", f.desk.Owned())
+	m.log.say("sharing", "closed", true, "owned", f.coordinator.Owned())
 }
 
-// tag of the desk's timer, which the decisions' is not.
-const deskTag = 1<<64 - 1
+// tag of the coordinator's timer, which the decisions' is not.
+const coordinatorTag = 1<<64 - 1
 
 func (f *fleet) tick(now int64) {
-	f.desk.Elapsed(now)
+	f.coordinator.Elapsed(now)
 	for node, j := range f.module.joins {
 		if j != nil {
-			f.desk.Spoke(node, j.peer.heard.Load())
+			f.coordinator.Spoke(node, j.peer.heard.Load())
 		}
 	}
 	f.tell(now)
-	f.module.After(f.terms.Renew/2, deskTag)
+	f.module.After(f.terms.Renew/2, coordinatorTag)
 }
 
 // joins has a proxy wait until it is granted.
 func (f *fleet) joins(node int, a arrival) {
 	f.pending[node] = a
-	f.desk.Joined(node, f.module.now)
+	f.coordinator.Joined(node, f.module.now)
 }
 
 // leaves forgets a proxy; it tells whether the decisions had it.
@@ -160,7 +162,7 @@
 	_, waits := f.pending[node]
 	delete(f.pending, node)
 	f.evidence.Leaves(node)
-	f.desk.Left(node)
+	f.coordinator.Left(node)
 	return !waits
 }
 
@@ -213,7 +215,7 @@
 
 // sends has a message leave, or wait behind others for the record.
 func (f *fleet) sends(p *peer, message []byte) error {
-	if edition := f.desk.Edition(); len(f.held) > 0 || edition > f.released {
+	if edition := f.coordinator.Edition(); len(f.held) > 0 || edition > f.released {
 		f.held = append(f.held, leaving{p, message, edition})
 		return nil
 	}
@@ -246,7 +248,7 @@
 		changes = append(changes, laid)
 	}
 	if len(changes) > 0 {
-		f.desk.Laid(changes, f.module.now)
+		f.coordinator.Laid(changes, f.module.now)
 	}
 }
 
@@ -260,7 +262,7 @@
 	}
 	proven, able := f.module.control.Ability()
 	f.evidence.Fits(share.Fit{Proven: proven, Able: able})
-	f.desk.Tell(f.evidence, now)
+	f.coordinator.Tell(f.evidence, now)
 }
 
 // Learned hands on what another member's proxies met.
@@ -272,7 +274,7 @@
 
 // Mode logs that we go off the record, or are on it again.
 func (f *fleet) Mode(alone bool, why string) {
-	f.module.log.say("sharing", "alone", alone, "why", why, "owned", f.desk.Owned(),
+	f.module.log.say("sharing", "alone", alone, "why", why, "owned", f.coordinator.Owned(),
 		"deltas", f.module.deltas, "wholes", f.module.wholes)
 }
 
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -26,7 +26,7 @@
 	for {
 		stands := make(chan bool, 1)
 		s.module.post(func() {
-			h := s.module.fleet.desk.Record().Proxies[node]
+			h := s.module.fleet.coordinator.Record().Proxies[node]
 			stands <- h.Owner == owner && h.Edition > 0
 		})
 		select {
--- a/controller/module.go
+++ b/controller/module.go
@@ -134,7 +134,7 @@
 	for len(m.timers) > 0 && m.timers[0].at <= m.now {
 		due := m.timers[0]
 		m.timers = m.timers[1:]
-		if due.tag == deskTag {
+		if due.tag == coordinatorTag {
 			m.fleet.tick(m.now)
 			continue
 		}
@@ -145,7 +145,7 @@
 	sends, edition := (*peer).send, uint64(0)
 	if m.fleet != nil {
 		m.fleet.lays()
-		sends, edition = m.fleet.sends, m.fleet.desk.Edition()
+		sends, edition = m.fleet.sends, m.fleet.coordinator.Edition()
 	}
 	var one *mark
 	m.flush(sends, m.lose, func(proxy, number int) {
@@ -366,7 +366,7 @@
 		j.whole = j.whole || slices.Contains(j.waiting[:at+1], j.bound)
 		if j.whole {
 			s := m.at(p.node)
-			m.fleet.desk.Confirmed(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.keeps)
+			m.fleet.coordinator.Confirmed(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.keeps)
 		}
 	}
 	j.waiting = slices.Delete(j.waiting, 0, at+1)
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -12,7 +12,7 @@
 )
 
 // The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
-// cuts and lost answers. Real desks, record and witness; the log, the network and the proxy are the model's.
+// cuts and lost answers. Real coordinators, record and witness; the log, the network and the proxy are the model's.
 
 var modelTerms = Terms{Lease: 3, Renew: 1, Span: 5, Messages: 16, Members: 2}
 
@@ -34,22 +34,22 @@
 
 // player is a member's process, and the model of what carries its orders.
 type player struct {
-	w       *world
-	index   int
-	desk    *Desk
-	up, cut bool // cut: from the record
-	deaf    bool // its entries come through, their answers do not
-	conn    int
-	read    int // of the log
-	out     []Entry
-	joined  int // serial of the proxy's stream that it knows
-	granted int
-	token   uint64
-	line    float64
-	edition uint64   // of the last order
-	wrote   int      // serial of the stream on which it has written
-	wait    []uint64 // orders that wait for their release
-	sent    []int64
+	w           *world
+	index       int
+	coordinator *Coordinator
+	up, cut     bool // cut: from the record
+	deaf        bool // its entries come through, their answers do not
+	conn        int
+	read        int // of the log
+	out         []Entry
+	joined      int // serial of the proxy's stream that it knows
+	granted     int
+	token       uint64
+	line        float64
+	edition     uint64   // of the last order
+	wrote       int      // serial of the stream on which it has written
+	wait        []uint64 // orders that wait for their release
+	sent        []int64
 }
 
 func (p *player) Propose(e Entry) { p.out = append(p.out, e) }
@@ -160,10 +160,10 @@
 					p.out, repeated[p] = append(p.out, e), true
 					break
 				}
-				p.desk.Answered(e.Life, e.Seq, w.now)
+				p.coordinator.Answered(e.Life, e.Seq, w.now)
 			}
 			for ; p.read < len(w.log); p.read++ {
-				p.desk.Recorded(w.log[p.read], w.now)
+				p.coordinator.Recorded(w.log[p.read], w.now)
 				moved = true
 			}
 		}
@@ -173,20 +173,20 @@
 func (w *world) start(p *player) {
 	p.up, p.cut, p.deaf, p.read, p.out, p.wait, p.sent, p.granted = true, false, false, 0, nil, nil, nil, 0
 	p.conn, p.line, p.edition, p.token, p.joined, p.wrote = p.conn+1, 0, 0, 0, 0, 0
-	p.desk = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
-	p.desk.Laid([]Laid{{0, []Line{{"b", 1}}}}, w.now)
+	p.coordinator = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
+	p.coordinator.Laid([]Laid{{0, []Line{{"b", 1}}}}, w.now)
 }
 
 func (w *world) dial(p *player) {
 	if last := w.members[w.stream]; last.up && last.joined == w.serial {
-		last.desk.Left(0)
+		last.coordinator.Left(0)
 		last.granted = -1
 	}
 	w.serial++
 	w.stream = p.index
 	if p.up {
 		p.joined = w.serial
-		p.desk.Joined(0, w.now)
+		p.coordinator.Joined(0, w.now)
 	}
 }
 
@@ -202,10 +202,10 @@
 		}
 		for _, p := range w.members {
 			if p.up {
-				p.desk.Elapsed(w.now)
+				p.coordinator.Elapsed(w.now)
 			}
 			if p.up && w.stream == p.index && w.serial == p.joined {
-				p.desk.Spoke(0, w.now)
+				p.coordinator.Spoke(0, w.now)
 			}
 		}
 	case 'd':
@@ -219,14 +219,14 @@
 		}
 		p.line = 1 - p.line
 		p.wait = append(p.wait, 1<<62)
-		p.edition = p.desk.Edition() + 1
+		p.edition = p.coordinator.Edition() + 1
 		p.wait[len(p.wait)-1] = p.edition
-		p.desk.Laid([]Laid{{0, []Line{{"a", p.line}}}}, w.now)
+		p.coordinator.Laid([]Laid{{0, []Line{{"a", p.line}}}}, w.now)
 	case 'c':
 		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
 			return false
 		}
-		p.desk.Confirmed(0, p.desk.Edition(), []int{0}, true)
+		p.coordinator.Confirmed(0, p.coordinator.Edition(), []int{0}, true)
 	case 'x':
 		if !p.up || p.cut {
 			return false
@@ -251,7 +251,7 @@
 		if !p.up || p.cut || p.deaf {
 			return false
 		}
-		p.desk.Close(w.now)
+		p.coordinator.Close(w.now)
 		w.settle()
 		p.up = false
 	case 's':
@@ -304,7 +304,7 @@
 		fmt.Fprint(h, " ", since(at))
 	}
 	for _, p := range w.members {
-		d := p.desk
+		d := p.coordinator
 		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
 			d.alone, since(d.stood), since(d.last), len(d.next.Claims), len(d.next.Laid), len(d.next.Told), d.under != nil, d.tables)
 		for _, at := range p.sent {
@@ -431,14 +431,14 @@
 		{"a witness that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
 			func(w *world) { w.witness.lease = 1 << 40 }},
 		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(w *world) {
-			for _, record := range []*Record{w.record, w.members[0].desk.record, w.members[1].desk.record} {
+			for _, record := range []*Record{w.record, w.members[0].coordinator.record, w.members[1].coordinator.record} {
 				h := record.Proxies[0]
 				h.Moves = nil
 				record.Proxies[0] = h
 			}
 			for _, p := range w.members {
-				clear(p.desk.strays)
-				p.desk.started = -modelTerms.Span
+				clear(p.coordinator.strays)
+				p.coordinator.started = -modelTerms.Span
 			}
 		}},
 		{"a closed life that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
--- a/share/evidence_test.go
+++ b/share/evidence_test.go
@@ -81,7 +81,7 @@
 		}
 	})
 	t.Run("one that comes learns what others saw the fleet do, and what came to a proxy", func(t *testing.T) {
-		p, d := newPlace(), (*Desk)(nil)
+		p, d := newPlace(), (*Coordinator)(nil)
 		d = New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 1, Fit: Fit{2, 1}, Came: []Came{{5, []float64{4, 0}}}}, 0)
--- a/share/record.go
+++ b/share/record.go
@@ -2,8 +2,9 @@
 // proxy, what that proxy was surely told, how many messages may still have gone to it, and what others heard of
 // backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
 //
-// A Record is the replicated record, the same at every member once the same entries were taken in. A Desk is one member at work on
-// it. A Witness is what the leader of the record knows besides.
+// A Record is the replicated record, the same at every member once the same entries were taken in. A Coordinator is one
+// member at work on it: it claims proxies, and lets orders leave once the record has them. A Witness is what the leader of
+// the record knows besides.
 package share
 
 import (
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -8,7 +8,7 @@
 
 var terms = Terms{Lease: 1000, Renew: 100, Span: 10_000, Messages: 36, Members: 3, Kept: 4}
 
-// place notes what a desk asks for.
+// place notes what a coordinator asks for.
 type place struct {
 	proposed []Entry
 	granted  map[int]string
@@ -33,7 +33,7 @@
 func (p *place) Chance() uint64                { p.drawn++; return p.drawn * 1000 }
 
 // stands puts the last proposal on the record, stamped, and answers it.
-func (p *place) stands(d *Desk, now int64, recorded ...uint64) Entry {
+func (p *place) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
 	e := p.proposed[len(p.proposed)-1]
 	e.Recorded, e.Stamp = recorded, Stamp{7, now}
 	d.Recorded(e, now)
@@ -41,8 +41,8 @@
 	return e
 }
 
-// works has a desk enter, and others that are at work beside it.
-func works(t *testing.T) (*place, *Desk) {
+// works has a coordinator enter, and others that are at work beside it.
+func works(t *testing.T) (*place, *Coordinator) {
 	t.Helper()
 	p := newPlace()
 	d := New(p, "n0", terms, 0)
@@ -55,7 +55,7 @@
 	return p, d
 }
 
-func TestDesk(t *testing.T) {
+func TestCoordinator(t *testing.T) {
 	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
 		p, d := works(t)
 		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{5}, Edition: 1, Stamp: Stamp{7, 10},
@@ -218,7 +218,7 @@
 	})
 }
 
-func TestBook(t *testing.T) {
+func TestRecord(t *testing.T) {
 	t.Run("a line set after what a proxy confirmed is in doubt, also one that was taken out", func(t *testing.T) {
 		b := NewRecord()
 		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1,
