--- a/replica/node.go
+++ b/replica/node.go
@@ -74,9 +74,9 @@
 	out   atomic.Bool                             // votes cannot be kept any more
 	spoil func(raft.StableStore) raft.StableStore // for stories of disks; nil for none
 
-	lead    sync.Mutex // over what we see as leader; it holds over several leaderships, as it rests on our clock alone
-	witness *share.Witness
-	stamp   uint64 // tells our clock from others
+	lead   sync.Mutex // over what we see as leader; it holds over several leaderships, as it rests on our clock alone
+	leases *share.LeaseTracker
+	stamp  uint64 // tells our clock from others
 }
 
 // New checks a place, listens at our address, and starts nothing else. An error says what would do.
@@ -111,8 +111,8 @@
 	}
 	began := time.Now()
 	n := &Node{place: place, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: draw(),
-		witness: share.NewWitness(place.Terms),
-		clock:   func() int64 { return time.Since(began).Microseconds() }}
+		leases: share.NewLeaseTracker(place.Terms),
+		clock:  func() int64 { return time.Since(began).Microseconds() }}
 	n.link = &link{name: place.Name, members: place.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
 		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{},
 		refused: func(from net.Addr, why error) {
@@ -315,8 +315,8 @@
 	}
 	n.lead.Lock()
 	now := n.clock()
-	n.witness.Came(e.Life, e.Seq, over, now)
-	m.with(func(record *share.Record) { e.Recorded = n.witness.Recorded(record, now) })
+	n.leases.Observe(e.Life, e.Seq, over, now)
+	m.with(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
 	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
 	n.lead.Unlock()
 	body, err := cbor.Marshal(e)
@@ -423,7 +423,7 @@
 	}
 }
 
-// lookFor has the witness know of members that are not there: of whom nothing came lately, and at whose address nobody
+// lookFor has the lease tracker know of members that are not there: of whom nothing came lately, and at whose address nobody
 // listens. Only a refusal shows that; what hangs may be cut off, or stand still.
 func (n *Node) lookFor(ctx context.Context) {
 	_, m := n.now()
@@ -432,7 +432,7 @@
 	now := n.clock()
 	m.with(func(record *share.Record) {
 		for name, life := range record.Members {
-			if name != n.place.Name && n.witness.Silent(life, now, 2*n.place.Terms.Renew) {
+			if name != n.place.Name && n.leases.Silent(life, now, 2*n.place.Terms.Renew) {
 				silent = append(silent, name)
 			}
 		}
@@ -445,7 +445,7 @@
 			conn.Close()
 		} else if errors.Is(err, syscall.ECONNREFUSED) {
 			n.lead.Lock()
-			n.witness.Gone(name, at)
+			n.leases.MarkGone(name, at)
 			n.lead.Unlock()
 		}
 	}
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -12,7 +12,7 @@
 )
 
 // The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
-// cuts and lost answers. Real coordinators, record and witness; the log, the network and the proxy are the model's.
+// cuts and lost answers. Real coordinators, record and lease tracker; the log, the network and the proxy are the model's.
 
 var modelTerms = Terms{Lease: 3, Renew: 1, Span: 5, Messages: 16, Members: 2}
 
@@ -20,7 +20,7 @@
 type world struct {
 	now     int64
 	log     []Entry
-	witness *Witness
+	leases  *LeaseTracker
 	record  *Record // the leader's
 	members []*player
 	stream  int // whose stream the proxy has
@@ -151,8 +151,8 @@
 			for len(p.out) > 0 && !repeated[p] {
 				e := p.out[0]
 				p.out, moved = p.out[1:], true
-				w.witness.Came(e.Life, e.Seq, p.conn, w.now)
-				e.Recorded, e.Stamp = w.witness.Recorded(w.record, w.now), Stamp{1, w.now}
+				w.leases.Observe(e.Life, e.Seq, p.conn, w.now)
+				e.OnRecord, e.Stamp = w.leases.OnRecord(w.record, w.now), Stamp{1, w.now}
 				w.log = append(w.log, e)
 				w.record.Apply(e)
 				if p.deaf { // and is repeated, over a connection anew
@@ -197,7 +197,7 @@
 		w.now++
 		for _, p := range w.members {
 			if !p.up { // the leader looks
-				w.witness.Gone(fmt.Sprint("n", p.index), w.now)
+				w.leases.MarkGone(fmt.Sprint("n", p.index), w.now)
 			}
 		}
 		for _, p := range w.members {
@@ -278,7 +278,7 @@
 }
 
 func begin() *world {
-	w := &world{now: 100, witness: NewWitness(modelTerms), record: NewRecord(), lines: map[string]float64{}}
+	w := &world{now: 100, leases: NewLeaseTracker(modelTerms), record: NewRecord(), lines: map[string]float64{}}
 	for i := range modelTerms.Members {
 		w.members = append(w.members, &player{w: w, index: i})
 		w.start(w.members[i])
@@ -316,9 +316,9 @@
 		for _, at := range d.strays[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
-		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.witness.gone[d.name]))
-		if a, ok := w.witness.came[d.life]; ok {
-			fmt.Fprint(h, since(a.at), since(a.last), since(a.sure))
+		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.leases.gone[d.name]))
+		if a, ok := w.leases.entries[d.life]; ok {
+			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
 		}
 	}
 	hold := w.record.Proxies[0]
@@ -428,8 +428,8 @@
 		depth              int
 		plant              func(*world)
 	}{
-		{"a witness that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.witness.lease = 1 << 40 }},
+		{"a lease tracker that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
+			func(w *world) { w.leases.lease = 1 << 40 }},
 		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(w *world) {
 			for _, record := range []*Record{w.record, w.members[0].coordinator.record, w.members[1].coordinator.record} {
 				h := record.Proxies[0]
@@ -445,7 +445,7 @@
 			func(w *world) {
 				for id, life := range w.record.Lives {
 					if life.Closed {
-						w.witness.came[id] = arrivals{at: w.now, sure: w.now}
+						w.leases.entries[id] = lastEntries{arrivedAt: w.now, leaseFrom: w.now}
 					}
 				}
 			}},
--- /dev/null
+++ b/share/lease_tracker.go
@@ -0,0 +1,84 @@
+package share
+
+// LeaseTracker is what the leader of the record knows of the other members by its own clock: until when each of them has
+// surely written nothing off the record. A member goes off the record no sooner than a lease after it proposed the
+// last entry of which it was answered that it stands. Entries of a member come one after the other, the next once the
+// last was answered, so that with entry n+1 on the same connection it is known that n was answered, that n was proposed
+// after the answer to n-1, and that this was after n-1 had come. Counting the lease from there is never too long,
+// however late anything is under way. A new leader has seen nothing yet, and vouches for nobody.
+//
+// A process that is surely not there has written nothing either, and one that comes in its place goes off the record no
+// sooner than a lease after its start. So a member is vouched for as well for a lease after it was seen to be gone, or
+// after the entry by which it closed its life came.
+type LeaseTracker struct {
+	lease   int64
+	members int
+	entries map[uint64]lastEntries // by life
+	gone    map[string]int64       // when a member was last seen to be gone
+}
+
+// lastEntries tells when the last entries of a life came, in a row on one connection; -1 stands for none.
+type lastEntries struct {
+	connection            int
+	seq                   uint64
+	arrivedAt, previousAt int64 // when that one came, and the one before
+	leaseFrom             int64 // the lease counts from then on at least
+}
+
+// NewLeaseTracker makes a tracker for what all members agree on.
+func NewLeaseTracker(terms Terms) *LeaseTracker {
+	return &LeaseTracker{terms.Lease, terms.Members, map[uint64]lastEntries{}, map[string]int64{}}
+}
+
+// MarkGone takes that a member's process was surely not there at some time: nobody listened at its address.
+func (t *LeaseTracker) MarkGone(member string, at int64) { t.gone[member] = max(t.gone[member], at) }
+
+// Silent tells whether nothing has come from a member's life for some time, so that it is worth a look whether it is
+// there.
+func (t *LeaseTracker) Silent(life uint64, now, since int64) bool {
+	a, known := t.entries[life]
+	return !known || now-a.arrivedAt > since
+}
+
+// Observe takes an entry as it comes to the leader over a connection.
+func (t *LeaseTracker) Observe(life, seq uint64, connection int, now int64) {
+	a, known := t.entries[life]
+	switch {
+	case known && a.connection == connection && seq == a.seq+1:
+		if a.previousAt >= 0 {
+			a.leaseFrom = max(a.leaseFrom, a.previousAt)
+		}
+		a.previousAt, a.arrivedAt, a.seq = a.arrivedAt, now, seq
+	case known && a.connection == connection && seq == a.seq: // a repeat: the first coming counts
+	default:
+		a = lastEntries{connection: connection, seq: seq, arrivedAt: now, previousAt: -1, leaseFrom: a.leaseFrom}
+	}
+	if !known {
+		a.leaseFrom = -1
+	}
+	t.entries[life] = a
+}
+
+// OnRecord names the lives that have surely written nothing off the record so far. One that has not entered yet may
+// serve off the record as well, so it names none before all have.
+func (t *LeaseTracker) OnRecord(record *Record, now int64) (lives []uint64) {
+	for id, life := range record.Lives {
+		a, came := t.entries[id]
+		at, gone := t.gone[life.Member]
+		switch current := record.Members[life.Member] == id; {
+		case came && a.leaseFrom >= 0 && now-a.leaseFrom < t.lease,
+			current && life.Closed && came && now-a.arrivedAt < t.lease,
+			current && gone && now-at < t.lease && (!came || a.arrivedAt <= at):
+			lives = append(lives, id)
+		}
+	}
+	for id, a := range t.entries {
+		if record.Lives[id] == nil && now-a.arrivedAt > t.lease { // it never got in, or is forgotten
+			delete(t.entries, id)
+		}
+	}
+	if len(record.Members) < t.members {
+		return nil
+	}
+	return lives
+}
--- a/share/record.go
+++ b/share/record.go
@@ -3,7 +3,7 @@
 // backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
 //
 // A Record is the replicated record, the same at every member once the same entries were taken in. A Coordinator is one
-// member at work on it: it claims proxies, and lets orders leave once the record has them. A Witness is what the leader of
+// member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the leader of
 // the record knows besides.
 package share
 
@@ -28,9 +28,9 @@
 	Seen    []Seen `cbor:"10,keyasint,omitempty"`
 	Came    []Came `cbor:"13,keyasint,omitempty"`
 	Fit     Fit    `cbor:"14,keyasint,omitempty"`
-	// Recorded is added by the leader: the lives that had surely written nothing off the record when this entry came to
+	// OnRecord is added by the leader: the lives that had surely written nothing off the record when this entry came to
 	// it. It names none before all members have entered.
-	Recorded []uint64 `cbor:"11,keyasint,omitempty"`
+	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
 	// Stamp is added by the leader as well.
 	Stamp Stamp `cbor:"12,keyasint,omitempty"`
 }
@@ -275,8 +275,8 @@
 	}
 	m.Came = r.Came[proxy]
 	last := r.Lives[from.Life]
-	sure := func(id uint64) bool { return id == e.Life || slices.Contains(e.Recorded, id) }
-	m.Known = last != nil && len(e.Recorded) > 0 && (sure(from.Life) || last.Closed)
+	sure := func(id uint64) bool { return id == e.Life || slices.Contains(e.OnRecord, id) }
+	m.Known = last != nil && len(e.OnRecord) > 0 && (sure(from.Life) || last.Closed)
 	for _, id := range r.Members {
 		m.Known = m.Known && sure(id)
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -35,7 +35,7 @@
 // stands puts the last proposal on the record, stamped, and answers it.
 func (p *place) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
 	e := p.proposed[len(p.proposed)-1]
-	e.Recorded, e.Stamp = recorded, Stamp{7, now}
+	e.OnRecord, e.Stamp = recorded, Stamp{7, now}
 	d.Recorded(e, now)
 	d.Answered(e.Life, e.Seq, now)
 	return e
@@ -225,7 +225,7 @@
 			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
 		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
 			Told: []Told{{3, 1, 1, []int{0}, true}}})
-		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, Recorded: []uint64{1}})
+		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Doubt["a"] || !base[0].Doubt["b"] || base[0].Doubt["c"] || base[0].Lines["c"] != 1 {
 			t.Errorf("base %+v", base)
@@ -242,7 +242,7 @@
 			b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
 			b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
 				Told: []Told{{3, 1, story.heard, []int{0}, story.sure}}})
-			if moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, Recorded: []uint64{1}}); moves[0].Clean != story.clean ||
+			if moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
 			}
@@ -260,7 +260,7 @@
 		if n := len(b.Lives[1].Tables[0].Lines); n > mostOut+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
-		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3, 4}, Recorded: []uint64{1}})
+		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3, 4}, OnRecord: []uint64{1}})
 		if moves[0].Known || !moves[1].Known {
 			t.Errorf("moves %+v", moves)
 		}
--- a/share/wire_test.go
+++ b/share/wire_test.go
@@ -15,7 +15,7 @@
 		Laid: []Laid{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
 		Told: []Told{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
 		Seen: []Seen{seen}, Came: []Came{{Proxy: 5, Rates: []float64{1.5, 0}}}, Fit: Fit{Proven: 2, Able: 3},
-		Recorded: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
+		OnRecord: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
 	record := NewRecord()
 	record.Token = 7
 	record.Members["n1"] = 77
