--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -81,12 +81,12 @@
 	r.post(func() { r.fleet.coordinator.Restored(record, r.now) })
 }
 
-func (r recordEvents) Answered(life, seq uint64) {
-	r.post(func() { r.fleet.coordinator.Answered(life, seq, r.now) })
+func (r recordEvents) Answered(incarnation, seq uint64) {
+	r.post(func() { r.fleet.coordinator.Answered(incarnation, seq, r.now) })
 }
 
-func (r recordEvents) Failed(life, seq uint64) {
-	r.post(func() { r.fleet.coordinator.Failed(life, seq, r.now) })
+func (r recordEvents) Failed(incarnation, seq uint64) {
+	r.post(func() { r.fleet.coordinator.Failed(incarnation, seq, r.now) })
 }
 
 // fleet is the module's side of sharing: it joins the coordinator with the decisions, the tables and the streams.
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -17,9 +17,9 @@
 	const hour, proxies = 16 * 3600, 400
 	at := addresses(b, "a", "b", "c")
 	a, other, c := starts(b, Place{Name: "a", Members: at}), starts(b, Place{Name: "b", Members: at}), starts(b, Place{Name: "c", Members: at})
-	a.puts(b, share.Entry{Member: "a", Life: 1, Seq: 1})
-	other.puts(b, share.Entry{Member: "b", Life: 2, Seq: 1})
-	c.puts(b, share.Entry{Member: "c", Life: 3, Seq: 1})
+	a.puts(b, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	other.puts(b, share.Entry{Member: "b", Incarnation: 2, Seq: 1})
+	c.puts(b, share.Entry{Member: "c", Incarnation: 3, Seq: 1})
 	c.stop()
 	lead := a
 	if r, _ := other.now(); r.State() == raft.Leader {
@@ -35,7 +35,7 @@
 	var last raft.ApplyFuture
 	began := time.Now()
 	for n := range hour {
-		e := share.Entry{Member: []string{"a", "b"}[n%2], Life: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
+		e := share.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
 			Told: []share.Told{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
 		if n < proxies {
 			e.Claims = []int{n}
@@ -59,7 +59,7 @@
 	b.Logf("%d entries taken in by two in %s", hour, time.Since(began).Round(time.Millisecond))
 	for _, way := range []struct{ name, told string }{{"log", fmt.Sprintf("recorded b 2 %d", hour/2+1)}, {"snapshot", "restored"}} {
 		if way.told == "restored" {
-			a.puts(b, share.Entry{Member: "a", Life: 1, Seq: hour/2 + 2}) // behind the last change of members
+			a.puts(b, share.Entry{Member: "a", Incarnation: 1, Seq: hour/2 + 2}) // behind the last change of members
 			if err := r.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot {
 				b.Fatal(err)
 			}
--- a/replica/link.go
+++ b/replica/link.go
@@ -243,7 +243,7 @@
 	})
 }
 
-// layer is the link as one life of raft sees it.
+// layer is the link as one raft instance sees it.
 type layer struct {
 	*link
 	address raft.ServerAddress
@@ -262,7 +262,7 @@
 	}
 }
 
-// Close ends this life's part; the link goes on.
+// Close ends this instance's part; the link goes on.
 func (l *layer) Close() error {
 	close(l.over)
 	return nil
--- a/replica/node.go
+++ b/replica/node.go
@@ -30,8 +30,8 @@
 type Events interface {
 	Recorded(share.Entry)
 	Restored(*share.Record)
-	Answered(life, seq uint64)
-	Failed(life, seq uint64)
+	Answered(incarnation, seq uint64)
+	Failed(incarnation, seq uint64)
 }
 
 // Place says where a member stands.
@@ -65,7 +65,7 @@
 
 	mail chan share.Entry // one entry is under way at a time
 
-	mutex   sync.Mutex // over what a life of raft brings
+	mutex   sync.Mutex // over what a raft instance brings
 	raft    *raft.Raft
 	id      string
 	machine *machine
@@ -142,14 +142,14 @@
 			return
 		default:
 		}
-		select { // one of a life that is over
+		select { // one of an incarnation that is over
 		case <-n.mail:
 		default:
 		}
 	}
 }
 
-// open begins a life of raft: from the folder, or as new.
+// open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.place.Name + "/" + rand.Text()[:8]
 	m := &machine{events: n.events, record: share.NewRecord(), failed: func(err error) {
@@ -315,7 +315,7 @@
 	}
 	n.lead.Lock()
 	now := n.clock()
-	n.leases.Observe(e.Life, e.Seq, over, now)
+	n.leases.Observe(e.Incarnation, e.Seq, over, now)
 	m.with(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
 	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
 	n.lead.Unlock()
@@ -431,8 +431,8 @@
 	n.lead.Lock()
 	now := n.clock()
 	m.with(func(record *share.Record) {
-		for name, life := range record.Members {
-			if name != n.place.Name && n.leases.Silent(life, now, 2*n.place.Terms.Renew) {
+		for name, incarnation := range record.Members {
+			if name != n.place.Name && n.leases.Silent(incarnation, now, 2*n.place.Terms.Renew) {
 				silent = append(silent, name)
 			}
 		}
@@ -538,7 +538,7 @@
 			}
 		}
 		if a.Stands {
-			n.events.Answered(e.Life, e.Seq)
+			n.events.Answered(e.Incarnation, e.Seq)
 			continue
 		}
 		select {
@@ -546,6 +546,6 @@
 			return
 		case <-time.After(lookAgain / 4):
 		}
-		n.events.Failed(e.Life, e.Seq)
+		n.events.Failed(e.Incarnation, e.Seq)
 	}
 }
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -71,13 +71,15 @@
 }
 
 func (r *reader) Recorded(e share.Entry) {
-	r.note(fmt.Sprintf("recorded %s %d %d", e.Member, e.Life, e.Seq))
+	r.note(fmt.Sprintf("recorded %s %d %d", e.Member, e.Incarnation, e.Seq))
 }
 func (r *reader) Restored(*share.Record) { r.note("restored") }
-func (r *reader) Answered(life, seq uint64) {
-	r.note(fmt.Sprintf("answered %d %d", life, seq))
+func (r *reader) Answered(incarnation, seq uint64) {
+	r.note(fmt.Sprintf("answered %d %d", incarnation, seq))
+}
+func (r *reader) Failed(incarnation, seq uint64) {
+	r.note(fmt.Sprintf("failed %d %d", incarnation, seq))
 }
-func (r *reader) Failed(life, seq uint64) { r.note(fmt.Sprintf("failed %d %d", life, seq)) }
 
 func (r *reader) has(what string) (bool, chan struct{}) {
 	r.mutex.Lock()
@@ -156,7 +158,7 @@
 func (m *member) puts(t testing.TB, e share.Entry) {
 	t.Helper()
 	late := time.After(patience)
-	answered, failed := fmt.Sprintf("answered %d %d", e.Life, e.Seq), fmt.Sprintf("failed %d %d", e.Life, e.Seq)
+	answered, failed := fmt.Sprintf("answered %d %d", e.Incarnation, e.Seq), fmt.Sprintf("failed %d %d", e.Incarnation, e.Seq)
 	for tried := 1; ; tried++ {
 		m.Propose(e)
 		for m.count(failed) < tried {
@@ -193,7 +195,7 @@
 			all = append(all, starts(t, Place{Name: name, Members: at}))
 		}
 		for i, m := range all {
-			m.puts(t, share.Entry{Member: names[i], Life: uint64(i + 1), Seq: 1})
+			m.puts(t, share.Entry{Member: names[i], Incarnation: uint64(i + 1), Seq: 1})
 		}
 		for _, m := range all {
 			for i, name := range names {
@@ -203,9 +205,9 @@
 		t.Run("one that lost all comes under a new id, catches up, and its old one is gone", func(t *testing.T) {
 			old := all[2].ID()
 			all[2].stop()
-			all[0].puts(t, share.Entry{Member: "a", Life: 1, Seq: 2})
+			all[0].puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 2})
 			back := starts(story, Place{Name: "c", Members: at})
-			back.puts(t, share.Entry{Member: "c", Life: 30, Seq: 1})
+			back.puts(t, share.Entry{Member: "c", Incarnation: 30, Seq: 1})
 			back.waits(t, "recorded a 1 2")
 			r, _ := back.now()
 			f := r.GetConfiguration()
@@ -220,15 +222,15 @@
 			all[1].stop()
 			a, b := starts(story, Place{Name: "a", Members: at}), starts(story, Place{Name: "b", Members: at})
 			all[2].waits(t, "restored")
-			a.puts(t, share.Entry{Member: "a", Life: 50, Seq: 1})
-			b.puts(t, share.Entry{Member: "b", Life: 51, Seq: 1})
+			a.puts(t, share.Entry{Member: "a", Incarnation: 50, Seq: 1})
+			b.puts(t, share.Entry{Member: "b", Incarnation: 51, Seq: 1})
 			all[2].waits(t, "recorded a 50 1")
 		})
 	})
 	t.Run("on disk a member goes on as the one it was, and nobody else may use its folder", func(t *testing.T) {
 		at, folder := addresses(t, "a"), t.TempDir()
 		a := starts(t, Place{Name: "a", Members: at, Folder: folder})
-		a.puts(t, share.Entry{Member: "a", Life: 1, Seq: 1})
+		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		if _, err := New(Place{Name: "a", Members: addresses(t, "a"), Folder: folder, Terms: terms}, newReader(), quiet()); err == nil {
 			t.Error("two processes on one folder")
 		}
@@ -241,7 +243,7 @@
 	})
 	t.Run("alone of three nothing stands, and each try is told", func(t *testing.T) {
 		a := starts(t, Place{Name: "a", Members: addresses(t, names...)})
-		a.Propose(share.Entry{Member: "a", Life: 1, Seq: 1})
+		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		a.waits(t, "failed 1 1")
 	})
 }
@@ -307,7 +309,7 @@
 	at := addresses(t, "a", "b")
 	a := starts(t, Place{Name: "a", Members: at, Credentials: ours.gives("a")})
 	b := starts(t, Place{Name: "b", Members: at, Credentials: ours.gives("b")})
-	a.puts(t, share.Entry{Member: "a", Life: 1, Seq: 1})
+	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	b.waits(t, "recorded a 1 1")
 
 	asks := func(given Credentials, to string, c call) (answer, error) {
@@ -334,7 +336,7 @@
 	}
 	t.Run("a member may not speak for another", func(t *testing.T) {
 		leader := a.who().Leader
-		got, err := asks(ours.gives("b"), leader, call{Entry: &share.Entry{Member: "a", Life: 9, Seq: 1}})
+		got, err := asks(ours.gives("b"), leader, call{Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}})
 		if err != nil || got.Stands || got.Why == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
@@ -380,7 +382,7 @@
 
 func TestMachine(t *testing.T) {
 	m, r := &machine{events: newReader(), record: share.NewRecord()}, newReader()
-	m.record.Apply(share.Entry{Member: "a", Life: 1, Seq: 1, Claims: []int{4}, Edition: 1,
+	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
 		Laid: []share.Laid{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
@@ -390,7 +392,7 @@
 	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))); err != nil {
 		t.Fatal(err)
 	}
-	if life := other.record.Lives[1]; life.Tables[2].Lines["s"].Weight != 0.5 || other.record.Proxies[4].Owner != "a" {
+	if incarnation := other.record.Incarnations[1]; incarnation.Tables[2].Lines["s"].Weight != 0.5 || other.record.Proxies[4].Owner != "a" {
 		t.Errorf("restored %+v", other.record)
 	}
 	if told, _ := r.has("restored"); !told {
@@ -406,7 +408,7 @@
 		at, since := addresses(t, "a", "b", "c"), &atomic.Bool{}
 		a := startsOn(t, Place{Name: "a", Members: at, Folder: t.TempDir()}, func(s raft.StableStore) raft.StableStore { return full{s, since} })
 		others := map[string]*member{"b": starts(t, Place{Name: "b", Members: at}), "c": starts(t, Place{Name: "c", Members: at})}
-		a.puts(t, share.Entry{Member: "a", Life: 1, Seq: 1})
+		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		late := time.After(patience)
 		until := func(is func() bool) {
 			t.Helper()
@@ -428,7 +430,7 @@
 		since.Store(true)
 		others[a.who().Leader].stop()
 		until(a.out.Load) // the next election has it vote, or stand itself
-		a.Propose(share.Entry{Member: "a", Life: 1, Seq: 3})
+		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 3})
 		a.waits(t, "failed 1 3") // and so goes on by itself
 		a.stop()
 	})
@@ -437,7 +439,7 @@
 		folder := t.TempDir()
 		a := starts(t, Place{Name: "a", Members: at, Folder: folder})
 		for seq := uint64(1); seq < 40; seq++ {
-			a.puts(t, share.Entry{Member: "a", Life: 1, Seq: seq})
+			a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: seq})
 		}
 		a.stop()
 		return folder
--- a/replica/wire_test.go
+++ b/replica/wire_test.go
@@ -16,7 +16,7 @@
 		value any
 		want  string
 	}{
-		{"a call that brings an entry", call{Entry: &share.Entry{Member: "a", Life: 1, Seq: 2}},
+		{"a call that brings an entry", call{Entry: &share.Entry{Member: "a", Incarnation: 1, Seq: 2}},
 			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
 		{"a call that asks who it is", call{Who: true}, "a102f5"},
 		{"a call to join", call{Name: "a", ID: "a/1"}, "a20361610463612f31"},
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -151,7 +151,7 @@
 			for len(p.out) > 0 && !repeated[p] {
 				e := p.out[0]
 				p.out, moved = p.out[1:], true
-				w.leases.Observe(e.Life, e.Seq, p.conn, w.now)
+				w.leases.Observe(e.Incarnation, e.Seq, p.conn, w.now)
 				e.OnRecord, e.Stamp = w.leases.OnRecord(w.record, w.now), Stamp{1, w.now}
 				w.log = append(w.log, e)
 				w.record.Apply(e)
@@ -160,7 +160,7 @@
 					p.out, repeated[p] = append(p.out, e), true
 					break
 				}
-				p.coordinator.Answered(e.Life, e.Seq, w.now)
+				p.coordinator.Answered(e.Incarnation, e.Seq, w.now)
 			}
 			for ; p.read < len(w.log); p.read++ {
 				p.coordinator.Recorded(w.log[p.read], w.now)
@@ -317,7 +317,7 @@
 			fmt.Fprint(h, " ", since(at))
 		}
 		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.leases.gone[d.name]))
-		if a, ok := w.leases.entries[d.life]; ok {
+		if a, ok := w.leases.entries[d.incarnation]; ok {
 			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
 		}
 	}
@@ -325,10 +325,10 @@
 	for _, move := range hold.Moves {
 		fmt.Fprint(h, " ", since(move.At))
 	}
-	fmt.Fprint(h, hold.Owner, hold.Edition, w.record.Members[hold.Owner] == hold.Life)
-	if life := w.record.Lives[hold.Life]; life != nil && life.Tables[0] != nil {
-		for _, id := range slices.Sorted(maps.Keys(life.Tables[0].Lines)) {
-			fmt.Fprint(h, id, life.Tables[0].Lines[id])
+	fmt.Fprint(h, hold.Owner, hold.Edition, w.record.Members[hold.Owner] == hold.Incarnation)
+	if incarnation := w.record.Incarnations[hold.Incarnation]; incarnation != nil && incarnation.Tables[0] != nil {
+		for _, id := range slices.Sorted(maps.Keys(incarnation.Tables[0].Lines)) {
+			fmt.Fprint(h, id, incarnation.Tables[0].Lines[id])
 		}
 	}
 	return h.Sum64()
@@ -441,10 +441,10 @@
 				p.coordinator.started = -modelTerms.Span
 			}
 		}},
-		{"a closed life that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
+		{"a closed incarnation that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
 			func(w *world) {
-				for id, life := range w.record.Lives {
-					if life.Closed {
+				for id, incarnation := range w.record.Incarnations {
+					if incarnation.Closed {
 						w.leases.entries[id] = lastEntries{arrivedAt: w.now, leaseFrom: w.now}
 					}
 				}
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -55,16 +55,16 @@
 	name   string
 	record *Record
 
-	life, seq uint64
-	proposed  int64  // when the entry under way was first proposed
-	under     *Entry // the entry under way
-	next      Entry  // what gathers for the one after
-	stood     int64  // when the last entry that was answered had been proposed
-	last      int64  // when any was
-	alone     bool
-	closing   bool
-	started   int64
-	entered   int64 // when a life's entering was last proposed
+	incarnation, seq uint64
+	proposed         int64  // when the entry under way was first proposed
+	under            *Entry // the entry under way
+	next             Entry  // what gathers for the one after
+	stood            int64  // when the last entry that was answered had been proposed
+	last             int64  // when any was
+	alone            bool
+	closing          bool
+	started          int64
+	entered          int64 // when an incarnation's entering was last proposed
 
 	edition uint64                     // of our tables
 	tables  map[int]map[string]float64 // as they stand
@@ -82,8 +82,8 @@
 type charge struct {
 	grantedAt int64
 	granted   bool
-	owned     bool   // ours by the record, in this life or in the last
-	token     uint64 // of this life; 0 while none is given
+	owned     bool   // ours by the record, in this incarnation or in the last
+	token     uint64 // of this incarnation; 0 while none is given
 	claiming  bool
 	others    int   // claims of ours that were under way as its stream began: they mean an older one
 	unheard   int64 // since when it is ours by no claim, and has to be heard first; 0 where it is, or is claimed
@@ -101,10 +101,10 @@
 	return c
 }
 
-// enter begins a life on the record with our tables as they stand. The proxies that we have are claimed as they are
+// enter begins an incarnation on the record with our tables as they stand. The proxies that we have are claimed as they are
 // heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would take them from.
 func (c *Coordinator) enter(now int64) {
-	c.life, c.seq, c.under = c.host.Chance(), 0, nil
+	c.incarnation, c.seq, c.under = c.host.Chance(), 0, nil
 	c.next = Entry{Floor: c.record.Token, Edition: c.edition}
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
 		laid := Laid{Table: number}
@@ -250,8 +250,8 @@
 
 // Closed tells whether our end stands on the record.
 func (c *Coordinator) Closed() bool {
-	life := c.record.Lives[c.life]
-	return c.closing && life != nil && life.Closed
+	incarnation := c.record.Incarnations[c.incarnation]
+	return c.closing && incarnation != nil && incarnation.Closed
 }
 
 // Elapsed looks at what waits for time.
@@ -283,7 +283,7 @@
 			c.grant(proxy, Move{}, c.terms.Own(), now)
 		}
 	}
-	c.enter(now) // what we write from now on is another life's
+	c.enter(now) // what we write from now on is another incarnation's
 }
 
 // goOn proposes what has gathered, one entry at a time.
@@ -303,15 +303,15 @@
 	if c.next = (Entry{}); c.seq > 0 && e.Edition == 0 {
 		e.Edition = c.edition
 	}
-	e.Member, e.Life, e.Seq = c.name, c.life, c.seq+1
+	e.Member, e.Incarnation, e.Seq = c.name, c.incarnation, c.seq+1
 	c.under, c.proposed, c.last = &e, now, now
 	c.host.Propose(e)
 }
 
 // Answered: the entry under way stands on the record.
-func (c *Coordinator) Answered(life, seq uint64, now int64) {
-	if c.under == nil || c.under.Life != life || c.under.Seq != seq {
-		return // of an earlier life
+func (c *Coordinator) Answered(incarnation, seq uint64, now int64) {
+	if c.under == nil || c.under.Incarnation != incarnation || c.under.Seq != seq {
+		return // of an earlier incarnation
 	}
 	edition := c.under.Edition
 	c.seq, c.stood, c.under = seq, c.proposed, nil
@@ -328,8 +328,8 @@
 }
 
 // Failed: it is not known to stand, and is proposed again as it is.
-func (c *Coordinator) Failed(life, seq uint64, now int64) {
-	if c.under == nil || c.under.Life != life || c.under.Seq != seq {
+func (c *Coordinator) Failed(incarnation, seq uint64, now int64) {
+	if c.under == nil || c.under.Incarnation != incarnation || c.under.Seq != seq {
 		return
 	}
 	c.host.Propose(*c.under)
@@ -340,7 +340,7 @@
 	c.hears(e.Stamp, now)
 	moves, taken := c.record.Apply(e)
 	if !taken {
-		if e.Life == c.life && c.record.Members[c.name] != c.life { // another has entered under our name
+		if e.Incarnation == c.incarnation && c.record.Members[c.name] != c.incarnation { // another has entered under our name
 			c.goAlone(now)
 		}
 		return
@@ -348,8 +348,8 @@
 	for _, m := range moves {
 		c.moved(m, now)
 	}
-	switch entered := c.record.Lives[c.life] != nil; {
-	case e.Life == c.life && e.Seq == 1:
+	switch entered := c.record.Incarnations[c.incarnation] != nil; {
+	case e.Incarnation == c.incarnation && e.Seq == 1:
 		c.learnStanding()
 	case entered && e.Member != c.name: // what stood on the record before we came is old
 		for _, s := range e.Seen {
@@ -384,7 +384,7 @@
 		for _, move := range h.Moves {
 			c.hears(move, now)
 		}
-		if p := c.proxies[proxy]; p != nil && h.Life != c.life && h.Token > p.token && p.token > 0 {
+		if p := c.proxies[proxy]; p != nil && h.Incarnation != c.incarnation && h.Token > p.token && p.token > 0 {
 			p.token, p.owned, p.unheard = 0, false, now
 		}
 	}
@@ -428,7 +428,7 @@
 		}
 	}
 	p := c.proxies[m.Proxy]
-	switch ours := m.To.Life == c.life; {
+	switch ours := m.To.Incarnation == c.incarnation; {
 	case p == nil:
 	case ours && p.others > 0:
 		p.others--
--- a/share/evidence_test.go
+++ b/share/evidence_test.go
@@ -84,11 +84,11 @@
 		p, d := newPlace(), (*Coordinator)(nil)
 		d = New(p, "n0", terms, 0)
 		d.Elapsed(0)
-		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 1, Fit: Fit{2, 1}, Came: []Came{{5, []float64{4, 0}}}}, 0)
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 1, Fit: Fit{2, 1}, Came: []Came{{5, []float64{4, 0}}}}, 0)
 		if p.stands(d, 10); !slices.Equal(p.learned, []string{"{2 1}"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if moves, _ := d.record.Apply(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Came, []float64{4, 0}) {
+		if moves, _ := d.record.Apply(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Came, []float64{4, 0}) {
 			t.Errorf("moved %+v", moves)
 		}
 	})
--- a/share/lease_tracker.go
+++ b/share/lease_tracker.go
@@ -9,15 +9,15 @@
 //
 // A process that is surely not there has written nothing either, and one that comes in its place goes off the record no
 // sooner than a lease after its start. So a member is vouched for as well for a lease after it was seen to be gone, or
-// after the entry by which it closed its life came.
+// after the entry by which it closed its incarnation came.
 type LeaseTracker struct {
 	lease   int64
 	members int
-	entries map[uint64]lastEntries // by life
+	entries map[uint64]lastEntries // by incarnation
 	gone    map[string]int64       // when a member was last seen to be gone
 }
 
-// lastEntries tells when the last entries of a life came, in a row on one connection; -1 stands for none.
+// lastEntries tells when the last entries of an incarnation came, in a row on one connection; -1 stands for none.
 type lastEntries struct {
 	connection            int
 	seq                   uint64
@@ -33,16 +33,16 @@
 // MarkGone takes that a member's process was surely not there at some time: nobody listened at its address.
 func (t *LeaseTracker) MarkGone(member string, at int64) { t.gone[member] = max(t.gone[member], at) }
 
-// Silent tells whether nothing has come from a member's life for some time, so that it is worth a look whether it is
+// Silent tells whether nothing has come from a member's incarnation for some time, so that it is worth a look whether it is
 // there.
-func (t *LeaseTracker) Silent(life uint64, now, since int64) bool {
-	a, known := t.entries[life]
+func (t *LeaseTracker) Silent(incarnation uint64, now, since int64) bool {
+	a, known := t.entries[incarnation]
 	return !known || now-a.arrivedAt > since
 }
 
 // Observe takes an entry as it comes to the leader over a connection.
-func (t *LeaseTracker) Observe(life, seq uint64, connection int, now int64) {
-	a, known := t.entries[life]
+func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now int64) {
+	a, known := t.entries[incarnation]
 	switch {
 	case known && a.connection == connection && seq == a.seq+1:
 		if a.previousAt >= 0 {
@@ -56,29 +56,29 @@
 	if !known {
 		a.leaseFrom = -1
 	}
-	t.entries[life] = a
+	t.entries[incarnation] = a
 }
 
-// OnRecord names the lives that have surely written nothing off the record so far. One that has not entered yet may
+// OnRecord names the incarnations that have surely written nothing off the record so far. One that has not entered yet may
 // serve off the record as well, so it names none before all have.
-func (t *LeaseTracker) OnRecord(record *Record, now int64) (lives []uint64) {
-	for id, life := range record.Lives {
+func (t *LeaseTracker) OnRecord(record *Record, now int64) (incarnations []uint64) {
+	for id, incarnation := range record.Incarnations {
 		a, came := t.entries[id]
-		at, gone := t.gone[life.Member]
-		switch current := record.Members[life.Member] == id; {
+		at, gone := t.gone[incarnation.Member]
+		switch current := record.Members[incarnation.Member] == id; {
 		case came && a.leaseFrom >= 0 && now-a.leaseFrom < t.lease,
-			current && life.Closed && came && now-a.arrivedAt < t.lease,
+			current && incarnation.Closed && came && now-a.arrivedAt < t.lease,
 			current && gone && now-at < t.lease && (!came || a.arrivedAt <= at):
-			lives = append(lives, id)
+			incarnations = append(incarnations, id)
 		}
 	}
 	for id, a := range t.entries {
-		if record.Lives[id] == nil && now-a.arrivedAt > t.lease { // it never got in, or is forgotten
+		if record.Incarnations[id] == nil && now-a.arrivedAt > t.lease { // it never got in, or is forgotten
 			delete(t.entries, id)
 		}
 	}
 	if len(record.Members) < t.members {
 		return nil
 	}
-	return lives
+	return incarnations
 }
--- a/share/record.go
+++ b/share/record.go
@@ -15,20 +15,20 @@
 
 // Entry is what one member puts on the record in one piece. A member has one entry under way at a time.
 type Entry struct {
-	Member  string `cbor:"1,keyasint"`
-	Life    uint64 `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
-	Seq     uint64 `cbor:"3,keyasint"`           // 1 for the first of a life, which is its entering
-	Floor   uint64 `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
-	Closing bool   `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
-	Claims  []int  `cbor:"6,keyasint,omitempty"`
-	Again   []int  `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
-	Edition uint64 `cbor:"7,keyasint,omitempty"`  // of the tables once Laid counts
-	Laid    []Laid `cbor:"8,keyasint,omitempty"`
-	Told    []Told `cbor:"9,keyasint,omitempty"`
-	Seen    []Seen `cbor:"10,keyasint,omitempty"`
-	Came    []Came `cbor:"13,keyasint,omitempty"`
-	Fit     Fit    `cbor:"14,keyasint,omitempty"`
-	// OnRecord is added by the leader: the lives that had surely written nothing off the record when this entry came to
+	Member      string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
+	Seq         uint64 `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
+	Floor       uint64 `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
+	Closing     bool   `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
+	Claims      []int  `cbor:"6,keyasint,omitempty"`
+	Again       []int  `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
+	Edition     uint64 `cbor:"7,keyasint,omitempty"`  // of the tables once Laid counts
+	Laid        []Laid `cbor:"8,keyasint,omitempty"`
+	Told        []Told `cbor:"9,keyasint,omitempty"`
+	Seen        []Seen `cbor:"10,keyasint,omitempty"`
+	Came        []Came `cbor:"13,keyasint,omitempty"`
+	Fit         Fit    `cbor:"14,keyasint,omitempty"`
+	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry came to
 	// it. It names none before all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
 	// Stamp is added by the leader as well.
@@ -79,18 +79,18 @@
 
 // Record is the replicated record: what every member concludes from the same entries.
 type Record struct {
-	Token   uint64                     `cbor:"1,keyasint"` // the last one given
-	Members map[string]uint64          `cbor:"2,keyasint"` // the life of each
-	Lives   map[uint64]*Life           `cbor:"3,keyasint"`
-	Proxies map[int]Holding            `cbor:"4,keyasint"`
-	Away    map[string]map[string]Seen `cbor:"5,keyasint"` // by backend and member
-	Came    map[int][]float64          `cbor:"6,keyasint"` // requests a second by proxy and class
-	Fits    map[string]Fit             `cbor:"7,keyasint"` // by member
-	Past    map[string][]uint64        `cbor:"8,keyasint"` // lives of each member that are over, the last ones
+	Token        uint64                     `cbor:"1,keyasint"` // the last one given
+	Members      map[string]uint64          `cbor:"2,keyasint"` // the incarnation of each
+	Incarnations map[uint64]*Incarnation    `cbor:"3,keyasint"`
+	Proxies      map[int]Holding            `cbor:"4,keyasint"`
+	Away         map[string]map[string]Seen `cbor:"5,keyasint"` // by backend and member
+	Came         map[int][]float64          `cbor:"6,keyasint"` // requests a second by proxy and class
+	Fits         map[string]Fit             `cbor:"7,keyasint"` // by member
+	Past         map[string][]uint64        `cbor:"8,keyasint"` // incarnations of each member that are over, the last ones
 }
 
-// Life is a member between its entering and its end.
-type Life struct {
+// Incarnation is a member between its entering and its end.
+type Incarnation struct {
 	Member  string         `cbor:"1,keyasint"`
 	Seq     uint64         `cbor:"2,keyasint"`
 	Closed  bool           `cbor:"3,keyasint"`
@@ -112,13 +112,13 @@
 
 // Holding says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
 type Holding struct {
-	Owner   string  `cbor:"1,keyasint"`
-	Life    uint64  `cbor:"2,keyasint"`
-	Token   uint64  `cbor:"3,keyasint"`
-	Edition uint64  `cbor:"4,keyasint"`
-	Tables  []int   `cbor:"5,keyasint"`
-	Moves   []Stamp `cbor:"6,keyasint"` // when it was taken over from others, the last ones
-	Sure    bool    `cbor:"7,keyasint,omitempty"`
+	Owner       string  `cbor:"1,keyasint"`
+	Incarnation uint64  `cbor:"2,keyasint"`
+	Token       uint64  `cbor:"3,keyasint"`
+	Edition     uint64  `cbor:"4,keyasint"`
+	Tables      []int   `cbor:"5,keyasint"`
+	Moves       []Stamp `cbor:"6,keyasint"` // when it was taken over from others, the last ones
+	Sure        bool    `cbor:"7,keyasint,omitempty"`
 }
 
 // Base is what a proxy surely has of one class: lines, and backends of which it may have any line or none.
@@ -141,34 +141,34 @@
 	mostOut  = 256 // lines taken out that a table remembers ...
 	leastOut = 128 // ... and how many are left once there are more
 
-	pastKept  = 16 // lives of a member that are known to be over
+	pastKept  = 16 // incarnations of a member that are known to be over
 	movesKept = 2  // owners before the present one for whose shares there is room within the span
 	mostMoves = 4  // moves within it up to which an owner has some messages in any case
 )
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{Members: map[string]uint64{}, Lives: map[uint64]*Life{}, Proxies: map[int]Holding{},
+	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Holding{},
 		Away: map[string]map[string]Seen{}, Came: map[int][]float64{}, Fits: map[string]Fit{},
 		Past: map[string][]uint64{}}
 }
 
-// Apply takes in the next entry. It is false for one that was taken in before, and for one of a life that is over: its
+// Apply takes in the next entry. It is false for one that was taken in before, and for one of an incarnation that is over: its
 // member has entered anew since, or has closed.
 func (r *Record) Apply(e Entry) (moves []Move, taken bool) {
-	// A repeat of an entering that was under way for long must not bring back a life that is over.
-	if e.Seq == 1 && r.Lives[e.Life] == nil && !slices.Contains(r.Past[e.Member], e.Life) {
+	// A repeat of an entering that was under way for long must not bring back an incarnation that is over.
+	if e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.Past[e.Member], e.Incarnation) {
 		r.enter(e)
 	}
-	life := r.Lives[e.Life]
-	if life == nil || r.Members[e.Member] != e.Life || e.Seq != life.Seq+1 || life.Closed {
+	incarnation := r.Incarnations[e.Incarnation]
+	if incarnation == nil || r.Members[e.Member] != e.Incarnation || e.Seq != incarnation.Seq+1 || incarnation.Closed {
 		return nil, false
 	}
-	life.Seq = e.Seq
+	incarnation.Seq = e.Seq
 	r.Token = max(r.Token, e.Floor)
-	r.applyTables(life, e)
+	r.applyTables(incarnation, e)
 	for _, t := range e.Told {
-		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Life == e.Life && t.Edition >= h.Edition {
+		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Edition >= h.Edition {
 			h.Edition, h.Tables, h.Sure = t.Edition, t.Tables, t.Sure
 			r.Proxies[t.Proxy] = h
 		}
@@ -189,7 +189,7 @@
 		moves = append(moves, r.claim(proxy, e, true))
 	}
 	if e.Closing {
-		life.Closed = true
+		incarnation.Closed = true
 		r.clearWithdrawn(e.Member)
 	}
 	r.dropUnused()
@@ -201,18 +201,18 @@
 		past := append(r.Past[e.Member], last)
 		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-pastKept):])
 	}
-	r.Members[e.Member] = e.Life
-	r.Lives[e.Life] = &Life{Member: e.Member, Tables: map[int]*Table{}}
+	r.Members[e.Member] = e.Incarnation
+	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
 	r.clearWithdrawn(e.Member) // it has forgotten what it withdrew
 }
 
-func (r *Record) applyTables(life *Life, e Entry) {
-	life.Edition = max(life.Edition, e.Edition)
+func (r *Record) applyTables(incarnation *Incarnation, e Entry) {
+	incarnation.Edition = max(incarnation.Edition, e.Edition)
 	for _, laid := range e.Laid {
-		t := life.Tables[laid.Table]
+		t := incarnation.Tables[laid.Table]
 		if t == nil {
 			t = &Table{Lines: map[string]Stood{}}
-			life.Tables[laid.Table] = t
+			incarnation.Tables[laid.Table] = t
 		}
 		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
 			t.Floor = e.Edition
@@ -268,15 +268,15 @@
 func (r *Record) claim(proxy int, e Entry, again bool) Move {
 	from := r.Proxies[proxy]
 	r.Token++
-	m := Move{Proxy: proxy, From: from, To: Holding{Owner: e.Member, Life: e.Life, Token: r.Token}}
+	m := Move{Proxy: proxy, From: from, To: Holding{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
 	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
 		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-mostMoves-1):]
 	}
 	m.Came = r.Came[proxy]
-	last := r.Lives[from.Life]
-	sure := func(id uint64) bool { return id == e.Life || slices.Contains(e.OnRecord, id) }
-	m.Known = last != nil && len(e.OnRecord) > 0 && (sure(from.Life) || last.Closed)
+	last := r.Incarnations[from.Incarnation]
+	sure := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.OnRecord, id) }
+	m.Known = last != nil && len(e.OnRecord) > 0 && (sure(from.Incarnation) || last.Closed)
 	for _, id := range r.Members {
 		m.Known = m.Known && sure(id)
 	}
@@ -288,9 +288,9 @@
 	return m
 }
 
-// clean tells whether one that confirmed an edition shuts nothing out that the life has withdrawn.
-func (l *Life) clean(edition uint64) bool {
-	t := l.Tables[Shut]
+// clean tells whether one that confirmed an edition shuts nothing out that the incarnation has withdrawn.
+func (i *Incarnation) clean(edition uint64) bool {
+	t := i.Tables[Shut]
 	if t == nil {
 		return true
 	}
@@ -303,12 +303,12 @@
 }
 
 // base is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (r *Record) base(h Holding, life *Life) (by []Base, known bool) {
+func (r *Record) base(h Holding, incarnation *Incarnation) (by []Base, known bool) {
 	if h.Edition == 0 || len(h.Tables) == 0 {
 		return nil, false
 	}
 	for _, number := range h.Tables {
-		t := life.Tables[number]
+		t := incarnation.Tables[number]
 		if t == nil || h.Edition < t.Floor {
 			return nil, false
 		}
@@ -325,17 +325,17 @@
 	return by, true
 }
 
-// dropUnused forgets lives that are over and own nothing.
+// dropUnused forgets incarnations that are over and own nothing.
 func (r *Record) dropUnused() {
 	used := map[uint64]bool{}
-	for _, life := range r.Members {
-		used[life] = true
+	for _, incarnation := range r.Members {
+		used[incarnation] = true
 	}
-	if len(used) == len(r.Lives) {
+	if len(used) == len(r.Incarnations) {
 		return
 	}
 	for _, h := range r.Proxies {
-		used[h.Life] = true
+		used[h.Incarnation] = true
 	}
-	maps.DeleteFunc(r.Lives, func(id uint64, _ *Life) bool { return !used[id] })
+	maps.DeleteFunc(r.Incarnations, func(id uint64, _ *Incarnation) bool { return !used[id] })
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -37,7 +37,7 @@
 	e := p.proposed[len(p.proposed)-1]
 	e.OnRecord, e.Stamp = recorded, Stamp{7, now}
 	d.Recorded(e, now)
-	d.Answered(e.Life, e.Seq, now)
+	d.Answered(e.Incarnation, e.Seq, now)
 	return e
 }
 
@@ -50,7 +50,7 @@
 	d.Elapsed(0)
 	p.stands(d, 0)
 	for i, name := range []string{"n1", "n2"} {
-		d.Recorded(Entry{Member: name, Life: uint64(i + 1), Seq: 1, Stamp: Stamp{7, 0}}, 0)
+		d.Recorded(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Stamp: Stamp{7, 0}}, 0)
 	}
 	return p, d
 }
@@ -58,9 +58,9 @@
 func TestCoordinator(t *testing.T) {
 	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
 		p, d := works(t)
-		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{5}, Edition: 1, Stamp: Stamp{7, 10},
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Stamp: Stamp{7, 10},
 			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
-		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 3, Edition: 1, Stamp: Stamp{7, 20},
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Stamp: Stamp{7, 20},
 			Told: []Told{{5, 1, 1, []int{0, 0}, true}}}, 20)
 		d.Joined(5, 30)
 		if len(p.granted) > 0 {
@@ -74,8 +74,8 @@
 	t.Run("where anybody may have written off the record, what it holds is not known", func(t *testing.T) {
 		for _, recorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
 			p, d := works(t)
-			d.Recorded(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{5}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}}, 10)
-			d.Recorded(Entry{Member: "n1", Life: 1, Seq: 3, Edition: 1, Told: []Told{{5, 1, 1, []int{0}, true}}}, 20)
+			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}}, 10)
+			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Told: []Told{{5, 1, 1, []int{0}, true}}}, 20)
 			d.Joined(5, 30)
 			if p.stands(d, 40, recorded...); p.granted[5] != "2 false 0" {
 				t.Errorf("recorded %v: granted %v", recorded, p.granted)
@@ -102,7 +102,7 @@
 			t.Errorf("spent %v", p.spent)
 		}
 	})
-	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old life counts", func(t *testing.T) {
+	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old incarnation counts", func(t *testing.T) {
 		p, d := works(t)
 		d.Joined(4, 50)
 		d.Laid([]Laid{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
@@ -110,7 +110,7 @@
 		d.Elapsed(1100)
 		d.Laid([]Laid{{0, []Line{{"a", 0}}}}, 1150)
 		e := p.stands(d, 1200)
-		if e.Seq != 1 || e.Life == old.Life || len(e.Claims)+len(e.Again) > 0 || len(e.Laid) != 1 || d.Alone() {
+		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Again) > 0 || len(e.Laid) != 1 || d.Alone() {
 			t.Errorf("entered with %+v, alone %v", e, d.Alone())
 		}
 		d.Spoke(4, 1000) // heard before: it may be gone since
@@ -121,10 +121,10 @@
 			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.Owned(), d.record.Proxies[4].Moves)
 		}
 		if _, taken := d.record.Apply(old); taken {
-			t.Error("an entry of the life that is over was taken in")
+			t.Error("an entry of the incarnation that is over was taken in")
 		}
-		if life := d.record.Lives[e.Life]; life.Tables[0].Lines["a"].Weight != 0 || life.Tables[0].Lines["b"].Weight != 1 {
-			t.Errorf("on the record %+v", life.Tables[0])
+		if incarnation := d.record.Incarnations[e.Incarnation]; incarnation.Tables[0].Lines["a"].Weight != 0 || incarnation.Tables[0].Lines["b"].Weight != 1 {
+			t.Errorf("on the record %+v", incarnation.Tables[0])
 		}
 	})
 	t.Run("a claim that was under way for an older stream does not grant the newer", func(t *testing.T) {
@@ -142,7 +142,7 @@
 	t.Run("of a proxy that comes and goes between owners no more messages are spent than the limit", func(t *testing.T) {
 		p, d := works(t)
 		for i, name := range []string{"n1", "n2", "n1"} {
-			d.Recorded(Entry{Member: name, Life: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
+			d.Recorded(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
 		}
 		d.Joined(5, 200)
 		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.Own()) {
@@ -150,7 +150,7 @@
 		}
 		for i := range mostMoves { // and so on: beyond some it has none of its own
 			d.Left(5)
-			d.Recorded(Entry{Member: []string{"n1", "n2"}[i%2], Life: uint64(i%2 + 1), Seq: d.record.Lives[uint64(i%2+1)].Seq + 1, Claims: []int{5},
+			d.Recorded(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1), Seq: d.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		d.Joined(5, 230)
@@ -166,14 +166,14 @@
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		for i, name := range []string{"n1", "n2", "n1", "n2"} {
-			d.Recorded(Entry{Member: name, Life: uint64(i + 1), Seq: 1, Claims: []int{5}, Stamp: Stamp{7, int64(i)}}, 0)
+			d.Recorded(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Claims: []int{5}, Stamp: Stamp{7, int64(i)}}, 0)
 		}
 		d.started = -terms.Span
 		d.Joined(5, 0)
 		e := p.proposed[0]
 		e.Stamp = Stamp{7, 11_000}
 		d.Recorded(e, 1)
-		d.Answered(e.Life, e.Seq, 1)
+		d.Answered(e.Incarnation, e.Seq, 1)
 		e = p.proposed[1]
 		e.Stamp = Stamp{7, 11_001}
 		if d.Recorded(e, 2); p.granted[5] != "5 false 0" {
@@ -204,7 +204,7 @@
 		for range 2 {
 			p.stands(d, 60)
 		}
-		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
 		if d.Owned() != 0 || p.spent[4] != terms.Own() {
 			t.Errorf("owns %d, spent %v", d.Owned(), p.spent)
 		}
@@ -221,11 +221,11 @@
 func TestRecord(t *testing.T) {
 	t.Run("a line set after what a proxy confirmed is in doubt, also one that was taken out", func(t *testing.T) {
 		b := NewRecord()
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1,
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1,
 			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
 			Told: []Told{{3, 1, 1, []int{0}, true}}})
-		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
+		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Doubt["a"] || !base[0].Doubt["b"] || base[0].Doubt["c"] || base[0].Lines["c"] != 1 {
 			t.Errorf("base %+v", base)
@@ -239,10 +239,10 @@
 			clean      bool
 		}{{true, 0, 2, 2, true}, {true, 1, 2, 2, false}, {true, 0, 3, 2, false}, {false, 0, 2, 2, false}} {
 			b := NewRecord()
-			b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-			b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
 				Told: []Told{{3, 1, story.heard, []int{0}, story.sure}}})
-			if moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
+			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
 			}
@@ -250,81 +250,81 @@
 	})
 	t.Run("what is remembered of lines taken out has an end, from which on a base is not known", func(t *testing.T) {
 		b := NewRecord()
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
 		for seq := uint64(3); seq < 400; seq++ {
-			b.Apply(Entry{Member: "n0", Life: 1, Seq: seq, Edition: seq,
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: seq, Edition: seq,
 				Laid: []Laid{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
 		}
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
-		if n := len(b.Lives[1].Tables[0].Lines); n > mostOut+1 {
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
+		if n := len(b.Incarnations[1].Tables[0].Lines); n > mostOut+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
-		moves, _ := b.Apply(Entry{Member: "n1", Life: 2, Seq: 1, Claims: []int{3, 4}, OnRecord: []uint64{1}})
+		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3, 4}, OnRecord: []uint64{1}})
 		if moves[0].Known || !moves[1].Known {
 			t.Errorf("moves %+v", moves)
 		}
 	})
-	t.Run("an entry counts once, a closed life not at all, and lives that own nothing are forgotten", func(t *testing.T) {
+	t.Run("an entry counts once, a closed incarnation not at all, and incarnations that own nothing are forgotten", func(t *testing.T) {
 		b := NewRecord()
-		first := Entry{Member: "n0", Life: 1, Seq: 1, Claims: []int{3}}
+		first := Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}}
 		b.Apply(first)
 		if _, taken := b.Apply(first); taken || b.Token != 1 {
 			t.Errorf("taken twice, token %d", b.Token)
 		}
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 2, Closing: true})
-		if _, taken := b.Apply(Entry{Member: "n0", Life: 1, Seq: 3, Claims: []int{4}}); taken {
-			t.Error("a closed life went on")
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Closing: true})
+		if _, taken := b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 3, Claims: []int{4}}); taken {
+			t.Error("a closed incarnation went on")
 		}
-		b.Apply(Entry{Member: "n0", Life: 2, Seq: 1, Floor: 40})
-		if len(b.Lives) != 2 {
-			t.Errorf("%d lives while the older owns a proxy", len(b.Lives))
+		b.Apply(Entry{Member: "n0", Incarnation: 2, Seq: 1, Floor: 40})
+		if len(b.Incarnations) != 2 {
+			t.Errorf("%d incarnations while the older owns a proxy", len(b.Incarnations))
 		}
-		if moves, _ := b.Apply(Entry{Member: "n1", Life: 9, Seq: 1, Claims: []int{3}}); len(b.Lives) != 2 || moves[0].To.Token != 41 {
-			t.Errorf("lives %v, moves %+v", b.Lives, moves)
+		if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 9, Seq: 1, Claims: []int{3}}); len(b.Incarnations) != 2 || moves[0].To.Token != 41 {
+			t.Errorf("incarnations %v, moves %+v", b.Incarnations, moves)
 		}
 	})
-	t.Run("a repeat of an entering brings no life back that is over, also one that is forgotten", func(t *testing.T) {
+	t.Run("a repeat of an entering brings no incarnation back that is over, also one that is forgotten", func(t *testing.T) {
 		b := NewRecord()
-		b.Apply(Entry{Member: "n0", Life: 1, Seq: 1})
-		b.Apply(Entry{Member: "n0", Life: 2, Seq: 1})
-		if _, taken := b.Apply(Entry{Member: "n0", Life: 1, Seq: 1}); taken || b.Members["n0"] != 2 || b.Lives[1] != nil {
-			t.Errorf("the life is %d of %v", b.Members["n0"], b.Lives)
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1})
+		b.Apply(Entry{Member: "n0", Incarnation: 2, Seq: 1})
+		if _, taken := b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1}); taken || b.Members["n0"] != 2 || b.Incarnations[1] != nil {
+			t.Errorf("the incarnation is %d of %v", b.Members["n0"], b.Incarnations)
 		}
-		for life := uint64(3); life < 99; life++ {
-			b.Apply(Entry{Member: "n0", Life: life, Seq: 1})
+		for incarnation := uint64(3); incarnation < 99; incarnation++ {
+			b.Apply(Entry{Member: "n0", Incarnation: incarnation, Seq: 1})
 		}
 		if len(b.Past["n0"]) != pastKept {
-			t.Errorf("%d lives are kept", len(b.Past["n0"]))
+			t.Errorf("%d incarnations are kept", len(b.Past["n0"]))
 		}
 	})
 	t.Run("one whose entries are not taken in, as another entered under its name, goes off the record", func(t *testing.T) {
 		p, d := works(t)
-		d.Recorded(Entry{Member: "n0", Life: 77, Seq: 1}, 50)
+		d.Recorded(Entry{Member: "n0", Incarnation: 77, Seq: 1}, 50)
 		d.Elapsed(terms.Renew)
-		if p.stands(d, terms.Renew); !slices.Contains(p.modes, true) || d.life == 1000 {
-			t.Errorf("modes %v, life %d", p.modes, d.life)
+		if p.stands(d, terms.Renew); !slices.Contains(p.modes, true) || d.incarnation == 1000 {
+			t.Errorf("modes %v, incarnation %d", p.modes, d.incarnation)
 		}
 	})
 	t.Run("a withdrawal stands until its member takes it back, or enters anew", func(t *testing.T) {
 		p := newPlace()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
-		for member, life := range map[string]uint64{"n1": 1, "n2": 2} {
-			d.Recorded(Entry{Member: member, Life: life, Seq: 1}, 0)
-			d.Recorded(Entry{Member: member, Life: life, Seq: 2, Seen: []Seen{{Backend: "a", Tries: 5, Failed: 5, Away: true}}}, 10)
+		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
+			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 1}, 0)
+			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 2, Seen: []Seen{{Backend: "a", Tries: 5, Failed: 5, Away: true}}}, 10)
 		}
-		d.Recorded(Entry{Member: "n1", Life: 1, Seq: 3, Seen: []Seen{{Backend: "a", Tries: 5}}}, 20)
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Seen: []Seen{{Backend: "a", Tries: 5}}}, 20)
 		if len(d.record.Away["a"]) != 1 || len(p.learned) > 0 {
 			t.Errorf("withdrawn %v, learned %v before we came", d.record.Away, p.learned)
 		}
 		if p.stands(d, 30); !slices.Equal(p.learned, []string{"n2 a"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n1", Life: 1, Seq: 4, Seen: []Seen{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
+		if d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 4, Seen: []Seen{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n2", Life: 5, Seq: 1}, 40); len(d.record.Away) != 0 {
+		if d.Recorded(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(d.record.Away) != 0 {
 			t.Errorf("withdrawn %v", d.record.Away)
 		}
 	})
--- a/share/wire_test.go
+++ b/share/wire_test.go
@@ -11,7 +11,7 @@
 // this one, and a folder outlasts both, so no renaming and no new field may change these bytes.
 func TestEncodedBytes(t *testing.T) {
 	seen := Seen{Backend: "a", Tries: 5, Failed: 4, Mean: 3000, Span: 2000, Away: true, Wait: 700}
-	entry := Entry{Member: "n1", Life: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Again: []int{6}, Edition: 9,
+	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Again: []int{6}, Edition: 9,
 		Laid: []Laid{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
 		Told: []Told{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
 		Seen: []Seen{seen}, Came: []Came{{Proxy: 5, Rates: []float64{1.5, 0}}}, Fit: Fit{Proven: 2, Able: 3},
@@ -19,9 +19,9 @@
 	record := NewRecord()
 	record.Token = 7
 	record.Members["n1"] = 77
-	record.Lives[77] = &Life{Member: "n1", Seq: 2, Closed: true, Edition: 9,
+	record.Incarnations[77] = &Incarnation{Member: "n1", Seq: 2, Closed: true, Edition: 9,
 		Tables: map[int]*Table{2: {Lines: map[string]Stood{"a": {Weight: 0.5, At: 9}}, Floor: 1}}}
-	record.Proxies[5] = Holding{Owner: "n1", Life: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
+	record.Proxies[5] = Holding{Owner: "n1", Incarnation: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
 	record.Away["a"] = map[string]Seen{"n1": seen}
 	record.Came[5] = []float64{1.5}
 	record.Fits["n1"] = Fit{Proven: 2, Able: 3}
@@ -31,7 +31,7 @@
 		value any
 		want  string
 	}{
-		{"the least entry", Entry{Member: "n1", Life: 77, Seq: 2}, "a501626e3102184d03020ea201fb000000000000000002fb00000000000000000ca201000200"},
+		{"the least entry", Entry{Member: "n1", Incarnation: 77, Seq: 2}, "a501626e3102184d03020ea201fb000000000000000002fb00000000000000000ca201000200"},
 		{"an entry", entry, "af01626e3102184d0301040305f50681050f810607090881a201020281a201616102fb3fe00000000000000981a50105" +
 			"020403080482020205f50a81a70161610205030404190bb8051907d006f5071902bc0d81a201050282fb3ff800000000" +
 			"0000fb00000000000000000ea201fb400000000000000002fb40080000000000000b82184d184e0ca20109021904d2"},
