--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -222,33 +222,33 @@
 	return p.send(message)
 }
 
-// lays puts on the record what this turn has changed in our tables, before any of it is written.
-func (f *fleet) lays() {
-	var changes []share.Laid
+// recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
+func (f *fleet) recordTableChanges() {
+	var changes []share.TableChange
 	for _, number := range slices.Sorted(maps.Keys(f.module.laid)) {
 		in := f.module.laid[number]
 		if len(in.changed) == 0 {
 			continue
 		}
-		laid := share.Laid{Table: number}
+		change := share.TableChange{Table: number}
 		for _, b := range in.changed {
-			laid.Lines = append(laid.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
+			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
 		}
-		changes = append(changes, laid)
+		changes = append(changes, change)
 	}
 	if len(f.module.withdrew) > 0 {
-		laid := share.Laid{Table: share.Shut}
+		change := share.TableChange{Table: share.Shut}
 		for _, b := range f.module.withdrew {
 			shut := 0.
 			if f.module.out[b] {
 				shut = 1
 			}
-			laid.Lines = append(laid.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
+			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
 		}
-		changes = append(changes, laid)
+		changes = append(changes, change)
 	}
 	if len(changes) > 0 {
-		f.coordinator.Laid(changes, f.module.now)
+		f.coordinator.ChangeTables(changes, f.module.now)
 	}
 }
 
--- a/controller/module.go
+++ b/controller/module.go
@@ -144,7 +144,7 @@
 	defer m.forget()
 	sends, edition := (*peer).send, uint64(0)
 	if m.fleet != nil {
-		m.fleet.lays()
+		m.fleet.recordTableChanges()
 		sends, edition = m.fleet.sends, m.fleet.coordinator.Edition()
 	}
 	var one *mark
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -41,7 +41,7 @@
 			e.Claims = []int{n}
 		}
 		if n%40 == 0 {
-			e.Laid = []share.Laid{{Table: 0, Lines: []share.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
+			e.TableChanges = []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
 		}
 		body, err := cbor.Marshal(e)
 		if err != nil {
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -383,7 +383,7 @@
 func TestMachine(t *testing.T) {
 	m, r := &machine{events: newReader(), record: share.NewRecord()}, newReader()
 	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
-		Laid: []share.Laid{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
+		TableChanges: []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -174,7 +174,7 @@
 	p.up, p.cut, p.deaf, p.read, p.out, p.wait, p.sent, p.granted = true, false, false, 0, nil, nil, nil, 0
 	p.conn, p.line, p.edition, p.token, p.joined, p.wrote = p.conn+1, 0, 0, 0, 0, 0
 	p.coordinator = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
-	p.coordinator.Laid([]Laid{{0, []Line{{"b", 1}}}}, w.now)
+	p.coordinator.ChangeTables([]TableChange{{0, []Line{{"b", 1}}}}, w.now)
 }
 
 func (w *world) dial(p *player) {
@@ -221,7 +221,7 @@
 		p.wait = append(p.wait, 1<<62)
 		p.edition = p.coordinator.Edition() + 1
 		p.wait[len(p.wait)-1] = p.edition
-		p.coordinator.Laid([]Laid{{0, []Line{{"a", p.line}}}}, w.now)
+		p.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", p.line}}}}, w.now)
 	case 'c':
 		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
 			return false
@@ -306,7 +306,7 @@
 	for _, p := range w.members {
 		d := p.coordinator
 		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
-			d.alone, since(d.stood), since(d.last), len(d.next.Claims), len(d.next.Laid), len(d.next.Told), d.under != nil, d.tables)
+			d.alone, since(d.stood), since(d.last), len(d.next.Claims), len(d.next.TableChanges), len(d.next.Told), d.under != nil, d.tables)
 		for _, at := range p.sent {
 			fmt.Fprint(h, " ", since(at))
 		}
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -107,11 +107,11 @@
 	c.incarnation, c.seq, c.under = c.host.Chance(), 0, nil
 	c.next = Entry{Floor: c.record.Token, Edition: c.edition}
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
-		laid := Laid{Table: number}
+		change := TableChange{Table: number}
 		for _, id := range slices.Sorted(maps.Keys(c.tables[number])) {
-			laid.Lines = append(laid.Lines, Line{id, c.tables[number][id]})
+			change.Lines = append(change.Lines, Line{id, c.tables[number][id]})
 		}
-		c.next.Laid = append(c.next.Laid, laid)
+		c.next.TableChanges = append(c.next.TableChanges, change)
 	}
 	for _, p := range c.proxies {
 		p.token, p.claiming, p.others, p.unheard = 0, false, 0, now
@@ -178,23 +178,24 @@
 	}
 }
 
-// Laid: tables have changed. It gives the edition that what is ordered now belongs to, which waits for its release.
-func (c *Coordinator) Laid(changes []Laid, now int64) uint64 {
+// ChangeTables takes what has changed in our tables. It gives the edition that what is ordered now belongs to, which waits
+// for its release.
+func (c *Coordinator) ChangeTables(changes []TableChange, now int64) uint64 {
 	c.edition++
-	for _, laid := range changes {
-		if c.tables[laid.Table] == nil {
-			c.tables[laid.Table] = map[string]float64{}
+	for _, change := range changes {
+		if c.tables[change.Table] == nil {
+			c.tables[change.Table] = map[string]float64{}
 		}
-		for _, l := range laid.Lines {
-			if c.tables[laid.Table][l.Backend] = l.Weight; l.Weight == 0 {
-				delete(c.tables[laid.Table], l.Backend)
+		for _, l := range change.Lines {
+			if c.tables[change.Table][l.Backend] = l.Weight; l.Weight == 0 {
+				delete(c.tables[change.Table], l.Backend)
 			}
 		}
 	}
-	if c.next.Edition > 0 && len(c.next.Laid) > 0 { // what has not left yet becomes one edition with this
-		c.next.Laid = append(c.next.Laid, changes...)
+	if c.next.Edition > 0 && len(c.next.TableChanges) > 0 { // what has not left yet becomes one edition with this
+		c.next.TableChanges = append(c.next.TableChanges, changes...)
 	} else {
-		c.next.Laid = changes
+		c.next.TableChanges = changes
 	}
 	if c.next.Edition = c.edition; c.alone {
 		c.host.Release(c.edition)
@@ -288,7 +289,7 @@
 
 // goOn proposes what has gathered, one entry at a time.
 func (c *Coordinator) goOn(now int64) {
-	pressing := len(c.next.Claims) > 0 || len(c.next.Again) > 0 || len(c.next.Laid) > 0 || c.next.Closing || c.seq == 0 ||
+	pressing := len(c.next.Claims) > 0 || len(c.next.Again) > 0 || len(c.next.TableChanges) > 0 || c.next.Closing || c.seq == 0 ||
 		len(c.next.Told) > 0 && now-c.last >= c.terms.Renew/2
 	if c.under != nil || !pressing && now-c.last < c.terms.Renew {
 		return
@@ -438,7 +439,7 @@
 			c.tell(m.Proxy, p)
 			return
 		}
-		spent := c.terms.Own() * min(1, standing/(movesKept+1)) // shares are laid aside for owners before, not for more
+		spent := c.terms.Own() * min(1, standing/(movesKept+1)) // shares are set aside for owners before, not for more
 		c.grant(m.Proxy, m, spent, now)
 	case p.owned && m.To.Token > p.token && m.To.Owner != c.name:
 		p.owned, p.token, p.unheard = false, 0, now
--- a/share/record.go
+++ b/share/record.go
@@ -15,19 +15,19 @@
 
 // Entry is what one member puts on the record in one piece. A member has one entry under way at a time.
 type Entry struct {
-	Member      string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
-	Seq         uint64 `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
-	Floor       uint64 `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
-	Closing     bool   `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
-	Claims      []int  `cbor:"6,keyasint,omitempty"`
-	Again       []int  `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
-	Edition     uint64 `cbor:"7,keyasint,omitempty"`  // of the tables once Laid counts
-	Laid        []Laid `cbor:"8,keyasint,omitempty"`
-	Told        []Told `cbor:"9,keyasint,omitempty"`
-	Seen        []Seen `cbor:"10,keyasint,omitempty"`
-	Came        []Came `cbor:"13,keyasint,omitempty"`
-	Fit         Fit    `cbor:"14,keyasint,omitempty"`
+	Member       string        `cbor:"1,keyasint"`
+	Incarnation  uint64        `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
+	Seq          uint64        `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
+	Floor        uint64        `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
+	Closing      bool          `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
+	Claims       []int         `cbor:"6,keyasint,omitempty"`
+	Again        []int         `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
+	Edition      uint64        `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
+	TableChanges []TableChange `cbor:"8,keyasint,omitempty"`
+	Told         []Told        `cbor:"9,keyasint,omitempty"`
+	Seen         []Seen        `cbor:"10,keyasint,omitempty"`
+	Came         []Came        `cbor:"13,keyasint,omitempty"`
+	Fit          Fit           `cbor:"14,keyasint,omitempty"`
 	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry came to
 	// it. It names none before all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
@@ -41,8 +41,8 @@
 	At     int64  `cbor:"2,keyasint"` // µs
 }
 
-// Laid is what changes in one table of a member; a weight of 0 takes a line out.
-type Laid struct {
+// TableChange is what changes in one table of a member; a weight of 0 takes a line out.
+type TableChange struct {
 	Table int    `cbor:"1,keyasint"`
 	Lines []Line `cbor:"2,keyasint"`
 }
@@ -208,16 +208,16 @@
 
 func (r *Record) applyTables(incarnation *Incarnation, e Entry) {
 	incarnation.Edition = max(incarnation.Edition, e.Edition)
-	for _, laid := range e.Laid {
-		t := incarnation.Tables[laid.Table]
+	for _, change := range e.TableChanges {
+		t := incarnation.Tables[change.Table]
 		if t == nil {
 			t = &Table{Lines: map[string]Stood{}}
-			incarnation.Tables[laid.Table] = t
+			incarnation.Tables[change.Table] = t
 		}
 		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
 			t.Floor = e.Edition
 		}
-		for _, l := range laid.Lines {
+		for _, l := range change.Lines {
 			t.Lines[l.Backend] = Stood{l.Weight, e.Edition}
 		}
 		t.trim()
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -59,7 +59,7 @@
 	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
 		p, d := works(t)
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Stamp: Stamp{7, 10},
-			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
+			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Stamp: Stamp{7, 20},
 			Told: []Told{{5, 1, 1, []int{0, 0}, true}}}, 20)
 		d.Joined(5, 30)
@@ -74,7 +74,7 @@
 	t.Run("where anybody may have written off the record, what it holds is not known", func(t *testing.T) {
 		for _, recorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
 			p, d := works(t)
-			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}}, 10)
+			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
 			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Told: []Told{{5, 1, 1, []int{0}, true}}}, 20)
 			d.Joined(5, 30)
 			if p.stands(d, 40, recorded...); p.granted[5] != "2 false 0" {
@@ -84,7 +84,7 @@
 	})
 	t.Run("orders wait for the record, and for no longer than a lease", func(t *testing.T) {
 		p, d := works(t)
-		edition := d.Laid([]Laid{{0, []Line{{"a", 1}}}}, 100)
+		edition := d.ChangeTables([]TableChange{{0, []Line{{"a", 1}}}}, 100)
 		if p.released >= edition {
 			t.Error("released before it stands")
 		}
@@ -105,12 +105,12 @@
 	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old incarnation counts", func(t *testing.T) {
 		p, d := works(t)
 		d.Joined(4, 50)
-		d.Laid([]Laid{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
+		d.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
 		old := p.proposed[len(p.proposed)-1]
 		d.Elapsed(1100)
-		d.Laid([]Laid{{0, []Line{{"a", 0}}}}, 1150)
+		d.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
 		e := p.stands(d, 1200)
-		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Again) > 0 || len(e.Laid) != 1 || d.Alone() {
+		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Again) > 0 || len(e.TableChanges) != 1 || d.Alone() {
 			t.Errorf("entered with %+v, alone %v", e, d.Alone())
 		}
 		d.Spoke(4, 1000) // heard before: it may be gone since
@@ -222,8 +222,8 @@
 	t.Run("a line set after what a proxy confirmed is in doubt, also one that was taken out", func(t *testing.T) {
 		b := NewRecord()
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1,
-			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
+			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 2, TableChanges: []TableChange{{0, []Line{{"a", 0.5}, {"b", 0}}}},
 			Told: []Told{{3, 1, 1, []int{0}, true}}})
 		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
 		base := moves[0].Base
@@ -239,8 +239,8 @@
 			clean      bool
 		}{{true, 0, 2, 2, true}, {true, 1, 2, 2, false}, {true, 0, 3, 2, false}, {false, 0, 2, 2, false}} {
 			b := NewRecord()
-			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, TableChanges: []TableChange{{Shut, []Line{{"a", story.shut}}}},
 				Told: []Told{{3, 1, story.heard, []int{0}, story.sure}}})
 			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
@@ -250,11 +250,11 @@
 	})
 	t.Run("what is remembered of lines taken out has an end, from which on a base is not known", func(t *testing.T) {
 		b := NewRecord()
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
 		for seq := uint64(3); seq < 400; seq++ {
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: seq, Edition: seq,
-				Laid: []Laid{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
+				TableChanges: []TableChange{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
 		}
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
 		if n := len(b.Incarnations[1].Tables[0].Lines); n > mostOut+1 {
