--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -147,7 +147,7 @@
 			f.coordinator.Spoke(node, j.peer.heard.Load())
 		}
 	}
-	f.tell(now)
+	f.shareEvidence(now)
 	f.module.After(f.terms.Renew/2, coordinatorTag)
 }
 
@@ -252,8 +252,8 @@
 	}
 }
 
-// tell puts on the record what our proxies met, which backends are withdrawn here, and what comes to whom.
-func (f *fleet) tell(now int64) {
+// shareEvidence puts on the record what our proxies met, which backends are withdrawn here, and what comes to whom.
+func (f *fleet) shareEvidence(now int64) {
 	for backend, id := range f.module.backends.ids {
 		if id != "" {
 			tries, failed, wait, away := f.module.control.Withdrawn(backend)
@@ -262,7 +262,7 @@
 	}
 	proven, able := f.module.control.Ability()
 	f.evidence.Fits(share.Fit{Proven: proven, Able: able})
-	f.coordinator.Tell(f.evidence, now)
+	f.coordinator.AddEvidence(f.evidence, now)
 }
 
 // Learned hands on what another member's proxies met.
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -36,7 +36,7 @@
 	began := time.Now()
 	for n := range hour {
 		e := share.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
-			Told: []share.Told{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
+			Confirmations: []share.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
 		if n < proxies {
 			e.Claims = []int{n}
 		}
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -219,23 +219,23 @@
 		return
 	}
 	p.edition, p.tables, p.sure = edition, slices.Clone(tables), sure
-	c.tell(proxy, p)
+	c.addConfirmation(proxy, p)
 }
 
-func (c *Coordinator) tell(proxy int, p *charge) {
+func (c *Coordinator) addConfirmation(proxy int, p *charge) {
 	if p.token == 0 || p.edition == 0 {
 		return
 	}
-	told := Told{proxy, p.token, p.edition, p.tables, p.sure}
-	if at := slices.IndexFunc(c.next.Told, func(t Told) bool { return t.Proxy == proxy }); at >= 0 {
-		c.next.Told[at] = told
+	confirmation := Confirmation{proxy, p.token, p.edition, p.tables, p.sure}
+	if at := slices.IndexFunc(c.next.Confirmations, func(other Confirmation) bool { return other.Proxy == proxy }); at >= 0 {
+		c.next.Confirmations[at] = confirmation
 		return
 	}
-	c.next.Told = append(c.next.Told, told)
+	c.next.Confirmations = append(c.next.Confirmations, confirmation)
 }
 
-// Tell is what is due of our evidence, to be told to the others.
-func (c *Coordinator) Tell(v *Evidence, now int64) {
+// AddEvidence puts what is due of our evidence into the next entry.
+func (c *Coordinator) AddEvidence(v *Evidence, now int64) {
 	seen, came, fit := v.Due(now)
 	c.next.Seen, c.next.Came = append(c.next.Seen, seen...), append(c.next.Came, came...)
 	if fit != (Fit{}) {
@@ -290,7 +290,7 @@
 // goOn proposes what has gathered, one entry at a time.
 func (c *Coordinator) goOn(now int64) {
 	pressing := len(c.next.Claims) > 0 || len(c.next.Again) > 0 || len(c.next.TableChanges) > 0 || c.next.Closing || c.seq == 0 ||
-		len(c.next.Told) > 0 && now-c.last >= c.terms.Renew/2
+		len(c.next.Confirmations) > 0 && now-c.last >= c.terms.Renew/2
 	if c.under != nil || !pressing && now-c.last < c.terms.Renew {
 		return
 	}
@@ -436,7 +436,7 @@
 	case ours:
 		p.claiming, p.owned, p.token, p.unheard = false, true, m.To.Token, 0
 		if p.granted {
-			c.tell(m.Proxy, p)
+			c.addConfirmation(m.Proxy, p)
 			return
 		}
 		spent := c.terms.Own() * min(1, standing/(movesKept+1)) // shares are set aside for owners before, not for more
--- a/share/record.go
+++ b/share/record.go
@@ -15,19 +15,19 @@
 
 // Entry is what one member puts on the record in one piece. A member has one entry under way at a time.
 type Entry struct {
-	Member       string        `cbor:"1,keyasint"`
-	Incarnation  uint64        `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
-	Seq          uint64        `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
-	Floor        uint64        `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
-	Closing      bool          `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
-	Claims       []int         `cbor:"6,keyasint,omitempty"`
-	Again        []int         `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
-	Edition      uint64        `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
-	TableChanges []TableChange `cbor:"8,keyasint,omitempty"`
-	Told         []Told        `cbor:"9,keyasint,omitempty"`
-	Seen         []Seen        `cbor:"10,keyasint,omitempty"`
-	Came         []Came        `cbor:"13,keyasint,omitempty"`
-	Fit          Fit           `cbor:"14,keyasint,omitempty"`
+	Member        string         `cbor:"1,keyasint"`
+	Incarnation   uint64         `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
+	Seq           uint64         `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
+	Floor         uint64         `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
+	Closing       bool           `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
+	Claims        []int          `cbor:"6,keyasint,omitempty"`
+	Again         []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
+	Edition       uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
+	TableChanges  []TableChange  `cbor:"8,keyasint,omitempty"`
+	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
+	Seen          []Seen         `cbor:"10,keyasint,omitempty"`
+	Came          []Came         `cbor:"13,keyasint,omitempty"`
+	Fit           Fit            `cbor:"14,keyasint,omitempty"`
 	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry came to
 	// it. It names none before all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
@@ -53,8 +53,8 @@
 	Weight  float64 `cbor:"2,keyasint"`
 }
 
-// Told is what a proxy has confirmed: all that its tables, by class, were up to an edition.
-type Told struct {
+// Confirmation is what a proxy has confirmed: all that its tables, by class, were up to an edition.
+type Confirmation struct {
 	Proxy   int    `cbor:"1,keyasint"`
 	Token   uint64 `cbor:"2,keyasint"`
 	Edition uint64 `cbor:"3,keyasint"`
@@ -167,7 +167,7 @@
 	incarnation.Seq = e.Seq
 	r.Token = max(r.Token, e.Floor)
 	r.applyTables(incarnation, e)
-	for _, t := range e.Told {
+	for _, t := range e.Confirmations {
 		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Edition >= h.Edition {
 			h.Edition, h.Tables, h.Sure = t.Edition, t.Tables, t.Sure
 			r.Proxies[t.Proxy] = h
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -61,7 +61,7 @@
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Stamp: Stamp{7, 10},
 			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Stamp: Stamp{7, 20},
-			Told: []Told{{5, 1, 1, []int{0, 0}, true}}}, 20)
+			Confirmations: []Confirmation{{5, 1, 1, []int{0, 0}, true}}}, 20)
 		d.Joined(5, 30)
 		if len(p.granted) > 0 {
 			t.Fatalf("granted %v before its claim stands", p.granted)
@@ -75,7 +75,7 @@
 		for _, recorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
 			p, d := works(t)
 			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
-			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Told: []Told{{5, 1, 1, []int{0}, true}}}, 20)
+			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Confirmations: []Confirmation{{5, 1, 1, []int{0}, true}}}, 20)
 			d.Joined(5, 30)
 			if p.stands(d, 40, recorded...); p.granted[5] != "2 false 0" {
 				t.Errorf("recorded %v: granted %v", recorded, p.granted)
@@ -224,7 +224,7 @@
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1,
 			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 2, TableChanges: []TableChange{{0, []Line{{"a", 0.5}, {"b", 0}}}},
-			Told: []Told{{3, 1, 1, []int{0}, true}}})
+			Confirmations: []Confirmation{{3, 1, 1, []int{0}, true}}})
 		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Doubt["a"] || !base[0].Doubt["b"] || base[0].Doubt["c"] || base[0].Lines["c"] != 1 {
@@ -241,7 +241,7 @@
 			b := NewRecord()
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, TableChanges: []TableChange{{Shut, []Line{{"a", story.shut}}}},
-				Told: []Told{{3, 1, story.heard, []int{0}, story.sure}}})
+				Confirmations: []Confirmation{{3, 1, story.heard, []int{0}, story.sure}}})
 			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
@@ -251,12 +251,12 @@
 	t.Run("what is remembered of lines taken out has an end, from which on a base is not known", func(t *testing.T) {
 		b := NewRecord()
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 1, Confirmations: []Confirmation{{3, 1, 1, []int{0}, true}}})
 		for seq := uint64(3); seq < 400; seq++ {
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: seq, Edition: seq,
 				TableChanges: []TableChange{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
 		}
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Confirmations: []Confirmation{{4, 2, 399, []int{0}, true}}})
 		if n := len(b.Incarnations[1].Tables[0].Lines); n > mostOut+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
--- a/share/wire_test.go
+++ b/share/wire_test.go
@@ -12,9 +12,9 @@
 func TestEncodedBytes(t *testing.T) {
 	seen := Seen{Backend: "a", Tries: 5, Failed: 4, Mean: 3000, Span: 2000, Away: true, Wait: 700}
 	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Again: []int{6}, Edition: 9,
-		TableChanges: []TableChange{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
-		Told:         []Told{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
-		Seen:         []Seen{seen}, Came: []Came{{Proxy: 5, Rates: []float64{1.5, 0}}}, Fit: Fit{Proven: 2, Able: 3},
+		TableChanges:  []TableChange{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
+		Confirmations: []Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
+		Seen:          []Seen{seen}, Came: []Came{{Proxy: 5, Rates: []float64{1.5, 0}}}, Fit: Fit{Proven: 2, Able: 3},
 		OnRecord: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
 	record := NewRecord()
 	record.Token = 7
