--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -56,7 +56,7 @@
 	// What the decisions may send is our part of it.
 	channel := c.plan.channel
 	if channel.MessagesMost > 0 {
-		channel.MessagesMost = terms.Stray() + terms.Own()
+		channel.MessagesMost = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
 	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -112,7 +112,7 @@
 // may tells whether the member may order one more message to the proxy, and counts it.
 func (p *player) may() bool {
 	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= p.w.now-modelTerms.Span })
-	if len(p.sent) >= modelTerms.Stray()+modelTerms.Own() {
+	if len(p.sent) >= modelTerms.UnownedQuota()+modelTerms.OwnerQuota() {
 		return false
 	}
 	p.sent = append(p.sent, p.w.now)
@@ -313,7 +313,7 @@
 		if c := d.proxies[0]; c != nil {
 			fmt.Fprint(h, *c)
 		}
-		for _, at := range d.strays[0] {
+		for _, at := range d.grantTimes[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
 		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.leases.gone[d.name]))
@@ -437,7 +437,7 @@
 				record.Proxies[0] = h
 			}
 			for _, p := range w.members {
-				clear(p.coordinator.strays)
+				clear(p.coordinator.grantTimes)
 				p.coordinator.started = -modelTerms.Span
 			}
 		}},
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -39,13 +39,16 @@
 	Kept int
 }
 
-// Stray is what each member may write to a proxy within the span without owning it by the record. A member that starts
-// anew, or gets the proxy back, has forgotten what it wrote of that: it has one message then. Own is what an owner may
-// write beyond it: the shares of the owners before count until the span has passed. All together stay within the limit.
-func (t Terms) Stray() int { return max(1, t.Messages/2/max(t.Members, 1)-1) }
-
-// Own is an owner's further share.
-func (t Terms) Own() int { return (t.Messages - t.Members*(t.Stray()+1)) / (movesKept + 1) }
+// UnownedQuota is what each member may write to a proxy within the span without owning it by the record. A member that
+// starts anew, or gets the proxy back, has forgotten what it wrote of that: it has one message then. OwnerQuota is what an
+// owner may write beyond it: the shares of the owners before count until the span has passed. All together stay within
+// the limit.
+func (t Terms) UnownedQuota() int { return max(1, t.Messages/2/max(t.Members, 1)-1) }
+
+// OwnerQuota is an owner's further share.
+func (t Terms) OwnerQuota() int {
+	return (t.Messages - t.Members*(t.UnownedQuota()+1)) / (movesKept + 1)
+}
 
 // Coordinator is one member at work on the record: it claims the proxies that connect to the member, puts its table
 // changes on the record before they leave, and says what may be written to whom.
@@ -66,11 +69,11 @@
 	started          int64
 	entered          int64 // when an incarnation's entering was last proposed
 
-	edition uint64                     // of our tables
-	tables  map[int]map[string]float64 // as they stand
-	proxies map[int]*charge            // joined to us
-	strays  map[int][]int64            // when proxies were granted to us within the span
-	leaders map[uint64]heard
+	edition    uint64                     // of our tables
+	tables     map[int]map[string]float64 // as they stand
+	proxies    map[int]*charge            // joined to us
+	grantTimes map[int][]int64            // when proxies were granted to us within the span
+	leaders    map[uint64]heard
 }
 
 // heard is the last stamp of a leader that was taken in, and when that was here.
@@ -95,7 +98,7 @@
 // New makes the Coordinator of a member that has just started.
 func New(host Host, name string, terms Terms, now int64) *Coordinator {
 	c := &Coordinator{host: host, terms: terms, name: name, record: NewRecord(), started: now, stood: now, last: now - terms.Renew,
-		tables: map[int]map[string]float64{}, proxies: map[int]*charge{}, strays: map[int][]int64{},
+		tables: map[int]map[string]float64{}, proxies: map[int]*charge{}, grantTimes: map[int][]int64{},
 		leaders: map[uint64]heard{}}
 	c.enter(now)
 	return c
@@ -158,7 +161,7 @@
 	}
 	c.claim(proxy, false)
 	if c.alone {
-		c.grant(proxy, Move{}, c.terms.Own(), now)
+		c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 	}
 	c.goOn(now)
 }
@@ -264,12 +267,12 @@
 		p := c.proxies[proxy]
 		if p.granted && !p.owned && now-p.grantedAt >= c.terms.Span {
 			p.grantedAt = now
-			c.host.Spent(proxy, c.terms.Own()) // it has only what every member has of each proxy
+			c.host.Spent(proxy, c.terms.OwnerQuota()) // it has only what every member has of each proxy
 		}
 	}
-	for proxy, at := range c.strays {
+	for proxy, at := range c.grantTimes {
 		if now-at[len(at)-1] >= c.terms.Span {
-			delete(c.strays, proxy)
+			delete(c.grantTimes, proxy)
 		}
 	}
 	c.goOn(now)
@@ -281,7 +284,7 @@
 	c.host.Release(c.edition)
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		if !c.proxies[proxy].granted {
-			c.grant(proxy, Move{}, c.terms.Own(), now)
+			c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 		}
 	}
 	c.enter(now) // what we write from now on is another incarnation's
@@ -439,12 +442,12 @@
 			c.addConfirmation(m.Proxy, p)
 			return
 		}
-		spent := c.terms.Own() * min(1, standing/(movesKept+1)) // shares are set aside for owners before, not for more
+		spent := c.terms.OwnerQuota() * min(1, standing/(movesKept+1)) // shares are set aside for owners before, not for more
 		c.grant(m.Proxy, m, spent, now)
 	case p.owned && m.To.Token > p.token && m.To.Owner != c.name:
 		p.owned, p.token, p.unheard = false, 0, now
 		if p.granted {
-			c.host.Spent(m.Proxy, c.terms.Own())
+			c.host.Spent(m.Proxy, c.terms.OwnerQuota())
 		}
 	}
 }
@@ -458,12 +461,12 @@
 			moves++
 		}
 	}
-	recent := slices.DeleteFunc(c.strays[proxy], func(at int64) bool { return now-at >= c.terms.Span })
-	if c.strays[proxy] = append(recent, now); len(recent) > 0 || now-c.started < c.terms.Span {
-		spent += c.terms.Stray() - 1
+	recent := slices.DeleteFunc(c.grantTimes[proxy], func(at int64) bool { return now-at >= c.terms.Span })
+	if c.grantTimes[proxy] = append(recent, now); len(recent) > 0 || now-c.started < c.terms.Span {
+		spent += c.terms.UnownedQuota() - 1
 	}
 	if moves <= mostMoves {
-		spent = max(0, min(spent, c.terms.Stray()+c.terms.Own()-c.terms.Kept))
+		spent = max(0, min(spent, c.terms.UnownedQuota()+c.terms.OwnerQuota()-c.terms.Kept))
 	}
 	c.host.Granted(proxy, p.token, m.Base, m.Clean, m.Came, spent)
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -94,11 +94,11 @@
 		if d.Elapsed(1100); !d.Alone() || p.released != edition || !slices.Equal(p.modes, []bool{false, true}) {
 			t.Errorf("alone %v, released %d, modes %v", d.Alone(), p.released, p.modes)
 		}
-		if d.Joined(3, 1200); p.granted[3] != fmt.Sprint("0 false ", terms.Own()) {
+		if d.Joined(3, 1200); p.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v", p.granted)
 		}
 		d.Elapsed(1200 + terms.Span) // it has of that proxy no more than every member has
-		if p.spent[3] != terms.Own() {
+		if p.spent[3] != terms.OwnerQuota() {
 			t.Errorf("spent %v", p.spent)
 		}
 	})
@@ -145,7 +145,7 @@
 			d.Recorded(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
 		}
 		d.Joined(5, 200)
-		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.Own()) {
+		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v with three others' shares standing", p.granted)
 		}
 		for i := range mostMoves { // and so on: beyond some it has none of its own
@@ -154,10 +154,10 @@
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		d.Joined(5, 230)
-		if p.stands(d, 240); p.granted[5] != fmt.Sprint("9 false ", terms.Own()+terms.Stray()-1) {
+		if p.stands(d, 240); p.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
 			t.Errorf("granted %v after %d moves", p.granted, mostMoves+4)
 		}
-		if most := terms.Members*(terms.Stray()+1) + (movesKept+1)*terms.Own(); most > terms.Messages {
+		if most := terms.Members*(terms.UnownedQuota()+1) + (movesKept+1)*terms.OwnerQuota(); most > terms.Messages {
 			t.Errorf("%d messages by all together", most)
 		}
 	})
@@ -186,13 +186,13 @@
 		d.Elapsed(0)
 		d.Elapsed(terms.Lease)
 		d.Joined(5, terms.Lease)
-		if left := terms.Stray() + terms.Own(); p.granted[5] != fmt.Sprint("0 false ", left-terms.Kept) {
+		if left := terms.UnownedQuota() + terms.OwnerQuota(); p.granted[5] != fmt.Sprint("0 false ", left-terms.Kept) {
 			t.Errorf("granted %v of %d", p.granted, left)
 		}
 		d.Joined(6, 2*terms.Span)
 		d.Left(6)
 		d.Joined(6, 2*terms.Span+5)
-		if left := terms.Stray() + terms.Own(); p.granted[6] != fmt.Sprint("0 false ", left-terms.Kept) {
+		if left := terms.UnownedQuota() + terms.OwnerQuota(); p.granted[6] != fmt.Sprint("0 false ", left-terms.Kept) {
 			t.Errorf("granted %v of %d", p.granted, left)
 		}
 	})
@@ -205,7 +205,7 @@
 			p.stands(d, 60)
 		}
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
-		if d.Owned() != 0 || p.spent[4] != terms.Own() {
+		if d.Owned() != 0 || p.spent[4] != terms.OwnerQuota() {
 			t.Errorf("owns %d, spent %v", d.Owned(), p.spent)
 		}
 		d.Spoke(4, 60) // what was heard before says nothing
