--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -49,7 +49,7 @@
 	}
 	f := &fleet{module: m, pending: map[int]arrival{}, evidence: share.NewEvidence(), terms: terms}
 	var err error
-	if f.node, err = replica.New(replica.Place{Name: with.Name, Members: with.Members, Folder: with.Folder,
+	if f.node, err = replica.New(replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder,
 		Credentials: with.Credentials, Terms: terms}, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -16,7 +16,7 @@
 func BenchmarkCatchUp(b *testing.B) {
 	const hour, proxies = 16 * 3600, 400
 	at := addresses(b, "a", "b", "c")
-	a, other, c := starts(b, Place{Name: "a", Members: at}), starts(b, Place{Name: "b", Members: at}), starts(b, Place{Name: "c", Members: at})
+	a, other, c := starts(b, Config{Name: "a", Members: at}), starts(b, Config{Name: "b", Members: at}), starts(b, Config{Name: "c", Members: at})
 	a.puts(b, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	other.puts(b, share.Entry{Member: "b", Incarnation: 2, Seq: 1})
 	c.puts(b, share.Entry{Member: "c", Incarnation: 3, Seq: 1})
@@ -66,7 +66,7 @@
 		}
 		b.Run(way.name, func(b *testing.B) {
 			for range b.N {
-				back := starts(b, Place{Name: "c", Members: at})
+				back := starts(b, Config{Name: "c", Members: at})
 				back.waits(b, way.told)
 				b.StopTimer()
 				back.stop()
--- a/replica/node.go
+++ b/replica/node.go
@@ -34,8 +34,8 @@
 	Failed(incarnation, seq uint64)
 }
 
-// Place says where a member stands.
-type Place struct {
+// Config is what a member is started with.
+type Config struct {
 	Name    string
 	Members map[string]string // the address of each by its name, our own among them
 	Folder  string            // for what must outlast the process; "" keeps it in memory
@@ -57,7 +57,7 @@
 
 // Node is a member's part in the record.
 type Node struct {
-	place  Place
+	config Config
 	events Events
 	log    *slog.Logger
 	link   *link
@@ -79,22 +79,22 @@
 	stamp  uint64 // tells our clock from others
 }
 
-// New checks a place, listens at our address, and starts nothing else. An error says what would do.
-func New(place Place, events Events, log *slog.Logger) (*Node, error) {
-	return makes(place, events, log, nil)
+// New checks a configuration, listens at our address, and starts nothing else. An error says what would do.
+func New(config Config, events Events, log *slog.Logger) (*Node, error) {
+	return newNode(config, events, log, nil)
 }
 
-func makes(place Place, events Events, log *slog.Logger, spoil func(raft.StableStore) raft.StableStore) (*Node, error) {
-	address, ok := place.Members[place.Name]
+func newNode(config Config, events Events, log *slog.Logger, spoil func(raft.StableStore) raft.StableStore) (*Node, error) {
+	address, ok := config.Members[config.Name]
 	if !ok {
-		return nil, fmt.Errorf("members: %q is not among them; add it with its address", place.Name)
+		return nil, fmt.Errorf("members: %q is not among them; add it with its address", config.Name)
 	}
-	secure, err := place.pair()
+	secure, err := config.pair()
 	if err != nil {
 		return nil, err
 	}
 	if secure == nil {
-		for name, address := range place.Members {
+		for name, address := range config.Members {
 			host, _, err := net.SplitHostPort(address)
 			if err != nil {
 				return nil, fmt.Errorf("members: %s: %w", name, err)
@@ -110,10 +110,10 @@
 		return nil, fmt.Errorf("members: listen: %w", err)
 	}
 	began := time.Now()
-	n := &Node{place: place, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: draw(),
-		leases: share.NewLeaseTracker(place.Terms),
+	n := &Node{config: config, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: draw(),
+		leases: share.NewLeaseTracker(config.Terms),
 		clock:  func() int64 { return time.Since(began).Microseconds() }}
-	n.link = &link{name: place.Name, members: place.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
+	n.link = &link{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
 		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{},
 		refused: func(from net.Addr, why error) {
 			if !errors.Is(why, errOther) && !errors.Is(why, net.ErrClosed) && !errors.Is(why, io.EOF) {
@@ -151,7 +151,7 @@
 
 // open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
-	id := n.place.Name + "/" + rand.Text()[:8]
+	id := n.config.Name + "/" + rand.Text()[:8]
 	m := &machine{events: n.events, record: share.NewRecord(), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
@@ -159,26 +159,26 @@
 	var stable raft.StableStore
 	var snapshots raft.SnapshotStore
 	shut := func() {}
-	if n.place.Folder == "" {
+	if n.config.Folder == "" {
 		memory := raft.NewInmemStore()
 		log, stable, snapshots = memory, memory, raft.NewInmemSnapshotStore()
 	} else {
-		store, err := openDisk(n.place.Folder)
+		store, err := openDisk(n.config.Folder)
 		if err != nil {
 			return err
 		}
 		shut = func() { store.Close() }
-		files, err := raft.NewFileSnapshotStoreWithLogger(n.place.Folder, 2, n.raftLog())
+		files, err := raft.NewFileSnapshotStoreWithLogger(n.config.Folder, 2, n.raftLog())
 		if err != nil {
 			shut()
-			return fmt.Errorf("folder: %s: %w", n.place.Folder, err)
+			return fmt.Errorf("folder: %s: %w", n.config.Folder, err)
 		}
 		const key = "id"
 		if had, err := store.Get([]byte(key)); err == nil && len(had) > 0 {
 			id = string(had)
 		} else if err := store.Set([]byte(key), []byte(id)); err != nil {
 			shut()
-			return fmt.Errorf("folder: %s: %w", n.place.Folder, err)
+			return fmt.Errorf("folder: %s: %w", n.config.Folder, err)
 		}
 		log, stable, snapshots = store, store, files
 	}
@@ -189,7 +189,7 @@
 		n.log.Error("record_lost", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
 		n.out.Store(true)
 	}, n.link.ended}
-	ours := &layer{link: n.link, address: addressOf(n.place.Name, id), over: make(chan struct{})}
+	ours := &layer{link: n.link, address: addressOf(n.config.Name, id), over: make(chan struct{})}
 	carrier := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: ours, MaxPool: 2,
 		Timeout: callPatience, Logger: n.raftLog()})
 	c := raft.DefaultConfig()
@@ -388,7 +388,7 @@
 		case <-ctx.Done():
 			return
 		case leading := <-r.LeaderCh():
-			n.log.Info("leading", "leads", leading, "name", n.place.Name)
+			n.log.Info("leading", "leads", leading, "name", n.config.Name)
 			continue
 		case <-look.C:
 		}
@@ -432,7 +432,7 @@
 	now := n.clock()
 	m.with(func(record *share.Record) {
 		for name, incarnation := range record.Members {
-			if name != n.place.Name && n.leases.Silent(incarnation, now, 2*n.place.Terms.Renew) {
+			if name != n.config.Name && n.leases.Silent(incarnation, now, 2*n.config.Terms.Renew) {
 				silent = append(silent, name)
 			}
 		}
@@ -464,8 +464,8 @@
 // join takes the next step to be part of a record; it is true where we have to come as new.
 func (n *Node) join(ctx context.Context, r *raft.Raft, looks int) (anew bool) {
 	others := map[string]share.Met{}
-	for name := range n.place.Members {
-		if name == n.place.Name {
+	for name := range n.config.Members {
+		if name == n.config.Name {
 			continue
 		}
 		if a, err := n.ask(ctx, name, call{Who: true}); err == nil {
@@ -474,11 +474,11 @@
 	}
 	_, leader := r.LeaderWithID()
 	f := r.GetConfiguration()
-	own := share.Own{Name: n.place.Name, ID: n.ID(), Part: f.Error() == nil && len(f.Configuration().Servers) > 0, Within: n.within(r),
-		Led: leader != "", Durable: n.place.Folder != "", Leaderless: looks}
-	switch step := share.Belong(own, slices.Collect(maps.Keys(n.place.Members)), others); step.Do {
+	own := share.Own{Name: n.config.Name, ID: n.ID(), Part: f.Error() == nil && len(f.Configuration().Servers) > 0, Within: n.within(r),
+		Led: leader != "", Durable: n.config.Folder != "", Leaderless: looks}
+	switch step := share.Belong(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Do {
 	case share.Join:
-		if a, err := n.ask(ctx, step.Ask, call{Name: n.place.Name, ID: n.ID()}); err == nil && !a.Stands {
+		if a, err := n.ask(ctx, step.Ask, call{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Stands {
 			n.log.Debug("join", "at", step.Ask, "why", a.Why)
 		}
 	case share.Found:
@@ -520,7 +520,7 @@
 		var a answer
 		switch {
 		case leader == "":
-		case leader == n.place.Name:
+		case leader == n.config.Name:
 			hangUp()
 			a = n.stand(e, 0)
 		default:
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -132,17 +132,17 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func starts(t testing.TB, place Place) *member {
+func starts(t testing.TB, config Config) *member {
 	t.Helper()
-	return startsOn(t, place, nil)
+	return startsOn(t, config, nil)
 }
 
 // startsOn runs one on a disk that is spoilt by the story.
-func startsOn(t testing.TB, place Place, spoil func(raft.StableStore) raft.StableStore) *member {
+func startsOn(t testing.TB, config Config, spoil func(raft.StableStore) raft.StableStore) *member {
 	t.Helper()
 	r := newReader()
-	place.Terms = terms
-	n, err := makes(place, r, quiet(), spoil)
+	config.Terms = terms
+	n, err := newNode(config, r, quiet(), spoil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 		at, story := addresses(t, names...), t
 		var all []*member
 		for _, name := range names {
-			all = append(all, starts(t, Place{Name: name, Members: at}))
+			all = append(all, starts(t, Config{Name: name, Members: at}))
 		}
 		for i, m := range all {
 			m.puts(t, share.Entry{Member: names[i], Incarnation: uint64(i + 1), Seq: 1})
@@ -206,7 +206,7 @@
 			old := all[2].ID()
 			all[2].stop()
 			all[0].puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 2})
-			back := starts(story, Place{Name: "c", Members: at})
+			back := starts(story, Config{Name: "c", Members: at})
 			back.puts(t, share.Entry{Member: "c", Incarnation: 30, Seq: 1})
 			back.waits(t, "recorded a 1 2")
 			r, _ := back.now()
@@ -220,7 +220,7 @@
 		t.Run("when two have lost all the third comes as new as well, and a record is founded again", func(t *testing.T) {
 			all[0].stop()
 			all[1].stop()
-			a, b := starts(story, Place{Name: "a", Members: at}), starts(story, Place{Name: "b", Members: at})
+			a, b := starts(story, Config{Name: "a", Members: at}), starts(story, Config{Name: "b", Members: at})
 			all[2].waits(t, "restored")
 			a.puts(t, share.Entry{Member: "a", Incarnation: 50, Seq: 1})
 			b.puts(t, share.Entry{Member: "b", Incarnation: 51, Seq: 1})
@@ -229,20 +229,20 @@
 	})
 	t.Run("on disk a member goes on as the one it was, and nobody else may use its folder", func(t *testing.T) {
 		at, folder := addresses(t, "a"), t.TempDir()
-		a := starts(t, Place{Name: "a", Members: at, Folder: folder})
+		a := starts(t, Config{Name: "a", Members: at, Folder: folder})
 		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
-		if _, err := New(Place{Name: "a", Members: addresses(t, "a"), Folder: folder, Terms: terms}, newReader(), quiet()); err == nil {
+		if _, err := New(Config{Name: "a", Members: addresses(t, "a"), Folder: folder, Terms: terms}, newReader(), quiet()); err == nil {
 			t.Error("two processes on one folder")
 		}
 		id := a.ID()
 		a.stop()
-		a = starts(t, Place{Name: "a", Members: at, Folder: folder})
+		a = starts(t, Config{Name: "a", Members: at, Folder: folder})
 		if a.waits(t, "recorded a 1 1"); a.ID() != id {
 			t.Errorf("it is %s, and was %s", a.ID(), id)
 		}
 	})
 	t.Run("alone of three nothing stands, and each try is told", func(t *testing.T) {
-		a := starts(t, Place{Name: "a", Members: addresses(t, names...)})
+		a := starts(t, Config{Name: "a", Members: addresses(t, names...)})
 		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		a.waits(t, "failed 1 1")
 	})
@@ -307,8 +307,8 @@
 func TestCredentials(t *testing.T) {
 	ours, foreign := newAuthority(t), newAuthority(t)
 	at := addresses(t, "a", "b")
-	a := starts(t, Place{Name: "a", Members: at, Credentials: ours.gives("a")})
-	b := starts(t, Place{Name: "b", Members: at, Credentials: ours.gives("b")})
+	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a")})
+	b := starts(t, Config{Name: "b", Members: at, Credentials: ours.gives("b")})
 	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	b.waits(t, "recorded a 1 1")
 
@@ -359,14 +359,14 @@
 	})
 }
 
-func TestPlace(t *testing.T) {
-	for why, place := range map[string]Place{
+func TestConfig(t *testing.T) {
+	for why, config := range map[string]Config{
 		"is not among them":  {Name: "z", Members: map[string]string{"a": "127.0.0.1:1"}},
 		"for loopback alone": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0", "b": "192.0.2.1:7"}},
 		"certificate and key": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0"},
 			Credentials: Credentials{Certificate: "none.pem", Key: "none.pem", Authority: "none.pem"}},
 	} {
-		if _, err := New(place, newReader(), quiet()); err == nil || !strings.Contains(err.Error(), why) {
+		if _, err := New(config, newReader(), quiet()); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("got %v, not %q", err, why)
 		}
 	}
@@ -374,7 +374,7 @@
 	if err := os.WriteFile(folder, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Place{Name: "a", Members: addresses(t, "a"), Folder: folder}, newReader(), quiet()); err == nil ||
+	if _, err := New(Config{Name: "a", Members: addresses(t, "a"), Folder: folder}, newReader(), quiet()); err == nil ||
 		!strings.Contains(err.Error(), "folder") {
 		t.Errorf("got %v", err)
 	}
@@ -406,8 +406,8 @@
 func TestDisk(t *testing.T) {
 	t.Run("a disk that is full when a vote has to be kept ends the part in the record, not the process", func(t *testing.T) {
 		at, since := addresses(t, "a", "b", "c"), &atomic.Bool{}
-		a := startsOn(t, Place{Name: "a", Members: at, Folder: t.TempDir()}, func(s raft.StableStore) raft.StableStore { return full{s, since} })
-		others := map[string]*member{"b": starts(t, Place{Name: "b", Members: at}), "c": starts(t, Place{Name: "c", Members: at})}
+		a := startsOn(t, Config{Name: "a", Members: at, Folder: t.TempDir()}, func(s raft.StableStore) raft.StableStore { return full{s, since} })
+		others := map[string]*member{"b": starts(t, Config{Name: "b", Members: at}), "c": starts(t, Config{Name: "c", Members: at})}
 		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		late := time.After(patience)
 		until := func(is func() bool) {
@@ -437,7 +437,7 @@
 	at := addresses(t, "a")
 	fresh := func(t *testing.T) string {
 		folder := t.TempDir()
-		a := starts(t, Place{Name: "a", Members: at, Folder: folder})
+		a := starts(t, Config{Name: "a", Members: at, Folder: folder})
 		for seq := uint64(1); seq < 40; seq++ {
 			a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: seq})
 		}
@@ -459,7 +459,7 @@
 			if err := os.WriteFile(path, spoil(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			n, err := New(Place{Name: "a", Members: at, Folder: folder, Terms: terms}, newReader(), quiet())
+			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: terms}, newReader(), quiet())
 			if err == nil {
 				n.mutex.Lock()
 				shut := n.close
