--- a/replica/disk.go
+++ b/replica/disk.go
@@ -31,7 +31,7 @@
 }
 
 // votes is where raft keeps its term and vote, which must stand before they count. Raft panics where they cannot be
-// written, as on a full disk. Instead the member takes no further part: raft's own goroutine is held until the link is
+// written, as on a full disk. Instead the member takes no further part: raft's own goroutine is held until the transport is
 // closed, and the controller goes on by itself like any that the record does not answer.
 type votes struct {
 	raft.StableStore
--- a/replica/node.go
+++ b/replica/node.go
@@ -57,11 +57,11 @@
 
 // Node is a member's part in the record.
 type Node struct {
-	config Config
-	events Events
-	log    *slog.Logger
-	link   *link
-	clock  func() int64 // µs
+	config    Config
+	events    Events
+	log       *slog.Logger
+	transport *transport
+	clock     func() int64 // µs
 
 	mail chan share.Entry // one entry is under way at a time
 
@@ -113,7 +113,7 @@
 	n := &Node{config: config, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: draw(),
 		leases: share.NewLeaseTracker(config.Terms),
 		clock:  func() int64 { return time.Since(began).Microseconds() }}
-	n.link = &link{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
+	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
 		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{},
 		refused: func(from net.Addr, why error) {
 			if !errors.Is(why, errOther) && !errors.Is(why, net.ErrClosed) && !errors.Is(why, io.EOF) {
@@ -121,7 +121,7 @@
 			}
 		}}
 	if err := n.open(); err != nil {
-		n.link.close()
+		n.transport.close()
 		return nil, err
 	}
 	return n, nil
@@ -188,8 +188,8 @@
 	stable = votes{stable, func(err error) {
 		n.log.Error("record_lost", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
 		n.out.Store(true)
-	}, n.link.ended}
-	ours := &layer{link: n.link, address: addressOf(n.config.Name, id), over: make(chan struct{})}
+	}, n.transport.ended}
+	ours := &layer{transport: n.transport, address: addressOf(n.config.Name, id), over: make(chan struct{})}
 	carrier := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: ours, MaxPool: 2,
 		Timeout: callPatience, Logger: n.raftLog()})
 	c := raft.DefaultConfig()
@@ -235,12 +235,12 @@
 // Run takes part until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	var parts sync.WaitGroup
-	parts.Go(n.link.run)
+	parts.Go(n.transport.run)
 	parts.Go(func() { n.propose(ctx) })
 	parts.Go(func() { n.belong(ctx) })
 	<-ctx.Done()
 	if n.out.Load() {
-		n.link.close() // or what is held would hold up the end
+		n.transport.close() // or what is held would hold up the end
 	} else if r, _ := n.now(); r.State() == raft.Leader {
 		r.LeadershipTransfer().Error() // or the others go without a leader for a while
 	}
@@ -248,9 +248,9 @@
 	shut := n.close
 	n.mutex.Unlock()
 	shut()
-	n.link.close()
+	n.transport.close()
 	parts.Wait()
-	n.link.open.Wait()
+	n.transport.open.Wait()
 }
 
 // call is what members ask each other; answer is what they get.
@@ -361,7 +361,7 @@
 
 // ask makes one call on a connection of its own.
 func (n *Node) ask(ctx context.Context, name string, c call) (a answer, err error) {
-	conn, err := n.link.dial(ctx, name, forCalls)
+	conn, err := n.transport.dial(ctx, name, forCalls)
 	if err != nil {
 		return a, err
 	}
@@ -381,7 +381,7 @@
 func (n *Node) belong(ctx context.Context) {
 	look := time.NewTicker(lookAgain)
 	defer look.Stop()
-	told, lost, bytes, index := time.Now(), 0, n.link.bytes.Load(), uint64(0)
+	told, lost, bytes, index := time.Now(), 0, n.transport.bytes.Load(), uint64(0)
 	r, _ := n.now()
 	for {
 		select {
@@ -396,8 +396,8 @@
 			seconds := time.Since(told).Seconds()
 			_, m := n.now()
 			n.log.Info("record", "entries_per_s", round(float64(r.AppliedIndex()-index)/seconds),
-				"bytes_per_s", round(float64(n.link.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes)
-			told, bytes, index = time.Now(), n.link.bytes.Load(), r.AppliedIndex()
+				"bytes_per_s", round(float64(n.transport.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes)
+			told, bytes, index = time.Now(), n.transport.bytes.Load(), r.AppliedIndex()
 		}
 		if r.State() == raft.Leader {
 			n.lookFor(ctx)
@@ -440,7 +440,7 @@
 	n.lead.Unlock()
 	for _, name := range silent {
 		at := n.clock()
-		conn, err := n.link.dial(ctx, name, forCalls)
+		conn, err := n.transport.dial(ctx, name, forCalls)
 		if err == nil {
 			conn.Close()
 		} else if errors.Is(err, syscall.ECONNREFUSED) {
@@ -528,7 +528,7 @@
 			if leader != to || conn == nil {
 				hangUp()
 				to = leader
-				conn, err = n.link.dial(ctx, leader, forCalls)
+				conn, err = n.transport.dial(ctx, leader, forCalls)
 			}
 			if err == nil {
 				err = request(conn, call{Entry: &e}, &a)
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -317,7 +317,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &link{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+		l := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
 		conn, err := l.dial(context.Background(), to, forCalls)
 		if err != nil {
 			return answer{}, err
@@ -346,7 +346,7 @@
 	})
 	t.Run("a connection for an id that is over is not taken for ours", func(t *testing.T) {
 		secure, _ := ours.gives("b").pair()
-		l := &layer{link: &link{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}}
+		l := &layer{transport: &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}}
 		conn, err := l.Dial(addressOf("a", "a/older"), 0)
 		if err != nil {
 			t.Fatal(err)
@@ -465,7 +465,7 @@
 				shut := n.close
 				n.mutex.Unlock()
 				shut()
-				n.link.close()
+				n.transport.close()
 			}
 			if err == nil || !strings.Contains(err.Error(), folder) {
 				t.Errorf("got %v", err)
--- a/replica/link.go
+++ b/replica/transport.go
@@ -65,8 +65,8 @@
 	errNoAddr  = errors.New("not a member's address")
 )
 
-// link is a member's end of the connections between members: raft's own, and calls.
-type link struct {
+// transport is a member's end of the connections between members: raft's own, and calls.
+type transport struct {
 	name    string
 	members map[string]string // addresses by name
 	secure  *tls.Config
@@ -88,7 +88,7 @@
 // counted counts what passes over a connection, and forgets it when it is closed.
 type counted struct {
 	net.Conn
-	of *link
+	of *transport
 }
 
 func (c counted) Read(b []byte) (int, error) {
@@ -110,25 +110,25 @@
 	return c.Conn.Close()
 }
 
-// keep has a connection closed with the link.
-func (l *link) keep(conn net.Conn) net.Conn {
-	l.mutex.Lock()
-	l.conns[conn] = true
-	l.mutex.Unlock()
+// keep has a connection closed with the transport.
+func (t *transport) keep(conn net.Conn) net.Conn {
+	t.mutex.Lock()
+	t.conns[conn] = true
+	t.mutex.Unlock()
 	select {
-	case <-l.ended:
+	case <-t.ended:
 		conn.Close()
 	default:
 	}
-	return counted{conn, l}
+	return counted{conn, t}
 }
 
-func (l *link) run() {
+func (t *transport) run() {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := t.listener.Accept()
 		if err != nil {
 			select {
-			case <-l.ended:
+			case <-t.ended:
 				return
 			case <-time.After(10 * time.Millisecond): // no descriptor left: others may close some
 			}
@@ -137,30 +137,30 @@
 			}
 			continue
 		}
-		l.open.Go(func() {
-			if err := l.accept(l.keep(conn)); err != nil {
+		t.open.Go(func() {
+			if err := t.accept(t.keep(conn)); err != nil {
 				conn.Close()
-				l.refused(conn.RemoteAddr(), err)
+				t.refused(conn.RemoteAddr(), err)
 			}
 		})
 	}
 }
 
 // accept checks who calls, and hands the connection on.
-func (l *link) accept(conn net.Conn) error {
+func (t *transport) accept(conn net.Conn) error {
 	conn.SetDeadline(time.Now().Add(dialPatience))
 	var names []string // as whom it may speak
-	if l.secure == nil {
-		for name := range l.members {
+	if t.secure == nil {
+		for name := range t.members {
 			names = append(names, name)
 		}
 	} else {
-		secured := tls.Server(conn, l.secure)
+		secured := tls.Server(conn, t.secure)
 		if err := secured.Handshake(); err != nil {
 			return fmt.Errorf("handshake: %w", err)
 		}
 		leaf := secured.ConnectionState().PeerCertificates[0]
-		for name := range l.members {
+		for name := range t.members {
 			if leaf.VerifyHostname(name) == nil {
 				names = append(names, name)
 			}
@@ -177,11 +177,11 @@
 	switch head[0] {
 	case forCalls:
 		conn.SetDeadline(time.Time{})
-		l.mutex.Lock()
-		l.serial++
-		over := l.serial
-		l.mutex.Unlock()
-		l.serve(conn, names, over)
+		t.mutex.Lock()
+		t.serial++
+		over := t.serial
+		t.mutex.Unlock()
+		t.serve(conn, names, over)
 		conn.Close()
 		return nil
 	case forRaft:
@@ -189,14 +189,14 @@
 		if err := receive(conn, &meant); err != nil {
 			return err
 		}
-		if meant != l.id() {
+		if meant != t.id() {
 			return errOther
 		}
 		conn.SetDeadline(time.Time{})
 		select {
-		case l.forRaft <- conn:
+		case t.forRaft <- conn:
 			return nil
-		case <-l.ended:
+		case <-t.ended:
 			return net.ErrClosed
 		}
 	}
@@ -204,8 +204,8 @@
 }
 
 // dial connects to a member by its name, for one purpose.
-func (l *link) dial(ctx context.Context, name string, purpose byte) (net.Conn, error) {
-	address, ok := l.members[name]
+func (t *transport) dial(ctx context.Context, name string, purpose byte) (net.Conn, error) {
+	address, ok := t.members[name]
 	if !ok {
 		return nil, errNoAddr
 	}
@@ -215,10 +215,10 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := l.keep(raw)
+	conn := t.keep(raw)
 	conn.SetDeadline(time.Now().Add(dialPatience))
-	if l.secure != nil {
-		as := l.secure.Clone()
+	if t.secure != nil {
+		as := t.secure.Clone()
 		as.ServerName = name
 		conn = tls.Client(conn, as)
 	}
@@ -230,22 +230,22 @@
 	return conn, nil
 }
 
-// close ends the link with all its connections.
-func (l *link) close() {
-	l.once.Do(func() {
-		close(l.ended)
-		l.listener.Close()
-		l.mutex.Lock()
-		defer l.mutex.Unlock()
-		for conn := range l.conns {
+// close ends the transport with all its connections.
+func (t *transport) close() {
+	t.once.Do(func() {
+		close(t.ended)
+		t.listener.Close()
+		t.mutex.Lock()
+		defer t.mutex.Unlock()
+		for conn := range t.conns {
 			conn.Close()
 		}
 	})
 }
 
-// layer is the link as one raft instance sees it.
+// layer is the transport as one raft instance sees it.
 type layer struct {
-	*link
+	*transport
 	address raft.ServerAddress
 	over    chan struct{}
 }
@@ -262,7 +262,7 @@
 	}
 }
 
-// Close ends this instance's part; the link goes on.
+// Close ends this instance's part; the transport goes on.
 func (l *layer) Close() error {
 	close(l.over)
 	return nil
