--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -278,5 +278,5 @@
 		"deltas", f.module.deltas, "wholes", f.module.wholes)
 }
 
-// Chance draws a number.
-func (f *fleet) Chance() uint64 { return draw() }
+// RandomID names a new incarnation.
+func (f *fleet) RandomID() uint64 { return randomID() }
--- a/controller/draw.go
+++ b/controller/random.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// draw is a number that no other process draws.
-func draw() uint64 {
+// randomID is a number that no other process has.
+func randomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:])
--- a/replica/node.go
+++ b/replica/node.go
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("members: listen: %w", err)
 	}
 	began := time.Now()
-	n := &Node{config: config, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: draw(),
+	n := &Node{config: config, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: randomID(),
 		leases: share.NewLeaseTracker(config.Terms),
 		clock:  func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
--- a/replica/draw.go
+++ b/replica/random.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// draw is a number drawn anew, never 0.
-func draw() uint64 {
+// randomID is a random number other than 0.
+func randomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -54,7 +54,7 @@
 
 func (p *player) Propose(e Entry) { p.out = append(p.out, e) }
 
-func (p *player) Chance() uint64 { p.w.drawn++; return p.w.drawn }
+func (p *player) RandomID() uint64 { p.w.drawn++; return p.w.drawn }
 
 func (p *player) Learned(string, Seen) {}
 
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -22,8 +22,8 @@
 	Learned(member string, s Seen)
 	// Mode tells that the member goes off the record, or is on it again.
 	Mode(alone bool, why string)
-	// Chance is a number drawn anew.
-	Chance() uint64
+	// RandomID is a number that no other incarnation has.
+	RandomID() uint64
 }
 
 // Terms are the figures that all members agree on. Times are in µs.
@@ -107,7 +107,7 @@
 // enter begins an incarnation on the record with our tables as they stand. The proxies that we have are claimed as they are
 // heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would take them from.
 func (c *Coordinator) enter(now int64) {
-	c.incarnation, c.seq, c.under = c.host.Chance(), 0, nil
+	c.incarnation, c.seq, c.under = c.host.RandomID(), 0, nil
 	c.next = Entry{Floor: c.record.Token, Edition: c.edition}
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
 		change := TableChange{Table: number}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -30,7 +30,7 @@
 func (p *place) Learned(member string, s Seen) { p.learned = append(p.learned, member+" "+s.Backend) }
 func (p *place) Fitted(f Fit)                  { p.learned = append(p.learned, fmt.Sprint(f)) }
 func (p *place) Mode(alone bool, _ string)     { p.modes = append(p.modes, alone) }
-func (p *place) Chance() uint64                { p.drawn++; return p.drawn * 1000 }
+func (p *place) RandomID() uint64              { p.drawn++; return p.drawn * 1000 }
 
 // stands puts the last proposal on the record, stamped, and answers it.
 func (p *place) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
