--- a/replica/node.go
+++ b/replica/node.go
@@ -65,11 +65,11 @@
 
 	mail chan share.Entry // one entry is under way at a time
 
-	mutex   sync.Mutex // over what a raft instance brings
-	raft    *raft.Raft
-	id      string
-	machine *machine
-	close   func()
+	mutex        sync.Mutex // over what a raft instance brings
+	raft         *raft.Raft
+	id           string
+	stateMachine *stateMachine
+	close        func()
 
 	out   atomic.Bool                             // votes cannot be kept any more
 	spoil func(raft.StableStore) raft.StableStore // for stories of disks; nil for none
@@ -152,7 +152,7 @@
 // open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.config.Name + "/" + rand.Text()[:8]
-	m := &machine{events: n.events, record: share.NewRecord(), failed: func(err error) {
+	m := &stateMachine{events: n.events, record: share.NewRecord(), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -205,7 +205,7 @@
 		shut()
 		return fmt.Errorf("record: %w", err)
 	}
-	n.id, n.machine, n.raft = id, m, r
+	n.id, n.stateMachine, n.raft = id, m, r
 	n.close = func() {
 		r.Shutdown().Error()
 		carrier.Close()
@@ -226,10 +226,10 @@
 	return len(line), nil
 }
 
-func (n *Node) now() (*raft.Raft, *machine) {
+func (n *Node) now() (*raft.Raft, *stateMachine) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.raft, n.machine
+	return n.raft, n.stateMachine
 }
 
 // Run takes part until the context ends.
@@ -316,7 +316,7 @@
 	n.lead.Lock()
 	now := n.clock()
 	n.leases.Observe(e.Incarnation, e.Seq, over, now)
-	m.with(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
+	m.withRecord(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
 	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
 	n.lead.Unlock()
 	body, err := cbor.Marshal(e)
@@ -430,7 +430,7 @@
 	var silent []string
 	n.lead.Lock()
 	now := n.clock()
-	m.with(func(record *share.Record) {
+	m.withRecord(func(record *share.Record) {
 		for name, incarnation := range record.Members {
 			if name != n.config.Name && n.leases.Silent(incarnation, now, 2*n.config.Terms.Renew) {
 				silent = append(silent, name)
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -380,15 +380,15 @@
 	}
 }
 
-func TestMachine(t *testing.T) {
-	m, r := &machine{events: newReader(), record: share.NewRecord()}, newReader()
+func TestStateMachine(t *testing.T) {
+	m, r := &stateMachine{events: newReader(), record: share.NewRecord()}, newReader()
 	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
 		TableChanges: []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &machine{events: r, record: share.NewRecord()}
+	other := &stateMachine{events: r, record: share.NewRecord()}
 	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))); err != nil {
 		t.Fatal(err)
 	}
--- a/replica/machine.go
+++ b/replica/state_machine.go
@@ -10,8 +10,8 @@
 	"wheelrill/share"
 )
 
-// machine takes the entries of raft's log into a record, and hands them on in their order.
-type machine struct {
+// stateMachine takes the entries of raft's log into a record, and hands them on in their order.
+type stateMachine struct {
 	events Events
 	failed func(err error)
 
@@ -21,7 +21,7 @@
 }
 
 // Apply takes one entry in. One that cannot be read stands on the record of every member alike, and changes nothing.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var e share.Entry
 	if err := cbor.Unmarshal(l.Data, &e); err != nil {
 		m.failed(err)
@@ -34,15 +34,15 @@
 	return nil
 }
 
-// with looks at the record.
-func (m *machine) with(what func(*share.Record)) {
+// withRecord gives access to the record.
+func (m *stateMachine) withRecord(what func(*share.Record)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	what(m.record)
 }
 
 // Snapshot gives the record as it stands.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	body, err := cbor.Marshal(m.record)
@@ -51,7 +51,7 @@
 }
 
 // Restore takes a record in place of all entries before.
-func (m *machine) Restore(from io.ReadCloser) error {
+func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	body, err := io.ReadAll(from)
 	if err != nil {
