--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -47,7 +47,7 @@
 	if terms.Messages == 0 {
 		terms.Messages = uncounted
 	}
-	f := &fleet{module: m, pending: map[int]arrival{}, evidence: share.NewEvidence(), terms: terms}
+	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: share.NewEvidence(), terms: terms}
 	var err error
 	if f.node, err = replica.New(replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder,
 		Credentials: with.Credentials, Terms: terms}, recordEvents{m, f}, c.log.to); err != nil {
@@ -97,21 +97,21 @@
 	node        *replica.Node
 	terms       share.Terms
 
-	pending  map[int]arrival // proxies that joined and are not granted yet
-	held     []leaving       // in their order
+	pending  map[int]pendingJoin // proxies that joined and are not granted yet
+	queued   []queuedMessage     // in their order
 	released uint64
 	evidence *share.Evidence
 }
 
-// arrival is what the decisions are told of a proxy once it is granted.
-type arrival struct {
+// pendingJoin is what the decisions are told of a proxy once it is granted.
+type pendingJoin struct {
 	zone  int
 	usual float64
 	keeps bool
 }
 
-// leaving is a message that waits until what it says stands on the record.
-type leaving struct {
+// queuedMessage is a message that waits until what it says stands on the record.
+type queuedMessage struct {
 	peer    *peer
 	message []byte
 	edition uint64
@@ -151,14 +151,14 @@
 	f.module.After(f.terms.Renew/2, coordinatorTag)
 }
 
-// joins has a proxy wait until it is granted.
-func (f *fleet) joins(node int, a arrival) {
+// proxyJoined has a proxy wait until it is granted.
+func (f *fleet) proxyJoined(node int, a pendingJoin) {
 	f.pending[node] = a
 	f.coordinator.Joined(node, f.module.now)
 }
 
-// leaves forgets a proxy; it tells whether the decisions had it.
-func (f *fleet) leaves(node int) bool {
+// proxyLeft forgets a proxy; it tells whether the decisions had it.
+func (f *fleet) proxyLeft(node int) bool {
 	_, waits := f.pending[node]
 	delete(f.pending, node)
 	f.evidence.Leaves(node)
@@ -201,8 +201,8 @@
 func (f *fleet) Release(edition uint64) {
 	f.released = max(f.released, edition)
 	n := 0
-	for ; n < len(f.held) && f.held[n].edition <= f.released; n++ {
-		l := f.held[n]
+	for ; n < len(f.queued) && f.queued[n].edition <= f.released; n++ {
+		l := f.queued[n]
 		if !f.module.current(l.peer) {
 			continue
 		}
@@ -210,13 +210,13 @@
 			f.module.lose(l.peer.node, err)
 		}
 	}
-	f.held = slices.Delete(f.held, 0, n)
+	f.queued = slices.Delete(f.queued, 0, n)
 }
 
-// sends has a message leave, or wait behind others for the record.
-func (f *fleet) sends(p *peer, message []byte) error {
-	if edition := f.coordinator.Edition(); len(f.held) > 0 || edition > f.released {
-		f.held = append(f.held, leaving{p, message, edition})
+// send has a message leave, or wait behind others for the record.
+func (f *fleet) send(p *peer, message []byte) error {
+	if edition := f.coordinator.Edition(); len(f.queued) > 0 || edition > f.released {
+		f.queued = append(f.queued, queuedMessage{p, message, edition})
 		return nil
 	}
 	return p.send(message)
@@ -225,8 +225,8 @@
 // recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
 func (f *fleet) recordTableChanges() {
 	var changes []share.TableChange
-	for _, number := range slices.Sorted(maps.Keys(f.module.laid)) {
-		in := f.module.laid[number]
+	for _, number := range slices.Sorted(maps.Keys(f.module.byNumber)) {
+		in := f.module.byNumber[number]
 		if len(in.changed) == 0 {
 			continue
 		}
--- a/controller/module.go
+++ b/controller/module.go
@@ -145,7 +145,7 @@
 	sends, edition := (*peer).send, uint64(0)
 	if m.fleet != nil {
 		m.fleet.recordTableChanges()
-		sends, edition = m.fleet.sends, m.fleet.coordinator.Edition()
+		sends, edition = m.fleet.send, m.fleet.coordinator.Edition()
 	}
 	var one *mark
 	m.flush(sends, m.lose, func(proxy, number int) {
@@ -295,7 +295,7 @@
 	s := m.join(p.node, p, keeps)
 	if m.fleet != nil {
 		s.waits, s.fenced = true, p.fenced
-		m.fleet.joins(p.node, arrival{p.zone, usual, keeps})
+		m.fleet.proxyJoined(p.node, pendingJoin{p.zone, usual, keeps})
 		return
 	}
 	m.control.Joined(p.node, p.zone, usual, keeps)
@@ -325,7 +325,7 @@
 func (m *module) leaves(node int) {
 	m.joins[node] = nil
 	m.leave(node)
-	if m.fleet == nil || m.fleet.leaves(node) {
+	if m.fleet == nil || m.fleet.proxyLeft(node) {
 		m.control.Left(node)
 	}
 }
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -16,9 +16,9 @@
 	frame   int
 	parts   int
 
-	laid map[int]*table
-	all  []level // for every table of every joined proxy, by class
-	out  []bool  // withdrawn, by backend
+	byNumber map[int]*table
+	all      []level // for every table of every joined proxy, by class
+	out      []bool  // withdrawn, by backend
 	// withdrew are those that were withdrawn or let back at this time.
 	withdrew []int
 	streams  []*stream
@@ -72,7 +72,7 @@
 const unbound = -1
 
 func newTables(classes [][]byte, name func(int) []byte, frame, parts int) *tables {
-	return &tables{classes: classes, name: name, frame: frame, parts: parts, laid: map[int]*table{},
+	return &tables{classes: classes, name: name, frame: frame, parts: parts, byNumber: map[int]*table{},
 		all: make([]level, len(classes))}
 }
 
@@ -95,10 +95,10 @@
 }
 
 func (t *tables) table(number int) *table {
-	if t.laid[number] == nil {
-		t.laid[number] = &table{levels: make([]level, len(t.classes))}
+	if t.byNumber[number] == nil {
+		t.byNumber[number] = &table{levels: make([]level, len(t.classes))}
 	}
-	return t.laid[number]
+	return t.byNumber[number]
 }
 
 func (t *tables) mask(classes uint16) uint16 {
@@ -239,7 +239,7 @@
 }
 
 func (t *tables) weight(number, backend int) float64 {
-	if w := t.laid[number].weights; backend < len(w) {
+	if w := t.byNumber[number].weights; backend < len(w) {
 		return w[backend]
 	}
 	return 0
@@ -265,7 +265,7 @@
 			marked(proxy, t.mark)
 		}
 	}
-	for _, in := range t.laid {
+	for _, in := range t.byNumber {
 		in.changed = in.changed[:0]
 	}
 	t.marked, t.toEach, t.withdrew = false, false, t.withdrew[:0]
@@ -287,7 +287,7 @@
 			}
 		}
 		rest &^= due | stand
-		in := t.laid[number]
+		in := t.byNumber[number]
 		if due != 0 {
 			if differ, ok := t.differing(s, in, due); ok {
 				o.change(due, differ)
@@ -394,7 +394,7 @@
 func (t *tables) level(s *stream, class int) level {
 	now := t.all[class]
 	if number := s.bound[class]; number != unbound {
-		if own := t.laid[number].levels[class]; own.set {
+		if own := t.byNumber[number].levels[class]; own.set {
 			if now.set {
 				own.allowance = min(own.allowance, now.allowance)
 			}
@@ -412,7 +412,7 @@
 func (t *tables) writeHeld(s *stream, o *order) {
 	var out, back [][]byte
 	most := len(t.out)
-	for _, in := range t.laid {
+	for _, in := range t.byNumber {
 		most = max(most, len(in.weights))
 	}
 	for b := range most {
