--- a/share/check_test.go
+++ b/share/check_test.go
@@ -306,7 +306,7 @@
 	for _, p := range w.members {
 		d := p.coordinator
 		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
-			d.alone, since(d.stood), since(d.last), len(d.next.Claims), len(d.next.TableChanges), len(d.next.Confirmations), d.under != nil, d.tables)
+			d.alone, since(d.leaseFrom), since(d.lastProposedAt), len(d.pending.Claims), len(d.pending.TableChanges), len(d.pending.Confirmations), d.inFlight != nil, d.tables)
 		for _, at := range p.sent {
 			fmt.Fprint(h, " ", since(at))
 		}
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -59,11 +59,11 @@
 	record *Record
 
 	incarnation, seq uint64
-	proposed         int64  // when the entry under way was first proposed
-	under            *Entry // the entry under way
-	next             Entry  // what gathers for the one after
-	stood            int64  // when the last entry that was answered had been proposed
-	last             int64  // when any was
+	inFlight         *Entry // proposed and not answered yet
+	proposedAt       int64  // when that one was first proposed
+	pending          Entry  // what gathers for the entry after it
+	leaseFrom        int64  // when the last entry that was answered had been proposed
+	lastProposedAt   int64  // when any was
 	alone            bool
 	closing          bool
 	started          int64
@@ -71,18 +71,18 @@
 
 	edition    uint64                     // of our tables
 	tables     map[int]map[string]float64 // as they stand
-	proxies    map[int]*charge            // joined to us
+	proxies    map[int]*proxyState        // joined to us
 	grantTimes map[int][]int64            // when proxies were granted to us within the span
-	leaders    map[uint64]heard
+	leaders    map[uint64]leaderClock
 }
 
-// heard is the last stamp of a leader that was taken in, and when that was here.
-type heard struct {
+// leaderClock is the last stamp of a leader that was taken in, and when that was here.
+type leaderClock struct {
 	at, here int64
 }
 
-// charge is a proxy that is joined to us.
-type charge struct {
+// proxyState is a proxy that is joined to us.
+type proxyState struct {
 	grantedAt int64
 	granted   bool
 	owned     bool   // ours by the record, in this incarnation or in the last
@@ -97,24 +97,25 @@
 
 // New makes the Coordinator of a member that has just started.
 func New(host Host, name string, terms Terms, now int64) *Coordinator {
-	c := &Coordinator{host: host, terms: terms, name: name, record: NewRecord(), started: now, stood: now, last: now - terms.Renew,
-		tables: map[int]map[string]float64{}, proxies: map[int]*charge{}, grantTimes: map[int][]int64{},
-		leaders: map[uint64]heard{}}
-	c.enter(now)
+	c := &Coordinator{host: host, terms: terms, name: name, record: NewRecord(), started: now, leaseFrom: now,
+		lastProposedAt: now - terms.Renew, tables: map[int]map[string]float64{}, proxies: map[int]*proxyState{}, grantTimes: map[int][]int64{},
+		leaders: map[uint64]leaderClock{}}
+	c.enterRecord(now)
 	return c
 }
 
-// enter begins an incarnation on the record with our tables as they stand. The proxies that we have are claimed as they are
-// heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would take them from.
-func (c *Coordinator) enter(now int64) {
-	c.incarnation, c.seq, c.under = c.host.RandomID(), 0, nil
-	c.next = Entry{Floor: c.record.Token, Edition: c.edition}
+// enterRecord begins an incarnation on the record with our tables as they stand. The proxies that we have are claimed as
+// they are heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would take them
+// from.
+func (c *Coordinator) enterRecord(now int64) {
+	c.incarnation, c.seq, c.inFlight = c.host.RandomID(), 0, nil
+	c.pending = Entry{Floor: c.record.Token, Edition: c.edition}
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
 		change := TableChange{Table: number}
 		for _, id := range slices.Sorted(maps.Keys(c.tables[number])) {
 			change.Lines = append(change.Lines, Line{id, c.tables[number][id]})
 		}
-		c.next.TableChanges = append(c.next.TableChanges, change)
+		c.pending.TableChanges = append(c.pending.TableChanges, change)
 	}
 	for _, p := range c.proxies {
 		p.token, p.claiming, p.others, p.unheard = 0, false, 0, now
@@ -126,9 +127,9 @@
 	p := c.proxies[proxy]
 	p.token, p.claiming, p.unheard = 0, true, 0
 	if again {
-		c.next.Again = append(c.next.Again, proxy)
-	} else if !slices.Contains(c.next.Claims, proxy) {
-		c.next.Claims = append(c.next.Claims, proxy)
+		c.pending.Again = append(c.pending.Again, proxy)
+	} else if !slices.Contains(c.pending.Claims, proxy) {
+		c.pending.Claims = append(c.pending.Claims, proxy)
 	}
 }
 
@@ -151,9 +152,9 @@
 // Joined: a proxy's stream has begun. It is granted once its claim stands, or at once off the record. On the record
 // nothing is written to a proxy that is not ours by it: a later owner would not know of it.
 func (c *Coordinator) Joined(proxy int, now int64) {
-	c.proxies[proxy] = &charge{}
-	if c.under != nil {
-		for _, claims := range [][]int{c.under.Claims, c.under.Again} {
+	c.proxies[proxy] = &proxyState{}
+	if c.inFlight != nil {
+		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Again} {
 			if slices.Contains(claims, proxy) {
 				c.proxies[proxy].others++
 			}
@@ -163,14 +164,14 @@
 	if c.alone {
 		c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 	}
-	c.goOn(now)
+	c.proposePending(now)
 }
 
 // Left: its stream has ended.
 func (c *Coordinator) Left(proxy int) {
 	delete(c.proxies, proxy)
 	is := func(p int) bool { return p == proxy }
-	c.next.Claims, c.next.Again = slices.DeleteFunc(c.next.Claims, is), slices.DeleteFunc(c.next.Again, is)
+	c.pending.Claims, c.pending.Again = slices.DeleteFunc(c.pending.Claims, is), slices.DeleteFunc(c.pending.Again, is)
 }
 
 // Spoke: the proxy was last heard on its stream at some time. If another owns it by the record it has not gone there, or
@@ -195,15 +196,15 @@
 			}
 		}
 	}
-	if c.next.Edition > 0 && len(c.next.TableChanges) > 0 { // what has not left yet becomes one edition with this
-		c.next.TableChanges = append(c.next.TableChanges, changes...)
+	if c.pending.Edition > 0 && len(c.pending.TableChanges) > 0 { // what has not left yet becomes one edition with this
+		c.pending.TableChanges = append(c.pending.TableChanges, changes...)
 	} else {
-		c.next.TableChanges = changes
+		c.pending.TableChanges = changes
 	}
-	if c.next.Edition = c.edition; c.alone {
+	if c.pending.Edition = c.edition; c.alone {
 		c.host.Release(c.edition)
 	} else {
-		c.goOn(now)
+		c.proposePending(now)
 	}
 	return c.edition
 }
@@ -225,31 +226,31 @@
 	c.addConfirmation(proxy, p)
 }
 
-func (c *Coordinator) addConfirmation(proxy int, p *charge) {
+func (c *Coordinator) addConfirmation(proxy int, p *proxyState) {
 	if p.token == 0 || p.edition == 0 {
 		return
 	}
 	confirmation := Confirmation{proxy, p.token, p.edition, p.tables, p.sure}
-	if at := slices.IndexFunc(c.next.Confirmations, func(other Confirmation) bool { return other.Proxy == proxy }); at >= 0 {
-		c.next.Confirmations[at] = confirmation
+	if at := slices.IndexFunc(c.pending.Confirmations, func(other Confirmation) bool { return other.Proxy == proxy }); at >= 0 {
+		c.pending.Confirmations[at] = confirmation
 		return
 	}
-	c.next.Confirmations = append(c.next.Confirmations, confirmation)
+	c.pending.Confirmations = append(c.pending.Confirmations, confirmation)
 }
 
 // AddEvidence puts what is due of our evidence into the next entry.
 func (c *Coordinator) AddEvidence(v *Evidence, now int64) {
 	seen, came, fit := v.Due(now)
-	c.next.Seen, c.next.Came = append(c.next.Seen, seen...), append(c.next.Came, came...)
+	c.pending.Seen, c.pending.Came = append(c.pending.Seen, seen...), append(c.pending.Came, came...)
 	if fit != (Fit{}) {
-		c.next.Fit = fit
+		c.pending.Fit = fit
 	}
 }
 
 // Close gives all away at a planned end: from now on nothing is written to any proxy.
 func (c *Coordinator) Close(now int64) {
-	c.closing, c.next.Closing, c.next.Claims, c.next.Again = true, true, nil, nil
-	c.goOn(now)
+	c.closing, c.pending.Closing, c.pending.Claims, c.pending.Again = true, true, nil, nil
+	c.proposePending(now)
 }
 
 // Closed tells whether our end stands on the record.
@@ -260,8 +261,8 @@
 
 // Elapsed looks at what waits for time.
 func (c *Coordinator) Elapsed(now int64) {
-	if !c.alone && now-c.stood >= c.terms.Lease {
-		c.goAlone(now)
+	if !c.alone && now-c.leaseFrom >= c.terms.Lease {
+		c.leaveRecord(now)
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		p := c.proxies[proxy]
@@ -275,10 +276,11 @@
 			delete(c.grantTimes, proxy)
 		}
 	}
-	c.goOn(now)
+	c.proposePending(now)
 }
 
-func (c *Coordinator) goAlone(now int64) {
+// leaveRecord has the member go on by itself: what waited leaves, and whoever joined is granted.
+func (c *Coordinator) leaveRecord(now int64) {
 	c.alone = true
 	c.host.Mode(true, "no entry of ours stands for a lease, or another entered under our name")
 	c.host.Release(c.edition)
@@ -287,14 +289,14 @@
 			c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 		}
 	}
-	c.enter(now) // what we write from now on is another incarnation's
+	c.enterRecord(now) // what we write from now on is another incarnation's
 }
 
-// goOn proposes what has gathered, one entry at a time.
-func (c *Coordinator) goOn(now int64) {
-	pressing := len(c.next.Claims) > 0 || len(c.next.Again) > 0 || len(c.next.TableChanges) > 0 || c.next.Closing || c.seq == 0 ||
-		len(c.next.Confirmations) > 0 && now-c.last >= c.terms.Renew/2
-	if c.under != nil || !pressing && now-c.last < c.terms.Renew {
+// proposePending proposes what has gathered, one entry at a time.
+func (c *Coordinator) proposePending(now int64) {
+	pressing := len(c.pending.Claims) > 0 || len(c.pending.Again) > 0 || len(c.pending.TableChanges) > 0 || c.pending.Closing || c.seq == 0 ||
+		len(c.pending.Confirmations) > 0 && now-c.lastProposedAt >= c.terms.Renew/2
+	if c.inFlight != nil || !pressing && now-c.lastProposedAt < c.terms.Renew {
 		return
 	}
 	if c.seq == 0 { // two processes of one name would enter by turns as fast as they can
@@ -303,24 +305,24 @@
 		}
 		c.entered = now
 	}
-	e := c.next
-	if c.next = (Entry{}); c.seq > 0 && e.Edition == 0 {
+	e := c.pending
+	if c.pending = (Entry{}); c.seq > 0 && e.Edition == 0 {
 		e.Edition = c.edition
 	}
 	e.Member, e.Incarnation, e.Seq = c.name, c.incarnation, c.seq+1
-	c.under, c.proposed, c.last = &e, now, now
+	c.inFlight, c.proposedAt, c.lastProposedAt = &e, now, now
 	c.host.Propose(e)
 }
 
 // Answered: the entry under way stands on the record.
 func (c *Coordinator) Answered(incarnation, seq uint64, now int64) {
-	if c.under == nil || c.under.Incarnation != incarnation || c.under.Seq != seq {
+	if c.inFlight == nil || c.inFlight.Incarnation != incarnation || c.inFlight.Seq != seq {
 		return // of an earlier incarnation
 	}
-	edition := c.under.Edition
-	c.seq, c.stood, c.under = seq, c.proposed, nil
-	if now-c.stood >= c.terms.Lease { // it took too long to count on it; Elapsed says what follows
-		c.goOn(now)
+	edition := c.inFlight.Edition
+	c.seq, c.leaseFrom, c.inFlight = seq, c.proposedAt, nil
+	if now-c.leaseFrom >= c.terms.Lease { // it took too long to count on it; Elapsed says what follows
+		c.proposePending(now)
 		return
 	}
 	if c.alone || seq == 1 {
@@ -328,29 +330,29 @@
 		c.host.Mode(false, "we have entered the record")
 	}
 	c.host.Release(edition)
-	c.goOn(now)
+	c.proposePending(now)
 }
 
 // Failed: it is not known to stand, and is proposed again as it is.
 func (c *Coordinator) Failed(incarnation, seq uint64, now int64) {
-	if c.under == nil || c.under.Incarnation != incarnation || c.under.Seq != seq {
+	if c.inFlight == nil || c.inFlight.Incarnation != incarnation || c.inFlight.Seq != seq {
 		return
 	}
-	c.host.Propose(*c.under)
+	c.host.Propose(*c.inFlight)
 }
 
 // Recorded takes the next entry of the record, of whatever member.
 func (c *Coordinator) Recorded(e Entry, now int64) {
-	c.hears(e.Stamp, now)
+	c.noteStamp(e.Stamp, now)
 	moves, taken := c.record.Apply(e)
 	if !taken {
 		if e.Incarnation == c.incarnation && c.record.Members[c.name] != c.incarnation { // another has entered under our name
-			c.goAlone(now)
+			c.leaveRecord(now)
 		}
 		return
 	}
 	for _, m := range moves {
-		c.moved(m, now)
+		c.applyMove(m, now)
 	}
 	switch entered := c.record.Incarnations[c.incarnation] != nil; {
 	case e.Incarnation == c.incarnation && e.Seq == 1:
@@ -386,7 +388,7 @@
 	c.record = record
 	for proxy, h := range record.Proxies {
 		for _, move := range h.Moves {
-			c.hears(move, now)
+			c.noteStamp(move, now)
 		}
 		if p := c.proxies[proxy]; p != nil && h.Incarnation != c.incarnation && h.Token > p.token && p.token > 0 {
 			p.token, p.owned, p.unheard = 0, false, now
@@ -394,12 +396,12 @@
 	}
 }
 
-// hears takes a stamp of the record.
-func (c *Coordinator) hears(s Stamp, now int64) {
+// noteStamp takes a stamp of the record.
+func (c *Coordinator) noteStamp(s Stamp, now int64) {
 	if last, known := c.leaders[s.Leader]; known && last.at > s.At {
 		return
 	}
-	c.leaders[s.Leader] = heard{s.At, now}
+	c.leaders[s.Leader] = leaderClock{s.At, now}
 	if len(c.leaders) > leadersKept {
 		oldest := s.Leader
 		for id, h := range c.leaders {
@@ -423,8 +425,8 @@
 	return now - last.here + last.at - s.At
 }
 
-// moved takes a change of owners. Whose it was within the span counts for what may be written now.
-func (c *Coordinator) moved(m Move, now int64) {
+// applyMove takes a change of owners. Whose it was within the span counts for what may be written now.
+func (c *Coordinator) applyMove(m Move, now int64) {
 	standing := 0
 	for _, move := range m.To.Moves {
 		if c.age(move, now) < c.terms.Span {
