--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -127,7 +127,7 @@
 	p := c.proxies[proxy]
 	p.token, p.claiming, p.unheard = 0, true, 0
 	if again {
-		c.pending.Again = append(c.pending.Again, proxy)
+		c.pending.Reclaims = append(c.pending.Reclaims, proxy)
 	} else if !slices.Contains(c.pending.Claims, proxy) {
 		c.pending.Claims = append(c.pending.Claims, proxy)
 	}
@@ -154,7 +154,7 @@
 func (c *Coordinator) Joined(proxy int, now int64) {
 	c.proxies[proxy] = &proxyState{}
 	if c.inFlight != nil {
-		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Again} {
+		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Reclaims} {
 			if slices.Contains(claims, proxy) {
 				c.proxies[proxy].others++
 			}
@@ -171,7 +171,7 @@
 func (c *Coordinator) Left(proxy int) {
 	delete(c.proxies, proxy)
 	is := func(p int) bool { return p == proxy }
-	c.pending.Claims, c.pending.Again = slices.DeleteFunc(c.pending.Claims, is), slices.DeleteFunc(c.pending.Again, is)
+	c.pending.Claims, c.pending.Reclaims = slices.DeleteFunc(c.pending.Claims, is), slices.DeleteFunc(c.pending.Reclaims, is)
 }
 
 // Spoke: the proxy was last heard on its stream at some time. If another owns it by the record it has not gone there, or
@@ -249,7 +249,7 @@
 
 // Close gives all away at a planned end: from now on nothing is written to any proxy.
 func (c *Coordinator) Close(now int64) {
-	c.closing, c.pending.Closing, c.pending.Claims, c.pending.Again = true, true, nil, nil
+	c.closing, c.pending.Closing, c.pending.Claims, c.pending.Reclaims = true, true, nil, nil
 	c.proposePending(now)
 }
 
@@ -294,7 +294,7 @@
 
 // proposePending proposes what has gathered, one entry at a time.
 func (c *Coordinator) proposePending(now int64) {
-	pressing := len(c.pending.Claims) > 0 || len(c.pending.Again) > 0 || len(c.pending.TableChanges) > 0 || c.pending.Closing || c.seq == 0 ||
+	pressing := len(c.pending.Claims) > 0 || len(c.pending.Reclaims) > 0 || len(c.pending.TableChanges) > 0 || c.pending.Closing || c.seq == 0 ||
 		len(c.pending.Confirmations) > 0 && now-c.lastProposedAt >= c.terms.Renew/2
 	if c.inFlight != nil || !pressing && now-c.lastProposedAt < c.terms.Renew {
 		return
--- a/share/record.go
+++ b/share/record.go
@@ -21,7 +21,7 @@
 	Floor         uint64         `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
 	Closing       bool           `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
 	Claims        []int          `cbor:"6,keyasint,omitempty"`
-	Again         []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
+	Reclaims      []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
 	Edition       uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
 	TableChanges  []TableChange  `cbor:"8,keyasint,omitempty"`
 	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
@@ -82,7 +82,7 @@
 	Token        uint64                     `cbor:"1,keyasint"` // the last one given
 	Members      map[string]uint64          `cbor:"2,keyasint"` // the incarnation of each
 	Incarnations map[uint64]*Incarnation    `cbor:"3,keyasint"`
-	Proxies      map[int]Holding            `cbor:"4,keyasint"`
+	Proxies      map[int]Ownership          `cbor:"4,keyasint"`
 	Away         map[string]map[string]Seen `cbor:"5,keyasint"` // by backend and member
 	Came         map[int][]float64          `cbor:"6,keyasint"` // requests a second by proxy and class
 	Fits         map[string]Fit             `cbor:"7,keyasint"` // by member
@@ -100,18 +100,18 @@
 
 // Table is one of a member's tables. A line that was taken out stands with a weight of 0 for a while.
 type Table struct {
-	Lines map[string]Stood `cbor:"1,keyasint"`
-	Floor uint64           `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
+	Lines map[string]VersionedWeight `cbor:"1,keyasint"`
+	Floor uint64                     `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
 }
 
-// Stood is a line and the edition that set it.
-type Stood struct {
+// VersionedWeight is a line and the edition that set it.
+type VersionedWeight struct {
 	Weight float64 `cbor:"1,keyasint"`
 	At     uint64  `cbor:"2,keyasint"`
 }
 
-// Holding says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
-type Holding struct {
+// Ownership says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
+type Ownership struct {
 	Owner       string  `cbor:"1,keyasint"`
 	Incarnation uint64  `cbor:"2,keyasint"`
 	Token       uint64  `cbor:"3,keyasint"`
@@ -130,7 +130,7 @@
 // Move is a change of a proxy's owner. Known is false where the old one may have written what the record lacks.
 type Move struct {
 	Proxy    int
-	From, To Holding
+	From, To Ownership
 	Known    bool
 	Base     []Base    // by class, if it is known
 	Clean    bool      // it is known besides that it shuts nothing out
@@ -148,7 +148,7 @@
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Holding{},
+	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Ownership{},
 		Away: map[string]map[string]Seen{}, Came: map[int][]float64{}, Fits: map[string]Fit{},
 		Past: map[string][]uint64{}}
 }
@@ -185,7 +185,7 @@
 	for _, proxy := range e.Claims {
 		moves = append(moves, r.claim(proxy, e, false))
 	}
-	for _, proxy := range e.Again {
+	for _, proxy := range e.Reclaims {
 		moves = append(moves, r.claim(proxy, e, true))
 	}
 	if e.Closing {
@@ -211,14 +211,14 @@
 	for _, change := range e.TableChanges {
 		t := incarnation.Tables[change.Table]
 		if t == nil {
-			t = &Table{Lines: map[string]Stood{}}
+			t = &Table{Lines: map[string]VersionedWeight{}}
 			incarnation.Tables[change.Table] = t
 		}
 		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
 			t.Floor = e.Edition
 		}
 		for _, l := range change.Lines {
-			t.Lines[l.Backend] = Stood{l.Weight, e.Edition}
+			t.Lines[l.Backend] = VersionedWeight{l.Weight, e.Edition}
 		}
 		t.trim()
 	}
@@ -268,7 +268,7 @@
 func (r *Record) claim(proxy int, e Entry, again bool) Move {
 	from := r.Proxies[proxy]
 	r.Token++
-	m := Move{Proxy: proxy, From: from, To: Holding{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
+	m := Move{Proxy: proxy, From: from, To: Ownership{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
 	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
 		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-mostMoves-1):]
@@ -303,7 +303,7 @@
 }
 
 // base is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (r *Record) base(h Holding, incarnation *Incarnation) (by []Base, known bool) {
+func (r *Record) base(h Ownership, incarnation *Incarnation) (by []Base, known bool) {
 	if h.Edition == 0 || len(h.Tables) == 0 {
 		return nil, false
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -110,14 +110,14 @@
 		d.Elapsed(1100)
 		d.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
 		e := p.stands(d, 1200)
-		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Again) > 0 || len(e.TableChanges) != 1 || d.Alone() {
+		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || d.Alone() {
 			t.Errorf("entered with %+v, alone %v", e, d.Alone())
 		}
 		d.Spoke(4, 1000) // heard before: it may be gone since
 		p.stands(d, 1300)
 		d.Spoke(4, 1350)
 		p.stands(d, 1400) // what was under way
-		if again := p.stands(d, 1410); !slices.Equal(again.Again, []int{4}) || d.Owned() != 1 || len(d.record.Proxies[4].Moves) > 0 {
+		if again := p.stands(d, 1410); !slices.Equal(again.Reclaims, []int{4}) || d.Owned() != 1 || len(d.record.Proxies[4].Moves) > 0 {
 			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.Owned(), d.record.Proxies[4].Moves)
 		}
 		if _, taken := d.record.Apply(old); taken {
--- a/share/wire_test.go
+++ b/share/wire_test.go
@@ -11,7 +11,7 @@
 // this one, and a folder outlasts both, so no renaming and no new field may change these bytes.
 func TestEncodedBytes(t *testing.T) {
 	seen := Seen{Backend: "a", Tries: 5, Failed: 4, Mean: 3000, Span: 2000, Away: true, Wait: 700}
-	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Again: []int{6}, Edition: 9,
+	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Reclaims: []int{6}, Edition: 9,
 		TableChanges:  []TableChange{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
 		Confirmations: []Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
 		Seen:          []Seen{seen}, Came: []Came{{Proxy: 5, Rates: []float64{1.5, 0}}}, Fit: Fit{Proven: 2, Able: 3},
@@ -20,8 +20,8 @@
 	record.Token = 7
 	record.Members["n1"] = 77
 	record.Incarnations[77] = &Incarnation{Member: "n1", Seq: 2, Closed: true, Edition: 9,
-		Tables: map[int]*Table{2: {Lines: map[string]Stood{"a": {Weight: 0.5, At: 9}}, Floor: 1}}}
-	record.Proxies[5] = Holding{Owner: "n1", Incarnation: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
+		Tables: map[int]*Table{2: {Lines: map[string]VersionedWeight{"a": {Weight: 0.5, At: 9}}, Floor: 1}}}
+	record.Proxies[5] = Ownership{Owner: "n1", Incarnation: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
 	record.Away["a"] = map[string]Seen{"n1": seen}
 	record.Came[5] = []float64{1.5}
 	record.Fits["n1"] = Fit{Proven: 2, Able: 3}
