--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -161,7 +161,7 @@
 func (f *fleet) proxyLeft(node int) bool {
 	_, waits := f.pending[node]
 	delete(f.pending, node)
-	f.evidence.Leaves(node)
+	f.evidence.ForgetProxy(node)
 	f.coordinator.Left(node)
 	return !waits
 }
@@ -188,8 +188,10 @@
 	f.module.control.Demands(node, came)
 }
 
-// Fitted hands on what another member saw the fleet do.
-func (f *fleet) Fitted(fit share.Fit) { f.module.control.Fits(fit.Proven, fit.Able) }
+// LearnedCapacity hands on what another member saw the fleet do.
+func (f *fleet) LearnedCapacity(capacity share.Capacity) {
+	f.module.control.Fits(capacity.Proven, capacity.Able)
+}
 
 // Spent has the decisions write less to a proxy.
 func (f *fleet) Spent(node, messages int) { f.module.control.Spent(node, messages) }
@@ -257,16 +259,16 @@
 	for backend, id := range f.module.backends.ids {
 		if id != "" {
 			tries, failed, wait, away := f.module.control.Withdrawn(backend)
-			f.evidence.Away(id, away, tries, failed, wait)
+			f.evidence.SetWithdrawn(id, away, tries, failed, wait)
 		}
 	}
 	proven, able := f.module.control.Ability()
-	f.evidence.Fits(share.Fit{Proven: proven, Able: able})
+	f.evidence.SetCapacity(share.Capacity{Proven: proven, Able: able})
 	f.coordinator.AddEvidence(f.evidence, now)
 }
 
 // Learned hands on what another member's proxies met.
-func (f *fleet) Learned(_ string, s share.Seen) {
+func (f *fleet) Learned(_ string, s share.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
 		f.module.control.Learned(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
--- a/controller/module.go
+++ b/controller/module.go
@@ -167,7 +167,7 @@
 	many := m.backends.sweep(m.now, m.limits.gone, func(backend int) bool {
 		gone := m.tables.forget(backend, func() bool { return m.control.Forget(backend) })
 		if gone && m.fleet != nil {
-			m.fleet.evidence.Forget(m.backends.ids[backend])
+			m.fleet.evidence.ForgetBackend(m.backends.ids[backend])
 		}
 		return gone
 	})
@@ -381,7 +381,7 @@
 	}
 	m.control.Heard(backend, tries, failed, mean, span, load)
 	if m.fleet != nil {
-		m.fleet.evidence.Met(id, tries, failed, mean, span)
+		m.fleet.evidence.AddTries(id, tries, failed, mean, span)
 	}
 }
 
@@ -389,7 +389,7 @@
 	if node < len(m.joins) && m.joins[node] != nil && !m.at(node).waits {
 		m.control.Came(node, class, count, span)
 		if m.fleet != nil {
-			m.fleet.evidence.Comes(node, class, count, span)
+			m.fleet.evidence.AddDemand(node, class, count, span)
 		}
 	}
 }
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -56,11 +56,11 @@
 
 func (p *player) RandomID() uint64 { p.w.drawn++; return p.w.drawn }
 
-func (p *player) Learned(string, Seen) {}
+func (p *player) Learned(string, Observation) {}
 
 func (p *player) Mode(bool, string) {}
 
-func (p *player) Fitted(Fit) {}
+func (p *player) LearnedCapacity(Capacity) {}
 
 func (p *player) Granted(_ int, token uint64, base []Base, _ bool, _ []float64, spent int) {
 	p.granted, p.token, p.sent = p.joined, token, nil
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -12,14 +12,14 @@
 	// Granted lets the decisions have a proxy that joined. What it surely has is known where there is a base; clean says
 	// that it shuts nothing out. So many of the messages that one owner may write to it are spent already.
 	Granted(proxy int, token uint64, base []Base, clean bool, came []float64, spent int)
-	// Fitted is what another member saw the fleet do.
-	Fitted(f Fit)
+	// LearnedCapacity is what another member saw the fleet do.
+	LearnedCapacity(capacity Capacity)
 	// Spent takes messages away from what may be written to a proxy that was granted before.
 	Spent(proxy, messages int)
 	// Release lets what was ordered up to an edition leave.
 	Release(edition uint64)
 	// Learned is what another member's proxies met of late, or what keeps a backend withdrawn there.
-	Learned(member string, s Seen)
+	Learned(member string, s Observation)
 	// Mode tells that the member goes off the record, or is on it again.
 	Mode(alone bool, why string)
 	// RandomID is a number that no other incarnation has.
@@ -240,10 +240,11 @@
 
 // AddEvidence puts what is due of our evidence into the next entry.
 func (c *Coordinator) AddEvidence(v *Evidence, now int64) {
-	seen, came, fit := v.Due(now)
-	c.pending.Seen, c.pending.Came = append(c.pending.Seen, seen...), append(c.pending.Came, came...)
-	if fit != (Fit{}) {
-		c.pending.Fit = fit
+	observations, demands, capacity := v.Due(now)
+	c.pending.Observations = append(c.pending.Observations, observations...)
+	c.pending.Demands = append(c.pending.Demands, demands...)
+	if capacity != (Capacity{}) {
+		c.pending.Capacity = capacity
 	}
 }
 
@@ -358,26 +359,26 @@
 	case e.Incarnation == c.incarnation && e.Seq == 1:
 		c.learnStanding()
 	case entered && e.Member != c.name: // what stood on the record before we came is old
-		for _, s := range e.Seen {
+		for _, s := range e.Observations {
 			c.host.Learned(e.Member, s)
 		}
-		if e.Fit != (Fit{}) {
-			c.host.Fitted(e.Fit)
+		if e.Capacity != (Capacity{}) {
+			c.host.LearnedCapacity(e.Capacity)
 		}
 	}
 }
 
 // learnStanding tells what others have withdrawn, and what they saw the fleet do, to one that has just come.
 func (c *Coordinator) learnStanding() {
-	for _, member := range slices.Sorted(maps.Keys(c.record.Fits)) {
+	for _, member := range slices.Sorted(maps.Keys(c.record.Capacities)) {
 		if member != c.name {
-			c.host.Fitted(c.record.Fits[member])
+			c.host.LearnedCapacity(c.record.Capacities[member])
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.record.Away)) {
-		for _, member := range slices.Sorted(maps.Keys(c.record.Away[id])) {
+	for _, id := range slices.Sorted(maps.Keys(c.record.Withdrawn)) {
+		for _, member := range slices.Sorted(maps.Keys(c.record.Withdrawn[id])) {
 			if member != c.name {
-				c.host.Learned(member, c.record.Away[id][member])
+				c.host.Learned(member, c.record.Withdrawn[id][member])
 			}
 		}
 	}
@@ -470,5 +471,5 @@
 	if moves <= mostMoves {
 		spent = max(0, min(spent, c.terms.UnownedQuota()+c.terms.OwnerQuota()-c.terms.Kept))
 	}
-	c.host.Granted(proxy, p.token, m.Base, m.Clean, m.Came, spent)
+	c.host.Granted(proxy, p.token, m.Base, m.Clean, m.Demand, spent)
 }
--- a/share/evidence_test.go
+++ b/share/evidence_test.go
@@ -10,13 +10,13 @@
 	t.Run("what was met is summed until it is told, once in a span", func(t *testing.T) {
 		v := NewEvidence()
 		v.Due(5_000_000)
-		v.Met("b", 10, 0, 100, 1000)
-		v.Met("b", 10, 5, 400, 2000)
+		v.AddTries("b", 10, 0, 100, 1000)
+		v.AddTries("b", 10, 5, 400, 2000)
 		if seen, _, _ := v.Due(5_500_000); seen != nil {
 			t.Errorf("told early: %+v", seen)
 		}
 		seen, _, _ := v.Due(6_000_000)
-		if want := []Seen{{Backend: "b", Tries: 20, Failed: 5, Mean: 200, Span: 2000}}; !slices.Equal(seen, want) {
+		if want := []Observation{{Backend: "b", Tries: 20, Failed: 5, Mean: 200, Span: 2000}}; !slices.Equal(seen, want) {
 			t.Errorf("told %+v", seen)
 		}
 		if seen, _, _ := v.Due(7_000_000); seen != nil {
@@ -26,57 +26,57 @@
 	t.Run("a withdrawal is told at once, not again while it stands, and taken back at once", func(t *testing.T) {
 		v := NewEvidence()
 		v.Due(5_000_000)
-		v.Met("a", 9, 9, 0, 1000)
-		v.Away("a", true, 9, 9, 10)
-		if seen, _, _ := v.Due(5_000_001); len(seen) != 1 || !seen[0].Away || seen[0].Failed != 9 || seen[0].Wait != 10 {
+		v.AddTries("a", 9, 9, 0, 1000)
+		v.SetWithdrawn("a", true, 9, 9, 10)
+		if seen, _, _ := v.Due(5_000_001); len(seen) != 1 || !seen[0].Withdrawn || seen[0].Failed != 9 || seen[0].Wait != 10 {
 			t.Errorf("told %+v", seen)
 		}
-		v.Met("a", 1, 1, 0, 1000)
-		v.Away("a", true, 1, 1, 10)
+		v.AddTries("a", 1, 1, 0, 1000)
+		v.SetWithdrawn("a", true, 1, 1, 10)
 		if seen, _, _ := v.Due(6_500_000); seen != nil {
 			t.Errorf("told again: %+v", seen)
 		}
-		v.Away("a", false, 0, 0, 0)
-		if seen, _, _ := v.Due(6_500_001); len(seen) != 1 || seen[0].Away {
+		v.SetWithdrawn("a", false, 0, 0, 0)
+		if seen, _, _ := v.Due(6_500_001); len(seen) != 1 || seen[0].Withdrawn {
 			t.Errorf("not taken back: %+v", seen)
 		}
 	})
 	t.Run("demand is told when it has changed, so many proxies at a time", func(t *testing.T) {
 		v := NewEvidence()
 		for proxy := range 100 {
-			v.Comes(proxy, 1, 20, 2_000_000)
+			v.AddDemand(proxy, 1, 20, 2_000_000)
 		}
 		_, came, _ := v.Due(1_000_000)
 		_, rest, _ := v.Due(2_000_000)
-		if len(came) != mostCame || len(rest) != 100-mostCame || fmt.Sprint(came[0]) != "{0 [0 10]}" {
+		if len(came) != maxDemands || len(rest) != 100-maxDemands || fmt.Sprint(came[0]) != "{0 [0 10]}" {
 			t.Errorf("told %d and %d, the first %v", len(came), len(rest), came[0])
 		}
-		v.Comes(7, 1, 21, 2_000_000)
+		v.AddDemand(7, 1, 21, 2_000_000)
 		if _, same, _ := v.Due(3_000_000); same != nil {
 			t.Errorf("told %v for a little more", same)
 		}
 		for range 5 {
-			v.Comes(7, 1, 90, 2_000_000)
+			v.AddDemand(7, 1, 90, 2_000_000)
 		}
 		if _, more, _ := v.Due(4_000_000); len(more) != 1 || more[0].Proxy != 7 || more[0].Rates[1] < 20 {
 			t.Errorf("told %v", more)
 		}
-		v.Leaves(7)
-		v.Comes(7, 0, 1, 0) // no time at all
-		if _, gone, _ := v.Due(5_000_000); gone != nil || len(v.came) != 99 {
-			t.Errorf("told %v, %d are kept", gone, len(v.came))
+		v.ForgetProxy(7)
+		v.AddDemand(7, 0, 1, 0) // no time at all
+		if _, gone, _ := v.Due(5_000_000); gone != nil || len(v.demand) != 99 {
+			t.Errorf("told %v, %d are kept", gone, len(v.demand))
 		}
 	})
 	t.Run("what the fleet can do is told when it has changed", func(t *testing.T) {
 		v := NewEvidence()
-		var told []Fit
+		var told []Capacity
 		for i, proven := range []float64{0, 2, 2.1, 3, 3} {
-			v.Fits(Fit{Proven: proven})
-			if _, _, fit := v.Due(int64(i+1) * 1_000_000); fit != (Fit{}) {
+			v.SetCapacity(Capacity{Proven: proven})
+			if _, _, fit := v.Due(int64(i+1) * 1_000_000); fit != (Capacity{}) {
 				told = append(told, fit)
 			}
 		}
-		if !slices.Equal(told, []Fit{{2, 0}, {3, 0}}) {
+		if !slices.Equal(told, []Capacity{{2, 0}, {3, 0}}) {
 			t.Errorf("told %v", told)
 		}
 	})
@@ -84,11 +84,11 @@
 		p, d := newPlace(), (*Coordinator)(nil)
 		d = New(p, "n0", terms, 0)
 		d.Elapsed(0)
-		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 1, Fit: Fit{2, 1}, Came: []Came{{5, []float64{4, 0}}}}, 0)
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1}, Demands: []Demand{{5, []float64{4, 0}}}}, 0)
 		if p.stands(d, 10); !slices.Equal(p.learned, []string{"{2 1}"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if moves, _ := d.record.Apply(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Came, []float64{4, 0}) {
+		if moves, _ := d.record.Apply(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Demand, []float64{4, 0}) {
 			t.Errorf("moved %+v", moves)
 		}
 	})
--- a/share/record.go
+++ b/share/record.go
@@ -25,9 +25,9 @@
 	Edition       uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
 	TableChanges  []TableChange  `cbor:"8,keyasint,omitempty"`
 	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
-	Seen          []Seen         `cbor:"10,keyasint,omitempty"`
-	Came          []Came         `cbor:"13,keyasint,omitempty"`
-	Fit           Fit            `cbor:"14,keyasint,omitempty"`
+	Observations  []Observation  `cbor:"10,keyasint,omitempty"`
+	Demands       []Demand       `cbor:"13,keyasint,omitempty"`
+	Capacity      Capacity       `cbor:"14,keyasint,omitempty"`
 	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry came to
 	// it. It names none before all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
@@ -66,27 +66,27 @@
 // Shut is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
 const Shut = -1
 
-// Seen is what a member's proxies met at a backend. Away: it is withdrawn there, and this is what showed it.
-type Seen struct {
-	Backend string `cbor:"1,keyasint"`
-	Tries   int    `cbor:"2,keyasint"`
-	Failed  int    `cbor:"3,keyasint"`
-	Mean    int64  `cbor:"4,keyasint"` // µs that an answer took
-	Span    int64  `cbor:"5,keyasint"` // µs that it covers
-	Away    bool   `cbor:"6,keyasint,omitempty"`
-	Wait    int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
+// Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed it.
+type Observation struct {
+	Backend   string `cbor:"1,keyasint"`
+	Tries     int    `cbor:"2,keyasint"`
+	Failed    int    `cbor:"3,keyasint"`
+	Mean      int64  `cbor:"4,keyasint"` // µs that an answer took
+	Span      int64  `cbor:"5,keyasint"` // µs that it covers
+	Withdrawn bool   `cbor:"6,keyasint,omitempty"`
+	Wait      int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
 }
 
 // Record is the replicated record: what every member concludes from the same entries.
 type Record struct {
-	Token        uint64                     `cbor:"1,keyasint"` // the last one given
-	Members      map[string]uint64          `cbor:"2,keyasint"` // the incarnation of each
-	Incarnations map[uint64]*Incarnation    `cbor:"3,keyasint"`
-	Proxies      map[int]Ownership          `cbor:"4,keyasint"`
-	Away         map[string]map[string]Seen `cbor:"5,keyasint"` // by backend and member
-	Came         map[int][]float64          `cbor:"6,keyasint"` // requests a second by proxy and class
-	Fits         map[string]Fit             `cbor:"7,keyasint"` // by member
-	Past         map[string][]uint64        `cbor:"8,keyasint"` // incarnations of each member that are over, the last ones
+	Token        uint64                            `cbor:"1,keyasint"` // the last one given
+	Members      map[string]uint64                 `cbor:"2,keyasint"` // the incarnation of each
+	Incarnations map[uint64]*Incarnation           `cbor:"3,keyasint"`
+	Proxies      map[int]Ownership                 `cbor:"4,keyasint"`
+	Withdrawn    map[string]map[string]Observation `cbor:"5,keyasint"` // by backend and member
+	Demands      map[int][]float64                 `cbor:"6,keyasint"` // requests a second by proxy and class
+	Capacities   map[string]Capacity               `cbor:"7,keyasint"` // by member
+	Past         map[string][]uint64               `cbor:"8,keyasint"` // incarnations of each member that are over, the last ones
 }
 
 // Incarnation is a member between its entering and its end.
@@ -134,7 +134,7 @@
 	Known    bool
 	Base     []Base    // by class, if it is known
 	Clean    bool      // it is known besides that it shuts nothing out
-	Came     []float64 // requests a second that came to it, by class, as last told
+	Demand   []float64 // requests a second that came to it, by class, as last told
 }
 
 const (
@@ -149,7 +149,7 @@
 // NewRecord makes an empty record.
 func NewRecord() *Record {
 	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Ownership{},
-		Away: map[string]map[string]Seen{}, Came: map[int][]float64{}, Fits: map[string]Fit{},
+		Withdrawn: map[string]map[string]Observation{}, Demands: map[int][]float64{}, Capacities: map[string]Capacity{},
 		Past: map[string][]uint64{}}
 }
 
@@ -173,14 +173,14 @@
 			r.Proxies[t.Proxy] = h
 		}
 	}
-	for _, s := range e.Seen {
+	for _, s := range e.Observations {
 		r.setWithdrawn(e.Member, s)
 	}
-	for _, c := range e.Came {
-		r.Came[c.Proxy] = c.Rates
+	for _, c := range e.Demands {
+		r.Demands[c.Proxy] = c.Rates
 	}
-	if e.Fit != (Fit{}) {
-		r.Fits[e.Member] = e.Fit
+	if e.Capacity != (Capacity{}) {
+		r.Capacities[e.Member] = e.Capacity
 	}
 	for _, proxy := range e.Claims {
 		moves = append(moves, r.claim(proxy, e, false))
@@ -244,22 +244,22 @@
 	}
 }
 
-func (r *Record) setWithdrawn(member string, s Seen) {
-	if s.Away {
-		if r.Away[s.Backend] == nil {
-			r.Away[s.Backend] = map[string]Seen{}
+func (r *Record) setWithdrawn(member string, s Observation) {
+	if s.Withdrawn {
+		if r.Withdrawn[s.Backend] == nil {
+			r.Withdrawn[s.Backend] = map[string]Observation{}
 		}
-		r.Away[s.Backend][member] = s
-	} else if at := r.Away[s.Backend]; at != nil {
+		r.Withdrawn[s.Backend][member] = s
+	} else if at := r.Withdrawn[s.Backend]; at != nil {
 		if delete(at, member); len(at) == 0 {
-			delete(r.Away, s.Backend)
+			delete(r.Withdrawn, s.Backend)
 		}
 	}
 }
 
 func (r *Record) clearWithdrawn(member string) {
-	for _, id := range slices.Collect(maps.Keys(r.Away)) {
-		r.setWithdrawn(member, Seen{Backend: id})
+	for _, id := range slices.Collect(maps.Keys(r.Withdrawn)) {
+		r.setWithdrawn(member, Observation{Backend: id})
 	}
 }
 
@@ -273,7 +273,7 @@
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
 		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-mostMoves-1):]
 	}
-	m.Came = r.Came[proxy]
+	m.Demand = r.Demands[proxy]
 	last := r.Incarnations[from.Incarnation]
 	sure := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.OnRecord, id) }
 	m.Known = last != nil && len(e.OnRecord) > 0 && (sure(from.Incarnation) || last.Closed)
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -25,12 +25,14 @@
 func (p *place) Granted(proxy int, token uint64, base []Base, _ bool, _ []float64, spent int) {
 	p.granted[proxy] = fmt.Sprint(token, " ", base != nil, " ", spent)
 }
-func (p *place) Spent(proxy, messages int)     { p.spent[proxy] += messages }
-func (p *place) Release(edition uint64)        { p.released = edition }
-func (p *place) Learned(member string, s Seen) { p.learned = append(p.learned, member+" "+s.Backend) }
-func (p *place) Fitted(f Fit)                  { p.learned = append(p.learned, fmt.Sprint(f)) }
-func (p *place) Mode(alone bool, _ string)     { p.modes = append(p.modes, alone) }
-func (p *place) RandomID() uint64              { p.drawn++; return p.drawn * 1000 }
+func (p *place) Spent(proxy, messages int) { p.spent[proxy] += messages }
+func (p *place) Release(edition uint64)    { p.released = edition }
+func (p *place) Learned(member string, s Observation) {
+	p.learned = append(p.learned, member+" "+s.Backend)
+}
+func (p *place) LearnedCapacity(f Capacity) { p.learned = append(p.learned, fmt.Sprint(f)) }
+func (p *place) Mode(alone bool, _ string)  { p.modes = append(p.modes, alone) }
+func (p *place) RandomID() uint64           { p.drawn++; return p.drawn * 1000 }
 
 // stands puts the last proposal on the record, stamped, and answers it.
 func (p *place) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
@@ -312,20 +314,20 @@
 		d.Elapsed(0)
 		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
 			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 1}, 0)
-			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 2, Seen: []Seen{{Backend: "a", Tries: 5, Failed: 5, Away: true}}}, 10)
+			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 2, Observations: []Observation{{Backend: "a", Tries: 5, Failed: 5, Withdrawn: true}}}, 10)
 		}
-		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Seen: []Seen{{Backend: "a", Tries: 5}}}, 20)
-		if len(d.record.Away["a"]) != 1 || len(p.learned) > 0 {
-			t.Errorf("withdrawn %v, learned %v before we came", d.record.Away, p.learned)
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Observations: []Observation{{Backend: "a", Tries: 5}}}, 20)
+		if len(d.record.Withdrawn["a"]) != 1 || len(p.learned) > 0 {
+			t.Errorf("withdrawn %v, learned %v before we came", d.record.Withdrawn, p.learned)
 		}
 		if p.stands(d, 30); !slices.Equal(p.learned, []string{"n2 a"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 4, Seen: []Seen{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
+		if d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 4, Observations: []Observation{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(d.record.Away) != 0 {
-			t.Errorf("withdrawn %v", d.record.Away)
+		if d.Recorded(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(d.record.Withdrawn) != 0 {
+			t.Errorf("withdrawn %v", d.record.Withdrawn)
 		}
 	})
 }
