--- a/replica/node.go
+++ b/replica/node.go
@@ -262,11 +262,11 @@
 }
 
 type answer struct {
-	Stands bool   `cbor:"1,keyasint,omitempty"`
-	Why    string `cbor:"2,keyasint,omitempty"`
-	ID     string `cbor:"3,keyasint,omitempty"`
-	Part   bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
-	Leader string `cbor:"5,keyasint,omitempty"` // name
+	Stands    bool   `cbor:"1,keyasint,omitempty"`
+	Why       string `cbor:"2,keyasint,omitempty"`
+	ID        string `cbor:"3,keyasint,omitempty"`
+	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
+	Leader    string `cbor:"5,keyasint,omitempty"` // name
 }
 
 // serve answers one connection's calls, one after the other.
@@ -302,7 +302,7 @@
 	_, leader := r.LeaderWithID()
 	a.Leader = nameOf(leader)
 	if f := r.GetConfiguration(); f.Error() == nil {
-		a.Part = len(f.Configuration().Servers) > 0
+		a.HasRecord = len(f.Configuration().Servers) > 0
 	}
 	return a
 }
@@ -402,7 +402,7 @@
 		if r.State() == raft.Leader {
 			n.lookFor(ctx)
 		}
-		if _, leader := r.LeaderWithID(); leader != "" && n.within(r) {
+		if _, leader := r.LeaderWithID(); leader != "" && n.isMember(r) {
 			lost = 0
 			continue
 		}
@@ -453,8 +453,8 @@
 
 func round(x float64) float64 { return float64(int(x*10+0.5)) / 10 }
 
-// within tells whether the record has us as a member.
-func (n *Node) within(r *raft.Raft) bool {
+// isMember tells whether the record has us as a member.
+func (n *Node) isMember(r *raft.Raft) bool {
 	f := r.GetConfiguration()
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool {
 		return string(s.ID) == n.ID()
@@ -463,25 +463,32 @@
 
 // join takes the next step to be part of a record; it is true where we have to come as new.
 func (n *Node) join(ctx context.Context, r *raft.Raft, looks int) (anew bool) {
-	others := map[string]share.Met{}
+	others := map[string]share.PeerStatus{}
 	for name := range n.config.Members {
 		if name == n.config.Name {
 			continue
 		}
 		if a, err := n.ask(ctx, name, call{Who: true}); err == nil {
-			others[name] = share.Met{ID: a.ID, Part: a.Part, Leader: a.Leader}
+			others[name] = share.PeerStatus{ID: a.ID, HasRecord: a.HasRecord, Leader: a.Leader}
 		}
 	}
 	_, leader := r.LeaderWithID()
 	f := r.GetConfiguration()
-	own := share.Own{Name: n.config.Name, ID: n.ID(), Part: f.Error() == nil && len(f.Configuration().Servers) > 0, Within: n.within(r),
-		Led: leader != "", Durable: n.config.Folder != "", Leaderless: looks}
-	switch step := share.Belong(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Do {
+	own := share.OwnStatus{
+		Name:       n.config.Name,
+		ID:         n.ID(),
+		HasRecord:  f.Error() == nil && len(f.Configuration().Servers) > 0,
+		IsMember:   n.isMember(r),
+		HasLeader:  leader != "",
+		Durable:    n.config.Folder != "",
+		Leaderless: looks,
+	}
+	switch step := share.NextStep(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Action {
 	case share.Join:
 		if a, err := n.ask(ctx, step.Ask, call{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Stands {
 			n.log.Debug("join", "at", step.Ask, "why", a.Why)
 		}
-	case share.Found:
+	case share.Bootstrap:
 		var servers []raft.Server
 		for _, name := range slices.Sorted(maps.Keys(step.IDs)) {
 			servers = append(servers, raft.Server{ID: raft.ServerID(step.IDs[name]), Address: addressOf(name, step.IDs[name])})
@@ -489,7 +496,7 @@
 		if err := r.BootstrapCluster(raft.Configuration{Servers: servers}).Error(); err == nil {
 			n.log.Info("founded", "members", len(servers))
 		}
-	case share.Forget:
+	case share.StartOver:
 		n.log.Info("record_lost", "text", "all others have come as new; so do we")
 		return true
 	}
