--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -22,16 +22,16 @@
 	c.puts(b, share.Entry{Member: "c", Incarnation: 3, Seq: 1})
 	c.stop()
 	lead := a
-	if r, _ := other.now(); r.State() == raft.Leader {
+	if r, _ := other.current(); r.State() == raft.Leader {
 		lead = other
 	}
-	for lead.who().Leader == "c" || lead.who().Leader == "" {
-		time.Sleep(lookAgain)
-		if r, _ := other.now(); r.State() == raft.Leader {
+	for lead.status().Leader == "c" || lead.status().Leader == "" {
+		time.Sleep(pollInterval)
+		if r, _ := other.current(); r.State() == raft.Leader {
 			lead = other
 		}
 	}
-	r, m := lead.now()
+	r, m := lead.current()
 	var last raft.ApplyFuture
 	began := time.Now()
 	for n := range hour {
--- a/replica/node.go
+++ b/replica/node.go
@@ -45,14 +45,14 @@
 
 // Paces of raft on a local network. A member that dies is replaced as leader within two of them, about.
 const (
-	heartbeat   = 400 * time.Millisecond
-	leaderLease = 300 * time.Millisecond
-	applyWithin = 500 * time.Millisecond
-	lookAgain   = 200 * time.Millisecond
-	snapshotAt  = 4096               // entries
-	trailing    = 1024               // entries that are kept beyond a snapshot, for who lags a little
-	quietFor    = 10 * time.Second   // between two lines that tell the record's cost
-	folderMode  = os.FileMode(0o700) // others could vote in our name
+	heartbeat     = 400 * time.Millisecond
+	leaderLease   = 300 * time.Millisecond
+	applyWithin   = 500 * time.Millisecond
+	pollInterval  = 200 * time.Millisecond
+	snapshotAt    = 4096               // entries
+	trailing      = 1024               // entries that are kept beyond a snapshot, for who lags a little
+	statsInterval = 10 * time.Second   // between two lines that tell the record's cost
+	folderMode    = os.FileMode(0o700) // others could vote in our name
 )
 
 // Node is a member's part in the record.
@@ -63,20 +63,21 @@
 	transport *transport
 	clock     func() int64 // µs
 
-	mail chan share.Entry // one entry is under way at a time
+	proposals chan share.Entry // one entry is under way at a time
 
 	mutex        sync.Mutex // over what a raft instance brings
 	raft         *raft.Raft
 	id           string
 	stateMachine *stateMachine
-	close        func()
+	closeRaft    func()
 
-	out   atomic.Bool                             // votes cannot be kept any more
-	spoil func(raft.StableStore) raft.StableStore // for stories of disks; nil for none
+	votesLost atomic.Bool                             // votes cannot be kept any more
+	wrapStore func(raft.StableStore) raft.StableStore // for tests of disks; nil for none
 
-	lead   sync.Mutex // over what we see as leader; it holds over several leaderships, as it rests on our clock alone
-	leases *share.LeaseTracker
-	stamp  uint64 // tells our clock from others
+	// leaderMutex is over what we see as leader; that holds over several leaderships, as it rests on our clock alone.
+	leaderMutex sync.Mutex
+	leases      *share.LeaseTracker
+	stamp       uint64 // tells our clock from others
 }
 
 // New checks a configuration, listens at our address, and starts nothing else. An error says what would do.
@@ -84,7 +85,7 @@
 	return newNode(config, events, log, nil)
 }
 
-func newNode(config Config, events Events, log *slog.Logger, spoil func(raft.StableStore) raft.StableStore) (*Node, error) {
+func newNode(config Config, events Events, log *slog.Logger, wrapStore func(raft.StableStore) raft.StableStore) (*Node, error) {
 	address, ok := config.Members[config.Name]
 	if !ok {
 		return nil, fmt.Errorf("members: %q is not among them; add it with its address", config.Name)
@@ -110,7 +111,7 @@
 		return nil, fmt.Errorf("members: listen: %w", err)
 	}
 	began := time.Now()
-	n := &Node{config: config, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: randomID(),
+	n := &Node{config: config, events: events, log: log, wrapStore: wrapStore, proposals: make(chan share.Entry, 1), stamp: randomID(),
 		leases: share.NewLeaseTracker(config.Terms),
 		clock:  func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
@@ -138,12 +139,12 @@
 func (n *Node) Propose(e share.Entry) {
 	for {
 		select {
-		case n.mail <- e:
+		case n.proposals <- e:
 			return
 		default:
 		}
 		select { // one of an incarnation that is over
-		case <-n.mail:
+		case <-n.proposals:
 		default:
 		}
 	}
@@ -182,14 +183,14 @@
 		}
 		log, stable, snapshots = store, store, files
 	}
-	if n.spoil != nil {
-		stable = n.spoil(stable)
+	if n.wrapStore != nil {
+		stable = n.wrapStore(stable)
 	}
 	stable = votes{stable, func(err error) {
 		n.log.Error("record_lost", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
-		n.out.Store(true)
+		n.votesLost.Store(true)
 	}, n.transport.ended}
-	ours := &layer{transport: n.transport, address: addressOf(n.config.Name, id), over: make(chan struct{})}
+	ours := &layer{transport: n.transport, address: addressOf(n.config.Name, id), closed: make(chan struct{})}
 	carrier := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: ours, MaxPool: 2,
 		Timeout: callPatience, Logger: n.raftLog()})
 	c := raft.DefaultConfig()
@@ -206,7 +207,7 @@
 		return fmt.Errorf("record: %w", err)
 	}
 	n.id, n.stateMachine, n.raft = id, m, r
-	n.close = func() {
+	n.closeRaft = func() {
 		r.Shutdown().Error()
 		carrier.Close()
 		shut()
@@ -226,7 +227,7 @@
 	return len(line), nil
 }
 
-func (n *Node) now() (*raft.Raft, *stateMachine) {
+func (n *Node) current() (*raft.Raft, *stateMachine) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.raft, n.stateMachine
@@ -236,16 +237,16 @@
 func (n *Node) Run(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(n.transport.run)
-	parts.Go(func() { n.propose(ctx) })
-	parts.Go(func() { n.belong(ctx) })
+	parts.Go(func() { n.forwardProposals(ctx) })
+	parts.Go(func() { n.maintainMembership(ctx) })
 	<-ctx.Done()
-	if n.out.Load() {
+	if n.votesLost.Load() {
 		n.transport.close() // or what is held would hold up the end
-	} else if r, _ := n.now(); r.State() == raft.Leader {
+	} else if r, _ := n.current(); r.State() == raft.Leader {
 		r.LeadershipTransfer().Error() // or the others go without a leader for a while
 	}
 	n.mutex.Lock()
-	shut := n.close
+	shut := n.closeRaft
 	n.mutex.Unlock()
 	shut()
 	n.transport.close()
@@ -255,14 +256,14 @@
 
 // call is what members ask each other; answer is what they get.
 type call struct {
-	Entry *share.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
-	Who   bool         `cbor:"2,keyasint,omitempty"`
-	Name  string       `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
-	ID    string       `cbor:"4,keyasint,omitempty"`
+	Entry  *share.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
+	Status bool         `cbor:"2,keyasint,omitempty"`
+	Name   string       `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
+	ID     string       `cbor:"4,keyasint,omitempty"`
 }
 
 type answer struct {
-	Stands    bool   `cbor:"1,keyasint,omitempty"`
+	Accepted  bool   `cbor:"1,keyasint,omitempty"`
 	Why       string `cbor:"2,keyasint,omitempty"`
 	ID        string `cbor:"3,keyasint,omitempty"`
 	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
@@ -270,13 +271,13 @@
 }
 
 // serve answers one connection's calls, one after the other.
-func (n *Node) serve(conn net.Conn, names []string, over int) {
+func (n *Node) serve(conn net.Conn, names []string, connection int) {
 	for {
 		var c call
 		if err := receive(conn, &c); err != nil {
 			return
 		}
-		a := n.answer(c, names, over)
+		a := n.answer(c, names, connection)
 		conn.SetWriteDeadline(time.Now().Add(callPatience))
 		if err := send(conn, a); err != nil {
 			return
@@ -284,20 +285,20 @@
 	}
 }
 
-func (n *Node) answer(c call, names []string, over int) answer {
+func (n *Node) answer(c call, names []string, connection int) answer {
 	switch {
-	case c.Who:
-		return n.who()
+	case c.Status:
+		return n.status()
 	case c.Entry != nil && slices.Contains(names, c.Entry.Member):
-		return n.stand(*c.Entry, over)
+		return n.appendEntry(*c.Entry, connection)
 	case c.ID != "" && slices.Contains(names, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
 		return n.admit(c.Name, c.ID)
 	}
 	return answer{Why: "it may not speak for that member"}
 }
 
-func (n *Node) who() answer {
-	r, _ := n.now()
+func (n *Node) status() answer {
+	r, _ := n.current()
 	a := answer{ID: n.ID()}
 	_, leader := r.LeaderWithID()
 	a.Leader = nameOf(leader)
@@ -307,18 +308,18 @@
 	return a
 }
 
-// stand puts an entry on the record, if we lead. Over tells the connections apart that entries come by.
-func (n *Node) stand(e share.Entry, over int) answer {
-	r, m := n.now()
+// appendEntry puts an entry on the record, if we lead. The number tells the connections apart that entries come by.
+func (n *Node) appendEntry(e share.Entry, connection int) answer {
+	r, m := n.current()
 	if r.State() != raft.Leader {
 		return answer{Why: "not the leader"}
 	}
-	n.lead.Lock()
+	n.leaderMutex.Lock()
 	now := n.clock()
-	n.leases.Observe(e.Incarnation, e.Seq, over, now)
+	n.leases.Observe(e.Incarnation, e.Seq, connection, now)
 	m.withRecord(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
 	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
-	n.lead.Unlock()
+	n.leaderMutex.Unlock()
 	body, err := cbor.Marshal(e)
 	if err != nil {
 		return answer{Why: err.Error()}
@@ -326,12 +327,12 @@
 	if err := r.Apply(body, applyWithin).Error(); err != nil {
 		return answer{Why: err.Error()}
 	}
-	return answer{Stands: true}
+	return answer{Accepted: true}
 }
 
 // admit has a member take part under a new id: it has forgotten its votes, or never had any. Its old id goes first.
 func (n *Node) admit(name, id string) answer {
-	r, _ := n.now()
+	r, _ := n.current()
 	if r.State() != raft.Leader {
 		return answer{Why: "not the leader"}
 	}
@@ -350,16 +351,16 @@
 		}
 	}
 	if in {
-		return answer{Stands: true}
+		return answer{Accepted: true}
 	}
 	if err := r.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyWithin).Error(); err != nil {
 		return answer{Why: err.Error()}
 	}
 	n.log.Info("member_joined", "name", name, "id", id)
-	return answer{Stands: true}
+	return answer{Accepted: true}
 }
 
-// ask makes one call on a connection of its own.
+// ask newNode one call on a connection of its own.
 func (n *Node) ask(ctx context.Context, name string, c call) (a answer, err error) {
 	conn, err := n.transport.dial(ctx, name, forCalls)
 	if err != nil {
@@ -377,12 +378,12 @@
 	return receive(conn, a)
 }
 
-// belong has us become part of the record, and stay it.
-func (n *Node) belong(ctx context.Context) {
-	look := time.NewTicker(lookAgain)
+// maintainMembership has us become part of the record, and stay it.
+func (n *Node) maintainMembership(ctx context.Context) {
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	told, lost, bytes, index := time.Now(), 0, n.transport.bytes.Load(), uint64(0)
-	r, _ := n.now()
+	r, _ := n.current()
 	for {
 		select {
 		case <-ctx.Done():
@@ -392,15 +393,15 @@
 			continue
 		case <-look.C:
 		}
-		if time.Since(told) >= quietFor {
+		if time.Since(told) >= statsInterval {
 			seconds := time.Since(told).Seconds()
-			_, m := n.now()
+			_, m := n.current()
 			n.log.Info("record", "entries_per_s", round(float64(r.AppliedIndex()-index)/seconds),
 				"bytes_per_s", round(float64(n.transport.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes)
 			told, bytes, index = time.Now(), n.transport.bytes.Load(), r.AppliedIndex()
 		}
 		if r.State() == raft.Leader {
-			n.lookFor(ctx)
+			n.probeSilentMembers(ctx)
 		}
 		if _, leader := r.LeaderWithID(); leader != "" && n.isMember(r) {
 			lost = 0
@@ -409,7 +410,7 @@
 		lost++
 		if n.join(ctx, r, lost) {
 			n.mutex.Lock()
-			shut := n.close
+			shut := n.closeRaft
 			n.mutex.Unlock()
 			shut()
 			if err := n.open(); err != nil {
@@ -417,18 +418,18 @@
 				return
 			}
 			n.events.Restored(share.NewRecord())
-			r, _ = n.now()
+			r, _ = n.current()
 			lost, index = 0, 0
 		}
 	}
 }
 
-// lookFor has the lease tracker know of members that are not there: of whom nothing came lately, and at whose address nobody
-// listens. Only a refusal shows that; what hangs may be cut off, or stand still.
-func (n *Node) lookFor(ctx context.Context) {
-	_, m := n.now()
+// probeSilentMembers has the lease tracker know of members that are not there: of whom nothing came lately, and at whose
+// address nobody listens. Only a refusal shows that; what hangs may be cut off, or stand still.
+func (n *Node) probeSilentMembers(ctx context.Context) {
+	_, m := n.current()
 	var silent []string
-	n.lead.Lock()
+	n.leaderMutex.Lock()
 	now := n.clock()
 	m.withRecord(func(record *share.Record) {
 		for name, incarnation := range record.Members {
@@ -437,16 +438,16 @@
 			}
 		}
 	})
-	n.lead.Unlock()
+	n.leaderMutex.Unlock()
 	for _, name := range silent {
 		at := n.clock()
 		conn, err := n.transport.dial(ctx, name, forCalls)
 		if err == nil {
 			conn.Close()
 		} else if errors.Is(err, syscall.ECONNREFUSED) {
-			n.lead.Lock()
+			n.leaderMutex.Lock()
 			n.leases.MarkGone(name, at)
-			n.lead.Unlock()
+			n.leaderMutex.Unlock()
 		}
 	}
 }
@@ -468,7 +469,7 @@
 		if name == n.config.Name {
 			continue
 		}
-		if a, err := n.ask(ctx, name, call{Who: true}); err == nil {
+		if a, err := n.ask(ctx, name, call{Status: true}); err == nil {
 			others[name] = share.PeerStatus{ID: a.ID, HasRecord: a.HasRecord, Leader: a.Leader}
 		}
 	}
@@ -485,7 +486,7 @@
 	}
 	switch step := share.NextStep(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Action {
 	case share.Join:
-		if a, err := n.ask(ctx, step.Ask, call{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Stands {
+		if a, err := n.ask(ctx, step.Ask, call{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Accepted {
 			n.log.Debug("join", "at", step.Ask, "why", a.Why)
 		}
 	case share.Bootstrap:
@@ -503,8 +504,8 @@
 	return false
 }
 
-// propose brings entries to the leader, over one connection as long as it lasts.
-func (n *Node) propose(ctx context.Context) {
+// forwardProposals brings entries to the leader, over one connection as long as it lasts.
+func (n *Node) forwardProposals(ctx context.Context) {
 	var conn net.Conn
 	to := ""
 	hangUp := func() {
@@ -519,9 +520,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case e = <-n.mail:
+		case e = <-n.proposals:
 		}
-		r, _ := n.now()
+		r, _ := n.current()
 		_, id := r.LeaderWithID()
 		leader := nameOf(id)
 		var a answer
@@ -529,7 +530,7 @@
 		case leader == "":
 		case leader == n.config.Name:
 			hangUp()
-			a = n.stand(e, 0)
+			a = n.appendEntry(e, 0)
 		default:
 			var err error
 			if leader != to || conn == nil {
@@ -544,14 +545,14 @@
 				hangUp()
 			}
 		}
-		if a.Stands {
+		if a.Accepted {
 			n.events.Answered(e.Incarnation, e.Seq)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lookAgain / 4):
+		case <-time.After(pollInterval / 4):
 		}
 		n.events.Failed(e.Incarnation, e.Seq)
 	}
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -138,11 +138,11 @@
 }
 
 // startsOn runs one on a disk that is spoilt by the story.
-func startsOn(t testing.TB, config Config, spoil func(raft.StableStore) raft.StableStore) *member {
+func startsOn(t testing.TB, config Config, wrapStore func(raft.StableStore) raft.StableStore) *member {
 	t.Helper()
 	r := newReader()
 	config.Terms = terms
-	n, err := newNode(config, r, quiet(), spoil)
+	n, err := newNode(config, r, quiet(), wrapStore)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 			back := starts(story, Config{Name: "c", Members: at})
 			back.puts(t, share.Entry{Member: "c", Incarnation: 30, Seq: 1})
 			back.waits(t, "recorded a 1 2")
-			r, _ := back.now()
+			r, _ := back.current()
 			f := r.GetConfiguration()
 			if f.Error() != nil || back.ID() == old || len(f.Configuration().Servers) != 3 ||
 				strings.Contains(fmt.Sprint(f.Configuration()), old) {
@@ -329,18 +329,18 @@
 	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("b"),
 		"a name that is no member's": ours.gives("z"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
-			if got, err := asks(given, "a", call{Who: true}); err == nil {
+			if got, err := asks(given, "a", call{Status: true}); err == nil {
 				t.Errorf("got %+v", got)
 			}
 		})
 	}
 	t.Run("a member may not speak for another", func(t *testing.T) {
-		leader := a.who().Leader
+		leader := a.status().Leader
 		got, err := asks(ours.gives("b"), leader, call{Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}})
-		if err != nil || got.Stands || got.Why == "" {
+		if err != nil || got.Accepted || got.Why == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
-		if got, err := asks(ours.gives("b"), leader, call{Name: "a", ID: "a/x"}); err != nil || got.Stands {
+		if got, err := asks(ours.gives("b"), leader, call{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
 			t.Errorf("joined for another: %+v, %v", got, err)
 		}
 	})
@@ -421,15 +421,15 @@
 			}
 		}
 		until(func() bool { // somebody else leads
-			r, _ := a.now()
+			r, _ := a.current()
 			if r.State() == raft.Leader {
 				r.LeadershipTransfer().Error()
 			}
-			return others[a.who().Leader] != nil
+			return others[a.status().Leader] != nil
 		})
 		since.Store(true)
-		others[a.who().Leader].stop()
-		until(a.out.Load) // the next election has it vote, or stand itself
+		others[a.status().Leader].stop()
+		until(a.votesLost.Load) // the next election has it vote, or stand itself
 		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 3})
 		a.waits(t, "failed 1 3") // and so goes on by itself
 		a.stop()
@@ -462,7 +462,7 @@
 			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: terms}, newReader(), quiet())
 			if err == nil {
 				n.mutex.Lock()
-				shut := n.close
+				shut := n.closeRaft
 				n.mutex.Unlock()
 				shut()
 				n.transport.close()
--- a/replica/transport.go
+++ b/replica/transport.go
@@ -71,7 +71,7 @@
 	members map[string]string // addresses by name
 	secure  *tls.Config
 	id      func() string
-	serve   func(conn net.Conn, names []string, over int)
+	serve   func(conn net.Conn, names []string, connection int)
 	refused func(from net.Addr, why error)
 
 	listener net.Listener
@@ -179,9 +179,9 @@
 		conn.SetDeadline(time.Time{})
 		t.mutex.Lock()
 		t.serial++
-		over := t.serial
+		connection := t.serial
 		t.mutex.Unlock()
-		t.serve(conn, names, over)
+		t.serve(conn, names, connection)
 		conn.Close()
 		return nil
 	case forRaft:
@@ -247,7 +247,7 @@
 type layer struct {
 	*transport
 	address raft.ServerAddress
-	over    chan struct{}
+	closed  chan struct{}
 }
 
 // Accept waits for a connection meant for us.
@@ -255,7 +255,7 @@
 	select {
 	case conn := <-l.forRaft:
 		return conn, nil
-	case <-l.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-l.ended:
 		return nil, net.ErrClosed
@@ -264,7 +264,7 @@
 
 // Close ends this instance's part; the transport goes on.
 func (l *layer) Close() error {
-	close(l.over)
+	close(l.closed)
 	return nil
 }
 
--- a/replica/wire_test.go
+++ b/replica/wire_test.go
@@ -18,9 +18,9 @@
 	}{
 		{"a call that brings an entry", call{Entry: &share.Entry{Member: "a", Incarnation: 1, Seq: 2}},
 			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
-		{"a call that asks who it is", call{Who: true}, "a102f5"},
+		{"a call that asks who it is", call{Status: true}, "a102f5"},
 		{"a call to join", call{Name: "a", ID: "a/1"}, "a20361610463612f31"},
-		{"an answer", answer{Stands: true, Why: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
+		{"an answer", answer{Accepted: true, Why: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
 	} {
 		body, err := cbor.Marshal(c.value)
 		if err != nil {
