--- a/replica/disk.go
+++ b/replica/disk.go
@@ -31,8 +31,8 @@
 }
 
 // votes is where raft keeps its term and vote, which must stand before they count. Raft panics where they cannot be
-// written, as on a full disk. Instead the member takes no further part: raft's own goroutine is held until the transport is
-// closed, and the controller goes on by itself like any that the record does not answer.
+// written, as on a full disk. Instead the member takes no further part: raft's own goroutine is held until the
+// transport is closed, and the controller goes on by itself like any that the record does not answer.
 type votes struct {
 	raft.StableStore
 	lost  func(error)
--- a/replica/node.go
+++ b/replica/node.go
@@ -424,8 +424,8 @@
 	}
 }
 
-// probeSilentMembers has the lease tracker know of members that are not there: of whom nothing came lately, and at whose
-// address nobody listens. Only a refusal shows that; what hangs may be cut off, or stand still.
+// probeSilentMembers has the lease tracker know of members that are not there: of whom nothing came lately, and at
+// whose address nobody listens. Only a refusal shows that; what hangs may be cut off, or stand still.
 func (n *Node) probeSilentMembers(ctx context.Context) {
 	_, m := n.current()
 	var silent []string
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -9,8 +9,8 @@
 type Host interface {
 	// Propose asks for an entry to be put on the record. Answered or Failed follows, once.
 	Propose(Entry)
-	// Granted lets the decisions have a proxy that joined. What it surely has is known where there is a base; clean says
-	// that it shuts nothing out. So many of the messages that one owner may write to it are spent already.
+	// Granted lets the decisions have a proxy that joined. What it surely has is known where there is a base; clean
+	// says that it shuts nothing out. So many of the messages that one owner may write to it are spent already.
 	Granted(proxy int, token uint64, base []Base, clean bool, came []float64, spent int)
 	// LearnedCapacity is what another member saw the fleet do.
 	LearnedCapacity(capacity Capacity)
@@ -33,16 +33,16 @@
 	Span     int64 // messages to a proxy are counted over this
 	Messages int   // that a proxy may be sent within it, by all members together
 	Members  int   // that there can be
-	// Kept is how many of them an owner has in any case, however many came before it. A proxy is with one owner at a time,
-	// who orders changes at a pace: those of a whole span, and what each owner's coming takes, are within the limit for
-	// up to mostMoves of them; shares alone would leave the last without any.
+	// Kept is how many of them an owner has in any case, however many came before it. A proxy is with one owner at a
+	// time, who orders changes at a pace: those of a whole span, and what each owner's coming takes, are within the
+	// limit for up to mostMoves of them; shares alone would leave the last without any.
 	Kept int
 }
 
 // UnownedQuota is what each member may write to a proxy within the span without owning it by the record. A member that
-// starts anew, or gets the proxy back, has forgotten what it wrote of that: it has one message then. OwnerQuota is what an
-// owner may write beyond it: the shares of the owners before count until the span has passed. All together stay within
-// the limit.
+// starts anew, or gets the proxy back, has forgotten what it wrote of that: it has one message then. OwnerQuota is what
+// an owner may write beyond it: the shares of the owners before count until the span has passed. All together stay
+// within the limit.
 func (t Terms) UnownedQuota() int { return max(1, t.Messages/2/max(t.Members, 1)-1) }
 
 // OwnerQuota is an owner's further share.
@@ -104,9 +104,9 @@
 	return c
 }
 
-// enterRecord begins an incarnation on the record with our tables as they stand. The proxies that we have are claimed as
-// they are heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would take them
-// from.
+// enterRecord begins an incarnation on the record with our tables as they stand. The proxies that we have are claimed
+// as they are heard: we may have stood still, and they may have gone to others long ago, whom a claim of ours would
+// take them from.
 func (c *Coordinator) enterRecord(now int64) {
 	c.incarnation, c.seq, c.inFlight = c.host.RandomID(), 0, nil
 	c.pending = Entry{Floor: c.record.Token, Edition: c.edition}
@@ -171,19 +171,20 @@
 func (c *Coordinator) Left(proxy int) {
 	delete(c.proxies, proxy)
 	is := func(p int) bool { return p == proxy }
-	c.pending.Claims, c.pending.Reclaims = slices.DeleteFunc(c.pending.Claims, is), slices.DeleteFunc(c.pending.Reclaims, is)
+	c.pending.Claims = slices.DeleteFunc(c.pending.Claims, is)
+	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, is)
 }
 
-// Spoke: the proxy was last heard on its stream at some time. If another owns it by the record it has not gone there, or
-// is back.
+// Spoke: the proxy was last heard on its stream at some time. If another owns it by the record it has not gone there,
+// or is back.
 func (c *Coordinator) Spoke(proxy int, at int64) {
 	if p := c.proxies[proxy]; p != nil && p.unheard > 0 && at > p.unheard+c.terms.Renew {
 		c.claim(proxy, true)
 	}
 }
 
-// ChangeTables takes what has changed in our tables. It gives the edition that what is ordered now belongs to, which waits
-// for its release.
+// ChangeTables takes what has changed in our tables. It gives the edition that what is ordered now belongs to, which
+// waits for its release.
 func (c *Coordinator) ChangeTables(changes []TableChange, now int64) uint64 {
 	c.edition++
 	for _, change := range changes {
@@ -212,8 +213,8 @@
 // Edition is that of our tables.
 func (c *Coordinator) Edition() uint64 { return c.edition }
 
-// Confirmed: a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by class. Sure:
-// it shuts out what we ordered, and nothing that others did.
+// Confirmed: a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by class.
+// Sure: it shuts out what we ordered, and nothing that others did.
 func (c *Coordinator) Confirmed(proxy int, edition uint64, tables []int, sure bool) {
 	p := c.proxies[proxy]
 	if p == nil || edition < p.edition || slices.Contains(tables, -1) {
@@ -295,7 +296,8 @@
 
 // proposePending proposes what has gathered, one entry at a time.
 func (c *Coordinator) proposePending(now int64) {
-	pressing := len(c.pending.Claims) > 0 || len(c.pending.Reclaims) > 0 || len(c.pending.TableChanges) > 0 || c.pending.Closing || c.seq == 0 ||
+	pressing := len(c.pending.Claims) > 0 || len(c.pending.Reclaims) > 0 || len(c.pending.TableChanges) > 0 ||
+		c.pending.Closing || c.seq == 0 ||
 		len(c.pending.Confirmations) > 0 && now-c.lastProposedAt >= c.terms.Renew/2
 	if c.inFlight != nil || !pressing && now-c.lastProposedAt < c.terms.Renew {
 		return
--- a/share/evidence.go
+++ b/share/evidence.go
@@ -6,8 +6,8 @@
 )
 
 // Evidence gathers what a member's proxies met, for the others: sums by backend since the last report, which backends
-// are withdrawn here, what comes to each proxy, and what the fleet was seen to be able to do. It reports at most once in an
-// interval, but at once when a backend is withdrawn or back.
+// are withdrawn here, what comes to each proxy, and what the fleet was seen to be able to do. It reports at most once
+// in an interval, but at once when a backend is withdrawn or back.
 type Evidence struct {
 	interval   int64 // µs between two reports
 	reportedAt int64
@@ -30,8 +30,8 @@
 	span int64
 }
 
-// Capacity is what a fleet was seen to do, in units a second for each unit of weight and of ordinary traffic, so that it holds
-// for another member's proxies as well: without a queue, and with one. 0 is not known.
+// Capacity is what a fleet was seen to do, in units a second for each unit of weight and of ordinary traffic, so that
+// it holds for another member's proxies as well: without a queue, and with one. 0 is not known.
 type Capacity struct {
 	Proven float64 `cbor:"1,keyasint"`
 	Able   float64 `cbor:"2,keyasint"`
@@ -64,7 +64,8 @@
 	}
 }
 
-// AddTries adds what our proxies met at a backend: tries, those that failed, the mean time of the others and the span in µs.
+// AddTries adds what our proxies met at a backend: tries, those that failed, the mean time of the others and the span
+// in µs.
 func (v *Evidence) AddTries(backend string, tries, failed int, mean, span int64) {
 	s := v.observed[backend]
 	if answered := int64(s.Tries - s.Failed + tries - failed); answered > 0 {
--- a/share/lease_tracker.go
+++ b/share/lease_tracker.go
@@ -1,7 +1,7 @@
 package share
 
-// LeaseTracker is what the leader of the record knows of the other members by its own clock: until when each of them has
-// surely written nothing off the record. A member goes off the record no sooner than a lease after it proposed the
+// LeaseTracker is what the leader of the record knows of the other members by its own clock: until when each of them
+// has surely written nothing off the record. A member goes off the record no sooner than a lease after it proposed the
 // last entry of which it was answered that it stands. Entries of a member come one after the other, the next once the
 // last was answered, so that with entry n+1 on the same connection it is known that n was answered, that n was proposed
 // after the answer to n-1, and that this was after n-1 had come. Counting the lease from there is never too long,
@@ -33,8 +33,8 @@
 // MarkGone takes that a member's process was surely not there at some time: nobody listened at its address.
 func (t *LeaseTracker) MarkGone(member string, at int64) { t.gone[member] = max(t.gone[member], at) }
 
-// Silent tells whether nothing has come from a member's incarnation for some time, so that it is worth a look whether it is
-// there.
+// Silent tells whether nothing has come from a member's incarnation for some time, so that it is worth a look whether
+// it is there.
 func (t *LeaseTracker) Silent(incarnation uint64, now, since int64) bool {
 	a, known := t.entries[incarnation]
 	return !known || now-a.arrivedAt > since
@@ -59,8 +59,8 @@
 	t.entries[incarnation] = a
 }
 
-// OnRecord names the incarnations that have surely written nothing off the record so far. One that has not entered yet may
-// serve off the record as well, so it names none before all have.
+// OnRecord names the incarnations that have surely written nothing off the record so far. One that has not entered yet
+// may serve off the record as well, so it names none before all have.
 func (t *LeaseTracker) OnRecord(record *Record, now int64) (incarnations []uint64) {
 	for id, incarnation := range record.Incarnations {
 		a, came := t.entries[id]
--- a/share/membership.go
+++ b/share/membership.go
@@ -45,10 +45,10 @@
 // NextStep settles the next step of a member, by what the others said that could be reached.
 //
 // A record is founded by the first by name alone, and only if every member is there and none is part of one: otherwise
-// two could stand side by side, as after a split in which one side has forgotten. A member that has lost its votes comes
-// under another id and asks to be let in, whoever it was. Where all others have come as new nobody is left who could
-// elect a leader with us, and what only we remember can never stand again, so we come as new too; what is on a disk is
-// not given up by ourselves.
+// two could stand side by side, as after a split in which one side has forgotten. A member that has lost its votes
+// comes under another id and asks to be let in, whoever it was. Where all others have come as new nobody is left who
+// could elect a leader with us, and what only we remember can never stand again, so we come as new too; what is on a
+// disk is not given up by ourselves.
 func NextStep(own OwnStatus, names []string, others map[string]PeerStatus) Step {
 	if own.HasLeader && own.IsMember {
 		return Step{}
--- a/share/record.go
+++ b/share/record.go
@@ -3,8 +3,8 @@
 // backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
 //
 // A Record is the replicated record, the same at every member once the same entries were taken in. A Coordinator is one
-// member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the leader of
-// the record knows besides.
+// member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the
+// leader of the record knows besides.
 package share
 
 import (
@@ -28,8 +28,8 @@
 	Observations  []Observation  `cbor:"10,keyasint,omitempty"`
 	Demands       []Demand       `cbor:"13,keyasint,omitempty"`
 	Capacity      Capacity       `cbor:"14,keyasint,omitempty"`
-	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry came to
-	// it. It names none before all members have entered.
+	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry
+	// came to it. It names none before all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
 	// Stamp is added by the leader as well.
 	Stamp Stamp `cbor:"12,keyasint,omitempty"`
@@ -66,7 +66,8 @@
 // Shut is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
 const Shut = -1
 
-// Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed it.
+// Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed
+// it.
 type Observation struct {
 	Backend   string `cbor:"1,keyasint"`
 	Tries     int    `cbor:"2,keyasint"`
@@ -153,8 +154,8 @@
 		Past: map[string][]uint64{}}
 }
 
-// Apply takes in the next entry. It is false for one that was taken in before, and for one of an incarnation that is over: its
-// member has entered anew since, or has closed.
+// Apply takes in the next entry. It is false for one that was taken in before, and for one of an incarnation that is
+// over: its member has entered anew since, or has closed.
 func (r *Record) Apply(e Entry) (moves []Move, taken bool) {
 	// A repeat of an entering that was under way for long must not bring back an incarnation that is over.
 	if e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.Past[e.Member], e.Incarnation) {
