--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -239,7 +239,7 @@
 		changes = append(changes, change)
 	}
 	if len(f.module.withdrew) > 0 {
-		change := share.TableChange{Table: share.Shut}
+		change := share.TableChange{Table: share.WithdrawnTable}
 		for _, b := range f.module.withdrew {
 			shut := 0.
 			if f.module.out[b] {
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -35,7 +35,7 @@
 	Members  int   // that there can be
 	// Kept is how many of them an owner has in any case, however many came before it. A proxy is with one owner at a
 	// time, who orders changes at a pace: those of a whole span, and what each owner's coming takes, are within the
-	// limit for up to mostMoves of them; shares alone would leave the last without any.
+	// limit for up to maxMoves of them; shares alone would leave the last without any.
 	Kept int
 }
 
@@ -47,7 +47,7 @@
 
 // OwnerQuota is an owner's further share.
 func (t Terms) OwnerQuota() int {
-	return (t.Messages - t.Members*(t.UnownedQuota()+1)) / (movesKept + 1)
+	return (t.Messages - t.Members*(t.UnownedQuota()+1)) / (ownersBefore + 1)
 }
 
 // Coordinator is one member at work on the record: it claims the proxies that connect to the member, puts its table
@@ -405,7 +405,7 @@
 		return
 	}
 	c.leaders[s.Leader] = leaderClock{s.At, now}
-	if len(c.leaders) > leadersKept {
+	if len(c.leaders) > maxLeaders {
 		oldest := s.Leader
 		for id, h := range c.leaders {
 			if h.here < c.leaders[oldest].here {
@@ -416,8 +416,8 @@
 	}
 }
 
-// leadersKept is how many leaders' clocks are known at a time; of a forgotten one nothing recent can be left.
-const leadersKept = 64
+// maxLeaders is how many leaders' clocks are known at a time; of a forgotten one nothing recent can be left.
+const maxLeaders = 64
 
 // age is how long ago a stamp was given, at least.
 func (c *Coordinator) age(s Stamp, now int64) int64 {
@@ -447,7 +447,7 @@
 			c.addConfirmation(m.Proxy, p)
 			return
 		}
-		spent := c.terms.OwnerQuota() * min(1, standing/(movesKept+1)) // shares are set aside for owners before, not for more
+		spent := c.terms.OwnerQuota() * min(1, standing/(ownersBefore+1)) // shares are set aside for owners before, not for more
 		c.grant(m.Proxy, m, spent, now)
 	case p.owned && m.To.Token > p.token && m.To.Owner != c.name:
 		p.owned, p.token, p.unheard = false, 0, now
@@ -470,7 +470,7 @@
 	if c.grantTimes[proxy] = append(recent, now); len(recent) > 0 || now-c.started < c.terms.Span {
 		spent += c.terms.UnownedQuota() - 1
 	}
-	if moves <= mostMoves {
+	if moves <= maxMoves {
 		spent = max(0, min(spent, c.terms.UnownedQuota()+c.terms.OwnerQuota()-c.terms.Kept))
 	}
 	c.host.Granted(proxy, p.token, m.Base, m.Clean, m.Demand, spent)
--- a/share/evidence_test.go
+++ b/share/evidence_test.go
@@ -81,7 +81,7 @@
 		}
 	})
 	t.Run("one that comes learns what others saw the fleet do, and what came to a proxy", func(t *testing.T) {
-		p, d := newPlace(), (*Coordinator)(nil)
+		p, d := newFakeHost(), (*Coordinator)(nil)
 		d = New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1}, Demands: []Demand{{5, []float64{4, 0}}}}, 0)
--- a/share/record.go
+++ b/share/record.go
@@ -63,8 +63,8 @@
 	Sure bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Shut is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
-const Shut = -1
+// WithdrawnTable is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
+const WithdrawnTable = -1
 
 // Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed
 // it.
@@ -139,12 +139,12 @@
 }
 
 const (
-	mostOut  = 256 // lines taken out that a table remembers ...
-	leastOut = 128 // ... and how many are left once there are more
+	maxRemovedLines  = 256 // lines taken out that a table remembers ...
+	keptRemovedLines = 128 // ... and how many are left once there are more
 
-	pastKept  = 16 // incarnations of a member that are known to be over
-	movesKept = 2  // owners before the present one for whose shares there is room within the span
-	mostMoves = 4  // moves within it up to which an owner has some messages in any case
+	maxPast      = 16 // incarnations of a member that are known to be over
+	ownersBefore = 2  // owners before the present one for whose shares there is room within the span
+	maxMoves     = 4  // moves within it up to which an owner has some messages in any case
 )
 
 // NewRecord makes an empty record.
@@ -200,7 +200,7 @@
 func (r *Record) enter(e Entry) {
 	if last, ok := r.Members[e.Member]; ok {
 		past := append(r.Past[e.Member], last)
-		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-pastKept):])
+		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-maxPast):])
 	}
 	r.Members[e.Member] = e.Incarnation
 	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
@@ -233,13 +233,13 @@
 			out = append(out, id)
 		}
 	}
-	if len(out) <= mostOut {
+	if len(out) <= maxRemovedLines {
 		return
 	}
 	slices.SortFunc(out, func(x, y string) int {
 		return cmp.Or(cmp.Compare(t.Lines[x].At, t.Lines[y].At), cmp.Compare(x, y))
 	})
-	for _, id := range out[:len(out)-leastOut] {
+	for _, id := range out[:len(out)-keptRemovedLines] {
 		t.Floor = max(t.Floor, t.Lines[id].At)
 		delete(t.Lines, id)
 	}
@@ -272,7 +272,7 @@
 	m := Move{Proxy: proxy, From: from, To: Ownership{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
 	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
-		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-mostMoves-1):]
+		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-maxMoves-1):]
 	}
 	m.Demand = r.Demands[proxy]
 	last := r.Incarnations[from.Incarnation]
@@ -291,7 +291,7 @@
 
 // clean tells whether one that confirmed an edition shuts nothing out that the incarnation has withdrawn.
 func (i *Incarnation) clean(edition uint64) bool {
-	t := i.Tables[Shut]
+	t := i.Tables[WithdrawnTable]
 	if t == nil {
 		return true
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -8,8 +8,8 @@
 
 var terms = Terms{Lease: 1000, Renew: 100, Span: 10_000, Messages: 36, Members: 3, Kept: 4}
 
-// place notes what a coordinator asks for.
-type place struct {
+// fakeHost notes what a coordinator asks for.
+type fakeHost struct {
 	proposed []Entry
 	granted  map[int]string
 	spent    map[int]int
@@ -19,23 +19,23 @@
 	drawn    uint64
 }
 
-func newPlace() *place { return &place{granted: map[int]string{}, spent: map[int]int{}} }
+func newFakeHost() *fakeHost { return &fakeHost{granted: map[int]string{}, spent: map[int]int{}} }
 
-func (p *place) Propose(e Entry) { p.proposed = append(p.proposed, e) }
-func (p *place) Granted(proxy int, token uint64, base []Base, _ bool, _ []float64, spent int) {
+func (p *fakeHost) Propose(e Entry) { p.proposed = append(p.proposed, e) }
+func (p *fakeHost) Granted(proxy int, token uint64, base []Base, _ bool, _ []float64, spent int) {
 	p.granted[proxy] = fmt.Sprint(token, " ", base != nil, " ", spent)
 }
-func (p *place) Spent(proxy, messages int) { p.spent[proxy] += messages }
-func (p *place) Release(edition uint64)    { p.released = edition }
-func (p *place) Learned(member string, s Observation) {
+func (p *fakeHost) Spent(proxy, messages int) { p.spent[proxy] += messages }
+func (p *fakeHost) Release(edition uint64)    { p.released = edition }
+func (p *fakeHost) Learned(member string, s Observation) {
 	p.learned = append(p.learned, member+" "+s.Backend)
 }
-func (p *place) LearnedCapacity(f Capacity) { p.learned = append(p.learned, fmt.Sprint(f)) }
-func (p *place) Mode(alone bool, _ string)  { p.modes = append(p.modes, alone) }
-func (p *place) RandomID() uint64           { p.drawn++; return p.drawn * 1000 }
+func (p *fakeHost) LearnedCapacity(f Capacity) { p.learned = append(p.learned, fmt.Sprint(f)) }
+func (p *fakeHost) Mode(alone bool, _ string)  { p.modes = append(p.modes, alone) }
+func (p *fakeHost) RandomID() uint64           { p.drawn++; return p.drawn * 1000 }
 
 // stands puts the last proposal on the record, stamped, and answers it.
-func (p *place) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
+func (p *fakeHost) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
 	e := p.proposed[len(p.proposed)-1]
 	e.OnRecord, e.Stamp = recorded, Stamp{7, now}
 	d.Recorded(e, now)
@@ -44,9 +44,9 @@
 }
 
 // works has a coordinator enter, and others that are at work beside it.
-func works(t *testing.T) (*place, *Coordinator) {
+func works(t *testing.T) (*fakeHost, *Coordinator) {
 	t.Helper()
-	p := newPlace()
+	p := newFakeHost()
 	d := New(p, "n0", terms, 0)
 	d.started = -terms.Span // long ago
 	d.Elapsed(0)
@@ -150,21 +150,21 @@
 		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v with three others' shares standing", p.granted)
 		}
-		for i := range mostMoves { // and so on: beyond some it has none of its own
+		for i := range maxMoves { // and so on: beyond some it has none of its own
 			d.Left(5)
 			d.Recorded(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1), Seq: d.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		d.Joined(5, 230)
 		if p.stands(d, 240); p.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
-			t.Errorf("granted %v after %d moves", p.granted, mostMoves+4)
+			t.Errorf("granted %v after %d moves", p.granted, maxMoves+4)
 		}
-		if most := terms.Members*(terms.UnownedQuota()+1) + (movesKept+1)*terms.OwnerQuota(); most > terms.Messages {
+		if most := terms.Members*(terms.UnownedQuota()+1) + (ownersBefore+1)*terms.OwnerQuota(); most > terms.Messages {
 			t.Errorf("%d messages by all together", most)
 		}
 	})
 	t.Run("how old a move is counts by one leader's clock, also for who has just started", func(t *testing.T) {
-		p := newPlace()
+		p := newFakeHost()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		for i, name := range []string{"n1", "n2", "n1", "n2"} {
@@ -183,7 +183,7 @@
 		}
 	})
 	t.Run("one that has just started, or has the proxy back, has few messages left of those that need no claim", func(t *testing.T) {
-		p := newPlace()
+		p := newFakeHost()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		d.Elapsed(terms.Lease)
@@ -242,7 +242,7 @@
 		}{{true, 0, 2, 2, true}, {true, 1, 2, 2, false}, {true, 0, 3, 2, false}, {false, 0, 2, 2, false}} {
 			b := NewRecord()
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
-			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, TableChanges: []TableChange{{Shut, []Line{{"a", story.shut}}}},
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, TableChanges: []TableChange{{WithdrawnTable, []Line{{"a", story.shut}}}},
 				Confirmations: []Confirmation{{3, 1, story.heard, []int{0}, story.sure}}})
 			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
@@ -259,7 +259,7 @@
 				TableChanges: []TableChange{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
 		}
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Confirmations: []Confirmation{{4, 2, 399, []int{0}, true}}})
-		if n := len(b.Incarnations[1].Tables[0].Lines); n > mostOut+1 {
+		if n := len(b.Incarnations[1].Tables[0].Lines); n > maxRemovedLines+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
 		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3, 4}, OnRecord: []uint64{1}})
@@ -296,7 +296,7 @@
 		for incarnation := uint64(3); incarnation < 99; incarnation++ {
 			b.Apply(Entry{Member: "n0", Incarnation: incarnation, Seq: 1})
 		}
-		if len(b.Past["n0"]) != pastKept {
+		if len(b.Past["n0"]) != maxPast {
 			t.Errorf("%d incarnations are kept", len(b.Past["n0"]))
 		}
 	})
@@ -309,7 +309,7 @@
 		}
 	})
 	t.Run("a withdrawal stands until its member takes it back, or enters anew", func(t *testing.T) {
-		p := newPlace()
+		p := newFakeHost()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
