--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt-clean: $$unformatted" >&2; exit 1; fi
 	go vet ./...
+	go tool staticcheck ./...
 
 run: build
 	LB_CONFIG=deploy/sample.json bin/wheelrill
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -54,10 +54,9 @@
 
 // reader notes what a member is told, and lets stories wait for it.
 type reader struct {
-	mutex    sync.Mutex
-	more     chan struct{}
-	told     []string
-	restored int
+	mutex sync.Mutex
+	more  chan struct{}
+	told  []string
 }
 
 func newReader() *reader { return &reader{more: make(chan struct{})} }
