--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -31,7 +31,7 @@
 	serve := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM",
 		Example: "  LB_CONFIG=deploy/sample.json wheelrill serve --options deploy/wheelrill.yaml", Args: cobra.NoArgs, RunE: start}
 	serve.Flags().StringVar(&path, "options", "", "YAML file of what is switched on beside LB_CONFIG")
-	top.AddCommand(serve, rehearsals(ctx))
+	top.AddCommand(serve, rehearsals(ctx), scaling(ctx))
 	return top
 }
 
--- a/rehearse/process.go
+++ b/internal/process/process.go
@@ -1,6 +1,5 @@
-// Package rehearse plays scenarios against real controllers: processes of the very program, with package standin around
-// them and package rules as the judge.
-package rehearse
+// Package process runs controllers as processes of their own on loopback, and watches whether the machine bears them.
+package process
 
 import (
 	"encoding/binary"
@@ -17,29 +16,30 @@
 	"time"
 )
 
-// instance is one controller's process.
-type instance struct {
-	name    string
-	program string
-	listen  string
-	env     []string
-	args    []string
-	log     *os.File
+// Instance is one controller's process.
+type Instance struct {
+	Name    string
+	Program string
+	Listen  string
+	Env     []string
+	Args    []string
+	Log     *os.File
+	Up      bool // it runs, and is meant to
 
 	cmd   *exec.Cmd
 	ended chan struct{}
-	up    bool
 }
 
-func (i *instance) start() error {
-	i.cmd = exec.Command(i.program, i.args...)
-	i.cmd.Env = append(os.Environ(), i.env...)
-	i.cmd.Stdout, i.cmd.Stderr = i.log, i.log
+// Start begins the process.
+func (i *Instance) Start() error {
+	i.cmd = exec.Command(i.Program, i.Args...)
+	i.cmd.Env = append(os.Environ(), i.Env...)
+	i.cmd.Stdout, i.cmd.Stderr = i.Log, i.Log
 	i.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none is left when we are killed ourselves
 	if err := i.cmd.Start(); err != nil {
-		return fmt.Errorf("start %s: %w", i.name, err)
+		return fmt.Errorf("start %s: %w", i.Name, err)
 	}
-	i.up, i.ended = true, make(chan struct{})
+	i.Up, i.ended = true, make(chan struct{})
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		cmd.Wait()
 		close(ended)
@@ -47,8 +47,14 @@
 	return nil
 }
 
-// signal sends the process a signal; SIGKILL and SIGTERM wait for its end.
-func (i *instance) signal(s syscall.Signal) {
+// PID is the process's id while it runs.
+func (i *Instance) PID() int { return i.cmd.Process.Pid }
+
+// Send sends the process a signal, and waits for nothing.
+func (i *Instance) Send(s syscall.Signal) error { return i.cmd.Process.Signal(s) }
+
+// Signal sends the process a signal; SIGKILL and SIGTERM wait for its end.
+func (i *Instance) Signal(s syscall.Signal) {
 	i.cmd.Process.Signal(s)
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
 		select {
@@ -57,23 +63,23 @@
 			i.cmd.Process.Kill()
 			<-i.ended
 		}
-		i.up = false
+		i.Up = false
 	}
 }
 
-// gone tells whether the process has ended by itself.
-func (i *instance) gone() bool {
+// Gone tells whether the process has ended by itself.
+func (i *Instance) Gone() bool {
 	select {
 	case <-i.ended:
-		return i.up
+		return i.Up
 	default:
 		return false
 	}
 }
 
-// answers asks whether the controller serves, as the platform does.
-func (i *instance) answers() bool {
-	conn, err := net.DialTimeout("tcp", i.listen, 200*time.Millisecond)
+// Answers asks whether the controller serves, as the platform does.
+func (i *Instance) Answers() bool {
+	conn, err := net.DialTimeout("tcp", i.Listen, 200*time.Millisecond)
 	if err != nil {
 		return false
 	}
@@ -92,8 +98,8 @@
 	tries     = 1_000
 )
 
-// free gives addresses on loopback that nobody listens on now.
-func free(n int) (addresses []string, err error) {
+// FreeAddresses gives addresses on loopback that nobody listens on now.
+func FreeAddresses(n int) (addresses []string, err error) {
 	var open []net.Listener
 	defer func() {
 		for _, l := range open {
@@ -111,8 +117,8 @@
 	return addresses, nil
 }
 
-// writes puts a file of JSON into a folder.
-func writes(folder, name string, what any) (string, error) {
+// WriteJSON puts a file of JSON into a folder.
+func WriteJSON(folder, name string, what any) (string, error) {
 	body, err := json.MarshalIndent(what, "", " ")
 	if err != nil {
 		return "", err
@@ -121,8 +127,8 @@
 	return path, os.WriteFile(path, body, 0o600)
 }
 
-// busy watches how late this process gets its turns: a machine that is too busy cannot be judged on.
-type busy struct {
+// Lateness watches how late this process gets its turns: a machine that is too busy cannot be judged on.
+type Lateness struct {
 	stop chan struct{}
 	late []time.Duration
 	done chan struct{}
@@ -130,8 +136,9 @@
 
 const turn = 10 * time.Millisecond
 
-func watchBusy() *busy {
-	b := &busy{stop: make(chan struct{}), done: make(chan struct{})}
+// WatchLateness starts to watch.
+func WatchLateness() *Lateness {
+	b := &Lateness{stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(b.done)
 		for {
@@ -147,8 +154,8 @@
 	return b
 }
 
-// end gives the lateness that one turn in a hundred has, and the most.
-func (b *busy) end() (hundredth, most time.Duration) {
+// End gives the lateness that one turn in a hundred has, and the most.
+func (b *Lateness) End() (hundredth, most time.Duration) {
 	close(b.stop)
 	<-b.done
 	if len(b.late) == 0 {
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -1,3 +1,5 @@
+// Package rehearse plays scenarios against real controllers: processes of the very program, with package standin around
+// them and package rules as the judge.
 package rehearse
 
 import (
@@ -14,6 +16,7 @@
 
 	"github.com/goccy/go-yaml"
 
+	"wheelrill/internal/process"
 	"wheelrill/rules"
 	"wheelrill/standin"
 )
@@ -143,7 +146,7 @@
 	classes := []standin.Class{
 		{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1, Rate: 3},
 		{Name: "order", Target: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Value: 3, Writes: true, Rate: 1}}
-	addresses, err := free(2 * t.Instances)
+	addresses, err := process.FreeAddresses(2 * t.Instances)
 	if err != nil {
 		return nil, err
 	}
@@ -167,16 +170,16 @@
 		return nil, err
 	}
 	for _, i := range p.instances {
-		if err := i.start(); err != nil {
+		if err := i.Start(); err != nil {
 			in.Close()
 			return nil, err
 		}
 	}
-	gone := func() bool { return slices.ContainsFunc(p.instances, (*instance).gone) }
+	gone := func() bool { return slices.ContainsFunc(p.instances, (*process.Instance).Gone) }
 	p.waits(ctx, readyIn, func() bool {
-		return gone() || !slices.ContainsFunc(p.instances, func(i *instance) bool { return !i.answers() })
+		return gone() || !slices.ContainsFunc(p.instances, func(i *process.Instance) bool { return !i.Answers() })
 	})
-	if gone() || slices.ContainsFunc(p.instances, func(i *instance) bool { return !i.answers() }) {
+	if gone() || slices.ContainsFunc(p.instances, func(i *process.Instance) bool { return !i.Answers() }) {
 		in.Close()
 		return nil, fmt.Errorf("the controllers have ended, or do not answer within %s; their logs in %s say why", readyIn, folder)
 	}
@@ -195,7 +198,7 @@
 type play struct {
 	*Takeover
 	in        *standin.Installation
-	instances []*instance
+	instances []*process.Instance
 	between   map[[2]int]*standin.Wire // between members
 	folder    string
 	events    *os.File
@@ -235,14 +238,14 @@
 	p.between = map[[2]int]*standin.Wire{}
 	for i := range p.Instances {
 		name := fmt.Sprint("n", i)
-		config, err := writes(p.folder, name+".json", map[string]any{"name": name, "listen": listen[i],
+		config, err := process.WriteJSON(p.folder, name+".json", map[string]any{"name": name, "listen": listen[i],
 			"discovery": p.in.Discovery.Address(), "seed": fmt.Sprintf("%x", p.Seed+uint64(i)+1),
 			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 			"settings": p.settings(classes)})
 		if err != nil {
 			return err
 		}
-		one := &instance{name: name, program: p.Program, listen: listen[i], env: []string{"LB_CONFIG=" + config}}
+		one := &process.Instance{Name: name, Program: p.Program, Listen: listen[i], Env: []string{"LB_CONFIG=" + config}}
 		if p.Sharing {
 			all := map[string]string{}
 			for j := range p.Instances {
@@ -267,9 +270,9 @@
 			if err := os.WriteFile(path, body, 0o600); err != nil {
 				return err
 			}
-			one.args = []string{"serve", "--options", path}
+			one.Args = []string{"serve", "--options", path}
 		}
-		if one.log, err = os.Create(filepath.Join(p.folder, name+".log")); err != nil {
+		if one.Log, err = os.Create(filepath.Join(p.folder, name+".log")); err != nil {
 			return err
 		}
 		p.instances = append(p.instances, one)
@@ -287,11 +290,11 @@
 func (p *play) end() {
 	p.events.Close()
 	for _, i := range p.instances {
-		if i.up {
-			i.signal(syscall.SIGCONT)
-			i.signal(syscall.SIGKILL)
+		if i.Up {
+			i.Signal(syscall.SIGCONT)
+			i.Signal(syscall.SIGKILL)
 		}
-		i.log.Close()
+		i.Log.Close()
 	}
 	for _, wire := range p.between {
 		wire.Close()
@@ -299,7 +302,7 @@
 }
 
 func (p *play) play(ctx context.Context) (*Report, error) {
-	load, before, began := watchBusy(), p.in.Counts(), time.Now()
+	load, before, began := process.WatchLateness(), p.in.Counts(), time.Now()
 	var left []time.Duration
 	fault, hang, replace := began.Add(p.KillEvery), began.Add(hangEvery/4), began.Add(replaceEvery/4)
 	if p.Calm {
@@ -336,14 +339,14 @@
 			p.replace()
 		}
 		for _, i := range p.instances {
-			if i.gone() {
-				return nil, fmt.Errorf("%s has ended by itself; its log is %s", i.name, i.log.Name())
+			if i.Gone() {
+				return nil, fmt.Errorf("%s has ended by itself; its log is %s", i.Name, i.Log.Name())
 			}
 		}
 	}
 	p.report.Seconds = time.Since(began).Seconds()
 	verdict, after := p.in.Close()
-	hundredth, most := load.end()
+	hundredth, most := load.End()
 	p.sum(verdict, before, after, left)
 	p.judge(verdict, hundredth, most)
 	return p.report, nil
@@ -353,7 +356,7 @@
 func (p *play) fault() error {
 	var up []int
 	for i, one := range p.instances {
-		if one.up {
+		if one.Up {
 			up = append(up, i)
 		}
 	}
@@ -364,7 +367,7 @@
 	kind, at := kinds[p.random.IntN(len(kinds))], up[p.random.IntN(len(up))]
 	one := p.instances[at]
 	p.faults[kind]++
-	p.say("%s %s", kind, one.name)
+	p.say("%s %s", kind, one.Name)
 	touches := func(pair [2]int) bool { return pair[0] == at || pair[1] == at }
 	switch kind {
 	case "kill":
@@ -377,13 +380,13 @@
 			p.stops(other, syscall.SIGKILL)
 		}
 	case "freeze":
-		one.up = false // for other faults
-		one.cmd.Process.Signal(syscall.SIGSTOP)
+		one.Up = false // for other faults
+		one.Send(syscall.SIGSTOP)
 		p.in.Frozen(at, true)
 		p.later(min(frozenFor, p.KillEvery/2), func() error {
-			one.up = true
+			one.Up = true
 			p.in.Frozen(at, false)
-			return one.cmd.Process.Signal(syscall.SIGCONT)
+			return one.Send(syscall.SIGCONT)
 		})
 	case "cut":
 		p.cuts(standin.Cut, touches)
@@ -394,7 +397,7 @@
 	case "slow":
 		p.cuts(standin.Fault{Delay: 300 * time.Millisecond}, touches)
 	case "reload": // while it may be electing
-		one.cmd.Process.Signal(syscall.SIGHUP)
+		one.Send(syscall.SIGHUP)
 		p.stops(up[(slices.Index(up, at)+1)%len(up)], syscall.SIGKILL)
 	default:
 		return fmt.Errorf("fault %q; there are kill, leave, pair, freeze, cut, half, split, slow and reload", kind)
@@ -405,14 +408,14 @@
 // stops ends a controller, which comes back as new after a while, one time in four within a second.
 func (p *play) stops(at int, by syscall.Signal) {
 	one := p.instances[at]
-	one.signal(by)
+	one.Signal(by)
 	wait := time.Duration(p.random.Int64N(int64(min(p.KillEvery/2, 8*time.Second))))
 	if p.random.IntN(4) == 0 {
 		wait = min(wait, time.Second)
 	}
 	p.later(wait, func() error {
 		p.in.Restarted(at)
-		return one.start()
+		return one.Start()
 	})
 }
 
--- /dev/null
+++ b/scale/machine.go
@@ -0,0 +1,87 @@
+package scale
+
+import (
+	"fmt"
+	"runtime"
+	"time"
+
+	"github.com/prometheus/procfs"
+)
+
+// Machine is where a run was played.
+type Machine struct {
+	Cores  int   `json:"cores"`
+	Memory int64 `json:"memory_bytes"`
+}
+
+// What a run may take of the machine.
+const (
+	memoryShare   = 2                // one part in so many
+	mostProcesses = 100              // at a time
+	mostTime      = 20 * time.Minute // for one size
+)
+
+// Refused is why a run was not begun: the machine would not bear it.
+type Refused struct{ why string }
+
+// Error says why, and what would do.
+func (r *Refused) Error() string { return r.why }
+
+// ThisMachine reads what the machine has.
+func ThisMachine() (Machine, error) {
+	proc, err := procfs.NewDefaultFS()
+	if err != nil {
+		return Machine{}, err
+	}
+	memory, err := proc.Meminfo()
+	if err != nil {
+		return Machine{}, err
+	}
+	return Machine{Cores: runtime.NumCPU(), Memory: int64(*memory.MemTotalBytes)}, nil
+}
+
+// bears gives a Refused error where a size needs more than a run may take.
+func (m Machine) bears(size int, needs Needs) error {
+	switch {
+	case needs.Memory > m.Memory/memoryShare:
+		return &Refused{fmt.Sprintf("size %d needs about %d MB, and half of this machine's memory is %d MB; give smaller sizes", size,
+			needs.Memory>>20, m.Memory/memoryShare>>20)}
+	case needs.Processes > mostProcesses:
+		return &Refused{fmt.Sprintf("size %d needs %d processes, %d at most; give smaller sizes", size, needs.Processes, mostProcesses)}
+	case needs.Time > mostTime:
+		return &Refused{fmt.Sprintf("size %d takes about %s, %s at most; give a shorter --for", size, needs.Time, mostTime)}
+	}
+	return nil
+}
+
+// currentLoad is the load average over the last minute, 0 where it is not known.
+func currentLoad() float64 {
+	proc, err := procfs.NewDefaultFS()
+	if err != nil {
+		return 0
+	}
+	load, err := proc.LoadAvg()
+	if err != nil {
+		return 0
+	}
+	return load.Load1
+}
+
+// Usage is what a process has taken.
+type Usage struct {
+	Processor time.Duration // since its start
+	Memory    int64         // resident bytes now
+}
+
+// UsageOf reads what a process has taken.
+func UsageOf(pid int) (Usage, error) {
+	proc, err := procfs.NewProc(pid)
+	if err != nil {
+		return Usage{}, err
+	}
+	stat, err := proc.Stat()
+	if err != nil {
+		return Usage{}, err
+	}
+	return Usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
+}
--- /dev/null
+++ b/scale/page.go
@@ -0,0 +1,80 @@
+package scale
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"strconv"
+	"strings"
+)
+
+// A page holds a run's tables between two comments, and single figures of runs before a comment that names run, metric
+// and size.
+var (
+	block  = regexp.MustCompile(`(?s)<!-- scale report (\S+) -->\n(.*?)<!-- end -->`)
+	figure = regexp.MustCompile(`([0-9.,]+)<!-- scale (\S+) (\S+) (\d+) -->`)
+)
+
+// Fill gives a page with all blocks and figures made anew from runs. A name that no run has is an error.
+func Fill(page string, runs []*Run) (string, error) {
+	if strings.Count(page, "<!-- scale report ") != len(block.FindAllString(page, -1)) {
+		return "", errors.New("a block has no <!-- end -->")
+	}
+	byName := map[string]*Run{}
+	for _, r := range runs {
+		byName[r.Name] = r
+	}
+	var failed []error
+	find := func(name string) *Run {
+		r := byName[name]
+		if r == nil {
+			failed = append(failed, fmt.Errorf("no run %q is kept", name))
+		}
+		return r
+	}
+	page = block.ReplaceAllStringFunc(page, func(text string) string {
+		name := block.FindStringSubmatch(text)[1]
+		r := find(name)
+		if r == nil {
+			return text
+		}
+		return fmt.Sprintf("<!-- scale report %s -->\n%s<!-- end -->", name, r.Markdown())
+	})
+	page = figure.ReplaceAllStringFunc(page, func(text string) string {
+		parts := figure.FindStringSubmatch(text)
+		r := find(parts[2])
+		if r == nil {
+			return text
+		}
+		size, err := strconv.Atoi(parts[4])
+		var value string
+		if err == nil {
+			value, err = r.Figure(parts[3], size)
+		}
+		if err != nil {
+			failed = append(failed, err)
+			return text
+		}
+		return fmt.Sprintf("%s<!-- scale %s %s %d -->", value, parts[2], parts[3], size)
+	})
+	return page, errors.Join(failed...)
+}
+
+// Check tells whether a page has just the tables and figures that runs give, and which line is the first that differs.
+func Check(page string, runs []*Run) error {
+	filled, err := Fill(page, runs)
+	if err != nil {
+		return err
+	}
+	have, want := strings.Split(page, "\n"), strings.Split(filled, "\n")
+	for i := range min(len(have), len(want)) {
+		if have[i] != want[i] {
+			return fmt.Errorf("line %d is not what the kept runs give:\n  has  %s\n  want %s\nwheelrill scale report --write makes it so", i+1,
+				have[i], want[i])
+		}
+	}
+	if len(have) != len(want) {
+		return fmt.Errorf("it has %d lines where the kept runs give %d; wheelrill scale report --write makes it so", len(have), len(want))
+	}
+	return nil
+}
--- /dev/null
+++ b/scale/scale.go
@@ -0,0 +1,131 @@
+// Package scale measures what controllers spend as an installation grows: real controllers as processes beside hollow
+// ones, many to a process. Runs are kept as JSON, fitted, and made into the tables of docs/CAPACITY.md.
+package scale
+
+import (
+	"context"
+	"fmt"
+	"runtime/debug"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Options are what a run may be asked for.
+type Options struct {
+	For      time.Duration // how long each size is observed
+	Seed     uint64
+	Voters   int               // raft voters, where the measurement has a number of its own
+	Program  string            // that is run as a controller
+	Folder   string            // for logs and configurations of the processes
+	Progress func(text string) // nil for none
+}
+
+// say tells who watches.
+func (o Options) say(format string, args ...any) {
+	if o.Progress != nil {
+		o.Progress(fmt.Sprintf(format, args...))
+	}
+}
+
+// Metric is one figure of a sample.
+type Metric struct {
+	Name  string  `json:"name"`
+	Unit  string  `json:"unit"`
+	About string  `json:"about"`
+	Most  float64 `json:"budget,omitempty"` // what it may be at most; 0 for no budget
+	Fit   bool    `json:"fit,omitempty"`    // it is fitted over the sizes
+}
+
+// Description says what a measurement is.
+type Description struct {
+	Name      string
+	About     string
+	Size      string // what a size counts
+	Sizes     []int  // that are measured unless others are asked for
+	Targets   []int  // sizes that fits are read at, as the one in two years
+	Transport string // how controllers reach each other: "loopback" or "memory"
+	Metrics   []Metric
+}
+
+// Needs are what one size takes of the machine, estimated before it begins.
+type Needs struct {
+	Memory    int64 // bytes
+	Processes int   // beside our own
+	Time      time.Duration
+}
+
+// Measurement observes one thing at a size.
+type Measurement interface {
+	Describe() Description
+	Needs(size int, options Options) Needs
+	Run(ctx context.Context, size int, options Options) (Sample, error)
+}
+
+// Measurements are all there are, in the order in which they are listed.
+func Measurements() []Measurement {
+	return []Measurement{}
+}
+
+// Find gives a measurement by its name.
+func Find(name string) (Measurement, error) {
+	var names []string
+	for _, m := range Measurements() {
+		if m.Describe().Name == name {
+			return m, nil
+		}
+		names = append(names, m.Describe().Name)
+	}
+	return nil, fmt.Errorf("there is no measurement %q; there are %s", name, strings.Join(names, ", "))
+}
+
+// Play runs a measurement at each size, and fits what it saw. It refuses, with a Refused error, what the machine would
+// not bear, before anything starts.
+func Play(ctx context.Context, m Measurement, sizes []int, options Options) (*Run, error) {
+	about := m.Describe()
+	if len(sizes) == 0 {
+		sizes = about.Sizes
+	}
+	machine, err := ThisMachine()
+	if err != nil {
+		return nil, err
+	}
+	for _, size := range sizes {
+		if err := machine.bears(size, m.Needs(size, options)); err != nil {
+			return nil, err
+		}
+	}
+	run := &Run{Name: about.Name, About: about.About, Text: builtFrom(), Date: time.Now().UTC().Format(time.DateTime), Machine: machine,
+		Transport: about.Transport, Seed: options.Seed, Seconds: options.For.Seconds(), Size: about.Size,
+		Targets: slices.Clone(about.Targets), Metrics: about.Metrics}
+	for _, size := range sizes {
+		options.say("%s: %d %s", about.Name, size, about.Size)
+		limited, cancel := context.WithTimeout(ctx, 2*m.Needs(size, options).Time)
+		load := currentLoad()
+		sample, err := m.Run(limited, size, options)
+		cancel()
+		if err != nil {
+			return nil, fmt.Errorf("%s at %d %s: %w", about.Name, size, about.Size, err)
+		}
+		sample.Size, sample.Load = size, load
+		run.Samples = append(run.Samples, sample)
+	}
+	run.settle()
+	return run, nil
+}
+
+// builtFrom is the revision that the program was built from, where the build noted it.
+func builtFrom() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return ""
+	}
+	for _, s := range info.Settings {
+		if s.Key == "vcs.revision" {
+			return s.Value[:min(len(s.Value), revisionDigits)]
+		}
+	}
+	return ""
+}
+
+const revisionDigits = 7 // of a commit, as git shows it
--- /dev/null
+++ b/scale/scale_test.go
@@ -0,0 +1,130 @@
+package scale
+
+import (
+	"errors"
+	"math"
+	"os"
+	"strings"
+	"testing"
+)
+
+// TestFit has both forms found again from curves of theirs, and none where too little is known.
+func TestFit(t *testing.T) {
+	curve := func(of func(n float64) float64) (samples []Sample) {
+		for _, size := range []int{3, 5, 7, 9, 30} {
+			s := Sample{Size: size}
+			s.Set("cost", of(float64(size)))
+			samples = append(samples, s)
+		}
+		return samples
+	}
+	square, ok := FitOver(curve(func(n float64) float64 { return 4 * n * n }), "cost")
+	if !ok || square.Form != Power || math.Abs(square.Exponent-2) > 1e-6 || math.Abs(square.At(100)-40_000) > 1 {
+		t.Errorf("4n^2 is fitted as %+v", square)
+	}
+	line, ok := FitOver(curve(func(n float64) float64 { return 1000 + 3*n }), "cost")
+	if !ok || line.Form != Linear || math.Abs(line.At(100)-1300) > 1 || line.Residual > 1e-3 {
+		t.Errorf("1000 + 3n is fitted as %+v", line)
+	}
+	if _, ok := FitOver(curve(func(n float64) float64 { return n })[:2], "cost"); ok {
+		t.Error("two sizes were fitted")
+	}
+	if _, ok := FitOver(curve(func(float64) float64 { return 0 }), "cost"); ok {
+		t.Error("figures of 0 were fitted")
+	}
+}
+
+// sample run of three sizes, over its budget at the last.
+func sampleRun() *Run {
+	r := &Run{Name: "sample", About: "A sample", Text: "abc1234", Transport: "memory", Size: "members", Targets: []int{11_000},
+		Metrics: []Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes", Most: 25_000, Fit: true}}}
+	for _, size := range []int{3, 5, 9} {
+		s := Sample{Size: size}
+		s.Set("bytes", float64(3000*size))
+		r.Samples = append(r.Samples, s)
+	}
+	r.settle()
+	return r
+}
+
+func TestVerdicts(t *testing.T) {
+	r := sampleRun()
+	if all := r.Breaches(); r.Verdict != Broken || len(all) != 1 || all[0].Size != 9 {
+		t.Errorf("over a budget: %s, %v", r.Verdict, all)
+	}
+	r.Samples = r.Samples[:2]
+	if r.settle(); r.Verdict != Kept {
+		t.Errorf("within budgets: %s", r.Verdict)
+	}
+	r.Samples[0].Unknown = "the machine was too busy"
+	if r.settle(); r.Verdict != Unjudged {
+		t.Errorf("a sample that shows nothing: %s", r.Verdict)
+	}
+	r.Samples[1].Broken = []string{"a digest differs"}
+	if r.settle(); r.Verdict != Broken {
+		t.Errorf("a digest that differs: %s", r.Verdict)
+	}
+}
+
+// TestRunsAreKept has a run read back as it was written, and written the same each time.
+func TestRunsAreKept(t *testing.T) {
+	folder := t.TempDir()
+	path, err := sampleRun().Save(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first, _ := os.ReadFile(path)
+	runs, err := Load(folder)
+	if err != nil || len(runs) != 1 {
+		t.Fatal(runs, err)
+	}
+	if _, err := runs[0].Save(folder); err != nil {
+		t.Fatal(err)
+	}
+	if again, _ := os.ReadFile(path); string(again) != string(first) {
+		t.Errorf("first\n%s\nthen\n%s", first, again)
+	}
+}
+
+func TestPage(t *testing.T) {
+	runs := []*Run{sampleRun()}
+	empty := "# Capacity\n\n<!-- scale report sample -->\n<!-- end -->\n\nA member: 0<!-- scale sample bytes 9 -->, at 11,000 0<!-- scale sample bytes 11000 -->.\n"
+	page, err := Fill(empty, runs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, part := range []string{"| bytes, bytes/s | 9,000 | 15,000 | **27,000** | 25,000 |", "A member: 27,000<!--",
+		"at 11,000 33,000,000<!--"} {
+		if !strings.Contains(page, part) {
+			t.Errorf("no %q in\n%s", part, page)
+		}
+	}
+	if err := Check(page, runs); err != nil {
+		t.Errorf("a page just made: %v", err)
+	}
+	if err := Check(strings.Replace(page, "| 15,000 |", "| 15,001 |", 1), runs); err == nil {
+		t.Error("a changed table passed")
+	}
+	if err := Check(strings.Replace(page, "member: 27,000<", "member: 26,000<", 1), runs); err == nil {
+		t.Error("a changed figure passed")
+	}
+	if err := Check(strings.Replace(page, "<!-- end -->", "", 1), runs); err == nil {
+		t.Error("a block without an end passed")
+	}
+	if err := Check(page, nil); err == nil {
+		t.Error("a block of no run passed")
+	}
+}
+
+func TestRefusal(t *testing.T) {
+	machine := Machine{Cores: 8, Memory: 8 << 30}
+	var refused *Refused
+	for _, needs := range []Needs{{Memory: 5 << 30}, {Processes: 101}, {Time: mostTime + 1}} {
+		if err := machine.bears(7, needs); !errors.As(err, &refused) {
+			t.Errorf("%+v: %v", needs, err)
+		}
+	}
+	if err := machine.bears(7, Needs{Memory: 3 << 30, Processes: 100, Time: mostTime}); err != nil {
+		t.Error(err)
+	}
+}
