--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -38,6 +38,7 @@
 	Program   string // that is run as a controller
 	Folder    string // for logs and configurations; a temporary one if empty
 	Progress  func(text string)
+	Watch     func(controllers []*process.Instance, ended bool) // as play begins and as it has ended; nil for nobody
 }
 
 // Report is what a rehearsal has shown.
@@ -110,8 +111,8 @@
 	return max(900, 6*t.Relays), max(900, 12*t.Relays)
 }
 
-// settings are what every controller is given, in the form of the simulator's first message.
-func (t *Takeover) settings(classes []standin.Class) map[string]any {
+// Settings are what every controller is given, in the form of the simulator's first message.
+func (t *Takeover) Settings(classes []standin.Class) map[string]any {
 	var profiles []map[string]any
 	var writes, stays []bool
 	for _, c := range classes {
@@ -241,7 +242,7 @@
 		config, err := process.WriteJSON(p.folder, name+".json", map[string]any{"name": name, "listen": listen[i],
 			"discovery": p.in.Discovery.Address(), "seed": fmt.Sprintf("%x", p.Seed+uint64(i)+1),
 			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-			"settings": p.settings(classes)})
+			"settings": p.Settings(classes)})
 		if err != nil {
 			return err
 		}
@@ -303,6 +304,9 @@
 
 func (p *play) play(ctx context.Context) (*Report, error) {
 	load, before, began := process.WatchLateness(), p.in.Counts(), time.Now()
+	if p.Watch != nil {
+		p.Watch(p.instances, false)
+	}
 	var left []time.Duration
 	fault, hang, replace := began.Add(p.KillEvery), began.Add(hangEvery/4), began.Add(replaceEvery/4)
 	if p.Calm {
@@ -345,6 +349,9 @@
 		}
 	}
 	p.report.Seconds = time.Since(began).Seconds()
+	if p.Watch != nil {
+		p.Watch(p.instances, true)
+	}
 	verdict, after := p.in.Close()
 	hundredth, most := load.End()
 	p.sum(verdict, before, after, left)
--- a/replica/node.go
+++ b/replica/node.go
@@ -134,6 +134,18 @@
 	return n.id
 }
 
+// Cost is what the record has cost so far: entries that were taken in, and bytes that went out and came in.
+func (n *Node) Cost() (entries uint64, bytes int64) {
+	r, _ := n.now()
+	return r.AppliedIndex(), n.link.bytes.Load()
+}
+
+// Leads tells whether this member leads the record now.
+func (n *Node) Leads() bool {
+	r, _ := n.now()
+	return r.State() == raft.Leader
+}
+
 // Propose takes the entry that is to be put on the record next. It never waits.
 func (n *Node) Propose(e share.Entry) {
 	for {
--- /dev/null
+++ b/scale/change.go
@@ -0,0 +1,299 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"wheelrill/internal/process"
+	"wheelrill/rehearse"
+	"wheelrill/standin"
+)
+
+// changeByFile is how long a change takes as it is made today: a file on each machine and a SIGHUP. The change moves
+// discovery to another address, and a controller acts by it once it has connected there.
+type changeByFile struct{}
+
+const (
+	discoverySlots = 4 // addresses that a controller is moved around between
+	settleWithin   = 10 * time.Second
+	memberCores    = 1
+	memberSockets  = 256
+	memberLimitMB  = 192
+)
+
+// Describe says what it is.
+func (changeByFile) Describe() Description {
+	d := Description{Name: "change", About: "A change as it is made today, a file for each controller and a SIGHUP, real processes on one machine",
+		Size: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{controllersToCome}, Transport: "loopback"}
+	for _, rate := range changeRates() {
+		d.Metrics = append(d.Metrics,
+			Metric{Name: "half" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 50 in 100, " + rate.about, Most: 1000 * mostInForce, Fit: true},
+			Metric{Name: "p99" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 99 in 100, " + rate.about, Most: 1000 * mostInForce, Fit: true},
+			Metric{Name: "most" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, most, " + rate.about, Most: 1000 * mostInForce, Fit: true},
+			Metric{Name: "written" + rate.suffix, Unit: "ms", About: "of that, until the last file was written and signal sent, mean, " + rate.about, Fit: true},
+			Metric{Name: "processor" + rate.suffix, Unit: "% of a core", About: "processor time of a controller, mean, " + rate.about, Most: mostProcessor, Fit: true})
+	}
+	d.Metrics = append(d.Metrics,
+		Metric{Name: "bytes_per_change", Unit: "bytes", About: "files that a change writes, in all", Fit: true},
+		Metric{Name: "memory", Unit: "MB", About: "resident memory of a controller, most", Most: mostMegabytes})
+	return d
+}
+
+// changeRate is one pace of changes.
+type changeRate struct {
+	perS          float64
+	suffix, about string // of metrics
+}
+
+func changeRates() []changeRate {
+	return []changeRate{{changesPerS, "", "0.42 changes a second"}, {changesPerS * timesChanges, "_x10", "4.2 changes a second"}}
+}
+
+// Needs are those of the controllers.
+func (changeByFile) Needs(size int, o Options) Needs {
+	return Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size,
+		Time: startsWithin + time.Duration(len(changeRates()))*(o.For+settleWithin)}
+}
+
+// Run makes changes at each pace, and notes when each controller acted by them.
+func (changeByFile) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	folder, err := os.MkdirTemp(o.Folder, "change-")
+	if err != nil {
+		return s, err
+	}
+	fleet, err := newReloadedFleet(size, folder, o)
+	if err != nil {
+		return s, err
+	}
+	defer fleet.close()
+	if err := fleet.start(ctx); err != nil {
+		return s, err
+	}
+	for _, rate := range changeRates() {
+		o.say("%d controllers, %s", size, rate.about)
+		if err := fleet.changes(ctx, rate, o, &s); err != nil {
+			return s, err
+		}
+	}
+	var memory float64
+	for _, c := range fleet.controllers {
+		usage, err := UsageOf(c.process.PID())
+		if err != nil {
+			return s, err
+		}
+		memory = max(memory, float64(usage.Memory)/megabyte)
+	}
+	s.Set("bytes_per_change", float64(fleet.written))
+	s.Set("memory", memory)
+	return s, nil
+}
+
+// reloadedFleet is controllers that are told of changes by files and signals.
+type reloadedFleet struct {
+	discovery   *standin.Discovery
+	controllers []*reloadedController
+	folder      string
+	seed        uint64
+	settings    map[string]any
+	changed     int // changes so far
+	written     int // bytes of the last change's files
+}
+
+// reloadedController is one of them.
+type reloadedController struct {
+	process *process.Instance
+	slots   []*watchedAddress // of discovery, which changes move it around between
+	acts    atomic.Int64      // the last change that it acted by
+	random  uint64
+}
+
+func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
+	f = &reloadedFleet{folder: folder, seed: o.Seed}
+	classes := []standin.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
+	f.settings = (&rehearse.Takeover{Relays: recordRelays}).Settings(classes)
+	if f.discovery, err = standin.NewDiscovery(nil, nil); err != nil {
+		return nil, err
+	}
+	listen, err := process.FreeAddresses(size)
+	if err != nil {
+		return f, err
+	}
+	for i := range size {
+		c := &reloadedController{}
+		f.controllers = append(f.controllers, c)
+		for range discoverySlots {
+			slot, err := watchAddress(f.discovery, func(change int64) { c.acts.Store(max(c.acts.Load(), change)) })
+			if err != nil {
+				f.close()
+				return nil, err
+			}
+			c.slots = append(c.slots, slot)
+		}
+		c.process = &process.Instance{Name: memberName(i), Program: o.Program, Listen: listen[i],
+			Env: []string{"LB_CONFIG=" + f.path(i)}}
+		if c.process.Log, err = os.Create(filepath.Join(folder, memberName(i)+".log")); err != nil {
+			f.close()
+			return nil, err
+		}
+	}
+	return f, nil
+}
+
+func (f *reloadedFleet) path(i int) string { return filepath.Join(f.folder, memberName(i)+".json") }
+
+func (f *reloadedFleet) close() {
+	for _, c := range f.controllers {
+		if c.process != nil && c.process.Up {
+			c.process.Signal(syscall.SIGKILL)
+		}
+		if c.process != nil && c.process.Log != nil {
+			c.process.Log.Close()
+		}
+		for _, slot := range c.slots {
+			slot.close()
+		}
+	}
+	f.discovery.Close()
+}
+
+// write gives controller i its file for a change, in one step as an operator's tool would.
+func (f *reloadedFleet) write(i int, change int64) (int, error) {
+	c := f.controllers[i]
+	slot := c.slots[change%discoverySlots]
+	slot.means.Store(change)
+	name := memberName(i)
+	draft, err := process.WriteJSON(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
+		"discovery": slot.address(), "seed": fmt.Sprintf("%x", f.seed+uint64(i)+1),
+		"limits":   map[string]any{"cores": memberCores, "memory_mb": memberLimitMB, "sockets": memberSockets},
+		"settings": f.settings})
+	if err != nil {
+		return 0, err
+	}
+	about, err := os.Stat(draft)
+	if err != nil {
+		return 0, err
+	}
+	return int(about.Size()), os.Rename(draft, f.path(i))
+}
+
+// start starts all, and waits until each follows discovery.
+func (f *reloadedFleet) start(ctx context.Context) error {
+	f.changed = 1
+	for i, c := range f.controllers {
+		if _, err := f.write(i, 1); err != nil {
+			return err
+		}
+		if err := c.process.Start(); err != nil {
+			return err
+		}
+	}
+	if !waitFor(ctx, startsWithin, func() bool { return f.actsBy(1) }) {
+		return fmt.Errorf("not all controllers followed discovery within %s; their logs are in %s", startsWithin, f.folder)
+	}
+	return nil
+}
+
+// actsBy tells whether all controllers act by a change, or by a later one.
+func (f *reloadedFleet) actsBy(change int64) bool {
+	for _, c := range f.controllers {
+		if c.acts.Load() < change {
+			return false
+		}
+	}
+	return true
+}
+
+// changes makes changes at a pace for a while.
+func (f *reloadedFleet) changes(ctx context.Context, rate changeRate, o Options, s *Sample) error {
+	random := rand.New(rand.NewPCG(f.seed, uint64(f.changed)))
+	inForce := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)
+	var waits sync.WaitGroup
+	defer waits.Wait()
+	var mutex sync.Mutex
+	var writing time.Duration
+	made, late := 0, 0
+	before, began := f.processor(), time.Now()
+	for time.Since(began) < o.For {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(time.Duration((0.5 + random.Float64()) / rate.perS * float64(time.Second))):
+		}
+		f.changed++
+		change, accepted := int64(f.changed), time.Now()
+		f.written = 0
+		for i, c := range f.controllers {
+			size, err := f.write(i, change)
+			if err != nil {
+				return err
+			}
+			f.written += size
+			if err := c.process.Send(syscall.SIGHUP); err != nil {
+				return fmt.Errorf("%s: %w", c.process.Name, err)
+			}
+		}
+		made, writing = made+1, writing+time.Since(accepted)
+		waits.Go(func() {
+			ok := waitTight(ctx, settleWithin, func() bool { return f.actsBy(change) })
+			mutex.Lock()
+			defer mutex.Unlock()
+			if !ok {
+				late++
+			}
+			inForce.RecordValue(time.Since(accepted).Microseconds())
+		})
+	}
+	waits.Wait()
+	after, seconds := f.processor(), time.Since(began).Seconds()
+	if late > 0 {
+		s.Broken = append(s.Broken, fmt.Sprintf("%d changes of %d were not in force within %s, %s", late, made, settleWithin, rate.about))
+	}
+	milliseconds := func(quantile float64) float64 { return float64(inForce.ValueAtQuantile(quantile)) / 1000 }
+	s.Set("half"+rate.suffix, milliseconds(50))
+	s.Set("p99"+rate.suffix, milliseconds(99))
+	s.Set("most"+rate.suffix, milliseconds(100))
+	s.Set("written"+rate.suffix, float64(writing.Microseconds())/1000/float64(made))
+	s.Set("processor"+rate.suffix, percent*(after-before).Seconds()/seconds/float64(len(f.controllers)))
+	return nil
+}
+
+// processor is the time that all controllers have taken.
+func (f *reloadedFleet) processor() (sum time.Duration) {
+	for _, c := range f.controllers {
+		if usage, err := UsageOf(c.process.PID()); err == nil {
+			sum += usage.Processor
+		}
+	}
+	return sum
+}
+
+// histogramDigits is the precision of percentiles.
+const histogramDigits = 3
+
+// tightLook is how often something is looked at whose time is measured.
+const tightLook = time.Millisecond
+
+// waitTight waits as waitFor does, and looks more often.
+func waitTight(ctx context.Context, within time.Duration, holds func() bool) bool {
+	look := time.NewTicker(tightLook)
+	defer look.Stop()
+	for late := time.After(within); !holds(); {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-late:
+			return false
+		case <-look.C:
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/scale/hollow.go
@@ -0,0 +1,171 @@
+package scale
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"fmt"
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"wheelrill/internal/process"
+	"wheelrill/replica"
+	"wheelrill/share"
+)
+
+// Terms of hollow members, as real ones have them by the usual lease.
+const (
+	hollowLease    = 1500 * time.Millisecond
+	renewsPerLease = 8
+	messagesSpan   = 10 * time.Second
+	messagesMost   = 30
+	messagesKept   = 4
+	memberMailbox  = 1024
+)
+
+// hollowMember takes part in the record with the same code as a real controller, and has no proxies.
+type hollowMember struct {
+	name  string
+	node  *replica.Node
+	desk  *share.Desk
+	began time.Time
+	mail  chan func()
+	done  chan struct{}
+
+	entered atomic.Bool // on the record
+}
+
+// startHollow gives a member that takes part until the context ends.
+func startHollow(ctx context.Context, running *sync.WaitGroup, name string, members map[string]string) (*hollowMember, error) {
+	m := &hollowMember{name: name, began: time.Now(), mail: make(chan func(), memberMailbox), done: make(chan struct{})}
+	terms := share.Terms{Lease: hollowLease.Microseconds(), Renew: hollowLease.Microseconds() / renewsPerLease,
+		Span: messagesSpan.Microseconds(), Messages: messagesMost, Members: len(members), Kept: messagesKept}
+	var err error
+	m.node, err = replica.New(replica.Place{Name: name, Members: members, Terms: terms}, hollowEvents{m}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		return nil, err
+	}
+	m.desk = share.New(hollowHost{m}, name, terms, m.now())
+	running.Go(func() { m.run(ctx, hollowLease/renewsPerLease/2) })
+	running.Go(func() { m.node.Run(ctx) })
+	return m, nil
+}
+
+func (m *hollowMember) now() int64 { return time.Since(m.began).Microseconds() }
+
+// run is the member's event loop; the desk is called from nowhere else.
+func (m *hollowMember) run(ctx context.Context, tick time.Duration) {
+	defer close(m.done)
+	ticks := time.NewTicker(tick)
+	defer ticks.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case what := <-m.mail:
+			what()
+		case <-ticks.C:
+			m.desk.Elapsed(m.now())
+		}
+	}
+}
+
+// post has something done by the event loop, unless that has ended.
+func (m *hollowMember) post(what func()) {
+	select {
+	case m.mail <- what:
+	case <-m.done:
+	}
+}
+
+// hollowEvents hands on to the desk what becomes of the record.
+type hollowEvents struct{ *hollowMember }
+
+func (e hollowEvents) Recorded(entry share.Entry) {
+	e.post(func() { e.desk.Recorded(entry, e.now()) })
+}
+
+func (e hollowEvents) Restored(book *share.Book) {
+	e.post(func() { e.desk.Restored(book, e.now()) })
+}
+
+func (e hollowEvents) Answered(life, seq uint64) {
+	e.post(func() { e.desk.Answered(life, seq, e.now()) })
+}
+
+func (e hollowEvents) Failed(life, seq uint64) {
+	e.post(func() { e.desk.Failed(life, seq, e.now()) })
+}
+
+// hollowHost is the place that a hollow member's desk works in: there are no proxies to be granted or written to.
+type hollowHost struct{ *hollowMember }
+
+func (h hollowHost) Propose(e share.Entry)                                   { h.node.Propose(e) }
+func (h hollowHost) Granted(int, uint64, []share.Base, bool, []float64, int) {}
+func (h hollowHost) Fitted(share.Fit)                                        {}
+func (h hollowHost) Spent(int, int)                                          {}
+func (h hollowHost) Release(uint64)                                          {}
+func (h hollowHost) Learned(string, share.Seen)                              {}
+func (h hollowHost) Mode(alone bool, _ string)                               { h.entered.Store(!alone) }
+
+// Chance draws a number.
+func (h hollowHost) Chance() uint64 {
+	var b [8]byte
+	rand.Read(b[:])
+	return binary.BigEndian.Uint64(b[:]) | 1
+}
+
+// startMembers starts hollow members on loopback, and waits until all of them are on the record.
+func startMembers(ctx context.Context, running *sync.WaitGroup, size int) ([]*hollowMember, error) {
+	addresses, err := process.FreeAddresses(size)
+	if err != nil {
+		return nil, err
+	}
+	at := map[string]string{}
+	for i, address := range addresses {
+		at[memberName(i)] = address
+	}
+	var members []*hollowMember
+	for i := range size {
+		m, err := startHollow(ctx, running, memberName(i), at)
+		if err != nil {
+			return nil, err
+		}
+		members = append(members, m)
+	}
+	entered := func() bool {
+		for _, m := range members {
+			if !m.entered.Load() {
+				return false
+			}
+		}
+		return true
+	}
+	if !waitFor(ctx, startsWithin, entered) {
+		return nil, fmt.Errorf("not all of %d members were on the record within %s", size, startsWithin)
+	}
+	return members, nil
+}
+
+func memberName(i int) string { return fmt.Sprint("n", i) }
+
+// lookEvery is how often something that is waited for is looked at.
+const lookEvery = 20 * time.Millisecond
+
+// waitFor waits until something holds, for a while at most.
+func waitFor(ctx context.Context, within time.Duration, holds func() bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, within)
+	defer cancel()
+	look := time.NewTicker(lookEvery)
+	defer look.Stop()
+	for !holds() {
+		select {
+		case <-ctx.Done():
+			return holds()
+		case <-look.C:
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/scale/record.go
@@ -0,0 +1,173 @@
+package scale
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"wheelrill/internal/process"
+	"wheelrill/rehearse"
+)
+
+// recordReal is what the record costs real controllers, as processes with relays around them: all are members.
+type recordReal struct{}
+
+// Figures of the installation around the members.
+const (
+	recordRelays  = 30
+	recordWorkers = 12
+	memberMemory  = 64 << 20 // bytes that a real member takes, about
+	standinMemory = 64 << 20
+	startsWithin  = 30 * time.Second
+	costLineEvery = 10 * time.Second // a member logs what the record costs it
+)
+
+// recordMetrics are those of both measurements of the record.
+func recordMetrics() []Metric {
+	return []Metric{
+		{Name: "entries_per_s", Unit: "1/s", About: "entries at each member", Fit: true},
+		{Name: "follower_bytes_per_s", Unit: "bytes/s", About: "in and out at a follower, mean", Most: mostBytesPerS, Fit: true},
+		{Name: "leader_bytes_per_s", Unit: "bytes/s", About: "in and out at the leader", Most: mostBytesPerS, Fit: true}}
+}
+
+// Describe says what it is.
+func (recordReal) Describe() Description {
+	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
+		Sizes: []int{3, 5, 7, 9, 15}, Targets: []int{100, controllersToCome}, Transport: "loopback",
+		Metrics: append(recordMetrics(),
+			Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Most: mostProcessor, Fit: true},
+			Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Most: mostProcessor, Fit: true},
+			Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Most: mostMegabytes, Fit: true})}
+}
+
+// Needs are those of the members and of the stand-ins in our process.
+func (recordReal) Needs(size int, o Options) Needs {
+	return Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size, Time: 2*startsWithin + o.For}
+}
+
+// Run plays a calm installation, and reads what each member logged of the record and spent.
+func (recordReal) Run(ctx context.Context, size int, o Options) (Sample, error) {
+	if o.For < 2*costLineEvery {
+		return Sample{}, fmt.Errorf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLineEvery, 2*costLineEvery)
+	}
+	folder, err := os.MkdirTemp(o.Folder, "record-")
+	if err != nil {
+		return Sample{}, err
+	}
+	spent := &spending{before: map[string]Usage{}, after: map[string]Usage{}}
+	play := rehearse.Takeover{Calm: true, Sharing: true, For: o.For, KillEvery: o.For, Instances: size, Relays: recordRelays,
+		Workers: recordWorkers, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Watch: spent.watch}
+	report, err := play.Run(ctx)
+	if err = errors.Join(err, spent.failed); err != nil {
+		return Sample{}, err
+	}
+	members := map[string]memberCost{}
+	for name := range spent.before {
+		if members[name], err = costLogged(filepath.Join(folder, name+".log")); err != nil {
+			return Sample{}, err
+		}
+	}
+	s := spent.sample(members)
+	if report.Verdict != rehearse.Kept {
+		s.Unknown = fmt.Sprintf("the rehearsal's verdict is %q: %s; %v", report.Verdict, report.Why, report.Broken)
+	}
+	return s, nil
+}
+
+// spending is what members took while a rehearsal was played.
+type spending struct {
+	before, after map[string]Usage
+	began, ended  time.Time
+	failed        error
+}
+
+// watch reads each member's usage as play begins and as it ends.
+func (s *spending) watch(controllers []*process.Instance, ended bool) {
+	into := s.before
+	if ended {
+		into, s.ended = s.after, time.Now()
+	} else {
+		s.began = time.Now()
+	}
+	for _, c := range controllers {
+		usage, err := UsageOf(c.PID())
+		s.failed = errors.Join(s.failed, err)
+		into[c.Name] = usage
+	}
+}
+
+// processor is the share of a core that a member took, in percent.
+func (s *spending) processor(name string) float64 {
+	return percent * (s.after[name].Processor - s.before[name].Processor).Seconds() / s.ended.Sub(s.began).Seconds()
+}
+
+// sample sums members up, followers apart from the leader.
+func (s *spending) sample(members map[string]memberCost) (sample Sample) {
+	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
+	followers := float64(len(members) - 1)
+	for name, cost := range members {
+		memory = max(memory, float64(s.after[name].Memory)/megabyte)
+		entries += cost.entries / float64(len(members))
+		if cost.leads {
+			leaderBytes, leaderProcessor = cost.bytes, s.processor(name)
+		} else {
+			bytes += cost.bytes / followers
+			processor += s.processor(name) / followers
+		}
+	}
+	sample.Set("entries_per_s", entries)
+	sample.Set("follower_bytes_per_s", bytes)
+	sample.Set("leader_bytes_per_s", leaderBytes)
+	sample.Set("follower_processor", processor)
+	sample.Set("leader_processor", leaderProcessor)
+	sample.Set("memory", memory)
+	return sample
+}
+
+// memberCost is what the record costs a member a second, by its own log.
+type memberCost struct {
+	entries, bytes float64
+	leads          bool
+}
+
+// costLogged reads the last cost that a member logged, and whether it leads at the end.
+func costLogged(path string) (cost memberCost, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return cost, err
+	}
+	defer file.Close()
+	found := false
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		switch line := lines.Text(); {
+		case strings.Contains(line, " event=leading "):
+			cost.leads = field(line, "leads") == "true"
+		case strings.Contains(line, " event=record "):
+			found = true
+			cost.entries, err = strconv.ParseFloat(field(line, "entries_per_s"), 64)
+			if err == nil {
+				cost.bytes, err = strconv.ParseFloat(field(line, "bytes_per_s"), 64)
+			}
+			if err != nil {
+				return cost, fmt.Errorf("%s: %w", path, err)
+			}
+		}
+	}
+	if !found {
+		return cost, fmt.Errorf("%s: the member has not logged what the record costs it", path)
+	}
+	return cost, nil
+}
+
+// field gives one value of a line of key=value.
+func field(line, key string) string {
+	_, rest, _ := strings.Cut(line, " "+key+"=")
+	value, _, _ := strings.Cut(rest, " ")
+	return value
+}
--- /dev/null
+++ b/scale/recordhollow.go
@@ -0,0 +1,90 @@
+package scale
+
+import (
+	"context"
+	"os"
+	"sync"
+	"time"
+)
+
+// recordHollow is what the record costs hollow controllers, all members, in one process.
+type recordHollow struct{}
+
+// What a hollow member takes, about: its connections are to every other.
+const (
+	hollowMemory     = 2 << 20
+	connectionMemory = 128 << 10
+)
+
+// Describe says what it is.
+func (recordHollow) Describe() Description {
+	return Description{Name: "record-hollow", About: "The record, all controllers being members, hollow ones without proxies in one process",
+		Size: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, controllersToCome}, Transport: "loopback",
+		Metrics: append(recordMetrics(),
+			Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Most: mostProcessor, Fit: true},
+			Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Most: mostMegabytes, Fit: true})}
+}
+
+// Needs are those of our own process.
+func (recordHollow) Needs(size int, o Options) Needs {
+	return Needs{Memory: int64(size) * (hollowMemory + int64(size)*connectionMemory), Time: startsWithin + o.For}
+}
+
+// Run has members renew their leases, and reads what passed over their connections.
+func (recordHollow) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	var running sync.WaitGroup
+	defer running.Wait()
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	members, err := startMembers(ctx, &running, size)
+	if err != nil {
+		return s, err
+	}
+	before, costs, began := make([]hollowCost, size), make([]hollowCost, size), time.Now()
+	for i, m := range members {
+		before[i].entries, before[i].bytes = m.node.Cost()
+	}
+	spentBefore, err := UsageOf(os.Getpid())
+	if err != nil {
+		return s, err
+	}
+	select {
+	case <-ctx.Done():
+		return s, ctx.Err()
+	case <-time.After(o.For):
+	}
+	for i, m := range members {
+		costs[i].entries, costs[i].bytes = m.node.Cost()
+		costs[i].leads = m.node.Leads()
+	}
+	spent, err := UsageOf(os.Getpid())
+	if err != nil {
+		return s, err
+	}
+	seconds := time.Since(began).Seconds()
+	var entries, followers, leader float64
+	for i, c := range costs {
+		entries += float64(c.entries-before[i].entries) / seconds / float64(size)
+		if bytes := float64(c.bytes-before[i].bytes) / seconds; c.leads {
+			leader = bytes
+		} else {
+			followers += bytes / float64(size-1)
+		}
+	}
+	s.Set("entries_per_s", entries)
+	s.Set("follower_bytes_per_s", followers)
+	s.Set("leader_bytes_per_s", leader)
+	s.Set("processor", percent*(spent.Processor-spentBefore.Processor).Seconds()/seconds/float64(size))
+	s.Set("memory", float64(spent.Memory)/megabyte/float64(size))
+	if leader == 0 {
+		s.Unknown = "no member led at the end"
+	}
+	return s, nil
+}
+
+// hollowCost is what the record has cost a member so far.
+type hollowCost struct {
+	entries uint64
+	bytes   int64
+	leads   bool
+}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -64,7 +64,11 @@
 
 // Measurements are all there are, in the order in which they are listed.
 func Measurements() []Measurement {
-	return []Measurement{}
+	return []Measurement{
+		recordReal{},
+		recordHollow{},
+		changeByFile{},
+	}
 }
 
 // Find gives a measurement by its name.
--- /dev/null
+++ b/scale/watched.go
@@ -0,0 +1,45 @@
+package scale
+
+import (
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+)
+
+// watchedAddress serves discovery at an address of its own, and tells when a controller connects there.
+type watchedAddress struct {
+	net.Listener
+	means   atomic.Int64 // the change that moves the controller here
+	came    func(change int64)
+	server  *http.Server
+	running sync.WaitGroup
+}
+
+// watchAddress begins to serve.
+func watchAddress(discovery http.Handler, came func(change int64)) (*watchedAddress, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	w := &watchedAddress{Listener: listener, came: came, server: &http.Server{Handler: discovery}}
+	w.running.Go(func() { w.server.Serve(w) })
+	return w, nil
+}
+
+// Accept takes a connection in, and notes by which change it came.
+func (w *watchedAddress) Accept() (net.Conn, error) {
+	conn, err := w.Listener.Accept()
+	if err == nil {
+		w.came(w.means.Load())
+	}
+	return conn, err
+}
+
+func (w *watchedAddress) address() string { return w.Listener.Addr().String() }
+
+// close ends it with all its connections.
+func (w *watchedAddress) close() {
+	w.server.Close()
+	w.running.Wait()
+}
