--- /dev/null
+++ b/options/distribution_test.go
@@ -0,0 +1,62 @@
+package options
+
+import (
+	"strings"
+	"testing"
+)
+
+const subscribing = `distribution:
+  role: subscriber
+  name: s17
+  parents:
+    n0: 127.0.0.1:9001
+    n1: 127.0.0.1:9002
+  scopes: [pricing, orders]
+  listen: 127.0.0.1:9017
+  fan_out: 8
+  plain: true
+`
+
+const voting = good + `distribution:
+  role: voter
+  fan_out: 16
+`
+
+func TestParseDistribution(t *testing.T) {
+	f, err := Parse("w.yaml", []byte(subscribing))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d := f.Distribution; d.Role != Subscriber || d.Parents["n1"] != "127.0.0.1:9002" || len(d.Scopes) != 2 || d.FanOut != 8 {
+		t.Errorf("got %+v", d)
+	}
+	if f, err := Parse("w.yaml", []byte(voting)); err != nil || f.Distribution.Role != Voter || f.Distribution.FanOut != 16 {
+		t.Errorf("got %+v, %v", f, err)
+	}
+	for _, bad := range []struct{ text, old, new, want string }{
+		{subscribing, "role: subscriber", "role: leader", `w.yaml:2: distribution.role: "leader"; give voter or subscriber`},
+		{subscribing, "role: subscriber", "role: voter", "w.yaml:2: distribution.role: a voter is a member that shares the record"},
+		{subscribing, "role: subscriber", "rule: subscriber", `w.yaml:2: rule: unknown field "rule"`},
+		{subscribing, "name: s17", "name: n0", "w.yaml:5: distribution.parents.n0: is this subscriber itself"},
+		{subscribing, "name: s17", "name: " + strings.Repeat("s", 257), "w.yaml:3: distribution.name: has 257 bytes"},
+		{subscribing, "    n0: 127.0.0.1:9001\n    n1: 127.0.0.1:9002", "    {}", "w.yaml:5: distribution.parents: names nobody"},
+		{subscribing, "9002", "9001", "w.yaml:6: distribution.parents.n1: 127.0.0.1:9001 is that of n0 already"},
+		{subscribing, "n1: 127.0.0.1:9002", "n1: 10.0.0.4:9002", "w.yaml:6: distribution.parents.n1: 10.0.0.4:9002 is not on loopback"},
+		{subscribing, "[pricing, orders]", "[]", "w.yaml:7: distribution.scopes: has 0"},
+		{subscribing, "[pricing, orders]", `[""]`, `w.yaml:7: distribution.scopes: ""; give`},
+		{subscribing, "[pricing, orders]", "[pricing, pricing]", `w.yaml:7: distribution.scopes: "pricing" stands there twice`},
+		{subscribing, "listen: 127.0.0.1:9017", "listen: 9017", `w.yaml:8: distribution.listen: "9017" is no address`},
+		{subscribing, "listen: 127.0.0.1:9017", "listen: 0.0.0.0:9017", "w.yaml:8: distribution.listen: 0.0.0.0:9017 is not on loopback"},
+		{subscribing, "  listen: 127.0.0.1:9017\n", "", "w.yaml:8: distribution.fan_out: is for one that passes on"},
+		{subscribing, "fan_out: 8", "fan_out: 257", "w.yaml:9: distribution.fan_out: is 257"},
+		{subscribing, "plain: true", "plain: false", "w.yaml:2: distribution: needs certificate, key and authority"},
+		{subscribing, "plain: true", "plain: true\n  key: k.pem", "w.yaml:10: distribution.plain: goes without"},
+		{voting, "fan_out: 16", "scopes: [pricing]", "w.yaml:11: distribution.scopes: is for subscribers"},
+		{voting, "fan_out: 16", "plain: true", "w.yaml:11: distribution.plain: is for subscribers"},
+	} {
+		text := strings.Replace(bad.text, bad.old, bad.new, 1)
+		if _, err := Parse("w.yaml", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), bad.want) {
+			t.Errorf("%q: got %v, not %s", bad.new, err, bad.want)
+		}
+	}
+}
--- a/options/options.go
+++ b/options/options.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"maps"
-	"net"
 	"os"
 	"slices"
 	"time"
@@ -20,7 +19,8 @@
 
 // File is the whole file. What is not there is off.
 type File struct {
-	Sharing *Sharing `yaml:"sharing"`
+	Sharing      *Sharing      `yaml:"sharing"`
+	Distribution *Distribution `yaml:"distribution"`
 }
 
 // Sharing says with whom a controller shares its fleet.
@@ -96,6 +96,11 @@
 			return nil, err
 		}
 	}
+	if f.Distribution != nil {
+		if err := f.Distribution.check(lines, f.Sharing); err != nil {
+			return nil, err
+		}
+	}
 	return f, nil
 }
 
@@ -128,26 +133,11 @@
 			given++
 		}
 	}
-	taken := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
-		address, key := s.Members[name], "sharing.members."+name
-		host, port, err := net.SplitHostPort(address)
-		if err != nil || port == "" {
-			return l.problem(key, "%q is no address; give host:port", address)
-		}
-		if other, ok := taken[address]; ok {
-			return l.problem(key, "%s is that of %s already; give each member its own", address, other)
-		}
-		taken[address] = name
-		if ip := net.ParseIP(host); s.Plain && (ip == nil || !ip.IsLoopback()) {
-			return l.problem(key, "%s is not on loopback, where alone plain text may be spoken; give certificate, key and authority", address)
-		}
+	if err := checkAddresses(l, "sharing.members", s.Members, s.Plain); err != nil {
+		return err
 	}
-	switch {
-	case s.Plain && given > 0:
-		return l.problem("sharing.plain", "goes without certificate, key and authority; give either")
-	case !s.Plain && given < 3:
-		return l.problem("sharing", "needs certificate, key and authority, the paths of PEM files; on loopback alone plain: true would do")
+	if err := checkCredentials(l, "sharing", s.Plain, given); err != nil {
+		return err
 	}
 	if s.Lease != "" {
 		lease, err := time.ParseDuration(s.Lease)
@@ -158,3 +148,30 @@
 	}
 	return nil
 }
+
+// checkAddresses refuses names without an address of their own.
+func checkAddresses(l positions, section string, addresses map[string]string, plain bool) error {
+	taken := map[string]string{}
+	for _, name := range slices.Sorted(maps.Keys(addresses)) {
+		address, key := addresses[name], section+"."+name
+		if err := checkAddress(l, key, address, plain); err != nil {
+			return err
+		}
+		if other, ok := taken[address]; ok {
+			return l.problem(key, "%s is that of %s already; give each its own", address, other)
+		}
+		taken[address] = name
+	}
+	return nil
+}
+
+// checkCredentials refuses plain text beside credentials, and a part of them.
+func checkCredentials(l positions, section string, plain bool, given int) error {
+	switch {
+	case plain && given > 0:
+		return l.problem(section+".plain", "goes without certificate, key and authority; give either")
+	case !plain && given < 3:
+		return l.problem(section, "needs certificate, key and authority, the paths of PEM files; on loopback alone plain: true would do")
+	}
+	return nil
+}
