--- /dev/null
+++ b/internal/frame/frame_test.go
@@ -0,0 +1,59 @@
+package frame
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"testing"
+)
+
+type message struct {
+	Name string `cbor:"1,keyasint"`
+	Body []byte `cbor:"2,keyasint,omitempty"`
+}
+
+func TestFrames(t *testing.T) {
+	var stream bytes.Buffer
+	sent := []message{{"a", []byte{1, 2, 3}}, {"b", bytes.Repeat([]byte{7}, 5000)}, {"c", nil}}
+	for _, m := range sent {
+		if err := Write(&stream, m); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var got [3]message
+	var buffer []byte
+	for i := range got {
+		var err error
+		if buffer, err = ReadWith(&stream, buffer, 8192, &got[i]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, m := range sent { // the buffer was used again, and what was read before stands
+		if got[i].Name != m.Name || !bytes.Equal(got[i].Body, m.Body) {
+			t.Errorf("message %d came as %+v", i, got[i])
+		}
+	}
+	if err := Read(&stream, 8192, &got[0]); !errors.Is(err, io.EOF) {
+		t.Errorf("at the end: %v", err)
+	}
+}
+
+func TestFramesRefused(t *testing.T) {
+	framed, err := Encode(message{Name: "a", Body: make([]byte, 100)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var m message
+	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &ErrTooLarge{}) {
+		t.Errorf("over the bound: %v", err)
+	}
+	if err := Read(bytes.NewReader(framed[:50]), 500, &m); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("cut off: %v", err)
+	}
+	if err := Read(bytes.NewReader([]byte{0, 0, 0, 1, 0xff}), 500, &m); err == nil {
+		t.Error("taken, though it is no CBOR")
+	}
+	if err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 500, &m); !errors.As(err, &ErrTooLarge{}) {
+		t.Errorf("far over the bound: %v", err)
+	}
+}
