--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -2,6 +2,7 @@
 package frame
 
 import (
+	"bytes"
 	"encoding/binary"
 	"fmt"
 	"io"
@@ -22,25 +23,26 @@
 	return fmt.Sprintf("a message of %d bytes, %d at most", e.Size, e.Most)
 }
 
-// Encode gives a message as it goes onto the stream.
-func Encode(message any) ([]byte, error) {
-	body, err := cbor.Marshal(message)
-	if err != nil {
-		return nil, err
+// Append adds a message as it goes onto the stream.
+func Append(to *bytes.Buffer, message any) error {
+	start := to.Len()
+	to.Write(make([]byte, Header))
+	if err := cbor.MarshalToBuffer(message, to); err != nil {
+		to.Truncate(start)
+		return err
 	}
-	framed := make([]byte, Header+len(body))
-	binary.BigEndian.PutUint32(framed, uint32(len(body)))
-	copy(framed[Header:], body)
-	return framed, nil
+	framed := to.Bytes()[start:]
+	binary.BigEndian.PutUint32(framed, uint32(len(framed)-Header))
+	return nil
 }
 
 // Write writes one message.
 func Write(to io.Writer, message any) error {
-	framed, err := Encode(message)
-	if err != nil {
+	var framed bytes.Buffer
+	if err := Append(&framed, message); err != nil {
 		return err
 	}
-	_, err = to.Write(framed)
+	_, err := to.Write(framed.Bytes())
 	return err
 }
 
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -39,10 +39,11 @@
 }
 
 func TestFramesRefused(t *testing.T) {
-	framed, err := Encode(message{Name: "a", Body: make([]byte, 100)})
-	if err != nil {
+	var stream bytes.Buffer
+	if err := Append(&stream, message{Name: "a", Body: make([]byte, 100)}); err != nil {
 		t.Fatal(err)
 	}
+	framed := stream.Bytes()
 	var m message
 	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &ErrTooLarge{}) {
 		t.Errorf("over the bound: %v", err)
@@ -57,3 +58,14 @@
 		t.Errorf("far over the bound: %v", err)
 	}
 }
+
+func TestAppendKeepsWhatWasThere(t *testing.T) {
+	var stream bytes.Buffer
+	if err := Write(&stream, message{Name: "a"}); err != nil {
+		t.Fatal(err)
+	}
+	before := stream.Len()
+	if err := Append(&stream, make(chan int)); err == nil || stream.Len() != before {
+		t.Errorf("a message that cannot be encoded left %d bytes behind, %v", stream.Len()-before, err)
+	}
+}
