--- /dev/null
+++ b/distribution/event.go
@@ -0,0 +1,71 @@
+package distribution
+
+// nameOf gives the name of an enumerated value.
+func nameOf(names []string, value int) string {
+	if value < 0 || value >= len(names) {
+		return "unknown"
+	}
+	return names[value]
+}
+
+// CloseReason says why a node has a link closed.
+type CloseReason uint8
+
+// Reasons to close a link.
+const (
+	CloseSilent     CloseReason = iota + 1 // the peer said nothing for a lease
+	CloseNotChosen                         // another parent admitted first
+	CloseReplaced                          // the child subscribed anew on another link
+	CloseRefused                           // the place was refused
+	CloseTimedOut                          // dial, admission or subscription took too long
+	CloseStale                             // a better parent was found
+	CloseLoop                              // the node is among its own ancestors, or too deep
+	CloseConflict                          // the parent has an epoch of the same number founded by others
+	CloseNotCovered                        // the parent no longer covers the child's scopes
+	CloseMalformed                         // a message breaks a rule
+	CloseTooLarge                          // the state would pass the bound
+)
+
+var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "stale", "loop",
+	"conflict", "not covered", "malformed", "too large"}
+
+func (r CloseReason) String() string { return nameOf(closeNames[:], int(r)) }
+
+// EventKind says what an Event tells.
+type EventKind uint8
+
+// Kinds of events.
+const (
+	EventAdmitted      EventKind = iota + 1 // this node has a place below Peer
+	EventRefusedBy                          // Peer refused this node a place, for Refusal
+	EventParentLost                         // the parent Peer is gone or was left, for Close
+	EventChildAdmitted                      // Peer has a place below this node
+	EventChildRefused                       // this node refused Peer a place, for Refusal
+	EventChildLost                          // the child Peer is gone or was closed, for Close
+	EventGap                                // a message of Peer does not follow what this node has
+	EventWrongDigest                        // a message of Peer ends in another digest; nothing of it was applied
+	EventOlder                              // a message of Peer, or a change, is older than what this node has; refused
+	EventEpochConflict                      // Peer has another epoch with the same number; refused
+	EventSnapshotSent                       // a snapshot to Peer is complete
+	EventSnapshotTaken                      // a snapshot of Peer was taken over
+	EventCompacted                          // changes up to Mark have left the log
+	EventMalformed                          // a message of Peer breaks a rule
+	EventTooLarge                           // what Peer sent would pass the bound on the state; refused
+	EventStale                              // the source has not been known to be current for StaleMost
+	EventCurrent                            // it is again
+)
+
+var eventNames = [...]string{"none", "admitted", "refused by parent", "parent lost", "child admitted", "child refused",
+	"child lost", "gap", "wrong digest", "older refused", "epoch conflict", "snapshot sent", "snapshot taken", "compacted",
+	"malformed", "too large", "stale", "current"}
+
+func (k EventKind) String() string { return nameOf(eventNames[:], int(k)) }
+
+// Event is something for the host's log.
+type Event struct {
+	Kind    EventKind
+	Peer    string // the other node, if there is one
+	Mark    Mark   // what this node has, or for EventOlder what was refused
+	Refusal RefusalReason
+	Close   CloseReason
+}
--- /dev/null
+++ b/distribution/limits.go
@@ -0,0 +1,96 @@
+package distribution
+
+// Units of the limits: times are in microseconds, sizes in bytes.
+const (
+	millisecond int64 = 1_000
+	second      int64 = 1_000 * millisecond
+
+	kibibyte = 1 << 10
+	mebibyte = 1 << 20
+)
+
+// Limits bounds what a node keeps, sends and waits for.
+type Limits struct {
+	Heartbeat int64 // µs between two heartbeats to a child
+	Lease     int64 // µs of silence after which a child loses its place, and a parent its child
+	Handshake int64 // µs that a dial and its admission may take, and a caller until it subscribes
+	StaleMost int64 // µs of age, or of a parent's lag, after which another parent is looked for
+
+	FanOut    int // children of one parent
+	DepthMost int // nodes above a subscriber, the voter among them
+
+	LogChanges int // changes kept for deltas
+	LogBytes   int // bytes of them
+	Tombstones int // deleted entries kept
+	StateBytes int // bytes of the entries kept
+
+	Window     int // bytes under way to a child that it has not yet confirmed
+	BatchBytes int // bytes of the changes in one delta, unless a single change is larger
+	PieceBytes int // bytes of the entries in one piece of a snapshot, unless a single entry is larger
+	Snapshots  int // snapshots under way to children at once
+	PaceBytes  int // bytes a second of all these snapshots
+
+	BackoffLeast int64 // µs to wait after a first failure, before jitter
+	BackoffMost  int64 // µs to wait after many
+	HedgeAfter   int64 // µs after which a second parent is dialled beside one that has not admitted yet
+	Candidates   int   // possible parents kept, configured ones not counted
+	Proposed     int   // candidates in one message
+}
+
+// Defaults of the limits.
+const (
+	DefaultHeartbeat = second
+	DefaultLease     = 2500 * millisecond
+	DefaultHandshake = 3 * second
+	DefaultStaleMost = 5 * second
+
+	DefaultFanOut    = 16
+	DefaultDepthMost = 8
+
+	DefaultLogChanges = 20_000
+	DefaultLogBytes   = 8 * mebibyte
+	DefaultTombstones = 20_000
+	DefaultStateBytes = 96 * mebibyte
+
+	DefaultWindow     = 64 * kibibyte
+	DefaultBatchBytes = 16 * kibibyte
+	DefaultPieceBytes = 4 * kibibyte
+	DefaultSnapshots  = 4
+	DefaultPaceBytes  = 16 * kibibyte
+
+	DefaultBackoffLeast = 200 * millisecond
+	DefaultBackoffMost  = 10 * second
+	DefaultHedgeAfter   = 400 * millisecond
+	DefaultCandidates   = 32
+	DefaultProposed     = 4
+)
+
+// DefaultLimits are limits for a subscriber among some ten thousand.
+func DefaultLimits() Limits {
+	return Limits{
+		Heartbeat: DefaultHeartbeat,
+		Lease:     DefaultLease,
+		Handshake: DefaultHandshake,
+		StaleMost: DefaultStaleMost,
+
+		FanOut:    DefaultFanOut,
+		DepthMost: DefaultDepthMost,
+
+		LogChanges: DefaultLogChanges,
+		LogBytes:   DefaultLogBytes,
+		Tombstones: DefaultTombstones,
+		StateBytes: DefaultStateBytes,
+
+		Window:     DefaultWindow,
+		BatchBytes: DefaultBatchBytes,
+		PieceBytes: DefaultPieceBytes,
+		Snapshots:  DefaultSnapshots,
+		PaceBytes:  DefaultPaceBytes,
+
+		BackoffLeast: DefaultBackoffLeast,
+		BackoffMost:  DefaultBackoffMost,
+		HedgeAfter:   DefaultHedgeAfter,
+		Candidates:   DefaultCandidates,
+		Proposed:     DefaultProposed,
+	}
+}
--- /dev/null
+++ b/distribution/size.go
@@ -0,0 +1,66 @@
+package distribution
+
+// Estimates of encoded sizes in bytes: what a field takes besides its text. They only have to be near enough for the
+// bounds on memory and on bytes under way.
+const (
+	fixedSize  = 16 // a message or a change without its lists
+	entrySize  = 24 // an entry without its texts
+	markSize   = 24
+	digestSize = 20
+	textSize   = 2 // a text without its characters
+)
+
+func textsSize(texts []string) int {
+	size := 0
+	for _, text := range texts {
+		size += textSize + len(text)
+	}
+	return size
+}
+
+func (e Entry) size() int { return entrySize + len(e.Scope) + len(e.Name) + len(e.Value) }
+
+func entriesSize(entries []Entry) int {
+	size := 0
+	for _, e := range entries {
+		size += e.size()
+	}
+	return size
+}
+
+func (c Change) size() int { return fixedSize + entriesSize(c.Entries) }
+
+// Size implements Message.
+func (m *Subscribe) Size() int {
+	return fixedSize + len(m.Name) + textsSize(m.Scopes.Names) + markSize + digestSize
+}
+
+// Size implements Message.
+func (m *Admitted) Size() int {
+	return fixedSize + markSize + textsSize(m.Path) + textsSize(m.Candidates)
+}
+
+// Size implements Message.
+func (m *Refused) Size() int { return fixedSize + textsSize(m.Candidates) }
+
+// Size implements Message.
+func (m *Delta) Size() int {
+	size := fixedSize + markSize + digestSize
+	for _, change := range m.Changes {
+		size += change.size()
+	}
+	return size
+}
+
+// Size implements Message.
+func (m *SnapshotPiece) Size() int {
+	return fixedSize + markSize + digestSize + entriesSize(m.Entries)
+}
+
+// Size implements Message.
+func (m *Heartbeat) Size() int {
+	return fixedSize + 2*markSize + digestSize + textsSize(m.Path) + textsSize(m.Candidates)
+}
+
+// Size implements Message.
+func (m *Renew) Size() int { return fixedSize + markSize }
