--- /dev/null
+++ b/distribution/voter.go
@@ -0,0 +1,148 @@
+package distribution
+
+import "errors"
+
+// Proposal asks the voters for one change: all of its entries become one revision, or none does.
+type Proposal struct {
+	// Base is what the proposer had seen. If it is known and the record has moved on, the proposal is refused.
+	Base Mark `cbor:"1,keyasint,omitempty"`
+	// AcceptedAt is set by the leader: the wall time in microseconds at which it took the proposal.
+	AcceptedAt int64 `cbor:"2,keyasint,omitempty"`
+	// Entries have a scope, a name, and a value or Deleted.
+	Entries []Entry `cbor:"3,keyasint,omitempty"`
+}
+
+// Why a proposal is refused.
+var (
+	ErrNotFounded = errors.New("the record has no epoch yet")
+	ErrMoved      = errors.New("the record has changed since")
+	ErrNothing    = errors.New("it changes nothing")
+	ErrMalformed  = errors.New("an entry has no scope or name, or is there twice")
+	ErrTooLarge   = errors.New("it is over the bound on a change")
+	ErrFull       = errors.New("the configuration would be over its bound")
+)
+
+// Bounds on what the voters accept. They are the same at all voters, as each works out alone what is accepted.
+const (
+	MostChangeBytes = 512 * kibibyte
+	MostKeyBytes    = 512 // of a scope, and of a name
+	MostStateBytes  = DefaultStateBytes
+)
+
+// VoterState is the configuration as the record of the voters has it: the same at each of them once the same proposals
+// were accepted in the same order.
+type VoterState struct {
+	store *store
+}
+
+// NewVoterState is a record without an epoch, which accepts nothing.
+func NewVoterState() *VoterState { return &VoterState{newStore(Mark{}, AllScopes())} }
+
+// RestoreVoterState is a record as a snapshot has it.
+func RestoreVoterState(state State) *VoterState {
+	v := &VoterState{newStore(state.Mark, AllScopes())}
+	for _, e := range state.Entries {
+		v.store.set(e)
+	}
+	v.store.graves.horizon = max(v.store.graves.horizon, state.Horizon)
+	return v
+}
+
+// Found gives the record its epoch, which stays; false if it has one.
+func (v *VoterState) Found(epoch Epoch) bool {
+	if v.store.mark.Epoch.Known() || !epoch.Known() {
+		return false
+	}
+	v.store.mark.Epoch = epoch
+	return true
+}
+
+// Accept makes a proposal the next revision, or refuses it whole.
+func (v *VoterState) Accept(p Proposal) (Change, error) {
+	mark := v.store.mark
+	switch {
+	case !mark.Epoch.Known():
+		return Change{}, ErrNotFounded
+	case p.Base.Epoch.Known() && p.Base != mark:
+		return Change{}, ErrMoved
+	}
+	change := Change{Epoch: mark.Epoch, Revision: mark.Revision + 1, AcceptedAt: p.AcceptedAt}
+	var err error
+	if change.Entries, err = v.effective(p.Entries); err != nil {
+		return Change{}, err
+	}
+	prepared := v.store.prepare([]Change{change})
+	if prepared.bytes > MostStateBytes {
+		return Change{}, ErrFull
+	}
+	v.store.commit(prepared.steps[0])
+	limits := DefaultLimits()
+	limits.LogChanges = 0 // the log for deltas is that of the voter's node
+	v.store.compact(limits)
+	return change, nil
+}
+
+// effective checks the entries of a proposal, and leaves out deletions of what is not there.
+func (v *VoterState) effective(proposed []Entry) ([]Entry, error) {
+	var entries []Entry
+	size := 0
+	seen := make(map[Key]bool, len(proposed))
+	for _, e := range proposed {
+		key := e.Key()
+		if e.Scope == "" || e.Name == "" || len(e.Scope) > MostKeyBytes || len(e.Name) > MostKeyBytes || seen[key] {
+			return nil, ErrMalformed
+		}
+		seen[key] = true
+		clean := Entry{Scope: e.Scope, Name: e.Name, Value: e.Value, Deleted: e.Deleted}
+		if e.Deleted {
+			if clean.Value = nil; !v.has(key) {
+				continue
+			}
+		}
+		entries = append(entries, clean)
+		size += clean.size()
+	}
+	switch {
+	case size > MostChangeBytes:
+		return nil, ErrTooLarge
+	case len(entries) == 0:
+		return nil, ErrNothing
+	}
+	return entries, nil
+}
+
+func (v *VoterState) has(key Key) bool {
+	e, found := v.store.lookup(key)
+	return found && !e.Deleted
+}
+
+// Difference is the proposal that leads from the record to just the wanted entries. It has no entries if nothing differs.
+func (v *VoterState) Difference(wanted []Entry) Proposal {
+	p := Proposal{Base: v.store.mark}
+	stay := make(map[Key]bool, len(wanted))
+	for _, e := range wanted {
+		stay[e.Key()] = true
+		if has, found := v.store.lookup(e.Key()); !found || has.Deleted || string(has.Value) != string(e.Value) {
+			p.Entries = append(p.Entries, Entry{Scope: e.Scope, Name: e.Name, Value: e.Value})
+		}
+	}
+	v.store.visit(AllScopes(), func(e Entry) bool {
+		if !e.Deleted && !stay[e.Key()] {
+			p.Entries = append(p.Entries, Entry{Scope: e.Scope, Name: e.Name, Deleted: true})
+		}
+		return true
+	})
+	return p
+}
+
+// Mark is the record's position.
+func (v *VoterState) Mark() Mark { return v.store.mark }
+
+// Digest is that of all entries.
+func (v *VoterState) Digest() Digest { return v.store.digest }
+
+// State is the whole record, for a snapshot. Its entries do not change with later proposals.
+func (v *VoterState) State() State { return v.store.state() }
+
+// Empty tells whether the record has never had an epoch, and so nothing that a snapshot has to keep.
+func (v *VoterState) Empty() bool { return !v.store.mark.Epoch.Known() }
--- /dev/null
+++ b/distribution/voter_test.go
@@ -0,0 +1,151 @@
+package distribution
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+func value(text string) []byte { return []byte(text) }
+
+func founded(t *testing.T) *VoterState {
+	t.Helper()
+	v := NewVoterState()
+	if !v.Found(Epoch{Number: 7, Identity: 1}) {
+		t.Fatal("not founded")
+	}
+	return v
+}
+
+func accepts(t *testing.T, v *VoterState, entries ...Entry) Change {
+	t.Helper()
+	change, err := v.Accept(Proposal{AcceptedAt: 5, Entries: entries})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return change
+}
+
+func TestVoterState(t *testing.T) {
+	v := NewVoterState()
+	if _, err := v.Accept(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNotFounded) || !v.Empty() {
+		t.Errorf("without an epoch: %v", err)
+	}
+	v = founded(t)
+	if v.Found(Epoch{Number: 9}) || v.Mark().Epoch.Number != 7 {
+		t.Error("the epoch was replaced")
+	}
+	change := accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
+	if change.Revision != 1 || change.AcceptedAt != 5 || len(change.Entries) != 2 {
+		t.Errorf("accepted as %+v", change)
+	}
+	seen := v.Mark()
+	accepts(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
+	if _, err := v.Accept(Proposal{Base: seen, Entries: []Entry{{Scope: "s", Name: "c"}}}); !errors.Is(err, ErrMoved) {
+		t.Errorf("on an older base: %v", err)
+	}
+	if v.Mark().Revision != 2 {
+		t.Errorf("at %+v", v.Mark())
+	}
+}
+
+func TestVoterStateRefusesWhole(t *testing.T) {
+	large := Entry{Scope: "s", Name: "large", Value: make([]byte, MostChangeBytes)}
+	for name, refused := range map[string]struct {
+		entries []Entry
+		why     error
+	}{
+		"nothing":                   {nil, ErrNothing},
+		"deletes what is not there": {[]Entry{{Scope: "s", Name: "x", Deleted: true}}, ErrNothing},
+		"no scope":                  {[]Entry{{Scope: "s", Name: "b"}, {Name: "a"}}, ErrMalformed},
+		"no name":                   {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s"}}, ErrMalformed},
+		"twice":                     {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s", Name: "b"}}, ErrMalformed},
+		"long name":                 {[]Entry{{Scope: "s", Name: strings.Repeat("n", MostKeyBytes+1)}}, ErrMalformed},
+		"too large":                 {[]Entry{{Scope: "s", Name: "b"}, large}, ErrTooLarge},
+	} {
+		t.Run(name, func(t *testing.T) {
+			v := founded(t)
+			accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")})
+			mark, digest := v.Mark(), v.Digest()
+			if _, err := v.Accept(Proposal{Entries: refused.entries}); !errors.Is(err, refused.why) {
+				t.Errorf("got %v", err)
+			}
+			if v.Mark() != mark || v.Digest() != digest {
+				t.Error("something was applied")
+			}
+		})
+	}
+}
+
+func TestVoterStateFull(t *testing.T) {
+	v := founded(t)
+	body := make([]byte, MostChangeBytes/2)
+	for i := 0; ; i++ {
+		before := v.Mark()
+		_, err := v.Accept(Proposal{Entries: []Entry{{Scope: "s", Name: fmt.Sprint(i), Value: body}}})
+		if err == nil && i <= MostStateBytes/len(body) {
+			continue
+		}
+		if !errors.Is(err, ErrFull) || v.Mark() != before {
+			t.Errorf("entry %d: %v", i, err)
+		}
+		return
+	}
+}
+
+func TestDifference(t *testing.T) {
+	v := founded(t)
+	accepts(t, v, Entry{Scope: "s", Name: "same", Value: value("1")}, Entry{Scope: "s", Name: "other", Value: value("1")},
+		Entry{Scope: "r", Name: "gone", Value: value("1")}, Entry{Scope: "r", Name: "buried", Value: value("1")})
+	accepts(t, v, Entry{Scope: "r", Name: "buried", Deleted: true})
+	wanted := []Entry{{Scope: "s", Name: "same", Value: value("1")}, {Scope: "s", Name: "other", Value: value("2")},
+		{Scope: "t", Name: "new", Value: value("3")}}
+	p := v.Difference(wanted)
+	var names []string
+	for _, e := range p.Entries {
+		names = append(names, fmt.Sprint(e.Name, e.Deleted))
+	}
+	if got := strings.Join(names, " "); got != "otherfalse newfalse gonetrue" || p.Base != v.Mark() {
+		t.Errorf("proposes %s on %+v", got, p.Base)
+	}
+	if _, err := v.Accept(p); err != nil {
+		t.Fatal(err)
+	}
+	if p := v.Difference(wanted); len(p.Entries) != 0 {
+		t.Errorf("still differs in %+v", p.Entries)
+	}
+}
+
+// A record that is restored goes on as the one that it was taken from.
+func TestVoterStateRestored(t *testing.T) {
+	v := founded(t)
+	accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
+	accepts(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
+	kept := v.State()
+	other := RestoreVoterState(kept)
+	for _, state := range []*VoterState{v, other} {
+		accepts(t, state, Entry{Scope: "s", Name: "a", Value: value("3")})
+		accepts(t, state, Entry{Scope: "r", Name: "b", Deleted: true})
+	}
+	if v.Mark() != other.Mark() || v.Digest() != other.Digest() || fmt.Sprint(v.State()) != fmt.Sprint(other.State()) {
+		t.Errorf("%+v\n%+v", v.State(), other.State())
+	}
+	if again := RestoreVoterState(kept); again.Mark().Revision != 2 || len(kept.Entries) != 2 {
+		t.Error("what was kept changed with later proposals")
+	}
+}
+
+// Tombstones are bounded, and the horizon says from where on none is missing.
+func TestVoterStateForgetsTombstones(t *testing.T) {
+	v := founded(t)
+	const more = 5
+	for i := range DefaultTombstones + more {
+		name := fmt.Sprint(i)
+		accepts(t, v, Entry{Scope: "s", Name: name})
+		accepts(t, v, Entry{Scope: "s", Name: name, Deleted: true})
+	}
+	if state := v.State(); len(state.Entries) != DefaultTombstones || state.Horizon != 2*more {
+		t.Errorf("%d entries, horizon %d", len(state.Entries), state.Horizon)
+	}
+}
