--- a/distribution/digest.go
+++ b/distribution/digest.go
@@ -7,8 +7,8 @@
 )
 
 // Digest is a running sum over the live entries of some scopes, independent of their order: two nodes with the same
-// digest have the same entries, values, revisions and times of acceptance. It guards against faults, not against forgery; members
-// are authenticated by the connections that carry the messages.
+// digest have the same entries, values, revisions and times of acceptance. It guards against faults, not against
+// forgery; members are authenticated by the connections that carry the messages.
 type Digest struct {
 	High uint64 `cbor:"1,keyasint,omitempty"`
 	Low  uint64 `cbor:"2,keyasint,omitempty"`
--- a/distribution/entry.go
+++ b/distribution/entry.go
@@ -25,7 +25,7 @@
 func (e Epoch) Newer(other Epoch) bool { return e.Number > other.Number }
 
 // Known tells whether e is the epoch of any record at all.
-func (e Epoch) Known() bool { return e != Epoch{} }
+func (e Epoch) Known() bool { return e.Number > 0 }
 
 func (e Epoch) String() string { return fmt.Sprintf("%d-%016x", e.Number, e.Identity) }
 
@@ -78,6 +78,8 @@
 // State is the whole configuration at one revision: what a voter's snapshot of the record holds.
 type State struct {
 	Mark Mark `cbor:"1,keyasint,omitempty"`
+	// Covered are the scopes that the entries are complete for. A voter has all, whatever this says.
+	Covered Scopes `cbor:"4,keyasint,omitempty"`
 	// Horizon is the revision after which no tombstone is missing among the entries.
 	Horizon uint64  `cbor:"2,keyasint,omitempty"`
 	Entries []Entry `cbor:"3,keyasint,omitempty"`
@@ -120,6 +122,11 @@
 	return true
 }
 
+// Equal tells whether both cover the same.
+func (s Scopes) Equal(other Scopes) bool {
+	return s.All == other.All && (s.All || slices.Equal(s.Names, other.Names))
+}
+
 // wellFormed tells whether the names are sorted and each there once, as Has relies on.
 func (s Scopes) wellFormed() bool {
 	for i := 1; i < len(s.Names); i++ {
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -33,8 +33,10 @@
 	BackoffLeast int64 // µs to wait after a first failure, before jitter
 	BackoffMost  int64 // µs to wait after many
 	HedgeAfter   int64 // µs after which a second parent is dialled beside one that has not admitted yet
+	RetryMost    int64 // µs after which a refused child may come again at the latest
 	Candidates   int   // possible parents kept, configured ones not counted
 	Proposed     int   // candidates in one message
+	ScopesMost   int   // scopes named in one subscription
 }
 
 // Defaults of the limits.
@@ -59,10 +61,12 @@
 	DefaultPaceBytes  = 16 * kibibyte
 
 	DefaultBackoffLeast = 200 * millisecond
-	DefaultBackoffMost  = 10 * second
+	DefaultBackoffMost  = 2 * second
+	DefaultRetryMost    = 10 * second
 	DefaultHedgeAfter   = 400 * millisecond
 	DefaultCandidates   = 32
 	DefaultProposed     = 4
+	DefaultScopesMost   = 4096
 )
 
 // DefaultLimits are limits for a subscriber among some ten thousand.
@@ -89,8 +93,10 @@
 
 		BackoffLeast: DefaultBackoffLeast,
 		BackoffMost:  DefaultBackoffMost,
+		RetryMost:    DefaultRetryMost,
 		HedgeAfter:   DefaultHedgeAfter,
 		Candidates:   DefaultCandidates,
 		Proposed:     DefaultProposed,
+		ScopesMost:   DefaultScopesMost,
 	}
 }
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -48,13 +48,15 @@
 	RefusedTooDeep                             // the tree would be deeper than its bound
 	RefusedEmpty                               // the parent has no configuration yet
 	RefusedMalformed                           // the request breaks a rule of the messages
+	RefusedConflict                            // the child has an epoch of the same number founded by others
 )
 
 func (r RefusalReason) String() string {
 	return nameOf(refusalNames[:], int(r))
 }
 
-var refusalNames = [...]string{"none", "full", "busy", "not covered", "loop", "too deep", "empty", "malformed"}
+var refusalNames = [...]string{"none", "full", "busy", "not covered", "loop", "too deep", "empty", "malformed",
+	"epoch conflict"}
 
 // Refused says that the receiver gets no place, or loses the one that it had.
 type Refused struct {
@@ -85,7 +87,8 @@
 	Digest  Digest  `cbor:"6,keyasint,omitempty"` // of the whole; in the last piece
 }
 
-// Heartbeat says that the parent is there, and moves the child past revisions with nothing in its scopes.
+// Heartbeat says that the parent is there, and moves the child past revisions with nothing in its scopes. Without an
+// epoch it moves nothing: the child's deltas or snapshot are still due, or the parent is behind the child.
 type Heartbeat struct {
 	Epoch      Epoch    `cbor:"1,keyasint,omitempty"`
 	Previous   uint64   `cbor:"2,keyasint,omitempty"` // as in Delta
@@ -94,7 +97,7 @@
 	Path       []string `cbor:"5,keyasint,omitempty"` // as in Admitted
 	Age        int64    `cbor:"6,keyasint,omitempty"` // as in Admitted
 	Candidates []string `cbor:"7,keyasint,omitempty"` // only now and then
-	// Source is what the parent has. It differs from Revision while the child's deltas or snapshot are still due.
+	// Source is what the parent has.
 	Source Mark `cbor:"8,keyasint,omitempty"`
 }
 
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -2,8 +2,8 @@
 // is below whom in a tree of bounded fan-out, what each receives, and what it refuses.
 //
 // A Node does no I/O, has no clock and starts nothing: it is driven by calls that hand in the time, and acts through
-// its Host. The calls of one node come one at a time. Times called now are in microseconds of any clock that never goes back, of this
-// node alone; only AcceptedAt is wall time.
+// its Host. The calls of one node come one at a time. Times called now are in microseconds of any clock that never
+// goes back, of this node alone; only AcceptedAt is wall time.
 package distribution
 
 // Link is a connection to another node as long as it lives. Zero is none.
@@ -16,7 +16,7 @@
 	// Send puts a message on a link, after those before it. It never waits; a host that cannot keep the message closes
 	// the link and says so by Closed. The message must not be modified afterwards.
 	Send(link Link, m Message)
-	// Close ends a link, or a dial, once what was sent on it has left. Closed must not be called for it, though it does no harm.
+	// Close ends a link, or a dial, once what was sent on it has left. Closed need not be called for it.
 	Close(link Link, reason CloseReason)
 	// Apply has the controller act by a change: each entry has its revision and its time of acceptance. If whole,
 	// the entries are all that there is, and what is not among them is gone.
@@ -33,7 +33,7 @@
 	Voter      bool     // it gets changes from the record by Accepted, and has no parent
 	Scopes     Scopes   // what a subscriber asks for; a voter has all
 	Candidates []string // possible parents, by name; the node's own is left out
-	// Floor is the newest mark known from before a restart: nothing older is taken.
+	// Floor is the newest mark that a subscriber knows from before a restart: it takes nothing older.
 	Floor  Mark
 	Limits Limits
 }
@@ -75,56 +75,261 @@
 type Node struct {
 	config Config
 	host   Host
-}
+	limits Limits
+	store  *store
+	counts Counts
 
-// New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Elapsed.
-func New(config Config, host Host, now int64) *Node { return &Node{config: config, host: host} }
+	lastLink Link
+	callers  []caller // links that came in and have not subscribed yet
+	children []*child // in the order of their admission
+	credit   int64    // µbytes that snapshots may send now; below zero after a piece larger than was left
+	elapsed  int64    // the last call of Elapsed
+	turn     int      // the child that the next piece is for
 
-// Incoming names the link of a caller that the host has accepted. Its first message must be a Subscribe.
-func (n *Node) Incoming(now int64) Link { return 0 }
+	parent     *upstream   // the place that this node has
+	attempts   []*upstream // to get one, or a better one
+	incoming   *assembly   // the snapshot that is being received
+	doubted    bool        // what the node has is in doubt; only a snapshot of the parent mends it
+	candidates []candidate // configured ones first
+	nextDial   int64
+	failures   int // to get a place, since the source was last known to be current
 
-// Connected says that a dial has succeeded.
-func (n *Node) Connected(link Link, now int64) {}
+	currentAt   int64 // when the source was last known to be current
+	everCurrent bool
+	stale       bool // as last logged
 
-// DialFailed says that a dial has not succeeded; the link is gone.
-func (n *Node) DialFailed(link Link, now int64) {}
+	faults faults
+}
 
-// Received hands in a message that came on a link.
-func (n *Node) Received(link Link, m Message, now int64) {}
+// faults are planted by tests, to show that the checks find them.
+type faults struct {
+	takeGap   bool // a delta that does not follow is taken in
+	takeOlder bool // what an older parent says is taken in
+	applyHalf bool // of a change the first entry alone is applied
+}
 
-// Closed says that a link is gone.
-func (n *Node) Closed(link Link, now int64) {}
+// New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Elapsed.
+func New(config Config, host Host, now int64) *Node {
+	n := &Node{config: config, host: host, limits: config.Limits, elapsed: now, nextDial: now}
+	if config.Voter {
+		n.config.Scopes = AllScopes()
+		n.config.Floor = Mark{} // the record's log is replayed from an older state after a restart
+	}
+	n.credit = int64(n.limits.PieceBytes) * microsecondsPerSecond
+	n.store = newStore(Mark{}, n.config.Scopes)
+	for _, peer := range config.Candidates {
+		n.addCandidate(peer, true)
+	}
+	return n
+}
+
+func (n *Node) newLink() Link {
+	n.lastLink++
+	return n.lastLink
+}
 
 // Accepted hands a voter the next change of the record. Revisions grow, and need not be consecutive. It tells whether
 // the change was taken: not if it is no newer than what the voter has, or of another epoch.
-func (n *Node) Accepted(change Change, now int64) bool { return false }
+func (n *Node) Accepted(change Change, now int64) bool {
+	mark := Mark{change.Epoch, change.Revision}
+	if !n.store.mark.Epoch.Known() {
+		n.store.mark.Epoch = change.Epoch
+	}
+	if change.Epoch != n.store.mark.Epoch || !n.store.mark.Before(mark) || n.older(mark) {
+		n.refuseOlder("", mark)
+		return false
+	}
+	n.apply(n.store.prepare([]Change{change}))
+	n.feedAll(now)
+	return true
+}
 
 // Restored hands a voter the state of a record: at its start, from a snapshot of the record, or empty with a new epoch
 // when a record was founded anew. A subscriber can be started with what it kept. A state older than what the node has
 // is refused.
-func (n *Node) Restored(state State, now int64) bool { return false }
-
-// Current says that the voter has just known its record to be led by a majority, so that nothing newer was accepted
-// anywhere for longer than that takes to reach it.
-func (n *Node) Current(now int64) {}
+func (n *Node) Restored(state State, now int64) bool {
+	covered := state.Covered
+	if n.config.Voter {
+		covered = AllScopes()
+	}
+	conflict := n.conflicts(state.Mark.Epoch)
+	if !state.Mark.Epoch.Known() || n.older(state.Mark) || conflict {
+		n.refuseOlder("", state.Mark)
+		return false
+	}
+	restored := newStore(state.Mark, covered)
+	for _, e := range state.Entries {
+		restored.set(e)
+	}
+	restored.graves.horizon = max(restored.graves.horizon, state.Horizon)
+	n.replaceStore(restored, now)
+	return true
+}
 
-// Resubscribe changes what a subscriber asks for. It keeps what it has until a snapshot of the new scopes is whole.
-func (n *Node) Resubscribe(scopes Scopes, now int64) {}
+// Current says that the voter has just known its record to be led by a majority and itself to have all of it, so that
+// nothing newer was accepted anywhere for longer than that takes to reach it.
+func (n *Node) Current(now int64) { n.knownCurrent(now) }
 
 // Compact drops changes up to a revision from the log, and tombstones up to it, besides what the limits drop.
-func (n *Node) Compact(revision uint64) {}
+func (n *Node) Compact(revision uint64) { n.store.compactTo(revision) }
 
 // Elapsed lets time pass. The host calls it some ten times a second.
-func (n *Node) Elapsed(now int64) {}
+func (n *Node) Elapsed(now int64) {
+	n.watchParent(now)
+	n.watchAttempts(now)
+	n.watchChildren(now)
+	n.beat(now)
+	n.refill(now)
+	n.sendPieces(now)
+	n.seek(now)
+	n.noteStale(now)
+}
 
-// Status tells how the node is.
-func (n *Node) Status(now int64) Status { return Status{} }
+// Closed says that a link is gone.
+func (n *Node) Closed(link Link, now int64) {
+	n.forgetCaller(link)
+	if c := n.child(link); c != nil {
+		n.dropChild(c, 0, now)
+	}
+	n.upstreamClosed(link, now)
+}
+
+// Received hands in a message that came on a link.
+func (n *Node) Received(link Link, m Message, now int64) {
+	switch m := m.(type) {
+	case *Subscribe:
+		n.subscribed(link, m, now)
+	case *Renew:
+		n.renewed(link, m, now)
+	default:
+		n.fromUpstream(link, m, now)
+	}
+}
 
 // Mark is what the node has.
-func (n *Node) Mark() Mark { return Mark{} }
+func (n *Node) Mark() Mark { return n.store.mark }
 
-// State is all that the node has, sorted by key, to be kept for a restart.
-func (n *Node) State() State { return State{} }
+// State is all that the node has, by scope and name, to be kept for a restart.
+func (n *Node) State() State { return n.store.state() }
 
 // Get gives a live entry.
-func (n *Node) Get(key Key) (Entry, bool) { return Entry{}, false }
+func (n *Node) Get(key Key) (Entry, bool) {
+	e, found := n.store.lookup(key)
+	return e, found && !e.Deleted
+}
+
+// Status tells how the node is.
+func (n *Node) Status(now int64) Status {
+	status := Status{
+		Mark:     n.store.mark,
+		Digest:   n.store.digest,
+		Age:      n.age(now),
+		Entries:  n.store.live,
+		LogFloor: n.store.log.floor,
+		Horizon:  n.store.graves.horizon,
+		Counts:   n.counts,
+	}
+	if n.parent != nil {
+		status.Parent, status.Path = n.parent.peer, n.parent.path
+	}
+	for _, c := range n.children {
+		status.Children = append(status.Children, c.name)
+		if c.snapshot != nil {
+			status.Snapshots++
+		}
+	}
+	return status
+}
+
+// age is for how long the source has not been known to be current.
+func (n *Node) age(now int64) int64 {
+	if !n.everCurrent {
+		return NeverCurrent
+	}
+	return now - n.currentAt
+}
+
+// knownCurrent says that what the node has was all that the source had at a time.
+func (n *Node) knownCurrent(at int64) {
+	if !n.everCurrent || at > n.currentAt {
+		n.currentAt, n.everCurrent = at, true
+	}
+}
+
+// noteStale logs when the source falls out of date, and when it is back.
+func (n *Node) noteStale(now int64) {
+	stale := n.everCurrent && n.age(now) > n.limits.StaleMost
+	if stale == n.stale {
+		return
+	}
+	n.stale = stale
+	kind := EventCurrent
+	if stale {
+		kind = EventStale
+	}
+	n.host.Log(Event{Kind: kind, Mark: n.store.mark})
+}
+
+// older tells whether a mark is older than what the node has, or had before it was started.
+func (n *Node) older(mark Mark) bool {
+	return mark.Before(n.store.mark) || mark.Before(n.config.Floor)
+}
+
+// conflicts tells whether an epoch was founded beside the node's, without either knowing of the other.
+func (n *Node) conflicts(epoch Epoch) bool {
+	for _, known := range []Epoch{n.store.mark.Epoch, n.config.Floor.Epoch} {
+		if epoch.Known() && known.Known() && epoch != known && epoch.Number == known.Number {
+			return true
+		}
+	}
+	return false
+}
+
+// refuseOlder notes that something older than what the node has was not taken.
+func (n *Node) refuseOlder(peer string, mark Mark) {
+	n.counts.Older++
+	n.host.Log(Event{Kind: EventOlder, Peer: peer, Mark: mark})
+}
+
+// apply takes over changes that were prepared, one after the other and each of them whole.
+func (n *Node) apply(p prepared) {
+	for _, step := range p.steps {
+		if n.faults.applyHalf {
+			step.entries = step.entries[:1]
+		}
+		n.store.commit(step)
+		n.counts.ChangesTaken++
+		change := step.log.change
+		change.Epoch, change.Entries = n.store.mark.Epoch, step.entries
+		n.host.Apply(change, false)
+	}
+	n.compact()
+}
+
+// replaceStore takes over a whole state in one step.
+func (n *Node) replaceStore(whole *store, now int64) {
+	n.store = whole
+	n.host.Apply(Change{
+		Epoch:    whole.mark.Epoch,
+		Revision: whole.mark.Revision,
+		Entries:  whole.collect(AllScopes(), false),
+	}, true)
+	n.compact()
+	n.dropUncovered(now)
+	n.feedAll(now)
+}
+
+// compact keeps the log and the tombstones within their limits.
+func (n *Node) compact() {
+	if n.store.compact(n.limits) {
+		n.host.Log(Event{Kind: EventCompacted, Mark: Mark{n.store.mark.Epoch, n.store.log.floor}})
+	}
+}
+
+// jitter draws a time up to a bound.
+func (n *Node) jitter(most int64) int64 {
+	if most <= 0 {
+		return 0
+	}
+	return int64(n.host.Chance() % uint64(most))
+}
