--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -27,12 +27,12 @@
 
 // hollowMember takes part in the record with the same code as a real controller, and has no proxies.
 type hollowMember struct {
-	name  string
-	node  *replica.Node
-	desk  *share.Desk
-	began time.Time
-	mail  chan func()
-	done  chan struct{}
+	name        string
+	node        *replica.Node
+	coordinator *share.Coordinator
+	began       time.Time
+	mail        chan func()
+	done        chan struct{}
 
 	entered atomic.Bool // on the record
 }
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.desk = share.New(hollowHost{m}, name, terms, m.now())
+	m.coordinator = share.New(hollowHost{m}, name, terms, m.now())
 	running.Go(func() { m.run(ctx, hollowLease/renewsPerLease/2) })
 	running.Go(func() { m.node.Run(ctx) })
 	return m, nil
@@ -55,7 +55,7 @@
 
 func (m *hollowMember) now() int64 { return time.Since(m.began).Microseconds() }
 
-// run is the member's event loop; the desk is called from nowhere else.
+// run is the member's event loop; the coordinator is called from nowhere else.
 func (m *hollowMember) run(ctx context.Context, tick time.Duration) {
 	defer close(m.done)
 	ticks := time.NewTicker(tick)
@@ -67,7 +67,7 @@
 		case what := <-m.mail:
 			what()
 		case <-ticks.C:
-			m.desk.Elapsed(m.now())
+			m.coordinator.Elapsed(m.now())
 		}
 	}
 }
@@ -80,26 +80,26 @@
 	}
 }
 
-// hollowEvents hands on to the desk what becomes of the record.
+// hollowEvents hands on to the coordinator what becomes of the record.
 type hollowEvents struct{ *hollowMember }
 
 func (e hollowEvents) Recorded(entry share.Entry) {
-	e.post(func() { e.desk.Recorded(entry, e.now()) })
+	e.post(func() { e.coordinator.Recorded(entry, e.now()) })
 }
 
-func (e hollowEvents) Restored(book *share.Book) {
-	e.post(func() { e.desk.Restored(book, e.now()) })
+func (e hollowEvents) Restored(record *share.Record) {
+	e.post(func() { e.coordinator.Restored(record, e.now()) })
 }
 
 func (e hollowEvents) Answered(life, seq uint64) {
-	e.post(func() { e.desk.Answered(life, seq, e.now()) })
+	e.post(func() { e.coordinator.Answered(life, seq, e.now()) })
 }
 
 func (e hollowEvents) Failed(life, seq uint64) {
-	e.post(func() { e.desk.Failed(life, seq, e.now()) })
+	e.post(func() { e.coordinator.Failed(life, seq, e.now()) })
 }
 
-// hollowHost is the place that a hollow member's desk works in: there are no proxies to be granted or written to.
+// hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
 type hollowHost struct{ *hollowMember }
 
 func (h hollowHost) Propose(e share.Entry)                                   { h.node.Propose(e) }
