--- a/distribution/voter.go
+++ b/distribution/voter.go
@@ -4,22 +4,25 @@
 
 // Proposal asks the voters for one change: all of its entries become one revision, or none does.
 type Proposal struct {
-	// Base is what the proposer had seen. If it is known and the record has moved on, the proposal is refused.
-	Base Mark `cbor:"1,keyasint,omitempty"`
+	// Conditional has it refused unless the record is at Base, which is what the proposer had seen.
+	Conditional bool `cbor:"1,keyasint,omitempty"`
+	Base        Mark `cbor:"2,keyasint,omitempty"`
+	// Epoch is set by the leader; it becomes that of the record if it has none yet.
+	Epoch Epoch `cbor:"3,keyasint,omitempty"`
 	// AcceptedAt is set by the leader: the wall time in microseconds at which it took the proposal.
-	AcceptedAt int64 `cbor:"2,keyasint,omitempty"`
+	AcceptedAt int64 `cbor:"4,keyasint,omitempty"`
 	// Entries have a scope, a name, and a value or Deleted.
-	Entries []Entry `cbor:"3,keyasint,omitempty"`
+	Entries []Entry `cbor:"5,keyasint,omitempty"`
 }
 
 // Why a proposal is refused.
 var (
-	ErrNotFounded = errors.New("the record has no epoch yet")
-	ErrMoved      = errors.New("the record has changed since")
-	ErrNothing    = errors.New("it changes nothing")
-	ErrMalformed  = errors.New("an entry has no scope or name, or is there twice")
-	ErrTooLarge   = errors.New("it is over the bound on a change")
-	ErrFull       = errors.New("the configuration would be over its bound")
+	ErrNoEpoch   = errors.New("neither the record nor the proposal has an epoch")
+	ErrMoved     = errors.New("the record has changed since")
+	ErrNothing   = errors.New("it changes nothing")
+	ErrMalformed = errors.New("an entry has no scope or name, or is there twice")
+	ErrTooLarge  = errors.New("it is over the bound on a change")
+	ErrFull      = errors.New("the configuration would be over its bound")
 )
 
 // Bounds on what the voters accept. They are the same at all voters, as each works out alone what is accepted.
@@ -35,7 +38,8 @@
 	store *store
 }
 
-// NewVoterState is a record without an epoch, which accepts nothing.
+// NewVoterState is a record without an epoch: the first change that is accepted brings it, so that no record is handed
+// out that is empty only because the one before it was lost.
 func NewVoterState() *VoterState { return &VoterState{newStore(Mark{}, AllScopes())} }
 
 // RestoreVoterState is a record as a snapshot has it.
@@ -48,24 +52,18 @@
 	return v
 }
 
-// Found gives the record its epoch, which stays; false if it has one.
-func (v *VoterState) Found(epoch Epoch) bool {
-	if v.store.mark.Epoch.Known() || !epoch.Known() {
-		return false
-	}
-	v.store.mark.Epoch = epoch
-	return true
-}
-
 // Accept makes a proposal the next revision, or refuses it whole.
 func (v *VoterState) Accept(p Proposal) (Change, error) {
 	mark := v.store.mark
-	switch {
-	case !mark.Epoch.Known():
-		return Change{}, ErrNotFounded
-	case p.Base.Epoch.Known() && p.Base != mark:
+	if p.Conditional && p.Base != mark {
 		return Change{}, ErrMoved
 	}
+	if !mark.Epoch.Known() {
+		mark.Epoch = p.Epoch
+	}
+	if !mark.Epoch.Known() {
+		return Change{}, ErrNoEpoch
+	}
 	change := Change{Epoch: mark.Epoch, Revision: mark.Revision + 1, AcceptedAt: p.AcceptedAt}
 	var err error
 	if change.Entries, err = v.effective(p.Entries); err != nil {
@@ -75,6 +73,7 @@
 	if prepared.bytes > MostStateBytes {
 		return Change{}, ErrFull
 	}
+	v.store.mark.Epoch = mark.Epoch
 	v.store.commit(prepared.steps[0])
 	limits := DefaultLimits()
 	limits.LogChanges = 0 // the log for deltas is that of the voter's node
@@ -118,7 +117,7 @@
 
 // Difference is the proposal that leads from the record to just the wanted entries. It has no entries if nothing differs.
 func (v *VoterState) Difference(wanted []Entry) Proposal {
-	p := Proposal{Base: v.store.mark}
+	p := Proposal{Conditional: true, Base: v.store.mark}
 	stay := make(map[Key]bool, len(wanted))
 	for _, e := range wanted {
 		stay[e.Key()] = true
@@ -144,5 +143,5 @@
 // State is the whole record, for a snapshot. Its entries do not change with later proposals.
 func (v *VoterState) State() State { return v.store.state() }
 
-// Empty tells whether the record has never had an epoch, and so nothing that a snapshot has to keep.
+// Empty tells whether nothing was ever accepted, so that a snapshot has nothing to keep.
 func (v *VoterState) Empty() bool { return !v.store.mark.Epoch.Known() }
--- a/subscribe/carrier.go
+++ b/subscribe/carrier.go
@@ -161,7 +161,10 @@
 		e.call(now)
 		return
 	case accepted:
-		e.link.id = c.node.Incoming(now)
+		if e.link.id = c.node.Incoming(now); e.link.id == 0 {
+			e.link.close()
+			return
+		}
 		c.links[e.link.id] = e.link
 		return
 	}
