--- /dev/null
+++ b/scale/content.go
@@ -0,0 +1,169 @@
+package scale
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"wheelrill/distribution"
+)
+
+// What is distributed, by assumption: services stand in groups, a controller serves one group and what is common to all.
+const (
+	servicesPerGroup    = 57  // of 5,700 in 100 groups
+	controllersPerGroup = 110 // of 11,000
+	commonEntries       = 20
+	valueBytes          = 48
+	mostEntriesChanged  = 3  // of one change
+	commonChanges       = 10 // one change in so many goes to all
+	drainChanges        = 5  // one in so many sets or ends a drain, which is an entry that comes and goes
+)
+
+const commonScope = "common"
+
+func groupScope(group int) string { return fmt.Sprintf("group/%03d", group) }
+
+func groupsOf(controllers int) int {
+	return max(1, (controllers+controllersPerGroup-1)/controllersPerGroup)
+}
+
+// content is the configuration as it was proposed, change by change: what nodes are compared with.
+type content struct {
+	mutex   sync.Mutex
+	random  *rand.Rand
+	groups  int
+	changes []distribution.Change // by revision, as voters accepted them
+	stood   map[uint64]time.Time  // when the first voter had a revision from the record
+}
+
+func newContent(groups int, seed uint64) *content {
+	return &content{random: rand.New(rand.NewPCG(seed, contentSeed)), groups: groups, stood: map[uint64]time.Time{}}
+}
+
+const contentSeed = 7 // tells what is drawn here from what is drawn elsewhere by the same seed
+
+// initial gives all entries at the start, in proposals.
+func (c *content) initial() (proposals [][]distribution.Entry) {
+	var common []distribution.Entry
+	for i := range commonEntries {
+		common = append(common, c.entry(commonScope, fmt.Sprintf("tenant/%d", i)))
+	}
+	proposals = append(proposals, common)
+	for group := range c.groups {
+		var entries []distribution.Entry
+		for i := range servicesPerGroup {
+			entries = append(entries, c.entry(groupScope(group), fmt.Sprintf("service/%d", i)))
+		}
+		proposals = append(proposals, entries)
+	}
+	return proposals
+}
+
+func (c *content) entry(scope, name string) distribution.Entry {
+	value := make([]byte, valueBytes)
+	for i := range value {
+		value[i] = byte(c.random.UintN(256))
+	}
+	return distribution.Entry{Scope: scope, Name: name, Value: value}
+}
+
+// draw gives the entries of the next change: some of one group, or some that go to all.
+func (c *content) draw() (entries []distribution.Entry) {
+	scope, names, kind := groupScope(c.random.IntN(c.groups)), servicesPerGroup, "service"
+	if c.random.IntN(commonChanges) == 0 {
+		scope, names, kind = commonScope, commonEntries, "tenant"
+	}
+	standing := c.stateAt(c.last(), distribution.SomeScopes(scope))
+	for _, i := range c.random.Perm(names)[:1+c.random.IntN(mostEntriesChanged)] {
+		name := fmt.Sprintf("%s/%d", kind, i)
+		drain := c.random.IntN(drainChanges) == 0
+		if drain {
+			name += "/drain"
+		}
+		e := c.entry(scope, name)
+		if _, live := standing[e.Key()]; drain && live {
+			e.Deleted, e.Value = true, nil
+		}
+		entries = append(entries, e)
+	}
+	return entries
+}
+
+// accepted notes a change as the voters have it.
+func (c *content) accepted(change distribution.Change) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.changes) == 0 || c.changes[len(c.changes)-1].Revision < change.Revision {
+		c.changes, c.stood[change.Revision] = append(c.changes, change), time.Now()
+	}
+}
+
+// acceptedAt is when a revision was accepted: as its leader noted it, unless it came to stand only after its proposer had
+// been told that it did not, as where the majority was lost.
+func (c *content) acceptedAt(revision uint64, noted int64) time.Time {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	at := time.UnixMicro(noted)
+	if stood, ok := c.stood[revision]; ok && stood.Sub(at) > proposeWithin {
+		return stood
+	}
+	return at
+}
+
+// last is the newest revision.
+func (c *content) last() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.changes) == 0 {
+		return 0
+	}
+	return c.changes[len(c.changes)-1].Revision
+}
+
+// stateAt is what some scopes hold at a revision.
+func (c *content) stateAt(revision uint64, scopes distribution.Scopes) map[distribution.Key]distribution.Entry {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	state := map[distribution.Key]distribution.Entry{}
+	for _, change := range c.changes {
+		if change.Revision > revision {
+			break
+		}
+		for _, e := range change.Entries {
+			switch key := e.Key(); {
+			case !scopes.Has(e.Scope):
+			case e.Deleted:
+				delete(state, key)
+			default:
+				e.Revision = change.Revision
+				state[key] = e
+			}
+		}
+	}
+	return state
+}
+
+// differs says how a node's entries differ from what they should be at its revision; empty where they do not.
+func (c *content) differs(state distribution.State, scopes distribution.Scopes) string {
+	want := c.stateAt(state.Mark.Revision, scopes)
+	live := 0
+	for _, e := range state.Entries {
+		if e.Deleted {
+			continue
+		}
+		live++
+		switch wanted, ok := want[e.Key()]; {
+		case !ok:
+			return fmt.Sprintf("at revision %d it has %s %s, which is not there", state.Mark.Revision, e.Scope, e.Name)
+		case !slices.Equal(wanted.Value, e.Value) || wanted.Revision != e.Revision:
+			return fmt.Sprintf("at revision %d it has %s %s of revision %d, not of %d", state.Mark.Revision, e.Scope, e.Name, e.Revision,
+				wanted.Revision)
+		}
+	}
+	if live != len(want) {
+		return fmt.Sprintf("at revision %d it has %d entries, not %d", state.Mark.Revision, live, len(want))
+	}
+	return ""
+}
--- /dev/null
+++ b/scale/distribution.go
@@ -0,0 +1,166 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+)
+
+// distributed is what distribution below the record costs and how fast it is: voters, distributors and subscribers.
+type distributed struct{}
+
+// treeRole is a role as figures are given of it.
+type treeRole struct{ name, about string }
+
+func treeRoles() []treeRole {
+	return []treeRole{{"subscriber", "a subscriber without children"}, {"parent", "a subscriber that passes on"},
+		{"distributor", "a distributor"}, {"voter", "a voter"}}
+}
+
+// Describe says what it is.
+func (distributed) Describe() Description {
+	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", Size: "subscribers",
+		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{controllersToCome}, Transport: "memory"}
+	for _, rate := range changeRates() {
+		d.Metrics = append(d.Metrics,
+			Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Most: mostInForce, Fit: true},
+			Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Most: mostInForce, Fit: true},
+			Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Most: mostInForce, Fit: true})
+		for _, of := range treeRoles() {
+			d.Metrics = append(d.Metrics,
+				Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Most: mostBytesPerS, Fit: true},
+				Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", worst, " + rate.about, Most: mostBytesPerS, Fit: true},
+				Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Most: mostProcessor},
+				Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Most: mostProcessor})
+		}
+	}
+	d.Metrics = append(d.Metrics,
+		Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Most: mostMegabytes},
+		Metric{Name: "depth", Unit: "nodes", About: "from a voter to the deepest subscriber"},
+		Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Most: mostMachines, Fit: true},
+		Metric{Name: "ready", Unit: "s", About: "until all have their configuration, all starting at once"})
+	return d
+}
+
+// Needs are those of all nodes in our process.
+func (distributed) Needs(size int, o Options) Needs {
+	return Needs{Memory: treeMemory + int64(size)*subscriberMemory,
+		Time: startsWithin + readyWithin + time.Duration(len(changeRates()))*(o.For+settleWithin)}
+}
+
+// Run makes changes at each pace, and reads what each node passed on and when it acted.
+func (distributed) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	t, err := newTree(ctx, size, o)
+	if err != nil {
+		return s, err
+	}
+	defer t.close()
+	for _, rate := range changeRates() {
+		o.say("%d subscribers, ready after %.1f s, %s", size, t.ready.Seconds(), rate.about)
+		if err := t.pace(ctx, rate, &s); err != nil {
+			return s, err
+		}
+	}
+	usage, err := UsageOf(os.Getpid())
+	if err != nil {
+		return s, err
+	}
+	s.Set("memory", float64(usage.Memory)/megabyte/float64(len(t.nodes())+len(t.voters.voters)))
+	s.Set("depth", float64(t.depth()))
+	s.Set("machines", float64(len(t.voters.voters)+len(t.distributors)))
+	s.Set("ready", t.ready.Seconds())
+	if needless := t.needless(); needless > 0 {
+		t.inForce.breaks("%d snapshots were taken where deltas would have done", needless)
+	}
+	s.Broken = t.inForce.broken
+	return s, nil
+}
+
+// pace makes changes at one pace for a while, and notes what that cost.
+func (t *tree) pace(ctx context.Context, rate changeRate, s *Sample) error {
+	t.inForce.reset()
+	before, spent, began := t.bytes(), processorOfSelf(), time.Now()
+	made, err := t.change(ctx, rate.perS, began.Add(t.options.For))
+	if err != nil {
+		return err
+	}
+	after, took, seconds := t.bytes(), processorOfSelf()-spent, time.Since(began).Seconds()
+	if err := t.settle(ctx); err != nil {
+		return err
+	}
+	s.Set("half"+rate.suffix, t.inForce.seconds(t.inForce.each, 50))
+	s.Set("p99"+rate.suffix, t.inForce.seconds(t.inForce.each, 99))
+	s.Set("most"+rate.suffix, t.inForce.seconds(t.inForce.each, 100))
+	if made == 0 {
+		s.Unknown = fmt.Sprintf("no change was made within %s", t.options.For)
+	}
+	all := 0.
+	for name := range after {
+		all += float64(after[name] - before[name])
+	}
+	byRole := t.byRole()
+	for _, of := range treeRoles() {
+		sum, worst := 0., 0.
+		for _, name := range byRole[of.name] {
+			passed := float64(after[name] - before[name])
+			sum, worst = sum+passed, max(worst, passed)
+		}
+		if n := float64(len(byRole[of.name])); n > 0 {
+			s.Set(of.name+"_bytes_per_s"+rate.suffix, sum/n/seconds)
+			s.Set(of.name+"_bytes_per_s_worst"+rate.suffix, worst/seconds)
+			s.Set(of.name+"_processor"+rate.suffix, percent*took.Seconds()/seconds*sum/n/all)
+			s.Set(of.name+"_processor_worst"+rate.suffix, percent*took.Seconds()/seconds*worst/all)
+		}
+	}
+	return nil
+}
+
+// bytes is what each node has passed over its links so far.
+func (t *tree) bytes() map[string]int64 {
+	of := map[string]int64{}
+	for _, s := range t.nodes() {
+		of[s.name] = s.bytes()
+	}
+	for _, v := range t.voters.voters {
+		of[v.name] = v.bytes()
+	}
+	return of
+}
+
+// byRole gives the names of the nodes by the roles that figures are given of.
+func (t *tree) byRole() map[string][]string {
+	of := map[string][]string{}
+	for _, s := range t.nodes() {
+		role := "subscriber"
+		if status, ok := s.status(); s.role == roleDistributor {
+			role = "distributor"
+		} else if ok && len(status.Children) > 0 {
+			role = "parent"
+		}
+		of[role] = append(of[role], s.name)
+	}
+	for _, v := range t.voters.voters {
+		of["voter"] = append(of["voter"], v.name)
+	}
+	return of
+}
+
+// depth is the number of nodes from a voter to the deepest subscriber.
+func (t *tree) depth() (most int) {
+	for _, s := range t.nodes() {
+		if status, ok := s.status(); ok {
+			most = max(most, len(status.Path)+1)
+		}
+	}
+	return most
+}
+
+// processorOfSelf is the processor time that our process has taken.
+func processorOfSelf() time.Duration {
+	usage, err := UsageOf(os.Getpid())
+	if err != nil {
+		return 0
+	}
+	return usage.Processor
+}
--- /dev/null
+++ b/scale/network.go
@@ -0,0 +1,175 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"time"
+)
+
+// network connects nodes of one process by connections in memory. A region can be cut off: what is sent into it or out
+// of it waits, and so do dials and closes, as on a way that loses all packets.
+type network struct {
+	mutex   sync.Mutex
+	at      map[string]endpoint
+	healed  chan struct{} // closed with the end of a cut; nil while there is none
+	cut     int           // the region, while there is a cut
+	closing []net.Conn    // closed on one side during a cut, which the other side hears of later
+	serving sync.WaitGroup
+}
+
+// endpoint is where a node takes connections in.
+type endpoint struct {
+	region int
+	accept func(net.Conn)
+}
+
+func newNetwork() *network { return &network{at: map[string]endpoint{}} }
+
+// listen has a node take connections in under its name.
+func (n *network) listen(name string, region int, accept func(net.Conn)) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	n.at[name] = endpoint{region, accept}
+}
+
+// leave has dials to a name be refused.
+func (n *network) leave(name string) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	delete(n.at, name)
+}
+
+// dial connects a node in a region to another by its name.
+func (n *network) dial(ctx context.Context, region int, name string) (net.Conn, error) {
+	for {
+		to, healed, err := n.way(region, name)
+		if err != nil {
+			return nil, err
+		}
+		if healed == nil {
+			near, far := net.Pipe()
+			closed := make(chan struct{})
+			n.serving.Go(func() {
+				to.accept(&memoryConn{Conn: far, of: n, from: to.region, to: region, closed: make(chan struct{})})
+			})
+			return &memoryConn{Conn: near, of: n, from: region, to: to.region, closed: closed}, nil
+		}
+		select {
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		case <-healed:
+		}
+	}
+}
+
+// way looks a name up; healed is not nil where a cut lies between.
+func (n *network) way(region int, name string) (to endpoint, healed chan struct{}, err error) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	to, ok := n.at[name]
+	if !ok {
+		return to, nil, fmt.Errorf("dial %s: connection refused", name)
+	}
+	return to, n.between(region, to.region), nil
+}
+
+// between gives what ends with the cut between two regions, nil where there is none.
+func (n *network) between(a, b int) chan struct{} {
+	if n.healed != nil && (a == n.cut) != (b == n.cut) {
+		return n.healed
+	}
+	return nil
+}
+
+// cutOff cuts a region off until heal.
+func (n *network) cutOff(region int) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	n.cut, n.healed = region, make(chan struct{})
+}
+
+// heal ends the cut.
+func (n *network) heal() {
+	n.mutex.Lock()
+	closing := n.closing
+	close(n.healed)
+	n.healed, n.closing = nil, nil
+	n.mutex.Unlock()
+	for _, conn := range closing {
+		conn.Close()
+	}
+}
+
+// memoryConn is one end of a connection.
+type memoryConn struct {
+	net.Conn
+	of       *network
+	from, to int
+	once     sync.Once
+	closed   chan struct{}
+
+	mutex sync.Mutex
+	late  time.Time // for writes; zero for none
+}
+
+// SetWriteDeadline bounds writes, also while a cut holds them.
+func (c *memoryConn) SetWriteDeadline(t time.Time) error {
+	c.mutex.Lock()
+	c.late = t
+	c.mutex.Unlock()
+	return c.Conn.SetWriteDeadline(t)
+}
+
+// Write sends, once no cut lies between.
+func (c *memoryConn) Write(b []byte) (int, error) {
+	for {
+		c.of.mutex.Lock()
+		healed := c.of.between(c.from, c.to)
+		c.of.mutex.Unlock()
+		if healed == nil {
+			return c.Conn.Write(b)
+		}
+		if err := c.waits(healed); err != nil {
+			return 0, err
+		}
+	}
+}
+
+// waits for the end of a cut, the deadline or the close, whichever comes first.
+func (c *memoryConn) waits(healed <-chan struct{}) error {
+	c.mutex.Lock()
+	late := c.late
+	c.mutex.Unlock()
+	var expired <-chan time.Time
+	if !late.IsZero() {
+		timer := time.NewTimer(time.Until(late))
+		defer timer.Stop()
+		expired = timer.C
+	}
+	select {
+	case <-healed:
+		return nil
+	case <-expired:
+		return os.ErrDeadlineExceeded
+	case <-c.closed:
+		return net.ErrClosed
+	}
+}
+
+// Close ends it here at once, and at the other end once no cut lies between.
+func (c *memoryConn) Close() error {
+	c.once.Do(func() { close(c.closed) })
+	c.of.mutex.Lock()
+	held := c.of.between(c.from, c.to) != nil
+	if held {
+		c.of.closing = append(c.of.closing, c.Conn)
+	}
+	c.of.mutex.Unlock()
+	if held {
+		return c.Conn.SetDeadline(time.Unix(1, 0)) // ends reads and writes of ours
+	}
+	return c.Conn.Close()
+}
--- a/scale/record.go
+++ b/scale/record.go
@@ -39,7 +39,7 @@
 // Describe says what it is.
 func (recordReal) Describe() Description {
 	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
-		Sizes: []int{3, 5, 7, 9, 15}, Targets: []int{100, controllersToCome}, Transport: "loopback",
+		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, controllersToCome}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Most: mostProcessor, Fit: true},
 			Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Most: mostProcessor, Fit: true},
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -68,6 +68,7 @@
 		recordReal{},
 		recordHollow{},
 		changeByFile{},
+		distributed{},
 	}
 }
 
--- /dev/null
+++ b/scale/subscriber.go
@@ -0,0 +1,132 @@
+package scale
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"wheelrill/distribution"
+	"wheelrill/subscribe"
+)
+
+// role is what a node does in the tree.
+type role int
+
+const (
+	roleSubscriber role = iota
+	roleDistributor
+	roleVoter
+)
+
+// hollowSubscriber runs the code of a subscriber, and has no proxies.
+type hollowSubscriber struct {
+	name       string
+	role       role
+	region     int
+	scopes     distribution.Scopes
+	candidates []string
+	network    *network
+	inForce    *inForce
+
+	mutex     sync.Mutex
+	carrier   *subscribe.Carrier // of this life
+	stop      context.CancelFunc // nil while it is down
+	ended     chan struct{}
+	seen      uint64    // the newest revision that it acts by
+	reachable time.Time // since when
+	before    spentBefore
+}
+
+// spentBefore is what earlier lives have passed over their links, and taken.
+type spentBefore struct {
+	traffic   subscribe.Traffic
+	snapshots uint64
+}
+
+// start begins a life.
+func (s *hollowSubscriber) start() {
+	ctx, stop := context.WithCancel(context.Background())
+	carrier := subscribe.New(subscribe.Config{
+		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: distribution.DefaultLimits()},
+		Dial:  func(ctx context.Context, peer string) (net.Conn, error) { return s.network.dial(ctx, s.region, peer) },
+		Apply: s.apply})
+	ended := make(chan struct{})
+	s.mutex.Lock()
+	s.carrier, s.stop, s.ended = carrier, stop, ended
+	s.seen, s.reachable = 0, time.Now()
+	s.mutex.Unlock()
+	s.network.listen(s.name, s.region, func(conn net.Conn) { carrier.Accept(conn, nil) })
+	go func() {
+		defer close(ended)
+		carrier.Run(ctx)
+	}()
+}
+
+// kill ends a life as the end of a process would: all connections are closed, and nothing is kept.
+func (s *hollowSubscriber) kill() {
+	s.network.leave(s.name)
+	s.mutex.Lock()
+	stop, ended, carrier := s.stop, s.ended, s.carrier
+	s.stop = nil
+	s.mutex.Unlock()
+	if stop == nil {
+		return
+	}
+	if status, ok := carrier.Status(); ok {
+		s.before.snapshots += status.Counts.SnapshotsTaken
+	}
+	stop()
+	<-ended
+	traffic := carrier.Traffic()
+	s.before.traffic.In += traffic.In
+	s.before.traffic.Out += traffic.Out
+}
+
+// up tells whether it runs.
+func (s *hollowSubscriber) up() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.stop != nil
+}
+
+// apply is told each change, in order.
+func (s *hollowSubscriber) apply(change distribution.Change, whole bool) {
+	s.mutex.Lock()
+	seen, reachable := s.seen, s.reachable
+	s.seen = max(seen, change.Revision)
+	s.mutex.Unlock()
+	if change.Revision < seen || !whole && change.Revision == seen {
+		s.inForce.breaks("%s went from revision %d to %d", s.name, seen, change.Revision)
+	}
+	s.inForce.applied(change, seen, reachable)
+}
+
+// reachableNow notes that it can be reached from now on, after a cut.
+func (s *hollowSubscriber) reachableNow() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.reachable = time.Now()
+}
+
+// bytes is what has passed over its links, in all lives.
+func (s *hollowSubscriber) bytes() int64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	traffic := s.carrier.Traffic()
+	if s.stop == nil {
+		traffic = subscribe.Traffic{}
+	}
+	return s.before.traffic.In + s.before.traffic.Out + traffic.In + traffic.Out
+}
+
+// status asks the node how it is; false while it is down.
+func (s *hollowSubscriber) status() (distribution.Status, bool) {
+	s.mutex.Lock()
+	carrier, up := s.carrier, s.stop != nil
+	s.mutex.Unlock()
+	if !up {
+		return distribution.Status{}, false
+	}
+	return carrier.Status()
+}
--- /dev/null
+++ b/scale/tree.go
@@ -0,0 +1,234 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"wheelrill/distribution"
+)
+
+// Figures of the tree, by assumption.
+const (
+	regions            = 25
+	distributorsToCome = mostMachines - usualVoters // of the machines set aside, those that do not vote
+	usualVoters        = 5
+	leastDistributors  = 2
+	distributorsKnown  = 3 // that a subscriber is configured with as possible parents
+	peersKnown         = 2 // of its group
+	subscriberMemory   = 120 << 10
+	treeMemory         = 256 << 20
+	readyWithin        = 2 * time.Minute
+	checkedAtOnce      = 20 // subscribers compared with the content at a point drawn
+	timeBetweenChecks  = time.Second
+	treeSeed           = 11
+)
+
+// tree is a whole installation in one process: voters, distributors that have all scopes, and subscribers.
+type tree struct {
+	options      Options
+	network      *network
+	content      *content
+	inForce      *inForce
+	voters       *voterGroup
+	distributors []*hollowSubscriber
+	subscribers  []*hollowSubscriber
+	random       *rand.Rand
+	starts       atomic.Int64 // lives that have begun, which need a snapshot each
+	ready        time.Duration
+}
+
+func distributorsOf(controllers int) int {
+	return max(leastDistributors, (distributorsToCome*controllers+controllersToCome-1)/controllersToCome)
+}
+
+// newTree starts an installation, and waits until each node has its configuration.
+func newTree(ctx context.Context, size int, o Options) (*tree, error) {
+	t := &tree{options: o, network: newNetwork(), content: newContent(groupsOf(size), o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed))}
+	t.inForce = newInForce(t.content)
+	t.voters = newVoters(o.Voters, t.network, t.content, t.inForce)
+	t.place(size)
+	if err := t.start(ctx); err != nil {
+		t.close()
+		return nil, err
+	}
+	return t, nil
+}
+
+// place makes the nodes, with their regions, scopes and possible parents.
+func (t *tree) place(size int) {
+	var voters []string
+	for _, v := range t.voters.voters {
+		voters = append(voters, v.name)
+	}
+	for i := range distributorsOf(size) {
+		t.distributors = append(t.distributors, &hollowSubscriber{name: fmt.Sprint("distributor/", i), role: roleDistributor,
+			region: (len(voters) + i) % regions, scopes: distribution.AllScopes(), candidates: voters})
+	}
+	for i := range size {
+		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions,
+			scopes: distribution.SomeScopes(commonScope, groupScope(i%t.content.groups))}
+		for _, d := range t.random.Perm(len(t.distributors))[:min(distributorsKnown, len(t.distributors))] {
+			s.candidates = append(s.candidates, t.distributors[d].name)
+		}
+		for range peersKnown {
+			peer := i%t.content.groups + t.content.groups*t.random.IntN((size+t.content.groups-1)/t.content.groups)
+			s.candidates = append(s.candidates, fmt.Sprint("subscriber/", peer))
+		}
+		t.subscribers = append(t.subscribers, s)
+	}
+	for _, s := range t.nodes() {
+		s.network, s.inForce = t.network, t.inForce
+	}
+}
+
+// nodes are all that do not vote.
+func (t *tree) nodes() []*hollowSubscriber {
+	return append(append([]*hollowSubscriber{}, t.distributors...), t.subscribers...)
+}
+
+// start starts the voters with the first content, then all others at once.
+func (t *tree) start(ctx context.Context) error {
+	if err := t.voters.start(ctx); err != nil {
+		return err
+	}
+	for _, entries := range t.content.initial() {
+		if err := t.voters.propose(ctx, entries); err != nil {
+			return err
+		}
+	}
+	began := time.Now()
+	for _, s := range t.nodes() {
+		t.starts.Add(1)
+		s.start()
+	}
+	if !waitFor(ctx, readyWithin, func() bool { return t.waiting() == 0 }) {
+		return fmt.Errorf("%d of %d subscribers have no configuration after %s", t.waiting(), len(t.nodes()), readyWithin)
+	}
+	t.ready = time.Since(began)
+	return nil
+}
+
+// waiting counts the nodes that have no configuration yet.
+func (t *tree) waiting() (n int) {
+	for _, s := range t.nodes() {
+		s.mutex.Lock()
+		if s.seen == 0 {
+			n++
+		}
+		s.mutex.Unlock()
+	}
+	return n
+}
+
+// close ends all.
+func (t *tree) close() {
+	each(t.nodes(), (*hollowSubscriber).kill)
+	t.voters.close()
+	t.network.serving.Wait()
+}
+
+// each does something with all nodes, some at a time.
+func each(nodes []*hollowSubscriber, what func(*hollowSubscriber)) {
+	var working sync.WaitGroup
+	var next atomic.Int64
+	for range runtime.GOMAXPROCS(0) {
+		working.Go(func() {
+			for i := next.Add(1) - 1; int(i) < len(nodes); i = next.Add(1) - 1 {
+				what(nodes[i])
+			}
+		})
+	}
+	working.Wait()
+}
+
+// change makes changes at a pace until a time, and compares some subscribers, drawn by the seed, with the content.
+func (t *tree) change(ctx context.Context, perS float64, until time.Time) (made int, err error) {
+	checks := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
+	check := time.Now().Add(timeBetweenChecks)
+	for {
+		pause := time.Duration((0.5 + t.random.Float64()) / perS * float64(time.Second))
+		if left := time.Until(until); left < pause {
+			return made, pauseFor(ctx, left)
+		}
+		if err := pauseFor(ctx, pause); err != nil {
+			return made, err
+		}
+		limited, cancel := context.WithDeadline(ctx, until)
+		err := t.voters.propose(limited, t.content.draw())
+		cancel()
+		switch {
+		case err == nil:
+			made++
+		case ctx.Err() != nil:
+			return made, ctx.Err()
+		case limited.Err() == nil:
+			return made, err
+		}
+		if time.Now().After(check) {
+			check = time.Now().Add(timeBetweenChecks)
+			t.checkSome(checks)
+		}
+	}
+}
+
+func pauseFor(ctx context.Context, pause time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(pause):
+		return nil
+	}
+}
+
+// checkSome compares subscribers that are drawn with the content at the revision that each of them is at.
+func (t *tree) checkSome(random *rand.Rand) {
+	for range checkedAtOnce {
+		t.check(t.subscribers[random.IntN(len(t.subscribers))], 0)
+	}
+}
+
+// check compares a node with the content: at the revision given, or at its own where that is 0.
+func (t *tree) check(s *hollowSubscriber, at uint64) {
+	s.mutex.Lock()
+	carrier, up, seen := s.carrier, s.stop != nil, s.seen
+	s.mutex.Unlock()
+	if !up {
+		return
+	}
+	state, ok := carrier.State()
+	if !ok || at == 0 && seen == 0 {
+		return // it has just started, and says so to those who ask
+	}
+	if at > 0 {
+		state.Mark.Revision = at
+	}
+	if text := t.content.differs(state, s.scopes); text != "" {
+		t.inForce.breaks("%s: %s", s.name, text)
+	}
+}
+
+// settle waits until nothing is under way any more, and compares all nodes with the content at its end.
+func (t *tree) settle(ctx context.Context) error {
+	if err := pauseFor(ctx, mostInForce*time.Second); err != nil {
+		return err
+	}
+	each(t.nodes(), func(s *hollowSubscriber) { t.check(s, t.content.last()) })
+	return nil
+}
+
+// needless counts the snapshots that were taken beyond one for each life.
+func (t *tree) needless() int64 {
+	var taken atomic.Int64
+	each(t.nodes(), func(s *hollowSubscriber) {
+		if status, ok := s.status(); ok {
+			taken.Add(int64(status.Counts.SnapshotsTaken))
+		}
+		taken.Add(int64(s.before.snapshots))
+	})
+	return max(0, taken.Load()-t.starts.Load())
+}
