--- a/scale/content.go
+++ b/scale/content.go
@@ -122,6 +122,21 @@
 	return c.changes[len(c.changes)-1].Revision
 }
 
+// newest is the last revision of each scope up to one.
+func (c *content) newest(revision uint64) map[string]uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	of := map[string]uint64{}
+	for _, change := range c.changes {
+		for _, e := range change.Entries {
+			if change.Revision <= revision {
+				of[e.Scope] = change.Revision
+			}
+		}
+	}
+	return of
+}
+
 // stateAt is what some scopes hold at a revision.
 func (c *content) stateAt(revision uint64, scopes distribution.Scopes) map[distribution.Key]distribution.Entry {
 	c.mutex.Lock()
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -56,6 +56,7 @@
 		return s, err
 	}
 	defer t.close()
+	late := watchTurns()
 	for _, rate := range changeRates() {
 		o.say("%d subscribers, ready after %.1f s, %s", size, t.ready.Seconds(), rate.about)
 		if err := t.pace(ctx, rate, &s); err != nil {
@@ -73,7 +74,7 @@
 	if needless := t.needless(); needless > 0 {
 		t.inForce.breaks("%d snapshots were taken where deltas would have done", needless)
 	}
-	s.Broken = t.inForce.broken
+	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
 	return s, nil
 }
 
@@ -93,7 +94,7 @@
 	s.Set("p99"+rate.suffix, t.inForce.seconds(t.inForce.each, 99))
 	s.Set("most"+rate.suffix, t.inForce.seconds(t.inForce.each, 100))
 	if made == 0 {
-		s.Unknown = fmt.Sprintf("no change was made within %s", t.options.For)
+		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.For)
 	}
 	all := 0.
 	for name := range after {
--- /dev/null
+++ b/scale/faults.go
@@ -0,0 +1,225 @@
+package scale
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+)
+
+// distributedFaults is distribution below the record while things fail.
+type distributedFaults struct{}
+
+// treeFault is one kind of trouble: it plays until its time is over, beside changes at ten times the mean.
+type treeFault struct {
+	name, about string
+	part        int // of the time a size is observed, the fault takes one in so many
+	play        func(ctx context.Context, t *tree, span time.Duration) error
+}
+
+// Figures of the faults.
+const (
+	parentKillEvery = 5 * time.Second
+	leaderKillEvery = 15 * time.Second
+	downFor         = 2 * time.Second // a node that was killed
+	restartedOne    = 50              // one in so many is killed at once, as 220 of 11,000
+	healsFor        = 5 * time.Second // changes go on so long after a fault, for what was missed to be seen
+)
+
+func treeFaults() []treeFault {
+	return []treeFault{
+		{"parents", "a parent killed every 5 s", 1, killParents},
+		{"restarts", "one node in 50 killed at once and started again", 6, restartMany},
+		{"region", "a region cut off", 1, cutRegion},
+		{"leader", "the voters' leader killed every 15 s", 1, killLeaders},
+		{"majority", "the voters' majority lost for half the time", 1, loseMajority},
+	}
+}
+
+// Describe says what it is.
+func (distributedFaults) Describe() Description {
+	d := Description{Name: "distribution-faults", About: "Distribution below the record under faults, 4.2 changes a second, hollow subscribers in one process",
+		Size: "subscribers", Sizes: []int{1100}, Transport: "memory"}
+	for _, f := range treeFaults() {
+		d.Metrics = append(d.Metrics,
+			Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Most: mostInForce},
+			Metric{Name: f.name + "_p99", Unit: "s", About: f.about + ": until in force, 99 in 100", Most: mostInForce},
+			Metric{Name: f.name + "_most", Unit: "s", About: f.about + ": until in force, 100 in 100", Most: mostInForce},
+			Metric{Name: f.name + "_back", Unit: "s", About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Most: mostInForce},
+			Metric{Name: f.name + "_faults", Unit: "times", About: f.about + ": nodes hit"},
+			Metric{Name: f.name + "_snapshots", Unit: "snapshots", About: f.about + ": taken by nodes that were started anew"},
+			Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s", About: f.about + ": in and out at the worst node", Most: mostBytesPerS})
+	}
+	return d
+}
+
+// Needs are those of all nodes in our process.
+func (distributedFaults) Needs(size int, o Options) Needs {
+	return Needs{Memory: treeMemory + int64(size)*subscriberMemory,
+		Time: startsWithin + readyWithin + time.Duration(len(treeFaults()))*(o.For+healsFor+settleWithin)}
+}
+
+// Run plays one fault after the other.
+func (distributedFaults) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	t, err := newTree(ctx, size, o)
+	if err != nil {
+		return s, err
+	}
+	defer t.close()
+	late := watchTurns()
+	for _, f := range treeFaults() {
+		o.say("%d subscribers: %s", size, f.about)
+		if err := t.under(ctx, f, &s); err != nil {
+			return s, err
+		}
+	}
+	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	return s, nil
+}
+
+// under plays a fault beside changes, and notes what came of it.
+func (t *tree) under(ctx context.Context, f treeFault, s *Sample) error {
+	t.inForce.reset()
+	span := max(t.options.For/time.Duration(f.part), downFor)
+	starts, needless, before, began := t.starts.Load(), t.needless(), t.bytes(), time.Now()
+	t.hits.Store(0)
+	var playing sync.WaitGroup
+	var failed error
+	playing.Go(func() { failed = f.play(ctx, t, span) })
+	_, err := t.change(ctx, changesPerS*timesChanges, began.Add(span+min(healsFor, t.options.For)))
+	playing.Wait()
+	if err == nil {
+		err = failed
+	}
+	if err != nil {
+		return err
+	}
+	after, seconds := t.bytes(), time.Since(began).Seconds()
+	if err := t.settle(ctx); err != nil {
+		return err
+	}
+	worst := 0.
+	for name := range after {
+		worst = max(worst, float64(after[name]-before[name])/seconds)
+	}
+	s.Set(f.name+"_half", t.inForce.seconds(t.inForce.each, 50))
+	s.Set(f.name+"_p99", t.inForce.seconds(t.inForce.each, 99))
+	s.Set(f.name+"_most", t.inForce.seconds(t.inForce.each, 100))
+	s.Set(f.name+"_back", t.inForce.seconds(t.inForce.back, 100))
+	s.Set(f.name+"_faults", float64(t.hits.Load()))
+	s.Set(f.name+"_snapshots", float64(t.starts.Load()-starts))
+	s.Set(f.name+"_bytes_per_s_worst", worst)
+	if more := t.needless() - needless; more > 0 {
+		t.inForce.breaks("%s: %d snapshots were taken where deltas would have done", f.about, more)
+	}
+	return nil
+}
+
+// restart kills a node, and starts it after a while as new.
+func (t *tree) restart(ctx context.Context, s *hollowSubscriber) {
+	t.hits.Add(1)
+	s.kill()
+	pauseFor(ctx, downFor)
+	t.starts.Add(1)
+	s.start()
+}
+
+// killParents kills a subscriber that has children again and again, now and then a distributor.
+func killParents(ctx context.Context, t *tree, span time.Duration) error {
+	var restarting sync.WaitGroup
+	defer restarting.Wait()
+	for until := time.Now().Add(span); time.Now().Before(until); {
+		if parent := t.drawParent(); parent != nil {
+			restarting.Go(func() { t.restart(ctx, parent) })
+		}
+		if err := pauseFor(ctx, min(parentKillEvery, time.Until(until))); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// drawParent draws a node that does not vote and has children; nil if there is none.
+func (t *tree) drawParent() *hollowSubscriber {
+	nodes := t.nodes()
+	for _, i := range t.faultDraws.Perm(len(nodes)) {
+		if status, ok := nodes[i].status(); ok && len(status.Children) > 0 {
+			return nodes[i]
+		}
+	}
+	return nil
+}
+
+// restartMany kills one subscriber in fifty at once, and starts them again.
+func restartMany(ctx context.Context, t *tree, _ time.Duration) error {
+	var restarting sync.WaitGroup
+	for _, i := range t.faultDraws.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOne-1)/restartedOne] {
+		restarting.Go(func() { t.restart(ctx, t.subscribers[i]) })
+	}
+	restarting.Wait()
+	return ctx.Err()
+}
+
+// cutRegion cuts a region without voters off for as long as the fault lasts.
+func cutRegion(ctx context.Context, t *tree, span time.Duration) error {
+	voters := len(t.voters.voters)
+	region := voters + t.faultDraws.IntN(regions-voters)
+	t.network.cutOff(region)
+	err := pauseFor(ctx, span)
+	for _, s := range t.nodes() {
+		if s.region == region {
+			t.hits.Add(1)
+			s.reachableNow()
+		}
+	}
+	t.network.heal()
+	return err
+}
+
+// killLeaders kills the voter that leads again and again; it comes back with its log and votes.
+func killLeaders(ctx context.Context, t *tree, span time.Duration) error {
+	for until := time.Now().Add(span); time.Now().Before(until); {
+		if v := t.voters.leader(); v != nil {
+			t.hits.Add(1)
+			v.kill()
+			if err := pauseFor(ctx, downFor); err != nil {
+				return err
+			}
+			if err := v.start(); err != nil {
+				return err
+			}
+		}
+		if err := pauseFor(ctx, max(0, min(leaderKillEvery-downFor, time.Until(until)))); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// loseMajority kills most voters, the leader among them, and starts them again after half of the time.
+func loseMajority(ctx context.Context, t *tree, span time.Duration) error {
+	most := slices.Clone(t.voters.voters)
+	slices.SortStableFunc(most, func(a, b *voter) int {
+		switch leader := t.voters.leader(); {
+		case a == leader:
+			return -1
+		case b == leader:
+			return 1
+		}
+		return 0
+	})
+	most = most[:len(most)/2+1]
+	for _, v := range most {
+		t.hits.Add(1)
+		v.kill()
+	}
+	if err := pauseFor(ctx, span/2); err != nil {
+		return err
+	}
+	for _, v := range most {
+		if err := v.start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/prometheus/procfs"
+
+	"wheelrill/internal/process"
 )
 
 // Machine is where a run was played.
@@ -67,6 +69,22 @@
 	return load.Load1
 }
 
+// turns watches how late this process gets its turns. Where it gets them too late nothing that was timed means anything.
+type turns struct{ lateness *process.Lateness }
+
+// tooLate is a turn's lateness, of one in a hundred, beyond which nothing is judged.
+const tooLate = 100 * time.Millisecond
+
+func watchTurns() turns { return turns{process.WatchLateness()} }
+
+// tooBusy ends the watch, and says why nothing can be judged; empty where it can.
+func (t turns) tooBusy() string {
+	if hundredth, _ := t.lateness.End(); hundredth > tooLate {
+		return fmt.Sprintf("one turn in a hundred was %s late, %s at most; leave the machine more room", hundredth.Round(time.Millisecond), tooLate)
+	}
+	return ""
+}
+
 // Usage is what a process has taken.
 type Usage struct {
 	Processor time.Duration // since its start
--- a/scale/network.go
+++ b/scale/network.go
@@ -51,20 +51,20 @@
 		}
 		if healed == nil {
 			near, far := net.Pipe()
-			closed := make(chan struct{})
 			n.serving.Go(func() {
 				to.accept(&memoryConn{Conn: far, of: n, from: to.region, to: region, closed: make(chan struct{})})
 			})
-			return &memoryConn{Conn: near, of: n, from: region, to: to.region, closed: closed}, nil
+			return &memoryConn{Conn: near, of: n, from: region, to: to.region, closed: make(chan struct{})}, nil
 		}
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-healed:
+		if err := pauseFor(ctx, dialAgain); err != nil {
+			return nil, err
 		}
 	}
 }
 
+// dialAgain is how long the first packet of a connection is waited for before it is sent again, as TCP has it.
+const dialAgain = time.Second
+
 // way looks a name up; healed is not nil where a cut lies between.
 func (n *network) way(region int, name string) (to endpoint, healed chan struct{}, err error) {
 	n.mutex.Lock()
--- a/scale/record.go
+++ b/scale/record.go
@@ -13,6 +13,7 @@
 
 	"wheelrill/internal/process"
 	"wheelrill/rehearse"
+	"wheelrill/share"
 )
 
 // recordReal is what the record costs real controllers, as processes with relays around them: all are members.
@@ -56,6 +57,10 @@
 	if o.For < 2*costLineEvery {
 		return Sample{}, fmt.Errorf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLineEvery, 2*costLineEvery)
 	}
+	if terms := (share.Terms{Messages: messagesMost, Members: size}); terms.Own() < 1 {
+		return Sample{}, &Refused{fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
+			size, messagesMost, messagesSpan)}
+	}
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
 		return Sample{}, err
--- a/scale/run.go
+++ b/scale/run.go
@@ -82,9 +82,12 @@
 		Figure(b.Metric.Most))
 }
 
-// Breaches gives the budgets that were passed.
+// Breaches gives the budgets that were passed, at sizes that could be judged.
 func (r *Run) Breaches() (all []Breach) {
 	for _, s := range r.Samples {
+		if s.Unknown != "" {
+			continue
+		}
 		for _, m := range r.Metrics {
 			if value, ok := s.Get(m.Name); ok && m.Most > 0 && value > m.Most {
 				all = append(all, Breach{s.Size, m, value})
@@ -105,13 +108,12 @@
 			r.Fits = append(r.Fits, fit)
 		}
 	}
-	switch {
-	case slices.ContainsFunc(r.Samples, func(s Sample) bool { return len(s.Broken) > 0 }) || len(r.Breaches()) > 0:
-		r.Verdict = Broken
-	case len(r.Samples) == 0 || slices.ContainsFunc(r.Samples, func(s Sample) bool { return s.Unknown != "" }):
+	r.Verdict = Kept
+	if len(r.Samples) == 0 || slices.ContainsFunc(r.Samples, func(s Sample) bool { return s.Unknown != "" }) {
 		r.Verdict = Unjudged
-	default:
-		r.Verdict = Kept
+	}
+	if len(r.Breaches()) > 0 || slices.ContainsFunc(r.Samples, func(s Sample) bool { return len(s.Broken) > 0 }) {
+		r.Verdict = Broken
 	}
 }
 
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -69,6 +69,7 @@
 		recordHollow{},
 		changeByFile{},
 		distributed{},
+		distributedFaults{},
 	}
 }
 
--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -73,12 +73,13 @@
 	if stop == nil {
 		return
 	}
-	if status, ok := carrier.Status(); ok {
-		s.before.snapshots += status.Counts.SnapshotsTaken
-	}
+	status, _ := carrier.Status()
 	stop()
 	<-ended
 	traffic := carrier.Traffic()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.before.snapshots += status.Counts.SnapshotsTaken
 	s.before.traffic.In += traffic.In
 	s.before.traffic.Out += traffic.Out
 }
@@ -120,6 +121,13 @@
 	return s.before.traffic.In + s.before.traffic.Out + traffic.In + traffic.Out
 }
 
+// earlierSnapshots counts those that its earlier lives have taken.
+func (s *hollowSubscriber) earlierSnapshots() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.before.snapshots
+}
+
 // status asks the node how it is; false while it is down.
 func (s *hollowSubscriber) status() (distribution.Status, bool) {
 	s.mutex.Lock()
--- a/scale/tree.go
+++ b/scale/tree.go
@@ -26,6 +26,7 @@
 	checkedAtOnce      = 20 // subscribers compared with the content at a point drawn
 	timeBetweenChecks  = time.Second
 	treeSeed           = 11
+	faultSeed          = 13
 )
 
 // tree is a whole installation in one process: voters, distributors that have all scopes, and subscribers.
@@ -38,6 +39,8 @@
 	distributors []*hollowSubscriber
 	subscribers  []*hollowSubscriber
 	random       *rand.Rand
+	faultDraws   *rand.Rand   // for what fails, which is drawn beside the changes
+	hits         atomic.Int64 // of the fault that is played
 	starts       atomic.Int64 // lives that have begun, which need a snapshot each
 	ready        time.Duration
 }
@@ -48,7 +51,8 @@
 
 // newTree starts an installation, and waits until each node has its configuration.
 func newTree(ctx context.Context, size int, o Options) (*tree, error) {
-	t := &tree{options: o, network: newNetwork(), content: newContent(groupsOf(size), o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed))}
+	t := &tree{options: o, network: newNetwork(), content: newContent(groupsOf(size), o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
+		faultDraws: rand.New(rand.NewPCG(o.Seed, faultSeed))}
 	t.inForce = newInForce(t.content)
 	t.voters = newVoters(o.Voters, t.network, t.content, t.inForce)
 	t.place(size)
@@ -212,13 +216,33 @@
 	}
 }
 
-// settle waits until nothing is under way any more, and compares all nodes with the content at its end.
+// settle gives the last changes the time in which they have to be in force, and compares all nodes with the content at
+// its end.
 func (t *tree) settle(ctx context.Context) error {
-	if err := pauseFor(ctx, mostInForce*time.Second); err != nil {
-		return err
+	last := t.content.last()
+	waitFor(ctx, mostInForce*time.Second, func() bool { return t.behind(last) == 0 })
+	each(t.nodes(), func(s *hollowSubscriber) { t.check(s, last) })
+	return ctx.Err()
+}
+
+// behind counts the nodes that act by less than what is in their scopes up to a revision.
+func (t *tree) behind(revision uint64) (n int) {
+	newest := t.content.newest(revision)
+	for _, s := range t.nodes() {
+		s.mutex.Lock()
+		want := newest[commonScope]
+		if s.scopes.All {
+			want = revision
+		}
+		for _, scope := range s.scopes.Names {
+			want = max(want, newest[scope])
+		}
+		if s.stop != nil && s.seen < want {
+			n++
+		}
+		s.mutex.Unlock()
 	}
-	each(t.nodes(), func(s *hollowSubscriber) { t.check(s, t.content.last()) })
-	return nil
+	return n
 }
 
 // needless counts the snapshots that were taken beyond one for each life.
@@ -228,7 +252,7 @@
 		if status, ok := s.status(); ok {
 			taken.Add(int64(status.Counts.SnapshotsTaken))
 		}
-		taken.Add(int64(s.before.snapshots))
+		taken.Add(int64(s.earlierSnapshots()))
 	})
 	return max(0, taken.Load()-t.starts.Load())
 }
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -81,7 +81,7 @@
 // leader is the voter that leads; nil if none does.
 func (g *voterGroup) leader() *voter {
 	for _, v := range g.voters {
-		if v.up() && v.raft.State() == raft.Leader {
+		if r := v.running(); r != nil && r.State() == raft.Leader {
 			return v
 		}
 	}
@@ -104,6 +104,16 @@
 	}
 }
 
+// running is the voter's part in raft; nil while it is down.
+func (v *voter) running() *raft.Raft {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if v.stop == nil {
+		return nil
+	}
+	return v.raft
+}
+
 // close ends all.
 func (g *voterGroup) close() {
 	for _, v := range g.voters {
@@ -190,7 +200,11 @@
 	if err != nil {
 		return err
 	}
-	f := v.raft.Apply(body, proposeWithin)
+	r := v.running()
+	if r == nil {
+		return raft.ErrRaftShutdown
+	}
+	f := r.Apply(body, proposeWithin)
 	if err := f.Error(); err != nil {
 		return err
 	}
