--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -39,7 +39,8 @@
 		Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Most: mostMegabytes},
 		Metric{Name: "depth", Unit: "nodes", About: "from a voter to the deepest subscriber"},
 		Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Most: mostMachines, Fit: true},
-		Metric{Name: "ready", Unit: "s", About: "until all have their configuration, all starting at once"})
+		Metric{Name: "distributors_ready", Unit: "s", About: "until all distributors have all scopes, all starting at once", Fit: true},
+		Metric{Name: "ready", Unit: "s", About: "until all subscribers have their configuration then, all starting at once", Fit: true})
 	return d
 }
 
@@ -70,6 +71,7 @@
 	s.Set("memory", float64(usage.Memory)/megabyte/float64(len(t.nodes())+len(t.voters.voters)))
 	s.Set("depth", float64(t.depth()))
 	s.Set("machines", float64(len(t.voters.voters)+len(t.distributors)))
+	s.Set("distributors_ready", t.distributorsReady.Seconds())
 	s.Set("ready", t.ready.Seconds())
 	if needless := t.needless(); needless > 0 {
 		t.inForce.breaks("%d snapshots were taken where deltas would have done", needless)
