--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -48,7 +48,7 @@
 			if options.Program, err = os.Executable(); err != nil {
 				return unjudged(err)
 			}
-			options.Progress = progress(options.For)
+			options.Progress = progress()
 			r, err := scale.Play(ctx, m, sizes, options)
 			if err != nil {
 				return unjudged(err)
@@ -85,7 +85,7 @@
 }
 
 // progress tells of a run on a terminal, and nowhere else.
-func progress(time.Duration) func(string) {
+func progress() func(string) {
 	shown, err := os.Stderr.Stat()
 	if err != nil || shown.Mode()&os.ModeCharDevice == 0 {
 		return nil
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -42,9 +42,11 @@
 	return Machine{Cores: runtime.NumCPU(), Memory: int64(*memory.MemTotalBytes)}, nil
 }
 
-// bears gives a Refused error where a size needs more than a run may take.
+// bears gives a Refused error where a size cannot be measured, or needs more than a run may take.
 func (m Machine) bears(size int, needs Needs) error {
 	switch {
+	case needs.Refusal != "":
+		return &Refused{needs.Refusal}
 	case needs.Memory > m.Memory/memoryShare:
 		return &Refused{fmt.Sprintf("size %d needs about %d MB, and half of this machine's memory is %d MB; give smaller sizes", size,
 			needs.Memory>>20, m.Memory/memoryShare>>20)}
--- a/scale/record.go
+++ b/scale/record.go
@@ -49,18 +49,18 @@
 
 // Needs are those of the members and of the stand-ins in our process.
 func (recordReal) Needs(size int, o Options) Needs {
-	return Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size, Time: 2*startsWithin + o.For}
+	needs := Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size, Time: 2*startsWithin + o.For}
+	if terms := (share.Terms{Messages: messagesMost, Members: size}); terms.Own() < 1 {
+		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
+			size, messagesMost, messagesSpan)
+	} else if o.For < 2*costLineEvery {
+		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLineEvery, 2*costLineEvery)
+	}
+	return needs
 }
 
 // Run plays a calm installation, and reads what each member logged of the record and spent.
 func (recordReal) Run(ctx context.Context, size int, o Options) (Sample, error) {
-	if o.For < 2*costLineEvery {
-		return Sample{}, fmt.Errorf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLineEvery, 2*costLineEvery)
-	}
-	if terms := (share.Terms{Messages: messagesMost, Members: size}); terms.Own() < 1 {
-		return Sample{}, &Refused{fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
-			size, messagesMost, messagesSpan)}
-	}
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
 		return Sample{}, err
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -53,6 +53,7 @@
 	Memory    int64 // bytes
 	Processes int   // beside our own
 	Time      time.Duration
+	Refusal   string // why the size cannot be measured whatever the machine bears; empty where it can
 }
 
 // Measurement observes one thing at a size.
