--- /dev/null
+++ b/controller/server_test.go
@@ -0,0 +1,88 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// countingListener counts the connections that were accepted and not closed yet.
+type countingListener struct {
+	*net.TCPListener
+	open, most atomic.Int64
+}
+
+func (l *countingListener) Accept() (net.Conn, error) {
+	conn, err := l.AcceptTCP()
+	if err != nil {
+		return nil, err
+	}
+	open := l.open.Add(1)
+	for most := l.most.Load(); open > most && !l.most.CompareAndSwap(most, open); {
+		most = l.most.Load()
+	}
+	return &countedConn{TCPConn: conn, listener: l}, nil
+}
+
+// countedConn counts its first close only.
+type countedConn struct {
+	*net.TCPConn
+	listener *countingListener
+	once     sync.Once
+}
+
+func (c *countedConn) Close() error {
+	c.once.Do(func() { c.listener.open.Add(-1) })
+	return c.TCPConn.Close()
+}
+
+func TestConnectionLimit(t *testing.T) {
+	const joined, limit, flood = 8, 24, 100
+	c, err := New(Place{}, configuration(discovers(t).address, two), Journal(newDiary()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.limits.conns, c.limits.strange, c.limits.moment = limit, limit-4, time.Millisecond
+	tcp, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener := &countingListener{TCPListener: tcp.(*net.TCPListener)}
+	ctx, stop := context.WithCancel(context.Background())
+	var parts sync.WaitGroup
+	parts.Go(func() { c.module.run(ctx) })
+	parts.Go(func() {
+		if err := (&server{limits: c.limits, module: c.module, log: c.log}).run(ctx, listener); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Cleanup(func() { stop(); parts.Wait() })
+
+	address := tcp.Addr().String()
+	var proxies []*caller
+	for node := range joined {
+		p := calls(t, address)
+		p.says(helloOf(node))
+		p.gets()
+		proxies = append(proxies, p)
+	}
+	var strangers []*caller
+	for range flood {
+		strangers = append(strangers, calls(t, address))
+	}
+	for i, s := range strangers {
+		if !s.refused() {
+			t.Fatalf("silent connection %d was not ended", i)
+		}
+	}
+	if most := listener.most.Load(); most != limit {
+		t.Errorf("%d connections were open at once, want the limit of %d to be reached and kept", most, limit)
+	}
+	for _, p := range proxies { // none of them made room
+		p.says(probe)
+		p.gets()
+	}
+}
