--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -84,9 +84,7 @@
 // told writes a report, and ends with the code of its verdict.
 func told(to io.Writer, r *rehearse.Report, asJSON bool) error {
 	if asJSON {
-		out := json.NewEncoder(to)
-		out.SetIndent("", " ")
-		if err := out.Encode(r); err != nil {
+		if err := writeJSON(to, r); err != nil {
 			return err
 		}
 	} else {
@@ -104,7 +102,18 @@
 		}
 		fmt.Fprintf(to, "verdict: %s %s\n", r.Verdict, r.Why)
 	}
-	switch r.Verdict {
+	return exitOf(r.Verdict)
+}
+
+func writeJSON(to io.Writer, what any) error {
+	out := json.NewEncoder(to)
+	out.SetIndent("", " ")
+	return out.Encode(what)
+}
+
+// exitOf ends with the code of a verdict.
+func exitOf(verdict string) error {
+	switch verdict {
 	case rehearse.Kept:
 		return nil
 	case rehearse.Broken:
--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -69,7 +68,7 @@
 			if err := writeRun(c.OutOrStdout(), r, asJSON); err != nil {
 				return err
 			}
-			return exitOf(r)
+			return exitOf(r.Verdict)
 		}}
 	f := run.Flags()
 	f.IntSliceVar(&sizes, "sizes", nil, "sizes to measure; those that scale list names if left out")
@@ -105,23 +104,6 @@
 	return nil
 }
 
-func writeJSON(to io.Writer, what any) error {
-	out := json.NewEncoder(to)
-	out.SetIndent("", " ")
-	return out.Encode(what)
-}
-
-// exitOf ends with the code of a run's verdict.
-func exitOf(r *scale.Run) error {
-	switch r.Verdict {
-	case scale.Kept:
-		return nil
-	case scale.Broken:
-		return exit(exitBroken)
-	}
-	return exit(exitUnjudged)
-}
-
 func scaleReport() *cobra.Command {
 	var folder, check, write string
 	var asJSON bool
--- a/scale/run.go
+++ b/scale/run.go
@@ -9,6 +9,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"wheelrill/rehearse"
 )
 
 // Run is one measurement over its sizes, as it is kept.
@@ -64,9 +66,9 @@
 
 // Verdicts, as those of a rehearsal.
 const (
-	Kept     = "kept"
-	Broken   = "broken"
-	Unjudged = "could not be judged"
+	Kept     = rehearse.Kept
+	Broken   = rehearse.Broken
+	Unjudged = rehearse.Unjudged
 )
 
 // Breach is a budget that a sample is over.
