--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -3,14 +3,12 @@
 package rehearse
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
@@ -41,58 +39,11 @@
 	Watch     func(controllers []*process.Instance, ended bool) // as play begins and as it has ended; nil for nobody
 }
 
-// Report is what a rehearsal has shown.
-type Report struct {
-	Scenario   string         `json:"scenario"`
-	Seed       uint64         `json:"seed"`
-	Sharing    bool           `json:"sharing"`
-	Instances  int            `json:"instances"`
-	Relays     int            `json:"relays"`
-	Seconds    float64        `json:"seconds"`
-	Faults     map[string]int `json:"faults"`
-	Verdict    string         `json:"verdict"` // kept, broken, or could not be judged
-	Why        string         `json:"why,omitempty"`
-	Breaches   []rules.Breach `json:"breaches"`
-	Broken     map[string]int `json:"broken"`
-	Effects    int            `json:"effects"`
-	BareMost   float64        `json:"longest_without_a_line_s"`
-	Messages   int            `json:"most_messages_to_a_relay"`
-	Served     float64        `json:"value_served"` // share of what was asked for, in time
-	Lost       int            `json:"lost"`
-	Refused    int            `json:"refused"`
-	Came       int            `json:"came"`
-	Takeovers  int            `json:"streams_begun"`
-	JoinLines  float64        `json:"lines_in_the_first_second_of_a_stream"`
-	Lines      int            `json:"lines"`
-	Orders     int            `json:"orders"`
-	Stale      int            `json:"orders_refused_as_of_an_older_owner"`
-	Hangs      int            `json:"hangs"`
-	Replaced   int            `json:"workers_replaced"`
-	LeaveMean  float64        `json:"left_a_hung_worker_after_s_mean"`
-	LeaveMost  float64        `json:"left_a_hung_worker_after_s_most"`
-	IntoHang   int            `json:"tries_into_a_hang"`
-	TurnsLate  float64        `json:"turn_late_ms_of_one_in_a_hundred"`
-	LatestTurn float64        `json:"turn_late_ms_most"`
-	Folder     string         `json:"folder"`
-}
-
-// Verdicts.
-const (
-	Kept     = "kept"
-	Broken   = "broken"
-	Unjudged = "could not be judged"
-)
-
 // Figures of the scenario's installation.
 const (
-	hangFor      = 8 * time.Second
 	hangEvery    = 18 * time.Second
-	replaceEvery = 13 * time.Second // a worker drains, ...
-	drainFor     = 6 * time.Second  // ... and is back after this as a new process, ...
-	warmBy       = 17 * time.Second // ... which is cold for so long
-	frozenFor    = 10 * time.Second
-	cutFor       = 8 * time.Second
-	tooLate      = 100 * time.Millisecond // of one turn in a hundred: nothing measured means anything
+	replaceEvery = 13 * time.Second
+	warmBy       = 17 * time.Second // that a new process is cold
 	grace        = 3000 * time.Millisecond
 	slack        = 300 * time.Millisecond // that real sockets get beyond it
 	readyIn      = 30 * time.Second
@@ -281,13 +232,6 @@
 	return nil
 }
 
-// wired tells whether any of the faults is one of the ways between controllers.
-func (p *play) wired() bool {
-	return slices.ContainsFunc(strings.Split(p.Faults, ","), func(kind string) bool {
-		return slices.Contains([]string{"cut", "half", "split", "slow"}, kind)
-	})
-}
-
 func (p *play) end() {
 	p.events.Close()
 	for _, i := range p.instances {
@@ -359,157 +303,6 @@
 	return p.report, nil
 }
 
-// fault plays the next of the faults that are drawn from, on a controller that is up.
-func (p *play) fault() error {
-	var up []int
-	for i, one := range p.instances {
-		if one.Up {
-			up = append(up, i)
-		}
-	}
-	if len(up) < 2 {
-		return nil // one is left to serve
-	}
-	kinds := strings.Split(cmp.Or(p.Faults, "kill"), ",")
-	kind, at := kinds[p.random.IntN(len(kinds))], up[p.random.IntN(len(up))]
-	one := p.instances[at]
-	p.faults[kind]++
-	p.say("%s %s", kind, one.Name)
-	touches := func(pair [2]int) bool { return pair[0] == at || pair[1] == at }
-	switch kind {
-	case "kill":
-		p.stops(at, syscall.SIGKILL)
-	case "leave":
-		p.stops(at, syscall.SIGTERM)
-	case "pair": // two within one election
-		p.stops(at, syscall.SIGKILL)
-		if other := up[(slices.Index(up, at)+1)%len(up)]; len(up) > 2 {
-			p.stops(other, syscall.SIGKILL)
-		}
-	case "freeze":
-		one.Up = false // for other faults
-		one.Send(syscall.SIGSTOP)
-		p.in.Frozen(at, true)
-		p.later(min(frozenFor, p.KillEvery/2), func() error {
-			one.Up = true
-			p.in.Frozen(at, false)
-			return one.Send(syscall.SIGCONT)
-		})
-	case "cut":
-		p.cuts(standin.Cut, touches)
-	case "half": // what it sends to the others is lost, and what they answer
-		p.cuts(standin.Fault{Out: true}, func(pair [2]int) bool { return pair[0] == at })
-	case "split": // no majority is left anywhere
-		p.cuts(standin.Cut, func([2]int) bool { return true })
-	case "slow":
-		p.cuts(standin.Fault{Delay: 300 * time.Millisecond}, touches)
-	case "reload": // while it may be electing
-		one.Send(syscall.SIGHUP)
-		p.stops(up[(slices.Index(up, at)+1)%len(up)], syscall.SIGKILL)
-	default:
-		return fmt.Errorf("fault %q; there are kill, leave, pair, freeze, cut, half, split, slow and reload", kind)
-	}
-	return nil
-}
-
-// stops ends a controller, which comes back as new after a while, one time in four within a second.
-func (p *play) stops(at int, by syscall.Signal) {
-	one := p.instances[at]
-	one.Signal(by)
-	wait := time.Duration(p.random.Int64N(int64(min(p.KillEvery/2, 8*time.Second))))
-	if p.random.IntN(4) == 0 {
-		wait = min(wait, time.Second)
-	}
-	p.later(wait, func() error {
-		p.in.Restarted(at)
-		return one.Start()
-	})
-}
-
-// cuts puts a fault on some of the wires between controllers for a while.
-func (p *play) cuts(f standin.Fault, some func(pair [2]int) bool) {
-	for pair, wire := range p.between {
-		if some(pair) {
-			wire.Set(f)
-			p.later(min(cutFor, p.KillEvery/2), func() error { wire.Set(standin.Fault{}); return nil })
-		}
-	}
-}
-
-// steady draws a worker with which nothing is going on; nil if there is none.
-func (p *play) steady() *standin.Worker {
-	var all []*standin.Worker
-	for _, w := range p.in.Workers {
-		if !p.busy[w] && w.Warm() {
-			all = append(all, w)
-		}
-	}
-	if len(all) < 2 {
-		return nil // one is left to serve
-	}
-	return all[p.random.IntN(len(all))]
-}
-
-// replace has a worker drain, and come back as a new process, which is cold at first.
-func (p *play) replace() {
-	w := p.steady()
-	if w == nil {
-		return
-	}
-	p.busy[w] = true
-	p.report.Replaced++
-	p.say("%s drains", w.ID)
-	p.in.Discovery.List("draining", w)
-	p.later(drainFor, func() error {
-		p.say("%s is back", w.ID)
-		w.Restart(warmBy)
-		p.in.Discovery.List("up", w)
-		p.later(warmBy, func() error {
-			p.in.Discovery.List("up", w) // as it was: the account has it as warm from now on
-			delete(p.busy, w)
-			return nil
-		})
-		return nil
-	})
-}
-
-// hang has a worker take everything and answer nothing for a while, and notes when nine in ten relays had left it.
-func (p *play) hang(left *[]time.Duration) {
-	w, began := p.steady(), time.Now()
-	if w == nil {
-		return
-	}
-	p.busy[w] = true
-	w.Set(standin.Hangs)
-	p.report.Hangs++
-	p.say("%s hangs", w.ID)
-	noted := false
-	var look func() error
-	look = func() error {
-		switch since := time.Since(began); {
-		case !noted && p.in.Holding(w.ID) <= p.Relays/10:
-			noted = true
-			*left = append(*left, since)
-			p.say("%s is left", w.ID)
-		case since >= hangFor:
-			if !noted {
-				*left = append(*left, since)
-			}
-			w.Set(standin.Serves)
-			delete(p.busy, w)
-			return nil
-		}
-		p.later(50*time.Millisecond, look)
-		return nil
-	}
-	p.later(0, look)
-}
-
-// ended tells whether any controller's process was stopped.
-func (p *play) ended() bool {
-	return p.faults["kill"]+p.faults["leave"]+p.faults["pair"]+p.faults["freeze"]+p.faults["reload"] > 0
-}
-
 // say tells who watches, and notes it beside the controllers' logs.
 func (p *play) say(format string, args ...any) {
 	fmt.Fprintf(p.events, "time=%s event=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), fmt.Sprintf(format, args...))
@@ -517,35 +310,3 @@
 		p.Progress(fmt.Sprintf(format, args...))
 	}
 }
-
-func (p *play) sum(v rules.Verdict, before, after standin.Counts, left []time.Duration) {
-	r := p.report
-	r.Faults, r.Effects, r.Messages = p.faults, v.Effects, v.Most
-	r.Breaches, r.Broken, r.BareMost = v.Breaches, v.Counts, v.Longest.Seconds()
-	r.Served = (after.ServedValue - before.ServedValue) / max(after.AskedValue-before.AskedValue, 1)
-	r.Came, r.Lost, r.Refused = after.Came-before.Came, after.Lost-before.Lost, after.Refused-before.Refused
-	r.Takeovers, r.Stale = after.Streams-before.Streams, after.Refusals-before.Refusals
-	r.Lines, r.Orders = after.Lines-before.Lines, after.Orders-before.Orders
-	r.JoinLines = float64(after.JoinLines-before.JoinLines) / float64(max(r.Takeovers, 1))
-	r.IntoHang = after.IntoHang - before.IntoHang
-	for _, l := range left {
-		r.LeaveMean += l.Seconds() / float64(len(left))
-		r.LeaveMost = max(r.LeaveMost, l.Seconds())
-	}
-}
-
-// judge settles the verdict: a machine that was too busy shows nothing, for or against.
-func (p *play) judge(v rules.Verdict, hundredth, most time.Duration) {
-	r := p.report
-	r.TurnsLate, r.LatestTurn = float64(hundredth.Microseconds())/1000, float64(most.Microseconds())/1000
-	switch {
-	case hundredth > tooLate:
-		r.Verdict, r.Why = Unjudged, fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", tooLate)
-	case len(v.Breaches) > 0:
-		r.Verdict = Broken
-	case r.Effects == 0 || r.Takeovers == 0 && p.ended(): // what is only between controllers moves no relay
-		r.Verdict, r.Why = Unjudged, "no relay was taken over, or nothing took effect; play it for longer"
-	default:
-		r.Verdict = Kept
-	}
-}
