--- a/rules/account.go
+++ b/rules/account.go
@@ -89,7 +89,8 @@
 	return a.relays[id]
 }
 
-// Listed: discovery has told every controller of a worker's state. Left has to be by now and the grace.
+// Listed notes that discovery has told every controller of a worker's state. One that drains or is gone has to be left
+// within the grace from now on.
 func (a *Account) Listed(id string, ready, warm bool, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -105,7 +106,8 @@
 	}
 }
 
-// Joined: a relay has a stream to some controller, or has lost it. Its time without a line counts while it has one.
+// Joined notes that a relay has a stream to some controller, or has lost it. Its time without a line counts while it has
+// one.
 func (a *Account) Joined(id int, joined bool, lacks []string, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -120,7 +122,7 @@
 	}
 }
 
-// Has: from now on a relay has a line for a class that it can pick, or has none.
+// Has notes that a relay has a line for a class that it can pick from now on, or has none.
 func (a *Account) Has(id int, class string, any bool, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -156,7 +158,7 @@
 	return all
 }
 
-// Took: a piece of work took effect at a worker. Its key is its own; the same key again is rule 2.
+// Took notes that a piece of work took effect at a worker. Its key is its own; the same key again breaks rule 2.
 func (a *Account) Took(key string, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -167,8 +169,8 @@
 	a.effects[key] = at
 }
 
-// Tried: a relay sends a worker something now, by its table. One that came to its controller later has the grace from
-// then on.
+// Tried notes that a relay sends a worker something now, by its table. A relay that came to its controller after the
+// worker was to be left has the grace from then on.
 func (a *Account) Tried(id string, by int, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -181,7 +183,7 @@
 	}
 }
 
-// Fell: a cold worker was pushed over.
+// Fell notes that a cold worker was pushed over.
 func (a *Account) Fell(id string, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -191,7 +193,7 @@
 	}
 }
 
-// Applied: a relay has applied an order of a controller; a token of 0 is none.
+// Applied notes that a relay has applied an order of a controller; a token of 0 is none.
 func (a *Account) Applied(by string, id int, token uint64, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -202,8 +204,8 @@
 	r.token = max(r.token, token)
 }
 
-// Entered: a message of some lines for a relay enters a controller's channel. By names a life of the controller: another
-// process has a channel of its own.
+// Entered notes that a message of some lines for a relay enters a controller's channel. By names the controller's
+// process: another process has a channel of its own.
 func (a *Account) Entered(by string, id int, lines int, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/share/coordinator.go
+++ b/share/coordinator.go
@@ -149,8 +149,8 @@
 	return n
 }
 
-// Joined: a proxy's stream has begun. It is granted once its claim stands, or at once off the record. On the record
-// nothing is written to a proxy that is not ours by it: a later owner would not know of it.
+// Joined takes in that a proxy's stream has begun. The proxy is granted once its claim stands, or at once off the record.
+// On the record nothing is written to a proxy that is not ours by it: a later owner would not know of it.
 func (c *Coordinator) Joined(proxy int, now int64) {
 	c.proxies[proxy] = &proxyState{}
 	if c.inFlight != nil {
@@ -167,7 +167,7 @@
 	c.proposePending(now)
 }
 
-// Left: its stream has ended.
+// Left takes in that a proxy's stream has ended.
 func (c *Coordinator) Left(proxy int) {
 	delete(c.proxies, proxy)
 	is := func(p int) bool { return p == proxy }
@@ -175,8 +175,8 @@
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, is)
 }
 
-// Spoke: the proxy was last heard on its stream at some time. If another owns it by the record it has not gone there,
-// or is back.
+// Spoke takes in when a proxy was last heard on its stream. If another owns it by the record it has not gone there, or is
+// back.
 func (c *Coordinator) Spoke(proxy int, at int64) {
 	if p := c.proxies[proxy]; p != nil && p.unheard > 0 && at > p.unheard+c.terms.Renew {
 		c.claim(proxy, true)
@@ -213,8 +213,8 @@
 // Edition is that of our tables.
 func (c *Coordinator) Edition() uint64 { return c.edition }
 
-// Confirmed: a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by class.
-// Sure: it shuts out what we ordered, and nothing that others did.
+// Confirmed takes in that a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by
+// class. If sure, it shuts out what we ordered, and nothing that others did.
 func (c *Coordinator) Confirmed(proxy int, edition uint64, tables []int, sure bool) {
 	p := c.proxies[proxy]
 	if p == nil || edition < p.edition || slices.Contains(tables, -1) {
@@ -317,7 +317,7 @@
 	c.host.Propose(e)
 }
 
-// Answered: the entry under way stands on the record.
+// Answered takes in that the entry under way stands on the record.
 func (c *Coordinator) Answered(incarnation, seq uint64, now int64) {
 	if c.inFlight == nil || c.inFlight.Incarnation != incarnation || c.inFlight.Seq != seq {
 		return // of an earlier incarnation
@@ -336,7 +336,7 @@
 	c.proposePending(now)
 }
 
-// Failed: it is not known to stand, and is proposed again as it is.
+// Failed takes in that the entry under way is not known to stand. It is proposed again as it is.
 func (c *Coordinator) Failed(incarnation, seq uint64, now int64) {
 	if c.inFlight == nil || c.inFlight.Incarnation != incarnation || c.inFlight.Seq != seq {
 		return
--- a/standin/installation.go
+++ b/standin/installation.go
@@ -85,7 +85,7 @@
 // Clock is the time since the installation was set up, as its account has it.
 func (in *Installation) Clock() time.Duration { return time.Since(in.began) }
 
-// Restarted: a controller's process is another from now on, and so is its channel.
+// Restarted notes that a controller's process is another from now on, and so is its channel.
 func (in *Installation) Restarted(controller int) {
 	c := in.channels[controller]
 	c.mutex.Lock()
@@ -94,7 +94,7 @@
 	c.free = 0
 }
 
-// Frozen: a controller's process stands still, or goes on. Its streams count as left meanwhile.
+// Frozen notes that a controller's process stands still, or goes on. Its streams count as left meanwhile.
 func (in *Installation) Frozen(controller int, frozen bool) {
 	for _, r := range in.relays {
 		r.mutex.Lock()
