--- /dev/null
+++ b/subscribe/carrier_test.go
@@ -0,0 +1,289 @@
+package subscribe
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"wheelrill/distribution"
+	"wheelrill/internal/frame"
+)
+
+func TestChangesReachAll(t *testing.T) {
+	n := newNetwork()
+	voters := []*peer{n.voter(t, "v0", 2), n.voter(t, "v1", 2), n.voter(t, "v2", 2)}
+	r := newRecord(voters...)
+	r.leads(t)
+	r.accepts(t, map[string]string{"a": "1"})
+	var all []*peer
+	for i := range 3 {
+		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 4, "v0", "v1", "v2"))
+	}
+	for i := 3; i < 8; i++ { // below other subscribers
+		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 0, "s0", "s1"))
+	}
+	everywhere := func(want string) {
+		t.Helper()
+		for _, p := range all {
+			until(t, p.name+" has "+want, func() bool { return p.has() == want })
+		}
+	}
+	everywhere("pricing/a=1")
+	r.accepts(t, map[string]string{"a": "2", "b": "1"})
+	everywhere("pricing/a=2 pricing/b=1")
+	r.accepts(t, map[string]string{"a": ""})
+	everywhere("pricing/b=1")
+	digest := r.state.Digest()
+	for _, p := range all {
+		status := p.status(t)
+		if status.Digest != digest || status.Mark != r.state.Mark() || p.snapshots() != 1 {
+			t.Errorf("%s is at %+v, %d snapshots", p.name, status, p.snapshots())
+		}
+		if traffic := p.Traffic(); traffic.In == 0 || traffic.Out == 0 || traffic.Overflows != 0 {
+			t.Errorf("%s counts %+v", p.name, traffic)
+		}
+	}
+}
+
+func TestParentKilled(t *testing.T) {
+	n := newNetwork()
+	v := n.voter(t, "v0", 2)
+	r := newRecord(v)
+	r.leads(t)
+	r.accepts(t, map[string]string{"a": "1"})
+	middle := []*peer{n.subscriber(t, "m0", 4, "v0"), n.subscriber(t, "m1", 4, "v0")}
+	for _, m := range middle {
+		until(t, m.name+" has it", func() bool { return m.has() == "pricing/a=1" })
+	}
+	s := n.subscriber(t, "s", 0, "m0", "m1")
+	until(t, "it has a parent", func() bool { return s.has() == "pricing/a=1" && s.status(t).Parent != "" })
+	for _, m := range middle {
+		if s.status(t).Parent == m.name {
+			m.stop()
+			break
+		}
+	}
+	r.accepts(t, map[string]string{"a": "2"})
+	until(t, "the other parent tells it", func() bool { return s.has() == "pricing/a=2" })
+	if s.snapshots() != 1 || !s.told(distribution.EventParentLost) {
+		t.Errorf("%d snapshots where a delta would do", s.snapshots())
+	}
+}
+
+func TestParentThatSaysNothing(t *testing.T) {
+	n := newNetwork()
+	v := n.voter(t, "v0", 2)
+	r := newRecord(v)
+	r.leads(t)
+	r.accepts(t, map[string]string{"a": "1"})
+	over := make(chan struct{})
+	n.listen(t, "mute", func(conn net.Conn) { <-over; conn.Close() })
+	t.Cleanup(func() { close(over) })
+	s := n.subscriber(t, "s", 0, "mute", "v0")
+	until(t, "it has it from the other", func() bool { return s.has() == "pricing/a=1" })
+	if parent := s.status(t).Parent; parent != "v0" {
+		t.Errorf("its parent is %q", parent)
+	}
+}
+
+// A parent that is frozen, with its connections open: the kernel goes on taking what is sent to it.
+func TestParentFreezes(t *testing.T) {
+	n := newNetwork()
+	v := n.voter(t, "v0", 2)
+	r := newRecord(v)
+	r.leads(t)
+	r.accepts(t, map[string]string{"a": "1"})
+	behind := n.forget("v0") // a parent's path names those above it, who would be dialled in its place
+	var mutex sync.Mutex
+	frozen := make(chan struct{})
+	n.listen(t, "m", func(conn net.Conn) { // a relay in front of the voter
+		defer conn.Close()
+		to, err := net.Dial("tcp", behind)
+		if err != nil {
+			return
+		}
+		defer to.Close()
+		var relaying sync.WaitGroup
+		relay := func(from, to net.Conn) {
+			buffer := make([]byte, 4096)
+			for {
+				got, err := from.Read(buffer)
+				if err != nil {
+					return
+				}
+				select {
+				case <-frozen:
+					continue
+				default:
+				}
+				mutex.Lock()
+				to.Write(buffer[:got])
+				mutex.Unlock()
+			}
+		}
+		relaying.Go(func() { relay(to, conn) })
+		relay(conn, to)
+		to.Close()
+		relaying.Wait()
+	})
+	s := n.subscriber(t, "s", 0, "m")
+	until(t, "it has it", func() bool { return s.has() == "pricing/a=1" })
+	r.accepts(t, map[string]string{"a": "2"})
+	until(t, "it has the next", func() bool { return s.has() == "pricing/a=2" && s.status(t).Age >= 0 })
+	close(frozen)
+	until(t, "it leaves the frozen one", func() bool { return s.told(distribution.EventParentLost) })
+	until(t, "it tells its age", func() bool { return s.status(t).Age > 500_000 })
+	if s.has() != "pricing/a=2" {
+		t.Errorf("it has %s", s.has())
+	}
+}
+
+func TestMajorityLost(t *testing.T) {
+	n := newNetwork()
+	v := n.voter(t, "v0", 2)
+	r := newRecord(v)
+	lost := r.leads(t)
+	r.accepts(t, map[string]string{"a": "1"})
+	s := n.subscriber(t, "s", 0, "v0")
+	until(t, "it is current", func() bool { status := s.status(t); return s.has() == "pricing/a=1" && status.Age >= 0 })
+	lost()
+	until(t, "it tells that what it has is old", func() bool { return s.told(distribution.EventStale) })
+	if s.has() != "pricing/a=1" || s.status(t).Age < 900_000 {
+		t.Errorf("has %s, %+v", s.has(), s.status(t))
+	}
+	r.leads(t)
+	until(t, "it is current again", func() bool { return s.told(distribution.EventCurrent) })
+	if s.snapshots() != 1 {
+		t.Errorf("%d snapshots", s.snapshots())
+	}
+}
+
+// One that subscribes and reads nothing is closed once its queue is full, and holds nobody up.
+func TestSubscriberThatReadsNothing(t *testing.T) {
+	n := newNetwork()
+	limits := quick(4)
+	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // so that the node itself does not end it
+	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: limits},
+		Bounds{QueueCount: 16, QueueBytes: 64 << 10, WriteTimeout: time.Hour})
+	r := newRecord(v)
+	r.leads(t)
+	r.accepts(t, map[string]string{"a": "1"})
+	s := n.subscriber(t, "s", 0, "v0")
+	ours, theirs := net.Pipe() // without any buffer of the kernel
+	defer ours.Close()
+	var serving sync.WaitGroup
+	serving.Go(func() { v.Accept(theirs, nil) })
+	subscribe := &distribution.Subscribe{Name: "deaf", Scopes: distribution.SomeScopes("pricing")}
+	if err := frame.Write(ours, distribution.Wrap(subscribe)); err != nil {
+		t.Fatal(err)
+	}
+	until(t, "it has a place", func() bool { return len(v.status(t).Children) == 2 })
+	body := make([]byte, 4<<10)
+	for i := 0; v.Traffic().Overflows == 0; i++ {
+		if i == 1000 {
+			t.Fatal("its queue has no bound")
+		}
+		r.accepts(t, map[string]string{"large": fmt.Sprint(i, string(body))})
+		until(t, "the other has it", func() bool { return s.status(t).Mark == r.state.Mark() })
+	}
+	until(t, "its place is free", func() bool { return len(v.status(t).Children) == 1 })
+	serving.Wait()
+	r.accepts(t, map[string]string{"large": "", "a": "2"})
+	until(t, "the other has all", func() bool { return s.has() == "pricing/a=2" })
+}
+
+func TestNamesThatAreNotAllowed(t *testing.T) {
+	n := newNetwork()
+	v := n.voter(t, "v0", 4)
+	r := newRecord(v)
+	r.accepts(t, map[string]string{"a": "1"})
+	ours, theirs := net.Pipe()
+	defer ours.Close()
+	var serving sync.WaitGroup
+	serving.Go(func() { v.Accept(theirs, func(name string) bool { return name == "s1" }) })
+	if err := frame.Write(ours, distribution.Wrap(&distribution.Subscribe{Name: "s2"})); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ours.Read(make([]byte, 1)); err == nil {
+		t.Error("it was answered")
+	}
+	serving.Wait()
+	if children := v.status(t).Children; len(children) != 0 {
+		t.Errorf("children %v", children)
+	}
+}
+
+func TestBrokenMessages(t *testing.T) {
+	n := newNetwork()
+	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{MessageBytes: 1 << 10})
+	for name, bytes := range map[string][]byte{
+		"too large":      {0, 0, 8, 0},
+		"no CBOR":        {0, 0, 0, 1, 0xff},
+		"empty envelope": {0, 0, 0, 1, 0xa0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ours, theirs := net.Pipe()
+			defer ours.Close()
+			var serving sync.WaitGroup
+			serving.Go(func() { v.Accept(theirs, nil) })
+			ours.Write(bytes)
+			if _, err := ours.Read(make([]byte, 1)); err == nil {
+				t.Error("it was answered")
+			}
+			serving.Wait()
+		})
+	}
+}
+
+func TestCallersAreBounded(t *testing.T) {
+	n := newNetwork()
+	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{Incoming: 2})
+	var serving sync.WaitGroup
+	defer serving.Wait()
+	for range 2 {
+		ours, theirs := net.Pipe()
+		defer ours.Close()
+		serving.Go(func() { v.Accept(theirs, nil) })
+	}
+	until(t, "two are served", func() bool {
+		v.Carrier.mutex.Lock()
+		defer v.Carrier.mutex.Unlock()
+		return v.incoming == 2
+	})
+	ours, theirs := net.Pipe()
+	v.Accept(theirs, nil)
+	if _, err := ours.Read(make([]byte, 1)); err == nil {
+		t.Error("a third was served")
+	}
+}
+
+// At the end all connections are closed, and Run returns only when nothing of it is left.
+func TestEnd(t *testing.T) {
+	n := newNetwork()
+	v := n.voter(t, "v0", 4)
+	r := newRecord(v)
+	r.accepts(t, map[string]string{"a": "1"})
+	s := n.subscriber(t, "s", 0, "v0")
+	until(t, "it has it", func() bool { return s.has() == "pricing/a=1" })
+	s.stop()
+	until(t, "its place is free", func() bool { return len(v.status(t).Children) == 0 })
+	if _, ok := s.Status(); ok {
+		t.Error("it answers")
+	}
+	ours, theirs := net.Pipe()
+	s.Accept(theirs, nil)
+	if _, err := ours.Read(make([]byte, 1)); err == nil {
+		t.Error("it serves")
+	}
+	s.Current() // does not wait for an actor that has ended
+	for range 2 * DefaultMailbox {
+		s.Current()
+	}
+	s.Carrier.mutex.Lock()
+	defer s.Carrier.mutex.Unlock()
+	if len(s.open) != 0 || s.incoming != 0 {
+		t.Errorf("%d links, %d callers are left", len(s.open), s.incoming)
+	}
+}
