--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -54,10 +54,9 @@
 
 // reader notes what a member is told, and lets stories wait for it.
 type reader struct {
-	mutex    sync.Mutex
-	more     chan struct{}
-	told     []string
-	restored int
+	mutex sync.Mutex
+	more  chan struct{}
+	told  []string
 }
 
 func newReader() *reader { return &reader{more: make(chan struct{})} }
@@ -132,17 +131,17 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func starts(t testing.TB, place Place) *member {
+func starts(t testing.TB, config Config) *member {
 	t.Helper()
-	return startsOn(t, place, nil)
+	return startsOn(t, config, nil)
 }
 
 // startsOn runs one on a disk that is spoilt by the story.
-func startsOn(t testing.TB, place Place, spoil func(raft.StableStore) raft.StableStore) *member {
+func startsOn(t testing.TB, config Config, wrapStore func(raft.StableStore) raft.StableStore) *member {
 	t.Helper()
 	r := newReader()
-	place.Terms = terms
-	n, err := makes(place, r, quiet(), spoil)
+	config.Terms = terms
+	n, err := newNode(config, r, quiet(), wrapStore)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +191,7 @@
 		at, story := addresses(t, names...), t
 		var all []*member
 		for _, name := range names {
-			all = append(all, starts(t, Place{Name: name, Members: at}))
+			all = append(all, starts(t, Config{Name: name, Members: at}))
 		}
 		for i, m := range all {
 			m.puts(t, share.Entry{Member: names[i], Incarnation: uint64(i + 1), Seq: 1})
@@ -206,10 +205,10 @@
 			old := all[2].ID()
 			all[2].stop()
 			all[0].puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 2})
-			back := starts(story, Place{Name: "c", Members: at})
+			back := starts(story, Config{Name: "c", Members: at})
 			back.puts(t, share.Entry{Member: "c", Incarnation: 30, Seq: 1})
 			back.waits(t, "recorded a 1 2")
-			r, _ := back.now()
+			r, _ := back.current()
 			f := r.GetConfiguration()
 			if f.Error() != nil || back.ID() == old || len(f.Configuration().Servers) != 3 ||
 				strings.Contains(fmt.Sprint(f.Configuration()), old) {
@@ -220,7 +219,7 @@
 		t.Run("when two have lost all the third comes as new as well, and a record is founded again", func(t *testing.T) {
 			all[0].stop()
 			all[1].stop()
-			a, b := starts(story, Place{Name: "a", Members: at}), starts(story, Place{Name: "b", Members: at})
+			a, b := starts(story, Config{Name: "a", Members: at}), starts(story, Config{Name: "b", Members: at})
 			all[2].waits(t, "restored")
 			a.puts(t, share.Entry{Member: "a", Incarnation: 50, Seq: 1})
 			b.puts(t, share.Entry{Member: "b", Incarnation: 51, Seq: 1})
@@ -229,20 +228,20 @@
 	})
 	t.Run("on disk a member goes on as the one it was, and nobody else may use its folder", func(t *testing.T) {
 		at, folder := addresses(t, "a"), t.TempDir()
-		a := starts(t, Place{Name: "a", Members: at, Folder: folder})
+		a := starts(t, Config{Name: "a", Members: at, Folder: folder})
 		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
-		if _, err := New(Place{Name: "a", Members: addresses(t, "a"), Folder: folder, Terms: terms}, newReader(), quiet()); err == nil {
+		if _, err := New(Config{Name: "a", Members: addresses(t, "a"), Folder: folder, Terms: terms}, newReader(), quiet()); err == nil {
 			t.Error("two processes on one folder")
 		}
 		id := a.ID()
 		a.stop()
-		a = starts(t, Place{Name: "a", Members: at, Folder: folder})
+		a = starts(t, Config{Name: "a", Members: at, Folder: folder})
 		if a.waits(t, "recorded a 1 1"); a.ID() != id {
 			t.Errorf("it is %s, and was %s", a.ID(), id)
 		}
 	})
 	t.Run("alone of three nothing stands, and each try is told", func(t *testing.T) {
-		a := starts(t, Place{Name: "a", Members: addresses(t, names...)})
+		a := starts(t, Config{Name: "a", Members: addresses(t, names...)})
 		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		a.waits(t, "failed 1 1")
 	})
@@ -307,8 +306,8 @@
 func TestCredentials(t *testing.T) {
 	ours, foreign := newAuthority(t), newAuthority(t)
 	at := addresses(t, "a", "b")
-	a := starts(t, Place{Name: "a", Members: at, Credentials: ours.gives("a")})
-	b := starts(t, Place{Name: "b", Members: at, Credentials: ours.gives("b")})
+	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a")})
+	b := starts(t, Config{Name: "b", Members: at, Credentials: ours.gives("b")})
 	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	b.waits(t, "recorded a 1 1")
 
@@ -317,7 +316,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &link{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+		l := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
 		conn, err := l.dial(context.Background(), to, forCalls)
 		if err != nil {
 			return answer{}, err
@@ -329,24 +328,24 @@
 	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("b"),
 		"a name that is no member's": ours.gives("z"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
-			if got, err := asks(given, "a", call{Who: true}); err == nil {
+			if got, err := asks(given, "a", call{Status: true}); err == nil {
 				t.Errorf("got %+v", got)
 			}
 		})
 	}
 	t.Run("a member may not speak for another", func(t *testing.T) {
-		leader := a.who().Leader
+		leader := a.status().Leader
 		got, err := asks(ours.gives("b"), leader, call{Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}})
-		if err != nil || got.Stands || got.Why == "" {
+		if err != nil || got.Accepted || got.Why == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
-		if got, err := asks(ours.gives("b"), leader, call{Name: "a", ID: "a/x"}); err != nil || got.Stands {
+		if got, err := asks(ours.gives("b"), leader, call{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
 			t.Errorf("joined for another: %+v, %v", got, err)
 		}
 	})
 	t.Run("a connection for an id that is over is not taken for ours", func(t *testing.T) {
 		secure, _ := ours.gives("b").pair()
-		l := &layer{link: &link{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}}
+		l := &layer{transport: &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}}
 		conn, err := l.Dial(addressOf("a", "a/older"), 0)
 		if err != nil {
 			t.Fatal(err)
@@ -359,14 +358,14 @@
 	})
 }
 
-func TestPlace(t *testing.T) {
-	for why, place := range map[string]Place{
+func TestConfig(t *testing.T) {
+	for why, config := range map[string]Config{
 		"is not among them":  {Name: "z", Members: map[string]string{"a": "127.0.0.1:1"}},
 		"for loopback alone": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0", "b": "192.0.2.1:7"}},
 		"certificate and key": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0"},
 			Credentials: Credentials{Certificate: "none.pem", Key: "none.pem", Authority: "none.pem"}},
 	} {
-		if _, err := New(place, newReader(), quiet()); err == nil || !strings.Contains(err.Error(), why) {
+		if _, err := New(config, newReader(), quiet()); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("got %v, not %q", err, why)
 		}
 	}
@@ -374,21 +373,21 @@
 	if err := os.WriteFile(folder, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Place{Name: "a", Members: addresses(t, "a"), Folder: folder}, newReader(), quiet()); err == nil ||
+	if _, err := New(Config{Name: "a", Members: addresses(t, "a"), Folder: folder}, newReader(), quiet()); err == nil ||
 		!strings.Contains(err.Error(), "folder") {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestMachine(t *testing.T) {
-	m, r := &machine{events: newReader(), record: share.NewRecord()}, newReader()
+func TestStateMachine(t *testing.T) {
+	m, r := &stateMachine{events: newReader(), record: share.NewRecord()}, newReader()
 	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
-		Laid: []share.Laid{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
+		TableChanges: []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &machine{events: r, record: share.NewRecord()}
+	other := &stateMachine{events: r, record: share.NewRecord()}
 	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))); err != nil {
 		t.Fatal(err)
 	}
@@ -406,8 +405,8 @@
 func TestDisk(t *testing.T) {
 	t.Run("a disk that is full when a vote has to be kept ends the part in the record, not the process", func(t *testing.T) {
 		at, since := addresses(t, "a", "b", "c"), &atomic.Bool{}
-		a := startsOn(t, Place{Name: "a", Members: at, Folder: t.TempDir()}, func(s raft.StableStore) raft.StableStore { return full{s, since} })
-		others := map[string]*member{"b": starts(t, Place{Name: "b", Members: at}), "c": starts(t, Place{Name: "c", Members: at})}
+		a := startsOn(t, Config{Name: "a", Members: at, Folder: t.TempDir()}, func(s raft.StableStore) raft.StableStore { return full{s, since} })
+		others := map[string]*member{"b": starts(t, Config{Name: "b", Members: at}), "c": starts(t, Config{Name: "c", Members: at})}
 		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		late := time.After(patience)
 		until := func(is func() bool) {
@@ -421,15 +420,15 @@
 			}
 		}
 		until(func() bool { // somebody else leads
-			r, _ := a.now()
+			r, _ := a.current()
 			if r.State() == raft.Leader {
 				r.LeadershipTransfer().Error()
 			}
-			return others[a.who().Leader] != nil
+			return others[a.status().Leader] != nil
 		})
 		since.Store(true)
-		others[a.who().Leader].stop()
-		until(a.out.Load) // the next election has it vote, or stand itself
+		others[a.status().Leader].stop()
+		until(a.votesLost.Load) // the next election has it vote, or stand itself
 		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 3})
 		a.waits(t, "failed 1 3") // and so goes on by itself
 		a.stop()
@@ -437,7 +436,7 @@
 	at := addresses(t, "a")
 	fresh := func(t *testing.T) string {
 		folder := t.TempDir()
-		a := starts(t, Place{Name: "a", Members: at, Folder: folder})
+		a := starts(t, Config{Name: "a", Members: at, Folder: folder})
 		for seq := uint64(1); seq < 40; seq++ {
 			a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: seq})
 		}
@@ -459,13 +458,13 @@
 			if err := os.WriteFile(path, spoil(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			n, err := New(Place{Name: "a", Members: at, Folder: folder, Terms: terms}, newReader(), quiet())
+			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: terms}, newReader(), quiet())
 			if err == nil {
 				n.mutex.Lock()
-				shut := n.close
+				shut := n.closeRaft
 				n.mutex.Unlock()
 				shut()
-				n.link.close()
+				n.transport.close()
 			}
 			if err == nil || !strings.Contains(err.Error(), folder) {
 				t.Errorf("got %v", err)
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -54,13 +54,13 @@
 
 func (p *player) Propose(e Entry) { p.out = append(p.out, e) }
 
-func (p *player) Chance() uint64 { p.w.drawn++; return p.w.drawn }
+func (p *player) RandomID() uint64 { p.w.drawn++; return p.w.drawn }
 
-func (p *player) Learned(string, Seen) {}
+func (p *player) Learned(string, Observation) {}
 
 func (p *player) Mode(bool, string) {}
 
-func (p *player) Fitted(Fit) {}
+func (p *player) LearnedCapacity(Capacity) {}
 
 func (p *player) Granted(_ int, token uint64, base []Base, _ bool, _ []float64, spent int) {
 	p.granted, p.token, p.sent = p.joined, token, nil
@@ -112,7 +112,7 @@
 // may tells whether the member may order one more message to the proxy, and counts it.
 func (p *player) may() bool {
 	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= p.w.now-modelTerms.Span })
-	if len(p.sent) >= modelTerms.Stray()+modelTerms.Own() {
+	if len(p.sent) >= modelTerms.UnownedQuota()+modelTerms.OwnerQuota() {
 		return false
 	}
 	p.sent = append(p.sent, p.w.now)
@@ -174,7 +174,7 @@
 	p.up, p.cut, p.deaf, p.read, p.out, p.wait, p.sent, p.granted = true, false, false, 0, nil, nil, nil, 0
 	p.conn, p.line, p.edition, p.token, p.joined, p.wrote = p.conn+1, 0, 0, 0, 0, 0
 	p.coordinator = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
-	p.coordinator.Laid([]Laid{{0, []Line{{"b", 1}}}}, w.now)
+	p.coordinator.ChangeTables([]TableChange{{0, []Line{{"b", 1}}}}, w.now)
 }
 
 func (w *world) dial(p *player) {
@@ -221,7 +221,7 @@
 		p.wait = append(p.wait, 1<<62)
 		p.edition = p.coordinator.Edition() + 1
 		p.wait[len(p.wait)-1] = p.edition
-		p.coordinator.Laid([]Laid{{0, []Line{{"a", p.line}}}}, w.now)
+		p.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", p.line}}}}, w.now)
 	case 'c':
 		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
 			return false
@@ -306,14 +306,14 @@
 	for _, p := range w.members {
 		d := p.coordinator
 		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
-			d.alone, since(d.stood), since(d.last), len(d.next.Claims), len(d.next.Laid), len(d.next.Told), d.under != nil, d.tables)
+			d.alone, since(d.leaseFrom), since(d.lastProposedAt), len(d.pending.Claims), len(d.pending.TableChanges), len(d.pending.Confirmations), d.inFlight != nil, d.tables)
 		for _, at := range p.sent {
 			fmt.Fprint(h, " ", since(at))
 		}
 		if c := d.proxies[0]; c != nil {
 			fmt.Fprint(h, *c)
 		}
-		for _, at := range d.strays[0] {
+		for _, at := range d.grantTimes[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
 		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.leases.gone[d.name]))
@@ -437,7 +437,7 @@
 				record.Proxies[0] = h
 			}
 			for _, p := range w.members {
-				clear(p.coordinator.strays)
+				clear(p.coordinator.grantTimes)
 				p.coordinator.started = -modelTerms.Span
 			}
 		}},
--- a/share/record.go
+++ b/share/record.go
@@ -3,8 +3,8 @@
 // backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
 //
 // A Record is the replicated record, the same at every member once the same entries were taken in. A Coordinator is one
-// member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the leader of
-// the record knows besides.
+// member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the
+// leader of the record knows besides.
 package share
 
 import (
@@ -15,21 +15,21 @@
 
 // Entry is what one member puts on the record in one piece. A member has one entry under way at a time.
 type Entry struct {
-	Member      string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
-	Seq         uint64 `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
-	Floor       uint64 `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
-	Closing     bool   `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
-	Claims      []int  `cbor:"6,keyasint,omitempty"`
-	Again       []int  `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
-	Edition     uint64 `cbor:"7,keyasint,omitempty"`  // of the tables once Laid counts
-	Laid        []Laid `cbor:"8,keyasint,omitempty"`
-	Told        []Told `cbor:"9,keyasint,omitempty"`
-	Seen        []Seen `cbor:"10,keyasint,omitempty"`
-	Came        []Came `cbor:"13,keyasint,omitempty"`
-	Fit         Fit    `cbor:"14,keyasint,omitempty"`
-	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry came to
-	// it. It names none before all members have entered.
+	Member        string         `cbor:"1,keyasint"`
+	Incarnation   uint64         `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
+	Seq           uint64         `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
+	Floor         uint64         `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
+	Closing       bool           `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
+	Claims        []int          `cbor:"6,keyasint,omitempty"`
+	Reclaims      []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
+	Edition       uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
+	TableChanges  []TableChange  `cbor:"8,keyasint,omitempty"`
+	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
+	Observations  []Observation  `cbor:"10,keyasint,omitempty"`
+	Demands       []Demand       `cbor:"13,keyasint,omitempty"`
+	Capacity      Capacity       `cbor:"14,keyasint,omitempty"`
+	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry
+	// came to it. It names none before all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
 	// Stamp is added by the leader as well.
 	Stamp Stamp `cbor:"12,keyasint,omitempty"`
@@ -41,8 +41,8 @@
 	At     int64  `cbor:"2,keyasint"` // µs
 }
 
-// Laid is what changes in one table of a member; a weight of 0 takes a line out.
-type Laid struct {
+// TableChange is what changes in one table of a member; a weight of 0 takes a line out.
+type TableChange struct {
 	Table int    `cbor:"1,keyasint"`
 	Lines []Line `cbor:"2,keyasint"`
 }
@@ -53,8 +53,8 @@
 	Weight  float64 `cbor:"2,keyasint"`
 }
 
-// Told is what a proxy has confirmed: all that its tables, by class, were up to an edition.
-type Told struct {
+// Confirmation is what a proxy has confirmed: all that its tables, by class, were up to an edition.
+type Confirmation struct {
 	Proxy   int    `cbor:"1,keyasint"`
 	Token   uint64 `cbor:"2,keyasint"`
 	Edition uint64 `cbor:"3,keyasint"`
@@ -63,30 +63,31 @@
 	Sure bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Shut is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
-const Shut = -1
+// WithdrawnTable is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
+const WithdrawnTable = -1
 
-// Seen is what a member's proxies met at a backend. Away: it is withdrawn there, and this is what showed it.
-type Seen struct {
-	Backend string `cbor:"1,keyasint"`
-	Tries   int    `cbor:"2,keyasint"`
-	Failed  int    `cbor:"3,keyasint"`
-	Mean    int64  `cbor:"4,keyasint"` // µs that an answer took
-	Span    int64  `cbor:"5,keyasint"` // µs that it covers
-	Away    bool   `cbor:"6,keyasint,omitempty"`
-	Wait    int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
+// Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed
+// it.
+type Observation struct {
+	Backend   string `cbor:"1,keyasint"`
+	Tries     int    `cbor:"2,keyasint"`
+	Failed    int    `cbor:"3,keyasint"`
+	Mean      int64  `cbor:"4,keyasint"` // µs that an answer took
+	Span      int64  `cbor:"5,keyasint"` // µs that it covers
+	Withdrawn bool   `cbor:"6,keyasint,omitempty"`
+	Wait      int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
 }
 
 // Record is the replicated record: what every member concludes from the same entries.
 type Record struct {
-	Token        uint64                     `cbor:"1,keyasint"` // the last one given
-	Members      map[string]uint64          `cbor:"2,keyasint"` // the incarnation of each
-	Incarnations map[uint64]*Incarnation    `cbor:"3,keyasint"`
-	Proxies      map[int]Holding            `cbor:"4,keyasint"`
-	Away         map[string]map[string]Seen `cbor:"5,keyasint"` // by backend and member
-	Came         map[int][]float64          `cbor:"6,keyasint"` // requests a second by proxy and class
-	Fits         map[string]Fit             `cbor:"7,keyasint"` // by member
-	Past         map[string][]uint64        `cbor:"8,keyasint"` // incarnations of each member that are over, the last ones
+	Token        uint64                            `cbor:"1,keyasint"` // the last one given
+	Members      map[string]uint64                 `cbor:"2,keyasint"` // the incarnation of each
+	Incarnations map[uint64]*Incarnation           `cbor:"3,keyasint"`
+	Proxies      map[int]Ownership                 `cbor:"4,keyasint"`
+	Withdrawn    map[string]map[string]Observation `cbor:"5,keyasint"` // by backend and member
+	Demands      map[int][]float64                 `cbor:"6,keyasint"` // requests a second by proxy and class
+	Capacities   map[string]Capacity               `cbor:"7,keyasint"` // by member
+	Past         map[string][]uint64               `cbor:"8,keyasint"` // incarnations of each member that are over, the last ones
 }
 
 // Incarnation is a member between its entering and its end.
@@ -100,18 +101,18 @@
 
 // Table is one of a member's tables. A line that was taken out stands with a weight of 0 for a while.
 type Table struct {
-	Lines map[string]Stood `cbor:"1,keyasint"`
-	Floor uint64           `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
+	Lines map[string]VersionedWeight `cbor:"1,keyasint"`
+	Floor uint64                     `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
 }
 
-// Stood is a line and the edition that set it.
-type Stood struct {
+// VersionedWeight is a line and the edition that set it.
+type VersionedWeight struct {
 	Weight float64 `cbor:"1,keyasint"`
 	At     uint64  `cbor:"2,keyasint"`
 }
 
-// Holding says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
-type Holding struct {
+// Ownership says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
+type Ownership struct {
 	Owner       string  `cbor:"1,keyasint"`
 	Incarnation uint64  `cbor:"2,keyasint"`
 	Token       uint64  `cbor:"3,keyasint"`
@@ -130,31 +131,31 @@
 // Move is a change of a proxy's owner. Known is false where the old one may have written what the record lacks.
 type Move struct {
 	Proxy    int
-	From, To Holding
+	From, To Ownership
 	Known    bool
 	Base     []Base    // by class, if it is known
 	Clean    bool      // it is known besides that it shuts nothing out
-	Came     []float64 // requests a second that came to it, by class, as last told
+	Demand   []float64 // requests a second that came to it, by class, as last told
 }
 
 const (
-	mostOut  = 256 // lines taken out that a table remembers ...
-	leastOut = 128 // ... and how many are left once there are more
+	maxRemovedLines  = 256 // lines taken out that a table remembers ...
+	keptRemovedLines = 128 // ... and how many are left once there are more
 
-	pastKept  = 16 // incarnations of a member that are known to be over
-	movesKept = 2  // owners before the present one for whose shares there is room within the span
-	mostMoves = 4  // moves within it up to which an owner has some messages in any case
+	maxPast      = 16 // incarnations of a member that are known to be over
+	ownersBefore = 2  // owners before the present one for whose shares there is room within the span
+	maxMoves     = 4  // moves within it up to which an owner has some messages in any case
 )
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Holding{},
-		Away: map[string]map[string]Seen{}, Came: map[int][]float64{}, Fits: map[string]Fit{},
+	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Ownership{},
+		Withdrawn: map[string]map[string]Observation{}, Demands: map[int][]float64{}, Capacities: map[string]Capacity{},
 		Past: map[string][]uint64{}}
 }
 
-// Apply takes in the next entry. It is false for one that was taken in before, and for one of an incarnation that is over: its
-// member has entered anew since, or has closed.
+// Apply takes in the next entry. It is false for one that was taken in before, and for one of an incarnation that is
+// over: its member has entered anew since, or has closed.
 func (r *Record) Apply(e Entry) (moves []Move, taken bool) {
 	// A repeat of an entering that was under way for long must not bring back an incarnation that is over.
 	if e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.Past[e.Member], e.Incarnation) {
@@ -167,25 +168,25 @@
 	incarnation.Seq = e.Seq
 	r.Token = max(r.Token, e.Floor)
 	r.applyTables(incarnation, e)
-	for _, t := range e.Told {
+	for _, t := range e.Confirmations {
 		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Edition >= h.Edition {
 			h.Edition, h.Tables, h.Sure = t.Edition, t.Tables, t.Sure
 			r.Proxies[t.Proxy] = h
 		}
 	}
-	for _, s := range e.Seen {
+	for _, s := range e.Observations {
 		r.setWithdrawn(e.Member, s)
 	}
-	for _, c := range e.Came {
-		r.Came[c.Proxy] = c.Rates
+	for _, c := range e.Demands {
+		r.Demands[c.Proxy] = c.Rates
 	}
-	if e.Fit != (Fit{}) {
-		r.Fits[e.Member] = e.Fit
+	if e.Capacity != (Capacity{}) {
+		r.Capacities[e.Member] = e.Capacity
 	}
 	for _, proxy := range e.Claims {
 		moves = append(moves, r.claim(proxy, e, false))
 	}
-	for _, proxy := range e.Again {
+	for _, proxy := range e.Reclaims {
 		moves = append(moves, r.claim(proxy, e, true))
 	}
 	if e.Closing {
@@ -199,7 +200,7 @@
 func (r *Record) enter(e Entry) {
 	if last, ok := r.Members[e.Member]; ok {
 		past := append(r.Past[e.Member], last)
-		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-pastKept):])
+		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-maxPast):])
 	}
 	r.Members[e.Member] = e.Incarnation
 	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
@@ -208,17 +209,17 @@
 
 func (r *Record) applyTables(incarnation *Incarnation, e Entry) {
 	incarnation.Edition = max(incarnation.Edition, e.Edition)
-	for _, laid := range e.Laid {
-		t := incarnation.Tables[laid.Table]
+	for _, change := range e.TableChanges {
+		t := incarnation.Tables[change.Table]
 		if t == nil {
-			t = &Table{Lines: map[string]Stood{}}
-			incarnation.Tables[laid.Table] = t
+			t = &Table{Lines: map[string]VersionedWeight{}}
+			incarnation.Tables[change.Table] = t
 		}
 		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
 			t.Floor = e.Edition
 		}
-		for _, l := range laid.Lines {
-			t.Lines[l.Backend] = Stood{l.Weight, e.Edition}
+		for _, l := range change.Lines {
+			t.Lines[l.Backend] = VersionedWeight{l.Weight, e.Edition}
 		}
 		t.trim()
 	}
@@ -232,34 +233,34 @@
 			out = append(out, id)
 		}
 	}
-	if len(out) <= mostOut {
+	if len(out) <= maxRemovedLines {
 		return
 	}
 	slices.SortFunc(out, func(x, y string) int {
 		return cmp.Or(cmp.Compare(t.Lines[x].At, t.Lines[y].At), cmp.Compare(x, y))
 	})
-	for _, id := range out[:len(out)-leastOut] {
+	for _, id := range out[:len(out)-keptRemovedLines] {
 		t.Floor = max(t.Floor, t.Lines[id].At)
 		delete(t.Lines, id)
 	}
 }
 
-func (r *Record) setWithdrawn(member string, s Seen) {
-	if s.Away {
-		if r.Away[s.Backend] == nil {
-			r.Away[s.Backend] = map[string]Seen{}
+func (r *Record) setWithdrawn(member string, s Observation) {
+	if s.Withdrawn {
+		if r.Withdrawn[s.Backend] == nil {
+			r.Withdrawn[s.Backend] = map[string]Observation{}
 		}
-		r.Away[s.Backend][member] = s
-	} else if at := r.Away[s.Backend]; at != nil {
+		r.Withdrawn[s.Backend][member] = s
+	} else if at := r.Withdrawn[s.Backend]; at != nil {
 		if delete(at, member); len(at) == 0 {
-			delete(r.Away, s.Backend)
+			delete(r.Withdrawn, s.Backend)
 		}
 	}
 }
 
 func (r *Record) clearWithdrawn(member string) {
-	for _, id := range slices.Collect(maps.Keys(r.Away)) {
-		r.setWithdrawn(member, Seen{Backend: id})
+	for _, id := range slices.Collect(maps.Keys(r.Withdrawn)) {
+		r.setWithdrawn(member, Observation{Backend: id})
 	}
 }
 
@@ -268,12 +269,12 @@
 func (r *Record) claim(proxy int, e Entry, again bool) Move {
 	from := r.Proxies[proxy]
 	r.Token++
-	m := Move{Proxy: proxy, From: from, To: Holding{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
+	m := Move{Proxy: proxy, From: from, To: Ownership{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
 	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
-		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-mostMoves-1):]
+		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-maxMoves-1):]
 	}
-	m.Came = r.Came[proxy]
+	m.Demand = r.Demands[proxy]
 	last := r.Incarnations[from.Incarnation]
 	sure := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.OnRecord, id) }
 	m.Known = last != nil && len(e.OnRecord) > 0 && (sure(from.Incarnation) || last.Closed)
@@ -290,7 +291,7 @@
 
 // clean tells whether one that confirmed an edition shuts nothing out that the incarnation has withdrawn.
 func (i *Incarnation) clean(edition uint64) bool {
-	t := i.Tables[Shut]
+	t := i.Tables[WithdrawnTable]
 	if t == nil {
 		return true
 	}
@@ -303,7 +304,7 @@
 }
 
 // base is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (r *Record) base(h Holding, incarnation *Incarnation) (by []Base, known bool) {
+func (r *Record) base(h Ownership, incarnation *Incarnation) (by []Base, known bool) {
 	if h.Edition == 0 || len(h.Tables) == 0 {
 		return nil, false
 	}
