--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// pick chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned; among
-// those by chance. It gives none if all must be left alone for now.
+// pick chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned;
+// among those by chance. It gives none if all must be left alone for now.
 func (n *Node) pick(now int64) string {
 	var best []*candidate
 	rank := 0
--- /dev/null
+++ b/distribution/network_test.go
@@ -0,0 +1,442 @@
+package distribution
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// cluster is a network of nodes for tests: connections deliver in order, and can be cut, hang or lose a message. It
+// holds what every node should have at each revision, and checks each node against it.
+type cluster struct {
+	now     int64
+	members []*member
+	conns   []*conn
+	dials   []dial
+	cuts    map[[2]string]bool // by the names in order: dials fail
+	hung    map[[2]string]bool // by the names in order: nothing arrives, nobody is told
+	encode  bool               // messages go through their encoding
+	epoch   Epoch
+	record  []Change                           // of this epoch
+	truth   map[Epoch]map[uint64]map[Key]Entry // the whole configuration by epoch and revision
+	drawn   uint64
+	random  bool // Chance draws; else it gives zero
+	broken  string
+}
+
+// member is a node with the controller that acts by it.
+type member struct {
+	cluster *cluster
+	config  Config
+	node    *Node
+	up      bool
+	frozen  bool // its process stands still
+	leads   bool // a voter that knows its record to be led
+	taken   int  // changes of the record that a voter has got
+	mirror  map[Key]Entry
+	applied Mark
+	highest Mark // ever, also before restarts
+	events  []Event
+	sent    int // bytes
+	kept    State
+}
+
+type dial struct {
+	from *member
+	peer string
+	link Link
+}
+
+// conn is a connection; what is on its way is in two queues.
+type conn struct {
+	dialer, acceptor *member
+	links            [2]Link      // the dialer's, the acceptor's
+	queues           [2][]Message // to the dialer, to the acceptor
+	closed           [2]bool      // by the dialer, by the acceptor
+}
+
+func newCluster() *cluster {
+	return &cluster{
+		now:   1000 * second,
+		cuts:  map[[2]string]bool{},
+		hung:  map[[2]string]bool{},
+		epoch: Epoch{Number: 7, Identity: 70},
+		truth: map[Epoch]map[uint64]map[Key]Entry{},
+	}
+}
+
+func pair(a, b *member) [2]string {
+	return [2]string{min(a.config.Name, b.config.Name), max(a.config.Name, b.config.Name)}
+}
+
+func (c *cluster) fails(format string, args ...any) {
+	if c.broken == "" {
+		c.broken = fmt.Sprintf(format, args...)
+	}
+}
+
+func (c *cluster) member(name string) *member {
+	for _, m := range c.members {
+		if m.config.Name == name {
+			return m
+		}
+	}
+	return nil
+}
+
+// add starts a node. A voter begins with the empty record of the epoch and follows it.
+func (c *cluster) add(config Config) *member {
+	m := &member{cluster: c, config: config, leads: true}
+	c.members = append(c.members, m)
+	m.start(State{})
+	return m
+}
+
+// start starts the member's process, with a state that it kept if there is one.
+func (m *member) start(kept State) {
+	m.up, m.frozen, m.mirror, m.applied = true, false, map[Key]Entry{}, Mark{}
+	m.node = New(m.config, m, m.cluster.now)
+	if m.config.Voter && !kept.Mark.Epoch.Known() {
+		kept.Mark.Epoch = m.cluster.epoch
+	}
+	m.taken = 0
+	for _, change := range m.cluster.record {
+		if change.Revision <= kept.Mark.Revision {
+			m.taken++
+		}
+	}
+	if kept.Mark.Epoch.Known() {
+		m.node.Restored(kept, m.cluster.now)
+	}
+}
+
+// kill ends the member's process; the other ends of its connections hear of it.
+func (m *member) kill() {
+	m.up = false
+	for _, conn := range slices.Clone(m.cluster.conns) {
+		if conn.dialer == m || conn.acceptor == m {
+			m.cluster.sever(conn)
+		}
+	}
+	m.cluster.dials = slices.DeleteFunc(m.cluster.dials, func(d dial) bool { return d.from == m })
+}
+
+// sever ends a connection at both ends; what is on its way is lost.
+func (c *cluster) sever(lost *conn) {
+	c.conns = slices.DeleteFunc(c.conns, func(other *conn) bool { return other == lost })
+	if lost.dialer.up && !lost.closed[0] {
+		lost.dialer.node.Closed(lost.links[0], c.now)
+	}
+	if lost.acceptor.up && !lost.closed[1] {
+		lost.acceptor.node.Closed(lost.links[1], c.now)
+	}
+}
+
+
+// cut ends the connections of two members, and lets new ones fail.
+func (c *cluster) cut(a, b *member) {
+	c.cuts[pair(a, b)] = true
+	for _, conn := range slices.Clone(c.conns) {
+		if pair(conn.dialer, conn.acceptor) == pair(a, b) {
+			c.sever(conn)
+		}
+	}
+}
+
+// hang has nothing arrive between two members, without either hearing of it.
+func (c *cluster) hang(a, b *member) { c.hung[pair(a, b)] = true }
+
+func (c *cluster) heal(a, b *member) {
+	delete(c.cuts, pair(a, b))
+	delete(c.hung, pair(a, b))
+	for _, conn := range slices.Clone(c.conns) {
+		if pair(conn.dialer, conn.acceptor) == pair(a, b) {
+			c.sever(conn)
+		}
+	}
+}
+
+// found founds the record anew: a new epoch without changes, which the voters take over.
+func (c *cluster) found(epoch Epoch) {
+	c.epoch, c.record = epoch, nil
+	for _, m := range c.members {
+		if m.config.Voter && m.up {
+			m.taken = 0
+			m.node.Restored(State{Mark: Mark{Epoch: epoch}}, c.now)
+		}
+	}
+}
+
+// accept puts a change on the record; the voters get it by follow.
+func (c *cluster) accept(entries ...Entry) Change {
+	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), AcceptedAt: c.now + 5, Entries: entries}
+	c.stateAt(c.epoch, change.Revision-1)
+	next := maps.Clone(c.truth[c.epoch][change.Revision-1])
+	for _, e := range filledIn(change) {
+		next[e.Key()] = e
+		if e.Deleted {
+			delete(next, e.Key())
+		}
+	}
+	c.truth[c.epoch][change.Revision] = next
+	c.record = append(c.record, change)
+	return change
+}
+
+// stateAt is what a node with all scopes has at a revision.
+func (c *cluster) stateAt(epoch Epoch, revision uint64) map[Key]Entry {
+	if c.truth[epoch] == nil {
+		c.truth[epoch] = map[uint64]map[Key]Entry{0: {}}
+	}
+	return c.truth[epoch][revision]
+}
+
+// follow hands a voter the changes of the record that it has not got, at most so many.
+func (c *cluster) follow(m *member, most int) {
+	for ; m.taken < len(c.record) && most > 0; most-- {
+		m.node.Accepted(c.record[m.taken], c.now)
+		m.taken++
+	}
+}
+
+// Dial implements Host.
+func (m *member) Dial(peer string, link Link) {
+	m.cluster.dials = append(m.cluster.dials, dial{m, peer, link})
+}
+
+// Send implements Host.
+func (m *member) Send(link Link, message Message) {
+	m.sent += message.Size()
+	for _, conn := range m.cluster.conns {
+		for side, end := range []*member{conn.dialer, conn.acceptor} {
+			if end == m && conn.links[side] == link {
+				conn.queues[1-side] = append(conn.queues[1-side], message)
+				return
+			}
+		}
+	}
+	m.cluster.fails("%s sends on a link that it does not have", m.config.Name)
+}
+
+// Close implements Host.
+func (m *member) Close(link Link, _ CloseReason) {
+	m.cluster.dials = slices.DeleteFunc(m.cluster.dials, func(d dial) bool { return d.from == m && d.link == link })
+	for _, conn := range m.cluster.conns {
+		if conn.dialer == m && conn.links[0] == link {
+			conn.closed[0] = true
+		}
+		if conn.acceptor == m && conn.links[1] == link {
+			conn.closed[1] = true
+		}
+	}
+}
+
+// Log implements Host.
+func (m *member) Log(event Event) { m.events = append(m.events, event) }
+
+// Chance implements Host.
+func (m *member) Chance() uint64 {
+	if !m.cluster.random {
+		return 0
+	}
+	m.cluster.drawn = m.cluster.drawn*6364136223846793005 + 1442695040888963407
+	return m.cluster.drawn >> 20
+}
+
+// Apply implements Host: the controller takes the change over, and what it has then must be what stood on the record.
+func (m *member) Apply(change Change, whole bool) {
+	mark := Mark{change.Epoch, change.Revision}
+	if mark.Before(m.applied) {
+		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.applied, mark)
+	}
+	m.applied = mark
+	if whole {
+		m.mirror = map[Key]Entry{}
+	}
+	for _, e := range change.Entries {
+		m.mirror[e.Key()] = e
+		if e.Deleted {
+			delete(m.mirror, e.Key())
+		}
+	}
+}
+
+// verify checks what a node has, and what its controller was told, against the record.
+func (m *member) verify() {
+	c, mark := m.cluster, m.node.Mark()
+	if !mark.Epoch.Known() {
+		return
+	}
+	if !m.config.Voter {
+		if mark.Before(m.highest) {
+			c.fails("%s was at %v and is at %v", m.config.Name, m.highest, mark)
+		}
+		m.highest = mark
+	}
+	var digest Digest
+	covered := m.node.State().Covered
+	want := map[Key]Entry{}
+	for key, e := range c.stateAt(mark.Epoch, mark.Revision) {
+		if covered.Has(key.Scope) {
+			want[key] = e
+			digest = digest.plus(digestOf(e))
+		}
+	}
+	has := map[Key]Entry{}
+	for _, e := range m.node.State().Entries {
+		if !e.Deleted {
+			has[e.Key()] = e
+		}
+	}
+	if !maps.EqualFunc(has, want, sameEntry) {
+		c.fails("%s has %v at %v and should have %v", m.config.Name, has, mark, want)
+	}
+	if !maps.EqualFunc(m.mirror, want, sameEntry) {
+		c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, m.mirror, mark, want)
+	}
+	if digest != m.node.Status(c.now).Digest {
+		c.fails("%s has another digest than its entries at %v", m.config.Name, mark)
+	}
+}
+
+func sameEntry(a, b Entry) bool {
+	return string(a.Value) == string(b.Value) && a.Revision == b.Revision && a.AcceptedAt == b.AcceptedAt
+}
+
+// connect settles the dials.
+func (c *cluster) connect() bool {
+	moved := false
+	for _, d := range slices.Clone(c.dials) {
+		peer := c.member(d.peer)
+		if peer != nil && (peer.frozen || c.hung[pair(d.from, peer)]) || d.from.frozen {
+			continue
+		}
+		c.dials = slices.DeleteFunc(c.dials, func(other dial) bool { return other == d })
+		moved = true
+		var incoming Link
+		if peer != nil && peer.up && !c.cuts[pair(d.from, peer)] {
+			incoming = peer.node.Incoming(c.now)
+		}
+		if incoming == 0 {
+			d.from.node.DialFailed(d.link, c.now)
+			continue
+		}
+		c.conns = append(c.conns, &conn{dialer: d.from, acceptor: peer, links: [2]Link{d.link, incoming}})
+		d.from.node.Connected(d.link, c.now)
+	}
+	return moved
+}
+
+// deliver hands the first message of a queue to its receiver, or the end of the connection after the last. It tells
+// whether anything moved.
+func (c *cluster) deliver(on *conn, side int, lose bool) bool {
+	ends := []*member{on.dialer, on.acceptor}
+	to := ends[side]
+	if to.frozen || c.hung[pair(on.dialer, on.acceptor)] {
+		return false
+	}
+	if len(on.queues[side]) == 0 {
+		if !on.closed[1-side] {
+			return false
+		}
+		c.conns = slices.DeleteFunc(c.conns, func(other *conn) bool { return other == on })
+		if !on.closed[side] {
+			to.node.Closed(on.links[side], c.now)
+		}
+		return true
+	}
+	message := on.queues[side][0]
+	on.queues[side] = on.queues[side][1:]
+	if !lose && !on.closed[side] {
+		to.node.Received(on.links[side], c.coded(message), c.now)
+	}
+	return true
+}
+
+// coded takes a message through its encoding and back.
+func (c *cluster) coded(message Message) Message {
+	if !c.encode {
+		return message
+	}
+	bytes, err := cbor.Marshal(Wrap(message))
+	if err != nil {
+		c.fails("encoding: %v", err)
+	}
+	var envelope Envelope
+	if err := cbor.Unmarshal(bytes, &envelope); err != nil {
+		c.fails("decoding: %v", err)
+	}
+	decoded, err := envelope.Message()
+	if err != nil {
+		c.fails("decoding: %v", err)
+	}
+	return decoded
+}
+
+// settle lets everything on its way arrive.
+func (c *cluster) settle() {
+	for moved := true; moved; {
+		moved = c.connect()
+		for _, conn := range slices.Clone(c.conns) {
+			for side := range conn.queues {
+				for slices.Contains(c.conns, conn) && c.deliver(conn, side, false) {
+					moved = true
+				}
+			}
+		}
+	}
+}
+
+// pass lets time pass in steps, in each of which everything arrives and every node is checked.
+func (c *cluster) pass(time, step int64) {
+	for end := c.now + time; c.now < end; {
+		c.now += step
+		c.tick()
+		c.settle()
+		for _, m := range c.members {
+			if m.up {
+				m.verify()
+			}
+		}
+	}
+}
+
+// tick has every node that runs note the time.
+func (c *cluster) tick() {
+	for _, m := range c.members {
+		if !m.up || m.frozen {
+			continue
+		}
+		if m.config.Voter && m.leads {
+			c.follow(m, len(c.record))
+			m.node.Current(c.now)
+		}
+		m.node.Elapsed(c.now)
+	}
+}
+
+// sound ends a test at the first breach.
+func (c *cluster) sound(t *testing.T) {
+	t.Helper()
+	if c.broken != "" {
+		t.Fatal(c.broken)
+	}
+}
+
+// count is how many events of a kind a member has logged.
+func (m *member) count(kind EventKind) int {
+	number := 0
+	for _, e := range m.events {
+		if e.Kind == kind {
+			number++
+		}
+	}
+	return number
+}
+
+func set(scope, name, value string) Entry { return Entry{Scope: scope, Name: name, Value: []byte(value)} }
+
+func gone(scope, name string) Entry { return Entry{Scope: scope, Name: name, Deleted: true} }
