--- /dev/null
+++ b/distribution/admission_test.go
@@ -0,0 +1,215 @@
+package distribution
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// ask sends a request of a caller to a member and gives the answer.
+func (c *cluster) ask(m *member, request *Subscribe) Message {
+	asker := &member{cluster: c, config: Config{Name: request.Name}, frozen: true}
+	link := m.node.Incoming(c.now)
+	conn := &conn{dialer: asker, acceptor: m, links: [2]Link{1, link}}
+	c.conns = append(c.conns, conn)
+	m.node.Received(link, request, c.now)
+	if len(conn.queues[0]) == 0 {
+		return nil
+	}
+	return conn.queues[0][0]
+}
+
+func TestRefusals(t *testing.T) {
+	limits := DefaultLimits()
+	limits.DepthMost, limits.ScopesMost, limits.FanOut = 2, 3, 3
+	c, _, first, _, leaf := tree(t, limits)
+	empty := c.add(subscriber("empty", AllScopes(), limits))
+	for _, story := range []struct {
+		name    string
+		at      *member
+		request Subscribe
+		reason  RefusalReason
+	}{
+		{"no name", first, Subscribe{}, RefusedMalformed},
+		{"scopes out of order", first, Subscribe{Name: "x", Scopes: Scopes{Names: []string{"b", "a"}}}, RefusedMalformed},
+		{"too many scopes", first, Subscribe{Name: "x", Scopes: SomeScopes("a", "b", "c", "d")}, RefusedMalformed},
+		{"nothing there yet", empty, Subscribe{Name: "x", Scopes: AllScopes()}, RefusedEmpty},
+		{"more scopes than the parent has", first, Subscribe{Name: "v", Scopes: SomeScopes("a")}, RefusedLoop},
+		{"itself", first, Subscribe{Name: "first", Scopes: SomeScopes("a")}, RefusedLoop},
+		{"too deep", leaf, Subscribe{Name: "x", Scopes: SomeScopes("a")}, RefusedTooDeep},
+		{"another record", first, Subscribe{Name: "x", Mark: Mark{Epoch{7, 71}, 4}}, RefusedConflict},
+	} {
+		t.Run(story.name, func(t *testing.T) {
+			refused, is := c.ask(story.at, &story.request).(*Refused)
+			if !is || refused.Reason != story.reason {
+				t.Fatalf("answer %+v", refused)
+			}
+			if refused.RetryAfter < limits.BackoffLeast || refused.RetryAfter > limits.RetryMost {
+				t.Errorf("retry after %d", refused.RetryAfter)
+			}
+		})
+	}
+}
+
+func TestScopesMustBeCovered(t *testing.T) {
+	limits := DefaultLimits()
+	c, _, leaf := duo(t, limits)
+	for _, wider := range []Scopes{AllScopes(), SomeScopes("b"), SomeScopes("a", "b")} {
+		refused, is := c.ask(leaf, &Subscribe{Name: "x", Scopes: wider}).(*Refused)
+		if !is || refused.Reason != RefusedNotCovered {
+			t.Errorf("%v: %+v", wider, refused)
+		}
+	}
+	if _, is := c.ask(leaf, &Subscribe{Name: "x", Scopes: SomeScopes("a")}).(*Admitted); !is {
+		t.Error("the same scopes are not admitted")
+	}
+}
+
+func TestFullParentNamesOthers(t *testing.T) {
+	limits := DefaultLimits()
+	limits.FanOut = 2
+	c, v, _, _, _ := tree(t, limits)
+	refused, is := c.ask(v, &Subscribe{Name: "x", Scopes: SomeScopes("a"), FanOut: 1}).(*Refused)
+	if !is || refused.Reason != RefusedFull {
+		t.Fatalf("answer %+v", refused)
+	}
+	slices.Sort(refused.Candidates)
+	if fmt.Sprint(refused.Candidates) != "[first second]" {
+		t.Errorf("candidates %v", refused.Candidates)
+	}
+	late := c.add(subscriber("late", SomeScopes("a"), limits, "v"))
+	c.pass(2*second, tick)
+	c.expectCaughtUp(t, late)
+	if parent := late.node.Status(c.now).Parent; parent != "first" && parent != "second" {
+		t.Errorf("the parent is %q", parent)
+	}
+}
+
+func TestSnapshotsAreAdmittedAFewAtATime(t *testing.T) {
+	limits := DefaultLimits()
+	limits.Snapshots, limits.PieceBytes = 2, 100
+	c := newCluster()
+	v := c.add(voter("v", limits))
+	for i := range 100 {
+		c.accept(set("a", fmt.Sprint(i), string(make([]byte, 500))))
+	}
+	c.pass(tick, tick)
+	var waits []int64
+	for i := range 5 {
+		answer := c.ask(v, &Subscribe{Name: fmt.Sprint("x", i), Scopes: SomeScopes("a")})
+		refused, is := answer.(*Refused)
+		if is != (i >= limits.Snapshots) {
+			t.Fatalf("answer %d: %+v", i, answer)
+		}
+		if is {
+			waits = append(waits, refused.RetryAfter)
+		}
+	}
+	if slices.Max(waits) > limits.RetryMost || slices.Min(waits) < second {
+		t.Errorf("waits %v", waits)
+	}
+	mark := v.node.Mark()
+	request := &Subscribe{Name: "y", Scopes: SomeScopes("a"), Mark: mark, Digest: v.node.store.digestFor(SomeScopes("a"))}
+	if _, is := c.ask(v, request).(*Admitted); !is {
+		t.Error("one that needs no snapshot is refused")
+	}
+}
+
+func TestNoLoop(t *testing.T) {
+	limits := DefaultLimits()
+	c := newCluster()
+	c.random = true
+	v := c.add(voter("v", limits))
+	upper := c.add(subscriber("upper", AllScopes(), limits, "v", "middle", "lower"))
+	c.fill(3)
+	c.pass(4*second, tick)
+	middle := c.add(subscriber("middle", AllScopes(), limits, "upper", "lower"))
+	c.pass(second, tick)
+	lower := c.add(subscriber("lower", AllScopes(), limits, "middle", "upper"))
+	c.pass(4*second, tick)
+	c.expectCaughtUp(t, upper, middle, lower)
+	c.cut(v, upper)
+	c.cut(v, middle)
+	c.cut(v, lower)
+	for range 60 {
+		c.pass(second, tick)
+		c.sound(t)
+		if age := lower.node.Status(c.now).Age; age > 70*second {
+			t.Fatalf("age %d", age)
+		}
+	}
+	for _, m := range []*member{upper, middle, lower} {
+		if age := m.node.Status(c.now).Age; age < 58*second {
+			t.Errorf("%s says that it is %d µs old", m.config.Name, age)
+		}
+	}
+	c.heal(v, upper)
+	c.fill(1)
+	c.pass(15*second, tick)
+	c.expectCaughtUp(t, upper, middle, lower)
+}
+
+func TestHalfOpenPlaceIsReplaced(t *testing.T) {
+	c, v, leaf := duo(t, DefaultLimits())
+	for _, conn := range c.conns { // the leaf's process is gone, and the voter has not heard of it
+		conn.dialer = &member{cluster: c, config: Config{Name: "lost"}, frozen: true}
+	}
+	leaf.start(State{})
+	c.pass(second, tick)
+	c.expectCaughtUp(t, leaf)
+	if children := v.node.Status(c.now).Children; fmt.Sprint(children) != "[leaf]" {
+		t.Errorf("children %v", children)
+	}
+}
+
+func TestCallersThatDoNotSubscribeAreBounded(t *testing.T) {
+	c, v, _ := duo(t, DefaultLimits())
+	accepted := 0
+	for range 10_000 {
+		if v.node.Incoming(c.now) != 0 {
+			accepted++
+		}
+	}
+	if accepted != DefaultFanOut+callersMost {
+		t.Errorf("%d callers", accepted)
+	}
+	c.pass(DefaultHandshake+tick, tick)
+	if len(v.node.callers) > 0 {
+		t.Errorf("%d callers are still there", len(v.node.callers))
+	}
+}
+
+func TestLearnedCandidatesAreBounded(t *testing.T) {
+	c, _, leaf := duo(t, DefaultLimits())
+	for i := range 1000 {
+		leaf.node.learn([]string{fmt.Sprint("peer", i)}, i%2 == 0)
+	}
+	if len(leaf.node.candidates) != DefaultCandidates+1 {
+		t.Errorf("%d candidates", len(leaf.node.candidates))
+	}
+	if leaf.node.candidate("v") == nil || leaf.node.candidate("peer999") == nil {
+		t.Error("the configured one or the latest is gone")
+	}
+	c.sound(t)
+}
+
+func TestStateIsBounded(t *testing.T) {
+	small := DefaultLimits()
+	small.StateBytes = 4000
+	c := newCluster()
+	c.add(voter("v", DefaultLimits()))
+	c.fill(3)
+	leaf := c.add(subscriber("leaf", SomeScopes("a"), small, "v"))
+	c.pass(second, tick)
+	c.expectCaughtUp(t, leaf)
+	before := leaf.node.Mark()
+	c.accept(set("a", "large", string(make([]byte, 5000))))
+	c.pass(10*second, tick)
+	c.sound(t)
+	if leaf.node.Mark() != before || leaf.count(EventTooLarge) == 0 {
+		t.Errorf("it is at %v", leaf.node.Mark())
+	}
+	c.accept(gone("a", "large"))
+	c.pass(10*second, tick)
+	c.expectCaughtUp(t, leaf)
+}
--- a/distribution/apply.go
+++ b/distribution/apply.go
@@ -4,7 +4,7 @@
 type prepared struct {
 	steps  []preparedChange
 	digest Digest // of the store afterwards
-	bytes  int    // of it, at most
+	bytes  int    // of the store afterwards
 }
 
 // preparedChange is one change with what each of its entries does to the digest.
@@ -26,7 +26,10 @@
 		for _, e := range step.entries {
 			old, found := pending[e.Key()]
 			if !found {
-				old, _ = s.lookup(e.Key())
+				old, found = s.lookup(e.Key())
+			}
+			if found {
+				result.bytes -= old.size()
 			}
 			pending[e.Key()] = e
 			difference := digestOf(e).minus(digestOf(old))
