--- /dev/null
+++ b/distribution/check_test.go
@@ -0,0 +1,364 @@
+package distribution
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// The check plays every order of events up to a depth: changes, messages that arrive or get lost, cuts, restarts,
+// compaction, new epochs and time. The nodes are real; the network, the record and the controllers are the model's.
+// After each event every node and its controller must have just what stood on the record at the node's revision, and no
+// revision may be lower than the node's before.
+
+// modelStep is the time that an event of time takes; the limits below are small multiples of it.
+const modelStep = second
+
+// modelLimits are small enough for every bound to be met within a few events.
+func modelLimits() Limits {
+	limits := DefaultLimits()
+	limits.Heartbeat = modelStep
+	limits.Lease, limits.Handshake = 3*modelStep, 3*modelStep
+	limits.StaleMost = 4 * modelStep
+	limits.BackoffLeast, limits.BackoffMost, limits.RetryMost = 4*modelStep, 4*modelStep, 2*modelStep
+	limits.HedgeAfter = 2 * modelStep
+	limits.LogChanges, limits.Tombstones = 2, 1
+	limits.BatchBytes, limits.PieceBytes = 150, 1
+	limits.PaceBytes = mebibyte
+	return limits
+}
+
+// happening is one event: what happens, and to which member.
+type happening struct {
+	kind byte
+	who  int
+}
+
+func (h happening) String() string { return fmt.Sprintf("%c%d", h.kind, h.who) }
+
+// parsed reads happenings from words like a0 d1.
+func parsed(words string) (happenings []happening) {
+	for _, word := range strings.Fields(words) {
+		happenings = append(happenings, happening{word[0], int(word[1] - '0')})
+	}
+	return happenings
+}
+
+// modelEntries is what the nth change sets: every change in scope "a" but each fourth, which is elsewhere, and two
+// entries in each, so that half a change can be told from a whole one.
+func modelEntries(revision int) []Entry {
+	value := strconv.Itoa(revision)
+	switch revision % 4 {
+	case 0:
+		return []Entry{gone("a", "x"), set("b", "z", value)}
+	case 1:
+		return []Entry{set("a", "x", value), set("a", "y", value)}
+	case 2:
+		return []Entry{set("a", "x", value), gone("a", "y")}
+	}
+	return []Entry{set("b", "y", value), set("b", "z", value)}
+}
+
+// event plays one event; false where it can do nothing.
+func (c *cluster) event(h happening) bool {
+	m := c.members[h.who]
+	switch h.kind {
+	case 'a': // a change is accepted; the first voter has it at once
+		c.accept(modelEntries(len(c.record) + 1)...)
+		c.follow(c.members[0], len(c.record))
+	case 'f': // a voter that lags gets one change more, or the new record
+		return c.followOne(m)
+	case 'n': // the record is founded anew, which the first voter knows at once
+		c.epoch, c.record = Epoch{c.epoch.Number + 1, c.epoch.Identity + 1}, nil
+		c.followOne(c.members[0])
+	case 'o': // a voter starts anew, with all but the last change of the record
+		if m.node.Mark().Revision == 0 {
+			return false
+		}
+		m.kill()
+		m.start(State{})
+		c.follow(m, len(c.record)-1)
+	case 'd', 'e', 'u', 'w', 'x', 'y':
+		return c.moveOne(m, h.kind)
+	case 'c': // the first connection of a subscriber is cut, and none to that parent succeeds
+		conns := c.dialled(m)
+		if len(conns) == 0 {
+			return false
+		}
+		c.cut(m, conns[0].acceptor)
+	case 'h':
+		if len(c.cuts) == 0 {
+			return false
+		}
+		clear(c.cuts)
+	case 'k': // a subscriber starts anew, and knows no more than the mark that it had
+		mark := m.node.Mark()
+		m.kill()
+		m.config.Floor = mark
+		m.start(State{})
+	case 'p': // a subscriber starts anew with what it had
+		state := m.node.State()
+		m.kill()
+		m.start(state)
+	case 'm':
+		if m.node.store.log.floor == m.node.Mark().Revision {
+			return false
+		}
+		m.node.Compact(m.node.Mark().Revision)
+	case 'z': // a subscriber asks for other scopes
+		m.config.Scopes = SomeScopes("a", "b")
+		if m.node.config.Scopes.Has("b") {
+			m.config.Scopes = SomeScopes("a")
+		}
+		m.node.Resubscribe(m.config.Scopes, c.now)
+	case 's':
+		c.settle()
+	case 't':
+		c.now += modelStep
+		c.modelTick()
+	}
+	c.connect()
+	return true
+}
+
+// modelTick lets each node note the time, without the voters following the record by it.
+func (c *cluster) modelTick() {
+	for _, m := range c.members {
+		if m.config.Voter && m.taken == len(c.record) && m.node.Mark().Epoch == c.epoch {
+			m.node.Current(c.now)
+		}
+		m.node.Elapsed(c.now)
+	}
+}
+
+// followOne hands a voter the new record, or one more change of it.
+func (c *cluster) followOne(m *member) bool {
+	if !m.config.Voter {
+		return false
+	}
+	if m.node.Mark().Epoch != c.epoch {
+		m.taken = 0
+		return m.node.Restored(State{Mark: Mark{Epoch: c.epoch}}, c.now)
+	}
+	before := m.taken
+	c.follow(m, 1)
+	return m.taken > before
+}
+
+// dialled gives the connections that a member has dialled.
+func (c *cluster) dialled(m *member) []*conn {
+	var conns []*conn
+	for _, conn := range c.conns {
+		if conn.dialer == m {
+			conns = append(conns, conn)
+		}
+	}
+	return conns
+}
+
+// moveOne lets one message of a subscriber's first or second connection arrive or get lost.
+func (c *cluster) moveOne(m *member, kind byte) bool {
+	conns := c.dialled(m)
+	index := strings.IndexByte("dux ew y", kind) / 4
+	if kind == 'y' {
+		index = 0
+	}
+	if index >= len(conns) {
+		return false
+	}
+	side := 0 // to the subscriber
+	if kind == 'u' || kind == 'w' || kind == 'y' {
+		side = 1
+	}
+	lose := kind == 'x' || kind == 'y'
+	if lose && len(conns[index].queues[side]) == 0 {
+		return false
+	}
+	moved := c.deliver(conns[index], side, lose)
+	c.connect()
+	return moved
+}
+
+// world is a start of the model: who there is, and what comes before the orders that are played.
+type world struct {
+	name   string
+	voters int
+	relays int
+	first  string // before every order
+	kinds  string // the events, by kind and member as in "a0 d2"
+	depth  int
+}
+
+// begin starts the world's members: voters, relays below the first voter, and one subscriber of scope "a".
+func (w world) begin(plant func(*Node)) *cluster {
+	c := newCluster()
+	limits := modelLimits()
+	var voters, parents []string
+	for i := range w.voters {
+		voters = append(voters, fmt.Sprint("v", i))
+		c.add(voter(voters[i], limits))
+	}
+	for i := range w.relays {
+		parents = append(parents, fmt.Sprint("r", i))
+		c.add(subscriber(parents[i], AllScopes(), limits, voters...))
+	}
+	if w.relays == 0 {
+		parents = voters
+	}
+	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, parents...))
+	c.accept(modelEntries(1)...)
+	for _, m := range c.members[:w.voters] {
+		c.follow(m, 1)
+	}
+	for range 3 {
+		c.now += modelStep
+		c.modelTick()
+		c.settle()
+	}
+	plant(leaf.node)
+	return c
+}
+
+// after plays an event on a copy of a state, checks every node after it, and tells whether it could happen.
+func (c *cluster) after(h happening, plant func(*Node)) (next *cluster, could bool) {
+	next = c.clone()
+	could = next.event(h)
+	plant(next.members[len(next.members)-1].node)
+	next.verify()
+	return next, could
+}
+
+func (c *cluster) verify() {
+	for _, m := range c.members {
+		m.verify()
+	}
+}
+
+// convergeSteps is the time in which everybody has the whole record once nothing fails any more.
+const convergeSteps = 14
+
+// converge ends all failures and checks that everybody gets the whole record.
+func (c *cluster) converge() {
+	clear(c.cuts)
+	for range convergeSteps {
+		for _, m := range c.members {
+			for c.followOne(m) {
+			}
+		}
+		c.now += modelStep
+		c.modelTick()
+		c.settle()
+		for _, m := range c.members {
+			m.note()
+		}
+	}
+	c.verify()
+	for _, m := range c.members {
+		if want := (Mark{c.epoch, uint64(len(c.record))}); m.node.Mark() != want {
+			c.fails("%s stays at %v, the record is at %v", m.config.Name, m.node.Mark(), want)
+		}
+	}
+}
+
+// reached is a state of the model and the events that led to it.
+type reached struct {
+	cluster *cluster
+	path    []happening
+}
+
+// explore plays every order of the world's events to a depth. It gives the shortest breach, or "" if there is none,
+// and how many states there are.
+func (w world) explore(depth int, plant func(*Node)) (breach string, states int) {
+	start := reached{cluster: w.begin(plant)}
+	for _, h := range parsed(w.first) {
+		start.path = append(start.path, h)
+		start.cluster, _ = start.cluster.after(h, plant)
+		if start.cluster.broken != "" {
+			return fmt.Sprint(start.path, ": ", start.cluster.broken), 0
+		}
+	}
+	kinds := parsed(w.kinds)
+	seen, level := map[uint64]bool{}, []reached{start}
+	for range depth {
+		var next []reached
+		for _, from := range level {
+			for _, h := range kinds {
+				c, could := from.cluster.after(h, plant)
+				path := append(slices.Clone(from.path), h)
+				if c.broken != "" {
+					return fmt.Sprint(path, ": ", c.broken), len(seen)
+				}
+				if !could {
+					continue
+				}
+				key := c.key()
+				if seen[key] {
+					continue
+				}
+				seen[key] = true
+				next = append(next, reached{c, path})
+				end := c.clone()
+				end.converge()
+				if end.broken != "" {
+					return fmt.Sprint(path, " and no failure any more: ", end.broken), len(seen)
+				}
+			}
+		}
+		level = next
+	}
+	return "", len(seen)
+}
+
+// deeper is how many events more than usual are played.
+func deeper() int {
+	given, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // 2 takes minutes
+	return given
+}
+
+func TestEveryOrder(t *testing.T) {
+	for _, w := range []world{
+		{"one voter and a subscriber", 1, 0, "", "a0 o0 f0 n0 m0 d1 u1 x1 y1 c1 h0 k1 p1 z1 t0", 4},
+		{"one voter, a relay and a subscriber", 1, 1, "", "a0 o0 f0 n0 m1 d1 x1 u1 d2 u2 x2 c1 c2 h0 k1 p1 k2 t0", 4},
+		{"two voters, the second behind, and a subscriber", 2, 0, "a0 s0", "a0 f1 n0 o0 m1 d2 e2 u2 w2 x2 c2 h0 k2 p2 z2 t0", 4},
+		{"two voters, and a subscriber that comes to the one behind", 2, 0, "a0 s0 c2 t0", "a0 f1 n0 m1 d2 u2 x2 c2 h0 k2 p2 z2 t0 s0", 4},
+		{"a subscriber that starts with nothing", 1, 0, "a0 k1 t0 u1", "a0 m0 d1 u1 x1 y1 c1 h0 k1 t0", 4},
+		{"a relay that was compacted", 1, 1, "c2 a0 a0 a0 s0 m1 h0", "a0 m0 m1 d2 u2 x2 c1 c2 h0 k1 p2 t0 s0", 4},
+	} {
+		t.Run(w.name, func(t *testing.T) {
+			t.Parallel()
+			depth := w.depth + deeper()
+			breach, states := w.explore(depth, func(*Node) {})
+			if breach != "" {
+				t.Errorf("after %s", breach)
+			}
+			t.Logf("depth %d, %d states", depth, states)
+		})
+	}
+}
+
+func TestEveryOrderFindsFaults(t *testing.T) {
+	for _, fault := range []struct {
+		name, finds string
+		world       world
+		plant       func(*Node)
+	}{
+		{"a gap taken in", "should have", world{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
+			func(n *Node) { n.faults.takeGap = true }},
+		{"an old parent's revision taken in", "goes back", world{"", 2, 0, "a0 s0", "a0 f1 c2 s0 t0", 4},
+			func(n *Node) { n.faults.takeOlder = true }},
+		{"a half-applied change", "there should be", world{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
+			func(n *Node) { n.faults.applyHalf = true }},
+	} {
+		t.Run(fault.name, func(t *testing.T) {
+			t.Parallel()
+			breach, states := fault.world.explore(fault.world.depth, fault.plant)
+			if !strings.Contains(breach, fault.finds) {
+				t.Errorf("found %q in %d states", breach, states)
+			}
+			t.Log(breach)
+		})
+	}
+}
--- /dev/null
+++ b/distribution/clone_test.go
@@ -0,0 +1,87 @@
+package distribution
+
+import (
+	"maps"
+	"slices"
+)
+
+// clone copies a state of the model, so that several events can be played on from it. What is never modified is shared:
+// messages, entries, paths, and the truth, which is the same for a revision in whatever order the model got there.
+func (c *cluster) clone() *cluster {
+	copied := *c
+	copied.cuts, copied.hung = maps.Clone(c.cuts), maps.Clone(c.hung)
+	copied.record = slices.Clone(c.record)
+	members := map[*member]*member{}
+	copied.members = nil
+	for _, m := range c.members {
+		members[m] = m.clone(&copied)
+		copied.members = append(copied.members, members[m])
+	}
+	copied.dials = slices.Clone(c.dials)
+	for i := range copied.dials {
+		copied.dials[i].from = members[copied.dials[i].from]
+	}
+	copied.conns = nil
+	for _, original := range c.conns {
+		conn := *original
+		conn.dialer, conn.acceptor = members[original.dialer], members[original.acceptor]
+		for side := range conn.queues {
+			conn.queues[side] = slices.Clone(original.queues[side])
+		}
+		copied.conns = append(copied.conns, &conn)
+	}
+	return &copied
+}
+
+func (m *member) clone(c *cluster) *member {
+	copied := *m
+	copied.cluster = c
+	copied.mirror = maps.Clone(m.mirror)
+	copied.events = nil
+	copied.node = m.node.clone(&copied)
+	return &copied
+}
+
+func (n *Node) clone(host Host) *Node {
+	copied := *n
+	copied.host = host
+	copied.store = n.store.clone()
+	copied.callers = slices.Clone(n.callers)
+	copied.candidates = slices.Clone(n.candidates)
+	copied.children = nil
+	for _, original := range n.children {
+		c := *original
+		c.unconfirmed = slices.Clone(original.unconfirmed)
+		if original.snapshot != nil {
+			snapshot := *original.snapshot
+			c.snapshot = &snapshot
+		}
+		copied.children = append(copied.children, &c)
+	}
+	if n.parent != nil {
+		parent := *n.parent
+		copied.parent = &parent
+	}
+	copied.attempts = nil
+	for _, original := range n.attempts {
+		u := *original
+		copied.attempts = append(copied.attempts, &u)
+	}
+	if n.incoming != nil {
+		incoming := *n.incoming
+		incoming.store = n.incoming.store.clone()
+		copied.incoming = &incoming
+	}
+	return &copied
+}
+
+func (s *store) clone() *store {
+	copied := *s
+	copied.scopes = make(map[string]*scopeState, len(s.scopes))
+	for name, scope := range s.scopes {
+		copied.scopes[name] = &scopeState{slices.Clone(scope.entries), scope.digest}
+	}
+	copied.graves.list = slices.Clone(s.graves.list)
+	copied.log.changes = slices.Clone(s.log.changes)
+	return &copied
+}
--- /dev/null
+++ b/distribution/key_test.go
@@ -0,0 +1,130 @@
+package distribution
+
+import (
+	"encoding/binary"
+	"fmt"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// keyWriter collects what tells two states apart.
+type keyWriter []byte
+
+func (k *keyWriter) numbers(numbers ...int64) {
+	for _, number := range numbers {
+		*k = binary.LittleEndian.AppendUint64(*k, uint64(number))
+	}
+}
+
+func (k *keyWriter) bits(bits ...bool) {
+	for _, bit := range bits {
+		if bit {
+			*k = append(*k, 1)
+		} else {
+			*k = append(*k, 0)
+		}
+	}
+}
+
+func (k *keyWriter) texts(texts ...string) {
+	k.numbers(int64(len(texts)))
+	for _, text := range texts {
+		k.numbers(int64(len(text)))
+		*k = append(*k, text...)
+	}
+}
+
+func (k *keyWriter) mark(mark Mark) {
+	k.numbers(int64(mark.Epoch.Number), int64(mark.Epoch.Identity), int64(mark.Revision))
+}
+
+// key tells states apart, whenever they came about.
+func (c *cluster) key() uint64 {
+	var k keyWriter
+	k.mark(Mark{c.epoch, uint64(len(c.record))})
+	k.numbers(int64(len(c.members)), int64(len(c.cuts)))
+	for _, a := range c.members {
+		for _, b := range c.members {
+			k.bits(c.cuts[pair(a, b)])
+		}
+	}
+	for _, m := range c.members {
+		k.numbers(int64(m.taken))
+		k.mark(m.config.Floor)
+		k.mark(m.highest)
+		k.texts(m.config.Scopes.Names...)
+		m.node.addKey(&k, c.now)
+	}
+	for _, conn := range c.conns {
+		k.texts(conn.dialer.config.Name, conn.acceptor.config.Name)
+		k.bits(conn.closed[:]...)
+		for _, queue := range conn.queues {
+			k.numbers(int64(len(queue)))
+			for _, message := range queue {
+				k.numbers(c.messageKey(message))
+			}
+		}
+	}
+	return xxhash.Sum64(k)
+}
+
+// messageKey tells messages apart. Messages are never modified, so each is worked out once.
+func (c *cluster) messageKey(m Message) int64 {
+	if key, known := c.messageKeys[m]; known {
+		return key
+	}
+	key := int64(xxhash.Sum64(fmt.Appendf(nil, "%T%+v", m, m)))
+	c.messageKeys[m] = key
+	return key
+}
+
+// addKey adds what a node will act by. Times are relative; those long ago are all alike.
+func (n *Node) addKey(k *keyWriter, now int64) {
+	since := func(at int64) int64 { return min((now-at)/modelStep, 8) }
+	until := func(at int64) int64 { return max(at-now, 0) }
+	s := n.store
+	k.mark(s.mark)
+	k.texts(s.covered.Names...)
+	k.numbers(int64(s.digest.High), int64(s.log.floor), int64(s.graves.horizon), int64(len(s.graves.list)))
+	for _, grave := range s.graves.list {
+		k.numbers(int64(grave.revision))
+	}
+	k.numbers(int64(len(s.log.changes)))
+	for _, change := range s.log.changes {
+		k.numbers(int64(change.change.Revision), int64(change.previous))
+		k.bits(change.merged)
+	}
+	k.bits(n.doubted, n.everCurrent, n.failures > 0, n.incoming != nil, n.parent != nil)
+	k.numbers(until(n.nextDial), since(n.currentAt), int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
+	if n.incoming != nil {
+		k.mark(n.incoming.store.mark)
+		k.numbers(int64(n.incoming.next))
+	}
+	for _, u := range append(slices.Clone(n.attempts), n.parent) {
+		if u == nil {
+			continue
+		}
+		k.texts(u.peer)
+		k.texts(u.path...)
+		k.bits(u.connected, u.awaiting, u.behind)
+		k.numbers(since(u.since), since(u.heard), since(u.askedAt), since(u.behindSince), since(u.admittedAt), int64(u.mends),
+			int64(u.received), int64(u.unconfirmed))
+	}
+	for _, c := range n.children {
+		k.texts(c.name)
+		k.texts(c.scopes.Names...)
+		k.mark(c.sent)
+		k.bits(c.needs, c.snapshot != nil)
+		k.numbers(until(c.until), until(c.beatAt), int64(len(c.unconfirmed)))
+		if c.snapshot != nil {
+			k.mark(c.snapshot.mark)
+			k.numbers(int64(c.snapshot.index))
+		}
+	}
+	for _, candidate := range n.candidates {
+		k.texts(candidate.peer)
+		k.bits(candidate.proposed)
+		k.numbers(until(candidate.notBefore))
+	}
+}
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -23,8 +23,10 @@
 	record  []Change                           // of this epoch
 	truth   map[Epoch]map[uint64]map[Key]Entry // the whole configuration by epoch and revision
 	drawn   uint64
-	random  bool // Chance draws; else it gives zero
-	broken  string
+	// messageKeys are worked out once for each message of the model.
+	messageKeys map[Message]int64
+	random      bool // Chance draws; else it gives zero
+	broken      string
 }
 
 // member is a node with the controller that acts by it.
@@ -63,11 +65,12 @@
 
 func newCluster() *cluster {
 	return &cluster{
-		now:   1000 * second,
-		cuts:  map[[2]string]bool{},
-		hung:  map[[2]string]bool{},
-		epoch: Epoch{Number: 7, Identity: 70},
-		truth: map[Epoch]map[uint64]map[Key]Entry{},
+		now:         1000 * second,
+		messageKeys: map[Message]int64{},
+		cuts:        map[[2]string]bool{},
+		hung:        map[[2]string]bool{},
+		epoch:       Epoch{Number: 7, Identity: 70},
+		truth:       map[Epoch]map[uint64]map[Key]Entry{},
 	}
 }
 
@@ -175,7 +178,8 @@
 
 // accept puts a change on the record; the voters get it by follow.
 func (c *cluster) accept(entries ...Entry) Change {
-	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), AcceptedAt: c.now + 5, Entries: entries}
+	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
+	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two alike
 	c.stateAt(c.epoch, change.Revision-1)
 	next := maps.Clone(c.truth[c.epoch][change.Revision-1])
 	for _, e := range filledIn(change) {
@@ -268,40 +272,54 @@
 	}
 }
 
+// note checks that a subscriber does not go back, also over restarts. A voter that was restarted may: the record's log is
+// played to it again.
+func (m *member) note() {
+	mark := m.node.Mark()
+	if m.config.Voter || !mark.Epoch.Known() {
+		return
+	}
+	if mark.Before(m.highest) {
+		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.highest, mark)
+	}
+	m.highest = mark
+}
+
 // verify checks what a node has, and what its controller was told, against the record.
 func (m *member) verify() {
+	m.note()
 	c, mark := m.cluster, m.node.Mark()
 	if !mark.Epoch.Known() {
 		return
 	}
-	if !m.config.Voter {
-		if mark.Before(m.highest) {
-			c.fails("%s was at %v and is at %v", m.config.Name, m.highest, mark)
-		}
-		m.highest = mark
-	}
 	var digest Digest
-	covered := m.node.State().Covered
-	want := map[Key]Entry{}
-	for key, e := range c.stateAt(mark.Epoch, mark.Revision) {
-		if covered.Has(key.Scope) {
-			want[key] = e
-			digest = digest.plus(digestOf(e))
+	truth, want := c.stateAt(mark.Epoch, mark.Revision), 0
+	store := m.node.store
+	for key, e := range truth {
+		if !store.covered.Has(key.Scope) {
+			continue
+		}
+		want++
+		digest = digest.plus(digestOf(e))
+		if has, found := m.node.Get(key); !found || !sameEntry(has, e) {
+			c.fails("%s has %v at %v and should have %v", m.config.Name, has, mark, e)
+		}
+		if has, found := m.mirror[key]; !found || !sameEntry(has, e) {
+			c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, has, mark, e)
 		}
 	}
-	has := map[Key]Entry{}
-	for _, e := range m.node.State().Entries {
+	live := 0
+	store.visit(AllScopes(), func(e Entry) bool {
 		if !e.Deleted {
-			has[e.Key()] = e
+			live++
 		}
+		return true
+	})
+	if live != want || store.live != want || len(m.mirror) != want {
+		c.fails("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, mark,
+			store.live, len(m.mirror), want)
 	}
-	if !maps.EqualFunc(has, want, sameEntry) {
-		c.fails("%s has %v at %v and should have %v", m.config.Name, has, mark, want)
-	}
-	if !maps.EqualFunc(m.mirror, want, sameEntry) {
-		c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, m.mirror, mark, want)
-	}
-	if digest != m.node.Status(c.now).Digest {
+	if digest != store.digest || digest != store.digestFor(store.covered) {
 		c.fails("%s has another digest than its entries at %v", m.config.Name, mark)
 	}
 }
