--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -85,6 +85,36 @@
 	}
 }
 
+func TestLeavesMakeRoomForRelays(t *testing.T) {
+	limits := DefaultLimits()
+	limits.FanOut = 2
+	leafLimits := limits
+	leafLimits.FanOut = 0
+	c := newCluster()
+	v := c.add(voter("v", limits))
+	c.fill(3)
+	c.pass(tick, tick)
+	var leaves []*member
+	for i := range 2 {
+		leaves = append(leaves, c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), leafLimits, "v")))
+	}
+	c.pass(second, tick)
+	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
+	c.pass(2*DefaultRetryMost, tick)
+	c.fill(1)
+	c.pass(second, tick)
+	c.expectCaughtUp(t, append(leaves, relay)...)
+	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") || len(children) != limits.FanOut {
+		t.Errorf("the voter's children are %v", children)
+	}
+	other := c.add(subscriber("other", SomeScopes("a"), leafLimits, "v"))
+	c.pass(3*second, tick)
+	c.expectCaughtUp(t, other)
+	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") {
+		t.Errorf("a leaf has displaced the relay: %v", children)
+	}
+}
+
 func TestSnapshotsAreAdmittedAFewAtATime(t *testing.T) {
 	limits := DefaultLimits()
 	limits.Snapshots, limits.PieceBytes = 2, 100
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -105,12 +105,7 @@
 			return true
 		}
 	}
-	for _, c := range n.children {
-		if c.name == peer {
-			return true
-		}
-	}
-	return false
+	return n.hasChild(peer)
 }
 
 // avoid leaves a peer alone until a time.
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -95,9 +95,12 @@
 		}
 		clear(c.cuts)
 	case 'k': // a subscriber starts anew, and knows no more than the mark that it had
-		mark := m.node.Mark()
 		m.kill()
-		m.config.Floor = mark
+		m.config.Floor = m.highest
+		m.start(State{})
+	case 'q': // a relay starts anew, and knows nothing of what it had
+		m.highest = Mark{}
+		m.kill()
 		m.start(State{})
 	case 'p': // a subscriber starts anew with what it had
 		state := m.node.State()
@@ -325,6 +328,8 @@
 		{"two voters, the second behind, and a subscriber", 2, 0, "a0 s0", "a0 f1 n0 o0 m1 d2 e2 u2 w2 x2 c2 h0 k2 p2 z2 t0", 4},
 		{"two voters, and a subscriber that comes to the one behind", 2, 0, "a0 s0 c2 t0", "a0 f1 n0 m1 d2 u2 x2 c2 h0 k2 p2 z2 t0 s0", 4},
 		{"a subscriber that starts with nothing", 1, 0, "a0 k1 t0 u1", "a0 m0 d1 u1 x1 y1 c1 h0 k1 t0", 4},
+		{"a relay without memory between two voters, the second behind", 2, 1, "a0 s0 c2 t0", "a0 f1 m0 u2 x2 c2 h0 q2 d3 u3 c3 t0 s0", 4},
+		{"a subscriber that asks for other scopes before it is answered", 1, 0, "a0 a0 k1 t0 u1 z1", "a0 d1 u1 x1 y1 z1 k1 t0", 4},
 		{"a relay that was compacted", 1, 1, "c2 a0 a0 a0 s0 m1 h0", "a0 m0 m1 d2 u2 x2 c1 c2 h0 k1 p2 t0 s0", 4},
 	} {
 		t.Run(w.name, func(t *testing.T) {
--- a/distribution/child.go
+++ b/distribution/child.go
@@ -10,9 +10,10 @@
 	connected bool
 	heard     int64 // the last message
 
-	awaiting bool  // a Subscribe is sent and not answered; until it is, what comes belongs to the time before
-	askedAt  int64 // when it was sent
-	mends    int   // requests to mend a gap or a wrong digest since something fitted
+	awaiting bool   // a Subscribe is sent and not answered; until it is, what comes belongs to the time before
+	request  uint64 // of the last Subscribe
+	askedAt  int64  // when it was sent
+	mends    int    // requests to mend a gap or a wrong digest since something fitted
 
 	admittedAt  int64
 	lease       int64
@@ -49,14 +50,16 @@
 // subscribe asks for a place, or asks the parent anew for what is missing.
 func (n *Node) subscribe(u *upstream, now int64) {
 	u.awaiting, u.askedAt = true, now
+	u.request++
 	n.incoming = nil
 	m := &Subscribe{
-		Name:   n.config.Name,
-		Scopes: n.config.Scopes,
-		Mark:   n.store.mark,
-		Digest: n.store.digest,
-		Whole:  n.doubted || !n.store.covered.Equal(n.config.Scopes),
-		FanOut: n.limits.FanOut,
+		Name:    n.config.Name,
+		Scopes:  n.config.Scopes,
+		Mark:    n.store.mark,
+		Digest:  n.store.digest,
+		Whole:   n.doubted || !n.store.covered.Equal(n.config.Scopes),
+		FanOut:  n.limits.FanOut,
+		Request: u.request,
 	}
 	if n.store.mark.Before(n.config.Floor) {
 		m.Mark, m.Whole = n.config.Floor, true
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -181,10 +181,10 @@
 		snapshots  uint64
 		tombstones int
 	}{
-		{"log gone, tombstones there: one merged delta", func(v *member, revision uint64) { v.node.store.log.dropTo(revision) }, 4, 0, 100},
-		{"log and tombstones gone: a snapshot", func(v *member, revision uint64) { v.node.Compact(revision) }, 4, 1, 100},
-		{"more tombstones than the limit: a snapshot", func(v *member, revision uint64) { v.node.store.log.dropTo(revision) }, 4, 1, 2},
-		{"too much for one delta: a snapshot", func(v *member, revision uint64) { v.node.store.log.dropTo(revision) }, 400, 1, 1000},
+		{"log gone, tombstones there: one merged delta", dropLog, 4, 0, 100},
+		{"log and tombstones gone: a snapshot", compactAll, 4, 1, 100},
+		{"more tombstones than the limit: a snapshot", dropLog, 4, 1, 2},
+		{"too much for one delta: a snapshot", dropLog, 400, 1, 1000},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			limits := DefaultLimits()
@@ -426,3 +426,9 @@
 		}
 	}
 }
+
+// dropLog drops the log up to a revision and leaves the tombstones.
+func dropLog(m *member, revision uint64) { m.node.store.log.dropTo(revision) }
+
+// compactAll drops the log and the tombstones up to a revision.
+func compactAll(m *member, revision uint64) { m.node.Compact(revision) }
--- a/distribution/feed.go
+++ b/distribution/feed.go
@@ -13,6 +13,9 @@
 // microsecondsPerSecond turns a pace in bytes a second into one in millionths of a byte a microsecond.
 const microsecondsPerSecond = second
 
+// creditsPerSecond divides the pace into the credit that may gather.
+const creditsPerSecond = 4
+
 // send puts a message on a child's link and counts it as under way.
 func (n *Node) send(c *child, m Message) {
 	size := m.Size()
@@ -29,26 +32,25 @@
 	n.startSnapshots(now)
 }
 
-// feed sends a child the deltas that it lacks, as far as its window allows. Nothing is queued for a child: what it
-// has yet to get is what the log holds after the mark sent to it, and if the log drops that, a snapshot follows.
-func (n *Node) feed(c *child, now int64) {
-	for !c.needs && c.snapshot == nil && c.underWay < n.limits.Window {
-		if n.ahead(c) {
-			return
-		}
+// feed sends a child the deltas that it lacks, as far as its window allows, and tells whether everything is sent.
+// Nothing is queued for a child: what it has yet to get is what the log holds after the mark sent to it, and if the log
+// drops that, a snapshot follows.
+func (n *Node) feed(c *child, now int64) (all bool) {
+	for !c.needs && c.snapshot == nil && !n.ahead(c) && c.underWay < n.limits.Window {
 		delta, possible := n.store.deltaFrom(c.sent, c.scopes, n.limits.BatchBytes)
 		if !possible {
 			c.needs = true
 			n.startSnapshots(now)
-			return
+			return false
 		}
 		if delta == nil {
-			return
+			return true
 		}
 		n.send(c, delta)
 		n.counts.DeltasSent++
 		c.sent.Revision = delta.Revision
 	}
+	return false
 }
 
 // ahead tells whether a child has what this node has yet to get.
@@ -65,7 +67,8 @@
 	return due
 }
 
-// startSnapshots begins snapshots for children that wait, in the order of their admission, as many as may be under way.
+// startSnapshots begins snapshots for children that wait, in the order of their admission, as many as may be under
+// way.
 func (n *Node) startSnapshots(now int64) {
 	underWay := 0
 	for _, c := range n.children {
@@ -110,10 +113,10 @@
 	return int64(left) * microsecondsPerSecond / int64(max(n.limits.PaceBytes, 1))
 }
 
-// refill lets the credit of the snapshots grow with time, up to a piece.
+// refill lets the credit of the snapshots grow with time, up to a piece or a part of a second.
 func (n *Node) refill(now int64) {
 	pace := int64(n.limits.PaceBytes)
-	most := int64(n.limits.PieceBytes) * microsecondsPerSecond
+	most := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
 	n.credit = min(n.credit+(now-n.elapsed)*pace, most)
 	n.elapsed = now
 }
@@ -189,20 +192,10 @@
 		m.Candidates = n.propose(&Subscribe{Name: c.name, Scopes: c.scopes})
 	}
 	c.beats++
-	n.feed(c, now)
-	if n.upToDate(c) {
+	if n.feed(c, now) {
 		m.Epoch, m.Previous, m.Revision = n.store.mark.Epoch, c.sent.Revision, n.store.mark.Revision
 		m.Digest = n.store.digestFor(c.scopes)
 		c.sent = n.store.mark
 	}
 	n.send(c, m)
 }
-
-// upToDate tells whether everything in the child's scopes was sent to it.
-func (n *Node) upToDate(c *child) bool {
-	if c.needs || c.snapshot != nil || n.ahead(c) {
-		return false
-	}
-	delta, possible := n.store.deltaFrom(c.sent, c.scopes, n.limits.BatchBytes)
-	return possible && delta == nil
-}
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -20,6 +20,8 @@
 	Whole bool `cbor:"5,keyasint,omitempty"`
 	// FanOut is how many children the sender would take itself; with none it is proposed to nobody as a parent.
 	FanOut int `cbor:"6,keyasint,omitempty"`
+	// Request numbers the requests of the child; the answer repeats it, so that the child knows which one it answers.
+	Request uint64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Admitted grants a lease on a place.
@@ -31,6 +33,7 @@
 	// Age is for how many µs the parent has not known its source to be current, NeverCurrent if it never was.
 	Age        int64    `cbor:"4,keyasint,omitempty"`
 	Candidates []string `cbor:"5,keyasint,omitempty"` // other possible parents
+	Request    uint64   `cbor:"6,keyasint,omitempty"` // of the Subscribe that this answers
 }
 
 // NeverCurrent is the age of a node that has not known its source to be current since it started.
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -33,7 +33,8 @@
 	Voter      bool     // it gets changes from the record by Accepted, and has no parent
 	Scopes     Scopes   // what a subscriber asks for; a voter has all
 	Candidates []string // possible parents, by name; the node's own is left out
-	// Floor is the newest mark that a subscriber knows from before a restart: it takes nothing older.
+	// Floor is the newest mark that a subscriber knows from before a restart: it takes nothing older. Whoever keeps it
+	// keeps the newer of the Floor it started with and the Mark of the node.
 	Floor  Mark
 	Limits Limits
 }
@@ -93,6 +94,7 @@
 	candidates []candidate // configured ones first
 	nextDial   int64
 	failures   int // to get a place, since the source was last known to be current
+	refusals   int // since this node last got a place
 
 	currentAt   int64 // when the source was last known to be current
 	everCurrent bool
@@ -120,6 +122,7 @@
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
+	n.nextDial += n.jitter(n.limits.BackoffLeast) // many may start at once
 	return n
 }
 
@@ -206,7 +209,7 @@
 	}
 }
 
-// Mark is what the node has.
+// Mark is what the node has; it is zero until it has anything.
 func (n *Node) Mark() Mark { return n.store.mark }
 
 // State is all that the node has, by scope and name, to be kept for a restart.
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -66,6 +66,10 @@
 	return nil
 }
 
+func (n *Node) hasChild(name string) bool {
+	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
+}
+
 // path is the way from the voter down to this node.
 func (n *Node) path() []string {
 	if n.parent == nil {
@@ -88,6 +92,7 @@
 		n.refuse(link, m, reason)
 		return
 	}
+	n.makeRoom(m, now)
 	c := &child{link: link, name: m.Name, beatAt: now}
 	n.children = append(n.children, c)
 	n.host.Log(Event{Kind: EventChildAdmitted, Peer: c.name, Mark: m.Mark})
@@ -120,6 +125,7 @@
 		Path:       n.path(),
 		Age:        n.age(now),
 		Candidates: n.propose(m),
+		Request:    m.Request,
 	})
 	n.startSnapshots(now)
 	n.feed(c, now)
@@ -147,7 +153,7 @@
 	if reason := n.breach(m); reason != 0 {
 		return reason
 	}
-	if len(n.children) >= n.limits.FanOut {
+	if len(n.children) >= n.limits.FanOut && n.displaced(m) == nil {
 		return RefusedFull
 	}
 	waits := n.store.mark.Before(m.Mark)
@@ -157,6 +163,35 @@
 	return 0
 }
 
+// displaced gives the child that makes room for a subscriber where every place is taken: the last that cannot pass on
+// all that this node has, if the subscriber can. A tree whose upper places are taken by leaves could not grow.
+func (n *Node) displaced(m *Subscribe) *child {
+	if !n.passesOn(m.FanOut, m.Scopes) {
+		return nil
+	}
+	for _, c := range slices.Backward(n.children) {
+		if !n.passesOn(c.fanOut, c.scopes) {
+			return c
+		}
+	}
+	return nil
+}
+
+// passesOn tells whether a subscriber can be the parent of any that this node can be the parent of.
+func (n *Node) passesOn(fanOut int, scopes Scopes) bool {
+	return fanOut > 0 && scopes.Cover(n.store.covered)
+}
+
+// makeRoom ends the place of a child for a subscriber that was not refused.
+func (n *Node) makeRoom(m *Subscribe, now int64) {
+	if len(n.children) < n.limits.FanOut {
+		return
+	}
+	c := n.displaced(m)
+	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Mark: c.sent}, RefusedFull)
+	n.dropChild(c, CloseRefused, now)
+}
+
 // breach tells by which rule a place is refused whether or not there is one left.
 func (n *Node) breach(m *Subscribe) RefusalReason {
 	switch path := n.path(); {
@@ -191,7 +226,7 @@
 	case RefusedBusy:
 		least = min(n.snapshotsLeft(), least)
 	case RefusedEmpty:
-		least = n.limits.BackoffLeast
+		least = n.limits.BackoffMost / 2
 	}
 	least = max(least, n.limits.BackoffLeast)
 	return least + n.jitter(least)
@@ -263,10 +298,12 @@
 
 // watchChildren ends leases that were not renewed, and callers that do not subscribe.
 func (n *Node) watchChildren(now int64) {
-	for _, c := range slices.Clone(n.children) {
+	for i := 0; i < len(n.children); i++ {
+		c := n.children[i]
 		if now >= c.until || len(c.unconfirmed) > unconfirmedMost {
 			n.host.Close(c.link, CloseSilent)
 			n.dropChild(c, CloseSilent, now)
+			i--
 		}
 	}
 	for len(n.callers) > 0 && now-n.callers[0].since >= n.limits.Handshake {
--- a/distribution/seek.go
+++ b/distribution/seek.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// attemptsMost is how many parents are tried at once: one, and a hedge.
-const attemptsMost = 2
+// refusalsPerBackoff is how many refusals lengthen the wait like one failure: being sent down a tree is no failure.
+const refusalsPerBackoff = 3
 
 func (n *Node) attempt(link Link) *upstream {
 	for _, u := range n.attempts {
@@ -97,12 +97,15 @@
 // admitted takes a place that was granted, if it is the first or better than the one this node has.
 func (n *Node) admitted(u *upstream, m *Admitted, now int64) {
 	n.learn(m.Candidates, false)
+	if m.Request != u.request {
+		return // it answers an earlier request; what follows may be of other scopes
+	}
 	u.awaiting, u.received, u.unconfirmed = false, 1, m.Size()
 	if n.conflicts(m.Mark.Epoch) {
 		n.conflict(u, now)
 		return
 	}
-	if !n.pathFits(m.Path) {
+	if !n.pathFits(m.Path) || n.hasChild(u.peer) {
 		n.decline(u, CloseLoop, now)
 		return
 	}
@@ -139,6 +142,7 @@
 	}
 	n.attempts = nil
 	n.parent, u.admittedAt = u, now
+	n.refusals = 0
 	n.host.Log(Event{Kind: EventAdmitted, Peer: u.peer, Mark: n.store.mark})
 	n.beatSoon(now)
 }
@@ -171,7 +175,8 @@
 	}
 	n.avoid(u.peer, now+min(max(m.RetryAfter, n.limits.BackoffLeast), 2*n.limits.RetryMost))
 	n.learn(m.Candidates, true)
-	n.nextDial = now + n.jitter(n.limits.BackoffLeast)
+	n.refusals++
+	n.nextDial = now + n.jitter(n.backoff(1+n.refusals/refusalsPerBackoff))
 	if n.parent != nil {
 		n.nextDial += n.limits.RetryMost / 2
 	}
