--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -243,3 +243,21 @@
 	c.pass(10*second, tick)
 	c.expectCaughtUp(t, leaf)
 }
+
+func TestChildThatRenewsAndConfirmsNothing(t *testing.T) {
+	c, v, _ := duo(t, DefaultLimits())
+	mark := v.node.Mark()
+	request := &Subscribe{Name: "x", Scopes: AllScopes(), Mark: mark, Digest: v.node.store.digest}
+	if _, is := c.ask(v, request).(*Admitted); !is {
+		t.Fatal("it is not admitted")
+	}
+	link := v.node.children[1].link
+	for seconds := 0; v.node.child(link) != nil; seconds++ {
+		if seconds > 2*unconfirmedMost {
+			t.Fatal("it keeps its place for ever")
+		}
+		c.now += second
+		v.node.Received(link, &Renew{Mark: mark}, c.now)
+		v.node.Elapsed(c.now)
+	}
+}
--- a/distribution/entry.go
+++ b/distribution/entry.go
@@ -8,8 +8,8 @@
 // Epoch names one founding of the record. Revisions order changes within one epoch only.
 //
 // The number grows with every founding (see NextEpoch); the identity, drawn at random, tells two foundings apart that
-// chose the same number without knowing of each other. An epoch is said by voters alone: a subscriber only repeats what
-// came to it from one, over however many parents.
+// chose the same number without knowing of each other. An epoch is said by voters alone: a subscriber only repeats
+// what came to it from one, over however many parents.
 type Epoch struct {
 	Number   uint64 `cbor:"1,keyasint,omitempty"`
 	Identity uint64 `cbor:"2,keyasint,omitempty"`
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -162,8 +162,8 @@
 	return change, size <= most
 }
 
-// deltaFrom gives what leads a child from one mark on, at most a batch of it; nil if there is nothing in its scopes. It
-// is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor the
+// deltaFrom gives what leads a child from one mark on, at most a batch of it; nil if there is nothing in its scopes.
+// It is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor the
 // tombstones reach any more.
 func (s *store) deltaFrom(from Mark, scopes Scopes, batch int) (delta *Delta, possible bool) {
 	if from.Epoch != s.mark.Epoch || from.Revision > s.mark.Revision {
