--- /dev/null
+++ b/replica/calls.go
@@ -0,0 +1,137 @@
+package replica
+
+import (
+	"context"
+	"net"
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+
+	"wheelrill/share"
+)
+
+// call is what members ask each other; answer is what they get.
+type call struct {
+	Entry  *share.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
+	Status bool         `cbor:"2,keyasint,omitempty"`
+	Name   string       `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
+	ID     string       `cbor:"4,keyasint,omitempty"`
+}
+
+type answer struct {
+	Accepted  bool   `cbor:"1,keyasint,omitempty"`
+	Why       string `cbor:"2,keyasint,omitempty"`
+	ID        string `cbor:"3,keyasint,omitempty"`
+	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
+	Leader    string `cbor:"5,keyasint,omitempty"` // name
+}
+
+// serve answers one connection's calls, one after the other.
+func (n *Node) serve(conn net.Conn, names []string, connection int) {
+	for {
+		var c call
+		if err := receive(conn, &c); err != nil {
+			return
+		}
+		a := n.answer(c, names, connection)
+		conn.SetWriteDeadline(time.Now().Add(callPatience))
+		if err := send(conn, a); err != nil {
+			return
+		}
+	}
+}
+
+func (n *Node) answer(c call, names []string, connection int) answer {
+	switch {
+	case c.Status:
+		return n.status()
+	case c.Entry != nil && slices.Contains(names, c.Entry.Member):
+		return n.appendEntry(*c.Entry, connection)
+	case c.ID != "" && slices.Contains(names, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
+		return n.admit(c.Name, c.ID)
+	}
+	return answer{Why: "it may not speak for that member"}
+}
+
+func (n *Node) status() answer {
+	r, _ := n.current()
+	a := answer{ID: n.ID()}
+	_, leader := r.LeaderWithID()
+	a.Leader = nameOf(leader)
+	if f := r.GetConfiguration(); f.Error() == nil {
+		a.HasRecord = len(f.Configuration().Servers) > 0
+	}
+	return a
+}
+
+// appendEntry puts an entry on the record, if we lead. The number tells the connections apart that entries come by.
+func (n *Node) appendEntry(e share.Entry, connection int) answer {
+	r, m := n.current()
+	if r.State() != raft.Leader {
+		return answer{Why: "not the leader"}
+	}
+	n.leaderMutex.Lock()
+	now := n.clock()
+	n.leases.Observe(e.Incarnation, e.Seq, connection, now)
+	m.withRecord(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
+	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
+	n.leaderMutex.Unlock()
+	body, err := cbor.Marshal(e)
+	if err != nil {
+		return answer{Why: err.Error()}
+	}
+	if err := r.Apply(body, applyWithin).Error(); err != nil {
+		return answer{Why: err.Error()}
+	}
+	return answer{Accepted: true}
+}
+
+// admit has a member take part under a new id: it has forgotten its votes, or never had any. Its old id goes first.
+func (n *Node) admit(name, id string) answer {
+	r, _ := n.current()
+	if r.State() != raft.Leader {
+		return answer{Why: "not the leader"}
+	}
+	f := r.GetConfiguration()
+	if err := f.Error(); err != nil {
+		return answer{Why: err.Error()}
+	}
+	var ids []string
+	for _, server := range f.Configuration().Servers {
+		ids = append(ids, string(server.ID))
+	}
+	leave, in := share.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
+	for _, other := range leave {
+		if err := r.RemoveServer(raft.ServerID(other), 0, applyWithin).Error(); err != nil {
+			return answer{Why: err.Error()}
+		}
+	}
+	if in {
+		return answer{Accepted: true}
+	}
+	if err := r.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyWithin).Error(); err != nil {
+		return answer{Why: err.Error()}
+	}
+	n.log.Info("member_joined", "name", name, "id", id)
+	return answer{Accepted: true}
+}
+
+// ask makes one call on a connection of its own.
+func (n *Node) ask(ctx context.Context, name string, c call) (a answer, err error) {
+	conn, err := n.transport.dial(ctx, name, forCalls)
+	if err != nil {
+		return a, err
+	}
+	defer conn.Close()
+	return a, request(conn, c, &a)
+}
+
+func request(conn net.Conn, c call, a *answer) error {
+	conn.SetDeadline(time.Now().Add(callPatience))
+	if err := send(conn, c); err != nil {
+		return err
+	}
+	return receive(conn, a)
+}
