--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -72,7 +72,7 @@
 				back.stop()
 				b.StartTimer()
 			}
-			b.ReportMetric(float64(m.bytes), "snapshot-bytes")
+			b.ReportMetric(float64(m.bytes.Load()), "snapshot-bytes")
 		})
 	}
 }
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -9,6 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
+	"wheelrill/distribution"
 	"wheelrill/share"
 )
 
@@ -18,6 +19,9 @@
 	Status bool         `cbor:"2,keyasint,omitempty"`
 	Name   string       `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
 	ID     string       `cbor:"4,keyasint,omitempty"`
+	// Subscribe: the messages of package distribution follow the answer, both ways, until the connection ends.
+	Subscribe bool                   `cbor:"5,keyasint,omitempty"`
+	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // to be accepted by the record
 }
 
 type answer struct {
@@ -26,30 +30,47 @@
 	ID        string `cbor:"3,keyasint,omitempty"`
 	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
 	Leader    string `cbor:"5,keyasint,omitempty"` // name
+
+	Mark    *distribution.Mark `cbor:"6,keyasint,omitempty"` // of an accepted change
+	Refusal refusal            `cbor:"7,keyasint,omitempty"` // of a change
 }
 
-// serve answers one connection's calls, one after the other.
-func (n *Node) serve(conn net.Conn, names []string, connection int) {
+// serve answers one connection's calls, one after the other. Who is no member may subscribe, and do nothing else.
+func (n *Node) serve(conn net.Conn, from caller, connection int) {
+	if len(from.members) == 0 {
+		conn.SetReadDeadline(time.Now().Add(callPatience))
+	}
 	for {
 		var c call
 		if err := receive(conn, &c); err != nil {
 			return
 		}
-		a := n.answer(c, names, connection)
+		a := n.answer(c, from, connection)
 		conn.SetWriteDeadline(time.Now().Add(callPatience))
 		if err := send(conn, a); err != nil {
 			return
 		}
+		if c.Subscribe && a.Accepted {
+			conn.SetDeadline(time.Time{})
+			n.config.Distribution.Accept(conn, from.subscribesAs)
+			return
+		}
 	}
 }
 
-func (n *Node) answer(c call, names []string, connection int) answer {
+func (n *Node) answer(c call, from caller, connection int) answer {
 	switch {
+	case c.Subscribe:
+		return answerToSubscribe(n.config.Distribution != nil)
+	case len(from.members) == 0:
+		return answer{Why: errForeign.Error()}
 	case c.Status:
 		return n.status()
-	case c.Entry != nil && slices.Contains(names, c.Entry.Member):
+	case c.Change != nil:
+		return n.acceptChange(*c.Change)
+	case c.Entry != nil && slices.Contains(from.members, c.Entry.Member):
 		return n.appendEntry(*c.Entry, connection)
-	case c.ID != "" && slices.Contains(names, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
+	case c.ID != "" && slices.Contains(from.members, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
 		return n.admit(c.Name, c.ID)
 	}
 	return answer{Why: "it may not speak for that member"}
--- /dev/null
+++ b/replica/changes_test.go
@@ -0,0 +1,499 @@
+package replica
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+
+	"wheelrill/distribution"
+	"wheelrill/share"
+)
+
+// sink takes a snapshot.
+type sink struct{ bytes.Buffer }
+
+func (s *sink) ID() string    { return "snapshot" }
+func (s *sink) Cancel() error { return nil }
+func (s *sink) Close() error  { return nil }
+
+func persisted(t testing.TB, s raft.FSMSnapshot) []byte {
+	t.Helper()
+	var to sink
+	if err := s.Persist(&to); err != nil {
+		t.Fatal(err)
+	}
+	return to.Bytes()
+}
+
+// subscribed stands for the node of the distribution at a voter: it keeps what it is told.
+type subscribed struct {
+	mutex   sync.Mutex
+	state   *distribution.VoterState
+	changes int
+	current int
+	wholes  int
+	served  func(conn net.Conn, allowed func(string) bool)
+}
+
+func (s *subscribed) Restored(state distribution.State) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.state = distribution.RestoreVoterState(state)
+	s.wholes++
+}
+
+func (s *subscribed) Accepted(change distribution.Change) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	p := distribution.Proposal{AcceptedAt: change.AcceptedAt, Entries: change.Entries}
+	if again, err := s.state.Accept(p); err != nil || again.Revision != change.Revision {
+		panic(fmt.Sprint("told out of order: ", change, again, err))
+	}
+	s.changes++
+}
+
+func (s *subscribed) Current() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.current++
+}
+
+func (s *subscribed) Accept(conn net.Conn, allowed func(string) bool) { s.served(conn, allowed) }
+
+// has tells whether all that was told amounts to a mark, and with which digest.
+func (s *subscribed) has(mark distribution.Mark) (distribution.Digest, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.state == nil || s.state.Mark() != mark {
+		return distribution.Digest{}, false
+	}
+	return s.state.Digest(), true
+}
+
+func until(t testing.TB, what string, is func() bool) {
+	t.Helper()
+	late := time.After(patience)
+	for !is() {
+		select {
+		case <-late:
+			t.Fatalf("it never came to this: %s", what)
+		case <-time.After(5 * time.Millisecond):
+		}
+	}
+}
+
+func entry(name, value string) distribution.Entry {
+	return distribution.Entry{Scope: "pricing", Name: name, Value: []byte(value)}
+}
+
+// configures has a member's record hold just some entries.
+func configures(t testing.TB, m *member, wanted ...distribution.Entry) (distribution.Mark, int) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	mark, differ, err := m.Configure(ctx, wanted)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return mark, differ
+}
+
+func TestChanges(t *testing.T) {
+	at := addresses(t, "a", "b", "c")
+	var all []*member
+	var told []*subscribed
+	for _, name := range []string{"a", "b", "c"} {
+		told = append(told, &subscribed{})
+		all = append(all, starts(t, Config{Name: name, Members: at, Distribution: told[len(told)-1]}))
+	}
+	everywhere := func(mark distribution.Mark) {
+		t.Helper()
+		digests := map[distribution.Digest]bool{}
+		for i, s := range told {
+			until(t, fmt.Sprint(i, " has ", mark), func() bool {
+				digest, has := s.has(mark)
+				digests[digest] = has || digests[digest]
+				return has
+			})
+		}
+		if delete(digests, distribution.Digest{}); len(digests) != 1 {
+			t.Errorf("they differ: %v", digests)
+		}
+	}
+	var last distribution.Mark
+	for i, m := range all { // the leader among them, and others
+		mark, differ := configures(t, m, entry("x", fmt.Sprint(i)), entry("y", "1"))
+		if everywhere(mark); mark.Revision != uint64(i+1) || differ != 2-min(i, 1) {
+			t.Errorf("%d: at %v, %d differ", i, mark, differ)
+		}
+		last = mark
+	}
+	if mark, differ := configures(t, all[0], entry("x", "2"), entry("y", "1")); mark != last || differ != 0 {
+		t.Errorf("the same again is at %v, %d differ", mark, differ)
+	}
+	t.Run("what is refused changes nothing", func(t *testing.T) {
+		for _, m := range all {
+			_, _, err := m.Configure(context.Background(), []distribution.Entry{entry("x", "2"), entry("y", "2"), {Name: "z"}})
+			if !errors.Is(err, ErrRefused) {
+				t.Errorf("got %v", err)
+			}
+			_, err = m.Change(context.Background(), distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
+			if !errors.Is(err, distribution.ErrMoved) {
+				t.Errorf("on an older base: %v", err)
+			}
+		}
+		everywhere(last)
+	})
+	t.Run("a record that is led is current", func(t *testing.T) {
+		for i, s := range told {
+			until(t, fmt.Sprint(i, " is current"), func() bool {
+				s.mutex.Lock()
+				defer s.mutex.Unlock()
+				return s.current > 0
+			})
+		}
+	})
+	t.Run("one that lost all gets it again, and the configuration outlasts its leaders", func(t *testing.T) {
+		all[2].stop()
+		told[2] = &subscribed{}
+		all[2] = starts(t, Config{Name: "c", Members: at, Distribution: told[2]})
+		everywhere(last)
+		mark, _ := configures(t, all[2], entry("y", "1"))
+		everywhere(mark)
+		if mark.Epoch != last.Epoch || mark.Revision != last.Revision+1 {
+			t.Errorf("from %v to %v", last, mark)
+		}
+		last = mark
+	})
+	t.Run("a record that is founded anew has a newer epoch, and nothing before its first change", func(t *testing.T) {
+		for _, m := range all {
+			m.stop()
+		}
+		for i, name := range []string{"a", "b", "c"} {
+			told[i] = &subscribed{}
+			all[i] = starts(t, Config{Name: name, Members: at, Distribution: told[i]})
+			all[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than any clock says
+		}
+		all[0].puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+		for _, s := range told {
+			if s.wholes+s.changes+s.current > 0 {
+				t.Errorf("told of %+v", s)
+			}
+		}
+		mark, _ := configures(t, all[1], entry("x", "1"))
+		everywhere(mark)
+		if !mark.Epoch.Newer(last.Epoch) || mark.Epoch.Number != 1<<40+1 || mark.Revision != 1 {
+			t.Errorf("from %v to %v", last, mark)
+		}
+	})
+}
+
+func TestNoLeader(t *testing.T) {
+	a := starts(t, Config{Name: "a", Members: addresses(t, "a", "b", "c"), Distribution: &subscribed{}})
+	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+	defer cancel()
+	if _, _, err := a.Configure(ctx, []distribution.Entry{entry("x", "1")}); !errors.Is(err, ErrUnanswered) {
+		t.Errorf("got %v", err)
+	}
+}
+
+// On disk the configuration comes back from the snapshot and what followed it.
+func TestChangesOnDisk(t *testing.T) {
+	config := Config{Name: "a", Members: addresses(t, "a"), Folder: t.TempDir(), Distribution: &subscribed{}}
+	a := starts(t, config)
+	configures(t, a, entry("x", "1"))
+	r, _ := a.current()
+	if err := r.Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	mark, _ := configures(t, a, entry("x", "2"))
+	a.stop()
+	told := &subscribed{}
+	config.Distribution = told
+	starts(t, config)
+	until(t, "it has all", func() bool { _, has := told.has(mark); return has })
+	if told.wholes != 1 || told.changes != 1 {
+		t.Errorf("%d states and %d changes", told.wholes, told.changes)
+	}
+}
+
+// changed is a state machine that some entries were put into.
+func changed(t *testing.T, entries ...distribution.Entry) *stateMachine {
+	t.Helper()
+	m := &stateMachine{events: newReader(), record: share.NewRecord(), changes: newChanges(nil, nil)}
+	m.failed = func(err error) { t.Error(err) }
+	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}})
+	for _, e := range entries {
+		body, err := cbor.Marshal(change{Kind: kindChange, Proposal: distribution.Proposal{
+			Epoch: distribution.Epoch{Number: 1}, Entries: []distribution.Entry{e}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if result := m.Apply(&raft.Log{Data: body}); result.(outcome).err != nil {
+			t.Fatal(result)
+		}
+	}
+	return m
+}
+
+func snapshotOf(t *testing.T, m *stateMachine) []byte {
+	t.Helper()
+	s, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return persisted(t, s)
+}
+
+// Where nothing is distributed a snapshot is as it was, and one of before is read.
+func TestSnapshotWithoutConfiguration(t *testing.T) {
+	m := changed(t)
+	before, err := cbor.Marshal(m.record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := snapshotOf(t, m); !bytes.Equal(got, before) || m.bytes.Load() != int64(len(before)) {
+		t.Errorf("%x, and was %x", got, before)
+	}
+	other := changed(t, entry("x", "1"))
+	if err := other.Restore(io.NopCloser(bytes.NewReader(before))); err != nil || other.changes.state() != nil {
+		t.Errorf("%v, %+v", err, other.changes.state())
+	}
+}
+
+func TestSnapshotWithConfiguration(t *testing.T) {
+	var entries []distribution.Entry
+	for i := range 2*pieceOfSnapshot + 1 {
+		entries = append(entries, entry(fmt.Sprintf("n%05d", i), "1"))
+	}
+	m := changed(t, entries...)
+	m.changes.view(func(v *distribution.VoterState) {
+		if _, err := v.Accept(distribution.Proposal{Entries: []distribution.Entry{{Scope: "pricing", Name: "n00000", Deleted: true}}}); err != nil {
+			t.Fatal(err)
+		}
+	})
+	body := snapshotOf(t, m)
+	other := changed(t)
+	if err := other.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
+		t.Fatal(err)
+	}
+	ours, theirs := m.changes.state(), other.changes.state()
+	if fmt.Sprint(ours) != fmt.Sprint(theirs) || len(theirs.Entries) != len(entries) || other.record.Proxies[4].Owner != "a" {
+		t.Errorf("restored %d entries at %v, not %d at %v", len(theirs.Entries), theirs.Mark, len(ours.Entries), ours.Mark)
+	}
+	for name, damaged := range map[string][]byte{"cut off": body[:len(body)-3], "followed by something": append(slices.Clone(body), 0xff)} {
+		kept := changed(t, entry("x", "1"))
+		if err := kept.Restore(io.NopCloser(bytes.NewReader(damaged))); err == nil || len(kept.changes.state().Entries) != 1 {
+			t.Errorf("%s: %v, %+v", name, err, kept.changes.state())
+		}
+	}
+}
+
+// What cannot be read changes nothing, at every member alike.
+func TestUnreadableChange(t *testing.T) {
+	m := changed(t, entry("x", "1"))
+	var failed []string
+	m.failed = func(err error) { failed = append(failed, err.Error()) }
+	for _, data := range [][]byte{{0x82, 0x01}, {0x82, 0x09, 0xa0}, {0x80}} {
+		if result := m.Apply(&raft.Log{Data: data}); result.(outcome).err == nil {
+			t.Errorf("%x was taken", data)
+		}
+	}
+	if len(failed) != 3 || len(m.changes.state().Entries) != 1 {
+		t.Errorf("told %q, has %+v", failed, m.changes.state())
+	}
+}
+
+func TestSubscriberIsNoMember(t *testing.T) {
+	ours, foreign := newAuthority(t), newAuthority(t)
+	at := addresses(t, "a")
+	served := make(chan func(string) bool, 1)
+	told := &subscribed{served: func(conn net.Conn, allowed func(string) bool) {
+		served <- allowed
+		io.WriteString(conn, "streams")
+		conn.Close()
+	}}
+	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a"), Distribution: told})
+	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	secure, err := ours.gives("s17").pair()
+	if err != nil {
+		t.Fatal(err)
+	}
+	as := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+	for name, c := range map[string]call{
+		"propose":       {Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}},
+		"propose as it": {Entry: &share.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
+		"join":          {Name: "s17", ID: "s17/x"},
+		"join as one":   {Name: "a", ID: "a/x"},
+		"ask":           {Status: true},
+		"change":        {Change: &distribution.Proposal{Entries: []distribution.Entry{entry("x", "1")}}},
+	} {
+		t.Run("it may not "+name, func(t *testing.T) {
+			conn, err := as.dial(context.Background(), "a", forCalls)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer conn.Close()
+			var got answer
+			if err := request(conn, c, &got); err != nil || got.Why != errForeign.Error() || got.Accepted || got.ID != "" {
+				t.Errorf("got %+v, %v", got, err)
+			}
+		})
+	}
+	t.Run("it may not speak raft", func(t *testing.T) {
+		conn, err := (&layer{transport: as}).Dial(addressOf("a", a.ID()), 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		conn.SetReadDeadline(time.Now().Add(patience))
+		if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
+			t.Errorf("read %d bytes, %v", n, err)
+		}
+	})
+	until(t, "who was refused is forgotten", func() bool {
+		a.transport.mutex.Lock()
+		defer a.transport.mutex.Unlock()
+		return len(a.transport.conns) == 0
+	})
+	peer := Peer{"a", at["a"]}.String()
+	t.Run("it may subscribe, under its own name", func(t *testing.T) {
+		s, err := NewSubscriber(ours.gives("s17"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn, err := s.Dial(context.Background(), peer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		if text, err := io.ReadAll(conn); string(text) != "streams" || err != nil {
+			t.Errorf("got %q, %v", text, err)
+		}
+		allowed := <-served
+		if !allowed("s17") || !allowed(Peer{"s17", "10.0.0.1:1"}.String()) || allowed("a") || allowed("") || allowed("@10.0.0.1:1") {
+			t.Error("it may subscribe under other names")
+		}
+	})
+	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("s17"), "plain text": {}} {
+		t.Run(name+" is refused", func(t *testing.T) {
+			s, err := NewSubscriber(given)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if conn, err := s.Dial(context.Background(), peer); err == nil {
+				conn.Close()
+				t.Error("let in")
+			}
+		})
+	}
+	t.Run("who has another name than was dialled is refused", func(t *testing.T) {
+		s, err := NewSubscriber(ours.gives("s17"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if conn, err := s.Dial(context.Background(), Peer{"b", at["a"]}.String()); err == nil {
+			conn.Close()
+			t.Error("taken for b")
+		}
+	})
+}
+
+func TestSubscribingIsOff(t *testing.T) {
+	at := addresses(t, "a")
+	starts(t, Config{Name: "a", Members: at})
+	s, err := NewSubscriber(Credentials{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String()); err == nil || err.Error() != errOff.Error() {
+		t.Errorf("got %v, %v", conn, err)
+	}
+}
+
+func TestListener(t *testing.T) {
+	ours := newAuthority(t)
+	s, err := NewSubscriber(ours.gives("s1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	refused := make(chan error, 16)
+	l, err := s.Listen("127.0.0.1:0", func(conn net.Conn, allowed func(string) bool) {
+		if allowed("s2") {
+			io.Copy(conn, conn)
+		}
+	}, func(_ net.Addr, why error) { refused <- why })
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { l.Run(ctx) })
+	defer running.Wait()
+	defer cancel()
+	other, err := NewSubscriber(ours.gives("s2"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer := Peer{"s1", l.Address()}.String()
+	conn, err := other.Dial(context.Background(), peer)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	io.WriteString(conn, "x")
+	if got := make([]byte, 1); true {
+		if _, err := io.ReadFull(conn, got); err != nil || got[0] != 'x' {
+			t.Errorf("got %q, %v", got, err)
+		}
+	}
+	t.Run("nothing else is served", func(t *testing.T) {
+		as := &transport{members: map[string]string{"s1": l.Address()}, secure: other.secure, ended: make(chan struct{}),
+			conns: map[net.Conn]bool{}}
+		conn, err := as.dial(context.Background(), "s1", forCalls)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		var got answer
+		if err := request(conn, call{Status: true}, &got); err != nil || got.Accepted || got.ID != "" {
+			t.Errorf("got %+v, %v", got, err)
+		}
+		raw, err := as.dial(context.Background(), "s1", forRaft)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer raw.Close()
+		if err := <-refused; !errors.Is(err, errForeign) {
+			t.Errorf("raft: %v", err)
+		}
+	})
+	t.Run("at the end the connections are closed", func(t *testing.T) {
+		cancel()
+		running.Wait()
+		if _, err := conn.Read(make([]byte, 1)); err == nil {
+			t.Error("it goes on")
+		}
+	})
+	plain, err := NewSubscriber(Credentials{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := plain.Listen("0.0.0.0:0", nil, nil); err == nil || !strings.Contains(err.Error(), "loopback") {
+		t.Errorf("plain text everywhere: %v", err)
+	}
+	if _, err := plain.Dial(context.Background(), "n0@192.0.2.1:9"); err == nil || !strings.Contains(err.Error(), "loopback") {
+		t.Errorf("plain text to anybody: %v", err)
+	}
+}
--- a/replica/node.go
+++ b/replica/node.go
@@ -22,6 +22,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
+	"wheelrill/distribution"
 	"wheelrill/share"
 )
 
@@ -40,6 +41,9 @@
 	Folder  string            // for what must outlast the process; "" keeps it in memory
 	Credentials
 	Terms share.Terms
+	// Distribution is told what the record has of the distributed configuration, and serves those who subscribe to it;
+	// nil: nobody can subscribe here.
+	Distribution Distribution
 }
 
 // Paces of raft on a local network. A member that dies is replaced as leader within two of them, about.
@@ -76,7 +80,10 @@
 	// leaderMutex is over what we see as leader; that holds over several leaderships, as it rests on our clock alone.
 	leaderMutex sync.Mutex
 	leases      *share.LeaseTracker
-	stamp       uint64 // tells our clock from others
+	stamp       uint64             // tells our clock from others
+	epoch       distribution.Epoch // the greatest of the distributed configuration
+
+	ledSince uint64 // our last index as we were first seen to lead; 0 while we do not. Of maintainMembership alone
 }
 
 // New checks a configuration, listens at our address, and starts nothing else. An error says what would do.
@@ -95,14 +102,9 @@
 	}
 	if secure == nil {
 		for name, address := range config.Members {
-			host, _, err := net.SplitHostPort(address)
-			if err != nil {
+			if err := mustBeLoopback(address); err != nil {
 				return nil, fmt.Errorf("members: %s: %w", name, err)
 			}
-			if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-				return nil, fmt.Errorf("members: %s is at %s, and plain text is for loopback alone; give certificate, key and authority",
-					name, address)
-			}
 		}
 	}
 	listener, err := net.Listen("tcp", address)
@@ -114,7 +116,7 @@
 		leases: share.NewLeaseTracker(config.Terms),
 		clock:  func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
-		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{},
+		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{}, foreign: config.Distribution != nil,
 		refused: func(from net.Addr, why error) {
 			if !errors.Is(why, errOther) && !errors.Is(why, net.ErrClosed) && !errors.Is(why, io.EOF) {
 				log.Info("member_refused", "peer", from.String(), "why", why.Error())
@@ -152,7 +154,7 @@
 // open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.config.Name + "/" + rand.Text()[:8]
-	m := &stateMachine{events: n.events, record: share.NewRecord(), failed: func(err error) {
+	m := &stateMachine{events: n.events, record: share.NewRecord(), changes: newChanges(n.config.Distribution, n.noteEpoch), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -272,7 +274,7 @@
 			seconds := time.Since(told).Seconds()
 			_, m := n.current()
 			n.log.Info("record", "entries_per_s", round(float64(r.AppliedIndex()-index)/seconds),
-				"bytes_per_s", round(float64(n.transport.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes)
+				"bytes_per_s", round(float64(n.transport.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes.Load())
 			told, bytes, index = time.Now(), n.transport.bytes.Load(), r.AppliedIndex()
 		}
 		if r.State() == raft.Leader {
@@ -280,6 +282,7 @@
 		}
 		if _, leader := r.LeaderWithID(); leader != "" && n.isMember(r) {
 			lost = 0
+			n.noteCurrent(r)
 			continue
 		}
 		lost++
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -380,15 +380,15 @@
 }
 
 func TestStateMachine(t *testing.T) {
-	m, r := &stateMachine{events: newReader(), record: share.NewRecord()}, newReader()
+	m, r := &stateMachine{events: newReader(), record: share.NewRecord(), changes: newChanges(nil, nil)}, newReader()
 	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
 		TableChanges: []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &stateMachine{events: r, record: share.NewRecord()}
-	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))); err != nil {
+	other := &stateMachine{events: r, record: share.NewRecord(), changes: newChanges(nil, nil)}
+	if err := other.Restore(io.NopCloser(bytes.NewReader(persisted(t, s)))); err != nil {
 		t.Fatal(err)
 	}
 	if incarnation := other.record.Incarnations[1]; incarnation.Tables[2].Lines["s"].Weight != 0.5 || other.record.Proxies[4].Owner != "a" {
--- a/replica/state_machine.go
+++ b/replica/state_machine.go
@@ -3,10 +3,12 @@
 import (
 	"io"
 	"sync"
+	"sync/atomic"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
+	"wheelrill/distribution"
 	"wheelrill/share"
 )
 
@@ -17,11 +19,16 @@
 
 	mutex  sync.Mutex
 	record *share.Record
-	bytes  int // of the last snapshot
+	bytes  atomic.Int64 // of the last snapshot
+
+	changes *changes
 }
 
 // Apply takes one entry in. One that cannot be read stands on the record of every member alike, and changes nothing.
 func (m *stateMachine) Apply(l *raft.Log) any {
+	if isChange(l.Data) {
+		return m.changes.apply(l.Data, m.failed)
+	}
 	var e share.Entry
 	if err := cbor.Unmarshal(l.Data, &e); err != nil {
 		m.failed(err)
@@ -46,8 +53,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	body, err := cbor.Marshal(m.record)
-	m.bytes = len(body)
-	return snapshot(body), err
+	return &snapshot{record: body, configuration: m.changes.state(), bytes: &m.bytes}, err
 }
 
 // Restore takes a record in place of all entries before.
@@ -58,28 +64,64 @@
 		return err
 	}
 	ours, theirs := share.NewRecord(), share.NewRecord()
+	var rest []byte
 	for _, record := range []*share.Record{ours, theirs} {
-		if err := cbor.Unmarshal(body, record); err != nil {
+		if rest, err = cbor.UnmarshalFirst(body, record); err != nil {
 			return err
 		}
 	}
+	configuration, err := readConfiguration(rest)
+	if err != nil {
+		return err
+	}
 	m.mutex.Lock()
-	m.record, m.bytes = ours, len(body)
+	m.record = ours
+	m.bytes.Store(int64(len(body)))
 	m.mutex.Unlock()
+	m.changes.restore(configuration)
 	m.events.Restored(theirs)
 	return nil
 }
 
-type snapshot []byte
+// snapshot is the record, and behind it the configuration if there is any: so it reads like one of before, where nothing
+// is distributed.
+type snapshot struct {
+	record        []byte
+	configuration *distribution.State
+	bytes         *atomic.Int64
+}
 
 // Persist writes it.
-func (s snapshot) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(s); err != nil {
+func (s *snapshot) Persist(to raft.SnapshotSink) error {
+	counted := &countingWriter{to: to}
+	if err := s.write(counted); err != nil {
 		to.Cancel()
 		return err
 	}
+	s.bytes.Store(counted.bytes)
 	return to.Close()
 }
 
-// Release does nothing: a snapshot holds no more than its bytes.
-func (s snapshot) Release() {}
+func (s *snapshot) write(to io.Writer) error {
+	if _, err := to.Write(s.record); err != nil {
+		return err
+	}
+	if s.configuration == nil {
+		return nil
+	}
+	return writeConfiguration(to, s.configuration)
+}
+
+// Release does nothing: a snapshot holds no more than copies.
+func (s *snapshot) Release() {}
+
+type countingWriter struct {
+	to    io.Writer
+	bytes int64
+}
+
+func (w *countingWriter) Write(b []byte) (int, error) {
+	n, err := w.to.Write(b)
+	w.bytes += int64(n)
+	return n, err
+}
--- a/replica/transport.go
+++ b/replica/transport.go
@@ -4,10 +4,10 @@
 	"context"
 	"crypto/tls"
 	"crypto/x509"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"os"
 	"slices"
@@ -16,8 +16,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
+
+	"wheelrill/internal/frame"
 )
 
 // Credentials are the files that a member shows and checks others by. Where all are empty it speaks plain text, which
@@ -71,8 +72,9 @@
 	members map[string]string // addresses by name
 	secure  *tls.Config
 	id      func() string
-	serve   func(conn net.Conn, names []string, connection int)
+	serve   func(conn net.Conn, from caller, connection int)
 	refused func(from net.Addr, why error)
+	foreign bool // who is no member may call as well, to subscribe
 
 	listener net.Listener
 	forRaft  chan net.Conn
@@ -138,36 +140,49 @@
 			continue
 		}
 		t.open.Go(func() {
-			if err := t.accept(t.keep(conn)); err != nil {
-				conn.Close()
+			kept := t.keep(conn)
+			if err := t.accept(kept); err != nil {
+				kept.Close()
 				t.refused(conn.RemoteAddr(), err)
 			}
 		})
 	}
 }
 
+// caller is who has made a connection.
+type caller struct {
+	members []string // as whom it may speak
+	// named tells whether its certificate has a name; nil for plain text, where it may have any.
+	named func(name string) bool
+}
+
+// identify finds out who calls, and gives the connection as it is to be used.
+func (t *transport) identify(conn net.Conn) (net.Conn, caller, error) {
+	if t.secure == nil {
+		return conn, caller{members: slices.Collect(maps.Keys(t.members))}, nil
+	}
+	secured := tls.Server(conn, t.secure)
+	if err := secured.Handshake(); err != nil {
+		return nil, caller{}, fmt.Errorf("handshake: %w", err)
+	}
+	leaf := secured.ConnectionState().PeerCertificates[0]
+	from := caller{named: func(name string) bool { return leaf.VerifyHostname(name) == nil }}
+	for name := range t.members {
+		if from.named(name) {
+			from.members = append(from.members, name)
+		}
+	}
+	return secured, from, nil
+}
+
 // accept checks who calls, and hands the connection on.
 func (t *transport) accept(conn net.Conn) error {
 	conn.SetDeadline(time.Now().Add(dialPatience))
-	var names []string // as whom it may speak
-	if t.secure == nil {
-		for name := range t.members {
-			names = append(names, name)
-		}
-	} else {
-		secured := tls.Server(conn, t.secure)
-		if err := secured.Handshake(); err != nil {
-			return fmt.Errorf("handshake: %w", err)
-		}
-		leaf := secured.ConnectionState().PeerCertificates[0]
-		for name := range t.members {
-			if leaf.VerifyHostname(name) == nil {
-				names = append(names, name)
-			}
-		}
-		conn = secured
+	conn, from, err := t.identify(conn)
+	if err != nil {
+		return err
 	}
-	if len(names) == 0 {
+	if len(from.members) == 0 && !t.foreign {
 		return errForeign
 	}
 	head := make([]byte, 1)
@@ -181,10 +196,13 @@
 		t.serial++
 		connection := t.serial
 		t.mutex.Unlock()
-		t.serve(conn, names, connection)
+		t.serve(conn, from, connection)
 		conn.Close()
 		return nil
 	case forRaft:
+		if len(from.members) == 0 {
+			return errForeign
+		}
 		var meant string
 		if err := receive(conn, &meant); err != nil {
 			return err
@@ -305,28 +323,7 @@
 }
 
 // send writes one thing, its length before it.
-func send(to io.Writer, what any) error {
-	body, err := cbor.Marshal(what)
-	if err != nil {
-		return err
-	}
-	_, err = to.Write(slices.Concat(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body))
-	return err
-}
+func send(to io.Writer, what any) error { return frame.Write(to, what) }
 
 // receive reads one.
-func receive(from io.Reader, into any) error {
-	var head [4]byte
-	if _, err := io.ReadFull(from, head[:]); err != nil {
-		return err
-	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size > mostCall {
-		return fmt.Errorf("a call of %d bytes, %d at most", size, mostCall)
-	}
-	body := make([]byte, size)
-	if _, err := io.ReadFull(from, body); err != nil {
-		return err
-	}
-	return cbor.Unmarshal(body, into)
-}
+func receive(from io.Reader, into any) error { return frame.Read(from, mostCall, into) }
--- a/replica/wire_test.go
+++ b/replica/wire_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"wheelrill/distribution"
 	"wheelrill/share"
 )
 
@@ -21,6 +22,13 @@
 		{"a call that asks who it is", call{Status: true}, "a102f5"},
 		{"a call to join", call{Name: "a", ID: "a/1"}, "a20361610463612f31"},
 		{"an answer", answer{Accepted: true, Why: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
+		{"a call to subscribe", call{Subscribe: true}, "a105f5"},
+		{"a call that brings a change", call{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
+			"a106a10581a201617302616e"},
+		{"an answer to a change", answer{Accepted: true, Mark: &distribution.Mark{Revision: 3}}, "a201f506a10203"},
+		{"a refusal of a change", answer{Why: "b", Refusal: refusedMoved}, "a20261620702"},
+		{"an entry of the log that changes the configuration", change{Kind: kindChange, Proposal: distribution.Proposal{AcceptedAt: 5}},
+			"8201a10405"},
 	} {
 		body, err := cbor.Marshal(c.value)
 		if err != nil {
