--- a/replica/node.go
+++ b/replica/node.go
@@ -19,10 +19,10 @@
 	"syscall"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
+	"wheelrill/distribution"
 	"wheelrill/share"
 )
 
@@ -41,6 +41,9 @@
 	Folder  string            // for what must outlast the process; "" keeps it in memory
 	Credentials
 	Terms share.Terms
+	// Distribution is told what the record has of the distributed configuration, and serves those who subscribe to it;
+	// nil: nobody can subscribe here.
+	Distribution Distribution
 }
 
 // Paces of raft on a local network. A member that dies is replaced as leader within two of them, about.
@@ -77,7 +80,10 @@
 	// leaderMutex is over what we see as leader; that holds over several leaderships, as it rests on our clock alone.
 	leaderMutex sync.Mutex
 	leases      *share.LeaseTracker
-	stamp       uint64 // tells our clock from others
+	stamp       uint64             // tells our clock from others
+	epoch       distribution.Epoch // the greatest of the distributed configuration
+
+	ledSince uint64 // our last index as we were first seen to lead; 0 while we do not. Of maintainMembership alone
 }
 
 // New checks a configuration, listens at our address, and starts nothing else. An error says what would do.
@@ -96,14 +102,9 @@
 	}
 	if secure == nil {
 		for name, address := range config.Members {
-			host, _, err := net.SplitHostPort(address)
-			if err != nil {
+			if err := mustBeLoopback(address); err != nil {
 				return nil, fmt.Errorf("members: %s: %w", name, err)
 			}
-			if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-				return nil, fmt.Errorf("members: %s is at %s, and plain text is for loopback alone; give certificate, key and authority",
-					name, address)
-			}
 		}
 	}
 	listener, err := net.Listen("tcp", address)
@@ -115,7 +116,7 @@
 		leases: share.NewLeaseTracker(config.Terms),
 		clock:  func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
-		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{},
+		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{}, foreign: config.Distribution != nil,
 		refused: func(from net.Addr, why error) {
 			if !errors.Is(why, errOther) && !errors.Is(why, net.ErrClosed) && !errors.Is(why, io.EOF) {
 				log.Info("member_refused", "peer", from.String(), "why", why.Error())
@@ -165,7 +166,7 @@
 // open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.config.Name + "/" + rand.Text()[:8]
-	m := &stateMachine{events: n.events, record: share.NewRecord(), failed: func(err error) {
+	m := &stateMachine{events: n.events, record: share.NewRecord(), changes: newChanges(n.config.Distribution, n.noteEpoch), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -266,130 +267,6 @@
 	n.transport.open.Wait()
 }
 
-// call is what members ask each other; answer is what they get.
-type call struct {
-	Entry  *share.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
-	Status bool         `cbor:"2,keyasint,omitempty"`
-	Name   string       `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
-	ID     string       `cbor:"4,keyasint,omitempty"`
-}
-
-type answer struct {
-	Accepted  bool   `cbor:"1,keyasint,omitempty"`
-	Why       string `cbor:"2,keyasint,omitempty"`
-	ID        string `cbor:"3,keyasint,omitempty"`
-	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
-	Leader    string `cbor:"5,keyasint,omitempty"` // name
-}
-
-// serve answers one connection's calls, one after the other.
-func (n *Node) serve(conn net.Conn, names []string, connection int) {
-	for {
-		var c call
-		if err := receive(conn, &c); err != nil {
-			return
-		}
-		a := n.answer(c, names, connection)
-		conn.SetWriteDeadline(time.Now().Add(callPatience))
-		if err := send(conn, a); err != nil {
-			return
-		}
-	}
-}
-
-func (n *Node) answer(c call, names []string, connection int) answer {
-	switch {
-	case c.Status:
-		return n.status()
-	case c.Entry != nil && slices.Contains(names, c.Entry.Member):
-		return n.appendEntry(*c.Entry, connection)
-	case c.ID != "" && slices.Contains(names, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
-		return n.admit(c.Name, c.ID)
-	}
-	return answer{Why: "it may not speak for that member"}
-}
-
-func (n *Node) status() answer {
-	r, _ := n.current()
-	a := answer{ID: n.ID()}
-	_, leader := r.LeaderWithID()
-	a.Leader = nameOf(leader)
-	if f := r.GetConfiguration(); f.Error() == nil {
-		a.HasRecord = len(f.Configuration().Servers) > 0
-	}
-	return a
-}
-
-// appendEntry puts an entry on the record, if we lead. The number tells the connections apart that entries come by.
-func (n *Node) appendEntry(e share.Entry, connection int) answer {
-	r, m := n.current()
-	if r.State() != raft.Leader {
-		return answer{Why: "not the leader"}
-	}
-	n.leaderMutex.Lock()
-	now := n.clock()
-	n.leases.Observe(e.Incarnation, e.Seq, connection, now)
-	m.withRecord(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
-	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
-	n.leaderMutex.Unlock()
-	body, err := cbor.Marshal(e)
-	if err != nil {
-		return answer{Why: err.Error()}
-	}
-	if err := r.Apply(body, applyWithin).Error(); err != nil {
-		return answer{Why: err.Error()}
-	}
-	return answer{Accepted: true}
-}
-
-// admit has a member take part under a new id: it has forgotten its votes, or never had any. Its old id goes first.
-func (n *Node) admit(name, id string) answer {
-	r, _ := n.current()
-	if r.State() != raft.Leader {
-		return answer{Why: "not the leader"}
-	}
-	f := r.GetConfiguration()
-	if err := f.Error(); err != nil {
-		return answer{Why: err.Error()}
-	}
-	var ids []string
-	for _, server := range f.Configuration().Servers {
-		ids = append(ids, string(server.ID))
-	}
-	leave, in := share.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
-	for _, other := range leave {
-		if err := r.RemoveServer(raft.ServerID(other), 0, applyWithin).Error(); err != nil {
-			return answer{Why: err.Error()}
-		}
-	}
-	if in {
-		return answer{Accepted: true}
-	}
-	if err := r.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyWithin).Error(); err != nil {
-		return answer{Why: err.Error()}
-	}
-	n.log.Info("member_joined", "name", name, "id", id)
-	return answer{Accepted: true}
-}
-
-// ask newNode one call on a connection of its own.
-func (n *Node) ask(ctx context.Context, name string, c call) (a answer, err error) {
-	conn, err := n.transport.dial(ctx, name, forCalls)
-	if err != nil {
-		return a, err
-	}
-	defer conn.Close()
-	return a, request(conn, c, &a)
-}
-
-func request(conn net.Conn, c call, a *answer) error {
-	conn.SetDeadline(time.Now().Add(callPatience))
-	if err := send(conn, c); err != nil {
-		return err
-	}
-	return receive(conn, a)
-}
-
 // maintainMembership has us become part of the record, and stay it.
 func (n *Node) maintainMembership(ctx context.Context) {
 	look := time.NewTicker(pollInterval)
@@ -409,7 +286,7 @@
 			seconds := time.Since(told).Seconds()
 			_, m := n.current()
 			n.log.Info("record", "entries_per_s", round(float64(r.AppliedIndex()-index)/seconds),
-				"bytes_per_s", round(float64(n.transport.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes)
+				"bytes_per_s", round(float64(n.transport.bytes.Load()-bytes)/seconds), "snapshot_bytes", m.bytes.Load())
 			told, bytes, index = time.Now(), n.transport.bytes.Load(), r.AppliedIndex()
 		}
 		if r.State() == raft.Leader {
@@ -417,6 +294,7 @@
 		}
 		if _, leader := r.LeaderWithID(); leader != "" && n.isMember(r) {
 			lost = 0
+			n.noteCurrent(r)
 			continue
 		}
 		lost++
