--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -238,11 +238,11 @@
 		}
 		changes = append(changes, change)
 	}
-	if len(f.module.withdrew) > 0 {
+	if len(f.module.withdrawalChanges) > 0 {
 		change := share.TableChange{Table: share.WithdrawnTable}
-		for _, b := range f.module.withdrew {
+		for _, b := range f.module.withdrawalChanges {
 			shut := 0.
-			if f.module.out[b] {
+			if f.module.withdrawn[b] {
 				shut = 1
 			}
 			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -16,16 +16,15 @@
 	frame   int
 	parts   int
 
-	byNumber map[int]*table
-	all      []level // for every table of every joined proxy, by class
-	out      []bool  // withdrawn, by backend
-	// withdrew are those that were withdrawn or let back at this time.
-	withdrew []int
-	streams  []*stream
-
-	mark           int
-	marked, toEach bool
-	deltas, wholes int // tables that went out as what differs, and as a whole
+	byNumber          map[int]*table
+	all               []level // for every table of every joined proxy, by class
+	withdrawn         []bool  // by backend
+	withdrawalChanges []int   // backends that were withdrawn or let back at this time
+	streams           []*stream
+
+	mark            int
+	marked, markAll bool
+	deltas, wholes  int // tables that went out as what differs, and as a whole
 }
 
 // table is one of those that proxies can be bound to.
@@ -42,31 +41,31 @@
 	tries     decide.Tries
 }
 
-// holding is what a proxy does with a backend, whatever its tables say.
-type holding uint8
+// backendState is whether a proxy may use a backend, whatever its tables say.
+type backendState uint8
 
 const (
-	unsaid holding = iota // as the proxy came
-	clear
-	shut
+	backendUnknown backendState = iota // as it was when the proxy joined
+	backendAllowed
+	backendWithdrawn
 )
 
 // stream is a joined proxy's.
 type stream struct {
-	peer    *peer
-	bound   []int // table by class, or unbound
-	due     uint16
-	touched bool
-	turned  []int   // backends withdrawn or let back since its last message, where that concerns it
-	levels  []level // as last written, by class
-	instead level   // stands where no level was ordered and no table is ours, once it was told
-	held    []holding
-	keeps   bool // it may have come with backends shut out by others
-	waits   bool // it is not ours yet: nothing may be written to it
-	fenced  bool // it asked for tokens, and refuses what comes with an older one than it has seen
-	token   uint64
-	base    []share.Base // what it surely has by class, until a table of ours is written
-	cleared bool         // those that its tables use are let back
+	peer              *peer
+	bound             []int // table by class, or unbound
+	due               uint16
+	touched           bool
+	withdrawalChanges []int   // backends withdrawn or let back since its last message, where that concerns it
+	levels            []level // as last written, by class
+	defaultLevel      level   // in force where no level was ordered and no table is ours, once it was sent
+	backendStates     []backendState
+	keeps             bool // it may have come with backends shut out by others
+	waits             bool // it is not ours yet: nothing may be written to it
+	fenced            bool // it asked for tokens, and refuses what comes with an older one than it has seen
+	token             uint64
+	base              []share.Base // what it surely has by class, until a table of ours is written
+	cleared           bool         // those that its tables use are let back
 }
 
 const unbound = -1
@@ -140,15 +139,15 @@
 
 // Withdraw keeps joined proxies off a backend whatever their tables say, or lets them use it again.
 func (t *tables) Withdraw(backend int, out bool) {
-	for len(t.out) <= backend {
-		t.out = append(t.out, false)
+	for len(t.withdrawn) <= backend {
+		t.withdrawn = append(t.withdrawn, false)
 	}
-	t.out[backend], t.withdrew = out, append(t.withdrew, backend)
+	t.withdrawn[backend], t.withdrawalChanges = out, append(t.withdrawalChanges, backend)
 	t.touch(func(s *stream) bool {
 		// Tables that are not ours may have it.
 		concerned := slices.Contains(s.bound, unbound) || t.uses(s, backend)
 		if concerned {
-			s.turned = append(s.turned, backend)
+			s.withdrawalChanges = append(s.withdrawalChanges, backend)
 		}
 		return concerned
 	})
@@ -160,10 +159,10 @@
 	if s == nil || !slices.Contains(s.bound, unbound) {
 		return false
 	}
-	s.instead, s.touched = level{true, figure(allowance), tries}, true
-	for backend, out := range t.out {
+	s.defaultLevel, s.touched = level{true, figure(allowance), tries}, true
+	for backend, out := range t.withdrawn {
 		if out {
-			s.turned = append(s.turned, backend)
+			s.withdrawalChanges = append(s.withdrawalChanges, backend)
 		}
 	}
 	return true
@@ -173,20 +172,20 @@
 // shut it out from goes on doing so: as long as that stream lives the backend must be known if it comes back.
 func (t *tables) forget(backend int, decisions func() bool) bool {
 	for _, s := range t.streams {
-		if s != nil && backend < len(s.held) && s.held[backend] == shut {
+		if s != nil && backend < len(s.backendStates) && s.backendStates[backend] == backendWithdrawn {
 			return false
 		}
 	}
 	if !decisions() {
 		return false
 	}
-	if backend < len(t.out) {
-		t.out[backend] = false
+	if backend < len(t.withdrawn) {
+		t.withdrawn[backend] = false
 	}
 	for _, s := range t.streams {
-		if s != nil && backend < len(s.held) {
-			if s.held[backend] = clear; s.keeps {
-				s.held[backend] = unsaid
+		if s != nil && backend < len(s.backendStates) {
+			if s.backendStates[backend] = backendAllowed; s.keeps {
+				s.backendStates[backend] = backendUnknown
 			}
 		}
 	}
@@ -217,7 +216,7 @@
 
 // Mark has the proxies reached at this time, or all joined ones, say when they have applied it.
 func (t *tables) Mark(number int, everyone bool) {
-	t.mark, t.marked, t.toEach = number, true, t.toEach || everyone
+	t.mark, t.marked, t.markAll = number, true, t.markAll || everyone
 }
 
 func (t *tables) touch(concerned func(*stream) bool) {
@@ -249,7 +248,7 @@
 // whose message could not be handed over is given to lost.
 func (t *tables) flush(sends func(*peer, []byte) error, lost func(proxy int, err error), marked func(proxy, mark int)) {
 	for proxy, s := range t.streams {
-		if s == nil || s.waits || !s.touched && !(t.marked && t.toEach) {
+		if s == nil || s.waits || !s.touched && !(t.marked && t.markAll) {
 			continue
 		}
 		s.touched = false
@@ -268,7 +267,7 @@
 	for _, in := range t.byNumber {
 		in.changed = in.changed[:0]
 	}
-	t.marked, t.toEach, t.withdrew = false, false, t.withdrew[:0]
+	t.marked, t.markAll, t.withdrawalChanges = false, false, t.withdrawalChanges[:0]
 }
 
 // message encodes what one proxy must be told, and notes it as written.
@@ -302,7 +301,7 @@
 		}
 	}
 	t.writeLevels(s, o)
-	t.writeHeld(s, o)
+	t.writeWithdrawals(s, o)
 	if s.due != 0 {
 		s.base = nil
 	}
@@ -356,9 +355,9 @@
 	return lines, true
 }
 
-// free is the level of a class for which none was ordered, where it has to be said: no proxy reaches it, and tries are
+// unlimited is the level of a class for which none was ordered, where it has to be said: no proxy reaches it, and tries are
 // as proxies make them without any order.
-var free = level{true, math.MaxFloat32, decide.TryAfterProof}
+var unlimited = level{true, math.MaxFloat32, decide.TryAfterProof}
 
 // writeLevels writes what differs from the levels that the proxy was last told; a whole table forgets them.
 func (t *tables) writeLevels(s *stream, o *order) {
@@ -368,8 +367,8 @@
 		if s.due&(1<<class) != 0 && !kept {
 			s.levels[class] = level{}
 		}
-		if !now.set && (kept || s.levels[class] == free) {
-			now = free
+		if !now.set && (kept || s.levels[class] == unlimited) {
+			now = unlimited
 		}
 		if now != s.levels[class] {
 			s.levels[class] = now
@@ -401,40 +400,40 @@
 			return own
 		}
 	} else if !now.set {
-		now = s.instead
+		now = s.defaultLevel
 	}
 	return now
 }
 
-// writeHeld shuts out what is withdrawn and lets back what is not. A proxy keeps what it was told by others or in our
-// earlier life, while the decisions count on one that is cleared to heed only ours: so whatever its tables use and it
-// may hold is let back then, or with the first line for it.
-func (t *tables) writeHeld(s *stream, o *order) {
+// writeWithdrawals writes which backends are withdrawn, and which are let back. A proxy keeps withdrawals of other
+// controllers, and of our process before this one, while the decisions count on a cleared proxy to keep only ours: so
+// whatever its tables use and it may keep withdrawn is let back then, or with the first line for it.
+func (t *tables) writeWithdrawals(s *stream, o *order) {
 	var out, back [][]byte
-	most := len(t.out)
+	most := len(t.withdrawn)
 	for _, in := range t.byNumber {
 		most = max(most, len(in.weights))
 	}
 	for b := range most {
-		unsure := slices.Contains(s.bound, unbound) && slices.Contains(s.turned, b)
+		unsure := slices.Contains(s.bound, unbound) && slices.Contains(s.withdrawalChanges, b)
 		if !unsure && !t.uses(s, b) {
 			continue
 		}
-		for len(s.held) <= b {
-			came := clear
+		for len(s.backendStates) <= b {
+			state := backendAllowed
 			if s.keeps {
-				came = unsaid
+				state = backendUnknown
 			}
-			s.held = append(s.held, came)
+			s.backendStates = append(s.backendStates, state)
 		}
-		switch withdrawn := b < len(t.out) && t.out[b]; {
-		case withdrawn && s.held[b] != shut:
-			out, s.held[b] = append(out, t.name(b)), shut
-		case !withdrawn && (s.held[b] == shut || s.held[b] == unsaid && (s.cleared || unsure)):
-			back, s.held[b] = append(back, t.name(b)), clear
+		switch withdrawn := b < len(t.withdrawn) && t.withdrawn[b]; {
+		case withdrawn && s.backendStates[b] != backendWithdrawn:
+			out, s.backendStates[b] = append(out, t.name(b)), backendWithdrawn
+		case !withdrawn && (s.backendStates[b] == backendWithdrawn || s.backendStates[b] == backendUnknown && (s.cleared || unsure)):
+			back, s.backendStates[b] = append(back, t.name(b)), backendAllowed
 		}
 	}
-	s.turned = s.turned[:0]
+	s.withdrawalChanges = s.withdrawalChanges[:0]
 	o.backends("out", out)
 	o.backends("back", back)
 }
