--- a/controller/controller.go
+++ b/controller/controller.go
@@ -214,7 +214,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	c.log.say("serving", "name", place.Name, "listen", listener.Addr(), "discovery", place.Discovery,
-		"proxies", c.limits.nodes, "strangers", c.limits.strange, "sockets", c.limits.sockets)
+		"proxies", c.limits.nodes, "strangers", c.limits.unidentified, "sockets", c.limits.sockets)
 	seconds := func(micros int64, places int) string { return figured(float64(micros)/second, places) }
 	c.log.say("given", "lines_per_s", figured(channel.LinesPerS, 0), "backlog", figured(channel.Backlog, 0),
 		"head", figured(channel.Head, 0), "way_s", seconds(channel.LongestWay, 2), "messages", channel.MessagesMost,
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -526,14 +526,14 @@
 	})
 	t.Run("strangers that say nothing are ended, and keep nobody out", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, two, func(l *limits) { l.strange, l.first = 10, 200*time.Millisecond })
+		address, said := serves(t, d.address, two, func(l *limits) { l.unidentified, l.first = 10, 200*time.Millisecond })
 		p := calls(t, address)
 		p.says(hello)
 		p.gets()
 		before := runtime.NumGoroutine()
-		var strangers []*caller
+		var silent []*caller
 		for range 100 {
-			strangers = append(strangers, calls(t, address))
+			silent = append(silent, calls(t, address))
 		}
 		q, c := calls(t, address), calls(t, address)
 		q.says(strings.Replace(hello, "3", "4", 1))
@@ -541,7 +541,7 @@
 		c.says(agent)
 		c.says(probe)
 		c.gets()
-		for _, s := range strangers {
+		for _, s := range silent {
 			if !s.refused() {
 				t.Error("a stranger stayed")
 			}
@@ -569,7 +569,7 @@
 		}
 	})
 	t.Run("while hundreds are silent, proxies that come back all at once take the places of their old streams", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.conns, l.lasting, l.strange = 48, 42, 48 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.conns, l.lasting, l.unidentified = 48, 42, 48 })
 		var old, now []*caller
 		for round := range 2 {
 			for range 100 {
--- a/controller/endings_test.go
+++ b/controller/endings_test.go
@@ -237,7 +237,7 @@
 	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serves(t, discovers(t).address, two, func(l *limits) {
-			l.strange, l.first, l.moment, l.lastLook = 40, patience, time.Millisecond, patience/200
+			l.unidentified, l.first, l.moment, l.lastLook = 40, patience, time.Millisecond, patience/200
 		})
 		for range 200 {
 			calls(t, address)
@@ -253,7 +253,7 @@
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.first, l.strange = 300*time.Millisecond, 60 })
+		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.first, l.unidentified = 300*time.Millisecond, 60 })
 		var odd []*caller
 		for i := range 120 {
 			c := calls(t, address)
@@ -354,8 +354,8 @@
 		if more, _ := io.ReadAll(there); len(more) > 0 {
 			t.Errorf("%d more bytes came", len(more))
 		}
-		if len(s.strangers)+len(s.known) > 0 {
-			t.Errorf("%d strangers, %d known in the end", len(s.strangers), len(s.known))
+		if len(s.unidentified)+len(s.identified) > 0 {
+			t.Errorf("%d strangers, %d known in the end", len(s.unidentified), len(s.identified))
 		}
 	})
 	t.Run("no goroutine is left", func(t *testing.T) {
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -9,17 +9,17 @@
 // limits are the sizes, counts and times of everything around the decisions. They are filled once, at start, and
 // each part is handed what it needs of them.
 type limits struct {
-	cores    int
-	memory   int64 // bytes the process may use; 0 if nobody said
-	sockets  int   // descriptors the process may hold
-	nodes    int   // proxies that exist
-	perZone  int   // collectors of a zone that are kept; the oldest goes
-	conns    int   // connections; the oldest of those that have not said who they are go
-	strange  int   // of those, at most
-	lasting  int   // of those that have said who they are, at most
-	backends int   // backends that are known at a time
-	gone     int64 // µs that one is known on after the list has dropped it
-	id       int   // bytes of a backend's id
+	cores        int
+	memory       int64 // bytes the process may use; 0 if nobody said
+	sockets      int   // descriptors the process may hold
+	nodes        int   // proxies that exist
+	perZone      int   // collectors of a zone that are kept; the oldest goes
+	conns        int   // connections; the oldest of those that have not identified themselves go
+	unidentified int   // of those, at most
+	lasting      int   // of those that have identified themselves, at most
+	backends     int   // backends that are known at a time
+	gone         int64 // µs that one is known on after the list has dropped it
+	id           int   // bytes of a backend's id
 
 	frame      int // bytes of one message, at most, either way
 	firstFrame int // the same while a connection has not said who it is
@@ -43,7 +43,7 @@
 	first      time.Duration // from accept on, for a connection to say who it is
 	moment     time.Duration // that it has for this at least, however many others come
 	lastLook   time.Duration // that what had arrived by then is read, and that a last word may take
-	linger     time.Duration // that what a refused stranger still sends is read
+	linger     time.Duration // that what a refused connection still sends is read
 	write      time.Duration // for one message to leave
 	dial       time.Duration // for a connection to discovery to come up
 	watch      time.Duration // that discovery may wait for something new
@@ -89,12 +89,12 @@
 func (l *limits) size(nodes, zones int, tick int64, channel decide.Channel, sight decide.Sight,
 	classes []decide.Class) {
 	const spare = 24 // descriptors of the runtime, the standard streams, the listener and discovery
-	const least = 8  // room for strangers in any case: whoever comes is one at first
+	const least = 8  // room for unidentified connections in any case: each is one at first
 	l.nodes = nodes
 	// Proxies twice over, as a new stream may come before the old one is seen to end.
 	l.conns = max(l.sockets-spare, least+1)
 	l.lasting = min(2*nodes+(l.perZone+1)*zones, l.conns-least)
-	l.strange = max(256, nodes+zones) // after a restart all come at once, and each is a stranger at first
+	l.unidentified = max(256, nodes+zones) // after a restart all come at once, and each is unidentified at first
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
 	// A live proxy reports each period. It may stand still for two seconds, and the channel may be full.
 	const stall = 2 * second
--- a/controller/peer.go
+++ b/controller/peer.go
@@ -18,16 +18,16 @@
 )
 
 var (
-	errUnreadable = errors.New("cannot be read")
-	errFull       = errors.New("too many messages wait for it")
-	errEnded      = errors.New("it has ended")
-	errStranger   = errors.New("it never said who it is")
-	errReplaced   = errors.New("a newer connection took its place")
-	errSilent     = errors.New("it is silent and leaves marks unanswered")
-	errRefused    = errors.New("it cannot be taken")
-	errBudget     = errors.New("no socket is left for it")
-	errStale      = errors.New("a newer connection came before it spoke")
-	errEarly      = errors.New("it must say first who it is")
+	errUnreadable   = errors.New("cannot be read")
+	errFull         = errors.New("too many messages wait for it")
+	errEnded        = errors.New("it has ended")
+	errUnidentified = errors.New("it never said who it is")
+	errReplaced     = errors.New("a newer connection took its place")
+	errSilent       = errors.New("it is silent and leaves marks unanswered")
+	errRefused      = errors.New("it cannot be taken")
+	errBudget       = errors.New("no socket is left for it")
+	errStale        = errors.New("a newer connection came before it spoke")
+	errEarly        = errors.New("it must say first who it is")
 )
 
 // cause is what went wrong, without the addresses that make each line of a log another.
@@ -39,7 +39,7 @@
 	return err.Error()
 }
 
-// sort is the error at the bottom of one: a few different ones, however often a stranger thinks of new numbers.
+// sort is the error at the bottom of one: a few different ones, however often a client thinks of new numbers.
 func sort(err error) string {
 	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
 		err = inner
@@ -51,25 +51,26 @@
 type kind uint8
 
 const (
-	stranger kind = iota
+	unidentified kind = iota
 	collector
 	proxy
 )
 
+// String gives the kind as the log has it.
 func (k kind) String() string { return [...]string{"stranger", "collector", "proxy"}[k] }
 
 // peer is one connection: a reader that decodes what comes into calls to the module, and a writer whose mailbox holds
 // what waits to leave. Both end when the connection is closed.
 type peer struct {
-	conn   net.Conn
-	limits *limits
-	module *module
-	log    *journal
-	known  func(p *peer) error // told when it has said who it is; it may be one too many
-	serial int                 // in the order in which connections came
+	conn     net.Conn
+	limits   *limits
+	module   *module
+	log      *journal
+	identify func(p *peer) error // called when it has said who it is; refuses one that is too many
+	serial   int                 // in the order in which connections came
 
 	body   *bytes.Buffer // the message being read
-	kind   kind          // set by the reader before known
+	kind   kind          // set by the reader before identify
 	fenced bool          // it asked for tokens with its orders
 	zone   int
 	node   int
@@ -87,21 +88,21 @@
 	heard atomic.Int64 // module's clock when something whole last came
 }
 
-func newPeer(conn net.Conn, serial int, m *module, known func(*peer) error) *peer {
-	p := &peer{conn: conn, serial: serial, limits: m.limits, module: m, log: m.log, known: known, node: -1, zone: -1,
+func newPeer(conn net.Conn, serial int, m *module, identify func(*peer) error) *peer {
+	p := &peer{conn: conn, serial: serial, limits: m.limits, module: m, log: m.log, identify: identify, node: -1, zone: -1,
 		came: time.Now(), mail: make(chan []byte, m.limits.outgoing), last: make(chan struct{}),
 		ended: make(chan struct{})}
 	conn.SetReadDeadline(p.came.Add(m.limits.first)) // the one deadline until it has said who it is
 	return p
 }
 
-// hurry has a stranger judged by what has arrived of it.
+// hurry has an unidentified peer judged by what has arrived of it.
 func (p *peer) hurry() {
 	p.hurried.Store(true)
 	p.conn.SetReadDeadline(p.came)
 	select {
 	case <-p.last: // nobody reads any more, and an answer may wait for readiness
-		time.AfterFunc(p.limits.lastLook, func() { p.end(errStranger) })
+		time.AfterFunc(p.limits.lastLook, func() { p.end(errUnidentified) })
 	default:
 	}
 }
@@ -143,16 +144,16 @@
 }
 
 // run plays the peer until its connection ends, and pays first what is owed to one that is not broken: the answers to
-// what it asked, and to a stranger the reason why it is refused.
+// what it asked, and to an unidentified one the reason why it is refused.
 func (p *peer) run() {
 	var writer sync.WaitGroup
 	writer.Go(p.write)
 	err := p.read()
 	asked := err == io.EOF // it has said its last, and may still listen
-	if asked || p.kind == stranger {
+	if asked || p.kind == unidentified {
 		p.settle(&writer, err, asked && p.kind != proxy)
 	}
-	if p.kind == stranger && !asked {
+	if p.kind == unidentified && !asked {
 		p.refuse(err)
 	}
 	p.end(err)
@@ -162,7 +163,7 @@
 	}
 }
 
-// settle lets the writer send what waits in the mailbox, for as long as a stranger has at most.
+// settle lets the writer send what waits in the mailbox, for as long as an unidentified peer has at most.
 func (p *peer) settle(writer *sync.WaitGroup, why error, waits bool) {
 	p.waits = waits
 	close(p.last)
@@ -175,7 +176,7 @@
 	writer.Wait()
 }
 
-// refuse gives a stranger the reason, and then reads on for a moment: a close with bytes unread is a reset, and a reset
+// refuse gives an unidentified peer the reason, and then reads on for a moment: a close with bytes unread is a reset, and a reset
 // can overtake the reason.
 func (p *peer) refuse(why error) {
 	moment := p.limits.linger
@@ -262,12 +263,12 @@
 	p.body = &bytes.Buffer{}
 	for {
 		most := p.limits.frame
-		if p.kind == stranger {
+		if p.kind == unidentified {
 			most = p.limits.firstFrame
 		}
 		if err := readFrame(in, p.body, most); err != nil {
-			if p.kind == stranger && errors.Is(err, errTimeout) {
-				return errStranger
+			if p.kind == unidentified && errors.Is(err, errTimeout) {
+				return errUnidentified
 			}
 			return err
 		}
@@ -287,14 +288,14 @@
 
 func (p *peer) take(m *fastjson.Value) error {
 	if key := twice(m); key != "" { // which of the two counts is anybody's guess
-		if p.skip("a key stands there twice"); p.kind == stranger {
+		if p.skip("a key stands there twice"); p.kind == unidentified {
 			return errRefused
 		}
 		return nil
 	}
 	switch word := string(m.GetStringBytes("msg")); {
 	case word == "probe":
-		if err := p.send(alive); err != nil && p.kind == stranger {
+		if err := p.send(alive); err != nil && p.kind == unidentified {
 			return err
 		}
 	case word == "hello":
@@ -305,9 +306,9 @@
 		p.ack(m)
 	case word == "outcomes" && p.kind == collector:
 		p.outcomes(m)
-	case word == "demand" && p.kind != stranger:
+	case word == "demand" && p.kind != unidentified:
 		p.demand(m)
-	case p.kind == stranger:
+	case p.kind == unidentified:
 		p.skip("not expected of a stranger")
 		return errEarly
 	default:
@@ -316,11 +317,11 @@
 	return nil
 }
 
-// joins has a stranger taken for what it says that it is, from when on it has no deadline.
-func (p *peer) joins(k kind, node, zone int) error {
+// becomes has an unidentified peer taken for what it says that it is, from when on it has no deadline.
+func (p *peer) becomes(k kind, node, zone int) error {
 	p.kind, p.node, p.zone = k, node, zone
-	if err := p.known(p); err != nil {
-		p.kind = stranger
+	if err := p.identify(p); err != nil {
+		p.kind = unidentified
 		return err
 	}
 	p.conn.SetReadDeadline(time.Time{})
@@ -413,19 +414,19 @@
 func (p *peer) agent(m *fastjson.Value) error {
 	zone, ok := p.zoneAt(m)
 	switch {
-	case p.kind != stranger:
+	case p.kind != unidentified:
 		p.skip("it has said who it is")
 	case !ok:
 		p.skip("unknown zone")
 		return errRefused
 	default:
-		return p.joins(collector, -1, zone)
+		return p.becomes(collector, -1, zone)
 	}
 	return nil
 }
 
 func (p *peer) hello(m *fastjson.Value) error {
-	if p.kind != stranger {
+	if p.kind != unidentified {
 		p.skip("it has said who it is") // ending a joined proxy's stream would not count as its leaving
 		return nil
 	}
@@ -441,7 +442,7 @@
 	}
 	keeps := !m.GetBool("cold") // if nothing is said it may hold something
 	p.fenced = m.GetBool("fence")
-	if err := p.joins(proxy, node, zone); err != nil {
+	if err := p.becomes(proxy, node, zone); err != nil {
 		return err
 	}
 	p.module.post(func() { p.module.joined(p, usual, keeps) })
--- a/controller/server.go
+++ b/controller/server.go
@@ -14,19 +14,18 @@
 
 var errTimeout = os.ErrDeadlineExceeded
 
-// server takes connections in and keeps them within the socket budget: those that have not said who they are have a
-// share of their own, of which the oldest make room, once each has had a moment to speak, so that whoever speaks gets
-// in.
+// server accepts connections and keeps them within the socket budget. Those that have not identified themselves have a
+// share of their own, of which the oldest make room once each has had a moment to speak, so that whoever speaks gets in.
 type server struct {
 	limits *limits
 	module *module
 	log    *journal
 
-	mutex     sync.Mutex
-	strangers []*peer // the oldest first
-	known     []*peer
-	came      int
-	peers     sync.WaitGroup
+	mutex        sync.Mutex
+	unidentified []*peer // the oldest first
+	identified   []*peer
+	came         int
+	peers        sync.WaitGroup
 }
 
 // run accepts until the context ends, then ends every connection.
@@ -54,9 +53,9 @@
 			continue
 		}
 		s.came++
-		p := newPeer(conn, s.came, s.module, s.identified)
+		p := newPeer(conn, s.came, s.module, s.identify)
 		s.mutex.Lock()
-		s.strangers = append(s.strangers, p)
+		s.unidentified = append(s.unidentified, p)
 		s.mutex.Unlock()
 		s.peers.Go(func() {
 			p.run()
@@ -105,7 +104,7 @@
 func (s *server) room(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		s.mutex.Lock()
-		over := max(len(s.strangers)+len(s.known)-s.limits.conns, len(s.strangers)-s.limits.strange) + 1
+		over := max(len(s.unidentified)+len(s.identified)-s.limits.conns, len(s.unidentified)-s.limits.unidentified) + 1
 		s.mutex.Unlock()
 		if over <= 0 {
 			return true
@@ -116,12 +115,12 @@
 	return false
 }
 
-// hurry has so many more of the oldest strangers judged by what has arrived of them, if they had a moment to speak.
+// hurry has so many more of the oldest unidentified peers judged by what has arrived of them, if they had a moment to speak.
 // Those that were asked before are on their way out, and a flood must not come in only as fast as one goes.
 func (s *server) hurry(many int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, p := range s.strangers {
+	for _, p := range s.unidentified {
 		if many <= 0 || time.Since(p.came) < s.limits.moment {
 			return
 		}
@@ -132,14 +131,14 @@
 	}
 }
 
-// identified moves a peer to those that have said who they are. A proxy's newer connection takes the place of the
+// identify moves a peer to those that have identified themselves. A proxy's newer connection takes the place of the
 // older, and a collector too many of a zone that of the oldest, as they may be half-open; beyond the budget the newcomer
 // is the one to go.
-func (s *server) identified(p *peer) error {
+func (s *server) identify(p *peer) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	same := 1
-	for _, other := range slices.Backward(slices.Clone(s.known)) {
+	for _, other := range slices.Backward(slices.Clone(s.identified)) {
 		if other.kind != p.kind || other.node != p.node || other.zone != p.zone && p.kind == collector {
 			continue
 		}
@@ -147,22 +146,22 @@
 			return errStale // its first words were under way for longer than the next connection took
 		}
 		if p.kind == proxy || same > s.limits.perZone {
-			s.known = without(s.known, other)
+			s.identified = without(s.identified, other)
 			other.end(errReplaced)
 		}
 	}
-	if len(s.known) >= s.limits.lasting {
+	if len(s.identified) >= s.limits.lasting {
 		return errBudget
 	}
-	s.strangers, s.known = without(s.strangers, p), append(s.known, p)
+	s.unidentified, s.identified = without(s.unidentified, p), append(s.identified, p)
 	return nil
 }
 
 func (s *server) forget(p *peer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.strangers, s.known = without(s.strangers, p), without(s.known, p)
-	if p.kind == stranger {
+	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
+	if p.kind == unidentified {
 		s.log.seldom("stranger "+sort(p.why), "stranger_ended", "peer", p.conn.RemoteAddr(), "why", p.why)
 		return
 	}
@@ -181,7 +180,7 @@
 
 func (s *server) endAll() {
 	s.mutex.Lock()
-	for _, p := range append(s.strangers, s.known...) {
+	for _, p := range append(s.unidentified, s.identified...) {
 		p.end(context.Canceled)
 	}
 	s.mutex.Unlock()
--- a/controller/server_test.go
+++ b/controller/server_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.limits.conns, c.limits.strange, c.limits.moment = limit, limit-4, time.Millisecond
+	c.limits.conns, c.limits.unidentified, c.limits.moment = limit, limit-4, time.Millisecond
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -69,11 +69,11 @@
 		p.gets()
 		proxies = append(proxies, p)
 	}
-	var strangers []*caller
+	var silent []*caller
 	for range flood {
-		strangers = append(strangers, calls(t, address))
+		silent = append(silent, calls(t, address))
 	}
-	for i, s := range strangers {
+	for i, s := range silent {
 		if !s.refused() {
 			t.Fatalf("silent connection %d was not ended", i)
 		}
