--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -482,7 +482,7 @@
 		}
 	})
 	t.Run("a stranger has one deadline, whatever it says and however slowly", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.first = 300 * time.Millisecond })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin = 300 * time.Millisecond })
 		began, push := time.Now(), `{"msg":"push","out":["s-0"]}`
 		for what, bad := range map[string]string{"a report before it joined": string(framed(reports)),
 			"usage before it joined": string(framed(usage)), "a mark": string(framed(`{"msg":"ack","node":3,"nonce":1}`)),
@@ -516,7 +516,7 @@
 	})
 	t.Run("what arrived while we stood still is read before anybody is judged late", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.first = time.Nanosecond
+		m.limits.identifyWithin = time.Nanosecond
 		here, there := net.Pipe()
 		go there.Write(framed(hello))
 		p := newPeer(here, 1, m, func(*peer) error { there.Close(); return nil })
@@ -526,7 +526,7 @@
 	})
 	t.Run("strangers that say nothing are ended, and keep nobody out", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, two, func(l *limits) { l.unidentified, l.first = 10, 200*time.Millisecond })
+		address, said := serves(t, d.address, two, func(l *limits) { l.unidentified, l.identifyWithin = 10, 200*time.Millisecond })
 		p := calls(t, address)
 		p.says(hello)
 		p.gets()
--- a/controller/endings_test.go
+++ b/controller/endings_test.go
@@ -55,7 +55,7 @@
 func TestCloses(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, "null", func(l *limits) { l.first = patience })
+		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyWithin = patience })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -68,7 +68,7 @@
 		}
 	})
 	t.Run("an answer that waits for readiness holds nothing longer than a stranger may stay", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.first = 50 * time.Millisecond })
+		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyWithin = 50 * time.Millisecond })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -184,11 +184,11 @@
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.lastLook = patience
+		m.limits.finalRead = patience
 		here, there := net.Pipe()
 		defer there.Close()
 		p := newPeer(here, 1, m, func(*peer) error { return nil })
-		p.hurry()
+		p.evict()
 		ended := make(chan error, 1)
 		go func() { ended <- p.read() }()
 		there.Write(framed(hello))
@@ -200,7 +200,7 @@
 	})
 	t.Run("a message that met a deadline while we stood still goes on where it was", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.write, m.limits.lastLook = time.Nanosecond, patience // the deadline has passed before the first byte
+		m.limits.write, m.limits.finalRead = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
 		p := newPeer(here, 1, m, func(*peer) error { return nil })
 		ended := make(chan error, 1)
@@ -237,7 +237,7 @@
 	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serves(t, discovers(t).address, two, func(l *limits) {
-			l.unidentified, l.first, l.moment, l.lastLook = 40, patience, time.Millisecond, patience/200
+			l.unidentified, l.identifyWithin, l.evictAfter, l.finalRead = 40, patience, time.Millisecond, patience/200
 		})
 		for range 200 {
 			calls(t, address)
@@ -253,7 +253,7 @@
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.first, l.unidentified = 300*time.Millisecond, 60 })
+		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin, l.unidentified = 300*time.Millisecond, 60 })
 		var odd []*caller
 		for i := range 120 {
 			c := calls(t, address)
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -39,25 +39,25 @@
 	busy      float64 // share of its cores that a backend can have at work; it may count them in percent
 	queue     float64 // requests that can wait at it
 
-	tick       time.Duration // between two clock times of the module
-	first      time.Duration // from accept on, for a connection to say who it is
-	moment     time.Duration // that it has for this at least, however many others come
-	lastLook   time.Duration // that what had arrived by then is read, and that a last word may take
-	linger     time.Duration // that what a refused connection still sends is read
-	write      time.Duration // for one message to leave
-	dial       time.Duration // for a connection to discovery to come up
-	watch      time.Duration // that discovery may wait for something new
-	watchOver  time.Duration // beyond that before the call has failed
-	patience   time.Duration // from the start on, that a list is waited for before answers leave without
-	retryLeast time.Duration // pause after a failed call, doubling ...
-	retryMost  time.Duration // ... up to this
-	vain       int           // answers of no use, or older than what we know, before we ask for all and take that
-	farewell   time.Duration // that others are told of a planned end
-	silence    int64         // µs without a word, a mark unanswered as long, show a half-open stream
-	lag        int64         // the same where other proxies have answered the mark
-	still      int64         // µs without a turn show that we stood still: the decisions want one several times a second
-	quiet      time.Duration // a line of the log that repeats is held back for so long
-	sorts      int           // different lines whose repeats are counted
+	tick           time.Duration // between two clock times of the module
+	identifyWithin time.Duration // from accept on, for a connection to say who it is
+	evictAfter     time.Duration // that it has for this at least, however many others come
+	finalRead      time.Duration // that what had arrived by then is read, and that a last word may take
+	linger         time.Duration // that what a refused connection still sends is read
+	write          time.Duration // for one message to leave
+	dial           time.Duration // for a connection to discovery to come up
+	watch          time.Duration // that discovery may wait for something new
+	watchOver      time.Duration // beyond that before the call has failed
+	patience       time.Duration // from the start on, that a list is waited for before answers leave without
+	retryLeast     time.Duration // pause after a failed call, doubling ...
+	retryMost      time.Duration // ... up to this
+	vain           int           // answers of no use, or older than what we know, before we ask for all and take that
+	farewell       time.Duration // that others are told of a planned end
+	silence        int64         // µs without a word, a mark unanswered as long, show a half-open stream
+	lag            int64         // the same where other proxies have answered the mark
+	still          int64         // µs without a turn show that we stood still: the decisions want one several times a second
+	quiet          time.Duration // a line of the log that repeats is held back for so long
+	sorts          int           // different lines whose repeats are counted
 }
 
 // usualLimits are those that do not depend on what the process is given.
@@ -66,7 +66,7 @@
 		cores: 1, perZone: 2, backends: 1 << 16, gone: 30 * second, id: 256,
 		frame: 1 << 20, firstFrame: 16 << 10, parts: 64, keptBuffer: 64 << 10,
 		mailbox: 4096, turn: 1024, outgoing: 64, marks: 256, body: 16 << 20,
-		first: 1500 * time.Millisecond, moment: 50 * time.Millisecond, lastLook: 20 * time.Millisecond,
+		identifyWithin: 1500 * time.Millisecond, evictAfter: 50 * time.Millisecond, finalRead: 20 * time.Millisecond,
 		linger: 200 * time.Millisecond,
 		write:  10 * time.Second,
 		dial:   500 * time.Millisecond, watch: 2 * time.Second, watchOver: time.Second,
--- a/controller/peer.go
+++ b/controller/peer.go
@@ -69,15 +69,15 @@
 	identify func(p *peer) error // called when it has said who it is; refuses one that is too many
 	serial   int                 // in the order in which connections came
 
-	body   *bytes.Buffer // the message being read
-	kind   kind          // set by the reader before identify
-	fenced bool          // it asked for tokens with its orders
-	zone   int
-	node   int
-	came   time.Time // when it was accepted
-	looked bool      // its deadline has passed, and what had arrived by then is being read
+	body          *bytes.Buffer // the message being read
+	kind          kind          // set by the reader before identify
+	fenced        bool          // it asked for tokens with its orders
+	zone          int
+	node          int
+	acceptedAt    time.Time // when it was accepted
+	finalReadDone bool      // its deadline has passed, and what had arrived by then is being read
 
-	hurried atomic.Bool // it was asked to make room
+	evicted atomic.Bool // it was asked to make room
 
 	mail  chan []byte
 	last  chan struct{} // closed when the reader has ended: what waits in the mailbox is all that is still owed
@@ -90,19 +90,19 @@
 
 func newPeer(conn net.Conn, serial int, m *module, identify func(*peer) error) *peer {
 	p := &peer{conn: conn, serial: serial, limits: m.limits, module: m, log: m.log, identify: identify, node: -1, zone: -1,
-		came: time.Now(), mail: make(chan []byte, m.limits.outgoing), last: make(chan struct{}),
+		acceptedAt: time.Now(), mail: make(chan []byte, m.limits.outgoing), last: make(chan struct{}),
 		ended: make(chan struct{})}
-	conn.SetReadDeadline(p.came.Add(m.limits.first)) // the one deadline until it has said who it is
+	conn.SetReadDeadline(p.acceptedAt.Add(m.limits.identifyWithin)) // the one deadline until it has said who it is
 	return p
 }
 
-// hurry has an unidentified peer judged by what has arrived of it.
-func (p *peer) hurry() {
-	p.hurried.Store(true)
-	p.conn.SetReadDeadline(p.came)
+// evict has an unidentified peer judged by what has arrived of it.
+func (p *peer) evict() {
+	p.evicted.Store(true)
+	p.conn.SetReadDeadline(p.acceptedAt)
 	select {
 	case <-p.last: // nobody reads any more, and an answer may wait for readiness
-		time.AfterFunc(p.limits.lastLook, func() { p.end(errUnidentified) })
+		time.AfterFunc(p.limits.finalRead, func() { p.end(errUnidentified) })
 	default:
 	}
 }
@@ -111,9 +111,9 @@
 // stood still.
 func (p *peer) Read(b []byte) (int, error) {
 	n, err := p.conn.Read(b)
-	if n == 0 && errors.Is(err, errTimeout) && !p.looked {
-		p.looked = true
-		p.conn.SetReadDeadline(time.Now().Add(p.limits.lastLook))
+	if n == 0 && errors.Is(err, errTimeout) && !p.finalReadDone {
+		p.finalReadDone = true
+		p.conn.SetReadDeadline(time.Now().Add(p.limits.finalRead))
 		return p.conn.Read(b)
 	}
 	return n, err
@@ -167,28 +167,28 @@
 func (p *peer) settle(writer *sync.WaitGroup, why error, waits bool) {
 	p.waits = waits
 	close(p.last)
-	moment := max(p.limits.lastLook, time.Until(p.came.Add(p.limits.first)))
-	if p.hurried.Load() {
-		moment = p.limits.lastLook
+	patience := max(p.limits.finalRead, time.Until(p.acceptedAt.Add(p.limits.identifyWithin)))
+	if p.evicted.Load() {
+		patience = p.limits.finalRead
 	}
-	late := time.AfterFunc(moment, func() { p.end(why) })
+	late := time.AfterFunc(patience, func() { p.end(why) })
 	defer late.Stop()
 	writer.Wait()
 }
 
-// refuse gives an unidentified peer the reason, and then reads on for a moment: a close with bytes unread is a reset, and a reset
-// can overtake the reason.
+// refuse gives an unidentified peer the reason, and then reads on for a moment: a close with bytes unread is a reset, and
+// a reset can overtake the reason.
 func (p *peer) refuse(why error) {
-	moment := p.limits.linger
-	if p.hurried.Load() {
-		moment = p.limits.lastLook
+	linger := p.limits.linger
+	if p.evicted.Load() {
+		linger = p.limits.finalRead
 	}
-	p.conn.SetWriteDeadline(time.Now().Add(p.limits.lastLook))
+	p.conn.SetWriteDeadline(time.Now().Add(p.limits.finalRead))
 	if _, err := p.conn.Write(refusal(why)); err != nil {
 		return
 	}
 	if half, ok := p.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		p.conn.SetReadDeadline(time.Now().Add(moment))
+		p.conn.SetReadDeadline(time.Now().Add(linger))
 		io.CopyN(io.Discard, p.conn, int64(p.limits.frame))
 	}
 }
@@ -245,13 +245,13 @@
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, errTimeout) || n == 0 && wait == p.limits.lastLook {
+		if !errors.Is(err, errTimeout) || n == 0 && wait == p.limits.finalRead {
 			return err
 		}
-		if message = message[n:]; wait == p.limits.lastLook {
+		if message = message[n:]; wait == p.limits.finalRead {
 			wait = p.limits.write
 		} else {
-			wait = p.limits.lastLook
+			wait = p.limits.finalRead
 		}
 	}
 }
--- a/controller/server.go
+++ b/controller/server.go
@@ -24,17 +24,17 @@
 	mutex        sync.Mutex
 	unidentified []*peer // the oldest first
 	identified   []*peer
-	came         int
+	accepted     int
 	peers        sync.WaitGroup
 }
 
 // run accepts until the context ends, then ends every connection.
 func (s *server) run(ctx context.Context, listener net.Listener) error {
-	stop := context.AfterFunc(ctx, func() { wakes(listener) })
+	stop := context.AfterFunc(ctx, func() { interrupt(listener) })
 	defer stop()
-	defer s.endAll()
-	defer s.turnAway(listener)
-	for s.room(ctx) {
+	defer s.closeAll()
+	defer s.drainBacklog(listener)
+	for s.waitForRoom(ctx) {
 		conn, err := listener.Accept()
 		switch {
 		case ctx.Err() != nil:
@@ -47,26 +47,26 @@
 		case err != nil: // the caller has gone again, or no descriptor is left
 			s.log.seldom("accept", "accept_failed", "error", err)
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-				s.hurry(1)
+				s.evict(1)
 			}
 			s.pause(ctx)
 			continue
 		}
-		s.came++
-		p := newPeer(conn, s.came, s.module, s.identify)
+		s.accepted++
+		p := newPeer(conn, s.accepted, s.module, s.identify)
 		s.mutex.Lock()
 		s.unidentified = append(s.unidentified, p)
 		s.mutex.Unlock()
 		s.peers.Go(func() {
 			p.run()
-			s.forget(p)
+			s.remove(p)
 		})
 	}
 	return nil
 }
 
-// wakes ends a wait for a connection, and leaves the listener open where it can.
-func wakes(listener net.Listener) {
+// interrupt ends a wait for a connection, and leaves the listener open where it can.
+func interrupt(listener net.Listener) {
 	if tcp, ok := listener.(*net.TCPListener); ok {
 		tcp.SetDeadline(time.Now())
 		return
@@ -74,15 +74,15 @@
 	listener.Close()
 }
 
-// turnAway closes the listener and, for a moment before, what has come and was not taken in: not every kernel ends that
-// with the listener, and whoever waits on it would wait for good.
-func (s *server) turnAway(listener net.Listener) {
+// drainBacklog closes the listener and, for a moment before, what waits in its backlog: not every kernel ends that with
+// the listener, and whoever waits on it would wait for good.
+func (s *server) drainBacklog(listener net.Listener) {
 	defer listener.Close()
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
-	tcp.SetDeadline(time.Now().Add(s.limits.lastLook))
+	tcp.SetDeadline(time.Now().Add(s.limits.finalRead))
 	for {
 		conn, err := tcp.Accept()
 		if err != nil {
@@ -99,9 +99,9 @@
 	}
 }
 
-// room waits until one more connection fits, and tells whether it does before the end. Who comes meanwhile waits in the
-// backlog of the listener.
-func (s *server) room(ctx context.Context) bool {
+// waitForRoom waits until one more connection fits, and tells whether it does before the end. Who comes meanwhile waits
+// in the backlog of the listener.
+func (s *server) waitForRoom(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		s.mutex.Lock()
 		over := max(len(s.unidentified)+len(s.identified)-s.limits.conns, len(s.unidentified)-s.limits.unidentified) + 1
@@ -109,24 +109,25 @@
 		if over <= 0 {
 			return true
 		}
-		s.hurry(over)
+		s.evict(over)
 		s.pause(ctx)
 	}
 	return false
 }
 
-// hurry has so many more of the oldest unidentified peers judged by what has arrived of them, if they had a moment to speak.
-// Those that were asked before are on their way out, and a flood must not come in only as fast as one goes.
-func (s *server) hurry(many int) {
+// evict has so many more of the oldest unidentified peers make room, if they had their time to speak: each is judged by
+// what has arrived of it. Those that were evicted before are on their way out, and a flood must not come in only as fast
+// as one goes.
+func (s *server) evict(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, p := range s.unidentified {
-		if many <= 0 || time.Since(p.came) < s.limits.moment {
+		if count <= 0 || time.Since(p.acceptedAt) < s.limits.evictAfter {
 			return
 		}
-		if !p.hurried.Load() {
-			p.hurry()
-			many--
+		if !p.evicted.Load() {
+			p.evict()
+			count--
 		}
 	}
 }
@@ -157,7 +158,7 @@
 	return nil
 }
 
-func (s *server) forget(p *peer) {
+func (s *server) remove(p *peer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
@@ -178,7 +179,7 @@
 	return peers
 }
 
-func (s *server) endAll() {
+func (s *server) closeAll() {
 	s.mutex.Lock()
 	for _, p := range append(s.unidentified, s.identified...) {
 		p.end(context.Canceled)
--- a/controller/server_test.go
+++ b/controller/server_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.limits.conns, c.limits.unidentified, c.limits.moment = limit, limit-4, time.Millisecond
+	c.limits.conns, c.limits.unidentified, c.limits.evictAfter = limit, limit-4, time.Millisecond
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
