--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -48,8 +48,8 @@
 func answers(m *module, peers []*peer) {
 	m.turn(func() {
 		for _, p := range peers {
-			for len(p.mail) > 0 {
-				<-p.mail
+			for len(p.mailbox) > 0 {
+				<-p.mailbox
 			}
 			if j := m.joins[p.node]; j != nil && len(j.waiting) > 0 {
 				m.applied(p, j.waiting[len(j.waiting)-1].number)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if key := twice(root); key != "" {
+	if key := duplicateKey(root); key != "" {
 		return nil, fmt.Errorf("configuration: %s stands there twice", key)
 	}
 	settings := root.Get("settings")
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -369,7 +369,7 @@
 	t.Run("a permission is written for just the classes that it is meant for", func(t *testing.T) {
 		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
 		to := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
-		here, p := newHearer("safe", "once", "zone"), &peer{mail: make(chan []byte, 64), ended: make(chan struct{})}
+		here, p := newHearer("safe", "once", "zone"), &peer{mailbox: make(chan []byte, 64), ended: make(chan struct{})}
 		to.join(0, p, false)
 		story := rand.New(rand.NewPCG(3, 4))
 		want := make([]float64, 3)
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -144,7 +144,7 @@
 	t.Helper()
 	for {
 		select {
-		case raw := <-p.mail:
+		case raw := <-p.mailbox:
 			if err := h.apply(raw); err != nil {
 				t.Fatal(err)
 			}
--- a/controller/list.go
+++ b/controller/list.go
@@ -207,7 +207,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errBroken, err)
 	}
-	if key := twice(answer); key != "" {
+	if key := duplicateKey(answer); key != "" {
 		return fmt.Errorf("%w: %s stands there twice", errBroken, key)
 	}
 	if !goesOn && !answer.GetBool("full") {
--- a/controller/messages.go
+++ b/controller/messages.go
@@ -9,7 +9,7 @@
 
 // take acts on a message by its kind and by whom it comes from.
 func (p *peer) take(m *fastjson.Value) error {
-	if key := twice(m); key != "" { // which of the two counts is anybody's guess
+	if key := duplicateKey(m); key != "" { // which of the two counts is anybody's guess
 		if p.skip("a key stands there twice"); p.kind == unidentified {
 			return errRefused
 		}
@@ -91,12 +91,12 @@
 	return indexAt(m, key, int(perS*max(seconds, 1))+1)
 }
 
-// twice gives a key that stands in an object twice, or in an object within it.
-func twice(v *fastjson.Value) (path string) {
+// duplicateKey gives a key that stands in an object twice, or in an object within it.
+func duplicateKey(v *fastjson.Value) (path string) {
 	switch v.Type() {
 	case fastjson.TypeArray:
 		for _, item := range v.GetArray() {
-			if path = twice(item); path != "" {
+			if path = duplicateKey(item); path != "" {
 				return path
 			}
 		}
@@ -108,7 +108,7 @@
 			}
 			if name := string(key); seen[name] {
 				path = name
-			} else if inner := twice(item); inner != "" {
+			} else if inner := duplicateKey(item); inner != "" {
 				path = name + "." + inner
 			}
 			seen[string(key)] = true
--- a/controller/peer.go
+++ b/controller/peer.go
@@ -36,8 +36,8 @@
 	return err.Error()
 }
 
-// sort is the error at the bottom of one: a few different ones, however often a client thinks of new numbers.
-func sort(err error) string {
+// rootCause is the error at the bottom of one: a few different ones, however often a client thinks of new numbers.
+func rootCause(err error) string {
 	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
 		err = inner
 	}
@@ -76,18 +76,18 @@
 
 	evicted atomic.Bool // it was asked to make room
 
-	mail  chan []byte
-	last  chan struct{} // closed when the reader has ended: what waits in the mailbox is all that is still owed
-	waits bool          // and may wait for readiness; set before last is closed
-	ended chan struct{}
-	once  sync.Once
-	why   error        // set before ended is closed
-	heard atomic.Int64 // module's clock when something whole last came
+	mailbox     chan []byte
+	readDone    chan struct{} // closed when the reader has ended: what waits in the mailbox is all that is still owed
+	awaitsReady bool          // and may wait for readiness; set before readDone is closed
+	ended       chan struct{}
+	once        sync.Once
+	why         error        // set before ended is closed
+	heard       atomic.Int64 // module's clock when something whole last came
 }
 
 func newPeer(conn net.Conn, serial int, m *module, identify func(*peer) error) *peer {
 	p := &peer{conn: conn, serial: serial, limits: m.limits, module: m, log: m.log, identify: identify, node: -1, zone: -1,
-		acceptedAt: time.Now(), mail: make(chan []byte, m.limits.outgoing), last: make(chan struct{}),
+		acceptedAt: time.Now(), mailbox: make(chan []byte, m.limits.outgoing), readDone: make(chan struct{}),
 		ended: make(chan struct{})}
 	conn.SetReadDeadline(p.acceptedAt.Add(m.limits.identifyWithin)) // the one deadline until it has said who it is
 	return p
@@ -98,7 +98,7 @@
 	p.evicted.Store(true)
 	p.conn.SetReadDeadline(p.acceptedAt)
 	select {
-	case <-p.last: // nobody reads any more, and an answer may wait for readiness
+	case <-p.readDone: // nobody reads any more, and an answer may wait for readiness
 		time.AfterFunc(p.limits.finalRead, func() { p.end(errUnidentified) })
 	default:
 	}
@@ -133,7 +133,7 @@
 	default:
 	}
 	select {
-	case p.mail <- message:
+	case p.mailbox <- message:
 		return nil
 	default:
 		return errFull
@@ -148,7 +148,7 @@
 	err := p.read()
 	asked := err == io.EOF // it has said its last, and may still listen
 	if asked || p.kind == unidentified {
-		p.settle(&writer, err, asked && p.kind != proxy)
+		p.flushMailbox(&writer, err, asked && p.kind != proxy)
 	}
 	if p.kind == unidentified && !asked {
 		p.refuse(err)
@@ -160,10 +160,10 @@
 	}
 }
 
-// settle lets the writer send what waits in the mailbox, for as long as an unidentified peer has at most.
-func (p *peer) settle(writer *sync.WaitGroup, why error, waits bool) {
-	p.waits = waits
-	close(p.last)
+// flushMailbox lets the writer send what waits in the mailbox, for as long as an unidentified peer has at most.
+func (p *peer) flushMailbox(writer *sync.WaitGroup, why error, awaitReady bool) {
+	p.awaitsReady = awaitReady
+	close(p.readDone)
 	patience := max(p.limits.finalRead, time.Until(p.acceptedAt.Add(p.limits.identifyWithin)))
 	if p.evicted.Load() {
 		patience = p.limits.finalRead
@@ -197,8 +197,8 @@
 	case <-p.module.ready:
 	case <-p.ended:
 		return
-	case <-p.last:
-		if len(p.mail) == 0 || !p.waits {
+	case <-p.readDone:
+		if len(p.mailbox) == 0 || !p.awaitsReady {
 			return
 		}
 		select {
@@ -207,7 +207,7 @@
 			return
 		}
 	}
-	for message := p.next(); message != nil; message = p.next() {
+	for message := p.nextMessage(); message != nil; message = p.nextMessage() {
 		if err := p.deliver(message); err != nil {
 			p.end(fmt.Errorf("write: %w", err))
 			return
@@ -215,17 +215,17 @@
 	}
 }
 
-// next waits for a message; nil says that there will be none.
-func (p *peer) next() []byte {
+// nextMessage waits for a message; nil says that there will be none.
+func (p *peer) nextMessage() []byte {
 	select {
 	case <-p.ended:
 		return nil
-	case message := <-p.mail:
+	case message := <-p.mailbox:
 		return message
-	case <-p.last:
+	case <-p.readDone:
 	}
 	select {
-	case message := <-p.mail:
+	case message := <-p.mailbox:
 		return message
 	default:
 		return nil
--- a/controller/server.go
+++ b/controller/server.go
@@ -163,7 +163,7 @@
 	defer s.mutex.Unlock()
 	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
 	if p.kind == unidentified {
-		s.log.seldom("stranger "+sort(p.why), "stranger_ended", "peer", p.conn.RemoteAddr(), "why", p.why)
+		s.log.seldom("stranger "+rootCause(p.why), "stranger_ended", "peer", p.conn.RemoteAddr(), "why", p.why)
 		return
 	}
 	s.log.seldom(p.kind.String()+" ended", "ended", "peer", p.conn.RemoteAddr(), "kind", p.kind,
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -25,7 +25,7 @@
 
 // heard is a proxy joined to tables, with the peer that its messages go through.
 func heard(t *tables, proxy int, keeps bool) (*hearer, *peer) {
-	p := &peer{mail: make(chan []byte, 64), ended: make(chan struct{})}
+	p := &peer{mailbox: make(chan []byte, 64), ended: make(chan struct{})}
 	t.join(proxy, p, keeps)
 	h := newHearer()
 	for i := range t.classes {
@@ -204,8 +204,8 @@
 		to.Bind(0, 0, 0)
 		lost := 0
 		to.flush((*peer).send, func(int, error) { lost++ }, func(int, int) {})
-		if lost != 1 || len(p.mail) != 0 {
-			t.Errorf("lost %d, %d messages wait", lost, len(p.mail))
+		if lost != 1 || len(p.mailbox) != 0 {
+			t.Errorf("lost %d, %d messages wait", lost, len(p.mailbox))
 		}
 	})
 	t.Run("figures that no proxy can use are not written", func(t *testing.T) {
@@ -225,7 +225,7 @@
 		to := someTables(1)
 		_, full := heard(to, 0, false)
 		one, p := heard(to, 1, false)
-		full.mail = make(chan []byte)
+		full.mailbox = make(chan []byte)
 		to.Mark(1, true)
 		lost := []string{}
 		to.flush((*peer).send, func(proxy int, err error) { lost = append(lost, fmt.Sprint(proxy, " ", err)) }, func(int, int) {})
@@ -410,9 +410,9 @@
 				})
 				for p, h := range hearers {
 					p.heard.Store(m.now)
-					for len(p.mail) > 0 {
+					for len(p.mailbox) > 0 {
 						before := h.told
-						if err := h.apply(<-p.mail); err != nil || h.told != before+1 {
+						if err := h.apply(<-p.mailbox); err != nil || h.told != before+1 {
 							t.Fatal(err)
 						}
 						left += 4 + h.cost
