--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -57,7 +57,7 @@
 			if err != nil {
 				return unjudged(err)
 			}
-			return told(c.OutOrStdout(), report, asJSON)
+			return writeReport(c.OutOrStdout(), report, asJSON)
 		}}
 	f := run.Flags()
 	f.DurationVar(&t.For, "for", time.Minute, "how long it is played")
@@ -81,8 +81,8 @@
 	return exit(exitUnjudged)
 }
 
-// told writes a report, and ends with the code of its verdict.
-func told(to io.Writer, r *rehearse.Report, asJSON bool) error {
+// writeReport writes a report, and ends with the code of its verdict.
+func writeReport(to io.Writer, r *rehearse.Report, asJSON bool) error {
 	if asJSON {
 		if err := writeJSON(to, r); err != nil {
 			return err
--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -63,13 +63,13 @@
 	for verdict, want := range map[string]error{rehearse.Kept: nil, rehearse.Broken: exit(1), rehearse.Unjudged: exit(2)} {
 		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Breaches: []rules.Breach{{Rule: 2, Whose: "x", Text: "twice"}}}
 		var text bytes.Buffer
-		if err := told(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+verdict) ||
+		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+verdict) ||
 			!strings.Contains(text.String(), "rule 2 at 0.0 s: x: twice") {
 			t.Errorf("%s: ended with %v, said %s", verdict, err, text.String())
 		}
 		text.Reset()
 		var back rehearse.Report
-		if err := told(&text, report, true); err != want || json.Unmarshal(text.Bytes(), &back) != nil || back.Verdict != verdict {
+		if err := writeReport(&text, report, true); err != want || json.Unmarshal(text.Bytes(), &back) != nil || back.Verdict != verdict {
 			t.Errorf("%s: ended with %v, wrote %s", verdict, err, text.String())
 		}
 	}
--- a/rules/account.go
+++ b/rules/account.go
@@ -51,10 +51,10 @@
 	joined   bool
 	since    time.Duration            // when that began
 	bare     map[string]time.Duration // since when, by class
-	told     map[string]bool          // of the bare spell that it was counted as a breach
+	reported map[string]bool          // classes whose bare spell was counted as a breach already
 	messages []time.Duration
 	token    uint64
-	over     bool // of its messages: it was told as a breach
+	over     bool // of its messages, which was counted as a breach already
 }
 
 type worker struct {
@@ -84,7 +84,7 @@
 
 func (a *Account) relay(id int) *relay {
 	if a.relays[id] == nil {
-		a.relays[id] = &relay{bare: map[string]time.Duration{}, told: map[string]bool{}}
+		a.relays[id] = &relay{bare: map[string]time.Duration{}, reported: map[string]bool{}}
 	}
 	return a.relays[id]
 }
@@ -114,7 +114,7 @@
 	r := a.relay(id)
 	if r.joined, r.since = joined, at; !joined {
 		clear(r.bare)
-		clear(r.told)
+		clear(r.reported)
 		return
 	}
 	for _, class := range lacks {
@@ -132,7 +132,7 @@
 	case any && bare:
 		a.bare(id, class, since, at)
 		delete(r.bare, class)
-		delete(r.told, class)
+		delete(r.reported, class)
 	case !any && !bare && r.joined:
 		r.bare[class] = at
 	}
@@ -145,8 +145,8 @@
 		return
 	}
 	a.longest = max(a.longest, at-since)
-	if r := a.relay(id); at-since > a.limits.Bare+a.limits.Margin && !r.told[class] {
-		r.told[class] = true
+	if r := a.relay(id); at-since > a.limits.Bare+a.limits.Margin && !r.reported[class] {
+		r.reported[class] = true
 		a.breach(1, at, fmt.Sprint("relay ", id), "no line for %s since %s", class, since.Round(time.Millisecond))
 	}
 }
