--- a/controller/endings_test.go
+++ b/controller/endings_test.go
@@ -565,7 +565,7 @@
 		l.client.Dial = func(string) (net.Conn, error) {
 			return &handed{text: answer, then: func() { l.follow("127.0.0.1:2", nil) }}, nil
 		}
-		if err := l.watch(); !errors.Is(err, errMoved) || taken != 0 || l.some {
+		if err := l.watch(); !errors.Is(err, errMoved) || taken != 0 || l.hasVersion {
 			t.Errorf("error %v, taken %d times, version %d", err, taken, l.version)
 		}
 	})
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -51,7 +51,7 @@
 	patience       time.Duration // from the start on, that a list is waited for before answers leave without
 	retryLeast     time.Duration // pause after a failed call, doubling ...
 	retryMost      time.Duration // ... up to this
-	vain           int           // answers of no use, or older than what we know, before we ask for all and take that
+	uselessMost    int           // answers of no use, or older than what we know, before we ask for all and take that
 	farewell       time.Duration // that others are told of a planned end
 	silence        int64         // µs without a word, a mark unanswered as long, show a half-open stream
 	lag            int64         // the same where other proxies have answered the mark
@@ -71,7 +71,7 @@
 		write:  10 * time.Second,
 		dial:   500 * time.Millisecond, watch: 2 * time.Second, watchOver: time.Second,
 		patience:   5 * time.Second, // of the ten seconds that the platform waits for a process that restarts
-		retryLeast: 50 * time.Millisecond, retryMost: time.Second, vain: 5,
+		retryLeast: 50 * time.Millisecond, retryMost: time.Second, uselessMost: 5,
 		farewell: 400 * time.Millisecond, quiet: 10 * time.Second, sorts: 1024, still: second, proxyRate: 1000, busy: 100, queue: 1e6,
 	}
 }
--- a/controller/list.go
+++ b/controller/list.go
@@ -16,27 +16,27 @@
 // list follows what discovery says of the backends: one watch after the other, without a pause while they succeed.
 // What was known stays while calls fail, and when another address takes over.
 type list struct {
-	client  *fasthttp.HostClient
-	asked   chan struct{} // the mailbox: a wish to be told at once
-	limits  *limits
-	log     *journal
-	take    func(whole bool, version int64, servers []*fastjson.Value)
-	heard   func() // called once discovery itself has given an answer of use
-	version int64
-	some    bool // a version is known
-	older   int  // answers in a row that were older than that
-	vain    int  // answers in a row that were of no use
+	client         *fasthttp.HostClient
+	asked          chan struct{} // the mailbox: a wish to be told at once
+	limits         *limits
+	log            *journal
+	take           func(whole bool, version int64, servers []*fastjson.Value)
+	heard          func() // called once discovery itself has given an answer of use
+	version        int64
+	hasVersion     bool
+	staleAnswers   int // in a row, with a version older than ours
+	uselessAnswers int // in a row
 
 	mutex   sync.Mutex
-	address string   // where it is to be followed
-	next    *move    // to be made before the next call
-	conn    net.Conn // to discovery, for a call to be given up
-	giveUp  func()   // of the last dial
+	address string      // where it is to be followed
+	pending *relocation // to be made before the next call
+	conn    net.Conn    // to discovery, for a call to be given up
+	giveUp  func()      // of the last dial
 	ended   bool
 }
 
-// move is the wish that the list be followed at some address. What is known may help one who knows nothing yet.
-type move struct {
+// relocation asks that the list be followed at another address. What is known may help one who knows nothing yet.
+type relocation struct {
 	address string
 	known   *fastjson.Value
 }
@@ -44,11 +44,11 @@
 func newList(address string, l *limits, log *journal, take func(bool, int64, []*fastjson.Value), heard func()) *list {
 	f := &list{limits: l, log: log, take: take, heard: sync.OnceFunc(heard), asked: make(chan struct{}, 1), address: address,
 		giveUp: func() {}}
-	f.client = f.at(address)
+	f.client = f.newClient(address)
 	return f
 }
 
-func (l *list) at(address string) *fasthttp.HostClient {
+func (l *list) newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                address,
 		MaxConns:            1,
@@ -64,7 +64,7 @@
 
 // start takes in what a configuration knew of the list.
 func (l *list) start(known *fastjson.Value) {
-	if known == nil || l.some {
+	if known == nil || l.hasVersion {
 		return
 	}
 	if err := l.answer(known); err != nil {
@@ -91,22 +91,22 @@
 	return conn, err
 }
 
-// hangUp gives up the call that is under way, at whatever step it is.
-func (l *list) hangUp() {
+// cancelCall ends the call that is under way, at whatever step it is.
+func (l *list) cancelCall() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ended = true
-	l.drop()
+	l.abortCall()
 }
 
-func (l *list) drop() {
+func (l *list) abortCall() {
 	if l.giveUp(); l.conn != nil {
 		l.conn.Close()
 	}
 }
 
-// moved tells whether what was asked of an address is of no interest any more.
-func (l *list) moved(from string) bool {
+// hasMoved tells whether what was asked of an address is of no interest any more.
+func (l *list) hasMoved(from string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.address != from
@@ -115,26 +115,27 @@
 // follow has the list go on at an address. A call that is under way elsewhere is given up.
 func (l *list) follow(address string, known *fastjson.Value) {
 	l.mutex.Lock()
-	if l.next = (&move{address, known}); address != l.address {
-		l.drop()
+	if l.pending = (&relocation{address, known}); address != l.address {
+		l.abortCall()
 	}
 	l.address = address
 	l.mutex.Unlock()
 	l.wake()
 }
 
-// moves makes the move that waits, if one does. The next call goes on from the version that is known.
-func (l *list) moves() bool {
+// relocate follows the list at another address, if that is asked for. The next call goes on from the version that is
+// known.
+func (l *list) relocate() bool {
 	l.mutex.Lock()
-	next := l.next
-	l.next = nil
+	next := l.pending
+	l.pending = nil
 	l.mutex.Unlock()
 	if next == nil {
 		return false
 	}
 	if next.address != l.client.Addr {
 		l.client.CloseIdleConnections()
-		l.client, l.older, l.vain = l.at(next.address), 0, 0
+		l.client, l.staleAnswers, l.uselessAnswers = l.newClient(next.address), 0, 0
 	}
 	l.start(next.known)
 	return true
@@ -151,16 +152,16 @@
 // run follows the list until the context ends.
 func (l *list) run(ctx context.Context) {
 	defer func() { l.client.CloseIdleConnections() }()
-	defer context.AfterFunc(ctx, l.hangUp)()
+	defer context.AfterFunc(ctx, l.cancelCall)()
 	pause := l.limits.retryLeast
 	for ctx.Err() == nil {
-		l.moves()
+		l.relocate()
 		version, began := l.version, time.Now()
 		err := l.watch()
 		switch {
 		case err == nil && l.version == version && time.Since(began) < l.limits.watch/2:
 			pause = l.limits.retryLeast // it ends watches at once, and would have us ask without a breath
-		case err == nil || l.moves():
+		case err == nil || l.relocate():
 			pause = l.limits.retryLeast
 			continue
 		case ctx.Err() != nil:
@@ -188,18 +189,20 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	uri, goesOn := "http://"+l.client.Addr+"/api/targets", l.some && l.vain < l.limits.vain
-	if goesOn {
+	uri, incremental := "http://"+l.client.Addr+"/api/targets", l.hasVersion && l.uselessAnswers < l.limits.uselessMost
+	if incremental {
 		uri += fmt.Sprintf("?since=%d&timeout_ms=%d", l.version, l.limits.watch.Milliseconds())
 	}
 	request.SetRequestURI(uri)
 	if err := l.client.DoTimeout(request, response, l.limits.watch+l.limits.watchOver); err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
-	if l.moved(l.client.Addr) {
+	if l.hasMoved(l.client.Addr) {
 		return errMoved
 	}
-	l.vain++ // until it proves to be of use; one that will not go on from our version may still say all it knows
+	// An answer counts as useless until it proves to be of use. A discovery that will not go on from our version may still
+	// say all it knows.
+	l.uselessAnswers++
 	if code := response.StatusCode(); code != fasthttp.StatusOK {
 		return fmt.Errorf("status %d", code)
 	}
@@ -210,7 +213,7 @@
 	if key := duplicateKey(answer); key != "" {
 		return fmt.Errorf("%w: %s stands there twice", errBroken, key)
 	}
-	if !goesOn && !answer.GetBool("full") {
+	if !incremental && !answer.GetBool("full") {
 		return fmt.Errorf("%w: changes, where all was asked for", errBroken)
 	}
 	if err := l.answer(answer); err != nil {
@@ -229,16 +232,16 @@
 		return errBroken
 	}
 	whole := a.GetBool("full")
-	if l.some && int64(version) < l.version && (l.older < l.limits.vain || !whole) {
-		l.older++
+	if l.hasVersion && int64(version) < l.version && (l.staleAnswers < l.limits.uselessMost || !whole) {
+		l.staleAnswers++
 		return fmt.Errorf("version %.0f is older than %d", version, l.version)
 	}
-	if !l.some && !whole {
+	if !l.hasVersion && !whole {
 		return fmt.Errorf("%w: changes to nothing", errBroken)
 	}
 	if whole || len(servers.GetArray()) > 0 {
 		l.take(whole, int64(version), servers.GetArray())
 	}
-	l.version, l.some, l.older, l.vain = int64(version), true, 0, 0
+	l.version, l.hasVersion, l.staleAnswers, l.uselessAnswers = int64(version), true, 0, 0
 	return nil
 }
