--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -85,8 +85,8 @@
 			b.ReportAllocs()
 			id := m.backends.ids[0]
 			for i := range b.N {
-				m.met(id, 5, 0, 200_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
-				m.came(i%proxies, i%2, 3, 2*second)
+				m.addOutcomes(id, 5, 0, 200_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+				m.addDemand(i%proxies, i%2, 3, 2*second)
 			}
 			m.control.Listed(false, nil)
 		})
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -87,7 +87,7 @@
 	c.module = m
 	c.list = newList(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
 		m.post(func() { m.listed(whole, version, servers) })
-	}, func() { m.post(func() { m.opens("discovery has answered") }) })
+	}, func() { m.post(func() { m.becomeReady("discovery has answered") }) })
 	m.list = c.list
 	c.list.start(p.known)
 	return c, nil
@@ -232,7 +232,7 @@
 	defer end()
 	var parts sync.WaitGroup
 	defer time.AfterFunc(c.limits.patience, func() {
-		c.module.post(func() { c.module.opens("nothing is known, and discovery keeps silent") })
+		c.module.post(func() { c.module.becomeReady("nothing is known, and discovery keeps silent") })
 	}).Stop()
 	parts.Go(func() { c.module.run(ctx); end() })
 	parts.Go(func() { c.list.run(ctx) })
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -75,7 +75,7 @@
 		m.turn(func() { m.applied(quiet, h.tickets[0]) })
 		later(m, m.limits.silence-second/2, func() {
 			talks.heard.Store(m.now)
-			m.came(0, 0, 4, second) // through a collector: that says nothing of the stream
+			m.addDemand(0, 0, 4, second) // through a collector: that says nothing of the stream
 		})
 		if !m.current(gone) || !m.current(talks) {
 			t.Error("given up too early")
@@ -238,7 +238,7 @@
 	if _, known := m.backends.index["s-50"]; !known || m.backends.ids[first] == "s-0" {
 		t.Error("forgotten too soon, or not at all")
 	}
-	m.met("s-0", 9, 9, 0, second, decide.Load{}) // a late report says nothing of the one that has its index now
+	m.addOutcomes("s-0", 9, 9, 0, second, decide.Load{}) // a late report says nothing of the one that has its index now
 	later(m, 3*second, func() { p.heard.Store(m.now) })
 	h.hears(t, p)
 	if len(h.picks(0)) != 2 {
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -108,14 +108,14 @@
 			for b := range 12 {
 				mean := int64(200_000 + 60_000*turn)
 				if b == 5 && turn > 4 {
-					m.met(fmt.Sprint(c.backend, b), 9, 9, 0, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
 				} else {
-					m.met(fmt.Sprint(c.backend, b), 20, 1, mean, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+					m.addOutcomes(fmt.Sprint(c.backend, b), 20, 1, mean, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
 				}
 			}
 			for node := range 8 {
 				for at, class := range order { // the same classes in the same order, wherever they stand in the settings
-					m.came(node, class, 20+10*at, second)
+					m.addDemand(node, class, 20+10*at, second)
 				}
 			}
 			if turn%5 == 2 {
@@ -341,10 +341,10 @@
 				p.heard.Store(m.now)
 				for b := range 8 {
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.met(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), second/2, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+					m.addOutcomes(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), second/2, decide.Load{Busy: -1, Waiting: -1, Service: -1})
 				}
 				for class := range 4 {
-					m.came(0, class, 30, second/2)
+					m.addDemand(0, class, 30, second/2)
 				}
 			})
 			h.hears(t, p)
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -174,9 +174,9 @@
 	}
 	delete(f.pending, node)
 	s := f.module.at(node)
-	s.waits, s.base = false, base
+	s.unowned, s.base = false, base
 	if clean {
-		s.keeps, a.keeps = false, false
+		s.mayHoldWithdrawals, a.keeps = false, false
 	}
 	if s.fenced {
 		s.token = token
@@ -209,7 +209,7 @@
 			continue
 		}
 		if err := l.peer.send(l.message); err != nil {
-			f.module.lose(l.peer.node, err)
+			f.module.dropProxy(l.peer.node, err)
 		}
 	}
 	f.queued = slices.Delete(f.queued, 0, n)
--- a/controller/messages.go
+++ b/controller/messages.go
@@ -190,7 +190,7 @@
 		p.skip("outcomes without usable figures")
 		return
 	}
-	p.module.report(func() { p.module.met(id, tries, failed, mean, span, load) })
+	p.module.report(func() { p.module.addOutcomes(id, tries, failed, mean, span, load) })
 }
 
 // demand is what came to a proxy; it may come over the proxy's stream or any collector.
@@ -203,5 +203,5 @@
 		p.skip("demand without usable figures")
 		return
 	}
-	p.module.report(func() { p.module.came(node, class, count, span) })
+	p.module.report(func() { p.module.addDemand(node, class, count, span) })
 }
--- a/controller/module.go
+++ b/controller/module.go
@@ -148,7 +148,7 @@
 		sends, edition = m.fleet.send, m.fleet.coordinator.Edition()
 	}
 	var one *mark
-	m.flush(sends, m.lose, func(proxy, number int) {
+	m.flush(sends, m.dropProxy, func(proxy, number int) {
 		if one == nil {
 			one = &mark{number: number, edition: edition, due: m.now + m.control.Delay()}
 		}
@@ -234,13 +234,13 @@
 	m.log.say("list", "version", version, "whole", whole, "entries", len(entries))
 	m.control.Listed(whole, entries)
 	if len(entries) > 0 {
-		m.opens("the list is known")
+		m.becomeReady("the list is known")
 	}
 }
 
-// opens has answers leave from now on. A controller that knows no backend orders nothing, and proxies go on with what
-// they hold, which is no worse than with none to connect to.
-func (m *module) opens(why string) {
+// becomeReady has answers leave from now on. A controller that knows no backend orders nothing, and proxies go on with
+// what they hold, which is no worse than with none to connect to.
+func (m *module) becomeReady(why string) {
 	select {
 	case <-m.ready:
 	default:
@@ -286,7 +286,7 @@
 		p.end(errStale) // its first words were under way for longer than the next stream took
 		return
 	} else if old != nil {
-		m.leaves(p.node)
+		m.removeStream(p.node)
 		old.peer.end(errReplaced)
 	}
 	m.log.seldom(fmt.Sprint("joined ", p.node), "joined", "node", p.node, "zone", m.zoneName(p.zone),
@@ -294,7 +294,7 @@
 	m.joins[p.node] = &join{peer: p}
 	s := m.join(p.node, p, keeps)
 	if m.fleet != nil {
-		s.waits, s.fenced = true, p.fenced
+		s.unowned, s.fenced = true, p.fenced
 		m.fleet.proxyJoined(p.node, pendingJoin{p.zone, usual, keeps})
 		return
 	}
@@ -309,20 +309,21 @@
 func (m *module) left(p *peer) {
 	if m.current(p) {
 		m.log.seldom(fmt.Sprint("left ", p.node), "left", "node", p.node, "why", p.why)
-		m.leaves(p.node)
+		m.removeStream(p.node)
 	}
 }
 
-// lose ends the stream of a proxy that cannot be reached.
-func (m *module) lose(node int, err error) {
+// dropProxy ends the stream of a proxy that cannot be reached.
+func (m *module) dropProxy(node int, err error) {
 	if p := m.joins[node].peer; err != errEnded {
 		m.log.say("lost", "node", node, "why", err)
 		p.end(err)
 	}
-	m.leaves(node)
+	m.removeStream(node)
 }
 
-func (m *module) leaves(node int) {
+// removeStream ends what is kept of a proxy's stream.
+func (m *module) removeStream(node int) {
 	m.joins[node] = nil
 	m.leave(node)
 	if m.fleet == nil || m.fleet.proxyLeft(node) {
@@ -343,7 +344,7 @@
 		oldest, unheard := j.waiting[0], m.now-max(j.peer.heard.Load(), m.stood)
 		if min(m.now-oldest.due, unheard) > m.limits.silence ||
 			oldest.answered > 0 && min(m.now-oldest.answered, unheard) > m.limits.lag {
-			m.lose(node, errSilent)
+			m.dropProxy(node, errSilent)
 		}
 	}
 }
@@ -366,14 +367,15 @@
 		j.whole = j.whole || slices.Contains(j.waiting[:at+1], j.bound)
 		if j.whole {
 			s := m.at(p.node)
-			m.fleet.coordinator.Confirmed(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.keeps)
+			m.fleet.coordinator.Confirmed(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.mayHoldWithdrawals)
 		}
 	}
 	j.waiting = slices.Delete(j.waiting, 0, at+1)
 	m.control.Applied(p.node, number)
 }
 
-func (m *module) met(id string, tries, failed int, mean, span int64, load decide.Load) {
+// addOutcomes takes in what the proxies of a zone met at a backend.
+func (m *module) addOutcomes(id string, tries, failed int, mean, span int64, load decide.Load) {
 	backend, ok := m.backends.index[id]
 	if !ok {
 		m.log.seldom("unlisted", "report_unlisted", "id", id[:min(len(id), m.limits.id)])
@@ -385,8 +387,9 @@
 	}
 }
 
-func (m *module) came(node, class, count int, span int64) {
-	if node < len(m.joins) && m.joins[node] != nil && !m.at(node).waits {
+// addDemand takes in what came to a proxy.
+func (m *module) addDemand(node, class, count int, span int64) {
+	if node < len(m.joins) && m.joins[node] != nil && !m.at(node).unowned {
 		m.control.Came(node, class, count, span)
 		if m.fleet != nil {
 			m.fleet.evidence.AddDemand(node, class, count, span)
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -52,20 +52,20 @@
 
 // stream is a joined proxy's.
 type stream struct {
-	peer              *peer
-	bound             []int // table by class, or unbound
-	due               uint16
-	touched           bool
-	withdrawalChanges []int   // backends withdrawn or let back since its last message, where that concerns it
-	levels            []level // as last written, by class
-	defaultLevel      level   // in force where no level was ordered and no table is ours, once it was sent
-	backendStates     []backendState
-	keeps             bool // it may have come with backends shut out by others
-	waits             bool // it is not ours yet: nothing may be written to it
-	fenced            bool // it asked for tokens, and refuses what comes with an older one than it has seen
-	token             uint64
-	base              []share.Base // what it surely has by class, until a table of ours is written
-	cleared           bool         // those that its tables use are let back
+	peer               *peer
+	bound              []int // table by class, or unbound
+	due                uint16
+	touched            bool
+	withdrawalChanges  []int   // backends withdrawn or let back since its last message, where that concerns it
+	levels             []level // as last written, by class
+	defaultLevel       level   // in force where no level was ordered and no table is ours, once it was sent
+	backendStates      []backendState
+	mayHoldWithdrawals bool // it may have joined with withdrawals of other controllers
+	unowned            bool // another may own it still: nothing may be written to it
+	fenced             bool // it asked for tokens, and refuses what comes with an older one than it has seen
+	token              uint64
+	base               []share.Base // what it surely has by class, until a table of ours is written
+	cleared            bool         // backends that its tables use are let back
 }
 
 const unbound = -1
@@ -79,7 +79,7 @@
 	for len(t.streams) <= proxy {
 		t.streams = append(t.streams, nil)
 	}
-	t.streams[proxy] = &stream{peer: p, keeps: keeps, levels: make([]level, len(t.classes)),
+	t.streams[proxy] = &stream{peer: p, mayHoldWithdrawals: keeps, levels: make([]level, len(t.classes)),
 		bound: slices.Repeat([]int{unbound}, len(t.classes))}
 	return t.streams[proxy]
 }
@@ -184,7 +184,7 @@
 	}
 	for _, s := range t.streams {
 		if s != nil && backend < len(s.backendStates) {
-			if s.backendStates[backend] = backendAllowed; s.keeps {
+			if s.backendStates[backend] = backendAllowed; s.mayHoldWithdrawals {
 				s.backendStates[backend] = backendUnknown
 			}
 		}
@@ -248,7 +248,7 @@
 // whose message could not be handed over is given to lost.
 func (t *tables) flush(sends func(*peer, []byte) error, lost func(proxy int, err error), marked func(proxy, mark int)) {
 	for proxy, s := range t.streams {
-		if s == nil || s.waits || !s.touched && !(t.marked && t.markAll) {
+		if s == nil || s.unowned || !s.touched && !(t.marked && t.markAll) {
 			continue
 		}
 		s.touched = false
@@ -421,7 +421,7 @@
 		}
 		for len(s.backendStates) <= b {
 			state := backendAllowed
-			if s.keeps {
+			if s.mayHoldWithdrawals {
 				state = backendUnknown
 			}
 			s.backendStates = append(s.backendStates, state)
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -400,10 +400,10 @@
 							m.listed(false, int64(step), parsed(t, "["+backendIs(chance.IntN(22), state)+"]").GetArray())
 						default: // a jam for a while, then none
 							for id := range 20 {
-								m.met(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+								m.addOutcomes(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
 							}
 							for other := range 40 {
-								m.came(other, other%2, 30, second)
+								m.addDemand(other, other%2, 30, second)
 							}
 						}
 					}
