--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -47,16 +47,16 @@
 	if terms.Messages == 0 {
 		terms.Messages = uncounted
 	}
-	f := &fleet{module: m, pending: map[int]arrival{}, evidence: share.NewEvidence(), terms: terms}
+	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: share.NewEvidence(), terms: terms}
 	var err error
-	if f.node, err = replica.New(replica.Place{Name: with.Name, Members: with.Members, Folder: with.Folder,
+	if f.node, err = replica.New(replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder,
 		Credentials: with.Credentials, Terms: terms}, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
 	// What the decisions may send is our part of it.
 	channel := c.plan.channel
 	if channel.MessagesMost > 0 {
-		channel.MessagesMost = terms.Stray() + terms.Own()
+		channel.MessagesMost = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
 	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
@@ -97,21 +97,21 @@
 	node        *replica.Node
 	terms       share.Terms
 
-	pending  map[int]arrival // proxies that joined and are not granted yet
-	held     []leaving       // in their order
+	pending  map[int]pendingJoin // proxies that joined and are not granted yet
+	queued   []queuedMessage     // in their order
 	released uint64
 	evidence *share.Evidence
 }
 
-// arrival is what the decisions are told of a proxy once it is granted.
-type arrival struct {
+// pendingJoin is what the decisions are told of a proxy once it is granted.
+type pendingJoin struct {
 	zone  int
 	usual float64
 	keeps bool
 }
 
-// leaving is a message that waits until what it says stands on the record.
-type leaving struct {
+// queuedMessage is a message that waits until what it says stands on the record.
+type queuedMessage struct {
 	peer    *peer
 	message []byte
 	edition uint64
@@ -147,21 +147,21 @@
 			f.coordinator.Spoke(node, j.peer.heard.Load())
 		}
 	}
-	f.tell(now)
+	f.shareEvidence(now)
 	f.module.After(f.terms.Renew/2, coordinatorTag)
 }
 
-// joins has a proxy wait until it is granted.
-func (f *fleet) joins(node int, a arrival) {
+// proxyJoined has a proxy wait until it is granted.
+func (f *fleet) proxyJoined(node int, a pendingJoin) {
 	f.pending[node] = a
 	f.coordinator.Joined(node, f.module.now)
 }
 
-// leaves forgets a proxy; it tells whether the decisions had it.
-func (f *fleet) leaves(node int) bool {
+// proxyLeft forgets a proxy; it tells whether the decisions had it.
+func (f *fleet) proxyLeft(node int) bool {
 	_, waits := f.pending[node]
 	delete(f.pending, node)
-	f.evidence.Leaves(node)
+	f.evidence.ForgetProxy(node)
 	f.coordinator.Left(node)
 	return !waits
 }
@@ -188,8 +188,10 @@
 	f.module.control.Demands(node, came)
 }
 
-// Fitted hands on what another member saw the fleet do.
-func (f *fleet) Fitted(fit share.Fit) { f.module.control.Fits(fit.Proven, fit.Able) }
+// LearnedCapacity hands on what another member saw the fleet do.
+func (f *fleet) LearnedCapacity(capacity share.Capacity) {
+	f.module.control.Fits(capacity.Proven, capacity.Able)
+}
 
 // Spent has the decisions write less to a proxy.
 func (f *fleet) Spent(node, messages int) { f.module.control.Spent(node, messages) }
@@ -201,8 +203,8 @@
 func (f *fleet) Release(edition uint64) {
 	f.released = max(f.released, edition)
 	n := 0
-	for ; n < len(f.held) && f.held[n].edition <= f.released; n++ {
-		l := f.held[n]
+	for ; n < len(f.queued) && f.queued[n].edition <= f.released; n++ {
+		l := f.queued[n]
 		if !f.module.current(l.peer) {
 			continue
 		}
@@ -210,63 +212,63 @@
 			f.module.lose(l.peer.node, err)
 		}
 	}
-	f.held = slices.Delete(f.held, 0, n)
+	f.queued = slices.Delete(f.queued, 0, n)
 }
 
-// sends has a message leave, or wait behind others for the record.
-func (f *fleet) sends(p *peer, message []byte) error {
-	if edition := f.coordinator.Edition(); len(f.held) > 0 || edition > f.released {
-		f.held = append(f.held, leaving{p, message, edition})
+// send has a message leave, or wait behind others for the record.
+func (f *fleet) send(p *peer, message []byte) error {
+	if edition := f.coordinator.Edition(); len(f.queued) > 0 || edition > f.released {
+		f.queued = append(f.queued, queuedMessage{p, message, edition})
 		return nil
 	}
 	return p.send(message)
 }
 
-// lays puts on the record what this turn has changed in our tables, before any of it is written.
-func (f *fleet) lays() {
-	var changes []share.Laid
-	for _, number := range slices.Sorted(maps.Keys(f.module.laid)) {
-		in := f.module.laid[number]
+// recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
+func (f *fleet) recordTableChanges() {
+	var changes []share.TableChange
+	for _, number := range slices.Sorted(maps.Keys(f.module.byNumber)) {
+		in := f.module.byNumber[number]
 		if len(in.changed) == 0 {
 			continue
 		}
-		laid := share.Laid{Table: number}
+		change := share.TableChange{Table: number}
 		for _, b := range in.changed {
-			laid.Lines = append(laid.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
+			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
 		}
-		changes = append(changes, laid)
+		changes = append(changes, change)
 	}
 	if len(f.module.withdrew) > 0 {
-		laid := share.Laid{Table: share.Shut}
+		change := share.TableChange{Table: share.WithdrawnTable}
 		for _, b := range f.module.withdrew {
 			shut := 0.
 			if f.module.out[b] {
 				shut = 1
 			}
-			laid.Lines = append(laid.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
+			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
 		}
-		changes = append(changes, laid)
+		changes = append(changes, change)
 	}
 	if len(changes) > 0 {
-		f.coordinator.Laid(changes, f.module.now)
+		f.coordinator.ChangeTables(changes, f.module.now)
 	}
 }
 
-// tell puts on the record what our proxies met, which backends are withdrawn here, and what comes to whom.
-func (f *fleet) tell(now int64) {
+// shareEvidence puts on the record what our proxies met, which backends are withdrawn here, and what comes to whom.
+func (f *fleet) shareEvidence(now int64) {
 	for backend, id := range f.module.backends.ids {
 		if id != "" {
 			tries, failed, wait, away := f.module.control.Withdrawn(backend)
-			f.evidence.Away(id, away, tries, failed, wait)
+			f.evidence.SetWithdrawn(id, away, tries, failed, wait)
 		}
 	}
 	proven, able := f.module.control.Ability()
-	f.evidence.Fits(share.Fit{Proven: proven, Able: able})
-	f.coordinator.Tell(f.evidence, now)
+	f.evidence.SetCapacity(share.Capacity{Proven: proven, Able: able})
+	f.coordinator.AddEvidence(f.evidence, now)
 }
 
 // Learned hands on what another member's proxies met.
-func (f *fleet) Learned(_ string, s share.Seen) {
+func (f *fleet) Learned(_ string, s share.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
 		f.module.control.Learned(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
@@ -278,5 +280,5 @@
 		"deltas", f.module.deltas, "wholes", f.module.wholes)
 }
 
-// Chance draws a number.
-func (f *fleet) Chance() uint64 { return draw() }
+// RandomID names a new incarnation.
+func (f *fleet) RandomID() uint64 { return randomID() }
--- a/controller/module.go
+++ b/controller/module.go
@@ -144,8 +144,8 @@
 	defer m.forget()
 	sends, edition := (*peer).send, uint64(0)
 	if m.fleet != nil {
-		m.fleet.lays()
-		sends, edition = m.fleet.sends, m.fleet.coordinator.Edition()
+		m.fleet.recordTableChanges()
+		sends, edition = m.fleet.send, m.fleet.coordinator.Edition()
 	}
 	var one *mark
 	m.flush(sends, m.lose, func(proxy, number int) {
@@ -167,7 +167,7 @@
 	many := m.backends.sweep(m.now, m.limits.gone, func(backend int) bool {
 		gone := m.tables.forget(backend, func() bool { return m.control.Forget(backend) })
 		if gone && m.fleet != nil {
-			m.fleet.evidence.Forget(m.backends.ids[backend])
+			m.fleet.evidence.ForgetBackend(m.backends.ids[backend])
 		}
 		return gone
 	})
@@ -295,7 +295,7 @@
 	s := m.join(p.node, p, keeps)
 	if m.fleet != nil {
 		s.waits, s.fenced = true, p.fenced
-		m.fleet.joins(p.node, arrival{p.zone, usual, keeps})
+		m.fleet.proxyJoined(p.node, pendingJoin{p.zone, usual, keeps})
 		return
 	}
 	m.control.Joined(p.node, p.zone, usual, keeps)
@@ -325,7 +325,7 @@
 func (m *module) leaves(node int) {
 	m.joins[node] = nil
 	m.leave(node)
-	if m.fleet == nil || m.fleet.leaves(node) {
+	if m.fleet == nil || m.fleet.proxyLeft(node) {
 		m.control.Left(node)
 	}
 }
@@ -381,7 +381,7 @@
 	}
 	m.control.Heard(backend, tries, failed, mean, span, load)
 	if m.fleet != nil {
-		m.fleet.evidence.Met(id, tries, failed, mean, span)
+		m.fleet.evidence.AddTries(id, tries, failed, mean, span)
 	}
 }
 
@@ -389,7 +389,7 @@
 	if node < len(m.joins) && m.joins[node] != nil && !m.at(node).waits {
 		m.control.Came(node, class, count, span)
 		if m.fleet != nil {
-			m.fleet.evidence.Comes(node, class, count, span)
+			m.fleet.evidence.AddDemand(node, class, count, span)
 		}
 	}
 }
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -16,32 +16,32 @@
 func BenchmarkCatchUp(b *testing.B) {
 	const hour, proxies = 16 * 3600, 400
 	at := addresses(b, "a", "b", "c")
-	a, other, c := starts(b, Place{Name: "a", Members: at}), starts(b, Place{Name: "b", Members: at}), starts(b, Place{Name: "c", Members: at})
+	a, other, c := starts(b, Config{Name: "a", Members: at}), starts(b, Config{Name: "b", Members: at}), starts(b, Config{Name: "c", Members: at})
 	a.puts(b, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	other.puts(b, share.Entry{Member: "b", Incarnation: 2, Seq: 1})
 	c.puts(b, share.Entry{Member: "c", Incarnation: 3, Seq: 1})
 	c.stop()
 	lead := a
-	if r, _ := other.now(); r.State() == raft.Leader {
+	if r, _ := other.current(); r.State() == raft.Leader {
 		lead = other
 	}
-	for lead.who().Leader == "c" || lead.who().Leader == "" {
-		time.Sleep(lookAgain)
-		if r, _ := other.now(); r.State() == raft.Leader {
+	for lead.status().Leader == "c" || lead.status().Leader == "" {
+		time.Sleep(pollInterval)
+		if r, _ := other.current(); r.State() == raft.Leader {
 			lead = other
 		}
 	}
-	r, m := lead.now()
+	r, m := lead.current()
 	var last raft.ApplyFuture
 	began := time.Now()
 	for n := range hour {
 		e := share.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
-			Told: []share.Told{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
+			Confirmations: []share.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
 		if n < proxies {
 			e.Claims = []int{n}
 		}
 		if n%40 == 0 {
-			e.Laid = []share.Laid{{Table: 0, Lines: []share.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
+			e.TableChanges = []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
 		}
 		body, err := cbor.Marshal(e)
 		if err != nil {
@@ -66,7 +66,7 @@
 		}
 		b.Run(way.name, func(b *testing.B) {
 			for range b.N {
-				back := starts(b, Place{Name: "c", Members: at})
+				back := starts(b, Config{Name: "c", Members: at})
 				back.waits(b, way.told)
 				b.StopTimer()
 				back.stop()
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -43,7 +43,7 @@
 	terms := share.Terms{Lease: hollowLease.Microseconds(), Renew: hollowLease.Microseconds() / renewsPerLease,
 		Span: messagesSpan.Microseconds(), Messages: messagesMost, Members: len(members), Kept: messagesKept}
 	var err error
-	m.node, err = replica.New(replica.Place{Name: name, Members: members, Terms: terms}, hollowEvents{m}, slog.New(slog.DiscardHandler))
+	m.node, err = replica.New(replica.Config{Name: name, Members: members, Terms: terms}, hollowEvents{m}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
@@ -104,14 +104,14 @@
 
 func (h hollowHost) Propose(e share.Entry)                                   { h.node.Propose(e) }
 func (h hollowHost) Granted(int, uint64, []share.Base, bool, []float64, int) {}
-func (h hollowHost) Fitted(share.Fit)                                        {}
+func (h hollowHost) LearnedCapacity(share.Capacity)                          {}
 func (h hollowHost) Spent(int, int)                                          {}
 func (h hollowHost) Release(uint64)                                          {}
-func (h hollowHost) Learned(string, share.Seen)                              {}
+func (h hollowHost) Learned(string, share.Observation)                       {}
 func (h hollowHost) Mode(alone bool, _ string)                               { h.entered.Store(!alone) }
 
-// Chance draws a number.
-func (h hollowHost) Chance() uint64 {
+// RandomID draws a number.
+func (h hollowHost) RandomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
