--- a/scale/change.go
+++ b/scale/change.go
@@ -113,7 +113,6 @@
 	process *process.Instance
 	slots   []*watchedAddress // of discovery, which changes move it around between
 	acts    atomic.Int64      // the last change that it acted by
-	random  uint64
 }
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -91,12 +91,12 @@
 	e.post(func() { e.coordinator.Restored(record, e.now()) })
 }
 
-func (e hollowEvents) Answered(life, seq uint64) {
-	e.post(func() { e.coordinator.Answered(life, seq, e.now()) })
+func (e hollowEvents) Answered(incarnation, seq uint64) {
+	e.post(func() { e.coordinator.Answered(incarnation, seq, e.now()) })
 }
 
-func (e hollowEvents) Failed(life, seq uint64) {
-	e.post(func() { e.coordinator.Failed(life, seq, e.now()) })
+func (e hollowEvents) Failed(incarnation, seq uint64) {
+	e.post(func() { e.coordinator.Failed(incarnation, seq, e.now()) })
 }
 
 // hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
