--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -48,8 +48,10 @@
 // start begins a life.
 func (s *hollowSubscriber) start() {
 	ctx, stop := context.WithCancel(context.Background())
+	limits := distribution.DefaultLimits()
+	limits.FanOut = s.fanOut
 	carrier := subscribe.New(subscribe.Config{
-		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: distribution.DefaultLimits()},
+		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: limits},
 		Dial:  func(ctx context.Context, peer string) (net.Conn, error) { return s.network.dial(ctx, s.region, peer) },
 		Apply: s.apply})
 	ended := make(chan struct{})
--- a/scale/tree.go
+++ b/scale/tree.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"os"
 	"runtime"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -131,7 +132,7 @@
 		s.start()
 	}
 	if !waitFor(ctx, readyWithin, func() bool { return waiting(nodes) == 0 }) {
-		return 0, fmt.Errorf("%d of %d nodes have no configuration after %s", waiting(nodes), len(nodes), readyWithin)
+		return 0, fmt.Errorf("%d of %d nodes have no configuration after %s: %s", waiting(nodes), len(nodes), readyWithin, whoWaits(nodes))
 	}
 	return time.Since(began), nil
 }
@@ -148,6 +149,24 @@
 	return n
 }
 
+// namedWaiting is how many that wait are named.
+const namedWaiting = 8
+
+// whoWaits names some of the nodes that have no configuration, with what they ask for and what became of it.
+func whoWaits(nodes []*hollowSubscriber) string {
+	var text []string
+	for _, s := range nodes {
+		s.mutex.Lock()
+		waits := s.seen == 0
+		s.mutex.Unlock()
+		if status, ok := s.status(); ok && waits && len(text) < namedWaiting {
+			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
+				status.Counts.RefusedBy, status.Counts.Dials))
+		}
+	}
+	return strings.Join(text, "; ")
+}
+
 // close ends all.
 func (t *tree) close() {
 	each(t.nodes(), (*hollowSubscriber).kill)
