--- a/scale/fit.go
+++ b/scale/fit.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 
 	"gonum.org/v1/gonum/stat"
 )
@@ -28,8 +29,9 @@
 // sizesToFit is the fewest that a fit may rest on.
 const sizesToFit = 3
 
-// FitOver fits a metric over the samples; false where too few sizes have it, or a figure is 0.
-func FitOver(samples []Sample, metric string) (Fit, bool) {
+// FitOver fits a metric over the samples; false where too few sizes have it, or a figure is 0. A line that is below 0 at
+// one of the targets is not taken.
+func FitOver(samples []Sample, metric string, targets []int) (Fit, bool) {
 	var sizes, values, logSizes, logValues []float64
 	different := map[int]bool{}
 	for _, s := range samples {
@@ -50,7 +52,8 @@
 	f.Intercept, f.Slope = stat.LinearRegression(sizes, values, nil, false)
 	f.Residual = relativeError(sizes, values, f.power)
 	f.Other = relativeError(sizes, values, f.linear)
-	if f.Other < f.Residual {
+	falls := slices.ContainsFunc(targets, func(target int) bool { return f.linear(float64(target)) <= 0 })
+	if f.Other < f.Residual && !falls {
 		f.Form, f.Residual, f.Other = Linear, f.Other, f.Residual
 	}
 	return f, true
--- a/scale/page_test.go
+++ b/scale/page_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"os"
+	"slices"
 	"testing"
 )
 
@@ -19,3 +20,18 @@
 		t.Error(err)
 	}
 }
+
+// TestKeptRuns has the fits and the verdict of each kept run be what its samples give.
+func TestKeptRuns(t *testing.T) {
+	runs, err := Load("../docs/capacity")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, r := range runs {
+		again := *r
+		again.settle()
+		if r.Verdict != again.Verdict || !slices.Equal(r.Fits, again.Fits) {
+			t.Errorf("%s: kept %s %+v, by its samples %s %+v", r.Name, r.Verdict, r.Fits, again.Verdict, again.Fits)
+		}
+	}
+}
--- a/scale/run.go
+++ b/scale/run.go
@@ -104,7 +104,7 @@
 		if !m.Fit {
 			continue
 		}
-		if fit, ok := FitOver(r.Samples, m.Name); ok {
+		if fit, ok := FitOver(r.Samples, m.Name, r.Targets); ok {
 			r.Fits = append(r.Fits, fit)
 		}
 	}
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -18,18 +18,22 @@
 		}
 		return samples
 	}
-	square, ok := FitOver(curve(func(n float64) float64 { return 4 * n * n }), "cost")
+	square, ok := FitOver(curve(func(n float64) float64 { return 4 * n * n }), "cost", nil)
 	if !ok || square.Form != Power || math.Abs(square.Exponent-2) > 1e-6 || math.Abs(square.At(100)-40_000) > 1 {
 		t.Errorf("4n^2 is fitted as %+v", square)
 	}
-	line, ok := FitOver(curve(func(n float64) float64 { return 1000 + 3*n }), "cost")
+	line, ok := FitOver(curve(func(n float64) float64 { return 1000 + 3*n }), "cost", nil)
 	if !ok || line.Form != Linear || math.Abs(line.At(100)-1300) > 1 || line.Residual > 1e-3 {
 		t.Errorf("1000 + 3n is fitted as %+v", line)
 	}
-	if _, ok := FitOver(curve(func(n float64) float64 { return n })[:2], "cost"); ok {
+	falling, ok := FitOver(curve(func(n float64) float64 { return 100 - n }), "cost", []int{11_000})
+	if !ok || falling.Form != Power || falling.At(11_000) <= 0 {
+		t.Errorf("100 - n is fitted as %+v, %v at 11,000", falling, falling.At(11_000))
+	}
+	if _, ok := FitOver(curve(func(n float64) float64 { return n })[:2], "cost", nil); ok {
 		t.Error("two sizes were fitted")
 	}
-	if _, ok := FitOver(curve(func(float64) float64 { return 0 }), "cost"); ok {
+	if _, ok := FitOver(curve(func(float64) float64 { return 0 }), "cost", nil); ok {
 		t.Error("figures of 0 were fitted")
 	}
 }
