--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -79,6 +79,13 @@
 	if err != nil {
 		return err
 	}
+	if d := given.Distribution; d != nil {
+		if err := c.Distribute(controller.Distribution{Voter: d.Role == options.Voter, Name: d.Name, Parents: d.Parents,
+			Scopes: d.Scopes, Listen: d.Listen, FanOut: d.FanOut,
+			Credentials: replica.Credentials{Certificate: d.Certificate, Key: d.Key, Authority: d.Authority}}); err != nil {
+			return fmt.Errorf("%s: distribution: %w", path, err)
+		}
+	}
 	if s := given.Sharing; s != nil {
 		if err := c.Share(controller.Sharing{Name: s.Name, Members: s.Members, Folder: s.Folder,
 			Credentials: replica.Credentials{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority},
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -36,6 +36,8 @@
 	module *module
 	list   *list
 
+	distributor *distributor // nil for none
+
 	mutex sync.Mutex
 	plan  *plan // what the last configuration that counts said
 }
@@ -169,6 +171,10 @@
 	if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
 		return fmt.Errorf("configuration: discovery: %w", err)
 	}
+	wanted, distributes, err := c.wanted(configuration)
+	if err != nil {
+		return err
+	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(p.lasting)) {
@@ -179,6 +185,9 @@
 	c.log.say("reloaded", "discovery", p.Discovery)
 	c.plan = p
 	c.list.follow(p.Discovery, p.known)
+	if distributes {
+		c.distributor.configure(wanted)
+	}
 	return nil
 }
 
@@ -206,6 +215,9 @@
 
 // Serve runs the controller until the context ends. It returns nil then, or what kept it from serving.
 func (c *Controller) Serve(ctx context.Context) error {
+	if c.distributor != nil && c.distributor.carrier == nil {
+		return errors.New("distribution: a voter is a member that shares the record, and this one does not")
+	}
 	c.mutex.Lock()
 	place, channel, rules, sight := c.plan.Place, c.plan.channel, c.plan.rules, c.plan.sight
 	c.mutex.Unlock()
@@ -242,6 +254,9 @@
 	if c.module.fleet != nil {
 		parts.Go(func() { c.module.fleet.node.Run(recorded) })
 	}
+	if c.distributor != nil {
+		parts.Go(func() { c.distributor.run(recorded) })
+	}
 	err = (&server{limits: c.limits, module: c.module, log: c.log}).run(after, listener)
 	cancel()
 	forget()
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -48,11 +48,18 @@
 		terms.Messages = uncounted
 	}
 	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: share.NewEvidence(), terms: terms}
+	config := replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
+	votes := c.distributor != nil && c.distributor.carrier == nil
+	if votes {
+		config.Distribution = c.distributor.vote(replica.Peer{Name: with.Name, Address: with.Members[with.Name]})
+	}
 	var err error
-	if f.node, err = replica.New(replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder,
-		Credentials: with.Credentials, Terms: terms}, recordEvents{m, f}, c.log.to); err != nil {
+	if f.node, err = replica.New(config, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
+	if votes {
+		c.distributor.node = f.node
+	}
 	// What the decisions may send is our part of it.
 	channel := c.plan.channel
 	if channel.MessagesMost > 0 {
--- a/controller/module.go
+++ b/controller/module.go
@@ -23,6 +23,9 @@
 	list  *list
 	fleet *fleet // what is shared with other controllers; nil for nothing
 
+	distributor *distributor // where distributed configuration arrives; nil for nowhere
+	overrides   *overrides   // what that says of backends; nil where none arrives
+
 	zones, classes map[string]int
 	zoneNames      []string
 	backends       *backends
@@ -122,6 +125,11 @@
 		m.stood = m.now
 	}
 	first()
+	if m.distributor != nil {
+		if entries, whole := m.distributor.take(); whole || len(entries) > 0 {
+			m.configured(entries, whole)
+		}
+	}
 	for taken := 1; taken < m.limits.turn; taken++ {
 		select {
 		case what := <-m.mail:
@@ -220,9 +228,12 @@
 	there := map[int]bool{}
 	for _, server := range servers {
 		if e, ok := m.entry(server); ok {
-			entries, there[e.Backend] = append(entries, e), e.Condition != decide.Gone
+			entries, there[e.Backend] = m.merged(entries, e), e.Condition != decide.Gone
 		}
 	}
+	if whole && m.overrides != nil {
+		m.overrides.dropped(there)
+	}
 	for backend, since := range m.backends.gone {
 		switch here, named := there[backend]; {
 		case here:
@@ -238,6 +249,15 @@
 	}
 }
 
+// merged adds the entry of a backend to a list, with what distributed configuration says of it.
+func (m *module) merged(to []decide.Entry, e decide.Entry) []decide.Entry {
+	if m.overrides == nil {
+		return append(to, e)
+	}
+	m.overrides.note(e)
+	return m.overrides.merged(to, m.backends.ids[e.Backend], e)
+}
+
 // opens has answers leave from now on. A controller that knows no backend orders nothing, and proxies go on with what
 // they hold, which is no worse than with none to connect to.
 func (m *module) opens(why string) {
--- /dev/null
+++ b/controller/overrides.go
@@ -0,0 +1,148 @@
+package controller
+
+import (
+	"strconv"
+	"strings"
+
+	"wheelrill/decide"
+	"wheelrill/distribution"
+)
+
+// Kinds of distributed entries. The name of an entry is its kind, a slash, and what it is about; an entry of the scope
+// "pricing" that drains the backend s-1 has the name "drain/s-1".
+const (
+	kindDrain   = "drain"   // of a backend
+	kindWeight  = "weight"  // of a backend
+	kindLimit   = "limit"   // of a tenant
+	kindRoute   = "route"   // by its name
+	kindService = "service" // by its name
+)
+
+const kindSeparator = "/"
+
+// overrides are what distributed entries say of backends, over discovery's word. They belong to the module.
+type overrides struct {
+	drains  map[string]map[distribution.Key]bool    // by backend, the entries that drain it
+	weights map[string]map[distribution.Key]written // by backend
+	listed  []decide.Entry                          // by index, as discovery has it
+	there   []bool                                  // which of these are known
+}
+
+// written is a weight and the revision that set it.
+type written struct {
+	weight   float64
+	revision uint64
+}
+
+func newOverrides() *overrides {
+	return &overrides{drains: map[string]map[distribution.Key]bool{}, weights: map[string]map[distribution.Key]written{}}
+}
+
+// put takes an entry in; it gives the backend whose entry in the list it may change, if there is one. False: the entry makes
+// no sense, and counts as if it were not there.
+func (o *overrides) put(e distribution.Entry) (backend string, ok bool) {
+	kind, about, _ := strings.Cut(e.Name, kindSeparator)
+	switch kind {
+	case kindDrain:
+		ok = e.Deleted || string(e.Value) == drained
+		set(o.drains, about, e.Key(), true, ok && !e.Deleted)
+		return about, ok
+	case kindWeight:
+		weight, usable := usableWeight(string(e.Value))
+		set(o.weights, about, e.Key(), written{weight, e.Revision}, usable && !e.Deleted)
+		return about, usable || e.Deleted
+	}
+	return "", true
+}
+
+// set keeps what a key says of a backend, or forgets it.
+func set[T any](by map[string]map[distribution.Key]T, backend string, key distribution.Key, value T, stands bool) {
+	switch {
+	case !stands:
+		if delete(by[backend], key); len(by[backend]) == 0 {
+			delete(by, backend)
+		}
+	case by[backend] == nil:
+		by[backend] = map[distribution.Key]T{key: value}
+	default:
+		by[backend][key] = value
+	}
+}
+
+// drained is the one value of a drain.
+const drained = "true"
+
+// mostWeight is beyond what a list can mean.
+const mostWeight = 1e6
+
+func usableWeight(text string) (float64, bool) {
+	weight, err := strconv.ParseFloat(text, 64)
+	return weight, err == nil && weight > 0 && weight <= mostWeight
+}
+
+// reset forgets all distributed entries, and gives the backends that they were about.
+func (o *overrides) reset() (backends []string) {
+	for backend := range o.drains {
+		backends = append(backends, backend)
+	}
+	for backend := range o.weights {
+		backends = append(backends, backend)
+	}
+	o.drains, o.weights = map[string]map[distribution.Key]bool{}, map[string]map[distribution.Key]written{}
+	return backends
+}
+
+// weightOf is the weight that stands for a backend: of several scopes' the one that was set last.
+func (o *overrides) weightOf(backend string) (weight float64, ok bool) {
+	var last written
+	for _, w := range o.weights[backend] {
+		if w.revision > last.revision || w.revision == last.revision && w.weight < last.weight || !ok {
+			last, ok = w, true
+		}
+	}
+	return last.weight, ok
+}
+
+// note keeps what discovery says of a backend.
+func (o *overrides) note(e decide.Entry) {
+	for len(o.listed) <= e.Backend {
+		o.listed, o.there = append(o.listed, decide.Entry{}), append(o.there, false)
+	}
+	o.listed[e.Backend], o.there[e.Backend] = e, true
+}
+
+// dropped notes those that a whole list lacks.
+func (o *overrides) dropped(listed map[int]bool) {
+	for backend := range o.listed {
+		if _, named := listed[backend]; !named {
+			o.listed[backend].Condition = decide.Gone
+		}
+	}
+}
+
+// knows tells whether discovery has told of the backend that has an index.
+func (o *overrides) knows(backend int) bool { return backend < len(o.there) && o.there[backend] }
+
+// forget ends what is kept of an index, which another backend may get.
+func (o *overrides) forget(backend int) {
+	if backend < len(o.there) {
+		o.listed[backend], o.there[backend] = decide.Entry{}, false
+	}
+}
+
+// merged adds the entry of a backend as the decisions are to have it. One that is drained and that discovery has dropped
+// is drained first: dropped alone, it might go on being used.
+func (o *overrides) merged(to []decide.Entry, id string, e decide.Entry) []decide.Entry {
+	if weight, ok := o.weightOf(id); ok {
+		e.Weight = weight
+	}
+	if len(o.drains[id]) == 0 {
+		return append(to, e)
+	}
+	gone := e
+	e.Condition = decide.Draining
+	if to = append(to, e); gone.Condition == decide.Gone {
+		to = append(to, gone)
+	}
+	return to
+}
--- /dev/null
+++ b/controller/overrides_test.go
@@ -0,0 +1,194 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"wheelrill/decide"
+	"wheelrill/distribution"
+)
+
+func said(name, value string, revision uint64) distribution.Entry {
+	return distribution.Entry{Scope: "pricing", Name: name, Value: []byte(value), Revision: revision, AcceptedAt: 1}
+}
+
+func TestOverrides(t *testing.T) {
+	o := newOverrides()
+	ready := decide.Entry{Backend: 3, Condition: decide.Ready, Weight: 2}
+	merged := func(e decide.Entry) string {
+		var all []string
+		for _, e := range o.merged(nil, "s-3", e) {
+			all = append(all, fmt.Sprint(e.Condition, e.Weight))
+		}
+		return strings.Join(all, ", ")
+	}
+	puts := func(e distribution.Entry, usable bool) {
+		t.Helper()
+		if _, ok := o.put(e); ok != usable {
+			t.Errorf("%+v: usable %v", e, ok)
+		}
+	}
+	wants := func(e decide.Entry, want string) {
+		t.Helper()
+		if got := merged(e); got != want {
+			t.Errorf("got %s, not %s", got, want)
+		}
+	}
+	wants(ready, fmt.Sprint(decide.Ready, 2))
+	puts(said("weight/s-3", "0.5", 1), true)
+	wants(ready, fmt.Sprint(decide.Ready, 0.5))
+	other := said("weight/s-3", "1.5", 2)
+	other.Scope = "orders"
+	puts(other, true)
+	wants(ready, fmt.Sprint(decide.Ready, 1.5)) // set last
+	puts(said("drain/s-3", "true", 3), true)
+	wants(ready, fmt.Sprint(decide.Draining, 1.5))
+	gone := ready
+	gone.Condition = decide.Gone
+	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", decide.Draining, decide.Gone))
+	for _, nonsense := range []string{"false", "", "1"} { // as if it were not there
+		puts(said("drain/s-3", nonsense, 4), false)
+		wants(ready, fmt.Sprint(decide.Ready, 1.5))
+	}
+	other.Deleted = true
+	puts(other, true)
+	wants(ready, fmt.Sprint(decide.Ready, 0.5))
+	for _, nonsense := range []string{"0", "-1", "NaN", "1e9", "x", ""} {
+		puts(said("weight/s-3", nonsense, 5), false)
+		wants(ready, fmt.Sprint(decide.Ready, 2))
+	}
+	puts(said("limit/t1", "5", 6), true)
+	puts(said("drain/s-3", "true", 7), true)
+	if backends := o.reset(); !slices.Equal(backends, []string{"s-3"}) {
+		t.Errorf("reset %v", backends)
+	}
+	wants(ready, fmt.Sprint(decide.Ready, 2))
+	if len(o.drains)+len(o.weights) != 0 {
+		t.Errorf("left over: %+v", o)
+	}
+}
+
+// drainOf is what arrives when a backend is drained, or let back.
+func drainOf(id string, revision uint64, deleted bool) []distribution.Entry {
+	e := said("drain/"+id, "true", revision)
+	e.Deleted = deleted
+	return []distribution.Entry{e}
+}
+
+// picks takes what a proxy was told, and gives what it can pick.
+func (h *hearer) heardPicks(t *testing.T, p *peer) []string {
+	t.Helper()
+	h.hears(t, p)
+	return h.picks(0)
+}
+
+func TestDistributedEntries(t *testing.T) {
+	begins := func(t *testing.T) (*module, *hearer, *peer) {
+		m, _ := begin(t)
+		m.overrides = newOverrides()
+		m.turn(func() {
+			m.listed(true, 2, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
+		})
+		p, h := joins(t, m, 1, 0, false), newHearer("read it", "write")
+		if got := h.heardPicks(t, p); len(got) != 2 {
+			t.Fatalf("picks %v", got)
+		}
+		m.turn(func() { m.applied(p, h.tickets[len(h.tickets)-1]) })
+		return m, h, p
+	}
+	without := func(t *testing.T, m *module, h *hearer, p *peer, id string) {
+		t.Helper()
+		later(m, 2*second, func() {})
+		if got := h.heardPicks(t, p); slices.Contains(got, id) {
+			t.Errorf("picks %v", got)
+		}
+	}
+	t.Run("a drain takes a backend out, and its end brings it back", func(t *testing.T) {
+		m, h, p := begins(t)
+		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
+		without(t, m, h, p, "s-0")
+		m.turn(func() { // whatever discovery says
+			m.listed(true, 3, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
+		})
+		without(t, m, h, p, "s-0")
+		m.turn(func() { m.configured(drainOf("s-0", 2, true), false) })
+		later(m, 5*second, func() {})
+		if got := h.heardPicks(t, p); !slices.Contains(got, "s-0") {
+			t.Errorf("picks %v", got)
+		}
+	})
+	t.Run("a drain counts for a backend that is listed later", func(t *testing.T) {
+		m, h, p := begins(t)
+		m.turn(func() { m.configured(drainOf("s-2", 1, false), false) })
+		m.turn(func() { m.listed(false, 3, parsed(t, "["+backendIs(2, "up")+"]").GetArray()) })
+		without(t, m, h, p, "s-2")
+	})
+	t.Run("a drain of one that discovery has dropped takes it out", func(t *testing.T) {
+		m, h, p := begins(t)
+		m.turn(func() { m.listed(true, 3, parsed(t, "["+backendIs(1, "up")+"]").GetArray()) })
+		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
+		without(t, m, h, p, "s-0")
+		later(m, m.limits.gone+2*second, func() {})
+		if m.overrides.knows(0) && m.backends.ids[0] == "s-0" {
+			t.Error("it is never forgotten")
+		}
+	})
+	t.Run("a whole configuration ends what it lacks", func(t *testing.T) {
+		m, h, p := begins(t)
+		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
+		without(t, m, h, p, "s-0")
+		m.turn(func() { m.configured(nil, true) })
+		later(m, 5*second, func() {})
+		if got := h.heardPicks(t, p); !slices.Contains(got, "s-0") {
+			t.Errorf("picks %v", got)
+		}
+	})
+	t.Run("a weight stands over the listed one", func(t *testing.T) {
+		m, h, p := begins(t)
+		m.turn(func() { m.configured([]distribution.Entry{said("weight/s-0", "4", 1)}, false) })
+		later(m, 20*second, func() {})
+		h.hears(t, p)
+		if lines := h.lines[0]; lines["s-0"] <= lines["s-1"] {
+			t.Errorf("lines %v", lines)
+		}
+	})
+}
+
+func TestReadDistributed(t *testing.T) {
+	good := `{"distributed":{"pricing":{"drain":{"s-1":true},"weight":{"s-2":0.5},"limit":{"t1":120},
+		"route":{"/x":{"to": "pricing"}},"service":{"pricing":{}}},"orders":{"drain":{"s-9":true}}}}`
+	entries, ok, err := readDistributed(parsed(t, good))
+	var all []string
+	for _, e := range entries {
+		all = append(all, fmt.Sprintf("%s %s %s", e.Scope, e.Name, e.Value))
+	}
+	want := `orders drain/s-9 true;pricing drain/s-1 true;pricing limit/t1 120;pricing route//x {"to":"pricing"};` +
+		`pricing service/pricing {};pricing weight/s-2 0.5`
+	if got := strings.Join(all, ";"); got != want || !ok || err != nil {
+		t.Errorf("got %s, %v, %v", got, ok, err)
+	}
+	if _, ok, err := readDistributed(parsed(t, `{}`)); ok || err != nil {
+		t.Errorf("a file without it: %v, %v", ok, err)
+	}
+	if entries, ok, err := readDistributed(parsed(t, `{"distributed":{}}`)); !ok || err != nil || len(entries) != 0 {
+		t.Errorf("nothing is to be distributed: %v, %v, %v", entries, ok, err)
+	}
+	for bad, want := range map[string]string{
+		`[]`:                               "configuration: distributed: is no object",
+		`{"pricing":[]}`:                   "configuration: distributed.pricing: is no object",
+		`{"pricing":{"drain":true}}`:       "configuration: distributed.pricing.drain: is no object",
+		`{"pricing":{"drian":{"s":1}}}`:    "configuration: distributed.pricing.drian.s: is of an unknown kind",
+		`{"pricing":{"drain":{"s":1}}}`:    "configuration: distributed.pricing.drain.s: is 1; a drain is true",
+		`{"pricing":{"weight":{"s":0}}}`:   "configuration: distributed.pricing.weight.s: is 0; give a number above 0",
+		`{"pricing":{"weight":{"s":"2"}}}`: `configuration: distributed.pricing.weight.s: is "2"; give`,
+		`{"pricing":{"limit":{"t":-1}}}`:   "configuration: distributed.pricing.limit.t: is -1; give a number",
+		`{"pricing":{"route":{"t":1}}}`:    "configuration: distributed.pricing.route.t: is no object",
+		`{"":{"route":{"t":{}}}}`:          `configuration: distributed: "" is no name`,
+	} {
+		if _, _, err := readDistributed(parsed(t, `{"distributed":`+bad+`}`)); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%s: got %v", bad, err)
+		}
+	}
+}
