--- /dev/null
+++ b/cmd/wheelrill/distribution_test.go
@@ -0,0 +1,61 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// addresses are free ones on loopback.
+func addresses(t *testing.T, n int) (free []string) {
+	t.Helper()
+	for range n {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+		free = append(free, l.Addr().String())
+	}
+	return free
+}
+
+// TestDistribution runs the program as two voters and a subscriber: a file and a SIGHUP at a voter reach the subscriber.
+func TestDistribution(t *testing.T) {
+	sample, err := os.ReadFile("../../deploy/sample.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder, at := t.TempDir(), addresses(t, 2)
+	writes := func(name, text string) string {
+		path := filepath.Join(folder, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	members := fmt.Sprintf("    n0: %s\n    n1: %s\n", at[0], at[1])
+	begins := func(name, options string) *process {
+		configuration := writes(name+".json", string(sample))
+		return starts(t, configuration, "serve", "--options", writes(name+".yaml", options))
+	}
+	voting := func(name string) string {
+		return "sharing:\n  plain: true\n  name: " + name + "\n  members:\n" + members + "distribution:\n  role: voter\n"
+	}
+	voters := []*process{begins("n0", voting("n0")), begins("n1", voting("n1"))}
+	subscriber := begins("s1", "distribution:\n  role: subscriber\n  name: s1\n  plain: true\n  scopes: [pricing]\n  parents:\n"+members)
+	for _, v := range voters {
+		v.waits(t, "event=sharing alone=false")
+	}
+	changed := strings.Replace(string(sample), `"seed"`, `"distributed": {"pricing": {"drain": {"s-5be2a07c": true}}}, "seed"`, 1)
+	writes("n1.json", changed)
+	if err := voters[1].Process.Signal(syscall.SIGHUP); err != nil {
+		t.Fatal(err)
+	}
+	voters[1].waits(t, "event=change_accepted revision=1")
+	subscriber.waits(t, "event=distributed revision=1")
+}
--- a/cmd/wheelrill/ending_test.go
+++ b/cmd/wheelrill/ending_test.go
@@ -19,13 +19,13 @@
 	said chan string
 }
 
-func starts(t *testing.T, configuration string) *process {
+func starts(t *testing.T, configuration string, arguments ...string) *process {
 	t.Helper()
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{exec.Command(program), make(chan string, 1024)}
+	p := &process{exec.Command(program, arguments...), make(chan string, 1024)}
 	// The race detector would have the process sleep for a second at its end.
 	p.Env = append(os.Environ(), asProgram+"=yes", "GORACE=atexit_sleep_ms=0", "LB_CONFIG="+configuration, "LB_DISCOVERY=127.0.0.1:7", "LB_LISTEN=127.0.0.1:0")
 	log, err := p.StderrPipe()
