--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -27,8 +27,11 @@
 	Name    string            // of a subscriber; the controller's own if empty
 	Parents map[string]string // addresses of voters, or of subscribers that pass on, by their names
 	Scopes  []string          // that the controller serves
-	Listen  string            // where others subscribe, and how they are told to dial; empty: it passes nothing on
-	FanOut  int               // that subscribe here at most; 0 is as usual
+	// AllScopes: it gets all of them, whatever Scopes says.
+	AllScopes bool
+	Listen    string // where others subscribe, and how they are told to dial; empty: it passes nothing on
+	Folder    string // where a subscriber keeps what it has; empty: a restart begins with nothing
+	FanOut    int    // that subscribe here at most; 0 is as usual
 	replica.Credentials
 
 	limits distribution.Limits // of the node; usual ones where it is zero
@@ -37,6 +40,7 @@
 const (
 	configureWithin = 10 * time.Second // that a change waits for the record
 	statsEvery      = 10 * time.Second // between two lines that tell the state of the distribution
+	keepEvery       = 5 * time.Second  // that what has changed is written to the folder
 )
 
 // distributor is the module's side of the distribution: what arrives waits here until the module takes it.
@@ -47,6 +51,7 @@
 	node     *replica.Node     // of a voter
 	listener *replica.Listener // of a subscriber that passes on
 	limits   distribution.Limits
+	kept     *keeper                   // of a subscriber with a folder
 	wanted   chan []distribution.Entry // the newest configuration that a voter is to propose
 
 	mutex   sync.Mutex
@@ -104,13 +109,35 @@
 	for _, name := range slices.Sorted(maps.Keys(with.Parents)) {
 		candidates = append(candidates, replica.Peer{Name: name, Address: with.Parents[name]}.String())
 	}
+	scopes := distribution.SomeScopes(with.Scopes...)
+	if with.AllScopes {
+		scopes = distribution.AllScopes()
+	}
 	d.carrier = subscribe.New(subscribe.Config{
-		Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes(with.Scopes...), Candidates: candidates,
-			Limits: d.limits},
+		Node:  distribution.Config{Name: self.String(), Scopes: scopes, Candidates: candidates, Limits: d.limits},
 		Dial:  subscriber.Dial,
 		Apply: d.apply,
 		Log:   d.event,
 	})
+	return d.restore(with.Folder)
+}
+
+// restore begins with what a folder has; what it has may be damaged, but it must be possible to write there.
+func (d *distributor) restore(folder string) error {
+	if folder == "" {
+		return nil
+	}
+	var err error
+	if d.kept, err = newKeeper(folder); err != nil {
+		return err
+	}
+	switch state, err := d.kept.load(); {
+	case err != nil:
+		d.log.say("kept_unusable", "error", err.Error())
+	case state != nil:
+		d.log.say("kept", "revision", state.Mark.Revision, "epoch", state.Mark.Epoch.String(), "entries", len(state.Entries))
+		d.carrier.Restored(*state)
+	}
 	return nil
 }
 
@@ -139,7 +166,12 @@
 // run carries the distribution until the context ends.
 func (d *distributor) run(ctx context.Context) {
 	var parts sync.WaitGroup
-	parts.Go(func() { d.carrier.Run(ctx) })
+	carried, end := context.WithCancel(context.WithoutCancel(ctx)) // until all that it has is kept
+	parts.Go(func() { d.carrier.Run(carried) })
+	parts.Go(func() {
+		defer end()
+		d.keep(ctx)
+	})
 	if d.listener != nil {
 		parts.Go(func() { d.listener.Run(ctx) })
 	}
@@ -148,6 +180,26 @@
 	parts.Wait()
 }
 
+// keep writes what a subscriber has now and then, and at the end.
+func (d *distributor) keep(ctx context.Context) {
+	if d.kept == nil {
+		<-ctx.Done()
+		return
+	}
+	look := time.NewTicker(keepEvery)
+	defer look.Stop()
+	for last := false; !last; {
+		select {
+		case <-ctx.Done():
+			last = true
+		case <-look.C:
+		}
+		if err := d.kept.update(d.carrier); err != nil {
+			d.log.seldom("kept", "keep_failed", "error", err.Error())
+		}
+	}
+}
+
 // apply keeps what has arrived for the module, which takes it at its next turn. It does not wait for it.
 func (d *distributor) apply(change distribution.Change, whole bool) {
 	d.mutex.Lock()
--- /dev/null
+++ b/controller/keeper_test.go
@@ -0,0 +1,67 @@
+package controller
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"wheelrill/distribution"
+)
+
+func TestKeeper(t *testing.T) {
+	folder := filepath.Join(t.TempDir(), "new")
+	k, err := newKeeper(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if state, err := k.load(); state != nil || err != nil {
+		t.Errorf("kept before anything was: %v, %v", state, err)
+	}
+	state := distribution.State{Mark: distribution.Mark{Epoch: distribution.Epoch{Number: 4}, Revision: 7},
+		Covered: distribution.SomeScopes("pricing"), Horizon: 2, Entries: []distribution.Entry{said("drain/s-1", "true", 5)}}
+	if err := k.save(state); err != nil {
+		t.Fatal(err)
+	}
+	again, err := newKeeper(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.last != state.Mark {
+		t.Errorf("got %+v, %v", got, err)
+	}
+	if left, err := os.ReadDir(folder); err != nil || len(left) != 1 {
+		t.Errorf("left in the folder: %v, %v", left, err)
+	}
+	if err := os.WriteFile(filepath.Join(folder, keptFile), []byte("damaged"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := again.load(); err == nil || got != nil || !strings.Contains(err.Error(), keptFile) {
+		t.Errorf("got %+v, %v", got, err)
+	}
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := newKeeper(file); err == nil || !strings.Contains(err.Error(), "folder") {
+		t.Errorf("a file for a folder: %v", err)
+	}
+}
+
+// A subscriber that starts again while nobody can be reached goes on with what it had.
+func TestSubscriberKeepsOverRestart(t *testing.T) {
+	known := listing(1, true, backendIs(0, "up"), backendIs(1, "up"))
+	members, voters := votes(t, known, "n0", "n1")
+	with := Distribution{Parents: members, Folder: t.TempDir()}
+	s := subscribes(t, "s1", known, with)
+	voters[0].reloads(t, known, `{"pricing":{"drain":{"s-1":true}}}`)
+	s.said.waits(t, "event=distributed revision=1", 1)
+	s.stop()
+	for _, v := range voters {
+		v.stop()
+	}
+	s = subscribes(t, "s1", known, with)
+	s.said.waits(t, "event=kept revision=1", 1)
+	s.said.waits(t, "event=distributed revision=1 whole=true backends=1 drained=1", 1)
+}
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -13,6 +13,7 @@
 	Parents     map[string]string `yaml:"parents"`
 	Scopes      []string          `yaml:"scopes"`
 	Listen      string            `yaml:"listen"`
+	Folder      string            `yaml:"folder"`
 	Certificate string            `yaml:"certificate"`
 	Key         string            `yaml:"key"`
 	Authority   string            `yaml:"authority"`
@@ -26,10 +27,13 @@
 	Subscriber = "subscriber"
 )
 
+// AllScopes, as the only one of the scopes, stands for all of them.
+const AllScopes = "*"
+
 // Bounds of the options of distribution.
 const (
 	mostFanOut = 256
-	mostScopes = 256
+	mostScopes = 4096
 	mostScope  = 256 // bytes
 	mostName   = 256 // bytes
 )
@@ -56,7 +60,7 @@
 		key   string
 		given bool
 	}{
-		{"name", d.Name != ""}, {"parents", len(d.Parents) > 0}, {"scopes", len(d.Scopes) > 0}, {"listen", d.Listen != ""},
+		{"name", d.Name != ""}, {"parents", len(d.Parents) > 0}, {"scopes", len(d.Scopes) > 0}, {"listen", d.Listen != ""}, {"folder", d.Folder != ""},
 		{"certificate", d.Certificate != ""}, {"key", d.Key != ""}, {"authority", d.Authority != ""}, {"plain", d.Plain},
 	} {
 		if extra.given {
@@ -106,6 +110,8 @@
 		switch {
 		case scope == "" || len(scope) > mostScope:
 			return l.problem("distribution.scopes", "%q; give a name of 1 to %d bytes", scope, mostScope)
+		case scope == AllScopes && len(d.Scopes) > 1:
+			return l.problem("distribution.scopes", "%q stands for all of them; give it alone", scope)
 		case slices.Contains(d.Scopes[:i], scope):
 			return l.problem("distribution.scopes", "%q stands there twice; name each once", scope)
 		}
--- a/options/distribution_test.go
+++ b/options/distribution_test.go
@@ -33,6 +33,9 @@
 	if f, err := Parse("w.yaml", []byte(voting)); err != nil || f.Distribution.Role != Voter || f.Distribution.FanOut != 16 {
 		t.Errorf("got %+v, %v", f, err)
 	}
+	if _, err := Parse("w.yaml", []byte(strings.Replace(subscribing, "[pricing, orders]", `["*"]`, 1))); err != nil {
+		t.Error(err)
+	}
 	for _, bad := range []struct{ text, old, new, want string }{
 		{subscribing, "role: subscriber", "role: leader", `w.yaml:2: distribution.role: "leader"; give voter or subscriber`},
 		{subscribing, "role: subscriber", "role: voter", "w.yaml:2: distribution.role: a voter is a member that shares the record"},
@@ -45,6 +48,7 @@
 		{subscribing, "[pricing, orders]", "[]", "w.yaml:7: distribution.scopes: has 0"},
 		{subscribing, "[pricing, orders]", `[""]`, `w.yaml:7: distribution.scopes: ""; give`},
 		{subscribing, "[pricing, orders]", "[pricing, pricing]", `w.yaml:7: distribution.scopes: "pricing" stands there twice`},
+		{subscribing, "[pricing, orders]", `[pricing, "*"]`, `w.yaml:7: distribution.scopes: "*" stands for all of them`},
 		{subscribing, "listen: 127.0.0.1:9017", "listen: 9017", `w.yaml:8: distribution.listen: "9017" is no address`},
 		{subscribing, "listen: 127.0.0.1:9017", "listen: 0.0.0.0:9017", "w.yaml:8: distribution.listen: 0.0.0.0:9017 is not on loopback"},
 		{subscribing, "  listen: 127.0.0.1:9017\n", "", "w.yaml:8: distribution.fan_out: is for one that passes on"},
@@ -52,6 +56,7 @@
 		{subscribing, "plain: true", "plain: false", "w.yaml:2: distribution: needs certificate, key and authority"},
 		{subscribing, "plain: true", "plain: true\n  key: k.pem", "w.yaml:10: distribution.plain: goes without"},
 		{voting, "fan_out: 16", "scopes: [pricing]", "w.yaml:11: distribution.scopes: is for subscribers"},
+		{voting, "fan_out: 16", "folder: /x", "w.yaml:11: distribution.folder: is for subscribers"},
 		{voting, "fan_out: 16", "plain: true", "w.yaml:11: distribution.plain: is for subscribers"},
 	} {
 		text := strings.Replace(bad.text, bad.old, bad.new, 1)
--- a/replica/changes.go
+++ b/replica/changes.go
@@ -139,8 +139,8 @@
 // pieceOfSnapshot is how many entries are encoded at a time.
 const pieceOfSnapshot = 1024
 
-// writeConfiguration writes a configuration as a sequence: what it is without its entries, then these in pieces.
-func writeConfiguration(to io.Writer, state *distribution.State) error {
+// WriteConfiguration writes a configuration as a sequence: what it is without its entries, then these in pieces.
+func WriteConfiguration(to io.Writer, state *distribution.State) error {
 	encoder := cbor.NewEncoder(to)
 	head := *state
 	head.Entries = nil
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// readConfiguration reads one; nil where there is nothing to read.
-func readConfiguration(body []byte) (*distribution.State, error) {
+// ReadConfiguration reads one that WriteConfiguration wrote; nil where there is nothing to read.
+func ReadConfiguration(body []byte) (*distribution.State, error) {
 	if len(body) == 0 {
 		return nil, nil
 	}
--- a/replica/state_machine.go
+++ b/replica/state_machine.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	configuration, err := readConfiguration(rest)
+	configuration, err := ReadConfiguration(rest)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	if s.configuration == nil {
 		return nil
 	}
-	return writeConfiguration(to, s.configuration)
+	return WriteConfiguration(to, s.configuration)
 }
 
 // Release does nothing: a snapshot holds no more than copies.
