--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -263,7 +263,7 @@
 		"drained", len(m.overrides.drains), "weighted", len(m.overrides.weights), "late_s", figured(late, 3))
 	var relisted []decide.Entry
 	for _, id := range slices.Sorted(maps.Keys(touched)) {
-		if backend, known := m.backends.index[id]; known && m.overrides.knows(backend) {
+		if backend, known := m.backends.index[id]; known {
 			relisted = m.overrides.merged(relisted, id, m.overrides.listed[backend])
 		}
 	}
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -24,8 +24,7 @@
 type overrides struct {
 	drains  map[string]map[distribution.Key]bool    // by backend, the entries that drain it
 	weights map[string]map[distribution.Key]written // by backend
-	listed  []decide.Entry                          // by index, as discovery has it
-	there   []bool                                  // which of these are known
+	listed  []decide.Entry                          // by index, as discovery has it; an index that is given anew is listed anew
 }
 
 // written is a weight and the revision that set it.
@@ -106,9 +105,9 @@
 // note keeps what discovery says of a backend.
 func (o *overrides) note(e decide.Entry) {
 	for len(o.listed) <= e.Backend {
-		o.listed, o.there = append(o.listed, decide.Entry{}), append(o.there, false)
+		o.listed = append(o.listed, decide.Entry{})
 	}
-	o.listed[e.Backend], o.there[e.Backend] = e, true
+	o.listed[e.Backend] = e
 }
 
 // dropped notes those that a whole list lacks.
@@ -120,16 +119,6 @@
 	}
 }
 
-// knows tells whether discovery has told of the backend that has an index.
-func (o *overrides) knows(backend int) bool { return backend < len(o.there) && o.there[backend] }
-
-// forget ends what is kept of an index, which another backend may get.
-func (o *overrides) forget(backend int) {
-	if backend < len(o.there) {
-		o.listed[backend], o.there[backend] = decide.Entry{}, false
-	}
-}
-
 // merged adds the entry of a backend as the decisions are to have it. One that is drained and that discovery has dropped
 // is drained first: dropped alone, it might go on being used.
 func (o *overrides) merged(to []decide.Entry, id string, e decide.Entry) []decide.Entry {
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -131,9 +131,15 @@
 		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
 		later(m, m.limits.gone+2*second, func() {})
-		if m.overrides.knows(0) && m.backends.ids[0] == "s-0" {
+		if m.backends.ids[0] == "s-0" {
 			t.Error("it is never forgotten")
 		}
+		m.turn(func() { m.listed(false, 4, parsed(t, "["+backendIs(8, "up")+"]").GetArray()) })
+		later(m, 5*second, func() {})
+		next := newHearer("read it", "write")
+		if got := next.heardPicks(t, joins(t, m, 2, 1, false)); m.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
+			t.Errorf("the next that has its index is %s; picks %v", m.backends.ids[0], got)
+		}
 	})
 	t.Run("a whole configuration ends what it lacks", func(t *testing.T) {
 		m, h, p := begins(t)
--- /dev/null
+++ b/subscribe/members_test.go
@@ -0,0 +1,247 @@
+package subscribe
+
+import (
+	"context"
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/x509"
+	"crypto/x509/pkix"
+	"encoding/pem"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/big"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"wheelrill/distribution"
+	"wheelrill/replica"
+	"wheelrill/share"
+)
+
+// authority signs certificates for names.
+type authority struct {
+	folder string
+	key    *ecdsa.PrivateKey
+	cert   *x509.Certificate
+}
+
+func newAuthority(t *testing.T) *authority {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &authority{t.TempDir(), key, &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
+		IsCA: true, NotAfter: time.Now().Add(time.Hour), BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}}
+	a.writes(t, "authority.pem", "CERTIFICATE", a.signs(t, a.cert, key))
+	return a
+}
+
+func (a *authority) signs(t *testing.T, c *x509.Certificate, key *ecdsa.PrivateKey) []byte {
+	t.Helper()
+	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return der
+}
+
+func (a *authority) writes(t *testing.T, name, kind string, der []byte) string {
+	t.Helper()
+	path := filepath.Join(a.folder, name)
+	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func (a *authority) gives(t *testing.T, name string) replica.Credentials {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	der, err := x509.MarshalECPrivateKey(key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &x509.Certificate{SerialNumber: big.NewInt(2), DNSNames: []string{name}, NotAfter: time.Now().Add(time.Hour),
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+	return replica.Credentials{Certificate: a.writes(t, name+".pem", "CERTIFICATE", a.signs(t, c, key)),
+		Key: a.writes(t, name+"-key.pem", "EC PRIVATE KEY", der), Authority: filepath.Join(a.folder, "authority.pem")}
+}
+
+// unheard takes what becomes of the record and does nothing with it.
+type unheard struct{}
+
+func (unheard) Recorded(share.Entry)    {}
+func (unheard) Restored(*share.Record)  {}
+func (unheard) Answered(uint64, uint64) {}
+func (unheard) Failed(uint64, uint64)   {}
+
+// member is a voter: a node of the record, and the carrier that hands its configuration on.
+type member struct {
+	*peer
+	node *replica.Node
+}
+
+// startsMember runs a voter of a record.
+func startsMember(t *testing.T, name string, members map[string]string, credentials replica.Credentials) *member {
+	t.Helper()
+	p := &peer{name: name, values: map[distribution.Key]string{}}
+	self := replica.Peer{Name: name, Address: members[name]}
+	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
+		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
+		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
+	terms := share.Terms{Lease: 1_500_000, Renew: 200_000, Span: 10_000_000, Messages: 30, Members: len(members)}
+	node, err := replica.New(replica.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Carrier},
+		unheard{}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { p.Run(ctx) })
+	running.Go(func() { node.Run(ctx) })
+	p.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
+	t.Cleanup(p.stop)
+	return &member{p, node}
+}
+
+// startsSubscriber runs a subscriber that others can dial by the calls of the members.
+func startsSubscriber(t *testing.T, name string, credentials replica.Credentials, parents ...string) (*peer, string) {
+	t.Helper()
+	s, err := replica.NewSubscriber(credentials)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &peer{name: name, values: map[distribution.Key]string{}}
+	serve := func(conn net.Conn, allowed func(string) bool) { p.Accept(conn, allowed) }
+	listener, err := s.Listen("127.0.0.1:0", serve, func(net.Addr, error) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	self := replica.Peer{Name: name, Address: listener.Address()}
+	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
+		Limits: quick(4)}, Dial: s.Dial, Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { p.Run(ctx) })
+	running.Go(func() { listener.Run(ctx) })
+	p.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
+	t.Cleanup(p.stop)
+	return p, self.String()
+}
+
+// configures has the record hold just some values of the scope pricing.
+func configures(t *testing.T, m *member, values ...string) distribution.Mark {
+	t.Helper()
+	var wanted []distribution.Entry
+	for i, value := range values {
+		wanted = append(wanted, distribution.Entry{Scope: "pricing", Name: fmt.Sprint(i), Value: []byte(value)})
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	mark, _, err := m.node.Configure(ctx, wanted)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return mark
+}
+
+// freeAddresses are some on loopback that nobody listens at, by name.
+func freeAddresses(t *testing.T, names ...string) map[string]string {
+	t.Helper()
+	free := map[string]string{}
+	for _, name := range names {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+		free[name] = l.Addr().String()
+	}
+	return free
+}
+
+// TestMembers plays voters on a real record over TLS, and subscribers that are no members.
+func TestMembers(t *testing.T) {
+	ours, foreign := newAuthority(t), newAuthority(t)
+	members := freeAddresses(t, "a", "b", "c")
+	var parents []string
+	for name, address := range members {
+		parents = append(parents, replica.Peer{Name: name, Address: address}.String())
+	}
+	var voters []*member
+	for name := range members {
+		voters = append(voters, startsMember(t, name, members, ours.gives(t, name)))
+	}
+	last := configures(t, voters[0], "1")
+	var all []*peer
+	relay, relayName := startsSubscriber(t, "s0", ours.gives(t, "s0"), parents...)
+	all = append(all, relay)
+	for i := 1; i < 4; i++ {
+		name := fmt.Sprint("s", i)
+		s, _ := startsSubscriber(t, name, ours.gives(t, name), relayName)
+		all = append(all, s)
+	}
+	everywhere := func(mark distribution.Mark) {
+		t.Helper()
+		digests := map[distribution.Digest]bool{}
+		for _, p := range all {
+			until(t, fmt.Sprint(p.name, " has ", mark), func() bool { return p.status(t).Mark == mark })
+			digests[p.status(t).Digest] = true
+		}
+		if len(digests) != 1 {
+			t.Errorf("they differ: %v", digests)
+		}
+	}
+	everywhere(last)
+	t.Run("a certificate with another name, or of another authority, gets no place", func(t *testing.T) {
+		liar, _ := startsSubscriber(t, "s1", ours.gives(t, "s9"), parents...)
+		stranger, _ := startsSubscriber(t, "s8", foreign.gives(t, "s8"), parents...)
+		for _, p := range []*peer{liar, stranger} {
+			until(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
+			if status := p.status(t); status.Parent != "" || status.Mark.Revision > 0 {
+				t.Errorf("%s: %+v", p.name, status)
+			}
+			p.stop()
+		}
+	})
+	t.Run("the leader is stopped: the next change reaches all, by deltas", func(t *testing.T) {
+		for i, v := range voters {
+			if v.node.Leads() {
+				v.stop()
+				voters = append(voters[:i], voters[i+1:]...)
+				break
+			}
+		}
+		mark := configures(t, voters[0], "1", "2")
+		everywhere(mark)
+		if mark.Epoch != last.Epoch || mark.Revision != last.Revision+1 {
+			t.Errorf("from %v to %v", last, mark)
+		}
+		last = mark
+		for _, p := range all {
+			if p.snapshots() != 1 {
+				t.Errorf("%s took %d snapshots", p.name, p.snapshots())
+			}
+		}
+	})
+	t.Run("the majority is lost: all keep what they have, and say how old it is", func(t *testing.T) {
+		voters[0].stop()
+		for _, p := range all {
+			until(t, p.name+" says so", func() bool { return p.told(distribution.EventStale) })
+		}
+		everywhere(last)
+		if relay.has() != "pricing/0=1 pricing/1=2" {
+			t.Errorf("it has %s", relay.has())
+		}
+	})
+}
