--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -35,6 +35,10 @@
 	mutex   sync.Mutex
 	version int
 	entries []entry
+	at      map[string]int // index of an entry by its id
+	whole   []byte         // the whole list as it is sent, until something changes
+	sent    int64          // bytes of answers
+	answers int
 	news    chan struct{}
 	silent  bool
 	ended   chan struct{}
@@ -47,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{address: listener.Addr().String(), account: account, clock: clock, news: make(chan struct{}),
+	d := &Discovery{address: listener.Addr().String(), account: account, clock: clock, at: map[string]int{}, news: make(chan struct{}),
 		ended: make(chan struct{})}
 	d.server = &http.Server{Handler: d}
 	d.running.Go(func() { d.server.Serve(listener) })
@@ -83,40 +87,62 @@
 	defer d.mutex.Unlock()
 	d.version++
 	for _, w := range workers {
-		e, at := w.entry(state), -1
+		e := w.entry(state)
 		e.version = d.version
-		for i := range d.entries {
-			if d.entries[i].ID == e.ID {
-				at = i
-			}
-		}
-		if at < 0 {
-			d.entries = append(d.entries, e)
-		} else {
+		if at, known := d.at[e.ID]; known {
 			d.entries[at] = e
+		} else {
+			d.at[e.ID], d.entries = len(d.entries), append(d.entries, e)
 		}
 		d.account.Listed(w.ID, state == "up", w.Warm(), d.clock())
 	}
+	d.whole = nil
 	d.told()
 }
 
+// Sent is how many answers it has given, and how many bytes their bodies had.
+func (d *Discovery) Sent() (answers int, bytes int64) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.answers, d.sent
+}
+
 type answer struct {
 	Version int     `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []entry `json:"servers"`
 }
 
-// since gives what has changed after a version, and what to wait on for more.
-func (d *Discovery) since(version int, full bool) (a answer, more chan struct{}, silent bool) {
+// since gives what has changed after a version as it is sent, the version, and what to wait on for more.
+func (d *Discovery) since(version int, full bool) (body []byte, at int, more chan struct{}, silent bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	a = answer{Version: d.version, Full: full, Servers: []entry{}}
+	if full && d.whole != nil {
+		return d.whole, d.version, d.news, d.silent
+	}
+	a := answer{Version: d.version, Full: full, Servers: []entry{}}
 	for _, e := range d.entries {
 		if full && e.State != "removed" || !full && e.version > version {
 			a.Servers = append(a.Servers, e)
 		}
 	}
-	return a, d.news, d.silent
+	body, err := json.Marshal(a)
+	if err != nil {
+		panic(err) // our own words
+	}
+	if full {
+		d.whole = body
+	}
+	return body, d.version, d.news, d.silent
+}
+
+func (d *Discovery) sends(to http.ResponseWriter, body []byte) {
+	d.mutex.Lock()
+	d.answers++
+	d.sent += int64(len(body))
+	d.mutex.Unlock()
+	to.Header().Set("Content-Type", "application/json")
+	to.Write(body)
 }
 
 // ServeHTTP answers the whole list, or a watch.
@@ -127,17 +153,16 @@
 	late := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer late.Stop()
 	for {
-		a, more, silent := d.since(version, full)
-		if !silent && (full || a.Version > version) {
-			to.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(to).Encode(a)
+		body, at, more, silent := d.since(version, full)
+		if !silent && (full || at > version) {
+			d.sends(to, body)
 			return
 		}
 		select {
 		case <-more:
 		case <-late.C:
 			if !silent {
-				json.NewEncoder(to).Encode(a)
+				d.sends(to, body)
 				return
 			}
 			late.Reset(time.Hour)
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -407,28 +407,40 @@
 	return true
 }
 
-// try sends a request to a worker by weight, not to one that it was sent to before. The relay is locked.
-func (r *Relay) try(class int, key string, began time.Time, tried int, before string, drawn uint64) {
-	c := r.in.classes[class]
+// Draw chooses a backend of a table by weight, neither one that is shut out nor the one that was tried before. Drawn is
+// a random number; found is false where no backend is left.
+func Draw(table map[string]float64, shut map[string]bool, before string, drawn uint64) (chosen string, found bool) {
 	var ids []string
 	total := 0.
-	for id, weight := range r.tables[class] {
-		if !r.shut[id] && id != before {
+	for id, weight := range table {
+		if !shut[id] && id != before {
 			ids, total = append(ids, id), total+weight
 		}
 	}
 	if len(ids) == 0 {
-		r.counts.Lost++
-		return
+		return "", false
 	}
 	slices.Sort(ids)
-	at, chosen := float64(drawn>>11)/(1<<53)*total, ids[len(ids)-1]
+	at := float64(drawn>>11) / (1 << 53) * total
 	for _, id := range ids {
-		if at -= r.tables[class][id]; at < 0 {
-			chosen = id
-			break
+		if at -= table[id]; at < 0 {
+			return id, true
 		}
 	}
+	return ids[len(ids)-1], true
+}
+
+// Redraw gives the random number of the next try of a request from that of the last.
+func Redraw(drawn uint64) uint64 { return drawn*6364136223846793005 + 1442695040888963407 }
+
+// try sends a request to a worker by weight, not to one that it was sent to before. The relay is locked.
+func (r *Relay) try(class int, key string, began time.Time, tried int, before string, drawn uint64) {
+	c := r.in.classes[class]
+	chosen, found := Draw(r.tables[class], r.shut, before, drawn)
+	if !found {
+		r.counts.Lost++
+		return
+	}
 	w, patience := r.in.worker(chosen), time.Until(began.Add(c.Deadline))
 	if w == nil || patience <= 0 {
 		r.counts.Lost++
@@ -457,7 +469,7 @@
 			case result == Answered:
 				r.counts.Late++
 			case tried == 0 && (result == Refused && again >= 1 || again >= 2 && !c.Writes):
-				r.try(class, key, began, tried+1, chosen, drawn*6364136223846793005+1442695040888963407)
+				r.try(class, key, began, tried+1, chosen, Redraw(drawn))
 			default:
 				r.counts.Lost++
 			}
