--- /dev/null
+++ b/scale/counting_host.go
@@ -0,0 +1,118 @@
+package scale
+
+import (
+	"slices"
+
+	"wheelrill/decide"
+)
+
+// countingHost is the Host of a controller's decisions that are measured: it counts orders, keeps only the last timer,
+// and answers marks at once. Time is what the measurement sets it to.
+type countingHost struct {
+	control *decide.Controller
+	now     int64
+	tag     uint64 // of the last timer
+	orders  orderCounts
+
+	tables  [][]int // tables that a proxy is bound to
+	mark    int
+	marked  bool
+	toEach  bool         // the mark reaches every joined proxy
+	changed map[int]bool // tables that were changed at this clock time
+	reached map[int]bool // proxies that were told something beside their tables
+}
+
+// orderCounts is how often each order was given.
+type orderCounts struct {
+	lines, binds, withdrawals, reminders, clears, levels, marks int
+}
+
+func (o orderCounts) sum() int {
+	return o.lines + o.binds + o.withdrawals + o.reminders + o.clears + o.levels + o.marks
+}
+
+func newCountingHost(proxies int) *countingHost {
+	const start = 100 * second
+	return &countingHost{now: start, tables: make([][]int, proxies), changed: map[int]bool{}, reached: map[int]bool{}}
+}
+
+// Now is the time that the measurement has set.
+func (h *countingHost) Now() int64 { return h.now }
+
+// After keeps the tag of the one timer that the decisions have.
+func (h *countingHost) After(_ int64, tag uint64) { h.tag = tag }
+
+// Log drops the line.
+func (h *countingHost) Log(int, string) {}
+
+// Watch and Probe are nothing here: lists are handed in, and probes are off.
+func (h *countingHost) Watch()    {}
+func (h *countingHost) Probe(int) {}
+
+// SetLine counts a line of a table.
+func (h *countingHost) SetLine(table, _ int, _ float64) {
+	h.orders.lines++
+	h.changed[table] = true
+}
+
+// Bind counts a table that a proxy is given.
+func (h *countingHost) Bind(table, proxy int, _ uint16) {
+	h.orders.binds++
+	h.reached[proxy] = true
+	if !slices.Contains(h.tables[proxy], table) {
+		h.tables[proxy] = append(h.tables[proxy], table)
+	}
+}
+
+// Withdraw counts a backend that is withdrawn, or let back.
+func (h *countingHost) Withdraw(int, bool) { h.orders.withdrawals++ }
+
+// Remind counts a reminder.
+func (h *countingHost) Remind(proxy int, _ float64, _ decide.Tries) bool {
+	h.orders.reminders++
+	h.reached[proxy] = true
+	return true
+}
+
+// Clear counts a proxy that is cleared.
+func (h *countingHost) Clear(proxy int) {
+	h.orders.clears++
+	h.reached[proxy] = true
+}
+
+// Admit counts a level.
+func (h *countingHost) Admit(table int, _ uint16, _ float64, _ decide.Tries) {
+	h.orders.levels++
+	h.changed[table] = true
+	h.toEach = h.toEach || table == decide.AllTables
+}
+
+// Mark notes that the proxies reached at this clock time are to answer.
+func (h *countingHost) Mark(number int, everyone bool) {
+	h.orders.marks++
+	h.mark, h.marked, h.toEach = number, true, h.toEach || everyone
+}
+
+// answers has each proxy that was reached answer the mark, until no further one is given.
+func (h *countingHost) answers() {
+	for h.marked {
+		mark, toEach, changed, reached := h.mark, h.toEach, h.changed, h.reached
+		h.marked, h.toEach, h.changed, h.reached = false, false, map[int]bool{}, map[int]bool{}
+		concerned := func(table int) bool { return changed[table] }
+		for proxy, tables := range h.tables {
+			if toEach || reached[proxy] || slices.ContainsFunc(tables, concerned) {
+				h.control.Applied(proxy, mark)
+			}
+		}
+		h.now++ // orders given while marks come back leave at a later clock time
+	}
+}
+
+// passes lets time pass to the next look at waiting work, so often.
+func (h *countingHost) passes(beats int) {
+	for range beats {
+		h.now += beat
+		h.control.Elapsed(h.tag)
+		h.answers()
+	}
+}
--- /dev/null
+++ b/scale/decisions.go
@@ -0,0 +1,244 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"time"
+
+	"wheelrill/decide"
+)
+
+const (
+	second = int64(1_000_000) // microseconds, as decisions count time
+	beat   = second / 4       // between two looks at waiting work
+)
+
+// decisions measures what the decisions of one controller cost by the backends that it is told of, or by the proxies that
+// are joined to it, without sockets. The channel bears whatever is ordered, so that all of the work is done at once.
+type decisions struct {
+	byProxies bool
+}
+
+// Of one that is measured, where the other figure grows.
+const (
+	usualBackends = 1000
+	usualProxies  = 100
+)
+
+// How much one size plays.
+const (
+	decisionRepeats = 3
+	decisionChanges = 8
+	decisionBeats   = 8
+	decisionTime    = 30 * time.Second // after which no further repeat begins
+)
+
+// Describe tells what is measured.
+func (m decisions) Describe() Description {
+	d := Description{Name: "decisions-backends", Size: "backends", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
+		Targets: []int{99_000}, Transport: "calls",
+		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", usualProxies),
+		Metrics: []Metric{
+			{Name: "start", Unit: "ms", About: "the whole list to a controller that knows nothing", Fit: true},
+			{Name: "again", Unit: "ms", About: "the same whole list once more", Fit: true},
+			{Name: "join", Unit: "ms", About: "all proxies join and are bound", Fit: true},
+			{Name: "change", Unit: "ms", About: "one entry of the list changes", Fit: true},
+			{Name: "line", Unit: "µs", About: "one line of a report", Fit: true},
+			{Name: "beat", Unit: "ms", About: "a look at waiting work, four times a second", Fit: true},
+			{Name: "look", Unit: "ms", About: "the same once reports have come", Fit: true},
+			{Name: "core", Unit: "of a core", About: "beats, looks and 75 report lines a second", Fit: true, Most: coreBudget},
+			{Name: "heap", Unit: "MB", About: "heap kept", Fit: true, Most: memoryBudget},
+			{Name: "orders", Unit: "", About: "orders given in all"},
+			{Name: "repeats", Unit: "", About: "repeats, of which the median is taken"},
+		}}
+	if m.byProxies {
+		d.Name, d.Size, d.Sizes, d.Targets = "decisions-proxies", "proxies", []int{100, 400, 1200, 2400}, []int{2400}
+		d.About = fmt.Sprintf("Processor time and heap of a controller's decisions by proxies, %d backends, without sockets", usualBackends)
+	}
+	return d
+}
+
+// Needs tells what one size takes at most.
+func (m decisions) Needs(int, Options) Needs {
+	const bytes = 1 << 30
+	return Needs{Memory: bytes, Time: 2 * decisionTime}
+}
+
+// Run plays the repeats, each with a controller of its own, and takes the median.
+func (m decisions) Run(ctx context.Context, size int, _ Options) (sample Sample, err error) {
+	life := decisionLife{backends: size, proxies: usualProxies, changes: decisionChanges, beats: decisionBeats}
+	if m.byProxies {
+		life.backends, life.proxies = usualBackends, size
+	}
+	var lives []decisionCost
+	for began := time.Now(); len(lives) < decisionRepeats && (len(lives) == 0 || time.Since(began) < decisionTime); {
+		if err := ctx.Err(); err != nil {
+			return sample, err
+		}
+		lives = append(lives, life.play())
+	}
+	if len(lives) < decisionRepeats {
+		sample.Partial = fmt.Sprintf("%d of %d repeats within %s", len(lives), decisionRepeats, decisionTime)
+	}
+	for _, other := range lives {
+		if other.orders != lives[0].orders {
+			sample.Broken = append(sample.Broken, fmt.Sprintf("orders differ between repeats: %+v and %+v", lives[0].orders, other.orders))
+		}
+	}
+	middle := func(figure func(decisionCost) float64) float64 { return medianOf(lives, figure) }
+	line := middle(func(c decisionCost) float64 { return micros(c.line) })
+	beats := middle(func(c decisionCost) float64 { return millis(c.beat) })
+	look := middle(func(c decisionCost) float64 { return millis(c.look) })
+	sample.Set("start", middle(func(c decisionCost) float64 { return millis(c.start) }))
+	sample.Set("again", middle(func(c decisionCost) float64 { return millis(c.again) }))
+	sample.Set("join", middle(func(c decisionCost) float64 { return millis(c.join) }))
+	sample.Set("change", middle(func(c decisionCost) float64 { return millis(c.change) }))
+	sample.Set("line", line)
+	sample.Set("beat", beats)
+	sample.Set("look", look)
+	sample.Set("core", ((beatsASecond-looksASecond)*beats+looksASecond*look)/1e3+reportLines*line/1e6)
+	sample.Set("heap", middle(func(c decisionCost) float64 { return megabytes(c.heap) }))
+	sample.Set("orders", float64(lives[0].orders.sum()))
+	sample.Set("repeats", float64(len(lives)))
+	return sample, nil
+}
+
+const (
+	reportEvery  = 2 * second // of the proxies and collectors of the deployments
+	reportLines  = 75.        // a second that a controller is given at most there
+	beatsASecond = float64(second) / float64(beat)
+	looksASecond = float64(second) / float64(reportEvery)
+)
+
+// Budgets of a controller for control.
+const (
+	coreBudget   = 0.04
+	memoryBudget = 256 // MB
+)
+
+// decisionLife is one life of a controller that is played.
+type decisionLife struct {
+	backends, proxies int
+	changes           int // of one entry each
+	beats             int // quiet ones, and as many looks at reports
+}
+
+// decisionCost is the processor time that each step of a life took.
+type decisionCost struct {
+	start, again, join, change, line, beat, look time.Duration
+	heap                                         int64 // bytes kept
+	orders                                       orderCounts
+}
+
+// play has a controller live from its first list on.
+func (l decisionLife) play() (cost decisionCost) {
+	entries := l.entries()
+	before := heapKept()
+	host := newCountingHost(l.proxies)
+	cost.start = spent(func() {
+		host.control = decide.New(host, 1, measuredClasses(), openChannel(l.proxies), measuredLimits(), decide.Partition{},
+			decide.Sight{ReportEvery: reportEvery}, decide.AdmitRate)
+		host.control.Listed(true, entries)
+		host.answers()
+	})
+	cost.join = spent(func() {
+		for proxy := range l.proxies {
+			host.control.Joined(proxy, proxy%measuredZones, 1, false)
+		}
+		host.answers()
+	})
+	host.passes(settling)
+	l.looks(host, &cost)
+	cost.change = l.changing(host)
+	cost.again = spent(func() {
+		host.control.Listed(true, entries)
+		host.answers()
+	})
+	cost.heap = heapKept() - before
+	cost.orders = host.orders
+	runtime.KeepAlive(host)
+	runtime.KeepAlive(entries)
+	return cost
+}
+
+// looks plays quiet beats, and then looks at reports about every backend and proxy.
+func (l decisionLife) looks(host *countingHost, cost *decisionCost) {
+	cost.beat = spent(func() { host.passes(l.beats) }) / time.Duration(l.beats)
+	reports, looks, lines := time.Duration(0), time.Duration(0), 0
+	for range l.beats {
+		host.now += reportEvery - beat
+		reports += spent(func() { lines += l.reports(host) })
+		looks += spent(func() { host.passes(1) })
+	}
+	cost.line, cost.look = reports/time.Duration(lines), looks/time.Duration(l.beats)
+}
+
+// reports tells of good answers of all backends, and of the usual demand at all proxies.
+func (l decisionLife) reports(host *countingHost) (lines int) {
+	const tries, mean, requests = 10, 200_000, 2
+	for backend := range l.backends {
+		host.control.Heard(backend, tries, 0, mean, reportEvery, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+	}
+	classes := len(measuredClasses())
+	for proxy := range l.proxies {
+		for class := range classes {
+			host.control.Came(proxy, class, requests, reportEvery)
+		}
+	}
+	return l.backends + l.proxies*classes
+}
+
+// changing has one backend after the other drain, as the list says, and come back. It gives what a drain takes until
+// all proxies have answered.
+func (l decisionLife) changing(host *countingHost) time.Duration {
+	sum := time.Duration(0)
+	for i := range l.changes {
+		entry := l.entry(i * l.backends / l.changes)
+		entry.Condition = decide.Draining
+		sum += spent(func() {
+			host.control.Listed(false, []decide.Entry{entry})
+			host.answers()
+		})
+		host.passes(1)
+		entry.Condition = decide.Ready
+		host.control.Listed(false, []decide.Entry{entry})
+		host.passes(settling)
+	}
+	return sum / time.Duration(l.changes)
+}
+
+// settling is how many beats are played until what was begun is done: new backends begin with a part of their weight
+// for 5 s.
+const settling = 32
+
+func (l decisionLife) entry(backend int) decide.Entry {
+	return decide.Entry{Backend: backend, Condition: decide.Ready, Weight: 2, Zone: backend % measuredZones}
+}
+
+func (l decisionLife) entries() (all []decide.Entry) {
+	for backend := range l.backends {
+		all = append(all, l.entry(backend))
+	}
+	return all
+}
+
+// Of the installation that is measured: as the shipped sample configuration has it.
+const measuredZones = 2
+
+func measuredClasses() []decide.Class {
+	return []decide.Class{
+		{Target: 1500_000, Deadline: 4 * second, Value: 1},
+		{Target: 800_000, Deadline: 2 * second, Value: 3, Writes: true},
+	}
+}
+
+func measuredLimits() decide.Limits {
+	return decide.Limits{Grace: 3 * second, ColdShare: 0.16, WarmBy: 17 * second}
+}
+
+// openChannel bears whatever is sent.
+func openChannel(proxies int) decide.Channel {
+	const linesPerS, backlogS = 9e9, 50
+	return decide.Channel{LinesPerS: linesPerS, Head: 4, Backlog: backlogS * linesPerS, LongestWay: 660_000, Proxies: proxies}
+}
--- /dev/null
+++ b/scale/usage.go
@@ -0,0 +1,79 @@
+package scale
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"runtime"
+	"strconv"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// processorTime is what this process has spent so far, in user and system mode.
+func processorTime() time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		panic(err) // only a wrong argument makes it fail
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// spent is the processor time that doing something takes.
+func spent(do func()) time.Duration {
+	began := processorTime()
+	do()
+	return processorTime() - began
+}
+
+// heapKept is the heap in use once garbage has been collected.
+func heapKept() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.GC() // the first one may leave what finalizers hold
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
+
+// processUsage is what a process has spent and holds, as /proc tells it.
+type processUsage struct {
+	processor      time.Duration
+	resident, most int64 // bytes of memory now, and the most it ever held
+}
+
+// usageOf reads what a process has spent and holds.
+func usageOf(pid int) (u processUsage, err error) {
+	var clock unix.Timespec
+	if err := unix.ClockGettime(processorClock(pid), &clock); err != nil {
+		return u, fmt.Errorf("processor time of process %d: %w", pid, err)
+	}
+	u.processor = time.Duration(clock.Nano())
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return u, err
+	}
+	u.resident, u.most = kilobytes(status, "VmRSS:"), kilobytes(status, "VmHWM:")
+	return u, nil
+}
+
+// processorClock is the clock of the processor time of another process, as clock_getcpuclockid(3) gives it.
+func processorClock(pid int) int32 {
+	const scheduled = 2 // user and system mode, to the nanosecond
+	return int32(^pid)<<3 | scheduled
+}
+
+// kilobytes finds a line of /proc/PID/status, and gives its figure in bytes; 0 if it is not there.
+func kilobytes(status []byte, key string) int64 {
+	_, rest, _ := bytes.Cut(status, []byte("\n"+key))
+	fields := bytes.Fields(rest)
+	if len(fields) == 0 {
+		return 0
+	}
+	n, err := strconv.ParseInt(string(fields[0]), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return n << 10
+}
