--- a/replica/node.go
+++ b/replica/node.go
@@ -29,9 +29,9 @@
 // Events are told what becomes of the record, the entries in their order. They may wait, but not for the Node.
 type Events interface {
 	Recorded(share.Entry)
-	Restored(*share.Book)
-	Answered(life, seq uint64)
-	Failed(life, seq uint64)
+	Restored(*share.Record)
+	Answered(incarnation, seq uint64)
+	Failed(incarnation, seq uint64)
 }
 
 // Place says where a member stands.
@@ -65,7 +65,7 @@
 
 	mail chan share.Entry // one entry is under way at a time
 
-	mutex   sync.Mutex // over what a life of raft brings
+	mutex   sync.Mutex // over what a raft instance brings
 	raft    *raft.Raft
 	id      string
 	machine *machine
@@ -74,9 +74,9 @@
 	out   atomic.Bool                             // votes cannot be kept any more
 	spoil func(raft.StableStore) raft.StableStore // for stories of disks; nil for none
 
-	lead    sync.Mutex // over what we see as leader; it holds over several leaderships, as it rests on our clock alone
-	witness *share.Witness
-	stamp   uint64 // tells our clock from others
+	lead   sync.Mutex // over what we see as leader; it holds over several leaderships, as it rests on our clock alone
+	leases *share.LeaseTracker
+	stamp  uint64 // tells our clock from others
 }
 
 // New checks a place, listens at our address, and starts nothing else. An error says what would do.
@@ -111,8 +111,8 @@
 	}
 	began := time.Now()
 	n := &Node{place: place, events: events, log: log, spoil: spoil, mail: make(chan share.Entry, 1), stamp: draw(),
-		witness: share.NewWitness(place.Terms),
-		clock:   func() int64 { return time.Since(began).Microseconds() }}
+		leases: share.NewLeaseTracker(place.Terms),
+		clock:  func() int64 { return time.Since(began).Microseconds() }}
 	n.link = &link{name: place.Name, members: place.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
 		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{},
 		refused: func(from net.Addr, why error) {
@@ -134,6 +134,18 @@
 	return n.id
 }
 
+// Cost is what the record has cost so far: entries that were taken in, and bytes that went out and came in.
+func (n *Node) Cost() (entries uint64, bytes int64) {
+	r, _ := n.now()
+	return r.AppliedIndex(), n.link.bytes.Load()
+}
+
+// Leads tells whether this member leads the record now.
+func (n *Node) Leads() bool {
+	r, _ := n.now()
+	return r.State() == raft.Leader
+}
+
 // Propose takes the entry that is to be put on the record next. It never waits.
 func (n *Node) Propose(e share.Entry) {
 	for {
@@ -142,17 +154,17 @@
 			return
 		default:
 		}
-		select { // one of a life that is over
+		select { // one of an incarnation that is over
 		case <-n.mail:
 		default:
 		}
 	}
 }
 
-// open begins a life of raft: from the folder, or as new.
+// open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.place.Name + "/" + rand.Text()[:8]
-	m := &machine{events: n.events, book: share.NewBook(), failed: func(err error) {
+	m := &machine{events: n.events, record: share.NewRecord(), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -315,8 +327,8 @@
 	}
 	n.lead.Lock()
 	now := n.clock()
-	n.witness.Came(e.Life, e.Seq, over, now)
-	m.with(func(book *share.Book) { e.Recorded = n.witness.Recorded(book, now) })
+	n.leases.Observe(e.Incarnation, e.Seq, over, now)
+	m.with(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
 	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
 	n.lead.Unlock()
 	body, err := cbor.Marshal(e)
@@ -416,23 +428,23 @@
 				n.log.Error("record_lost", "error", err.Error())
 				return
 			}
-			n.events.Restored(share.NewBook())
+			n.events.Restored(share.NewRecord())
 			r, _ = n.now()
 			lost, index = 0, 0
 		}
 	}
 }
 
-// lookFor has the witness know of members that are not there: of whom nothing came lately, and at whose address nobody
+// lookFor has the lease tracker know of members that are not there: of whom nothing came lately, and at whose address nobody
 // listens. Only a refusal shows that; what hangs may be cut off, or stand still.
 func (n *Node) lookFor(ctx context.Context) {
 	_, m := n.now()
 	var silent []string
 	n.lead.Lock()
 	now := n.clock()
-	m.with(func(book *share.Book) {
-		for name, life := range book.Members {
-			if name != n.place.Name && n.witness.Silent(life, now, 2*n.place.Terms.Renew) {
+	m.with(func(record *share.Record) {
+		for name, incarnation := range record.Members {
+			if name != n.place.Name && n.leases.Silent(incarnation, now, 2*n.place.Terms.Renew) {
 				silent = append(silent, name)
 			}
 		}
@@ -445,7 +457,7 @@
 			conn.Close()
 		} else if errors.Is(err, syscall.ECONNREFUSED) {
 			n.lead.Lock()
-			n.witness.Gone(name, at)
+			n.leases.MarkGone(name, at)
 			n.lead.Unlock()
 		}
 	}
@@ -538,7 +550,7 @@
 			}
 		}
 		if a.Stands {
-			n.events.Answered(e.Life, e.Seq)
+			n.events.Answered(e.Incarnation, e.Seq)
 			continue
 		}
 		select {
@@ -546,6 +558,6 @@
 			return
 		case <-time.After(lookAgain / 4):
 		}
-		n.events.Failed(e.Life, e.Seq)
+		n.events.Failed(e.Incarnation, e.Seq)
 	}
 }
--- a/share/check_test.go
+++ b/share/check_test.go
@@ -12,7 +12,7 @@
 )
 
 // The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
-// cuts and lost answers. Real desks, book and witness; the log, the network and the proxy are the model's.
+// cuts and lost answers. Real coordinators, record and lease tracker; the log, the network and the proxy are the model's.
 
 var modelTerms = Terms{Lease: 3, Renew: 1, Span: 5, Messages: 16, Members: 2}
 
@@ -20,8 +20,8 @@
 type world struct {
 	now     int64
 	log     []Entry
-	witness *Witness
-	book    *Book // the leader's
+	leases  *LeaseTracker
+	record  *Record // the leader's
 	members []*player
 	stream  int // whose stream the proxy has
 	serial  int
@@ -34,22 +34,22 @@
 
 // player is a member's process, and the model of what carries its orders.
 type player struct {
-	w       *world
-	index   int
-	desk    *Desk
-	up, cut bool // cut: from the record
-	deaf    bool // its entries come through, their answers do not
-	conn    int
-	read    int // of the log
-	out     []Entry
-	joined  int // serial of the proxy's stream that it knows
-	granted int
-	token   uint64
-	line    float64
-	edition uint64   // of the last order
-	wrote   int      // serial of the stream on which it has written
-	wait    []uint64 // orders that wait for their release
-	sent    []int64
+	w           *world
+	index       int
+	coordinator *Coordinator
+	up, cut     bool // cut: from the record
+	deaf        bool // its entries come through, their answers do not
+	conn        int
+	read        int // of the log
+	out         []Entry
+	joined      int // serial of the proxy's stream that it knows
+	granted     int
+	token       uint64
+	line        float64
+	edition     uint64   // of the last order
+	wrote       int      // serial of the stream on which it has written
+	wait        []uint64 // orders that wait for their release
+	sent        []int64
 }
 
 func (p *player) Propose(e Entry) { p.out = append(p.out, e) }
@@ -151,19 +151,19 @@
 			for len(p.out) > 0 && !repeated[p] {
 				e := p.out[0]
 				p.out, moved = p.out[1:], true
-				w.witness.Came(e.Life, e.Seq, p.conn, w.now)
-				e.Recorded, e.Stamp = w.witness.Recorded(w.book, w.now), Stamp{1, w.now}
+				w.leases.Observe(e.Incarnation, e.Seq, p.conn, w.now)
+				e.OnRecord, e.Stamp = w.leases.OnRecord(w.record, w.now), Stamp{1, w.now}
 				w.log = append(w.log, e)
-				w.book.Take(e)
+				w.record.Apply(e)
 				if p.deaf { // and is repeated, over a connection anew
 					p.conn++
 					p.out, repeated[p] = append(p.out, e), true
 					break
 				}
-				p.desk.Answered(e.Life, e.Seq, w.now)
+				p.coordinator.Answered(e.Incarnation, e.Seq, w.now)
 			}
 			for ; p.read < len(w.log); p.read++ {
-				p.desk.Recorded(w.log[p.read], w.now)
+				p.coordinator.Recorded(w.log[p.read], w.now)
 				moved = true
 			}
 		}
@@ -173,20 +173,20 @@
 func (w *world) start(p *player) {
 	p.up, p.cut, p.deaf, p.read, p.out, p.wait, p.sent, p.granted = true, false, false, 0, nil, nil, nil, 0
 	p.conn, p.line, p.edition, p.token, p.joined, p.wrote = p.conn+1, 0, 0, 0, 0, 0
-	p.desk = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
-	p.desk.Laid([]Laid{{0, []Line{{"b", 1}}}}, w.now)
+	p.coordinator = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
+	p.coordinator.Laid([]Laid{{0, []Line{{"b", 1}}}}, w.now)
 }
 
 func (w *world) dial(p *player) {
 	if last := w.members[w.stream]; last.up && last.joined == w.serial {
-		last.desk.Left(0)
+		last.coordinator.Left(0)
 		last.granted = -1
 	}
 	w.serial++
 	w.stream = p.index
 	if p.up {
 		p.joined = w.serial
-		p.desk.Joined(0, w.now)
+		p.coordinator.Joined(0, w.now)
 	}
 }
 
@@ -197,15 +197,15 @@
 		w.now++
 		for _, p := range w.members {
 			if !p.up { // the leader looks
-				w.witness.Gone(fmt.Sprint("n", p.index), w.now)
+				w.leases.MarkGone(fmt.Sprint("n", p.index), w.now)
 			}
 		}
 		for _, p := range w.members {
 			if p.up {
-				p.desk.Elapsed(w.now)
+				p.coordinator.Elapsed(w.now)
 			}
 			if p.up && w.stream == p.index && w.serial == p.joined {
-				p.desk.Spoke(0, w.now)
+				p.coordinator.Spoke(0, w.now)
 			}
 		}
 	case 'd':
@@ -219,14 +219,14 @@
 		}
 		p.line = 1 - p.line
 		p.wait = append(p.wait, 1<<62)
-		p.edition = p.desk.Edition() + 1
+		p.edition = p.coordinator.Edition() + 1
 		p.wait[len(p.wait)-1] = p.edition
-		p.desk.Laid([]Laid{{0, []Line{{"a", p.line}}}}, w.now)
+		p.coordinator.Laid([]Laid{{0, []Line{{"a", p.line}}}}, w.now)
 	case 'c':
 		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
 			return false
 		}
-		p.desk.Confirmed(0, p.desk.Edition(), []int{0}, true)
+		p.coordinator.Confirmed(0, p.coordinator.Edition(), []int{0}, true)
 	case 'x':
 		if !p.up || p.cut {
 			return false
@@ -251,7 +251,7 @@
 		if !p.up || p.cut || p.deaf {
 			return false
 		}
-		p.desk.Close(w.now)
+		p.coordinator.Close(w.now)
 		w.settle()
 		p.up = false
 	case 's':
@@ -278,7 +278,7 @@
 }
 
 func begin() *world {
-	w := &world{now: 100, witness: NewWitness(modelTerms), book: NewBook(), lines: map[string]float64{}}
+	w := &world{now: 100, leases: NewLeaseTracker(modelTerms), record: NewRecord(), lines: map[string]float64{}}
 	for i := range modelTerms.Members {
 		w.members = append(w.members, &player{w: w, index: i})
 		w.start(w.members[i])
@@ -304,7 +304,7 @@
 		fmt.Fprint(h, " ", since(at))
 	}
 	for _, p := range w.members {
-		d := p.desk
+		d := p.coordinator
 		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
 			d.alone, since(d.stood), since(d.last), len(d.next.Claims), len(d.next.Laid), len(d.next.Told), d.under != nil, d.tables)
 		for _, at := range p.sent {
@@ -316,19 +316,19 @@
 		for _, at := range d.strays[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
-		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.witness.gone[d.name]))
-		if a, ok := w.witness.came[d.life]; ok {
-			fmt.Fprint(h, since(a.at), since(a.last), since(a.sure))
+		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.leases.gone[d.name]))
+		if a, ok := w.leases.entries[d.incarnation]; ok {
+			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
 		}
 	}
-	hold := w.book.Proxies[0]
+	hold := w.record.Proxies[0]
 	for _, move := range hold.Moves {
 		fmt.Fprint(h, " ", since(move.At))
 	}
-	fmt.Fprint(h, hold.Owner, hold.Edition, w.book.Members[hold.Owner] == hold.Life)
-	if life := w.book.Lives[hold.Life]; life != nil && life.Tables[0] != nil {
-		for _, id := range slices.Sorted(maps.Keys(life.Tables[0].Lines)) {
-			fmt.Fprint(h, id, life.Tables[0].Lines[id])
+	fmt.Fprint(h, hold.Owner, hold.Edition, w.record.Members[hold.Owner] == hold.Incarnation)
+	if incarnation := w.record.Incarnations[hold.Incarnation]; incarnation != nil && incarnation.Tables[0] != nil {
+		for _, id := range slices.Sorted(maps.Keys(incarnation.Tables[0].Lines)) {
+			fmt.Fprint(h, id, incarnation.Tables[0].Lines[id])
 		}
 	}
 	return h.Sum64()
@@ -428,24 +428,24 @@
 		depth              int
 		plant              func(*world)
 	}{
-		{"a witness that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.witness.lease = 1 << 40 }},
+		{"a lease tracker that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
+			func(w *world) { w.leases.lease = 1 << 40 }},
 		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(w *world) {
-			for _, book := range []*Book{w.book, w.members[0].desk.book, w.members[1].desk.book} {
-				h := book.Proxies[0]
+			for _, record := range []*Record{w.record, w.members[0].coordinator.record, w.members[1].coordinator.record} {
+				h := record.Proxies[0]
 				h.Moves = nil
-				book.Proxies[0] = h
+				record.Proxies[0] = h
 			}
 			for _, p := range w.members {
-				clear(p.desk.strays)
-				p.desk.started = -modelTerms.Span
+				clear(p.coordinator.strays)
+				p.coordinator.started = -modelTerms.Span
 			}
 		}},
-		{"a closed life that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
+		{"a closed incarnation that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
 			func(w *world) {
-				for id, life := range w.book.Lives {
-					if life.Closed {
-						w.witness.came[id] = arrivals{at: w.now, sure: w.now}
+				for id, incarnation := range w.record.Incarnations {
+					if incarnation.Closed {
+						w.leases.entries[id] = lastEntries{arrivedAt: w.now, leaseFrom: w.now}
 					}
 				}
 			}},
