--- a/scale/budgets.go
+++ b/scale/budgets.go
@@ -5,8 +5,9 @@
 	mostBytesPerS = 23_000 // in and out together
 	mostProcessor = 4      // percent of a core
 	mostMegabytes = 256
-	mostMachines  = 23 // set aside for control, in all
-	mostInForce   = 3  // seconds from a change's acceptance until the last controller acts by it
+	mostMachines  = 23  // set aside for control, in all
+	mostAdded     = 4.3 // milliseconds added to a request, 99 in 100
+	mostInForce   = 3   // seconds from a change's acceptance until the last controller acts by it
 
 	controllersToCome = 11_000
 	changesPerS       = 0.42 // 36,000 a day
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -40,17 +40,17 @@
 		Targets: []int{99_000}, Transport: "calls",
 		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", usualProxies),
 		Metrics: []Metric{
-			{Name: "start", Unit: "ms", About: "the whole list to a controller that knows nothing", Fit: true},
+			{Name: "start", Unit: "ms", About: "the whole list, to a controller that knows nothing", Fit: true},
 			{Name: "again", Unit: "ms", About: "the same whole list once more", Fit: true},
 			{Name: "join", Unit: "ms", About: "all proxies join and are bound", Fit: true},
 			{Name: "change", Unit: "ms", About: "one entry of the list changes", Fit: true},
-			{Name: "line", Unit: "µs", About: "one line of a report", Fit: true},
+			{Name: "report_line", Unit: "µs", About: "one line of a report", Fit: true},
 			{Name: "beat", Unit: "ms", About: "a look at waiting work, four times a second", Fit: true},
-			{Name: "look", Unit: "ms", About: "the same once reports have come", Fit: true},
-			{Name: "core", Unit: "of a core", About: "beats, looks and 75 report lines a second", Fit: true, Most: coreBudget},
-			{Name: "heap", Unit: "MB", About: "heap kept", Fit: true, Most: memoryBudget},
-			{Name: "orders", Unit: "", About: "orders given in all"},
-			{Name: "repeats", Unit: "", About: "repeats, of which the median is taken"},
+			{Name: "look", Unit: "ms", About: "the same once reports have come, each 2 s", Fit: true},
+			{Name: "processor", Unit: "% of a core", About: "beats, looks and 75 report lines a second", Most: mostProcessor, Fit: true},
+			{Name: "heap", Unit: "MB", About: "heap kept", Most: mostMegabytes, Fit: true},
+			{Name: "orders", Unit: "orders", About: "lines, binds, withdrawals, levels and marks"},
+			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
 	if m.byProxies {
 		d.Name, d.Size, d.Sizes, d.Targets = "decisions-proxies", "proxies", []int{100, 400, 1200, 2400}, []int{2400}
@@ -86,24 +86,33 @@
 			sample.Broken = append(sample.Broken, fmt.Sprintf("orders differ between repeats: %+v and %+v", lives[0].orders, other.orders))
 		}
 	}
-	middle := func(figure func(decisionCost) float64) float64 { return medianOf(lives, figure) }
-	line := middle(func(c decisionCost) float64 { return micros(c.line) })
-	beats := middle(func(c decisionCost) float64 { return millis(c.beat) })
-	look := middle(func(c decisionCost) float64 { return millis(c.look) })
-	sample.Set("start", middle(func(c decisionCost) float64 { return millis(c.start) }))
-	sample.Set("again", middle(func(c decisionCost) float64 { return millis(c.again) }))
-	sample.Set("join", middle(func(c decisionCost) float64 { return millis(c.join) }))
-	sample.Set("change", middle(func(c decisionCost) float64 { return millis(c.change) }))
-	sample.Set("line", line)
-	sample.Set("beat", beats)
-	sample.Set("look", look)
-	sample.Set("core", ((beatsASecond-looksASecond)*beats+looksASecond*look)/1e3+reportLines*line/1e6)
-	sample.Set("heap", middle(func(c decisionCost) float64 { return megabytes(c.heap) }))
-	sample.Set("orders", float64(lives[0].orders.sum()))
-	sample.Set("repeats", float64(len(lives)))
+	sample.Values = decisionValues(lives).Values
 	return sample, nil
 }
 
+// decisionValues are the medians of several lives.
+func decisionValues(lives []decisionCost) (s Sample) {
+	middle := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
+		return medianOf(lives, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
+	}
+	line := middle(time.Microsecond, func(c decisionCost) time.Duration { return c.line })
+	beats := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.beat })
+	look := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.look })
+	perSecond := (beatsASecond-looksASecond)*beats*1000 + looksASecond*look*1000 + reportLines*line // µs
+	s.Set("start", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
+	s.Set("again", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.again }))
+	s.Set("join", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.join }))
+	s.Set("change", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.change }))
+	s.Set("report_line", line)
+	s.Set("beat", beats)
+	s.Set("look", look)
+	s.Set("processor", percent*perSecond/float64(second))
+	s.Set("heap", medianOf(lives, func(c decisionCost) float64 { return float64(c.heap) / megabyte }))
+	s.Set("orders", float64(lives[0].orders.sum()))
+	s.Set("repeats", float64(len(lives)))
+	return s
+}
+
 const (
 	reportEvery  = 2 * second // of the proxies and collectors of the deployments
 	reportLines  = 75.        // a second that a controller is given at most there
@@ -111,12 +120,6 @@
 	looksASecond = float64(second) / float64(reportEvery)
 )
 
-// Budgets of a controller for control.
-const (
-	coreBudget   = 0.04
-	memoryBudget = 256 // MB
-)
-
 // decisionLife is one life of a controller that is played.
 type decisionLife struct {
 	backends, proxies int
--- a/scale/middle.go
+++ b/scale/middle.go
@@ -1,9 +1,6 @@
 package scale
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
 // median is the middle value, or the mean of the two in the middle; 0 of none.
 func median(values []float64) float64 {
@@ -26,8 +23,3 @@
 	}
 	return median(values)
 }
-
-func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e3 }
-func millis(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e6 }
-
-func megabytes(bytes int64) float64 { return float64(bytes) / (1 << 20) }
--- a/scale/report.go
+++ b/scale/report.go
@@ -41,6 +41,9 @@
 		for _, text := range s.Broken {
 			fmt.Fprintf(&b, "\nBroken at %d: %s.\n", s.Size, text)
 		}
+		if s.Partial != "" {
+			fmt.Fprintf(&b, "\nPartial at %d: %s.\n", s.Size, s.Partial)
+		}
 		if s.Unknown != "" {
 			fmt.Fprintf(&b, "\nNot judged at %d: %s.\n", s.Size, s.Unknown)
 		}
--- a/scale/run.go
+++ b/scale/run.go
@@ -35,6 +35,7 @@
 	Load    float64  `json:"load"` // the machine's load average over a minute, before
 	Values  []Value  `json:"values"`
 	Broken  []string `json:"broken,omitempty"`   // what must not happen at any size, as a digest that differs
+	Partial string   `json:"partial,omitempty"`  // what was left out of it, so that it rests on less
 	Unknown string   `json:"unjudged,omitempty"` // why the sample shows nothing, for or against
 }
 
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -68,6 +68,9 @@
 		recordReal{},
 		recordHollow{},
 		changeByFile{},
+		decisions{},
+		decisions{byProxies: true},
+		addedTime{},
 		distributed{},
 	}
 }
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -21,6 +21,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
+// threadTime is what this thread has spent so far; its goroutine has to be locked to it.
+func threadTime() time.Duration {
+	var clock unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock); err != nil {
+		panic(err) // only a wrong argument makes it fail
+	}
+	return time.Duration(clock.Nano())
+}
+
 // spent is the processor time that doing something takes.
 func spent(do func()) time.Duration {
 	began := processorTime()
