--- /dev/null
+++ b/scale/lists.go
@@ -0,0 +1,164 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"strconv"
+	"time"
+
+	"wheelrill/standin"
+)
+
+// lists measures what discovery's list costs a real controller by its entries: until it is ready after a start, while
+// nothing changes, and at each change of one entry. It has no proxies.
+type lists struct{}
+
+// How much one size plays.
+const (
+	listRepeats = 3
+	listTime    = 60 * time.Second // after which no further repeat begins
+	listReady   = 150 * time.Second
+	listIdle    = 3 * time.Second
+	listChanges = 10
+	listPause   = 250 * time.Millisecond // between two changes
+	mostListed  = 16 << 20               // bytes of an answer of discovery that a controller takes
+)
+
+// Describe tells what is measured.
+func (lists) Describe() Description {
+	return Description{Name: "lists", Size: "backends listed", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
+		Targets: []int{99_000}, Transport: "loopback",
+		About: "What discovery's list costs one real controller without proxies: recovery of one, and each change",
+		Metrics: []Metric{
+			{Name: "ready", Unit: "s", About: "from the process's start until it is ready", Fit: true},
+			{Name: "ready_processor", Unit: "s", About: "processor time until then", Fit: true},
+			{Name: "list_bytes", Unit: "bytes", About: "of the whole list as discovery sends it", Most: mostListed, Fit: true},
+			{Name: "entry_bytes", Unit: "bytes", About: "of one entry in it"},
+			{Name: "idle_processor", Unit: "% of a core", About: "processor time while nothing changes", Most: mostProcessor, Fit: true},
+			{Name: "change_processor", Unit: "ms", About: "processor time of one change of one entry, beyond that", Fit: true},
+			{Name: "change_bytes", Unit: "bytes", About: "that discovery sends for it"},
+			{Name: "memory", Unit: "MB", About: "resident memory, the most", Most: mostMegabytes, Fit: true},
+			{Name: "known", Unit: "backends", About: "that the controller takes in"},
+			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
+		}}
+}
+
+// Needs tells what one size takes at most.
+func (lists) Needs(int, Options) Needs {
+	const bytes = 1 << 30
+	return Needs{Memory: bytes, Processes: 1, Time: listTime + listReady}
+}
+
+// listCost is what one life of a controller has shown.
+type listCost struct {
+	ready, readyProcessor, idle, changes time.Duration // changes: of all of them
+	seconds                              float64       // that changes were made for
+	listBytes, changeBytes               int64
+	memory                               int64
+	known                                float64
+}
+
+// Run plays the repeats, each with a process of its own.
+func (lists) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	folder, err := os.MkdirTemp(o.Folder, "lists-")
+	if err != nil {
+		return s, err
+	}
+	discovery, workers, err := newDiscovery(size)
+	if err != nil {
+		return s, err
+	}
+	defer discovery.Close()
+	var all []listCost
+	for began := time.Now(); len(all) < listRepeats && (len(all) == 0 || time.Since(began) < listTime); {
+		cost, err := listLife(ctx, discovery, workers, folder, o)
+		if err != nil {
+			return s, fmt.Errorf("%w; its log is in %s", err, folder)
+		}
+		all = append(all, cost)
+	}
+	if len(all) < listRepeats {
+		s.Partial = fmt.Sprintf("%d of %d repeats within %s", len(all), listRepeats, listTime)
+	}
+	middle := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
+	s.Set("ready", middle(func(c listCost) float64 { return c.ready.Seconds() }))
+	s.Set("ready_processor", middle(func(c listCost) float64 { return c.readyProcessor.Seconds() }))
+	s.Set("list_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) }))
+	s.Set("entry_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) / float64(size) }))
+	s.Set("idle_processor", middle(func(c listCost) float64 { return percent * c.idle.Seconds() / listIdle.Seconds() }))
+	s.Set("change_processor", middle(func(c listCost) float64 {
+		idle := c.idle.Seconds() / listIdle.Seconds() * c.seconds
+		return max(0, c.changes.Seconds()-idle) * 1000 / listChanges
+	}))
+	s.Set("change_bytes", middle(func(c listCost) float64 { return float64(c.changeBytes) / listChanges }))
+	s.Set("memory", middle(func(c listCost) float64 { return float64(c.memory) / megabyte }))
+	s.Set("known", middle(func(c listCost) float64 { return c.known }))
+	s.Set("repeats", float64(len(all)))
+	return s, nil
+}
+
+// listLife starts a controller, lets it be, and changes one entry after the other.
+func listLife(ctx context.Context, discovery *standin.Discovery, workers []*standin.Worker, folder string, o Options) (cost listCost, err error) {
+	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
+	if err != nil {
+		return cost, err
+	}
+	c := controllers[0]
+	_, sent := discovery.Sent()
+	if err := c.start(folder); err != nil {
+		return cost, err
+	}
+	defer c.end()
+	if err := c.waitReady(ctx, listReady); err != nil {
+		return cost, err
+	}
+	usage, err := usageOf(c.process.PID())
+	if err != nil {
+		return cost, err
+	}
+	cost.readyProcessor = usage.processor
+	cost.ready = c.readyAt().Sub(c.began)
+	_, now := discovery.Sent()
+	cost.listBytes = now - sent
+	if cost.known, err = strconv.ParseFloat(c.known, 64); err != nil {
+		return cost, fmt.Errorf("backends of event=ready: %w", err)
+	}
+	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, listIdle) }); err != nil {
+		return cost, err
+	}
+	_, sent = discovery.Sent()
+	began := time.Now()
+	cost.changes, err = c.spends(func() error {
+		for i := range listChanges {
+			state := []string{"draining", "up"}[i%2]
+			discovery.List(state, workers[i/2*len(workers)/listChanges])
+			if err := pauseFor(ctx, listPause); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		return cost, err
+	}
+	cost.seconds = time.Since(began).Seconds()
+	_, now = discovery.Sent()
+	cost.changeBytes = now - sent
+	usage, err = usageOf(c.process.PID())
+	cost.memory = usage.most
+	return cost, err
+}
+
+// spends is the processor time that the controller takes while something goes on.
+func (c *listedController) spends(what func() error) (time.Duration, error) {
+	before, err := usageOf(c.process.PID())
+	if err != nil {
+		return 0, err
+	}
+	if err := what(); err != nil {
+		return 0, err
+	}
+	after, err := usageOf(c.process.PID())
+	return after.processor - before.processor, err
+}
--- /dev/null
+++ b/scale/recovery.go
@@ -0,0 +1,139 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+)
+
+// recovery measures what controllers that restart at once cost as they learn the list anew from discovery, each a real
+// process of this machine. A whole list is asked for today, whatever a controller serves.
+type recovery struct {
+	whole bool // all backends, and not just those of the services that one serves
+}
+
+// What there is to learn, by assumption: each service has as many backends.
+const (
+	backendsToCome  = 99_000
+	servicesToCome  = 5700
+	backendsServed  = backendsToCome / servicesToCome * servicesPerGroup
+	recoveryRepeats = 3
+	recoveryTime    = 60 * time.Second // after which no further repeat begins
+	listedMemory    = 40 << 20         // bytes that a controller takes, and ...
+	backendMemory   = 6 << 10          // ... for each backend, about
+)
+
+// Describe tells what is measured.
+func (r recovery) Describe() Description {
+	d := Description{Name: "recovery", Size: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
+		Targets: []int{40, 220, controllersToCome}, Transport: "loopback",
+		About: fmt.Sprintf("Real controllers that restart at once on one machine, and learn %d backends from discovery: those of %d services",
+			r.backends(), servicesPerGroup),
+		Metrics: []Metric{
+			{Name: "ready", Unit: "s", About: "until the last is ready, all on this machine's cores", Fit: true},
+			{Name: "ready_processor", Unit: "s", About: "processor time of a controller until it is ready, mean", Fit: true},
+			{Name: "all_bytes", Unit: "bytes", About: "that discovery sends to all of them", Fit: true},
+			{Name: "bytes", Unit: "bytes", About: "that one is sent, mean"},
+			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Most: mostMegabytes},
+			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
+		}}
+	if r.whole {
+		d.Name, d.Sizes = "recovery-whole", []int{1, 2, 4, 8}
+		d.About = fmt.Sprintf("Real controllers that restart at once on one machine, and learn all %d backends from discovery", r.backends())
+	}
+	return d
+}
+
+func (r recovery) backends() int {
+	if r.whole {
+		return backendsToCome
+	}
+	return backendsServed
+}
+
+// Needs tells what one size takes at most.
+func (r recovery) Needs(size int, _ Options) Needs {
+	return Needs{Memory: standinMemory + int64(size)*int64(listedMemory+r.backends()*backendMemory), Processes: size,
+		Time: recoveryTime + listReady}
+}
+
+// recoveryCost is what one restart of all has shown.
+type recoveryCost struct {
+	ready, processor time.Duration // processor: the mean of all
+	bytes, memory    int64         // bytes to all; the most memory of one
+}
+
+// Run restarts all as often as there are repeats.
+func (r recovery) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	folder, err := os.MkdirTemp(o.Folder, "recovery-")
+	if err != nil {
+		return s, err
+	}
+	discovery, _, err := newDiscovery(r.backends())
+	if err != nil {
+		return s, err
+	}
+	defer discovery.Close()
+	controllers, err := newListedControllers(size, discovery.Address(), folder, o)
+	if err != nil {
+		return s, err
+	}
+	var all []recoveryCost
+	for began := time.Now(); len(all) < recoveryRepeats && (len(all) == 0 || time.Since(began) < recoveryTime); {
+		_, before := discovery.Sent()
+		cost, err := restartAll(ctx, controllers, folder)
+		if err != nil {
+			return s, fmt.Errorf("%w; the logs are in %s", err, folder)
+		}
+		_, after := discovery.Sent()
+		cost.bytes = after - before
+		all = append(all, cost)
+	}
+	if len(all) < recoveryRepeats {
+		s.Partial = fmt.Sprintf("%d of %d repeats within %s", len(all), recoveryRepeats, recoveryTime)
+	}
+	middle := func(figure func(recoveryCost) float64) float64 { return medianOf(all, figure) }
+	s.Set("ready", middle(func(c recoveryCost) float64 { return c.ready.Seconds() }))
+	s.Set("ready_processor", middle(func(c recoveryCost) float64 { return c.processor.Seconds() }))
+	s.Set("all_bytes", middle(func(c recoveryCost) float64 { return float64(c.bytes) }))
+	s.Set("bytes", middle(func(c recoveryCost) float64 { return float64(c.bytes) / float64(size) }))
+	s.Set("memory", middle(func(c recoveryCost) float64 { return float64(c.memory) / megabyte }))
+	s.Set("repeats", float64(len(all)))
+	return s, nil
+}
+
+// restartAll starts all controllers at once, waits until each is ready, and ends them.
+func restartAll(ctx context.Context, controllers []*listedController, folder string) (cost recoveryCost, err error) {
+	defer func() {
+		for _, c := range controllers {
+			c.end()
+		}
+	}()
+	for _, c := range controllers {
+		if err := c.start(folder); err != nil {
+			return cost, err
+		}
+	}
+	began := controllers[0].began
+	usages, failures := make([]processUsage, len(controllers)), make([]error, len(controllers))
+	var waiting sync.WaitGroup
+	for i, c := range controllers {
+		waiting.Go(func() {
+			if failures[i] = c.waitReady(ctx, listReady); failures[i] == nil {
+				usages[i], failures[i] = usageOf(c.process.PID())
+			}
+		})
+	}
+	waiting.Wait()
+	for i, c := range controllers {
+		if failures[i] != nil {
+			return cost, failures[i]
+		}
+		cost.ready = max(cost.ready, c.readyAt().Sub(began))
+		cost.processor += usages[i].processor / time.Duration(len(controllers))
+		cost.memory = max(cost.memory, usages[i].most)
+	}
+	return cost, nil
+}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -70,6 +70,9 @@
 		changeByFile{},
 		decisions{},
 		decisions{byProxies: true},
+		lists{},
+		recovery{},
+		recovery{whole: true},
 		addedTime{},
 		distributed{},
 	}
