--- a/scale/scale.go
+++ b/scale/scale.go
@@ -75,6 +75,7 @@
 		recovery{whole: true},
 		addedTime{},
 		distributed{},
+		distributedFaults{},
 	}
 }
 
