--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -33,7 +33,7 @@
 			r.backends(), servicesPerGroup),
 		Metrics: []Metric{
 			{Name: "ready", Unit: "s", About: "until the last is ready, all on this machine's cores", Fit: true},
-			{Name: "ready_processor", Unit: "s", About: "processor time of a controller until it is ready, mean", Fit: true},
+			{Name: "ready_processor", Unit: "s", About: "processor time of a controller until it is ready, mean"},
 			{Name: "all_bytes", Unit: "bytes", About: "that discovery sends to all of them", Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one is sent, mean"},
 			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Most: mostMegabytes},
--- /dev/null
+++ b/scale/recoverysnapshot.go
@@ -0,0 +1,151 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"wheelrill/distribution"
+	"wheelrill/subscribe"
+)
+
+// recoverySnapshot measures what one subscriber that starts anew is sent by its parent until it has its configuration,
+// by the entries of its scope.
+type recoverySnapshot struct{}
+
+// What a controller has to learn, by assumption: what belongs to one group of services, or all.
+const (
+	routesToCome  = 29_000
+	tenantsToCome = 330_000
+	groupsToCome  = servicesToCome / servicesPerGroup
+	entriesOfAll  = backendsToCome + routesToCome + tenantsToCome
+	entriesServed = entriesOfAll / groupsToCome
+
+	snapshotRepeats = 3
+	snapshotTime    = 45 * time.Second // after which no further repeat begins
+	snapshotWithin  = 2 * time.Minute
+)
+
+// Describe says what it is.
+func (recoverySnapshot) Describe() Description {
+	return Description{Name: "recovery-snapshot", Size: "entries of its scope", Sizes: []int{77, 250, 800, 2500},
+		Targets: []int{entriesServed, entriesOfAll}, Transport: "memory",
+		About: fmt.Sprintf("A subscriber that starts anew, until it has its scope from a voter; values of %d bytes, pace by default", valueBytes),
+		Metrics: []Metric{
+			{Name: "ready", Unit: "s", About: "from its start until it has its configuration", Fit: true},
+			{Name: "bytes", Unit: "bytes", About: "that it is sent", Fit: true},
+			{Name: "entry_bytes", Unit: "bytes", About: "an entry as CBOR has it"},
+			{Name: "processor", Unit: "ms", About: "processor time of both ends", Fit: true},
+			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
+		}}
+}
+
+// Needs are those of both ends.
+func (recoverySnapshot) Needs(int, Options) Needs {
+	return Needs{Memory: treeMemory, Time: snapshotTime + snapshotWithin}
+}
+
+// snapshotCost is what one start has shown.
+type snapshotCost struct {
+	ready, processor time.Duration
+	bytes            int64
+}
+
+// Run starts a subscriber anew as often as there are repeats.
+func (recoverySnapshot) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	ctx, stop := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer stop()
+	network, content := newNetwork(), newContent(1, o.Seed)
+	entries := make([]distribution.Entry, size)
+	for i := range entries {
+		entries[i] = content.entry(groupScope(0), fmt.Sprintf("service/%d", i))
+	}
+	body, err := cbor.Marshal(entries)
+	if err != nil {
+		return s, err
+	}
+	if err := handsOut(ctx, &running, network, entries); err != nil {
+		return s, err
+	}
+	var all []snapshotCost
+	for began := time.Now(); len(all) < snapshotRepeats && (len(all) == 0 || time.Since(began) < snapshotTime); {
+		cost, err := takesSnapshot(ctx, network, size)
+		if err != nil {
+			return s, err
+		}
+		all = append(all, cost)
+	}
+	if len(all) < snapshotRepeats {
+		s.Partial = fmt.Sprintf("%d of %d repeats within %s", len(all), snapshotRepeats, snapshotTime)
+	}
+	s.Set("ready", medianOf(all, func(c snapshotCost) float64 { return c.ready.Seconds() }))
+	s.Set("bytes", medianOf(all, func(c snapshotCost) float64 { return float64(c.bytes) }))
+	s.Set("entry_bytes", float64(len(body))/float64(size))
+	s.Set("processor", medianOf(all, func(c snapshotCost) float64 { return c.processor.Seconds() * 1000 }))
+	s.Set("repeats", float64(len(all)))
+	return s, nil
+}
+
+// handsOut has a voter by itself hand out entries until the context ends.
+func handsOut(ctx context.Context, running *sync.WaitGroup, network *network, entries []distribution.Entry) error {
+	change, err := distribution.NewVoterState().Accept(distribution.Proposal{AcceptedAt: time.Now().UnixMicro(), Entries: entries,
+		Epoch: distribution.Epoch{Number: 1, Identity: 1}})
+	if err != nil {
+		return err
+	}
+	name := voterName(0)
+	voter := subscribe.New(subscribe.Config{Node: distribution.Config{Name: name, Voter: true, Limits: distribution.DefaultLimits()},
+		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
+	network.listen(name, 0, func(conn net.Conn) { voter.Accept(conn, nil) })
+	running.Go(func() { voter.Run(ctx) })
+	voter.Accepted(change)
+	voter.Current()
+	running.Go(func() {
+		for pauseFor(ctx, knowEvery) == nil {
+			voter.Current()
+		}
+	})
+	return nil
+}
+
+// takesSnapshot has a subscriber live until it has as many entries as its scope has.
+func takesSnapshot(ctx context.Context, network *network, want int) (cost snapshotCost, err error) {
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	ended, has := make(chan struct{}), make(chan int, 1)
+	subscriber := subscribe.New(subscribe.Config{
+		Node: distribution.Config{Name: "subscriber", Scopes: distribution.SomeScopes(groupScope(0)), Candidates: []string{voterName(0)},
+			Limits: distribution.DefaultLimits()},
+		Dial: func(ctx context.Context, peer string) (net.Conn, error) { return network.dial(ctx, 0, peer) },
+		Apply: func(change distribution.Change, whole bool) {
+			select {
+			case has <- len(change.Entries):
+			default:
+			}
+		}})
+	began, before := time.Now(), processorTime()
+	go func() {
+		defer close(ended)
+		subscriber.Run(ctx)
+	}()
+	defer func() { stop(); <-ended }()
+	select {
+	case got := <-has:
+		cost = snapshotCost{time.Since(began), processorTime() - before, subscriber.Traffic().In}
+		if got != want {
+			return cost, fmt.Errorf("it has %d entries where its scope has %d", got, want)
+		}
+		return cost, nil
+	case <-ctx.Done():
+		return cost, ctx.Err()
+	case <-time.After(snapshotWithin):
+		return cost, fmt.Errorf("a subscriber has not its configuration of %d entries after %s", want, snapshotWithin)
+	}
+}
--- /dev/null
+++ b/scale/recoverytree.go
@@ -0,0 +1,179 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// recoveryTree measures subscribers that restart at once, in an installation that runs.
+type recoveryTree struct{}
+
+// recoveryDelta measures a region that was cut off, by the changes that it missed.
+type recoveryDelta struct{}
+
+// Of the installation that both are played in.
+const (
+	recoverySubscribers = 1100
+	restartsOfTree      = 3
+	cutAtLeast          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
+	proposeAll          = time.Minute
+)
+
+// Describe says what it is.
+func (recoveryTree) Describe() Description {
+	return Description{Name: "recovery-subscribers", Size: "subscribers that restart at once", Sizes: []int{1, 40, 220, recoverySubscribers},
+		Targets: []int{40, 220, controllersToCome}, Transport: "memory",
+		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", recoverySubscribers,
+			commonEntries+servicesPerGroup),
+		Metrics: []Metric{
+			{Name: "ready", Unit: "s", About: "until the last has its configuration", Fit: true},
+			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
+			{Name: "worst_bytes_per_s", Unit: "bytes/s", About: "in and out at the node that passes on most meanwhile", Most: mostBytesPerS},
+			{Name: "processor", Unit: "ms", About: "processor time of the whole installation for each of them", Fit: true},
+			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
+		}}
+}
+
+// Needs are those of all nodes in our process.
+func (recoveryTree) Needs(size int, _ Options) Needs {
+	return Needs{Memory: treeMemory + int64(max(size, recoverySubscribers))*subscriberMemory,
+		Time: startsWithin + (1+restartsOfTree)*readyWithin}
+}
+
+// restartCost is what one restart has shown.
+type restartCost struct {
+	ready, processor time.Duration
+	bytes, worst     float64 // worst: a second
+}
+
+// Run restarts so many subscribers, drawn by the seed, as often as there are repeats.
+func (recoveryTree) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	t, err := newTree(ctx, max(size, recoverySubscribers), o)
+	if err != nil {
+		return s, err
+	}
+	defer t.close()
+	late := watchTurns()
+	var all []restartCost
+	for range restartsOfTree {
+		cost, err := t.restartSome(ctx, size)
+		if err != nil {
+			return s, err
+		}
+		all = append(all, cost)
+	}
+	s.Set("ready", medianOf(all, func(c restartCost) float64 { return c.ready.Seconds() }))
+	s.Set("bytes", medianOf(all, func(c restartCost) float64 { return c.bytes }))
+	s.Set("worst_bytes_per_s", medianOf(all, func(c restartCost) float64 { return c.worst }))
+	s.Set("processor", medianOf(all, func(c restartCost) float64 { return c.processor.Seconds() * 1000 / float64(size) }))
+	s.Set("repeats", float64(len(all)))
+	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	return s, nil
+}
+
+// restartSome kills subscribers that are drawn, starts them anew, and waits until all have their configuration.
+func (t *tree) restartSome(ctx context.Context, many int) (cost restartCost, err error) {
+	var some []*hollowSubscriber
+	for _, i := range t.random.Perm(len(t.subscribers))[:many] {
+		some = append(some, t.subscribers[i])
+	}
+	each(some, (*hollowSubscriber).kill)
+	before, spent, began := t.bytes(), processorTime(), time.Now()
+	for _, s := range some {
+		t.starts.Add(1)
+		s.start()
+	}
+	if !waitTight(ctx, readyWithin, func() bool { return t.waiting() == 0 }) {
+		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", t.waiting(), many, readyWithin)
+	}
+	cost.ready, cost.processor = time.Since(began), processorTime()-spent
+	for name, bytes := range t.bytes() {
+		cost.worst = max(cost.worst, float64(bytes-before[name])/max(cost.ready, time.Second).Seconds())
+	}
+	for _, s := range some {
+		cost.bytes += float64(s.received()) / float64(many)
+	}
+	return cost, nil
+}
+
+// received is what it was sent in this life.
+func (s *hollowSubscriber) received() int64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.carrier.Traffic().In
+}
+
+// Describe says what it is.
+func (recoveryDelta) Describe() Description {
+	return Description{Name: "recovery-delta", Size: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
+		Transport: "memory",
+		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", recoverySubscribers/regions),
+		Metrics: []Metric{
+			{Name: "ready", Unit: "s", About: "from the end of the cut until the last has all changes", Most: mostInForce, Fit: true},
+			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
+			{Name: "snapshots", Unit: "snapshots", About: "that were taken, where deltas would have done"},
+		}}
+}
+
+// Needs are those of all nodes in our process.
+func (recoveryDelta) Needs(int, Options) Needs {
+	return Needs{Memory: treeMemory + recoverySubscribers*subscriberMemory, Time: startsWithin + 2*readyWithin + proposeAll}
+}
+
+// Run cuts a region without voters off while so many changes are made.
+func (recoveryDelta) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	t, err := newTree(ctx, recoverySubscribers, o)
+	if err != nil {
+		return s, err
+	}
+	defer t.close()
+	late := watchTurns()
+	region := len(t.voters.voters) + t.random.IntN(regions-len(t.voters.voters))
+	t.network.cutOff(region)
+	began := time.Now()
+	for range size {
+		if err := t.voters.propose(ctx, t.content.draw()); err != nil {
+			return s, err
+		}
+	}
+	if err := pauseFor(ctx, cutAtLeast-time.Since(began)); err != nil {
+		return s, err
+	}
+	var behind []*hollowSubscriber
+	before := 0.
+	for _, node := range t.nodes() {
+		if node.region == region {
+			behind = append(behind, node)
+			before += float64(node.received())
+			node.reachableNow()
+		}
+	}
+	t.network.heal()
+	healed := time.Now()
+	if !waitTight(ctx, readyWithin, func() bool { return t.current(behind) }) {
+		return s, fmt.Errorf("a region is not current %s after the end of its cut", readyWithin)
+	}
+	ready := time.Since(healed)
+	after := 0.
+	for _, node := range behind {
+		after += float64(node.received())
+	}
+	each(behind, func(node *hollowSubscriber) { t.check(node, t.content.last()) })
+	s.Set("ready", ready.Seconds())
+	s.Set("bytes", (after-before)/float64(len(behind)))
+	s.Set("snapshots", float64(t.needless()))
+	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	return s, nil
+}
+
+// current tells whether all of some nodes are at the newest revision, by their own word.
+func (t *tree) current(nodes []*hollowSubscriber) bool {
+	last := t.content.last()
+	for _, node := range nodes {
+		if status, ok := node.status(); !ok || status.Mark.Revision < last {
+			return false
+		}
+	}
+	return true
+}
