--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// pick chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned; among
-// those by chance. It gives none if all must be left alone for now.
+// pick chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned;
+// among those by chance. It gives none if all must be left alone for now.
 func (n *Node) pick(now int64) string {
 	var best []*candidate
 	rank := 0
@@ -105,12 +105,7 @@
 			return true
 		}
 	}
-	for _, c := range n.children {
-		if c.name == peer {
-			return true
-		}
-	}
-	return false
+	return n.hasChild(peer)
 }
 
 // avoid leaves a peer alone until a time.
