--- /dev/null
+++ b/cmd/wheelrill/scale_lists_test.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"encoding/json"
+	"testing"
+
+	"wheelrill/scale"
+)
+
+// measured has the command line play a measurement whose processes are this test's, and gives the run that it kept.
+func measured(t *testing.T, name string, flags ...string) *scale.Run {
+	t.Helper()
+	t.Setenv(asProgram, "yes")
+	folder := t.TempDir()
+	args := append([]string{"scale", "run", name, "--for", "400ms", "--out", folder, "--logs", t.TempDir(), "--json"}, flags...)
+	text, code := commands(t, args...)
+	var told scale.Run
+	if err := json.Unmarshal([]byte(text), &told); err != nil {
+		t.Fatalf("%v ended with %d: %v in %q", args, code, err, text)
+	}
+	kept, err := scale.Load(folder)
+	if err != nil || len(kept) != 1 || len(kept[0].Samples) != len(told.Samples) {
+		t.Fatalf("kept %+v, %v", kept, err)
+	}
+	return kept[0]
+}
+
+// figures reads a metric at each size.
+func figures(t *testing.T, r *scale.Run, metric string) (all []float64) {
+	t.Helper()
+	for _, s := range r.Samples {
+		value, ok := s.Get(metric)
+		if !ok {
+			t.Fatalf("at %d there is no %s", s.Size, metric)
+		}
+		all = append(all, value)
+	}
+	return all
+}
+
+// TestScaleLists has real controllers take in lists whole, with as many bytes for each entry.
+func TestScaleLists(t *testing.T) {
+	r := measured(t, "lists", "--sizes", "10,20,40,80")
+	known, bytes, ready := figures(t, r, "known"), figures(t, r, "entry_bytes"), figures(t, r, "ready_processor")
+	changes := figures(t, r, "change_bytes")
+	for i, s := range r.Samples {
+		if known[i] != float64(s.Size) || bytes[i] < 50 || bytes[i] > 200 || ready[i] <= 0 || changes[i] <= 0 || changes[i] > 500 {
+			t.Errorf("at %d: %v known, %v bytes an entry, %v s, %v bytes a change", s.Size, known[i], bytes[i], ready[i], changes[i])
+		}
+	}
+}
+
+// TestScaleRecovery has each of several controllers that start at once be sent the list once.
+func TestScaleRecovery(t *testing.T) {
+	r := measured(t, "recovery", "--sizes", "1,2,3,4")
+	all, each := figures(t, r, "all_bytes"), figures(t, r, "bytes")
+	for i, s := range r.Samples {
+		if each[i] != each[0] || all[i] < float64(s.Size)*each[0]*0.999 || all[i] > float64(s.Size)*each[0]*1.001 {
+			t.Errorf("%d at once: %v bytes in all, %v each, %v for one alone", s.Size, all[i], each[i], each[0])
+		}
+	}
+}
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -31,7 +31,7 @@
 	decisionRepeats = 3
 	decisionChanges = 8
 	decisionBeats   = 8
-	decisionTime    = 30 * time.Second // after which no further repeat begins
+	decisionLongest = 90 * time.Second // that one repeat may take
 )
 
 // Describe tells what is measured.
@@ -60,26 +60,24 @@
 }
 
 // Needs tells what one size takes at most.
-func (m decisions) Needs(int, Options) Needs {
+func (m decisions) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Time: 2 * decisionTime}
+	return Needs{Memory: bytes, Time: o.For + decisionLongest}
 }
 
 // Run plays the repeats, each with a controller of its own, and takes the median.
-func (m decisions) Run(ctx context.Context, size int, _ Options) (sample Sample, err error) {
+func (m decisions) Run(ctx context.Context, size int, o Options) (sample Sample, err error) {
 	life := decisionLife{backends: size, proxies: usualProxies, changes: decisionChanges, beats: decisionBeats}
 	if m.byProxies {
 		life.backends, life.proxies = usualBackends, size
 	}
 	var lives []decisionCost
-	for began := time.Now(); len(lives) < decisionRepeats && (len(lives) == 0 || time.Since(began) < decisionTime); {
-		if err := ctx.Err(); err != nil {
-			return sample, err
-		}
+	sample.Partial, err = repeats(ctx, decisionRepeats, o.For, func() error {
 		lives = append(lives, life.play())
-	}
-	if len(lives) < decisionRepeats {
-		sample.Partial = fmt.Sprintf("%d of %d repeats within %s", len(lives), decisionRepeats, decisionTime)
+		return nil
+	})
+	if err != nil {
+		return sample, err
 	}
 	for _, other := range lives {
 		if other.orders != lives[0].orders {
--- /dev/null
+++ b/scale/decisions_test.go
@@ -0,0 +1,109 @@
+package scale
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// tiny are sizes that a test bears.
+var tiny = []int{10, 20, 40, 80}
+
+// playsTiny runs a measurement over sizes, keeps it, and reads it back as the report does.
+func playsTiny(t *testing.T, m Measurement, sizes []int, span time.Duration) *Run {
+	t.Helper()
+	r, err := Play(t.Context(), m, sizes, Options{For: span, Seed: 1, Folder: t.TempDir(), Voters: usualVoters})
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	if _, err := r.Save(folder); err != nil {
+		t.Fatal(err)
+	}
+	kept, err := Load(folder)
+	if err != nil || len(kept) != 1 || len(kept[0].Samples) != len(sizes) {
+		t.Fatalf("kept %+v, %v", kept, err)
+	}
+	text := kept[0].Markdown()
+	for _, metric := range m.Describe().Metrics {
+		if !strings.Contains(text, "| "+metric.About+", ") {
+			t.Errorf("the report lacks %s:\n%s", metric.Name, text)
+		}
+	}
+	for _, s := range kept[0].Samples {
+		for _, broken := range s.Broken {
+			t.Errorf("at %d: %s", s.Size, broken)
+		}
+	}
+	return kept[0]
+}
+
+// grows fails unless a metric's fit is a line, or a power of one.
+func grows(t *testing.T, r *Run, metric string) {
+	t.Helper()
+	fit, ok := FitOver(r.Samples, metric)
+	if !ok || fit.Form == Power && (fit.Exponent < 0.95 || fit.Exponent > 1.05) || fit.Residual > 0.05 {
+		t.Errorf("%s: %v, %+v", metric, ok, fit)
+	}
+}
+
+// TestDecisions has what orders cost grow no faster than backends and proxies do.
+func TestDecisions(t *testing.T) {
+	t.Parallel()
+	grows(t, playsTiny(t, decisions{}, tiny, time.Second), "orders")
+	r := playsTiny(t, decisions{byProxies: true}, tiny[1:], time.Millisecond)
+	for i, s := range r.Samples[1:] {
+		before, _ := r.Samples[i].Get("orders")
+		if orders, _ := s.Get("orders"); orders != before+float64(s.Size-r.Samples[i].Size) || s.Partial == "" {
+			t.Errorf("%d proxies more cost %v orders more; partial: %q", s.Size-r.Samples[i].Size, orders-before, s.Partial)
+		}
+	}
+}
+
+// TestOrders has a life give each backend one line at the start, each proxy one table, and each change a few orders,
+// however many there are.
+func TestOrders(t *testing.T) {
+	const lineChanges, withdrawals = 3, 2 // of a drain and a return: out, back with a part of its weight, then all of it
+	for _, size := range []int{20, 200} {
+		l := decisionLife{backends: size, proxies: 2 * size, changes: 4, beats: 2}
+		orders := l.play().orders
+		if orders.lines < size || orders.lines > size+l.changes*lineChanges {
+			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.lines)
+		}
+		if orders.binds != l.proxies || orders.withdrawals > l.changes*withdrawals || orders.levels != 0 {
+			t.Errorf("%d proxies: %+v", l.proxies, orders)
+		}
+		if orders.marks > 1+l.changes*(lineChanges+withdrawals) {
+			t.Errorf("%d proxies: %d marks", l.proxies, orders.marks)
+		}
+	}
+}
+
+// TestAddedTime has each request of a repeat be counted in all four ways.
+func TestAddedTime(t *testing.T) {
+	r := playsTiny(t, addedTime{}, tiny, 50*time.Millisecond)
+	for _, s := range r.Samples {
+		half, _ := s.Get("retried_half")
+		most, _ := s.Get("retried_p99")
+		one, _ := s.Get("draw_half")
+		requests, _ := s.Get("requests")
+		if one <= 0 || half <= one || most < half || requests < drawsLeast {
+			t.Errorf("at %d: a draw %v ms, two %v, 99 in 100 %v, requests %v", s.Size, one, half, most, requests)
+		}
+	}
+}
+
+func TestRepeats(t *testing.T) {
+	done := 0
+	do := func() error { done++; return nil }
+	if partial, err := repeats(t.Context(), 3, time.Hour, do); partial != "" || err != nil || done != 3 {
+		t.Errorf("%d of 3: %q, %v", done, partial, err)
+	}
+	done = 0
+	if partial, err := repeats(t.Context(), 3, 0, do); partial == "" || err != nil || done != 1 {
+		t.Errorf("%d within no time: %q, %v", done, partial, err)
+	}
+	if middle := median([]float64{9, 1, 2, 4}); middle != 3 {
+		t.Errorf("the median of four is %v", middle)
+	}
+}
--- a/scale/draw.go
+++ b/scale/draw.go
@@ -20,10 +20,9 @@
 // How much one size plays.
 const (
 	drawRepeats = 5
-	drawsMost   = 20_000          // in one repeat
-	drawsLeast  = 100             // for a share of 99 in 100 to mean something
-	drawTime    = 2 * time.Second // after which a repeat that has these ends
-	drawLongest = time.Minute     // that a histogram holds
+	drawsMost   = 20_000      // in one repeat
+	drawsLeast  = 100         // for a share of 99 in 100 to mean something
+	drawLongest = time.Minute // that a histogram holds
 )
 
 // Describe tells what is measured.
@@ -43,9 +42,9 @@
 }
 
 // Needs tells what one size takes at most.
-func (addedTime) Needs(int, Options) Needs {
+func (addedTime) Needs(_ int, o Options) Needs {
 	const bytes = 256 << 20
-	return Needs{Memory: bytes, Time: drawRepeats * (drawTime + drawLongest)}
+	return Needs{Memory: bytes, Time: o.For + 2*drawLongest}
 }
 
 // drawn is what one repeat has shown, in nanoseconds.
@@ -61,15 +60,15 @@
 }
 
 // Run plays the repeats over one table, and takes the median of their percentiles.
-func (addedTime) Run(ctx context.Context, size int, options Options) (sample Sample, err error) {
-	table := weightedTable(size, options.Seed)
-	random := rand.New(rand.NewPCG(options.Seed, uint64(size)))
+func (addedTime) Run(ctx context.Context, size int, o Options) (sample Sample, err error) {
+	table := weightedTable(size, o.Seed)
+	random := rand.New(rand.NewPCG(o.Seed, uint64(size)))
 	var all []drawn
 	for range drawRepeats {
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		one, err := drawOften(table, random)
+		one, err := drawOften(table, random, o.For/drawRepeats)
 		if err != nil {
 			return sample, err
 		}
@@ -102,13 +101,13 @@
 // drawsTold are enough for the slowest of a hundred to be many.
 const drawsTold = 1000
 
-// drawOften draws a backend and another one, and notes how long that took.
-func drawOften(table map[string]float64, random *rand.Rand) (d drawn, err error) {
+// drawOften draws a backend and another one for a while, and notes how long that took.
+func drawOften(table map[string]float64, random *rand.Rand, span time.Duration) (d drawn, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	d = newDrawn()
 	shut := map[string]bool{}
-	for began := time.Now(); d.requests < drawsMost && (d.requests < drawsLeast || time.Since(began) < drawTime); d.requests++ {
+	for began := time.Now(); d.requests < drawsMost && (d.requests < drawsLeast || time.Since(began) < span); d.requests++ {
 		number := random.Uint64()
 		from, fromProcessor := time.Now(), threadTime()
 		first, found := standin.Draw(table, shut, "", number)
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -17,12 +17,10 @@
 // How much one size plays.
 const (
 	listRepeats = 3
-	listTime    = 60 * time.Second // after which no further repeat begins
 	listReady   = 150 * time.Second
-	listIdle    = 3 * time.Second
+	listIdle    = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
 	listChanges = 10
-	listPause   = 250 * time.Millisecond // between two changes
-	mostListed  = 16 << 20               // bytes of an answer of discovery that a controller takes
+	mostListed  = 16 << 20 // bytes of an answer of discovery that a controller takes
 )
 
 // Describe tells what is measured.
@@ -45,18 +43,19 @@
 }
 
 // Needs tells what one size takes at most.
-func (lists) Needs(int, Options) Needs {
+func (lists) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Processes: 1, Time: listTime + listReady}
+	return Needs{Memory: bytes, Processes: 1, Time: o.For + listReady}
 }
 
 // listCost is what one life of a controller has shown.
 type listCost struct {
-	ready, readyProcessor, idle, changes time.Duration // changes: of all of them
-	seconds                              float64       // that changes were made for
-	listBytes, changeBytes               int64
-	memory                               int64
-	known                                float64
+	ready, readyProcessor  time.Duration
+	idle, changing         float64 // seconds of processor time a second, while nothing and while entries change
+	changeTime             float64 // seconds between two changes
+	listBytes, changeBytes int64
+	memory                 int64
+	known                  float64
 }
 
 // Run plays the repeats, each with a process of its own.
@@ -71,25 +70,22 @@
 	}
 	defer discovery.Close()
 	var all []listCost
-	for began := time.Now(); len(all) < listRepeats && (len(all) == 0 || time.Since(began) < listTime); {
+	s.Partial, err = repeats(ctx, listRepeats, o.For, func() error {
 		cost, err := listLife(ctx, discovery, workers, folder, o)
-		if err != nil {
-			return s, fmt.Errorf("%w; its log is in %s", err, folder)
-		}
 		all = append(all, cost)
-	}
-	if len(all) < listRepeats {
-		s.Partial = fmt.Sprintf("%d of %d repeats within %s", len(all), listRepeats, listTime)
+		return err
+	})
+	if err != nil {
+		return s, fmt.Errorf("%w; its log is in %s", err, folder)
 	}
 	middle := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
 	s.Set("ready", middle(func(c listCost) float64 { return c.ready.Seconds() }))
 	s.Set("ready_processor", middle(func(c listCost) float64 { return c.readyProcessor.Seconds() }))
 	s.Set("list_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) }))
 	s.Set("entry_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) / float64(size) }))
-	s.Set("idle_processor", middle(func(c listCost) float64 { return percent * c.idle.Seconds() / listIdle.Seconds() }))
+	s.Set("idle_processor", middle(func(c listCost) float64 { return percent * c.idle }))
 	s.Set("change_processor", middle(func(c listCost) float64 {
-		idle := c.idle.Seconds() / listIdle.Seconds() * c.seconds
-		return max(0, c.changes.Seconds()-idle) * 1000 / listChanges
+		return max(0, c.changing-c.idle) * c.changeTime * 1000
 	}))
 	s.Set("change_bytes", middle(func(c listCost) float64 { return float64(c.changeBytes) / listChanges }))
 	s.Set("memory", middle(func(c listCost) float64 { return float64(c.memory) / megabyte }))
@@ -124,16 +120,17 @@
 	if cost.known, err = strconv.ParseFloat(c.known, 64); err != nil {
 		return cost, fmt.Errorf("backends of event=ready: %w", err)
 	}
-	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, listIdle) }); err != nil {
+	span := min(listIdle, o.For/4)
+	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, span) }); err != nil {
 		return cost, err
 	}
 	_, sent = discovery.Sent()
-	began := time.Now()
-	cost.changes, err = c.spends(func() error {
+	cost.changeTime = span.Seconds() / listChanges
+	cost.changing, err = c.spends(func() error {
 		for i := range listChanges {
 			state := []string{"draining", "up"}[i%2]
 			discovery.List(state, workers[i/2*len(workers)/listChanges])
-			if err := pauseFor(ctx, listPause); err != nil {
+			if err := pauseFor(ctx, span/listChanges); err != nil {
 				return err
 			}
 		}
@@ -142,7 +139,6 @@
 	if err != nil {
 		return cost, err
 	}
-	cost.seconds = time.Since(began).Seconds()
 	_, now = discovery.Sent()
 	cost.changeBytes = now - sent
 	usage, err = usageOf(c.process.PID())
@@ -150,8 +146,9 @@
 	return cost, err
 }
 
-// spends is the processor time that the controller takes while something goes on.
-func (c *listedController) spends(what func() error) (time.Duration, error) {
+// spends is the processor time that the controller takes while something goes on, in seconds a second.
+func (c *listedController) spends(what func() error) (float64, error) {
+	began := time.Now()
 	before, err := usageOf(c.process.PID())
 	if err != nil {
 		return 0, err
@@ -160,5 +157,5 @@
 		return 0, err
 	}
 	after, err := usageOf(c.process.PID())
-	return after.processor - before.processor, err
+	return (after.processor - before.processor).Seconds() / time.Since(began).Seconds(), err
 }
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -20,9 +20,8 @@
 	servicesToCome  = 5700
 	backendsServed  = backendsToCome / servicesToCome * servicesPerGroup
 	recoveryRepeats = 3
-	recoveryTime    = 60 * time.Second // after which no further repeat begins
-	listedMemory    = 40 << 20         // bytes that a controller takes, and ...
-	backendMemory   = 6 << 10          // ... for each backend, about
+	listedMemory    = 40 << 20 // bytes that a controller takes, and ...
+	backendMemory   = 6 << 10  // ... for each backend, about
 )
 
 // Describe tells what is measured.
@@ -54,9 +53,9 @@
 }
 
 // Needs tells what one size takes at most.
-func (r recovery) Needs(size int, _ Options) Needs {
+func (r recovery) Needs(size int, o Options) Needs {
 	return Needs{Memory: standinMemory + int64(size)*int64(listedMemory+r.backends()*backendMemory), Processes: size,
-		Time: recoveryTime + listReady}
+		Time: o.For + listReady}
 }
 
 // recoveryCost is what one restart of all has shown.
@@ -81,18 +80,16 @@
 		return s, err
 	}
 	var all []recoveryCost
-	for began := time.Now(); len(all) < recoveryRepeats && (len(all) == 0 || time.Since(began) < recoveryTime); {
+	s.Partial, err = repeats(ctx, recoveryRepeats, o.For, func() error {
 		_, before := discovery.Sent()
 		cost, err := restartAll(ctx, controllers, folder)
-		if err != nil {
-			return s, fmt.Errorf("%w; the logs are in %s", err, folder)
-		}
 		_, after := discovery.Sent()
 		cost.bytes = after - before
 		all = append(all, cost)
-	}
-	if len(all) < recoveryRepeats {
-		s.Partial = fmt.Sprintf("%d of %d repeats within %s", len(all), recoveryRepeats, recoveryTime)
+		return err
+	})
+	if err != nil {
+		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
 	middle := func(figure func(recoveryCost) float64) float64 { return medianOf(all, figure) }
 	s.Set("ready", middle(func(c recoveryCost) float64 { return c.ready.Seconds() }))
--- /dev/null
+++ b/scale/recovery_test.go
@@ -0,0 +1,56 @@
+package scale
+
+import (
+	"os"
+	"testing"
+	"time"
+)
+
+// TestRecoverySnapshot has a snapshot cost as many bytes for each entry, however many there are, and no more than twice
+// what the entry has.
+func TestRecoverySnapshot(t *testing.T) {
+	t.Parallel()
+	r := playsTiny(t, recoverySnapshot{}, []int{20, 40, 80, 160}, 100*time.Millisecond)
+	grows(t, r, "bytes")
+	for _, s := range r.Samples {
+		bytes, _ := s.Get("bytes")
+		entry, _ := s.Get("entry_bytes")
+		if bytes < entry*float64(s.Size) || bytes > 2*entry*float64(s.Size) {
+			t.Errorf("%d entries of %v bytes: %v bytes were sent", s.Size, entry, bytes)
+		}
+	}
+}
+
+// TestRecoverySubscribers has each subscriber that restarts learn its scopes alone.
+func TestRecoverySubscribers(t *testing.T) {
+	t.Parallel()
+	const entryBytes, subscribers = 200, 12 // entryBytes: by far
+	r := playsTiny(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
+	for _, s := range r.Samples {
+		bytes, _ := s.Get("bytes")
+		if bytes <= 0 || bytes > (commonEntries+servicesPerGroup)*entryBytes {
+			t.Errorf("%d at once: each was sent %v bytes", s.Size, bytes)
+		}
+	}
+}
+
+// TestRecoveryDelta has a region catch up without a snapshot.
+func TestRecoveryDelta(t *testing.T) {
+	t.Parallel() // with one subscriber in each region
+	r := playsTiny(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond)
+	if snapshots, ok := r.Samples[0].Get("snapshots"); !ok || snapshots > 0 {
+		t.Errorf("%v snapshots, %v", snapshots, ok)
+	}
+}
+
+// TestUsageOf reads this process's own usage in both ways.
+func TestUsageOf(t *testing.T) {
+	before := processorTime()
+	usage, err := usageOf(os.Getpid())
+	if err != nil || usage.processor < before || usage.resident <= 0 || usage.most < usage.resident {
+		t.Errorf("%+v, %v; %s before", usage, err, before)
+	}
+	if _, err := usageOf(1 << 30); err == nil {
+		t.Error("a process that is not there has a usage")
+	}
+}
--- a/scale/recoverysnapshot.go
+++ b/scale/recoverysnapshot.go
@@ -27,7 +27,6 @@
 	entriesServed = entriesOfAll / groupsToCome
 
 	snapshotRepeats = 3
-	snapshotTime    = 45 * time.Second // after which no further repeat begins
 	snapshotWithin  = 2 * time.Minute
 )
 
@@ -46,8 +45,8 @@
 }
 
 // Needs are those of both ends.
-func (recoverySnapshot) Needs(int, Options) Needs {
-	return Needs{Memory: treeMemory, Time: snapshotTime + snapshotWithin}
+func (recoverySnapshot) Needs(_ int, o Options) Needs {
+	return Needs{Memory: treeMemory, Time: o.For + snapshotWithin}
 }
 
 // snapshotCost is what one start has shown.
@@ -75,15 +74,13 @@
 		return s, err
 	}
 	var all []snapshotCost
-	for began := time.Now(); len(all) < snapshotRepeats && (len(all) == 0 || time.Since(began) < snapshotTime); {
+	s.Partial, err = repeats(ctx, snapshotRepeats, o.For, func() error {
 		cost, err := takesSnapshot(ctx, network, size)
-		if err != nil {
-			return s, err
-		}
 		all = append(all, cost)
-	}
-	if len(all) < snapshotRepeats {
-		s.Partial = fmt.Sprintf("%d of %d repeats within %s", len(all), snapshotRepeats, snapshotTime)
+		return err
+	})
+	if err != nil {
+		return s, err
 	}
 	s.Set("ready", medianOf(all, func(c snapshotCost) float64 { return c.ready.Seconds() }))
 	s.Set("bytes", medianOf(all, func(c snapshotCost) float64 { return float64(c.bytes) }))
--- a/scale/recoverytree.go
+++ b/scale/recoverytree.go
@@ -7,10 +7,10 @@
 )
 
 // recoveryTree measures subscribers that restart at once, in an installation that runs.
-type recoveryTree struct{}
+type recoveryTree struct{ subscribers int }
 
 // recoveryDelta measures a region that was cut off, by the changes that it missed.
-type recoveryDelta struct{}
+type recoveryDelta struct{ subscribers int }
 
 // Of the installation that both are played in.
 const (
@@ -21,10 +21,10 @@
 )
 
 // Describe says what it is.
-func (recoveryTree) Describe() Description {
-	return Description{Name: "recovery-subscribers", Size: "subscribers that restart at once", Sizes: []int{1, 40, 220, recoverySubscribers},
+func (m recoveryTree) Describe() Description {
+	return Description{Name: "recovery-subscribers", Size: "subscribers that restart at once", Sizes: []int{1, 40, 220, m.subscribers},
 		Targets: []int{40, 220, controllersToCome}, Transport: "memory",
-		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", recoverySubscribers,
+		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", m.subscribers,
 			commonEntries+servicesPerGroup),
 		Metrics: []Metric{
 			{Name: "ready", Unit: "s", About: "until the last has its configuration", Fit: true},
@@ -36,9 +36,9 @@
 }
 
 // Needs are those of all nodes in our process.
-func (recoveryTree) Needs(size int, _ Options) Needs {
-	return Needs{Memory: treeMemory + int64(max(size, recoverySubscribers))*subscriberMemory,
-		Time: startsWithin + (1+restartsOfTree)*readyWithin}
+func (m recoveryTree) Needs(size int, o Options) Needs {
+	return Needs{Memory: treeMemory + int64(max(size, m.subscribers))*subscriberMemory,
+		Time: o.For + startsWithin + 2*readyWithin}
 }
 
 // restartCost is what one restart has shown.
@@ -48,20 +48,21 @@
 }
 
 // Run restarts so many subscribers, drawn by the seed, as often as there are repeats.
-func (recoveryTree) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
-	t, err := newTree(ctx, max(size, recoverySubscribers), o)
+func (m recoveryTree) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	t, err := newTree(ctx, max(size, m.subscribers), o)
 	if err != nil {
 		return s, err
 	}
 	defer t.close()
 	late := watchTurns()
 	var all []restartCost
-	for range restartsOfTree {
+	s.Partial, err = repeats(ctx, restartsOfTree, o.For, func() error {
 		cost, err := t.restartSome(ctx, size)
-		if err != nil {
-			return s, err
-		}
 		all = append(all, cost)
+		return err
+	})
+	if err != nil {
+		return s, err
 	}
 	s.Set("ready", medianOf(all, func(c restartCost) float64 { return c.ready.Seconds() }))
 	s.Set("bytes", medianOf(all, func(c restartCost) float64 { return c.bytes }))
@@ -84,8 +85,8 @@
 		t.starts.Add(1)
 		s.start()
 	}
-	if !waitTight(ctx, readyWithin, func() bool { return t.waiting() == 0 }) {
-		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", t.waiting(), many, readyWithin)
+	if !waitTight(ctx, readyWithin, func() bool { return waiting(some) == 0 }) {
+		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", waiting(some), many, readyWithin)
 	}
 	cost.ready, cost.processor = time.Since(began), processorTime()-spent
 	for name, bytes := range t.bytes() {
@@ -105,10 +106,10 @@
 }
 
 // Describe says what it is.
-func (recoveryDelta) Describe() Description {
+func (m recoveryDelta) Describe() Description {
 	return Description{Name: "recovery-delta", Size: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
 		Transport: "memory",
-		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", recoverySubscribers/regions),
+		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", m.subscribers/regions),
 		Metrics: []Metric{
 			{Name: "ready", Unit: "s", About: "from the end of the cut until the last has all changes", Most: mostInForce, Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
@@ -117,13 +118,13 @@
 }
 
 // Needs are those of all nodes in our process.
-func (recoveryDelta) Needs(int, Options) Needs {
-	return Needs{Memory: treeMemory + recoverySubscribers*subscriberMemory, Time: startsWithin + 2*readyWithin + proposeAll}
+func (m recoveryDelta) Needs(int, Options) Needs {
+	return Needs{Memory: treeMemory + int64(m.subscribers)*subscriberMemory, Time: startsWithin + 2*readyWithin + proposeAll}
 }
 
 // Run cuts a region without voters off while so many changes are made.
-func (recoveryDelta) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
-	t, err := newTree(ctx, recoverySubscribers, o)
+func (m recoveryDelta) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+	t, err := newTree(ctx, m.subscribers, o)
 	if err != nil {
 		return s, err
 	}
--- /dev/null
+++ b/scale/repeats.go
@@ -0,0 +1,45 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// repeats does something so often, or as often as begins within a span, and once at least. It says so where it is less.
+func repeats(ctx context.Context, most int, span time.Duration, do func() error) (partial string, err error) {
+	began, done := time.Now(), 0
+	for ; done == 0 || done < most && time.Since(began) < span; done++ {
+		if err := errors.Join(ctx.Err(), do()); err != nil {
+			return "", err
+		}
+	}
+	if done < most {
+		partial = fmt.Sprintf("%d of %d repeats began within %s", done, most, span)
+	}
+	return partial, nil
+}
+
+// median is the middle value, or the mean of the two in the middle; 0 of none.
+func median(values []float64) float64 {
+	if len(values) == 0 {
+		return 0
+	}
+	sorted := slices.Sorted(slices.Values(values))
+	half := len(sorted) / 2
+	if len(sorted)%2 == 1 {
+		return sorted[half]
+	}
+	return (sorted[half-1] + sorted[half]) / 2
+}
+
+// medianOf is the median of one figure of several measurements.
+func medianOf[T any](all []T, figure func(T) float64) float64 {
+	var values []float64
+	for _, one := range all {
+		values = append(values, figure(one))
+	}
+	return median(values)
+}
