--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -11,9 +11,15 @@
 
 // crowd makes a controller for a fleet of so many proxies and 200 backends, with a channel of so many lines a second.
 func crowd(b *testing.B, proxies int, lines float64) *module {
+	b.Helper()
+	return crowdOf(b, proxies, 200, lines)
+}
+
+// crowdOf makes one for so many backends.
+func crowdOf(b *testing.B, proxies, backends int, lines float64) *module {
 	b.Helper()
 	var entries []string
-	for id := range 200 {
+	for id := range backends {
 		entries = append(entries, backendIs(id, "up"))
 	}
 	fit := strings.NewReplacer(`"proxyCount":40`, fmt.Sprintf(`"proxyCount":%d`, proxies),
@@ -111,3 +117,41 @@
 		})
 	}
 }
+
+// BenchmarkList tells what a list costs a controller by its entries: the whole one at the start, without proxies, and a
+// change of one entry, told to a hundred.
+func BenchmarkList(b *testing.B) {
+	const proxies = 100
+	for _, backends := range []int{200, 1000, 5000, 20_000} {
+		var entries []decide.Entry
+		for id := range backends {
+			entries = append(entries, decide.Entry{Backend: id, Condition: decide.Ready, Weight: 2, Zone: id % 2})
+		}
+		b.Run(fmt.Sprintf("lines/%d", backends), func(b *testing.B) {
+			for range b.N {
+				t := newTables([][]byte{[]byte(`"lookup"`)}, func(int) []byte { return nil }, 1<<20, 64)
+				for _, e := range entries {
+					t.SetLine(0, e.Backend, e.Weight)
+				}
+				t.flush(nil, nil, nil)
+			}
+		})
+		m := crowdOf(b, proxies, backends, wide)
+		peers := arrive(m, proxies)
+		answers(m, peers)
+		later(m, 5*second, func() {})
+		answers(m, peers)
+		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
+			for i := range b.N {
+				state := []decide.Condition{decide.Draining, decide.Ready}[i%2]
+				jump(m, 3*second, func() {
+					m.control.Listed(false, []decide.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
+				})
+				for _, p := range peers {
+					p.heard.Store(m.now)
+				}
+				answers(m, peers)
+			}
+		})
+	}
+}
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -30,9 +30,10 @@
 
 // table is one of those that proxies can be bound to.
 type table struct {
-	weights []float64 // by backend; 0 is no line
-	changed []int     // backends whose lines were set at this time
-	levels  []level   // by class
+	weights   []float64 // by backend; 0 is no line
+	changed   []int     // backends whose lines were set at this time
+	isChanged []bool    // by backend: it is among them
+	levels    []level   // by class
 }
 
 // level is how much of a class proxies let in, and how they try again.
@@ -113,11 +114,11 @@
 func (t *tables) SetLine(number, backend int, weight float64) {
 	in := t.table(number)
 	for len(in.weights) <= backend {
-		in.weights = append(in.weights, 0)
+		in.weights, in.isChanged = append(in.weights, 0), append(in.isChanged, false)
 	}
 	in.weights[backend] = figure(weight)
-	if !slices.Contains(in.changed, backend) {
-		in.changed = append(in.changed, backend)
+	if !in.isChanged[backend] {
+		in.isChanged[backend], in.changed = true, append(in.changed, backend)
 	}
 	t.touch(func(s *stream) bool { return slices.Contains(s.bound, number) })
 }
@@ -266,6 +267,9 @@
 		}
 	}
 	for _, in := range t.laid {
+		for _, backend := range in.changed {
+			in.isChanged[backend] = false
+		}
 		in.changed = in.changed[:0]
 	}
 	t.marked, t.toEach, t.withdrew = false, false, t.withdrew[:0]
