--- a/scale/lists.go
+++ b/scale/lists.go
@@ -25,7 +25,7 @@
 
 // Describe tells what is measured.
 func (lists) Describe() Description {
-	return Description{Name: "lists", Size: "backends listed", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
+	return Description{Name: "lists", Size: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
 		Targets: []int{99_000}, Transport: "loopback",
 		About: "What discovery's list costs one real controller without proxies: recovery of one, and each change",
 		Metrics: []Metric{
