--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -26,6 +26,7 @@
 	region     int
 	scopes     distribution.Scopes
 	candidates []string
+	fanOut     int
 	network    *network
 	inForce    *inForce
 
--- a/scale/tree.go
+++ b/scale/tree.go
@@ -17,6 +17,7 @@
 	regions            = 25
 	distributorsToCome = mostMachines - usualVoters // of the machines set aside, those that do not vote
 	usualVoters        = 5
+	distributorFanOut  = 64 // its children are of some groups each; with 16, groups find no place at 11,000
 	leastDistributors  = 2
 	distributorsKnown  = 3 // that a subscriber is configured with as possible parents
 	peersKnown         = 2 // of its group
@@ -72,10 +73,10 @@
 	}
 	for i := range distributorsOf(size) {
 		t.distributors = append(t.distributors, &hollowSubscriber{name: fmt.Sprint("distributor/", i), role: roleDistributor,
-			region: (len(voters) + i) % regions, scopes: distribution.AllScopes(), candidates: voters})
+			region: (len(voters) + i) % regions, scopes: distribution.AllScopes(), candidates: voters, fanOut: distributorFanOut})
 	}
 	for i := range size {
-		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions,
+		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions, fanOut: distribution.DefaultFanOut,
 			scopes: distribution.SomeScopes(commonScope, groupScope(i%t.content.groups))}
 		for _, d := range t.random.Perm(len(t.distributors))[:min(distributorsKnown, len(t.distributors))] {
 			s.candidates = append(s.candidates, t.distributors[d].name)
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -8,8 +8,8 @@
 
 var terms = Terms{Lease: 1000, Renew: 100, Span: 10_000, Messages: 36, Members: 3, Kept: 4}
 
-// place notes what a coordinator asks for.
-type place struct {
+// fakeHost notes what a coordinator asks for.
+type fakeHost struct {
 	proposed []Entry
 	granted  map[int]string
 	spent    map[int]int
@@ -19,21 +19,23 @@
 	drawn    uint64
 }
 
-func newPlace() *place { return &place{granted: map[int]string{}, spent: map[int]int{}} }
+func newFakeHost() *fakeHost { return &fakeHost{granted: map[int]string{}, spent: map[int]int{}} }
 
-func (p *place) Propose(e Entry) { p.proposed = append(p.proposed, e) }
-func (p *place) Granted(proxy int, token uint64, base []Base, _ bool, _ []float64, spent int) {
+func (p *fakeHost) Propose(e Entry) { p.proposed = append(p.proposed, e) }
+func (p *fakeHost) Granted(proxy int, token uint64, base []Base, _ bool, _ []float64, spent int) {
 	p.granted[proxy] = fmt.Sprint(token, " ", base != nil, " ", spent)
 }
-func (p *place) Spent(proxy, messages int)     { p.spent[proxy] += messages }
-func (p *place) Release(edition uint64)        { p.released = edition }
-func (p *place) Learned(member string, s Seen) { p.learned = append(p.learned, member+" "+s.Backend) }
-func (p *place) Fitted(f Fit)                  { p.learned = append(p.learned, fmt.Sprint(f)) }
-func (p *place) Mode(alone bool, _ string)     { p.modes = append(p.modes, alone) }
-func (p *place) Chance() uint64                { p.drawn++; return p.drawn * 1000 }
+func (p *fakeHost) Spent(proxy, messages int) { p.spent[proxy] += messages }
+func (p *fakeHost) Release(edition uint64)    { p.released = edition }
+func (p *fakeHost) Learned(member string, s Observation) {
+	p.learned = append(p.learned, member+" "+s.Backend)
+}
+func (p *fakeHost) LearnedCapacity(f Capacity) { p.learned = append(p.learned, fmt.Sprint(f)) }
+func (p *fakeHost) Mode(alone bool, _ string)  { p.modes = append(p.modes, alone) }
+func (p *fakeHost) RandomID() uint64           { p.drawn++; return p.drawn * 1000 }
 
 // stands puts the last proposal on the record, stamped, and answers it.
-func (p *place) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
+func (p *fakeHost) stands(d *Coordinator, now int64, recorded ...uint64) Entry {
 	e := p.proposed[len(p.proposed)-1]
 	e.OnRecord, e.Stamp = recorded, Stamp{7, now}
 	d.Recorded(e, now)
@@ -42,9 +44,9 @@
 }
 
 // works has a coordinator enter, and others that are at work beside it.
-func works(t *testing.T) (*place, *Coordinator) {
+func works(t *testing.T) (*fakeHost, *Coordinator) {
 	t.Helper()
-	p := newPlace()
+	p := newFakeHost()
 	d := New(p, "n0", terms, 0)
 	d.started = -terms.Span // long ago
 	d.Elapsed(0)
@@ -59,9 +61,9 @@
 	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
 		p, d := works(t)
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Stamp: Stamp{7, 10},
-			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
+			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Stamp: Stamp{7, 20},
-			Told: []Told{{5, 1, 1, []int{0, 0}, true}}}, 20)
+			Confirmations: []Confirmation{{5, 1, 1, []int{0, 0}, true}}}, 20)
 		d.Joined(5, 30)
 		if len(p.granted) > 0 {
 			t.Fatalf("granted %v before its claim stands", p.granted)
@@ -74,8 +76,8 @@
 	t.Run("where anybody may have written off the record, what it holds is not known", func(t *testing.T) {
 		for _, recorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
 			p, d := works(t)
-			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}}, 10)
-			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Told: []Told{{5, 1, 1, []int{0}, true}}}, 20)
+			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
+			d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Edition: 1, Confirmations: []Confirmation{{5, 1, 1, []int{0}, true}}}, 20)
 			d.Joined(5, 30)
 			if p.stands(d, 40, recorded...); p.granted[5] != "2 false 0" {
 				t.Errorf("recorded %v: granted %v", recorded, p.granted)
@@ -84,7 +86,7 @@
 	})
 	t.Run("orders wait for the record, and for no longer than a lease", func(t *testing.T) {
 		p, d := works(t)
-		edition := d.Laid([]Laid{{0, []Line{{"a", 1}}}}, 100)
+		edition := d.ChangeTables([]TableChange{{0, []Line{{"a", 1}}}}, 100)
 		if p.released >= edition {
 			t.Error("released before it stands")
 		}
@@ -94,30 +96,30 @@
 		if d.Elapsed(1100); !d.Alone() || p.released != edition || !slices.Equal(p.modes, []bool{false, true}) {
 			t.Errorf("alone %v, released %d, modes %v", d.Alone(), p.released, p.modes)
 		}
-		if d.Joined(3, 1200); p.granted[3] != fmt.Sprint("0 false ", terms.Own()) {
+		if d.Joined(3, 1200); p.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v", p.granted)
 		}
 		d.Elapsed(1200 + terms.Span) // it has of that proxy no more than every member has
-		if p.spent[3] != terms.Own() {
+		if p.spent[3] != terms.OwnerQuota() {
 			t.Errorf("spent %v", p.spent)
 		}
 	})
 	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old incarnation counts", func(t *testing.T) {
 		p, d := works(t)
 		d.Joined(4, 50)
-		d.Laid([]Laid{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
+		d.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
 		old := p.proposed[len(p.proposed)-1]
 		d.Elapsed(1100)
-		d.Laid([]Laid{{0, []Line{{"a", 0}}}}, 1150)
+		d.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
 		e := p.stands(d, 1200)
-		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Again) > 0 || len(e.Laid) != 1 || d.Alone() {
+		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || d.Alone() {
 			t.Errorf("entered with %+v, alone %v", e, d.Alone())
 		}
 		d.Spoke(4, 1000) // heard before: it may be gone since
 		p.stands(d, 1300)
 		d.Spoke(4, 1350)
 		p.stands(d, 1400) // what was under way
-		if again := p.stands(d, 1410); !slices.Equal(again.Again, []int{4}) || d.Owned() != 1 || len(d.record.Proxies[4].Moves) > 0 {
+		if again := p.stands(d, 1410); !slices.Equal(again.Reclaims, []int{4}) || d.Owned() != 1 || len(d.record.Proxies[4].Moves) > 0 {
 			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.Owned(), d.record.Proxies[4].Moves)
 		}
 		if _, taken := d.record.Apply(old); taken {
@@ -145,24 +147,24 @@
 			d.Recorded(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
 		}
 		d.Joined(5, 200)
-		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.Own()) {
+		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v with three others' shares standing", p.granted)
 		}
-		for i := range mostMoves { // and so on: beyond some it has none of its own
+		for i := range maxMoves { // and so on: beyond some it has none of its own
 			d.Left(5)
 			d.Recorded(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1), Seq: d.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		d.Joined(5, 230)
-		if p.stands(d, 240); p.granted[5] != fmt.Sprint("9 false ", terms.Own()+terms.Stray()-1) {
-			t.Errorf("granted %v after %d moves", p.granted, mostMoves+4)
+		if p.stands(d, 240); p.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
+			t.Errorf("granted %v after %d moves", p.granted, maxMoves+4)
 		}
-		if most := terms.Members*(terms.Stray()+1) + (movesKept+1)*terms.Own(); most > terms.Messages {
+		if most := terms.Members*(terms.UnownedQuota()+1) + (ownersBefore+1)*terms.OwnerQuota(); most > terms.Messages {
 			t.Errorf("%d messages by all together", most)
 		}
 	})
 	t.Run("how old a move is counts by one leader's clock, also for who has just started", func(t *testing.T) {
-		p := newPlace()
+		p := newFakeHost()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		for i, name := range []string{"n1", "n2", "n1", "n2"} {
@@ -181,18 +183,18 @@
 		}
 	})
 	t.Run("one that has just started, or has the proxy back, has few messages left of those that need no claim", func(t *testing.T) {
-		p := newPlace()
+		p := newFakeHost()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		d.Elapsed(terms.Lease)
 		d.Joined(5, terms.Lease)
-		if left := terms.Stray() + terms.Own(); p.granted[5] != fmt.Sprint("0 false ", left-terms.Kept) {
+		if left := terms.UnownedQuota() + terms.OwnerQuota(); p.granted[5] != fmt.Sprint("0 false ", left-terms.Kept) {
 			t.Errorf("granted %v of %d", p.granted, left)
 		}
 		d.Joined(6, 2*terms.Span)
 		d.Left(6)
 		d.Joined(6, 2*terms.Span+5)
-		if left := terms.Stray() + terms.Own(); p.granted[6] != fmt.Sprint("0 false ", left-terms.Kept) {
+		if left := terms.UnownedQuota() + terms.OwnerQuota(); p.granted[6] != fmt.Sprint("0 false ", left-terms.Kept) {
 			t.Errorf("granted %v of %d", p.granted, left)
 		}
 	})
@@ -205,7 +207,7 @@
 			p.stands(d, 60)
 		}
 		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
-		if d.Owned() != 0 || p.spent[4] != terms.Own() {
+		if d.Owned() != 0 || p.spent[4] != terms.OwnerQuota() {
 			t.Errorf("owns %d, spent %v", d.Owned(), p.spent)
 		}
 		d.Spoke(4, 60) // what was heard before says nothing
@@ -222,9 +224,9 @@
 	t.Run("a line set after what a proxy confirmed is in doubt, also one that was taken out", func(t *testing.T) {
 		b := NewRecord()
 		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1,
-			Laid: []Laid{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 2, Laid: []Laid{{0, []Line{{"a", 0.5}, {"b", 0}}}},
-			Told: []Told{{3, 1, 1, []int{0}, true}}})
+			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 2, TableChanges: []TableChange{{0, []Line{{"a", 0.5}, {"b", 0}}}},
+			Confirmations: []Confirmation{{3, 1, 1, []int{0}, true}}})
 		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Doubt["a"] || !base[0].Doubt["b"] || base[0].Doubt["c"] || base[0].Lines["c"] != 1 {
@@ -239,9 +241,9 @@
 			clean      bool
 		}{{true, 0, 2, 2, true}, {true, 1, 2, 2, false}, {true, 0, 3, 2, false}, {false, 0, 2, 2, false}} {
 			b := NewRecord()
-			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, Laid: []Laid{{Shut, []Line{{"a", story.shut}}}},
-				Told: []Told{{3, 1, story.heard, []int{0}, story.sure}}})
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
+			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: story.set, TableChanges: []TableChange{{WithdrawnTable, []Line{{"a", story.shut}}}},
+				Confirmations: []Confirmation{{3, 1, story.heard, []int{0}, story.sure}}})
 			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
@@ -250,14 +252,14 @@
 	})
 	t.Run("what is remembered of lines taken out has an end, from which on a base is not known", func(t *testing.T) {
 		b := NewRecord()
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, Laid: []Laid{{0, []Line{{"a", 1}}}}})
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 1, Told: []Told{{3, 1, 1, []int{0}, true}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3, 4}, Edition: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Edition: 1, Confirmations: []Confirmation{{3, 1, 1, []int{0}, true}}})
 		for seq := uint64(3); seq < 400; seq++ {
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: seq, Edition: seq,
-				Laid: []Laid{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
+				TableChanges: []TableChange{{0, []Line{{fmt.Sprint("s", seq), 0}}}}})
 		}
-		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Told: []Told{{4, 2, 399, []int{0}, true}}})
-		if n := len(b.Incarnations[1].Tables[0].Lines); n > mostOut+1 {
+		b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 400, Edition: 400, Confirmations: []Confirmation{{4, 2, 399, []int{0}, true}}})
+		if n := len(b.Incarnations[1].Tables[0].Lines); n > maxRemovedLines+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
 		moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3, 4}, OnRecord: []uint64{1}})
@@ -294,7 +296,7 @@
 		for incarnation := uint64(3); incarnation < 99; incarnation++ {
 			b.Apply(Entry{Member: "n0", Incarnation: incarnation, Seq: 1})
 		}
-		if len(b.Past["n0"]) != pastKept {
+		if len(b.Past["n0"]) != maxPast {
 			t.Errorf("%d incarnations are kept", len(b.Past["n0"]))
 		}
 	})
@@ -307,25 +309,25 @@
 		}
 	})
 	t.Run("a withdrawal stands until its member takes it back, or enters anew", func(t *testing.T) {
-		p := newPlace()
+		p := newFakeHost()
 		d := New(p, "n0", terms, 0)
 		d.Elapsed(0)
 		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
 			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 1}, 0)
-			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 2, Seen: []Seen{{Backend: "a", Tries: 5, Failed: 5, Away: true}}}, 10)
+			d.Recorded(Entry{Member: member, Incarnation: incarnation, Seq: 2, Observations: []Observation{{Backend: "a", Tries: 5, Failed: 5, Withdrawn: true}}}, 10)
 		}
-		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Seen: []Seen{{Backend: "a", Tries: 5}}}, 20)
-		if len(d.record.Away["a"]) != 1 || len(p.learned) > 0 {
-			t.Errorf("withdrawn %v, learned %v before we came", d.record.Away, p.learned)
+		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 3, Observations: []Observation{{Backend: "a", Tries: 5}}}, 20)
+		if len(d.record.Withdrawn["a"]) != 1 || len(p.learned) > 0 {
+			t.Errorf("withdrawn %v, learned %v before we came", d.record.Withdrawn, p.learned)
 		}
 		if p.stands(d, 30); !slices.Equal(p.learned, []string{"n2 a"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 4, Seen: []Seen{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
+		if d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 4, Observations: []Observation{{Backend: "b"}}}, 35); !slices.Equal(p.learned, []string{"n2 a", "n1 b"}) {
 			t.Errorf("learned %v", p.learned)
 		}
-		if d.Recorded(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(d.record.Away) != 0 {
-			t.Errorf("withdrawn %v", d.record.Away)
+		if d.Recorded(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(d.record.Withdrawn) != 0 {
+			t.Errorf("withdrawn %v", d.record.Withdrawn)
 		}
 	})
 }
