--- a/scale/draw.go
+++ b/scale/draw.go
@@ -19,10 +19,11 @@
 
 // How much one size plays.
 const (
-	drawRepeats = 5
-	drawsMost   = 20_000      // in one repeat
-	drawsLeast  = 100         // for a share of 99 in 100 to mean something
-	drawLongest = time.Minute // that a histogram holds
+	drawRepeats  = 5
+	indexRepeats = 20
+	drawsMost    = 20_000      // in one repeat
+	drawsLeast   = 100         // for a share of 99 in 100 to mean something
+	drawLongest  = time.Minute // that a histogram holds
 )
 
 // Describe tells what is measured.
@@ -37,6 +38,7 @@
 			{Name: "retried_p99", Unit: "ms", About: "a draw and that of a retry, 99 in 100", Most: mostAdded, Fit: true},
 			{Name: "draw_processor", Unit: "ms", About: "processor time of a draw, 99 in 100", Fit: true},
 			{Name: "retried_processor", Unit: "ms", About: "processor time of a draw and that of a retry, 99 in 100", Most: mostAdded, Fit: true},
+			{Name: "index", Unit: "ms", About: "processor time at each change of the table, beside requests", Fit: true},
 			{Name: "requests", Unit: "requests", About: "in each of five repeats, of which the median is taken"},
 		}}
 }
@@ -62,13 +64,18 @@
 // Run plays the repeats over one table, and takes the median of their percentiles.
 func (addedTime) Run(ctx context.Context, size int, o Options) (sample Sample, err error) {
 	table := weightedTable(size, o.Seed)
+	index := time.Duration(0)
+	for range indexRepeats {
+		index += spent(func() { table.Index(nil) })
+	}
+	sample.Set("index", index.Seconds()*1000/indexRepeats)
 	random := rand.New(rand.NewPCG(o.Seed, uint64(size)))
 	var all []drawn
 	for range drawRepeats {
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		one, err := drawOften(table, random, o.For/drawRepeats)
+		one, err := drawOften(table, size, random, o.For/drawRepeats)
 		if err != nil {
 			return sample, err
 		}
@@ -102,20 +109,19 @@
 const drawsTold = 1000
 
 // drawOften draws a backend and another one for a while, and notes how long that took.
-func drawOften(table map[string]float64, random *rand.Rand, span time.Duration) (d drawn, err error) {
+func drawOften(table *standin.Table, lines int, random *rand.Rand, span time.Duration) (d drawn, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	d = newDrawn()
-	shut := map[string]bool{}
 	for began := time.Now(); d.requests < drawsMost && (d.requests < drawsLeast || time.Since(began) < span); d.requests++ {
 		number := random.Uint64()
 		from, fromProcessor := time.Now(), threadTime()
-		first, found := standin.Draw(table, shut, "", number)
+		first, found := table.Draw("", number)
 		once, onceProcessor := time.Since(from), threadTime()-fromProcessor
-		second, other := standin.Draw(table, shut, first, standin.Redraw(number))
+		second, other := table.Draw(first, standin.Redraw(number))
 		retried, retriedProcessor := time.Since(from), threadTime()-fromProcessor
-		if !found || other && second == first || !other && len(table) > 1 {
-			return d, fmt.Errorf("drew %q, then %q of %d lines", first, second, len(table))
+		if !found || other && second == first || !other && lines > 1 {
+			return d, fmt.Errorf("drew %q, then %q of %d lines", first, second, lines)
 		}
 		for _, note := range []struct {
 			in   *hdrhistogram.Histogram
@@ -130,11 +136,11 @@
 }
 
 // weightedTable makes a table of so many lines, with weights as rough as discovery's.
-func weightedTable(lines int, seed uint64) map[string]float64 {
+func weightedTable(lines int, seed uint64) *standin.Table {
 	random := rand.New(rand.NewPCG(seed, seed))
-	table := make(map[string]float64, lines)
+	table := standin.NewTable()
 	for i := range lines {
-		table[fmt.Sprintf("s-%08x", i)] = 0.5 + 1.5*random.Float64()
+		table.Set(fmt.Sprintf("s-%08x", i), 0.5+1.5*random.Float64())
 	}
 	return table
 }
--- a/standin/installation.go
+++ b/standin/installation.go
@@ -75,7 +75,7 @@
 			random: rand.New(rand.NewPCG(p.Seed, uint64(node))), levels: make([]level, len(p.Classes)),
 			shut: map[string]bool{}, came: make([]int, len(p.Classes))}
 		for range p.Classes {
-			r.tables = append(r.tables, map[string]float64{})
+			r.tables = append(r.tables, NewTable())
 		}
 		in.relays = append(in.relays, r)
 	}
@@ -155,7 +155,7 @@
 	for _, r := range in.relays {
 		r.mutex.Lock()
 		for _, table := range r.tables {
-			if table[worker] > 0 && !r.shut[worker] {
+			if table.Has(worker) {
 				n++
 				break
 			}
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -52,7 +52,7 @@
 	conn   net.Conn
 	at     int // controller of the stream; -1 for none
 	cold   bool
-	tables []map[string]float64
+	tables []*Table
 	levels []level
 	shut   map[string]bool
 	token  uint64
@@ -269,12 +269,7 @@
 }
 
 func (r *Relay) has(class int) bool {
-	for id := range r.tables[class] {
-		if !r.shut[id] {
-			return true
-		}
-	}
-	return false
+	return !r.tables[class].Bare()
 }
 
 // apply takes a whole message, or none of it.
@@ -306,14 +301,10 @@
 				continue
 			}
 			if p.Whole {
-				r.tables[i], r.levels[i] = map[string]float64{}, level{}
+				r.tables[i], r.levels[i] = NewTable(), level{}
 			}
 			for _, l := range p.Lines {
-				if id, weight := l[0].(string), l[1].(float64); weight > 0 {
-					r.tables[i][id] = weight
-				} else {
-					delete(r.tables[i], id)
-				}
+				r.tables[i].Set(l[0].(string), l[1].(float64))
 			}
 			if p.Level != nil {
 				r.levels[i] = level{set: true, rate: *p.Level, retry: p.Retry, at: time.Now(), room: 1}
@@ -326,6 +317,9 @@
 			delete(r.shut, id)
 		}
 	}
+	for _, table := range r.tables {
+		table.Index(r.shut)
+	}
 	r.token, r.cold = max(r.token, token), false
 	r.counts.Orders, r.counts.Lines = r.counts.Orders+1, r.counts.Lines+size
 	if joining {
@@ -407,36 +401,10 @@
 	return true
 }
 
-// Draw chooses a backend of a table by weight, neither one that is shut out nor the one that was tried before. Drawn is
-// a random number; found is false where no backend is left.
-func Draw(table map[string]float64, shut map[string]bool, before string, drawn uint64) (chosen string, found bool) {
-	var ids []string
-	total := 0.
-	for id, weight := range table {
-		if !shut[id] && id != before {
-			ids, total = append(ids, id), total+weight
-		}
-	}
-	if len(ids) == 0 {
-		return "", false
-	}
-	slices.Sort(ids)
-	at := float64(drawn>>11) / (1 << 53) * total
-	for _, id := range ids {
-		if at -= table[id]; at < 0 {
-			return id, true
-		}
-	}
-	return ids[len(ids)-1], true
-}
-
-// Redraw gives the random number of the next try of a request from that of the last.
-func Redraw(drawn uint64) uint64 { return drawn*6364136223846793005 + 1442695040888963407 }
-
 // try sends a request to a worker by weight, not to one that it was sent to before. The relay is locked.
 func (r *Relay) try(class int, key string, began time.Time, tried int, before string, drawn uint64) {
 	c := r.in.classes[class]
-	chosen, found := Draw(r.tables[class], r.shut, before, drawn)
+	chosen, found := r.tables[class].Draw(before, drawn)
 	if !found {
 		r.counts.Lost++
 		return
