--- a/scale/lists.go
+++ b/scale/lists.go
@@ -34,7 +34,7 @@
 			{Name: "list_bytes", Unit: "bytes", About: "of the whole list as discovery sends it", Most: mostListed, Fit: true},
 			{Name: "entry_bytes", Unit: "bytes", About: "of one entry in it"},
 			{Name: "idle_processor", Unit: "% of a core", About: "processor time while nothing changes", Most: mostProcessor, Fit: true},
-			{Name: "change_processor", Unit: "ms", About: "processor time of one change of one entry, beyond that", Fit: true},
+			{Name: "change_processor", Unit: "ms", About: "processor time of one change of one entry, beyond that"},
 			{Name: "change_bytes", Unit: "bytes", About: "that discovery sends for it"},
 			{Name: "memory", Unit: "MB", About: "resident memory, the most", Most: mostMegabytes, Fit: true},
 			{Name: "known", Unit: "backends", About: "that the controller takes in"},
