--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -41,7 +41,7 @@
 // grows fails unless a metric's fit is a line, or a power of one.
 func grows(t *testing.T, r *Run, metric string) {
 	t.Helper()
-	fit, ok := FitOver(r.Samples, metric)
+	fit, ok := FitOver(r.Samples, metric, nil)
 	if !ok || fit.Form == Power && (fit.Exponent < 0.95 || fit.Exponent > 1.05) || fit.Residual > 0.05 {
 		t.Errorf("%s: %v, %+v", metric, ok, fit)
 	}
--- a/scale/recoverysnapshot.go
+++ b/scale/recoverysnapshot.go
@@ -90,6 +90,9 @@
 	return s, nil
 }
 
+// knowEvery is how often the voter says that its record is current, as a member of a record does.
+const knowEvery = 200 * time.Millisecond
+
 // handsOut has a voter by itself hand out entries until the context ends.
 func handsOut(ctx context.Context, running *sync.WaitGroup, network *network, entries []distribution.Entry) error {
 	change, err := distribution.NewVoterState().Accept(distribution.Proposal{AcceptedAt: time.Now().UnixMicro(), Entries: entries,
