--- /dev/null
+++ b/scale/draw.go
@@ -0,0 +1,146 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"wheelrill/standin"
+)
+
+// addedTime measures what a proxy's draw adds to a request by the lines of its table, with the code of the stand-in
+// relays: the weighted draw, and the second draw of an ordered retry, which leaves out who was tried.
+type addedTime struct{}
+
+// How much one size plays.
+const (
+	drawRepeats  = 5
+	indexRepeats = 20
+	drawsMost    = 20_000      // in one repeat
+	drawsLeast   = 100         // for a share of 99 in 100 to mean something
+	drawLongest  = time.Minute // that a histogram holds
+)
+
+// Describe tells what is measured.
+func (addedTime) Describe() Description {
+	return Description{Name: "added-time", Size: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
+		Targets: []int{99_000}, Transport: "calls",
+		About: "Time that a proxy's draw and an ordered retry add to a request by the lines of its table",
+		Metrics: []Metric{
+			{Name: "draw_half", Unit: "ms", About: "a draw, 50 in 100", Most: mostAdded, Fit: true},
+			{Name: "draw_p99", Unit: "ms", About: "a draw, 99 in 100", Most: mostAdded, Fit: true},
+			{Name: "retried_half", Unit: "ms", About: "a draw and that of a retry, 50 in 100", Most: mostAdded, Fit: true},
+			{Name: "retried_p99", Unit: "ms", About: "a draw and that of a retry, 99 in 100", Most: mostAdded, Fit: true},
+			{Name: "draw_processor", Unit: "ms", About: "processor time of a draw, 99 in 100", Fit: true},
+			{Name: "retried_processor", Unit: "ms", About: "processor time of a draw and that of a retry, 99 in 100", Most: mostAdded, Fit: true},
+			{Name: "index", Unit: "ms", About: "processor time at each change of the table, beside requests", Fit: true},
+			{Name: "requests", Unit: "requests", About: "in each of five repeats, of which the median is taken"},
+		}}
+}
+
+// Needs tells what one size takes at most.
+func (addedTime) Needs(_ int, o Options) Needs {
+	const bytes = 256 << 20
+	return Needs{Memory: bytes, Time: o.For + 2*drawLongest}
+}
+
+// drawn is what one repeat has shown, in nanoseconds.
+type drawn struct {
+	once, retried                   *hdrhistogram.Histogram // wall time
+	onceProcessor, retriedProcessor *hdrhistogram.Histogram // of the thread, which a busy machine lengthens less
+	requests                        int
+}
+
+func newDrawn() drawn {
+	empty := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(drawLongest), histogramDigits) }
+	return drawn{empty(), empty(), empty(), empty(), 0}
+}
+
+// Run plays the repeats over one table, and takes the median of their percentiles.
+func (addedTime) Run(ctx context.Context, size int, o Options) (sample Sample, err error) {
+	table := weightedTable(size, o.Seed)
+	index := time.Duration(0)
+	for range indexRepeats {
+		index += spent(func() { table.Index(nil) })
+	}
+	sample.Set("index", index.Seconds()*1000/indexRepeats)
+	random := rand.New(rand.NewPCG(o.Seed, uint64(size)))
+	var all []drawn
+	for range drawRepeats {
+		if err := ctx.Err(); err != nil {
+			return sample, err
+		}
+		one, err := drawOften(table, size, random, o.For/drawRepeats)
+		if err != nil {
+			return sample, err
+		}
+		all = append(all, one)
+	}
+	figures := []struct {
+		metric   string
+		quantile float64
+		of       func(drawn) *hdrhistogram.Histogram
+	}{
+		{"draw_half", 50, func(d drawn) *hdrhistogram.Histogram { return d.once }},
+		{"draw_p99", 99, func(d drawn) *hdrhistogram.Histogram { return d.once }},
+		{"retried_half", 50, func(d drawn) *hdrhistogram.Histogram { return d.retried }},
+		{"retried_p99", 99, func(d drawn) *hdrhistogram.Histogram { return d.retried }},
+		{"draw_processor", 99, func(d drawn) *hdrhistogram.Histogram { return d.onceProcessor }},
+		{"retried_processor", 99, func(d drawn) *hdrhistogram.Histogram { return d.retriedProcessor }},
+	}
+	for _, f := range figures {
+		sample.Set(f.metric, medianOf(all, func(d drawn) float64 {
+			return float64(f.of(d).ValueAtQuantile(f.quantile)) / float64(time.Millisecond)
+		}))
+	}
+	sample.Set("requests", medianOf(all, func(d drawn) float64 { return float64(d.requests) }))
+	if least := slices.MinFunc(all, func(a, b drawn) int { return a.requests - b.requests }).requests; least < drawsTold {
+		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", least)
+	}
+	return sample, nil
+}
+
+// drawsTold are enough for the slowest of a hundred to be many.
+const drawsTold = 1000
+
+// drawOften draws a backend and another one for a while, and notes how long that took.
+func drawOften(table *standin.Table, lines int, random *rand.Rand, span time.Duration) (d drawn, err error) {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	d = newDrawn()
+	for began := time.Now(); d.requests < drawsMost && (d.requests < drawsLeast || time.Since(began) < span); d.requests++ {
+		number := random.Uint64()
+		from, fromProcessor := time.Now(), threadTime()
+		first, found := table.Draw("", number)
+		once, onceProcessor := time.Since(from), threadTime()-fromProcessor
+		second, other := table.Draw(first, standin.Redraw(number))
+		retried, retriedProcessor := time.Since(from), threadTime()-fromProcessor
+		if !found || other && second == first || !other && lines > 1 {
+			return d, fmt.Errorf("drew %q, then %q of %d lines", first, second, lines)
+		}
+		for _, note := range []struct {
+			in   *hdrhistogram.Histogram
+			took time.Duration
+		}{{d.once, once}, {d.retried, retried}, {d.onceProcessor, onceProcessor}, {d.retriedProcessor, retriedProcessor}} {
+			if err := note.in.RecordValue(note.took.Nanoseconds()); err != nil {
+				return d, err
+			}
+		}
+	}
+	return d, nil
+}
+
+// weightedTable makes a table of so many lines, with weights as rough as discovery's.
+func weightedTable(lines int, seed uint64) *standin.Table {
+	random := rand.New(rand.NewPCG(seed, seed))
+	table := standin.NewTable()
+	for i := range lines {
+		table.Set(fmt.Sprintf("s-%08x", i), 0.5+1.5*random.Float64())
+	}
+	return table
+}
