--- a/decide/decide.go
+++ b/decide/decide.go
@@ -657,30 +657,6 @@
 	}
 }
 
-// admission is what we let in, in units: a request counts its target latency, as nothing gives its work.
-type admission struct {
-	how        Admission
-	order      []int // classes by value per unit, the first to be let in
-	units      []float64
-	deadline   float64 // longest deadline, microseconds
-	target     float64 // target latency of the mean request let in, microseconds
-	able       float64 // units a second answered while a queue stood, over heard, see look
-	proven     float64 // the same let in while none stood, the most of it
-	part       float64 // of what is able to be answered; 0 until a queue was seen
-	limit      float64 // units a second
-	bound      bool    // more comes than that
-	urgent     bool    // a cut is to be told
-	told       bool    // a level ever was
-	heat       float64 // at the last look
-	laid, want []float64
-	came       []float64 // requests counted since the last look
-	trim       []float64 // what was counted in all, over the sum of the proxies' rates
-
-	drainedAt, holdUntil int64 // when the queue must be gone, and when reports show it
-	hotSince             int64 // when looks began to show a queue nearly everywhere; 0 while they do not
-	widenedAt            int64 // when it was last widened, or guessed: reports tell of that a lag later
-}
-
 func newAdmission(how Admission, classes []Class) admission {
 	a := admission{how: how, laid: make([]float64, len(classes)), want: make([]float64, len(classes))}
 	for i, class := range classes {
@@ -907,12 +883,6 @@
 	count   int64 // orders so far; a mark is its low 16 bits
 }
 
-type order struct {
-	count, at int64
-	lines     float64
-	reached   map[*proxy]float64 // what it cost each that has not said so: a bind costs many times a line
-}
-
 // bill counts lines to a proxy, and with the first at this clock time the message and its mark.
 func (c *Controller) bill(p *proxy, lines float64) {
 	l, now := &c.channel, c.host.Now()
@@ -980,21 +950,6 @@
 	return !slices.ContainsFunc(proxies, func(p *proxy) bool { return p.bound && !l.may(p, now, need > 0) })
 }
 
-// ownership is what we hold of the slices in our charge. A slice's table is one line, its owner.
-type ownership struct {
-	Partition
-	all    []slice
-	writes uint16
-}
-
-type slice struct {
-	mine   bool
-	owner  int       // -1 for none
-	rates  []float64 // requests a second, by class
-	held   int64     // the orders that stopped writes; 0 if they go on, -1 if they must stop
-	freeAt int64     // when the former owner has none in hand; 0 while some proxy may still send it one
-}
-
 func newOwnership(p Partition, classes []Class) ownership {
 	o := ownership{Partition: p, all: make([]slice, p.Count)}
 	for i, class := range classes {
--- a/decide/state.go
+++ b/decide/state.go
@@ -1,6 +1,6 @@
 package decide
 
-// This file holds what is kept of backends, proxies and orders, and sums over it. Nothing is decided here.
+// This file holds what is kept of backends, proxies, levels, slices and orders, and sums over it. Nothing is decided here.
 
 import (
 	"cmp"
@@ -269,3 +269,48 @@
 	}
 	return rates, total
 }
+
+// admission is what we let in, in units: a request counts its target latency, as nothing gives its work.
+type admission struct {
+	how        Admission
+	order      []int // classes by value per unit, the first to be let in
+	units      []float64
+	deadline   float64 // longest deadline, microseconds
+	target     float64 // target latency of the mean request let in, microseconds
+	able       float64 // units a second answered while a queue stood, over heard, see look
+	proven     float64 // the same let in while none stood, the most of it
+	part       float64 // of what is able to be answered; 0 until a queue was seen
+	limit      float64 // units a second
+	bound      bool    // more comes than that
+	urgent     bool    // a cut is to be told
+	told       bool    // a level ever was
+	heat       float64 // at the last look
+	laid, want []float64
+	came       []float64 // requests counted since the last look
+	trim       []float64 // what was counted in all, over the sum of the proxies' rates
+
+	drainedAt, holdUntil int64 // when the queue must be gone, and when reports show it
+	hotSince             int64 // when looks began to show a queue nearly everywhere; 0 while they do not
+	widenedAt            int64 // when it was last widened, or guessed: reports tell of that a lag later
+}
+
+// ownership is what we hold of the slices in our charge. A slice's table is one line, its owner.
+type ownership struct {
+	Partition
+	all    []slice
+	writes uint16
+}
+
+type slice struct {
+	mine   bool
+	owner  int       // -1 for none
+	rates  []float64 // requests a second, by class
+	held   int64     // the orders that stopped writes; 0 if they go on, -1 if they must stop
+	freeAt int64     // when the former owner has none in hand; 0 while some proxy may still send it one
+}
+
+type order struct {
+	count, at int64
+	lines     float64
+	reached   map[*proxy]float64 // what it cost each that has not said so: a bind costs many times a line
+}
