--- a/scale/run.go
+++ b/scale/run.go
@@ -37,6 +37,7 @@
 	Load    float64  `json:"load"` // the machine's load average over a minute, before
 	Values  []Value  `json:"values"`
 	Broken  []string `json:"broken,omitempty"`   // what must not happen at any size, as a digest that differs
+	Partial string   `json:"partial,omitempty"`  // what was left out of it, so that it rests on less
 	Unknown string   `json:"unjudged,omitempty"` // why the sample shows nothing, for or against
 }
 
@@ -106,7 +107,7 @@
 		if !m.Fit {
 			continue
 		}
-		if fit, ok := FitOver(r.Samples, m.Name); ok {
+		if fit, ok := FitOver(r.Samples, m.Name, r.Targets); ok {
 			r.Fits = append(r.Fits, fit)
 		}
 	}
