--- a/options/distribution.go
+++ b/options/distribution.go
@@ -27,7 +27,7 @@
 	Subscriber = "subscriber"
 )
 
-// AllScopes, as the only one of the scopes, stands for all of them.
+// AllScopes stands for all scopes, as the only one that is named.
 const AllScopes = "*"
 
 // Bounds of the options of distribution.
