--- a/controller/controller.go
+++ b/controller/controller.go
@@ -76,7 +76,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.quiet, p.limits.sorts), plan: p}
+	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.logRepeat, p.limits.logKinds), plan: p}
 	for _, text := range p.complain {
 		c.log.say("setting", "text", text)
 	}
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -353,7 +353,7 @@
 	c.limits.watch, c.limits.watchOver = 50*time.Millisecond, time.Second
 	if change != nil {
 		change(c.limits)
-		c.log.quiet = c.limits.quiet
+		c.log.repeatEvery = c.limits.logRepeat
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -722,7 +722,7 @@
 			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listing(0, true)} {
 			d.answers <- bad
 		}
-		address, said := serves(t, d.address, two, func(l *limits) { l.retryLeast, l.retryMost, l.quiet = 1, 1, 0 })
+		address, said := serves(t, d.address, two, func(l *limits) { l.retryLeast, l.retryMost, l.logRepeat = 1, 1, 0 })
 		for range 10 {
 			if query := <-d.asked; query != "since=1&timeout_ms=50" && query != "" {
 				t.Errorf("asked %q", query)
--- a/controller/endings_test.go
+++ b/controller/endings_test.go
@@ -130,7 +130,7 @@
 		said.waits(t, "event=stranger_ended", 1)
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.quiet = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeat = 0 })
 		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + headSize - 1} {
 			p := calls(t, address)
@@ -540,7 +540,7 @@
 func TestQuietList(t *testing.T) {
 	// follows has a proxy joined that hears what the list says.
 	follows := func(t *testing.T, d *discovery, known string) (*caller, *hearer, *diary) {
-		address, said := serves(t, d.address, known, func(l *limits) { l.retryLeast, l.retryMost, l.quiet = 1, 1, 0 })
+		address, said := serves(t, d.address, known, func(l *limits) { l.retryLeast, l.retryMost, l.logRepeat = 1, 1, 0 })
 		p, h := calls(t, address), newHearer("read it", "write")
 		p.says(hello)
 		if err := h.apply(p.gets()); err != nil {
@@ -638,7 +638,7 @@
 		for _, text := range spoilt {
 			for _, first := range []string{hello, agent} {
 				m, said := begin(t)
-				m.log.quiet = 0
+				m.log.repeatEvery = 0
 				raw := append(append(framed(first), framed(text)...), framed(usage)...)
 				p := newPeer(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*peer) error { return nil })
 				err := p.read()
@@ -681,7 +681,7 @@
 		}
 	})
 	t.Run("lengths of nothing, of the limit and of one more", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.frame = 4 << 10; l.firstFrame = 1 << 10; l.quiet = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.frame = 4 << 10; l.firstFrame = 1 << 10; l.logRepeat = 0 })
 		padded := func(text string, size int) []byte { return framed(text + strings.Repeat(" ", size-len(text))) }
 		for node, x := range []struct {
 			first, then []byte
--- a/controller/journal.go
+++ b/controller/journal.go
@@ -24,40 +24,40 @@
 	}}))
 }
 
-// journal writes events. Lines that strangers could call forth go through seldom.
+// journal writes events. Lines that any client could cause go through seldom.
 type journal struct {
-	to    *slog.Logger
-	quiet time.Duration
-	sorts int
+	to          *slog.Logger
+	repeatEvery time.Duration // how often a kind of line is written, at most
+	maxKinds    int           // whose repeats are counted; all others count as one
 
-	mutex sync.Mutex
-	held  map[string]*repeat
+	mutex   sync.Mutex
+	repeats map[string]*repeat
 }
 
 type repeat struct {
-	since time.Time
-	times int
+	since time.Time // when the last was written
+	times int       // since then
 }
 
-func newJournal(to *slog.Logger, quiet time.Duration, sorts int) *journal {
-	return &journal{to: to, quiet: quiet, sorts: sorts, held: map[string]*repeat{}}
+func newJournal(to *slog.Logger, repeatEvery time.Duration, maxKinds int) *journal {
+	return &journal{to: to, repeatEvery: repeatEvery, maxKinds: maxKinds, repeats: map[string]*repeat{}}
 }
 
 // say writes an event with its keys and values.
 func (j *journal) say(event string, pairs ...any) { j.to.Info(event, pairs...) }
 
-// seldom writes an event of a sort unless one was written lately; it says then how many were held back.
-func (j *journal) seldom(sort, event string, pairs ...any) {
+// seldom writes an event of a kind unless one was written lately; it says then how many were held back.
+func (j *journal) seldom(kind, event string, pairs ...any) {
 	j.mutex.Lock()
-	if j.held[sort] == nil && len(j.held) >= j.sorts {
-		sort = ""
+	if j.repeats[kind] == nil && len(j.repeats) >= j.maxKinds {
+		kind = ""
 	}
-	if j.held[sort] == nil {
-		j.held[sort] = &repeat{}
+	if j.repeats[kind] == nil {
+		j.repeats[kind] = &repeat{}
 	}
-	r := j.held[sort]
+	r := j.repeats[kind]
 	r.times++
-	if time.Since(r.since) < j.quiet {
+	if time.Since(r.since) < j.repeatEvery {
 		j.mutex.Unlock()
 		return
 	}
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -56,8 +56,8 @@
 	silence        int64         // µs without a word, a mark unanswered as long, show a half-open stream
 	lag            int64         // the same where other proxies have answered the mark
 	still          int64         // µs without a turn show that we stood still: the decisions want one several times a second
-	quiet          time.Duration // a line of the log that repeats is held back for so long
-	sorts          int           // different lines whose repeats are counted
+	logRepeat      time.Duration // a line of the log that repeats is held back for so long
+	logKinds       int           // different lines whose repeats are counted
 }
 
 // usualLimits are those that do not depend on what the process is given.
@@ -72,7 +72,7 @@
 		dial:   500 * time.Millisecond, watch: 2 * time.Second, watchOver: time.Second,
 		patience:   5 * time.Second, // of the ten seconds that the platform waits for a process that restarts
 		retryLeast: 50 * time.Millisecond, retryMost: time.Second, uselessMost: 5,
-		farewell: 400 * time.Millisecond, quiet: 10 * time.Second, sorts: 1024, still: second, proxyRate: 1000, busy: 100, queue: 1e6,
+		farewell: 400 * time.Millisecond, logRepeat: 10 * time.Second, logKinds: 1024, still: second, proxyRate: 1000, busy: 100, queue: 1e6,
 	}
 }
 
--- a/controller/module.go
+++ b/controller/module.go
@@ -93,7 +93,7 @@
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
-		next := m.limits.quiet
+		next := m.limits.logRepeat
 		if len(m.timers) > 0 {
 			next = time.Duration(m.timers[0].at-m.clock()) * time.Microsecond
 		}
