--- /dev/null
+++ b/controller/held_test.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"testing"
+
+	"wheelrill/decide"
+)
+
+// TestHeldIncrementally has tables that look only at what changed write what others write that go through all backends
+// each time.
+func TestHeldIncrementally(t *testing.T) {
+	const proxies, backends, numbers, steps = 6, 12, 3, 400
+	for seed := range uint64(40) {
+		chance := rand.New(rand.NewPCG(seed, 9))
+		both := []*tables{someTables(2), someTables(2)}
+		do := func(what func(to *tables)) {
+			for _, to := range both {
+				what(to)
+			}
+		}
+		said, written := 0, make([][]byte, len(both))
+		for step := range steps {
+			proxy, backend, number, classes := chance.IntN(proxies), chance.IntN(backends), chance.IntN(numbers), uint16(chance.IntN(4))
+			flag, weight := chance.IntN(2) == 0, float64(chance.IntN(3))
+			switch chance.IntN(12) {
+			case 0:
+				do(func(to *tables) { heard(to, proxy, flag) })
+			case 1, 2:
+				do(func(to *tables) { to.Bind(number, proxy, classes) })
+			case 3, 4, 5:
+				do(func(to *tables) { to.SetLine(number, backend, weight) })
+			case 6, 7:
+				do(func(to *tables) { to.Withdraw(backend, flag) })
+			case 8:
+				do(func(to *tables) { to.Remind(proxy, 5, decide.TryOnce) })
+			case 9:
+				do(func(to *tables) { to.Clear(proxy) })
+			case 10:
+				do(func(to *tables) {
+					for at := range numbers {
+						to.SetLine(at, backend, 0) // as decisions forget only what has no line
+					}
+				})
+				do(func(to *tables) { to.forget(backend, func() bool { return true }) })
+			case 11:
+				do(func(to *tables) { to.Mark(step, flag) })
+			}
+			if flag {
+				continue // several orders leave in one message
+			}
+			for i, to := range both {
+				written[i] = written[i][:0]
+				for _, s := range to.streams {
+					if s != nil && i == 1 {
+						s.settled = false
+					}
+				}
+				to.flush(func(_ *peer, message []byte) error {
+					written[i] = append(written[i], message...)
+					return nil
+				}, func(proxy int, err error) { t.Fatal(proxy, err) }, func(int, int) {})
+			}
+			if string(written[0]) != string(written[1]) {
+				t.Fatalf("seed %d, step %d:\n%q\n%q by going through all", seed, step, written[0], written[1])
+			}
+			said += len(written[0])
+		}
+		if said < 10*steps {
+			t.Errorf("seed %d: only %d bytes were written", seed, said)
+		}
+	}
+}
+
+// BenchmarkChange tells what a change of one line costs tables as proxies and backends grow in number, without decisions.
+func BenchmarkChange(b *testing.B) {
+	for _, proxies := range []int{100, 400, 1200, 2400} {
+		for _, backends := range []int{1000, 5000, 20_000} {
+			b.Run(fmt.Sprintf("%d/%d", proxies, backends), func(b *testing.B) {
+				to := someTables(2)
+				for backend := range backends {
+					to.SetLine(0, backend, 1)
+				}
+				for proxy := range proxies {
+					to.join(proxy, nil, false)
+					to.Bind(0, proxy, 0)
+				}
+				flush := func() {
+					to.flush(func(_ *peer, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
+				}
+				flush()
+				b.ResetTimer()
+				for i := range b.N {
+					to.SetLine(0, 7, 1+float64(i%2))
+					flush()
+				}
+			})
+		}
+	}
+}
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -68,6 +68,7 @@
 	token   uint64
 	base    []share.Base // what it surely has by class, until a table of ours is written
 	cleared bool         // those that its tables use are let back
+	settled bool         // what it holds was compared with all of its tables since it was bound or cleared
 }
 
 const unbound = -1
@@ -130,6 +131,7 @@
 		return // it left meanwhile
 	}
 	t.table(number)
+	s.settled = false
 	for class := range s.bound {
 		if t.mask(classes)&(1<<class) != 0 {
 			s.bound[class] = number
@@ -197,7 +199,7 @@
 // Clear lets a proxy use what others had withdrawn from it.
 func (t *tables) Clear(proxy int) {
 	if s := t.at(proxy); s != nil {
-		s.cleared, s.touched = true, true
+		s.cleared, s.touched, s.settled = true, true, false
 	}
 }
 
@@ -325,8 +327,11 @@
 	for _, b := range changed {
 		lines = append(lines, line(t.name(b), in.weights[b]))
 	}
+	if changed != nil {
+		return lines
+	}
 	for b, weight := range in.weights {
-		if changed == nil && weight > 0 {
+		if weight > 0 {
 			lines = append(lines, line(t.name(b), weight))
 		}
 	}
@@ -415,11 +420,7 @@
 // may hold is let back then, or with the first line for it.
 func (t *tables) writeHeld(s *stream, o *order) {
 	var out, back [][]byte
-	most := len(t.out)
-	for _, in := range t.byNumber {
-		most = max(most, len(in.weights))
-	}
-	for b := range most {
+	for _, b := range t.doubtful(s) {
 		unsure := slices.Contains(s.bound, unbound) && slices.Contains(s.turned, b)
 		if !unsure && !t.uses(s, b) {
 			continue
@@ -438,7 +439,30 @@
 			back, s.held[b] = append(back, t.name(b)), clear
 		}
 	}
-	s.turned = s.turned[:0]
+	s.turned, s.settled = s.turned[:0], true
 	o.backends("out", out)
 	o.backends("back", back)
 }
+
+// doubtful are the backends that a proxy may hold otherwise than it should, in order: all that are known, until its
+// tables were gone through once, and then those whose lines or withdrawals changed since its last message.
+func (t *tables) doubtful(s *stream) (all []int) {
+	if s.settled {
+		all = slices.Clone(s.turned)
+		for class, number := range s.bound {
+			if number != unbound && !slices.Contains(s.bound[:class], number) {
+				all = append(all, t.byNumber[number].changed...)
+			}
+		}
+		slices.Sort(all)
+		return slices.Compact(all)
+	}
+	most := len(t.out)
+	for _, in := range t.byNumber {
+		most = max(most, len(in.weights))
+	}
+	for b := range most {
+		all = append(all, b)
+	}
+	return all
+}
