--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -8,6 +8,7 @@
 	"maps"
 	"net"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -40,7 +41,8 @@
 const (
 	configureWithin = 10 * time.Second // that a change waits for the record
 	statsEvery      = 10 * time.Second // between two lines that tell the state of the distribution
-	keepEvery       = 5 * time.Second  // that what has changed is written to the folder
+	keepEvery       = 5 * time.Second  // that what has changed is written to the folder ...
+	keepPause       = 100              // ... and no sooner than so many times what the last writing took
 )
 
 // distributor is the module's side of the distribution: what arrives waits here until the module takes it.
@@ -98,6 +100,9 @@
 	if err != nil {
 		return err
 	}
+	if strings.Contains(with.Name, replica.PeerSeparator) {
+		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out", with.Name, replica.PeerSeparator)
+	}
 	self := replica.Peer{Name: with.Name}
 	if with.Listen != "" {
 		if d.listener, err = subscriber.Listen(with.Listen, d.accept, d.refused); err != nil {
@@ -186,7 +191,7 @@
 		<-ctx.Done()
 		return
 	}
-	look := time.NewTicker(keepEvery)
+	look := time.NewTimer(keepEvery)
 	defer look.Stop()
 	for last := false; !last; {
 		select {
@@ -194,9 +199,11 @@
 			last = true
 		case <-look.C:
 		}
+		began := time.Now()
 		if err := d.kept.update(d.carrier); err != nil {
 			d.log.seldom("kept", "keep_failed", "error", err.Error())
 		}
+		look.Reset(max(keepEvery, keepPause*time.Since(began)))
 	}
 }
 
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -189,6 +189,7 @@
 	}{
 		"listens everywhere in plain text": {Distribution{Listen: "0.0.0.0:0"}, "loopback"},
 		"address in use":                   {Distribution{Listen: "127.0.0.1:0x"}, "listen"},
+		"a name that is none":              {Distribution{Name: "s@1"}, "leave it out"},
 		"no such certificate":              {Distribution{}, "certificate"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"slices"
+	"strings"
 )
 
 // Distribution says what part a controller has in the distribution of configuration: it votes on changes, or subscribes
@@ -35,7 +36,8 @@
 	mostFanOut = 256
 	mostScopes = 4096
 	mostScope  = 256 // bytes
-	mostName   = 256 // bytes
+	mostName   = 192 // bytes
+	separator  = "@" // between a name and an address, where nodes name each other
 )
 
 func (d *Distribution) check(l positions, sharing *Sharing) error {
@@ -74,6 +76,9 @@
 	if len(d.Name) > mostName {
 		return l.problem("distribution.name", "has %d bytes; give a name of %d at most", len(d.Name), mostName)
 	}
+	if strings.Contains(d.Name, separator) {
+		return l.problem("distribution.name", "%q has a %s, which parts names from addresses; leave it out", d.Name, separator)
+	}
 	if len(d.Parents) == 0 {
 		return l.problem("distribution.parents", "names nobody; give voters or subscribers that pass on, each with its address, as n0: 10.0.0.4:9443")
 	}
@@ -90,6 +95,10 @@
 		if err := checkAddress(l, "distribution.listen", d.Listen, d.Plain); err != nil {
 			return err
 		}
+		host, _, _ := net.SplitHostPort(d.Listen)
+		if ip := net.ParseIP(host); host == "" || ip != nil && ip.IsUnspecified() {
+			return l.problem("distribution.listen", "%s is nothing that others could dial; give the address by which they do", d.Listen)
+		}
 	} else if d.FanOut > 0 {
 		return l.problem("distribution.fan_out", "is for one that passes on; give listen as well, or leave it out")
 	}
--- a/replica/changes.go
+++ b/replica/changes.go
@@ -283,14 +283,39 @@
 	_, m := n.current()
 	empty := true
 	m.changes.view(func(voter *distribution.VoterState) { empty = voter.Empty() })
-	leads := r.State() == raft.Leader
-	if !leads {
-		n.ledSince = 0
-	} else if n.ledSince == 0 {
-		n.ledSince = r.LastIndex() // what stood before may have been accepted by the leader before us
-	}
-	hears := leads && r.AppliedIndex() >= n.ledSince || !leads && time.Since(r.LastContact()) < heartbeat
-	if !empty && hears && r.AppliedIndex() >= r.CommitIndex() {
+	seen := progress{leads: r.State() == raft.Leader, sinceContact: time.Since(r.LastContact()),
+		applied: r.AppliedIndex(), committed: r.CommitIndex(), last: r.LastIndex()}
+	if n.currency.observe(seen) && !empty {
 		n.config.Distribution.Current()
 	}
 }
+
+// progress is how far a member's part in raft is.
+type progress struct {
+	leads                    bool
+	sinceContact             time.Duration // with a leader, where we do not lead
+	applied, committed, last uint64        // indices
+}
+
+// currency tells whether a member has all that was accepted anywhere for longer than a heartbeat takes.
+type currency struct {
+	ledFrom uint64 // our last index as we were first seen to lead; 0 while we do not
+}
+
+// observe looks at the progress, as long as the leadership does not change.
+func (c *currency) observe(p progress) bool {
+	if p.applied < p.committed {
+		return false
+	}
+	if !p.leads {
+		c.ledFrom = 0
+		return p.sinceContact < heartbeat
+	}
+	if c.ledFrom == 0 {
+		c.ledFrom = max(p.last, 1) // what stands up to there may have been accepted by the leader before us
+	}
+	return p.applied >= c.ledFrom
+}
+
+// reset takes that the leadership has changed.
+func (c *currency) reset() { c.ledFrom = 0 }
--- a/replica/changes_test.go
+++ b/replica/changes_test.go
@@ -8,7 +8,6 @@
 	"io"
 	"net"
 	"slices"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -315,185 +314,29 @@
 	}
 }
 
-func TestSubscriberIsNoMember(t *testing.T) {
-	ours, foreign := newAuthority(t), newAuthority(t)
-	at := addresses(t, "a")
-	served := make(chan func(string) bool, 1)
-	told := &subscribed{served: func(conn net.Conn, allowed func(string) bool) {
-		served <- allowed
-		io.WriteString(conn, "streams")
-		conn.Close()
-	}}
-	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a"), Distribution: told})
-	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	secure, err := ours.gives("s17").pair()
-	if err != nil {
-		t.Fatal(err)
-	}
-	as := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
-	for name, c := range map[string]call{
-		"propose":       {Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}},
-		"propose as it": {Entry: &share.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
-		"join":          {Name: "s17", ID: "s17/x"},
-		"join as one":   {Name: "a", ID: "a/x"},
-		"ask":           {Status: true},
-		"change":        {Change: &distribution.Proposal{Entries: []distribution.Entry{entry("x", "1")}}},
+func TestCurrency(t *testing.T) {
+	var c currency
+	for i, x := range []struct {
+		progress
+		want bool
+	}{
+		{progress{sinceContact: time.Millisecond, applied: 5, committed: 5, last: 6}, true},
+		{progress{sinceContact: heartbeat, applied: 5, committed: 5, last: 6}, false},
+		{progress{sinceContact: time.Millisecond, applied: 4, committed: 5, last: 6}, false},
+		{progress{leads: true, applied: 5, committed: 5, last: 8}, false}, // 6 to 8 may have been accepted before
+		{progress{leads: true, applied: 7, committed: 7, last: 9}, false},
+		{progress{leads: true, applied: 8, committed: 8, last: 10}, true},
+		{progress{leads: true, applied: 9, committed: 10, last: 10}, false},
+		{progress{sinceContact: time.Millisecond, applied: 10, committed: 10, last: 10}, true},
+		{progress{leads: true, applied: 10, committed: 10, last: 12}, false}, // again
+		{progress{leads: true, applied: 12, committed: 12, last: 12}, true},
 	} {
-		t.Run("it may not "+name, func(t *testing.T) {
-			conn, err := as.dial(context.Background(), "a", forCalls)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer conn.Close()
-			var got answer
-			if err := request(conn, c, &got); err != nil || got.Why != errForeign.Error() || got.Accepted || got.ID != "" {
-				t.Errorf("got %+v, %v", got, err)
-			}
-		})
-	}
-	t.Run("it may not speak raft", func(t *testing.T) {
-		conn, err := (&layer{transport: as}).Dial(addressOf("a", a.ID()), 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conn.SetReadDeadline(time.Now().Add(patience))
-		if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("read %d bytes, %v", n, err)
-		}
-	})
-	until(t, "who was refused is forgotten", func() bool {
-		a.transport.mutex.Lock()
-		defer a.transport.mutex.Unlock()
-		return len(a.transport.conns) == 0
-	})
-	peer := Peer{"a", at["a"]}.String()
-	t.Run("it may subscribe, under its own name", func(t *testing.T) {
-		s, err := NewSubscriber(ours.gives("s17"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn, err := s.Dial(context.Background(), peer)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		if text, err := io.ReadAll(conn); string(text) != "streams" || err != nil {
-			t.Errorf("got %q, %v", text, err)
-		}
-		allowed := <-served
-		if !allowed("s17") || !allowed(Peer{"s17", "10.0.0.1:1"}.String()) || allowed("a") || allowed("") || allowed("@10.0.0.1:1") {
-			t.Error("it may subscribe under other names")
-		}
-	})
-	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("s17"), "plain text": {}} {
-		t.Run(name+" is refused", func(t *testing.T) {
-			s, err := NewSubscriber(given)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if conn, err := s.Dial(context.Background(), peer); err == nil {
-				conn.Close()
-				t.Error("let in")
-			}
-		})
-	}
-	t.Run("who has another name than was dialled is refused", func(t *testing.T) {
-		s, err := NewSubscriber(ours.gives("s17"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if conn, err := s.Dial(context.Background(), Peer{"b", at["a"]}.String()); err == nil {
-			conn.Close()
-			t.Error("taken for b")
-		}
-	})
-}
-
-func TestSubscribingIsOff(t *testing.T) {
-	at := addresses(t, "a")
-	starts(t, Config{Name: "a", Members: at})
-	s, err := NewSubscriber(Credentials{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String()); err == nil || err.Error() != errOff.Error() {
-		t.Errorf("got %v, %v", conn, err)
-	}
-}
-
-func TestListener(t *testing.T) {
-	ours := newAuthority(t)
-	s, err := NewSubscriber(ours.gives("s1"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	refused := make(chan error, 16)
-	l, err := s.Listen("127.0.0.1:0", func(conn net.Conn, allowed func(string) bool) {
-		if allowed("s2") {
-			io.Copy(conn, conn)
+		if got := c.observe(x.progress); got != x.want {
+			t.Errorf("%d: %+v: %v", i, x.progress, got)
 		}
-	}, func(_ net.Addr, why error) { refused <- why })
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { l.Run(ctx) })
-	defer running.Wait()
-	defer cancel()
-	other, err := NewSubscriber(ours.gives("s2"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	peer := Peer{"s1", l.Address()}.String()
-	conn, err := other.Dial(context.Background(), peer)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	io.WriteString(conn, "x")
-	if got := make([]byte, 1); true {
-		if _, err := io.ReadFull(conn, got); err != nil || got[0] != 'x' {
-			t.Errorf("got %q, %v", got, err)
-		}
-	}
-	t.Run("nothing else is served", func(t *testing.T) {
-		as := &transport{members: map[string]string{"s1": l.Address()}, secure: other.secure, ended: make(chan struct{}),
-			conns: map[net.Conn]bool{}}
-		conn, err := as.dial(context.Background(), "s1", forCalls)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		var got answer
-		if err := request(conn, call{Status: true}, &got); err != nil || got.Accepted || got.ID != "" {
-			t.Errorf("got %+v, %v", got, err)
-		}
-		raw, err := as.dial(context.Background(), "s1", forRaft)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer raw.Close()
-		if err := <-refused; !errors.Is(err, errForeign) {
-			t.Errorf("raft: %v", err)
-		}
-	})
-	t.Run("at the end the connections are closed", func(t *testing.T) {
-		cancel()
-		running.Wait()
-		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Error("it goes on")
-		}
-	})
-	plain, err := NewSubscriber(Credentials{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := plain.Listen("0.0.0.0:0", nil, nil); err == nil || !strings.Contains(err.Error(), "loopback") {
-		t.Errorf("plain text everywhere: %v", err)
 	}
-	if _, err := plain.Dial(context.Background(), "n0@192.0.2.1:9"); err == nil || !strings.Contains(err.Error(), "loopback") {
-		t.Errorf("plain text to anybody: %v", err)
+	c.reset()
+	if c.observe(progress{leads: true, applied: 12, committed: 12, last: 13}) {
+		t.Error("current right after another leadership")
 	}
 }
--- a/replica/node.go
+++ b/replica/node.go
@@ -83,7 +83,7 @@
 	stamp       uint64             // tells our clock from others
 	epoch       distribution.Epoch // the greatest of the distributed configuration
 
-	ledSince uint64 // our last index as we were first seen to lead; 0 while we do not. Of maintainMembership alone
+	currency currency // of maintainMembership alone
 }
 
 // New checks a configuration, listens at our address, and starts nothing else. An error says what would do.
@@ -278,6 +278,7 @@
 		case <-ctx.Done():
 			return
 		case leading := <-r.LeaderCh():
+			n.currency.reset()
 			n.log.Info("leading", "leads", leading, "name", n.config.Name)
 			continue
 		case <-look.C:
@@ -297,6 +298,7 @@
 			n.noteCurrent(r)
 			continue
 		}
+		n.currency.reset()
 		lost++
 		if n.join(ctx, r, lost) {
 			n.mutex.Lock()
--- a/replica/subscription.go
+++ b/replica/subscription.go
@@ -18,19 +18,20 @@
 	Address string // empty for one that nobody dials
 }
 
-const peerSeparator = "@"
+// PeerSeparator stands between name and address; no name has it.
+const PeerSeparator = "@"
 
 // String is the peer as it is named in messages.
 func (p Peer) String() string {
 	if p.Address == "" {
 		return p.Name
 	}
-	return p.Name + peerSeparator + p.Address
+	return p.Name + PeerSeparator + p.Address
 }
 
 // ParsePeer reads a peer as it is named in messages.
 func ParsePeer(text string) Peer {
-	name, address, _ := strings.Cut(text, peerSeparator)
+	name, address, _ := strings.Cut(text, PeerSeparator)
 	return Peer{name, address}
 }
 
