--- a/scale/run.go
+++ b/scale/run.go
@@ -9,6 +9,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"wheelrill/rehearse"
 )
 
 // Run is one measurement over its sizes, as it is kept.
@@ -35,6 +37,7 @@
 	Load    float64  `json:"load"` // the machine's load average over a minute, before
 	Values  []Value  `json:"values"`
 	Broken  []string `json:"broken,omitempty"`   // what must not happen at any size, as a digest that differs
+	Partial string   `json:"partial,omitempty"`  // what was left out of it, so that it rests on less
 	Unknown string   `json:"unjudged,omitempty"` // why the sample shows nothing, for or against
 }
 
@@ -64,9 +67,9 @@
 
 // Verdicts, as those of a rehearsal.
 const (
-	Kept     = "kept"
-	Broken   = "broken"
-	Unjudged = "could not be judged"
+	Kept     = rehearse.Kept
+	Broken   = rehearse.Broken
+	Unjudged = rehearse.Unjudged
 )
 
 // Breach is a budget that a sample is over.
@@ -104,7 +107,7 @@
 		if !m.Fit {
 			continue
 		}
-		if fit, ok := FitOver(r.Samples, m.Name); ok {
+		if fit, ok := FitOver(r.Samples, m.Name, r.Targets); ok {
 			r.Fits = append(r.Fits, fit)
 		}
 	}
--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -26,6 +26,7 @@
 	region     int
 	scopes     distribution.Scopes
 	candidates []string
+	fanOut     int
 	network    *network
 	inForce    *inForce
 
@@ -47,8 +48,10 @@
 // start begins a life.
 func (s *hollowSubscriber) start() {
 	ctx, stop := context.WithCancel(context.Background())
+	limits := distribution.DefaultLimits()
+	limits.FanOut = s.fanOut
 	carrier := subscribe.New(subscribe.Config{
-		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: distribution.DefaultLimits()},
+		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: limits},
 		Dial:  func(ctx context.Context, peer string) (net.Conn, error) { return s.network.dial(ctx, s.region, peer) },
 		Apply: s.apply})
 	ended := make(chan struct{})
@@ -84,13 +87,6 @@
 	s.before.traffic.Out += traffic.Out
 }
 
-// up tells whether it runs.
-func (s *hollowSubscriber) up() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.stop != nil
-}
-
 // apply is told each change, in order.
 func (s *hollowSubscriber) apply(change distribution.Change, whole bool) {
 	s.mutex.Lock()
--- a/scale/tree.go
+++ b/scale/tree.go
@@ -4,7 +4,9 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"os"
 	"runtime"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,6 +19,7 @@
 	regions            = 25
 	distributorsToCome = mostMachines - usualVoters // of the machines set aside, those that do not vote
 	usualVoters        = 5
+	distributorFanOut  = 64 // its children are of some groups each; with 16, groups find no place at 11,000
 	leastDistributors  = 2
 	distributorsKnown  = 3 // that a subscriber is configured with as possible parents
 	peersKnown         = 2 // of its group
@@ -32,6 +35,7 @@
 // tree is a whole installation in one process: voters, distributors that have all scopes, and subscribers.
 type tree struct {
 	options           Options
+	folder            string // of the voters' records
 	network           *network
 	content           *content
 	inForce           *inForce
@@ -55,7 +59,13 @@
 	t := &tree{options: o, network: newNetwork(), content: newContent(groupsOf(size), o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
 		faultDraws: rand.New(rand.NewPCG(o.Seed, faultSeed))}
 	t.inForce = newInForce(t.content)
-	t.voters = newVoters(o.Voters, t.network, t.content, t.inForce)
+	var err error
+	if t.folder, err = os.MkdirTemp(o.Folder, "voters-"); err != nil {
+		return nil, err
+	}
+	if t.voters, err = newVoters(o.Voters, t.folder, t.network, t.content, t.inForce); err != nil {
+		return nil, err
+	}
 	t.place(size)
 	if err := t.start(ctx); err != nil {
 		t.close()
@@ -72,10 +82,10 @@
 	}
 	for i := range distributorsOf(size) {
 		t.distributors = append(t.distributors, &hollowSubscriber{name: fmt.Sprint("distributor/", i), role: roleDistributor,
-			region: (len(voters) + i) % regions, scopes: distribution.AllScopes(), candidates: voters})
+			region: (len(voters) + i) % regions, scopes: distribution.AllScopes(), candidates: voters, fanOut: distributorFanOut})
 	}
 	for i := range size {
-		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions,
+		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions, fanOut: distribution.DefaultFanOut,
 			scopes: distribution.SomeScopes(commonScope, groupScope(i%t.content.groups))}
 		for _, d := range t.random.Perm(len(t.distributors))[:min(distributorsKnown, len(t.distributors))] {
 			s.candidates = append(s.candidates, t.distributors[d].name)
@@ -122,7 +132,7 @@
 		s.start()
 	}
 	if !waitFor(ctx, readyWithin, func() bool { return waiting(nodes) == 0 }) {
-		return 0, fmt.Errorf("%d of %d nodes have no configuration after %s", waiting(nodes), len(nodes), readyWithin)
+		return 0, fmt.Errorf("%d of %d nodes have no configuration after %s: %s", waiting(nodes), len(nodes), readyWithin, whoWaits(nodes))
 	}
 	return time.Since(began), nil
 }
@@ -139,11 +149,30 @@
 	return n
 }
 
+// namedWaiting is how many that wait are named.
+const namedWaiting = 8
+
+// whoWaits names some of the nodes that have no configuration, with what they ask for and what became of it.
+func whoWaits(nodes []*hollowSubscriber) string {
+	var text []string
+	for _, s := range nodes {
+		s.mutex.Lock()
+		waits := s.seen == 0
+		s.mutex.Unlock()
+		if status, ok := s.status(); ok && waits && len(text) < namedWaiting {
+			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
+				status.Counts.RefusedBy, status.Counts.Dials))
+		}
+	}
+	return strings.Join(text, "; ")
+}
+
 // close ends all.
 func (t *tree) close() {
 	each(t.nodes(), (*hollowSubscriber).kill)
 	t.voters.close()
 	t.network.serving.Wait()
+	os.RemoveAll(t.folder)
 }
 
 // each does something with all nodes, some at a time.
--- a/standin/installation.go
+++ b/standin/installation.go
@@ -75,7 +75,7 @@
 			random: rand.New(rand.NewPCG(p.Seed, uint64(node))), levels: make([]level, len(p.Classes)),
 			shut: map[string]bool{}, came: make([]int, len(p.Classes))}
 		for range p.Classes {
-			r.tables = append(r.tables, map[string]float64{})
+			r.tables = append(r.tables, NewTable())
 		}
 		in.relays = append(in.relays, r)
 	}
@@ -85,7 +85,7 @@
 // Clock is the time since the installation was set up, as its account has it.
 func (in *Installation) Clock() time.Duration { return time.Since(in.began) }
 
-// Restarted: a controller's process is another from now on, and so is its channel.
+// Restarted notes that a controller's process is another from now on, and so is its channel.
 func (in *Installation) Restarted(controller int) {
 	c := in.channels[controller]
 	c.mutex.Lock()
@@ -94,7 +94,7 @@
 	c.free = 0
 }
 
-// Frozen: a controller's process stands still, or goes on. Its streams count as left meanwhile.
+// Frozen notes that a controller's process stands still, or goes on. Its streams count as left meanwhile.
 func (in *Installation) Frozen(controller int, frozen bool) {
 	for _, r := range in.relays {
 		r.mutex.Lock()
@@ -155,7 +155,7 @@
 	for _, r := range in.relays {
 		r.mutex.Lock()
 		for _, table := range r.tables {
-			if table[worker] > 0 && !r.shut[worker] {
+			if table.Has(worker) {
 				n++
 				break
 			}
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -52,7 +52,7 @@
 	conn   net.Conn
 	at     int // controller of the stream; -1 for none
 	cold   bool
-	tables []map[string]float64
+	tables []*Table
 	levels []level
 	shut   map[string]bool
 	token  uint64
@@ -269,12 +269,7 @@
 }
 
 func (r *Relay) has(class int) bool {
-	for id := range r.tables[class] {
-		if !r.shut[id] {
-			return true
-		}
-	}
-	return false
+	return !r.tables[class].Bare()
 }
 
 // apply takes a whole message, or none of it.
@@ -306,14 +301,10 @@
 				continue
 			}
 			if p.Whole {
-				r.tables[i], r.levels[i] = map[string]float64{}, level{}
+				r.tables[i], r.levels[i] = NewTable(), level{}
 			}
 			for _, l := range p.Lines {
-				if id, weight := l[0].(string), l[1].(float64); weight > 0 {
-					r.tables[i][id] = weight
-				} else {
-					delete(r.tables[i], id)
-				}
+				r.tables[i].Set(l[0].(string), l[1].(float64))
 			}
 			if p.Level != nil {
 				r.levels[i] = level{set: true, rate: *p.Level, retry: p.Retry, at: time.Now(), room: 1}
@@ -326,6 +317,9 @@
 			delete(r.shut, id)
 		}
 	}
+	for _, table := range r.tables {
+		table.Index(r.shut)
+	}
 	r.token, r.cold = max(r.token, token), false
 	r.counts.Orders, r.counts.Lines = r.counts.Orders+1, r.counts.Lines+size
 	if joining {
@@ -410,25 +404,11 @@
 // try sends a request to a worker by weight, not to one that it was sent to before. The relay is locked.
 func (r *Relay) try(class int, key string, began time.Time, tried int, before string, drawn uint64) {
 	c := r.in.classes[class]
-	var ids []string
-	total := 0.
-	for id, weight := range r.tables[class] {
-		if !r.shut[id] && id != before {
-			ids, total = append(ids, id), total+weight
-		}
-	}
-	if len(ids) == 0 {
+	chosen, found := r.tables[class].Draw(before, drawn)
+	if !found {
 		r.counts.Lost++
 		return
 	}
-	slices.Sort(ids)
-	at, chosen := float64(drawn>>11)/(1<<53)*total, ids[len(ids)-1]
-	for _, id := range ids {
-		if at -= r.tables[class][id]; at < 0 {
-			chosen = id
-			break
-		}
-	}
 	w, patience := r.in.worker(chosen), time.Until(began.Add(c.Deadline))
 	if w == nil || patience <= 0 {
 		r.counts.Lost++
@@ -457,7 +437,7 @@
 			case result == Answered:
 				r.counts.Late++
 			case tried == 0 && (result == Refused && again >= 1 || again >= 2 && !c.Writes):
-				r.try(class, key, began, tried+1, chosen, drawn*6364136223846793005+1442695040888963407)
+				r.try(class, key, began, tried+1, chosen, Redraw(drawn))
 			default:
 				r.counts.Lost++
 			}
