--- a/decide/decide.go
+++ b/decide/decide.go
@@ -55,8 +55,10 @@
 	// Parts of the fleet, each with a table and a part of the proxies, where backends take too few connections.
 	tooMany   = 1.6 // proxies for each connection of the smallest backend; up to there many are quiet
 	leastPart = 5   // backends in a part
-	shortPart = 0.5 // of its fair share that it has left when it is given backends of the largest part ...
-	fairPart  = 0.8 // ... until it has this much
+	// Tables too long for the channel are cut to this share of what leaves in time; drains need the rest.
+	tableShare = 1. / 2
+	shortPart  = 0.5 // of its fair share that it has left when it is given backends of the largest part ...
+	fairPart   = 0.8 // ... until it has this much
 )
 
 // Controller decides for the proxies that are joined to it.
@@ -135,12 +137,8 @@
 func (c *Controller) Listed(whole bool, entries []Entry) {
 	now := c.host.Now()
 	c.askWait = 0
-	many := float64(c.channel.Proxies) / float64(c.channel.Connections)
-	if whole && !c.listedOnce && many > tooMany && c.channel.Connections > 0 {
-		c.parts = max(1, min(int(math.Ceil(many)), len(entries)/leastPart))
-		for id, p := range c.proxies { // those that came before the list
-			p.part = id % c.parts
-		}
+	if whole && !c.listedOnce {
+		c.divide(len(entries))
 	}
 	seen := make([]bool, len(c.backends))
 	for _, e := range entries {
@@ -162,6 +160,23 @@
 	c.publish(now, false)
 }
 
+// divide settles the number of parts: one, or as many as connections ask for, or more where the tables of all
+// proxies, if they come to one controller, would not leave in time.
+func (c *Controller) divide(backends int) {
+	l, proxies, parts := &c.channel, float64(c.channel.Proxies), 1.
+	if l.Connections > 0 && proxies/float64(l.Connections) > tooMany {
+		parts = math.Ceil(proxies / float64(l.Connections))
+		within := inTime * l.takes(c.limits.Grace)
+		if proxies*(l.header()+float64(backends)/parts) > within {
+			parts = math.Ceil(float64(backends) / max(1, tableShare*within/proxies-l.header()))
+		}
+	}
+	c.parts = max(1, min(int(parts), backends/leastPart))
+	for id, p := range c.proxies { // those that came before the list
+		p.part = id % c.parts
+	}
+}
+
 // lightest is the part with the least listed weight, the zone's twice: a lost one takes as much of each.
 func (c *Controller) lightest(zone int) int {
 	weights := make([]float64, c.parts)
@@ -657,30 +672,6 @@
 	}
 }
 
-// admission is what we let in, in units: a request counts its target latency, as nothing gives its work.
-type admission struct {
-	how        Admission
-	order      []int // classes by value per unit, the first to be let in
-	units      []float64
-	deadline   float64 // longest deadline, microseconds
-	target     float64 // target latency of the mean request let in, microseconds
-	able       float64 // units a second answered while a queue stood, over heard, see look
-	proven     float64 // the same let in while none stood, the most of it
-	part       float64 // of what is able to be answered; 0 until a queue was seen
-	limit      float64 // units a second
-	bound      bool    // more comes than that
-	urgent     bool    // a cut is to be told
-	told       bool    // a level ever was
-	heat       float64 // at the last look
-	laid, want []float64
-	came       []float64 // requests counted since the last look
-	trim       []float64 // what was counted in all, over the sum of the proxies' rates
-
-	drainedAt, holdUntil int64 // when the queue must be gone, and when reports show it
-	hotSince             int64 // when looks began to show a queue nearly everywhere; 0 while they do not
-	widenedAt            int64 // when it was last widened, or guessed: reports tell of that a lag later
-}
-
 func newAdmission(how Admission, classes []Class) admission {
 	a := admission{how: how, laid: make([]float64, len(classes)), want: make([]float64, len(classes))}
 	for i, class := range classes {
@@ -706,6 +697,9 @@
 	}
 	for _, b := range c.backends {
 		r.laid += b.carried() * ours
+		if b.tries > 0 && !b.elsewhere { // where reports are few, one look hears of a part of the fleet
+			r.recent += b.carried() * told
+		}
 		answered, failed, late := 0, 0, 0.
 		for _, s := range b.samples {
 			if s.at > c.lookedAt {
@@ -767,7 +761,7 @@
 func (c *Controller) steer(now int64) {
 	a, r := &c.levels, c.look(now)
 	a.heat = r.heat
-	if r.heat > 0 && r.heat < hotAt && r.heard > r.laid/2 { // thinly heard demand proves nothing
+	if r.heat > 0 && r.heat < hotAt && r.recent > r.laid/2 { // thinly heard demand proves nothing
 		a.proven = max(a.proven, r.let/r.laid)
 	}
 	if r.heat == 0 || r.heard == 0 || a.how == AdmitNone {
@@ -907,12 +901,6 @@
 	count   int64 // orders so far; a mark is its low 16 bits
 }
 
-type order struct {
-	count, at int64
-	lines     float64
-	reached   map[*proxy]float64 // what it cost each that has not said so: a bind costs many times a line
-}
-
 // bill counts lines to a proxy, and with the first at this clock time the message and its mark.
 func (c *Controller) bill(p *proxy, lines float64) {
 	l, now := &c.channel, c.host.Now()
@@ -980,21 +968,6 @@
 	return !slices.ContainsFunc(proxies, func(p *proxy) bool { return p.bound && !l.may(p, now, need > 0) })
 }
 
-// ownership is what we hold of the slices in our charge. A slice's table is one line, its owner.
-type ownership struct {
-	Partition
-	all    []slice
-	writes uint16
-}
-
-type slice struct {
-	mine   bool
-	owner  int       // -1 for none
-	rates  []float64 // requests a second, by class
-	held   int64     // the orders that stopped writes; 0 if they go on, -1 if they must stop
-	freeAt int64     // when the former owner has none in hand; 0 while some proxy may still send it one
-}
-
 func newOwnership(p Partition, classes []Class) ownership {
 	o := ownership{Partition: p, all: make([]slice, p.Count)}
 	for i, class := range classes {
