--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -54,8 +54,8 @@
 func answers(m *module, peers []*peer) {
 	m.turn(func() {
 		for _, p := range peers {
-			for len(p.mail) > 0 {
-				<-p.mail
+			for len(p.mailbox) > 0 {
+				<-p.mailbox
 			}
 			if j := m.joins[p.node]; j != nil && len(j.waiting) > 0 {
 				m.applied(p, j.waiting[len(j.waiting)-1].number)
@@ -91,8 +91,8 @@
 			b.ReportAllocs()
 			id := m.backends.ids[0]
 			for i := range b.N {
-				m.met(id, 5, 0, 200_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
-				m.came(i%proxies, i%2, 3, 2*second)
+				m.addOutcomes(id, 5, 0, 200_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+				m.addDemand(i%proxies, i%2, 3, 2*second)
 			}
 			m.control.Listed(false, nil)
 		})
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -76,7 +76,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.quiet, p.limits.sorts), plan: p}
+	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.logRepeat, p.limits.logKinds), plan: p}
 	for _, text := range p.complain {
 		c.log.say("setting", "text", text)
 	}
@@ -89,7 +89,7 @@
 	c.module = m
 	c.list = newList(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
 		m.post(func() { m.listed(whole, version, servers) })
-	}, func() { m.post(func() { m.opens("discovery has answered") }) })
+	}, func() { m.post(func() { m.becomeReady("discovery has answered") }) })
 	m.list = c.list
 	c.list.start(p.known)
 	return c, nil
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if key := twice(root); key != "" {
+	if key := duplicateKey(root); key != "" {
 		return nil, fmt.Errorf("configuration: %s stands there twice", key)
 	}
 	settings := root.Get("settings")
@@ -226,7 +226,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	c.log.say("serving", "name", place.Name, "listen", listener.Addr(), "discovery", place.Discovery,
-		"proxies", c.limits.nodes, "strangers", c.limits.strange, "sockets", c.limits.sockets)
+		"proxies", c.limits.nodes, "strangers", c.limits.unidentified, "sockets", c.limits.sockets)
 	seconds := func(micros int64, places int) string { return figured(float64(micros)/second, places) }
 	c.log.say("given", "lines_per_s", figured(channel.LinesPerS, 0), "backlog", figured(channel.Backlog, 0),
 		"head", figured(channel.Head, 0), "way_s", seconds(channel.LongestWay, 2), "messages", channel.MessagesMost,
@@ -244,7 +244,7 @@
 	defer end()
 	var parts sync.WaitGroup
 	defer time.AfterFunc(c.limits.patience, func() {
-		c.module.post(func() { c.module.opens("nothing is known, and discovery keeps silent") })
+		c.module.post(func() { c.module.becomeReady("nothing is known, and discovery keeps silent") })
 	}).Stop()
 	parts.Go(func() { c.module.run(ctx); end() })
 	parts.Go(func() { c.list.run(ctx) })
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -75,7 +75,7 @@
 		m.turn(func() { m.applied(quiet, h.tickets[0]) })
 		later(m, m.limits.silence-second/2, func() {
 			talks.heard.Store(m.now)
-			m.came(0, 0, 4, second) // through a collector: that says nothing of the stream
+			m.addDemand(0, 0, 4, second) // through a collector: that says nothing of the stream
 		})
 		if !m.current(gone) || !m.current(talks) {
 			t.Error("given up too early")
@@ -229,8 +229,8 @@
 		})
 	}
 	h.hears(t, p)
-	if known := len(m.backends.index); known > 20 || len(m.backends.ids) > 20 || len(m.tables.out) > 20 {
-		t.Errorf("%d known, %d indices, %d withdrawn", known, len(m.backends.ids), len(m.tables.out))
+	if known := len(m.backends.index); known > 20 || len(m.backends.ids) > 20 || len(m.tables.withdrawn) > 20 {
+		t.Errorf("%d known, %d indices, %d withdrawn", known, len(m.backends.ids), len(m.tables.withdrawn))
 	}
 	if !slices.Equal(h.picks(0), []string{"s-58", "s-59"}) || !slices.Equal(h.picks(1), []string{"s-58", "s-59"}) {
 		t.Errorf("picks %v", h.lines)
@@ -238,7 +238,7 @@
 	if _, known := m.backends.index["s-50"]; !known || m.backends.ids[first] == "s-0" {
 		t.Error("forgotten too soon, or not at all")
 	}
-	m.met("s-0", 9, 9, 0, second, decide.Load{}) // a late report says nothing of the one that has its index now
+	m.addOutcomes("s-0", 9, 9, 0, second, decide.Load{}) // a late report says nothing of the one that has its index now
 	later(m, 3*second, func() { p.heard.Store(m.now) })
 	h.hears(t, p)
 	if len(h.picks(0)) != 2 {
@@ -353,7 +353,7 @@
 	c.limits.watch, c.limits.watchOver = 50*time.Millisecond, time.Second
 	if change != nil {
 		change(c.limits)
-		c.log.quiet = c.limits.quiet
+		c.log.repeatEvery = c.limits.logRepeat
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -482,7 +482,7 @@
 		}
 	})
 	t.Run("a stranger has one deadline, whatever it says and however slowly", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.first = 300 * time.Millisecond })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin = 300 * time.Millisecond })
 		began, push := time.Now(), `{"msg":"push","out":["s-0"]}`
 		for what, bad := range map[string]string{"a report before it joined": string(framed(reports)),
 			"usage before it joined": string(framed(usage)), "a mark": string(framed(`{"msg":"ack","node":3,"nonce":1}`)),
@@ -516,7 +516,7 @@
 	})
 	t.Run("what arrived while we stood still is read before anybody is judged late", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.first = time.Nanosecond
+		m.limits.identifyWithin = time.Nanosecond
 		here, there := net.Pipe()
 		go there.Write(framed(hello))
 		p := newPeer(here, 1, m, func(*peer) error { there.Close(); return nil })
@@ -526,14 +526,14 @@
 	})
 	t.Run("strangers that say nothing are ended, and keep nobody out", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, two, func(l *limits) { l.strange, l.first = 10, 200*time.Millisecond })
+		address, said := serves(t, d.address, two, func(l *limits) { l.unidentified, l.identifyWithin = 10, 200*time.Millisecond })
 		p := calls(t, address)
 		p.says(hello)
 		p.gets()
 		before := runtime.NumGoroutine()
-		var strangers []*caller
+		var silent []*caller
 		for range 100 {
-			strangers = append(strangers, calls(t, address))
+			silent = append(silent, calls(t, address))
 		}
 		q, c := calls(t, address), calls(t, address)
 		q.says(strings.Replace(hello, "3", "4", 1))
@@ -541,7 +541,7 @@
 		c.says(agent)
 		c.says(probe)
 		c.gets()
-		for _, s := range strangers {
+		for _, s := range silent {
 			if !s.refused() {
 				t.Error("a stranger stayed")
 			}
@@ -569,7 +569,7 @@
 		}
 	})
 	t.Run("while hundreds are silent, proxies that come back all at once take the places of their old streams", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.conns, l.lasting, l.strange = 48, 42, 48 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.conns, l.lasting, l.unidentified = 48, 42, 48 })
 		var old, now []*caller
 		for round := range 2 {
 			for range 100 {
@@ -722,7 +722,7 @@
 			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listing(0, true)} {
 			d.answers <- bad
 		}
-		address, said := serves(t, d.address, two, func(l *limits) { l.retryLeast, l.retryMost, l.quiet = 1, 1, 0 })
+		address, said := serves(t, d.address, two, func(l *limits) { l.retryLeast, l.retryMost, l.logRepeat = 1, 1, 0 })
 		for range 10 {
 			if query := <-d.asked; query != "since=1&timeout_ms=50" && query != "" {
 				t.Errorf("asked %q", query)
--- a/controller/endings_test.go
+++ b/controller/endings_test.go
@@ -55,7 +55,7 @@
 func TestCloses(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, "null", func(l *limits) { l.first = patience })
+		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyWithin = patience })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -68,7 +68,7 @@
 		}
 	})
 	t.Run("an answer that waits for readiness holds nothing longer than a stranger may stay", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.first = 50 * time.Millisecond })
+		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyWithin = 50 * time.Millisecond })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -130,7 +130,7 @@
 		said.waits(t, "event=stranger_ended", 1)
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.quiet = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeat = 0 })
 		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + headSize - 1} {
 			p := calls(t, address)
@@ -184,11 +184,11 @@
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.lastLook = patience
+		m.limits.finalRead = patience
 		here, there := net.Pipe()
 		defer there.Close()
 		p := newPeer(here, 1, m, func(*peer) error { return nil })
-		p.hurry()
+		p.evict()
 		ended := make(chan error, 1)
 		go func() { ended <- p.read() }()
 		there.Write(framed(hello))
@@ -200,7 +200,7 @@
 	})
 	t.Run("a message that met a deadline while we stood still goes on where it was", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.write, m.limits.lastLook = time.Nanosecond, patience // the deadline has passed before the first byte
+		m.limits.write, m.limits.finalRead = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
 		p := newPeer(here, 1, m, func(*peer) error { return nil })
 		ended := make(chan error, 1)
@@ -237,7 +237,7 @@
 	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serves(t, discovers(t).address, two, func(l *limits) {
-			l.strange, l.first, l.moment, l.lastLook = 40, patience, time.Millisecond, patience/200
+			l.unidentified, l.identifyWithin, l.evictAfter, l.finalRead = 40, patience, time.Millisecond, patience/200
 		})
 		for range 200 {
 			calls(t, address)
@@ -253,7 +253,7 @@
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.first, l.strange = 300*time.Millisecond, 60 })
+		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin, l.unidentified = 300*time.Millisecond, 60 })
 		var odd []*caller
 		for i := range 120 {
 			c := calls(t, address)
@@ -354,8 +354,8 @@
 		if more, _ := io.ReadAll(there); len(more) > 0 {
 			t.Errorf("%d more bytes came", len(more))
 		}
-		if len(s.strangers)+len(s.known) > 0 {
-			t.Errorf("%d strangers, %d known in the end", len(s.strangers), len(s.known))
+		if len(s.unidentified)+len(s.identified) > 0 {
+			t.Errorf("%d strangers, %d known in the end", len(s.unidentified), len(s.identified))
 		}
 	})
 	t.Run("no goroutine is left", func(t *testing.T) {
@@ -540,7 +540,7 @@
 func TestQuietList(t *testing.T) {
 	// follows has a proxy joined that hears what the list says.
 	follows := func(t *testing.T, d *discovery, known string) (*caller, *hearer, *diary) {
-		address, said := serves(t, d.address, known, func(l *limits) { l.retryLeast, l.retryMost, l.quiet = 1, 1, 0 })
+		address, said := serves(t, d.address, known, func(l *limits) { l.retryLeast, l.retryMost, l.logRepeat = 1, 1, 0 })
 		p, h := calls(t, address), newHearer("read it", "write")
 		p.says(hello)
 		if err := h.apply(p.gets()); err != nil {
@@ -565,7 +565,7 @@
 		l.client.Dial = func(string) (net.Conn, error) {
 			return &handed{text: answer, then: func() { l.follow("127.0.0.1:2", nil) }}, nil
 		}
-		if err := l.watch(); !errors.Is(err, errMoved) || taken != 0 || l.some {
+		if err := l.watch(); !errors.Is(err, errMoved) || taken != 0 || l.hasVersion {
 			t.Errorf("error %v, taken %d times, version %d", err, taken, l.version)
 		}
 	})
@@ -638,7 +638,7 @@
 		for _, text := range spoilt {
 			for _, first := range []string{hello, agent} {
 				m, said := begin(t)
-				m.log.quiet = 0
+				m.log.repeatEvery = 0
 				raw := append(append(framed(first), framed(text)...), framed(usage)...)
 				p := newPeer(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*peer) error { return nil })
 				err := p.read()
@@ -681,7 +681,7 @@
 		}
 	})
 	t.Run("lengths of nothing, of the limit and of one more", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.frame = 4 << 10; l.firstFrame = 1 << 10; l.quiet = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.frame = 4 << 10; l.firstFrame = 1 << 10; l.logRepeat = 0 })
 		padded := func(text string, size int) []byte { return framed(text + strings.Repeat(" ", size-len(text))) }
 		for node, x := range []struct {
 			first, then []byte
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -181,9 +181,9 @@
 	}
 	delete(f.pending, node)
 	s := f.module.at(node)
-	s.waits, s.base = false, base
+	s.unowned, s.base = false, base
 	if clean {
-		s.keeps, a.keeps = false, false
+		s.mayHoldWithdrawals, a.keeps = false, false
 	}
 	if s.fenced {
 		s.token = token
@@ -216,7 +216,7 @@
 			continue
 		}
 		if err := l.peer.send(l.message); err != nil {
-			f.module.lose(l.peer.node, err)
+			f.module.dropProxy(l.peer.node, err)
 		}
 	}
 	f.queued = slices.Delete(f.queued, 0, n)
@@ -245,11 +245,11 @@
 		}
 		changes = append(changes, change)
 	}
-	if len(f.module.withdrew) > 0 {
+	if len(f.module.withdrawalChanges) > 0 {
 		change := share.TableChange{Table: share.WithdrawnTable}
-		for _, b := range f.module.withdrew {
+		for _, b := range f.module.withdrawalChanges {
 			shut := 0.
-			if f.module.out[b] {
+			if f.module.withdrawn[b] {
 				shut = 1
 			}
 			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
