--- a/decide/decide.go
+++ b/decide/decide.go
@@ -179,6 +179,9 @@
 
 // lightest is the part with the least listed weight, the zone's twice: a lost one takes as much of each.
 func (c *Controller) lightest(zone int) int {
+	if c.parts == 1 {
+		return 0 // a list of many backends would cost their square
+	}
 	weights := make([]float64, c.parts)
 	for _, b := range c.backends {
 		if b.listed && b.Condition == Ready {
