--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -29,7 +29,8 @@
 		d.Metrics = append(d.Metrics,
 			Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Most: mostInForce, Fit: true},
 			Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Most: mostInForce, Fit: true},
-			Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Most: mostInForce, Fit: true})
+			Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Most: mostInForce, Fit: true},
+			Metric{Name: "parents_lost" + rate.suffix, Unit: "times", About: "nodes that lost or left their parent, " + rate.about})
 		for _, of := range treeRoles() {
 			d.Metrics = append(d.Metrics,
 				Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Most: mostBytesPerS, Fit: true},
@@ -91,6 +92,7 @@
 // pace makes changes at one pace for a while, and notes what that cost.
 func (t *tree) pace(ctx context.Context, rate changeRate, s *Sample) error {
 	t.inForce.reset()
+	lost := t.parentsLost()
 	before, record, spent, began := t.bytes(), t.recordBytes(), processorOfSelf(), time.Now()
 	made, err := t.change(ctx, rate.perS, began.Add(t.options.For))
 	if err != nil {
@@ -104,6 +106,7 @@
 	s.Set("half"+rate.suffix, t.inForce.seconds(t.inForce.each, 50))
 	s.Set("p99"+rate.suffix, t.inForce.seconds(t.inForce.each, 99))
 	s.Set("most"+rate.suffix, t.inForce.seconds(t.inForce.each, 100))
+	s.Set("parents_lost"+rate.suffix, float64(t.parentsLost()-lost))
 	if made == 0 {
 		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.For)
 	}
--- a/scale/tree.go
+++ b/scale/tree.go
@@ -284,6 +284,17 @@
 	return n
 }
 
+// parentsLost counts how often nodes that run have lost or left a parent.
+func (t *tree) parentsLost() int64 {
+	var lost atomic.Int64
+	each(t.nodes(), func(s *hollowSubscriber) {
+		if status, ok := s.status(); ok {
+			lost.Add(int64(status.Counts.ParentsLost))
+		}
+	})
+	return lost.Load()
+}
+
 // needless counts the snapshots that were taken beyond one for each life.
 func (t *tree) needless() int64 {
 	var taken atomic.Int64
