--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -106,7 +106,7 @@
 
 func scaleReport() *cobra.Command {
 	var folder, check, write string
-	var asJSON bool
+	var asJSON, refit bool
 	report := &cobra.Command{Use: "report", Short: "Make the tables of kept runs", Args: cobra.NoArgs,
 		Long: "Prints the tables of all kept runs: what was measured, what was fitted with exponent and residual, and the fits at the\n" +
 			"sizes to come. With --check or --write a page's blocks and figures are compared with the runs, or made anew. Exit code\n" +
@@ -119,6 +119,8 @@
 				return unjudged(err)
 			case len(runs) == 0:
 				return unjudged(fmt.Errorf("%s keeps no runs; wheelrill scale run NAME --out %s makes one", folder, folder))
+			case refit:
+				return refitted(folder, runs)
 			case check != "" && write != "":
 				return unjudged(errors.New("give --check or --write, not both"))
 			case check != "":
@@ -136,11 +138,23 @@
 	f := report.Flags()
 	f.StringVar(&folder, "runs", keptRuns, "folder that runs are kept in")
 	f.BoolVar(&asJSON, "json", false, "the runs as JSON")
+	f.BoolVar(&refit, "refit", false, "fit the samples of all kept runs anew, as after a change of how fits are made, and keep them")
 	f.StringVar(&check, "check", "", "page whose blocks and figures must be those of the runs")
 	f.StringVar(&write, "write", "", "page whose blocks and figures are made anew")
 	return report
 }
 
+// refitted keeps runs with fits and verdicts made anew of their samples.
+func refitted(folder string, runs []*scale.Run) error {
+	for _, r := range runs {
+		r.Settle()
+		if _, err := r.Save(folder); err != nil {
+			return unjudged(err)
+		}
+	}
+	return nil
+}
+
 func checkPage(path string, runs []*scale.Run) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/wheelrill/scale_test.go
+++ b/cmd/wheelrill/scale_test.go
@@ -92,6 +92,12 @@
 	if text, code := report("--json"); code != 0 || !json.Valid([]byte(text)) {
 		t.Errorf("--json ended with %d:\n%s", code, text)
 	}
+	if _, code := report("--refit"); code != 0 {
+		t.Errorf("--refit ended with %d", code)
+	}
+	if again, err := scale.Load(folder); err != nil || again[0].Verdict != scale.Kept {
+		t.Errorf("a run without a verdict was made %+v, %v", again, err)
+	}
 	write("<!-- scale report none -->\n<!-- end -->\n")
 	for _, args := range [][]string{{"--check", page}, {"--write", page}, {"--check", page, "--write", page},
 		{"--check", filepath.Join(folder, "none")}, {"--runs", t.TempDir()}} {
--- a/scale/page_test.go
+++ b/scale/page_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, r := range runs {
 		again := *r
-		again.settle()
+		again.Settle()
 		if r.Verdict != again.Verdict || !slices.Equal(r.Fits, again.Fits) {
 			t.Errorf("%s: kept %s %+v, by its samples %s %+v", r.Name, r.Verdict, r.Fits, again.Verdict, again.Fits)
 		}
--- a/scale/run.go
+++ b/scale/run.go
@@ -100,8 +100,8 @@
 	return all
 }
 
-// settle fits the samples and gives the verdict.
-func (r *Run) settle() {
+// Settle fits the samples and gives the verdict.
+func (r *Run) Settle() {
 	r.Fits = nil
 	for _, m := range r.Metrics {
 		if !m.Fit {
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -126,7 +126,7 @@
 		sample.Size, sample.Load = size, load
 		run.Samples = append(run.Samples, sample)
 	}
-	run.settle()
+	run.Settle()
 	return run, nil
 }
 
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -47,7 +47,7 @@
 		s.Set("bytes", float64(3000*size))
 		r.Samples = append(r.Samples, s)
 	}
-	r.settle()
+	r.Settle()
 	return r
 }
 
@@ -57,15 +57,15 @@
 		t.Errorf("over a budget: %s, %v", r.Verdict, all)
 	}
 	r.Samples = r.Samples[:2]
-	if r.settle(); r.Verdict != Kept {
+	if r.Settle(); r.Verdict != Kept {
 		t.Errorf("within budgets: %s", r.Verdict)
 	}
 	r.Samples[0].Unknown = "the machine was too busy"
-	if r.settle(); r.Verdict != Unjudged {
+	if r.Settle(); r.Verdict != Unjudged {
 		t.Errorf("a sample that shows nothing: %s", r.Verdict)
 	}
 	r.Samples[1].Broken = []string{"a digest differs"}
-	if r.settle(); r.Verdict != Broken {
+	if r.Settle(); r.Verdict != Broken {
 		t.Errorf("a digest that differs: %s", r.Verdict)
 	}
 }
