--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -47,7 +47,7 @@
 	d.Metrics = append(d.Metrics,
 		Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Most: mostMegabytes},
 		Metric{Name: "depth", Unit: "nodes", About: "from a voter to the deepest subscriber"},
-		Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Most: mostMachines, Fit: true},
+		Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Most: mostMachines},
 		Metric{Name: "distributors_ready", Unit: "s", About: "until all distributors have all scopes, all starting at once", Fit: true},
 		Metric{Name: "ready", Unit: "s", About: "until all subscribers have their configuration then, all starting at once", Fit: true})
 	return d
