--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -32,7 +32,7 @@
 
 	BackoffLeast int64 // µs to wait after a first failure, before jitter
 	BackoffMost  int64 // µs to wait after many
-	HedgeAfter   int64 // µs after which a second parent is dialled beside one that has not admitted yet
+	HedgeAfter   int64 // µs after which another parent is dialled beside those that have not admitted yet
 	RetryMost    int64 // µs after which a refused child may come again at the latest
 	Candidates   int   // possible parents kept, configured ones not counted
 	Proposed     int   // candidates in one message
@@ -42,7 +42,7 @@
 // Defaults of the limits.
 const (
 	DefaultHeartbeat = second
-	DefaultLease     = 2500 * millisecond
+	DefaultLease     = 1800 * millisecond // a change reaches the children of a silent parent by another within 3 s
 	DefaultHandshake = 3 * second
 	DefaultStaleMost = 5 * second
 
--- a/distribution/seek.go
+++ b/distribution/seek.go
@@ -22,20 +22,22 @@
 	return n.attempt(link)
 }
 
-// seek dials a possible parent where one is needed, and a second beside one that takes long.
+// attemptsMost bounds the parents that are asked for a place at once. Two may be silent behind the same cut.
+const attemptsMost = 3
+
+// seek dials a possible parent where one is needed, and further ones beside those that take long.
 func (n *Node) seek(now int64) {
 	if n.config.Voter || !n.wanting(now) {
 		return
 	}
-	switch len(n.attempts) {
-	case 0:
+	asked := len(n.attempts)
+	switch {
+	case asked == 0:
 		if now >= n.nextDial {
 			n.dial(now)
 		}
-	case 1:
-		if n.parent == nil && now-n.attempts[0].since >= n.limits.HedgeAfter {
-			n.dial(now)
-		}
+	case n.parent == nil && asked < attemptsMost && now-n.attempts[asked-1].since >= n.limits.HedgeAfter:
+		n.dial(now)
 	}
 }
 
