--- a/decide/decide.go
+++ b/decide/decide.go
@@ -55,7 +55,7 @@
 	// Parts of the fleet, each with a table and a part of the proxies, where backends take too few connections.
 	tooMany   = 1.6 // proxies for each connection of the smallest backend; up to there many are quiet
 	leastPart = 5   // backends in a part
-	// Tables too long for the channel are cut to this share of what leaves in time; drains need the rest.
+	// Part of what leaves in time that tables are cut to where connections ask for parts as well.
 	tableShare = 1. / 2
 	shortPart  = 0.5 // of its fair share that it has left when it is given backends of the largest part ...
 	fairPart   = 0.8 // ... until it has this much
@@ -161,15 +161,16 @@
 }
 
 // divide settles the number of parts: one, or as many as connections ask for, or more where the tables of all
-// proxies, if they come to one controller, would not leave in time.
+// proxies, if they come to one controller, would not leave in time. One table for all is best where connections
+// suffice, so then parts are no smaller than must be; where they do not, tables leave room for drains as well.
 func (c *Controller) divide(backends int) {
-	l, proxies, parts := &c.channel, float64(c.channel.Proxies), 1.
-	if l.Connections > 0 && proxies/float64(l.Connections) > tooMany {
-		parts = math.Ceil(proxies / float64(l.Connections))
-		within := inTime * l.takes(c.limits.Grace)
-		if proxies*(l.header()+float64(backends)/parts) > within {
-			parts = math.Ceil(float64(backends) / max(1, tableShare*within/proxies-l.header()))
-		}
+	l, proxies, parts, share := &c.channel, float64(c.channel.Proxies), 1., 1.
+	if many := proxies / float64(l.Connections); l.Connections > 0 && many > tooMany {
+		parts, share = math.Ceil(many), tableShare
+	}
+	within := inTime * l.takes(c.limits.Grace)
+	if !c.owners.exist() && proxies*(l.header()+float64(backends)/parts) > within {
+		parts = math.Ceil(float64(backends) / max(1, share*within/proxies-l.header()))
 	}
 	c.parts = max(1, min(int(parts), backends/leastPart))
 	for id, p := range c.proxies { // those that came before the list
