--- a/decide/decide.go
+++ b/decide/decide.go
@@ -161,8 +161,8 @@
 }
 
 // divide settles the number of parts: one, or as many as connections ask for, or more where the tables of all
-// proxies, if they come to one controller, would not leave in time. One table for all is best where connections
-// suffice, so then parts are no smaller than must be; where they do not, tables leave room for drains as well.
+// proxies, if they come to one controller, would not leave in time. One table for all is best where
+// connections suffice, so then parts are no smaller than must be; else tables leave room for drains as well.
 func (c *Controller) divide(backends int) {
 	l, proxies, parts, share := &c.channel, float64(c.channel.Proxies), 1., 1.
 	if many := proxies / float64(l.Connections); l.Connections > 0 && many > tooMany {
@@ -290,7 +290,7 @@
 	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.sight.ReportEvery+span)
 }
 
-// Joined: the proxy holds stale tables until it is bound, so it is bound as soon as the channel has room.
+// Joined takes a proxy in. It holds stale tables until it is bound, which is as soon as there is room.
 func (c *Controller) Joined(id, zone int, usual float64, keeps bool) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxy{})
@@ -314,12 +314,12 @@
 	c.bindWaiting(c.host.Now())
 }
 
-// Left: the proxy goes on with what it holds; nothing more can be told to it.
+// Left takes the end of a proxy: it goes on with what it holds, and nothing more can be told to it.
 func (c *Controller) Left(id int) {
 	c.proxies[id] = &proxy{leftAt: c.host.Now()}
 }
 
-// Applied: a message has come through, and with it all that left before it.
+// Applied takes the answer to a mark: its message has come through, and with it all that left before it.
 func (c *Controller) Applied(id, mark int) {
 	c.proxies[id].applied = c.channel.applied(mark, c.proxies[id])
 	c.bindWaiting(c.host.Now())
--- a/decide/host.go
+++ b/decide/host.go
@@ -29,7 +29,7 @@
 	Mark(number int, everyone bool)
 }
 
-// AllTables, given to Admit, means every table of every joined proxy.
+// AllTables means, where it is given to Admit, every table of every joined proxy.
 const AllTables = 0xffff
 
 // Condition is what the list says of a backend.
--- a/decide/state.go
+++ b/decide/state.go
@@ -108,7 +108,7 @@
 	a.proven, a.able = cmp.Or(a.proven, max(proven, 0)), cmp.Or(a.able, max(able, 0))
 }
 
-// Spent: so many of the messages that may go to a proxy within the span others have sent, or will have. It counts for
+// Spent counts messages to a proxy that others have sent within the span, or will have. It counts for
 // one that is joined, and for one that joins next.
 func (c *Controller) Spent(id, messages int) {
 	for len(c.proxies) <= id {
