--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -40,8 +40,8 @@
 			t.Error(b)
 		}
 	}
-	if r.Samples[0].Unknown != "" && !t.Failed() {
-		t.Skip(r.Samples[0].Unknown)
+	if r.Samples[0].Unknown != "" {
+		t.Log(r.Samples[0].Unknown)
 	}
 	return r
 }
