--- a/decide/decide.go
+++ b/decide/decide.go
@@ -172,7 +172,8 @@
 	if !c.owners.exist() && proxies*(l.header()+float64(backends)/parts) > within {
 		parts = math.Ceil(float64(backends) / max(1, share*within/proxies-l.header()))
 	}
-	c.parts = max(1, min(int(parts), backends/leastPart))
+	c.parts = max(1, min(int(parts), backends/leastPart, l.Proxies)) // a part without a proxy serves nobody
+
 	for id, p := range c.proxies { // those that came before the list
 		p.part = id % c.parts
 	}
