--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"wheelrill/decide"
+	"wheelrill/ownership"
 	"wheelrill/replica"
-	"wheelrill/share"
 )
 
 // Sharing says with whom a controller shares its fleet. The members agree on all of it but the folder and the files.
@@ -36,7 +36,7 @@
 		with.Name = c.plan.Name
 	}
 	m := c.module
-	terms := share.Terms{Lease: with.Lease, Span: c.plan.channel.MessagesSpan + c.plan.channel.LongestWay,
+	terms := ownership.Terms{Lease: with.Lease, Span: c.plan.channel.MessagesSpan + c.plan.channel.LongestWay,
 		Messages: c.plan.channel.MessagesMost, Members: len(with.Members), Kept: keptMessages}
 	if terms.Lease == 0 {
 		terms.Lease = usualLease
@@ -47,7 +47,7 @@
 	if terms.Messages == 0 {
 		terms.Messages = uncounted
 	}
-	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: share.NewEvidence(), terms: terms}
+	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: ownership.NewEvidence(), terms: terms}
 	config := replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
 	votes := c.distributor != nil && c.distributor.carrier == nil
 	if votes {
@@ -69,7 +69,7 @@
 	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
 		c.plan.admit)
 	m.fleet, f.name = f, with.Name
-	f.coordinator = share.New(f, with.Name, terms, m.now)
+	f.coordinator = ownership.New(f, with.Name, terms, m.now)
 	f.tick(m.now)
 	return nil
 }
@@ -80,11 +80,11 @@
 	fleet *fleet
 }
 
-func (r recordEvents) Recorded(e share.Entry) {
+func (r recordEvents) Recorded(e ownership.Entry) {
 	r.post(func() { r.fleet.coordinator.Recorded(e, r.now) })
 }
 
-func (r recordEvents) Restored(record *share.Record) {
+func (r recordEvents) Restored(record *ownership.Record) {
 	r.post(func() { r.fleet.coordinator.Restored(record, r.now) })
 }
 
@@ -100,14 +100,14 @@
 type fleet struct {
 	module      *module
 	name        string
-	coordinator *share.Coordinator
+	coordinator *ownership.Coordinator
 	node        *replica.Node
-	terms       share.Terms
+	terms       ownership.Terms
 
 	pending  map[int]pendingJoin // proxies that joined and are not granted yet
 	queued   []queuedMessage     // in their order
 	released uint64
-	evidence *share.Evidence
+	evidence *ownership.Evidence
 }
 
 // pendingJoin is what the decisions are told of a proxy once it is granted.
@@ -174,7 +174,7 @@
 }
 
 // Granted gives a proxy to the decisions.
-func (f *fleet) Granted(node int, token uint64, base []share.Base, clean bool, came []float64, spent int) {
+func (f *fleet) Granted(node int, token uint64, base []ownership.Base, clean bool, came []float64, spent int) {
 	a, ok := f.pending[node]
 	if !ok {
 		return
@@ -196,7 +196,7 @@
 }
 
 // LearnedCapacity hands on what another member saw the fleet do.
-func (f *fleet) LearnedCapacity(capacity share.Capacity) {
+func (f *fleet) LearnedCapacity(capacity ownership.Capacity) {
 	f.module.control.Fits(capacity.Proven, capacity.Able)
 }
 
@@ -204,7 +204,7 @@
 func (f *fleet) Spent(node, messages int) { f.module.control.Spent(node, messages) }
 
 // Propose puts an entry on the record.
-func (f *fleet) Propose(e share.Entry) { f.node.Propose(e) }
+func (f *fleet) Propose(e ownership.Entry) { f.node.Propose(e) }
 
 // Release lets what waited leave.
 func (f *fleet) Release(edition uint64) {
@@ -233,26 +233,26 @@
 
 // recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
 func (f *fleet) recordTableChanges() {
-	var changes []share.TableChange
+	var changes []ownership.TableChange
 	for _, number := range slices.Sorted(maps.Keys(f.module.byNumber)) {
 		in := f.module.byNumber[number]
 		if len(in.changed) == 0 {
 			continue
 		}
-		change := share.TableChange{Table: number}
+		change := ownership.TableChange{Table: number}
 		for _, b := range in.changed {
-			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
 		}
 		changes = append(changes, change)
 	}
 	if len(f.module.withdrawalChanges) > 0 {
-		change := share.TableChange{Table: share.WithdrawnTable}
+		change := ownership.TableChange{Table: ownership.WithdrawnTable}
 		for _, b := range f.module.withdrawalChanges {
 			shut := 0.
 			if f.module.withdrawn[b] {
 				shut = 1
 			}
-			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: shut})
 		}
 		changes = append(changes, change)
 	}
@@ -270,12 +270,12 @@
 		}
 	}
 	proven, able := f.module.control.Ability()
-	f.evidence.SetCapacity(share.Capacity{Proven: proven, Able: able})
+	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
 	f.coordinator.AddEvidence(f.evidence, now)
 }
 
 // Learned hands on what another member's proxies met.
-func (f *fleet) Learned(_ string, s share.Observation) {
+func (f *fleet) Learned(_ string, s ownership.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
 		f.module.control.Learned(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"wheelrill/decide"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // tables knows the tables, levels and withdrawals that the decisions have ordered, and what was last written on each
@@ -65,9 +65,9 @@
 	unowned            bool // another may own it still: nothing may be written to it
 	fenced             bool // it asked for tokens, and refuses what comes with an older one than it has seen
 	token              uint64
-	base               []share.Base // what it surely has by class, until a table of ours is written
-	cleared            bool         // backends that its tables use are let back
-	settled            bool         // its states were compared with all of its tables since it was bound or cleared
+	base               []ownership.Base // what it surely has by class, until a table of ours is written
+	cleared            bool             // backends that its tables use are let back
+	settled            bool             // its states were compared with all of its tables since it was bound or cleared
 }
 
 const unbound = -1
@@ -349,7 +349,7 @@
 			want[string(t.name(b))] = weight
 		}
 	}
-	differ, ok := share.Delta(s.base, func(class int) bool { return due&(1<<class) != 0 }, want)
+	differ, ok := ownership.Delta(s.base, func(class int) bool { return due&(1<<class) != 0 }, want)
 	if !ok {
 		return nil, false
 	}
--- a/share/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -1,4 +1,4 @@
-package share
+package ownership
 
 import (
 	"fmt"
--- a/share/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -1,4 +1,4 @@
-package share
+package ownership
 
 // LeaseTracker is what the leader of the record knows of the other members by its own clock: until when each of them
 // has surely written nothing off the record. A member goes off the record no sooner than a lease after it proposed the
--- a/share/record.go
+++ b/ownership/record.go
@@ -1,11 +1,11 @@
-// Package share holds what several controllers keep together, and what each of them concludes from it: who owns which
+// Package ownership holds what several controllers keep together, and what each of them concludes from it: who owns which
 // proxy, what that proxy was surely told, how many messages may still have gone to it, and what others heard of
 // backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
 //
 // A Record is the replicated record, the same at every member once the same entries were taken in. A Coordinator is one
 // member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the
 // leader of the record knows besides.
-package share
+package ownership
 
 import (
 	"cmp"
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // BenchmarkCatchUp has a member come as new to a record that went on without it for an hour: 16 entries a second from two
@@ -17,9 +17,9 @@
 	const hour, proxies = 16 * 3600, 400
 	at := addresses(b, "a", "b", "c")
 	a, other, c := starts(b, Config{Name: "a", Members: at}), starts(b, Config{Name: "b", Members: at}), starts(b, Config{Name: "c", Members: at})
-	a.puts(b, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	other.puts(b, share.Entry{Member: "b", Incarnation: 2, Seq: 1})
-	c.puts(b, share.Entry{Member: "c", Incarnation: 3, Seq: 1})
+	a.puts(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	other.puts(b, ownership.Entry{Member: "b", Incarnation: 2, Seq: 1})
+	c.puts(b, ownership.Entry{Member: "c", Incarnation: 3, Seq: 1})
 	c.stop()
 	lead := a
 	if r, _ := other.current(); r.State() == raft.Leader {
@@ -35,13 +35,13 @@
 	var last raft.ApplyFuture
 	began := time.Now()
 	for n := range hour {
-		e := share.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
-			Confirmations: []share.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
+		e := ownership.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
+			Confirmations: []ownership.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
 		if n < proxies {
 			e.Claims = []int{n}
 		}
 		if n%40 == 0 {
-			e.TableChanges = []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
+			e.TableChanges = []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
 		}
 		body, err := cbor.Marshal(e)
 		if err != nil {
@@ -59,7 +59,7 @@
 	b.Logf("%d entries taken in by two in %s", hour, time.Since(began).Round(time.Millisecond))
 	for _, way := range []struct{ name, told string }{{"log", fmt.Sprintf("recorded b 2 %d", hour/2+1)}, {"snapshot", "restored"}} {
 		if way.told == "restored" {
-			a.puts(b, share.Entry{Member: "a", Incarnation: 1, Seq: hour/2 + 2}) // behind the last change of members
+			a.puts(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: hour/2 + 2}) // behind the last change of members
 			if err := r.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot {
 				b.Fatal(err)
 			}
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -10,15 +10,15 @@
 	"github.com/hashicorp/raft"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // call is what members ask each other; answer is what they get.
 type call struct {
-	Entry  *share.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
-	Status bool         `cbor:"2,keyasint,omitempty"`
-	Name   string       `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
-	ID     string       `cbor:"4,keyasint,omitempty"`
+	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
+	Status bool             `cbor:"2,keyasint,omitempty"`
+	Name   string           `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
+	ID     string           `cbor:"4,keyasint,omitempty"`
 	// Subscribe: the messages of package distribution follow the answer, both ways, until the connection ends.
 	Subscribe bool                   `cbor:"5,keyasint,omitempty"`
 	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // to be accepted by the record
@@ -88,7 +88,7 @@
 }
 
 // appendEntry puts an entry on the record, if we lead. The number tells the connections apart that entries come by.
-func (n *Node) appendEntry(e share.Entry, connection int) answer {
+func (n *Node) appendEntry(e ownership.Entry, connection int) answer {
 	r, m := n.current()
 	if r.State() != raft.Leader {
 		return answer{Why: "not the leader"}
@@ -96,8 +96,8 @@
 	n.leaderMutex.Lock()
 	now := n.clock()
 	n.leases.Observe(e.Incarnation, e.Seq, connection, now)
-	m.withRecord(func(record *share.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
-	e.Stamp = share.Stamp{Leader: n.stamp, At: now}
+	m.withRecord(func(record *ownership.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
+	e.Stamp = ownership.Stamp{Leader: n.stamp, At: now}
 	n.leaderMutex.Unlock()
 	body, err := cbor.Marshal(e)
 	if err != nil {
@@ -123,7 +123,7 @@
 	for _, server := range f.Configuration().Servers {
 		ids = append(ids, string(server.ID))
 	}
-	leave, in := share.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
+	leave, in := ownership.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
 	for _, other := range leave {
 		if err := r.RemoveServer(raft.ServerID(other), 0, applyWithin).Error(); err != nil {
 			return answer{Why: err.Error()}
--- a/replica/changes_test.go
+++ b/replica/changes_test.go
@@ -16,7 +16,7 @@
 	"github.com/hashicorp/raft"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // sink takes a snapshot.
@@ -184,7 +184,7 @@
 			all[i] = starts(t, Config{Name: name, Members: at, Distribution: told[i]})
 			all[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than any clock says
 		}
-		all[0].puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+		all[0].puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		for _, s := range told {
 			if s.wholes+s.changes+s.current > 0 {
 				t.Errorf("told of %+v", s)
@@ -230,9 +230,9 @@
 // changed is a state machine that some entries were put into.
 func changed(t *testing.T, entries ...distribution.Entry) *stateMachine {
 	t.Helper()
-	m := &stateMachine{events: newReader(), record: share.NewRecord(), changes: newChanges(nil, nil)}
+	m := &stateMachine{events: newReader(), record: ownership.NewRecord(), changes: newChanges(nil, nil)}
 	m.failed = func(err error) { t.Error(err) }
-	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}})
+	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}})
 	for _, e := range entries {
 		body, err := cbor.Marshal(change{Kind: kindChange, Proposal: distribution.Proposal{
 			Epoch: distribution.Epoch{Number: 1}, Entries: []distribution.Entry{e}}})
--- a/replica/node.go
+++ b/replica/node.go
@@ -23,13 +23,13 @@
 	"github.com/hashicorp/raft"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // Events are told what becomes of the record, the entries in their order. They may wait, but not for the Node.
 type Events interface {
-	Recorded(share.Entry)
-	Restored(*share.Record)
+	Recorded(ownership.Entry)
+	Restored(*ownership.Record)
 	Answered(incarnation, seq uint64)
 	Failed(incarnation, seq uint64)
 }
@@ -40,7 +40,7 @@
 	Members map[string]string // the address of each by its name, our own among them
 	Folder  string            // for what must outlast the process; "" keeps it in memory
 	Credentials
-	Terms share.Terms
+	Terms ownership.Terms
 	// Distribution is told what the record has of the distributed configuration, and serves those who subscribe to it;
 	// nil: nobody can subscribe here.
 	Distribution Distribution
@@ -66,7 +66,7 @@
 	clock     func() int64 // µs
 	pace      pace
 
-	proposals chan share.Entry // one entry is under way at a time
+	proposals chan ownership.Entry // one entry is under way at a time
 
 	mutex        sync.Mutex // over what a raft instance brings
 	raft         *raft.Raft
@@ -79,7 +79,7 @@
 
 	// leaderMutex is over what we see as leader; that holds over several leaderships, as it rests on our clock alone.
 	leaderMutex sync.Mutex
-	leases      *share.LeaseTracker
+	leases      *ownership.LeaseTracker
 	stamp       uint64             // tells our clock from others
 	epoch       distribution.Epoch // the greatest of the distributed configuration
 
@@ -112,8 +112,8 @@
 		return nil, fmt.Errorf("members: listen: %w", err)
 	}
 	began := time.Now()
-	n := &Node{config: config, events: events, log: log, wrapStore: wrapStore, proposals: make(chan share.Entry, 1), stamp: randomID(),
-		leases: share.NewLeaseTracker(config.Terms), pace: paceFor(time.Duration(config.Terms.Lease) * time.Microsecond),
+	n := &Node{config: config, events: events, log: log, wrapStore: wrapStore, proposals: make(chan ownership.Entry, 1), stamp: randomID(),
+		leases: ownership.NewLeaseTracker(config.Terms), pace: paceFor(time.Duration(config.Terms.Lease) * time.Microsecond),
 		clock: func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
 		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{}, foreign: config.Distribution != nil,
@@ -149,7 +149,7 @@
 }
 
 // Propose takes the entry that is to be put on the record next. It never waits.
-func (n *Node) Propose(e share.Entry) {
+func (n *Node) Propose(e ownership.Entry) {
 	for {
 		select {
 		case n.proposals <- e:
@@ -166,7 +166,7 @@
 // open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.config.Name + "/" + rand.Text()[:8]
-	m := &stateMachine{events: n.events, record: share.NewRecord(), changes: newChanges(n.config.Distribution, n.noteEpoch), failed: func(err error) {
+	m := &stateMachine{events: n.events, record: ownership.NewRecord(), changes: newChanges(n.config.Distribution, n.noteEpoch), failed: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -309,7 +309,7 @@
 				n.log.Error("record_lost", "error", err.Error())
 				return
 			}
-			n.events.Restored(share.NewRecord())
+			n.events.Restored(ownership.NewRecord())
 			r, _ = n.current()
 			lost, index = 0, 0
 		}
@@ -323,7 +323,7 @@
 	var silent []string
 	n.leaderMutex.Lock()
 	now := n.clock()
-	m.withRecord(func(record *share.Record) {
+	m.withRecord(func(record *ownership.Record) {
 		for name, incarnation := range record.Members {
 			if name != n.config.Name && n.leases.Silent(incarnation, now, 2*n.config.Terms.Renew) {
 				silent = append(silent, name)
@@ -356,18 +356,18 @@
 
 // join takes the next step to be part of a record; it is true where we have to come as new.
 func (n *Node) join(ctx context.Context, r *raft.Raft, looks int) (anew bool) {
-	others := map[string]share.PeerStatus{}
+	others := map[string]ownership.PeerStatus{}
 	for name := range n.config.Members {
 		if name == n.config.Name {
 			continue
 		}
 		if a, err := n.ask(ctx, name, call{Status: true}); err == nil {
-			others[name] = share.PeerStatus{ID: a.ID, HasRecord: a.HasRecord, Leader: a.Leader}
+			others[name] = ownership.PeerStatus{ID: a.ID, HasRecord: a.HasRecord, Leader: a.Leader}
 		}
 	}
 	_, leader := r.LeaderWithID()
 	f := r.GetConfiguration()
-	own := share.OwnStatus{
+	own := ownership.OwnStatus{
 		Name:       n.config.Name,
 		ID:         n.ID(),
 		HasRecord:  f.Error() == nil && len(f.Configuration().Servers) > 0,
@@ -376,12 +376,12 @@
 		Durable:    n.config.Folder != "",
 		Leaderless: looks,
 	}
-	switch step := share.NextStep(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Action {
-	case share.Join:
+	switch step := ownership.NextStep(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Action {
+	case ownership.Join:
 		if a, err := n.ask(ctx, step.Ask, call{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Accepted {
 			n.log.Debug("join", "at", step.Ask, "why", a.Why)
 		}
-	case share.Bootstrap:
+	case ownership.Bootstrap:
 		var servers []raft.Server
 		for _, name := range slices.Sorted(maps.Keys(step.IDs)) {
 			servers = append(servers, raft.Server{ID: raft.ServerID(step.IDs[name]), Address: addressOf(name, step.IDs[name])})
@@ -389,7 +389,7 @@
 		if err := r.BootstrapCluster(raft.Configuration{Servers: servers}).Error(); err == nil {
 			n.log.Info("founded", "members", len(servers))
 		}
-	case share.StartOver:
+	case ownership.StartOver:
 		n.log.Info("record_lost", "text", "all others have come as new; so do we")
 		return true
 	}
@@ -408,7 +408,7 @@
 	}
 	defer hangUp()
 	for {
-		var e share.Entry
+		var e ownership.Entry
 		select {
 		case <-ctx.Done():
 			return
--- a/replica/node_test.go
+++ b/replica/node_test.go
@@ -25,7 +25,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // full is a disk that takes nothing from some moment on.
@@ -50,7 +50,7 @@
 
 const patience = 30 * time.Second
 
-var terms = share.Terms{Lease: 1_500_000, Renew: 200_000, Span: 10_000_000, Messages: 30, Members: 3}
+var terms = ownership.Terms{Lease: 1_500_000, Renew: 200_000, Span: 10_000_000, Messages: 30, Members: 3}
 
 // reader notes what a member is told, and lets stories wait for it.
 type reader struct {
@@ -69,10 +69,10 @@
 	r.more = make(chan struct{})
 }
 
-func (r *reader) Recorded(e share.Entry) {
+func (r *reader) Recorded(e ownership.Entry) {
 	r.note(fmt.Sprintf("recorded %s %d %d", e.Member, e.Incarnation, e.Seq))
 }
-func (r *reader) Restored(*share.Record) { r.note("restored") }
+func (r *reader) Restored(*ownership.Record) { r.note("restored") }
 func (r *reader) Answered(incarnation, seq uint64) {
 	r.note(fmt.Sprintf("answered %d %d", incarnation, seq))
 }
@@ -154,7 +154,7 @@
 }
 
 // puts proposes an entry until it stands.
-func (m *member) puts(t testing.TB, e share.Entry) {
+func (m *member) puts(t testing.TB, e ownership.Entry) {
 	t.Helper()
 	late := time.After(patience)
 	answered, failed := fmt.Sprintf("answered %d %d", e.Incarnation, e.Seq), fmt.Sprintf("failed %d %d", e.Incarnation, e.Seq)
@@ -194,7 +194,7 @@
 			all = append(all, starts(t, Config{Name: name, Members: at}))
 		}
 		for i, m := range all {
-			m.puts(t, share.Entry{Member: names[i], Incarnation: uint64(i + 1), Seq: 1})
+			m.puts(t, ownership.Entry{Member: names[i], Incarnation: uint64(i + 1), Seq: 1})
 		}
 		for _, m := range all {
 			for i, name := range names {
@@ -204,9 +204,9 @@
 		t.Run("one that lost all comes under a new id, catches up, and its old one is gone", func(t *testing.T) {
 			old := all[2].ID()
 			all[2].stop()
-			all[0].puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 2})
+			all[0].puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 2})
 			back := starts(story, Config{Name: "c", Members: at})
-			back.puts(t, share.Entry{Member: "c", Incarnation: 30, Seq: 1})
+			back.puts(t, ownership.Entry{Member: "c", Incarnation: 30, Seq: 1})
 			back.waits(t, "recorded a 1 2")
 			r, _ := back.current()
 			f := r.GetConfiguration()
@@ -221,15 +221,15 @@
 			all[1].stop()
 			a, b := starts(story, Config{Name: "a", Members: at}), starts(story, Config{Name: "b", Members: at})
 			all[2].waits(t, "restored")
-			a.puts(t, share.Entry{Member: "a", Incarnation: 50, Seq: 1})
-			b.puts(t, share.Entry{Member: "b", Incarnation: 51, Seq: 1})
+			a.puts(t, ownership.Entry{Member: "a", Incarnation: 50, Seq: 1})
+			b.puts(t, ownership.Entry{Member: "b", Incarnation: 51, Seq: 1})
 			all[2].waits(t, "recorded a 50 1")
 		})
 	})
 	t.Run("on disk a member goes on as the one it was, and nobody else may use its folder", func(t *testing.T) {
 		at, folder := addresses(t, "a"), t.TempDir()
 		a := starts(t, Config{Name: "a", Members: at, Folder: folder})
-		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+		a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		if _, err := New(Config{Name: "a", Members: addresses(t, "a"), Folder: folder, Terms: terms}, newReader(), quiet()); err == nil {
 			t.Error("two processes on one folder")
 		}
@@ -242,7 +242,7 @@
 	})
 	t.Run("alone of three nothing stands, and each try is told", func(t *testing.T) {
 		a := starts(t, Config{Name: "a", Members: addresses(t, names...)})
-		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+		a.Propose(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		a.waits(t, "failed 1 1")
 	})
 }
@@ -308,7 +308,7 @@
 	at := addresses(t, "a", "b")
 	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a")})
 	b := starts(t, Config{Name: "b", Members: at, Credentials: ours.gives("b")})
-	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	b.waits(t, "recorded a 1 1")
 
 	asks := func(given Credentials, to string, c call) (answer, error) {
@@ -335,7 +335,7 @@
 	}
 	t.Run("a member may not speak for another", func(t *testing.T) {
 		leader := a.status().Leader
-		got, err := asks(ours.gives("b"), leader, call{Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}})
+		got, err := asks(ours.gives("b"), leader, call{Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}})
 		if err != nil || got.Accepted || got.Why == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
@@ -380,14 +380,14 @@
 }
 
 func TestStateMachine(t *testing.T) {
-	m, r := &stateMachine{events: newReader(), record: share.NewRecord(), changes: newChanges(nil, nil)}, newReader()
-	m.record.Apply(share.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
-		TableChanges: []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "s", Weight: 0.5}}}}})
+	m, r := &stateMachine{events: newReader(), record: ownership.NewRecord(), changes: newChanges(nil, nil)}, newReader()
+	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
+		TableChanges: []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &stateMachine{events: r, record: share.NewRecord(), changes: newChanges(nil, nil)}
+	other := &stateMachine{events: r, record: ownership.NewRecord(), changes: newChanges(nil, nil)}
 	if err := other.Restore(io.NopCloser(bytes.NewReader(persisted(t, s)))); err != nil {
 		t.Fatal(err)
 	}
@@ -407,7 +407,7 @@
 		at, since := addresses(t, "a", "b", "c"), &atomic.Bool{}
 		a := startsOn(t, Config{Name: "a", Members: at, Folder: t.TempDir()}, func(s raft.StableStore) raft.StableStore { return full{s, since} })
 		others := map[string]*member{"b": starts(t, Config{Name: "b", Members: at}), "c": starts(t, Config{Name: "c", Members: at})}
-		a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+		a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		late := time.After(patience)
 		until := func(is func() bool) {
 			t.Helper()
@@ -429,7 +429,7 @@
 		since.Store(true)
 		others[a.status().Leader].stop()
 		until(a.votesLost.Load) // the next election has it vote, or stand itself
-		a.Propose(share.Entry{Member: "a", Incarnation: 1, Seq: 3})
+		a.Propose(ownership.Entry{Member: "a", Incarnation: 1, Seq: 3})
 		a.waits(t, "failed 1 3") // and so goes on by itself
 		a.stop()
 	})
@@ -438,7 +438,7 @@
 		folder := t.TempDir()
 		a := starts(t, Config{Name: "a", Members: at, Folder: folder})
 		for seq := uint64(1); seq < 40; seq++ {
-			a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: seq})
+			a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: seq})
 		}
 		a.stop()
 		return folder
--- a/replica/state_machine.go
+++ b/replica/state_machine.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/raft"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // stateMachine takes the entries of raft's log into a record, and hands them on in their order.
@@ -18,7 +18,7 @@
 	failed func(err error)
 
 	mutex  sync.Mutex
-	record *share.Record
+	record *ownership.Record
 	bytes  atomic.Int64 // of the last snapshot
 
 	changes *changes
@@ -29,7 +29,7 @@
 	if isChange(l.Data) {
 		return m.changes.apply(l.Data, m.failed)
 	}
-	var e share.Entry
+	var e ownership.Entry
 	if err := cbor.Unmarshal(l.Data, &e); err != nil {
 		m.failed(err)
 		return nil
@@ -42,7 +42,7 @@
 }
 
 // withRecord gives access to the record.
-func (m *stateMachine) withRecord(what func(*share.Record)) {
+func (m *stateMachine) withRecord(what func(*ownership.Record)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	what(m.record)
@@ -63,9 +63,9 @@
 	if err != nil {
 		return err
 	}
-	ours, theirs := share.NewRecord(), share.NewRecord()
+	ours, theirs := ownership.NewRecord(), ownership.NewRecord()
 	var rest []byte
-	for _, record := range []*share.Record{ours, theirs} {
+	for _, record := range []*ownership.Record{ours, theirs} {
 		if rest, err = cbor.UnmarshalFirst(body, record); err != nil {
 			return err
 		}
--- a/replica/subscription_test.go
+++ b/replica/subscription_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 func TestSubscriberIsNoMember(t *testing.T) {
@@ -24,15 +24,15 @@
 		conn.Close()
 	}}
 	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a"), Distribution: told})
-	a.puts(t, share.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	secure, err := ours.gives("s17").pair()
 	if err != nil {
 		t.Fatal(err)
 	}
 	as := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
 	for name, c := range map[string]call{
-		"propose":       {Entry: &share.Entry{Member: "a", Incarnation: 9, Seq: 1}},
-		"propose as it": {Entry: &share.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
+		"propose":       {Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}},
+		"propose as it": {Entry: &ownership.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
 		"join":          {Name: "s17", ID: "s17/x"},
 		"join as one":   {Name: "a", ID: "a/x"},
 		"ask":           {Status: true},
--- a/replica/wire_test.go
+++ b/replica/wire_test.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // TestEncodedCalls pins the calls between members: one of the last release is to understand one of this.
@@ -17,7 +17,7 @@
 		value any
 		want  string
 	}{
-		{"a call that brings an entry", call{Entry: &share.Entry{Member: "a", Incarnation: 1, Seq: 2}},
+		{"a call that brings an entry", call{Entry: &ownership.Entry{Member: "a", Incarnation: 1, Seq: 2}},
 			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
 		{"a call that asks who it is", call{Status: true}, "a102f5"},
 		{"a call to join", call{Name: "a", ID: "a/1"}, "a20361610463612f31"},
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"wheelrill/internal/process"
+	"wheelrill/ownership"
 	"wheelrill/replica"
-	"wheelrill/share"
 )
 
 // Terms of hollow members, as real ones have them.
@@ -30,7 +30,7 @@
 type hollowMember struct {
 	name        string
 	node        *replica.Node
-	coordinator *share.Coordinator
+	coordinator *ownership.Coordinator
 	began       time.Time
 	mail        chan func()
 	done        chan struct{}
@@ -41,13 +41,13 @@
 // startHollow gives a member that takes part until the context ends. The terms follow from the lease.
 func startHollow(ctx context.Context, running *sync.WaitGroup, config replica.Config, lease time.Duration) (*hollowMember, error) {
 	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), memberMailbox), done: make(chan struct{})}
-	config.Terms = share.Terms{Lease: lease.Microseconds(), Renew: lease.Microseconds() / renewsPerLease,
+	config.Terms = ownership.Terms{Lease: lease.Microseconds(), Renew: lease.Microseconds() / renewsPerLease,
 		Span: messagesSpan.Microseconds(), Messages: messagesMost, Members: len(config.Members), Kept: messagesKept}
 	var err error
 	if m.node, err = replica.New(config, hollowEvents{m}, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
-	m.coordinator = share.New(hollowHost{m}, config.Name, config.Terms, m.now())
+	m.coordinator = ownership.New(hollowHost{m}, config.Name, config.Terms, m.now())
 	running.Go(func() { m.run(ctx, lease/renewsPerLease/2) })
 	running.Go(func() { m.node.Run(ctx) })
 	return m, nil
@@ -83,11 +83,11 @@
 // hollowEvents hands on to the coordinator what becomes of the record.
 type hollowEvents struct{ *hollowMember }
 
-func (e hollowEvents) Recorded(entry share.Entry) {
+func (e hollowEvents) Recorded(entry ownership.Entry) {
 	e.post(func() { e.coordinator.Recorded(entry, e.now()) })
 }
 
-func (e hollowEvents) Restored(record *share.Record) {
+func (e hollowEvents) Restored(record *ownership.Record) {
 	e.post(func() { e.coordinator.Restored(record, e.now()) })
 }
 
@@ -102,13 +102,13 @@
 // hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
 type hollowHost struct{ *hollowMember }
 
-func (h hollowHost) Propose(e share.Entry)                                   { h.node.Propose(e) }
-func (h hollowHost) Granted(int, uint64, []share.Base, bool, []float64, int) {}
-func (h hollowHost) LearnedCapacity(share.Capacity)                          {}
-func (h hollowHost) Spent(int, int)                                          {}
-func (h hollowHost) Release(uint64)                                          {}
-func (h hollowHost) Learned(string, share.Observation)                       {}
-func (h hollowHost) Mode(alone bool, _ string)                               { h.entered.Store(!alone) }
+func (h hollowHost) Propose(e ownership.Entry)                                   { h.node.Propose(e) }
+func (h hollowHost) Granted(int, uint64, []ownership.Base, bool, []float64, int) {}
+func (h hollowHost) LearnedCapacity(ownership.Capacity)                          {}
+func (h hollowHost) Spent(int, int)                                              {}
+func (h hollowHost) Release(uint64)                                              {}
+func (h hollowHost) Learned(string, ownership.Observation)                       {}
+func (h hollowHost) Mode(alone bool, _ string)                                   { h.entered.Store(!alone) }
 
 // RandomID draws a number.
 func (h hollowHost) RandomID() uint64 {
