--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
+	"wheelrill/consensus"
 	"wheelrill/controller"
 	"wheelrill/options"
-	"wheelrill/replica"
 )
 
 func root(ctx context.Context, again <-chan os.Signal) *cobra.Command {
@@ -84,13 +84,13 @@
 		if err := c.Distribute(controller.Distribution{Voter: d.Role == options.Voter, Name: d.Name, Parents: d.Parents,
 			Scopes: d.Scopes, AllScopes: slices.Equal(d.Scopes, []string{options.AllScopes}), Listen: d.Listen, Folder: d.Folder,
 			FanOut: d.FanOut, SnapshotPace: d.SnapshotPace,
-			Credentials: replica.Credentials{Certificate: d.Certificate, Key: d.Key, Authority: d.Authority}}); err != nil {
+			Credentials: consensus.Credentials{Certificate: d.Certificate, Key: d.Key, Authority: d.Authority}}); err != nil {
 			return fmt.Errorf("%s: distribution: %w", path, err)
 		}
 	}
 	if s := given.Sharing; s != nil {
 		if err := c.Share(controller.Sharing{Name: s.Name, Members: s.Members, Folder: s.Folder,
-			Credentials: replica.Credentials{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority},
+			Credentials: consensus.Credentials{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority},
 			Lease:       s.LeaseTime().Microseconds()}); err != nil {
 			return fmt.Errorf("%s: sharing: %w", path, err)
 		}
--- a/replica/node.go
+++ b/consensus/node.go
@@ -1,7 +1,7 @@
-// Package replica puts the entries of package share on a record that all members of an installation have, by means of
+// Package consensus puts the entries of package share on a record that all members of an installation have, by means of
 // hashicorp/raft: over TLS between members that know each other by name, on disk or in memory. It decides nothing about
 // proxies or backends.
-package replica
+package consensus
 
 import (
 	"context"
--- a/replica/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -1,4 +1,4 @@
-package replica
+package consensus
 
 import (
 	"context"
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -14,9 +14,9 @@
 
 	"github.com/valyala/fastjson"
 
+	"wheelrill/consensus"
 	"wheelrill/decide"
 	"wheelrill/distribution"
-	"wheelrill/replica"
 	"wheelrill/subscribe"
 )
 
@@ -35,7 +35,7 @@
 	FanOut    int    // that subscribe here at most; 0 is as usual
 	// SnapshotPace is how many bytes a second all snapshots that are sent from here take together; 0 is as usual.
 	SnapshotPace int
-	replica.Credentials
+	consensus.Credentials
 
 	limits distribution.Limits // of the node; usual ones where it is zero
 }
@@ -52,8 +52,8 @@
 	module   *module
 	log      *journal
 	carrier  *subscribe.Carrier
-	node     *replica.Node     // of a voter
-	listener *replica.Listener // of a subscriber that passes on
+	node     *consensus.Node     // of a voter
+	listener *consensus.Listener // of a subscriber that passes on
 	limits   distribution.Limits
 	kept     *keeper                   // of a subscriber with a folder
 	wanted   chan []distribution.Entry // the newest configuration that a voter is to propose
@@ -101,14 +101,14 @@
 
 // subscribe prepares a subscriber.
 func (d *distributor) subscribe(with Distribution) error {
-	subscriber, err := replica.NewSubscriber(with.Credentials)
+	subscriber, err := consensus.NewSubscriber(with.Credentials)
 	if err != nil {
 		return err
 	}
-	if strings.Contains(with.Name, replica.PeerSeparator) {
-		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out", with.Name, replica.PeerSeparator)
+	if strings.Contains(with.Name, consensus.PeerSeparator) {
+		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out", with.Name, consensus.PeerSeparator)
 	}
-	self := replica.Peer{Name: with.Name}
+	self := consensus.Peer{Name: with.Name}
 	if with.Listen != "" {
 		if d.listener, err = subscriber.Listen(with.Listen, d.accept, d.refused); err != nil {
 			return err
@@ -117,7 +117,7 @@
 	}
 	var candidates []string
 	for _, name := range slices.Sorted(maps.Keys(with.Parents)) {
-		candidates = append(candidates, replica.Peer{Name: name, Address: with.Parents[name]}.String())
+		candidates = append(candidates, consensus.Peer{Name: name, Address: with.Parents[name]}.String())
 	}
 	scopes := distribution.SomeScopes(with.Scopes...)
 	if with.AllScopes {
@@ -154,7 +154,7 @@
 var errNoParent = errors.New("a voter has no parent")
 
 // vote prepares a voter, as a member that shares the record.
-func (d *distributor) vote(self replica.Peer) *subscribe.Carrier {
+func (d *distributor) vote(self consensus.Peer) *subscribe.Carrier {
 	d.carrier = subscribe.New(subscribe.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
@@ -332,7 +332,7 @@
 		d.log.say("change_empty", "revision", mark.Revision, "epoch", mark.Epoch.String())
 	case err == nil:
 		d.log.say("change_accepted", "revision", mark.Revision, "epoch", mark.Epoch.String(), "entries", differ)
-	case errors.Is(err, replica.ErrRefused):
+	case errors.Is(err, consensus.ErrRefused):
 		d.log.say("change_refused", "error", err.Error())
 	default:
 		d.log.say("change_unanswered", "error", err.Error())
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"wheelrill/consensus"
 	"wheelrill/decide"
 	"wheelrill/ownership"
-	"wheelrill/replica"
 )
 
 // Sharing says with whom a controller shares its fleet. The members agree on all of it but the folder and the files.
@@ -16,7 +16,7 @@
 	Name    string            // ours among the members; the controller's own if empty
 	Members map[string]string // the address of each for the others, by its name
 	Folder  string            // for what must outlast the process; empty: nothing does
-	replica.Credentials
+	consensus.Credentials
 	Lease int64 // µs without an answer of the record after which a member goes on by itself; 0 is as usual
 }
 
@@ -48,13 +48,13 @@
 		terms.Messages = uncounted
 	}
 	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: ownership.NewEvidence(), terms: terms}
-	config := replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
+	config := consensus.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
 	votes := c.distributor != nil && c.distributor.carrier == nil
 	if votes {
-		config.Distribution = c.distributor.vote(replica.Peer{Name: with.Name, Address: with.Members[with.Name]})
+		config.Distribution = c.distributor.vote(consensus.Peer{Name: with.Name, Address: with.Members[with.Name]})
 	}
 	var err error
-	if f.node, err = replica.New(config, recordEvents{m, f}, c.log.to); err != nil {
+	if f.node, err = consensus.New(config, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
 	if votes {
@@ -101,7 +101,7 @@
 	module      *module
 	name        string
 	coordinator *ownership.Coordinator
-	node        *replica.Node
+	node        *consensus.Node
 	terms       ownership.Terms
 
 	pending  map[int]pendingJoin // proxies that joined and are not granted yet
--- a/controller/keeper.go
+++ b/controller/keeper.go
@@ -8,8 +8,8 @@
 	"os"
 	"path/filepath"
 
+	"wheelrill/consensus"
 	"wheelrill/distribution"
-	"wheelrill/replica"
 	"wheelrill/subscribe"
 )
 
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	state, err := replica.ReadConfiguration(body)
+	state, err := consensus.ReadConfiguration(body)
 	if err != nil {
 		return nil, fmt.Errorf("%s: damaged: %w", k.path, err)
 	}
@@ -76,7 +76,7 @@
 // save replaces the file in one step, so that it is whole whenever the process ends.
 func (k *keeper) save(state distribution.State) error {
 	var body bytes.Buffer
-	if err := replica.WriteConfiguration(&body, &state); err != nil {
+	if err := consensus.WriteConfiguration(&body, &state); err != nil {
 		return err
 	}
 	file, err := os.CreateTemp(filepath.Dir(k.path), keptFile+".*")
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
+	"wheelrill/consensus"
 	"wheelrill/internal/process"
 	"wheelrill/ownership"
-	"wheelrill/replica"
 )
 
 // Terms of hollow members, as real ones have them.
@@ -29,7 +29,7 @@
 // hollowMember takes part in the record with the same code as a real controller, and has no proxies.
 type hollowMember struct {
 	name        string
-	node        *replica.Node
+	node        *consensus.Node
 	coordinator *ownership.Coordinator
 	began       time.Time
 	mail        chan func()
@@ -39,12 +39,12 @@
 }
 
 // startHollow gives a member that takes part until the context ends. The terms follow from the lease.
-func startHollow(ctx context.Context, running *sync.WaitGroup, config replica.Config, lease time.Duration) (*hollowMember, error) {
+func startHollow(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
 	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), memberMailbox), done: make(chan struct{})}
 	config.Terms = ownership.Terms{Lease: lease.Microseconds(), Renew: lease.Microseconds() / renewsPerLease,
 		Span: messagesSpan.Microseconds(), Messages: messagesMost, Members: len(config.Members), Kept: messagesKept}
 	var err error
-	if m.node, err = replica.New(config, hollowEvents{m}, slog.New(slog.DiscardHandler)); err != nil {
+	if m.node, err = consensus.New(config, hollowEvents{m}, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
 	m.coordinator = ownership.New(hollowHost{m}, config.Name, config.Terms, m.now())
@@ -129,7 +129,7 @@
 	}
 	var members []*hollowMember
 	for i := range size {
-		m, err := startHollow(ctx, running, replica.Config{Name: memberName(i), Members: at}, lease)
+		m, err := startHollow(ctx, running, consensus.Config{Name: memberName(i), Members: at}, lease)
 		if err != nil {
 			return nil, err
 		}
--- a/scale/rolefleet.go
+++ b/scale/rolefleet.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"wheelrill/consensus"
 	"wheelrill/distribution"
 	"wheelrill/internal/process"
-	"wheelrill/replica"
 	"wheelrill/standin"
 )
 
@@ -27,7 +27,7 @@
 	listen    map[string]string
 	processes map[string]*listedController
 	hollow    []*hollowMember
-	dialler   *replica.Subscriber
+	dialler   *consensus.Subscriber
 	children  []*hollowSubscriber
 	running   sync.WaitGroup
 	stop      context.CancelFunc
@@ -40,7 +40,7 @@
 	r = &roleFleet{options: o, folder: folder, content: newContent(shape, o.Seed), listen: map[string]string{},
 		processes: map[string]*listedController{}, ready: map[string]time.Duration{}, stop: func() {}}
 	r.inForce = newInForce(r.content)
-	if r.dialler, err = replica.NewSubscriber(replica.Credentials{}); err != nil {
+	if r.dialler, err = consensus.NewSubscriber(consensus.Credentials{}); err != nil {
 		return nil, err
 	}
 	free, err := process.FreeAddresses(o.Voters + 2 + 3)
@@ -145,9 +145,9 @@
 	}
 	names := r.voterNames()
 	for i, name := range names[:len(names)-1] {
-		carrier := voterCarrier(replica.Peer{Name: name, Address: r.addresses[i]}.String(), setAsideLimits())
+		carrier := voterCarrier(consensus.Peer{Name: name, Address: r.addresses[i]}.String(), setAsideLimits())
 		r.running.Go(func() { carrier.Run(ctx) })
-		member, err := startHollow(ctx, &r.running, replica.Config{Name: name, Members: r.members(), Folder: filepath.Join(r.folder, name),
+		member, err := startHollow(ctx, &r.running, consensus.Config{Name: name, Members: r.members(), Folder: filepath.Join(r.folder, name),
 			Distribution: voterDistribution{carrier, r.content}}, voterLease)
 		if err != nil {
 			return err
@@ -173,7 +173,7 @@
 func (r *roleFleet) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		_, err := r.hollow[0].node.Change(ctx, distribution.Proposal{Entries: entries})
-		if err == nil || errors.Is(err, replica.ErrRefused) {
+		if err == nil || errors.Is(err, consensus.ErrRefused) {
 			return err
 		}
 		if err := pauseFor(ctx, lookEvery); err != nil {
@@ -207,7 +207,7 @@
 func (r *roleFleet) addChild(below string, number, group int) {
 	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", below, number), dial: r.dialler.Dial, inForce: r.inForce,
 		scopes:     distribution.SomeScopes(commonScope, groupScope(group)),
-		candidates: []string{replica.Peer{Name: below, Address: r.listen[below]}.String()}}
+		candidates: []string{consensus.Peer{Name: below, Address: r.listen[below]}.String()}}
 	r.children = append(r.children, s)
 	s.start()
 }
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -8,9 +8,9 @@
 	"path/filepath"
 	"sync"
 
+	"wheelrill/consensus"
 	"wheelrill/distribution"
 	"wheelrill/internal/process"
-	"wheelrill/replica"
 	"wheelrill/subscribe"
 )
 
@@ -96,7 +96,7 @@
 		if v := g.leader(); v != nil {
 			if m := v.running(); m != nil {
 				_, err := m.node.Change(ctx, distribution.Proposal{Entries: entries})
-				if err == nil || errors.Is(err, replica.ErrRefused) {
+				if err == nil || errors.Is(err, consensus.ErrRefused) {
 					return err
 				}
 			}
@@ -139,7 +139,7 @@
 		defer close(ended)
 		carrier.Run(ctx)
 	})
-	member, err := startHollow(ctx, &v.ending, replica.Config{Name: v.name, Members: v.group.members,
+	member, err := startHollow(ctx, &v.ending, consensus.Config{Name: v.name, Members: v.group.members,
 		Folder: filepath.Join(v.group.folder, v.name), Distribution: voterDistribution{carrier, v.group.content}}, voterLease)
 	if err != nil {
 		stop()
--- a/subscribe/members_test.go
+++ b/subscribe/members_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
+	"wheelrill/consensus"
 	"wheelrill/distribution"
 	"wheelrill/ownership"
-	"wheelrill/replica"
 )
 
 // authority signs certificates for names.
@@ -61,7 +61,7 @@
 	return path
 }
 
-func (a *authority) gives(t *testing.T, name string) replica.Credentials {
+func (a *authority) gives(t *testing.T, name string) consensus.Credentials {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	c := &x509.Certificate{SerialNumber: big.NewInt(2), DNSNames: []string{name}, NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	return replica.Credentials{Certificate: a.writes(t, name+".pem", "CERTIFICATE", a.signs(t, c, key)),
+	return consensus.Credentials{Certificate: a.writes(t, name+".pem", "CERTIFICATE", a.signs(t, c, key)),
 		Key: a.writes(t, name+"-key.pem", "EC PRIVATE KEY", der), Authority: filepath.Join(a.folder, "authority.pem")}
 }
 
@@ -88,19 +88,19 @@
 // member is a voter: a node of the record, and the carrier that hands its configuration on.
 type member struct {
 	*peer
-	node *replica.Node
+	node *consensus.Node
 }
 
 // startsMember runs a voter of a record.
-func startsMember(t *testing.T, name string, members map[string]string, credentials replica.Credentials) *member {
+func startsMember(t *testing.T, name string, members map[string]string, credentials consensus.Credentials) *member {
 	t.Helper()
 	p := &peer{name: name, values: map[distribution.Key]string{}}
-	self := replica.Peer{Name: name, Address: members[name]}
+	self := consensus.Peer{Name: name, Address: members[name]}
 	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
 		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
 	terms := ownership.Terms{Lease: 1_500_000, Renew: 200_000, Span: 10_000_000, Messages: 30, Members: len(members)}
-	node, err := replica.New(replica.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Carrier},
+	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Carrier},
 		unheard{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -115,9 +115,9 @@
 }
 
 // startsSubscriber runs a subscriber that others can dial by the calls of the members.
-func startsSubscriber(t *testing.T, name string, credentials replica.Credentials, parents ...string) (*peer, string) {
+func startsSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
 	t.Helper()
-	s, err := replica.NewSubscriber(credentials)
+	s, err := consensus.NewSubscriber(credentials)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	self := replica.Peer{Name: name, Address: listener.Address()}
+	self := consensus.Peer{Name: name, Address: listener.Address()}
 	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
 		Limits: quick(4)}, Dial: s.Dial, Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -176,7 +176,7 @@
 	members := freeAddresses(t, "a", "b", "c")
 	var parents []string
 	for name, address := range members {
-		parents = append(parents, replica.Peer{Name: name, Address: address}.String())
+		parents = append(parents, consensus.Peer{Name: name, Address: address}.String())
 	}
 	var voters []*member
 	for name := range members {
