--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -17,7 +17,7 @@
 	"wheelrill/consensus"
 	"wheelrill/decide"
 	"wheelrill/distribution"
-	"wheelrill/subscribe"
+	"wheelrill/distribution/transport"
 )
 
 // Distribution says what part a controller has in the distribution of configuration.
@@ -51,7 +51,7 @@
 type distributor struct {
 	module   *module
 	log      *journal
-	carrier  *subscribe.Carrier
+	carrier  *transport.Carrier
 	node     *consensus.Node     // of a voter
 	listener *consensus.Listener // of a subscriber that passes on
 	limits   distribution.Limits
@@ -123,7 +123,7 @@
 	if with.AllScopes {
 		scopes = distribution.AllScopes()
 	}
-	d.carrier = subscribe.New(subscribe.Config{
+	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Scopes: scopes, Candidates: candidates, Limits: d.limits},
 		Dial:  subscriber.Dial,
 		Apply: d.apply,
@@ -154,8 +154,8 @@
 var errNoParent = errors.New("a voter has no parent")
 
 // vote prepares a voter, as a member that shares the record.
-func (d *distributor) vote(self consensus.Peer) *subscribe.Carrier {
-	d.carrier = subscribe.New(subscribe.Config{
+func (d *distributor) vote(self consensus.Peer) *transport.Carrier {
+	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
 		Apply: d.apply,
--- a/controller/keeper.go
+++ b/controller/keeper.go
@@ -10,7 +10,7 @@
 
 	"wheelrill/consensus"
 	"wheelrill/distribution"
-	"wheelrill/subscribe"
+	"wheelrill/distribution/transport"
 )
 
 // keeper keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older.
@@ -57,7 +57,7 @@
 }
 
 // update writes what the carrier has, if that has moved on since.
-func (k *keeper) update(carrier *subscribe.Carrier) error {
+func (k *keeper) update(carrier *transport.Carrier) error {
 	status, ok := carrier.Status()
 	if !ok || status.Mark == k.last || !status.Mark.Epoch.Known() {
 		return nil
--- a/subscribe/carrier.go
+++ b/distribution/transport/carrier.go
@@ -1,7 +1,7 @@
-// Package subscribe carries the distribution of configuration over connections: it runs a distribution.Node as an
+// Package transport carries the distribution of configuration over connections: it runs a distribution.Node as an
 // actor, brings it what peers send, and sends them what it says. Who is whose parent, what each receives and what is
 // refused the node decides; here nothing is decided.
-package subscribe
+package transport
 
 import (
 	"context"
--- a/subscribe/network_test.go
+++ b/distribution/transport/network_test.go
@@ -1,4 +1,4 @@
-package subscribe
+package transport
 
 import (
 	"context"
--- a/scale/recoverysnapshot.go
+++ b/scale/recoverysnapshot.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"wheelrill/distribution"
-	"wheelrill/subscribe"
+	"wheelrill/distribution/transport"
 )
 
 // recoverySnapshot measures what one subscriber that starts anew is sent by its parent until it has its configuration,
@@ -118,7 +118,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ended, has := make(chan struct{}), make(chan int, 1)
-	subscriber := subscribe.New(subscribe.Config{
+	subscriber := transport.New(transport.Config{
 		Node: distribution.Config{Name: "subscriber", Scopes: distribution.SomeScopes(groupScope(0)), Candidates: []string{voterName(0)},
 			Limits: distribution.DefaultLimits()},
 		Dial: func(ctx context.Context, peer string) (net.Conn, error) { return network.dial(ctx, 0, peer) },
--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wheelrill/distribution"
-	"wheelrill/subscribe"
+	"wheelrill/distribution/transport"
 )
 
 // role is what a node does in the tree.
@@ -32,7 +32,7 @@
 	inForce    *inForce
 
 	mutex     sync.Mutex
-	carrier   *subscribe.Carrier // of this life
+	carrier   *transport.Carrier // of this life
 	stop      context.CancelFunc // nil while it is down
 	ended     chan struct{}
 	seen      uint64    // the newest revision that it acts by
@@ -42,7 +42,7 @@
 
 // spentBefore is what earlier lives have passed over their links, and taken.
 type spentBefore struct {
-	traffic   subscribe.Traffic
+	traffic   transport.Traffic
 	snapshots uint64
 }
 
@@ -54,7 +54,7 @@
 		limits = setAsideLimits()
 	}
 	limits.FanOut = s.fanOut
-	carrier := subscribe.New(subscribe.Config{
+	carrier := transport.New(transport.Config{
 		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: limits},
 		Dial:  s.dials,
 		Apply: s.apply})
@@ -128,7 +128,7 @@
 	defer s.mutex.Unlock()
 	traffic := s.carrier.Traffic()
 	if s.stop == nil {
-		traffic = subscribe.Traffic{}
+		traffic = transport.Traffic{}
 	}
 	return s.before.traffic.In + s.before.traffic.Out + traffic.In + traffic.Out
 }
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -10,8 +10,8 @@
 
 	"wheelrill/consensus"
 	"wheelrill/distribution"
+	"wheelrill/distribution/transport"
 	"wheelrill/internal/process"
-	"wheelrill/subscribe"
 )
 
 // voterGroup is voters with a record between them over loopback, each handing it out in memory.
@@ -122,8 +122,8 @@
 }
 
 // voterCarrier hands out the configuration of a voter.
-func voterCarrier(name string, limits distribution.Limits) *subscribe.Carrier {
-	return subscribe.New(subscribe.Config{
+func voterCarrier(name string, limits distribution.Limits) *transport.Carrier {
+	return transport.New(transport.Config{
 		Node: distribution.Config{Name: name, Voter: true, Limits: limits},
 		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
 }
@@ -181,7 +181,7 @@
 
 // voterDistribution hands the record's changes to a carrier, and notes them for comparison.
 type voterDistribution struct {
-	*subscribe.Carrier
+	*transport.Carrier
 	content *content
 }
 
