--- a/standin/wire.go
+++ b/fake/wire.go
@@ -1,7 +1,7 @@
-// Package standin plays the parts around controllers on loopback: relays (proxies), workers (backends), collectors and
+// Package fake plays the parts around controllers on loopback: relays (proxies), workers (backends), collectors and
 // discovery, as the protocol has them, and the wires between any two parties, with a small vocabulary of faults. Tests
 // and rehearsals use the same ones. What they do and meet goes into an account that package rules judges.
-package standin
+package fake
 
 import (
 	"io"
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"wheelrill/standin"
+	"wheelrill/fake"
 )
 
 // Times that troubles last.
@@ -63,13 +63,13 @@
 			return one.Send(syscall.SIGCONT)
 		})
 	case "cut":
-		p.cuts(standin.Cut, touches)
+		p.cuts(fake.Cut, touches)
 	case "half": // what it sends to the others is lost, and what they answer
-		p.cuts(standin.Fault{Out: true}, func(pair [2]int) bool { return pair[0] == at })
+		p.cuts(fake.Fault{Out: true}, func(pair [2]int) bool { return pair[0] == at })
 	case "split": // no majority is left anywhere
-		p.cuts(standin.Cut, func([2]int) bool { return true })
+		p.cuts(fake.Cut, func([2]int) bool { return true })
 	case "slow":
-		p.cuts(standin.Fault{Delay: 300 * time.Millisecond}, touches)
+		p.cuts(fake.Fault{Delay: 300 * time.Millisecond}, touches)
 	case "reload": // while it may be electing
 		one.Send(syscall.SIGHUP)
 		p.stops(up[(slices.Index(up, at)+1)%len(up)], syscall.SIGKILL)
@@ -94,18 +94,18 @@
 }
 
 // cuts puts a fault on some of the wires between controllers for a while.
-func (p *play) cuts(f standin.Fault, some func(pair [2]int) bool) {
+func (p *play) cuts(f fake.Fault, some func(pair [2]int) bool) {
 	for pair, wire := range p.between {
 		if some(pair) {
 			wire.Set(f)
-			p.later(min(cutFor, p.KillEvery/2), func() error { wire.Set(standin.Fault{}); return nil })
+			p.later(min(cutFor, p.KillEvery/2), func() error { wire.Set(fake.Fault{}); return nil })
 		}
 	}
 }
 
 // steady draws a worker with which nothing is going on; nil if there is none.
-func (p *play) steady() *standin.Worker {
-	var all []*standin.Worker
+func (p *play) steady() *fake.Worker {
+	var all []*fake.Worker
 	for _, w := range p.in.Workers {
 		if !p.busy[w] && w.Warm() {
 			all = append(all, w)
@@ -147,7 +147,7 @@
 		return
 	}
 	p.busy[w] = true
-	w.Set(standin.Hangs)
+	w.Set(fake.Hangs)
 	p.report.Hangs++
 	p.say("%s hangs", w.ID)
 	noted := false
@@ -162,7 +162,7 @@
 			if !noted {
 				*left = append(*left, since)
 			}
-			w.Set(standin.Serves)
+			w.Set(fake.Serves)
 			delete(p.busy, w)
 			return nil
 		}
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"wheelrill/fake"
 	"wheelrill/rules"
-	"wheelrill/standin"
 )
 
 // Report is what a rehearsal has shown.
@@ -54,7 +54,7 @@
 const tooLate = 100 * time.Millisecond
 
 // sum takes into the report what the installation counted while it was played.
-func (p *play) sum(v rules.Verdict, before, after standin.Counts, left []time.Duration) {
+func (p *play) sum(v rules.Verdict, before, after fake.Counts, left []time.Duration) {
 	r := p.report
 	r.Faults, r.Effects, r.Messages = p.faults, v.Effects, v.Most
 	r.Breaches, r.Broken, r.BareMost = v.Breaches, v.Counts, v.Longest.Seconds()
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -14,9 +14,9 @@
 
 	"github.com/goccy/go-yaml"
 
+	"wheelrill/fake"
 	"wheelrill/internal/process"
 	"wheelrill/rules"
-	"wheelrill/standin"
 )
 
 // Takeover has controllers die under load, again and again, and come back as new. Load is of two classes, one of which
@@ -63,7 +63,7 @@
 }
 
 // Settings are what every controller is given, in the form of the simulator's first message.
-func (t *Takeover) Settings(classes []standin.Class) map[string]any {
+func (t *Takeover) Settings(classes []fake.Class) map[string]any {
 	var profiles []map[string]any
 	var writes, stays []bool
 	for _, c := range classes {
@@ -95,7 +95,7 @@
 	} else if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	classes := []standin.Class{
+	classes := []fake.Class{
 		{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1, Rate: 3},
 		{Name: "order", Target: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Value: 3, Writes: true, Rate: 1}}
 	addresses, err := process.FreeAddresses(2 * t.Instances)
@@ -103,14 +103,14 @@
 		return nil, err
 	}
 	lines, backlog := t.channel()
-	in, err := standin.NewInstallation(standin.Plan{Zones: []string{"a", "b", "c"}, Workers: t.Workers, Cores: 4,
+	in, err := fake.NewInstallation(fake.Plan{Zones: []string{"a", "b", "c"}, Workers: t.Workers, Cores: 4,
 		Service: 20 * time.Millisecond, Relays: t.Relays, Fenced: t.Fenced, Classes: classes, Reports: time.Second, Seed: t.Seed},
 		rules.Limits{Bare: grace + slack, Grace: grace + slack, Messages: 30, Span: 10 * time.Second, LinesPerS: float64(lines),
 			Backlog: float64(backlog), Margin: 500 * time.Millisecond}, addresses[:t.Instances])
 	if err != nil {
 		return nil, err
 	}
-	p := &play{Takeover: t, in: in, folder: folder, random: rand.New(rand.NewPCG(t.Seed, 1)), faults: map[string]int{}, busy: map[*standin.Worker]bool{},
+	p := &play{Takeover: t, in: in, folder: folder, random: rand.New(rand.NewPCG(t.Seed, 1)), faults: map[string]int{}, busy: map[*fake.Worker]bool{},
 		report: &Report{Scenario: t.name(), Seed: t.Seed, Sharing: t.Sharing, Instances: t.Instances, Relays: t.Relays, Folder: folder}}
 	if p.events, err = os.Create(filepath.Join(folder, "events.log")); err != nil {
 		in.Close()
@@ -149,14 +149,14 @@
 // play is one run of the scenario.
 type play struct {
 	*Takeover
-	in        *standin.Installation
+	in        *fake.Installation
 	instances []*process.Instance
-	between   map[[2]int]*standin.Wire // between members
+	between   map[[2]int]*fake.Wire // between members
 	folder    string
 	events    *os.File
 	random    *rand.Rand
 	faults    map[string]int
-	busy      map[*standin.Worker]bool // with which something is going on
+	busy      map[*fake.Worker]bool // with which something is going on
 	report    *Report
 	due       []due
 }
@@ -186,8 +186,8 @@
 }
 
 // set writes what each controller is started with.
-func (p *play) set(listen, members []string, classes []standin.Class) error {
-	p.between = map[[2]int]*standin.Wire{}
+func (p *play) set(listen, members []string, classes []fake.Class) error {
+	p.between = map[[2]int]*fake.Wire{}
 	for i := range p.Instances {
 		name := fmt.Sprint("n", i)
 		config, err := process.WriteJSON(p.folder, name+".json", map[string]any{"name": name, "listen": listen[i],
@@ -202,7 +202,7 @@
 			all := map[string]string{}
 			for j := range p.Instances {
 				if all[fmt.Sprint("n", j)] = members[j]; i != j && p.wired() {
-					wire, err := standin.NewWire(members[j])
+					wire, err := fake.NewWire(members[j])
 					if err != nil {
 						return err
 					}
--- a/scale/change.go
+++ b/scale/change.go
@@ -13,9 +13,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"wheelrill/fake"
 	"wheelrill/internal/process"
 	"wheelrill/rehearse"
-	"wheelrill/standin"
 )
 
 // changeByFile is how long a change takes as it is made today: a file on each machine and a SIGHUP. The change moves
@@ -99,7 +99,7 @@
 
 // reloadedFleet is controllers that are told of changes by files and signals.
 type reloadedFleet struct {
-	discovery   *standin.Discovery
+	discovery   *fake.Discovery
 	controllers []*reloadedController
 	folder      string
 	seed        uint64
@@ -117,9 +117,9 @@
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
 	f = &reloadedFleet{folder: folder, seed: o.Seed}
-	classes := []standin.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
+	classes := []fake.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
 	f.settings = (&rehearse.Takeover{Relays: recordRelays}).Settings(classes)
-	if f.discovery, err = standin.NewDiscovery(nil, nil); err != nil {
+	if f.discovery, err = fake.NewDiscovery(nil, nil); err != nil {
 		return nil, err
 	}
 	listen, err := process.FreeAddresses(size)
--- a/scale/draw.go
+++ b/scale/draw.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"wheelrill/standin"
+	"wheelrill/fake"
 )
 
 // addedTime measures what a proxy's draw adds to a request by the lines of its table, with the code of the stand-in
@@ -109,7 +109,7 @@
 const drawsTold = 1000
 
 // drawOften draws a backend and another one for a while, and notes how long that took.
-func drawOften(table *standin.Table, lines int, random *rand.Rand, span time.Duration) (d drawn, err error) {
+func drawOften(table *fake.Table, lines int, random *rand.Rand, span time.Duration) (d drawn, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	d = newDrawn()
@@ -118,7 +118,7 @@
 		from, fromProcessor := time.Now(), threadTime()
 		first, found := table.Draw("", number)
 		once, onceProcessor := time.Since(from), threadTime()-fromProcessor
-		second, other := table.Draw(first, standin.Redraw(number))
+		second, other := table.Draw(first, fake.Redraw(number))
 		retried, retriedProcessor := time.Since(from), threadTime()-fromProcessor
 		if !found || other && second == first || !other && lines > 1 {
 			return d, fmt.Errorf("drew %q, then %q of %d lines", first, second, lines)
@@ -136,9 +136,9 @@
 }
 
 // weightedTable makes a table of so many lines, with weights as rough as discovery's.
-func weightedTable(lines int, seed uint64) *standin.Table {
+func weightedTable(lines int, seed uint64) *fake.Table {
 	random := rand.New(rand.NewPCG(seed, seed))
-	table := standin.NewTable()
+	table := fake.NewTable()
 	for i := range lines {
 		table.Set(fmt.Sprintf("s-%08x", i), 0.5+1.5*random.Float64())
 	}
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -10,24 +10,24 @@
 	"syscall"
 	"time"
 
+	"wheelrill/fake"
 	"wheelrill/internal/process"
 	"wheelrill/rehearse"
 	"wheelrill/rules"
-	"wheelrill/standin"
 )
 
 // listedZones are those of the settings that controllers are started with.
 var listedZones = []string{"a", "b", "c"}
 
 // newDiscovery serves a list of so many backends.
-func newDiscovery(backends int) (*standin.Discovery, []*standin.Worker, error) {
-	discovery, err := standin.NewDiscovery(rules.NewAccount(rules.Limits{}), func() time.Duration { return 0 })
+func newDiscovery(backends int) (*fake.Discovery, []*fake.Worker, error) {
+	discovery, err := fake.NewDiscovery(rules.NewAccount(rules.Limits{}), func() time.Duration { return 0 })
 	if err != nil {
 		return nil, nil, err
 	}
-	var workers []*standin.Worker
+	var workers []*fake.Worker
 	for i := range backends {
-		workers = append(workers, &standin.Worker{ID: fmt.Sprintf("s-%08x", i), Zone: listedZones[i%len(listedZones)], Weight: 1})
+		workers = append(workers, &fake.Worker{ID: fmt.Sprintf("s-%08x", i), Zone: listedZones[i%len(listedZones)], Weight: 1})
 	}
 	discovery.List("up", workers...)
 	return discovery, workers, nil
@@ -70,7 +70,7 @@
 
 // newListedController prepares one, with a file of its own.
 func newListedController(name, listen, discovery, folder string, megabytes int, seed uint64, o Options) (*listedController, error) {
-	classes := []standin.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
+	classes := []fake.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
 	path, err := process.WriteJSON(folder, name+".json", map[string]any{"name": name, "listen": listen,
 		"discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": megabytes, "sockets": memberSockets},
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"wheelrill/standin"
+	"wheelrill/fake"
 )
 
 // lists measures what discovery's list costs a real controller by its entries: until it is ready after a start, while
@@ -95,7 +95,7 @@
 }
 
 // listLife starts a controller, lets it be, and changes one entry after the other.
-func listLife(ctx context.Context, discovery *standin.Discovery, workers []*standin.Worker, folder string, o Options) (cost listCost, err error) {
+func listLife(ctx context.Context, discovery *fake.Discovery, workers []*fake.Worker, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
 		return cost, err
--- a/scale/rolefleet.go
+++ b/scale/rolefleet.go
@@ -12,15 +12,15 @@
 
 	"wheelrill/consensus"
 	"wheelrill/distribution"
+	"wheelrill/fake"
 	"wheelrill/internal/process"
-	"wheelrill/standin"
 )
 
 // roleFleet is an installation of which three nodes are processes.
 type roleFleet struct {
 	options   Options
 	folder    string
-	discovery *standin.Discovery
+	discovery *fake.Discovery
 	content   *content
 	inForce   *inForce
 	addresses []string // of the voters, the real one last
