--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"wheelrill/rules"
+	"wheelrill/invariant"
 )
 
 // entry is one worker as discovery writes it.
@@ -29,7 +29,7 @@
 type Discovery struct {
 	server  *http.Server
 	address string
-	account *rules.Account
+	account *invariant.Account
 	clock   func() time.Duration
 
 	mutex   sync.Mutex
@@ -46,7 +46,7 @@
 }
 
 // NewDiscovery begins to serve an empty list.
-func NewDiscovery(account *rules.Account, clock func() time.Duration) (*Discovery, error) {
+func NewDiscovery(account *invariant.Account, clock func() time.Duration) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/fake/installation.go
+++ b/fake/installation.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"wheelrill/rules"
+	"wheelrill/invariant"
 )
 
 // Plan says of how much an installation is made. All that is drawn comes from the seed.
@@ -28,7 +28,7 @@
 	Discovery *Discovery
 	Workers   []*Worker
 
-	account     *rules.Account
+	account     *invariant.Account
 	classes     []Class
 	reports     time.Duration
 	began       time.Time
@@ -43,8 +43,8 @@
 }
 
 // NewInstallation sets everything up but the streams to controllers, which stand at the given addresses.
-func NewInstallation(p Plan, limits rules.Limits, controllers []string) (*Installation, error) {
-	in := &Installation{account: rules.NewAccount(limits), classes: p.Classes, reports: p.Reports, began: time.Now(),
+func NewInstallation(p Plan, limits invariant.Limits, controllers []string) (*Installation, error) {
+	in := &Installation{account: invariant.NewAccount(limits), classes: p.Classes, reports: p.Reports, began: time.Now(),
 		collectors: map[string][]*collector{}, seed: p.Seed, names: map[string]*Worker{}}
 	var err error
 	if in.Discovery, err = NewDiscovery(in.account, in.Clock); err != nil {
@@ -127,7 +127,7 @@
 }
 
 // Close ends everything, and gives what the account shows and the relays counted.
-func (in *Installation) Close() (rules.Verdict, Counts) {
+func (in *Installation) Close() (invariant.Verdict, Counts) {
 	verdict := in.account.Judge(in.Clock())
 	if in.stop != nil {
 		in.stop()
--- a/fake/standin_test.go
+++ b/fake/standin_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"wheelrill/rules"
+	"wheelrill/invariant"
 )
 
 const patience = 20 * time.Second
@@ -129,7 +129,7 @@
 		Classes: []Class{{Name: "read", Target: time.Second, Deadline: 2 * time.Second, Value: 1, Rate: 200},
 			{Name: "write", Target: time.Second, Deadline: 2 * time.Second, Value: 2, Writes: true, Rate: 200}},
 		Reports: 50 * time.Millisecond, Seed: 1},
-		rules.Limits{Bare: time.Minute, Grace: time.Minute}, []string{l.Addr().String()})
+		invariant.Limits{Bare: time.Minute, Grace: time.Minute}, []string{l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fake/worker.go
+++ b/fake/worker.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"wheelrill/rules"
+	"wheelrill/invariant"
 )
 
 // Mode is how a worker behaves.
@@ -34,7 +34,7 @@
 	Cores    int
 	Service  time.Duration
 
-	account *rules.Account
+	account *invariant.Account
 	clock   func() time.Duration
 
 	mutex   sync.Mutex
--- a/rules/account.go
+++ b/invariant/account.go
@@ -1,6 +1,6 @@
-// Package rules judges the five rules, and the order of owners, over an account of what really happened: who was told
+// Package invariant judges the five rules, and the order of owners, over an account of what really happened: who was told
 // what when, which worker was tried, what took effect. It knows nothing of how controllers decide.
-package rules
+package invariant
 
 import (
 	"cmp"
--- a/rules/account_test.go
+++ b/invariant/account_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"fmt"
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -16,7 +16,7 @@
 
 	"wheelrill/fake"
 	"wheelrill/internal/process"
-	"wheelrill/rules"
+	"wheelrill/invariant"
 )
 
 // Takeover has controllers die under load, again and again, and come back as new. Load is of two classes, one of which
@@ -105,7 +105,7 @@
 	lines, backlog := t.channel()
 	in, err := fake.NewInstallation(fake.Plan{Zones: []string{"a", "b", "c"}, Workers: t.Workers, Cores: 4,
 		Service: 20 * time.Millisecond, Relays: t.Relays, Fenced: t.Fenced, Classes: classes, Reports: time.Second, Seed: t.Seed},
-		rules.Limits{Bare: grace + slack, Grace: grace + slack, Messages: 30, Span: 10 * time.Second, LinesPerS: float64(lines),
+		invariant.Limits{Bare: grace + slack, Grace: grace + slack, Messages: 30, Span: 10 * time.Second, LinesPerS: float64(lines),
 			Backlog: float64(backlog), Margin: 500 * time.Millisecond}, addresses[:t.Instances])
 	if err != nil {
 		return nil, err
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -12,8 +12,8 @@
 
 	"wheelrill/fake"
 	"wheelrill/internal/process"
+	"wheelrill/invariant"
 	"wheelrill/rehearse"
-	"wheelrill/rules"
 )
 
 // listedZones are those of the settings that controllers are started with.
@@ -21,7 +21,7 @@
 
 // newDiscovery serves a list of so many backends.
 func newDiscovery(backends int) (*fake.Discovery, []*fake.Worker, error) {
-	discovery, err := fake.NewDiscovery(rules.NewAccount(rules.Limits{}), func() time.Duration { return 0 })
+	discovery, err := fake.NewDiscovery(invariant.NewAccount(invariant.Limits{}), func() time.Duration { return 0 })
 	if err != nil {
 		return nil, nil, err
 	}
