--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"wheelrill/internal/benchwire"
+	"wheelrill/internal/simwire"
 )
 
 func main() {
@@ -21,10 +21,10 @@
 
 func run(in io.Reader, out, complaints io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	door := benchwire.NewDoor(complaints)
+	door := simwire.NewDoor(complaints)
 	var body bytes.Buffer
 	for {
-		batch, err := benchwire.ReadBatch(r, &body)
+		batch, err := simwire.ReadBatch(r, &body)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/simwire/benchwire_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simwire
 
 import (
 	"bytes"
--- a/internal/benchwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,6 +1,6 @@
-// Package benchwire speaks the simulator's wire: frames, start settings, and the door through which ids
+// Package simwire speaks the simulator's wire: frames, start settings, and the door through which ids
 // become small indices and the wire's words become ours. It decides nothing.
-package benchwire
+package simwire
 
 import (
 	"bytes"
