--- a/decide/decide.go
+++ b/balancer/decide.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // How to call this module: New makes a Controller from its Host, its seed and the figures it starts with
 // (all in host.go); after that there is one method for each thing that can happen, and each acts by calling
--- a/decide/host.go
+++ b/balancer/host.go
@@ -1,8 +1,8 @@
-// Package decide holds every decision of a wheelrill controller.
+// Package balancer holds every decision of a wheelrill controller.
 //
 // This file holds its interface: what a controller asks of the place it runs in, and the plain types that
 // cross over. Nothing is decided here.
-package decide
+package balancer
 
 // Host is the place a Controller runs in. Orders given at one clock time leave as one message to each proxy
 // concerned. Backends, proxies, classes and zones are small indices; times are whole microseconds.
--- a/decide/scores_test.go
+++ b/balancer/scores_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"testing"
--- a/decide/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file holds what is kept of backends, proxies, levels, slices and orders, and sums over it. Nothing is decided here.
 
--- a/controller/base_test.go
+++ b/controller/base_test.go
@@ -5,7 +5,7 @@
 	"maps"
 	"testing"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/ownership"
 )
 
@@ -43,7 +43,7 @@
 		to.Mark(1, false)
 		to.writes(t)
 		if h.hears(t, p); h.cost > 3 || !maps.Equal(h.lines[0], ten) || h.levels[0][0] < 1e9 || h.levels[1][0] < 1e9 ||
-			h.levels[0][1] != float64(decide.TryAfterProof) {
+			h.levels[0][1] != float64(balancer.TryAfterProof) {
 			t.Errorf("got %+v", h)
 		}
 		to.SetLine(0, 3, 0.5)
@@ -51,7 +51,7 @@
 		if h.hears(t, p); h.cost != 1 || h.levels[0][0] < 1e9 {
 			t.Errorf("a later change wrote %d lines, levels %v", h.cost, h.levels)
 		}
-		to.Admit(decide.AllTables, 0, 7, decide.TryOnce)
+		to.Admit(balancer.AllTables, 0, 7, balancer.TryOnce)
 		to.writes(t)
 		if h.hears(t, p); h.levels[0][0] != 7 || h.levels[1][0] != 7 {
 			t.Errorf("levels %v", h.levels)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 // crowd makes a controller for a fleet of so many proxies and 200 backends, with a channel of so many lines a second.
@@ -91,7 +91,7 @@
 			b.ReportAllocs()
 			id := m.backends.ids[0]
 			for i := range b.N {
-				m.addOutcomes(id, 5, 0, 200_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+				m.addOutcomes(id, 5, 0, 200_000, second, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
 				m.addDemand(i%proxies, i%2, 3, 2*second)
 			}
 			m.control.Listed(false, nil)
@@ -99,9 +99,9 @@
 		b.Run(fmt.Sprintf("order/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				state := []decide.Condition{decide.Draining, decide.Ready}[i%2]
+				state := []balancer.Condition{balancer.Draining, balancer.Ready}[i%2]
 				jump(m, 3*second, func() {
-					m.control.Listed(false, []decide.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
+					m.control.Listed(false, []balancer.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
 					p.heard.Store(m.now)
@@ -123,9 +123,9 @@
 func BenchmarkList(b *testing.B) {
 	const proxies = 100
 	for _, backends := range []int{200, 1000, 5000, 20_000} {
-		var entries []decide.Entry
+		var entries []balancer.Entry
 		for id := range backends {
-			entries = append(entries, decide.Entry{Backend: id, Condition: decide.Ready, Weight: 2, Zone: id % 2})
+			entries = append(entries, balancer.Entry{Backend: id, Condition: balancer.Ready, Weight: 2, Zone: id % 2})
 		}
 		b.Run(fmt.Sprintf("lines/%d", backends), func(b *testing.B) {
 			for range b.N {
@@ -143,9 +143,9 @@
 		answers(m, peers)
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
-				state := []decide.Condition{decide.Draining, decide.Ready}[i%2]
+				state := []balancer.Condition{balancer.Draining, balancer.Ready}[i%2]
 				jump(m, 3*second, func() {
-					m.control.Listed(false, []decide.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
+					m.control.Listed(false, []balancer.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
 					p.heard.Store(m.now)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -18,7 +18,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/internal/start"
 )
 
@@ -48,14 +48,14 @@
 	seed     uint64
 	known    *fastjson.Value
 	limits   *limits
-	channel  decide.Channel
-	rules    decide.Limits
-	classes  []decide.Class
+	channel  balancer.Channel
+	rules    balancer.Limits
+	classes  []balancer.Class
 	names    [][]byte       // of the classes, as they are written
 	index    map[string]int // and as they are read
 	zones    []string
-	sight    decide.Sight
-	admit    decide.Admission
+	sight    balancer.Sight
+	admit    balancer.Admission
 	lasting  map[string]string // what counts from a start on, as the file has it
 	complain []string          // what is odd, but can be borne
 }
@@ -85,7 +85,7 @@
 		ready: make(chan struct{}), clock: newClock()}
 	m.tables = newTables(p.names, func(backend int) []byte { return m.backends.names[backend] }, p.limits.frame, p.limits.parts)
 	m.now = m.clock()
-	m.control = decide.New(m, p.seed, p.classes, p.channel, p.rules, decide.Partition{}, p.sight, p.admit)
+	m.control = balancer.New(m, p.seed, p.classes, p.channel, p.rules, balancer.Partition{}, p.sight, p.admit)
 	c.module = m
 	c.list = newList(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
 		m.post(func() { m.listed(whole, version, servers) })
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -14,8 +14,8 @@
 
 	"github.com/valyala/fastjson"
 
+	"wheelrill/balancer"
 	"wheelrill/consensus"
-	"wheelrill/decide"
 	"wheelrill/distribution"
 	"wheelrill/distribution/transport"
 )
@@ -282,7 +282,7 @@
 	}
 	m.log.say("distributed", "revision", last.Revision, "whole", whole, "backends", len(backends),
 		"drained", len(m.overrides.drains), "weighted", len(m.overrides.weights), "late_s", figured(late, 3), "classes", len(classes))
-	var relisted []decide.Entry
+	var relisted []balancer.Entry
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		if backend, known := m.backends.index[id]; known {
 			relisted = m.overrides.merged(relisted, id, m.overrides.listed[backend])
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"wheelrill/balancer"
 	"wheelrill/consensus"
-	"wheelrill/decide"
 	"wheelrill/ownership"
 )
 
@@ -66,7 +66,7 @@
 		channel.MessagesMost = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
-	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
+	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Partition{}, c.plan.sight,
 		c.plan.admit)
 	m.fleet, f.name = f, with.Name
 	f.coordinator = ownership.New(f, with.Name, terms, m.now)
--- a/controller/held_test.go
+++ b/controller/held_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 // TestHeldIncrementally has tables that look only at what changed write what others write that go through all backends
@@ -35,7 +35,7 @@
 			case 6, 7:
 				do(func(to *tables) { to.Withdraw(backend, flag) })
 			case 8:
-				do(func(to *tables) { to.Remind(proxy, 5, decide.TryOnce) })
+				do(func(to *tables) { to.Remind(proxy, 5, balancer.TryOnce) })
 			case 9:
 				do(func(to *tables) { to.Clear(proxy) })
 			case 10:
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 // limits are the sizes, counts and times of everything around the decisions. They are filled once, at start, and
@@ -86,8 +86,8 @@
 }
 
 // size fits the limits to the proxies and zones that exist, after give, and to the pace of orders and reports.
-func (l *limits) size(nodes, zones int, tick int64, channel decide.Channel, sight decide.Sight,
-	classes []decide.Class) {
+func (l *limits) size(nodes, zones int, tick int64, channel balancer.Channel, sight balancer.Sight,
+	classes []balancer.Class) {
 	const spare = 24 // descriptors of the runtime, the standard streams, the listener and discovery
 	const least = 8  // room for unidentified connections in any case: each is one at first
 	l.nodes = nodes
--- a/controller/messages.go
+++ b/controller/messages.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/valyala/fastjson"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/internal/start"
 )
 
@@ -182,7 +182,7 @@
 	if said != nil && said.Type() != fastjson.TypeObject {
 		spoilt = true
 	}
-	load := decide.Load{Busy: eitherAt(said, "util", "cpu", p.limits.busy, &spoilt),
+	load := balancer.Load{Busy: eitherAt(said, "util", "cpu", p.limits.busy, &spoilt),
 		Waiting: eitherAt(said, "queue", "waiting", p.limits.queue, &spoilt),
 		Service: 1000 * eitherAt(said, "latency_ms", "avg_ms", float64(p.limits.answer)/1000, &spoilt)}
 	if _, there := p.zoneAt(m); !ok || !counted || !there || !timed || id == "" || spoilt || failed > tries ||
--- a/controller/module.go
+++ b/controller/module.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/internal/start"
 )
 
@@ -18,7 +18,7 @@
 	*tables
 	limits  *limits
 	log     *journal
-	control *decide.Controller
+	control *balancer.Controller
 
 	list  *list
 	fleet *fleet // what is shared with other controllers; nil for nothing
@@ -224,11 +224,11 @@
 
 // listed takes in the list, whole or what changed.
 func (m *module) listed(whole bool, version int64, servers []*fastjson.Value) {
-	entries := make([]decide.Entry, 0, len(servers))
+	entries := make([]balancer.Entry, 0, len(servers))
 	there := map[int]bool{}
 	for _, server := range servers {
 		if e, ok := m.entry(server); ok {
-			entries, there[e.Backend] = m.merged(entries, e), e.Condition != decide.Gone
+			entries, there[e.Backend] = m.merged(entries, e), e.Condition != balancer.Gone
 		}
 	}
 	if whole && m.overrides != nil {
@@ -250,7 +250,7 @@
 }
 
 // merged adds the entry of a backend to a list, with what distributed configuration says of it.
-func (m *module) merged(to []decide.Entry, e decide.Entry) []decide.Entry {
+func (m *module) merged(to []balancer.Entry, e balancer.Entry) []balancer.Entry {
 	if m.overrides == nil {
 		return append(to, e)
 	}
@@ -269,20 +269,20 @@
 	}
 }
 
-func (m *module) entry(server *fastjson.Value) (e decide.Entry, ok bool) {
+func (m *module) entry(server *fastjson.Value) (e balancer.Entry, ok bool) {
 	id := server.GetStringBytes("id")
 	zone, there := m.zones[string(server.GetStringBytes("zone"))]
 	if len(id) == 0 || len(id) > m.limits.id || !there {
 		m.log.seldom("entry", "entry_skipped", "id", string(id[:min(len(id), m.limits.id)]), "why", "no usable id or zone")
 		return e, false
 	}
-	condition := decide.Draining // the careful reading of a word that we do not know
+	condition := balancer.Draining // the careful reading of a word that we do not know
 	switch state := string(server.GetStringBytes("state")); state {
 	case "up":
-		condition = decide.Ready
+		condition = balancer.Ready
 	case "draining":
 	case "removed":
-		condition = decide.Gone
+		condition = balancer.Gone
 	default:
 		m.log.seldom("state", "entry_state", "id", string(id), "state", state, "taken", "draining")
 	}
@@ -293,7 +293,7 @@
 	}
 	weight, _ := figureAt(server, "weight")
 	began, _ := figureAt(server, "started_ms")
-	return decide.Entry{Backend: backend, Condition: condition, Started: start.Micros(began), Weight: weight,
+	return balancer.Entry{Backend: backend, Condition: condition, Started: start.Micros(began), Weight: weight,
 		Zone: zone}, true
 }
 
@@ -395,7 +395,7 @@
 }
 
 // addOutcomes takes in what the proxies of a zone met at a backend.
-func (m *module) addOutcomes(id string, tries, failed int, mean, span int64, load decide.Load) {
+func (m *module) addOutcomes(id string, tries, failed int, mean, span int64, load balancer.Load) {
 	backend, ok := m.backends.index[id]
 	if !ok {
 		m.log.seldom("unlisted", "report_unlisted", "id", id[:min(len(id), m.limits.id)])
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/distribution"
 )
 
@@ -16,8 +16,8 @@
 
 func TestOverrides(t *testing.T) {
 	o := newOverrides()
-	ready := decide.Entry{Backend: 3, Condition: decide.Ready, Weight: 2}
-	merged := func(e decide.Entry) string {
+	ready := balancer.Entry{Backend: 3, Condition: balancer.Ready, Weight: 2}
+	merged := func(e balancer.Entry) string {
 		var all []string
 		for _, e := range o.merged(nil, "s-3", e) {
 			all = append(all, fmt.Sprint(e.Condition, e.Weight))
@@ -30,21 +30,21 @@
 			t.Errorf("%+v: usable %v", e, ok)
 		}
 	}
-	wants := func(e decide.Entry, want string) {
+	wants := func(e balancer.Entry, want string) {
 		t.Helper()
 		if got := merged(e); got != want {
 			t.Errorf("got %s, not %s", got, want)
 		}
 	}
-	wants(ready, fmt.Sprint(decide.Ready, 2))
+	wants(ready, fmt.Sprint(balancer.Ready, 2))
 	puts(said("weight/s-3", "0.5", 1), true)
-	wants(ready, fmt.Sprint(decide.Ready, 0.5))
+	wants(ready, fmt.Sprint(balancer.Ready, 0.5))
 	other := said("weight/s-3", "1.5", 2)
 	other.Scope = "orders"
 	puts(other, true)
-	wants(ready, fmt.Sprint(decide.Ready, 1.5)) // set last
+	wants(ready, fmt.Sprint(balancer.Ready, 1.5)) // set last
 	puts(said("drain/s-3", "true", 3), true)
-	wants(ready, fmt.Sprint(decide.Draining, 1.5))
+	wants(ready, fmt.Sprint(balancer.Draining, 1.5))
 	first := said("drain/s-3", "true", 2)
 	first.Scope, first.AcceptedAt = "orders", 5
 	second := said("drain/s-3", "true", 4)
@@ -67,18 +67,18 @@
 		t.Errorf("drained since %d once the first is over", got)
 	}
 	gone := ready
-	gone.Condition = decide.Gone
-	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", decide.Draining, decide.Gone))
+	gone.Condition = balancer.Gone
+	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Gone))
 	for _, nonsense := range []string{"false", "", "1"} { // as if it were not there
 		puts(said("drain/s-3", nonsense, 4), false)
-		wants(ready, fmt.Sprint(decide.Ready, 1.5))
+		wants(ready, fmt.Sprint(balancer.Ready, 1.5))
 	}
 	other.Deleted = true
 	puts(other, true)
-	wants(ready, fmt.Sprint(decide.Ready, 0.5))
+	wants(ready, fmt.Sprint(balancer.Ready, 0.5))
 	for _, nonsense := range []string{"0", "-1", "NaN", "1e9", "x", ""} {
 		puts(said("weight/s-3", nonsense, 5), false)
-		wants(ready, fmt.Sprint(decide.Ready, 2))
+		wants(ready, fmt.Sprint(balancer.Ready, 2))
 	}
 	puts(said("limit/t1", "5", 6), true)
 	puts(said("drain/s-3", "true", 7), true)
@@ -103,7 +103,7 @@
 	if want := []subject{{class: "read it"}, {backend: "s-3"}, {class: "t1"}}; !slices.Equal(changed, want) {
 		t.Errorf("reset %v", changed)
 	}
-	wants(ready, fmt.Sprint(decide.Ready, 2))
+	wants(ready, fmt.Sprint(balancer.Ready, 2))
 	if len(o.drains)+len(o.weights)+len(o.limits) != 0 {
 		t.Errorf("left over: %+v", o)
 	}
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/ownership"
 )
 
@@ -39,7 +39,7 @@
 type level struct {
 	set       bool
 	allowance float64
-	tries     decide.Tries
+	tries     balancer.Tries
 }
 
 // backendState is whether a proxy may use a backend, whatever its tables say.
@@ -157,7 +157,7 @@
 }
 
 // Remind tells one proxy what is withdrawn, as it may use any of it while some table of it is not ours, and its levels.
-func (t *tables) Remind(proxy int, allowance float64, tries decide.Tries) bool {
+func (t *tables) Remind(proxy int, allowance float64, tries balancer.Tries) bool {
 	s := t.at(proxy)
 	if s == nil || !slices.Contains(s.bound, unbound) {
 		return false
@@ -203,9 +203,9 @@
 }
 
 // Admit sets a level of a table, or of all. The lower one stands, and the table's own manner of trying again.
-func (t *tables) Admit(number int, classes uint16, allowance float64, tries decide.Tries) {
+func (t *tables) Admit(number int, classes uint16, allowance float64, tries balancer.Tries) {
 	levels, concerned := t.all, func(*stream) bool { return true }
-	if number != decide.AllTables {
+	if number != balancer.AllTables {
 		levels = t.table(number).levels
 		concerned = func(s *stream) bool { return slices.Contains(s.bound, number) }
 	}
@@ -366,7 +366,7 @@
 
 // unlimited is the level of a class for which none was ordered, where it has to be said: no proxy reaches it, and tries are
 // as proxies make them without any order.
-var unlimited = level{true, math.MaxFloat32, decide.TryAfterProof}
+var unlimited = level{true, math.MaxFloat32, balancer.TryAfterProof}
 
 // writeLevels writes what differs from the levels that the proxy was last told; a whole table forgets them.
 func (t *tables) writeLevels(s *stream, o *order) {
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 func name(b int) []byte { return fmt.Appendf(nil, `"s-%d"`, b) }
@@ -47,7 +47,7 @@
 		other, q := heard(to, 5, false)
 		to.SetLine(0, 0, 2)
 		to.SetLine(0, 1, 0.5)
-		to.Admit(0, 1, 7, decide.TryOnce)
+		to.Admit(0, 1, 7, balancer.TryOnce)
 		to.Bind(0, 0, 0)
 		to.Mark(3, false)
 		to.writes(t)
@@ -78,15 +78,15 @@
 		to := someTables(2)
 		one, p := heard(to, 0, false)
 		to.SetLine(4, 0, 1)
-		to.Admit(4, 2, 20, decide.TryTwiceAfterFailure)
-		to.Admit(decide.AllTables, 0, 9, decide.TryOnce)
+		to.Admit(4, 2, 20, balancer.TryTwiceAfterFailure)
+		to.Admit(balancer.AllTables, 0, 9, balancer.TryOnce)
 		to.Bind(4, 0, 0)
 		to.writes(t)
 		one.hears(t, p)
 		if !slices.Equal(one.levels[0], []float64{9, 0}) || !slices.Equal(one.levels[1], []float64{9, 3}) {
 			t.Errorf("levels %v", one.levels)
 		}
-		to.Admit(decide.AllTables, 2, 0.25, decide.TryAfterProof)
+		to.Admit(balancer.AllTables, 2, 0.25, balancer.TryAfterProof)
 		late, q := heard(to, 1, true) // joins now: it hears of both with its first message
 		to.writes(t)
 		one.hears(t, p)
@@ -114,8 +114,8 @@
 		if one.told != 1 || one.parts != 2 || one.cost != 5 || len(one.lines[2]) != 1 || one.lines[1]["s-1"] != 3 {
 			t.Errorf("got %+v", one)
 		}
-		to.Admit(0, 1, 5, decide.TryOnce)
-		to.Admit(2, 0, 6, decide.TryOnce)
+		to.Admit(0, 1, 5, balancer.TryOnce)
+		to.Admit(2, 0, 6, balancer.TryOnce)
 		to.writes(t)
 		if one.hears(t, p); one.told != 2 || one.levels[0][0] != 5 || one.levels[1][0] != 6 || one.levels[2] != nil {
 			t.Errorf("got %+v", one)
@@ -164,13 +164,13 @@
 		}
 		late.hears(t, q)
 		again, r := heard(to, 2, false)
-		to.Admit(decide.AllTables, 0, 3, decide.TryOnce)
+		to.Admit(balancer.AllTables, 0, 3, balancer.TryOnce)
 		to.writes(t)
 		if again.hears(t, r); again.shut["s-7"] || again.levels[0][0] != 3 {
 			t.Errorf("got %+v", again)
 		}
 		for range 2 { // a second time says nothing new
-			if !to.Remind(2, 77, decide.TryAfterProof) {
+			if !to.Remind(2, 77, balancer.TryAfterProof) {
 				t.Error("it is not to be reminded")
 			}
 		}
@@ -214,7 +214,7 @@
 		for b, weight := range []float64{math.NaN(), -1, math.Inf(1), 1e-300, 1e21} {
 			to.SetLine(0, b, weight)
 		}
-		to.Admit(0, 0, math.Inf(1), decide.TryOnce)
+		to.Admit(0, 0, math.Inf(1), balancer.TryOnce)
 		to.Bind(0, 0, 0)
 		to.writes(t)
 		if one.hears(t, p); len(one.lines[0]) != 3 || one.levels[0][0] > math.MaxFloat32 {
@@ -294,17 +294,17 @@
 						}
 					}
 				case 5:
-					to.Admit(table, mask, weight, decide.Tries(table))
+					to.Admit(table, mask, weight, balancer.Tries(table))
 					for class := range classes {
 						if in(class) {
-							levels[table][class] = level{true, weight, decide.Tries(table)}
+							levels[table][class] = level{true, weight, balancer.Tries(table)}
 						}
 					}
 				case 6:
-					to.Admit(decide.AllTables, mask, weight+0.5, decide.TryOnce)
+					to.Admit(balancer.AllTables, mask, weight+0.5, balancer.TryOnce)
 					for class := range classes {
 						if in(class) {
-							all[class] = level{true, weight + 0.5, decide.TryOnce}
+							all[class] = level{true, weight + 0.5, balancer.TryOnce}
 						}
 					}
 				case 7:
@@ -313,7 +313,7 @@
 						wanted[p] = nil
 					}
 				case 8:
-					if wanted[p] != nil && to.Remind(p, 77, decide.TryAfterProof) {
+					if wanted[p] != nil && to.Remind(p, 77, balancer.TryAfterProof) {
 						for b, is := range out {
 							wanted[p].shut[b] = wanted[p].shut[b] || is
 						}
@@ -400,7 +400,7 @@
 							m.listed(false, int64(step), parsed(t, "["+backendIs(chance.IntN(22), state)+"]").GetArray())
 						default: // a jam for a while, then none
 							for id := range 20 {
-								m.addOutcomes(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+								m.addOutcomes(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
 							}
 							for other := range 40 {
 								m.addDemand(other, other%2, 30, second)
--- a/internal/simwire/door.go
+++ b/internal/simwire/door.go
@@ -6,7 +6,7 @@
 	"io"
 	"math"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/internal/start"
 )
 
@@ -113,7 +113,7 @@
 		return
 	}
 	in.guarded(func() {
-		in.control = decide.New(in, seed, classes, channel, limits, partition, sight, admission)
+		in.control = balancer.New(in, seed, classes, channel, limits, partition, sight, admission)
 	})
 }
 
@@ -139,7 +139,7 @@
 type instance struct {
 	door              *Door
 	id                uint16
-	control           *decide.Controller
+	control           *balancer.Controller
 	fields            []string
 	classes, zones    int
 	slices            int
@@ -241,15 +241,15 @@
 		return
 	}
 	raw := in.door.rosters[number]
-	entries := make([]decide.Entry, 0, len(raw)/entrySize)
+	entries := make([]balancer.Entry, 0, len(raw)/entrySize)
 	for ; len(raw) >= entrySize; raw = raw[entrySize:] {
 		e := record{raw: raw}
-		condition := decide.Draining // the careful reading of a word we do not know
+		condition := balancer.Draining // the careful reading of a word we do not know
 		switch e.u8(10) {
 		case 0:
-			condition = decide.Gone
+			condition = balancer.Gone
 		case 1:
-			condition = decide.Ready
+			condition = balancer.Ready
 		case 2:
 		default:
 			in.door.odd("backend condition %d is not known", e.u8(10))
@@ -257,7 +257,7 @@
 		if !in.in(int(e.u8(17)), in.zones, "zone") {
 			continue
 		}
-		entries = append(entries, decide.Entry{
+		entries = append(entries, balancer.Entry{
 			Backend: in.backends.number(e.u32(18)), Condition: condition, Started: start.Micros(e.f64(0)),
 			Weight: e.f32(11), Zone: int(e.u8(17)),
 		})
@@ -265,27 +265,27 @@
 	in.control.Listed(how != 0, entries)
 }
 
-func (in *instance) outcome(code uint16) decide.Outcome {
+func (in *instance) outcome(code uint16) balancer.Outcome {
 	switch code {
 	case 1:
-		return decide.Answered
+		return balancer.Answered
 	case 2:
-		return decide.Failed
+		return balancer.Failed
 	case 3:
-		return decide.Refused
+		return balancer.Refused
 	case 4:
-		return decide.TimedOut
+		return balancer.TimedOut
 	case 5:
-		return decide.Unreachable
+		return balancer.Unreachable
 	case 6:
-		return decide.Broken
+		return balancer.Broken
 	}
 	in.door.odd("probe outcome %d is not known", code)
-	return decide.Unknown
+	return balancer.Unknown
 }
 
-func (in *instance) load(r record, at int) decide.Load {
-	load := decide.Load{Busy: -1, Waiting: -1, Service: -1}
+func (in *instance) load(r record, at int) balancer.Load {
+	load := balancer.Load{Busy: -1, Waiting: -1, Service: -1}
 	for i := range min(int(r.u8(at)), len(in.fields), 4) {
 		switch x := r.f32(at + 1 + 4*i); in.fields[i] {
 		case "cpu":
@@ -341,12 +341,12 @@
 }
 
 // Remind has no order on this wire: a withdrawal goes to all that have joined.
-func (in *instance) Remind(int, float64, decide.Tries) bool { return false }
+func (in *instance) Remind(int, float64, balancer.Tries) bool { return false }
 
 // Clear has none either: a proxy that is bound observes the withdrawals of its instance alone.
 func (in *instance) Clear(int) {}
 
-func (in *instance) Admit(table int, classes uint16, allowance float64, tries decide.Tries) {
+func (in *instance) Admit(table int, classes uint16, allowance float64, tries balancer.Tries) {
 	rec := in.door.reply.act(acLevel, in.id)
 	binary.LittleEndian.PutUint16(rec[3:], uint16(table))
 	binary.LittleEndian.PutUint16(rec[5:], classes)
--- a/internal/start/facts.go
+++ b/internal/start/facts.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 // Facts are settings by their paths. The first key that is missing or unusable is kept.
@@ -192,7 +192,7 @@
 	return careful
 }
 
-func (f *Facts) Classes() []decide.Class {
+func (f *Facts) Classes() []balancer.Class {
 	const writesKey, ownKey = "familyInfo.classWrites", "familyInfo.staysLocal"
 	writes, own := f.List(writesKey), f.List(ownKey)
 	at := func(list []string, i int, absent bool) bool {
@@ -210,10 +210,10 @@
 			f.Fail(key, fmt.Sprintf("has %d words for %d classes", len(list), count))
 		}
 	}
-	var classes []decide.Class
+	var classes []balancer.Class
 	for i := 0; f.err == nil && i < count; i++ {
 		key := fmt.Sprintf("profiles.%d.", i)
-		class := decide.Class{
+		class := balancer.Class{
 			Target:   Micros(f.some(key + "target")),
 			Deadline: Micros(f.some(key + "deadline")),
 			Value:    f.Maybe(key+"worth", 1),
@@ -225,8 +225,8 @@
 	return classes
 }
 
-func (f *Facts) Channel() decide.Channel {
-	return decide.Channel{
+func (f *Facts) Channel() balancer.Channel {
+	return balancer.Channel{
 		LinesPerS:    f.some("familyInfo.egressPerS"),
 		Head:         f.number("familyInfo.overhead"),
 		Backlog:      f.some("familyInfo.backlog"),
@@ -238,8 +238,8 @@
 	}
 }
 
-func (f *Facts) Limits() decide.Limits {
-	return decide.Limits{
+func (f *Facts) Limits() balancer.Limits {
+	return balancer.Limits{
 		Grace:             Micros(f.some("rules.stopSendingWithin")),
 		ColdShare:         f.number("rules.coldShare"),
 		WarmBy:            f.Span("rules.rampTime"),
@@ -247,8 +247,8 @@
 	}
 }
 
-func (f *Facts) Partition() decide.Partition {
-	p := decide.Partition{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
+func (f *Facts) Partition() balancer.Partition {
+	p := balancer.Partition{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
 	if p.Count > 0 {
 		p.SingleOwner = f.truth("familyInfo.singleWriter", true)
 		p.WritesOn = f.Span("familyInfo.keepsWriting")
@@ -257,8 +257,8 @@
 	return p
 }
 
-func (f *Facts) Sight() decide.Sight {
-	s := decide.Sight{
+func (f *Facts) Sight() balancer.Sight {
+	s := balancer.Sight{
 		ReportEvery: Micros(f.some("familyInfo.reportEvery")),
 		LinesPerS:   f.Maybe("familyInfo.ingestRate", 0),
 		MayProbe:    f.truth("limits.mayProbe", false),
@@ -273,9 +273,9 @@
 	return s
 }
 
-func (f *Facts) Admission() decide.Admission {
-	return word(f, "familyInfo.admission", decide.AdmitNone, map[string]decide.Admission{
-		"silent": decide.AdmitNone, "fraction": decide.AdmitShare, "per_second": decide.AdmitRate})
+func (f *Facts) Admission() balancer.Admission {
+	return word(f, "familyInfo.admission", balancer.AdmitNone, map[string]balancer.Admission{
+		"silent": balancer.AdmitNone, "fraction": balancer.AdmitShare, "per_second": balancer.AdmitRate})
 }
 
 // LoadFields gives the positions of the figures we read in a load report.
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 // countingHost is the Host of a controller's decisions that are measured: it counts orders, keeps only the last timer,
 // and answers marks at once. Time is what the measurement sets it to.
 type countingHost struct {
-	control *decide.Controller
+	control *balancer.Controller
 	now     int64
 	tag     uint64 // of the last timer
 	orders  orderCounts
@@ -68,7 +68,7 @@
 func (h *countingHost) Withdraw(int, bool) { h.orders.withdrawals++ }
 
 // Remind counts a reminder.
-func (h *countingHost) Remind(proxy int, _ float64, _ decide.Tries) bool {
+func (h *countingHost) Remind(proxy int, _ float64, _ balancer.Tries) bool {
 	h.orders.reminders++
 	h.reached[proxy] = true
 	return true
@@ -81,10 +81,10 @@
 }
 
 // Admit counts a level.
-func (h *countingHost) Admit(table int, _ uint16, _ float64, _ decide.Tries) {
+func (h *countingHost) Admit(table int, _ uint16, _ float64, _ balancer.Tries) {
 	h.orders.levels++
 	h.changed[table] = true
-	h.toEach = h.toEach || table == decide.AllTables
+	h.toEach = h.toEach || table == balancer.AllTables
 }
 
 // Mark notes that the proxies reached at this clock time are to answer.
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 const (
@@ -138,8 +138,8 @@
 	before := heapKept()
 	host := newCountingHost(l.proxies)
 	cost.start = spent(func() {
-		host.control = decide.New(host, 1, measuredClasses(), openChannel(l.proxies), measuredLimits(), decide.Partition{},
-			decide.Sight{ReportEvery: reportEvery}, decide.AdmitRate)
+		host.control = balancer.New(host, 1, measuredClasses(), openChannel(l.proxies), measuredLimits(), balancer.Partition{},
+			balancer.Sight{ReportEvery: reportEvery}, balancer.AdmitRate)
 		host.control.Listed(true, entries)
 		host.answers()
 	})
@@ -179,7 +179,7 @@
 func (l decisionLife) reports(host *countingHost) (lines int) {
 	const tries, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
-		host.control.Heard(backend, tries, 0, mean, reportEvery, decide.Load{Busy: -1, Waiting: -1, Service: -1})
+		host.control.Heard(backend, tries, 0, mean, reportEvery, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
 	}
 	classes := len(measuredClasses())
 	for proxy := range l.proxies {
@@ -196,14 +196,14 @@
 	sum := time.Duration(0)
 	for i := range l.changes {
 		entry := l.entry(i * l.backends / l.changes)
-		entry.Condition = decide.Draining
+		entry.Condition = balancer.Draining
 		sum += spent(func() {
-			host.control.Listed(false, []decide.Entry{entry})
+			host.control.Listed(false, []balancer.Entry{entry})
 			host.answers()
 		})
 		host.passes(1)
-		entry.Condition = decide.Ready
-		host.control.Listed(false, []decide.Entry{entry})
+		entry.Condition = balancer.Ready
+		host.control.Listed(false, []balancer.Entry{entry})
 		host.passes(settling)
 	}
 	return sum / time.Duration(l.changes)
@@ -213,11 +213,11 @@
 // for 5 s.
 const settling = 32
 
-func (l decisionLife) entry(backend int) decide.Entry {
-	return decide.Entry{Backend: backend, Condition: decide.Ready, Weight: 2, Zone: backend % measuredZones}
+func (l decisionLife) entry(backend int) balancer.Entry {
+	return balancer.Entry{Backend: backend, Condition: balancer.Ready, Weight: 2, Zone: backend % measuredZones}
 }
 
-func (l decisionLife) entries() (all []decide.Entry) {
+func (l decisionLife) entries() (all []balancer.Entry) {
 	for backend := range l.backends {
 		all = append(all, l.entry(backend))
 	}
@@ -227,19 +227,19 @@
 // Of the installation that is measured: as the shipped sample configuration has it.
 const measuredZones = 2
 
-func measuredClasses() []decide.Class {
-	return []decide.Class{
+func measuredClasses() []balancer.Class {
+	return []balancer.Class{
 		{Target: 1500_000, Deadline: 4 * second, Value: 1},
 		{Target: 800_000, Deadline: 2 * second, Value: 3, Writes: true},
 	}
 }
 
-func measuredLimits() decide.Limits {
-	return decide.Limits{Grace: 3 * second, ColdShare: 0.16, WarmBy: 17 * second}
+func measuredLimits() balancer.Limits {
+	return balancer.Limits{Grace: 3 * second, ColdShare: 0.16, WarmBy: 17 * second}
 }
 
 // openChannel bears whatever is sent.
-func openChannel(proxies int) decide.Channel {
+func openChannel(proxies int) balancer.Channel {
 	const linesPerS, backlogS = 9e9, 50
-	return decide.Channel{LinesPerS: linesPerS, Head: 4, Backlog: backlogS * linesPerS, LongestWay: 660_000, Proxies: proxies}
+	return balancer.Channel{LinesPerS: linesPerS, Head: 4, Backlog: backlogS * linesPerS, LongestWay: 660_000, Proxies: proxies}
 }
