--- a/balancer/channel_test.go
+++ b/balancer/channel_test.go
@@ -11,15 +11,15 @@
 		cost := map[bool][]float64{}
 		for _, keeps := range []bool{false, true} {
 			s := begin(t, usual(), 5, 0)
-			s.c.Joined(0, 0, 10, keeps)
+			s.c.ProxyConnected(0, 0, 10, keeps)
 			bind := s.c.channel.lines
-			s.c.Applied(0, s.mark)
+			s.c.Acknowledged(0, s.mark)
 			s.now += 3 * second
 			s.lists(5, 7, Ready, 0) // new ones enter, and one is dropped
-			s.c.Listed(false, []Entry{{Backend: 0, Condition: Gone, Weight: 2}})
+			s.c.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Removed, Weight: 2}})
 			s.plays(2.2, nil)
-			s.c.Left(0)
-			s.c.Joined(1, 0, 10, keeps)
+			s.c.ProxyDisconnected(0)
+			s.c.ProxyConnected(1, 0, 10, keeps)
 			before := s.c.channel.lines
 			s.now += 3 * second
 			s.lists(7, 8, Ready, 0)
@@ -33,14 +33,14 @@
 	t.Run("whole tables wait while half the backlog is in use, and until marks come back", func(t *testing.T) {
 		s := begin(t, usual(), 30, 0)
 		for p := range 28 {
-			s.c.Joined(p, 0, 10, false)
+			s.c.ProxyConnected(p, 0, 10, false)
 		}
 		n := len(s.bound)
 		if n == 0 || float64(n)*35 > 450 {
 			t.Errorf("%d bound at once", n)
 		}
 		s.now += second
-		if s.c.Elapsed(s.tag); len(s.bound) != n {
+		if s.c.TimerFired(s.tag); len(s.bound) != n {
 			t.Errorf("%d more were bound though no mark came back", len(s.bound)-n)
 		}
 		if s.plays(3, nil); len(s.bound) != 28 {
@@ -57,17 +57,17 @@
 		}
 		s.now++
 		s.lists(0, 1, Draining, 0) // a few lines for each of eight, and a table for a ninth
-		s.c.Joined(8, 0, 10, false)
+		s.c.ProxyConnected(8, 0, 10, false)
 		if !s.c.proxies[8].bound {
 			t.Fatal("the ninth was not bound at the same time")
 		}
 		for p := range 8 {
-			s.c.Applied(p, s.mark)
+			s.c.Acknowledged(p, s.mark)
 		}
 		if got := s.c.channel.lines; got < 99 {
 			t.Errorf("%.0f lines are counted, while a table of 99 waits", got)
 		}
-		s.c.Applied(8, s.mark)
+		s.c.Acknowledged(8, s.mark)
 		if got := s.c.channel.lines; got != 0 {
 			t.Errorf("%.0f lines are counted in the end", got)
 		}
@@ -76,10 +76,10 @@
 		s := begin(t, usual(), 30, 2)
 		s.plays(3, nil)
 		s.lists(0, 9, Draining, 0)
-		s.c.Left(0)
-		s.c.Left(1)
+		s.c.ProxyDisconnected(0)
+		s.c.ProxyDisconnected(1)
 		billed := s.c.channel.lines
-		if s.c.Elapsed(s.tag); billed < 2*9 || s.c.channel.lines < billed {
+		if s.c.TimerFired(s.tag); billed < 2*9 || s.c.channel.lines < billed {
 			t.Errorf("%.0f lines were billed, %.0f are counted", billed, s.c.channel.lines)
 		}
 		s.plays(4, nil)
@@ -91,11 +91,11 @@
 		// Found in two incidents: 17 new ones went to 39 proxies at once; and small steps went before new ones.
 		s := begin(t, usual(), 20, 20)
 		s.plays(5, func() { s.fine() })
-		var more []Entry
+		var more []Endpoint
 		for b := range 60 {
-			more = append(more, Entry{Backend: 20 + b, Condition: Ready, Weight: 1 + float64(b), Started: s.now})
+			more = append(more, Endpoint{Backend: 20 + b, State: Ready, Weight: 1 + float64(b), StartedAt: s.now})
 		}
-		s.c.Listed(false, more)
+		s.c.EndpointsUpdated(false, more)
 		most := 0.
 		for turn := range 40 {
 			most = max(most, s.c.channel.lines)
@@ -110,12 +110,12 @@
 	t.Run("equal proxies are bound in the order in which they came, and hear meanwhile what is withdrawn", func(t *testing.T) {
 		// Found on a day of reloads: the last numbers were bound last at each controller, and kept a gone backend.
 		s := begin(t, usual(), 30, 0)
-		s.c.Joined(0, 0, 10, false)
-		s.c.Applied(0, s.mark)
+		s.c.ProxyConnected(0, 0, 10, false)
+		s.c.Acknowledged(0, s.mark)
 		s.lists(0, 1, Draining, 0)
 		s.plays(3, nil)
 		for p := range 28 {
-			s.c.Joined(28-p, 0, 10, true)
+			s.c.ProxyConnected(28-p, 0, 10, true)
 		}
 		for turn := range 28 {
 			p := 28 - turn
@@ -138,11 +138,11 @@
 		s := begin(t, usual(), 3, 1)
 		s.hears(2, 30, 30, 0)
 		s.plays(3, func() { s.fine(2); s.hears(2, 10, 10, 0) })
-		if s.c.Forget(2) {
+		if s.c.ForgetBackend(2) {
 			t.Error("one that is listed was forgotten")
 		}
-		s.lists(2, 3, Gone, 0)
-		if s.plays(3, nil); !s.out[2] || !s.c.Forget(2) {
+		s.lists(2, 3, Removed, 0)
+		if s.plays(3, nil); !s.out[2] || !s.c.ForgetBackend(2) {
 			t.Fatalf("it is out: %v", s.out[2])
 		}
 		s.lists(2, 3, Ready, 0)
--- a/balancer/decide.go
+++ b/balancer/decide.go
@@ -65,8 +65,8 @@
 type Controller struct {
 	host        Host
 	seed, drawn uint64
-	limits      Limits
-	sight       Sight
+	limits      RuleLimits
+	sight       Telemetry
 	classes     []Class
 	shared, own uint16 // classes that use the shared table, and those that use their zone's
 	backends    []*backend
@@ -86,16 +86,16 @@
 }
 
 // New makes a controller that knows nothing yet: until reports come, nothing is withdrawn for being unheard.
-func New(host Host, seed uint64, classes []Class, channel Channel, limits Limits, partition Partition,
-	sight Sight, admit Admission) *Controller {
+func New(host Host, seed uint64, classes []Class, channel PushChannel, limits RuleLimits, partition Sharding,
+	sight Telemetry, admit AdmissionMode) *Controller {
 	c := &Controller{host: host, seed: seed, limits: limits, sight: sight, classes: classes,
-		lookedAt: host.Now(), channel: ledger{Channel: channel}, levels: newAdmission(admit, classes),
-		owners: newOwnership(partition, classes), parts: 1, grace: limits.Grace}
+		lookedAt: host.Now(), channel: ledger{PushChannel: channel}, levels: newAdmission(admit, classes),
+		owners: newOwnership(partition, classes), parts: 1, grace: limits.DrainGrace}
 	for i, class := range classes {
-		c.own |= uint16(count(class.OwnZone)) << i
+		c.own |= uint16(count(class.ZoneLocal)) << i
 	}
 	c.shared = (1<<len(classes) - 1) &^ c.own
-	host.After(beat, seed)
+	host.SetTimer(beat, seed)
 	return c
 }
 
@@ -108,19 +108,19 @@
 
 func (c *Controller) logf(id int, f string, a ...any) { c.host.Log(id, fmt.Sprintf(f, a...)) }
 
-// Elapsed is the beat: whatever waited for time or for room in the channel is looked at again.
-func (c *Controller) Elapsed(tag uint64) {
+// TimerFired is the beat: whatever waited for time or for room in the channel is looked at again.
+func (c *Controller) TimerFired(tag uint64) {
 	if tag != c.seed {
 		return // a timer of an earlier life
 	}
 	now := c.host.Now()
-	c.host.After(beat, c.seed)
+	c.host.SetTimer(beat, c.seed)
 	c.channel.expire(now)
-	if c.sight.MustAsk && now >= c.askAt { // an answer, or a failure, always comes
-		c.host.Watch()
-		c.askWait, c.askAt = max(second/2, min(2*c.askWait, c.sight.AskWithin/4)), 1<<62
+	if c.sight.PollingRequired && now >= c.askAt { // an answer, or a failure, always comes
+		c.host.PollEndpoints()
+		c.askWait, c.askAt = max(second/2, min(2*c.askWait, c.sight.MaxPollInterval/4)), 1<<62
 	}
-	if c.tries > 0 && now-c.lookedAt >= c.sight.ReportEvery {
+	if c.tries > 0 && now-c.lookedAt >= c.sight.ReportInterval {
 		c.judge(now)
 		c.steer(now)
 		c.lookedAt, c.tries = now, 0
@@ -129,13 +129,13 @@
 	c.publish(now, c.levels.urgent || now-c.publishedAt >= pace)
 }
 
-// ListFailed asks again after a while, spread by chance so that controllers do not ask together.
-func (c *Controller) ListFailed() {
+// EndpointPollFailed asks again after a while, spread by chance so that controllers do not ask together.
+func (c *Controller) EndpointPollFailed() {
 	c.askAt = c.host.Now() + int64(float64(c.askWait)*(0.5+c.chance()))
 }
 
-// Listed takes in the list: whole, or what changed.
-func (c *Controller) Listed(whole bool, entries []Entry) {
+// EndpointsUpdated takes in the list: whole, or what changed.
+func (c *Controller) EndpointsUpdated(whole bool, entries []Endpoint) {
 	now := c.host.Now()
 	c.askWait = 0
 	if whole && !c.listedOnce {
@@ -155,14 +155,14 @@
 			b.part = carried.lightest(e.Zone)
 		}
 		carried.add(b, -1)
-		b.relist(e, now, c.listedOnce, c.sight.LiveWeights)
+		b.relist(e, now, c.listedOnce, c.sight.LoadDependentWeights)
 		carried.add(b, 1)
 	}
 	for i, b := range c.backends {
 		if whole && !seen[i] {
-			b.Condition = Gone
+			b.State = Removed
 		}
-		c.warm = c.warm || b.Condition == Ready && !c.cold(b, now)
+		c.warm = c.warm || b.State == Ready && !c.cold(b, now)
 	}
 	c.listedOnce = c.listedOnce || whole && len(entries) > 0
 	c.publish(now, false)
@@ -173,10 +173,10 @@
 // connections suffice, so then parts are no smaller than must be; else tables leave room for drains as well.
 func (c *Controller) divide(backends int) {
 	l, proxies, parts, share := &c.channel, float64(c.channel.Proxies), 1., 1.
-	if many := proxies / float64(l.Connections); l.Connections > 0 && many > tooMany {
+	if many := proxies / float64(l.MinBackendConnections); l.MinBackendConnections > 0 && many > tooMany {
 		parts, share = math.Ceil(many), tableShare
 	}
-	within := inTime * l.takes(c.limits.Grace)
+	within := inTime * l.takes(c.limits.DrainGrace)
 	if !c.owners.exist() && proxies*(l.header()+float64(backends)/parts) > within {
 		parts = math.Ceil(float64(backends) / max(1, share*within/proxies-l.header()))
 	}
@@ -198,21 +198,21 @@
 	return least
 }
 
-func (b *backend) relist(e Entry, now int64, entering, live bool) {
-	restarted := b.listed && e.Started > b.Started
+func (b *backend) relist(e Endpoint, now int64, entering, live bool) {
+	restarted := b.listed && e.StartedAt > b.StartedAt
 	// One that kept its line while a wrong list had dropped it is neither new nor cold.
-	fresh := !b.listed || restarted || b.Condition != Ready && b.line == 0
-	if e.Condition == Gone || live { // the size, not the load of the moment; a gone one's line may stand on
+	fresh := !b.listed || restarted || b.State != Ready && b.line == 0
+	if e.State == Removed || live { // the size, not the load of the moment; a gone one's line may stand on
 		e.Weight = max(e.Weight, b.Weight)
 	}
-	if b.Entry, b.listed = e, true; b.Weight <= 0 {
+	if b.Endpoint, b.listed = e, true; b.Weight <= 0 {
 		b.Weight = 1
 	}
-	if e.Condition != Ready {
-		if e.Condition == Draining && e.Since > 0 {
-			b.late = max(b.late, now-e.Since)
+	if e.State != Ready {
+		if e.State == Draining && e.DrainingSince > 0 {
+			b.late = max(b.late, now-e.DrainingSince)
 		}
-		b.drained = b.drained || e.Condition == Draining
+		b.drained = b.drained || e.State == Draining
 		return
 	}
 	if b.drained, b.late = false, 0; restarted { // another process: what was heard of the old one says nothing
@@ -224,9 +224,9 @@
 	}
 }
 
-// Forget ends what is kept of a backend that is gone: its index may mean another. Not while it has a line.
-func (c *Controller) Forget(id int) bool {
-	gone := c.backends[id].Condition == Gone && c.backends[id].line == 0
+// ForgetBackend ends what is kept of a backend that is gone: its index may mean another. Not while it has a line.
+func (c *Controller) ForgetBackend(id int) bool {
+	gone := c.backends[id].State == Removed && c.backends[id].line == 0
 	if gone {
 		c.backends[id] = &backend{}
 	}
@@ -235,10 +235,10 @@
 
 // usable leaves the score aside. Where only draining binds, one that the list drops is, until its tries fail.
 func (c *Controller) usable(b *backend, now int64) bool {
-	if b.Condition == Gone {
+	if b.State == Removed {
 		return !c.mustLeave(b) && !b.away && b.line > 0
 	}
-	return b.listed && b.Condition == Ready
+	return b.listed && b.State == Ready
 }
 
 // graceLeft is what is left of it for the drain that was heard of last after its order, until it is told.
@@ -249,16 +249,16 @@
 			late = b.late
 		}
 	}
-	return max(0, c.limits.Grace-late)
+	return max(0, c.limits.DrainGrace-late)
 }
 
 // mustLeave tells whether rule 3 binds for a backend.
 func (c *Controller) mustLeave(b *backend) bool {
-	return b.listed && b.Condition != Ready && (b.drained || !c.limits.OnlyDrainingBinds)
+	return b.listed && b.State != Ready && (b.drained || !c.limits.OnlyDrainingMustLeave)
 }
 
-// Heard is what our proxies of some zone met at a backend, within a span that ended a moment ago.
-func (c *Controller) Heard(id, tries, failed int, mean, span int64, load Load) {
+// OutcomesReported is what our proxies of some zone met at a backend, within a span that ended a moment ago.
+func (c *Controller) OutcomesReported(id, tries, failed int, mean, span int64, load BackendLoad) {
 	if id >= len(c.backends) || tries <= 0 {
 		return
 	}
@@ -266,12 +266,12 @@
 	c.tries += tries
 	from := now
 	if c.every > c.levels.deadline { // lines wait for their turn: they tell of requests that are all over
-		if from -= max(0, span-c.sight.ReportEvery); from < max(b.Started, b.enteredAt) {
+		if from -= max(0, span-c.sight.ReportInterval); from < max(b.StartedAt, b.enteredAt) {
 			return // of another process, or of when it was away
 		}
 	}
 	b.samples = append(b.samples, sample{now, from, mean * int64(tries-failed), tries, failed})
-	if load.Busy >= 0 || load.Waiting >= 0 {
+	if load.CPUUtilization >= 0 || load.QueueLength >= 0 {
 		b.load = load
 	}
 	if b.unheard += tries; failed < tries {
@@ -279,8 +279,8 @@
 	}
 }
 
-// Learned is what proxies of another controller met: it counts where ours met nothing, or no answer either.
-func (c *Controller) Learned(id, tries, failed int, mean, wait int64) {
+// PeerOutcomesReported is what proxies of another controller met: it counts where ours met nothing, or no answer either.
+func (c *Controller) PeerOutcomesReported(id, tries, failed int, mean, wait int64) {
 	if id >= len(c.backends) || tries <= 0 {
 		return
 	}
@@ -296,8 +296,8 @@
 	}
 }
 
-// Came is what came to a proxy, refused requests and repeats by clients among it.
-func (c *Controller) Came(id, class, count int, span int64) {
+// DemandReported is what came to a proxy, refused requests and repeats by clients among it.
+func (c *Controller) DemandReported(id, class, count int, span int64) {
 	if c.proxies[id].joined && span > 0 {
 		c.smooth(&c.proxies[id].rates[class], count, span)
 		c.levels.came[class] += float64(count)
@@ -307,11 +307,11 @@
 
 // smooth weighs a count with its span, as a proxy that gets little has no line in most periods.
 func (c *Controller) smooth(rate *float64, count int, span int64) {
-	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.sight.ReportEvery+span)
+	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.sight.ReportInterval+span)
 }
 
-// Joined takes a proxy in. It holds stale tables until it is bound, which is as soon as there is room.
-func (c *Controller) Joined(id, zone int, usual float64, keeps bool) {
+// ProxyConnected takes a proxy in. It holds stale tables until it is bound, which is as soon as there is room.
+func (c *Controller) ProxyConnected(id, zone int, usual float64, keeps bool) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxy{})
 	}
@@ -334,13 +334,13 @@
 	c.bindWaiting(c.host.Now())
 }
 
-// Left takes the end of a proxy: it goes on with what it holds, and nothing more can be told to it.
-func (c *Controller) Left(id int) {
+// ProxyDisconnected takes the end of a proxy: it goes on with what it holds, and nothing more can be told to it.
+func (c *Controller) ProxyDisconnected(id int) {
 	c.proxies[id] = &proxy{leftAt: c.host.Now()}
 }
 
-// Applied takes the answer to a mark: its message has come through, and with it all that left before it.
-func (c *Controller) Applied(id, mark int) {
+// Acknowledged takes the answer to a mark: its message has come through, and with it all that left before it.
+func (c *Controller) Acknowledged(id, mark int) {
 	c.proxies[id].applied = c.channel.applied(mark, c.proxies[id])
 	c.bindWaiting(c.host.Now())
 }
@@ -370,20 +370,20 @@
 	}
 	// Rule 4: a cold backend is sent what it surely can do. Steps of a quarter keep the orders few.
 	if c.cold(b, now) {
-		sure := c.limits.ColdShare + (1-c.limits.ColdShare)*float64(now-b.Started)/float64(c.limits.WarmBy)
-		part = min(part, max(float64(int(sure*4))/4, c.limits.ColdShare))
+		sure := c.limits.ColdStartShare + (1-c.limits.ColdStartShare)*float64(now-b.StartedAt)/float64(c.limits.WarmupTime)
+		part = min(part, max(float64(int(sure*4))/4, c.limits.ColdStartShare))
 	}
 	return part
 }
 
 // cold: one that is to start within as long is so too, as clocks may differ by that.
 func (c *Controller) cold(b *backend, now int64) bool {
-	return b.Started > 0 && max(now-b.Started, b.Started-now) < c.limits.WarmBy
+	return b.StartedAt > 0 && max(now-b.StartedAt, b.StartedAt-now) < c.limits.WarmupTime
 }
 
 func (c *Controller) wanted(b *backend, now int64) float64 {
 	// Where proxies heed no levels, or we may have started in a jam, only absence keeps it from a cold one.
-	blind := c.levels.how == AdmitNone && c.levels.heat > hotAt || c.levels.target == 0 && c.warm
+	blind := c.levels.how == AdmissionUnsupported && c.levels.heat > hotAt || c.levels.target == 0 && c.warm
 	out := blind && c.cold(b, now)
 	if !c.usable(b, now) || b.away && !c.fallback || out {
 		return 0
@@ -465,7 +465,7 @@
 					left = true
 					continue
 				}
-				if b.Condition != Ready || c.cold(b, now) { // a withdrawal tells of our own proxies only
+				if b.State != Ready || c.cold(b, now) { // a withdrawal tells of our own proxies only
 					lost += max(0, b.line-want) / cmp.Or(b.strained, 1)
 				}
 				c.setLine(b, want)
@@ -509,7 +509,7 @@
 
 func (c *Controller) tell(b *backend, table int, weight float64, entering bool) {
 	uses := func(p *proxy) bool { return p.bound && (table == p.part || table == c.parts+p.zone) }
-	c.host.SetLine(table, b.Backend, weight)
+	c.host.PublishEntry(table, b.Backend, weight)
 	c.billEach(1, uses)
 	c.billEach(1, func(p *proxy) bool { return entering && (p.cleared || p.told > 0) && uses(p) })
 }
@@ -555,7 +555,7 @@
 	for _, aged := range []bool{true, false} {
 		for _, i := range c.waiting {
 			p := c.proxies[i]
-			if now-p.joinedAt > c.limits.Grace/2 != aged {
+			if now-p.joinedAt > c.limits.DrainGrace/2 != aged {
 				continue
 			}
 			lines, cost, bare := c.whole(p, sizes)
@@ -565,14 +565,14 @@
 			case ready && !p.bound:
 				p.bound, bound, l.owed = true, bound+1, l.owed-cost
 				c.bill(p, 1+cost-header+min(p.told, lines))
-				c.tables(p.part, p.zone, func(table int, classes uint16) { c.host.Bind(table, i, classes) })
+				c.tables(p.part, p.zone, func(table int, classes uint16) { c.host.AssignTable(table, i, classes) })
 			case ready && p.keeps && !p.cleared && unbound == 0 && l.fits(lines+spare, false):
 				p.cleared = true
 				c.bill(p, lines)
-				c.host.Clear(i)
+				c.host.ClearWithdrawals(i)
 			case !p.bound && !p.reminded && (p.keeps || outs > 0) && l.may(p, now, true) &&
 				(bare || 2*message <= cost) && (aged || !c.pressed && !c.binds(cost, message, unbound)) &&
-				l.fits(message+spare, true) && c.host.Remind(i, unlimited, TryAfterProof):
+				l.fits(message+spare, true) && c.host.SyncWithdrawals(i, unlimited, RetryIfNotExecuted):
 				p.reminded, p.told = true, outs
 				c.bill(p, outs+float64(len(c.classes)))
 			}
@@ -594,7 +594,7 @@
 
 // relevels is how many lines of levels a whole table takes along, as it makes a proxy forget them.
 func (c *Controller) relevels() float64 {
-	return max(c.channel.Levels, float64(len(c.classes)*count(c.levels.told)))
+	return max(c.channel.LimitLines, float64(len(c.classes)*count(c.levels.told)))
 }
 
 // judge scores every backend and settles which leave R.
@@ -641,7 +641,7 @@
 func (c *Controller) leave(id int, now int64, away, most float64) float64 {
 	b := c.backends[id]
 	b.score = -1
-	if away+b.Weight > most && b.Condition != Gone {
+	if away+b.Weight > most && b.State != Removed {
 		return away
 	}
 	b.backoff = max(firstBackoff, min(2*b.backoff, longestBackoff))
@@ -666,9 +666,9 @@
 	for i, b := range c.backends {
 		if b.away && now >= b.backAt {
 			c.comeBack(i, now, false)
-		} else if b.away && c.sight.MayProbe && now-b.probedAt >= b.backoff/3 {
+		} else if b.away && c.sight.HealthChecksAllowed && now-b.probedAt >= b.backoff/3 {
 			b.probedAt = now
-			c.host.Probe(i)
+			c.host.CheckHealth(i)
 		}
 		if b.strained > 0 && now >= b.widenAt {
 			b.widenAt = now + 2*firstBackoff
@@ -692,24 +692,24 @@
 	c.logf(id, "returns to R, probed %v, after %d s", probed, b.backoff/second)
 }
 
-// Probed is how a probe ended. A pass may show little more than that the process runs.
-func (c *Controller) Probed(id int, outcome Outcome) {
-	if id < len(c.backends) && outcome == Answered && c.backends[id].away {
+// HealthCheckCompleted is how a probe ended. A pass may show little more than that the process runs.
+func (c *Controller) HealthCheckCompleted(id int, outcome HealthCheckResult) {
+	if id < len(c.backends) && outcome == HealthCheckPassed && c.backends[id].away {
 		c.comeBack(id, c.host.Now(), true)
 	}
 }
 
-func newAdmission(how Admission, classes []Class) admission {
+func newAdmission(how AdmissionMode, classes []Class) admission {
 	a := admission{how: how, laid: make([]float64, len(classes)), want: make([]float64, len(classes)),
 		quota: make([]float64, len(classes))}
 	for i, class := range classes {
 		a.came, a.trim = append(a.came, 0), append(a.trim, 1)
 		a.order = append(a.order, i)
 		a.deadline = max(a.deadline, float64(class.Deadline))
-		a.units = append(a.units, max(float64(class.Target)/float64(second), 1e-3))
+		a.units = append(a.units, max(float64(class.LatencyObjective)/float64(second), 1e-3))
 	}
 	slices.SortStableFunc(a.order, func(x, y int) int {
-		vx, vy := classes[x].Value/a.units[x], classes[y].Value/a.units[y]
+		vx, vy := classes[x].PriorityWeight/a.units[x], classes[y].PriorityWeight/a.units[y]
 		return count(vx < vy) - count(vx > vy)
 	})
 	return a
@@ -721,7 +721,7 @@
 	tries, answers, took, ours, told, requests := 0, 0, 0., 0., 0., 0.
 	for _, p := range c.proxies { // of those that just joined the reports are still to come
 		ours += p.usual
-		told += p.usual * max(0, min(1, float64(now-p.joinedAt-c.sight.ReportEvery)/float64(now-c.lookedAt)))
+		told += p.usual * max(0, min(1, float64(now-p.joinedAt-c.sight.ReportInterval)/float64(now-c.lookedAt)))
 	}
 	for _, b := range c.backends {
 		r.laid += b.carried() * ours
@@ -758,7 +758,7 @@
 		a.trimTo(class, total, float64(now-c.lookedAt)/float64(second))
 		for _, rate := range rates {
 			r.came += rate * a.units[class]
-			if a.laid[class] > 0 && a.how == AdmitRate {
+			if a.laid[class] > 0 && a.how == AdmissionByRate {
 				rate = min(rate, a.laid[class])
 			} else if a.laid[class] > 0 {
 				rate *= a.laid[class]
@@ -792,12 +792,12 @@
 	if r.heat > 0 && r.heat < hotAt && r.recent > r.laid/2 { // thinly heard demand proves nothing
 		a.proven = max(a.proven, r.let/r.laid)
 	}
-	if r.heat == 0 || r.heard == 0 || a.how == AdmitNone {
+	if r.heat == 0 || r.heard == 0 || a.how == AdmissionUnsupported {
 		return
 	}
 	was, idle := a.bound, r.heat < incredible && c.idle(r.heat*a.target)
 	rests := r.median < calmAt && r.heat < hotAt // most have no queue, whatever a few have
-	lag := c.sight.ReportEvery + c.channel.LongestWay + second
+	lag := c.sight.ReportInterval + c.channel.MaxLatency + second
 	queue := max(0, r.heat-restAt) * a.target // before a new request, as time
 	hot := r.heat > hotAt && r.median > calmAt && !idle
 	a.hotSince = cmp.Or(a.hotSince, now) * int64(count(hot))
@@ -850,7 +850,7 @@
 	}
 	able := spare * a.proven * (stood - lost) * ours
 	switch {
-	case a.how == AdmitNone || lost == 0 || lost >= stood:
+	case a.how == AdmissionUnsupported || lost == 0 || lost >= stood:
 		return
 	case a.part > 0:
 		a.limit *= 1 - lost/stood
@@ -869,16 +869,16 @@
 func (c *Controller) idle(mean float64) bool {
 	n, idle := 0, 0
 	for _, b := range c.backends {
-		if b.line > 0 && b.answered > c.lookedAt && b.load != (Load{}) {
+		if b.line > 0 && b.answered > c.lookedAt && b.load != (BackendLoad{}) {
 			n, idle = n+1, idle+count(b.load.idle(mean))
 		}
 	}
 	return 2*idle > n
 }
 
-func (l Load) idle(mean float64) bool {
-	light := l.Waiting >= 0 && l.Waiting < idleAt && l.Service < elsewhere*mean
-	return l != (Load{}) && (light || l.Busy >= 0 && l.Busy < idleAt)
+func (l BackendLoad) idle(mean float64) bool {
+	light := l.QueueLength >= 0 && l.QueueLength < idleAt && l.ServiceTime < elsewhere*mean
+	return l != (BackendLoad{}) && (light || l.CPUUtilization >= 0 && l.CPUUtilization < idleAt)
 }
 
 // setLevels shares the limit out, value first; capping the busiest proxies, repeats count for nothing. A
@@ -894,9 +894,9 @@
 		most := min(left/a.units[class], cmp.Or(a.quota[class], math.Inf(1))*ours)
 		part := min(total, max(most, leastLet*total))
 		left -= part * a.units[class]
-		if a.want[class] = 0; part < total && a.how == AdmitRate {
+		if a.want[class] = 0; part < total && a.how == AdmissionByRate {
 			a.want[class] = waterline(rates, part)
-		} else if part < total && a.how == AdmitShare {
+		} else if part < total && a.how == AdmissionByShare {
 			a.want[class] = part / total
 		}
 	}
@@ -914,11 +914,11 @@
 			continue
 		}
 		a.laid[class], laid = a.want[class], true
-		allowance, tries := a.want[class], TryOnce // a further try would only add to the queue
+		allowance, tries := a.want[class], NoRetry // a further try would only add to the queue
 		if allowance == 0 {
-			allowance, tries = unlimited, TryAfterProof
+			allowance, tries = unlimited, RetryIfNotExecuted
 		}
-		c.host.Admit(AllTables, 1<<class, allowance, tries)
+		c.host.SetAdmissionLimit(AllTables, 1<<class, allowance, tries)
 		a.told = true
 		c.billEach(1, func(*proxy) bool { return true })
 	}
@@ -927,7 +927,7 @@
 
 // ledger counts lines until their mark, or a later one, has come back, so it holds when the channel is slow.
 type ledger struct {
-	Channel
+	PushChannel
 	lines   float64
 	owed    float64 // lines that must follow, of the tables of those who wait, and ...
 	due     float64 // ... how many may stand in the channel with them for the first of these to have its in time
@@ -941,12 +941,12 @@
 	if n := len(l.waiting); n == 0 || l.waiting[n-1].at != now {
 		l.count++
 		l.waiting = append(l.waiting, order{count: l.count, at: now, reached: map[*proxy]float64{}})
-		c.host.Mark(int(l.count&0xffff), false)
+		c.host.RequestAck(int(l.count&0xffff), false)
 	}
 	o := &l.waiting[len(l.waiting)-1]
 	if n := len(p.sent); n == 0 || p.sent[n-1] != now {
 		p.sent = append(p.sent, now)
-		lines += l.header() + (c.relevels()-l.Levels)*float64(count(!p.bound)) // it has heard of none yet
+		lines += l.header() + (c.relevels()-l.LimitLines)*float64(count(!p.bound)) // it has heard of none yet
 	}
 	o.reached[p] += lines
 	o.lines += lines
@@ -956,7 +956,7 @@
 // expire forgets orders whose marks will not come, even at a quarter of the channel's usual speed.
 func (l *ledger) expire(now int64) {
 	for len(l.waiting) > 0 {
-		patience := l.LongestWay + 2*second + int64(4*l.lines/max(l.LinesPerS, 1)*float64(second))
+		patience := l.MaxLatency + 2*second + int64(4*l.lines/max(l.LinesPerSecond, 1)*float64(second))
 		if now-l.waiting[0].at < patience {
 			return
 		}
@@ -965,7 +965,7 @@
 }
 
 // header is what each message costs beside what it is for: head, mark, and levels where they always go along.
-func (l *ledger) header() float64 { return l.Head + 1 + l.Levels }
+func (l *ledger) header() float64 { return l.MessageOverhead + 1 + l.LimitLines }
 
 // room is how many lines may wait. Where the backlog bears far more than two paces take to send, what joins
 // its end would be late by all of that; held back here it is decided on later news, and shares messages.
@@ -984,26 +984,26 @@
 
 // may tells whether a proxy may be sent one more message. Half of those allowed are kept for what is urgent.
 func (l *ledger) may(p *proxy, now int64, urgent bool) bool {
-	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= now-l.MessagesSpan-l.LongestWay })
-	if l.MessagesMost == 0 || len(p.sent) > 0 && p.sent[len(p.sent)-1] == now {
+	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= now-l.MessageWindow-l.MaxLatency })
+	if l.MaxMessages == 0 || len(p.sent) > 0 && p.sent[len(p.sent)-1] == now {
 		return true
 	}
-	return len(p.sent) < max(l.MessagesMost/2, (l.MessagesMost-2)*count(p.cramped), l.MessagesMost*count(urgent))
+	return len(p.sent) < max(l.MaxMessages/2, (l.MaxMessages-2)*count(p.cramped), l.MaxMessages*count(urgent))
 }
 
 // open tells whether changes may go to all bound proxies now. Needed ones wait for each other as long as the
 // grace bears it twice, what does not fit as one piece for an emptier channel.
 func (l *ledger) open(proxies []*proxy, now, last, grace int64, need float64) bool {
-	gap := min((grace-l.LongestWay-beat)/2, l.MessagesSpan/int64(max(l.MessagesMost, 1)))
-	if l.MessagesMost > 0 && now > last && now-last < gap ||
+	gap := min((grace-l.MaxLatency-beat)/2, l.MessageWindow/int64(max(l.MaxMessages, 1)))
+	if l.MaxMessages > 0 && now > last && now-last < gap ||
 		l.lines > l.room()/8 && (need == 0 || l.lines+need > l.room()) {
 		return false
 	}
 	return !slices.ContainsFunc(proxies, func(p *proxy) bool { return p.bound && !l.may(p, now, need > 0) })
 }
 
-func newOwnership(p Partition, classes []Class) ownership {
-	o := ownership{Partition: p, all: make([]slice, p.Count)}
+func newOwnership(p Sharding, classes []Class) ownership {
+	o := ownership{Sharding: p, all: make([]slice, p.Count)}
 	for i, class := range classes {
 		if class.Writes {
 			o.writes |= 1 << i
@@ -1014,22 +1014,22 @@
 
 func (o *ownership) exist() bool { return len(o.all) > 0 }
 
-func (c *Controller) SliceGiven(id int) {
+func (c *Controller) ShardAssigned(id int) {
 	// Unless we just started: whoever had it may have been moving it, and a former owner have writes in hand.
 	unsure := int64(count(c.owners.SingleOwner && c.levels.target > 0))
 	c.owners.all[id] = slice{mine: true, owner: -1, rates: make([]float64, len(c.classes)), held: -unsure}
 }
 
-func (c *Controller) SliceTaken(id int) { c.owners.all[id] = slice{} }
+func (c *Controller) ShardRevoked(id int) { c.owners.all[id] = slice{} }
 
-func (c *Controller) SliceLine(id, backend int, weight float64) {
+func (c *Controller) ShardOwnerStored(id, backend int, weight float64) {
 	if s := &c.owners.all[id]; s.mine && weight > 0 {
 		s.owner = backend
 		c.tendSlices(c.host.Now()) // proxies read the store within moments
 	}
 }
 
-func (c *Controller) SliceCame(id, class, count int, span int64) {
+func (c *Controller) ShardDemandReported(id, class, count int, span int64) {
 	if s := &c.owners.all[id]; s.mine && span > 0 {
 		c.smooth(&s.rates[class], count, span)
 	}
@@ -1043,8 +1043,8 @@
 		s := &o.all[id]
 		if s.held > 0 && c.settled(s, now) {
 			s.held = 0
-			c.host.SetLine(id, s.owner, 1)
-			c.host.Admit(id, o.writes, unlimited, TryAfterProof)
+			c.host.PublishEntry(id, s.owner, 1)
+			c.host.SetAdmissionLimit(id, o.writes, unlimited, RetryIfNotExecuted)
 			c.billEach(2, func(*proxy) bool { return true })
 		}
 		from, to := s.owner, c.successor(s, now)
@@ -1058,9 +1058,9 @@
 			c.hold(id, from)
 			continue
 		}
-		c.host.SetLine(id, to, 1)
+		c.host.PublishEntry(id, to, 1)
 		if from >= 0 {
-			c.host.SetLine(id, from, 0)
+			c.host.PublishEntry(id, from, 0)
 		}
 		c.billEach(2, func(*proxy) bool { return true })
 	}
@@ -1069,11 +1069,11 @@
 // hold stops writes to a slice until its move has settled; reads go on at the new owner where levels work.
 func (c *Controller) hold(id, from int) {
 	s := &c.owners.all[id]
-	if c.levels.how == AdmitNone && from >= 0 {
-		c.host.SetLine(id, from, 0)
-	} else if c.levels.how != AdmitNone {
-		c.host.SetLine(id, s.owner, 1)
-		c.host.Admit(id, c.owners.writes, 0, TryOnce)
+	if c.levels.how == AdmissionUnsupported && from >= 0 {
+		c.host.PublishEntry(id, from, 0)
+	} else if c.levels.how != AdmissionUnsupported {
+		c.host.PublishEntry(id, s.owner, 1)
+		c.host.SetAdmissionLimit(id, c.owners.writes, 0, NoRetry)
 	}
 	c.billEach(2, func(*proxy) bool { return true })
 	s.held, s.freeAt = c.channel.count, 0
@@ -1081,13 +1081,13 @@
 
 func (c *Controller) settled(s *slice, now int64) bool {
 	for _, p := range c.proxies {
-		if p.joined && p.applied < s.held || p.leftAt > 0 && now-p.leftAt < c.owners.WritesOn {
+		if p.joined && p.applied < s.held || p.leftAt > 0 && now-p.leftAt < c.owners.WriteLease {
 			s.freeAt = 0
 			return false
 		}
 	}
 	if s.freeAt == 0 {
-		s.freeAt = now + c.owners.Settle
+		s.freeAt = now + c.owners.SettleTime
 	}
 	return now >= s.freeAt
 }
--- a/balancer/fake_test.go
+++ b/balancer/fake_test.go
@@ -17,7 +17,7 @@
 	out      map[int]bool
 	bound    map[string]bool
 	levels   map[string]float64
-	tries    map[string]Tries
+	tries    map[string]RetryPolicy
 	messages []int64 // times at which orders with a mark went out
 	mark     int
 	watches  int
@@ -28,12 +28,12 @@
 
 func (s *stage) Now() int64      { return s.now }
 func (s *stage) Log(int, string) {}
-func (s *stage) Watch()          { s.watches++ }
-func (s *stage) After(wait int64, tag uint64) {
+func (s *stage) PollEndpoints()  { s.watches++ }
+func (s *stage) SetTimer(wait int64, tag uint64) {
 	s.timers, s.tag = append(s.timers, s.now+wait), tag
 }
-func (s *stage) Probe(b int) { s.probes = append(s.probes, b) }
-func (s *stage) SetLine(table, b int, weight float64) {
+func (s *stage) CheckHealth(b int) { s.probes = append(s.probes, b) }
+func (s *stage) PublishEntry(table, b int, weight float64) {
 	if s.tables[table] == nil {
 		s.tables[table] = map[int]float64{}
 	}
@@ -43,7 +43,7 @@
 	}
 	s.note("line %d %d %.3f", table, b, weight)
 }
-func (s *stage) Bind(table, p int, classes uint16) {
+func (s *stage) AssignTable(table, p int, classes uint16) {
 	if len(s.tables[table]) == 0 {
 		s.Errorf("proxy %d bound to the empty table %d", p, table)
 	}
@@ -54,17 +54,17 @@
 	s.out[b] = out
 	s.note("withdraw %d %v", b, out)
 }
-func (s *stage) Remind(p int, _ float64, _ Tries) bool {
+func (s *stage) SyncWithdrawals(p int, _ float64, _ RetryPolicy) bool {
 	s.note("remind %d", p)
 	return true
 }
-func (s *stage) Clear(p int) { s.note("clear %d", p) }
-func (s *stage) Admit(table int, classes uint16, allowance float64, tries Tries) {
+func (s *stage) ClearWithdrawals(p int) { s.note("clear %d", p) }
+func (s *stage) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
 	key := fmt.Sprint(table, classes)
 	s.levels[key], s.tries[key] = allowance, tries
 	s.note("admit %s %.2f %d", key, allowance, tries)
 }
-func (s *stage) Mark(number int, everyone bool) {
+func (s *stage) RequestAck(number int, everyone bool) {
 	s.mark = number
 	if n := len(s.messages); n == 0 || s.messages[n-1] != s.now {
 		s.messages = append(s.messages, s.now)
@@ -76,47 +76,47 @@
 
 func twoClasses() []Class {
 	return []Class{
-		{Target: 1500_000, Deadline: 4 * second, Value: 1},
-		{Target: 800_000, Deadline: 2 * second, Value: 3, Writes: true},
+		{LatencyObjective: 1500_000, Deadline: 4 * second, PriorityWeight: 1},
+		{LatencyObjective: 800_000, Deadline: 2 * second, PriorityWeight: 3, Writes: true},
 	}
 }
 
 // setting is what a story may change before it begins.
 type setting struct {
 	classes   []Class
-	channel   Channel
-	limits    Limits
-	partition Partition
-	sight     Sight
-	admit     Admission
+	channel   PushChannel
+	limits    RuleLimits
+	partition Sharding
+	sight     Telemetry
+	admit     AdmissionMode
 }
 
 func usual() setting {
 	return setting{
 		classes: twoClasses(),
-		channel: Channel{LinesPerS: 900, Head: 4, Backlog: 900, LongestWay: 660_000,
-			MessagesMost: 30, MessagesSpan: 10 * second},
-		limits: Limits{Grace: 3 * second, ColdShare: 0.16, WarmBy: 17 * second},
-		sight:  Sight{ReportEvery: second},
-		admit:  AdmitRate,
+		channel: PushChannel{LinesPerSecond: 900, MessageOverhead: 4, Backlog: 900, MaxLatency: 660_000,
+			MaxMessages: 30, MessageWindow: 10 * second},
+		limits: RuleLimits{DrainGrace: 3 * second, ColdStartShare: 0.16, WarmupTime: 17 * second},
+		sight:  Telemetry{ReportInterval: second},
+		admit:  AdmissionByRate,
 	}
 }
 
 // begin starts a controller with this many ready backends, in zones by turns, and proxies.
 func begin(t *testing.T, x setting, backends, proxies int) *stage {
 	s := &stage{T: t, now: 100 * second, tables: map[int]map[int]float64{}, out: map[int]bool{},
-		bound: map[string]bool{}, levels: map[string]float64{}, tries: map[string]Tries{}, left: map[int64]float64{}}
+		bound: map[string]bool{}, levels: map[string]float64{}, tries: map[string]RetryPolicy{}, left: map[int64]float64{}}
 	s.c = New(s, 7, x.classes, x.channel, x.limits, x.partition, x.sight, x.admit)
-	var all []Entry
+	var all []Endpoint
 	for b := range backends {
-		all = append(all, Entry{Backend: b, Condition: Ready, Weight: 2, Zone: b % 2})
+		all = append(all, Endpoint{Backend: b, State: Ready, Weight: 2, Zone: b % 2})
 	}
 	if backends > 0 {
-		s.c.Listed(true, all)
+		s.c.EndpointsUpdated(true, all)
 	}
 	for p := range proxies {
-		s.c.Joined(p, p%2, 10, false)
-		s.c.Applied(p, s.mark)
+		s.c.ProxyConnected(p, p%2, 10, false)
+		s.c.Acknowledged(p, s.mark)
 	}
 	return s
 }
@@ -139,11 +139,11 @@
 		due := slices.Contains(s.timers, s.now)
 		s.timers = slices.DeleteFunc(s.timers, func(at int64) bool { return at == s.now })
 		if due {
-			s.c.Elapsed(s.tag)
+			s.c.TimerFired(s.tag)
 		}
 		for p, q := range s.c.proxies {
 			if q.joined {
-				s.c.Applied(p, s.mark)
+				s.c.Acknowledged(p, s.mark)
 			}
 		}
 	}
@@ -151,16 +151,16 @@
 
 // hears reports one backend's tries of the last second.
 func (s *stage) hears(b, tries, failed int, mean int64) {
-	s.c.Heard(b, tries, failed, mean, second, Load{Busy: -1, Waiting: -1, Service: -1})
+	s.c.OutcomesReported(b, tries, failed, mean, second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 }
 
 // lists tells of backends from one number to another, in one go.
-func (s *stage) lists(from, to int, condition Condition, started int64) {
-	var all []Entry
+func (s *stage) lists(from, to int, condition EndpointState, started int64) {
+	var all []Endpoint
 	for b := from; b < to; b++ {
-		all = append(all, Entry{Backend: b, Condition: condition, Weight: 2, Zone: b % 2, Started: started})
+		all = append(all, Endpoint{Backend: b, State: condition, Weight: 2, Zone: b % 2, StartedAt: started})
 	}
-	s.c.Listed(false, all)
+	s.c.EndpointsUpdated(false, all)
 }
 
 // fine reports good answers of all backends but the given ones, and the usual demand at each proxy.
@@ -176,7 +176,7 @@
 func (s *stage) comes(perClass ...int) {
 	for p := range s.c.proxies {
 		for class, n := range perClass {
-			s.c.Came(p, class, n, second)
+			s.c.DemandReported(p, class, n, second)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 func (s *stage) late(span int64) {
 	for p := range s.c.proxies {
 		for class := range 2 {
-			s.c.Came(p, class, int(20*span/second), span)
+			s.c.DemandReported(p, class, int(20*span/second), span)
 		}
 	}
 }
--- a/balancer/levels_test.go
+++ b/balancer/levels_test.go
@@ -15,7 +15,7 @@
 				}
 				for p := range s.c.proxies {
 					for class := range 2 {
-						s.c.Came(p, class, 400, 20*second)
+						s.c.DemandReported(p, class, 400, 20*second)
 					}
 				}
 			}
@@ -36,7 +36,7 @@
 		}
 		s.plays(3, jam(s))
 		low, high := s.levels["65535 1"], s.levels["65535 2"]
-		if low <= 0 || low >= 40 || high != 0 && high < low || s.tries["65535 1"] != TryOnce {
+		if low <= 0 || low >= 40 || high != 0 && high < low || s.tries["65535 1"] != NoRetry {
 			t.Errorf("levels %v, tries %v", s.levels, s.tries)
 		}
 		s.plays(9, func() {
@@ -49,7 +49,7 @@
 			t.Errorf("level %.1f after draining, %.1f before", s.levels["65535 1"], low)
 		}
 		s.plays(30, func() { s.fine(); s.comes(8, 8) })
-		if s.levels["65535 1"] != unlimited || s.tries["65535 1"] != TryAfterProof {
+		if s.levels["65535 1"] != unlimited || s.tries["65535 1"] != RetryIfNotExecuted {
 			t.Errorf("levels %v, tries %v long after", s.levels, s.tries)
 		}
 		if len(s.tables[0]) != 8 {
@@ -125,12 +125,12 @@
 		s := begin(t, x, 30, 60)
 		s.plays(4, func() { s.fine() })
 		for p := range 60 {
-			s.c.Joined(60+p, 0, 10, true)
+			s.c.ProxyConnected(60+p, 0, 10, true)
 		}
 		for range 5 { // nothing comes back
 			s.now += second / 2
 			jam(s)()
-			s.c.Elapsed(s.tag)
+			s.c.TimerFired(s.tag)
 		}
 		if len(s.c.waiting) == 0 || s.levels["65535 1"] == 0 || s.c.channel.lines > 3300 {
 			t.Errorf("%d wait, levels %v, %.0f lines", len(s.c.waiting), s.levels, s.c.channel.lines)
@@ -141,7 +141,7 @@
 		s := begin(t, usual(), 8, 3)
 		s.plays(6, func() { s.fine() })
 		for p := range 3 {
-			s.c.Joined(3+p, 0, 10, false)
+			s.c.ProxyConnected(3+p, 0, 10, false)
 		}
 		s.plays(1, func() {
 			for b := range 8 {
@@ -188,7 +188,7 @@
 		s := begin(t, usual(), 8, 3)
 		s.plays(2, jam(s))
 		s.plays(9, func() { s.fine() })
-		lag, least, widest, steps := s.c.sight.ReportEvery+s.c.channel.LongestWay+second, int64(1<<60), 0., 0
+		lag, least, widest, steps := s.c.sight.ReportInterval+s.c.channel.MaxLatency+second, int64(1<<60), 0., 0
 		part, at := s.c.levels.part, int64(0)
 		s.plays(12, func() {
 			s.fine()
@@ -233,7 +233,7 @@
 			s := begin(t, usual(), 16, 3)
 			s.plays(60, func() {
 				for b := range 16 {
-					s.c.Heard(b, 10, 0, mean, 20*second, Load{Busy: -1, Waiting: -1, Service: -1})
+					s.c.OutcomesReported(b, 10, 0, mean, 20*second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				}
 				s.late(20 * second)
 			})
@@ -247,23 +247,23 @@
 	})
 	t.Run("a quota of a class is kept by our part of the fleet, whatever the rest of the limit allows", func(t *testing.T) {
 		for name, story := range map[string]struct {
-			how   Admission
+			how   AdmissionMode
 			fleet int // proxies at all controllers, of which we have 3
 			quota float64
 			level float64 // of the class; 20 requests a second come to each proxy
 		}{
-			"all proxies are ours":     {AdmitRate, 0, 30, 10},
-			"half of them are":         {AdmitRate, 6, 30, 5},
-			"as a share":               {AdmitShare, 6, 30, 0.25},
-			"more than comes":          {AdmitRate, 3, 90, 0},
-			"hardly anything":          {AdmitRate, 3, 0.01, leastLet * 20},
-			"proxies that heed no one": {AdmitNone, 6, 30, 0},
+			"all proxies are ours":     {AdmissionByRate, 0, 30, 10},
+			"half of them are":         {AdmissionByRate, 6, 30, 5},
+			"as a share":               {AdmissionByShare, 6, 30, 0.25},
+			"more than comes":          {AdmissionByRate, 3, 90, 0},
+			"hardly anything":          {AdmissionByRate, 3, 0.01, leastLet * 20},
+			"proxies that heed no one": {AdmissionUnsupported, 6, 30, 0},
 		} {
 			x := usual()
 			x.admit, x.channel.Proxies = story.how, story.fleet
 			s := begin(t, x, 8, 3)
 			s.plays(6, func() { s.fine() })
-			s.c.Quota(0, story.quota)
+			s.c.SetClassQuota(0, story.quota)
 			s.plays(6, func() { s.fine() })
 			if got := s.levels["65535 1"]; got < 0.97*story.level || got > 1.03*story.level {
 				t.Errorf("%s: level %.2f, not %.2f", name, got, story.level)
@@ -271,10 +271,10 @@
 			if other, laid := s.levels["65535 2"]; laid {
 				t.Errorf("%s: the other class has a level of %.2f", name, other)
 			}
-			if story.level > 0 && s.tries["65535 1"] != TryOnce {
+			if story.level > 0 && s.tries["65535 1"] != NoRetry {
 				t.Errorf("%s: tries %v", name, s.tries["65535 1"])
 			}
-			s.c.Quota(0, 0)
+			s.c.SetClassQuota(0, 0)
 			s.plays(6, func() { s.fine() })
 			if got, laid := s.levels["65535 1"]; laid && got != unlimited {
 				t.Errorf("%s: level %.2f once it is over", name, got)
@@ -285,11 +285,11 @@
 		s := begin(t, usual(), 16, 3)
 		s.plays(2, jam(s))
 		limit, level := s.c.levels.limit, s.c.levels.want[0]
-		s.c.Quota(0, 1000)
+		s.c.SetClassQuota(0, 1000)
 		if s.c.levels.limit != limit || s.c.levels.want[0] != level {
 			t.Errorf("limit %.1f, level %.2f; %.1f and %.2f before", s.c.levels.limit, s.c.levels.want[0], limit, level)
 		}
-		if s.c.Quota(0, 6); s.c.levels.want[0] > 2.01 || s.c.levels.want[0] <= 0 || level < 3 {
+		if s.c.SetClassQuota(0, 6); s.c.levels.want[0] > 2.01 || s.c.levels.want[0] <= 0 || level < 3 {
 			t.Errorf("level %.2f with a quota of 2 for each proxy, %.2f before", s.c.levels.want[0], level)
 		}
 	})
@@ -405,8 +405,8 @@
 		s.plays(7, little(900_000, 5))
 		s.plays(20, little(250_000, 2))
 		was := s.c.levels.limit
-		s.c.Joined(2, 0, 100, false)
-		s.c.Joined(3, 0, 100, false)
+		s.c.ProxyConnected(2, 0, 100, false)
+		s.c.ProxyConnected(3, 0, 100, false)
 		s.plays(2, func() {
 			for b := range 8 {
 				s.hears(b, 10, 0, 250_000)
@@ -420,21 +420,21 @@
 		}
 	})
 	for name, x := range map[string]struct {
-		load Load
+		load BackendLoad
 		mean int64
 		cuts bool
 	}{
-		"proxies that stand still before idle cores are no overload":    {Load{0.4, -1, -1}, 600_000, false},
-		"nor are they where nothing waits and service is short":         {Load{-1, 0, 250_000}, 600_000, false},
-		"but work that shares its cores waits nowhere and takes longer": {Load{-1, 0, 550_000}, 600_000, true},
-		"full cores are one": {Load{0.97, -1, -1}, 600_000, true},
-		"and figures that started anew from nothing are not believed": {Load{0.1, -1, -1}, 1200_000, true},
+		"proxies that stand still before idle cores are no overload":    {BackendLoad{0.4, -1, -1}, 600_000, false},
+		"nor are they where nothing waits and service is short":         {BackendLoad{-1, 0, 250_000}, 600_000, false},
+		"but work that shares its cores waits nowhere and takes longer": {BackendLoad{-1, 0, 550_000}, 600_000, true},
+		"full cores are one": {BackendLoad{0.97, -1, -1}, 600_000, true},
+		"and figures that started anew from nothing are not believed": {BackendLoad{0.1, -1, -1}, 1200_000, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := begin(t, usual(), 8, 3)
 			s.plays(6, func() {
 				for b := range 8 {
-					s.c.Heard(b, 10, 0, x.mean, second, x.load)
+					s.c.OutcomesReported(b, 10, 0, x.mean, second, x.load)
 				}
 				s.comes(20, 20)
 			})
@@ -445,7 +445,7 @@
 	}
 	t.Run("where levels are shares, a share is ordered", func(t *testing.T) {
 		x := usual()
-		x.admit = AdmitShare
+		x.admit = AdmissionByShare
 		s := begin(t, x, 8, 3)
 		s.plays(3, jam(s))
 		if l := s.levels["65535 1"]; l <= 0 || l >= 1 {
@@ -454,10 +454,10 @@
 	})
 	t.Run("where levels are not heeded, cold backends stay out of an overload, and come in after it", func(t *testing.T) {
 		x := usual()
-		x.admit = AdmitNone
+		x.admit = AdmissionUnsupported
 		s := begin(t, x, 8, 3)
 		s.plays(6, jam(s))
-		s.c.Listed(false, []Entry{{Backend: 8, Condition: Ready, Weight: 2, Started: s.now}})
+		s.c.EndpointsUpdated(false, []Endpoint{{Backend: 8, State: Ready, Weight: 2, StartedAt: s.now}})
 		s.plays(4, jam(s))
 		if s.weight(8, 0, "in the overload"); len(s.levels) > 0 {
 			t.Errorf("levels %v", s.levels)
@@ -471,8 +471,8 @@
 		// Found at size: 300 proxies with one request a second each seemed to get a third more.
 		s := begin(t, usual(), 4, 1)
 		for range 30 {
-			s.c.Came(0, 0, 1, second)
-			s.c.Came(0, 0, 1, 3*second)
+			s.c.DemandReported(0, 0, 1, second)
+			s.c.DemandReported(0, 0, 1, 3*second)
 		}
 		if r := s.c.proxies[0].rates[0]; r < 0.4 || r > 0.6 {
 			t.Errorf("%.2f a second, two in four seconds come", r)
--- a/balancer/parts_test.go
+++ b/balancer/parts_test.go
@@ -10,8 +10,8 @@
 func TestParts(t *testing.T) {
 	// Found on days of 150 proxies: each opened a connection to all backends, of which the smallest take 80.
 	x := usual()
-	x.channel.Proxies, x.channel.Connections, x.channel.Backlog = 150, 80, 3300
-	x.channel.LinesPerS = 2400 // takes whole tables to all proxies within the grace
+	x.channel.Proxies, x.channel.MinBackendConnections, x.channel.Backlog = 150, 80, 3300
+	x.channel.LinesPerSecond = 2400 // takes whole tables to all proxies within the grace
 	holds := func(s *stage, part int) (n int) {
 		for b := range s.tables[part] {
 			n += count(s.tables[part][b] > 0)
@@ -25,7 +25,7 @@
 		}
 		s.plays(3, func() { s.fine() })
 		old := s.c.backends[7].part
-		s.lists(7, 8, Gone, 0)
+		s.lists(7, 8, Removed, 0)
 		s.plays(3, func() { s.fine() })
 		s.lists(30, 31, Ready, 0)
 		if s.plays(3, func() { s.fine() }); s.c.backends[30].part != old || s.tables[old][30] == 0 || s.tables[1-old][30] != 0 {
@@ -56,31 +56,31 @@
 	})
 	t.Run("a list at once settles the same parts as its entries one by one", func(t *testing.T) {
 		y := x
-		y.limits.WarmBy = 1 << 50 // cold ones stay in the part that the list has put them in
+		y.limits.WarmupTime = 1 << 50 // cold ones stay in the part that the list has put them in
 		whole, single := begin(t, y, 0, 10), begin(t, y, 0, 10)
 		for _, s := range []*stage{whole, single} {
-			s.c.Listed(true, []Entry{{Backend: 59, Condition: Ready, Weight: 1, Started: 1}})
+			s.c.EndpointsUpdated(true, []Endpoint{{Backend: 59, State: Ready, Weight: 1, StartedAt: 1}})
 			if s.c.divide(30); s.c.parts < 2 {
 				t.Fatalf("%d parts", s.c.parts)
 			}
 		}
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 200 {
-			var entries []Entry
+			var entries []Endpoint
 			for range 1 + random.IntN(20) {
-				condition := []Condition{Ready, Ready, Draining, Gone}[random.IntN(4)]
-				entries = append(entries, Entry{Backend: random.IntN(60), Condition: condition,
-					Weight: float64(1 + random.IntN(4)), Zone: random.IntN(3), Started: 1})
+				condition := []EndpointState{Ready, Ready, Draining, Removed}[random.IntN(4)]
+				entries = append(entries, Endpoint{Backend: random.IntN(60), State: condition,
+					Weight: float64(1 + random.IntN(4)), Zone: random.IntN(3), StartedAt: 1})
 			}
-			whole.c.Listed(false, entries)
+			whole.c.EndpointsUpdated(false, entries)
 			for _, e := range entries {
-				single.c.Listed(false, []Entry{e})
+				single.c.EndpointsUpdated(false, []Endpoint{e})
 			}
 			for b := range whole.c.backends {
 				if got, want := whole.c.backends[b].part, single.c.backends[b].part; got != want {
 					t.Fatalf("backend %d: part %d, one by one %d", b, got, want)
 				}
-				if random.IntN(10) == 0 && whole.c.Forget(b) != single.c.Forget(b) {
+				if random.IntN(10) == 0 && whole.c.ForgetBackend(b) != single.c.ForgetBackend(b) {
 					t.Fatalf("backend %d is forgotten by one alone", b)
 				}
 			}
@@ -88,14 +88,14 @@
 	})
 	t.Run("proxies that come before the list are spread over its parts all the same", func(t *testing.T) {
 		for what, before := range map[string]func(*stage){"no list": func(*stage) {},
-			"an empty list": func(s *stage) { s.c.Listed(true, nil) }} {
+			"an empty list": func(s *stage) { s.c.EndpointsUpdated(true, nil) }} {
 			s := begin(t, fleet(), 0, 90)
 			before(s)
-			var all []Entry
+			var all []Endpoint
 			for b := range 60 {
-				all = append(all, Entry{Backend: b, Condition: Ready, Weight: 2, Zone: b % 2})
+				all = append(all, Endpoint{Backend: b, State: Ready, Weight: 2, Zone: b % 2})
 			}
-			s.c.Listed(true, all)
+			s.c.EndpointsUpdated(true, all)
 			s.sends(10)
 			of := make([]int, s.c.parts)
 			for _, p := range s.c.proxies {
@@ -109,7 +109,7 @@
 	t.Run("few proxies, few backends, or connections that nobody tells of leave one table", func(t *testing.T) {
 		for _, y := range [][3]int{{120, 80, 30}, {150, 80, 9}, {150, 0, 30}} {
 			z := x
-			z.channel.Proxies, z.channel.Connections = y[0], y[1]
+			z.channel.Proxies, z.channel.MinBackendConnections = y[0], y[1]
 			if s := begin(t, z, y[2], 2); len(s.tables) != 1 || holds(s, 0) != y[2] {
 				t.Errorf("%v: tables %v", y, s.tables)
 			}
@@ -120,10 +120,10 @@
 // fleet is that of one day of the whole fleet: a channel of 900 lines a second for two thousand proxies.
 func fleet() setting {
 	x := usual()
-	x.channel = Channel{LinesPerS: 900, Head: 4, Backlog: 48100, LongestWay: 807_500, MessagesMost: 30,
-		MessagesSpan: 10 * second, Proxies: 2184, Connections: 83}
-	x.limits.Grace = 55 * second
-	x.sight.ReportEvery = 2 * second
+	x.channel = PushChannel{LinesPerSecond: 900, MessageOverhead: 4, Backlog: 48100, MaxLatency: 807_500, MaxMessages: 30,
+		MessageWindow: 10 * second, Proxies: 2184, MinBackendConnections: 83}
+	x.limits.DrainGrace = 55 * second
+	x.sight.ReportInterval = 2 * second
 	return x
 }
 
@@ -132,7 +132,7 @@
 	for range int(seconds * 4) {
 		s.now += beat
 		s.timers = nil
-		s.c.Elapsed(s.tag)
+		s.c.TimerFired(s.tag)
 		most = max(most, s.c.channel.lines)
 		for room := 900. / 4; room > 0 && len(s.c.channel.waiting) > 0; {
 			o := s.c.channel.waiting[0]
@@ -155,14 +155,14 @@
 
 func TestPartSizes(t *testing.T) {
 	small := fleet().channel
-	small.Backlog, small.Proxies, small.Connections = 5300, 256, 63
+	small.Backlog, small.Proxies, small.MinBackendConnections = 5300, 256, 63
 	connected := small
-	connected.Connections = 200
+	connected.MinBackendConnections = 200
 	few := small
-	few.Proxies, few.Connections, few.LinesPerS = 20, 5, 10
+	few.Proxies, few.MinBackendConnections, few.LinesPerSecond = 20, 5, 10
 	for _, c := range []struct {
 		what    string
-		channel Channel
+		channel PushChannel
 		grace   int64
 		parts   int
 	}{
@@ -173,10 +173,10 @@
 		{"connections suffice, but one table would not leave in time either", connected, 8300_000, 12},
 		{"connections suffice, and one table leaves in time", connected, 90 * second, 1},
 		{"no more parts than proxies, as nobody would use the others", few, 8300_000, 20},
-		{"nobody says how many proxies there are", Channel{LinesPerS: 900, Head: 4, Connections: 63}, 3 * second, 1},
+		{"nobody says how many proxies there are", PushChannel{LinesPerSecond: 900, MessageOverhead: 4, MinBackendConnections: 63}, 3 * second, 1},
 	} {
 		x := fleet()
-		x.channel, x.limits.Grace = c.channel, c.grace
+		x.channel, x.limits.DrainGrace = c.channel, c.grace
 		s := begin(t, x, 200, 0)
 		if s.c.parts != c.parts {
 			t.Errorf("%s: %d parts, want %d", c.what, s.c.parts, c.parts)
@@ -197,7 +197,7 @@
 		// Found on a day on which four of five controllers died: 36,000 lines waited, 40 s of the channel.
 		s := begin(t, fleet(), 200, 0)
 		for p := range 2000 {
-			s.c.Joined(p, p%2, busy(p), true)
+			s.c.ProxyConnected(p, p%2, busy(p), true)
 		}
 		if most := s.sends(8); most > 900*4 {
 			t.Errorf("%.0f lines waited", most)
@@ -224,23 +224,23 @@
 		// which had gone before the new controller began. No withdrawal named it, new lines for others went first, and the
 		// table that would have taken it out came after 8 s, with 7.4 of grace.
 		x := fleet()
-		x.channel.Backlog, x.channel.Proxies, x.limits.Grace = 5300, 240, 7400_000
+		x.channel.Backlog, x.channel.Proxies, x.limits.DrainGrace = 5300, 240, 7400_000
 		s := begin(t, x, 160, 0)
-		s.lists(0, 60, Gone, 0)
+		s.lists(0, 60, Removed, 0)
 		late := map[int]int64{}
 		plays := func(seconds float64) {
 			for range int(4 * seconds) {
 				s.sends(0.25)
 				for p, q := range s.c.proxies {
 					if _, known := late[p]; q.bound && !known { // it leaves behind all that waits now
-						late[p] = s.now + s.c.Delay() + x.channel.LongestWay - q.joinedAt
+						late[p] = s.now + s.c.QueueDelay() + x.channel.MaxLatency - q.joinedAt
 					}
 				}
 			}
 		}
 		comes := func(from, to int) {
 			for p := from; p < to; p++ {
-				s.c.Joined(p, p%2, busy(p), true)
+				s.c.ProxyConnected(p, p%2, busy(p), true)
 			}
 		}
 		comes(0, 35)
@@ -251,7 +251,7 @@
 		comes(50, 75)
 		plays(12)
 		for p := range 75 {
-			if after, bound := late[p]; !bound || after > x.limits.Grace {
+			if after, bound := late[p]; !bound || after > x.limits.DrainGrace {
 				t.Errorf("proxy %d: bound %v, its table came after %.2f s", p, bound, float64(after)/float64(second))
 			}
 		}
@@ -267,23 +267,23 @@
 		// Found on days on which four of five controllers are killed in a release (santiago-enlace, herd+mass, --nodes 30, seed
 		// 11): three parts of 67 backends are 17,000 lines for 240 proxies, 21 s of the channel with 8.3 s of grace.
 		x := fleet()
-		x.channel.LinesPerS, x.channel.Backlog, x.channel.LongestWay = 800, 5300, 890_000
-		x.channel.Proxies, x.channel.Connections, x.limits.Grace = 240, 85, 8300_000
+		x.channel.LinesPerSecond, x.channel.Backlog, x.channel.MaxLatency = 800, 5300, 890_000
+		x.channel.Proxies, x.channel.MinBackendConnections, x.limits.DrainGrace = 240, 85, 8300_000
 		s := begin(t, x, 200, 0)
 		for p := range 48 {
-			s.c.Joined(p, p%2, busy(p), false)
+			s.c.ProxyConnected(p, p%2, busy(p), false)
 		}
 		s.sends(13)
 		s.lists(0, 60, Draining, 0)
 		s.sends(1)
 		for p := 48; p < 240; p++ {
-			s.c.Joined(p, p%2, busy(p), true)
+			s.c.ProxyConnected(p, p%2, busy(p), true)
 		}
 		late := 0
 		for range 4 * 30 {
 			s.sends(0.25)
 			for _, q := range s.c.proxies {
-				late += count(!q.bound && s.now+s.c.Delay()+x.channel.LongestWay-q.joinedAt > x.limits.Grace)
+				late += count(!q.bound && s.now+s.c.QueueDelay()+x.channel.MaxLatency-q.joinedAt > x.limits.DrainGrace)
 			}
 		}
 		if late > 0 {
@@ -293,10 +293,10 @@
 	t.Run("those who wait for a table are not told of a hundred backends one by one instead", func(t *testing.T) {
 		// Found on the same day: messages of a hundred lines, for tables of ten, took all of the channel for good.
 		s := begin(t, fleet(), 200, 0)
-		s.lists(0, 100, Gone, 0)
+		s.lists(0, 100, Removed, 0)
 		s.plays(3, nil)
 		for p := range 1500 {
-			s.c.Joined(p, p%2, busy(p), true)
+			s.c.ProxyConnected(p, p%2, busy(p), true)
 		}
 		s.sends(10)
 		bound, told := 0, 0
@@ -335,7 +335,7 @@
 			}
 		}
 		for _, b := range gone {
-			s.c.backends[b].Condition = Draining
+			s.c.backends[b].State = Draining
 		}
 		if most := s.sends(80); most > 900*4 {
 			t.Errorf("%.0f lines waited", most)
--- a/balancer/scores_test.go
+++ b/balancer/scores_test.go
@@ -72,7 +72,7 @@
 				s.hears(b, 10, 10*count(b > 1), 250_000*int64(count(b <= 1)))
 			}
 		})
-		s.c.Listed(false, []Entry{{Backend: 0, Condition: Gone}, {Backend: 1, Condition: Gone, Zone: 1}})
+		s.c.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Removed}, {Backend: 1, State: Removed, Zone: 1}})
 		s.plays(1, nil)
 		if len(s.tables[0]) != 6 {
 			t.Errorf("table %v, want all six that are listed", s.tables[0])
@@ -96,8 +96,8 @@
 		s := begin(t, usual(), 6, 2)
 		s.plays(12, func() {
 			s.fine(1, 2)
-			s.c.Heard(1, 10, 0, 900_000, second, Load{Busy: 0.5, Waiting: -1, Service: -1})
-			s.c.Heard(2, 10, 0, 900_000, second, Load{Busy: 0.95, Waiting: -1, Service: -1})
+			s.c.OutcomesReported(1, 10, 0, 900_000, second, BackendLoad{CPUUtilization: 0.5, QueueLength: -1, ServiceTime: -1})
+			s.c.OutcomesReported(2, 10, 0, 900_000, second, BackendLoad{CPUUtilization: 0.95, QueueLength: -1, ServiceTime: -1})
 		})
 		if s.weight(1, 2, "idle"); s.tables[0][2] >= 2 {
 			t.Errorf("weight %.2f of one that is busy, and late", s.tables[0][2])
@@ -105,13 +105,13 @@
 	})
 	t.Run("a passed probe brings a backend back, and the next wait longer if it fails again", func(t *testing.T) {
 		x := usual()
-		x.sight.MayProbe = true
+		x.sight.HealthChecksAllowed = true
 		s := begin(t, x, 6, 2)
 		bad := func() { s.fine(2); s.hears(2, 5, 5, 0) }
 		if s.plays(6, bad); len(s.probes) == 0 {
 			t.Error("no probe within six seconds")
 		}
-		s.c.Probed(2, Answered)
+		s.c.HealthCheckCompleted(2, HealthCheckPassed)
 		s.plays(2, func() { s.fine(2) })
 		s.weight(2, 0.5, "after a passed probe")
 		n := len(s.probes)
@@ -131,7 +131,7 @@
 			s.plays(6, func() {
 				s.fine(3)
 				s.late(span)
-				s.c.Heard(3, 30, 30, 0, span, Load{Busy: -1, Waiting: -1, Service: -1})
+				s.c.OutcomesReported(3, 30, 30, 0, span, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 			})
 			if s.c.backends[3].away != away {
 				t.Errorf("reports over %d s: away %v", span/second, !away)
@@ -143,7 +143,7 @@
 		s := begin(t, usual(), 8, 2)
 		s.plays(5, func() { s.fine() })
 		s.lists(3, 4, Ready, s.now)
-		s.c.Heard(3, 30, 30, 0, 20*second, Load{Busy: -1, Waiting: -1, Service: -1})
+		s.c.OutcomesReported(3, 30, 30, 0, 20*second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 		if s.plays(3, func() { s.fine(3) }); !s.c.backends[3].away {
 			t.Error("it was not heard")
 		}
@@ -154,7 +154,7 @@
 		slow := func() {
 			s.fine(3)
 			s.late(10 * second)
-			s.c.Heard(3, 30, 0, 1_200_000, 10*second, Load{Busy: -1, Waiting: -1, Service: -1})
+			s.c.OutcomesReported(3, 30, 0, 1_200_000, 10*second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 		}
 		s.plays(7, slow)
 		s.weight(3, 2*strainStep, "after the first reports")
@@ -168,7 +168,7 @@
 	// at 75 report lines a second each look heard of 40% of the weight, so that what the fleet can do was never known, no
 	// cap came when the list took 60% of it, and a cold backend got 4.2 times what it could do as the warm ones jammed.
 	x := fleet()
-	x.channel.Backlog, x.channel.Proxies, x.channel.Connections, x.limits.Grace = 5300, 240, 63, 7300_000
+	x.channel.Backlog, x.channel.Proxies, x.channel.MinBackendConnections, x.limits.DrainGrace = 5300, 240, 63, 7300_000
 	replaced := func(t *testing.T, groups int) *stage {
 		s := begin(t, x, 200, 48)
 		for look := range 8 { // each hears of the next group of backends
--- a/balancer/start_test.go
+++ b/balancer/start_test.go
@@ -22,7 +22,7 @@
 		if len(s.bound) > 0 {
 			t.Fatal("bound without lines")
 		}
-		s.c.Listed(true, []Entry{{Backend: 0, Condition: Ready, Weight: 1}})
+		s.c.EndpointsUpdated(true, []Endpoint{{Backend: 0, State: Ready, Weight: 1}})
 		if len(s.bound) != 2 {
 			t.Errorf("bound %v once a line was there", s.bound)
 		}
@@ -39,10 +39,10 @@
 	})
 	t.Run("a list that must be asked for is asked for again after a failure", func(t *testing.T) {
 		x := usual()
-		x.sight.MustAsk, x.sight.AskWithin = true, 10*second
+		x.sight.PollingRequired, x.sight.MaxPollInterval = true, 10*second
 		s := begin(t, x, 3, 1)
 		s.plays(1, nil)
-		s.c.ListFailed()
+		s.c.EndpointPollFailed()
 		s.plays(3, nil)
 		if s.watches != 2 {
 			t.Errorf("asked %d times", s.watches)
@@ -53,24 +53,24 @@
 		s.hears(2, 9, 9, 0)
 		timers, script := len(s.timers), len(s.script)
 		s.now += 3 * second
-		if s.c.Elapsed(s.tag + 1); len(s.timers) != timers || len(s.script) != script {
+		if s.c.TimerFired(s.tag + 1); len(s.timers) != timers || len(s.script) != script {
 			t.Errorf("%d timers, ordered %v", len(s.timers)-timers, s.script[script:])
 		}
 	})
 	t.Run("absent and foreign figures harm nothing", func(t *testing.T) {
 		s := begin(t, usual(), 3, 1)
-		s.c.Heard(99, 5, 5, 0, second, Load{})
-		s.c.Heard(1, 0, 0, 0, second, Load{})
-		s.c.Came(0, 1, 5, 0)
-		s.c.Applied(0, 60000)
-		s.c.Probed(44, Answered)
-		s.c.Elapsed(12345)
-		s.c.ListFailed()
-		s.c.Left(0)
-		s.c.Left(0)
-		s.c.Came(0, 0, 5, second)
-		s.c.Joined(0, 1, 10, false)
-		s.c.Joined(0, 1, 10, false)
+		s.c.OutcomesReported(99, 5, 5, 0, second, BackendLoad{})
+		s.c.OutcomesReported(1, 0, 0, 0, second, BackendLoad{})
+		s.c.DemandReported(0, 1, 5, 0)
+		s.c.Acknowledged(0, 60000)
+		s.c.HealthCheckCompleted(44, HealthCheckPassed)
+		s.c.TimerFired(12345)
+		s.c.EndpointPollFailed()
+		s.c.ProxyDisconnected(0)
+		s.c.ProxyDisconnected(0)
+		s.c.DemandReported(0, 0, 5, second)
+		s.c.ProxyConnected(0, 1, 10, false)
+		s.c.ProxyConnected(0, 1, 10, false)
 		s.plays(12, func() { s.hears(0, 4, 4, 0) })
 		if len(s.timers) != 1 {
 			t.Errorf("%d timers run", len(s.timers))
@@ -82,11 +82,11 @@
 	// Found by a hunt: a controller came back into a jam, and bound its proxies to a backend that had just started too.
 	cold := func(warm int) *stage {
 		s := begin(t, usual(), 0, 3)
-		var all []Entry
+		var all []Endpoint
 		for b := range 6 {
-			all = append(all, Entry{Backend: b, Condition: Ready, Weight: 2, Started: (s.now - second) * int64(count(b >= warm))})
+			all = append(all, Endpoint{Backend: b, State: Ready, Weight: 2, StartedAt: (s.now - second) * int64(count(b >= warm))})
 		}
-		s.c.Listed(true, all)
+		s.c.EndpointsUpdated(true, all)
 		s.plays(1.5, nil)
 		return s
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -10,7 +10,7 @@
 
 // backend is all that is known of one backend.
 type backend struct {
-	Entry
+	Endpoint
 	part            int     // of the fleet that it is in
 	listed, drained bool    // drained: was seen draining since it was last ready
 	line            float64 // its weight in our tables
@@ -24,7 +24,7 @@
 	learnt          bool     // it left R on that alone: telling it to others again would never end
 	tries, failed   int
 	mean            float64
-	load            Load
+	load            BackendLoad
 	answered        int64   // when an answer was last heard of
 	unheard         int     // tries without any answer since then
 	score           float64 // mean over the median, 1 if unheard, negative if it left R
@@ -83,9 +83,9 @@
 	}
 }
 
-// Withdrawn tells whether a backend is out of R by what our own proxies met, and what that was as far as it is known.
+// Ejection tells whether a backend is out of R by what our own proxies met, and what that was as far as it is known.
 // Wait is its back-off, in microseconds.
-func (c *Controller) Withdrawn(id int) (tries, failed int, wait int64, away bool) {
+func (c *Controller) Ejection(id int) (tries, failed int, wait int64, away bool) {
 	if id >= len(c.backends) {
 		return 0, 0, 0, false
 	}
@@ -96,28 +96,28 @@
 	return b.tries, b.failed, b.backoff, b.away && !b.learnt
 }
 
-// Ability is what the fleet was seen to do for each unit of weight and of ordinary traffic: without a queue, and with
+// Throughput is what the fleet was seen to do for each unit of weight and of ordinary traffic: without a queue, and with
 // one; 0 if that is not known.
-func (c *Controller) Ability() (proven, able float64) { return c.levels.proven, c.levels.able }
+func (c *Controller) Throughput() (proven, able float64) { return c.levels.proven, c.levels.able }
 
-// Demands takes what another controller counted at a proxy that joined us, requests a second by class.
-func (c *Controller) Demands(id int, rates []float64) { copy(c.proxies[id].rates, rates) }
+// SeedDemand takes what another controller counted at a proxy that joined us, requests a second by class.
+func (c *Controller) SeedDemand(id int, rates []float64) { copy(c.proxies[id].rates, rates) }
 
-// Fits takes what another controller saw of that, in place of what we have not seen ourselves.
-func (c *Controller) Fits(proven, able float64) {
+// SeedThroughput takes what another controller saw of that, in place of what we have not seen ourselves.
+func (c *Controller) SeedThroughput(proven, able float64) {
 	a := &c.levels
 	a.proven, a.able = cmp.Or(a.proven, max(proven, 0)), cmp.Or(a.able, max(able, 0))
 }
 
-// Quota takes how many requests of a class a second the whole fleet may be sent, at all controllers; 0 is any number.
-func (c *Controller) Quota(class int, perS float64) {
+// SetClassQuota takes how many requests of a class a second the whole fleet may be sent, at all controllers; 0 is any number.
+func (c *Controller) SetClassQuota(class int, perS float64) {
 	c.levels.quota[class] = perS
 	c.setLevels()
 }
 
-// Spent counts messages to a proxy that others have sent within the span, or will have. It counts for
+// MessagesSentByPeers counts messages to a proxy that others have sent within the span, or will have. It counts for
 // one that is joined, and for one that joins next.
-func (c *Controller) Spent(id, messages int) {
+func (c *Controller) MessagesSentByPeers(id, messages int) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxy{})
 	}
@@ -185,14 +185,14 @@
 	}
 }
 
-// Delay is how long what waits in the channel takes to leave, in microseconds: a mark is not answered before.
-func (c *Controller) Delay() int64 {
-	return int64(c.channel.lines / max(c.channel.LinesPerS, 1) * float64(second))
+// QueueDelay is how long what waits in the channel takes to leave, in microseconds: a mark is not answered before.
+func (c *Controller) QueueDelay() int64 {
+	return int64(c.channel.lines / max(c.channel.LinesPerSecond, 1) * float64(second))
 }
 
 // takes is how many lines leave the channel within a time.
 func (l *ledger) takes(within int64) float64 {
-	return max(l.LinesPerS, 1) * float64(within) / float64(second)
+	return max(l.LinesPerSecond, 1) * float64(within) / float64(second)
 }
 
 // withdrawals is how many there are, and what a message costs that tells one proxy of all of them.
@@ -229,7 +229,7 @@
 		}
 		if _, cost, bare := c.whole(p, sizes); !bare {
 			l.owed += cost
-			l.due = min(l.due, inTime*l.takes(c.grace)-l.takes(l.LongestWay+now-p.joinedAt))
+			l.due = min(l.due, inTime*l.takes(c.grace)-l.takes(l.MaxLatency+now-p.joinedAt))
 		}
 	}
 }
@@ -266,7 +266,7 @@
 
 // add counts a backend, or with a sign of -1 takes it out.
 func (w *partWeights) add(b *backend, sign float64) {
-	if w == nil || !b.listed || b.Condition != Ready {
+	if w == nil || !b.listed || b.State != Ready {
 		return
 	}
 	if w.zones[b.Zone] == nil {
@@ -314,7 +314,7 @@
 
 // admission is what we let in, in units: a request counts its target latency, as nothing gives its work.
 type admission struct {
-	how        Admission
+	how        AdmissionMode
 	order      []int // classes by value per unit, the first to be let in
 	units      []float64
 	deadline   float64 // longest deadline, microseconds
@@ -339,7 +339,7 @@
 
 // ownership is what we hold of the slices in our charge. A slice's table is one line, its owner.
 type ownership struct {
-	Partition
+	Sharding
 	all    []slice
 	writes uint16
 }
--- a/controller/base_test.go
+++ b/controller/base_test.go
@@ -18,7 +18,7 @@
 		h.levels[class] = []float64{2, 0}
 	}
 	for b := range 10 {
-		to.SetLine(0, b, 1)
+		to.PublishEntry(0, b, 1)
 	}
 	to.streams[0].base = []ownership.Base{base, base}
 	return to, h, p
@@ -39,19 +39,19 @@
 	}
 	t.Run("what it surely has is not written again, and levels that others left are lifted, once", func(t *testing.T) {
 		to, h, p := taken(ownership.Base{Lines: quoted(ten)}, ten)
-		to.Bind(0, 0, 0)
-		to.Mark(1, false)
+		to.AssignTable(0, 0, 0)
+		to.RequestAck(1, false)
 		to.writes(t)
 		if h.hears(t, p); h.cost > 3 || !maps.Equal(h.lines[0], ten) || h.levels[0][0] < 1e9 || h.levels[1][0] < 1e9 ||
-			h.levels[0][1] != float64(balancer.TryAfterProof) {
+			h.levels[0][1] != float64(balancer.RetryIfNotExecuted) {
 			t.Errorf("got %+v", h)
 		}
-		to.SetLine(0, 3, 0.5)
+		to.PublishEntry(0, 3, 0.5)
 		to.writes(t)
 		if h.hears(t, p); h.cost != 1 || h.levels[0][0] < 1e9 {
 			t.Errorf("a later change wrote %d lines, levels %v", h.cost, h.levels)
 		}
-		to.Admit(balancer.AllTables, 0, 7, balancer.TryOnce)
+		to.SetAdmissionLimit(balancer.AllTables, 0, 7, balancer.NoRetry)
 		to.writes(t)
 		if h.hears(t, p); h.levels[0][0] != 7 || h.levels[1][0] != 7 {
 			t.Errorf("levels %v", h.levels)
@@ -64,7 +64,7 @@
 		known := quoted(brought)
 		delete(known, `"s-9"`) // in doubt: it may have any, or none
 		to, h, p := taken(ownership.Base{Lines: known, Doubt: map[string]bool{`"s-9"`: true}}, brought)
-		to.Bind(0, 0, 0)
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) || h.cost != 5 {
 			t.Errorf("wrote %d lines: %+v", h.cost, h.lines)
@@ -72,7 +72,7 @@
 	})
 	t.Run("where as many differ as there are, it gets the whole table", func(t *testing.T) {
 		to, h, p := taken(ownership.Base{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
-		to.Bind(0, 0, 0)
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || h.levels[0] != nil || to.wholes != 1 || to.deltas != 0 {
 			t.Errorf("got %+v", h)
@@ -84,7 +84,7 @@
 		less := quoted(ten)
 		delete(less, `"s-4"`)
 		to.streams[0].base[1] = ownership.Base{Lines: less}
-		to.Bind(0, 0, 0)
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
 			t.Errorf("has %v", h.lines)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -91,17 +91,17 @@
 			b.ReportAllocs()
 			id := m.backends.ids[0]
 			for i := range b.N {
-				m.addOutcomes(id, 5, 0, 200_000, second, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
+				m.addOutcomes(id, 5, 0, 200_000, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				m.addDemand(i%proxies, i%2, 3, 2*second)
 			}
-			m.control.Listed(false, nil)
+			m.control.EndpointsUpdated(false, nil)
 		})
 		b.Run(fmt.Sprintf("order/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				state := []balancer.Condition{balancer.Draining, balancer.Ready}[i%2]
+				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
 				jump(m, 3*second, func() {
-					m.control.Listed(false, []balancer.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
+					m.control.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
 					p.heard.Store(m.now)
@@ -123,15 +123,15 @@
 func BenchmarkList(b *testing.B) {
 	const proxies = 100
 	for _, backends := range []int{200, 1000, 5000, 20_000} {
-		var entries []balancer.Entry
+		var entries []balancer.Endpoint
 		for id := range backends {
-			entries = append(entries, balancer.Entry{Backend: id, Condition: balancer.Ready, Weight: 2, Zone: id % 2})
+			entries = append(entries, balancer.Endpoint{Backend: id, State: balancer.Ready, Weight: 2, Zone: id % 2})
 		}
 		b.Run(fmt.Sprintf("lines/%d", backends), func(b *testing.B) {
 			for range b.N {
 				t := newTables([][]byte{[]byte(`"lookup"`)}, func(int) []byte { return nil }, 1<<20, 64)
 				for _, e := range entries {
-					t.SetLine(0, e.Backend, e.Weight)
+					t.PublishEntry(0, e.Backend, e.Weight)
 				}
 				t.flush(nil, nil, nil)
 			}
@@ -143,9 +143,9 @@
 		answers(m, peers)
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
-				state := []balancer.Condition{balancer.Draining, balancer.Ready}[i%2]
+				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
 				jump(m, 3*second, func() {
-					m.control.Listed(false, []balancer.Entry{{Backend: 7, Condition: state, Weight: 2, Zone: 1}})
+					m.control.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
 					p.heard.Store(m.now)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -48,14 +48,14 @@
 	seed     uint64
 	known    *fastjson.Value
 	limits   *limits
-	channel  balancer.Channel
-	rules    balancer.Limits
+	channel  balancer.PushChannel
+	rules    balancer.RuleLimits
 	classes  []balancer.Class
 	names    [][]byte       // of the classes, as they are written
 	index    map[string]int // and as they are read
 	zones    []string
-	sight    balancer.Sight
-	admit    balancer.Admission
+	sight    balancer.Telemetry
+	admit    balancer.AdmissionMode
 	lasting  map[string]string // what counts from a start on, as the file has it
 	complain []string          // what is odd, but can be borne
 }
@@ -85,7 +85,7 @@
 		ready: make(chan struct{}), clock: newClock()}
 	m.tables = newTables(p.names, func(backend int) []byte { return m.backends.names[backend] }, p.limits.frame, p.limits.parts)
 	m.now = m.clock()
-	m.control = balancer.New(m, p.seed, p.classes, p.channel, p.rules, balancer.Partition{}, p.sight, p.admit)
+	m.control = balancer.New(m, p.seed, p.classes, p.channel, p.rules, balancer.Sharding{}, p.sight, p.admit)
 	c.module = m
 	c.list = newList(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
 		m.post(func() { m.listed(whole, version, servers) })
@@ -127,8 +127,8 @@
 	facts := settings.Nested(values, func(format string, args ...any) {
 		p.complain = append(p.complain, fmt.Sprintf(format, args...))
 	})
-	p.channel, p.rules, p.classes = facts.Channel(), facts.Limits(), facts.Classes()
-	p.sight, p.admit, p.zones = facts.Sight(), facts.Admission(), facts.Zones()
+	p.channel, p.rules, p.classes = facts.PushChannel(), facts.RuleLimits(), facts.Classes()
+	p.sight, p.admit, p.zones = facts.Telemetry(), facts.AdmissionMode(), facts.Zones()
 	nodes := facts.Count("familyInfo.proxyCount")
 	if nodes == 0 {
 		facts.Fail("familyInfo.proxyCount", "is 0")
@@ -136,11 +136,11 @@
 	if facts.Maybe("familyInfo.partitionsN", 0) > 0 {
 		facts.Fail("familyInfo.partitionsN", "asks for slices, which no page describes on sockets yet")
 	}
-	if p.sight.MayProbe {
+	if p.sight.HealthChecksAllowed {
 		p.complain = append(p.complain, "probes are left off: no page describes them on sockets yet")
 	}
-	p.sight.MayProbe, p.sight.MustAsk = false, false // the list is followed here without being asked for
-	tick := settings.Micros(facts.Maybe("tick", 0))
+	p.sight.HealthChecksAllowed, p.sight.PollingRequired = false, false // the list is followed here without being asked for
+	tick := settings.Microseconds(facts.Maybe("tick", 0))
 	for i := range p.classes {
 		name := values.Get("profiles", strconv.Itoa(i), "name")
 		if name == nil || name.Type() != fastjson.TypeString {
@@ -228,11 +228,11 @@
 	c.log.say("serving", "name", place.Name, "listen", listener.Addr(), "discovery", place.Discovery,
 		"proxies", c.limits.nodes, "strangers", c.limits.unidentified, "sockets", c.limits.sockets)
 	seconds := func(micros int64, places int) string { return figured(float64(micros)/second, places) }
-	c.log.say("given", "lines_per_s", figured(channel.LinesPerS, 0), "backlog", figured(channel.Backlog, 0),
-		"head", figured(channel.Head, 0), "way_s", seconds(channel.LongestWay, 2), "messages", channel.MessagesMost,
-		"messages_span_s", seconds(channel.MessagesSpan, 0), "grace_s", seconds(rules.Grace, 1),
-		"warm_s", seconds(rules.WarmBy, 0), "report_s", seconds(sight.ReportEvery, 1),
-		"reports_per_s", figured(sight.LinesPerS, 0), "connections", channel.Connections,
+	c.log.say("given", "lines_per_s", figured(channel.LinesPerSecond, 0), "backlog", figured(channel.Backlog, 0),
+		"head", figured(channel.MessageOverhead, 0), "way_s", seconds(channel.MaxLatency, 2), "messages", channel.MaxMessages,
+		"messages_span_s", seconds(channel.MessageWindow, 0), "grace_s", seconds(rules.DrainGrace, 1),
+		"warm_s", seconds(rules.WarmupTime, 0), "report_s", seconds(sight.ReportInterval, 1),
+		"reports_per_s", figured(sight.ReportLinesPerSecond, 0), "connections", channel.MinBackendConnections,
 		"memory_mb", c.limits.memory>>20)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -108,9 +108,9 @@
 			for b := range 12 {
 				mean := int64(200_000 + 60_000*turn)
 				if b == 5 && turn > 4 {
-					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
+					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				} else {
-					m.addOutcomes(fmt.Sprint(c.backend, b), 20, 1, mean, second, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
+					m.addOutcomes(fmt.Sprint(c.backend, b), 20, 1, mean, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				}
 			}
 			for node := range 8 {
@@ -193,7 +193,7 @@
 		m := c.begins(t, 3)
 		p, h := joins(t, m, 1, 0, false), newHearer(c.names()...)
 		for class := range 16 {
-			m.Admit(balancer.AllTables, 1<<class, float64(1+class), balancer.Tries(class%2))
+			m.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(1+class), balancer.RetryPolicy(class%2))
 		}
 		later(m, 3*second, func() {})
 		h.hears(t, p)
@@ -341,7 +341,7 @@
 				p.heard.Store(m.now)
 				for b := range 8 {
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.addOutcomes(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), second/2, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
+					m.addOutcomes(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), second/2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				}
 				for class := range 4 {
 					m.addDemand(0, class, 30, second/2)
@@ -373,24 +373,24 @@
 		to.join(0, p, false)
 		story := rand.New(rand.NewPCG(3, 4))
 		want := make([]float64, 3)
-		to.Bind(0, 0, 0b011)
-		to.Bind(1, 0, 0b100)
+		to.AssignTable(0, 0, 0b011)
+		to.AssignTable(1, 0, 0b100)
 		for turn := range 300 {
 			for class := range 3 {
 				if story.IntN(3) == 0 {
 					want[class] = float64(story.IntN(2))
-					to.Admit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.Tries(want[class]))
+					to.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.RetryPolicy(want[class]))
 				} else if turn == 0 {
-					to.Admit(balancer.AllTables, 1<<class, 5, balancer.TryOnce)
+					to.SetAdmissionLimit(balancer.AllTables, 1<<class, 5, balancer.NoRetry)
 				}
 			}
 			switch story.IntN(4) {
 			case 0:
-				to.Bind(0, 0, 0b011) // a whole table forgets levels
+				to.AssignTable(0, 0, 0b011) // a whole table forgets levels
 			case 1:
-				to.Bind(1, 0, 0b100)
+				to.AssignTable(1, 0, 0b100)
 			case 2:
-				to.SetLine(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
+				to.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
 			}
 			to.flush((*peer).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
 			here.hears(t, p)
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -282,17 +282,17 @@
 	}
 	m.log.say("distributed", "revision", last.Revision, "whole", whole, "backends", len(backends),
 		"drained", len(m.overrides.drains), "weighted", len(m.overrides.weights), "late_s", figured(late, 3), "classes", len(classes))
-	var relisted []balancer.Entry
+	var relisted []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		if backend, known := m.backends.index[id]; known {
 			relisted = m.overrides.merged(relisted, id, m.overrides.listed[backend])
 		}
 	}
 	if len(relisted) > 0 {
-		m.control.Listed(false, relisted)
+		m.control.EndpointsUpdated(false, relisted)
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		m.control.Quota(m.classes[class], m.overrides.limitOf(class))
+		m.control.SetClassQuota(m.classes[class], m.overrides.limitOf(class))
 	}
 }
 
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -36,8 +36,8 @@
 		with.Name = c.plan.Name
 	}
 	m := c.module
-	terms := ownership.Terms{Lease: with.Lease, Span: c.plan.channel.MessagesSpan + c.plan.channel.LongestWay,
-		Messages: c.plan.channel.MessagesMost, Members: len(with.Members), Kept: keptMessages}
+	terms := ownership.Terms{Lease: with.Lease, Span: c.plan.channel.MessageWindow + c.plan.channel.MaxLatency,
+		Messages: c.plan.channel.MaxMessages, Members: len(with.Members), Kept: keptMessages}
 	if terms.Lease == 0 {
 		terms.Lease = usualLease
 	}
@@ -62,11 +62,11 @@
 	}
 	// What the decisions may send is our part of it.
 	channel := c.plan.channel
-	if channel.MessagesMost > 0 {
-		channel.MessagesMost = terms.UnownedQuota() + terms.OwnerQuota()
+	if channel.MaxMessages > 0 {
+		channel.MaxMessages = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
-	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Partition{}, c.plan.sight,
+	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Sharding{}, c.plan.sight,
 		c.plan.admit)
 	m.fleet, f.name = f, with.Name
 	f.coordinator = ownership.New(f, with.Name, terms, m.now)
@@ -155,7 +155,7 @@
 		}
 	}
 	f.shareEvidence(now)
-	f.module.After(f.terms.Renew/2, coordinatorTag)
+	f.module.SetTimer(f.terms.Renew/2, coordinatorTag)
 }
 
 // proxyJoined has a proxy wait until it is granted.
@@ -190,18 +190,18 @@
 	}
 	f.module.log.seldom("granted", "granted", "node", node, "token", token, "known", base != nil, "clean", clean,
 		"spent", spent)
-	f.module.control.Spent(node, spent)
-	f.module.control.Joined(node, a.zone, a.usual, a.keeps)
-	f.module.control.Demands(node, came)
+	f.module.control.MessagesSentByPeers(node, spent)
+	f.module.control.ProxyConnected(node, a.zone, a.usual, a.keeps)
+	f.module.control.SeedDemand(node, came)
 }
 
 // LearnedCapacity hands on what another member saw the fleet do.
 func (f *fleet) LearnedCapacity(capacity ownership.Capacity) {
-	f.module.control.Fits(capacity.Proven, capacity.Able)
+	f.module.control.SeedThroughput(capacity.Proven, capacity.Able)
 }
 
 // Spent has the decisions write less to a proxy.
-func (f *fleet) Spent(node, messages int) { f.module.control.Spent(node, messages) }
+func (f *fleet) Spent(node, messages int) { f.module.control.MessagesSentByPeers(node, messages) }
 
 // Propose puts an entry on the record.
 func (f *fleet) Propose(e ownership.Entry) { f.node.Propose(e) }
@@ -265,11 +265,11 @@
 func (f *fleet) shareEvidence(now int64) {
 	for backend, id := range f.module.backends.ids {
 		if id != "" {
-			tries, failed, wait, away := f.module.control.Withdrawn(backend)
+			tries, failed, wait, away := f.module.control.Ejection(backend)
 			f.evidence.SetWithdrawn(id, away, tries, failed, wait)
 		}
 	}
-	proven, able := f.module.control.Ability()
+	proven, able := f.module.control.Throughput()
 	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
 	f.coordinator.AddEvidence(f.evidence, now)
 }
@@ -277,7 +277,7 @@
 // Learned hands on what another member's proxies met.
 func (f *fleet) Learned(_ string, s ownership.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
-		f.module.control.Learned(backend, s.Tries, s.Failed, s.Mean, s.Wait)
+		f.module.control.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
 }
 
--- a/controller/held_test.go
+++ b/controller/held_test.go
@@ -29,24 +29,24 @@
 			case 0:
 				do(func(to *tables) { heard(to, proxy, flag) })
 			case 1, 2:
-				do(func(to *tables) { to.Bind(number, proxy, classes) })
+				do(func(to *tables) { to.AssignTable(number, proxy, classes) })
 			case 3, 4, 5:
-				do(func(to *tables) { to.SetLine(number, backend, weight) })
+				do(func(to *tables) { to.PublishEntry(number, backend, weight) })
 			case 6, 7:
 				do(func(to *tables) { to.Withdraw(backend, flag) })
 			case 8:
-				do(func(to *tables) { to.Remind(proxy, 5, balancer.TryOnce) })
+				do(func(to *tables) { to.SyncWithdrawals(proxy, 5, balancer.NoRetry) })
 			case 9:
-				do(func(to *tables) { to.Clear(proxy) })
+				do(func(to *tables) { to.ClearWithdrawals(proxy) })
 			case 10:
 				do(func(to *tables) {
 					for at := range numbers {
-						to.SetLine(at, backend, 0) // as decisions forget only what has no line
+						to.PublishEntry(at, backend, 0) // as decisions forget only what has no line
 					}
 				})
 				do(func(to *tables) { to.forget(backend, func() bool { return true }) })
 			case 11:
-				do(func(to *tables) { to.Mark(step, flag) })
+				do(func(to *tables) { to.RequestAck(step, flag) })
 			}
 			if flag {
 				continue // several orders leave in one message
@@ -81,11 +81,11 @@
 			b.Run(fmt.Sprintf("%d/%d", proxies, backends), func(b *testing.B) {
 				to := someTables(2)
 				for backend := range backends {
-					to.SetLine(0, backend, 1)
+					to.PublishEntry(0, backend, 1)
 				}
 				for proxy := range proxies {
 					to.join(proxy, nil, false)
-					to.Bind(0, proxy, 0)
+					to.AssignTable(0, proxy, 0)
 				}
 				flush := func() {
 					to.flush(func(_ *peer, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
@@ -93,7 +93,7 @@
 				flush()
 				b.ResetTimer()
 				for i := range b.N {
-					to.SetLine(0, 7, 1+float64(i%2))
+					to.PublishEntry(0, 7, 1+float64(i%2))
 					flush()
 				}
 			})
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -86,7 +86,7 @@
 }
 
 // size fits the limits to the proxies and zones that exist, after give, and to the pace of orders and reports.
-func (l *limits) size(nodes, zones int, tick int64, channel balancer.Channel, sight balancer.Sight,
+func (l *limits) size(nodes, zones int, tick int64, channel balancer.PushChannel, sight balancer.Telemetry,
 	classes []balancer.Class) {
 	const spare = 24 // descriptors of the runtime, the standard streams, the listener and discovery
 	const least = 8  // room for unidentified connections in any case: each is one at first
@@ -98,16 +98,16 @@
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
 	// A live proxy reports each period. It may stand still for two seconds, and the channel may be full.
 	const stall = 2 * second
-	l.silence = 2*channel.LongestWay + 3*sight.ReportEvery + stall
-	l.lag = channel.LongestWay + stall
+	l.silence = 2*channel.MaxLatency + 3*sight.ReportInterval + stall
+	l.lag = channel.MaxLatency + stall
 	// A proxy gives a request up at its deadline. Where lines wait for their turn one counts many periods.
 	l.fleetRate = l.proxyRate * float64(max(nodes, 1))
 	for _, class := range classes {
 		l.answer = max(l.answer, 2*class.Deadline)
 	}
-	l.span = max(60*second, 30*sight.ReportEvery)
-	if channel.LinesPerS > 0 {
-		l.lag += int64(channel.Backlog / channel.LinesPerS * second)
+	l.span = max(60*second, 30*sight.ReportInterval)
+	if channel.LinesPerSecond > 0 {
+		l.lag += int64(channel.Backlog / channel.LinesPerSecond * second)
 	}
 }
 
--- a/controller/messages.go
+++ b/controller/messages.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return 0, false
 	}
-	return x, x >= 0 && settings.Sane(x) == x
+	return x, x >= 0 && settings.Sanitize(x) == x
 }
 
 // eitherAt reads a figure that goes by one of two names; one that is not there is negative. One that is there and not
@@ -82,7 +82,7 @@
 // spanAt reads the time that a report covers, in seconds; no time at all, or too long a one, is not usable.
 func (p *peer) spanAt(m *fastjson.Value) (int64, float64, bool) {
 	x, ok := figureAt(m, "interval")
-	span := settings.Micros(x)
+	span := settings.Microseconds(x)
 	return span, float64(span) / second, ok && span > 0 && span <= p.limits.span
 }
 
@@ -177,14 +177,14 @@
 	tries, ok := countAt(m, "total", p.limits.fleetRate, seconds)
 	failed, counted := countAt(m, "errors", p.limits.fleetRate, seconds)
 	rtt, answered := figureAt(m, "rtt")
-	mean := settings.Micros(rtt)
+	mean := settings.Microseconds(rtt)
 	said, spoilt := m.Get("metrics"), false
 	if said != nil && said.Type() != fastjson.TypeObject {
 		spoilt = true
 	}
-	load := balancer.Load{Busy: eitherAt(said, "util", "cpu", p.limits.busy, &spoilt),
-		Waiting: eitherAt(said, "queue", "waiting", p.limits.queue, &spoilt),
-		Service: 1000 * eitherAt(said, "latency_ms", "avg_ms", float64(p.limits.answer)/1000, &spoilt)}
+	load := balancer.BackendLoad{CPUUtilization: eitherAt(said, "util", "cpu", p.limits.busy, &spoilt),
+		QueueLength: eitherAt(said, "queue", "waiting", p.limits.queue, &spoilt),
+		ServiceTime: 1000 * eitherAt(said, "latency_ms", "avg_ms", float64(p.limits.answer)/1000, &spoilt)}
 	if _, there := p.zoneAt(m); !ok || !counted || !there || !timed || id == "" || spoilt || failed > tries ||
 		failed < tries && (!answered || mean > p.limits.answer) {
 		p.skip("outcomes without usable figures")
--- a/controller/module.go
+++ b/controller/module.go
@@ -146,7 +146,7 @@
 			m.fleet.tick(m.now)
 			continue
 		}
-		m.control.Elapsed(due.tag)
+		m.control.TimerFired(due.tag)
 	}
 	m.findSilent()
 	defer m.forget()
@@ -158,7 +158,7 @@
 	var one *mark
 	m.flush(sends, m.dropProxy, func(proxy, number int) {
 		if one == nil {
-			one = &mark{number: number, edition: edition, due: m.now + m.control.Delay()}
+			one = &mark{number: number, edition: edition, due: m.now + m.control.QueueDelay()}
 		}
 		j := m.joins[proxy]
 		if m.fleet != nil && j.bound == nil && !j.whole && !slices.Contains(m.at(proxy).bound, unbound) {
@@ -173,7 +173,7 @@
 // forget ends what is kept of backends that are gone for long. Nothing on its way names them by their index.
 func (m *module) forget() {
 	many := m.backends.sweep(m.now, m.limits.gone, func(backend int) bool {
-		gone := m.tables.forget(backend, func() bool { return m.control.Forget(backend) })
+		gone := m.tables.forget(backend, func() bool { return m.control.ForgetBackend(backend) })
 		if gone && m.fleet != nil {
 			m.fleet.evidence.ForgetBackend(m.backends.ids[backend])
 		}
@@ -187,8 +187,8 @@
 // Now is the clock time of this turn.
 func (m *module) Now() int64 { return m.now }
 
-// After has Elapsed called after a while.
-func (m *module) After(wait int64, tag uint64) {
+// SetTimer has Elapsed called after a while.
+func (m *module) SetTimer(wait int64, tag uint64) {
 	t := timer{m.now + max(wait, 1), tag}
 	at, _ := slices.BinarySearchFunc(m.timers, t, func(a, b timer) int {
 		if a.at > b.at {
@@ -208,12 +208,12 @@
 	m.log.say("decision", "backend", m.backends.ids[backend], "text", line)
 }
 
-// Watch has the list ask now, if it waits after a failed call. It is followed all the time, as asking costs
+// PollEndpoints has the list ask now, if it waits after a failed call. It is followed all the time, as asking costs
 // discovery nothing here.
-func (m *module) Watch() { m.list.wake() }
+func (m *module) PollEndpoints() { m.list.wake() }
 
-// Probe is not called: on sockets no page says how backends are probed, so the decisions are told they may not.
-func (m *module) Probe(int) {}
+// CheckHealth is not called: on sockets no page says how backends are probed, so the decisions are told they may not.
+func (m *module) CheckHealth(int) {}
 
 func (m *module) zoneName(zone int) string {
 	if zone < 0 || zone >= len(m.zoneNames) {
@@ -224,11 +224,11 @@
 
 // listed takes in the list, whole or what changed.
 func (m *module) listed(whole bool, version int64, servers []*fastjson.Value) {
-	entries := make([]balancer.Entry, 0, len(servers))
+	entries := make([]balancer.Endpoint, 0, len(servers))
 	there := map[int]bool{}
 	for _, server := range servers {
 		if e, ok := m.entry(server); ok {
-			entries, there[e.Backend] = m.merged(entries, e), e.Condition != balancer.Gone
+			entries, there[e.Backend] = m.merged(entries, e), e.State != balancer.Removed
 		}
 	}
 	if whole && m.overrides != nil {
@@ -243,14 +243,14 @@
 		}
 	}
 	m.log.say("list", "version", version, "whole", whole, "entries", len(entries))
-	m.control.Listed(whole, entries)
+	m.control.EndpointsUpdated(whole, entries)
 	if len(entries) > 0 {
 		m.becomeReady("the list is known")
 	}
 }
 
 // merged adds the entry of a backend to a list, with what distributed configuration says of it.
-func (m *module) merged(to []balancer.Entry, e balancer.Entry) []balancer.Entry {
+func (m *module) merged(to []balancer.Endpoint, e balancer.Endpoint) []balancer.Endpoint {
 	if m.overrides == nil {
 		return append(to, e)
 	}
@@ -269,7 +269,7 @@
 	}
 }
 
-func (m *module) entry(server *fastjson.Value) (e balancer.Entry, ok bool) {
+func (m *module) entry(server *fastjson.Value) (e balancer.Endpoint, ok bool) {
 	id := server.GetStringBytes("id")
 	zone, there := m.zones[string(server.GetStringBytes("zone"))]
 	if len(id) == 0 || len(id) > m.limits.id || !there {
@@ -282,7 +282,7 @@
 		condition = balancer.Ready
 	case "draining":
 	case "removed":
-		condition = balancer.Gone
+		condition = balancer.Removed
 	default:
 		m.log.seldom("state", "entry_state", "id", string(id), "state", state, "taken", "draining")
 	}
@@ -293,7 +293,7 @@
 	}
 	weight, _ := figureAt(server, "weight")
 	began, _ := figureAt(server, "started_ms")
-	return balancer.Entry{Backend: backend, Condition: condition, Started: settings.Micros(began), Weight: weight,
+	return balancer.Endpoint{Backend: backend, State: condition, StartedAt: settings.Microseconds(began), Weight: weight,
 		Zone: zone}, true
 }
 
@@ -318,7 +318,7 @@
 		m.fleet.proxyJoined(p.node, pendingJoin{p.zone, usual, keeps})
 		return
 	}
-	m.control.Joined(p.node, p.zone, usual, keeps)
+	m.control.ProxyConnected(p.node, p.zone, usual, keeps)
 }
 
 func (m *module) current(p *peer) bool {
@@ -347,7 +347,7 @@
 	m.joins[node] = nil
 	m.leave(node)
 	if m.fleet == nil || m.fleet.proxyLeft(node) {
-		m.control.Left(node)
+		m.control.ProxyDisconnected(node)
 	}
 }
 
@@ -391,17 +391,17 @@
 		}
 	}
 	j.waiting = slices.Delete(j.waiting, 0, at+1)
-	m.control.Applied(p.node, number)
+	m.control.Acknowledged(p.node, number)
 }
 
 // addOutcomes takes in what the proxies of a zone met at a backend.
-func (m *module) addOutcomes(id string, tries, failed int, mean, span int64, load balancer.Load) {
+func (m *module) addOutcomes(id string, tries, failed int, mean, span int64, load balancer.BackendLoad) {
 	backend, ok := m.backends.index[id]
 	if !ok {
 		m.log.seldom("unlisted", "report_unlisted", "id", id[:min(len(id), m.limits.id)])
 		return
 	}
-	m.control.Heard(backend, tries, failed, mean, span, load)
+	m.control.OutcomesReported(backend, tries, failed, mean, span, load)
 	if m.fleet != nil {
 		m.fleet.evidence.AddTries(id, tries, failed, mean, span)
 	}
@@ -410,7 +410,7 @@
 // addDemand takes in what came to a proxy.
 func (m *module) addDemand(node, class, count int, span int64) {
 	if node < len(m.joins) && m.joins[node] != nil && !m.at(node).unowned {
-		m.control.Came(node, class, count, span)
+		m.control.DemandReported(node, class, count, span)
 		if m.fleet != nil {
 			m.fleet.evidence.AddDemand(node, class, count, span)
 		}
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -26,7 +26,7 @@
 	limits  map[string]map[distribution.Key]float64 // by class, requests a second
 	drains  map[string]map[distribution.Key]int64   // by backend, when the entries that drain it were accepted, Unix µs
 	weights map[string]map[distribution.Key]written // by backend
-	listed  []balancer.Entry                        // by index, as discovery has it; an index that is given anew is listed anew
+	listed  []balancer.Endpoint                     // by index, as discovery has it; an index that is given anew is listed anew
 }
 
 // written is a weight and the revision that set it.
@@ -145,9 +145,9 @@
 }
 
 // note keeps what discovery says of a backend.
-func (o *overrides) note(e balancer.Entry) {
+func (o *overrides) note(e balancer.Endpoint) {
 	for len(o.listed) <= e.Backend {
-		o.listed = append(o.listed, balancer.Entry{})
+		o.listed = append(o.listed, balancer.Endpoint{})
 	}
 	o.listed[e.Backend] = e
 }
@@ -156,14 +156,14 @@
 func (o *overrides) dropped(listed map[int]bool) {
 	for backend := range o.listed {
 		if _, named := listed[backend]; !named {
-			o.listed[backend].Condition = balancer.Gone
+			o.listed[backend].State = balancer.Removed
 		}
 	}
 }
 
 // merged adds the entry of a backend as the decisions are to have it. One that is drained and that discovery has dropped
 // is drained first: dropped alone, it might go on being used.
-func (o *overrides) merged(to []balancer.Entry, id string, e balancer.Entry) []balancer.Entry {
+func (o *overrides) merged(to []balancer.Endpoint, id string, e balancer.Endpoint) []balancer.Endpoint {
 	if weight, ok := o.weightOf(id); ok {
 		e.Weight = weight
 	}
@@ -171,8 +171,8 @@
 		return append(to, e)
 	}
 	gone := e
-	e.Condition, e.Since = balancer.Draining, o.drainedSince(id)
-	if to = append(to, e); gone.Condition == balancer.Gone {
+	e.State, e.DrainingSince = balancer.Draining, o.drainedSince(id)
+	if to = append(to, e); gone.State == balancer.Removed {
 		to = append(to, gone)
 	}
 	return to
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -16,11 +16,11 @@
 
 func TestOverrides(t *testing.T) {
 	o := newOverrides()
-	ready := balancer.Entry{Backend: 3, Condition: balancer.Ready, Weight: 2}
-	merged := func(e balancer.Entry) string {
+	ready := balancer.Endpoint{Backend: 3, State: balancer.Ready, Weight: 2}
+	merged := func(e balancer.Endpoint) string {
 		var all []string
 		for _, e := range o.merged(nil, "s-3", e) {
-			all = append(all, fmt.Sprint(e.Condition, e.Weight))
+			all = append(all, fmt.Sprint(e.State, e.Weight))
 		}
 		return strings.Join(all, ", ")
 	}
@@ -30,7 +30,7 @@
 			t.Errorf("%+v: usable %v", e, ok)
 		}
 	}
-	wants := func(e balancer.Entry, want string) {
+	wants := func(e balancer.Endpoint, want string) {
 		t.Helper()
 		if got := merged(e); got != want {
 			t.Errorf("got %s, not %s", got, want)
@@ -56,19 +56,19 @@
 		since int64
 	}{{second, 9}, {first, 5}, {unknown, 5}} {
 		puts(step.drain, true)
-		if got := o.merged(nil, "s-3", ready)[0].Since; got != step.since {
+		if got := o.merged(nil, "s-3", ready)[0].DrainingSince; got != step.since {
 			t.Errorf("drained since %d, not %d", got, step.since)
 		}
 	}
 	first.Deleted, unknown.Deleted = true, true
 	puts(first, true)
 	puts(unknown, true)
-	if got := o.merged(nil, "s-3", ready)[0].Since; got != 9 {
+	if got := o.merged(nil, "s-3", ready)[0].DrainingSince; got != 9 {
 		t.Errorf("drained since %d once the first is over", got)
 	}
 	gone := ready
-	gone.Condition = balancer.Gone
-	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Gone))
+	gone.State = balancer.Removed
+	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Removed))
 	for _, nonsense := range []string{"false", "", "1"} { // as if it were not there
 		puts(said("drain/s-3", nonsense, 4), false)
 		wants(ready, fmt.Sprint(balancer.Ready, 1.5))
@@ -195,7 +195,7 @@
 		index := m.classes["read it"]
 		comes := func() {
 			for range 8 {
-				m.control.Came(0, index, 80, second)
+				m.control.DemandReported(0, index, 80, second)
 				later(m, second, func() {})
 				h.hears(t, p)
 				m.turn(func() { m.applied(p, h.tickets[len(h.tickets)-1]) })
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -39,7 +39,7 @@
 type level struct {
 	set       bool
 	allowance float64
-	tries     balancer.Tries
+	tries     balancer.RetryPolicy
 }
 
 // backendState is whether a proxy may use a backend, whatever its tables say.
@@ -110,8 +110,8 @@
 	}
 }
 
-// SetLine sets or takes out a line of a table.
-func (t *tables) SetLine(number, backend int, weight float64) {
+// PublishEntry sets or takes out a line of a table.
+func (t *tables) PublishEntry(number, backend int, weight float64) {
 	in := t.table(number)
 	for len(in.weights) <= backend {
 		in.weights, in.isChanged = append(in.weights, 0), append(in.isChanged, false)
@@ -123,8 +123,8 @@
 	t.touch(func(s *stream) bool { return slices.Contains(s.bound, number) })
 }
 
-// Bind gives a proxy a whole table, and later what changes in it.
-func (t *tables) Bind(number, proxy int, classes uint16) {
+// AssignTable gives a proxy a whole table, and later what changes in it.
+func (t *tables) AssignTable(number, proxy int, classes uint16) {
 	s := t.at(proxy)
 	if s == nil {
 		return // it left meanwhile
@@ -156,8 +156,8 @@
 	})
 }
 
-// Remind tells one proxy what is withdrawn, as it may use any of it while some table of it is not ours, and its levels.
-func (t *tables) Remind(proxy int, allowance float64, tries balancer.Tries) bool {
+// SyncWithdrawals tells one proxy what is withdrawn, as it may use any of it while some table of it is not ours, and its levels.
+func (t *tables) SyncWithdrawals(proxy int, allowance float64, tries balancer.RetryPolicy) bool {
 	s := t.at(proxy)
 	if s == nil || !slices.Contains(s.bound, unbound) {
 		return false
@@ -195,15 +195,15 @@
 	return true
 }
 
-// Clear lets a proxy use what others had withdrawn from it.
-func (t *tables) Clear(proxy int) {
+// ClearWithdrawals lets a proxy use what others had withdrawn from it.
+func (t *tables) ClearWithdrawals(proxy int) {
 	if s := t.at(proxy); s != nil {
 		s.cleared, s.touched, s.settled = true, true, false
 	}
 }
 
-// Admit sets a level of a table, or of all. The lower one stands, and the table's own manner of trying again.
-func (t *tables) Admit(number int, classes uint16, allowance float64, tries balancer.Tries) {
+// SetAdmissionLimit sets a level of a table, or of all. The lower one stands, and the table's own manner of trying again.
+func (t *tables) SetAdmissionLimit(number int, classes uint16, allowance float64, tries balancer.RetryPolicy) {
 	levels, concerned := t.all, func(*stream) bool { return true }
 	if number != balancer.AllTables {
 		levels = t.table(number).levels
@@ -217,8 +217,8 @@
 	t.touch(concerned)
 }
 
-// Mark has the proxies reached at this time, or all joined ones, say when they have applied it.
-func (t *tables) Mark(number int, everyone bool) {
+// RequestAck has the proxies reached at this time, or all joined ones, say when they have applied it.
+func (t *tables) RequestAck(number int, everyone bool) {
 	t.mark, t.marked, t.markAll = number, true, t.markAll || everyone
 }
 
@@ -366,7 +366,7 @@
 
 // unlimited is the level of a class for which none was ordered, where it has to be said: no proxy reaches it, and tries are
 // as proxies make them without any order.
-var unlimited = level{true, math.MaxFloat32, balancer.TryAfterProof}
+var unlimited = level{true, math.MaxFloat32, balancer.RetryIfNotExecuted}
 
 // writeLevels writes what differs from the levels that the proxy was last told; a whole table forgets them.
 func (t *tables) writeLevels(s *stream, o *order) {
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -45,11 +45,11 @@
 		to := someTables(2)
 		one, p := heard(to, 0, false)
 		other, q := heard(to, 5, false)
-		to.SetLine(0, 0, 2)
-		to.SetLine(0, 1, 0.5)
-		to.Admit(0, 1, 7, balancer.TryOnce)
-		to.Bind(0, 0, 0)
-		to.Mark(3, false)
+		to.PublishEntry(0, 0, 2)
+		to.PublishEntry(0, 1, 0.5)
+		to.SetAdmissionLimit(0, 1, 7, balancer.NoRetry)
+		to.AssignTable(0, 0, 0)
+		to.RequestAck(3, false)
 		to.writes(t)
 		one.hears(t, p)
 		want := map[string]float64{"s-0": 2, "s-1": 0.5}
@@ -57,16 +57,16 @@
 			one.levels[1] != nil || !slices.Equal(one.tickets, []int{3}) || one.told != 1 || one.cost != 5 {
 			t.Errorf("got %+v", one)
 		}
-		to.SetLine(0, 1, 0)
-		to.Bind(0, 9, 0) // never joined
-		to.Mark(4, false)
+		to.PublishEntry(0, 1, 0)
+		to.AssignTable(0, 9, 0) // never joined
+		to.RequestAck(4, false)
 		to.writes(t)
 		one.hears(t, p)
 		other.hears(t, q)
 		if len(one.lines[0]) != 1 || one.cost != 2 || other.told != 0 || one.levels[0] == nil {
 			t.Errorf("got %+v and %+v", one, other)
 		}
-		to.Mark(5, true)
+		to.RequestAck(5, true)
 		to.writes(t)
 		one.hears(t, p)
 		other.hears(t, q)
@@ -77,16 +77,16 @@
 	t.Run("of a level for all and one of a table the lower stands, with the table's manner", func(t *testing.T) {
 		to := someTables(2)
 		one, p := heard(to, 0, false)
-		to.SetLine(4, 0, 1)
-		to.Admit(4, 2, 20, balancer.TryTwiceAfterFailure)
-		to.Admit(balancer.AllTables, 0, 9, balancer.TryOnce)
-		to.Bind(4, 0, 0)
+		to.PublishEntry(4, 0, 1)
+		to.SetAdmissionLimit(4, 2, 20, balancer.RetryTwiceOnFailure)
+		to.SetAdmissionLimit(balancer.AllTables, 0, 9, balancer.NoRetry)
+		to.AssignTable(4, 0, 0)
 		to.writes(t)
 		one.hears(t, p)
 		if !slices.Equal(one.levels[0], []float64{9, 0}) || !slices.Equal(one.levels[1], []float64{9, 3}) {
 			t.Errorf("levels %v", one.levels)
 		}
-		to.Admit(balancer.AllTables, 2, 0.25, balancer.TryAfterProof)
+		to.SetAdmissionLimit(balancer.AllTables, 2, 0.25, balancer.RetryIfNotExecuted)
 		late, q := heard(to, 1, true) // joins now: it hears of both with its first message
 		to.writes(t)
 		one.hears(t, p)
@@ -94,7 +94,7 @@
 		if !slices.Equal(one.levels[1], []float64{0.25, 3}) || one.cost != 1 || late.told != 0 {
 			t.Errorf("levels %v at %d lines, told %d", one.levels, one.cost, late.told)
 		}
-		to.Bind(4, 1, 2)
+		to.AssignTable(4, 1, 2)
 		to.writes(t)
 		late.hears(t, q)
 		if !slices.Equal(late.levels[0], []float64{9, 0}) || !slices.Equal(late.levels[1], []float64{0.25, 3}) {
@@ -104,18 +104,18 @@
 	t.Run("tables by class go as parts of one message", func(t *testing.T) {
 		to := someTables(3)
 		one, p := heard(to, 0, false)
-		to.SetLine(0, 0, 1)
-		to.SetLine(2, 1, 3)
-		to.Bind(0, 0, 5)
-		to.Bind(2, 0, 2)
-		to.Mark(1, false)
+		to.PublishEntry(0, 0, 1)
+		to.PublishEntry(2, 1, 3)
+		to.AssignTable(0, 0, 5)
+		to.AssignTable(2, 0, 2)
+		to.RequestAck(1, false)
 		to.writes(t)
 		one.hears(t, p)
 		if one.told != 1 || one.parts != 2 || one.cost != 5 || len(one.lines[2]) != 1 || one.lines[1]["s-1"] != 3 {
 			t.Errorf("got %+v", one)
 		}
-		to.Admit(0, 1, 5, balancer.TryOnce)
-		to.Admit(2, 0, 6, balancer.TryOnce)
+		to.SetAdmissionLimit(0, 1, 5, balancer.NoRetry)
+		to.SetAdmissionLimit(2, 0, 6, balancer.NoRetry)
 		to.writes(t)
 		if one.hears(t, p); one.told != 2 || one.levels[0][0] != 5 || one.levels[1][0] != 6 || one.levels[2] != nil {
 			t.Errorf("got %+v", one)
@@ -127,26 +127,26 @@
 		for _, b := range []string{"s-0", "s-1", "s-2", "s-3"} {
 			one.shut[b] = true
 		}
-		to.SetLine(0, 0, 1)
-		to.SetLine(0, 1, 1)
+		to.PublishEntry(0, 0, 1)
+		to.PublishEntry(0, 1, 1)
 		to.Withdraw(1, true)
-		to.Bind(0, 0, 0)
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if one.hears(t, p); len(one.picks(0)) > 0 || one.cost != 4 {
 			t.Errorf("before it is cleared: picks %v at %d lines", one.picks(0), one.cost)
 		}
-		to.Clear(0)
+		to.ClearWithdrawals(0)
 		to.writes(t)
 		if one.hears(t, p); !slices.Equal(one.picks(0), []string{"s-0"}) || one.cost != 1 {
 			t.Errorf("picks %v of %v at %d lines", one.picks(0), one.lines, one.cost)
 		}
-		to.SetLine(0, 2, 1)
+		to.PublishEntry(0, 2, 1)
 		to.writes(t)
 		if one.hears(t, p); !slices.Equal(one.picks(0), []string{"s-0", "s-2"}) || one.cost != 2 {
 			t.Errorf("picks %v at %d lines", one.picks(0), one.cost)
 		}
 		to.Withdraw(1, false)
-		to.SetLine(0, 2, 2)
+		to.PublishEntry(0, 2, 2)
 		to.writes(t)
 		if one.hears(t, p); !slices.Equal(one.picks(0), []string{"s-0", "s-1", "s-2"}) || one.cost != 2 {
 			t.Errorf("picks %v at %d lines", one.picks(0), one.cost)
@@ -155,7 +155,7 @@
 	t.Run("a withdrawal reaches joined proxies whose tables we do not know, later ones when reminded", func(t *testing.T) {
 		to := someTables(1)
 		one, p := heard(to, 0, false)
-		to.SetLine(0, 0, 1)
+		to.PublishEntry(0, 0, 1)
 		to.Withdraw(7, true)
 		late, q := heard(to, 1, false)
 		to.writes(t)
@@ -164,13 +164,13 @@
 		}
 		late.hears(t, q)
 		again, r := heard(to, 2, false)
-		to.Admit(balancer.AllTables, 0, 3, balancer.TryOnce)
+		to.SetAdmissionLimit(balancer.AllTables, 0, 3, balancer.NoRetry)
 		to.writes(t)
 		if again.hears(t, r); again.shut["s-7"] || again.levels[0][0] != 3 {
 			t.Errorf("got %+v", again)
 		}
 		for range 2 { // a second time says nothing new
-			if !to.Remind(2, 77, balancer.TryAfterProof) {
+			if !to.SyncWithdrawals(2, 77, balancer.RetryIfNotExecuted) {
 				t.Error("it is not to be reminded")
 			}
 		}
@@ -190,18 +190,18 @@
 		to.frame = 200
 		one, p := heard(to, 0, true)
 		for b := range 100 {
-			to.SetLine(0, b, 1.5)
+			to.PublishEntry(0, b, 1.5)
 		}
-		to.Bind(0, 0, 0)
-		to.Clear(0)
-		to.Mark(8, false)
+		to.AssignTable(0, 0, 0)
+		to.ClearWithdrawals(0)
+		to.RequestAck(8, false)
 		to.writes(t)
 		if one.hears(t, p); one.told != 1 || one.parts < 10 || len(one.picks(0)) != 100 || one.cost != 202 ||
 			!slices.Equal(one.tickets, []int{8}) {
 			t.Errorf("told %d in %d parts, %d lines, %d picks", one.told, one.parts, one.cost, len(one.picks(0)))
 		}
 		to.frame = 60
-		to.Bind(0, 0, 0)
+		to.AssignTable(0, 0, 0)
 		lost := 0
 		to.flush((*peer).send, func(int, error) { lost++ }, func(int, int) {})
 		if lost != 1 || len(p.mailbox) != 0 {
@@ -212,10 +212,10 @@
 		to := someTables(1)
 		one, p := heard(to, 0, false)
 		for b, weight := range []float64{math.NaN(), -1, math.Inf(1), 1e-300, 1e21} {
-			to.SetLine(0, b, weight)
+			to.PublishEntry(0, b, weight)
 		}
-		to.Admit(0, 0, math.Inf(1), balancer.TryOnce)
-		to.Bind(0, 0, 0)
+		to.SetAdmissionLimit(0, 0, math.Inf(1), balancer.NoRetry)
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if one.hears(t, p); len(one.lines[0]) != 3 || one.levels[0][0] > math.MaxFloat32 {
 			t.Errorf("got %+v", one)
@@ -226,7 +226,7 @@
 		_, full := heard(to, 0, false)
 		one, p := heard(to, 1, false)
 		full.mailbox = make(chan []byte)
-		to.Mark(1, true)
+		to.RequestAck(1, true)
 		lost := []string{}
 		to.flush((*peer).send, func(proxy int, err error) { lost = append(lost, fmt.Sprint(proxy, " ", err)) }, func(int, int) {})
 		if one.hears(t, p); strings.Join(lost, ",") != fmt.Sprint("0 ", errFull) || one.told != 1 {
@@ -277,13 +277,13 @@
 					if wanted[p] != nil {
 						for class := range classes { // all, to one table or several
 							number := (table + class*dice.IntN(2)) % numbers
-							to.Bind(number, p, 1<<class)
+							to.AssignTable(number, p, 1<<class)
 							wanted[p].bound[class] = number
 						}
-						to.Clear(p)
+						to.ClearWithdrawals(p)
 					}
 				case 2, 3:
-					to.SetLine(table, b, weight)
+					to.PublishEntry(table, b, weight)
 					lines[table][b] = weight
 				case 4:
 					to.Withdraw(b, weight == 0)
@@ -294,17 +294,17 @@
 						}
 					}
 				case 5:
-					to.Admit(table, mask, weight, balancer.Tries(table))
+					to.SetAdmissionLimit(table, mask, weight, balancer.RetryPolicy(table))
 					for class := range classes {
 						if in(class) {
-							levels[table][class] = level{true, weight, balancer.Tries(table)}
+							levels[table][class] = level{true, weight, balancer.RetryPolicy(table)}
 						}
 					}
 				case 6:
-					to.Admit(balancer.AllTables, mask, weight+0.5, balancer.TryOnce)
+					to.SetAdmissionLimit(balancer.AllTables, mask, weight+0.5, balancer.NoRetry)
 					for class := range classes {
 						if in(class) {
-							all[class] = level{true, weight + 0.5, balancer.TryOnce}
+							all[class] = level{true, weight + 0.5, balancer.NoRetry}
 						}
 					}
 				case 7:
@@ -313,14 +313,14 @@
 						wanted[p] = nil
 					}
 				case 8:
-					if wanted[p] != nil && to.Remind(p, 77, balancer.TryAfterProof) {
+					if wanted[p] != nil && to.SyncWithdrawals(p, 77, balancer.RetryIfNotExecuted) {
 						for b, is := range out {
 							wanted[p].shut[b] = wanted[p].shut[b] || is
 						}
 					}
 				}
 			}
-			to.Mark(1, false)
+			to.RequestAck(1, false)
 			to.writes(t)
 			for p, w := range wanted {
 				if w == nil {
@@ -400,7 +400,7 @@
 							m.listed(false, int64(step), parsed(t, "["+backendIs(chance.IntN(22), state)+"]").GetArray())
 						default: // a jam for a while, then none
 							for id := range 20 {
-								m.addOutcomes(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
+								m.addOutcomes(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 							}
 							for other := range 40 {
 								m.addDemand(other, other%2, 30, second)
@@ -418,7 +418,7 @@
 						left += 4 + h.cost
 					}
 				}
-				if counted := m.control.Delay(); int64(left) > counted {
+				if counted := m.control.QueueDelay(); int64(left) > counted {
 					t.Fatalf("step %d: %d lines left, %d were counted", step, left, counted)
 				}
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -78,14 +78,14 @@
 // Err names the first key that was missing or unusable among those read so far.
 func (f *Settings) Err() error { return f.err }
 
-// Micros turns milliseconds into whole microseconds; what is not a usable figure is 0.
-func Micros(ms float64) int64 {
+// Microseconds turns milliseconds into whole microseconds; what is not a usable figure is 0.
+func Microseconds(ms float64) int64 {
 	const longest = float64(1 << 53)
-	return int64(min(math.Round(Sane(ms)*1000), longest))
+	return int64(min(math.Round(Sanitize(ms)*1000), longest))
 }
 
-// Sane turns what is not a usable figure into 0, the word for absent.
-func Sane(x float64) float64 {
+// Sanitize turns what is not a usable figure into 0, the word for absent.
+func Sanitize(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 		return 0
 	}
@@ -143,7 +143,7 @@
 	return strings.NewReplacer("_", "", "-", "").Replace(strings.ToLower(key))
 }
 
-func (f *Settings) Span(key string) int64 { return Micros(f.number(key)) }
+func (f *Settings) Span(key string) int64 { return Microseconds(f.number(key)) }
 
 // some reads a figure that cannot be 0.
 func (f *Settings) some(key string) float64 {
@@ -214,68 +214,68 @@
 	for i := 0; f.err == nil && i < count; i++ {
 		key := fmt.Sprintf("profiles.%d.", i)
 		class := balancer.Class{
-			Target:   Micros(f.some(key + "target")),
-			Deadline: Micros(f.some(key + "deadline")),
-			Value:    f.Maybe(key+"worth", 1),
-			Writes:   at(writes, i, true),
-			OwnZone:  at(own, i, false),
+			LatencyObjective: Microseconds(f.some(key + "target")),
+			Deadline:         Microseconds(f.some(key + "deadline")),
+			PriorityWeight:   f.Maybe(key+"worth", 1),
+			Writes:           at(writes, i, true),
+			ZoneLocal:        at(own, i, false),
 		}
 		classes = append(classes, class)
 	}
 	return classes
 }
 
-func (f *Settings) Channel() balancer.Channel {
-	return balancer.Channel{
-		LinesPerS:    f.some("familyInfo.egressPerS"),
-		Head:         f.number("familyInfo.overhead"),
-		Backlog:      f.some("familyInfo.backlog"),
-		LongestWay:   f.Span("familyInfo.pushDelayMax"),
-		MessagesMost: int(min(f.Maybe("familyInfo.messagesMost", 0), math.MaxInt32)),
-		MessagesSpan: Micros(f.Maybe("familyInfo.messagesOver", 0)),
-		Proxies:      int(min(f.Maybe("familyInfo.proxyCount", 0), math.MaxUint16)),
-		Connections:  int(min(f.Maybe("familyInfo.socketsMin", 0), math.MaxUint16)),
+func (f *Settings) PushChannel() balancer.PushChannel {
+	return balancer.PushChannel{
+		LinesPerSecond:        f.some("familyInfo.egressPerS"),
+		MessageOverhead:       f.number("familyInfo.overhead"),
+		Backlog:               f.some("familyInfo.backlog"),
+		MaxLatency:            f.Span("familyInfo.pushDelayMax"),
+		MaxMessages:           int(min(f.Maybe("familyInfo.messagesMost", 0), math.MaxInt32)),
+		MessageWindow:         Microseconds(f.Maybe("familyInfo.messagesOver", 0)),
+		Proxies:               int(min(f.Maybe("familyInfo.proxyCount", 0), math.MaxUint16)),
+		MinBackendConnections: int(min(f.Maybe("familyInfo.socketsMin", 0), math.MaxUint16)),
 	}
 }
 
-func (f *Settings) Limits() balancer.Limits {
-	return balancer.Limits{
-		Grace:             Micros(f.some("rules.stopSendingWithin")),
-		ColdShare:         f.number("rules.coldShare"),
-		WarmBy:            f.Span("rules.rampTime"),
-		OnlyDrainingBinds: f.truth("rules.droppedStayOpen", false),
+func (f *Settings) RuleLimits() balancer.RuleLimits {
+	return balancer.RuleLimits{
+		DrainGrace:            Microseconds(f.some("rules.stopSendingWithin")),
+		ColdStartShare:        f.number("rules.coldShare"),
+		WarmupTime:            f.Span("rules.rampTime"),
+		OnlyDrainingMustLeave: f.truth("rules.droppedStayOpen", false),
 	}
 }
 
-func (f *Settings) Partition() balancer.Partition {
-	p := balancer.Partition{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
+func (f *Settings) Sharding() balancer.Sharding {
+	p := balancer.Sharding{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
 	if p.Count > 0 {
 		p.SingleOwner = f.truth("familyInfo.singleWriter", true)
-		p.WritesOn = f.Span("familyInfo.keepsWriting")
-		p.Settle = f.Span("familyInfo.lingers")
+		p.WriteLease = f.Span("familyInfo.keepsWriting")
+		p.SettleTime = f.Span("familyInfo.lingers")
 	}
 	return p
 }
 
-func (f *Settings) Sight() balancer.Sight {
-	s := balancer.Sight{
-		ReportEvery: Micros(f.some("familyInfo.reportEvery")),
-		LinesPerS:   f.Maybe("familyInfo.ingestRate", 0),
-		MayProbe:    f.truth("limits.mayProbe", false),
-		LiveWeights: word(f, "weights", false, map[string]bool{
+func (f *Settings) Telemetry() balancer.Telemetry {
+	s := balancer.Telemetry{
+		ReportInterval:       Microseconds(f.some("familyInfo.reportEvery")),
+		ReportLinesPerSecond: f.Maybe("familyInfo.ingestRate", 0),
+		HealthChecksAllowed:  f.truth("limits.mayProbe", false),
+		LoadDependentWeights: word(f, "weights", false, map[string]bool{
 			"silent": false, "nominal": false, "rough": false, "live": true}),
-		MustAsk: word(f, "membershipMode", true, map[string]bool{
+		PollingRequired: word(f, "membershipMode", true, map[string]bool{
 			"automatic": false, "subscribe": true}),
 	}
-	if s.MustAsk {
-		s.AskWithin = f.Span("rules.askWithin")
+	if s.PollingRequired {
+		s.MaxPollInterval = f.Span("rules.askWithin")
 	}
 	return s
 }
 
-func (f *Settings) Admission() balancer.Admission {
-	return word(f, "familyInfo.admission", balancer.AdmitNone, map[string]balancer.Admission{
-		"silent": balancer.AdmitNone, "fraction": balancer.AdmitShare, "per_second": balancer.AdmitRate})
+func (f *Settings) AdmissionMode() balancer.AdmissionMode {
+	return word(f, "familyInfo.admission", balancer.AdmissionUnsupported, map[string]balancer.AdmissionMode{
+		"silent": balancer.AdmissionUnsupported, "fraction": balancer.AdmissionByShare, "per_second": balancer.AdmissionByRate})
 }
 
 // LoadFields gives the positions of the figures we read in a load report.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,7 +39,7 @@
 "rules":{"coldShare":0.16,"droppedStayOpen":true,"rampTime":17000,"stopSendingWithin":3000},"weights":"live"}`
 
 func all(f *Settings) []any {
-	return []any{f.Classes(), f.Channel(), f.Limits(), f.Partition(), f.Sight(), f.Admission(), f.Zones(),
+	return []any{f.Classes(), f.PushChannel(), f.RuleLimits(), f.Sharding(), f.Telemetry(), f.AdmissionMode(), f.Zones(),
 		f.LoadFields(), f.Count("profiles.count"), f.Maybe("tick", 7), f.Err()}
 }
 
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -79,10 +79,10 @@
 func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r.raw[at:]) }
 func (r record) u64(at int) uint64 { return binary.LittleEndian.Uint64(r.raw[at:]) }
 func (r record) f32(at int) float64 {
-	return settings.Sane(float64(math.Float32frombits(binary.LittleEndian.Uint32(r.raw[at:]))))
+	return settings.Sanitize(float64(math.Float32frombits(binary.LittleEndian.Uint32(r.raw[at:]))))
 }
 func (r record) f64(at int) float64 {
-	return settings.Sane(math.Float64frombits(binary.LittleEndian.Uint64(r.raw[at:])))
+	return settings.Sanitize(math.Float64frombits(binary.LittleEndian.Uint64(r.raw[at:])))
 }
 
 // tailOf gives the part of the tail that the field at this position names, unit bytes for each counted thing.
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -48,7 +48,7 @@
 // Handle plays one batch and gives the reply to it.
 func (d *Door) Handle(batch Batch) (*Reply, error) {
 	d.reply.Reset(batch.Seq)
-	d.clock = settings.Micros(batch.Clock)
+	d.clock = settings.Microseconds(batch.Clock)
 	for i := range batch.Events() {
 		if err := d.take(batch.event(i)); err != nil {
 			return nil, fmt.Errorf("frame %d, event %d: %w", batch.Seq, i, err)
@@ -103,9 +103,9 @@
 	in := &instance{door: d, id: id}
 	d.instances[id] = in
 	f := settings.Lines(text, d.odd)
-	channel, limits, classes := f.Channel(), f.Limits(), f.Classes()
-	channel.Levels = float64(len(classes)) // this wire repeats the levels of all tables with each message
-	partition, sight, admission := f.Partition(), f.Sight(), f.Admission()
+	channel, limits, classes := f.PushChannel(), f.RuleLimits(), f.Classes()
+	channel.LimitLines = float64(len(classes)) // this wire repeats the levels of all tables with each message
+	partition, sight, admission := f.Sharding(), f.Telemetry(), f.AdmissionMode()
 	in.fields, in.classes = f.LoadFields(), len(classes)
 	in.zones, in.slices = len(f.Zones()), partition.Count
 	if err := f.Err(); err != nil {
@@ -162,50 +162,50 @@
 	case evFleet:
 		in.fleet(r)
 	case evElapsed:
-		in.control.Elapsed(r.u64(3))
+		in.control.TimerFired(r.u64(3))
 	case evChecked:
 		if b, ok := in.known(&in.backends, r.u32(3), "backend"); ok {
-			in.control.Probed(b, in.outcome(r.u16(7)))
+			in.control.HealthCheckCompleted(b, in.outcome(r.u16(7)))
 		}
 	case evPeer:
 		in.door.odd("a peer message came, though we never send one")
 	case evEnrolled:
 		if in.in(int(r.u8(8)), in.zones, "zone") {
-			in.control.Joined(in.proxies.number(uint32(r.u16(9))), int(r.u8(8)), r.f32(4), false)
+			in.control.ProxyConnected(in.proxies.number(uint32(r.u16(9))), int(r.u8(8)), r.f32(4), false)
 		}
 	case evLost:
 		if p, ok := in.known(&in.proxies, uint32(r.u16(3)), "proxy"); ok {
-			in.control.Left(p)
+			in.control.ProxyDisconnected(p)
 		}
 	case evAcked:
 		if p, ok := in.known(&in.proxies, uint32(r.u16(3)), "proxy"); ok {
-			in.control.Applied(p, int(r.u64(5)&math.MaxUint16))
+			in.control.Acknowledged(p, int(r.u64(5)&math.MaxUint16))
 		}
 	case evStats:
 		if b, ok := in.known(&in.backends, r.u32(4), "backend"); ok && in.in(int(r.u8(3)), in.zones, "zone") {
 			tries := int(r.u32(8))
 			failed := min(int(r.u32(12)), tries)
-			in.control.Heard(b, tries, failed, settings.Micros(r.f64(16)), settings.Micros(r.f64(24)), in.load(r, 32))
+			in.control.OutcomesReported(b, tries, failed, settings.Microseconds(r.f64(16)), settings.Microseconds(r.f64(24)), in.load(r, 32))
 		}
 	case evArrivals:
 		if p, ok := in.known(&in.proxies, uint32(r.u16(3)), "proxy"); ok && in.in(int(r.u8(5)), in.classes, "class") {
-			in.control.Came(p, int(r.u8(5)), int(r.u32(6)), settings.Micros(r.f64(14)))
+			in.control.DemandReported(p, int(r.u8(5)), int(r.u32(6)), settings.Microseconds(r.f64(14)))
 		}
 	case evPressure:
 		if in.in(int(r.u16(3)), in.slices, "slice") && in.in(int(r.u8(5)), in.classes, "class") {
-			in.control.SliceCame(int(r.u16(3)), int(r.u8(5)), int(r.u32(6)), settings.Micros(r.f64(14)))
+			in.control.ShardDemandReported(int(r.u16(3)), int(r.u8(5)), int(r.u32(6)), settings.Microseconds(r.f64(14)))
 		}
 	case evTenure:
 		if in.in(int(r.u16(3)), in.slices, "slice") {
 			if r.u8(5) != 0 {
-				in.control.SliceGiven(int(r.u16(3)))
+				in.control.ShardAssigned(int(r.u16(3)))
 			} else {
-				in.control.SliceTaken(int(r.u16(3)))
+				in.control.ShardRevoked(int(r.u16(3)))
 			}
 		}
 	case evOnRecord:
 		if in.in(int(r.u16(3)), in.slices, "slice") {
-			in.control.SliceLine(int(r.u16(3)), in.backends.number(r.u32(5)), r.f32(9))
+			in.control.ShardOwnerStored(int(r.u16(3)), in.backends.number(r.u32(5)), r.f32(9))
 		}
 	}
 }
@@ -229,7 +229,7 @@
 	how := r.u8(7)
 	switch {
 	case how == 3:
-		in.control.ListFailed()
+		in.control.EndpointPollFailed()
 		return
 	case how > 3:
 		in.door.odd("list event of unknown kind %d", how)
@@ -241,13 +241,13 @@
 		return
 	}
 	raw := in.door.rosters[number]
-	entries := make([]balancer.Entry, 0, len(raw)/entrySize)
+	entries := make([]balancer.Endpoint, 0, len(raw)/entrySize)
 	for ; len(raw) >= entrySize; raw = raw[entrySize:] {
 		e := record{raw: raw}
 		condition := balancer.Draining // the careful reading of a word we do not know
 		switch e.u8(10) {
 		case 0:
-			condition = balancer.Gone
+			condition = balancer.Removed
 		case 1:
 			condition = balancer.Ready
 		case 2:
@@ -257,43 +257,43 @@
 		if !in.in(int(e.u8(17)), in.zones, "zone") {
 			continue
 		}
-		entries = append(entries, balancer.Entry{
-			Backend: in.backends.number(e.u32(18)), Condition: condition, Started: settings.Micros(e.f64(0)),
+		entries = append(entries, balancer.Endpoint{
+			Backend: in.backends.number(e.u32(18)), State: condition, StartedAt: settings.Microseconds(e.f64(0)),
 			Weight: e.f32(11), Zone: int(e.u8(17)),
 		})
 	}
-	in.control.Listed(how != 0, entries)
+	in.control.EndpointsUpdated(how != 0, entries)
 }
 
-func (in *instance) outcome(code uint16) balancer.Outcome {
+func (in *instance) outcome(code uint16) balancer.HealthCheckResult {
 	switch code {
 	case 1:
-		return balancer.Answered
+		return balancer.HealthCheckPassed
 	case 2:
-		return balancer.Failed
+		return balancer.HealthCheckFailed
 	case 3:
-		return balancer.Refused
+		return balancer.HealthCheckRefused
 	case 4:
-		return balancer.TimedOut
+		return balancer.HealthCheckTimedOut
 	case 5:
-		return balancer.Unreachable
+		return balancer.HealthCheckUnreachable
 	case 6:
-		return balancer.Broken
+		return balancer.HealthCheckBroken
 	}
 	in.door.odd("probe outcome %d is not known", code)
-	return balancer.Unknown
+	return balancer.HealthCheckUnknown
 }
 
-func (in *instance) load(r record, at int) balancer.Load {
-	load := balancer.Load{Busy: -1, Waiting: -1, Service: -1}
+func (in *instance) load(r record, at int) balancer.BackendLoad {
+	load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 	for i := range min(int(r.u8(at)), len(in.fields), 4) {
 		switch x := r.f32(at + 1 + 4*i); in.fields[i] {
 		case "cpu":
-			load.Busy = x
+			load.CPUUtilization = x
 		case "waiting":
-			load.Waiting = x
+			load.QueueLength = x
 		case "avg_ms":
-			load.Service = x * 1000
+			load.ServiceTime = x * 1000
 		}
 	}
 	return load
@@ -301,7 +301,7 @@
 
 func (in *instance) Now() int64 { return in.door.clock }
 
-func (in *instance) After(wait int64, tag uint64) {
+func (in *instance) SetTimer(wait int64, tag uint64) {
 	rec := in.door.reply.act(acSleep, in.id)
 	binary.LittleEndian.PutUint64(rec[3:], math.Float64bits(millis(wait)))
 	binary.LittleEndian.PutUint64(rec[11:], tag)
@@ -314,20 +314,20 @@
 	in.door.reply.text(acEmit, in.id, line)
 }
 
-func (in *instance) Watch() { in.door.reply.act(acListen, in.id)[3] = 1 }
+func (in *instance) PollEndpoints() { in.door.reply.act(acListen, in.id)[3] = 1 }
 
-func (in *instance) Probe(backend int) {
+func (in *instance) CheckHealth(backend int) {
 	binary.LittleEndian.PutUint32(in.door.reply.act(acCheck, in.id)[3:], in.backends.ids[backend])
 }
 
-func (in *instance) SetLine(table, backend int, weight float64) {
+func (in *instance) PublishEntry(table, backend int, weight float64) {
 	rec := in.door.reply.act(acSetWeight, in.id)
 	binary.LittleEndian.PutUint16(rec[3:], uint16(table))
 	binary.LittleEndian.PutUint32(rec[5:], in.backends.ids[backend])
 	binary.LittleEndian.PutUint32(rec[9:], math.Float32bits(float32(weight)))
 }
 
-func (in *instance) Bind(table, proxy int, classes uint16) {
+func (in *instance) AssignTable(table, proxy int, classes uint16) {
 	rec := in.door.reply.act(acPin, in.id)
 	binary.LittleEndian.PutUint16(rec[3:], uint16(table))
 	binary.LittleEndian.PutUint16(rec[5:], uint16(in.proxies.ids[proxy]))
@@ -340,13 +340,13 @@
 	rec[7] = flag(out)
 }
 
-// Remind has no order on this wire: a withdrawal goes to all that have joined.
-func (in *instance) Remind(int, float64, balancer.Tries) bool { return false }
+// SyncWithdrawals has no order on this wire: a withdrawal goes to all that have joined.
+func (in *instance) SyncWithdrawals(int, float64, balancer.RetryPolicy) bool { return false }
 
-// Clear has none either: a proxy that is bound observes the withdrawals of its instance alone.
-func (in *instance) Clear(int) {}
+// ClearWithdrawals has none either: a proxy that is bound observes the withdrawals of its instance alone.
+func (in *instance) ClearWithdrawals(int) {}
 
-func (in *instance) Admit(table int, classes uint16, allowance float64, tries balancer.Tries) {
+func (in *instance) SetAdmissionLimit(table int, classes uint16, allowance float64, tries balancer.RetryPolicy) {
 	rec := in.door.reply.act(acLevel, in.id)
 	binary.LittleEndian.PutUint16(rec[3:], uint16(table))
 	binary.LittleEndian.PutUint16(rec[5:], classes)
@@ -354,7 +354,7 @@
 	rec[11] = byte(tries)
 }
 
-func (in *instance) Mark(number int, everyone bool) {
+func (in *instance) RequestAck(number int, everyone bool) {
 	rec := in.door.reply.act(acSeal, in.id)
 	binary.LittleEndian.PutUint64(rec[3:], uint64(number))
 	rec[11] = flag(everyone)
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -39,24 +39,24 @@
 // Now is the time that the measurement has set.
 func (h *countingHost) Now() int64 { return h.now }
 
-// After keeps the tag of the one timer that the decisions have.
-func (h *countingHost) After(_ int64, tag uint64) { h.tag = tag }
+// SetTimer keeps the tag of the one timer that the decisions have.
+func (h *countingHost) SetTimer(_ int64, tag uint64) { h.tag = tag }
 
 // Log drops the line.
 func (h *countingHost) Log(int, string) {}
 
-// Watch and Probe are nothing here: lists are handed in, and probes are off.
-func (h *countingHost) Watch()    {}
-func (h *countingHost) Probe(int) {}
+// PollEndpoints and Probe are nothing here: lists are handed in, and probes are off.
+func (h *countingHost) PollEndpoints()  {}
+func (h *countingHost) CheckHealth(int) {}
 
-// SetLine counts a line of a table.
-func (h *countingHost) SetLine(table, _ int, _ float64) {
+// PublishEntry counts a line of a table.
+func (h *countingHost) PublishEntry(table, _ int, _ float64) {
 	h.orders.lines++
 	h.changed[table] = true
 }
 
-// Bind counts a table that a proxy is given.
-func (h *countingHost) Bind(table, proxy int, _ uint16) {
+// AssignTable counts a table that a proxy is given.
+func (h *countingHost) AssignTable(table, proxy int, _ uint16) {
 	h.orders.binds++
 	h.reached[proxy] = true
 	if !slices.Contains(h.tables[proxy], table) {
@@ -67,28 +67,28 @@
 // Withdraw counts a backend that is withdrawn, or let back.
 func (h *countingHost) Withdraw(int, bool) { h.orders.withdrawals++ }
 
-// Remind counts a reminder.
-func (h *countingHost) Remind(proxy int, _ float64, _ balancer.Tries) bool {
+// SyncWithdrawals counts a reminder.
+func (h *countingHost) SyncWithdrawals(proxy int, _ float64, _ balancer.RetryPolicy) bool {
 	h.orders.reminders++
 	h.reached[proxy] = true
 	return true
 }
 
-// Clear counts a proxy that is cleared.
-func (h *countingHost) Clear(proxy int) {
+// ClearWithdrawals counts a proxy that is cleared.
+func (h *countingHost) ClearWithdrawals(proxy int) {
 	h.orders.clears++
 	h.reached[proxy] = true
 }
 
-// Admit counts a level.
-func (h *countingHost) Admit(table int, _ uint16, _ float64, _ balancer.Tries) {
+// SetAdmissionLimit counts a level.
+func (h *countingHost) SetAdmissionLimit(table int, _ uint16, _ float64, _ balancer.RetryPolicy) {
 	h.orders.levels++
 	h.changed[table] = true
 	h.toEach = h.toEach || table == balancer.AllTables
 }
 
-// Mark notes that the proxies reached at this clock time are to answer.
-func (h *countingHost) Mark(number int, everyone bool) {
+// RequestAck notes that the proxies reached at this clock time are to answer.
+func (h *countingHost) RequestAck(number int, everyone bool) {
 	h.orders.marks++
 	h.mark, h.marked, h.toEach = number, true, h.toEach || everyone
 }
@@ -101,7 +101,7 @@
 		concerned := func(table int) bool { return changed[table] }
 		for proxy, tables := range h.tables {
 			if toEach || reached[proxy] || slices.ContainsFunc(tables, concerned) {
-				h.control.Applied(proxy, mark)
+				h.control.Acknowledged(proxy, mark)
 			}
 		}
 		h.now++ // orders given while marks come back leave at a later clock time
@@ -112,7 +112,7 @@
 func (h *countingHost) passes(beats int) {
 	for range beats {
 		h.now += beat
-		h.control.Elapsed(h.tag)
+		h.control.TimerFired(h.tag)
 		h.answers()
 	}
 }
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -138,14 +138,14 @@
 	before := heapKept()
 	host := newCountingHost(l.proxies)
 	cost.start = spent(func() {
-		host.control = balancer.New(host, 1, measuredClasses(), openChannel(l.proxies), measuredLimits(), balancer.Partition{},
-			balancer.Sight{ReportEvery: reportEvery}, balancer.AdmitRate)
-		host.control.Listed(true, entries)
+		host.control = balancer.New(host, 1, measuredClasses(), openChannel(l.proxies), measuredLimits(), balancer.Sharding{},
+			balancer.Telemetry{ReportInterval: reportEvery}, balancer.AdmissionByRate)
+		host.control.EndpointsUpdated(true, entries)
 		host.answers()
 	})
 	cost.join = spent(func() {
 		for proxy := range l.proxies {
-			host.control.Joined(proxy, proxy%measuredZones, 1, false)
+			host.control.ProxyConnected(proxy, proxy%measuredZones, 1, false)
 		}
 		host.answers()
 	})
@@ -153,7 +153,7 @@
 	l.looks(host, &cost)
 	cost.change = l.changing(host)
 	cost.again = spent(func() {
-		host.control.Listed(true, entries)
+		host.control.EndpointsUpdated(true, entries)
 		host.answers()
 	})
 	cost.heap = heapKept() - before
@@ -179,12 +179,12 @@
 func (l decisionLife) reports(host *countingHost) (lines int) {
 	const tries, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
-		host.control.Heard(backend, tries, 0, mean, reportEvery, balancer.Load{Busy: -1, Waiting: -1, Service: -1})
+		host.control.OutcomesReported(backend, tries, 0, mean, reportEvery, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 	}
 	classes := len(measuredClasses())
 	for proxy := range l.proxies {
 		for class := range classes {
-			host.control.Came(proxy, class, requests, reportEvery)
+			host.control.DemandReported(proxy, class, requests, reportEvery)
 		}
 	}
 	return l.backends + l.proxies*classes
@@ -196,14 +196,14 @@
 	sum := time.Duration(0)
 	for i := range l.changes {
 		entry := l.entry(i * l.backends / l.changes)
-		entry.Condition = balancer.Draining
+		entry.State = balancer.Draining
 		sum += spent(func() {
-			host.control.Listed(false, []balancer.Entry{entry})
+			host.control.EndpointsUpdated(false, []balancer.Endpoint{entry})
 			host.answers()
 		})
 		host.passes(1)
-		entry.Condition = balancer.Ready
-		host.control.Listed(false, []balancer.Entry{entry})
+		entry.State = balancer.Ready
+		host.control.EndpointsUpdated(false, []balancer.Endpoint{entry})
 		host.passes(settling)
 	}
 	return sum / time.Duration(l.changes)
@@ -213,11 +213,11 @@
 // for 5 s.
 const settling = 32
 
-func (l decisionLife) entry(backend int) balancer.Entry {
-	return balancer.Entry{Backend: backend, Condition: balancer.Ready, Weight: 2, Zone: backend % measuredZones}
+func (l decisionLife) entry(backend int) balancer.Endpoint {
+	return balancer.Endpoint{Backend: backend, State: balancer.Ready, Weight: 2, Zone: backend % measuredZones}
 }
 
-func (l decisionLife) entries() (all []balancer.Entry) {
+func (l decisionLife) entries() (all []balancer.Endpoint) {
 	for backend := range l.backends {
 		all = append(all, l.entry(backend))
 	}
@@ -229,17 +229,17 @@
 
 func measuredClasses() []balancer.Class {
 	return []balancer.Class{
-		{Target: 1500_000, Deadline: 4 * second, Value: 1},
-		{Target: 800_000, Deadline: 2 * second, Value: 3, Writes: true},
+		{LatencyObjective: 1500_000, Deadline: 4 * second, PriorityWeight: 1},
+		{LatencyObjective: 800_000, Deadline: 2 * second, PriorityWeight: 3, Writes: true},
 	}
 }
 
-func measuredLimits() balancer.Limits {
-	return balancer.Limits{Grace: 3 * second, ColdShare: 0.16, WarmBy: 17 * second}
+func measuredLimits() balancer.RuleLimits {
+	return balancer.RuleLimits{DrainGrace: 3 * second, ColdStartShare: 0.16, WarmupTime: 17 * second}
 }
 
 // openChannel bears whatever is sent.
-func openChannel(proxies int) balancer.Channel {
+func openChannel(proxies int) balancer.PushChannel {
 	const linesPerS, backlogS = 9e9, 50
-	return balancer.Channel{LinesPerS: linesPerS, Head: 4, Backlog: backlogS * linesPerS, LongestWay: 660_000, Proxies: proxies}
+	return balancer.PushChannel{LinesPerSecond: linesPerS, MessageOverhead: 4, Backlog: backlogS * linesPerS, MaxLatency: 660_000, Proxies: proxies}
 }
