--- a/fake/channel.go
+++ b/fake/channel.go
@@ -8,7 +8,7 @@
 
 // channel is the way from one controller to its relays: so many lines a second, one message after the other.
 type channel struct {
-	in    *Installation
+	in    *Fleet
 	of    int
 	lines float64 // a second; 0 for no bound
 
--- a/fake/collector.go
+++ b/fake/collector.go
@@ -10,7 +10,7 @@
 
 // collector forwards to one controller what the relays of a zone met that have their streams there.
 type collector struct {
-	in   *Installation
+	in   *Fleet
 	zone string
 	at   int
 
@@ -33,7 +33,7 @@
 	Interval float64 `json:"interval"`
 }
 
-func (c *collector) note(worker string, result Result, took time.Duration) {
+func (c *collector) note(worker string, result Outcome, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	m := c.met[worker]
@@ -41,7 +41,7 @@
 		m = &met{}
 		c.met[worker] = m
 	}
-	if m.tries++; result == Answered {
+	if m.tries++; result == OutcomeSucceeded {
 		m.took += took
 	} else {
 		m.failed++
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -68,8 +68,8 @@
 	d.running.Wait()
 }
 
-// Silence has it answer nothing, or go on.
-func (d *Discovery) Silence(silent bool) {
+// SetSilent has it answer nothing, or go on.
+func (d *Discovery) SetSilent(silent bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.silent = silent
@@ -81,8 +81,8 @@
 	d.news = make(chan struct{})
 }
 
-// List writes workers with a state: up, draining or removed.
-func (d *Discovery) List(state string, workers ...*Worker) {
+// Publish writes workers with a state: up, draining or removed.
+func (d *Discovery) Publish(state string, workers ...*Backend) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.version++
--- a/fake/installation.go
+++ b/fake/installation.go
@@ -10,48 +10,48 @@
 	"wheelrill/invariant"
 )
 
-// Plan says of how much an installation is made. All that is drawn comes from the seed.
-type Plan struct {
-	Zones   []string
-	Workers int
-	Cores   int           // of each worker
-	Service time.Duration // that a piece of work takes
-	Relays  int
-	Fenced  bool // the relays ask for tokens
-	Classes []Class
-	Reports time.Duration
-	Seed    uint64
+// FleetConfig says of how much an installation is made. All that is drawn comes from the seed.
+type FleetConfig struct {
+	Zones          []string
+	Backends       int
+	Cores          int           // of each worker
+	ServiceTime    time.Duration // that a piece of work takes
+	Proxies        int
+	Fenced         bool // the relays ask for tokens
+	Classes        []Class
+	ReportInterval time.Duration
+	Seed           uint64
 }
 
-// Installation is all that is around controllers.
-type Installation struct {
+// Fleet is all that is around controllers.
+type Fleet struct {
 	Discovery *Discovery
-	Workers   []*Worker
+	Backends  []*Backend
 
 	account     *invariant.Account
 	classes     []Class
 	reports     time.Duration
 	began       time.Time
-	controllers []*Wire
+	controllers []*FaultyLink
 	channels    []*channel // by controller
-	relays      []*Relay
+	relays      []*Proxy
 	collectors  map[string][]*collector // by zone and controller
 	seed        uint64
-	names       map[string]*Worker
+	names       map[string]*Backend
 	playing     sync.WaitGroup
 	stop        context.CancelFunc
 }
 
-// NewInstallation sets everything up but the streams to controllers, which stand at the given addresses.
-func NewInstallation(p Plan, limits invariant.Limits, controllers []string) (*Installation, error) {
-	in := &Installation{account: invariant.NewAccount(limits), classes: p.Classes, reports: p.Reports, began: time.Now(),
-		collectors: map[string][]*collector{}, seed: p.Seed, names: map[string]*Worker{}}
+// NewFleet sets everything up but the streams to controllers, which stand at the given addresses.
+func NewFleet(p FleetConfig, limits invariant.Limits, controllers []string) (*Fleet, error) {
+	in := &Fleet{account: invariant.NewAccount(limits), classes: p.Classes, reports: p.ReportInterval, began: time.Now(),
+		collectors: map[string][]*collector{}, seed: p.Seed, names: map[string]*Backend{}}
 	var err error
 	if in.Discovery, err = NewDiscovery(in.account, in.Clock); err != nil {
 		return nil, err
 	}
 	for _, address := range controllers {
-		wire, err := NewWire(address)
+		wire, err := NewFaultyLink(address)
 		if err != nil {
 			in.Close()
 			return nil, err
@@ -59,19 +59,19 @@
 		in.controllers = append(in.controllers, wire)
 		in.channels = append(in.channels, &channel{in: in, of: len(in.channels), lines: limits.LinesPerS})
 	}
-	for i := range p.Workers {
-		w := &Worker{ID: fmt.Sprintf("w-%02d", i), Zone: p.Zones[i%len(p.Zones)], Weight: 1, Cores: p.Cores, Service: p.Service,
+	for i := range p.Backends {
+		w := &Backend{ID: fmt.Sprintf("w-%02d", i), Zone: p.Zones[i%len(p.Zones)], Weight: 1, Cores: p.Cores, ServiceTime: p.ServiceTime,
 			account: in.account, clock: in.Clock}
-		in.Workers, in.names[w.ID] = append(in.Workers, w), w
+		in.Backends, in.names[w.ID] = append(in.Backends, w), w
 	}
-	in.Discovery.List("up", in.Workers...)
+	in.Discovery.Publish("up", in.Backends...)
 	for _, zone := range p.Zones {
 		for at := range controllers {
 			in.collectors[zone] = append(in.collectors[zone], &collector{in: in, zone: zone, at: at, met: map[string]*met{}})
 		}
 	}
-	for node := range p.Relays {
-		r := &Relay{in: in, node: node, zone: p.Zones[node%len(p.Zones)], fenced: p.Fenced, at: -1, cold: true,
+	for node := range p.Proxies {
+		r := &Proxy{in: in, node: node, zone: p.Zones[node%len(p.Zones)], fenced: p.Fenced, at: -1, cold: true,
 			random: rand.New(rand.NewPCG(p.Seed, uint64(node))), levels: make([]level, len(p.Classes)),
 			shut: map[string]bool{}, came: make([]int, len(p.Classes))}
 		for range p.Classes {
@@ -83,10 +83,10 @@
 }
 
 // Clock is the time since the installation was set up, as its account has it.
-func (in *Installation) Clock() time.Duration { return time.Since(in.began) }
+func (in *Fleet) Clock() time.Duration { return time.Since(in.began) }
 
-// Restarted notes that a controller's process is another from now on, and so is its channel.
-func (in *Installation) Restarted(controller int) {
+// ControllerRestarted notes that a controller's process is another from now on, and so is its channel.
+func (in *Fleet) ControllerRestarted(controller int) {
 	c := in.channels[controller]
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -94,8 +94,8 @@
 	c.free = 0
 }
 
-// Frozen notes that a controller's process stands still, or goes on. Its streams count as left meanwhile.
-func (in *Installation) Frozen(controller int, frozen bool) {
+// ControllerFrozen notes that a controller's process stands still, or goes on. Its streams count as left meanwhile.
+func (in *Fleet) ControllerFrozen(controller int, frozen bool) {
 	for _, r := range in.relays {
 		r.mutex.Lock()
 		if r.at == controller {
@@ -106,10 +106,10 @@
 }
 
 // Wire is the way to a controller.
-func (in *Installation) Wire(controller int) *Wire { return in.controllers[controller] }
+func (in *Fleet) Wire(controller int) *FaultyLink { return in.controllers[controller] }
 
-// Play has streams, reports and requests go on until the installation is closed.
-func (in *Installation) Play() {
+// Start has streams, reports and requests go on until the installation is closed.
+func (in *Fleet) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	in.stop = stop
 	for _, of := range in.collectors {
@@ -127,7 +127,7 @@
 }
 
 // Close ends everything, and gives what the account shows and the relays counted.
-func (in *Installation) Close() (invariant.Verdict, Counts) {
+func (in *Fleet) Close() (invariant.Verdict, Counts) {
 	verdict := in.account.Judge(in.Clock())
 	if in.stop != nil {
 		in.stop()
@@ -141,7 +141,7 @@
 }
 
 // Counts is what the relays have counted so far.
-func (in *Installation) Counts() (sum Counts) {
+func (in *Fleet) Counts() (sum Counts) {
 	for _, r := range in.relays {
 		r.mutex.Lock()
 		sum.add(r.counts)
@@ -150,8 +150,8 @@
 	return sum
 }
 
-// Holding tells how many relays have a line for a worker in some table, and may use it.
-func (in *Installation) Holding(worker string) (n int) {
+// ProxiesUsing tells how many relays have a line for a worker in some table, and may use it.
+func (in *Fleet) ProxiesUsing(worker string) (n int) {
 	for _, r := range in.relays {
 		r.mutex.Lock()
 		for _, table := range r.tables {
@@ -165,8 +165,8 @@
 	return n
 }
 
-// Joined tells how many relays have a stream to some controller, and how many to this one.
-func (in *Installation) Joined(controller int) (all, there int) {
+// ConnectedProxies tells how many relays have a stream to some controller, and how many to this one.
+func (in *Fleet) ConnectedProxies(controller int) (all, there int) {
 	for _, r := range in.relays {
 		r.mutex.Lock()
 		if r.at >= 0 {
@@ -180,11 +180,11 @@
 	return all, there
 }
 
-func (in *Installation) knows(id string) bool { return in.names[id] != nil }
+func (in *Fleet) knows(id string) bool { return in.names[id] != nil }
 
-func (in *Installation) worker(id string) *Worker { return in.names[id] }
+func (in *Fleet) worker(id string) *Backend { return in.names[id] }
 
-func (in *Installation) report(zone string, at int, worker string, result Result, took time.Duration) {
+func (in *Fleet) report(zone string, at int, worker string, result Outcome, took time.Duration) {
 	if at >= 0 {
 		in.collectors[zone][at].note(worker, result, took)
 	}
--- a/fake/relay.go
+++ b/fake/relay.go
@@ -17,11 +17,11 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name             string
-	Target, Deadline time.Duration
-	Value            float64
-	Writes           bool    // a second run of the same would be a second effect
-	Rate             float64 // requests a second that come to each relay
+	Name                       string
+	LatencyObjective, Deadline time.Duration
+	PriorityWeight             float64
+	Writes                     bool    // a second run of the same would be a second effect
+	Rate                       float64 // requests a second that come to each relay
 }
 
 // push is one part of an order.
@@ -39,10 +39,10 @@
 	More    bool
 }
 
-// Relay is a proxy as the protocol has it: one stream to some controller, tables that it follows exactly, requests
+// Proxy is a proxy as the protocol has it: one stream to some controller, tables that it follows exactly, requests
 // that it sends where they say.
-type Relay struct {
-	in     *Installation
+type Proxy struct {
+	in     *Fleet
 	node   int
 	zone   string
 	fenced bool // it asks for tokens, and refuses what comes with an older one than it has seen
@@ -134,7 +134,7 @@
 }
 
 // run keeps a stream to some controller until the context ends: another one after each break, after a moment.
-func (r *Relay) run(ctx context.Context) {
+func (r *Proxy) run(ctx context.Context) {
 	order := r.random.Perm(len(r.in.controllers))
 	for tried := 0; ctx.Err() == nil; tried++ {
 		at := order[tried%len(order)]
@@ -149,7 +149,7 @@
 	}
 }
 
-func (r *Relay) stream(ctx context.Context, conn net.Conn, at int) {
+func (r *Proxy) stream(ctx context.Context, conn net.Conn, at int) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
@@ -242,7 +242,7 @@
 	return n
 }
 
-func (r *Relay) begins(conn net.Conn, at int) {
+func (r *Proxy) begins(conn net.Conn, at int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.conn, r.at = conn, at
@@ -250,7 +250,7 @@
 	r.joins(true)
 }
 
-func (r *Relay) ends() {
+func (r *Proxy) ends() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.conn, r.at = nil, -1
@@ -258,7 +258,7 @@
 }
 
 // joins notes that the relay can be told something from now on, or cannot. It is locked.
-func (r *Relay) joins(can bool) {
+func (r *Proxy) joins(can bool) {
 	var lacks []string
 	for i, c := range r.in.classes {
 		if can && !r.has(i) {
@@ -268,12 +268,12 @@
 	r.in.account.Joined(r.node, can, lacks, r.in.Clock())
 }
 
-func (r *Relay) has(class int) bool {
-	return !r.tables[class].Bare()
+func (r *Proxy) has(class int) bool {
+	return !r.tables[class].Empty()
 }
 
 // apply takes a whole message, or none of it.
-func (r *Relay) apply(parts []push, size, at int, joining bool) error {
+func (r *Proxy) apply(parts []push, size, at int, joining bool) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	token := parts[0].Token
@@ -334,7 +334,7 @@
 }
 
 // talk tells demand, and asks for a word now and then.
-func (r *Relay) talk(ctx context.Context, conn net.Conn) {
+func (r *Proxy) talk(ctx context.Context, conn net.Conn) {
 	every := time.NewTicker(probeEvery)
 	defer every.Stop()
 	for {
@@ -360,7 +360,7 @@
 }
 
 // arrivals has requests of a class come to the relay until the context ends.
-func (r *Relay) arrivals(ctx context.Context, class int, random *rand.Rand) {
+func (r *Proxy) arrivals(ctx context.Context, class int, random *rand.Rand) {
 	for n := 0; ; n++ {
 		gap := time.Duration(random.ExpFloat64() / r.in.classes[class].Rate * float64(time.Second))
 		select {
@@ -373,13 +373,13 @@
 }
 
 // request plays one from its coming to its end.
-func (r *Relay) request(class int, key string, random *rand.Rand) {
+func (r *Proxy) request(class int, key string, random *rand.Rand) {
 	c := r.in.classes[class]
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.came[class]++
 	r.counts.Came++
-	r.counts.AskedValue += c.Value
+	r.counts.AskedValue += c.PriorityWeight
 	if !r.levels[class].lets() {
 		r.counts.Refused++
 		return
@@ -402,9 +402,9 @@
 }
 
 // try sends a request to a worker by weight, not to one that it was sent to before. The relay is locked.
-func (r *Relay) try(class int, key string, began time.Time, tried int, before string, drawn uint64) {
+func (r *Proxy) try(class int, key string, began time.Time, tried int, before string, drawn uint64) {
 	c := r.in.classes[class]
-	chosen, found := r.tables[class].Draw(before, drawn)
+	chosen, found := r.tables[class].Pick(before, drawn)
 	if !found {
 		r.counts.Lost++
 		return
@@ -421,7 +421,7 @@
 	}
 	stream := r.at
 	var once sync.Once
-	ends := func(result Result, took time.Duration) {
+	ends := func(result Outcome, took time.Duration) {
 		once.Do(func() {
 			r.in.report(r.zone, stream, chosen, result, took)
 			r.mutex.Lock()
@@ -431,31 +431,31 @@
 				again = r.levels[class].retry
 			}
 			switch {
-			case result == Answered && time.Since(began) <= c.Target:
+			case result == OutcomeSucceeded && time.Since(began) <= c.LatencyObjective:
 				r.counts.Served++
-				r.counts.ServedValue += c.Value
-			case result == Answered:
+				r.counts.ServedValue += c.PriorityWeight
+			case result == OutcomeSucceeded:
 				r.counts.Late++
-			case tried == 0 && (result == Refused && again >= 1 || again >= 2 && !c.Writes):
-				r.try(class, key, began, tried+1, chosen, Redraw(drawn))
+			case tried == 0 && (result == OutcomeRejected && again >= 1 || again >= 2 && !c.Writes):
+				r.try(class, key, began, tried+1, chosen, NextRandom(drawn))
 			default:
 				r.counts.Lost++
 			}
 		})
 	}
-	timer := time.AfterFunc(patience, func() { ends(TimedOut, patience) })
+	timer := time.AfterFunc(patience, func() { ends(OutcomeTimedOut, patience) })
 	effect := key
 	if !c.Writes {
 		effect = fmt.Sprint(key, "#", tried) // what may run twice has no effect of its own
 	}
-	w.Take(effect, patience, func(result Result, took time.Duration) {
+	w.Handle(effect, patience, func(result Outcome, took time.Duration) {
 		timer.Stop()
 		ends(result, took)
 	})
 }
 
-func (w *Worker) hangs() bool {
+func (w *Backend) hangs() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.mode == Hangs
+	return w.mode == ModeHang
 }
--- a/fake/standin_test.go
+++ b/fake/standin_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestWire(t *testing.T) {
-	w, err := NewWire(echoes(t))
+	w, err := NewFaultyLink(echoes(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	if err := says(a, "one"); err != nil {
 		t.Fatal(err)
 	}
-	for name, fault := range map[string]Fault{"both ways": Cut, "out": {Out: true}, "back": {Back: true}} {
+	for name, fault := range map[string]Fault{"both ways": Cut, "out": {DropOutgoing: true}, "back": {DropIncoming: true}} {
 		t.Run("what is sent during a cut "+name+" comes after it", func(t *testing.T) {
 			w.Set(fault)
 			a.Write([]byte("two"))
@@ -98,7 +98,7 @@
 		})
 	}
 	t.Run("shut, open calls are reset and new ones refused", func(t *testing.T) {
-		w.Set(Fault{Shut: true})
+		w.Set(Fault{RefuseConnections: true})
 		if err := says(a, "x"); err == nil {
 			t.Error("an open call went on")
 		}
@@ -119,16 +119,16 @@
 }
 
 // around makes an installation with one controller that the story plays.
-func around(t *testing.T) (*Installation, net.Listener) {
+func around(t *testing.T) (*Fleet, net.Listener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in, err := NewInstallation(Plan{Zones: []string{"a"}, Workers: 3, Cores: 1, Service: 2 * time.Millisecond, Relays: 1, Fenced: true,
-		Classes: []Class{{Name: "read", Target: time.Second, Deadline: 2 * time.Second, Value: 1, Rate: 200},
-			{Name: "write", Target: time.Second, Deadline: 2 * time.Second, Value: 2, Writes: true, Rate: 200}},
-		Reports: 50 * time.Millisecond, Seed: 1},
+	in, err := NewFleet(FleetConfig{Zones: []string{"a"}, Backends: 3, Cores: 1, ServiceTime: 2 * time.Millisecond, Proxies: 1, Fenced: true,
+		Classes: []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Rate: 200},
+			{Name: "write", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2, Writes: true, Rate: 200}},
+		ReportInterval: 50 * time.Millisecond, Seed: 1},
 		invariant.Limits{Bare: time.Minute, Grace: time.Minute}, []string{l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +191,7 @@
 func TestRelay(t *testing.T) {
 	in, l := around(t)
 	defer l.Close()
-	in.Play()
+	in.Start()
 	c := takes(t, l)
 	c.says(`{"msg":"alive"}`)
 	c.says(`{"msg":"push","token":5,"whole":true,"lines":[["w-00",1],["w-01",1]],"ticket":7}`)
@@ -200,7 +200,7 @@
 	}
 	holds := func(worker string, n int) {
 		t.Helper()
-		eventually(t, fmt.Sprintf("%d relays hold %s", n, worker), func() bool { return in.Holding(worker) == n })
+		eventually(t, fmt.Sprintf("%d relays hold %s", n, worker), func() bool { return in.ProxiesUsing(worker) == n })
 	}
 	holds("w-00", 1)
 	t.Run("a message in parts is applied whole; a class is meant alone", func(t *testing.T) {
@@ -224,15 +224,15 @@
 		}
 	})
 	t.Run("a hung worker answers nothing, one that refuses proves it, and a write is not tried again without proof", func(t *testing.T) {
-		in.Workers[0].Set(FailsFast)
-		in.Workers[2].Set(FailsFast)
+		in.Backends[0].SetMode(ModeFailFast)
+		in.Backends[2].SetMode(ModeFailFast)
 		lost, tries := in.Counts().Lost, in.Counts().Tries
 		eventually(t, "lost", func() bool { return in.Counts().Lost > lost+10 })
 		if after := in.Counts(); after.Tries-tries > 3*(after.Came) {
 			t.Errorf("%d tries", after.Tries-tries)
 		}
-		in.Workers[0].Set(Refuses)
-		in.Workers[2].Set(Serves)
+		in.Backends[0].SetMode(ModeRefuse)
+		in.Backends[2].SetMode(ModeHealthy)
 		served := in.Counts().Served
 		eventually(t, "served by the other", func() bool { return in.Counts().Served > served+20 })
 	})
@@ -279,13 +279,13 @@
 	}
 	told := make(chan answer)
 	go func() { told <- asks(fmt.Sprintf("?since=%d&timeout_ms=20000", whole.Version)) }()
-	in.Discovery.List("draining", in.Workers[1])
+	in.Discovery.Publish("draining", in.Backends[1])
 	if a := <-told; len(a.Servers) != 1 || a.Servers[0].State != "draining" || a.Version <= whole.Version {
 		t.Errorf("a watch got %+v", a)
 	}
-	in.Workers[2].Restart(time.Second)
-	in.Discovery.List("up", in.Workers[2])
-	in.Discovery.List("removed", in.Workers[0])
+	in.Backends[2].Restart(time.Second)
+	in.Discovery.Publish("up", in.Backends[2])
+	in.Discovery.Publish("removed", in.Backends[0])
 	a := asks("")
 	if at := slices.IndexFunc(a.Servers, func(e entry) bool { return e.ID == "w-02" }); len(a.Servers) != 2 || a.Servers[at].Started == 0 {
 		t.Errorf("got %+v", a)
@@ -295,10 +295,10 @@
 func TestColdWorker(t *testing.T) {
 	in, l := around(t)
 	defer l.Close()
-	w := in.Workers[0]
+	w := in.Backends[0]
 	w.Restart(time.Hour)
 	for i := range coldQueue*w.Cores + w.Cores + 2 {
-		w.Take(fmt.Sprint(i), time.Minute, func(Result, time.Duration) {})
+		w.Handle(fmt.Sprint(i), time.Minute, func(Outcome, time.Duration) {})
 	}
 	if v, _ := in.Close(); len(v.Breaches) != 1 || v.Breaches[0].Rule != 4 {
 		t.Errorf("breaches %+v", v.Breaches)
--- a/fake/table.go
+++ b/fake/table.go
@@ -43,12 +43,12 @@
 	return found
 }
 
-// Bare tells whether none may be drawn.
-func (t *Table) Bare() bool { return len(t.ids) == 0 }
+// Empty tells whether none may be drawn.
+func (t *Table) Empty() bool { return len(t.ids) == 0 }
 
-// Draw chooses a backend by weight, but not the one that was tried before. Drawn is a random number; found is false
+// Pick chooses a backend by weight, but not the one that was tried before. Drawn is a random number; found is false
 // where no backend is left.
-func (t *Table) Draw(before string, drawn uint64) (chosen string, found bool) {
+func (t *Table) Pick(before string, drawn uint64) (chosen string, found bool) {
 	tried, left := slices.BinarySearch(t.ids, before)
 	switch {
 	case len(t.ids) == 0 || left && len(t.ids) == 1:
@@ -89,5 +89,5 @@
 // unit turns a random number into one from 0 up to 1.
 func unit(drawn uint64) float64 { return float64(drawn>>11) / (1 << 53) }
 
-// Redraw gives the random number of the next try of a request from that of the last.
-func Redraw(drawn uint64) uint64 { return drawn*6364136223846793005 + 1442695040888963407 }
+// NextRandom gives the random number of the next try of a request from that of the last.
+func NextRandom(drawn uint64) uint64 { return drawn*6364136223846793005 + 1442695040888963407 }
--- a/fake/table_test.go
+++ b/fake/table_test.go
@@ -41,12 +41,12 @@
 	for range draws {
 		number := random.Uint64()
 		for _, before := range append([]string{"", "c", "x"}, ids...) {
-			got, found := table.Draw(before, number)
+			got, found := table.Pick(before, number)
 			if want := byHand(ids, weights, before, number); !found || got != want {
 				t.Fatalf("after %q drew %q, %v; by hand %q", before, got, found, want)
 			}
 		}
-		first, _ := table.Draw("", number)
+		first, _ := table.Pick("", number)
 		counts[first]++
 	}
 	total := 1 + 2 + 4 + 0.25 + 3
@@ -59,30 +59,30 @@
 
 func TestTableRunsOut(t *testing.T) {
 	table := NewTable()
-	if _, found := table.Draw("", 1); found || !table.Bare() {
+	if _, found := table.Pick("", 1); found || !table.Empty() {
 		t.Error("a table without lines was drawn from")
 	}
 	table.Set("a", 1)
-	if table.Index(nil); table.Bare() || !table.Has("a") || table.Has("b") {
+	if table.Index(nil); table.Empty() || !table.Has("a") || table.Has("b") {
 		t.Error("a line was lost")
 	}
-	if got, found := table.Draw("", math.MaxUint64); !found || got != "a" {
+	if got, found := table.Pick("", math.MaxUint64); !found || got != "a" {
 		t.Errorf("drew %q, %v", got, found)
 	}
-	if _, found := table.Draw("a", 1); found {
+	if _, found := table.Pick("a", 1); found {
 		t.Error("a retry went to the one that was tried")
 	}
 	table.Set("b", 1)
 	table.Index(nil)
 	for _, drawn := range []uint64{0, 1 << 63, math.MaxUint64} {
-		if got, found := table.Draw("a", drawn); !found || got != "b" {
+		if got, found := table.Pick("a", drawn); !found || got != "b" {
 			t.Errorf("a retry after a drew %q, %v", got, found)
 		}
-		if got, found := table.Draw("b", drawn); !found || got != "a" {
+		if got, found := table.Pick("b", drawn); !found || got != "a" {
 			t.Errorf("a retry after b drew %q, %v", got, found)
 		}
 	}
-	if table.Index(map[string]bool{"a": true, "b": true}); !table.Bare() {
+	if table.Index(map[string]bool{"a": true, "b": true}); !table.Empty() {
 		t.Error("backends that are shut out may be drawn")
 	}
 }
--- a/fake/wire.go
+++ b/fake/wire.go
@@ -12,17 +12,17 @@
 
 // Fault is what is wrong with a wire.
 type Fault struct {
-	Delay time.Duration // each piece takes so much longer
-	Out   bool          // what the caller sends does not come through; nothing is said of it
-	Back  bool          // nor does what it is sent
-	Shut  bool          // new calls are refused, open ones reset
+	Delay             time.Duration // each piece takes so much longer
+	DropOutgoing      bool          // what the caller sends does not come through; nothing is said of it
+	DropIncoming      bool          // nor does what it is sent
+	RefuseConnections bool          // new calls are refused, open ones reset
 }
 
 // Cut is a wire through which nothing comes, either way.
-var Cut = Fault{Out: true, Back: true}
+var Cut = Fault{DropOutgoing: true, DropIncoming: true}
 
-// Wire is a way to an address with faults on it: callers dial the wire in place of the address.
-type Wire struct {
+// FaultyLink is a way to an address with faults on it: callers dial the wire in place of the address.
+type FaultyLink struct {
 	to       string
 	listener net.Listener
 
@@ -34,28 +34,28 @@
 	open  sync.WaitGroup
 }
 
-// NewWire lays a wire to an address.
-func NewWire(to string) (*Wire, error) {
+// NewFaultyLink lays a wire to an address.
+func NewFaultyLink(to string) (*FaultyLink, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Wire{to: to, listener: listener, turn: make(chan struct{}), conns: map[net.Conn]bool{}}
+	w := &FaultyLink{to: to, listener: listener, turn: make(chan struct{}), conns: map[net.Conn]bool{}}
 	w.open.Go(w.run)
 	return w, nil
 }
 
 // Address is where callers dial.
-func (w *Wire) Address() string { return w.listener.Addr().String() }
+func (w *FaultyLink) Address() string { return w.listener.Addr().String() }
 
 // Set puts a fault on the wire, or takes it off; open connections feel it as well.
-func (w *Wire) Set(f Fault) {
+func (w *FaultyLink) Set(f Fault) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.fault = f
 	close(w.turn)
 	w.turn = make(chan struct{})
-	if f.Shut {
+	if f.RefuseConnections {
 		for conn := range w.conns {
 			reset(conn)
 		}
@@ -63,7 +63,7 @@
 }
 
 // Close takes the wire away with all that is on it.
-func (w *Wire) Close() {
+func (w *FaultyLink) Close() {
 	w.mutex.Lock()
 	w.ended = true
 	w.listener.Close()
@@ -86,14 +86,14 @@
 	conn.Close()
 }
 
-func (w *Wire) now() (Fault, chan struct{}, bool) {
+func (w *FaultyLink) now() (Fault, chan struct{}, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.fault, w.turn, w.ended
 }
 
 // keep notes a connection; false once the wire is gone.
-func (w *Wire) keep(conn net.Conn) bool {
+func (w *FaultyLink) keep(conn net.Conn) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.ended {
@@ -104,20 +104,20 @@
 	return true
 }
 
-func (w *Wire) drop(conn net.Conn) {
+func (w *FaultyLink) drop(conn net.Conn) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.conns, conn)
 	conn.Close()
 }
 
-func (w *Wire) run() {
+func (w *FaultyLink) run() {
 	for {
 		conn, err := w.listener.Accept()
 		if err != nil {
 			return
 		}
-		if fault, _, _ := w.now(); fault.Shut {
+		if fault, _, _ := w.now(); fault.RefuseConnections {
 			reset(conn)
 			continue
 		}
@@ -129,9 +129,9 @@
 }
 
 // carry brings one connection's bytes over. A call made during a cut hangs as on a network that says nothing.
-func (w *Wire) carry(conn net.Conn) {
+func (w *FaultyLink) carry(conn net.Conn) {
 	defer w.drop(conn)
-	if !w.passes(func(f Fault) bool { return f.Out }) {
+	if !w.passes(func(f Fault) bool { return f.DropOutgoing }) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", w.to, time.Second)
@@ -144,13 +144,13 @@
 	}
 	defer w.drop(far)
 	var both sync.WaitGroup
-	both.Go(func() { w.copy(far, conn, func(f Fault) bool { return f.Out }) })
-	both.Go(func() { w.copy(conn, far, func(f Fault) bool { return f.Back }) })
+	both.Go(func() { w.copy(far, conn, func(f Fault) bool { return f.DropOutgoing }) })
+	both.Go(func() { w.copy(conn, far, func(f Fault) bool { return f.DropIncoming }) })
 	both.Wait()
 }
 
 // passes waits until a direction is not cut; false once the wire is gone.
-func (w *Wire) passes(cut func(Fault) bool) bool {
+func (w *FaultyLink) passes(cut func(Fault) bool) bool {
 	for {
 		fault, turn, ended := w.now()
 		if ended {
@@ -167,7 +167,7 @@
 }
 
 // copy brings bytes one way. What is under way as a cut begins waits for its end, as what is sent again does.
-func (w *Wire) copy(to, from net.Conn, cut func(Fault) bool) {
+func (w *FaultyLink) copy(to, from net.Conn, cut func(Fault) bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
--- a/fake/worker.go
+++ b/fake/worker.go
@@ -11,28 +11,28 @@
 type Mode uint8
 
 const (
-	Serves    Mode = iota
-	Hangs          // takes everything and answers nothing
-	FailsFast      // answers at once that it failed
-	Refuses        // takes nothing: proof that nothing ran
+	ModeHealthy  Mode = iota
+	ModeHang          // takes everything and answers nothing
+	ModeFailFast      // answers at once that it failed
+	ModeRefuse        // takes nothing: proof that nothing ran
 )
 
-// Result is how a try ended.
-type Result uint8
+// Outcome is how a try ended.
+type Outcome uint8
 
 const (
-	Answered Result = iota
-	Failed          // it may have run
-	Refused         // it never ran
-	TimedOut        // it may run yet
+	OutcomeSucceeded Outcome = iota
+	OutcomeFailed            // it may have run
+	OutcomeRejected          // it never ran
+	OutcomeTimedOut          // it may run yet
 )
 
-// Worker is a backend: cores that take a time for each piece of work, and a queue before them.
-type Worker struct {
-	ID, Zone string
-	Weight   float64
-	Cores    int
-	Service  time.Duration
+// Backend is a backend: cores that take a time for each piece of work, and a queue before them.
+type Backend struct {
+	ID, Zone    string
+	Weight      float64
+	Cores       int
+	ServiceTime time.Duration
 
 	account *invariant.Account
 	clock   func() time.Duration
@@ -48,32 +48,32 @@
 type piece struct {
 	key  string
 	late time.Time
-	done func(Result, time.Duration)
+	done func(Outcome, time.Duration)
 	came time.Time
 }
 
-// Set has the worker behave so from now on.
-func (w *Worker) Set(m Mode) {
+// SetMode has the worker behave so from now on.
+func (w *Backend) SetMode(m Mode) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.mode = m
 }
 
 // Restart has it start anew, cold for a while.
-func (w *Worker) Restart(warm time.Duration) {
+func (w *Backend) Restart(warm time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.mode, w.started, w.warm, w.queue = Serves, time.Now(), warm, nil
+	w.mode, w.started, w.warm, w.queue = ModeHealthy, time.Now(), warm, nil
 }
 
 // Warm tells whether it may be sent as much as any.
-func (w *Worker) Warm() bool {
+func (w *Backend) Warm() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.started.IsZero() || time.Since(w.started) >= w.warm
 }
 
-func (w *Worker) entry(state string) entry {
+func (w *Backend) entry(state string) entry {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	e := entry{ID: w.ID, Addr: w.ID, Zone: w.Zone, Kind: "w", State: state, Weight: w.Weight}
@@ -86,15 +86,15 @@
 // coldQueue is how many pieces for each core a cold worker bears to have waiting.
 const coldQueue = 8
 
-// Take gives the worker a piece of work. Done is called once, with the time that it took, unless patience ends before.
-func (w *Worker) Take(key string, patience time.Duration, done func(Result, time.Duration)) {
+// Handle gives the worker a piece of work. Done is called once, with the time that it took, unless patience ends before.
+func (w *Backend) Handle(key string, patience time.Duration, done func(Outcome, time.Duration)) {
 	now := time.Now()
 	w.mutex.Lock()
 	mode := w.mode
-	if mode == Serves {
+	if mode == ModeHealthy {
 		w.queue = append(w.queue, &piece{key, now.Add(patience), done, now})
 		if w.started.Add(w.warm).After(now) && len(w.queue) > coldQueue*w.Cores {
-			w.mode, w.queue = Hangs, nil
+			w.mode, w.queue = ModeHang, nil
 			w.account.Fell(w.ID, w.clock())
 		}
 		w.mutex.Unlock()
@@ -103,15 +103,15 @@
 	}
 	w.mutex.Unlock()
 	switch mode {
-	case FailsFast:
-		time.AfterFunc(w.Service/4, func() { done(Failed, w.Service/4) })
-	case Refuses:
-		time.AfterFunc(time.Millisecond, func() { done(Refused, time.Millisecond) })
+	case ModeFailFast:
+		time.AfterFunc(w.ServiceTime/4, func() { done(OutcomeFailed, w.ServiceTime/4) })
+	case ModeRefuse:
+		time.AfterFunc(time.Millisecond, func() { done(OutcomeRejected, time.Millisecond) })
 	}
 }
 
 // next begins what waits, as far as cores are free. What is late already is dropped without having run.
-func (w *Worker) next() {
+func (w *Backend) next() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for w.busy < w.Cores && len(w.queue) > 0 {
@@ -122,13 +122,13 @@
 		}
 		w.busy++
 		w.account.Took(p.key, w.clock())
-		time.AfterFunc(w.Service, func() {
+		time.AfterFunc(w.ServiceTime, func() {
 			w.mutex.Lock()
 			w.busy--
-			hangs := w.mode == Hangs
+			hangs := w.mode == ModeHang
 			w.mutex.Unlock()
 			if !hangs {
-				p.done(Answered, time.Since(p.came))
+				p.done(OutcomeSucceeded, time.Since(p.came))
 			}
 			w.next()
 		})
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -56,16 +56,16 @@
 	case "freeze":
 		one.Up = false // for other faults
 		one.Send(syscall.SIGSTOP)
-		p.in.Frozen(at, true)
+		p.in.ControllerFrozen(at, true)
 		p.later(min(frozenFor, p.KillEvery/2), func() error {
 			one.Up = true
-			p.in.Frozen(at, false)
+			p.in.ControllerFrozen(at, false)
 			return one.Send(syscall.SIGCONT)
 		})
 	case "cut":
 		p.cuts(fake.Cut, touches)
 	case "half": // what it sends to the others is lost, and what they answer
-		p.cuts(fake.Fault{Out: true}, func(pair [2]int) bool { return pair[0] == at })
+		p.cuts(fake.Fault{DropOutgoing: true}, func(pair [2]int) bool { return pair[0] == at })
 	case "split": // no majority is left anywhere
 		p.cuts(fake.Cut, func([2]int) bool { return true })
 	case "slow":
@@ -88,7 +88,7 @@
 		wait = min(wait, time.Second)
 	}
 	p.later(wait, func() error {
-		p.in.Restarted(at)
+		p.in.ControllerRestarted(at)
 		return one.Start()
 	})
 }
@@ -104,9 +104,9 @@
 }
 
 // steady draws a worker with which nothing is going on; nil if there is none.
-func (p *play) steady() *fake.Worker {
-	var all []*fake.Worker
-	for _, w := range p.in.Workers {
+func (p *play) steady() *fake.Backend {
+	var all []*fake.Backend
+	for _, w := range p.in.Backends {
 		if !p.busy[w] && w.Warm() {
 			all = append(all, w)
 		}
@@ -126,13 +126,13 @@
 	p.busy[w] = true
 	p.report.Replaced++
 	p.say("%s drains", w.ID)
-	p.in.Discovery.List("draining", w)
+	p.in.Discovery.Publish("draining", w)
 	p.later(drainFor, func() error {
 		p.say("%s is back", w.ID)
 		w.Restart(warmBy)
-		p.in.Discovery.List("up", w)
+		p.in.Discovery.Publish("up", w)
 		p.later(warmBy, func() error {
-			p.in.Discovery.List("up", w) // as it was: the account has it as warm from now on
+			p.in.Discovery.Publish("up", w) // as it was: the account has it as warm from now on
 			delete(p.busy, w)
 			return nil
 		})
@@ -147,14 +147,14 @@
 		return
 	}
 	p.busy[w] = true
-	w.Set(fake.Hangs)
+	w.SetMode(fake.ModeHang)
 	p.report.Hangs++
 	p.say("%s hangs", w.ID)
 	noted := false
 	var look func() error
 	look = func() error {
 		switch since := time.Since(began); {
-		case !noted && p.in.Holding(w.ID) <= p.Relays/10:
+		case !noted && p.in.ProxiesUsing(w.ID) <= p.Relays/10:
 			noted = true
 			*left = append(*left, since)
 			p.say("%s is left", w.ID)
@@ -162,7 +162,7 @@
 			if !noted {
 				*left = append(*left, since)
 			}
-			w.Set(fake.Serves)
+			w.SetMode(fake.ModeHealthy)
 			delete(p.busy, w)
 			return nil
 		}
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -67,8 +67,8 @@
 	var profiles []map[string]any
 	var writes, stays []bool
 	for _, c := range classes {
-		profiles = append(profiles, map[string]any{"name": c.Name, "target": c.Target.Milliseconds(),
-			"deadline": c.Deadline.Milliseconds(), "worth": c.Value})
+		profiles = append(profiles, map[string]any{"name": c.Name, "target": c.LatencyObjective.Milliseconds(),
+			"deadline": c.Deadline.Milliseconds(), "worth": c.PriorityWeight})
 		writes, stays = append(writes, c.Writes), append(stays, false)
 	}
 	lines, backlog := t.channel()
@@ -96,21 +96,21 @@
 		return nil, err
 	}
 	classes := []fake.Class{
-		{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1, Rate: 3},
-		{Name: "order", Target: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Value: 3, Writes: true, Rate: 1}}
+		{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1, Rate: 3},
+		{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 3, Writes: true, Rate: 1}}
 	addresses, err := process.FreeAddresses(2 * t.Instances)
 	if err != nil {
 		return nil, err
 	}
 	lines, backlog := t.channel()
-	in, err := fake.NewInstallation(fake.Plan{Zones: []string{"a", "b", "c"}, Workers: t.Workers, Cores: 4,
-		Service: 20 * time.Millisecond, Relays: t.Relays, Fenced: t.Fenced, Classes: classes, Reports: time.Second, Seed: t.Seed},
+	in, err := fake.NewFleet(fake.FleetConfig{Zones: []string{"a", "b", "c"}, Backends: t.Workers, Cores: 4,
+		ServiceTime: 20 * time.Millisecond, Proxies: t.Relays, Fenced: t.Fenced, Classes: classes, ReportInterval: time.Second, Seed: t.Seed},
 		invariant.Limits{Bare: grace + slack, Grace: grace + slack, Messages: 30, Span: 10 * time.Second, LinesPerS: float64(lines),
 			Backlog: float64(backlog), Margin: 500 * time.Millisecond}, addresses[:t.Instances])
 	if err != nil {
 		return nil, err
 	}
-	p := &play{Takeover: t, in: in, folder: folder, random: rand.New(rand.NewPCG(t.Seed, 1)), faults: map[string]int{}, busy: map[*fake.Worker]bool{},
+	p := &play{Takeover: t, in: in, folder: folder, random: rand.New(rand.NewPCG(t.Seed, 1)), faults: map[string]int{}, busy: map[*fake.Backend]bool{},
 		report: &Report{Scenario: t.name(), Seed: t.Seed, Sharing: t.Sharing, Instances: t.Instances, Relays: t.Relays, Folder: folder}}
 	if p.events, err = os.Create(filepath.Join(folder, "events.log")); err != nil {
 		in.Close()
@@ -135,10 +135,10 @@
 		in.Close()
 		return nil, fmt.Errorf("the controllers have ended, or do not answer within %s; their logs in %s say why", readyIn, folder)
 	}
-	in.Play()
+	in.Start()
 	if !p.waits(ctx, readyIn, func() bool {
-		all, _ := in.Joined(0)
-		return all == t.Relays && in.Holding(in.Workers[0].ID) == t.Relays
+		all, _ := in.ConnectedProxies(0)
+		return all == t.Relays && in.ProxiesUsing(in.Backends[0].ID) == t.Relays
 	}) {
 		in.Close()
 		return nil, fmt.Errorf("the relays have no tables within %s; the controllers' logs are in %s", readyIn, folder)
@@ -149,14 +149,14 @@
 // play is one run of the scenario.
 type play struct {
 	*Takeover
-	in        *fake.Installation
+	in        *fake.Fleet
 	instances []*process.Instance
-	between   map[[2]int]*fake.Wire // between members
+	between   map[[2]int]*fake.FaultyLink // between members
 	folder    string
 	events    *os.File
 	random    *rand.Rand
 	faults    map[string]int
-	busy      map[*fake.Worker]bool // with which something is going on
+	busy      map[*fake.Backend]bool // with which something is going on
 	report    *Report
 	due       []due
 }
@@ -187,7 +187,7 @@
 
 // set writes what each controller is started with.
 func (p *play) set(listen, members []string, classes []fake.Class) error {
-	p.between = map[[2]int]*fake.Wire{}
+	p.between = map[[2]int]*fake.FaultyLink{}
 	for i := range p.Instances {
 		name := fmt.Sprint("n", i)
 		config, err := process.WriteJSON(p.folder, name+".json", map[string]any{"name": name, "listen": listen[i],
@@ -202,7 +202,7 @@
 			all := map[string]string{}
 			for j := range p.Instances {
 				if all[fmt.Sprint("n", j)] = members[j]; i != j && p.wired() {
-					wire, err := fake.NewWire(members[j])
+					wire, err := fake.NewFaultyLink(members[j])
 					if err != nil {
 						return err
 					}
--- a/scale/change.go
+++ b/scale/change.go
@@ -117,7 +117,7 @@
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
 	f = &reloadedFleet{folder: folder, seed: o.Seed}
-	classes := []fake.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
+	classes := []fake.Class{{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}}
 	f.settings = (&rehearse.Takeover{Relays: recordRelays}).Settings(classes)
 	if f.discovery, err = fake.NewDiscovery(nil, nil); err != nil {
 		return nil, err
--- a/scale/draw.go
+++ b/scale/draw.go
@@ -116,9 +116,9 @@
 	for began := time.Now(); d.requests < drawsMost && (d.requests < drawsLeast || time.Since(began) < span); d.requests++ {
 		number := random.Uint64()
 		from, fromProcessor := time.Now(), threadTime()
-		first, found := table.Draw("", number)
+		first, found := table.Pick("", number)
 		once, onceProcessor := time.Since(from), threadTime()-fromProcessor
-		second, other := table.Draw(first, fake.Redraw(number))
+		second, other := table.Pick(first, fake.NextRandom(number))
 		retried, retriedProcessor := time.Since(from), threadTime()-fromProcessor
 		if !found || other && second == first || !other && lines > 1 {
 			return d, fmt.Errorf("drew %q, then %q of %d lines", first, second, lines)
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -20,16 +20,16 @@
 var listedZones = []string{"a", "b", "c"}
 
 // newDiscovery serves a list of so many backends.
-func newDiscovery(backends int) (*fake.Discovery, []*fake.Worker, error) {
+func newDiscovery(backends int) (*fake.Discovery, []*fake.Backend, error) {
 	discovery, err := fake.NewDiscovery(invariant.NewAccount(invariant.Limits{}), func() time.Duration { return 0 })
 	if err != nil {
 		return nil, nil, err
 	}
-	var workers []*fake.Worker
+	var workers []*fake.Backend
 	for i := range backends {
-		workers = append(workers, &fake.Worker{ID: fmt.Sprintf("s-%08x", i), Zone: listedZones[i%len(listedZones)], Weight: 1})
+		workers = append(workers, &fake.Backend{ID: fmt.Sprintf("s-%08x", i), Zone: listedZones[i%len(listedZones)], Weight: 1})
 	}
-	discovery.List("up", workers...)
+	discovery.Publish("up", workers...)
 	return discovery, workers, nil
 }
 
@@ -70,7 +70,7 @@
 
 // newListedController prepares one, with a file of its own.
 func newListedController(name, listen, discovery, folder string, megabytes int, seed uint64, o Options) (*listedController, error) {
-	classes := []fake.Class{{Name: "lookup", Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1}}
+	classes := []fake.Class{{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}}
 	path, err := process.WriteJSON(folder, name+".json", map[string]any{"name": name, "listen": listen,
 		"discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": megabytes, "sockets": memberSockets},
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -95,7 +95,7 @@
 }
 
 // listLife starts a controller, lets it be, and changes one entry after the other.
-func listLife(ctx context.Context, discovery *fake.Discovery, workers []*fake.Worker, folder string, o Options) (cost listCost, err error) {
+func listLife(ctx context.Context, discovery *fake.Discovery, workers []*fake.Backend, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
 		return cost, err
@@ -129,7 +129,7 @@
 	cost.changing, err = c.spends(func() error {
 		for i := range listChanges {
 			state := []string{"draining", "up"}[i%2]
-			discovery.List(state, workers[i/2*len(workers)/listChanges])
+			discovery.Publish(state, workers[i/2*len(workers)/listChanges])
 			if err := pauseFor(ctx, span/listChanges); err != nil {
 				return err
 			}
