--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -61,7 +61,7 @@
 
 func TestVerdict(t *testing.T) {
 	for verdict, want := range map[string]error{rehearse.Kept: nil, rehearse.Broken: exit(1), rehearse.Unjudged: exit(2)} {
-		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Breaches: []invariant.Breach{{Rule: 2, Whose: "x", Text: "twice"}}}
+		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Breaches: []invariant.Violation{{Rule: 2, Whose: "x", Text: "twice"}}}
 		var text bytes.Buffer
 		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+verdict) ||
 			!strings.Contains(text.String(), "rule 2 at 0.0 s: x: twice") {
--- a/fake/channel.go
+++ b/fake/channel.go
@@ -22,7 +22,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.in.Clock()
-	c.in.account.Entered(fmt.Sprintf("controller %d, life %d", c.of, c.life), relay, lines, now)
+	c.in.account.OrderQueued(fmt.Sprintf("controller %d, life %d", c.of, c.life), relay, lines, now)
 	if c.lines <= 0 {
 		return 0
 	}
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -29,7 +29,7 @@
 type Discovery struct {
 	server  *http.Server
 	address string
-	account *invariant.Account
+	account *invariant.Checker
 	clock   func() time.Duration
 
 	mutex   sync.Mutex
@@ -46,7 +46,7 @@
 }
 
 // NewDiscovery begins to serve an empty list.
-func NewDiscovery(account *invariant.Account, clock func() time.Duration) (*Discovery, error) {
+func NewDiscovery(account *invariant.Checker, clock func() time.Duration) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 		} else {
 			d.at[e.ID], d.entries = len(d.entries), append(d.entries, e)
 		}
-		d.account.Listed(w.ID, state == "up", w.Warm(), d.clock())
+		d.account.EndpointListed(w.ID, state == "up", w.Warm(), d.clock())
 	}
 	d.whole = nil
 	d.told()
--- a/fake/installation.go
+++ b/fake/installation.go
@@ -28,7 +28,7 @@
 	Discovery *Discovery
 	Backends  []*Backend
 
-	account     *invariant.Account
+	account     *invariant.Checker
 	classes     []Class
 	reports     time.Duration
 	began       time.Time
@@ -44,7 +44,7 @@
 
 // NewFleet sets everything up but the streams to controllers, which stand at the given addresses.
 func NewFleet(p FleetConfig, limits invariant.Limits, controllers []string) (*Fleet, error) {
-	in := &Fleet{account: invariant.NewAccount(limits), classes: p.Classes, reports: p.ReportInterval, began: time.Now(),
+	in := &Fleet{account: invariant.NewChecker(limits), classes: p.Classes, reports: p.ReportInterval, began: time.Now(),
 		collectors: map[string][]*collector{}, seed: p.Seed, names: map[string]*Backend{}}
 	var err error
 	if in.Discovery, err = NewDiscovery(in.account, in.Clock); err != nil {
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		in.controllers = append(in.controllers, wire)
-		in.channels = append(in.channels, &channel{in: in, of: len(in.channels), lines: limits.LinesPerS})
+		in.channels = append(in.channels, &channel{in: in, of: len(in.channels), lines: limits.LinesPerSecond})
 	}
 	for i := range p.Backends {
 		w := &Backend{ID: fmt.Sprintf("w-%02d", i), Zone: p.Zones[i%len(p.Zones)], Weight: 1, Cores: p.Cores, ServiceTime: p.ServiceTime,
@@ -128,7 +128,7 @@
 
 // Close ends everything, and gives what the account shows and the relays counted.
 func (in *Fleet) Close() (invariant.Verdict, Counts) {
-	verdict := in.account.Judge(in.Clock())
+	verdict := in.account.Verdict(in.Clock())
 	if in.stop != nil {
 		in.stop()
 	}
--- a/fake/relay.go
+++ b/fake/relay.go
@@ -265,7 +265,7 @@
 			lacks = append(lacks, c.Name)
 		}
 	}
-	r.in.account.Joined(r.node, can, lacks, r.in.Clock())
+	r.in.account.ProxyConnected(r.node, can, lacks, r.in.Clock())
 }
 
 func (r *Proxy) has(class int) bool {
@@ -326,9 +326,9 @@
 		r.counts.JoinLines += size
 	}
 	now := r.in.Clock()
-	r.in.account.Applied(fmt.Sprint("controller ", at), r.node, token, now)
+	r.in.account.OrderApplied(fmt.Sprint("controller ", at), r.node, token, now)
 	for i, c := range r.in.classes {
-		r.in.account.Has(r.node, c.Name, r.has(i), now)
+		r.in.account.TableChanged(r.node, c.Name, r.has(i), now)
 	}
 	return nil
 }
@@ -414,7 +414,7 @@
 		r.counts.Lost++
 		return
 	}
-	r.in.account.Tried(chosen, r.node, r.in.Clock())
+	r.in.account.AttemptSent(chosen, r.node, r.in.Clock())
 	r.counts.Tries++
 	if w.hangs() {
 		r.counts.IntoHang++
--- a/fake/standin_test.go
+++ b/fake/standin_test.go
@@ -129,7 +129,7 @@
 		Classes: []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Rate: 200},
 			{Name: "write", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2, Writes: true, Rate: 200}},
 		ReportInterval: 50 * time.Millisecond, Seed: 1},
-		invariant.Limits{Bare: time.Minute, Grace: time.Minute}, []string{l.Addr().String()})
+		invariant.Limits{MaxEmptyTable: time.Minute, DrainGrace: time.Minute}, []string{l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fake/worker.go
+++ b/fake/worker.go
@@ -34,7 +34,7 @@
 	Cores       int
 	ServiceTime time.Duration
 
-	account *invariant.Account
+	account *invariant.Checker
 	clock   func() time.Duration
 
 	mutex   sync.Mutex
@@ -95,7 +95,7 @@
 		w.queue = append(w.queue, &piece{key, now.Add(patience), done, now})
 		if w.started.Add(w.warm).After(now) && len(w.queue) > coldQueue*w.Cores {
 			w.mode, w.queue = ModeHang, nil
-			w.account.Fell(w.ID, w.clock())
+			w.account.EndpointRemoved(w.ID, w.clock())
 		}
 		w.mutex.Unlock()
 		w.next()
@@ -121,7 +121,7 @@
 			continue
 		}
 		w.busy++
-		w.account.Took(p.key, w.clock())
+		w.account.EffectTaken(p.key, w.clock())
 		time.AfterFunc(w.ServiceTime, func() {
 			w.mutex.Lock()
 			w.busy--
--- a/invariant/account.go
+++ b/invariant/account.go
@@ -12,29 +12,29 @@
 
 // Limits are the figures of an installation that are judged by.
 type Limits struct {
-	Bare      time.Duration // that a joined relay may lack a line for a class while a ready, warm worker is listed
-	Grace     time.Duration // in which a worker that drains or is gone has to be left
-	Messages  int           // to one relay within Span, by all controllers together; 0 for no limit
-	Span      time.Duration
-	LinesPerS float64 // that leave one controller, with a backlog of Backlog
-	Backlog   float64
-	Margin    time.Duration // beyond each time, for what a busy machine adds to what it measures
+	MaxEmptyTable  time.Duration // that a joined relay may lack a line for a class while a ready, warm worker is listed
+	DrainGrace     time.Duration // in which a worker that drains or is gone has to be left
+	MaxMessages    int           // to one relay within Span, by all controllers together; 0 for no limit
+	MessageWindow  time.Duration
+	LinesPerSecond float64 // that leave one controller, with a backlog of Backlog
+	Backlog        float64
+	Margin         time.Duration // beyond each time, for what a busy machine adds to what it measures
 }
 
-// Breach is one broken rule.
-type Breach struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule  int // 1 to 5; 6 is an order of an owner that is over
 	At    time.Duration
 	Whose string // the relay, worker or effect
 	Text  string
 }
 
-// Account is what happened, on one clock that begins at 0. All methods may be called from anywhere.
-type Account struct {
+// Checker is what happened, on one clock that begins at 0. All methods may be called from anywhere.
+type Checker struct {
 	limits Limits
 	mutex  sync.Mutex
 
-	breaches []Breach
+	breaches []Violation
 	counts   map[string]int
 	relays   map[int]*relay
 	workers  map[string]*worker
@@ -69,29 +69,29 @@
 	lines float64
 }
 
-// NewAccount opens an account.
-func NewAccount(limits Limits) *Account {
-	return &Account{limits: limits, counts: map[string]int{}, relays: map[int]*relay{}, workers: map[string]*worker{},
+// NewChecker opens an account.
+func NewChecker(limits Limits) *Checker {
+	return &Checker{limits: limits, counts: map[string]int{}, relays: map[int]*relay{}, workers: map[string]*worker{},
 		effects: map[string]time.Duration{}, sent: map[string]*bucket{}}
 }
 
-func (a *Account) breach(rule int, at time.Duration, whose, format string, args ...any) {
+func (a *Checker) breach(rule int, at time.Duration, whose, format string, args ...any) {
 	a.counts[fmt.Sprint("rule ", rule)]++
 	if len(a.breaches) < breachesKept { // the first say enough, and an account has an end
-		a.breaches = append(a.breaches, Breach{rule, at, whose, fmt.Sprintf(format, args...)})
+		a.breaches = append(a.breaches, Violation{rule, at, whose, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (a *Account) relay(id int) *relay {
+func (a *Checker) relay(id int) *relay {
 	if a.relays[id] == nil {
 		a.relays[id] = &relay{bare: map[string]time.Duration{}, reported: map[string]bool{}}
 	}
 	return a.relays[id]
 }
 
-// Listed notes that discovery has told every controller of a worker's state. One that drains or is gone has to be left
+// EndpointListed notes that discovery has told every controller of a worker's state. One that drains or is gone has to be left
 // within the grace from now on.
-func (a *Account) Listed(id string, ready, warm bool, at time.Duration) {
+func (a *Checker) EndpointListed(id string, ready, warm bool, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	w := a.workers[id]
@@ -102,13 +102,13 @@
 	if w.ready, w.warm = ready, warm; ready {
 		w.leave = 0
 	} else if w.leave == 0 {
-		w.leave = at + a.limits.Grace + a.limits.Margin
+		w.leave = at + a.limits.DrainGrace + a.limits.Margin
 	}
 }
 
-// Joined notes that a relay has a stream to some controller, or has lost it. Its time without a line counts while it has
+// ProxyConnected notes that a relay has a stream to some controller, or has lost it. Its time without a line counts while it has
 // one.
-func (a *Account) Joined(id int, joined bool, lacks []string, at time.Duration) {
+func (a *Checker) ProxyConnected(id int, joined bool, lacks []string, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	r := a.relay(id)
@@ -122,8 +122,8 @@
 	}
 }
 
-// Has notes that a relay has a line for a class that it can pick from now on, or has none.
-func (a *Account) Has(id int, class string, any bool, at time.Duration) {
+// TableChanged notes that a relay has a line for a class that it can pick from now on, or has none.
+func (a *Checker) TableChanged(id int, class string, any bool, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	r := a.relay(id)
@@ -139,27 +139,27 @@
 }
 
 // bare judges rule 1 for a spell that has lasted until now.
-func (a *Account) bare(id int, class string, since, at time.Duration) {
+func (a *Checker) bare(id int, class string, since, at time.Duration) {
 	warm := slices.ContainsFunc(a.sorted(), func(w *worker) bool { return w.ready && w.warm })
 	if !warm {
 		return
 	}
 	a.longest = max(a.longest, at-since)
-	if r := a.relay(id); at-since > a.limits.Bare+a.limits.Margin && !r.reported[class] {
+	if r := a.relay(id); at-since > a.limits.MaxEmptyTable+a.limits.Margin && !r.reported[class] {
 		r.reported[class] = true
 		a.breach(1, at, fmt.Sprint("relay ", id), "no line for %s since %s", class, since.Round(time.Millisecond))
 	}
 }
 
-func (a *Account) sorted() (all []*worker) {
+func (a *Checker) sorted() (all []*worker) {
 	for _, w := range a.workers {
 		all = append(all, w)
 	}
 	return all
 }
 
-// Took notes that a piece of work took effect at a worker. Its key is its own; the same key again breaks rule 2.
-func (a *Account) Took(key string, at time.Duration) {
+// EffectTaken notes that a piece of work took effect at a worker. Its key is its own; the same key again breaks rule 2.
+func (a *Checker) EffectTaken(key string, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if first, twice := a.effects[key]; twice {
@@ -169,22 +169,22 @@
 	a.effects[key] = at
 }
 
-// Tried notes that a relay sends a worker something now, by its table. A relay that came to its controller after the
+// AttemptSent notes that a relay sends a worker something now, by its table. A relay that came to its controller after the
 // worker was to be left has the grace from then on.
-func (a *Account) Tried(id string, by int, at time.Duration) {
+func (a *Checker) AttemptSent(id string, by int, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	w, r := a.workers[id], a.relay(by)
 	if w == nil || w.leave == 0 || !r.joined {
 		return // whoever has no stream cannot be told
 	}
-	if left := max(w.leave, r.since+a.limits.Grace+a.limits.Margin); at > left {
+	if left := max(w.leave, r.since+a.limits.DrainGrace+a.limits.Margin); at > left {
 		a.breach(3, at, fmt.Sprint("relay ", by), "sent to %s, which was to be left by %s", id, left.Round(time.Millisecond))
 	}
 }
 
-// Fell notes that a cold worker was pushed over.
-func (a *Account) Fell(id string, at time.Duration) {
+// EndpointRemoved notes that a cold worker was pushed over.
+func (a *Checker) EndpointRemoved(id string, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if w := a.workers[id]; w != nil && !w.fell {
@@ -193,8 +193,8 @@
 	}
 }
 
-// Applied notes that a relay has applied an order of a controller; a token of 0 is none.
-func (a *Account) Applied(by string, id int, token uint64, at time.Duration) {
+// OrderApplied notes that a relay has applied an order of a controller; a token of 0 is none.
+func (a *Checker) OrderApplied(by string, id int, token uint64, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	r := a.relay(id)
@@ -204,28 +204,28 @@
 	r.token = max(r.token, token)
 }
 
-// Entered notes that a message of some lines for a relay enters a controller's channel. By names the controller's
+// OrderQueued notes that a message of some lines for a relay enters a controller's channel. By names the controller's
 // process: another process has a channel of its own.
-func (a *Account) Entered(by string, id int, lines int, at time.Duration) {
+func (a *Checker) OrderQueued(by string, id int, lines int, at time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	r := a.relay(id)
-	if a.limits.Messages > 0 {
-		r.messages = slices.DeleteFunc(r.messages, func(t time.Duration) bool { return t <= at-a.limits.Span })
+	if a.limits.MaxMessages > 0 {
+		r.messages = slices.DeleteFunc(r.messages, func(t time.Duration) bool { return t <= at-a.limits.MessageWindow })
 		r.messages = append(r.messages, at)
 		a.most = max(a.most, len(r.messages))
-		if over := len(r.messages) > a.limits.Messages; over && !r.over {
-			a.breach(5, at, fmt.Sprint("relay ", id), "%d messages within %s", len(r.messages), a.limits.Span)
+		if over := len(r.messages) > a.limits.MaxMessages; over && !r.over {
+			a.breach(5, at, fmt.Sprint("relay ", id), "%d messages within %s", len(r.messages), a.limits.MessageWindow)
 		}
-		r.over = len(r.messages) > a.limits.Messages
+		r.over = len(r.messages) > a.limits.MaxMessages
 	}
 	b := a.sent[by]
 	if b == nil {
 		b = &bucket{at: at}
 		a.sent[by] = b
 	}
-	b.lines = max(0, b.lines-(at-b.at).Seconds()*a.limits.LinesPerS) + float64(lines)
-	if b.at = at; a.limits.LinesPerS > 0 && b.lines > a.limits.Backlog {
+	b.lines = max(0, b.lines-(at-b.at).Seconds()*a.limits.LinesPerSecond) + float64(lines)
+	if b.at = at; a.limits.LinesPerSecond > 0 && b.lines > a.limits.Backlog {
 		a.breach(5, at, by, "%.0f lines in its channel, %.0f at most", b.lines, a.limits.Backlog)
 		b.lines = 0
 	}
@@ -233,15 +233,15 @@
 
 // Verdict is what an account shows.
 type Verdict struct {
-	Breaches []Breach
+	Breaches []Violation
 	Counts   map[string]int // by rule, for breaches that are too many to keep
 	Effects  int
 	Longest  time.Duration // that a joined relay lacked a line
 	Most     int           // messages to a relay within the span
 }
 
-// Judge closes the account: spells that last are judged as they stand.
-func (a *Account) Judge(at time.Duration) Verdict {
+// Verdict closes the account: spells that last are judged as they stand.
+func (a *Checker) Verdict(at time.Duration) Verdict {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for id, r := range a.relays {
@@ -249,7 +249,7 @@
 			a.bare(id, class, since, at)
 		}
 	}
-	slices.SortFunc(a.breaches, func(x, y Breach) int {
+	slices.SortFunc(a.breaches, func(x, y Violation) int {
 		return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Rule, y.Rule), cmp.Compare(x.Whose, y.Whose))
 	})
 	return Verdict{a.breaches, a.counts, len(a.effects), a.longest, a.most}
--- a/invariant/account_test.go
+++ b/invariant/account_test.go
@@ -9,111 +9,111 @@
 
 const ms = time.Millisecond
 
-var limits = Limits{Bare: 3000 * ms, Grace: 2000 * ms, Messages: 3, Span: 1000 * ms, LinesPerS: 100, Backlog: 50}
+var limits = Limits{MaxEmptyTable: 3000 * ms, DrainGrace: 2000 * ms, MaxMessages: 3, MessageWindow: 1000 * ms, LinesPerSecond: 100, Backlog: 50}
 
 // ready is an account with one worker that is listed, ready and warm.
-func ready() *Account {
-	a := NewAccount(limits)
-	a.Listed("w", true, true, 0)
+func ready() *Checker {
+	a := NewChecker(limits)
+	a.EndpointListed("w", true, true, 0)
 	return a
 }
 
 func TestJudge(t *testing.T) {
 	for _, story := range []struct {
 		name   string
-		plays  func(a *Account)
+		plays  func(a *Checker)
 		end    time.Duration
 		broken []int // rules
 	}{
-		{"a relay that lacks a line for just as long as it may", func(a *Account) {
-			a.Joined(1, true, []string{"c"}, 0)
-			a.Has(1, "c", true, limits.Bare)
+		{"a relay that lacks a line for just as long as it may", func(a *Checker) {
+			a.ProxyConnected(1, true, []string{"c"}, 0)
+			a.TableChanged(1, "c", true, limits.MaxEmptyTable)
 		}, 9000 * ms, nil},
-		{"a relay that lacks one for longer", func(a *Account) {
-			a.Joined(1, true, []string{"c"}, 0)
-			a.Has(1, "c", true, limits.Bare+ms)
+		{"a relay that lacks one for longer", func(a *Checker) {
+			a.ProxyConnected(1, true, []string{"c"}, 0)
+			a.TableChanged(1, "c", true, limits.MaxEmptyTable+ms)
 		}, 9000 * ms, []int{1}},
-		{"one that never gets a line, told at the end", func(a *Account) { a.Joined(1, true, []string{"c", "d"}, 0) }, 4000 * ms, []int{1, 1}},
-		{"one that lost its line later", func(a *Account) {
-			a.Joined(1, true, nil, 0)
-			a.Has(1, "c", false, 100*ms)
-			a.Has(1, "c", true, 100*ms+limits.Bare+ms)
+		{"one that never gets a line, told at the end", func(a *Checker) { a.ProxyConnected(1, true, []string{"c", "d"}, 0) }, 4000 * ms, []int{1, 1}},
+		{"one that lost its line later", func(a *Checker) {
+			a.ProxyConnected(1, true, nil, 0)
+			a.TableChanged(1, "c", false, 100*ms)
+			a.TableChanged(1, "c", true, 100*ms+limits.MaxEmptyTable+ms)
 		}, 9000 * ms, []int{1}},
-		{"one that has no stream lacks nothing of ours", func(a *Account) {
-			a.Joined(1, true, []string{"c"}, 0)
-			a.Joined(1, false, nil, 2000*ms)
-			a.Joined(1, true, []string{"c"}, 8000*ms)
+		{"one that has no stream lacks nothing of ours", func(a *Checker) {
+			a.ProxyConnected(1, true, []string{"c"}, 0)
+			a.ProxyConnected(1, false, nil, 2000*ms)
+			a.ProxyConnected(1, true, []string{"c"}, 8000*ms)
 		}, 9000 * ms, nil},
-		{"nothing is lacking while no worker is ready and warm", func(a *Account) {
-			a.Listed("w", true, false, 0)
-			a.Joined(1, true, []string{"c"}, 0)
-			a.Has(1, "c", true, 8000*ms)
+		{"nothing is lacking while no worker is ready and warm", func(a *Checker) {
+			a.EndpointListed("w", true, false, 0)
+			a.ProxyConnected(1, true, []string{"c"}, 0)
+			a.TableChanged(1, "c", true, 8000*ms)
 		}, 9000 * ms, nil},
-		{"two effects of two pieces of work", func(a *Account) { a.Took("x", 0); a.Took("y", ms) }, 0, nil},
-		{"one effect twice", func(a *Account) { a.Took("x", 0); a.Took("x", ms) }, 0, []int{2}},
-		{"a worker that drains is tried within the grace", func(a *Account) {
-			a.Joined(1, true, nil, 0)
-			a.Listed("w", false, false, 0)
-			a.Tried("w", 1, limits.Grace)
+		{"two effects of two pieces of work", func(a *Checker) { a.EffectTaken("x", 0); a.EffectTaken("y", ms) }, 0, nil},
+		{"one effect twice", func(a *Checker) { a.EffectTaken("x", 0); a.EffectTaken("x", ms) }, 0, []int{2}},
+		{"a worker that drains is tried within the grace", func(a *Checker) {
+			a.ProxyConnected(1, true, nil, 0)
+			a.EndpointListed("w", false, false, 0)
+			a.AttemptSent("w", 1, limits.DrainGrace)
 		}, 0, nil},
-		{"it is tried after the grace", func(a *Account) {
-			a.Joined(1, true, nil, 0)
-			a.Listed("w", false, false, 0)
-			a.Tried("w", 1, limits.Grace+ms)
+		{"it is tried after the grace", func(a *Checker) {
+			a.ProxyConnected(1, true, nil, 0)
+			a.EndpointListed("w", false, false, 0)
+			a.AttemptSent("w", 1, limits.DrainGrace+ms)
 		}, 0, []int{3}},
-		{"it is tried by a relay that came later, within the grace from then on", func(a *Account) {
-			a.Listed("w", false, false, 0)
-			a.Joined(1, true, nil, 500*ms)
-			a.Tried("w", 1, 500*ms+limits.Grace)
+		{"it is tried by a relay that came later, within the grace from then on", func(a *Checker) {
+			a.EndpointListed("w", false, false, 0)
+			a.ProxyConnected(1, true, nil, 500*ms)
+			a.AttemptSent("w", 1, 500*ms+limits.DrainGrace)
 		}, 0, nil},
-		{"... and after that", func(a *Account) {
-			a.Listed("w", false, false, 0)
-			a.Joined(1, true, nil, 500*ms)
-			a.Tried("w", 1, 501*ms+limits.Grace)
+		{"... and after that", func(a *Checker) {
+			a.EndpointListed("w", false, false, 0)
+			a.ProxyConnected(1, true, nil, 500*ms)
+			a.AttemptSent("w", 1, 501*ms+limits.DrainGrace)
 		}, 0, []int{3}},
-		{"it is tried by a relay that nobody can tell anything", func(a *Account) {
-			a.Listed("w", false, false, 0)
-			a.Joined(1, true, nil, 0)
-			a.Joined(1, false, nil, 100*ms)
-			a.Tried("w", 1, limits.Grace+ms)
+		{"it is tried by a relay that nobody can tell anything", func(a *Checker) {
+			a.EndpointListed("w", false, false, 0)
+			a.ProxyConnected(1, true, nil, 0)
+			a.ProxyConnected(1, false, nil, 100*ms)
+			a.AttemptSent("w", 1, limits.DrainGrace+ms)
 		}, 0, nil},
-		{"told to drain twice, it has to be left by the first", func(a *Account) {
-			a.Listed("w", false, false, 0)
-			a.Listed("w", false, false, 1000*ms)
-			a.Joined(1, true, nil, 0)
-			a.Tried("w", 1, limits.Grace+ms)
+		{"told to drain twice, it has to be left by the first", func(a *Checker) {
+			a.EndpointListed("w", false, false, 0)
+			a.EndpointListed("w", false, false, 1000*ms)
+			a.ProxyConnected(1, true, nil, 0)
+			a.AttemptSent("w", 1, limits.DrainGrace+ms)
 		}, 0, []int{3}},
-		{"back on the list it may be tried", func(a *Account) {
-			a.Listed("w", false, false, 0)
-			a.Listed("w", true, true, 1000*ms)
-			a.Tried("w", 1, limits.Grace+ms)
+		{"back on the list it may be tried", func(a *Checker) {
+			a.EndpointListed("w", false, false, 0)
+			a.EndpointListed("w", true, true, 1000*ms)
+			a.AttemptSent("w", 1, limits.DrainGrace+ms)
 		}, 0, nil},
-		{"a cold worker falls over, and is counted once", func(a *Account) { a.Fell("w", 0); a.Fell("w", ms) }, 0, []int{4}},
-		{"as many messages as may be, from all controllers together", func(a *Account) {
+		{"a cold worker falls over, and is counted once", func(a *Checker) { a.EndpointRemoved("w", 0); a.EndpointRemoved("w", ms) }, 0, []int{4}},
+		{"as many messages as may be, from all controllers together", func(a *Checker) {
 			for i := range 6 {
-				a.Entered(fmt.Sprint(i%2), 1, 1, time.Duration(i/3)*1001*ms)
+				a.OrderQueued(fmt.Sprint(i%2), 1, 1, time.Duration(i/3)*1001*ms)
 			}
 		}, 0, nil},
-		{"one message more", func(a *Account) {
+		{"one message more", func(a *Checker) {
 			for i := range 4 {
-				a.Entered(fmt.Sprint(i%2), 1, 1, time.Duration(i)*300*ms)
+				a.OrderQueued(fmt.Sprint(i%2), 1, 1, time.Duration(i)*300*ms)
 			}
 		}, 0, []int{5}},
-		{"lines up to the backlog", func(a *Account) { a.Entered("a", 1, 50, 0); a.Entered("a", 2, 10, 100*ms) }, 0, nil},
-		{"a line beyond it", func(a *Account) { a.Entered("a", 1, 50, 0); a.Entered("a", 2, 11, 100*ms) }, 0, []int{5}},
-		{"two controllers have a channel each", func(a *Account) { a.Entered("a", 1, 50, 0); a.Entered("b", 2, 50, 0) }, 0, nil},
-		{"an order of an older owner", func(a *Account) {
-			a.Applied("a", 1, 4, 0)
-			a.Applied("b", 1, 7, ms)
-			a.Applied("a", 1, 4, 2*ms)
+		{"lines up to the backlog", func(a *Checker) { a.OrderQueued("a", 1, 50, 0); a.OrderQueued("a", 2, 10, 100*ms) }, 0, nil},
+		{"a line beyond it", func(a *Checker) { a.OrderQueued("a", 1, 50, 0); a.OrderQueued("a", 2, 11, 100*ms) }, 0, []int{5}},
+		{"two controllers have a channel each", func(a *Checker) { a.OrderQueued("a", 1, 50, 0); a.OrderQueued("b", 2, 50, 0) }, 0, nil},
+		{"an order of an older owner", func(a *Checker) {
+			a.OrderApplied("a", 1, 4, 0)
+			a.OrderApplied("b", 1, 7, ms)
+			a.OrderApplied("a", 1, 4, 2*ms)
 		}, 0, []int{6}},
-		{"orders without tokens are of no owner", func(a *Account) { a.Applied("a", 1, 4, 0); a.Applied("b", 1, 0, ms) }, 0, nil},
+		{"orders without tokens are of no owner", func(a *Checker) { a.OrderApplied("a", 1, 4, 0); a.OrderApplied("b", 1, 0, ms) }, 0, nil},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			a := ready()
 			story.plays(a)
 			var broken []int
-			v := a.Judge(story.end)
+			v := a.Verdict(story.end)
 			for _, b := range v.Breaches {
 				broken = append(broken, b.Rule)
 			}
@@ -126,11 +126,11 @@
 		for over, broken := range map[time.Duration]int{0: 0, ms: 1} {
 			with := limits
 			with.Margin = 400 * ms
-			a := NewAccount(with)
-			a.Listed("w", true, true, 0)
-			a.Joined(1, true, []string{"c"}, 0)
-			a.Has(1, "c", true, limits.Bare+with.Margin+over)
-			if v := a.Judge(9000 * ms); len(v.Breaches) != broken {
+			a := NewChecker(with)
+			a.EndpointListed("w", true, true, 0)
+			a.ProxyConnected(1, true, []string{"c"}, 0)
+			a.TableChanged(1, "c", true, limits.MaxEmptyTable+with.Margin+over)
+			if v := a.Verdict(9000 * ms); len(v.Breaches) != broken {
 				t.Errorf("%s over: %+v", over, v.Breaches)
 			}
 		}
@@ -138,9 +138,9 @@
 	t.Run("breaches beyond some are counted, not kept", func(t *testing.T) {
 		a := ready()
 		for range 3 * breachesKept {
-			a.Took("x", 0)
+			a.EffectTaken("x", 0)
 		}
-		if v := a.Judge(0); len(v.Breaches) != breachesKept || v.Counts["rule 2"] != 3*breachesKept-1 {
+		if v := a.Verdict(0); len(v.Breaches) != breachesKept || v.Counts["rule 2"] != 3*breachesKept-1 {
 			t.Errorf("%d kept, counted %v", len(v.Breaches), v.Counts)
 		}
 	})
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -10,37 +10,37 @@
 
 // Report is what a rehearsal has shown.
 type Report struct {
-	Scenario   string             `json:"scenario"`
-	Seed       uint64             `json:"seed"`
-	Sharing    bool               `json:"sharing"`
-	Instances  int                `json:"instances"`
-	Relays     int                `json:"relays"`
-	Seconds    float64            `json:"seconds"`
-	Faults     map[string]int     `json:"faults"`
-	Verdict    string             `json:"verdict"` // kept, broken, or could not be judged
-	Why        string             `json:"why,omitempty"`
-	Breaches   []invariant.Breach `json:"breaches"`
-	Broken     map[string]int     `json:"broken"`
-	Effects    int                `json:"effects"`
-	BareMost   float64            `json:"longest_without_a_line_s"`
-	Messages   int                `json:"most_messages_to_a_relay"`
-	Served     float64            `json:"value_served"` // share of what was asked for, in time
-	Lost       int                `json:"lost"`
-	Refused    int                `json:"refused"`
-	Came       int                `json:"came"`
-	Takeovers  int                `json:"streams_begun"`
-	JoinLines  float64            `json:"lines_in_the_first_second_of_a_stream"`
-	Lines      int                `json:"lines"`
-	Orders     int                `json:"orders"`
-	Stale      int                `json:"orders_refused_as_of_an_older_owner"`
-	Hangs      int                `json:"hangs"`
-	Replaced   int                `json:"workers_replaced"`
-	LeaveMean  float64            `json:"left_a_hung_worker_after_s_mean"`
-	LeaveMost  float64            `json:"left_a_hung_worker_after_s_most"`
-	IntoHang   int                `json:"tries_into_a_hang"`
-	TurnsLate  float64            `json:"turn_late_ms_of_one_in_a_hundred"`
-	LatestTurn float64            `json:"turn_late_ms_most"`
-	Folder     string             `json:"folder"`
+	Scenario   string                `json:"scenario"`
+	Seed       uint64                `json:"seed"`
+	Sharing    bool                  `json:"sharing"`
+	Instances  int                   `json:"instances"`
+	Relays     int                   `json:"relays"`
+	Seconds    float64               `json:"seconds"`
+	Faults     map[string]int        `json:"faults"`
+	Verdict    string                `json:"verdict"` // kept, broken, or could not be judged
+	Why        string                `json:"why,omitempty"`
+	Breaches   []invariant.Violation `json:"breaches"`
+	Broken     map[string]int        `json:"broken"`
+	Effects    int                   `json:"effects"`
+	BareMost   float64               `json:"longest_without_a_line_s"`
+	Messages   int                   `json:"most_messages_to_a_relay"`
+	Served     float64               `json:"value_served"` // share of what was asked for, in time
+	Lost       int                   `json:"lost"`
+	Refused    int                   `json:"refused"`
+	Came       int                   `json:"came"`
+	Takeovers  int                   `json:"streams_begun"`
+	JoinLines  float64               `json:"lines_in_the_first_second_of_a_stream"`
+	Lines      int                   `json:"lines"`
+	Orders     int                   `json:"orders"`
+	Stale      int                   `json:"orders_refused_as_of_an_older_owner"`
+	Hangs      int                   `json:"hangs"`
+	Replaced   int                   `json:"workers_replaced"`
+	LeaveMean  float64               `json:"left_a_hung_worker_after_s_mean"`
+	LeaveMost  float64               `json:"left_a_hung_worker_after_s_most"`
+	IntoHang   int                   `json:"tries_into_a_hang"`
+	TurnsLate  float64               `json:"turn_late_ms_of_one_in_a_hundred"`
+	LatestTurn float64               `json:"turn_late_ms_most"`
+	Folder     string                `json:"folder"`
 }
 
 // Verdicts.
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -105,7 +105,7 @@
 	lines, backlog := t.channel()
 	in, err := fake.NewFleet(fake.FleetConfig{Zones: []string{"a", "b", "c"}, Backends: t.Workers, Cores: 4,
 		ServiceTime: 20 * time.Millisecond, Proxies: t.Relays, Fenced: t.Fenced, Classes: classes, ReportInterval: time.Second, Seed: t.Seed},
-		invariant.Limits{Bare: grace + slack, Grace: grace + slack, Messages: 30, Span: 10 * time.Second, LinesPerS: float64(lines),
+		invariant.Limits{MaxEmptyTable: grace + slack, DrainGrace: grace + slack, MaxMessages: 30, MessageWindow: 10 * time.Second, LinesPerSecond: float64(lines),
 			Backlog: float64(backlog), Margin: 500 * time.Millisecond}, addresses[:t.Instances])
 	if err != nil {
 		return nil, err
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -21,7 +21,7 @@
 
 // newDiscovery serves a list of so many backends.
 func newDiscovery(backends int) (*fake.Discovery, []*fake.Backend, error) {
-	discovery, err := fake.NewDiscovery(invariant.NewAccount(invariant.Limits{}), func() time.Duration { return 0 })
+	discovery, err := fake.NewDiscovery(invariant.NewChecker(invariant.Limits{}), func() time.Duration { return 0 })
 	if err != nil {
 		return nil, nil, err
 	}
