--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -35,8 +35,8 @@
 	var last raft.ApplyFuture
 	began := time.Now()
 	for n := range hour {
-		e := ownership.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Edition: uint64(n),
-			Confirmations: []ownership.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Edition: uint64(n), Tables: []int{0, 0}}}}
+		e := ownership.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Revision: uint64(n),
+			Confirmations: []ownership.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Revision: uint64(n), Tables: []int{0, 0}}}}
 		if n < proxies {
 			e.Claims = []int{n}
 		}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -28,10 +28,10 @@
 
 // Events are told what becomes of the record, the entries in their order. They may wait, but not for the Node.
 type Events interface {
-	Recorded(ownership.Entry)
-	Restored(*ownership.Record)
-	Answered(incarnation, seq uint64)
-	Failed(incarnation, seq uint64)
+	EntryCommitted(ownership.Entry)
+	SnapshotRestored(*ownership.Record)
+	ProposalCommitted(incarnation, seq uint64)
+	ProposalFailed(incarnation, seq uint64)
 }
 
 // Config is what a member is started with.
@@ -40,7 +40,7 @@
 	Members map[string]string // the address of each by its name, our own among them
 	Folder  string            // for what must outlast the process; "" keeps it in memory
 	Credentials
-	Terms ownership.Terms
+	Terms ownership.LeaseTerms
 	// Distribution is told what the record has of the distributed configuration, and serves those who subscribe to it;
 	// nil: nobody can subscribe here.
 	Distribution Distribution
@@ -113,7 +113,7 @@
 	}
 	began := time.Now()
 	n := &Node{config: config, events: events, log: log, wrapStore: wrapStore, proposals: make(chan ownership.Entry, 1), stamp: randomID(),
-		leases: ownership.NewLeaseTracker(config.Terms), pace: paceFor(time.Duration(config.Terms.Lease) * time.Microsecond),
+		leases: ownership.NewLeaseTracker(config.Terms), pace: paceFor(time.Duration(config.Terms.Duration) * time.Microsecond),
 		clock: func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
 		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{}, foreign: config.Distribution != nil,
@@ -142,8 +142,8 @@
 	return r.AppliedIndex(), n.transport.bytes.Load()
 }
 
-// Leads tells whether this member leads the record now.
-func (n *Node) Leads() bool {
+// IsLeader tells whether this member leads the record now.
+func (n *Node) IsLeader() bool {
 	r, _ := n.current()
 	return r.State() == raft.Leader
 }
@@ -309,7 +309,7 @@
 				n.log.Error("record_lost", "error", err.Error())
 				return
 			}
-			n.events.Restored(ownership.NewRecord())
+			n.events.SnapshotRestored(ownership.NewRecord())
 			r, _ = n.current()
 			lost, index = 0, 0
 		}
@@ -325,7 +325,7 @@
 	now := n.clock()
 	m.withRecord(func(record *ownership.Record) {
 		for name, incarnation := range record.Members {
-			if name != n.config.Name && n.leases.Silent(incarnation, now, 2*n.config.Terms.Renew) {
+			if name != n.config.Name && n.leases.Silent(incarnation, now, 2*n.config.Terms.RenewInterval) {
 				silent = append(silent, name)
 			}
 		}
@@ -438,7 +438,7 @@
 			}
 		}
 		if a.Accepted {
-			n.events.Answered(e.Incarnation, e.Seq)
+			n.events.ProposalCommitted(e.Incarnation, e.Seq)
 			continue
 		}
 		select {
@@ -446,6 +446,6 @@
 			return
 		case <-time.After(pollInterval / 4):
 		}
-		n.events.Failed(e.Incarnation, e.Seq)
+		n.events.ProposalFailed(e.Incarnation, e.Seq)
 	}
 }
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -50,7 +50,7 @@
 
 const patience = 30 * time.Second
 
-var terms = ownership.Terms{Lease: 1_500_000, Renew: 200_000, Span: 10_000_000, Messages: 30, Members: 3}
+var terms = ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: 3}
 
 // reader notes what a member is told, and lets stories wait for it.
 type reader struct {
@@ -69,14 +69,14 @@
 	r.more = make(chan struct{})
 }
 
-func (r *reader) Recorded(e ownership.Entry) {
+func (r *reader) EntryCommitted(e ownership.Entry) {
 	r.note(fmt.Sprintf("recorded %s %d %d", e.Member, e.Incarnation, e.Seq))
 }
-func (r *reader) Restored(*ownership.Record) { r.note("restored") }
-func (r *reader) Answered(incarnation, seq uint64) {
+func (r *reader) SnapshotRestored(*ownership.Record) { r.note("restored") }
+func (r *reader) ProposalCommitted(incarnation, seq uint64) {
 	r.note(fmt.Sprintf("answered %d %d", incarnation, seq))
 }
-func (r *reader) Failed(incarnation, seq uint64) {
+func (r *reader) ProposalFailed(incarnation, seq uint64) {
 	r.note(fmt.Sprintf("failed %d %d", incarnation, seq))
 }
 
@@ -381,7 +381,7 @@
 
 func TestStateMachine(t *testing.T) {
 	m, r := &stateMachine{events: newReader(), record: ownership.NewRecord(), changes: newChanges(nil, nil)}, newReader()
-	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Edition: 1,
+	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Revision: 1,
 		TableChanges: []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -37,7 +37,7 @@
 	m.mutex.Lock()
 	m.record.Apply(e)
 	m.mutex.Unlock()
-	m.events.Recorded(e)
+	m.events.EntryCommitted(e)
 	return nil
 }
 
@@ -79,7 +79,7 @@
 	m.bytes.Store(int64(len(body)))
 	m.mutex.Unlock()
 	m.changes.restore(configuration)
-	m.events.Restored(theirs)
+	m.events.SnapshotRestored(theirs)
 	return nil
 }
 
--- a/controller/base_test.go
+++ b/controller/base_test.go
@@ -10,7 +10,7 @@
 )
 
 // taken makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
-func taken(base ownership.Base, brought map[string]float64) (*tables, *hearer, *peer) {
+func taken(base ownership.KnownTable, brought map[string]float64) (*tables, *hearer, *peer) {
 	to := someTables(2)
 	h, p := heard(to, 0, false)
 	for class := range h.lines {
@@ -20,7 +20,7 @@
 	for b := range 10 {
 		to.PublishEntry(0, b, 1)
 	}
-	to.streams[0].base = []ownership.Base{base, base}
+	to.streams[0].base = []ownership.KnownTable{base, base}
 	return to, h, p
 }
 
@@ -38,7 +38,7 @@
 		return of
 	}
 	t.Run("what it surely has is not written again, and levels that others left are lifted, once", func(t *testing.T) {
-		to, h, p := taken(ownership.Base{Lines: quoted(ten)}, ten)
+		to, h, p := taken(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		to.AssignTable(0, 0, 0)
 		to.RequestAck(1, false)
 		to.writes(t)
@@ -63,7 +63,7 @@
 		delete(brought, "s-2")
 		known := quoted(brought)
 		delete(known, `"s-9"`) // in doubt: it may have any, or none
-		to, h, p := taken(ownership.Base{Lines: known, Doubt: map[string]bool{`"s-9"`: true}}, brought)
+		to, h, p := taken(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) || h.cost != 5 {
@@ -71,7 +71,7 @@
 		}
 	})
 	t.Run("where as many differ as there are, it gets the whole table", func(t *testing.T) {
-		to, h, p := taken(ownership.Base{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
+		to, h, p := taken(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || h.levels[0] != nil || to.wholes != 1 || to.deltas != 0 {
@@ -79,11 +79,11 @@
 		}
 	})
 	t.Run("with classes that had other tables, what any of them may lack is written", func(t *testing.T) {
-		to, h, p := taken(ownership.Base{Lines: quoted(ten)}, ten)
+		to, h, p := taken(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		delete(h.lines[1], "s-4")
 		less := quoted(ten)
 		delete(less, `"s-4"`)
-		to.streams[0].base[1] = ownership.Base{Lines: less}
+		to.streams[0].base[1] = ownership.KnownTable{Lines: less}
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -36,16 +36,16 @@
 		with.Name = c.plan.Name
 	}
 	m := c.module
-	terms := ownership.Terms{Lease: with.Lease, Span: c.plan.channel.MessageWindow + c.plan.channel.MaxLatency,
-		Messages: c.plan.channel.MaxMessages, Members: len(with.Members), Kept: keptMessages}
-	if terms.Lease == 0 {
-		terms.Lease = usualLease
+	terms := ownership.LeaseTerms{Duration: with.Lease, MessageWindow: c.plan.channel.MessageWindow + c.plan.channel.MaxLatency,
+		MaxMessages: c.plan.channel.MaxMessages, Members: len(with.Members), GuaranteedMessages: keptMessages}
+	if terms.Duration == 0 {
+		terms.Duration = usualLease
 	}
-	if terms.Renew = terms.Lease / leaseParts; terms.Renew < m.limits.tick.Microseconds() {
-		return fmt.Errorf("lease: %d ms is too short for a tick of %s", terms.Lease/1000, m.limits.tick)
+	if terms.RenewInterval = terms.Duration / leaseParts; terms.RenewInterval < m.limits.tick.Microseconds() {
+		return fmt.Errorf("lease: %d ms is too short for a tick of %s", terms.Duration/1000, m.limits.tick)
 	}
-	if terms.Messages == 0 {
-		terms.Messages = uncounted
+	if terms.MaxMessages == 0 {
+		terms.MaxMessages = uncounted
 	}
 	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: ownership.NewEvidence(), terms: terms}
 	config := consensus.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
@@ -80,20 +80,20 @@
 	fleet *fleet
 }
 
-func (r recordEvents) Recorded(e ownership.Entry) {
-	r.post(func() { r.fleet.coordinator.Recorded(e, r.now) })
+func (r recordEvents) EntryCommitted(e ownership.Entry) {
+	r.post(func() { r.fleet.coordinator.EntryApplied(e, r.now) })
 }
 
-func (r recordEvents) Restored(record *ownership.Record) {
-	r.post(func() { r.fleet.coordinator.Restored(record, r.now) })
+func (r recordEvents) SnapshotRestored(record *ownership.Record) {
+	r.post(func() { r.fleet.coordinator.SnapshotRestored(record, r.now) })
 }
 
-func (r recordEvents) Answered(incarnation, seq uint64) {
-	r.post(func() { r.fleet.coordinator.Answered(incarnation, seq, r.now) })
+func (r recordEvents) ProposalCommitted(incarnation, seq uint64) {
+	r.post(func() { r.fleet.coordinator.ProposalCommitted(incarnation, seq, r.now) })
 }
 
-func (r recordEvents) Failed(incarnation, seq uint64) {
-	r.post(func() { r.fleet.coordinator.Failed(incarnation, seq, r.now) })
+func (r recordEvents) ProposalFailed(incarnation, seq uint64) {
+	r.post(func() { r.fleet.coordinator.ProposalFailed(incarnation, seq, r.now) })
 }
 
 // fleet is the module's side of sharing: it joins the coordinator with the decisions, the tables and the streams.
@@ -102,7 +102,7 @@
 	name        string
 	coordinator *ownership.Coordinator
 	node        *consensus.Node
-	terms       ownership.Terms
+	terms       ownership.LeaseTerms
 
 	pending  map[int]pendingJoin // proxies that joined and are not granted yet
 	queued   []queuedMessage     // in their order
@@ -148,20 +148,20 @@
 const coordinatorTag = 1<<64 - 1
 
 func (f *fleet) tick(now int64) {
-	f.coordinator.Elapsed(now)
+	f.coordinator.Tick(now)
 	for node, j := range f.module.joins {
 		if j != nil {
-			f.coordinator.Spoke(node, j.peer.heard.Load())
+			f.coordinator.ProxyHeardFrom(node, j.peer.heard.Load())
 		}
 	}
 	f.shareEvidence(now)
-	f.module.SetTimer(f.terms.Renew/2, coordinatorTag)
+	f.module.SetTimer(f.terms.RenewInterval/2, coordinatorTag)
 }
 
 // proxyJoined has a proxy wait until it is granted.
 func (f *fleet) proxyJoined(node int, a pendingJoin) {
 	f.pending[node] = a
-	f.coordinator.Joined(node, f.module.now)
+	f.coordinator.ProxyConnected(node, f.module.now)
 }
 
 // proxyLeft forgets a proxy; it tells whether the decisions had it.
@@ -169,12 +169,12 @@
 	_, waits := f.pending[node]
 	delete(f.pending, node)
 	f.evidence.ForgetProxy(node)
-	f.coordinator.Left(node)
+	f.coordinator.ProxyDisconnected(node)
 	return !waits
 }
 
-// Granted gives a proxy to the decisions.
-func (f *fleet) Granted(node int, token uint64, base []ownership.Base, clean bool, came []float64, spent int) {
+// ProxyGranted gives a proxy to the decisions.
+func (f *fleet) ProxyGranted(node int, token uint64, base []ownership.KnownTable, clean bool, came []float64, spent int) {
 	a, ok := f.pending[node]
 	if !ok {
 		return
@@ -195,19 +195,21 @@
 	f.module.control.SeedDemand(node, came)
 }
 
-// LearnedCapacity hands on what another member saw the fleet do.
-func (f *fleet) LearnedCapacity(capacity ownership.Capacity) {
+// PeerCapacityReported hands on what another member saw the fleet do.
+func (f *fleet) PeerCapacityReported(capacity ownership.Capacity) {
 	f.module.control.SeedThroughput(capacity.Proven, capacity.Able)
 }
 
-// Spent has the decisions write less to a proxy.
-func (f *fleet) Spent(node, messages int) { f.module.control.MessagesSentByPeers(node, messages) }
+// MessagesSentByPeers has the decisions write less to a proxy.
+func (f *fleet) MessagesSentByPeers(node, messages int) {
+	f.module.control.MessagesSentByPeers(node, messages)
+}
 
 // Propose puts an entry on the record.
 func (f *fleet) Propose(e ownership.Entry) { f.node.Propose(e) }
 
-// Release lets what waited leave.
-func (f *fleet) Release(edition uint64) {
+// ReleaseUpTo lets what waited leave.
+func (f *fleet) ReleaseUpTo(edition uint64) {
 	f.released = max(f.released, edition)
 	n := 0
 	for ; n < len(f.queued) && f.queued[n].edition <= f.released; n++ {
@@ -224,7 +226,7 @@
 
 // send has a message leave, or wait behind others for the record.
 func (f *fleet) send(p *peer, message []byte) error {
-	if edition := f.coordinator.Edition(); len(f.queued) > 0 || edition > f.released {
+	if edition := f.coordinator.Revision(); len(f.queued) > 0 || edition > f.released {
 		f.queued = append(f.queued, queuedMessage{p, message, edition})
 		return nil
 	}
@@ -274,15 +276,15 @@
 	f.coordinator.AddEvidence(f.evidence, now)
 }
 
-// Learned hands on what another member's proxies met.
-func (f *fleet) Learned(_ string, s ownership.Observation) {
+// PeerObservationReported hands on what another member's proxies met.
+func (f *fleet) PeerObservationReported(_ string, s ownership.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
 		f.module.control.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
 }
 
-// Mode logs that we go off the record, or are on it again.
-func (f *fleet) Mode(alone bool, why string) {
+// QuorumChanged logs that we go off the record, or are on it again.
+func (f *fleet) QuorumChanged(alone bool, why string) {
 	f.module.log.say("sharing", "alone", alone, "why", why, "owned", f.coordinator.Owned(),
 		"deltas", f.module.deltas, "wholes", f.module.wholes)
 }
--- a/controller/module.go
+++ b/controller/module.go
@@ -153,7 +153,7 @@
 	sends, edition := (*peer).send, uint64(0)
 	if m.fleet != nil {
 		m.fleet.recordTableChanges()
-		sends, edition = m.fleet.send, m.fleet.coordinator.Edition()
+		sends, edition = m.fleet.send, m.fleet.coordinator.Revision()
 	}
 	var one *mark
 	m.flush(sends, m.dropProxy, func(proxy, number int) {
@@ -387,7 +387,7 @@
 		j.whole = j.whole || slices.Contains(j.waiting[:at+1], j.bound)
 		if j.whole {
 			s := m.at(p.node)
-			m.fleet.coordinator.Confirmed(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.mayHoldWithdrawals)
+			m.fleet.coordinator.ProxyAcknowledged(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.mayHoldWithdrawals)
 		}
 	}
 	j.waiting = slices.Delete(j.waiting, 0, at+1)
@@ -403,7 +403,7 @@
 	}
 	m.control.OutcomesReported(backend, tries, failed, mean, span, load)
 	if m.fleet != nil {
-		m.fleet.evidence.AddTries(id, tries, failed, mean, span)
+		m.fleet.evidence.AddOutcomes(id, tries, failed, mean, span)
 	}
 }
 
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -65,9 +65,9 @@
 	unowned            bool // another may own it still: nothing may be written to it
 	fenced             bool // it asked for tokens, and refuses what comes with an older one than it has seen
 	token              uint64
-	base               []ownership.Base // what it surely has by class, until a table of ours is written
-	cleared            bool             // backends that its tables use are let back
-	settled            bool             // its states were compared with all of its tables since it was bound or cleared
+	base               []ownership.KnownTable // what it surely has by class, until a table of ours is written
+	cleared            bool                   // backends that its tables use are let back
+	settled            bool                   // its states were compared with all of its tables since it was bound or cleared
 }
 
 const unbound = -1
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -80,10 +80,10 @@
 // unheard takes what becomes of the record and does nothing with it.
 type unheard struct{}
 
-func (unheard) Recorded(ownership.Entry)   {}
-func (unheard) Restored(*ownership.Record) {}
-func (unheard) Answered(uint64, uint64)    {}
-func (unheard) Failed(uint64, uint64)      {}
+func (unheard) EntryCommitted(ownership.Entry)     {}
+func (unheard) SnapshotRestored(*ownership.Record) {}
+func (unheard) ProposalCommitted(uint64, uint64)   {}
+func (unheard) ProposalFailed(uint64, uint64)      {}
 
 // member is a voter: a node of the record, and the carrier that hands its configuration on.
 type member struct {
@@ -99,7 +99,7 @@
 	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
 		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
-	terms := ownership.Terms{Lease: 1_500_000, Renew: 200_000, Span: 10_000_000, Messages: 30, Members: len(members)}
+	terms := ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: len(members)}
 	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Carrier},
 		unheard{}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -216,7 +216,7 @@
 	})
 	t.Run("the leader is stopped: the next change reaches all, by deltas", func(t *testing.T) {
 		for i, v := range voters {
-			if v.node.Leads() {
+			if v.node.IsLeader() {
 				v.stop()
 				voters = append(voters[:i], voters[i+1:]...)
 				break
--- a/ownership/check_test.go
+++ b/ownership/check_test.go
@@ -14,7 +14,7 @@
 // The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
 // cuts and lost answers. Real coordinators, record and lease tracker; the log, the network and the proxy are the model's.
 
-var modelTerms = Terms{Lease: 3, Renew: 1, Span: 5, Messages: 16, Members: 2}
+var modelTerms = LeaseTerms{Duration: 3, RenewInterval: 1, MessageWindow: 5, MaxMessages: 16, Members: 2}
 
 // world is one state of the model.
 type world struct {
@@ -56,26 +56,26 @@
 
 func (p *player) RandomID() uint64 { p.w.drawn++; return p.w.drawn }
 
-func (p *player) Learned(string, Observation) {}
+func (p *player) PeerObservationReported(string, Observation) {}
 
-func (p *player) Mode(bool, string) {}
+func (p *player) QuorumChanged(bool, string) {}
 
-func (p *player) LearnedCapacity(Capacity) {}
+func (p *player) PeerCapacityReported(Capacity) {}
 
-func (p *player) Granted(_ int, token uint64, base []Base, _ bool, _ []float64, spent int) {
+func (p *player) ProxyGranted(_ int, token uint64, base []KnownTable, _ bool, _ []float64, spent int) {
 	p.granted, p.token, p.sent = p.joined, token, nil
-	p.Spent(0, spent)
+	p.MessagesSentByPeers(0, spent)
 	if p.w.stream != p.index || p.w.serial != p.joined {
 		return // the stream is gone already
 	}
 	for _, b := range base {
 		for id, weight := range p.w.lines {
-			if !b.Doubt[id] && b.Lines[id] != weight {
+			if !b.Uncertain[id] && b.Lines[id] != weight {
 				p.w.fails("the proxy has %s %g, the base says %g", id, weight, b.Lines[id])
 			}
 		}
 		for id, weight := range b.Lines {
-			if !b.Doubt[id] && p.w.lines[id] != weight {
+			if !b.Uncertain[id] && p.w.lines[id] != weight {
 				p.w.fails("the base has %s %g, the proxy %g", id, weight, p.w.lines[id])
 			}
 		}
@@ -85,13 +85,13 @@
 	}
 }
 
-func (p *player) Spent(_, messages int) {
+func (p *player) MessagesSentByPeers(_, messages int) {
 	for range messages {
 		p.sent = append(p.sent, p.w.now)
 	}
 }
 
-func (p *player) Release(edition uint64) {
+func (p *player) ReleaseUpTo(edition uint64) {
 	for len(p.wait) > 0 && p.wait[0] <= edition {
 		p.wait = p.wait[1:]
 		if p.granted == p.joined {
@@ -111,7 +111,7 @@
 
 // may tells whether the member may order one more message to the proxy, and counts it.
 func (p *player) may() bool {
-	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= p.w.now-modelTerms.Span })
+	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= p.w.now-modelTerms.MessageWindow })
 	if len(p.sent) >= modelTerms.UnownedQuota()+modelTerms.OwnerQuota() {
 		return false
 	}
@@ -126,8 +126,8 @@
 		return
 	}
 	w.token, p.wrote = max(w.token, p.token), w.serial
-	w.written = slices.DeleteFunc(w.written, func(at int64) bool { return at <= w.now-modelTerms.Span })
-	if w.written = append(w.written, w.now); len(w.written) > modelTerms.Messages {
+	w.written = slices.DeleteFunc(w.written, func(at int64) bool { return at <= w.now-modelTerms.MessageWindow })
+	if w.written = append(w.written, w.now); len(w.written) > modelTerms.MaxMessages {
 		w.fails("%d messages within the span", len(w.written))
 	}
 	what()
@@ -160,10 +160,10 @@
 					p.out, repeated[p] = append(p.out, e), true
 					break
 				}
-				p.coordinator.Answered(e.Incarnation, e.Seq, w.now)
+				p.coordinator.ProposalCommitted(e.Incarnation, e.Seq, w.now)
 			}
 			for ; p.read < len(w.log); p.read++ {
-				p.coordinator.Recorded(w.log[p.read], w.now)
+				p.coordinator.EntryApplied(w.log[p.read], w.now)
 				moved = true
 			}
 		}
@@ -179,14 +179,14 @@
 
 func (w *world) dial(p *player) {
 	if last := w.members[w.stream]; last.up && last.joined == w.serial {
-		last.coordinator.Left(0)
+		last.coordinator.ProxyDisconnected(0)
 		last.granted = -1
 	}
 	w.serial++
 	w.stream = p.index
 	if p.up {
 		p.joined = w.serial
-		p.coordinator.Joined(0, w.now)
+		p.coordinator.ProxyConnected(0, w.now)
 	}
 }
 
@@ -202,10 +202,10 @@
 		}
 		for _, p := range w.members {
 			if p.up {
-				p.coordinator.Elapsed(w.now)
+				p.coordinator.Tick(w.now)
 			}
 			if p.up && w.stream == p.index && w.serial == p.joined {
-				p.coordinator.Spoke(0, w.now)
+				p.coordinator.ProxyHeardFrom(0, w.now)
 			}
 		}
 	case 'd':
@@ -219,14 +219,14 @@
 		}
 		p.line = 1 - p.line
 		p.wait = append(p.wait, 1<<62)
-		p.edition = p.coordinator.Edition() + 1
+		p.edition = p.coordinator.Revision() + 1
 		p.wait[len(p.wait)-1] = p.edition
 		p.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", p.line}}}}, w.now)
 	case 'c':
 		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
 			return false
 		}
-		p.coordinator.Confirmed(0, p.coordinator.Edition(), []int{0}, true)
+		p.coordinator.ProxyAcknowledged(0, p.coordinator.Revision(), []int{0}, true)
 	case 'x':
 		if !p.up || p.cut {
 			return false
@@ -316,7 +316,7 @@
 		for _, at := range d.grantTimes[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
-		fmt.Fprint(h, min(w.now-d.started, modelTerms.Span), d.closing, since(w.leases.gone[d.name]))
+		fmt.Fprint(h, min(w.now-d.started, modelTerms.MessageWindow), d.closing, since(w.leases.gone[d.name]))
 		if a, ok := w.leases.entries[d.incarnation]; ok {
 			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
 		}
@@ -414,7 +414,7 @@
 		{"three members", "", 3, depth - 1},
 	} {
 		t.Run(story.name, func(t *testing.T) {
-			modelTerms.Members, modelTerms.Messages = story.members, 8*story.members
+			modelTerms.Members, modelTerms.MaxMessages = story.members, 8*story.members
 			breach, states := explore(story.first, story.depth, sound)
 			if breach != "" {
 				t.Errorf("after %s", breach)
@@ -422,7 +422,7 @@
 			t.Logf("depth %d, %d states", story.depth, states)
 		})
 	}
-	modelTerms.Members, modelTerms.Messages = 2, 16
+	modelTerms.Members, modelTerms.MaxMessages = 2, 16
 	for _, fault := range []struct {
 		name, first, finds string
 		depth              int
@@ -438,7 +438,7 @@
 			}
 			for _, p := range w.members {
 				clear(p.coordinator.grantTimes)
-				p.coordinator.started = -modelTerms.Span
+				p.coordinator.started = -modelTerms.MessageWindow
 			}
 		}},
 		{"a closed incarnation that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
@@ -450,7 +450,7 @@
 				}
 			}},
 		{"orders that leave before they stand on the record", "l0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.members[0].Release(1 << 60) }},
+			func(w *world) { w.members[0].ReleaseUpTo(1 << 60) }},
 	} {
 		t.Run("it finds "+fault.name, func(t *testing.T) {
 			if breach, _ := explore(fault.first, fault.depth, fault.plant); !strings.Contains(breach, fault.finds) {
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -9,52 +9,52 @@
 type Host interface {
 	// Propose asks for an entry to be put on the record. Answered or Failed follows, once.
 	Propose(Entry)
-	// Granted lets the decisions have a proxy that joined. What it surely has is known where there is a base; clean
+	// ProxyGranted lets the decisions have a proxy that joined. What it surely has is known where there is a base; clean
 	// says that it shuts nothing out. So many of the messages that one owner may write to it are spent already.
-	Granted(proxy int, token uint64, base []Base, clean bool, came []float64, spent int)
-	// LearnedCapacity is what another member saw the fleet do.
-	LearnedCapacity(capacity Capacity)
-	// Spent takes messages away from what may be written to a proxy that was granted before.
-	Spent(proxy, messages int)
-	// Release lets what was ordered up to an edition leave.
-	Release(edition uint64)
-	// Learned is what another member's proxies met of late, or what keeps a backend withdrawn there.
-	Learned(member string, s Observation)
-	// Mode tells that the member goes off the record, or is on it again.
-	Mode(alone bool, why string)
+	ProxyGranted(proxy int, token uint64, base []KnownTable, clean bool, came []float64, spent int)
+	// PeerCapacityReported is what another member saw the fleet do.
+	PeerCapacityReported(capacity Capacity)
+	// MessagesSentByPeers takes messages away from what may be written to a proxy that was granted before.
+	MessagesSentByPeers(proxy, messages int)
+	// ReleaseUpTo lets what was ordered up to an edition leave.
+	ReleaseUpTo(edition uint64)
+	// PeerObservationReported is what another member's proxies met of late, or what keeps a backend withdrawn there.
+	PeerObservationReported(member string, s Observation)
+	// QuorumChanged tells that the member goes off the record, or is on it again.
+	QuorumChanged(alone bool, why string)
 	// RandomID is a number that no other incarnation has.
 	RandomID() uint64
 }
 
-// Terms are the figures that all members agree on. Times are in µs.
-type Terms struct {
-	Lease    int64 // without an answer for so long a member goes on off the record
-	Renew    int64 // an entry is proposed at least this often
-	Span     int64 // messages to a proxy are counted over this
-	Messages int   // that a proxy may be sent within it, by all members together
-	Members  int   // that there can be
-	// Kept is how many of them an owner has in any case, however many came before it. A proxy is with one owner at a
+// LeaseTerms are the figures that all members agree on. Times are in µs.
+type LeaseTerms struct {
+	Duration      int64 // without an answer for so long a member goes on off the record
+	RenewInterval int64 // an entry is proposed at least this often
+	MessageWindow int64 // messages to a proxy are counted over this
+	MaxMessages   int   // that a proxy may be sent within it, by all members together
+	Members       int   // that there can be
+	// GuaranteedMessages is how many of them an owner has in any case, however many came before it. A proxy is with one owner at a
 	// time, who orders changes at a pace: those of a whole span, and what each owner's coming takes, are within the
 	// limit for up to maxMoves of them; shares alone would leave the last without any.
-	Kept int
+	GuaranteedMessages int
 }
 
 // UnownedQuota is what each member may write to a proxy within the span without owning it by the record. A member that
 // starts anew, or gets the proxy back, has forgotten what it wrote of that: it has one message then. OwnerQuota is what
 // an owner may write beyond it: the shares of the owners before count until the span has passed. All together stay
 // within the limit.
-func (t Terms) UnownedQuota() int { return max(1, t.Messages/2/max(t.Members, 1)-1) }
+func (t LeaseTerms) UnownedQuota() int { return max(1, t.MaxMessages/2/max(t.Members, 1)-1) }
 
 // OwnerQuota is an owner's further share.
-func (t Terms) OwnerQuota() int {
-	return (t.Messages - t.Members*(t.UnownedQuota()+1)) / (ownersBefore + 1)
+func (t LeaseTerms) OwnerQuota() int {
+	return (t.MaxMessages - t.Members*(t.UnownedQuota()+1)) / (ownersBefore + 1)
 }
 
 // Coordinator is one member at work on the record: it claims the proxies that connect to the member, puts its table
 // changes on the record before they leave, and says what may be written to whom.
 type Coordinator struct {
 	host   Host
-	terms  Terms
+	terms  LeaseTerms
 	name   string
 	record *Record
 
@@ -96,9 +96,9 @@
 }
 
 // New makes the Coordinator of a member that has just started.
-func New(host Host, name string, terms Terms, now int64) *Coordinator {
+func New(host Host, name string, terms LeaseTerms, now int64) *Coordinator {
 	c := &Coordinator{host: host, terms: terms, name: name, record: NewRecord(), started: now, leaseFrom: now,
-		lastProposedAt: now - terms.Renew, tables: map[int]map[string]float64{}, proxies: map[int]*proxyState{}, grantTimes: map[int][]int64{},
+		lastProposedAt: now - terms.RenewInterval, tables: map[int]map[string]float64{}, proxies: map[int]*proxyState{}, grantTimes: map[int][]int64{},
 		leaders: map[uint64]leaderClock{}}
 	c.enterRecord(now)
 	return c
@@ -109,7 +109,7 @@
 // take them from.
 func (c *Coordinator) enterRecord(now int64) {
 	c.incarnation, c.seq, c.inFlight = c.host.RandomID(), 0, nil
-	c.pending = Entry{Floor: c.record.Token, Edition: c.edition}
+	c.pending = Entry{Floor: c.record.Token, Revision: c.edition}
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
 		change := TableChange{Table: number}
 		for _, id := range slices.Sorted(maps.Keys(c.tables[number])) {
@@ -136,8 +136,8 @@
 // Record is the record as far as it was taken in.
 func (c *Coordinator) Record() *Record { return c.record }
 
-// Alone tells whether we write off the record.
-func (c *Coordinator) Alone() bool { return c.alone }
+// WithoutQuorum tells whether we write off the record.
+func (c *Coordinator) WithoutQuorum() bool { return c.alone }
 
 // Owned counts the proxies that are ours by the record.
 func (c *Coordinator) Owned() (n int) {
@@ -149,9 +149,9 @@
 	return n
 }
 
-// Joined takes in that a proxy's stream has begun. The proxy is granted once its claim stands, or at once off the record.
+// ProxyConnected takes in that a proxy's stream has begun. The proxy is granted once its claim stands, or at once off the record.
 // On the record nothing is written to a proxy that is not ours by it: a later owner would not know of it.
-func (c *Coordinator) Joined(proxy int, now int64) {
+func (c *Coordinator) ProxyConnected(proxy int, now int64) {
 	c.proxies[proxy] = &proxyState{}
 	if c.inFlight != nil {
 		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Reclaims} {
@@ -167,18 +167,18 @@
 	c.proposePending(now)
 }
 
-// Left takes in that a proxy's stream has ended.
-func (c *Coordinator) Left(proxy int) {
+// ProxyDisconnected takes in that a proxy's stream has ended.
+func (c *Coordinator) ProxyDisconnected(proxy int) {
 	delete(c.proxies, proxy)
 	is := func(p int) bool { return p == proxy }
 	c.pending.Claims = slices.DeleteFunc(c.pending.Claims, is)
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, is)
 }
 
-// Spoke takes in when a proxy was last heard on its stream. If another owns it by the record it has not gone there, or is
+// ProxyHeardFrom takes in when a proxy was last heard on its stream. If another owns it by the record it has not gone there, or is
 // back.
-func (c *Coordinator) Spoke(proxy int, at int64) {
-	if p := c.proxies[proxy]; p != nil && p.unheard > 0 && at > p.unheard+c.terms.Renew {
+func (c *Coordinator) ProxyHeardFrom(proxy int, at int64) {
+	if p := c.proxies[proxy]; p != nil && p.unheard > 0 && at > p.unheard+c.terms.RenewInterval {
 		c.claim(proxy, true)
 	}
 }
@@ -197,25 +197,25 @@
 			}
 		}
 	}
-	if c.pending.Edition > 0 && len(c.pending.TableChanges) > 0 { // what has not left yet becomes one edition with this
+	if c.pending.Revision > 0 && len(c.pending.TableChanges) > 0 { // what has not left yet becomes one edition with this
 		c.pending.TableChanges = append(c.pending.TableChanges, changes...)
 	} else {
 		c.pending.TableChanges = changes
 	}
-	if c.pending.Edition = c.edition; c.alone {
-		c.host.Release(c.edition)
+	if c.pending.Revision = c.edition; c.alone {
+		c.host.ReleaseUpTo(c.edition)
 	} else {
 		c.proposePending(now)
 	}
 	return c.edition
 }
 
-// Edition is that of our tables.
-func (c *Coordinator) Edition() uint64 { return c.edition }
+// Revision is that of our tables.
+func (c *Coordinator) Revision() uint64 { return c.edition }
 
-// Confirmed takes in that a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by
+// ProxyAcknowledged takes in that a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by
 // class. If sure, it shuts out what we ordered, and nothing that others did.
-func (c *Coordinator) Confirmed(proxy int, edition uint64, tables []int, sure bool) {
+func (c *Coordinator) ProxyAcknowledged(proxy int, edition uint64, tables []int, sure bool) {
 	p := c.proxies[proxy]
 	if p == nil || edition < p.edition || slices.Contains(tables, -1) {
 		return
@@ -261,20 +261,20 @@
 	return c.closing && incarnation != nil && incarnation.Closed
 }
 
-// Elapsed looks at what waits for time.
-func (c *Coordinator) Elapsed(now int64) {
-	if !c.alone && now-c.leaseFrom >= c.terms.Lease {
+// Tick looks at what waits for time.
+func (c *Coordinator) Tick(now int64) {
+	if !c.alone && now-c.leaseFrom >= c.terms.Duration {
 		c.leaveRecord(now)
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		p := c.proxies[proxy]
-		if p.granted && !p.owned && now-p.grantedAt >= c.terms.Span {
+		if p.granted && !p.owned && now-p.grantedAt >= c.terms.MessageWindow {
 			p.grantedAt = now
-			c.host.Spent(proxy, c.terms.OwnerQuota()) // it has only what every member has of each proxy
+			c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota()) // it has only what every member has of each proxy
 		}
 	}
 	for proxy, at := range c.grantTimes {
-		if now-at[len(at)-1] >= c.terms.Span {
+		if now-at[len(at)-1] >= c.terms.MessageWindow {
 			delete(c.grantTimes, proxy)
 		}
 	}
@@ -284,8 +284,8 @@
 // leaveRecord has the member go on by itself: what waited leaves, and whoever joined is granted.
 func (c *Coordinator) leaveRecord(now int64) {
 	c.alone = true
-	c.host.Mode(true, "no entry of ours stands for a lease, or another entered under our name")
-	c.host.Release(c.edition)
+	c.host.QuorumChanged(true, "no entry of ours stands for a lease, or another entered under our name")
+	c.host.ReleaseUpTo(c.edition)
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		if !c.proxies[proxy].granted {
 			c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
@@ -298,54 +298,54 @@
 func (c *Coordinator) proposePending(now int64) {
 	pressing := len(c.pending.Claims) > 0 || len(c.pending.Reclaims) > 0 || len(c.pending.TableChanges) > 0 ||
 		c.pending.Closing || c.seq == 0 ||
-		len(c.pending.Confirmations) > 0 && now-c.lastProposedAt >= c.terms.Renew/2
-	if c.inFlight != nil || !pressing && now-c.lastProposedAt < c.terms.Renew {
+		len(c.pending.Confirmations) > 0 && now-c.lastProposedAt >= c.terms.RenewInterval/2
+	if c.inFlight != nil || !pressing && now-c.lastProposedAt < c.terms.RenewInterval {
 		return
 	}
 	if c.seq == 0 { // two processes of one name would enter by turns as fast as they can
-		if c.entered > 0 && now-c.entered < c.terms.Renew {
+		if c.entered > 0 && now-c.entered < c.terms.RenewInterval {
 			return
 		}
 		c.entered = now
 	}
 	e := c.pending
-	if c.pending = (Entry{}); c.seq > 0 && e.Edition == 0 {
-		e.Edition = c.edition
+	if c.pending = (Entry{}); c.seq > 0 && e.Revision == 0 {
+		e.Revision = c.edition
 	}
 	e.Member, e.Incarnation, e.Seq = c.name, c.incarnation, c.seq+1
 	c.inFlight, c.proposedAt, c.lastProposedAt = &e, now, now
 	c.host.Propose(e)
 }
 
-// Answered takes in that the entry under way stands on the record.
-func (c *Coordinator) Answered(incarnation, seq uint64, now int64) {
+// ProposalCommitted takes in that the entry under way stands on the record.
+func (c *Coordinator) ProposalCommitted(incarnation, seq uint64, now int64) {
 	if c.inFlight == nil || c.inFlight.Incarnation != incarnation || c.inFlight.Seq != seq {
 		return // of an earlier incarnation
 	}
-	edition := c.inFlight.Edition
+	edition := c.inFlight.Revision
 	c.seq, c.leaseFrom, c.inFlight = seq, c.proposedAt, nil
-	if now-c.leaseFrom >= c.terms.Lease { // it took too long to count on it; Elapsed says what follows
+	if now-c.leaseFrom >= c.terms.Duration { // it took too long to count on it; Elapsed says what follows
 		c.proposePending(now)
 		return
 	}
 	if c.alone || seq == 1 {
 		c.alone = false
-		c.host.Mode(false, "we have entered the record")
+		c.host.QuorumChanged(false, "we have entered the record")
 	}
-	c.host.Release(edition)
+	c.host.ReleaseUpTo(edition)
 	c.proposePending(now)
 }
 
-// Failed takes in that the entry under way is not known to stand. It is proposed again as it is.
-func (c *Coordinator) Failed(incarnation, seq uint64, now int64) {
+// ProposalFailed takes in that the entry under way is not known to stand. It is proposed again as it is.
+func (c *Coordinator) ProposalFailed(incarnation, seq uint64, now int64) {
 	if c.inFlight == nil || c.inFlight.Incarnation != incarnation || c.inFlight.Seq != seq {
 		return
 	}
 	c.host.Propose(*c.inFlight)
 }
 
-// Recorded takes the next entry of the record, of whatever member.
-func (c *Coordinator) Recorded(e Entry, now int64) {
+// EntryApplied takes the next entry of the record, of whatever member.
+func (c *Coordinator) EntryApplied(e Entry, now int64) {
 	c.noteStamp(e.Stamp, now)
 	moves, taken := c.record.Apply(e)
 	if !taken {
@@ -362,10 +362,10 @@
 		c.learnStanding()
 	case entered && e.Member != c.name: // what stood on the record before we came is old
 		for _, s := range e.Observations {
-			c.host.Learned(e.Member, s)
+			c.host.PeerObservationReported(e.Member, s)
 		}
 		if e.Capacity != (Capacity{}) {
-			c.host.LearnedCapacity(e.Capacity)
+			c.host.PeerCapacityReported(e.Capacity)
 		}
 	}
 }
@@ -374,20 +374,20 @@
 func (c *Coordinator) learnStanding() {
 	for _, member := range slices.Sorted(maps.Keys(c.record.Capacities)) {
 		if member != c.name {
-			c.host.LearnedCapacity(c.record.Capacities[member])
+			c.host.PeerCapacityReported(c.record.Capacities[member])
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.record.Withdrawn)) {
 		for _, member := range slices.Sorted(maps.Keys(c.record.Withdrawn[id])) {
 			if member != c.name {
-				c.host.Learned(member, c.record.Withdrawn[id][member])
+				c.host.PeerObservationReported(member, c.record.Withdrawn[id][member])
 			}
 		}
 	}
 }
 
-// Restored takes the record as a whole, in place of the entries that led to it.
-func (c *Coordinator) Restored(record *Record, now int64) {
+// SnapshotRestored takes the record as a whole, in place of the entries that led to it.
+func (c *Coordinator) SnapshotRestored(record *Record, now int64) {
 	c.record = record
 	for proxy, h := range record.Proxies {
 		for _, move := range h.Moves {
@@ -423,7 +423,7 @@
 func (c *Coordinator) age(s Stamp, now int64) int64 {
 	last, known := c.leaders[s.Leader]
 	if !known {
-		return c.terms.Span
+		return c.terms.MessageWindow
 	}
 	return now - last.here + last.at - s.At
 }
@@ -432,7 +432,7 @@
 func (c *Coordinator) applyMove(m Move, now int64) {
 	standing := 0
 	for _, move := range m.To.Moves {
-		if c.age(move, now) < c.terms.Span {
+		if c.age(move, now) < c.terms.MessageWindow {
 			standing++
 		}
 	}
@@ -452,7 +452,7 @@
 	case p.owned && m.To.Token > p.token && m.To.Owner != c.name:
 		p.owned, p.token, p.unheard = false, 0, now
 		if p.granted {
-			c.host.Spent(m.Proxy, c.terms.OwnerQuota())
+			c.host.MessagesSentByPeers(m.Proxy, c.terms.OwnerQuota())
 		}
 	}
 }
@@ -462,16 +462,16 @@
 	p.granted, p.grantedAt = true, now
 	moves := 0
 	for _, move := range m.To.Moves {
-		if c.age(move, now) < c.terms.Span {
+		if c.age(move, now) < c.terms.MessageWindow {
 			moves++
 		}
 	}
-	recent := slices.DeleteFunc(c.grantTimes[proxy], func(at int64) bool { return now-at >= c.terms.Span })
-	if c.grantTimes[proxy] = append(recent, now); len(recent) > 0 || now-c.started < c.terms.Span {
+	recent := slices.DeleteFunc(c.grantTimes[proxy], func(at int64) bool { return now-at >= c.terms.MessageWindow })
+	if c.grantTimes[proxy] = append(recent, now); len(recent) > 0 || now-c.started < c.terms.MessageWindow {
 		spent += c.terms.UnownedQuota() - 1
 	}
 	if moves <= maxMoves {
-		spent = max(0, min(spent, c.terms.UnownedQuota()+c.terms.OwnerQuota()-c.terms.Kept))
+		spent = max(0, min(spent, c.terms.UnownedQuota()+c.terms.OwnerQuota()-c.terms.GuaranteedMessages))
 	}
-	c.host.Granted(proxy, p.token, m.Base, m.Clean, m.Demand, spent)
+	c.host.ProxyGranted(proxy, p.token, m.Base, m.Clean, m.Demand, spent)
 }
--- a/ownership/delta.go
+++ b/ownership/delta.go
@@ -9,7 +9,7 @@
 // table from now on. A line in doubt is written whatever it is to be, and so is one that any of the classes lacks.
 // Less is false where that takes as many lines as the whole table with its head: the levels of all classes have to be
 // written beside a delta, as only a whole table makes a proxy forget those that another owner left.
-func Delta(base []Base, concerns func(class int) bool, want map[string]float64) (lines []Line, less bool) {
+func Delta(base []KnownTable, concerns func(class int) bool, want map[string]float64) (lines []Line, less bool) {
 	if base == nil {
 		return nil, false
 	}
@@ -18,7 +18,7 @@
 		if !concerns(class) {
 			continue
 		}
-		for id := range has.Doubt {
+		for id := range has.Uncertain {
 			differ[id] = true
 		}
 		for id, weight := range want {
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// AddTries adds what our proxies met at a backend: tries, those that failed, the mean time of the others and the span
+// AddOutcomes adds what our proxies met at a backend: tries, those that failed, the mean time of the others and the span
 // in µs.
-func (v *Evidence) AddTries(backend string, tries, failed int, mean, span int64) {
+func (v *Evidence) AddOutcomes(backend string, tries, failed int, mean, span int64) {
 	s := v.observed[backend]
 	if answered := int64(s.Tries - s.Failed + tries - failed); answered > 0 {
 		s.Mean = (s.Mean*int64(s.Tries-s.Failed) + mean*int64(tries-failed)) / answered
--- a/ownership/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -10,8 +10,8 @@
 	t.Run("what was met is summed until it is told, once in a span", func(t *testing.T) {
 		v := NewEvidence()
 		v.Due(5_000_000)
-		v.AddTries("b", 10, 0, 100, 1000)
-		v.AddTries("b", 10, 5, 400, 2000)
+		v.AddOutcomes("b", 10, 0, 100, 1000)
+		v.AddOutcomes("b", 10, 5, 400, 2000)
 		if seen, _, _ := v.Due(5_500_000); seen != nil {
 			t.Errorf("told early: %+v", seen)
 		}
@@ -26,12 +26,12 @@
 	t.Run("a withdrawal is told at once, not again while it stands, and taken back at once", func(t *testing.T) {
 		v := NewEvidence()
 		v.Due(5_000_000)
-		v.AddTries("a", 9, 9, 0, 1000)
+		v.AddOutcomes("a", 9, 9, 0, 1000)
 		v.SetWithdrawn("a", true, 9, 9, 10)
 		if seen, _, _ := v.Due(5_000_001); len(seen) != 1 || !seen[0].Withdrawn || seen[0].Failed != 9 || seen[0].Wait != 10 {
 			t.Errorf("told %+v", seen)
 		}
-		v.AddTries("a", 1, 1, 0, 1000)
+		v.AddOutcomes("a", 1, 1, 0, 1000)
 		v.SetWithdrawn("a", true, 1, 1, 10)
 		if seen, _, _ := v.Due(6_500_000); seen != nil {
 			t.Errorf("told again: %+v", seen)
@@ -83,8 +83,8 @@
 	t.Run("one that comes learns what others saw the fleet do, and what came to a proxy", func(t *testing.T) {
 		p, d := newFakeHost(), (*Coordinator)(nil)
 		d = New(p, "n0", terms, 0)
-		d.Elapsed(0)
-		d.Recorded(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1}, Demands: []Demand{{5, []float64{4, 0}}}}, 0)
+		d.Tick(0)
+		d.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1}, Demands: []Demand{{5, []float64{4, 0}}}}, 0)
 		if p.stands(d, 10); !slices.Equal(p.learned, []string{"{2 1}"}) {
 			t.Errorf("learned %v", p.learned)
 		}
@@ -99,19 +99,19 @@
 	want := map[string]float64{"a": 1, "b": 1, "c": 1, "d": 2}
 	for _, story := range []struct {
 		name  string
-		base  []Base
+		base  []KnownTable
 		class func(int) bool
 		lines string
 		less  bool
 	}{
 		{"nothing is known", nil, all, "[]", false},
-		{"it has all", []Base{{Lines: want}}, all, "[]", true},
-		{"one differs, one is too many", []Base{{Lines: map[string]float64{"a": 1, "b": 3, "c": 1, "d": 2, "z": 1}}}, all, "[{b 1} {z 0}]", true},
-		{"one is in doubt that is to be gone", []Base{{Lines: want, Doubt: map[string]bool{"q": true}}}, all, "[{q 0}]", true},
-		{"a class that has another table does not concern it", []Base{{Lines: want}, {Lines: map[string]float64{}}},
+		{"it has all", []KnownTable{{Lines: want}}, all, "[]", true},
+		{"one differs, one is too many", []KnownTable{{Lines: map[string]float64{"a": 1, "b": 3, "c": 1, "d": 2, "z": 1}}}, all, "[{b 1} {z 0}]", true},
+		{"one is in doubt that is to be gone", []KnownTable{{Lines: want, Uncertain: map[string]bool{"q": true}}}, all, "[{q 0}]", true},
+		{"a class that has another table does not concern it", []KnownTable{{Lines: want}, {Lines: map[string]float64{}}},
 			func(class int) bool { return class == 0 }, "[]", true},
-		{"one of two classes lacks a line", []Base{{Lines: want}, {Lines: map[string]float64{"a": 1, "b": 1, "c": 1}}}, all, "[{d 2}]", true},
-		{"as many lines as the whole", []Base{{Lines: map[string]float64{"a": 2, "b": 2, "c": 2, "d": 1, "e": 1}}}, all, "[]", false},
+		{"one of two classes lacks a line", []KnownTable{{Lines: want}, {Lines: map[string]float64{"a": 1, "b": 1, "c": 1}}}, all, "[{d 2}]", true},
+		{"as many lines as the whole", []KnownTable{{Lines: map[string]float64{"a": 2, "b": 2, "c": 2, "d": 1, "e": 1}}}, all, "[]", false},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			if lines, less := Delta(story.base, story.class, want); fmt.Sprint(lines) != story.lines || less != story.less {
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -26,8 +26,8 @@
 }
 
 // NewLeaseTracker makes a tracker for what all members agree on.
-func NewLeaseTracker(terms Terms) *LeaseTracker {
-	return &LeaseTracker{terms.Lease, terms.Members, map[uint64]lastEntries{}, map[string]int64{}}
+func NewLeaseTracker(terms LeaseTerms) *LeaseTracker {
+	return &LeaseTracker{terms.Duration, terms.Members, map[uint64]lastEntries{}, map[string]int64{}}
 }
 
 // MarkGone takes that a member's process was surely not there at some time: nobody listened at its address.
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -22,7 +22,7 @@
 	Closing       bool           `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
 	Claims        []int          `cbor:"6,keyasint,omitempty"`
 	Reclaims      []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
-	Edition       uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
+	Revision      uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
 	TableChanges  []TableChange  `cbor:"8,keyasint,omitempty"`
 	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
 	Observations  []Observation  `cbor:"10,keyasint,omitempty"`
@@ -55,10 +55,10 @@
 
 // Confirmation is what a proxy has confirmed: all that its tables, by class, were up to an edition.
 type Confirmation struct {
-	Proxy   int    `cbor:"1,keyasint"`
-	Token   uint64 `cbor:"2,keyasint"`
-	Edition uint64 `cbor:"3,keyasint"`
-	Tables  []int  `cbor:"4,keyasint"`
+	Proxy    int    `cbor:"1,keyasint"`
+	Token    uint64 `cbor:"2,keyasint"`
+	Revision uint64 `cbor:"3,keyasint"`
+	Tables   []int  `cbor:"4,keyasint"`
 	// Sure: it shuts out what the owner ordered, and nothing that others did.
 	Sure bool `cbor:"5,keyasint,omitempty"`
 }
@@ -92,11 +92,11 @@
 
 // Incarnation is a member between its entering and its end.
 type Incarnation struct {
-	Member  string         `cbor:"1,keyasint"`
-	Seq     uint64         `cbor:"2,keyasint"`
-	Closed  bool           `cbor:"3,keyasint"`
-	Edition uint64         `cbor:"4,keyasint"`
-	Tables  map[int]*Table `cbor:"5,keyasint"`
+	Member   string         `cbor:"1,keyasint"`
+	Seq      uint64         `cbor:"2,keyasint"`
+	Closed   bool           `cbor:"3,keyasint"`
+	Revision uint64         `cbor:"4,keyasint"`
+	Tables   map[int]*Table `cbor:"5,keyasint"`
 }
 
 // Table is one of a member's tables. A line that was taken out stands with a weight of 0 for a while.
@@ -122,10 +122,10 @@
 	Sure        bool    `cbor:"7,keyasint,omitempty"`
 }
 
-// Base is what a proxy surely has of one class: lines, and backends of which it may have any line or none.
-type Base struct {
-	Lines map[string]float64
-	Doubt map[string]bool
+// KnownTable is what a proxy surely has of one class: lines, and backends of which it may have any line or none.
+type KnownTable struct {
+	Lines     map[string]float64
+	Uncertain map[string]bool
 }
 
 // Move is a change of a proxy's owner. Known is false where the old one may have written what the record lacks.
@@ -133,9 +133,9 @@
 	Proxy    int
 	From, To Ownership
 	Known    bool
-	Base     []Base    // by class, if it is known
-	Clean    bool      // it is known besides that it shuts nothing out
-	Demand   []float64 // requests a second that came to it, by class, as last told
+	Base     []KnownTable // by class, if it is known
+	Clean    bool         // it is known besides that it shuts nothing out
+	Demand   []float64    // requests a second that came to it, by class, as last told
 }
 
 const (
@@ -169,8 +169,8 @@
 	r.Token = max(r.Token, e.Floor)
 	r.applyTables(incarnation, e)
 	for _, t := range e.Confirmations {
-		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Edition >= h.Edition {
-			h.Edition, h.Tables, h.Sure = t.Edition, t.Tables, t.Sure
+		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Revision >= h.Edition {
+			h.Edition, h.Tables, h.Sure = t.Revision, t.Tables, t.Sure
 			r.Proxies[t.Proxy] = h
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 func (r *Record) applyTables(incarnation *Incarnation, e Entry) {
-	incarnation.Edition = max(incarnation.Edition, e.Edition)
+	incarnation.Revision = max(incarnation.Revision, e.Revision)
 	for _, change := range e.TableChanges {
 		t := incarnation.Tables[change.Table]
 		if t == nil {
@@ -216,10 +216,10 @@
 			incarnation.Tables[change.Table] = t
 		}
 		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
-			t.Floor = e.Edition
+			t.Floor = e.Revision
 		}
 		for _, l := range change.Lines {
-			t.Lines[l.Backend] = VersionedWeight{l.Weight, e.Edition}
+			t.Lines[l.Backend] = VersionedWeight{l.Weight, e.Revision}
 		}
 		t.trim()
 	}
@@ -304,7 +304,7 @@
 }
 
 // base is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (r *Record) base(h Ownership, incarnation *Incarnation) (by []Base, known bool) {
+func (r *Record) base(h Ownership, incarnation *Incarnation) (by []KnownTable, known bool) {
 	if h.Edition == 0 || len(h.Tables) == 0 {
 		return nil, false
 	}
@@ -313,10 +313,10 @@
 		if t == nil || h.Edition < t.Floor {
 			return nil, false
 		}
-		has := Base{map[string]float64{}, map[string]bool{}}
+		has := KnownTable{map[string]float64{}, map[string]bool{}}
 		for id, l := range t.Lines {
 			if l.At > h.Edition {
-				has.Doubt[id] = true
+				has.Uncertain[id] = true
 			} else if l.Weight > 0 {
 				has.Lines[id] = l.Weight
 			}
--- a/ownership/wire_test.go
+++ b/ownership/wire_test.go
@@ -11,15 +11,15 @@
 // this one, and a folder outlasts both, so no renaming and no new field may change these bytes.
 func TestEncodedBytes(t *testing.T) {
 	seen := Observation{Backend: "a", Tries: 5, Failed: 4, Mean: 3000, Span: 2000, Withdrawn: true, Wait: 700}
-	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Reclaims: []int{6}, Edition: 9,
+	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, Floor: 3, Closing: true, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
 		TableChanges:  []TableChange{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
-		Confirmations: []Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}},
+		Confirmations: []Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, Sure: true}},
 		Observations:  []Observation{seen}, Demands: []Demand{{Proxy: 5, Rates: []float64{1.5, 0}}}, Capacity: Capacity{Proven: 2, Able: 3},
 		OnRecord: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
 	record := NewRecord()
 	record.Token = 7
 	record.Members["n1"] = 77
-	record.Incarnations[77] = &Incarnation{Member: "n1", Seq: 2, Closed: true, Edition: 9,
+	record.Incarnations[77] = &Incarnation{Member: "n1", Seq: 2, Closed: true, Revision: 9,
 		Tables: map[int]*Table{2: {Lines: map[string]VersionedWeight{"a": {Weight: 0.5, At: 9}}, Floor: 1}}}
 	record.Proxies[5] = Ownership{Owner: "n1", Incarnation: 77, Token: 7, Edition: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, Sure: true}
 	record.Withdrawn["a"] = map[string]Observation{"n1": seen}
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -41,8 +41,8 @@
 // startHollow gives a member that takes part until the context ends. The terms follow from the lease.
 func startHollow(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
 	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), memberMailbox), done: make(chan struct{})}
-	config.Terms = ownership.Terms{Lease: lease.Microseconds(), Renew: lease.Microseconds() / renewsPerLease,
-		Span: messagesSpan.Microseconds(), Messages: messagesMost, Members: len(config.Members), Kept: messagesKept}
+	config.Terms = ownership.LeaseTerms{Duration: lease.Microseconds(), RenewInterval: lease.Microseconds() / renewsPerLease,
+		MessageWindow: messagesSpan.Microseconds(), MaxMessages: messagesMost, Members: len(config.Members), GuaranteedMessages: messagesKept}
 	var err error
 	if m.node, err = consensus.New(config, hollowEvents{m}, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 		case what := <-m.mail:
 			what()
 		case <-ticks.C:
-			m.coordinator.Elapsed(m.now())
+			m.coordinator.Tick(m.now())
 		}
 	}
 }
@@ -83,32 +83,32 @@
 // hollowEvents hands on to the coordinator what becomes of the record.
 type hollowEvents struct{ *hollowMember }
 
-func (e hollowEvents) Recorded(entry ownership.Entry) {
-	e.post(func() { e.coordinator.Recorded(entry, e.now()) })
+func (e hollowEvents) EntryCommitted(entry ownership.Entry) {
+	e.post(func() { e.coordinator.EntryApplied(entry, e.now()) })
 }
 
-func (e hollowEvents) Restored(record *ownership.Record) {
-	e.post(func() { e.coordinator.Restored(record, e.now()) })
+func (e hollowEvents) SnapshotRestored(record *ownership.Record) {
+	e.post(func() { e.coordinator.SnapshotRestored(record, e.now()) })
 }
 
-func (e hollowEvents) Answered(incarnation, seq uint64) {
-	e.post(func() { e.coordinator.Answered(incarnation, seq, e.now()) })
+func (e hollowEvents) ProposalCommitted(incarnation, seq uint64) {
+	e.post(func() { e.coordinator.ProposalCommitted(incarnation, seq, e.now()) })
 }
 
-func (e hollowEvents) Failed(incarnation, seq uint64) {
-	e.post(func() { e.coordinator.Failed(incarnation, seq, e.now()) })
+func (e hollowEvents) ProposalFailed(incarnation, seq uint64) {
+	e.post(func() { e.coordinator.ProposalFailed(incarnation, seq, e.now()) })
 }
 
 // hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
 type hollowHost struct{ *hollowMember }
 
-func (h hollowHost) Propose(e ownership.Entry)                                   { h.node.Propose(e) }
-func (h hollowHost) Granted(int, uint64, []ownership.Base, bool, []float64, int) {}
-func (h hollowHost) LearnedCapacity(ownership.Capacity)                          {}
-func (h hollowHost) Spent(int, int)                                              {}
-func (h hollowHost) Release(uint64)                                              {}
-func (h hollowHost) Learned(string, ownership.Observation)                       {}
-func (h hollowHost) Mode(alone bool, _ string)                                   { h.entered.Store(!alone) }
+func (h hollowHost) Propose(e ownership.Entry)                                              { h.node.Propose(e) }
+func (h hollowHost) ProxyGranted(int, uint64, []ownership.KnownTable, bool, []float64, int) {}
+func (h hollowHost) PeerCapacityReported(ownership.Capacity)                                {}
+func (h hollowHost) MessagesSentByPeers(int, int)                                           {}
+func (h hollowHost) ReleaseUpTo(uint64)                                                     {}
+func (h hollowHost) PeerObservationReported(string, ownership.Observation)                  {}
+func (h hollowHost) QuorumChanged(alone bool, _ string)                                     { h.entered.Store(!alone) }
 
 // RandomID draws a number.
 func (h hollowHost) RandomID() uint64 {
--- a/scale/record.go
+++ b/scale/record.go
@@ -50,7 +50,7 @@
 // Needs are those of the members and of the stand-ins in our process.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size, Time: 2*startsWithin + o.For}
-	if terms := (ownership.Terms{Messages: messagesMost, Members: size}); terms.OwnerQuota() < 1 {
+	if terms := (ownership.LeaseTerms{MaxMessages: messagesMost, Members: size}); terms.OwnerQuota() < 1 {
 		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
 			size, messagesMost, messagesSpan)
 	} else if o.For < 2*costLineEvery {
--- a/scale/recordhollow.go
+++ b/scale/recordhollow.go
@@ -70,7 +70,7 @@
 	}
 	for i, m := range members {
 		costs[i].entries, costs[i].bytes = m.node.Cost()
-		costs[i].leads = m.node.Leads()
+		costs[i].leads = m.node.IsLeader()
 	}
 	spent, err := UsageOf(os.Getpid())
 	if err != nil {
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -73,7 +73,7 @@
 // leader is the voter that leads; nil if none does.
 func (g *voterGroup) leader() *voter {
 	for _, v := range g.voters {
-		if m := v.running(); m != nil && m.node.Leads() {
+		if m := v.running(); m != nil && m.node.IsLeader() {
 			return v
 		}
 	}
