--- /dev/null
+++ b/replica/golden_test.go
@@ -0,0 +1,370 @@
+package replica
+
+import (
+	"bytes"
+	"context"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"wheelrill/distribution"
+	"wheelrill/share"
+)
+
+var update = flag.Bool("update", false, "write the golden files of this package anew")
+
+// compareWithGolden compares text with a file of testdata, or writes the file where -update is given.
+func compareWithGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: is\n%s\nand was\n%s", path, got, want)
+	}
+}
+
+func goldenEntry() share.Entry {
+	return share.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, Floor: 4, Claims: []int{5}, Reclaims: []int{6}, Edition: 9,
+		TableChanges:  []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "a", Weight: 0.5}}}},
+		Confirmations: []share.Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}}}
+}
+
+func goldenMark() distribution.Mark {
+	return distribution.Mark{Epoch: distribution.Epoch{Number: 1_700_000_000, Identity: 1<<63 + 7}, Revision: 12}
+}
+
+func goldenProposal() distribution.Proposal {
+	return distribution.Proposal{Conditional: true, Base: goldenMark(), Epoch: goldenMark().Epoch, AcceptedAt: 1_700_000_000_000_000,
+		Entries: []distribution.Entry{
+			{Scope: "pricing", Name: "limit", Value: []byte("30")},
+			{Scope: "pricing", Name: "old", Deleted: true},
+		}}
+}
+
+func goldenConfiguration() *distribution.State {
+	state := &distribution.State{Mark: goldenMark(), Horizon: 3}
+	for i := range 3 {
+		state.Entries = append(state.Entries, distribution.Entry{Scope: "pricing", Name: fmt.Sprint("n", i), Value: []byte("1"),
+			Revision: uint64(10 + i), AcceptedAt: 1_700_000_000_000_000})
+	}
+	return state
+}
+
+// What members put on a connection and into the log, byte by byte, beside the cases of TestEncodedCalls: with every field set
+// and with none.
+func TestEncodedBytesAreThoseOfTheGoldenFile(t *testing.T) {
+	e, p, mark := goldenEntry(), goldenProposal(), goldenMark()
+	var text strings.Builder
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"call, empty", call{}},
+		{"call, full", call{Entry: &e, Status: true, Name: "n0", ID: "n0/ABCDEFGH", Subscribe: true, Change: &p}},
+		{"call, entry", call{Entry: &e}},
+		{"call, status", call{Status: true}},
+		{"call, join", call{Name: "n0", ID: "n0/ABCDEFGH"}},
+		{"call, subscribe", call{Subscribe: true}},
+		{"call, change", call{Change: &p}},
+		{"answer, empty", answer{}},
+		{"answer, full", answer{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Mark: &mark, Refusal: refusedForGood}},
+		{"answer, change accepted", answer{Accepted: true, Mark: &mark}},
+		{"answer, change refused for now", answer{Why: "not the leader", Refusal: refusedForNow}},
+		{"answer, change refused as the base moved", answer{Why: "moved", Refusal: refusedMoved}},
+		{"answer, change refused for good", answer{Why: "no", Refusal: refusedForGood}},
+		{"log entry, record", e},
+		{"log entry, configuration", change{Kind: kindChange, Proposal: p}},
+		{"log entry, configuration, empty", change{}},
+	} {
+		body, err := cbor.Marshal(c.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "%s: %s\n", c.name, hex.EncodeToString(body))
+	}
+	var framed bytes.Buffer
+	if err := send(&framed, call{Status: true}); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&text, "frame: %x\n", framed.Bytes())
+	fmt.Fprintf(&text, "first byte: %x for raft, %x for calls\n", forRaft, forCalls)
+	var configuration bytes.Buffer
+	if err := WriteConfiguration(&configuration, goldenConfiguration()); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&text, "configuration: %x\n", configuration.Bytes())
+	many := goldenConfiguration()
+	for len(many.Entries) < 2*pieceOfSnapshot+1 {
+		many.Entries = append(many.Entries, distribution.Entry{Scope: "s", Name: fmt.Sprint(len(many.Entries)), Revision: 12})
+	}
+	configuration.Reset()
+	if err := WriteConfiguration(&configuration, many); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&text, "pieces of a long configuration:%s\n", sequenceLengths(t, configuration.Bytes()))
+	compareWithGolden(t, "encoded.txt", text.String())
+}
+
+// sequenceLengths is how many bytes each item of a CBOR sequence has.
+func sequenceLengths(t *testing.T, sequence []byte) (text string) {
+	t.Helper()
+	for len(sequence) > 0 {
+		var item cbor.RawMessage
+		rest, err := cbor.UnmarshalFirst(sequence, &item)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text += fmt.Sprint(" ", len(item))
+		sequence = rest
+	}
+	return text
+}
+
+// firstBytes is what somebody writes on a connection to us, up to a length.
+func firstBytes(t *testing.T, length int, dials func(address string)) []byte {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	got := make(chan []byte, 1)
+	go func() {
+		conn, err := l.Accept()
+		if err != nil {
+			got <- nil
+			return
+		}
+		defer conn.Close()
+		conn.SetReadDeadline(time.Now().Add(patience))
+		text := make([]byte, length)
+		n, _ := io.ReadFull(conn, text)
+		got <- text[:n]
+	}()
+	dials(l.Addr().String())
+	return <-got
+}
+
+// What stands at the beginning of each kind of connection, and what an old member answers: as bytes on the stream.
+func TestConversationsAreThoseOfTheGoldenFile(t *testing.T) {
+	var text strings.Builder
+	plain := func(address string) *transport {
+		return &transport{members: map[string]string{"n0": address}, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+	}
+	fmt.Fprintf(&text, "raft at a member: %x\n", firstBytes(t, 17, func(address string) {
+		conn, err := (&layer{transport: plain(address)}).Dial(addressOf("n0", "n0/ABCDEFGH"), 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+	}))
+	fmt.Fprintf(&text, "a subscriber: %x\n", firstBytes(t, 8, func(address string) {
+		s, err := NewSubscriber(Credentials{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if conn, err := s.Dial(context.Background(), "n0@"+address); err == nil {
+			conn.Close()
+			t.Error("nobody has answered")
+		}
+	}))
+	a := starts(t, Config{Name: "n0", Members: addresses(t, "n0", "n1")})
+	address := a.transport.members["n0"]
+	for _, c := range []struct {
+		name, sent string
+	}{
+		{"nobody may subscribe", "a105f5"},
+		{"an entry of another member", "a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
+		{"joining under another name", "a20361610463612f31"},
+		{"an entry where nobody leads", "a101a501626e3002010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
+		{"a change where nobody leads", "a106a10405"},
+	} {
+		body, err := hex.DecodeString(fmt.Sprintf("%02x%08x", 'c', len(c.sent)/2) + c.sent) // for calls, then a frame
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn.SetDeadline(time.Now().Add(patience))
+		if _, err := conn.Write(body); err != nil {
+			t.Fatal(err)
+		}
+		head := make([]byte, 4)
+		if _, err := io.ReadFull(conn, head); err != nil {
+			t.Fatal(c.name, err)
+		}
+		got := make([]byte, int(head[2])<<8|int(head[3]))
+		if _, err := io.ReadFull(conn, got); err != nil {
+			t.Fatal(c.name, err)
+		}
+		conn.Close()
+		fmt.Fprintf(&text, "%s: %x answered %x%x %q\n", c.name, body, head, got, got)
+	}
+	compareWithGolden(t, "conversations.txt", text.String())
+}
+
+// describe writes what a member has of the record and of the configuration as text, in words and an order of its own.
+func describe(m *stateMachine) string {
+	var text strings.Builder
+	say := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	m.withRecord(func(record *share.Record) {
+		say("last token %d", record.Token)
+		for _, member := range slices.Sorted(maps.Keys(record.Members)) {
+			say("member %s is %d, was %v", member, record.Members[member], record.Past[member])
+		}
+		for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
+			incarnation := record.Incarnations[id]
+			say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed,
+				incarnation.Edition)
+			for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
+				for _, backend := range slices.Sorted(maps.Keys(incarnation.Tables[number].Lines)) {
+					line := incarnation.Tables[number].Lines[backend]
+					say("  table %d: %s %g set by %d", number, backend, line.Weight, line.At)
+				}
+			}
+		}
+		for _, proxy := range slices.Sorted(maps.Keys(record.Proxies)) {
+			owned := record.Proxies[proxy]
+			say("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v, %d moves", proxy, owned.Owner, owned.Incarnation,
+				owned.Token, owned.Edition, owned.Tables, owned.Sure, len(owned.Moves))
+		}
+	})
+	state := m.changes.state()
+	if state == nil {
+		say("no configuration")
+		return text.String()
+	}
+	say("configuration at revision %d of %d-%d, horizon %d", state.Mark.Revision, state.Mark.Epoch.Number, state.Mark.Epoch.Identity, state.Horizon)
+	for _, e := range state.Entries {
+		say("  %s %s = %q since %d at %d, deleted %v", e.Scope, e.Name, e.Value, e.Revision, e.AcceptedAt, e.Deleted)
+	}
+	return text.String()
+}
+
+// writeVoter runs a member on a folder until there is a snapshot, and a log beyond it.
+func writeVoter(t *testing.T, folder string, configured bool) {
+	t.Helper()
+	config := Config{Name: "n0", Members: addresses(t, "n0"), Folder: folder}
+	if configured {
+		config.Distribution = &subscribed{}
+	}
+	m := starts(t, config)
+	m.puts(t, share.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Edition: 1,
+		TableChanges: []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: "a", Weight: 1}, {Backend: "b", Weight: 0.25}}}}})
+	if configured {
+		configures(t, m, entry("x", "1"), entry("y", "1"))
+	}
+	r, _ := m.current()
+	if err := r.Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	m.puts(t, share.Entry{Member: "n0", Incarnation: 5, Seq: 2, Edition: 2,
+		TableChanges:  []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: "a", Weight: 0}}}},
+		Confirmations: []share.Confirmation{{Proxy: 3, Token: 1, Edition: 2, Tables: []int{0, 0}, Sure: true}}})
+	if configured {
+		configures(t, m, entry("x", "2"), entry("z", "1"))
+	}
+	m.stop()
+}
+
+// A voter's folder as an earlier version wrote it, with a snapshot and a log beyond it, is read as what it was.
+func TestStoredFolderIsRead(t *testing.T) {
+	for _, name := range []string{"record", "configuration"} {
+		t.Run(name, func(t *testing.T) {
+			stored := filepath.Join("testdata", "voter-"+name)
+			if *update {
+				if err := os.RemoveAll(stored); err != nil {
+					t.Fatal(err)
+				}
+				if err := os.MkdirAll(stored, 0o755); err != nil {
+					t.Fatal(err)
+				}
+				writeVoter(t, stored, name == "configuration")
+			}
+			folder := t.TempDir()
+			if err := os.CopyFS(folder, os.DirFS(stored)); err != nil {
+				t.Fatal(err)
+			}
+			m := starts(t, Config{Name: "n0", Members: addresses(t, "n0"), Folder: folder})
+			m.waits(t, "recorded n0 5 2") // from the log, after the snapshot
+			if told, _ := m.has("restored"); !told {
+				t.Error("the snapshot was not read")
+			}
+			if name == "configuration" {
+				until(t, "the configuration's last change is read", func() bool {
+					_, machine := m.current()
+					state := machine.changes.state()
+					return state != nil && state.Mark.Revision == 2
+				})
+			}
+			_, machine := m.current()
+			compareWithGolden(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
+			m.puts(t, share.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
+		})
+	}
+}
+
+// A snapshot's body, with and without a configuration, is read as what it was.
+func TestStoredSnapshotIsRead(t *testing.T) {
+	for _, name := range []string{"record", "configuration"} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join("testdata", "snapshot-"+name+".cbor")
+			if *update {
+				m := changed(t)
+				if name == "configuration" {
+					m = changed(t, entry("x", "1"), entry("y", "2"), entry("x", "3"))
+				}
+				e := goldenEntry()
+				e.Seq = 1
+				m.record.Apply(e)
+				m.record.Apply(share.Entry{Member: "n1", Incarnation: 21, Seq: 1, Claims: []int{9}, Stamp: share.Stamp{Leader: 9, At: 50}})
+				if err := os.WriteFile(path, snapshotOf(t, m), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			body, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r := newReader()
+			m := &stateMachine{events: r, record: share.NewRecord(), changes: newChanges(nil, nil), failed: func(err error) { t.Error(err) }}
+			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
+				t.Fatal(err)
+			}
+			compareWithGolden(t, "snapshot-"+name+".txt", describe(m))
+			state, err := ReadConfiguration(nil)
+			if state != nil || err != nil {
+				t.Error(state, err)
+			}
+			if _, err := ReadConfiguration([]byte{0xa0}); err == nil || errors.Is(err, io.EOF) {
+				t.Errorf("a configuration without an epoch: %v", err)
+			}
+		})
+	}
+}
