--- a/replica/golden_test.go
+++ b/consensus/golden_test.go
@@ -1,4 +1,4 @@
-package replica
+package consensus
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 var update = flag.Bool("update", false, "write the golden files of this package anew")
@@ -47,10 +47,10 @@
 	}
 }
 
-func goldenEntry() share.Entry {
-	return share.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, Floor: 4, Claims: []int{5}, Reclaims: []int{6}, Edition: 9,
-		TableChanges:  []share.TableChange{{Table: 2, Lines: []share.Line{{Backend: "a", Weight: 0.5}}}},
-		Confirmations: []share.Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}}}
+func goldenEntry() ownership.Entry {
+	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, Floor: 4, Claims: []int{5}, Reclaims: []int{6}, Edition: 9,
+		TableChanges:  []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "a", Weight: 0.5}}}},
+		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}}}
 }
 
 func goldenMark() distribution.Mark {
@@ -233,7 +233,7 @@
 func describe(m *stateMachine) string {
 	var text strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
-	m.withRecord(func(record *share.Record) {
+	m.withRecord(func(record *ownership.Record) {
 		say("last token %d", record.Token)
 		for _, member := range slices.Sorted(maps.Keys(record.Members)) {
 			say("member %s is %d, was %v", member, record.Members[member], record.Past[member])
@@ -275,8 +275,8 @@
 		config.Distribution = &subscribed{}
 	}
 	m := starts(t, config)
-	m.puts(t, share.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Edition: 1,
-		TableChanges: []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: "a", Weight: 1}, {Backend: "b", Weight: 0.25}}}}})
+	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Edition: 1,
+		TableChanges: []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 1}, {Backend: "b", Weight: 0.25}}}}})
 	if configured {
 		configures(t, m, entry("x", "1"), entry("y", "1"))
 	}
@@ -284,9 +284,9 @@
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	m.puts(t, share.Entry{Member: "n0", Incarnation: 5, Seq: 2, Edition: 2,
-		TableChanges:  []share.TableChange{{Table: 0, Lines: []share.Line{{Backend: "a", Weight: 0}}}},
-		Confirmations: []share.Confirmation{{Proxy: 3, Token: 1, Edition: 2, Tables: []int{0, 0}, Sure: true}}})
+	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Edition: 2,
+		TableChanges:  []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 0}}}},
+		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Edition: 2, Tables: []int{0, 0}, Sure: true}}})
 	if configured {
 		configures(t, m, entry("x", "2"), entry("z", "1"))
 	}
@@ -325,7 +325,7 @@
 			}
 			_, machine := m.current()
 			compareWithGolden(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
-			m.puts(t, share.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
+			m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
 		})
 	}
 }
@@ -343,7 +343,7 @@
 				e := goldenEntry()
 				e.Seq = 1
 				m.record.Apply(e)
-				m.record.Apply(share.Entry{Member: "n1", Incarnation: 21, Seq: 1, Claims: []int{9}, Stamp: share.Stamp{Leader: 9, At: 50}})
+				m.record.Apply(ownership.Entry{Member: "n1", Incarnation: 21, Seq: 1, Claims: []int{9}, Stamp: ownership.Stamp{Leader: 9, At: 50}})
 				if err := os.WriteFile(path, snapshotOf(t, m), 0o644); err != nil {
 					t.Fatal(err)
 				}
@@ -353,7 +353,7 @@
 				t.Fatal(err)
 			}
 			r := newReader()
-			m := &stateMachine{events: r, record: share.NewRecord(), changes: newChanges(nil, nil), failed: func(err error) { t.Error(err) }}
+			m := &stateMachine{events: r, record: ownership.NewRecord(), changes: newChanges(nil, nil), failed: func(err error) { t.Error(err) }}
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
 			}
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"wheelrill/decide"
-	"wheelrill/replica"
-	"wheelrill/share"
+	"wheelrill/balancer"
+	"wheelrill/consensus"
+	"wheelrill/ownership"
 )
 
 // Sharing says with whom a controller shares its fleet. The members agree on all of it but the folder and the files.
@@ -16,7 +16,7 @@
 	Name    string            // ours among the members; the controller's own if empty
 	Members map[string]string // the address of each for the others, by its name
 	Folder  string            // for what must outlast the process; empty: nothing does
-	replica.Credentials
+	consensus.Credentials
 	Lease int64 // µs without an answer of the record after which a member goes on by itself; 0 is as usual
 }
 
@@ -36,7 +36,7 @@
 		with.Name = c.plan.Name
 	}
 	m := c.module
-	terms := share.Terms{Lease: with.Lease, Span: c.plan.channel.MessagesSpan + c.plan.channel.LongestWay,
+	terms := ownership.Terms{Lease: with.Lease, Span: c.plan.channel.MessagesSpan + c.plan.channel.LongestWay,
 		Messages: c.plan.channel.MessagesMost, Members: len(with.Members), Kept: keptMessages}
 	if terms.Lease == 0 {
 		terms.Lease = usualLease
@@ -47,14 +47,14 @@
 	if terms.Messages == 0 {
 		terms.Messages = uncounted
 	}
-	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: share.NewEvidence(), terms: terms}
-	config := replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
+	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: ownership.NewEvidence(), terms: terms}
+	config := consensus.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
 	votes := c.distributor != nil && c.distributor.carrier == nil
 	if votes {
-		config.Distribution = c.distributor.vote(replica.Peer{Name: with.Name, Address: with.Members[with.Name]})
+		config.Distribution = c.distributor.vote(consensus.Peer{Name: with.Name, Address: with.Members[with.Name]})
 	}
 	var err error
-	if f.node, err = replica.New(config, recordEvents{m, f}, c.log.to); err != nil {
+	if f.node, err = consensus.New(config, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
 	if votes {
@@ -66,10 +66,10 @@
 		channel.MessagesMost = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
-	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
+	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Partition{}, c.plan.sight,
 		c.plan.admit)
 	m.fleet, f.name = f, with.Name
-	f.coordinator = share.New(f, with.Name, terms, m.now)
+	f.coordinator = ownership.New(f, with.Name, terms, m.now)
 	f.tick(m.now)
 	return nil
 }
@@ -80,11 +80,11 @@
 	fleet *fleet
 }
 
-func (r recordEvents) Recorded(e share.Entry) {
+func (r recordEvents) Recorded(e ownership.Entry) {
 	r.post(func() { r.fleet.coordinator.Recorded(e, r.now) })
 }
 
-func (r recordEvents) Restored(record *share.Record) {
+func (r recordEvents) Restored(record *ownership.Record) {
 	r.post(func() { r.fleet.coordinator.Restored(record, r.now) })
 }
 
@@ -100,14 +100,14 @@
 type fleet struct {
 	module      *module
 	name        string
-	coordinator *share.Coordinator
-	node        *replica.Node
-	terms       share.Terms
+	coordinator *ownership.Coordinator
+	node        *consensus.Node
+	terms       ownership.Terms
 
 	pending  map[int]pendingJoin // proxies that joined and are not granted yet
 	queued   []queuedMessage     // in their order
 	released uint64
-	evidence *share.Evidence
+	evidence *ownership.Evidence
 }
 
 // pendingJoin is what the decisions are told of a proxy once it is granted.
@@ -174,7 +174,7 @@
 }
 
 // Granted gives a proxy to the decisions.
-func (f *fleet) Granted(node int, token uint64, base []share.Base, clean bool, came []float64, spent int) {
+func (f *fleet) Granted(node int, token uint64, base []ownership.Base, clean bool, came []float64, spent int) {
 	a, ok := f.pending[node]
 	if !ok {
 		return
@@ -196,7 +196,7 @@
 }
 
 // LearnedCapacity hands on what another member saw the fleet do.
-func (f *fleet) LearnedCapacity(capacity share.Capacity) {
+func (f *fleet) LearnedCapacity(capacity ownership.Capacity) {
 	f.module.control.Fits(capacity.Proven, capacity.Able)
 }
 
@@ -204,7 +204,7 @@
 func (f *fleet) Spent(node, messages int) { f.module.control.Spent(node, messages) }
 
 // Propose puts an entry on the record.
-func (f *fleet) Propose(e share.Entry) { f.node.Propose(e) }
+func (f *fleet) Propose(e ownership.Entry) { f.node.Propose(e) }
 
 // Release lets what waited leave.
 func (f *fleet) Release(edition uint64) {
@@ -233,26 +233,26 @@
 
 // recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
 func (f *fleet) recordTableChanges() {
-	var changes []share.TableChange
+	var changes []ownership.TableChange
 	for _, number := range slices.Sorted(maps.Keys(f.module.byNumber)) {
 		in := f.module.byNumber[number]
 		if len(in.changed) == 0 {
 			continue
 		}
-		change := share.TableChange{Table: number}
+		change := ownership.TableChange{Table: number}
 		for _, b := range in.changed {
-			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
 		}
 		changes = append(changes, change)
 	}
 	if len(f.module.withdrawalChanges) > 0 {
-		change := share.TableChange{Table: share.WithdrawnTable}
+		change := ownership.TableChange{Table: ownership.WithdrawnTable}
 		for _, b := range f.module.withdrawalChanges {
 			shut := 0.
 			if f.module.withdrawn[b] {
 				shut = 1
 			}
-			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: shut})
 		}
 		changes = append(changes, change)
 	}
@@ -270,12 +270,12 @@
 		}
 	}
 	proven, able := f.module.control.Ability()
-	f.evidence.SetCapacity(share.Capacity{Proven: proven, Able: able})
+	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
 	f.coordinator.AddEvidence(f.evidence, now)
 }
 
 // Learned hands on what another member's proxies met.
-func (f *fleet) Learned(_ string, s share.Observation) {
+func (f *fleet) Learned(_ string, s ownership.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
 		f.module.control.Learned(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
