--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -48,9 +48,9 @@
 }
 
 func goldenEntry() ownership.Entry {
-	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, Floor: 4, Claims: []int{5}, Reclaims: []int{6}, Edition: 9,
+	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, Floor: 4, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
 		TableChanges:  []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "a", Weight: 0.5}}}},
-		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2}, Sure: true}}}
+		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, Sure: true}}}
 }
 
 func goldenMark() distribution.Mark {
@@ -241,7 +241,7 @@
 		for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 			incarnation := record.Incarnations[id]
 			say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed,
-				incarnation.Edition)
+				incarnation.Revision)
 			for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 				for _, backend := range slices.Sorted(maps.Keys(incarnation.Tables[number].Lines)) {
 					line := incarnation.Tables[number].Lines[backend]
@@ -275,7 +275,7 @@
 		config.Distribution = &subscribed{}
 	}
 	m := starts(t, config)
-	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Edition: 1,
+	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Revision: 1,
 		TableChanges: []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 1}, {Backend: "b", Weight: 0.25}}}}})
 	if configured {
 		configures(t, m, entry("x", "1"), entry("y", "1"))
@@ -284,9 +284,9 @@
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Edition: 2,
+	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Revision: 2,
 		TableChanges:  []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 0}}}},
-		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Edition: 2, Tables: []int{0, 0}, Sure: true}}})
+		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Revision: 2, Tables: []int{0, 0}, Sure: true}}})
 	if configured {
 		configures(t, m, entry("x", "2"), entry("z", "1"))
 	}
--- a/ownership/golden_test.go
+++ b/ownership/golden_test.go
@@ -51,14 +51,14 @@
 func fullEntry() Entry {
 	return Entry{
 		Member: "n1", Incarnation: 1<<63 + 5, Seq: 70_000, Floor: 300, Closing: true,
-		Claims: []int{0, 5, 1000}, Reclaims: []int{6, 7}, Edition: 1 << 33,
+		Claims: []int{0, 5, 1000}, Reclaims: []int{6, 7}, Revision: 1 << 33,
 		TableChanges: []TableChange{
 			{Table: 0, Lines: []Line{{Backend: "a", Weight: 0.5}, {Backend: "backend-17", Weight: 0}}},
 			{Table: WithdrawnTable, Lines: []Line{{Backend: "b", Weight: 1}}},
 		},
 		Confirmations: []Confirmation{
-			{Proxy: 5, Token: 4, Edition: 8, Tables: []int{2, 2, 0}, Sure: true},
-			{Proxy: 6, Token: 5, Edition: 9, Tables: []int{-1}},
+			{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2, 0}, Sure: true},
+			{Proxy: 6, Token: 5, Revision: 9, Tables: []int{-1}},
 		},
 		Observations: []Observation{
 			{Backend: "a", Tries: 5, Failed: 4, Mean: 3000, Span: 2000, Withdrawn: true, Wait: 700},
@@ -75,18 +75,18 @@
 func fullRecord() *Record {
 	record := NewRecord()
 	record.Apply(Entry{Member: "n0", Incarnation: 10, Seq: 1, Stamp: Stamp{9, 50}})
-	record.Apply(Entry{Member: "n0", Incarnation: 11, Seq: 1, Claims: []int{3, 4, 5}, Edition: 1, Stamp: Stamp{9, 100},
+	record.Apply(Entry{Member: "n0", Incarnation: 11, Seq: 1, Claims: []int{3, 4, 5}, Revision: 1, Stamp: Stamp{9, 100},
 		TableChanges: []TableChange{
 			{Table: 0, Lines: []Line{{"a", 1}, {"b", 0.25}}},
 			{Table: 2, Lines: []Line{{"c", 7}}},
 			{Table: WithdrawnTable, Lines: []Line{{"z", 1}}},
 		}})
 	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 1, Floor: 40, Stamp: Stamp{9, 150}})
-	record.Apply(Entry{Member: "n0", Incarnation: 11, Seq: 2, Edition: 2, Stamp: Stamp{9, 200},
+	record.Apply(Entry{Member: "n0", Incarnation: 11, Seq: 2, Revision: 2, Stamp: Stamp{9, 200},
 		TableChanges: []TableChange{{Table: 0, Lines: []Line{{"a", 0}, {"d", 3}}}, {Table: WithdrawnTable, Lines: []Line{{"z", 0}}}},
 		Confirmations: []Confirmation{
-			{Proxy: 3, Token: 1, Edition: 1, Tables: []int{0, 2}, Sure: true},
-			{Proxy: 4, Token: 2, Edition: 2, Tables: []int{0, 0}, Sure: true},
+			{Proxy: 3, Token: 1, Revision: 1, Tables: []int{0, 2}, Sure: true},
+			{Proxy: 4, Token: 2, Revision: 2, Tables: []int{0, 0}, Sure: true},
 		},
 		Observations: []Observation{{Backend: "z", Tries: 9, Failed: 8, Mean: 100, Span: 1000, Withdrawn: true, Wait: 5_000_000}},
 		Demands:      []Demand{{Proxy: 3, Rates: []float64{10, 2.5}}},
@@ -107,7 +107,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 		incarnation := record.Incarnations[id]
-		say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed, incarnation.Edition)
+		say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed, incarnation.Revision)
 		for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 			table := incarnation.Tables[number]
 			say("  table %d, known from %d on", number, table.Floor)
@@ -217,14 +217,14 @@
 		move.To.Token, move.Known, move.Clean, move.Demand, describeBase(move.Base))
 }
 
-func describeBase(base []Base) string {
+func describeBase(base []KnownTable) string {
 	var classes []string
 	for _, has := range base {
 		var parts []string
 		for _, backend := range slices.Sorted(maps.Keys(has.Lines)) {
 			parts = append(parts, fmt.Sprintf("%s=%g", backend, has.Lines[backend]))
 		}
-		for _, backend := range slices.Sorted(maps.Keys(has.Doubt)) {
+		for _, backend := range slices.Sorted(maps.Keys(has.Uncertain)) {
 			parts = append(parts, backend+"?")
 		}
 		classes = append(classes, "["+strings.Join(parts, " ")+"]")
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -35,7 +35,7 @@
 	released    uint64
 }
 
-var transcriptTerms = Terms{Lease: 1500, Renew: 200, Span: 4000, Messages: 30, Members: 3, Kept: 4}
+var transcriptTerms = LeaseTerms{Duration: 1500, RenewInterval: 200, MessageWindow: 4000, MaxMessages: 30, Members: 3, GuaranteedMessages: 4}
 
 func (m *transcriptMember) note(format string, args ...any) {
 	fmt.Fprintf(&m.text, "%d %s: %s\n", m.now, m.name, fmt.Sprintf(format, args...))
@@ -46,29 +46,29 @@
 	m.proposed = append(m.proposed, e)
 }
 
-func (m *transcriptMember) Granted(proxy int, token uint64, base []Base, clean bool, demand []float64, spent int) {
+func (m *transcriptMember) ProxyGranted(proxy int, token uint64, base []KnownTable, clean bool, demand []float64, spent int) {
 	m.note("is granted proxy %d by token %d: has %s, clean %v, gets %v, %d messages spent", proxy, token, describeBase(base), clean, demand, spent)
 }
 
-func (m *transcriptMember) LearnedCapacity(capacity Capacity) {
+func (m *transcriptMember) PeerCapacityReported(capacity Capacity) {
 	m.note("hears of capacity %g %g", capacity.Proven, capacity.Able)
 }
 
-func (m *transcriptMember) Spent(proxy, messages int) {
+func (m *transcriptMember) MessagesSentByPeers(proxy, messages int) {
 	m.note("has %d messages less for proxy %d", messages, proxy)
 }
 
-func (m *transcriptMember) Release(edition uint64) {
+func (m *transcriptMember) ReleaseUpTo(edition uint64) {
 	m.released = edition
 	m.note("lets edition %d leave", edition)
 }
 
-func (m *transcriptMember) Learned(member string, seen Observation) {
+func (m *transcriptMember) PeerObservationReported(member string, seen Observation) {
 	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", seen.Backend, member, seen.Failed, seen.Tries, seen.Mean,
 		seen.Span, seen.Wait, seen.Withdrawn)
 }
 
-func (m *transcriptMember) Mode(alone bool, why string) { m.note("alone %v: %s", alone, why) }
+func (m *transcriptMember) QuorumChanged(alone bool, why string) { m.note("alone %v: %s", alone, why) }
 
 func (m *transcriptMember) RandomID() uint64 {
 	m.drawn++
@@ -82,7 +82,7 @@
 		fmt.Fprintf(&tables, " %d%v", change.Table, change.Lines)
 	}
 	return fmt.Sprintf("%s/%d/%d floor %d closing %v claims %v again %v edition %d tables%s confirmed %v seen %v demand %v capacity %v vouched %v stamp %v",
-		e.Member, e.Incarnation, e.Seq, e.Floor, e.Closing, e.Claims, e.Reclaims, e.Edition, tables.String(), e.Confirmations, e.Observations,
+		e.Member, e.Incarnation, e.Seq, e.Floor, e.Closing, e.Claims, e.Reclaims, e.Revision, tables.String(), e.Confirmations, e.Observations,
 		e.Demands, e.Capacity, e.OnRecord, e.Stamp)
 }
 
@@ -113,11 +113,11 @@
 	}
 	m.log = append(m.log, e)
 	if answered {
-		m.coordinator.Answered(e.Incarnation, e.Seq, m.now)
+		m.coordinator.ProposalCommitted(e.Incarnation, e.Seq, m.now)
 		return
 	}
 	m.connection++
-	m.coordinator.Failed(e.Incarnation, e.Seq, m.now)
+	m.coordinator.ProposalFailed(e.Incarnation, e.Seq, m.now)
 }
 
 // step is one call, drawn at random.
@@ -127,12 +127,12 @@
 	switch m.random.IntN(24) {
 	case 0, 1:
 		if m.joined[proxy] {
-			m.coordinator.Left(proxy)
+			m.coordinator.ProxyDisconnected(proxy)
 			m.evidence.ForgetProxy(proxy)
 		}
 		m.joined[proxy] = !m.joined[proxy]
 		if m.joined[proxy] {
-			m.coordinator.Joined(proxy, m.now)
+			m.coordinator.ProxyConnected(proxy, m.now)
 		}
 	case 2:
 		weight := float64(m.random.IntN(3)) / 2
@@ -141,12 +141,12 @@
 	case 3, 4:
 		if m.joined[proxy] {
 			tables := []int{m.random.IntN(3) - 1, 0}
-			m.coordinator.Confirmed(proxy, m.released, tables, m.random.IntN(2) == 0)
+			m.coordinator.ProxyAcknowledged(proxy, m.released, tables, m.random.IntN(2) == 0)
 		}
 	case 5:
-		m.coordinator.Spoke(proxy, m.now)
+		m.coordinator.ProxyHeardFrom(proxy, m.now)
 	case 6:
-		m.evidence.AddTries(backend, 1+m.random.IntN(9), m.random.IntN(2), int64(m.random.IntN(5000)), 300)
+		m.evidence.AddOutcomes(backend, 1+m.random.IntN(9), m.random.IntN(2), int64(m.random.IntN(5000)), 300)
 	case 7:
 		m.evidence.SetWithdrawn(backend, m.random.IntN(2) == 0, m.random.IntN(9), m.random.IntN(9), int64(m.random.IntN(900)))
 	case 8:
@@ -172,7 +172,7 @@
 				copied.Apply(e)
 			}
 			m.applied = len(m.log)
-			m.coordinator.Restored(copied, m.now)
+			m.coordinator.SnapshotRestored(copied, m.now)
 			m.note("takes a snapshot")
 		}
 	case 14:
@@ -181,14 +181,14 @@
 		m.deliver(true)
 	case 18, 19, 20, 21:
 		for ; m.applied < len(m.log); m.applied++ {
-			m.coordinator.Recorded(m.log[m.applied], m.now)
+			m.coordinator.EntryApplied(m.log[m.applied], m.now)
 		}
 	case 22:
 		m.coordinator.AddEvidence(m.evidence, m.now)
 	case 23:
-		m.coordinator.Elapsed(m.now)
-		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.Owned(), m.coordinator.Alone(), m.coordinator.Closed(),
-			m.coordinator.Edition(), m.leases.Silent(m.coordinator.incarnation, m.now, 400))
+		m.coordinator.Tick(m.now)
+		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.Owned(), m.coordinator.WithoutQuorum(), m.coordinator.Closed(),
+			m.coordinator.Revision(), m.leases.Silent(m.coordinator.incarnation, m.now, 400))
 	}
 }
 
