--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -13,8 +13,8 @@
 	"wheelrill/ownership"
 )
 
-// call is what members ask each other; answer is what they get.
-type call struct {
+// memberRequest is what members ask each other; answer is what they get.
+type memberRequest struct {
 	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
 	Status bool             `cbor:"2,keyasint,omitempty"`
 	Name   string           `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
@@ -24,7 +24,7 @@
 	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // to be accepted by the record
 }
 
-type answer struct {
+type memberResponse struct {
 	Accepted  bool   `cbor:"1,keyasint,omitempty"`
 	Why       string `cbor:"2,keyasint,omitempty"`
 	ID        string `cbor:"3,keyasint,omitempty"`
@@ -38,15 +38,15 @@
 // serve answers one connection's calls, one after the other. Who is no member may subscribe, and do nothing else.
 func (n *Node) serve(conn net.Conn, from caller, connection int) {
 	if len(from.members) == 0 {
-		conn.SetReadDeadline(time.Now().Add(callPatience))
+		conn.SetReadDeadline(time.Now().Add(callTimeout))
 	}
 	for {
-		var c call
+		var c memberRequest
 		if err := receive(conn, &c); err != nil {
 			return
 		}
-		a := n.answer(c, from, connection)
-		conn.SetWriteDeadline(time.Now().Add(callPatience))
+		a := n.handle(c, from, connection)
+		conn.SetWriteDeadline(time.Now().Add(callTimeout))
 		if err := send(conn, a); err != nil {
 			return
 		}
@@ -58,12 +58,12 @@
 	}
 }
 
-func (n *Node) answer(c call, from caller, connection int) answer {
+func (n *Node) handle(c memberRequest, from caller, connection int) memberResponse {
 	switch {
 	case c.Subscribe:
-		return answerToSubscribe(n.config.Distribution != nil)
+		return subscribeResponse(n.config.Distribution != nil)
 	case len(from.members) == 0:
-		return answer{Why: errForeign.Error()}
+		return memberResponse{Why: errNotMember.Error()}
 	case c.Status:
 		return n.status()
 	case c.Change != nil:
@@ -73,12 +73,12 @@
 	case c.ID != "" && slices.Contains(from.members, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
 		return n.admit(c.Name, c.ID)
 	}
-	return answer{Why: "it may not speak for that member"}
+	return memberResponse{Why: "it may not speak for that member"}
 }
 
-func (n *Node) status() answer {
+func (n *Node) status() memberResponse {
 	r, _ := n.current()
-	a := answer{ID: n.ID()}
+	a := memberResponse{ID: n.ID()}
 	_, leader := r.LeaderWithID()
 	a.Leader = nameOf(leader)
 	if f := r.GetConfiguration(); f.Error() == nil {
@@ -88,10 +88,10 @@
 }
 
 // appendEntry puts an entry on the record, if we lead. The number tells the connections apart that entries come by.
-func (n *Node) appendEntry(e ownership.Entry, connection int) answer {
+func (n *Node) appendEntry(e ownership.Entry, connection int) memberResponse {
 	r, m := n.current()
 	if r.State() != raft.Leader {
-		return answer{Why: "not the leader"}
+		return memberResponse{Why: "not the leader"}
 	}
 	n.leaderMutex.Lock()
 	now := n.clock()
@@ -101,23 +101,23 @@
 	n.leaderMutex.Unlock()
 	body, err := cbor.Marshal(e)
 	if err != nil {
-		return answer{Why: err.Error()}
+		return memberResponse{Why: err.Error()}
 	}
-	if err := r.Apply(body, applyWithin).Error(); err != nil {
-		return answer{Why: err.Error()}
+	if err := r.Apply(body, applyTimeout).Error(); err != nil {
+		return memberResponse{Why: err.Error()}
 	}
-	return answer{Accepted: true}
+	return memberResponse{Accepted: true}
 }
 
 // admit has a member take part under a new id: it has forgotten its votes, or never had any. Its old id goes first.
-func (n *Node) admit(name, id string) answer {
+func (n *Node) admit(name, id string) memberResponse {
 	r, _ := n.current()
 	if r.State() != raft.Leader {
-		return answer{Why: "not the leader"}
+		return memberResponse{Why: "not the leader"}
 	}
 	f := r.GetConfiguration()
 	if err := f.Error(); err != nil {
-		return answer{Why: err.Error()}
+		return memberResponse{Why: err.Error()}
 	}
 	var ids []string
 	for _, server := range f.Configuration().Servers {
@@ -125,32 +125,32 @@
 	}
 	leave, in := ownership.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
 	for _, other := range leave {
-		if err := r.RemoveServer(raft.ServerID(other), 0, applyWithin).Error(); err != nil {
-			return answer{Why: err.Error()}
+		if err := r.RemoveServer(raft.ServerID(other), 0, applyTimeout).Error(); err != nil {
+			return memberResponse{Why: err.Error()}
 		}
 	}
 	if in {
-		return answer{Accepted: true}
+		return memberResponse{Accepted: true}
 	}
-	if err := r.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyWithin).Error(); err != nil {
-		return answer{Why: err.Error()}
+	if err := r.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyTimeout).Error(); err != nil {
+		return memberResponse{Why: err.Error()}
 	}
 	n.log.Info("member_joined", "name", name, "id", id)
-	return answer{Accepted: true}
+	return memberResponse{Accepted: true}
 }
 
-// ask makes one call on a connection of its own.
-func (n *Node) ask(ctx context.Context, name string, c call) (a answer, err error) {
-	conn, err := n.transport.dial(ctx, name, forCalls)
+// callMember makes one call on a connection of its own.
+func (n *Node) callMember(ctx context.Context, name string, c memberRequest) (a memberResponse, err error) {
+	conn, err := n.transport.dial(ctx, name, connCalls)
 	if err != nil {
 		return a, err
 	}
 	defer conn.Close()
-	return a, request(conn, c, &a)
+	return a, roundTrip(conn, c, &a)
 }
 
-func request(conn net.Conn, c call, a *answer) error {
-	conn.SetDeadline(time.Now().Add(callPatience))
+func roundTrip(conn net.Conn, c memberRequest, a *memberResponse) error {
+	conn.SetDeadline(time.Now().Add(callTimeout))
 	if err := send(conn, c); err != nil {
 		return err
 	}
--- a/consensus/changes.go
+++ b/consensus/changes.go
@@ -29,56 +29,56 @@
 	Accept(conn net.Conn, allowed func(name string) bool)
 }
 
-// change is an entry of raft's log that changes the distributed configuration. It is an array, where the entries of
+// configurationEntry is an entry of raft's log that changes the distributed configuration. It is an array, where the entries of
 // package share are maps.
-type change struct {
+type configurationEntry struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     uint8
 	Proposal distribution.Proposal
 }
 
 const (
-	kindChange = 1
-	cborArray  = 4 // major type, the upper three bits of a first byte
+	kindProposal = 1
+	cborArray    = 4 // major type, the upper three bits of a first byte
 )
 
-func isChange(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
+func isConfigurationEntry(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
 
-// changes is the part of the state machine that holds the distributed configuration. It takes part at every member,
+// configuration is the part of the state machine that holds the distributed configuration. It takes part at every member,
 // whether or not anybody can subscribe there.
-type changes struct {
-	told Distribution // nil for nobody
-	seen func(distribution.Epoch)
+type configuration struct {
+	distribution Distribution // nil for nobody
+	seen         func(distribution.Epoch)
 
 	mutex sync.Mutex
 	voter *distribution.VoterState
 }
 
-// newChanges is a configuration that nothing was put into. Seen is told epochs; nil for nobody.
-func newChanges(told Distribution, seen func(distribution.Epoch)) *changes {
+// newConfiguration is a configuration that nothing was put into. Seen is told epochs; nil for nobody.
+func newConfiguration(told Distribution, seen func(distribution.Epoch)) *configuration {
 	if seen == nil {
 		seen = func(distribution.Epoch) {}
 	}
-	return &changes{told: told, seen: seen, voter: distribution.NewVoterState()}
+	return &configuration{distribution: told, seen: seen, voter: distribution.NewVoterState()}
 }
 
-// outcome is what became of a proposal.
-type outcome struct {
+// changeResult is what became of a proposal.
+type changeResult struct {
 	mark distribution.Mark
 	err  error
 }
 
 // apply takes a change in, whole or not at all.
-func (c *changes) apply(data []byte, failed func(error)) any {
-	var entry change
+func (c *configuration) apply(data []byte, failed func(error)) any {
+	var entry configurationEntry
 	if err := cbor.Unmarshal(data, &entry); err != nil {
 		failed(err)
-		return outcome{err: err}
+		return changeResult{err: err}
 	}
-	if entry.Kind != kindChange {
+	if entry.Kind != kindProposal {
 		err := fmt.Errorf("an entry of the unknown kind %d", entry.Kind)
 		failed(err)
-		return outcome{err: err}
+		return changeResult{err: err}
 	}
 	c.mutex.Lock()
 	founds := c.voter.Empty()
@@ -90,21 +90,21 @@
 	}
 	c.mutex.Unlock()
 	if err != nil {
-		return outcome{err: err}
+		return changeResult{err: err}
 	}
 	c.seen(mark.Epoch)
 	switch {
-	case c.told == nil:
+	case c.distribution == nil:
 	case founds:
-		c.told.Restored(state)
+		c.distribution.Restored(state)
 	default:
-		c.told.Accepted(accepted)
+		c.distribution.Accepted(accepted)
 	}
-	return outcome{mark: mark}
+	return changeResult{mark: mark}
 }
 
 // state is the configuration for a snapshot; nil where there is none.
-func (c *changes) state() *distribution.State {
+func (c *configuration) state() *distribution.State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.voter.Empty() {
@@ -115,7 +115,7 @@
 }
 
 // restore takes over the configuration of a snapshot; nil where it had none.
-func (c *changes) restore(state *distribution.State) {
+func (c *configuration) restore(state *distribution.State) {
 	voter := distribution.NewVoterState()
 	if state != nil {
 		voter = distribution.RestoreVoterState(*state)
@@ -124,20 +124,20 @@
 	c.mutex.Lock()
 	c.voter = voter
 	c.mutex.Unlock()
-	if state != nil && c.told != nil {
-		c.told.Restored(*state)
+	if state != nil && c.distribution != nil {
+		c.distribution.Restored(*state)
 	}
 }
 
 // view gives access to the configuration.
-func (c *changes) view(look func(*distribution.VoterState)) {
+func (c *configuration) view(look func(*distribution.VoterState)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	look(c.voter)
 }
 
-// pieceOfSnapshot is how many entries are encoded at a time.
-const pieceOfSnapshot = 1024
+// entriesPerPiece is how many entries are encoded at a time.
+const entriesPerPiece = 1024
 
 // WriteConfiguration writes a configuration as a sequence: what it is without its entries, then these in pieces.
 func WriteConfiguration(to io.Writer, state *distribution.State) error {
@@ -148,7 +148,7 @@
 		return err
 	}
 	for left := state.Entries; len(left) > 0; {
-		piece := left[:min(pieceOfSnapshot, len(left))]
+		piece := left[:min(entriesPerPiece, len(left))]
 		if err := encoder.Encode(piece); err != nil {
 			return err
 		}
@@ -188,37 +188,37 @@
 type refusal uint8
 
 const (
-	refusedForNow  refusal = iota + 1 // not the leader, or it is not known whether it will be accepted yet
-	refusedMoved                      // the record is not at the base of the proposal
-	refusedForGood                    // the record refuses it however often it comes
+	refusedRetry       refusal = iota + 1 // not the leader, or it is not known whether it will be accepted yet
+	refusedBaseMoved                      // the record is not at the base of the proposal
+	refusedPermanently                    // the record refuses it however often it comes
 )
 
 // acceptChange puts a change on the record, if we lead.
-func (n *Node) acceptChange(p distribution.Proposal) answer {
+func (n *Node) acceptChange(p distribution.Proposal) memberResponse {
 	r, _ := n.current()
 	if r.State() != raft.Leader {
-		return answer{Why: "not the leader", Refusal: refusedForNow}
+		return memberResponse{Why: "not the leader", Refusal: refusedRetry}
 	}
 	n.leaderMutex.Lock()
 	p.Epoch = distribution.NextEpoch(n.epoch, uint64(time.Now().Unix()), randomID())
 	n.leaderMutex.Unlock()
 	p.AcceptedAt = time.Now().UnixMicro()
-	body, err := cbor.Marshal(change{Kind: kindChange, Proposal: p})
+	body, err := cbor.Marshal(configurationEntry{Kind: kindProposal, Proposal: p})
 	if err != nil {
-		return answer{Why: err.Error(), Refusal: refusedForGood}
+		return memberResponse{Why: err.Error(), Refusal: refusedPermanently}
 	}
-	future := r.Apply(body, applyWithin)
+	future := r.Apply(body, applyTimeout)
 	if err := future.Error(); err != nil {
-		return answer{Why: err.Error(), Refusal: refusedForNow}
+		return memberResponse{Why: err.Error(), Refusal: refusedRetry}
 	}
-	result, _ := future.Response().(outcome)
+	result, _ := future.Response().(changeResult)
 	switch {
 	case errors.Is(result.err, distribution.ErrMoved):
-		return answer{Why: result.err.Error(), Refusal: refusedMoved}
+		return memberResponse{Why: result.err.Error(), Refusal: refusedBaseMoved}
 	case result.err != nil:
-		return answer{Why: result.err.Error(), Refusal: refusedForGood}
+		return memberResponse{Why: result.err.Error(), Refusal: refusedPermanently}
 	}
-	return answer{Accepted: true, Mark: &result.mark}
+	return memberResponse{Accepted: true, Mark: &result.mark}
 }
 
 // Why a change was not accepted. Of ErrUnanswered it is not known whether it will be.
@@ -227,11 +227,11 @@
 	ErrRefused    = errors.New("the record refuses the change")
 )
 
-// Change has the record accept a change: once, whole. An error that is ErrUnanswered leaves open whether it does.
-func (n *Node) Change(ctx context.Context, p distribution.Proposal) (distribution.Mark, error) {
+// ProposeChange has the record accept a change: once, whole. An error that is ErrUnanswered leaves open whether it does.
+func (n *Node) ProposeChange(ctx context.Context, p distribution.Proposal) (distribution.Mark, error) {
 	r, _ := n.current()
 	_, id := r.LeaderWithID()
-	var a answer
+	var a memberResponse
 	var err error
 	switch leader := nameOf(id); leader {
 	case "":
@@ -239,16 +239,16 @@
 	case n.config.Name:
 		a = n.acceptChange(p)
 	default:
-		a, err = n.ask(ctx, leader, call{Change: &p})
+		a, err = n.callMember(ctx, leader, memberRequest{Change: &p})
 	}
 	switch {
 	case err != nil:
 		return distribution.Mark{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
 	case a.Accepted && a.Mark != nil:
 		return *a.Mark, nil
-	case a.Refusal == refusedMoved:
+	case a.Refusal == refusedBaseMoved:
 		return distribution.Mark{}, distribution.ErrMoved
-	case a.Refusal == refusedForGood:
+	case a.Refusal == refusedPermanently:
 		return distribution.Mark{}, fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
 	return distribution.Mark{}, fmt.Errorf("%w: %s", ErrUnanswered, a.Why)
@@ -260,11 +260,11 @@
 	for {
 		_, m := n.current()
 		var p distribution.Proposal
-		m.changes.view(func(voter *distribution.VoterState) { p = voter.Difference(wanted) })
+		m.configuration.view(func(voter *distribution.VoterState) { p = voter.Difference(wanted) })
 		if len(p.Entries) == 0 {
 			return p.Base, 0, nil
 		}
-		if mark, err = n.Change(ctx, p); err == nil || errors.Is(err, ErrRefused) {
+		if mark, err = n.ProposeChange(ctx, p); err == nil || errors.Is(err, ErrRefused) {
 			return mark, len(p.Entries), err
 		}
 		select {
@@ -282,7 +282,7 @@
 	}
 	_, m := n.current()
 	empty := true
-	m.changes.view(func(voter *distribution.VoterState) { empty = voter.Empty() })
+	m.configuration.view(func(voter *distribution.VoterState) { empty = voter.Empty() })
 	seen := progress{leads: r.State() == raft.Leader, inContact: time.Since(r.LastContact()) < n.pace.heartbeat,
 		applied: r.AppliedIndex(), committed: r.CommitIndex(), last: r.LastIndex()}
 	if n.currency.observe(seen) && !empty {
--- a/consensus/changes_test.go
+++ b/consensus/changes_test.go
@@ -147,7 +147,7 @@
 			if !errors.Is(err, ErrRefused) {
 				t.Errorf("got %v", err)
 			}
-			_, err = m.Change(context.Background(), distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
+			_, err = m.ProposeChange(context.Background(), distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
 			if !errors.Is(err, distribution.ErrMoved) {
 				t.Errorf("on an older base: %v", err)
 			}
@@ -230,16 +230,16 @@
 // changed is a state machine that some entries were put into.
 func changed(t *testing.T, entries ...distribution.Entry) *stateMachine {
 	t.Helper()
-	m := &stateMachine{events: newReader(), record: ownership.NewRecord(), changes: newChanges(nil, nil)}
-	m.failed = func(err error) { t.Error(err) }
+	m := &stateMachine{events: newReader(), record: ownership.NewRecord(), configuration: newConfiguration(nil, nil)}
+	m.onUnreadable = func(err error) { t.Error(err) }
 	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}})
 	for _, e := range entries {
-		body, err := cbor.Marshal(change{Kind: kindChange, Proposal: distribution.Proposal{
+		body, err := cbor.Marshal(configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{
 			Epoch: distribution.Epoch{Number: 1}, Entries: []distribution.Entry{e}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if result := m.Apply(&raft.Log{Data: body}); result.(outcome).err != nil {
+		if result := m.Apply(&raft.Log{Data: body}); result.(changeResult).err != nil {
 			t.Fatal(result)
 		}
 	}
@@ -266,18 +266,18 @@
 		t.Errorf("%x, and was %x", got, before)
 	}
 	other := changed(t, entry("x", "1"))
-	if err := other.Restore(io.NopCloser(bytes.NewReader(before))); err != nil || other.changes.state() != nil {
-		t.Errorf("%v, %+v", err, other.changes.state())
+	if err := other.Restore(io.NopCloser(bytes.NewReader(before))); err != nil || other.configuration.state() != nil {
+		t.Errorf("%v, %+v", err, other.configuration.state())
 	}
 }
 
 func TestSnapshotWithConfiguration(t *testing.T) {
 	var entries []distribution.Entry
-	for i := range 2*pieceOfSnapshot + 1 {
+	for i := range 2*entriesPerPiece + 1 {
 		entries = append(entries, entry(fmt.Sprintf("n%05d", i), "1"))
 	}
 	m := changed(t, entries...)
-	m.changes.view(func(v *distribution.VoterState) {
+	m.configuration.view(func(v *distribution.VoterState) {
 		if _, err := v.Accept(distribution.Proposal{Entries: []distribution.Entry{{Scope: "pricing", Name: "n00000", Deleted: true}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -287,14 +287,14 @@
 	if err := other.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 		t.Fatal(err)
 	}
-	ours, theirs := m.changes.state(), other.changes.state()
+	ours, theirs := m.configuration.state(), other.configuration.state()
 	if fmt.Sprint(ours) != fmt.Sprint(theirs) || len(theirs.Entries) != len(entries) || other.record.Proxies[4].Owner != "a" {
 		t.Errorf("restored %d entries at %v, not %d at %v", len(theirs.Entries), theirs.Mark, len(ours.Entries), ours.Mark)
 	}
 	for name, damaged := range map[string][]byte{"cut off": body[:len(body)-3], "followed by something": append(slices.Clone(body), 0xff)} {
 		kept := changed(t, entry("x", "1"))
-		if err := kept.Restore(io.NopCloser(bytes.NewReader(damaged))); err == nil || len(kept.changes.state().Entries) != 1 {
-			t.Errorf("%s: %v, %+v", name, err, kept.changes.state())
+		if err := kept.Restore(io.NopCloser(bytes.NewReader(damaged))); err == nil || len(kept.configuration.state().Entries) != 1 {
+			t.Errorf("%s: %v, %+v", name, err, kept.configuration.state())
 		}
 	}
 }
@@ -303,14 +303,14 @@
 func TestUnreadableChange(t *testing.T) {
 	m := changed(t, entry("x", "1"))
 	var failed []string
-	m.failed = func(err error) { failed = append(failed, err.Error()) }
+	m.onUnreadable = func(err error) { failed = append(failed, err.Error()) }
 	for _, data := range [][]byte{{0x82, 0x01}, {0x82, 0x09, 0xa0}, {0x80}} {
-		if result := m.Apply(&raft.Log{Data: data}); result.(outcome).err == nil {
+		if result := m.Apply(&raft.Log{Data: data}); result.(changeResult).err == nil {
 			t.Errorf("%x was taken", data)
 		}
 	}
-	if len(failed) != 3 || len(m.changes.state().Entries) != 1 {
-		t.Errorf("told %q, has %+v", failed, m.changes.state())
+	if len(failed) != 3 || len(m.configuration.state().Entries) != 1 {
+		t.Errorf("told %q, has %+v", failed, m.configuration.state())
 	}
 }
 
--- a/consensus/disk.go
+++ b/consensus/disk.go
@@ -11,9 +11,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// openDisk opens what a member keeps in a folder. A damaged file is an error that says what would do, not a crash: the
+// openFolder opens what a member keeps in a folder. A damaged file is an error that says what would do, not a crash: the
 // library underneath panics on some, and reads beyond the end of others.
-func openDisk(folder string) (store *raftboltdb.BoltStore, err error) {
+func openFolder(folder string) (store *raftboltdb.BoltStore, err error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
 	}
@@ -30,16 +30,16 @@
 	return store, nil
 }
 
-// votes is where raft keeps its term and vote, which must stand before they count. Raft panics where they cannot be
+// haltingStore is where raft keeps its term and vote, which must stand before they count. Raft panics where they cannot be
 // written, as on a full disk. Instead the member takes no further part: raft's own goroutine is held until the
 // transport is closed, and the controller goes on by itself like any that the record does not answer.
-type votes struct {
+type haltingStore struct {
 	raft.StableStore
 	lost  func(error)
 	ended <-chan struct{}
 }
 
-func (v votes) held(err error) error {
+func (v haltingStore) held(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -50,9 +50,9 @@
 }
 
 // Set writes bytes, or holds the caller.
-func (v votes) Set(key, value []byte) error { return v.held(v.StableStore.Set(key, value)) }
+func (v haltingStore) Set(key, value []byte) error { return v.held(v.StableStore.Set(key, value)) }
 
 // SetUint64 writes a number, or holds the caller.
-func (v votes) SetUint64(key []byte, value uint64) error {
+func (v haltingStore) SetUint64(key []byte, value uint64) error {
 	return v.held(v.StableStore.SetUint64(key, value))
 }
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -48,9 +48,9 @@
 }
 
 func goldenEntry() ownership.Entry {
-	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, Floor: 4, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
+	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, SeenToken: 4, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
 		TableChanges:  []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "a", Weight: 0.5}}}},
-		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, Sure: true}}}
+		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, WithdrawalsKnown: true}}}
 }
 
 func goldenMark() distribution.Mark {
@@ -83,22 +83,22 @@
 		name  string
 		value any
 	}{
-		{"call, empty", call{}},
-		{"call, full", call{Entry: &e, Status: true, Name: "n0", ID: "n0/ABCDEFGH", Subscribe: true, Change: &p}},
-		{"call, entry", call{Entry: &e}},
-		{"call, status", call{Status: true}},
-		{"call, join", call{Name: "n0", ID: "n0/ABCDEFGH"}},
-		{"call, subscribe", call{Subscribe: true}},
-		{"call, change", call{Change: &p}},
-		{"answer, empty", answer{}},
-		{"answer, full", answer{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Mark: &mark, Refusal: refusedForGood}},
-		{"answer, change accepted", answer{Accepted: true, Mark: &mark}},
-		{"answer, change refused for now", answer{Why: "not the leader", Refusal: refusedForNow}},
-		{"answer, change refused as the base moved", answer{Why: "moved", Refusal: refusedMoved}},
-		{"answer, change refused for good", answer{Why: "no", Refusal: refusedForGood}},
+		{"call, empty", memberRequest{}},
+		{"call, full", memberRequest{Entry: &e, Status: true, Name: "n0", ID: "n0/ABCDEFGH", Subscribe: true, Change: &p}},
+		{"call, entry", memberRequest{Entry: &e}},
+		{"call, status", memberRequest{Status: true}},
+		{"call, join", memberRequest{Name: "n0", ID: "n0/ABCDEFGH"}},
+		{"call, subscribe", memberRequest{Subscribe: true}},
+		{"call, change", memberRequest{Change: &p}},
+		{"answer, empty", memberResponse{}},
+		{"answer, full", memberResponse{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Mark: &mark, Refusal: refusedPermanently}},
+		{"answer, change accepted", memberResponse{Accepted: true, Mark: &mark}},
+		{"answer, change refused for now", memberResponse{Why: "not the leader", Refusal: refusedRetry}},
+		{"answer, change refused as the base moved", memberResponse{Why: "moved", Refusal: refusedBaseMoved}},
+		{"answer, change refused for good", memberResponse{Why: "no", Refusal: refusedPermanently}},
 		{"log entry, record", e},
-		{"log entry, configuration", change{Kind: kindChange, Proposal: p}},
-		{"log entry, configuration, empty", change{}},
+		{"log entry, configuration", configurationEntry{Kind: kindProposal, Proposal: p}},
+		{"log entry, configuration, empty", configurationEntry{}},
 	} {
 		body, err := cbor.Marshal(c.value)
 		if err != nil {
@@ -107,18 +107,18 @@
 		fmt.Fprintf(&text, "%s: %s\n", c.name, hex.EncodeToString(body))
 	}
 	var framed bytes.Buffer
-	if err := send(&framed, call{Status: true}); err != nil {
+	if err := send(&framed, memberRequest{Status: true}); err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&text, "frame: %x\n", framed.Bytes())
-	fmt.Fprintf(&text, "first byte: %x for raft, %x for calls\n", forRaft, forCalls)
+	fmt.Fprintf(&text, "first byte: %x for raft, %x for calls\n", connRaft, connCalls)
 	var configuration bytes.Buffer
 	if err := WriteConfiguration(&configuration, goldenConfiguration()); err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&text, "configuration: %x\n", configuration.Bytes())
 	many := goldenConfiguration()
-	for len(many.Entries) < 2*pieceOfSnapshot+1 {
+	for len(many.Entries) < 2*entriesPerPiece+1 {
 		many.Entries = append(many.Entries, distribution.Entry{Scope: "s", Name: fmt.Sprint(len(many.Entries)), Revision: 12})
 	}
 	configuration.Reset()
@@ -245,17 +245,17 @@
 			for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 				for _, backend := range slices.Sorted(maps.Keys(incarnation.Tables[number].Lines)) {
 					line := incarnation.Tables[number].Lines[backend]
-					say("  table %d: %s %g set by %d", number, backend, line.Weight, line.At)
+					say("  table %d: %s %g set by %d", number, backend, line.Weight, line.Revision)
 				}
 			}
 		}
 		for _, proxy := range slices.Sorted(maps.Keys(record.Proxies)) {
 			owned := record.Proxies[proxy]
 			say("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v, %d moves", proxy, owned.Owner, owned.Incarnation,
-				owned.Token, owned.Edition, owned.Tables, owned.Sure, len(owned.Moves))
+				owned.Token, owned.Revision, owned.Tables, owned.WithdrawalsKnown, len(owned.Moves))
 		}
 	})
-	state := m.changes.state()
+	state := m.configuration.state()
 	if state == nil {
 		say("no configuration")
 		return text.String()
@@ -286,7 +286,7 @@
 	}
 	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Revision: 2,
 		TableChanges:  []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 0}}}},
-		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Revision: 2, Tables: []int{0, 0}, Sure: true}}})
+		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Revision: 2, Tables: []int{0, 0}, WithdrawalsKnown: true}}})
 	if configured {
 		configures(t, m, entry("x", "2"), entry("z", "1"))
 	}
@@ -319,7 +319,7 @@
 			if name == "configuration" {
 				until(t, "the configuration's last change is read", func() bool {
 					_, machine := m.current()
-					state := machine.changes.state()
+					state := machine.configuration.state()
 					return state != nil && state.Mark.Revision == 2
 				})
 			}
@@ -353,7 +353,7 @@
 				t.Fatal(err)
 			}
 			r := newReader()
-			m := &stateMachine{events: r, record: ownership.NewRecord(), changes: newChanges(nil, nil), failed: func(err error) { t.Error(err) }}
+			m := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfiguration(nil, nil), onUnreadable: func(err error) { t.Error(err) }}
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
 			}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -48,13 +48,13 @@
 
 // Times and sizes of a member's part in raft, beside its pace.
 const (
-	applyWithin   = 500 * time.Millisecond
-	pollInterval  = 200 * time.Millisecond
-	snapshotAt    = 4096               // entries
-	entriesAtOnce = 32                 // in one message of raft's: all may be changes of the greatest size, and time is short
-	trailing      = 1024               // entries that are kept beyond a snapshot, for who lags a little
-	statsInterval = 10 * time.Second   // between two lines that tell the record's cost
-	folderMode    = os.FileMode(0o700) // others could vote in our name
+	applyTimeout      = 500 * time.Millisecond
+	pollInterval      = 200 * time.Millisecond
+	snapshotThreshold = 4096               // entries
+	maxAppendEntries  = 32                 // in one message of raft's: all may be changes of the greatest size, and time is short
+	trailingLogs      = 1024               // entries that are kept beyond a snapshot, for who lags a little
+	statsInterval     = 10 * time.Second   // between two lines that tell the record's cost
+	folderMode        = os.FileMode(0o700) // others could vote in our name
 )
 
 // Node is a member's part in the record.
@@ -74,7 +74,7 @@
 	stateMachine *stateMachine
 	closeRaft    func()
 
-	votesLost atomic.Bool                             // votes cannot be kept any more
+	halted    atomic.Bool                             // votes cannot be kept any more
 	wrapStore func(raft.StableStore) raft.StableStore // for tests of disks; nil for none
 
 	// leaderMutex is over what we see as leader; that holds over several leaderships, as it rests on our clock alone.
@@ -96,13 +96,13 @@
 	if !ok {
 		return nil, fmt.Errorf("members: %q is not among them; add it with its address", config.Name)
 	}
-	secure, err := config.pair()
+	secure, err := config.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
 	if secure == nil {
 		for name, address := range config.Members {
-			if err := mustBeLoopback(address); err != nil {
+			if err := requireLoopback(address); err != nil {
 				return nil, fmt.Errorf("members: %s: %w", name, err)
 			}
 		}
@@ -116,9 +116,9 @@
 		leases: ownership.NewLeaseTracker(config.Terms), pace: paceFor(time.Duration(config.Terms.Duration) * time.Microsecond),
 		clock: func() int64 { return time.Since(began).Microseconds() }}
 	n.transport = &transport{name: config.Name, members: config.Members, secure: secure, listener: listener, id: n.ID, serve: n.serve,
-		forRaft: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{}, foreign: config.Distribution != nil,
-		refused: func(from net.Addr, why error) {
-			if !errors.Is(why, errOther) && !errors.Is(why, net.ErrClosed) && !errors.Is(why, io.EOF) {
+		raftConns: make(chan net.Conn), ended: make(chan struct{}), conns: map[net.Conn]bool{}, allowSubscribers: config.Distribution != nil,
+		onRefused: func(from net.Addr, why error) {
+			if !errors.Is(why, errOtherID) && !errors.Is(why, net.ErrClosed) && !errors.Is(why, io.EOF) {
 				log.Info("member_refused", "peer", from.String(), "why", why.Error())
 			}
 		}}
@@ -166,7 +166,7 @@
 // open begins a raft instance: from the folder, or as new.
 func (n *Node) open() error {
 	id := n.config.Name + "/" + rand.Text()[:8]
-	m := &stateMachine{events: n.events, record: ownership.NewRecord(), changes: newChanges(n.config.Distribution, n.noteEpoch), failed: func(err error) {
+	m := &stateMachine{events: n.events, record: ownership.NewRecord(), configuration: newConfiguration(n.config.Distribution, n.noteEpoch), onUnreadable: func(err error) {
 		n.log.Error("entry_unreadable", "error", err.Error())
 	}}
 	var log raft.LogStore
@@ -177,7 +177,7 @@
 		memory := raft.NewInmemStore()
 		log, stable, snapshots = memory, memory, raft.NewInmemSnapshotStore()
 	} else {
-		store, err := openDisk(n.config.Folder)
+		store, err := openFolder(n.config.Folder)
 		if err != nil {
 			return err
 		}
@@ -199,18 +199,18 @@
 	if n.wrapStore != nil {
 		stable = n.wrapStore(stable)
 	}
-	stable = votes{stable, func(err error) {
+	stable = haltingStore{stable, func(err error) {
 		n.log.Error("record_lost", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
-		n.votesLost.Store(true)
+		n.halted.Store(true)
 	}, n.transport.ended}
 	ours := &layer{transport: n.transport, address: addressOf(n.config.Name, id), closed: make(chan struct{})}
 	carrier := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: ours, MaxPool: 2,
-		Timeout: callPatience, Logger: n.raftLog()})
+		Timeout: callTimeout, Logger: n.raftLog()})
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(id), n.raftLog()
 	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = n.pace.heartbeat, n.pace.heartbeat, n.pace.leaderLease
-	c.CommitTimeout, c.MaxAppendEntries = n.pace.commit, entriesAtOnce
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotAt, trailing, 5*time.Second
+	c.CommitTimeout, c.MaxAppendEntries = n.pace.commit, maxAppendEntries
+	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotThreshold, trailingLogs, 5*time.Second
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	r, err := raft.NewRaft(c, m, log, stable, snapshots, carrier)
@@ -229,13 +229,13 @@
 }
 
 func (n *Node) raftLog() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Error, Output: lines{n.log}, DisableTime: true})
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Error, Output: raftLogWriter{n.log}, DisableTime: true})
 }
 
-// lines hands raft's own lines on.
-type lines struct{ to *slog.Logger }
+// raftLogWriter hands raft's own lines on.
+type raftLogWriter struct{ to *slog.Logger }
 
-func (l lines) Write(line []byte) (int, error) {
+func (l raftLogWriter) Write(line []byte) (int, error) {
 	l.to.Info("raft", "text", string(line[:max(0, len(line)-1)]))
 	return len(line), nil
 }
@@ -249,11 +249,11 @@
 // Run takes part until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	var parts sync.WaitGroup
-	parts.Go(n.transport.run)
+	parts.Go(n.transport.acceptLoop)
 	parts.Go(func() { n.forwardProposals(ctx) })
 	parts.Go(func() { n.maintainMembership(ctx) })
 	<-ctx.Done()
-	if n.votesLost.Load() {
+	if n.halted.Load() {
 		n.transport.close() // or what is held would hold up the end
 	} else if r, _ := n.current(); r.State() == raft.Leader {
 		r.LeadershipTransfer().Error() // or the others go without a leader for a while
@@ -264,7 +264,7 @@
 	shut()
 	n.transport.close()
 	parts.Wait()
-	n.transport.open.Wait()
+	n.transport.handlers.Wait()
 }
 
 // maintainMembership has us become part of the record, and stay it.
@@ -300,7 +300,7 @@
 		}
 		n.currency.reset()
 		lost++
-		if n.join(ctx, r, lost) {
+		if n.takeNextStep(ctx, r, lost) {
 			n.mutex.Lock()
 			shut := n.closeRaft
 			n.mutex.Unlock()
@@ -325,7 +325,7 @@
 	now := n.clock()
 	m.withRecord(func(record *ownership.Record) {
 		for name, incarnation := range record.Members {
-			if name != n.config.Name && n.leases.Silent(incarnation, now, 2*n.config.Terms.RenewInterval) {
+			if name != n.config.Name && n.leases.SilentFor(incarnation, now, 2*n.config.Terms.RenewInterval) {
 				silent = append(silent, name)
 			}
 		}
@@ -333,7 +333,7 @@
 	n.leaderMutex.Unlock()
 	for _, name := range silent {
 		at := n.clock()
-		conn, err := n.transport.dial(ctx, name, forCalls)
+		conn, err := n.transport.dial(ctx, name, connCalls)
 		if err == nil {
 			conn.Close()
 		} else if errors.Is(err, syscall.ECONNREFUSED) {
@@ -354,32 +354,32 @@
 	})
 }
 
-// join takes the next step to be part of a record; it is true where we have to come as new.
-func (n *Node) join(ctx context.Context, r *raft.Raft, looks int) (anew bool) {
+// takeNextStep takes the next step to be part of a record; it is true where we have to come as new.
+func (n *Node) takeNextStep(ctx context.Context, r *raft.Raft, looks int) (anew bool) {
 	others := map[string]ownership.PeerStatus{}
 	for name := range n.config.Members {
 		if name == n.config.Name {
 			continue
 		}
-		if a, err := n.ask(ctx, name, call{Status: true}); err == nil {
+		if a, err := n.callMember(ctx, name, memberRequest{Status: true}); err == nil {
 			others[name] = ownership.PeerStatus{ID: a.ID, HasRecord: a.HasRecord, Leader: a.Leader}
 		}
 	}
 	_, leader := r.LeaderWithID()
 	f := r.GetConfiguration()
 	own := ownership.OwnStatus{
-		Name:       n.config.Name,
-		ID:         n.ID(),
-		HasRecord:  f.Error() == nil && len(f.Configuration().Servers) > 0,
-		IsMember:   n.isMember(r),
-		HasLeader:  leader != "",
-		Durable:    n.config.Folder != "",
-		Leaderless: looks,
+		Name:            n.config.Name,
+		ID:              n.ID(),
+		HasRecord:       f.Error() == nil && len(f.Configuration().Servers) > 0,
+		IsMember:        n.isMember(r),
+		HasLeader:       leader != "",
+		Durable:         n.config.Folder != "",
+		LeaderlessPolls: looks,
 	}
 	switch step := ownership.NextStep(own, slices.Collect(maps.Keys(n.config.Members)), others); step.Action {
 	case ownership.Join:
-		if a, err := n.ask(ctx, step.Ask, call{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Accepted {
-			n.log.Debug("join", "at", step.Ask, "why", a.Why)
+		if a, err := n.callMember(ctx, step.JoinVia, memberRequest{Name: n.config.Name, ID: n.ID()}); err == nil && !a.Accepted {
+			n.log.Debug("join", "at", step.JoinVia, "why", a.Why)
 		}
 	case ownership.Bootstrap:
 		var servers []raft.Server
@@ -417,7 +417,7 @@
 		r, _ := n.current()
 		_, id := r.LeaderWithID()
 		leader := nameOf(id)
-		var a answer
+		var a memberResponse
 		switch {
 		case leader == "":
 		case leader == n.config.Name:
@@ -428,10 +428,10 @@
 			if leader != to || conn == nil {
 				hangUp()
 				to = leader
-				conn, err = n.transport.dial(ctx, leader, forCalls)
+				conn, err = n.transport.dial(ctx, leader, connCalls)
 			}
 			if err == nil {
-				err = request(conn, call{Entry: &e}, &a)
+				err = roundTrip(conn, memberRequest{Entry: &e}, &a)
 			}
 			if err != nil {
 				hangUp()
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -311,40 +311,40 @@
 	a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	b.waits(t, "recorded a 1 1")
 
-	asks := func(given Credentials, to string, c call) (answer, error) {
-		secure, err := given.pair()
+	asks := func(given Credentials, to string, c memberRequest) (memberResponse, error) {
+		secure, err := given.tlsConfig()
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
-		conn, err := l.dial(context.Background(), to, forCalls)
+		conn, err := l.dial(context.Background(), to, connCalls)
 		if err != nil {
-			return answer{}, err
+			return memberResponse{}, err
 		}
 		defer conn.Close()
-		var got answer
-		return got, request(conn, c, &got)
+		var got memberResponse
+		return got, roundTrip(conn, c, &got)
 	}
 	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("b"),
 		"a name that is no member's": ours.gives("z"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
-			if got, err := asks(given, "a", call{Status: true}); err == nil {
+			if got, err := asks(given, "a", memberRequest{Status: true}); err == nil {
 				t.Errorf("got %+v", got)
 			}
 		})
 	}
 	t.Run("a member may not speak for another", func(t *testing.T) {
 		leader := a.status().Leader
-		got, err := asks(ours.gives("b"), leader, call{Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}})
+		got, err := asks(ours.gives("b"), leader, memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}})
 		if err != nil || got.Accepted || got.Why == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
-		if got, err := asks(ours.gives("b"), leader, call{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
+		if got, err := asks(ours.gives("b"), leader, memberRequest{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
 			t.Errorf("joined for another: %+v, %v", got, err)
 		}
 	})
 	t.Run("a connection for an id that is over is not taken for ours", func(t *testing.T) {
-		secure, _ := ours.gives("b").pair()
+		secure, _ := ours.gives("b").tlsConfig()
 		l := &layer{transport: &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}}
 		conn, err := l.Dial(addressOf("a", "a/older"), 0)
 		if err != nil {
@@ -380,14 +380,14 @@
 }
 
 func TestStateMachine(t *testing.T) {
-	m, r := &stateMachine{events: newReader(), record: ownership.NewRecord(), changes: newChanges(nil, nil)}, newReader()
+	m, r := &stateMachine{events: newReader(), record: ownership.NewRecord(), configuration: newConfiguration(nil, nil)}, newReader()
 	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Revision: 1,
 		TableChanges: []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &stateMachine{events: r, record: ownership.NewRecord(), changes: newChanges(nil, nil)}
+	other := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfiguration(nil, nil)}
 	if err := other.Restore(io.NopCloser(bytes.NewReader(persisted(t, s)))); err != nil {
 		t.Fatal(err)
 	}
@@ -428,7 +428,7 @@
 		})
 		since.Store(true)
 		others[a.status().Leader].stop()
-		until(a.votesLost.Load) // the next election has it vote, or stand itself
+		until(a.halted.Load) // the next election has it vote, or stand itself
 		a.Propose(ownership.Entry{Member: "a", Incarnation: 1, Seq: 3})
 		a.waits(t, "failed 1 3") // and so goes on by itself
 		a.stop()
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -14,24 +14,24 @@
 
 // stateMachine takes the entries of raft's log into a record, and hands them on in their order.
 type stateMachine struct {
-	events Events
-	failed func(err error)
+	events       Events
+	onUnreadable func(err error)
 
 	mutex  sync.Mutex
 	record *ownership.Record
 	bytes  atomic.Int64 // of the last snapshot
 
-	changes *changes
+	configuration *configuration
 }
 
 // Apply takes one entry in. One that cannot be read stands on the record of every member alike, and changes nothing.
 func (m *stateMachine) Apply(l *raft.Log) any {
-	if isChange(l.Data) {
-		return m.changes.apply(l.Data, m.failed)
+	if isConfigurationEntry(l.Data) {
+		return m.configuration.apply(l.Data, m.onUnreadable)
 	}
 	var e ownership.Entry
 	if err := cbor.Unmarshal(l.Data, &e); err != nil {
-		m.failed(err)
+		m.onUnreadable(err)
 		return nil
 	}
 	m.mutex.Lock()
@@ -53,7 +53,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	body, err := cbor.Marshal(m.record)
-	return &snapshot{record: body, configuration: m.changes.state(), bytes: &m.bytes}, err
+	return &snapshot{record: body, configuration: m.configuration.state(), bytes: &m.bytes}, err
 }
 
 // Restore takes a record in place of all entries before.
@@ -78,7 +78,7 @@
 	m.record = ours
 	m.bytes.Store(int64(len(body)))
 	m.mutex.Unlock()
-	m.changes.restore(configuration)
+	m.configuration.restore(configuration)
 	m.events.SnapshotRestored(theirs)
 	return nil
 }
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -40,17 +40,17 @@
 	return c.named == nil || c.named(ParsePeer(name).Name)
 }
 
-var errOff = errors.New("nobody can subscribe here")
+var errNoSubscribers = errors.New("nobody can subscribe here")
 
-func answerToSubscribe(on bool) answer {
+func subscribeResponse(on bool) memberResponse {
 	if !on {
-		return answer{Why: errOff.Error()}
+		return memberResponse{Why: errNoSubscribers.Error()}
 	}
-	return answer{Accepted: true}
+	return memberResponse{Accepted: true}
 }
 
-// mustBeLoopback refuses an address to which plain text may not be spoken.
-func mustBeLoopback(address string) error {
+// requireLoopback refuses an address to which plain text may not be spoken.
+func requireLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 
 // NewSubscriber reads the credentials; where they are empty, plain text is spoken on loopback alone.
 func NewSubscriber(credentials Credentials) (*Subscriber, error) {
-	secure, err := credentials.pair()
+	secure, err := credentials.tlsConfig()
 	return &Subscriber{secure}, err
 }
 
@@ -77,7 +77,7 @@
 func (s *Subscriber) Dial(ctx context.Context, peer string) (net.Conn, error) {
 	to := ParsePeer(peer)
 	if s.secure == nil {
-		if err := mustBeLoopback(to.Address); err != nil {
+		if err := requireLoopback(to.Address); err != nil {
 			return nil, err
 		}
 	}
@@ -108,11 +108,11 @@
 		}
 		conn = secured
 	}
-	if _, err := conn.Write([]byte{forCalls}); err != nil {
+	if _, err := conn.Write([]byte{connCalls}); err != nil {
 		return nil, err
 	}
-	var a answer
-	if err := request(conn, call{Subscribe: true}, &a); err != nil {
+	var a memberResponse
+	if err := roundTrip(conn, memberRequest{Subscribe: true}, &a); err != nil {
 		return nil, err
 	}
 	if !a.Accepted {
@@ -131,7 +131,7 @@
 func (s *Subscriber) Listen(address string, serve func(conn net.Conn, allowed func(name string) bool),
 	refused func(from net.Addr, why error)) (*Listener, error) {
 	if s.secure == nil {
-		if err := mustBeLoopback(address); err != nil {
+		if err := requireLoopback(address); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
@@ -139,15 +139,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	t := &transport{secure: s.secure, listener: listener, forRaft: make(chan net.Conn), ended: make(chan struct{}),
-		conns: map[net.Conn]bool{}, foreign: true, refused: refused}
+	t := &transport{secure: s.secure, listener: listener, raftConns: make(chan net.Conn), ended: make(chan struct{}),
+		conns: map[net.Conn]bool{}, allowSubscribers: true, onRefused: refused}
 	t.serve = func(conn net.Conn, from caller, _ int) {
-		conn.SetDeadline(time.Now().Add(callPatience))
-		var c call
+		conn.SetDeadline(time.Now().Add(callTimeout))
+		var c memberRequest
 		if receive(conn, &c) != nil {
 			return
 		}
-		a := answerToSubscribe(c.Subscribe)
+		a := subscribeResponse(c.Subscribe)
 		if send(conn, a) != nil || !a.Accepted {
 			return
 		}
@@ -163,9 +163,9 @@
 // Run takes connections until the context ends, and closes them then.
 func (l *Listener) Run(ctx context.Context) {
 	var accepting sync.WaitGroup
-	accepting.Go(l.transport.run)
+	accepting.Go(l.transport.acceptLoop)
 	<-ctx.Done()
 	l.transport.close()
 	accepting.Wait()
-	l.transport.open.Wait()
+	l.transport.handlers.Wait()
 }
--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -25,12 +25,12 @@
 	}}
 	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a"), Distribution: told})
 	a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	secure, err := ours.gives("s17").pair()
+	secure, err := ours.gives("s17").tlsConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
 	as := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
-	for name, c := range map[string]call{
+	for name, c := range map[string]memberRequest{
 		"propose":       {Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}},
 		"propose as it": {Entry: &ownership.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
 		"join":          {Name: "s17", ID: "s17/x"},
@@ -39,13 +39,13 @@
 		"change":        {Change: &distribution.Proposal{Entries: []distribution.Entry{entry("x", "1")}}},
 	} {
 		t.Run("it may not "+name, func(t *testing.T) {
-			conn, err := as.dial(context.Background(), "a", forCalls)
+			conn, err := as.dial(context.Background(), "a", connCalls)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			var got answer
-			if err := request(conn, c, &got); err != nil || got.Why != errForeign.Error() || got.Accepted || got.ID != "" {
+			var got memberResponse
+			if err := roundTrip(conn, c, &got); err != nil || got.Why != errNotMember.Error() || got.Accepted || got.ID != "" {
 				t.Errorf("got %+v, %v", got, err)
 			}
 		})
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String()); err == nil || err.Error() != errOff.Error() {
+	if conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String()); err == nil || err.Error() != errNoSubscribers.Error() {
 		t.Errorf("got %v, %v", conn, err)
 	}
 }
@@ -160,21 +160,21 @@
 	t.Run("nothing else is served", func(t *testing.T) {
 		as := &transport{members: map[string]string{"s1": l.Address()}, secure: other.secure, ended: make(chan struct{}),
 			conns: map[net.Conn]bool{}}
-		conn, err := as.dial(context.Background(), "s1", forCalls)
+		conn, err := as.dial(context.Background(), "s1", connCalls)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		var got answer
-		if err := request(conn, call{Status: true}, &got); err != nil || got.Accepted || got.ID != "" {
+		var got memberResponse
+		if err := roundTrip(conn, memberRequest{Status: true}, &got); err != nil || got.Accepted || got.ID != "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
-		raw, err := as.dial(context.Background(), "s1", forRaft)
+		raw, err := as.dial(context.Background(), "s1", connRaft)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer raw.Close()
-		if err := <-refused; !errors.Is(err, errForeign) {
+		if err := <-refused; !errors.Is(err, errNotMember) {
 			t.Errorf("raft: %v", err)
 		}
 	})
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -27,8 +27,8 @@
 	Certificate, Key, Authority string // paths, PEM
 }
 
-// pair reads them; nil for plain text.
-func (c Credentials) pair() (*tls.Config, error) {
+// tlsConfig reads them; nil for plain text.
+func (c Credentials) tlsConfig() (*tls.Config, error) {
 	if c == (Credentials{}) {
 		return nil, nil
 	}
@@ -50,70 +50,70 @@
 
 // What a connection is for, its first byte.
 const (
-	forRaft  = 'r' // followed by the id that is meant: a process that has forgotten its votes has another
-	forCalls = 'c'
+	connRaft  = 'r' // followed by the id that is meant: a process that has forgotten its votes has another
+	connCalls = 'c'
 )
 
 const (
-	dialPatience = 500 * time.Millisecond
-	callPatience = time.Second
-	mostCall     = 4 << 20 // bytes of one call or answer
+	dialTimeout  = 500 * time.Millisecond
+	callTimeout  = time.Second
+	maxCallBytes = 4 << 20 // bytes of one call or answer
 )
 
 var (
-	errForeign = errors.New("its certificate names no member")
-	errOther   = errors.New("another id is meant")
-	errNoAddr  = errors.New("not a member's address")
+	errNotMember     = errors.New("its certificate names no member")
+	errOtherID       = errors.New("another id is meant")
+	errUnknownMember = errors.New("not a member's address")
 )
 
 // transport is a member's end of the connections between members: raft's own, and calls.
 type transport struct {
-	name    string
-	members map[string]string // addresses by name
-	secure  *tls.Config
-	id      func() string
-	serve   func(conn net.Conn, from caller, connection int)
-	refused func(from net.Addr, why error)
-	foreign bool // who is no member may call as well, to subscribe
-
-	listener net.Listener
-	forRaft  chan net.Conn
-	ended    chan struct{}
-	once     sync.Once
-	open     sync.WaitGroup
-	mutex    sync.Mutex
-	conns    map[net.Conn]bool
-	serial   int
-	bytes    atomic.Int64 // that went out and came in
+	name             string
+	members          map[string]string // addresses by name
+	secure           *tls.Config
+	id               func() string
+	serve            func(conn net.Conn, from caller, connection int)
+	onRefused        func(from net.Addr, why error)
+	allowSubscribers bool // who is no member may call as well, to subscribe
+
+	listener  net.Listener
+	raftConns chan net.Conn
+	ended     chan struct{}
+	closeOnce sync.Once
+	handlers  sync.WaitGroup
+	mutex     sync.Mutex
+	conns     map[net.Conn]bool
+	connCount int
+	bytes     atomic.Int64 // that went out and came in
 }
 
-// counted counts what passes over a connection, and forgets it when it is closed.
-type counted struct {
+// trackedConn counts what passes over a connection, and forgets it when it is closed.
+type trackedConn struct {
 	net.Conn
 	of *transport
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.of.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c trackedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.of.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Close() error {
+func (c trackedConn) Close() error {
 	c.of.mutex.Lock()
 	delete(c.of.conns, c.Conn)
 	c.of.mutex.Unlock()
 	return c.Conn.Close()
 }
 
-// keep has a connection closed with the transport.
-func (t *transport) keep(conn net.Conn) net.Conn {
+// track has a connection closed with the transport.
+func (t *transport) track(conn net.Conn) net.Conn {
 	t.mutex.Lock()
 	t.conns[conn] = true
 	t.mutex.Unlock()
@@ -122,10 +122,10 @@
 		conn.Close()
 	default:
 	}
-	return counted{conn, t}
+	return trackedConn{conn, t}
 }
 
-func (t *transport) run() {
+func (t *transport) acceptLoop() {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
@@ -139,11 +139,11 @@
 			}
 			continue
 		}
-		t.open.Go(func() {
-			kept := t.keep(conn)
+		t.handlers.Go(func() {
+			kept := t.track(conn)
 			if err := t.accept(kept); err != nil {
 				kept.Close()
-				t.refused(conn.RemoteAddr(), err)
+				t.onRefused(conn.RemoteAddr(), err)
 			}
 		})
 	}
@@ -177,42 +177,42 @@
 
 // accept checks who calls, and hands the connection on.
 func (t *transport) accept(conn net.Conn) error {
-	conn.SetDeadline(time.Now().Add(dialPatience))
+	conn.SetDeadline(time.Now().Add(dialTimeout))
 	conn, from, err := t.identify(conn)
 	if err != nil {
 		return err
 	}
-	if len(from.members) == 0 && !t.foreign {
-		return errForeign
+	if len(from.members) == 0 && !t.allowSubscribers {
+		return errNotMember
 	}
 	head := make([]byte, 1)
 	if _, err := io.ReadFull(conn, head); err != nil {
 		return fmt.Errorf("its first byte: %w", err)
 	}
 	switch head[0] {
-	case forCalls:
+	case connCalls:
 		conn.SetDeadline(time.Time{})
 		t.mutex.Lock()
-		t.serial++
-		connection := t.serial
+		t.connCount++
+		connection := t.connCount
 		t.mutex.Unlock()
 		t.serve(conn, from, connection)
 		conn.Close()
 		return nil
-	case forRaft:
+	case connRaft:
 		if len(from.members) == 0 {
-			return errForeign
+			return errNotMember
 		}
 		var meant string
 		if err := receive(conn, &meant); err != nil {
 			return err
 		}
 		if meant != t.id() {
-			return errOther
+			return errOtherID
 		}
 		conn.SetDeadline(time.Time{})
 		select {
-		case t.forRaft <- conn:
+		case t.raftConns <- conn:
 			return nil
 		case <-t.ended:
 			return net.ErrClosed
@@ -225,16 +225,16 @@
 func (t *transport) dial(ctx context.Context, name string, purpose byte) (net.Conn, error) {
 	address, ok := t.members[name]
 	if !ok {
-		return nil, errNoAddr
+		return nil, errUnknownMember
 	}
-	ctx, cancel := context.WithTimeout(ctx, dialPatience)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn := t.keep(raw)
-	conn.SetDeadline(time.Now().Add(dialPatience))
+	conn := t.track(raw)
+	conn.SetDeadline(time.Now().Add(dialTimeout))
 	if t.secure != nil {
 		as := t.secure.Clone()
 		as.ServerName = name
@@ -250,7 +250,7 @@
 
 // close ends the transport with all its connections.
 func (t *transport) close() {
-	t.once.Do(func() {
+	t.closeOnce.Do(func() {
 		close(t.ended)
 		t.listener.Close()
 		t.mutex.Lock()
@@ -271,7 +271,7 @@
 // Accept waits for a connection meant for us.
 func (l *layer) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.forRaft:
+	case conn := <-l.raftConns:
 		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -287,24 +287,24 @@
 }
 
 // Addr is our address as raft writes it: a name and the id that is meant.
-func (l *layer) Addr() net.Addr { return written(l.address) }
+func (l *layer) Addr() net.Addr { return memberAddr(l.address) }
 
-type written raft.ServerAddress
+type memberAddr raft.ServerAddress
 
-func (w written) Network() string { return "member" }
-func (w written) String() string  { return string(w) }
+func (w memberAddr) Network() string { return "member" }
+func (w memberAddr) String() string  { return string(w) }
 
 // Dial connects to raft at a member, and says which id is meant.
 func (l *layer) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	name, id, ok := strings.Cut(string(address), "#")
 	if !ok {
-		return nil, errNoAddr
+		return nil, errUnknownMember
 	}
-	conn, err := l.dial(context.Background(), name, forRaft)
+	conn, err := l.dial(context.Background(), name, connRaft)
 	if err != nil {
 		return nil, err
 	}
-	conn.SetWriteDeadline(time.Now().Add(dialPatience))
+	conn.SetWriteDeadline(time.Now().Add(dialTimeout))
 	if err := send(conn, id); err != nil {
 		conn.Close()
 		return nil, err
@@ -326,4 +326,4 @@
 func send(to io.Writer, what any) error { return frame.Write(to, what) }
 
 // receive reads one.
-func receive(from io.Reader, into any) error { return frame.Read(from, mostCall, into) }
+func receive(from io.Reader, into any) error { return frame.Read(from, maxCallBytes, into) }
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -17,17 +17,17 @@
 		value any
 		want  string
 	}{
-		{"a call that brings an entry", call{Entry: &ownership.Entry{Member: "a", Incarnation: 1, Seq: 2}},
+		{"a call that brings an entry", memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 1, Seq: 2}},
 			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
-		{"a call that asks who it is", call{Status: true}, "a102f5"},
-		{"a call to join", call{Name: "a", ID: "a/1"}, "a20361610463612f31"},
-		{"an answer", answer{Accepted: true, Why: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
-		{"a call to subscribe", call{Subscribe: true}, "a105f5"},
-		{"a call that brings a change", call{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
+		{"a call that asks who it is", memberRequest{Status: true}, "a102f5"},
+		{"a call to join", memberRequest{Name: "a", ID: "a/1"}, "a20361610463612f31"},
+		{"an answer", memberResponse{Accepted: true, Why: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
+		{"a call to subscribe", memberRequest{Subscribe: true}, "a105f5"},
+		{"a call that brings a change", memberRequest{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
 			"a106a10581a201617302616e"},
-		{"an answer to a change", answer{Accepted: true, Mark: &distribution.Mark{Revision: 3}}, "a201f506a10203"},
-		{"a refusal of a change", answer{Why: "b", Refusal: refusedMoved}, "a20261620702"},
-		{"an entry of the log that changes the configuration", change{Kind: kindChange, Proposal: distribution.Proposal{AcceptedAt: 5}},
+		{"an answer to a change", memberResponse{Accepted: true, Mark: &distribution.Mark{Revision: 3}}, "a201f506a10203"},
+		{"a refusal of a change", memberResponse{Why: "b", Refusal: refusedBaseMoved}, "a20261620702"},
+		{"an entry of the log that changes the configuration", configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{AcceptedAt: 5}},
 			"8201a10405"},
 	} {
 		body, err := cbor.Marshal(c.value)
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -141,7 +141,7 @@
 			return
 		}
 	}
-	m.log.say("sharing", "closed", true, "owned", f.coordinator.Owned())
+	m.log.say("sharing", "closed", true, "owned", f.coordinator.OwnedProxies())
 }
 
 // tag of the coordinator's timer, which the decisions' is not.
@@ -174,30 +174,31 @@
 }
 
 // ProxyGranted gives a proxy to the decisions.
-func (f *fleet) ProxyGranted(node int, token uint64, base []ownership.KnownTable, clean bool, came []float64, spent int) {
+func (f *fleet) ProxyGranted(grant ownership.Grant) {
+	node := grant.Proxy
 	a, ok := f.pending[node]
 	if !ok {
 		return
 	}
 	delete(f.pending, node)
 	s := f.module.at(node)
-	s.unowned, s.base = false, base
-	if clean {
+	s.unowned, s.base = false, grant.Base
+	if grant.NoWithdrawals {
 		s.mayHoldWithdrawals, a.keeps = false, false
 	}
 	if s.fenced {
-		s.token = token
+		s.token = grant.Token
 	}
-	f.module.log.seldom("granted", "granted", "node", node, "token", token, "known", base != nil, "clean", clean,
-		"spent", spent)
-	f.module.control.MessagesSentByPeers(node, spent)
+	f.module.log.seldom("granted", "granted", "node", node, "token", grant.Token, "known", grant.Base != nil, "clean", grant.NoWithdrawals,
+		"spent", grant.SentMessages)
+	f.module.control.MessagesSentByPeers(node, grant.SentMessages)
 	f.module.control.ProxyConnected(node, a.zone, a.usual, a.keeps)
-	f.module.control.SeedDemand(node, came)
+	f.module.control.SeedDemand(node, grant.Demand)
 }
 
 // PeerCapacityReported hands on what another member saw the fleet do.
 func (f *fleet) PeerCapacityReported(capacity ownership.Capacity) {
-	f.module.control.SeedThroughput(capacity.Proven, capacity.Able)
+	f.module.control.SeedThroughput(capacity.Proven, capacity.Saturated)
 }
 
 // MessagesSentByPeers has the decisions write less to a proxy.
@@ -272,20 +273,20 @@
 		}
 	}
 	proven, able := f.module.control.Throughput()
-	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
+	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Saturated: able})
 	f.coordinator.AddEvidence(f.evidence, now)
 }
 
 // PeerObservationReported hands on what another member's proxies met.
 func (f *fleet) PeerObservationReported(_ string, s ownership.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
-		f.module.control.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
+		f.module.control.PeerOutcomesReported(backend, s.Attempts, s.Failed, s.MeanLatency, s.Backoff)
 	}
 }
 
 // QuorumChanged logs that we go off the record, or are on it again.
-func (f *fleet) QuorumChanged(alone bool, why string) {
-	f.module.log.say("sharing", "alone", alone, "why", why, "owned", f.coordinator.Owned(),
+func (f *fleet) QuorumChanged(withoutQuorum bool, why string) {
+	f.module.log.say("sharing", "alone", withoutQuorum, "why", why, "owned", f.coordinator.OwnedProxies(),
 		"deltas", f.module.deltas, "wholes", f.module.wholes)
 }
 
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -27,7 +27,7 @@
 		stands := make(chan bool, 1)
 		s.module.post(func() {
 			h := s.module.fleet.coordinator.Record().Proxies[node]
-			stands <- h.Owner == owner && h.Edition > 0
+			stands <- h.Owner == owner && h.Revision > 0
 		})
 		select {
 		case is := <-stands:
--- a/ownership/check_test.go
+++ b/ownership/check_test.go
@@ -62,13 +62,13 @@
 
 func (p *player) PeerCapacityReported(Capacity) {}
 
-func (p *player) ProxyGranted(_ int, token uint64, base []KnownTable, _ bool, _ []float64, spent int) {
-	p.granted, p.token, p.sent = p.joined, token, nil
-	p.MessagesSentByPeers(0, spent)
+func (p *player) ProxyGranted(grant Grant) {
+	p.granted, p.token, p.sent = p.joined, grant.Token, nil
+	p.MessagesSentByPeers(0, grant.SentMessages)
 	if p.w.stream != p.index || p.w.serial != p.joined {
 		return // the stream is gone already
 	}
-	for _, b := range base {
+	for _, b := range grant.Base {
 		for id, weight := range p.w.lines {
 			if !b.Uncertain[id] && b.Lines[id] != weight {
 				p.w.fails("the proxy has %s %g, the base says %g", id, weight, b.Lines[id])
@@ -306,7 +306,7 @@
 	for _, p := range w.members {
 		d := p.coordinator
 		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
-			d.alone, since(d.leaseFrom), since(d.lastProposedAt), len(d.pending.Claims), len(d.pending.TableChanges), len(d.pending.Confirmations), d.inFlight != nil, d.tables)
+			d.withoutQuorum, since(d.leaseFrom), since(d.lastProposedAt), len(d.pending.Claims), len(d.pending.TableChanges), len(d.pending.Confirmations), d.inFlight != nil, d.tables)
 		for _, at := range p.sent {
 			fmt.Fprint(h, " ", since(at))
 		}
@@ -316,8 +316,8 @@
 		for _, at := range d.grantTimes[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
-		fmt.Fprint(h, min(w.now-d.started, modelTerms.MessageWindow), d.closing, since(w.leases.gone[d.name]))
-		if a, ok := w.leases.entries[d.incarnation]; ok {
+		fmt.Fprint(h, min(w.now-d.started, modelTerms.MessageWindow), d.closing, since(w.leases.goneAt[d.name]))
+		if a, ok := w.leases.arrivals[d.incarnation]; ok {
 			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
 		}
 	}
@@ -325,7 +325,7 @@
 	for _, move := range hold.Moves {
 		fmt.Fprint(h, " ", since(move.At))
 	}
-	fmt.Fprint(h, hold.Owner, hold.Edition, w.record.Members[hold.Owner] == hold.Incarnation)
+	fmt.Fprint(h, hold.Owner, hold.Revision, w.record.Members[hold.Owner] == hold.Incarnation)
 	if incarnation := w.record.Incarnations[hold.Incarnation]; incarnation != nil && incarnation.Tables[0] != nil {
 		for _, id := range slices.Sorted(maps.Keys(incarnation.Tables[0].Lines)) {
 			fmt.Fprint(h, id, incarnation.Tables[0].Lines[id])
@@ -445,7 +445,7 @@
 			func(w *world) {
 				for id, incarnation := range w.record.Incarnations {
 					if incarnation.Closed {
-						w.leases.entries[id] = lastEntries{arrivedAt: w.now, leaseFrom: w.now}
+						w.leases.arrivals[id] = entryArrivals{arrivedAt: w.now, leaseFrom: w.now}
 					}
 				}
 			}},
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -9,9 +9,8 @@
 type Host interface {
 	// Propose asks for an entry to be put on the record. Answered or Failed follows, once.
 	Propose(Entry)
-	// ProxyGranted lets the decisions have a proxy that joined. What it surely has is known where there is a base; clean
-	// says that it shuts nothing out. So many of the messages that one owner may write to it are spent already.
-	ProxyGranted(proxy int, token uint64, base []KnownTable, clean bool, came []float64, spent int)
+	// ProxyGranted says that a proxy which connected may be written to from now on.
+	ProxyGranted(Grant)
 	// PeerCapacityReported is what another member saw the fleet do.
 	PeerCapacityReported(capacity Capacity)
 	// MessagesSentByPeers takes messages away from what may be written to a proxy that was granted before.
@@ -21,11 +20,24 @@
 	// PeerObservationReported is what another member's proxies met of late, or what keeps a backend withdrawn there.
 	PeerObservationReported(member string, s Observation)
 	// QuorumChanged tells that the member goes off the record, or is on it again.
-	QuorumChanged(alone bool, why string)
+	QuorumChanged(withoutQuorum bool, why string)
 	// RandomID is a number that no other incarnation has.
 	RandomID() uint64
 }
 
+// Grant is the leave to write to a proxy that has connected, and what is known of it.
+type Grant struct {
+	Proxy int
+	Token uint64 // the fencing token of the claim; 0 without a quorum
+	// Base is what the proxy has of each class's table, by class; nil where that is not known, so that complete tables
+	// are due.
+	Base          []KnownTable
+	NoWithdrawals bool      // it is known besides that the proxy holds no withdrawal
+	Demand        []float64 // requests a second by class, as its last owner reported them; nil if none did
+	// SentMessages is how many of the messages that one owner may write within the window count as written already.
+	SentMessages int
+}
+
 // LeaseTerms are the figures that all members agree on. Times are in µs.
 type LeaseTerms struct {
 	Duration      int64 // without an answer for so long a member goes on off the record
@@ -47,7 +59,7 @@
 
 // OwnerQuota is an owner's further share.
 func (t LeaseTerms) OwnerQuota() int {
-	return (t.MaxMessages - t.Members*(t.UnownedQuota()+1)) / (ownersBefore + 1)
+	return (t.MaxMessages - t.Members*(t.UnownedQuota()+1)) / (previousOwnersCounted + 1)
 }
 
 // Coordinator is one member at work on the record: it claims the proxies that connect to the member, puts its table
@@ -64,42 +76,42 @@
 	pending          Entry  // what gathers for the entry after it
 	leaseFrom        int64  // when the last entry that was answered had been proposed
 	lastProposedAt   int64  // when any was
-	alone            bool
+	withoutQuorum    bool
 	closing          bool
 	started          int64
-	entered          int64 // when an incarnation's entering was last proposed
+	lastEnteredAt    int64 // when an incarnation's entering was last proposed
 
-	edition    uint64                     // of our tables
-	tables     map[int]map[string]float64 // as they stand
-	proxies    map[int]*proxyState        // joined to us
-	grantTimes map[int][]int64            // when proxies were granted to us within the span
-	leaders    map[uint64]leaderClock
+	revision     uint64                     // of our tables
+	tables       map[int]map[string]float64 // as they stand
+	proxies      map[int]*proxyState        // joined to us
+	grantTimes   map[int][]int64            // when proxies were granted to us within the span
+	leaderClocks map[uint64]leaderClock
 }
 
 // leaderClock is the last stamp of a leader that was taken in, and when that was here.
 type leaderClock struct {
-	at, here int64
+	stampedAt, receivedAt int64
 }
 
 // proxyState is a proxy that is joined to us.
 type proxyState struct {
-	grantedAt int64
-	granted   bool
-	owned     bool   // ours by the record, in this incarnation or in the last
-	token     uint64 // of this incarnation; 0 while none is given
-	claiming  bool
-	others    int   // claims of ours that were under way as its stream began: they mean an older one
-	unheard   int64 // since when it is ours by no claim, and has to be heard first; 0 where it is, or is claimed
-	edition   uint64
-	tables    []int
-	sure      bool
+	grantedAt        int64
+	granted          bool
+	owned            bool   // ours by the record, in this incarnation or in the last
+	token            uint64 // of this incarnation; 0 while none is given
+	claiming         bool
+	staleClaims      int   // claims of ours that were under way as its stream began: they mean an older one
+	silentSince      int64 // since when it is ours by no claim, and has to be heard first; 0 where it is, or is claimed
+	revision         uint64
+	tables           []int
+	withdrawalsKnown bool
 }
 
 // New makes the Coordinator of a member that has just started.
 func New(host Host, name string, terms LeaseTerms, now int64) *Coordinator {
 	c := &Coordinator{host: host, terms: terms, name: name, record: NewRecord(), started: now, leaseFrom: now,
 		lastProposedAt: now - terms.RenewInterval, tables: map[int]map[string]float64{}, proxies: map[int]*proxyState{}, grantTimes: map[int][]int64{},
-		leaders: map[uint64]leaderClock{}}
+		leaderClocks: map[uint64]leaderClock{}}
 	c.enterRecord(now)
 	return c
 }
@@ -109,7 +121,7 @@
 // take them from.
 func (c *Coordinator) enterRecord(now int64) {
 	c.incarnation, c.seq, c.inFlight = c.host.RandomID(), 0, nil
-	c.pending = Entry{Floor: c.record.Token, Revision: c.edition}
+	c.pending = Entry{SeenToken: c.record.Token, Revision: c.revision}
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
 		change := TableChange{Table: number}
 		for _, id := range slices.Sorted(maps.Keys(c.tables[number])) {
@@ -118,14 +130,14 @@
 		c.pending.TableChanges = append(c.pending.TableChanges, change)
 	}
 	for _, p := range c.proxies {
-		p.token, p.claiming, p.others, p.unheard = 0, false, 0, now
+		p.token, p.claiming, p.staleClaims, p.silentSince = 0, false, 0, now
 	}
 }
 
-// claim asks for a proxy: for a new stream of it, or again for one that we have had all the time.
-func (c *Coordinator) claim(proxy int, again bool) {
+// claimProxy asks for a proxy: for a new stream of it, or again for one that we have had all the time.
+func (c *Coordinator) claimProxy(proxy int, again bool) {
 	p := c.proxies[proxy]
-	p.token, p.claiming, p.unheard = 0, true, 0
+	p.token, p.claiming, p.silentSince = 0, true, 0
 	if again {
 		c.pending.Reclaims = append(c.pending.Reclaims, proxy)
 	} else if !slices.Contains(c.pending.Claims, proxy) {
@@ -137,10 +149,10 @@
 func (c *Coordinator) Record() *Record { return c.record }
 
 // WithoutQuorum tells whether we write off the record.
-func (c *Coordinator) WithoutQuorum() bool { return c.alone }
+func (c *Coordinator) WithoutQuorum() bool { return c.withoutQuorum }
 
-// Owned counts the proxies that are ours by the record.
-func (c *Coordinator) Owned() (n int) {
+// OwnedProxies counts the proxies that are ours by the record.
+func (c *Coordinator) OwnedProxies() (n int) {
 	for _, p := range c.proxies {
 		if p.token > 0 {
 			n++
@@ -156,12 +168,12 @@
 	if c.inFlight != nil {
 		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Reclaims} {
 			if slices.Contains(claims, proxy) {
-				c.proxies[proxy].others++
+				c.proxies[proxy].staleClaims++
 			}
 		}
 	}
-	c.claim(proxy, false)
-	if c.alone {
+	c.claimProxy(proxy, false)
+	if c.withoutQuorum {
 		c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 	}
 	c.proposePending(now)
@@ -178,15 +190,15 @@
 // ProxyHeardFrom takes in when a proxy was last heard on its stream. If another owns it by the record it has not gone there, or is
 // back.
 func (c *Coordinator) ProxyHeardFrom(proxy int, at int64) {
-	if p := c.proxies[proxy]; p != nil && p.unheard > 0 && at > p.unheard+c.terms.RenewInterval {
-		c.claim(proxy, true)
+	if p := c.proxies[proxy]; p != nil && p.silentSince > 0 && at > p.silentSince+c.terms.RenewInterval {
+		c.claimProxy(proxy, true)
 	}
 }
 
 // ChangeTables takes what has changed in our tables. It gives the edition that what is ordered now belongs to, which
 // waits for its release.
 func (c *Coordinator) ChangeTables(changes []TableChange, now int64) uint64 {
-	c.edition++
+	c.revision++
 	for _, change := range changes {
 		if c.tables[change.Table] == nil {
 			c.tables[change.Table] = map[string]float64{}
@@ -202,36 +214,36 @@
 	} else {
 		c.pending.TableChanges = changes
 	}
-	if c.pending.Revision = c.edition; c.alone {
-		c.host.ReleaseUpTo(c.edition)
+	if c.pending.Revision = c.revision; c.withoutQuorum {
+		c.host.ReleaseUpTo(c.revision)
 	} else {
 		c.proposePending(now)
 	}
-	return c.edition
+	return c.revision
 }
 
 // Revision is that of our tables.
-func (c *Coordinator) Revision() uint64 { return c.edition }
+func (c *Coordinator) Revision() uint64 { return c.revision }
 
 // ProxyAcknowledged takes in that a proxy has applied all that we wrote to it up to an edition; its tables are bound as given, by
 // class. If sure, it shuts out what we ordered, and nothing that others did.
 func (c *Coordinator) ProxyAcknowledged(proxy int, edition uint64, tables []int, sure bool) {
 	p := c.proxies[proxy]
-	if p == nil || edition < p.edition || slices.Contains(tables, -1) {
+	if p == nil || edition < p.revision || slices.Contains(tables, -1) {
 		return
 	}
-	if p.edition == edition && p.sure == sure && slices.Equal(p.tables, tables) {
+	if p.revision == edition && p.withdrawalsKnown == sure && slices.Equal(p.tables, tables) {
 		return
 	}
-	p.edition, p.tables, p.sure = edition, slices.Clone(tables), sure
+	p.revision, p.tables, p.withdrawalsKnown = edition, slices.Clone(tables), sure
 	c.addConfirmation(proxy, p)
 }
 
 func (c *Coordinator) addConfirmation(proxy int, p *proxyState) {
-	if p.token == 0 || p.edition == 0 {
+	if p.token == 0 || p.revision == 0 {
 		return
 	}
-	confirmation := Confirmation{proxy, p.token, p.edition, p.tables, p.sure}
+	confirmation := Confirmation{proxy, p.token, p.revision, p.tables, p.withdrawalsKnown}
 	if at := slices.IndexFunc(c.pending.Confirmations, func(other Confirmation) bool { return other.Proxy == proxy }); at >= 0 {
 		c.pending.Confirmations[at] = confirmation
 		return
@@ -241,7 +253,7 @@
 
 // AddEvidence puts what is due of our evidence into the next entry.
 func (c *Coordinator) AddEvidence(v *Evidence, now int64) {
-	observations, demands, capacity := v.Due(now)
+	observations, demands, capacity := v.TakeDue(now)
 	c.pending.Observations = append(c.pending.Observations, observations...)
 	c.pending.Demands = append(c.pending.Demands, demands...)
 	if capacity != (Capacity{}) {
@@ -263,7 +275,7 @@
 
 // Tick looks at what waits for time.
 func (c *Coordinator) Tick(now int64) {
-	if !c.alone && now-c.leaseFrom >= c.terms.Duration {
+	if !c.withoutQuorum && now-c.leaseFrom >= c.terms.Duration {
 		c.leaveRecord(now)
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
@@ -283,9 +295,9 @@
 
 // leaveRecord has the member go on by itself: what waited leaves, and whoever joined is granted.
 func (c *Coordinator) leaveRecord(now int64) {
-	c.alone = true
+	c.withoutQuorum = true
 	c.host.QuorumChanged(true, "no entry of ours stands for a lease, or another entered under our name")
-	c.host.ReleaseUpTo(c.edition)
+	c.host.ReleaseUpTo(c.revision)
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		if !c.proxies[proxy].granted {
 			c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
@@ -303,14 +315,14 @@
 		return
 	}
 	if c.seq == 0 { // two processes of one name would enter by turns as fast as they can
-		if c.entered > 0 && now-c.entered < c.terms.RenewInterval {
+		if c.lastEnteredAt > 0 && now-c.lastEnteredAt < c.terms.RenewInterval {
 			return
 		}
-		c.entered = now
+		c.lastEnteredAt = now
 	}
 	e := c.pending
 	if c.pending = (Entry{}); c.seq > 0 && e.Revision == 0 {
-		e.Revision = c.edition
+		e.Revision = c.revision
 	}
 	e.Member, e.Incarnation, e.Seq = c.name, c.incarnation, c.seq+1
 	c.inFlight, c.proposedAt, c.lastProposedAt = &e, now, now
@@ -328,8 +340,8 @@
 		c.proposePending(now)
 		return
 	}
-	if c.alone || seq == 1 {
-		c.alone = false
+	if c.withoutQuorum || seq == 1 {
+		c.withoutQuorum = false
 		c.host.QuorumChanged(false, "we have entered the record")
 	}
 	c.host.ReleaseUpTo(edition)
@@ -346,7 +358,7 @@
 
 // EntryApplied takes the next entry of the record, of whatever member.
 func (c *Coordinator) EntryApplied(e Entry, now int64) {
-	c.noteStamp(e.Stamp, now)
+	c.observeStamp(e.Stamp, now)
 	moves, taken := c.record.Apply(e)
 	if !taken {
 		if e.Incarnation == c.incarnation && c.record.Members[c.name] != c.incarnation { // another has entered under our name
@@ -359,7 +371,7 @@
 	}
 	switch entered := c.record.Incarnations[c.incarnation] != nil; {
 	case e.Incarnation == c.incarnation && e.Seq == 1:
-		c.learnStanding()
+		c.reportStandingObservations()
 	case entered && e.Member != c.name: // what stood on the record before we came is old
 		for _, s := range e.Observations {
 			c.host.PeerObservationReported(e.Member, s)
@@ -370,8 +382,8 @@
 	}
 }
 
-// learnStanding tells what others have withdrawn, and what they saw the fleet do, to one that has just come.
-func (c *Coordinator) learnStanding() {
+// reportStandingObservations tells what others have withdrawn, and what they saw the fleet do, to one that has just come.
+func (c *Coordinator) reportStandingObservations() {
 	for _, member := range slices.Sorted(maps.Keys(c.record.Capacities)) {
 		if member != c.name {
 			c.host.PeerCapacityReported(c.record.Capacities[member])
@@ -391,66 +403,66 @@
 	c.record = record
 	for proxy, h := range record.Proxies {
 		for _, move := range h.Moves {
-			c.noteStamp(move, now)
+			c.observeStamp(move, now)
 		}
 		if p := c.proxies[proxy]; p != nil && h.Incarnation != c.incarnation && h.Token > p.token && p.token > 0 {
-			p.token, p.owned, p.unheard = 0, false, now
+			p.token, p.owned, p.silentSince = 0, false, now
 		}
 	}
 }
 
-// noteStamp takes a stamp of the record.
-func (c *Coordinator) noteStamp(s Stamp, now int64) {
-	if last, known := c.leaders[s.Leader]; known && last.at > s.At {
+// observeStamp takes a stamp of the record.
+func (c *Coordinator) observeStamp(s Stamp, now int64) {
+	if last, known := c.leaderClocks[s.Leader]; known && last.stampedAt > s.At {
 		return
 	}
-	c.leaders[s.Leader] = leaderClock{s.At, now}
-	if len(c.leaders) > maxLeaders {
+	c.leaderClocks[s.Leader] = leaderClock{s.At, now}
+	if len(c.leaderClocks) > maxLeaderClocks {
 		oldest := s.Leader
-		for id, h := range c.leaders {
-			if h.here < c.leaders[oldest].here {
+		for id, h := range c.leaderClocks {
+			if h.receivedAt < c.leaderClocks[oldest].receivedAt {
 				oldest = id
 			}
 		}
-		delete(c.leaders, oldest)
+		delete(c.leaderClocks, oldest)
 	}
 }
 
-// maxLeaders is how many leaders' clocks are known at a time; of a forgotten one nothing recent can be left.
-const maxLeaders = 64
+// maxLeaderClocks is how many leaders' clocks are known at a time; of a forgotten one nothing recent can be left.
+const maxLeaderClocks = 64
 
-// age is how long ago a stamp was given, at least.
-func (c *Coordinator) age(s Stamp, now int64) int64 {
-	last, known := c.leaders[s.Leader]
+// stampAge is how long ago a stamp was given, at least.
+func (c *Coordinator) stampAge(s Stamp, now int64) int64 {
+	last, known := c.leaderClocks[s.Leader]
 	if !known {
 		return c.terms.MessageWindow
 	}
-	return now - last.here + last.at - s.At
+	return now - last.receivedAt + last.stampedAt - s.At
 }
 
 // applyMove takes a change of owners. Whose it was within the span counts for what may be written now.
 func (c *Coordinator) applyMove(m Move, now int64) {
 	standing := 0
 	for _, move := range m.To.Moves {
-		if c.age(move, now) < c.terms.MessageWindow {
+		if c.stampAge(move, now) < c.terms.MessageWindow {
 			standing++
 		}
 	}
 	p := c.proxies[m.Proxy]
 	switch ours := m.To.Incarnation == c.incarnation; {
 	case p == nil:
-	case ours && p.others > 0:
-		p.others--
+	case ours && p.staleClaims > 0:
+		p.staleClaims--
 	case ours:
-		p.claiming, p.owned, p.token, p.unheard = false, true, m.To.Token, 0
+		p.claiming, p.owned, p.token, p.silentSince = false, true, m.To.Token, 0
 		if p.granted {
 			c.addConfirmation(m.Proxy, p)
 			return
 		}
-		spent := c.terms.OwnerQuota() * min(1, standing/(ownersBefore+1)) // shares are set aside for owners before, not for more
+		spent := c.terms.OwnerQuota() * min(1, standing/(previousOwnersCounted+1)) // shares are set aside for owners before, not for more
 		c.grant(m.Proxy, m, spent, now)
 	case p.owned && m.To.Token > p.token && m.To.Owner != c.name:
-		p.owned, p.token, p.unheard = false, 0, now
+		p.owned, p.token, p.silentSince = false, 0, now
 		if p.granted {
 			c.host.MessagesSentByPeers(m.Proxy, c.terms.OwnerQuota())
 		}
@@ -462,7 +474,7 @@
 	p.granted, p.grantedAt = true, now
 	moves := 0
 	for _, move := range m.To.Moves {
-		if c.age(move, now) < c.terms.MessageWindow {
+		if c.stampAge(move, now) < c.terms.MessageWindow {
 			moves++
 		}
 	}
@@ -470,8 +482,8 @@
 	if c.grantTimes[proxy] = append(recent, now); len(recent) > 0 || now-c.started < c.terms.MessageWindow {
 		spent += c.terms.UnownedQuota() - 1
 	}
-	if moves <= maxMoves {
+	if moves <= maxMovesWithReserve {
 		spent = max(0, min(spent, c.terms.UnownedQuota()+c.terms.OwnerQuota()-c.terms.GuaranteedMessages))
 	}
-	c.host.ProxyGranted(proxy, p.token, m.Base, m.Clean, m.Demand, spent)
+	c.host.ProxyGranted(Grant{Proxy: proxy, Token: p.token, Base: m.Base, NoWithdrawals: m.NoWithdrawals, Demand: m.Demand, SentMessages: spent})
 }
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -12,29 +12,29 @@
 	interval   int64 // µs between two reports
 	reportedAt int64
 
-	observed          map[string]Observation // since the last report, by backend
-	withdrawn         map[string]Observation // backends that are withdrawn here
-	reportedWithdrawn map[string]Observation // those of the last report
+	observed      map[string]Observation // since the last report, by backend
+	withdrawn     map[string]Observation // backends that are withdrawn here
+	lastWithdrawn map[string]Observation // those of the last report
 
-	demand         map[int][]rate // by proxy and class
-	changed        map[int]bool   // proxies whose demand differs from what was last reported
-	reportedDemand map[int][]float64
+	demand        map[int][]rate // by proxy and class
+	changedDemand map[int]bool   // proxies whose demand differs from what was last reported
+	lastDemand    map[int][]float64
 
-	capacity         Capacity
-	reportedCapacity Capacity
+	capacity     Capacity
+	lastCapacity Capacity
 }
 
 // rate follows requests a second.
 type rate struct {
-	perS float64
-	span int64
+	perSecond float64
+	window    int64
 }
 
 // Capacity is what a fleet was seen to do, in units a second for each unit of weight and of ordinary traffic, so that
 // it holds for another member's proxies as well: without a queue, and with one. 0 is not known.
 type Capacity struct {
-	Proven float64 `cbor:"1,keyasint"`
-	Able   float64 `cbor:"2,keyasint"`
+	Proven    float64 `cbor:"1,keyasint"`
+	Saturated float64 `cbor:"2,keyasint"`
 }
 
 // Demand is what comes to a proxy, requests a second by class.
@@ -54,13 +54,13 @@
 // NewEvidence begins with none.
 func NewEvidence() *Evidence {
 	return &Evidence{
-		interval:          reportInterval,
-		observed:          map[string]Observation{},
-		withdrawn:         map[string]Observation{},
-		reportedWithdrawn: map[string]Observation{},
-		demand:            map[int][]rate{},
-		changed:           map[int]bool{},
-		reportedDemand:    map[int][]float64{},
+		interval:      reportInterval,
+		observed:      map[string]Observation{},
+		withdrawn:     map[string]Observation{},
+		lastWithdrawn: map[string]Observation{},
+		demand:        map[int][]rate{},
+		changedDemand: map[int]bool{},
+		lastDemand:    map[int][]float64{},
 	}
 }
 
@@ -68,10 +68,10 @@
 // in µs.
 func (v *Evidence) AddOutcomes(backend string, tries, failed int, mean, span int64) {
 	s := v.observed[backend]
-	if answered := int64(s.Tries - s.Failed + tries - failed); answered > 0 {
-		s.Mean = (s.Mean*int64(s.Tries-s.Failed) + mean*int64(tries-failed)) / answered
+	if answered := int64(s.Attempts - s.Failed + tries - failed); answered > 0 {
+		s.MeanLatency = (s.MeanLatency*int64(s.Attempts-s.Failed) + mean*int64(tries-failed)) / answered
 	}
-	s.Backend, s.Tries, s.Failed, s.Span = backend, s.Tries+tries, s.Failed+failed, max(s.Span, span)
+	s.Backend, s.Attempts, s.Failed, s.Window = backend, s.Attempts+tries, s.Failed+failed, max(s.Window, span)
 	v.observed[backend] = s
 }
 
@@ -81,7 +81,7 @@
 	if !withdrawn {
 		delete(v.withdrawn, backend)
 	} else if _, was := v.withdrawn[backend]; !was {
-		v.withdrawn[backend] = Observation{Backend: backend, Tries: max(tries, 1), Failed: max(failed, 1), Withdrawn: true, Wait: wait}
+		v.withdrawn[backend] = Observation{Backend: backend, Attempts: max(tries, 1), Failed: max(failed, 1), Withdrawn: true, Backoff: wait}
 	}
 }
 
@@ -89,7 +89,7 @@
 func (v *Evidence) ForgetBackend(backend string) {
 	delete(v.observed, backend)
 	delete(v.withdrawn, backend)
-	delete(v.reportedWithdrawn, backend)
+	delete(v.lastWithdrawn, backend)
 }
 
 // AddDemand adds what came to a proxy.
@@ -102,11 +102,11 @@
 		rates = append(rates, rate{})
 	}
 	r := &rates[class]
-	r.perS += (float64(count)*1e6 - r.perS*float64(span)) / float64(min(r.span, demandWindow)+span)
-	r.span += span
+	r.perSecond += (float64(count)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
+	r.window += span
 	v.demand[proxy] = rates
-	if reported := v.reportedDemand[proxy]; class >= len(reported) || differs(r.perS, reported[class], demandTolerance) {
-		v.changed[proxy] = true
+	if reported := v.lastDemand[proxy]; class >= len(reported) || differs(r.perSecond, reported[class], demandTolerance) {
+		v.changedDemand[proxy] = true
 	}
 }
 
@@ -115,25 +115,25 @@
 // ForgetProxy ends what is kept of a proxy.
 func (v *Evidence) ForgetProxy(proxy int) {
 	delete(v.demand, proxy)
-	delete(v.changed, proxy)
-	delete(v.reportedDemand, proxy)
+	delete(v.changedDemand, proxy)
+	delete(v.lastDemand, proxy)
 }
 
 // SetCapacity notes what the fleet was seen to be able to do.
 func (v *Evidence) SetCapacity(capacity Capacity) { v.capacity = capacity }
 
-// Due gives what is to be reported now, if anything is.
-func (v *Evidence) Due(now int64) (observations []Observation, demands []Demand, capacity Capacity) {
-	turned := len(v.withdrawn) != len(v.reportedWithdrawn)
+// TakeDue gives what is to be reported now, if anything is.
+func (v *Evidence) TakeDue(now int64) (observations []Observation, demands []Demand, capacity Capacity) {
+	turned := len(v.withdrawn) != len(v.lastWithdrawn)
 	for id := range v.withdrawn {
-		_, reported := v.reportedWithdrawn[id]
+		_, reported := v.lastWithdrawn[id]
 		turned = turned || !reported
 	}
 	if !turned && now-v.reportedAt < v.interval {
 		return nil, nil, Capacity{}
 	}
 	v.reportedAt = now
-	for _, id := range slices.Sorted(maps.Keys(v.reportedWithdrawn)) {
+	for _, id := range slices.Sorted(maps.Keys(v.lastWithdrawn)) {
 		if _, still := v.withdrawn[id]; !still {
 			s := v.observed[id]
 			s.Backend = id // with or without what was met since: it is not withdrawn any more
@@ -141,7 +141,7 @@
 		}
 	}
 	for id, s := range v.withdrawn {
-		if _, reported := v.reportedWithdrawn[id]; reported {
+		if _, reported := v.lastWithdrawn[id]; reported {
 			delete(v.observed, id) // it stands as it was reported
 		} else {
 			v.observed[id] = s
@@ -150,21 +150,21 @@
 	for _, id := range slices.Sorted(maps.Keys(v.observed)) {
 		observations = append(observations, v.observed[id])
 	}
-	v.observed, v.reportedWithdrawn = map[string]Observation{}, maps.Clone(v.withdrawn)
-	for _, proxy := range slices.Sorted(maps.Keys(v.changed)) {
+	v.observed, v.lastWithdrawn = map[string]Observation{}, maps.Clone(v.withdrawn)
+	for _, proxy := range slices.Sorted(maps.Keys(v.changedDemand)) {
 		if len(demands) == maxDemands {
 			break
 		}
 		c := Demand{Proxy: proxy}
 		for _, r := range v.demand[proxy] {
-			c.Rates = append(c.Rates, r.perS)
+			c.Rates = append(c.Rates, r.perSecond)
 		}
-		demands, v.reportedDemand[proxy] = append(demands, c), c.Rates
-		delete(v.changed, proxy)
+		demands, v.lastDemand[proxy] = append(demands, c), c.Rates
+		delete(v.changedDemand, proxy)
 	}
-	if differs(v.capacity.Proven, v.reportedCapacity.Proven, capacityTolerance) ||
-		differs(v.capacity.Able, v.reportedCapacity.Able, capacityTolerance) {
-		capacity, v.reportedCapacity = v.capacity, v.capacity
+	if differs(v.capacity.Proven, v.lastCapacity.Proven, capacityTolerance) ||
+		differs(v.capacity.Saturated, v.lastCapacity.Saturated, capacityTolerance) {
+		capacity, v.lastCapacity = v.capacity, v.capacity
 	}
 	return observations, demands, capacity
 }
--- a/ownership/golden_test.go
+++ b/ownership/golden_test.go
@@ -50,22 +50,22 @@
 // fullEntry has every field set.
 func fullEntry() Entry {
 	return Entry{
-		Member: "n1", Incarnation: 1<<63 + 5, Seq: 70_000, Floor: 300, Closing: true,
+		Member: "n1", Incarnation: 1<<63 + 5, Seq: 70_000, SeenToken: 300, Closing: true,
 		Claims: []int{0, 5, 1000}, Reclaims: []int{6, 7}, Revision: 1 << 33,
 		TableChanges: []TableChange{
 			{Table: 0, Lines: []Line{{Backend: "a", Weight: 0.5}, {Backend: "backend-17", Weight: 0}}},
 			{Table: WithdrawnTable, Lines: []Line{{Backend: "b", Weight: 1}}},
 		},
 		Confirmations: []Confirmation{
-			{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2, 0}, Sure: true},
+			{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2, 0}, WithdrawalsKnown: true},
 			{Proxy: 6, Token: 5, Revision: 9, Tables: []int{-1}},
 		},
 		Observations: []Observation{
-			{Backend: "a", Tries: 5, Failed: 4, Mean: 3000, Span: 2000, Withdrawn: true, Wait: 700},
-			{Backend: "b", Tries: 70_000, Failed: 0, Mean: 1, Span: 1_000_000},
+			{Backend: "a", Attempts: 5, Failed: 4, MeanLatency: 3000, Window: 2000, Withdrawn: true, Backoff: 700},
+			{Backend: "b", Attempts: 70_000, Failed: 0, MeanLatency: 1, Window: 1_000_000},
 		},
 		Demands:  []Demand{{Proxy: 5, Rates: []float64{1.5, 0, 1e9}}, {Proxy: 6}},
-		Capacity: Capacity{Proven: 2.25, Able: 3},
+		Capacity: Capacity{Proven: 2.25, Saturated: 3},
 		OnRecord: []uint64{77, 1<<63 + 5},
 		Stamp:    Stamp{Leader: 1<<63 + 9, At: 123_456_789},
 	}
@@ -81,18 +81,18 @@
 			{Table: 2, Lines: []Line{{"c", 7}}},
 			{Table: WithdrawnTable, Lines: []Line{{"z", 1}}},
 		}})
-	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 1, Floor: 40, Stamp: Stamp{9, 150}})
+	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 1, SeenToken: 40, Stamp: Stamp{9, 150}})
 	record.Apply(Entry{Member: "n0", Incarnation: 11, Seq: 2, Revision: 2, Stamp: Stamp{9, 200},
 		TableChanges: []TableChange{{Table: 0, Lines: []Line{{"a", 0}, {"d", 3}}}, {Table: WithdrawnTable, Lines: []Line{{"z", 0}}}},
 		Confirmations: []Confirmation{
-			{Proxy: 3, Token: 1, Revision: 1, Tables: []int{0, 2}, Sure: true},
-			{Proxy: 4, Token: 2, Revision: 2, Tables: []int{0, 0}, Sure: true},
+			{Proxy: 3, Token: 1, Revision: 1, Tables: []int{0, 2}, WithdrawalsKnown: true},
+			{Proxy: 4, Token: 2, Revision: 2, Tables: []int{0, 0}, WithdrawalsKnown: true},
 		},
-		Observations: []Observation{{Backend: "z", Tries: 9, Failed: 8, Mean: 100, Span: 1000, Withdrawn: true, Wait: 5_000_000}},
+		Observations: []Observation{{Backend: "z", Attempts: 9, Failed: 8, MeanLatency: 100, Window: 1000, Withdrawn: true, Backoff: 5_000_000}},
 		Demands:      []Demand{{Proxy: 3, Rates: []float64{10, 2.5}}},
-		Capacity:     Capacity{Proven: 2, Able: 3}})
+		Capacity:     Capacity{Proven: 2, Saturated: 3}})
 	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 2, Claims: []int{5}, OnRecord: []uint64{11, 21}, Stamp: Stamp{9, 300},
-		Observations: []Observation{{Backend: "z", Tries: 3, Failed: 3, Withdrawn: true, Wait: 1_000_000}}})
+		Observations: []Observation{{Backend: "z", Attempts: 3, Failed: 3, Withdrawn: true, Backoff: 1_000_000}}})
 	record.Apply(Entry{Member: "n2", Incarnation: 31, Seq: 1, Closing: true, Stamp: Stamp{9, 400}})
 	return record
 }
@@ -110,16 +110,16 @@
 		say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed, incarnation.Revision)
 		for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 			table := incarnation.Tables[number]
-			say("  table %d, known from %d on", number, table.Floor)
+			say("  table %d, known from %d on", number, table.CompactedAt)
 			for _, backend := range slices.Sorted(maps.Keys(table.Lines)) {
-				say("    %s %g set by %d", backend, table.Lines[backend].Weight, table.Lines[backend].At)
+				say("    %s %g set by %d", backend, table.Lines[backend].Weight, table.Lines[backend].Revision)
 			}
 		}
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(record.Proxies)) {
 		owned := record.Proxies[proxy]
 		say("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v", proxy, owned.Owner, owned.Incarnation, owned.Token,
-			owned.Edition, owned.Tables, owned.Sure)
+			owned.Revision, owned.Tables, owned.WithdrawalsKnown)
 		for _, move := range owned.Moves {
 			say("  moved at %d by the clock of %d", move.At, move.Leader)
 		}
@@ -128,14 +128,14 @@
 		for _, member := range slices.Sorted(maps.Keys(record.Withdrawn[backend])) {
 			seen := record.Withdrawn[backend][member]
 			say("backend %s is withdrawn at %s: %s, %d of %d failed, mean %d, over %d, for %d, %v", backend, member, seen.Backend, seen.Failed,
-				seen.Tries, seen.Mean, seen.Span, seen.Wait, seen.Withdrawn)
+				seen.Attempts, seen.MeanLatency, seen.Window, seen.Backoff, seen.Withdrawn)
 		}
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(record.Demands)) {
 		say("proxy %d gets %v requests a second", proxy, record.Demands[proxy])
 	}
 	for _, member := range slices.Sorted(maps.Keys(record.Capacities)) {
-		say("capacity seen by %s: %g without a queue, %g with one", member, record.Capacities[member].Proven, record.Capacities[member].Able)
+		say("capacity seen by %s: %g without a queue, %g with one", member, record.Capacities[member].Proven, record.Capacities[member].Saturated)
 	}
 	return text.String()
 }
@@ -214,7 +214,7 @@
 
 func describeMove(move Move) string {
 	return fmt.Sprintf("proxy %d goes from %s to %s by token %d: known %v, clean %v, gets %v, has %s", move.Proxy, move.From.Owner, move.To.Owner,
-		move.To.Token, move.Known, move.Clean, move.Demand, describeBase(move.Base))
+		move.To.Token, move.Known, move.NoWithdrawals, move.Demand, describeBase(move.Base))
 }
 
 func describeBase(base []KnownTable) string {
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -11,14 +11,14 @@
 // sooner than a lease after its start. So a member is vouched for as well for a lease after it was seen to be gone, or
 // after the entry by which it closed its incarnation came.
 type LeaseTracker struct {
-	lease   int64
-	members int
-	entries map[uint64]lastEntries // by incarnation
-	gone    map[string]int64       // when a member was last seen to be gone
+	lease    int64
+	members  int
+	arrivals map[uint64]entryArrivals // by incarnation
+	goneAt   map[string]int64         // when a member was last seen to be gone
 }
 
-// lastEntries tells when the last entries of an incarnation came, in a row on one connection; -1 stands for none.
-type lastEntries struct {
+// entryArrivals tells when the last entries of an incarnation came, in a row on one connection; -1 stands for none.
+type entryArrivals struct {
 	connection            int
 	seq                   uint64
 	arrivedAt, previousAt int64 // when that one came, and the one before
@@ -27,22 +27,24 @@
 
 // NewLeaseTracker makes a tracker for what all members agree on.
 func NewLeaseTracker(terms LeaseTerms) *LeaseTracker {
-	return &LeaseTracker{terms.Duration, terms.Members, map[uint64]lastEntries{}, map[string]int64{}}
+	return &LeaseTracker{terms.Duration, terms.Members, map[uint64]entryArrivals{}, map[string]int64{}}
 }
 
 // MarkGone takes that a member's process was surely not there at some time: nobody listened at its address.
-func (t *LeaseTracker) MarkGone(member string, at int64) { t.gone[member] = max(t.gone[member], at) }
+func (t *LeaseTracker) MarkGone(member string, at int64) {
+	t.goneAt[member] = max(t.goneAt[member], at)
+}
 
-// Silent tells whether nothing has come from a member's incarnation for some time, so that it is worth a look whether
+// SilentFor tells whether nothing has come from a member's incarnation for some time, so that it is worth a look whether
 // it is there.
-func (t *LeaseTracker) Silent(incarnation uint64, now, since int64) bool {
-	a, known := t.entries[incarnation]
+func (t *LeaseTracker) SilentFor(incarnation uint64, now, since int64) bool {
+	a, known := t.arrivals[incarnation]
 	return !known || now-a.arrivedAt > since
 }
 
 // Observe takes an entry as it comes to the leader over a connection.
 func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now int64) {
-	a, known := t.entries[incarnation]
+	a, known := t.arrivals[incarnation]
 	switch {
 	case known && a.connection == connection && seq == a.seq+1:
 		if a.previousAt >= 0 {
@@ -51,20 +53,20 @@
 		a.previousAt, a.arrivedAt, a.seq = a.arrivedAt, now, seq
 	case known && a.connection == connection && seq == a.seq: // a repeat: the first coming counts
 	default:
-		a = lastEntries{connection: connection, seq: seq, arrivedAt: now, previousAt: -1, leaseFrom: a.leaseFrom}
+		a = entryArrivals{connection: connection, seq: seq, arrivedAt: now, previousAt: -1, leaseFrom: a.leaseFrom}
 	}
 	if !known {
 		a.leaseFrom = -1
 	}
-	t.entries[incarnation] = a
+	t.arrivals[incarnation] = a
 }
 
 // OnRecord names the incarnations that have surely written nothing off the record so far. One that has not entered yet
 // may serve off the record as well, so it names none before all have.
 func (t *LeaseTracker) OnRecord(record *Record, now int64) (incarnations []uint64) {
 	for id, incarnation := range record.Incarnations {
-		a, came := t.entries[id]
-		at, gone := t.gone[incarnation.Member]
+		a, came := t.arrivals[id]
+		at, gone := t.goneAt[incarnation.Member]
 		switch current := record.Members[incarnation.Member] == id; {
 		case came && a.leaseFrom >= 0 && now-a.leaseFrom < t.lease,
 			current && incarnation.Closed && came && now-a.arrivedAt < t.lease,
@@ -72,9 +74,9 @@
 			incarnations = append(incarnations, id)
 		}
 	}
-	for id, a := range t.entries {
+	for id, a := range t.arrivals {
 		if record.Incarnations[id] == nil && now-a.arrivedAt > t.lease { // it never got in, or is forgotten
-			delete(t.entries, id)
+			delete(t.arrivals, id)
 		}
 	}
 	if len(record.Members) < t.members {
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -14,19 +14,19 @@
 
 // OwnStatus is what we know of ourselves.
 type OwnStatus struct {
-	Name, ID   string
-	HasRecord  bool // we have a record, with us in it or not
-	IsMember   bool // it has us as a member, by this id
-	HasLeader  bool // it has a leader
-	Durable    bool // our part of it outlasts the process
-	Leaderless int  // looks in a row without a leader
+	Name, ID        string
+	HasRecord       bool // we have a record, with us in it or not
+	IsMember        bool // it has us as a member, by this id
+	HasLeader       bool // it has a leader
+	Durable         bool // our part of it outlasts the process
+	LeaderlessPolls int  // looks in a row without a leader
 }
 
 // Step is what a member does next to belong to a record.
 type Step struct {
-	Action Action
-	Ask    string            // the name of the one to ask, for Join
-	IDs    map[string]string // of all by name, for Bootstrap
+	Action  Action
+	JoinVia string            // the name of the one to ask, for Join
+	IDs     map[string]string // of all by name, for Bootstrap
 }
 
 // Action is a kind of step.
@@ -39,8 +39,8 @@
 	StartOver        // come as new
 )
 
-// leaderlessLimit is how many looks without a leader show that none is on its way: an election takes two or three.
-const leaderlessLimit = 25
+// maxLeaderlessPolls is how many looks without a leader show that none is on its way: an election takes two or three.
+const maxLeaderlessPolls = 25
 
 // NextStep settles the next step of a member, by what the others said that could be reached.
 //
@@ -67,10 +67,10 @@
 	all := len(others) == len(names)-1
 	switch {
 	case ask != "" && !own.IsMember:
-		return Step{Action: Join, Ask: ask}
+		return Step{Action: Join, JoinVia: ask}
 	case ask != "" || !all:
 		return Step{}
-	case own.HasRecord && !own.Durable && own.Leaderless >= leaderlessLimit:
+	case own.HasRecord && !own.Durable && own.LeaderlessPolls >= maxLeaderlessPolls:
 		return Step{Action: StartOver}
 	case !own.HasRecord && own.Name == slices.Min(names):
 		ids := map[string]string{own.Name: own.ID}
--- a/ownership/membership_test.go
+++ b/ownership/membership_test.go
@@ -34,17 +34,17 @@
 		{"its leader is asked before it", OwnStatus{Name: "a"}, with(anew("b"), "c", PeerStatus{HasRecord: true, Leader: "b"}), Join, "b"},
 		{"a leader that would be us, in an incarnation before, cannot be asked", OwnStatus{Name: "a"}, with(anew("b"), "c", PeerStatus{HasRecord: true, Leader: "a"}), Join, "c"},
 		{"we are in, and it is led", OwnStatus{Name: "a", HasRecord: true, IsMember: true, HasLeader: true}, anew("b", "c"), Wait, ""},
-		{"we are in, and others are as well: they elect", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Leaderless: 99},
+		{"we are in, and others are as well: they elect", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99},
 			with(anew("b"), "c", PeerStatus{HasRecord: true}), Wait, ""},
 		{"we were put out for another incarnation of ours: we ask to be let in", OwnStatus{Name: "a", HasRecord: true}, with(anew("b"), "c", PeerStatus{HasRecord: true}), Join, "c"},
-		{"all others are new, for a moment", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Leaderless: leaderlessLimit - 1}, anew("b", "c"), Wait, ""},
-		{"all others are new, for good", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Leaderless: leaderlessLimit}, anew("b", "c"), StartOver, ""},
-		{"... but ours is on a disk", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Durable: true, Leaderless: 99}, anew("b", "c"), Wait, ""},
-		{"... but one cannot be reached, and may remember", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Leaderless: 99}, anew("b"), Wait, ""},
+		{"all others are new, for a moment", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: maxLeaderlessPolls - 1}, anew("b", "c"), Wait, ""},
+		{"all others are new, for good", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: maxLeaderlessPolls}, anew("b", "c"), StartOver, ""},
+		{"... but ours is on a disk", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Durable: true, LeaderlessPolls: 99}, anew("b", "c"), Wait, ""},
+		{"... but one cannot be reached, and may remember", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99}, anew("b"), Wait, ""},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			step := NextStep(story.own, names, story.others)
-			if step.Action != story.action || step.Ask != story.ask {
+			if step.Action != story.action || step.JoinVia != story.ask {
 				t.Errorf("got %+v", step)
 			}
 			if all := slices.Sorted(maps.Keys(step.IDs)); step.Action == Bootstrap && !slices.Equal(all, names) {
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -18,7 +18,7 @@
 	Member        string         `cbor:"1,keyasint"`
 	Incarnation   uint64         `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
 	Seq           uint64         `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
-	Floor         uint64         `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
+	SeenToken     uint64         `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
 	Closing       bool           `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
 	Claims        []int          `cbor:"6,keyasint,omitempty"`
 	Reclaims      []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
@@ -60,7 +60,7 @@
 	Revision uint64 `cbor:"3,keyasint"`
 	Tables   []int  `cbor:"4,keyasint"`
 	// Sure: it shuts out what the owner ordered, and nothing that others did.
-	Sure bool `cbor:"5,keyasint,omitempty"`
+	WithdrawalsKnown bool `cbor:"5,keyasint,omitempty"`
 }
 
 // WithdrawnTable is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
@@ -69,13 +69,13 @@
 // Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed
 // it.
 type Observation struct {
-	Backend   string `cbor:"1,keyasint"`
-	Tries     int    `cbor:"2,keyasint"`
-	Failed    int    `cbor:"3,keyasint"`
-	Mean      int64  `cbor:"4,keyasint"` // µs that an answer took
-	Span      int64  `cbor:"5,keyasint"` // µs that it covers
-	Withdrawn bool   `cbor:"6,keyasint,omitempty"`
-	Wait      int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
+	Backend     string `cbor:"1,keyasint"`
+	Attempts    int    `cbor:"2,keyasint"`
+	Failed      int    `cbor:"3,keyasint"`
+	MeanLatency int64  `cbor:"4,keyasint"` // µs that an answer took
+	Window      int64  `cbor:"5,keyasint"` // µs that it covers
+	Withdrawn   bool   `cbor:"6,keyasint,omitempty"`
+	Backoff     int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
 }
 
 // Record is the replicated record: what every member concludes from the same entries.
@@ -101,25 +101,25 @@
 
 // Table is one of a member's tables. A line that was taken out stands with a weight of 0 for a while.
 type Table struct {
-	Lines map[string]VersionedWeight `cbor:"1,keyasint"`
-	Floor uint64                     `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
+	Lines       map[string]VersionedWeight `cbor:"1,keyasint"`
+	CompactedAt uint64                     `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
 }
 
 // VersionedWeight is a line and the edition that set it.
 type VersionedWeight struct {
-	Weight float64 `cbor:"1,keyasint"`
-	At     uint64  `cbor:"2,keyasint"`
+	Weight   float64 `cbor:"1,keyasint"`
+	Revision uint64  `cbor:"2,keyasint"`
 }
 
 // Ownership says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
 type Ownership struct {
-	Owner       string  `cbor:"1,keyasint"`
-	Incarnation uint64  `cbor:"2,keyasint"`
-	Token       uint64  `cbor:"3,keyasint"`
-	Edition     uint64  `cbor:"4,keyasint"`
-	Tables      []int   `cbor:"5,keyasint"`
-	Moves       []Stamp `cbor:"6,keyasint"` // when it was taken over from others, the last ones
-	Sure        bool    `cbor:"7,keyasint,omitempty"`
+	Owner            string  `cbor:"1,keyasint"`
+	Incarnation      uint64  `cbor:"2,keyasint"`
+	Token            uint64  `cbor:"3,keyasint"`
+	Revision         uint64  `cbor:"4,keyasint"`
+	Tables           []int   `cbor:"5,keyasint"`
+	Moves            []Stamp `cbor:"6,keyasint"` // when it was taken over from others, the last ones
+	WithdrawalsKnown bool    `cbor:"7,keyasint,omitempty"`
 }
 
 // KnownTable is what a proxy surely has of one class: lines, and backends of which it may have any line or none.
@@ -130,21 +130,21 @@
 
 // Move is a change of a proxy's owner. Known is false where the old one may have written what the record lacks.
 type Move struct {
-	Proxy    int
-	From, To Ownership
-	Known    bool
-	Base     []KnownTable // by class, if it is known
-	Clean    bool         // it is known besides that it shuts nothing out
-	Demand   []float64    // requests a second that came to it, by class, as last told
+	Proxy         int
+	From, To      Ownership
+	Known         bool
+	Base          []KnownTable // by class, if it is known
+	NoWithdrawals bool         // it is known besides that it shuts nothing out
+	Demand        []float64    // requests a second that came to it, by class, as last told
 }
 
 const (
-	maxRemovedLines  = 256 // lines taken out that a table remembers ...
-	keptRemovedLines = 128 // ... and how many are left once there are more
+	maxRemovedLines       = 256 // lines taken out that a table remembers ...
+	removedLinesAfterTrim = 128 // ... and how many are left once there are more
 
-	maxPast      = 16 // incarnations of a member that are known to be over
-	ownersBefore = 2  // owners before the present one for whose shares there is room within the span
-	maxMoves     = 4  // moves within it up to which an owner has some messages in any case
+	maxPastIncarnations   = 16 // incarnations of a member that are known to be over
+	previousOwnersCounted = 2  // owners before the present one for whose shares there is room within the span
+	maxMovesWithReserve   = 4  // moves within it up to which an owner has some messages in any case
 )
 
 // NewRecord makes an empty record.
@@ -166,11 +166,11 @@
 		return nil, false
 	}
 	incarnation.Seq = e.Seq
-	r.Token = max(r.Token, e.Floor)
+	r.Token = max(r.Token, e.SeenToken)
 	r.applyTables(incarnation, e)
 	for _, t := range e.Confirmations {
-		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Revision >= h.Edition {
-			h.Edition, h.Tables, h.Sure = t.Revision, t.Tables, t.Sure
+		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Revision >= h.Revision {
+			h.Revision, h.Tables, h.WithdrawalsKnown = t.Revision, t.Tables, t.WithdrawalsKnown
 			r.Proxies[t.Proxy] = h
 		}
 	}
@@ -200,7 +200,7 @@
 func (r *Record) enter(e Entry) {
 	if last, ok := r.Members[e.Member]; ok {
 		past := append(r.Past[e.Member], last)
-		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-maxPast):])
+		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-maxPastIncarnations):])
 	}
 	r.Members[e.Member] = e.Incarnation
 	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
@@ -216,17 +216,17 @@
 			incarnation.Tables[change.Table] = t
 		}
 		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
-			t.Floor = e.Revision
+			t.CompactedAt = e.Revision
 		}
 		for _, l := range change.Lines {
 			t.Lines[l.Backend] = VersionedWeight{l.Weight, e.Revision}
 		}
-		t.trim()
+		t.forgetOldRemovals()
 	}
 }
 
-// trim forgets the oldest of the lines taken out when there are many.
-func (t *Table) trim() {
+// forgetOldRemovals forgets the oldest of the lines taken out when there are many.
+func (t *Table) forgetOldRemovals() {
 	var out []string
 	for id, l := range t.Lines {
 		if l.Weight == 0 {
@@ -237,10 +237,10 @@
 		return
 	}
 	slices.SortFunc(out, func(x, y string) int {
-		return cmp.Or(cmp.Compare(t.Lines[x].At, t.Lines[y].At), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(t.Lines[x].Revision, t.Lines[y].Revision), cmp.Compare(x, y))
 	})
-	for _, id := range out[:len(out)-keptRemovedLines] {
-		t.Floor = max(t.Floor, t.Lines[id].At)
+	for _, id := range out[:len(out)-removedLinesAfterTrim] {
+		t.CompactedAt = max(t.CompactedAt, t.Lines[id].Revision)
 		delete(t.Lines, id)
 	}
 }
@@ -272,7 +272,7 @@
 	m := Move{Proxy: proxy, From: from, To: Ownership{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
 	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
 		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
-		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-maxMoves-1):]
+		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-maxMovesWithReserve-1):]
 	}
 	m.Demand = r.Demands[proxy]
 	last := r.Incarnations[from.Incarnation]
@@ -282,40 +282,40 @@
 		m.Known = m.Known && sure(id)
 	}
 	if m.Known {
-		m.Base, m.Known = r.base(from, last)
-		m.Clean = m.Known && from.Sure && last.clean(from.Edition)
+		m.Base, m.Known = r.knownTables(from, last)
+		m.NoWithdrawals = m.Known && from.WithdrawalsKnown && last.hasNoWithdrawals(from.Revision)
 	}
 	r.Proxies[proxy] = m.To
 	return m
 }
 
-// clean tells whether one that confirmed an edition shuts nothing out that the incarnation has withdrawn.
-func (i *Incarnation) clean(edition uint64) bool {
+// hasNoWithdrawals tells whether one that confirmed an edition shuts nothing out that the incarnation has withdrawn.
+func (i *Incarnation) hasNoWithdrawals(edition uint64) bool {
 	t := i.Tables[WithdrawnTable]
 	if t == nil {
 		return true
 	}
 	for _, l := range t.Lines {
-		if l.Weight > 0 || l.At > edition {
+		if l.Weight > 0 || l.Revision > edition {
 			return false
 		}
 	}
-	return edition >= t.Floor
+	return edition >= t.CompactedAt
 }
 
-// base is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (r *Record) base(h Ownership, incarnation *Incarnation) (by []KnownTable, known bool) {
-	if h.Edition == 0 || len(h.Tables) == 0 {
+// knownTables is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
+func (r *Record) knownTables(h Ownership, incarnation *Incarnation) (by []KnownTable, known bool) {
+	if h.Revision == 0 || len(h.Tables) == 0 {
 		return nil, false
 	}
 	for _, number := range h.Tables {
 		t := incarnation.Tables[number]
-		if t == nil || h.Edition < t.Floor {
+		if t == nil || h.Revision < t.CompactedAt {
 			return nil, false
 		}
 		has := KnownTable{map[string]float64{}, map[string]bool{}}
 		for id, l := range t.Lines {
-			if l.At > h.Edition {
+			if l.Revision > h.Revision {
 				has.Uncertain[id] = true
 			} else if l.Weight > 0 {
 				has.Lines[id] = l.Weight
--- a/ownership/share_test.go
+++ b/ownership/share_test.go
@@ -22,8 +22,8 @@
 func newFakeHost() *fakeHost { return &fakeHost{granted: map[int]string{}, spent: map[int]int{}} }
 
 func (p *fakeHost) Propose(e Entry) { p.proposed = append(p.proposed, e) }
-func (p *fakeHost) ProxyGranted(proxy int, token uint64, base []KnownTable, _ bool, _ []float64, spent int) {
-	p.granted[proxy] = fmt.Sprint(token, " ", base != nil, " ", spent)
+func (p *fakeHost) ProxyGranted(grant Grant) {
+	p.granted[grant.Proxy] = fmt.Sprint(grant.Token, " ", grant.Base != nil, " ", grant.SentMessages)
 }
 func (p *fakeHost) MessagesSentByPeers(proxy, messages int) { p.spent[proxy] += messages }
 func (p *fakeHost) ReleaseUpTo(edition uint64)              { p.released = edition }
@@ -69,7 +69,7 @@
 			t.Fatalf("granted %v before its claim stands", p.granted)
 		}
 		p.stands(d, 40, 1, 2, 1000)
-		if h := d.record.Proxies[5]; p.granted[5] != "2 true 0" || h.Owner != "n0" || d.Owned() != 1 {
+		if h := d.record.Proxies[5]; p.granted[5] != "2 true 0" || h.Owner != "n0" || d.OwnedProxies() != 1 {
 			t.Errorf("granted %v, on the record %+v", p.granted, h)
 		}
 	})
@@ -119,8 +119,8 @@
 		p.stands(d, 1300)
 		d.ProxyHeardFrom(4, 1350)
 		p.stands(d, 1400) // what was under way
-		if again := p.stands(d, 1410); !slices.Equal(again.Reclaims, []int{4}) || d.Owned() != 1 || len(d.record.Proxies[4].Moves) > 0 {
-			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.Owned(), d.record.Proxies[4].Moves)
+		if again := p.stands(d, 1410); !slices.Equal(again.Reclaims, []int{4}) || d.OwnedProxies() != 1 || len(d.record.Proxies[4].Moves) > 0 {
+			t.Errorf("claimed with %+v, owns %d, moves %v", again, d.OwnedProxies(), d.record.Proxies[4].Moves)
 		}
 		if _, taken := d.record.Apply(old); taken {
 			t.Error("an entry of the incarnation that is over was taken in")
@@ -150,16 +150,16 @@
 		if p.stands(d, 210); p.granted[5] != fmt.Sprint("4 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v with three others' shares standing", p.granted)
 		}
-		for i := range maxMoves { // and so on: beyond some it has none of its own
+		for i := range maxMovesWithReserve { // and so on: beyond some it has none of its own
 			d.ProxyDisconnected(5)
 			d.EntryApplied(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1), Seq: d.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		d.ProxyConnected(5, 230)
 		if p.stands(d, 240); p.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
-			t.Errorf("granted %v after %d moves", p.granted, maxMoves+4)
+			t.Errorf("granted %v after %d moves", p.granted, maxMovesWithReserve+4)
 		}
-		if most := terms.Members*(terms.UnownedQuota()+1) + (ownersBefore+1)*terms.OwnerQuota(); most > terms.MaxMessages {
+		if most := terms.Members*(terms.UnownedQuota()+1) + (previousOwnersCounted+1)*terms.OwnerQuota(); most > terms.MaxMessages {
 			t.Errorf("%d messages by all together", most)
 		}
 	})
@@ -207,8 +207,8 @@
 			p.stands(d, 60)
 		}
 		d.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
-		if d.Owned() != 0 || p.spent[4] != terms.OwnerQuota() {
-			t.Errorf("owns %d, spent %v", d.Owned(), p.spent)
+		if d.OwnedProxies() != 0 || p.spent[4] != terms.OwnerQuota() {
+			t.Errorf("owns %d, spent %v", d.OwnedProxies(), p.spent)
 		}
 		d.ProxyHeardFrom(4, 60) // what was heard before says nothing
 		d.ProxyHeardFrom(5, 300)
@@ -244,7 +244,7 @@
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Revision: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
 			b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Revision: story.set, TableChanges: []TableChange{{WithdrawnTable, []Line{{"a", story.shut}}}},
 				Confirmations: []Confirmation{{3, 1, story.heard, []int{0}, story.sure}}})
-			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].Clean != story.clean ||
+			if moves, _ := b.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].NoWithdrawals != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
 			}
@@ -278,7 +278,7 @@
 		if _, taken := b.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 3, Claims: []int{4}}); taken {
 			t.Error("a closed incarnation went on")
 		}
-		b.Apply(Entry{Member: "n0", Incarnation: 2, Seq: 1, Floor: 40})
+		b.Apply(Entry{Member: "n0", Incarnation: 2, Seq: 1, SeenToken: 40})
 		if len(b.Incarnations) != 2 {
 			t.Errorf("%d incarnations while the older owns a proxy", len(b.Incarnations))
 		}
@@ -296,7 +296,7 @@
 		for incarnation := uint64(3); incarnation < 99; incarnation++ {
 			b.Apply(Entry{Member: "n0", Incarnation: incarnation, Seq: 1})
 		}
-		if len(b.Past["n0"]) != maxPast {
+		if len(b.Past["n0"]) != maxPastIncarnations {
 			t.Errorf("%d incarnations are kept", len(b.Past["n0"]))
 		}
 	})
@@ -314,9 +314,9 @@
 		d.Tick(0)
 		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
 			d.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 1}, 0)
-			d.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 2, Observations: []Observation{{Backend: "a", Tries: 5, Failed: 5, Withdrawn: true}}}, 10)
+			d.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 2, Observations: []Observation{{Backend: "a", Attempts: 5, Failed: 5, Withdrawn: true}}}, 10)
 		}
-		d.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Observations: []Observation{{Backend: "a", Tries: 5}}}, 20)
+		d.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Observations: []Observation{{Backend: "a", Attempts: 5}}}, 20)
 		if len(d.record.Withdrawn["a"]) != 1 || len(p.learned) > 0 {
 			t.Errorf("withdrawn %v, learned %v before we came", d.record.Withdrawn, p.learned)
 		}
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -46,12 +46,13 @@
 	m.proposed = append(m.proposed, e)
 }
 
-func (m *transcriptMember) ProxyGranted(proxy int, token uint64, base []KnownTable, clean bool, demand []float64, spent int) {
-	m.note("is granted proxy %d by token %d: has %s, clean %v, gets %v, %d messages spent", proxy, token, describeBase(base), clean, demand, spent)
+func (m *transcriptMember) ProxyGranted(grant Grant) {
+	m.note("is granted proxy %d by token %d: has %s, clean %v, gets %v, %d messages spent", grant.Proxy, grant.Token,
+		describeBase(grant.Base), grant.NoWithdrawals, grant.Demand, grant.SentMessages)
 }
 
 func (m *transcriptMember) PeerCapacityReported(capacity Capacity) {
-	m.note("hears of capacity %g %g", capacity.Proven, capacity.Able)
+	m.note("hears of capacity %g %g", capacity.Proven, capacity.Saturated)
 }
 
 func (m *transcriptMember) MessagesSentByPeers(proxy, messages int) {
@@ -64,8 +65,8 @@
 }
 
 func (m *transcriptMember) PeerObservationReported(member string, seen Observation) {
-	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", seen.Backend, member, seen.Failed, seen.Tries, seen.Mean,
-		seen.Span, seen.Wait, seen.Withdrawn)
+	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", seen.Backend, member, seen.Failed, seen.Attempts, seen.MeanLatency,
+		seen.Window, seen.Backoff, seen.Withdrawn)
 }
 
 func (m *transcriptMember) QuorumChanged(alone bool, why string) { m.note("alone %v: %s", alone, why) }
@@ -82,7 +83,7 @@
 		fmt.Fprintf(&tables, " %d%v", change.Table, change.Lines)
 	}
 	return fmt.Sprintf("%s/%d/%d floor %d closing %v claims %v again %v edition %d tables%s confirmed %v seen %v demand %v capacity %v vouched %v stamp %v",
-		e.Member, e.Incarnation, e.Seq, e.Floor, e.Closing, e.Claims, e.Reclaims, e.Revision, tables.String(), e.Confirmations, e.Observations,
+		e.Member, e.Incarnation, e.Seq, e.SeenToken, e.Closing, e.Claims, e.Reclaims, e.Revision, tables.String(), e.Confirmations, e.Observations,
 		e.Demands, e.Capacity, e.OnRecord, e.Stamp)
 }
 
@@ -151,7 +152,7 @@
 		m.evidence.SetWithdrawn(backend, m.random.IntN(2) == 0, m.random.IntN(9), m.random.IntN(9), int64(m.random.IntN(900)))
 	case 8:
 		m.evidence.AddDemand(proxy, m.random.IntN(2), m.random.IntN(40), 200_000)
-		m.evidence.SetCapacity(Capacity{Proven: float64(m.random.IntN(4)), Able: float64(m.random.IntN(4))})
+		m.evidence.SetCapacity(Capacity{Proven: float64(m.random.IntN(4)), Saturated: float64(m.random.IntN(4))})
 	case 9:
 		m.evidence.ForgetBackend(backend)
 	case 10:
@@ -187,8 +188,8 @@
 		m.coordinator.AddEvidence(m.evidence, m.now)
 	case 23:
 		m.coordinator.Tick(m.now)
-		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.Owned(), m.coordinator.WithoutQuorum(), m.coordinator.Closed(),
-			m.coordinator.Revision(), m.leases.Silent(m.coordinator.incarnation, m.now, 400))
+		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.OwnedProxies(), m.coordinator.WithoutQuorum(), m.coordinator.Closed(),
+			m.coordinator.Revision(), m.leases.SilentFor(m.coordinator.incarnation, m.now, 400))
 	}
 }
 
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -102,13 +102,13 @@
 // hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
 type hollowHost struct{ *hollowMember }
 
-func (h hollowHost) Propose(e ownership.Entry)                                              { h.node.Propose(e) }
-func (h hollowHost) ProxyGranted(int, uint64, []ownership.KnownTable, bool, []float64, int) {}
-func (h hollowHost) PeerCapacityReported(ownership.Capacity)                                {}
-func (h hollowHost) MessagesSentByPeers(int, int)                                           {}
-func (h hollowHost) ReleaseUpTo(uint64)                                                     {}
-func (h hollowHost) PeerObservationReported(string, ownership.Observation)                  {}
-func (h hollowHost) QuorumChanged(alone bool, _ string)                                     { h.entered.Store(!alone) }
+func (h hollowHost) Propose(e ownership.Entry)                             { h.node.Propose(e) }
+func (h hollowHost) ProxyGranted(ownership.Grant)                          {}
+func (h hollowHost) PeerCapacityReported(ownership.Capacity)               {}
+func (h hollowHost) MessagesSentByPeers(int, int)                          {}
+func (h hollowHost) ReleaseUpTo(uint64)                                    {}
+func (h hollowHost) PeerObservationReported(string, ownership.Observation) {}
+func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.entered.Store(!alone) }
 
 // RandomID draws a number.
 func (h hollowHost) RandomID() uint64 {
--- a/scale/rolefleet.go
+++ b/scale/rolefleet.go
@@ -172,7 +172,7 @@
 // propose has entries accepted as one change.
 func (r *roleFleet) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
-		_, err := r.hollow[0].node.Change(ctx, distribution.Proposal{Entries: entries})
+		_, err := r.hollow[0].node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
 		if err == nil || errors.Is(err, consensus.ErrRefused) {
 			return err
 		}
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -95,7 +95,7 @@
 	for {
 		if v := g.leader(); v != nil {
 			if m := v.running(); m != nil {
-				_, err := m.node.Change(ctx, distribution.Proposal{Entries: entries})
+				_, err := m.node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
 				if err == nil || errors.Is(err, consensus.ErrRefused) {
 					return err
 				}
