--- /dev/null
+++ b/controller/stored_test.go
@@ -0,0 +1,136 @@
+package controller
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"wheelrill/distribution"
+)
+
+var updateStored = flag.Bool("update-stored", false, "write the folder of a subscriber anew that the tests read")
+
+// storedFile is the file in a subscriber's folder. Its name is part of the format.
+const storedFile = "configuration.cbor"
+
+// storedFolder is a subscriber's folder as an earlier version has written it.
+var storedFolder = filepath.Join("testdata", "stored-subscriber")
+
+// storedState is what the stored folder holds: more entries than are encoded at a time, some of them set again or
+// deleted, at an epoch and a revision.
+func storedState(t *testing.T) distribution.State {
+	t.Helper()
+	record := distribution.NewVoterState()
+	accept := func(entries ...distribution.Entry) {
+		t.Helper()
+		proposal := distribution.Proposal{
+			Epoch:      distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788},
+			AcceptedAt: 1_764_700_000_000_000 + int64(record.Mark().Revision)*1_000_000,
+			Entries:    entries,
+		}
+		if _, err := record.Accept(proposal); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var many []distribution.Entry
+	for i := range 1100 {
+		name := fmt.Sprintf("weight/s-%04d", i)
+		many = append(many, distribution.Entry{Scope: "pricing", Name: name, Value: []byte("0.5")})
+	}
+	accept(many...)
+	accept(distribution.Entry{Scope: "orders", Name: "drain/s-1", Value: []byte("true")},
+		distribution.Entry{Scope: "orders", Name: "limit/lookup", Value: []byte("1200")})
+	accept(distribution.Entry{Scope: "orders", Name: "drain/s-1", Deleted: true},
+		distribution.Entry{Scope: "pricing", Name: "weight/s-0007", Value: []byte("0.25")})
+	accept(distribution.Entry{Scope: "pricing", Name: "weight/s-0008", Deleted: true})
+	state := record.State()
+	state.Covered = distribution.SomeScopes("orders", "pricing")
+	state.Horizon = 1
+	return state
+}
+
+// storedCopy copies the stored folder to one that the test may write to.
+func storedCopy(t *testing.T) string {
+	t.Helper()
+	folder := filepath.Join(t.TempDir(), "folder")
+	if err := os.CopyFS(folder, os.DirFS(storedFolder)); err != nil {
+		t.Fatal(err)
+	}
+	return folder
+}
+
+// A folder that an earlier version has written is read as what it was, and written with the same bytes.
+func TestStoredFolderOfASubscriberIsReadAndWrittenAsBefore(t *testing.T) {
+	want := storedState(t)
+	if *updateStored {
+		k, err := newKeeper(storedFolder)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := k.save(want); err != nil {
+			t.Fatal(err)
+		}
+	}
+	folder := storedCopy(t)
+	k, err := newKeeper(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := k.load()
+	if err != nil || got == nil {
+		t.Fatalf("read %v, %v", got, err)
+	}
+	if !reflect.DeepEqual(*got, want) || k.last != want.Mark {
+		t.Errorf("read %+v at %+v, %d entries; %+v, %d entries was written", got.Mark, k.last, len(got.Entries), want.Mark, len(want.Entries))
+	}
+	path := filepath.Join(folder, storedFile)
+	before, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Remove(path); err != nil {
+		t.Fatal(err)
+	}
+	if err := k.save(*got); err != nil {
+		t.Fatal(err)
+	}
+	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, before) {
+		t.Errorf("%d bytes are written, it was %d: %v", len(after), len(before), err)
+	}
+}
+
+// A stored file that was cut off is refused whole, is left where it is, and is replaced by the next writing.
+func TestStoredFileThatIsCutOffIsRefusedWhole(t *testing.T) {
+	folder := storedCopy(t)
+	path := filepath.Join(folder, storedFile)
+	whole, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cut := whole[:len(whole)/2]
+	if err := os.WriteFile(path, cut, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	k, err := newKeeper(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := k.load()
+	if got != nil || err == nil || !strings.Contains(err.Error(), path+": damaged: ") {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, cut) || k.last != (distribution.Mark{}) {
+		t.Errorf("%d bytes are left of %d at %+v: %v", len(left), len(cut), k.last, err)
+	}
+	if err := k.save(storedState(t)); err != nil {
+		t.Fatal(err)
+	}
+	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, whole) {
+		t.Errorf("%d bytes after the next writing: %v", len(after), err)
+	}
+}
--- /dev/null
+++ b/distribution/golden_test.go
@@ -0,0 +1,45 @@
+package distribution
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden file of the digests anew")
+
+// Two nodes compare digests, so each version must work out the same for the same entries.
+func TestDigestsAreAsTheGoldenFileHasThem(t *testing.T) {
+	var lines strings.Builder
+	store := newStore(Mark{Epoch{Number: 3, Identity: 9}, 4}, AllScopes())
+	for _, e := range []Entry{
+		{},
+		{Scope: "pricing", Name: "weight/s-1", Value: []byte("0.5"), Revision: 4, AcceptedAt: 1_764_700_001_234_567},
+		{Scope: "pricing", Name: "weight/s-2", Value: make([]byte, 300), Revision: 1 << 40, AcceptedAt: -1},
+		{Scope: "orders", Name: "drain/s-3", Revision: 2, Deleted: true, AcceptedAt: 7},
+	} {
+		digest := digestOf(e)
+		fmt.Fprintf(&lines, "%q %q of revision %d: %016x %016x\n", e.Scope, e.Name, e.Revision, digest.High, digest.Low)
+		store.set(e)
+	}
+	for _, covered := range []Scopes{AllScopes(), SomeScopes("pricing"), SomeScopes("orders"), SomeScopes("absent", "pricing")} {
+		digest := store.digestFor(covered)
+		fmt.Fprintf(&lines, "all %t scopes %q: %016x %016x\n", covered.All, covered.Names, digest.High, digest.Low)
+	}
+	path := filepath.Join("testdata", "digests.golden")
+	if *update {
+		if err := os.WriteFile(path, []byte(lines.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if lines.String() != string(want) {
+		t.Errorf("worked out\n%s, the golden file has\n%s", lines.String(), want)
+	}
+}
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -27,6 +27,7 @@
 	messageKeys map[Message]int64
 	random      bool // Chance draws; else it gives zero
 	broken      string
+	transcript  *transcript // of what is asked of the hosts; nil for none
 }
 
 // member is a node with the controller that acts by it.
@@ -211,11 +212,15 @@
 
 // Dial implements Host.
 func (m *member) Dial(peer string, link Link) {
+	m.cluster.transcript.note(m, "dial %s %d", peer, link)
 	m.cluster.dials = append(m.cluster.dials, dial{m, peer, link})
 }
 
 // Send implements Host.
 func (m *member) Send(link Link, message Message) {
+	if m.cluster.transcript != nil {
+		m.cluster.transcript.note(m, "send %d %d %x", link, message.Size(), encoded(Wrap(message)))
+	}
 	m.sent += message.Size()
 	for _, conn := range m.cluster.conns {
 		for side, end := range []*member{conn.dialer, conn.acceptor} {
@@ -229,7 +234,8 @@
 }
 
 // Close implements Host.
-func (m *member) Close(link Link, _ CloseReason) {
+func (m *member) Close(link Link, reason CloseReason) {
+	m.cluster.transcript.note(m, "close %d %d", link, int(reason))
 	m.cluster.dials = slices.DeleteFunc(m.cluster.dials, func(d dial) bool { return d.from == m && d.link == link })
 	for _, conn := range m.cluster.conns {
 		if conn.dialer == m && conn.links[0] == link {
@@ -242,7 +248,12 @@
 }
 
 // Log implements Host.
-func (m *member) Log(event Event) { m.events = append(m.events, event) }
+func (m *member) Log(event Event) {
+	m.events = append(m.events, event)
+	if m.cluster.transcript != nil {
+		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Mark), int(event.Refusal), int(event.Close))
+	}
+}
 
 // Chance implements Host.
 func (m *member) Chance() uint64 {
@@ -255,6 +266,9 @@
 
 // Apply implements Host: the controller takes the change over, and what it has then must be what stood on the record.
 func (m *member) Apply(change Change, whole bool) {
+	if m.cluster.transcript != nil {
+		m.cluster.transcript.note(m, "apply %x %t", encoded(change), whole)
+	}
 	mark := Mark{change.Epoch, change.Revision}
 	if mark.Before(m.applied) {
 		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.applied, mark)
--- /dev/null
+++ b/subscribe/wire_test.go
@@ -0,0 +1,181 @@
+package subscribe
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"wheelrill/distribution"
+	"wheelrill/internal/frame"
+)
+
+var update = flag.Bool("update", false, "write the golden file of the messages anew")
+
+// wireMessage is a message whose bytes are held by the golden file, under a name that is the golden file's own.
+type wireMessage struct {
+	name    string
+	message distribution.Message
+	full    bool // every field of it is set
+}
+
+// refusalsOnTheWire are the reasons of a refusal in the order of their numbers on the wire.
+var refusalsOnTheWire = []distribution.RefusalReason{
+	distribution.RefusedFull,
+	distribution.RefusedBusy,
+	distribution.RefusedNotCovered,
+	distribution.RefusedLoop,
+	distribution.RefusedTooDeep,
+	distribution.RefusedEmpty,
+	distribution.RefusedMalformed,
+	distribution.RefusedConflict,
+}
+
+// wireMessages are all messages of the tree, with every field set and with the least.
+func wireMessages() []wireMessage {
+	founding := distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788}
+	at := distribution.Mark{Epoch: founding, Revision: 70_000}
+	digest := distribution.Digest{High: 0xfedcba9876543210, Low: 0x0123456789abcdef}
+	scopes := distribution.Scopes{All: true, Names: []string{"orders", "pricing"}}
+	set := distribution.Entry{Scope: "pricing", Name: "weight/s-1", Value: []byte("0.5"), Revision: 69_999, Deleted: true,
+		AcceptedAt: 1_764_700_001_234_567}
+	deleted := distribution.Entry{Scope: "pricing", Name: "drain/s-2", Deleted: true}
+	path := []string{"n0@10.0.0.4:9443", "r1@10.0.1.7:9443"}
+	others := []string{"r2@10.0.1.8:9443", "r3@10.0.1.9:9443"}
+	change := distribution.Change{Epoch: founding, Revision: 70_000, AcceptedAt: 1_764_700_002_000_000,
+		Entries: []distribution.Entry{set, deleted}}
+	all := []wireMessage{
+		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Mark: at, Digest: digest,
+			Whole: true, FanOut: 16, Request: 3}, true},
+		{"subscribe, the least", &distribution.Subscribe{}, false},
+		{"subscribe, two scopes", &distribution.Subscribe{Name: "s17", Scopes: distribution.SomeScopes("pricing", "orders"), Request: 1}, false},
+		{"admitted, every field", &distribution.Admitted{Lease: 1_800_000, Mark: at, Path: path, Age: 250_000, Candidates: others,
+			Request: 3}, true},
+		{"admitted, the least", &distribution.Admitted{}, false},
+		{"admitted, never current", &distribution.Admitted{Age: distribution.NeverCurrent}, false},
+		{"refused, every field", &distribution.Refused{Reason: distribution.RefusedFull, RetryAfter: 5_000_000, Candidates: others}, true},
+		{"refused, the least", &distribution.Refused{}, false},
+		{"delta, every field", &distribution.Delta{Epoch: founding, Previous: 69_990, Revision: 70_000,
+			Changes: []distribution.Change{change}, Digest: digest}, true},
+		{"delta, the least", &distribution.Delta{}, false},
+		{"delta, a change as it is sent", &distribution.Delta{Epoch: founding, Previous: 1, Revision: 2,
+			Changes: []distribution.Change{{Revision: 2, AcceptedAt: 5, Entries: []distribution.Entry{deleted}}}, Digest: digest}, false},
+		{"piece of a snapshot, every field", &distribution.SnapshotPiece{Mark: at, Index: 7, Last: true,
+			Entries: []distribution.Entry{set}, Horizon: 60_000, Digest: digest}, true},
+		{"piece of a snapshot, the least", &distribution.SnapshotPiece{}, false},
+		{"heartbeat, every field", &distribution.Heartbeat{Epoch: founding, Previous: 69_990, Revision: 70_000, Digest: digest, Path: path,
+			Age: 250_000, Candidates: others, Source: at}, true},
+		{"heartbeat, the least", &distribution.Heartbeat{}, false},
+		{"renew, every field", &distribution.Renew{Mark: at, Received: 1_000}, true},
+		{"renew, the least", &distribution.Renew{}, false},
+	}
+	for i, reason := range refusalsOnTheWire {
+		all = append(all, wireMessage{fmt.Sprintf("refused, reason %d", i+1), &distribution.Refused{Reason: reason}, false})
+	}
+	return all
+}
+
+// unset names the first field below a value that holds nothing; "" if there is none. Of a list the first element counts.
+func unset(name string, value reflect.Value) string {
+	switch value.Kind() {
+	case reflect.Pointer:
+		return unset(name, value.Elem())
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if found := unset(name+"."+value.Type().Field(i).Name, value.Field(i)); found != "" {
+				return found
+			}
+		}
+		return ""
+	case reflect.Slice:
+		if value.Len() > 0 {
+			return unset(name+"[0]", value.Index(0))
+		}
+	}
+	if value.IsZero() {
+		return name
+	}
+	return ""
+}
+
+// written are the bytes that a link writes for a message.
+func written(t *testing.T, m distribution.Message) []byte {
+	t.Helper()
+	c := New(Config{Node: distribution.Config{Name: "writer"}})
+	ours, theirs := net.Pipe()
+	l := &link{carrier: c, conn: theirs}
+	if !l.send(m) {
+		t.Fatal("the queue of a new link is full")
+	}
+	l.close() // once the message has left
+	bytes, err := io.ReadAll(ours)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.running.Wait()
+	return bytes
+}
+
+// goldenMessages reads the golden file: a line for each message, its name and its bytes in hexadecimal.
+func goldenMessages(t *testing.T, path string) map[string][]byte {
+	t.Helper()
+	body, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := map[string][]byte{}
+	for line := range strings.Lines(string(body)) {
+		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		decoded, err := hex.DecodeString(digits)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		golden[name] = decoded
+	}
+	return golden
+}
+
+// Each message goes onto the connection as the golden file has it, and is read from there as what it was.
+func TestMessagesAreWrittenAndReadAsTheGoldenFileHasThem(t *testing.T) {
+	path := filepath.Join("testdata", "messages.golden")
+	messages := wireMessages()
+	if *update {
+		var lines strings.Builder
+		for _, m := range messages {
+			fmt.Fprintf(&lines, "%s: %x\n", m.name, written(t, m.message))
+		}
+		if err := os.WriteFile(path, []byte(lines.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden := goldenMessages(t, path)
+	if len(golden) != len(messages) {
+		t.Errorf("the golden file has %d messages, there are %d", len(golden), len(messages))
+	}
+	for _, m := range messages {
+		t.Run(m.name, func(t *testing.T) {
+			if missing := unset("message", reflect.ValueOf(m.message)); m.full && missing != "" {
+				t.Errorf("%s is not set", missing)
+			}
+			want := golden[m.name]
+			if got := written(t, m.message); !bytes.Equal(got, want) {
+				t.Errorf("written as\n%x, the golden file has\n%x", got, want)
+			}
+			var envelope distribution.Envelope
+			if err := frame.Read(bufio.NewReader(bytes.NewReader(want)), DefaultMessageBytes, &envelope); err != nil {
+				t.Fatal(err)
+			}
+			if got, err := envelope.Message(); err != nil || !reflect.DeepEqual(got, m.message) {
+				t.Errorf("read as %+v, %v", got, err)
+			}
+		})
+	}
+}
