--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"wheelrill/decide"
-	"wheelrill/replica"
-	"wheelrill/share"
+	"wheelrill/balancer"
+	"wheelrill/consensus"
+	"wheelrill/ownership"
 )
 
 // Sharing says with whom a controller shares its fleet. The members agree on all of it but the folder and the files.
@@ -16,7 +16,7 @@
 	Name    string            // ours among the members; the controller's own if empty
 	Members map[string]string // the address of each for the others, by its name
 	Folder  string            // for what must outlast the process; empty: nothing does
-	replica.Credentials
+	consensus.Credentials
 	Lease int64 // µs without an answer of the record after which a member goes on by itself; 0 is as usual
 }
 
@@ -36,25 +36,25 @@
 		with.Name = c.plan.Name
 	}
 	m := c.module
-	terms := share.Terms{Lease: with.Lease, Span: c.plan.channel.MessagesSpan + c.plan.channel.LongestWay,
-		Messages: c.plan.channel.MessagesMost, Members: len(with.Members), Kept: keptMessages}
-	if terms.Lease == 0 {
-		terms.Lease = usualLease
+	terms := ownership.LeaseTerms{Duration: with.Lease, MessageWindow: c.plan.channel.MessageWindow + c.plan.channel.MaxLatency,
+		MaxMessages: c.plan.channel.MaxMessages, Members: len(with.Members), GuaranteedMessages: keptMessages}
+	if terms.Duration == 0 {
+		terms.Duration = usualLease
 	}
-	if terms.Renew = terms.Lease / leaseParts; terms.Renew < m.limits.tick.Microseconds() {
-		return fmt.Errorf("lease: %d ms is too short for a tick of %s", terms.Lease/1000, m.limits.tick)
+	if terms.RenewInterval = terms.Duration / leaseParts; terms.RenewInterval < m.limits.tick.Microseconds() {
+		return fmt.Errorf("lease: %d ms is too short for a tick of %s", terms.Duration/1000, m.limits.tick)
 	}
-	if terms.Messages == 0 {
-		terms.Messages = uncounted
+	if terms.MaxMessages == 0 {
+		terms.MaxMessages = uncounted
 	}
-	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: share.NewEvidence(), terms: terms}
-	config := replica.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
+	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: ownership.NewEvidence(), terms: terms}
+	config := consensus.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
 	votes := c.distributor != nil && c.distributor.carrier == nil
 	if votes {
-		config.Distribution = c.distributor.vote(replica.Peer{Name: with.Name, Address: with.Members[with.Name]})
+		config.Distribution = c.distributor.vote(consensus.Peer{Name: with.Name, Address: with.Members[with.Name]})
 	}
 	var err error
-	if f.node, err = replica.New(config, recordEvents{m, f}, c.log.to); err != nil {
+	if f.node, err = consensus.New(config, recordEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
 	if votes {
@@ -62,14 +62,14 @@
 	}
 	// What the decisions may send is our part of it.
 	channel := c.plan.channel
-	if channel.MessagesMost > 0 {
-		channel.MessagesMost = terms.UnownedQuota() + terms.OwnerQuota()
+	if channel.MaxMessages > 0 {
+		channel.MaxMessages = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
-	m.control = decide.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, decide.Partition{}, c.plan.sight,
+	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Sharding{}, c.plan.sight,
 		c.plan.admit)
 	m.fleet, f.name = f, with.Name
-	f.coordinator = share.New(f, with.Name, terms, m.now)
+	f.coordinator = ownership.New(f, with.Name, terms, m.now)
 	f.tick(m.now)
 	return nil
 }
@@ -80,34 +80,34 @@
 	fleet *fleet
 }
 
-func (r recordEvents) Recorded(e share.Entry) {
-	r.post(func() { r.fleet.coordinator.Recorded(e, r.now) })
+func (r recordEvents) EntryCommitted(e ownership.Entry) {
+	r.post(func() { r.fleet.coordinator.EntryApplied(e, r.now) })
 }
 
-func (r recordEvents) Restored(record *share.Record) {
-	r.post(func() { r.fleet.coordinator.Restored(record, r.now) })
+func (r recordEvents) SnapshotRestored(record *ownership.Record) {
+	r.post(func() { r.fleet.coordinator.SnapshotRestored(record, r.now) })
 }
 
-func (r recordEvents) Answered(incarnation, seq uint64) {
-	r.post(func() { r.fleet.coordinator.Answered(incarnation, seq, r.now) })
+func (r recordEvents) ProposalCommitted(incarnation, seq uint64) {
+	r.post(func() { r.fleet.coordinator.ProposalCommitted(incarnation, seq, r.now) })
 }
 
-func (r recordEvents) Failed(incarnation, seq uint64) {
-	r.post(func() { r.fleet.coordinator.Failed(incarnation, seq, r.now) })
+func (r recordEvents) ProposalFailed(incarnation, seq uint64) {
+	r.post(func() { r.fleet.coordinator.ProposalFailed(incarnation, seq, r.now) })
 }
 
 // fleet is the module's side of sharing: it joins the coordinator with the decisions, the tables and the streams.
 type fleet struct {
 	module      *module
 	name        string
-	coordinator *share.Coordinator
-	node        *replica.Node
-	terms       share.Terms
+	coordinator *ownership.Coordinator
+	node        *consensus.Node
+	terms       ownership.LeaseTerms
 
 	pending  map[int]pendingJoin // proxies that joined and are not granted yet
 	queued   []queuedMessage     // in their order
 	released uint64
-	evidence *share.Evidence
+	evidence *ownership.Evidence
 }
 
 // pendingJoin is what the decisions are told of a proxy once it is granted.
@@ -148,20 +148,20 @@
 const coordinatorTag = 1<<64 - 1
 
 func (f *fleet) tick(now int64) {
-	f.coordinator.Elapsed(now)
+	f.coordinator.Tick(now)
 	for node, j := range f.module.joins {
 		if j != nil {
-			f.coordinator.Spoke(node, j.peer.heard.Load())
+			f.coordinator.ProxyHeardFrom(node, j.peer.heard.Load())
 		}
 	}
 	f.shareEvidence(now)
-	f.module.After(f.terms.Renew/2, coordinatorTag)
+	f.module.SetTimer(f.terms.RenewInterval/2, coordinatorTag)
 }
 
 // proxyJoined has a proxy wait until it is granted.
 func (f *fleet) proxyJoined(node int, a pendingJoin) {
 	f.pending[node] = a
-	f.coordinator.Joined(node, f.module.now)
+	f.coordinator.ProxyConnected(node, f.module.now)
 }
 
 // proxyLeft forgets a proxy; it tells whether the decisions had it.
@@ -169,12 +169,12 @@
 	_, waits := f.pending[node]
 	delete(f.pending, node)
 	f.evidence.ForgetProxy(node)
-	f.coordinator.Left(node)
+	f.coordinator.ProxyDisconnected(node)
 	return !waits
 }
 
-// Granted gives a proxy to the decisions.
-func (f *fleet) Granted(node int, token uint64, base []share.Base, clean bool, came []float64, spent int) {
+// ProxyGranted gives a proxy to the decisions.
+func (f *fleet) ProxyGranted(node int, token uint64, base []ownership.KnownTable, clean bool, came []float64, spent int) {
 	a, ok := f.pending[node]
 	if !ok {
 		return
@@ -190,24 +190,26 @@
 	}
 	f.module.log.seldom("granted", "granted", "node", node, "token", token, "known", base != nil, "clean", clean,
 		"spent", spent)
-	f.module.control.Spent(node, spent)
-	f.module.control.Joined(node, a.zone, a.usual, a.keeps)
-	f.module.control.Demands(node, came)
+	f.module.control.MessagesSentByPeers(node, spent)
+	f.module.control.ProxyConnected(node, a.zone, a.usual, a.keeps)
+	f.module.control.SeedDemand(node, came)
 }
 
-// LearnedCapacity hands on what another member saw the fleet do.
-func (f *fleet) LearnedCapacity(capacity share.Capacity) {
-	f.module.control.Fits(capacity.Proven, capacity.Able)
+// PeerCapacityReported hands on what another member saw the fleet do.
+func (f *fleet) PeerCapacityReported(capacity ownership.Capacity) {
+	f.module.control.SeedThroughput(capacity.Proven, capacity.Able)
 }
 
-// Spent has the decisions write less to a proxy.
-func (f *fleet) Spent(node, messages int) { f.module.control.Spent(node, messages) }
+// MessagesSentByPeers has the decisions write less to a proxy.
+func (f *fleet) MessagesSentByPeers(node, messages int) {
+	f.module.control.MessagesSentByPeers(node, messages)
+}
 
 // Propose puts an entry on the record.
-func (f *fleet) Propose(e share.Entry) { f.node.Propose(e) }
+func (f *fleet) Propose(e ownership.Entry) { f.node.Propose(e) }
 
-// Release lets what waited leave.
-func (f *fleet) Release(edition uint64) {
+// ReleaseUpTo lets what waited leave.
+func (f *fleet) ReleaseUpTo(edition uint64) {
 	f.released = max(f.released, edition)
 	n := 0
 	for ; n < len(f.queued) && f.queued[n].edition <= f.released; n++ {
@@ -224,7 +226,7 @@
 
 // send has a message leave, or wait behind others for the record.
 func (f *fleet) send(p *peer, message []byte) error {
-	if edition := f.coordinator.Edition(); len(f.queued) > 0 || edition > f.released {
+	if edition := f.coordinator.Revision(); len(f.queued) > 0 || edition > f.released {
 		f.queued = append(f.queued, queuedMessage{p, message, edition})
 		return nil
 	}
@@ -233,26 +235,26 @@
 
 // recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
 func (f *fleet) recordTableChanges() {
-	var changes []share.TableChange
+	var changes []ownership.TableChange
 	for _, number := range slices.Sorted(maps.Keys(f.module.byNumber)) {
 		in := f.module.byNumber[number]
 		if len(in.changed) == 0 {
 			continue
 		}
-		change := share.TableChange{Table: number}
+		change := ownership.TableChange{Table: number}
 		for _, b := range in.changed {
-			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
 		}
 		changes = append(changes, change)
 	}
 	if len(f.module.withdrawalChanges) > 0 {
-		change := share.TableChange{Table: share.WithdrawnTable}
+		change := ownership.TableChange{Table: ownership.WithdrawnTable}
 		for _, b := range f.module.withdrawalChanges {
 			shut := 0.
 			if f.module.withdrawn[b] {
 				shut = 1
 			}
-			change.Lines = append(change.Lines, share.Line{Backend: string(f.module.name(b)), Weight: shut})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: shut})
 		}
 		changes = append(changes, change)
 	}
@@ -265,24 +267,24 @@
 func (f *fleet) shareEvidence(now int64) {
 	for backend, id := range f.module.backends.ids {
 		if id != "" {
-			tries, failed, wait, away := f.module.control.Withdrawn(backend)
+			tries, failed, wait, away := f.module.control.Ejection(backend)
 			f.evidence.SetWithdrawn(id, away, tries, failed, wait)
 		}
 	}
-	proven, able := f.module.control.Ability()
-	f.evidence.SetCapacity(share.Capacity{Proven: proven, Able: able})
+	proven, able := f.module.control.Throughput()
+	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
 	f.coordinator.AddEvidence(f.evidence, now)
 }
 
-// Learned hands on what another member's proxies met.
-func (f *fleet) Learned(_ string, s share.Observation) {
+// PeerObservationReported hands on what another member's proxies met.
+func (f *fleet) PeerObservationReported(_ string, s ownership.Observation) {
 	if backend, ok := f.module.backends.index[s.Backend]; ok {
-		f.module.control.Learned(backend, s.Tries, s.Failed, s.Mean, s.Wait)
+		f.module.control.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
 }
 
-// Mode logs that we go off the record, or are on it again.
-func (f *fleet) Mode(alone bool, why string) {
+// QuorumChanged logs that we go off the record, or are on it again.
+func (f *fleet) QuorumChanged(alone bool, why string) {
 	f.module.log.say("sharing", "alone", alone, "why", why, "owned", f.coordinator.Owned(),
 		"deltas", f.module.deltas, "wholes", f.module.wholes)
 }
--- a/internal/benchwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,6 +1,6 @@
-// Package benchwire speaks the simulator's wire: frames, start settings, and the door through which ids
+// Package simwire speaks the simulator's wire: frames, start settings, and the door through which ids
 // become small indices and the wire's words become ours. It decides nothing.
-package benchwire
+package simwire
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"io"
 	"math"
 
-	"wheelrill/internal/start"
+	"wheelrill/internal/settings"
 )
 
 const (
@@ -79,10 +79,10 @@
 func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r.raw[at:]) }
 func (r record) u64(at int) uint64 { return binary.LittleEndian.Uint64(r.raw[at:]) }
 func (r record) f32(at int) float64 {
-	return start.Sane(float64(math.Float32frombits(binary.LittleEndian.Uint32(r.raw[at:]))))
+	return settings.Sanitize(float64(math.Float32frombits(binary.LittleEndian.Uint32(r.raw[at:]))))
 }
 func (r record) f64(at int) float64 {
-	return start.Sane(math.Float64frombits(binary.LittleEndian.Uint64(r.raw[at:])))
+	return settings.Sanitize(math.Float64frombits(binary.LittleEndian.Uint64(r.raw[at:])))
 }
 
 // tailOf gives the part of the tail that the field at this position names, unit bytes for each counted thing.
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -8,10 +8,10 @@
 	"path/filepath"
 	"sync"
 
+	"wheelrill/consensus"
 	"wheelrill/distribution"
+	"wheelrill/distribution/transport"
 	"wheelrill/internal/process"
-	"wheelrill/replica"
-	"wheelrill/subscribe"
 )
 
 // voterGroup is voters with a record between them over loopback, each handing it out in memory.
@@ -73,7 +73,7 @@
 // leader is the voter that leads; nil if none does.
 func (g *voterGroup) leader() *voter {
 	for _, v := range g.voters {
-		if m := v.running(); m != nil && m.node.Leads() {
+		if m := v.running(); m != nil && m.node.IsLeader() {
 			return v
 		}
 	}
@@ -96,7 +96,7 @@
 		if v := g.leader(); v != nil {
 			if m := v.running(); m != nil {
 				_, err := m.node.Change(ctx, distribution.Proposal{Entries: entries})
-				if err == nil || errors.Is(err, replica.ErrRefused) {
+				if err == nil || errors.Is(err, consensus.ErrRefused) {
 					return err
 				}
 			}
@@ -122,8 +122,8 @@
 }
 
 // voterCarrier hands out the configuration of a voter.
-func voterCarrier(name string, limits distribution.Limits) *subscribe.Carrier {
-	return subscribe.New(subscribe.Config{
+func voterCarrier(name string, limits distribution.Limits) *transport.Carrier {
+	return transport.New(transport.Config{
 		Node: distribution.Config{Name: name, Voter: true, Limits: limits},
 		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
 }
@@ -139,7 +139,7 @@
 		defer close(ended)
 		carrier.Run(ctx)
 	})
-	member, err := startHollow(ctx, &v.ending, replica.Config{Name: v.name, Members: v.group.members,
+	member, err := startHollow(ctx, &v.ending, consensus.Config{Name: v.name, Members: v.group.members,
 		Folder: filepath.Join(v.group.folder, v.name), Distribution: voterDistribution{carrier, v.group.content}}, voterLease)
 	if err != nil {
 		stop()
@@ -181,7 +181,7 @@
 
 // voterDistribution hands the record's changes to a carrier, and notes them for comparison.
 type voterDistribution struct {
-	*subscribe.Carrier
+	*transport.Carrier
 	content *content
 }
 
