--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -31,8 +31,8 @@
 	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
 	Leader    string `cbor:"5,keyasint,omitempty"` // name
 
-	Mark    *distribution.Mark `cbor:"6,keyasint,omitempty"` // of an accepted change
-	Refusal refusal            `cbor:"7,keyasint,omitempty"` // of a change
+	Mark    *distribution.Version `cbor:"6,keyasint,omitempty"` // of an accepted change
+	Refusal refusal               `cbor:"7,keyasint,omitempty"` // of a change
 }
 
 // serve answers one connection's calls, one after the other. Who is no member may subscribe, and do nothing else.
--- a/consensus/changes.go
+++ b/consensus/changes.go
@@ -64,7 +64,7 @@
 
 // outcome is what became of a proposal.
 type outcome struct {
-	mark distribution.Mark
+	mark distribution.Version
 	err  error
 }
 
@@ -83,7 +83,7 @@
 	c.mutex.Lock()
 	founds := c.voter.Empty()
 	accepted, err := c.voter.Accept(entry.Proposal)
-	mark := c.voter.Mark()
+	mark := c.voter.Version()
 	var state distribution.State
 	if err == nil && founds {
 		state = c.voter.State()
@@ -119,7 +119,7 @@
 	voter := distribution.NewVoterState()
 	if state != nil {
 		voter = distribution.RestoreVoterState(*state)
-		c.seen(state.Mark.Epoch)
+		c.seen(state.Version.Epoch)
 	}
 	c.mutex.Lock()
 	c.voter = voter
@@ -169,7 +169,7 @@
 		rest, err = cbor.UnmarshalFirst(rest, &piece)
 		state.Entries = append(state.Entries, piece...)
 	}
-	if err == nil && !state.Mark.Epoch.Known() {
+	if err == nil && !state.Version.Epoch.Known() {
 		err = errors.New("a configuration without an epoch")
 	}
 	return state, err
@@ -228,14 +228,14 @@
 )
 
 // Change has the record accept a change: once, whole. An error that is ErrUnanswered leaves open whether it does.
-func (n *Node) Change(ctx context.Context, p distribution.Proposal) (distribution.Mark, error) {
+func (n *Node) Change(ctx context.Context, p distribution.Proposal) (distribution.Version, error) {
 	r, _ := n.current()
 	_, id := r.LeaderWithID()
 	var a answer
 	var err error
 	switch leader := nameOf(id); leader {
 	case "":
-		return distribution.Mark{}, ErrUnanswered
+		return distribution.Version{}, ErrUnanswered
 	case n.config.Name:
 		a = n.acceptChange(p)
 	default:
@@ -243,20 +243,20 @@
 	}
 	switch {
 	case err != nil:
-		return distribution.Mark{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
+		return distribution.Version{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
 	case a.Accepted && a.Mark != nil:
 		return *a.Mark, nil
 	case a.Refusal == refusedMoved:
-		return distribution.Mark{}, distribution.ErrMoved
+		return distribution.Version{}, distribution.ErrMoved
 	case a.Refusal == refusedForGood:
-		return distribution.Mark{}, fmt.Errorf("%w: %s", ErrRefused, a.Why)
+		return distribution.Version{}, fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
-	return distribution.Mark{}, fmt.Errorf("%w: %s", ErrUnanswered, a.Why)
+	return distribution.Version{}, fmt.Errorf("%w: %s", ErrUnanswered, a.Why)
 }
 
 // Configure has the record hold just the wanted entries, by one change; it tells how many entries differ, 0 if none does.
 // While nobody leads the record it tries again, until the context ends.
-func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (mark distribution.Mark, differ int, err error) {
+func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (mark distribution.Version, differ int, err error) {
 	for {
 		_, m := n.current()
 		var p distribution.Proposal
--- a/consensus/changes_test.go
+++ b/consensus/changes_test.go
@@ -71,10 +71,10 @@
 func (s *subscribed) Accept(conn net.Conn, allowed func(string) bool) { s.served(conn, allowed) }
 
 // has tells whether all that was told amounts to a mark, and with which digest.
-func (s *subscribed) has(mark distribution.Mark) (distribution.Digest, bool) {
+func (s *subscribed) has(mark distribution.Version) (distribution.Digest, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.state == nil || s.state.Mark() != mark {
+	if s.state == nil || s.state.Version() != mark {
 		return distribution.Digest{}, false
 	}
 	return s.state.Digest(), true
@@ -97,7 +97,7 @@
 }
 
 // configures has a member's record hold just some entries.
-func configures(t testing.TB, m *member, wanted ...distribution.Entry) (distribution.Mark, int) {
+func configures(t testing.TB, m *member, wanted ...distribution.Entry) (distribution.Version, int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -116,7 +116,7 @@
 		told = append(told, &subscribed{})
 		all = append(all, starts(t, Config{Name: name, Members: at, Distribution: told[len(told)-1]}))
 	}
-	everywhere := func(mark distribution.Mark) {
+	everywhere := func(mark distribution.Version) {
 		t.Helper()
 		digests := map[distribution.Digest]bool{}
 		for i, s := range told {
@@ -130,7 +130,7 @@
 			t.Errorf("they differ: %v", digests)
 		}
 	}
-	var last distribution.Mark
+	var last distribution.Version
 	for i, m := range all { // the leader among them, and others
 		mark, differ := configures(t, m, entry("x", fmt.Sprint(i)), entry("y", "1"))
 		if everywhere(mark); mark.Revision != uint64(i+1) || differ != 2-min(i, 1) {
@@ -289,7 +289,7 @@
 	}
 	ours, theirs := m.changes.state(), other.changes.state()
 	if fmt.Sprint(ours) != fmt.Sprint(theirs) || len(theirs.Entries) != len(entries) || other.record.Proxies[4].Owner != "a" {
-		t.Errorf("restored %d entries at %v, not %d at %v", len(theirs.Entries), theirs.Mark, len(ours.Entries), ours.Mark)
+		t.Errorf("restored %d entries at %v, not %d at %v", len(theirs.Entries), theirs.Version, len(ours.Entries), ours.Version)
 	}
 	for name, damaged := range map[string][]byte{"cut off": body[:len(body)-3], "followed by something": append(slices.Clone(body), 0xff)} {
 		kept := changed(t, entry("x", "1"))
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -25,7 +25,7 @@
 		{"a call to subscribe", call{Subscribe: true}, "a105f5"},
 		{"a call that brings a change", call{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
 			"a106a10581a201617302616e"},
-		{"an answer to a change", answer{Accepted: true, Mark: &distribution.Mark{Revision: 3}}, "a201f506a10203"},
+		{"an answer to a change", answer{Accepted: true, Mark: &distribution.Version{Revision: 3}}, "a201f506a10203"},
 		{"a refusal of a change", answer{Why: "b", Refusal: refusedMoved}, "a20261620702"},
 		{"an entry of the log that changes the configuration", change{Kind: kindChange, Proposal: distribution.Proposal{AcceptedAt: 5}},
 			"8201a10405"},
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -145,7 +145,7 @@
 	case err != nil:
 		d.log.say("kept_unusable", "error", err.Error())
 	case state != nil:
-		d.log.say("kept", "revision", state.Mark.Revision, "epoch", state.Mark.Epoch.String(), "entries", len(state.Entries))
+		d.log.say("kept", "revision", state.Version.Revision, "epoch", state.Version.Epoch.String(), "entries", len(state.Entries))
 		d.carrier.Restored(*state)
 	}
 	return nil
@@ -356,7 +356,7 @@
 		}
 		now := d.carrier.Traffic()
 		rate := func(now, last int64) string { return figured(float64(now-last)/statsEvery.Seconds(), 0) }
-		d.log.say("distribution", "revision", status.Mark.Revision, "epoch", status.Mark.Epoch.String(), "age_s", aged(status.Age),
+		d.log.say("distribution", "revision", status.Version.Revision, "epoch", status.Version.Epoch.String(), "age_s", aged(status.Age),
 			"parent", status.Parent, "depth", len(status.Path), "children", len(status.Children), "entries", status.Entries,
 			"in_bytes_per_s", rate(now.In, last.In), "out_bytes_per_s", rate(now.Out, last.Out), "overflows", now.Overflows)
 		last = now
@@ -373,7 +373,7 @@
 
 // event logs what the node tells. What children or parents could call forth again and again is held back.
 func (d *distributor) event(e distribution.Event) {
-	at := []any{"revision", e.Mark.Revision, "epoch", e.Mark.Epoch.String()}
+	at := []any{"revision", e.Version.Revision, "epoch", e.Version.Epoch.String()}
 	switch e.Kind {
 	case distribution.EventAdmitted:
 		d.log.say("subscribed", append(at, "parent", e.Peer)...)
--- a/controller/keeper.go
+++ b/controller/keeper.go
@@ -16,7 +16,7 @@
 // keeper keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older.
 type keeper struct {
 	path string
-	last distribution.Mark // as written
+	last distribution.Version // as written
 }
 
 const (
@@ -51,7 +51,7 @@
 		return nil, fmt.Errorf("%s: damaged: %w", k.path, err)
 	}
 	if state != nil {
-		k.last = state.Mark
+		k.last = state.Version
 	}
 	return state, nil
 }
@@ -59,7 +59,7 @@
 // update writes what the carrier has, if that has moved on since.
 func (k *keeper) update(carrier *transport.Carrier) error {
 	status, ok := carrier.Status()
-	if !ok || status.Mark == k.last || !status.Mark.Epoch.Known() {
+	if !ok || status.Version == k.last || !status.Version.Epoch.Known() {
 		return nil
 	}
 	state, ok := carrier.State()
@@ -69,7 +69,7 @@
 	if err := k.save(state); err != nil {
 		return err
 	}
-	k.last = state.Mark
+	k.last = state.Version
 	return nil
 }
 
--- a/controller/keeper_test.go
+++ b/controller/keeper_test.go
@@ -19,7 +19,7 @@
 	if state, err := k.load(); state != nil || err != nil {
 		t.Errorf("kept before anything was: %v, %v", state, err)
 	}
-	state := distribution.State{Mark: distribution.Mark{Epoch: distribution.Epoch{Number: 4}, Revision: 7},
+	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4}, Revision: 7},
 		Covered: distribution.SomeScopes("pricing"), Horizon: 2, Entries: []distribution.Entry{said("drain/s-1", "true", 5)}}
 	if err := k.save(state); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.last != state.Mark {
+	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.last != state.Version {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if left, err := os.ReadDir(folder); err != nil || len(left) != 1 {
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -30,7 +30,7 @@
 		t.Helper()
 		proposal := distribution.Proposal{
 			Epoch:      distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788},
-			AcceptedAt: 1_764_700_000_000_000 + int64(record.Mark().Revision)*1_000_000,
+			AcceptedAt: 1_764_700_000_000_000 + int64(record.Version().Revision)*1_000_000,
 			Entries:    entries,
 		}
 		if _, err := record.Accept(proposal); err != nil {
@@ -85,8 +85,8 @@
 	if err != nil || got == nil {
 		t.Fatalf("read %v, %v", got, err)
 	}
-	if !reflect.DeepEqual(*got, want) || k.last != want.Mark {
-		t.Errorf("read %+v at %+v, %d entries; %+v, %d entries was written", got.Mark, k.last, len(got.Entries), want.Mark, len(want.Entries))
+	if !reflect.DeepEqual(*got, want) || k.last != want.Version {
+		t.Errorf("read %+v at %+v, %d entries; %+v, %d entries was written", got.Version, k.last, len(got.Entries), want.Version, len(want.Entries))
 	}
 	path := filepath.Join(folder, storedFile)
 	before, err := os.ReadFile(path)
@@ -124,7 +124,7 @@
 	if got != nil || err == nil || !strings.Contains(err.Error(), path+": damaged: ") {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, cut) || k.last != (distribution.Mark{}) {
+	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, cut) || k.last != (distribution.Version{}) {
 		t.Errorf("%d bytes are left of %d at %+v: %v", len(left), len(cut), k.last, err)
 	}
 	if err := k.save(storedState(t)); err != nil {
--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -37,7 +37,7 @@
 		{"more scopes than the parent has", first, Subscribe{Name: "v", Scopes: SomeScopes("a")}, RefusedLoop},
 		{"itself", first, Subscribe{Name: "first", Scopes: SomeScopes("a")}, RefusedLoop},
 		{"too deep", leaf, Subscribe{Name: "x", Scopes: SomeScopes("a")}, RefusedTooDeep},
-		{"another record", first, Subscribe{Name: "x", Mark: Mark{Epoch{7, 71}, 4}}, RefusedConflict},
+		{"another record", first, Subscribe{Name: "x", Version: Version{Epoch{7, 71}, 4}}, RefusedConflict},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			refused, is := c.ask(story.at, &story.request).(*Refused)
@@ -138,8 +138,8 @@
 	if slices.Max(waits) > limits.RetryMost || slices.Min(waits) < second {
 		t.Errorf("waits %v", waits)
 	}
-	mark := v.node.Mark()
-	request := &Subscribe{Name: "y", Scopes: SomeScopes("a"), Mark: mark, Digest: v.node.store.digestFor(SomeScopes("a"))}
+	version := v.node.Version()
+	request := &Subscribe{Name: "y", Scopes: SomeScopes("a"), Version: version, Digest: v.node.store.digestFor(SomeScopes("a"))}
 	if _, is := c.ask(v, request).(*Admitted); !is {
 		t.Error("one that needs no snapshot is refused")
 	}
@@ -232,12 +232,12 @@
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), small, "v"))
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
-	before := leaf.node.Mark()
+	before := leaf.node.Version()
 	c.accept(set("a", "large", string(make([]byte, 5000))))
 	c.pass(10*second, tick)
 	c.sound(t)
-	if leaf.node.Mark() != before || leaf.count(EventTooLarge) == 0 {
-		t.Errorf("it is at %v", leaf.node.Mark())
+	if leaf.node.Version() != before || leaf.count(EventTooLarge) == 0 {
+		t.Errorf("it is at %v", leaf.node.Version())
 	}
 	c.accept(gone("a", "large"))
 	c.pass(10*second, tick)
@@ -246,8 +246,8 @@
 
 func TestChildThatRenewsAndConfirmsNothing(t *testing.T) {
 	c, v, _ := duo(t, DefaultLimits())
-	mark := v.node.Mark()
-	request := &Subscribe{Name: "x", Scopes: AllScopes(), Mark: mark, Digest: v.node.store.digest}
+	version := v.node.Version()
+	request := &Subscribe{Name: "x", Scopes: AllScopes(), Version: version, Digest: v.node.store.digest}
 	if _, is := c.ask(v, request).(*Admitted); !is {
 		t.Fatal("it is not admitted")
 	}
@@ -257,7 +257,7 @@
 			t.Fatal("it keeps its place for ever")
 		}
 		c.now += second
-		v.node.Received(link, &Renew{Mark: mark}, c.now)
+		v.node.Received(link, &Renew{Version: version}, c.now)
 		v.node.Elapsed(c.now)
 	}
 }
--- a/distribution/apply.go
+++ b/distribution/apply.go
@@ -18,7 +18,7 @@
 func (s *store) prepare(changes []Change) prepared {
 	result := prepared{digest: s.digest, bytes: s.bytes}
 	pending := map[Key]Entry{}
-	previous := s.mark.Revision
+	previous := s.version.Revision
 	for _, change := range changes {
 		step := preparedChange{entries: filledIn(change), log: logged{change: stripped(change)}}
 		step.log.size = step.log.change.size()
@@ -50,7 +50,7 @@
 		s.put(e, step.differences[i])
 	}
 	s.log.append(step.log)
-	s.mark.Revision = step.log.change.Revision
+	s.version.Revision = step.log.change.Revision
 }
 
 // filledIn gives a change's entries with the revision and time that they leave to the change.
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -75,7 +75,7 @@
 		c.epoch, c.record = Epoch{c.epoch.Number + 1, c.epoch.Identity + 1}, nil
 		c.followOne(c.members[0])
 	case 'o': // a voter starts anew, with all but the last change of the record
-		if m.node.Mark().Revision == 0 {
+		if m.node.Version().Revision == 0 {
 			return false
 		}
 		m.kill()
@@ -94,12 +94,12 @@
 			return false
 		}
 		clear(c.cuts)
-	case 'k': // a subscriber starts anew, and knows no more than the mark that it had
+	case 'k': // a subscriber starts anew, and knows no more than the version that it had
 		m.kill()
 		m.config.Floor = m.highest
 		m.start(State{})
 	case 'q': // a relay starts anew, and knows nothing of what it had
-		m.highest = Mark{}
+		m.highest = Version{}
 		m.kill()
 		m.start(State{})
 	case 'p': // a subscriber starts anew with what it had
@@ -107,10 +107,10 @@
 		m.kill()
 		m.start(state)
 	case 'm':
-		if m.node.store.log.floor == m.node.Mark().Revision {
+		if m.node.store.log.floor == m.node.Version().Revision {
 			return false
 		}
-		m.node.Compact(m.node.Mark().Revision)
+		m.node.Compact(m.node.Version().Revision)
 	case 'z': // a subscriber asks for other scopes
 		m.config.Scopes = SomeScopes("a", "b")
 		if m.node.config.Scopes.Has("b") {
@@ -130,7 +130,7 @@
 // modelTick lets each node note the time, without the voters following the record by it.
 func (c *cluster) modelTick() {
 	for _, m := range c.members {
-		if m.config.Voter && m.taken == len(c.record) && m.node.Mark().Epoch == c.epoch {
+		if m.config.Voter && m.taken == len(c.record) && m.node.Version().Epoch == c.epoch {
 			m.node.Current(c.now)
 		}
 		m.node.Elapsed(c.now)
@@ -142,9 +142,9 @@
 	if !m.config.Voter {
 		return false
 	}
-	if m.node.Mark().Epoch != c.epoch {
+	if m.node.Version().Epoch != c.epoch {
 		m.taken = 0
-		return m.node.Restored(State{Mark: Mark{Epoch: c.epoch}}, c.now)
+		return m.node.Restored(State{Version: Version{Epoch: c.epoch}}, c.now)
 	}
 	before := m.taken
 	c.follow(m, 1)
@@ -260,8 +260,8 @@
 	}
 	c.verify()
 	for _, m := range c.members {
-		if want := (Mark{c.epoch, uint64(len(c.record))}); m.node.Mark() != want {
-			c.fails("%s stays at %v, the record is at %v", m.config.Name, m.node.Mark(), want)
+		if want := (Version{c.epoch, uint64(len(c.record))}); m.node.Version() != want {
+			c.fails("%s stays at %v, the record is at %v", m.config.Name, m.node.Version(), want)
 		}
 	}
 }
--- a/distribution/child.go
+++ b/distribution/child.go
@@ -55,17 +55,17 @@
 	m := &Subscribe{
 		Name:    n.config.Name,
 		Scopes:  n.config.Scopes,
-		Mark:    n.store.mark,
+		Version: n.store.version,
 		Digest:  n.store.digest,
 		Whole:   n.doubted || !n.store.covered.Equal(n.config.Scopes),
 		FanOut:  n.limits.FanOut,
 		Request: u.request,
 	}
-	if n.store.mark.Before(n.config.Floor) {
-		m.Mark, m.Whole = n.config.Floor, true
+	if n.store.version.Before(n.config.Floor) {
+		m.Version, m.Whole = n.config.Floor, true
 	}
 	if n.faults.takeOlder {
-		m.Mark = Mark{}
+		m.Version = Version{}
 	}
 	n.host.Send(u.link, m)
 }
@@ -105,16 +105,16 @@
 	}
 	enough := u.unconfirmed >= n.limits.Window/renewsPerWindow
 	if u == n.parent && !u.awaiting && (beat || enough) {
-		n.host.Send(u.link, &Renew{Mark: n.store.mark, Received: u.received})
+		n.host.Send(u.link, &Renew{Version: n.store.version, Received: u.received})
 		u.unconfirmed = 0
 	}
 }
 
 // takeDelta applies changes if they follow what this node has and end in the digest that they should.
 func (n *Node) takeDelta(u *upstream, m *Delta, now int64) {
-	mark := Mark{m.Epoch, m.Revision}
-	if n.older(mark) || mark == n.store.mark {
-		n.refuseOlder(u.peer, mark)
+	version := Version{m.Epoch, m.Revision}
+	if n.older(version) || version == n.store.version {
+		n.refuseOlder(u.peer, version)
 		return
 	}
 	if !n.follows(m.Epoch, m.Previous) {
@@ -135,7 +135,7 @@
 		return
 	}
 	n.apply(prepared)
-	n.store.mark.Revision = m.Revision
+	n.store.version.Revision = m.Revision
 	n.counts.DeltasTaken++
 	u.mends = 0
 	n.feedAll(now)
@@ -144,10 +144,10 @@
 // follows tells whether what was sent for a child at a revision fits what this node has.
 func (n *Node) follows(epoch Epoch, previous uint64) bool {
 	if n.faults.takeGap {
-		return epoch == n.store.mark.Epoch
+		return epoch == n.store.version.Epoch
 	}
 	whole := !n.doubted && n.incoming == nil && n.store.covered.Equal(n.config.Scopes)
-	return whole && n.store.mark == Mark{epoch, previous}
+	return whole && n.store.version == Version{epoch, previous}
 }
 
 // wellFormed tells whether the changes are in order and in this node's scopes.
@@ -178,17 +178,17 @@
 // takePiece adds a piece to the snapshot that is being received, and takes the whole over after the last.
 func (n *Node) takePiece(u *upstream, m *SnapshotPiece, now int64) {
 	if m.Index == 0 {
-		if !n.mayTake(u, m.Mark, now) {
+		if !n.mayTake(u, m.Version, now) {
 			return
 		}
-		n.incoming = &assembly{store: newStore(m.Mark, n.config.Scopes)}
+		n.incoming = &assembly{store: newStore(m.Version, n.config.Scopes)}
 	}
 	a := n.incoming
-	if a == nil || a.store.mark != m.Mark || a.next != m.Index {
+	if a == nil || a.store.version != m.Version || a.next != m.Index {
 		n.gap(u, now)
 		return
 	}
-	if !n.entriesFit(m.Entries, m.Mark.Revision) {
+	if !n.entriesFit(m.Entries, m.Version.Revision) {
 		n.malformed(u, now)
 		return
 	}
@@ -208,14 +208,14 @@
 	}
 }
 
-// mayTake tells whether a snapshot of a mark may replace what this node has: it is no older, and not of an epoch
+// mayTake tells whether a snapshot of a version may replace what this node has: it is no older, and not of an epoch
 // founded beside. The parent is left if not.
-func (n *Node) mayTake(u *upstream, mark Mark, now int64) bool {
+func (n *Node) mayTake(u *upstream, version Version, now int64) bool {
 	switch {
-	case n.conflicts(mark.Epoch) || !mark.Epoch.Known():
+	case n.conflicts(version.Epoch) || !version.Epoch.Known():
 		n.conflict(u, now)
-	case n.older(mark) && !n.faults.takeOlder:
-		n.refuseOlder(u.peer, mark)
+	case n.older(version) && !n.faults.takeOlder:
+		n.refuseOlder(u.peer, version)
 		n.leave(CloseStale, now)
 	default:
 		return true
@@ -230,7 +230,7 @@
 	n.incoming, n.doubted = nil, false
 	u.mends = 0
 	n.counts.SnapshotsTaken++
-	n.host.Log(Event{Kind: EventSnapshotTaken, Peer: u.peer, Mark: whole.mark})
+	n.host.Log(Event{Kind: EventSnapshotTaken, Peer: u.peer, Version: whole.version})
 	n.replaceStore(whole, now)
 }
 
@@ -252,23 +252,23 @@
 
 // moveOn takes the revision of a heartbeat that follows what this node has.
 func (n *Node) moveOn(u *upstream, m *Heartbeat, now int64) {
-	mark := Mark{m.Epoch, m.Revision}
+	version := Version{m.Epoch, m.Revision}
 	switch {
-	case n.older(mark):
-		n.refuseOlder(u.peer, mark)
+	case n.older(version):
+		n.refuseOlder(u.peer, version)
 	case !n.follows(m.Epoch, m.Previous):
 		n.gap(u, now)
 	case m.Digest != n.store.digest && !n.faults.takeGap:
 		n.wrongDigest(u, now)
 	default:
-		n.store.mark.Revision = max(n.store.mark.Revision, m.Revision)
+		n.store.version.Revision = max(n.store.version.Revision, m.Revision)
 		u.mends = 0
 	}
 }
 
 // noteSource notes how old the parent's configuration is, and whether it is behind this node's.
-func (n *Node) noteSource(u *upstream, source Mark, age, now int64) {
-	have := n.store.mark
+func (n *Node) noteSource(u *upstream, source Version, age, now int64) {
+	have := n.store.version
 	behind := n.older(source)
 	if behind && !u.behind {
 		u.behindSince = now
@@ -306,7 +306,7 @@
 // gap answers a message that doesn't follow what this node has: it asks for what leads on from there.
 func (n *Node) gap(u *upstream, now int64) {
 	n.counts.Gaps++
-	n.host.Log(Event{Kind: EventGap, Peer: u.peer, Mark: n.store.mark})
+	n.host.Log(Event{Kind: EventGap, Peer: u.peer, Version: n.store.version})
 	n.mend(u, now)
 }
 
@@ -314,7 +314,7 @@
 // and only a snapshot tells where the fault is.
 func (n *Node) wrongDigest(u *upstream, now int64) {
 	n.counts.WrongDigests++
-	n.host.Log(Event{Kind: EventWrongDigest, Peer: u.peer, Mark: n.store.mark})
+	n.host.Log(Event{Kind: EventWrongDigest, Peer: u.peer, Version: n.store.version})
 	n.doubted = true
 	n.mend(u, now)
 }
@@ -330,18 +330,18 @@
 }
 
 func (n *Node) malformed(u *upstream, now int64) {
-	n.host.Log(Event{Kind: EventMalformed, Peer: u.peer, Mark: n.store.mark})
+	n.host.Log(Event{Kind: EventMalformed, Peer: u.peer, Version: n.store.version})
 	n.leave(CloseMalformed, now)
 }
 
 func (n *Node) tooLarge(u *upstream, now int64) {
-	n.host.Log(Event{Kind: EventTooLarge, Peer: u.peer, Mark: n.store.mark})
+	n.host.Log(Event{Kind: EventTooLarge, Peer: u.peer, Version: n.store.version})
 	n.leave(CloseTooLarge, now)
 }
 
 // conflict leaves one whose epoch was founded beside this node's.
 func (n *Node) conflict(u *upstream, now int64) {
-	n.host.Log(Event{Kind: EventEpochConflict, Peer: u.peer, Mark: n.store.mark})
+	n.host.Log(Event{Kind: EventEpochConflict, Peer: u.peer, Version: n.store.version})
 	n.avoid(u.peer, now+n.limits.RetryMost)
 	if u == n.parent {
 		n.leave(CloseConflict, now)
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -61,7 +61,7 @@
 func TestWrongDigestEndsInASnapshot(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsTaken
-	before := leaf.node.Mark()
+	before := leaf.node.Version()
 	c.fill(1)
 	c.follow(v, 1)
 	conn := c.only(t, leaf)
@@ -72,7 +72,7 @@
 	c.deliver(conn, 0, false)
 	leaf.verify()
 	c.sound(t)
-	if leaf.node.Mark() != before {
+	if leaf.node.Version() != before {
 		t.Error("something of a wrong delta was applied")
 	}
 	c.pass(2*second, tick)
@@ -137,8 +137,8 @@
 				if is {
 					pieces++
 				}
-				if is && !piece.Last && leaf.node.Mark() != (Mark{}) {
-					t.Fatalf("it is at %v before the last piece", leaf.node.Mark())
+				if is && !piece.Last && leaf.node.Version() != (Version{}) {
+					t.Fatalf("it is at %v before the last piece", leaf.node.Version())
 				}
 			}
 		}
@@ -227,7 +227,7 @@
 				c.accept(set("a", fmt.Sprint("new", i), "1"), gone("a", fmt.Sprint("entry", i)))
 			}
 			c.pass(second, tick)
-			story.compact(v, v.node.Mark().Revision-1)
+			story.compact(v, v.node.Version().Revision-1)
 			c.heal(v, leaf)
 			c.pass(6*second, tick)
 			c.expectCaughtUp(t, leaf)
@@ -258,7 +258,7 @@
 		c.accept(set("a", "x", fmt.Sprint(i)), gone("a", fmt.Sprint("entry", i)))
 		c.pass(tick, tick)
 	}
-	v.node.store.log.dropTo(v.node.Mark().Revision)
+	v.node.store.log.dropTo(v.node.Version().Revision)
 	c.heal(v, relay)
 	c.pass(4*second, tick)
 	c.expectCaughtUp(t, relay)
@@ -300,12 +300,12 @@
 func TestEpochs(t *testing.T) {
 	t.Run("a newer one is taken by a snapshot", func(t *testing.T) {
 		c, _, first, _, leaf := tree(t, DefaultLimits())
-		old := leaf.node.Mark()
+		old := leaf.node.Version()
 		c.found(Epoch{Number: 8, Identity: 80})
 		c.fill(2)
 		c.pass(3*second, tick)
 		c.expectCaughtUp(t, first, leaf)
-		if !old.Before(leaf.node.Mark()) {
+		if !old.Before(leaf.node.Version()) {
 			t.Error("the newer epoch is not after the older")
 		}
 	})
@@ -314,28 +314,28 @@
 		c.found(Epoch{Number: 8, Identity: 80})
 		c.fill(2)
 		c.pass(2*second, tick)
-		before := leaf.node.Mark()
+		before := leaf.node.Version()
 		v.kill()
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
 		c.fill(9)
 		c.pass(20*second, tick)
 		c.sound(t)
-		if leaf.node.Mark() != before {
-			t.Errorf("it went to %v", leaf.node.Mark())
+		if leaf.node.Version() != before {
+			t.Errorf("it went to %v", leaf.node.Version())
 		}
 	})
 	t.Run("one of the same number is refused and logged", func(t *testing.T) {
 		c, v, leaf := duo(t, DefaultLimits())
-		before := leaf.node.Mark()
+		before := leaf.node.Version()
 		v.kill()
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
 		c.fill(9)
 		c.pass(20*second, tick)
 		c.sound(t)
-		if leaf.node.Mark() != before {
-			t.Errorf("it went to %v", leaf.node.Mark())
+		if leaf.node.Version() != before {
+			t.Errorf("it went to %v", leaf.node.Version())
 		}
 		refused := 0
 		for _, e := range v.events {
@@ -359,9 +359,9 @@
 
 func TestVoterRefusesWhatDoesNotFollow(t *testing.T) {
 	c, v, _ := duo(t, DefaultLimits())
-	mark := v.node.Mark()
+	version := v.node.Version()
 	for _, change := range []Change{
-		{Epoch: c.epoch, Revision: mark.Revision},
+		{Epoch: c.epoch, Revision: version.Revision},
 		{Epoch: c.epoch, Revision: 1},
 		{Epoch: Epoch{Number: 9}, Revision: 99},
 		{Epoch: Epoch{Number: 1}, Revision: 99},
@@ -371,7 +371,7 @@
 			t.Errorf("%v was taken", change)
 		}
 	}
-	if v.node.Restored(State{Mark: Mark{c.epoch, 1}}, c.now) {
+	if v.node.Restored(State{Version: Version{c.epoch, 1}}, c.now) {
 		t.Error("an older state was taken")
 	}
 	v.verify()
@@ -386,12 +386,12 @@
 	c.pass(tick, tick)
 	behind.leads = false
 	config := subscriber("leaf", SomeScopes("a"), limits, "behind")
-	config.Floor = Mark{c.epoch, 8}
+	config.Floor = Version{c.epoch, 8}
 	leaf := c.add(config)
 	c.fill(4)
 	c.pass(10*second, tick)
-	if leaf.node.Mark() != (Mark{}) {
-		t.Fatalf("it took %v", leaf.node.Mark())
+	if leaf.node.Version() != (Version{}) {
+		t.Fatalf("it took %v", leaf.node.Version())
 	}
 	behind.leads = true
 	c.pass(3*second, tick)
@@ -427,7 +427,7 @@
 		Digest:   Digest{1 << 60, 1 << 61},
 		Path:     []string{"voter-1", "relay-12", "relay-345"},
 		Age:      123_456,
-		Source:   Mark{Epoch{1_790_000_000, 1 << 60}, 12_345_678},
+		Source:   Version{Epoch{1_790_000_000, 1 << 60}, 12_345_678},
 	}
 	encoded, err := cbor.Marshal(Wrap(beat))
 	if err != nil {
@@ -436,7 +436,7 @@
 	if len(encoded) > 128 || beat.Size() < len(encoded)*3/4 {
 		t.Errorf("a heartbeat has %d bytes, estimated %d", len(encoded), beat.Size())
 	}
-	renew, err := cbor.Marshal(Wrap(&Renew{Mark: beat.Source, Received: 100_000}))
+	renew, err := cbor.Marshal(Wrap(&Renew{Version: beat.Source, Received: 100_000}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/distribution/entry.go
+++ b/distribution/entry.go
@@ -29,14 +29,14 @@
 
 func (e Epoch) String() string { return fmt.Sprintf("%d-%016x", e.Number, e.Identity) }
 
-// Mark is a position in the history of the configuration.
-type Mark struct {
+// Version is a position in the history of the configuration.
+type Version struct {
 	Epoch    Epoch  `cbor:"1,keyasint,omitempty"`
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // Before tells whether m is surely older than other: of an older epoch, or an older revision of the same one.
-func (m Mark) Before(other Mark) bool {
+func (m Version) Before(other Version) bool {
 	if m.Epoch == other.Epoch {
 		return m.Revision < other.Revision
 	}
@@ -56,7 +56,7 @@
 	Value []byte `cbor:"3,keyasint,omitempty"`
 	// Revision set the entry last. Within a Change zero stands for the change's own.
 	Revision uint64 `cbor:"4,keyasint,omitempty"`
-	// Deleted marks a tombstone, which is kept until compaction so that a deletion reaches those who were away.
+	// Deleted versions a tombstone, which is kept until compaction so that a deletion reaches those who were away.
 	Deleted bool `cbor:"5,keyasint,omitempty"`
 	// AcceptedAt is the wall time in microseconds at which a voter accepted the change that set the entry; drains count
 	// from it. Within a Change zero stands for the change's own.
@@ -77,7 +77,7 @@
 
 // State is the whole configuration at one revision: what a voter's snapshot of the record holds.
 type State struct {
-	Mark Mark `cbor:"1,keyasint,omitempty"`
+	Version Version `cbor:"1,keyasint,omitempty"`
 	// Covered are the scopes that the entries are complete for. A voter has all, whatever this says.
 	Covered Scopes `cbor:"4,keyasint,omitempty"`
 	// Horizon is the revision after which no tombstone is missing among the entries.
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -48,7 +48,7 @@
 	EventEpochConflict                      // Peer has another epoch with the same number; refused
 	EventSnapshotSent                       // a snapshot to Peer is complete
 	EventSnapshotTaken                      // a snapshot of Peer was taken over
-	EventCompacted                          // changes up to Mark have left the log
+	EventCompacted                          // changes up to Version have left the log
 	EventMalformed                          // a message of Peer breaks a rule
 	EventTooLarge                           // what Peer sent would pass the bound on the state; refused
 	EventStale                              // the source has not been known to be current for StaleMost
@@ -64,8 +64,8 @@
 // Event is something for the host's log.
 type Event struct {
 	Kind    EventKind
-	Peer    string // the other node, if there is one
-	Mark    Mark   // what this node has, or for EventOlder what was refused
+	Peer    string  // the other node, if there is one
+	Version Version // what this node has, or for EventOlder what was refused
 	Refusal RefusalReason
 	Close   CloseReason
 }
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -26,9 +26,9 @@
 func (c *cluster) expectCaughtUp(t *testing.T, members ...*member) {
 	t.Helper()
 	c.sound(t)
-	want := Mark{c.epoch, uint64(len(c.record))}
+	want := Version{c.epoch, uint64(len(c.record))}
 	for _, m := range members {
-		if has := m.node.Mark(); has != want {
+		if has := m.node.Version(); has != want {
 			t.Fatalf("%s is at %v, the record at %v", m.config.Name, has, want)
 		}
 	}
@@ -160,8 +160,8 @@
 	v.start(kept)
 	c.pass(3*second_, tick)
 	c.sound(t)
-	if mark := v.node.Mark(); mark != kept.Mark {
-		t.Fatalf("the voter is at %v", mark)
+	if version := v.node.Version(); version != kept.Version {
+		t.Fatalf("the voter is at %v", version)
 	}
 	snapshots := first.node.Status(c.now).Counts.SnapshotsTaken
 	c.fill(1)
--- a/distribution/feed.go
+++ b/distribution/feed.go
@@ -2,7 +2,7 @@
 
 // outgoing is a snapshot under way to a child: the entries as they were when it began.
 type outgoing struct {
-	mark    Mark
+	version Version
 	horizon uint64
 	digest  Digest
 	entries []Entry
@@ -33,7 +33,7 @@
 }
 
 // feed sends a child the deltas that it lacks, as far as its window allows, and tells whether everything is sent.
-// Nothing is queued for a child: what it has yet to get is what the log holds after the mark sent to it, and if the log
+// Nothing is queued for a child: what it has yet to get is what the log holds after the version sent to it, and if the log
 // drops that, a snapshot follows.
 func (n *Node) feed(c *child, now int64) (all bool) {
 	for !c.needs && c.snapshot == nil && !n.ahead(c) && c.underWay < n.limits.Window {
@@ -54,7 +54,7 @@
 }
 
 // ahead tells whether a child has what this node has yet to get.
-func (n *Node) ahead(c *child) bool { return n.store.mark.Before(c.sent) }
+func (n *Node) ahead(c *child) bool { return n.store.version.Before(c.sent) }
 
 // snapshotsDue counts the snapshots under way and those that children wait for.
 func (n *Node) snapshotsDue() int {
@@ -94,7 +94,7 @@
 func (n *Node) takeSnapshot(scopes Scopes) *outgoing {
 	entries := n.store.collect(scopes, true)
 	return &outgoing{
-		mark:    n.store.mark,
+		version: n.store.version,
 		horizon: n.store.graves.horizon,
 		digest:  n.store.digestFor(scopes),
 		entries: entries,
@@ -140,7 +140,7 @@
 // sendPiece sends the next piece of a child's snapshot.
 func (n *Node) sendPiece(c *child, now int64) {
 	s := c.snapshot
-	piece := &SnapshotPiece{Mark: s.mark, Index: s.index}
+	piece := &SnapshotPiece{Version: s.version, Index: s.index}
 	piece.Entries, s.entries = split(s.entries, n.limits.PieceBytes)
 	s.index++
 	s.left -= entriesSize(piece.Entries)
@@ -156,9 +156,9 @@
 
 // snapshotSent goes on with deltas after a snapshot, and lets the next begin.
 func (n *Node) snapshotSent(c *child, now int64) {
-	c.sent, c.snapshot = c.snapshot.mark, nil
+	c.sent, c.snapshot = c.snapshot.version, nil
 	n.counts.SnapshotsSent++
-	n.host.Log(Event{Kind: EventSnapshotSent, Peer: c.name, Mark: c.sent})
+	n.host.Log(Event{Kind: EventSnapshotSent, Peer: c.name, Version: c.sent})
 	n.feed(c, now)
 	n.startSnapshots(now)
 }
@@ -188,15 +188,15 @@
 // node's revision.
 func (n *Node) heartbeat(c *child, now int64) {
 	c.beatAt = now + n.limits.Heartbeat
-	m := &Heartbeat{Source: n.store.mark, Path: n.path(), Age: n.age(now)}
+	m := &Heartbeat{Source: n.store.version, Path: n.path(), Age: n.age(now)}
 	if c.beats%proposeEvery == 0 {
 		m.Candidates = n.propose(&Subscribe{Name: c.name, Scopes: c.scopes})
 	}
 	c.beats++
 	if n.feed(c, now) {
-		m.Epoch, m.Previous, m.Revision = n.store.mark.Epoch, c.sent.Revision, n.store.mark.Revision
+		m.Epoch, m.Previous, m.Revision = n.store.version.Epoch, c.sent.Revision, n.store.version.Revision
 		m.Digest = n.store.digestFor(c.scopes)
-		c.sent = n.store.mark
+		c.sent = n.store.version
 	}
 	n.send(c, m)
 }
--- a/distribution/golden_test.go
+++ b/distribution/golden_test.go
@@ -14,7 +14,7 @@
 // Two nodes compare digests, so each version must work out the same for the same entries.
 func TestDigestsAreAsTheGoldenFileHasThem(t *testing.T) {
 	var lines strings.Builder
-	store := newStore(Mark{Epoch{Number: 3, Identity: 9}, 4}, AllScopes())
+	store := newStore(Version{Epoch{Number: 3, Identity: 9}, 4}, AllScopes())
 	for _, e := range []Entry{
 		{},
 		{Scope: "pricing", Name: "weight/s-1", Value: []byte("0.5"), Revision: 4, AcceptedAt: 1_764_700_001_234_567},
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -35,14 +35,14 @@
 	}
 }
 
-func (k *keyWriter) mark(mark Mark) {
-	k.numbers(int64(mark.Epoch.Number), int64(mark.Epoch.Identity), int64(mark.Revision))
+func (k *keyWriter) version(version Version) {
+	k.numbers(int64(version.Epoch.Number), int64(version.Epoch.Identity), int64(version.Revision))
 }
 
 // key tells states apart, whenever they came about.
 func (c *cluster) key() uint64 {
 	var k keyWriter
-	k.mark(Mark{c.epoch, uint64(len(c.record))})
+	k.version(Version{c.epoch, uint64(len(c.record))})
 	k.numbers(int64(len(c.members)), int64(len(c.cuts)))
 	for _, a := range c.members {
 		for _, b := range c.members {
@@ -51,8 +51,8 @@
 	}
 	for _, m := range c.members {
 		k.numbers(int64(m.taken))
-		k.mark(m.config.Floor)
-		k.mark(m.highest)
+		k.version(m.config.Floor)
+		k.version(m.highest)
 		k.texts(m.config.Scopes.Names...)
 		m.node.addKey(&k, c.now)
 	}
@@ -84,7 +84,7 @@
 	since := func(at int64) int64 { return min((now-at)/modelStep, 8) }
 	until := func(at int64) int64 { return max(at-now, 0) }
 	s := n.store
-	k.mark(s.mark)
+	k.version(s.version)
 	k.texts(s.covered.Names...)
 	k.numbers(int64(s.digest.High), int64(s.log.floor), int64(s.graves.horizon), int64(len(s.graves.list)))
 	for _, grave := range s.graves.list {
@@ -98,7 +98,7 @@
 	k.bits(n.doubted, n.everCurrent, n.failures > 0, n.incoming != nil, n.parent != nil)
 	k.numbers(until(n.nextDial), since(n.currentAt), int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
 	if n.incoming != nil {
-		k.mark(n.incoming.store.mark)
+		k.version(n.incoming.store.version)
 		k.numbers(int64(n.incoming.next))
 	}
 	for _, u := range append(slices.Clone(n.attempts), n.parent) {
@@ -114,11 +114,11 @@
 	for _, c := range n.children {
 		k.texts(c.name)
 		k.texts(c.scopes.Names...)
-		k.mark(c.sent)
+		k.version(c.sent)
 		k.bits(c.needs, c.snapshot != nil)
 		k.numbers(until(c.until), until(c.beatAt), int64(len(c.unconfirmed)))
 		if c.snapshot != nil {
-			k.mark(c.snapshot.mark)
+			k.version(c.snapshot.version)
 			k.numbers(int64(c.snapshot.index))
 		}
 	}
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -13,9 +13,9 @@
 type Subscribe struct {
 	Name   string `cbor:"1,keyasint,omitempty"`
 	Scopes Scopes `cbor:"2,keyasint,omitempty"`
-	// Mark and Digest are what the child has.
-	Mark   Mark   `cbor:"3,keyasint,omitempty"`
-	Digest Digest `cbor:"4,keyasint,omitempty"`
+	// Version and Digest are what the child has.
+	Version Version `cbor:"3,keyasint,omitempty"`
+	Digest  Digest  `cbor:"4,keyasint,omitempty"`
 	// Whole asks for a snapshot also where deltas would do: what the child has is in doubt, or of other scopes.
 	Whole bool `cbor:"5,keyasint,omitempty"`
 	// FanOut is how many children the sender would take itself; with none it is proposed to nobody as a parent.
@@ -26,8 +26,8 @@
 
 // Admitted grants a lease on a place.
 type Admitted struct {
-	Lease int64 `cbor:"1,keyasint,omitempty"` // µs without a Renew after which the place is free again
-	Mark  Mark  `cbor:"2,keyasint,omitempty"` // what the parent has
+	Lease   int64   `cbor:"1,keyasint,omitempty"` // µs without a Renew after which the place is free again
+	Version Version `cbor:"2,keyasint,omitempty"` // what the parent has
 	// Path holds the names from the voter down to the parent, which is the last.
 	Path []string `cbor:"3,keyasint,omitempty"`
 	// Age is for how many µs the parent has not known its source to be current, NeverCurrent if it never was.
@@ -82,7 +82,7 @@
 // SnapshotPiece is a part of the whole state in the child's scopes. The child builds the state up aside and takes it
 // over in one step after the last piece, if the digest fits.
 type SnapshotPiece struct {
-	Mark    Mark    `cbor:"1,keyasint,omitempty"`
+	Version Version `cbor:"1,keyasint,omitempty"`
 	Index   int     `cbor:"2,keyasint,omitempty"` // from 0 on, without gap
 	Last    bool    `cbor:"3,keyasint,omitempty"`
 	Entries []Entry `cbor:"4,keyasint,omitempty"` // each with its own revision and time of acceptance
@@ -101,14 +101,14 @@
 	Age        int64    `cbor:"6,keyasint,omitempty"` // as in Admitted
 	Candidates []string `cbor:"7,keyasint,omitempty"` // only now and then
 	// Source is what the parent has.
-	Source Mark `cbor:"8,keyasint,omitempty"`
+	Source Version `cbor:"8,keyasint,omitempty"`
 }
 
 // Renew renews the child's lease. It answers heartbeats, so that a child that reads nothing loses its place, and
 // larger amounts of deltas and pieces.
 type Renew struct {
-	Mark     Mark   `cbor:"1,keyasint,omitempty"`
-	Received uint64 `cbor:"2,keyasint,omitempty"` // messages of the parent on this link so far
+	Version  Version `cbor:"1,keyasint,omitempty"`
+	Received uint64  `cbor:"2,keyasint,omitempty"` // messages of the parent on this link so far
 }
 
 // Envelope is a message as it is encoded: just one of the fields is set.
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -40,13 +40,13 @@
 	leads   bool // a voter that knows its record to be led
 	taken   int  // changes of the record that a voter has got
 	mirror  map[Key]Entry
-	applied Mark
-	highest Mark // ever, also before restarts
+	applied Version
+	highest Version // ever, also before restarts
 	events  []Event
 	sent    int // bytes
 	applies int
 	// What verify found sound last, so that a node where nothing moved is not gone through again.
-	verified        Mark
+	verified        Version
 	verifiedApplies int
 }
 
@@ -104,19 +104,19 @@
 
 // start starts the member's process, with a state that it kept if there is one.
 func (m *member) start(kept State) {
-	m.up, m.frozen, m.mirror, m.applied = true, false, map[Key]Entry{}, Mark{}
-	m.verified = Mark{}
+	m.up, m.frozen, m.mirror, m.applied = true, false, map[Key]Entry{}, Version{}
+	m.verified = Version{}
 	m.node = New(m.config, m, m.cluster.now)
-	if m.config.Voter && !kept.Mark.Epoch.Known() {
-		kept.Mark.Epoch = m.cluster.epoch
+	if m.config.Voter && !kept.Version.Epoch.Known() {
+		kept.Version.Epoch = m.cluster.epoch
 	}
 	m.taken = 0
 	for _, change := range m.cluster.record {
-		if change.Revision <= kept.Mark.Revision {
+		if change.Revision <= kept.Version.Revision {
 			m.taken++
 		}
 	}
-	if kept.Mark.Epoch.Known() {
+	if kept.Version.Epoch.Known() {
 		m.node.Restored(kept, m.cluster.now)
 	}
 }
@@ -172,7 +172,7 @@
 	for _, m := range c.members {
 		if m.config.Voter && m.up {
 			m.taken = 0
-			m.node.Restored(State{Mark: Mark{Epoch: epoch}}, c.now)
+			m.node.Restored(State{Version: Version{Epoch: epoch}}, c.now)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 func (m *member) Log(event Event) {
 	m.events = append(m.events, event)
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Mark), int(event.Refusal), int(event.Close))
+		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Version), int(event.Refusal), int(event.Close))
 	}
 }
 
@@ -269,11 +269,11 @@
 	if m.cluster.transcript != nil {
 		m.cluster.transcript.note(m, "apply %x %t", encoded(change), whole)
 	}
-	mark := Mark{change.Epoch, change.Revision}
-	if mark.Before(m.applied) {
-		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.applied, mark)
+	version := Version{change.Epoch, change.Revision}
+	if version.Before(m.applied) {
+		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.applied, version)
 	}
-	m.applied = mark
+	m.applied = version
 	m.applies++
 	if whole {
 		m.mirror = map[Key]Entry{}
@@ -289,25 +289,25 @@
 // note checks that a subscriber does not go back, also over restarts. A voter that was restarted may: the record's log is
 // played to it again.
 func (m *member) note() {
-	mark := m.node.Mark()
-	if m.config.Voter || !mark.Epoch.Known() {
+	version := m.node.Version()
+	if m.config.Voter || !version.Epoch.Known() {
 		return
 	}
-	if mark.Before(m.highest) {
-		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.highest, mark)
+	if version.Before(m.highest) {
+		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.highest, version)
 	}
-	m.highest = mark
+	m.highest = version
 }
 
 // verify checks what a node has, and what its controller was told, against the record.
 func (m *member) verify() {
 	m.note()
-	c, mark := m.cluster, m.node.Mark()
-	if !mark.Epoch.Known() {
+	c, version := m.cluster, m.node.Version()
+	if !version.Epoch.Known() {
 		return
 	}
 	var digest Digest
-	truth, want := c.stateAt(mark.Epoch, mark.Revision), 0
+	truth, want := c.stateAt(version.Epoch, version.Revision), 0
 	store := m.node.store
 	for key, e := range truth {
 		if !store.covered.Has(key.Scope) {
@@ -316,10 +316,10 @@
 		want++
 		digest = digest.plus(digestOf(e))
 		if has, found := m.node.Get(key); !found || !sameEntry(has, e) {
-			c.fails("%s has %v at %v and should have %v", m.config.Name, has, mark, e)
+			c.fails("%s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
 		if has, found := m.mirror[key]; !found || !sameEntry(has, e) {
-			c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, has, mark, e)
+			c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
 	}
 	live := 0
@@ -330,11 +330,11 @@
 		return true
 	})
 	if live != want || store.live != want || len(m.mirror) != want {
-		c.fails("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, mark,
+		c.fails("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, version,
 			store.live, len(m.mirror), want)
 	}
 	if digest != store.digest || digest != store.digestFor(store.covered) {
-		c.fails("%s has another digest than its entries at %v", m.config.Name, mark)
+		c.fails("%s has another digest than its entries at %v", m.config.Name, version)
 	}
 }
 
@@ -433,9 +433,9 @@
 		c.tick()
 		c.settle()
 		for _, m := range c.members {
-			if m.up && (m.verified != m.node.Mark() || m.verifiedApplies != m.applies) {
+			if m.up && (m.verified != m.node.Version() || m.verifiedApplies != m.applies) {
 				m.verify()
-				m.verified, m.verifiedApplies = m.node.Mark(), m.applies
+				m.verified, m.verifiedApplies = m.node.Version(), m.applies
 			}
 		}
 	}
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -33,9 +33,9 @@
 	Voter      bool     // it gets changes from the record by Accepted, and has no parent
 	Scopes     Scopes   // what a subscriber asks for; a voter has all
 	Candidates []string // possible parents, by name; the node's own is left out
-	// Floor is the newest mark that a subscriber knows from before a restart: it takes nothing older. Whoever keeps it
-	// keeps the newer of the Floor it started with and the Mark of the node.
-	Floor  Mark
+	// Floor is the newest version that a subscriber knows from before a restart: it takes nothing older. Whoever keeps it
+	// keeps the newer of the Floor it started with and the Version of the node.
+	Floor  Version
 	Limits Limits
 }
 
@@ -57,8 +57,8 @@
 
 // Status is what a node can say about itself.
 type Status struct {
-	Mark   Mark
-	Digest Digest
+	Version Version
+	Digest  Digest
 	// Age is for how many µs the source has not been known to be current: how old the configuration may be.
 	// NeverCurrent if it never was.
 	Age       int64
@@ -115,10 +115,10 @@
 	n := &Node{config: config, host: host, limits: config.Limits, refilledAt: now, nextDial: now}
 	if config.Voter {
 		n.config.Scopes = AllScopes()
-		n.config.Floor = Mark{} // the record's log is replayed from an older state after a restart
+		n.config.Floor = Version{} // the record's log is replayed from an older state after a restart
 	}
 	n.credit = int64(n.limits.PieceBytes) * microsecondsPerSecond
-	n.store = newStore(Mark{}, n.config.Scopes)
+	n.store = newStore(Version{}, n.config.Scopes)
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
@@ -134,12 +134,12 @@
 // Accepted hands a voter the next change of the record. Revisions grow, and need not be consecutive. It tells whether
 // the change was taken: not if it is no newer than what the voter has, or of another epoch.
 func (n *Node) Accepted(change Change, now int64) bool {
-	mark := Mark{change.Epoch, change.Revision}
-	if !n.store.mark.Epoch.Known() {
-		n.store.mark.Epoch = change.Epoch
+	version := Version{change.Epoch, change.Revision}
+	if !n.store.version.Epoch.Known() {
+		n.store.version.Epoch = change.Epoch
 	}
-	if change.Epoch != n.store.mark.Epoch || !n.store.mark.Before(mark) || n.older(mark) {
-		n.refuseOlder("", mark)
+	if change.Epoch != n.store.version.Epoch || !n.store.version.Before(version) || n.older(version) {
+		n.refuseOlder("", version)
 		return false
 	}
 	n.apply(n.store.prepare([]Change{change}))
@@ -155,12 +155,12 @@
 	if n.config.Voter {
 		covered = AllScopes()
 	}
-	conflict := n.conflicts(state.Mark.Epoch)
-	if !state.Mark.Epoch.Known() || n.older(state.Mark) || conflict {
-		n.refuseOlder("", state.Mark)
+	conflict := n.conflicts(state.Version.Epoch)
+	if !state.Version.Epoch.Known() || n.older(state.Version) || conflict {
+		n.refuseOlder("", state.Version)
 		return false
 	}
-	restored := newStore(state.Mark, covered)
+	restored := newStore(state.Version, covered)
 	for _, e := range state.Entries {
 		restored.set(e)
 	}
@@ -209,8 +209,8 @@
 	}
 }
 
-// Mark is what the node has; it is zero until it has anything.
-func (n *Node) Mark() Mark { return n.store.mark }
+// Version is what the node has; it is zero until it has anything.
+func (n *Node) Version() Version { return n.store.version }
 
 // State is all that the node has, by scope and name, to be kept for a restart.
 func (n *Node) State() State { return n.store.state() }
@@ -224,7 +224,7 @@
 // Status tells how the node is.
 func (n *Node) Status(now int64) Status {
 	status := Status{
-		Mark:     n.store.mark,
+		Version:  n.store.version,
 		Digest:   n.store.digest,
 		Age:      n.age(now),
 		Entries:  n.store.live,
@@ -270,17 +270,17 @@
 	if stale {
 		kind = EventStale
 	}
-	n.host.Log(Event{Kind: kind, Mark: n.store.mark})
+	n.host.Log(Event{Kind: kind, Version: n.store.version})
 }
 
-// older tells whether a mark is older than what the node has, or had before it was started.
-func (n *Node) older(mark Mark) bool {
-	return mark.Before(n.store.mark) || mark.Before(n.config.Floor)
+// older tells whether a version is older than what the node has, or had before it was started.
+func (n *Node) older(version Version) bool {
+	return version.Before(n.store.version) || version.Before(n.config.Floor)
 }
 
 // conflicts tells whether an epoch was founded beside the node's, without either knowing of the other.
 func (n *Node) conflicts(epoch Epoch) bool {
-	for _, known := range []Epoch{n.store.mark.Epoch, n.config.Floor.Epoch} {
+	for _, known := range []Epoch{n.store.version.Epoch, n.config.Floor.Epoch} {
 		if epoch.Known() && known.Known() && epoch != known && epoch.Number == known.Number {
 			return true
 		}
@@ -289,9 +289,9 @@
 }
 
 // refuseOlder notes that something older than what the node has was not taken.
-func (n *Node) refuseOlder(peer string, mark Mark) {
+func (n *Node) refuseOlder(peer string, version Version) {
 	n.counts.Older++
-	n.host.Log(Event{Kind: EventOlder, Peer: peer, Mark: mark})
+	n.host.Log(Event{Kind: EventOlder, Peer: peer, Version: version})
 }
 
 // apply takes over changes that were prepared, one after the other and each of them whole.
@@ -303,7 +303,7 @@
 		n.store.commit(step)
 		n.counts.ChangesTaken++
 		change := step.log.change
-		change.Epoch, change.Entries = n.store.mark.Epoch, step.entries
+		change.Epoch, change.Entries = n.store.version.Epoch, step.entries
 		n.host.Apply(change, false)
 	}
 	n.compact()
@@ -313,8 +313,8 @@
 func (n *Node) replaceStore(whole *store, now int64) {
 	n.store = whole
 	n.host.Apply(Change{
-		Epoch:    whole.mark.Epoch,
-		Revision: whole.mark.Revision,
+		Epoch:    whole.version.Epoch,
+		Revision: whole.version.Revision,
 		Entries:  whole.collect(AllScopes(), false),
 	}, true)
 	n.compact()
@@ -325,7 +325,7 @@
 // compact keeps the log and the tombstones within their limits.
 func (n *Node) compact() {
 	if n.store.compact(n.limits) {
-		n.host.Log(Event{Kind: EventCompacted, Mark: Mark{n.store.mark.Epoch, n.store.log.floor}})
+		n.host.Log(Event{Kind: EventCompacted, Version: Version{n.store.version.Epoch, n.store.log.floor}})
 	}
 }
 
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -31,7 +31,7 @@
 	beats  int
 
 	// sent is what the child has once it has got everything that was sent.
-	sent        Mark
+	sent        Version
 	needs       bool      // it waits for a snapshot
 	snapshot    *outgoing // that is under way
 	unconfirmed []int     // sizes of the messages sent that it has not confirmed
@@ -95,7 +95,7 @@
 	n.makeRoom(m, now)
 	c := &child{link: link, name: m.Name, beatAt: now}
 	n.children = append(n.children, c)
-	n.host.Log(Event{Kind: EventChildAdmitted, Peer: c.name, Mark: m.Mark})
+	n.host.Log(Event{Kind: EventChildAdmitted, Peer: c.name, Version: m.Version})
 	n.admit(c, m, now)
 }
 
@@ -116,12 +116,12 @@
 // admit grants the lease and starts to send what the child lacks.
 func (n *Node) admit(c *child, m *Subscribe, now int64) {
 	c.scopes, c.fanOut, c.until = m.Scopes, m.FanOut, now+n.limits.Lease
-	c.sent, c.snapshot = m.Mark, nil
+	c.sent, c.snapshot = m.Version, nil
 	c.unconfirmed, c.underWay, c.confirmed = nil, 0, 0
 	c.needs = n.needsSnapshot(m)
 	n.send(c, &Admitted{
 		Lease:      n.limits.Lease,
-		Mark:       n.store.mark,
+		Version:    n.store.version,
 		Path:       n.path(),
 		Age:        n.age(now),
 		Candidates: n.propose(m),
@@ -134,17 +134,17 @@
 // needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is ahead of this node
 // waits for it, also for a snapshot.
 func (n *Node) needsSnapshot(m *Subscribe) bool {
-	have := n.store.mark
-	if m.Whole || have.Epoch.Newer(m.Mark.Epoch) {
+	have := n.store.version
+	if m.Whole || have.Epoch.Newer(m.Version.Epoch) {
 		return true
 	}
-	if m.Mark.Epoch != have.Epoch || m.Mark.Revision > have.Revision {
+	if m.Version.Epoch != have.Epoch || m.Version.Revision > have.Revision {
 		return false
 	}
-	if digest, known := n.store.digestAt(m.Mark.Revision, m.Scopes); known && digest != m.Digest {
+	if digest, known := n.store.digestAt(m.Version.Revision, m.Scopes); known && digest != m.Digest {
 		return true
 	}
-	_, possible := n.store.deltaFrom(m.Mark, m.Scopes, n.limits.BatchBytes)
+	_, possible := n.store.deltaFrom(m.Version, m.Scopes, n.limits.BatchBytes)
 	return !possible
 }
 
@@ -156,7 +156,7 @@
 	if len(n.children) >= n.limits.FanOut && n.displaced(m) == nil {
 		return RefusedFull
 	}
-	waits := n.store.mark.Before(m.Mark)
+	waits := n.store.version.Before(m.Version)
 	if !waits && n.needsSnapshot(m) && n.snapshotsDue() >= n.limits.Snapshots {
 		return RefusedBusy
 	}
@@ -188,7 +188,7 @@
 		return
 	}
 	c := n.displaced(m)
-	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Mark: c.sent}, RefusedFull)
+	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sent}, RefusedFull)
 	n.dropChild(c, CloseRefused, now)
 }
 
@@ -201,11 +201,11 @@
 		return RefusedLoop
 	case len(path) > n.limits.DepthMost:
 		return RefusedTooDeep
-	case !n.store.mark.Epoch.Known():
+	case !n.store.version.Epoch.Known():
 		return RefusedEmpty
 	case !n.store.covered.Cover(m.Scopes):
 		return RefusedNotCovered
-	case n.conflicts(m.Mark.Epoch):
+	case n.conflicts(m.Version.Epoch):
 		return RefusedConflict
 	}
 	return 0
@@ -214,7 +214,7 @@
 // refuse answers a request and closes the link.
 func (n *Node) refuse(link Link, m *Subscribe, reason RefusalReason) {
 	n.counts.Refusals++
-	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Mark: m.Mark, Refusal: reason})
+	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Version: m.Version, Refusal: reason})
 	n.host.Send(link, &Refused{Reason: reason, RetryAfter: n.retryAfter(reason), Candidates: n.propose(m)})
 	n.host.Close(link, CloseRefused)
 }
@@ -265,7 +265,7 @@
 // dropChild frees a place. The link is closed already.
 func (n *Node) dropChild(c *child, reason CloseReason, now int64) {
 	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
-	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Mark: c.sent, Close: reason})
+	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sent, Close: reason})
 	n.startSnapshots(now)
 }
 
@@ -275,7 +275,7 @@
 		if n.store.covered.Cover(c.scopes) {
 			continue
 		}
-		m := &Subscribe{Name: c.name, Scopes: c.scopes, Mark: c.sent}
+		m := &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sent}
 		n.refuse(c.link, m, RefusedNotCovered)
 		n.dropChild(c, CloseNotCovered, now)
 	}
--- a/distribution/seek.go
+++ b/distribution/seek.go
@@ -103,7 +103,7 @@
 		return // it answers an earlier request; what follows may be of other scopes
 	}
 	u.awaiting, u.received, u.unconfirmed = false, 1, m.Size()
-	if n.conflicts(m.Mark.Epoch) {
+	if n.conflicts(m.Version.Epoch) {
 		n.conflict(u, now)
 		return
 	}
@@ -120,13 +120,13 @@
 	}
 	u.lease = m.Lease
 	n.setPath(u, m.Path, now)
-	n.noteSource(u, m.Mark, m.Age, now)
+	n.noteSource(u, m.Version, m.Age, now)
 }
 
 // better tells whether a place that was granted is better than the one this node has: not behind where the present
 // one is, or with a source that was known to be current clearly later.
 func (n *Node) better(m *Admitted, now int64) bool {
-	if n.older(m.Mark) || m.Age == NeverCurrent {
+	if n.older(m.Version) || m.Age == NeverCurrent {
 		return false
 	}
 	age := n.age(now)
@@ -145,7 +145,7 @@
 	n.attempts = nil
 	n.parent, u.admittedAt = u, now
 	n.refusals = 0
-	n.host.Log(Event{Kind: EventAdmitted, Peer: u.peer, Mark: n.store.mark})
+	n.host.Log(Event{Kind: EventAdmitted, Peer: u.peer, Version: n.store.version})
 	n.beatSoon(now)
 }
 
@@ -168,7 +168,7 @@
 // refusedBy handles a refusal: the peer is left alone as long as it says, and those it names are tried soon.
 func (n *Node) refusedBy(u *upstream, m *Refused, now int64) {
 	n.counts.RefusedBy++
-	n.host.Log(Event{Kind: EventRefusedBy, Peer: u.peer, Mark: n.store.mark, Refusal: m.Reason})
+	n.host.Log(Event{Kind: EventRefusedBy, Peer: u.peer, Version: n.store.version, Refusal: m.Reason})
 	n.host.Close(u.link, CloseRefused)
 	if u == n.parent {
 		n.lostParent(CloseRefused, now)
@@ -195,7 +195,7 @@
 	u := n.parent
 	n.parent, n.incoming = nil, nil
 	n.counts.ParentsLost++
-	n.host.Log(Event{Kind: EventParentLost, Peer: u.peer, Mark: n.store.mark, Close: reason})
+	n.host.Log(Event{Kind: EventParentLost, Peer: u.peer, Version: n.store.version, Close: reason})
 	n.backOff(u.peer, now)
 	n.beatSoon(now)
 }
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// store is the configuration at one mark, with the log of the changes that led there.
+// store is the configuration at one version, with the log of the changes that led there.
 type store struct {
-	mark    Mark
+	version Version
 	covered Scopes // the scopes that the contents are complete for
 	scopes  map[string]*scopeState
 	digest  Digest // of all scopes
@@ -24,9 +24,9 @@
 	digest  Digest
 }
 
-func newStore(mark Mark, covered Scopes) *store {
-	s := &store{mark: mark, covered: covered, scopes: map[string]*scopeState{}}
-	s.log.floor = mark.Revision
+func newStore(version Version, covered Scopes) *store {
+	s := &store{version: version, covered: covered, scopes: map[string]*scopeState{}}
+	s.log.floor = version.Revision
 	return s
 }
 
@@ -110,7 +110,7 @@
 
 // digestAt is the digest that some scopes had at an earlier revision, if the log still tells.
 func (s *store) digestAt(revision uint64, scopes Scopes) (Digest, bool) {
-	if revision < s.log.floor || revision > s.mark.Revision || s.log.merges(revision) {
+	if revision < s.log.floor || revision > s.version.Revision || s.log.merges(revision) {
 		return Digest{}, false
 	}
 	return s.digestFor(scopes).minus(s.log.sumAfter(revision, scopes)), true
@@ -150,7 +150,7 @@
 // merged gives everything that was set after a revision as one change, if it fits a number of bytes. The caller sees
 // to it that no tombstone after the revision is missing.
 func (s *store) merged(revision uint64, scopes Scopes, most int) (change Change, fits bool) {
-	change = Change{Revision: s.mark.Revision}
+	change = Change{Revision: s.version.Revision}
 	size := 0
 	s.visit(scopes, func(e Entry) bool {
 		if e.Revision > revision {
@@ -162,14 +162,14 @@
 	return change, size <= most
 }
 
-// deltaFrom gives what leads a child from one mark on, at most a batch of it; nil if there is nothing in its scopes.
+// deltaFrom gives what leads a child from one version on, at most a batch of it; nil if there is nothing in its scopes.
 // It is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor the
 // tombstones reach any more.
-func (s *store) deltaFrom(from Mark, scopes Scopes, batch int) (delta *Delta, possible bool) {
-	if from.Epoch != s.mark.Epoch || from.Revision > s.mark.Revision {
+func (s *store) deltaFrom(from Version, scopes Scopes, batch int) (delta *Delta, possible bool) {
+	if from.Epoch != s.version.Epoch || from.Revision > s.version.Revision {
 		return nil, false
 	}
-	delta = &Delta{Epoch: s.mark.Epoch, Previous: from.Revision, Revision: s.mark.Revision}
+	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
 	if from.Revision < s.log.floor {
 		if from.Revision < s.graves.horizon {
 			return nil, false
@@ -182,7 +182,7 @@
 			delta.Changes = []Change{change}
 		}
 	} else {
-		delta.Changes, delta.Revision = s.log.after(from.Revision, scopes, batch, s.mark.Revision)
+		delta.Changes, delta.Revision = s.log.after(from.Revision, scopes, batch, s.version.Revision)
 	}
 	if len(delta.Changes) == 0 {
 		return nil, true
@@ -202,7 +202,7 @@
 
 // compactTo drops changes and tombstones up to a revision.
 func (s *store) compactTo(revision uint64) {
-	revision = min(revision, s.mark.Revision)
+	revision = min(revision, s.version.Revision)
 	s.log.dropTo(revision)
 	for len(s.graves.list) > 0 && s.graves.list[0].revision <= revision {
 		s.dropTombstone()
@@ -220,5 +220,5 @@
 
 // state is the whole of the store.
 func (s *store) state() State {
-	return State{Mark: s.mark, Covered: s.covered, Horizon: s.graves.horizon, Entries: s.collect(AllScopes(), true)}
+	return State{Version: s.version, Covered: s.covered, Horizon: s.graves.horizon, Entries: s.collect(AllScopes(), true)}
 }
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -95,7 +95,7 @@
 		m.node.Resubscribe(m.config.Scopes, u.now)
 	case 6:
 		at := u.oneOf(u.members).node
-		at.Compact(at.Mark().Revision)
+		at.Compact(at.Version().Revision)
 	case 7:
 		v := u.oneOf(u.voters)
 		v.leads = !v.leads
@@ -105,7 +105,7 @@
 		}
 	case 9:
 		m.kill()
-		m.config.Floor = Mark{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1} // founded beside the record
+		m.config.Floor = Version{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1} // founded beside the record
 		m.start(State{})
 	case 10:
 		v := u.oneOf(u.voters)
--- a/distribution/transport/carrier_test.go
+++ b/distribution/transport/carrier_test.go
@@ -38,7 +38,7 @@
 	digest := r.state.Digest()
 	for _, p := range all {
 		status := p.status(t)
-		if status.Digest != digest || status.Mark != r.state.Mark() || p.snapshots() != 1 {
+		if status.Digest != digest || status.Version != r.state.Version() || p.snapshots() != 1 {
 			t.Errorf("%s is at %+v, %d snapshots", p.name, status, p.snapshots())
 		}
 		if traffic := p.Traffic(); traffic.In == 0 || traffic.Out == 0 || traffic.Overflows != 0 {
@@ -186,7 +186,7 @@
 			t.Fatal("its queue has no bound")
 		}
 		r.accepts(t, map[string]string{"large": fmt.Sprint(i, string(body))})
-		until(t, "the other has it", func() bool { return s.status(t).Mark == r.state.Mark() })
+		until(t, "the other has it", func() bool { return s.status(t).Version == r.state.Version() })
 	}
 	until(t, "its place is free", func() bool { return len(v.status(t).Children) == 1 })
 	serving.Wait()
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -140,7 +140,7 @@
 }
 
 // configures has the record hold just some values of the scope pricing.
-func configures(t *testing.T, m *member, values ...string) distribution.Mark {
+func configures(t *testing.T, m *member, values ...string) distribution.Version {
 	t.Helper()
 	var wanted []distribution.Entry
 	for i, value := range values {
@@ -148,11 +148,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	mark, _, err := m.node.Configure(ctx, wanted)
+	version, _, err := m.node.Configure(ctx, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return mark
+	return version
 }
 
 // freeAddresses are some on loopback that nobody listens at, by name.
@@ -191,11 +191,11 @@
 		s, _ := startsSubscriber(t, name, ours.gives(t, name), relayName)
 		all = append(all, s)
 	}
-	everywhere := func(mark distribution.Mark) {
+	everywhere := func(version distribution.Version) {
 		t.Helper()
 		digests := map[distribution.Digest]bool{}
 		for _, p := range all {
-			until(t, fmt.Sprint(p.name, " has ", mark), func() bool { return p.status(t).Mark == mark })
+			until(t, fmt.Sprint(p.name, " has ", version), func() bool { return p.status(t).Version == version })
 			digests[p.status(t).Digest] = true
 		}
 		if len(digests) != 1 {
@@ -208,7 +208,7 @@
 		stranger, _ := startsSubscriber(t, "s8", foreign.gives(t, "s8"), parents...)
 		for _, p := range []*peer{liar, stranger} {
 			until(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
-			if status := p.status(t); status.Parent != "" || status.Mark.Revision > 0 {
+			if status := p.status(t); status.Parent != "" || status.Version.Revision > 0 {
 				t.Errorf("%s: %+v", p.name, status)
 			}
 			p.stop()
@@ -222,12 +222,12 @@
 				break
 			}
 		}
-		mark := configures(t, voters[0], "1", "2")
-		everywhere(mark)
-		if mark.Epoch != last.Epoch || mark.Revision != last.Revision+1 {
-			t.Errorf("from %v to %v", last, mark)
+		version := configures(t, voters[0], "1", "2")
+		everywhere(version)
+		if version.Epoch != last.Epoch || version.Revision != last.Revision+1 {
+			t.Errorf("from %v to %v", last, version)
 		}
-		last = mark
+		last = version
 		for _, p := range all {
 			if p.snapshots() != 1 {
 				t.Errorf("%s took %d snapshots", p.name, p.snapshots())
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -42,7 +42,7 @@
 // wireMessages are all messages of the tree, with every field set and with the least.
 func wireMessages() []wireMessage {
 	founding := distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788}
-	at := distribution.Mark{Epoch: founding, Revision: 70_000}
+	at := distribution.Version{Epoch: founding, Revision: 70_000}
 	digest := distribution.Digest{High: 0xfedcba9876543210, Low: 0x0123456789abcdef}
 	scopes := distribution.Scopes{All: true, Names: []string{"orders", "pricing"}}
 	set := distribution.Entry{Scope: "pricing", Name: "weight/s-1", Value: []byte("0.5"), Revision: 69_999, Deleted: true,
@@ -53,11 +53,11 @@
 	change := distribution.Change{Epoch: founding, Revision: 70_000, AcceptedAt: 1_764_700_002_000_000,
 		Entries: []distribution.Entry{set, deleted}}
 	all := []wireMessage{
-		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Mark: at, Digest: digest,
+		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Version: at, Digest: digest,
 			Whole: true, FanOut: 16, Request: 3}, true},
 		{"subscribe, the least", &distribution.Subscribe{}, false},
 		{"subscribe, two scopes", &distribution.Subscribe{Name: "s17", Scopes: distribution.SomeScopes("pricing", "orders"), Request: 1}, false},
-		{"admitted, every field", &distribution.Admitted{Lease: 1_800_000, Mark: at, Path: path, Age: 250_000, Candidates: others,
+		{"admitted, every field", &distribution.Admitted{Lease: 1_800_000, Version: at, Path: path, Age: 250_000, Candidates: others,
 			Request: 3}, true},
 		{"admitted, the least", &distribution.Admitted{}, false},
 		{"admitted, never current", &distribution.Admitted{Age: distribution.NeverCurrent}, false},
@@ -68,13 +68,13 @@
 		{"delta, the least", &distribution.Delta{}, false},
 		{"delta, a change as it is sent", &distribution.Delta{Epoch: founding, Previous: 1, Revision: 2,
 			Changes: []distribution.Change{{Revision: 2, AcceptedAt: 5, Entries: []distribution.Entry{deleted}}}, Digest: digest}, false},
-		{"piece of a snapshot, every field", &distribution.SnapshotPiece{Mark: at, Index: 7, Last: true,
+		{"piece of a snapshot, every field", &distribution.SnapshotPiece{Version: at, Index: 7, Last: true,
 			Entries: []distribution.Entry{set}, Horizon: 60_000, Digest: digest}, true},
 		{"piece of a snapshot, the least", &distribution.SnapshotPiece{}, false},
 		{"heartbeat, every field", &distribution.Heartbeat{Epoch: founding, Previous: 69_990, Revision: 70_000, Digest: digest, Path: path,
 			Age: 250_000, Candidates: others, Source: at}, true},
 		{"heartbeat, the least", &distribution.Heartbeat{}, false},
-		{"renew, every field", &distribution.Renew{Mark: at, Received: 1_000}, true},
+		{"renew, every field", &distribution.Renew{Version: at, Received: 1_000}, true},
 		{"renew, the least", &distribution.Renew{}, false},
 	}
 	for i, reason := range refusalsOnTheWire {
--- a/distribution/voter.go
+++ b/distribution/voter.go
@@ -5,8 +5,8 @@
 // Proposal asks the voters for one change: all of its entries become one revision, or none does.
 type Proposal struct {
 	// Conditional has it refused unless the record is at Base, which is what the proposer had seen.
-	Conditional bool `cbor:"1,keyasint,omitempty"`
-	Base        Mark `cbor:"2,keyasint,omitempty"`
+	Conditional bool    `cbor:"1,keyasint,omitempty"`
+	Base        Version `cbor:"2,keyasint,omitempty"`
 	// Epoch is set by the leader; it becomes that of the record if it has none yet.
 	Epoch Epoch `cbor:"3,keyasint,omitempty"`
 	// AcceptedAt is set by the leader: the wall time in microseconds at which it took the proposal.
@@ -40,11 +40,11 @@
 
 // NewVoterState is a record without an epoch: the first change that is accepted brings it, so that no record is handed
 // out that is empty only because the one before it was lost.
-func NewVoterState() *VoterState { return &VoterState{newStore(Mark{}, AllScopes())} }
+func NewVoterState() *VoterState { return &VoterState{newStore(Version{}, AllScopes())} }
 
 // RestoreVoterState is a record as a snapshot has it.
 func RestoreVoterState(state State) *VoterState {
-	v := &VoterState{newStore(state.Mark, AllScopes())}
+	v := &VoterState{newStore(state.Version, AllScopes())}
 	for _, e := range state.Entries {
 		v.store.set(e)
 	}
@@ -54,17 +54,17 @@
 
 // Accept makes a proposal the next revision, or refuses it whole.
 func (v *VoterState) Accept(p Proposal) (Change, error) {
-	mark := v.store.mark
-	if p.Conditional && p.Base != mark {
+	version := v.store.version
+	if p.Conditional && p.Base != version {
 		return Change{}, ErrMoved
 	}
-	if !mark.Epoch.Known() {
-		mark.Epoch = p.Epoch
+	if !version.Epoch.Known() {
+		version.Epoch = p.Epoch
 	}
-	if !mark.Epoch.Known() {
+	if !version.Epoch.Known() {
 		return Change{}, ErrNoEpoch
 	}
-	change := Change{Epoch: mark.Epoch, Revision: mark.Revision + 1, AcceptedAt: p.AcceptedAt}
+	change := Change{Epoch: version.Epoch, Revision: version.Revision + 1, AcceptedAt: p.AcceptedAt}
 	var err error
 	if change.Entries, err = v.effective(p.Entries); err != nil {
 		return Change{}, err
@@ -73,7 +73,7 @@
 	if prepared.bytes > MostStateBytes {
 		return Change{}, ErrFull
 	}
-	v.store.mark.Epoch = mark.Epoch
+	v.store.version.Epoch = version.Epoch
 	v.store.commit(prepared.steps[0])
 	limits := DefaultLimits()
 	limits.LogChanges = 0 // the log for deltas is that of the voter's node
@@ -117,7 +117,7 @@
 
 // Difference is the proposal that leads from the record to just the wanted entries. It has no entries if nothing differs.
 func (v *VoterState) Difference(wanted []Entry) Proposal {
-	p := Proposal{Conditional: true, Base: v.store.mark}
+	p := Proposal{Conditional: true, Base: v.store.version}
 	stay := make(map[Key]bool, len(wanted))
 	for _, e := range wanted {
 		stay[e.Key()] = true
@@ -134,8 +134,8 @@
 	return p
 }
 
-// Mark is the record's position.
-func (v *VoterState) Mark() Mark { return v.store.mark }
+// Version is the record's position.
+func (v *VoterState) Version() Version { return v.store.version }
 
 // Digest is that of all entries.
 func (v *VoterState) Digest() Digest { return v.store.digest }
@@ -144,4 +144,4 @@
 func (v *VoterState) State() State { return v.store.state() }
 
 // Empty tells whether nothing was ever accepted, so that a snapshot has nothing to keep.
-func (v *VoterState) Empty() bool { return !v.store.mark.Epoch.Known() }
+func (v *VoterState) Empty() bool { return !v.store.version.Epoch.Known() }
--- a/distribution/voter_test.go
+++ b/distribution/voter_test.go
@@ -39,18 +39,18 @@
 	if change.Revision != 1 || change.Epoch != epoch || change.AcceptedAt != 5 || len(change.Entries) != 2 || v.Empty() {
 		t.Errorf("accepted as %+v", change)
 	}
-	seen := v.Mark()
+	seen := v.Version()
 	if _, err := v.Accept(Proposal{Epoch: Epoch{Number: 9}, Entries: []Entry{{Scope: "s", Name: "a", Deleted: true}}}); err != nil {
 		t.Fatal(err)
 	}
-	for _, base := range []Mark{seen, {}} {
+	for _, base := range []Version{seen, {}} {
 		p := Proposal{Conditional: true, Base: base, Entries: []Entry{{Scope: "s", Name: "c"}}}
 		if _, err := v.Accept(p); !errors.Is(err, ErrMoved) {
 			t.Errorf("on an older base: %v", err)
 		}
 	}
-	if v.Mark() != (Mark{epoch, 2}) {
-		t.Errorf("at %+v", v.Mark())
+	if v.Version() != (Version{epoch, 2}) {
+		t.Errorf("at %+v", v.Version())
 	}
 }
 
@@ -71,11 +71,11 @@
 		t.Run(name, func(t *testing.T) {
 			v := founded(t)
 			accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")})
-			mark, digest := v.Mark(), v.Digest()
+			version, digest := v.Version(), v.Digest()
 			if _, err := v.Accept(Proposal{Entries: refused.entries}); !errors.Is(err, refused.why) {
 				t.Errorf("got %v", err)
 			}
-			if v.Mark() != mark || v.Digest() != digest {
+			if v.Version() != version || v.Digest() != digest {
 				t.Error("something was applied")
 			}
 		})
@@ -86,12 +86,12 @@
 	v := founded(t)
 	body := make([]byte, MostChangeBytes/2)
 	for i := 0; ; i++ {
-		before := v.Mark()
+		before := v.Version()
 		_, err := v.Accept(Proposal{Entries: []Entry{{Scope: "s", Name: fmt.Sprint(i), Value: body}}})
 		if err == nil && i <= MostStateBytes/len(body) {
 			continue
 		}
-		if !errors.Is(err, ErrFull) || v.Mark() != before {
+		if !errors.Is(err, ErrFull) || v.Version() != before {
 			t.Errorf("entry %d: %v", i, err)
 		}
 		return
@@ -110,7 +110,7 @@
 	for _, e := range p.Entries {
 		names = append(names, fmt.Sprint(e.Name, e.Deleted))
 	}
-	if got := strings.Join(names, " "); got != "otherfalse newfalse gonetrue" || p.Base != v.Mark() {
+	if got := strings.Join(names, " "); got != "otherfalse newfalse gonetrue" || p.Base != v.Version() {
 		t.Errorf("proposes %s on %+v", got, p.Base)
 	}
 	if _, err := v.Accept(p); err != nil {
@@ -132,10 +132,10 @@
 		accepts(t, state, Entry{Scope: "s", Name: "a", Value: value("3")})
 		accepts(t, state, Entry{Scope: "r", Name: "b", Deleted: true})
 	}
-	if v.Mark() != other.Mark() || v.Digest() != other.Digest() || fmt.Sprint(v.State()) != fmt.Sprint(other.State()) {
+	if v.Version() != other.Version() || v.Digest() != other.Digest() || fmt.Sprint(v.State()) != fmt.Sprint(other.State()) {
 		t.Errorf("%+v\n%+v", v.State(), other.State())
 	}
-	if again := RestoreVoterState(kept); again.Mark().Revision != 3 || len(kept.Entries) != 3 {
+	if again := RestoreVoterState(kept); again.Version().Revision != 3 || len(kept.Entries) != 3 {
 		t.Error("what was kept changed with later proposals")
 	}
 }
--- a/scale/content.go
+++ b/scale/content.go
@@ -177,7 +177,7 @@
 
 // differs says how a node's entries differ from what they should be at its revision; empty where they do not.
 func (c *content) differs(state distribution.State, scopes distribution.Scopes) string {
-	want := c.stateAt(state.Mark.Revision, scopes)
+	want := c.stateAt(state.Version.Revision, scopes)
 	live := 0
 	for _, e := range state.Entries {
 		if e.Deleted {
@@ -186,14 +186,14 @@
 		live++
 		switch wanted, ok := want[e.Key()]; {
 		case !ok:
-			return fmt.Sprintf("at revision %d it has %s %s, which is not there", state.Mark.Revision, e.Scope, e.Name)
+			return fmt.Sprintf("at revision %d it has %s %s, which is not there", state.Version.Revision, e.Scope, e.Name)
 		case !slices.Equal(wanted.Value, e.Value) || wanted.Revision != e.Revision:
-			return fmt.Sprintf("at revision %d it has %s %s of revision %d, not of %d", state.Mark.Revision, e.Scope, e.Name, e.Revision,
+			return fmt.Sprintf("at revision %d it has %s %s of revision %d, not of %d", state.Version.Revision, e.Scope, e.Name, e.Revision,
 				wanted.Revision)
 		}
 	}
 	if live != len(want) {
-		return fmt.Sprintf("at revision %d it has %d entries, not %d", state.Mark.Revision, live, len(want))
+		return fmt.Sprintf("at revision %d it has %d entries, not %d", state.Version.Revision, live, len(want))
 	}
 	return ""
 }
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -68,7 +68,7 @@
 	set(1, distribution.Entry{Scope: "a", Name: "x", Value: []byte("1")}, distribution.Entry{Scope: "b", Name: "y", Value: []byte("1")})
 	set(2, distribution.Entry{Scope: "a", Name: "x", Value: []byte("2")}, distribution.Entry{Scope: "b", Name: "y", Deleted: true})
 	at := func(revision uint64, entries ...distribution.Entry) distribution.State {
-		return distribution.State{Mark: distribution.Mark{Revision: revision}, Entries: entries}
+		return distribution.State{Version: distribution.Version{Revision: revision}, Entries: entries}
 	}
 	x1 := distribution.Entry{Scope: "a", Name: "x", Value: []byte("1"), Revision: 1}
 	y1 := distribution.Entry{Scope: "b", Name: "y", Value: []byte("1"), Revision: 1}
--- a/scale/recoverytree.go
+++ b/scale/recoverytree.go
@@ -172,7 +172,7 @@
 func (t *tree) current(nodes []*hollowSubscriber) bool {
 	last := t.content.last()
 	for _, node := range nodes {
-		if status, ok := node.status(); !ok || status.Mark.Revision < last {
+		if status, ok := node.status(); !ok || status.Version.Revision < last {
 			return false
 		}
 	}
--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -164,7 +164,7 @@
 		return // it has just started, and says so to those who ask
 	}
 	if at > 0 {
-		state.Mark.Revision = at
+		state.Version.Revision = at
 	}
 	if text := content.differs(state, s.scopes); text != "" {
 		s.inForce.breaks("%s: %s", s.name, text)
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -187,7 +187,7 @@
 
 // Restored tells all of the configuration: at the founding its first change, later what a voter has from its disk.
 func (d voterDistribution) Restored(state distribution.State) {
-	d.content.accepted(distribution.Change{Epoch: state.Mark.Epoch, Revision: state.Mark.Revision, Entries: state.Entries})
+	d.content.accepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
 	d.Carrier.Restored(state)
 }
 
