--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -51,7 +51,7 @@
 type distributor struct {
 	module   *module
 	log      *journal
-	carrier  *transport.Carrier
+	carrier  *transport.Transport
 	node     *consensus.Node     // of a voter
 	listener *consensus.Listener // of a subscriber that passes on
 	limits   distribution.Limits
@@ -154,7 +154,7 @@
 var errNoParent = errors.New("a voter has no parent")
 
 // vote prepares a voter, as a member that shares the record.
-func (d *distributor) vote(self consensus.Peer) *transport.Carrier {
+func (d *distributor) vote(self consensus.Peer) *transport.Transport {
 	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
--- a/controller/keeper.go
+++ b/controller/keeper.go
@@ -57,7 +57,7 @@
 }
 
 // update writes what the carrier has, if that has moved on since.
-func (k *keeper) update(carrier *transport.Carrier) error {
+func (k *keeper) update(carrier *transport.Transport) error {
 	status, ok := carrier.Status()
 	if !ok || status.Version == k.last || !status.Version.Epoch.Known() {
 		return nil
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -21,9 +21,9 @@
 // link is a connection to one peer. A reader lives as long as it; a writer only while something waits to leave, so that
 // an idle link costs one goroutine.
 type link struct {
-	carrier *Carrier
-	id      distribution.Link      // the actor's alone
-	allowed func(name string) bool // names under which the peer may subscribe; nil for any
+	transport *Transport
+	id        distribution.Link      // the actor's alone
+	allowed   func(name string) bool // names under which the peer may subscribe; nil for any
 
 	mutex   sync.Mutex
 	conn    net.Conn           // nil while it is dialled
@@ -52,14 +52,14 @@
 	if l.closing || l.conn == nil {
 		return true // nobody will read it; the actor hears of that
 	}
-	bounds, size := l.carrier.bounds, m.Size()
+	bounds, size := l.transport.bounds, m.Size()
 	if l.queued > 0 && (len(l.queue) >= bounds.QueueCount || l.queued+size > bounds.QueueBytes) {
 		return false
 	}
 	l.queue, l.queued = append(l.queue, m), l.queued+size
 	if !l.writing {
 		l.writing = true
-		l.carrier.running.Go(l.write)
+		l.transport.running.Go(l.write)
 	}
 	return true
 }
@@ -76,7 +76,7 @@
 	case l.conn == nil:
 		l.cancel()
 	case l.writing:
-		l.conn.SetWriteDeadline(time.Now().Add(l.carrier.bounds.CloseTimeout))
+		l.conn.SetWriteDeadline(time.Now().Add(l.transport.bounds.CloseTimeout))
 	default:
 		l.conn.Close()
 	}
@@ -117,7 +117,7 @@
 			}
 		}
 		n, err := l.conn.Write(batch.Bytes())
-		l.carrier.out.Add(int64(n))
+		l.transport.bytesOut.Add(int64(n))
 		if err != nil {
 			l.abort() // the reader sees it, and says so
 			return
@@ -141,9 +141,9 @@
 	}
 	messages := l.queue
 	l.queue = nil
-	patience := l.carrier.bounds.WriteTimeout
+	patience := l.transport.bounds.WriteTimeout
 	if l.closing {
-		patience = l.carrier.bounds.CloseTimeout
+		patience = l.transport.bounds.CloseTimeout
 	}
 	l.conn.SetWriteDeadline(time.Now().Add(patience))
 	return messages, true
@@ -151,7 +151,7 @@
 
 // read hands the actor what the peer sends, until the connection ends.
 func (l *link) read() {
-	c := l.carrier
+	c := l.transport
 	defer func() {
 		l.conn.Close()
 		c.post(event{kind: closed, link: l})
@@ -183,11 +183,11 @@
 // counted counts what comes in.
 type counted struct {
 	net.Conn
-	carrier *Carrier
+	transport *Transport
 }
 
 func (c counted) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.carrier.in.Add(int64(n))
+	c.transport.bytesIn.Add(int64(n))
 	return n, err
 }
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -85,7 +85,7 @@
 func (unheard) ProposalCommitted(uint64, uint64)   {}
 func (unheard) ProposalFailed(uint64, uint64)      {}
 
-// member is a voter: a node of the record, and the carrier that hands its configuration on.
+// member is a voter: a node of the record, and the transport that hands its configuration on.
 type member struct {
 	*peer
 	node *consensus.Node
@@ -96,11 +96,11 @@
 	t.Helper()
 	p := &peer{name: name, values: map[distribution.Key]string{}}
 	self := consensus.Peer{Name: name, Address: members[name]}
-	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
+	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
 		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
 	terms := ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: len(members)}
-	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Carrier},
+	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Transport},
 		unheard{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	self := consensus.Peer{Name: name, Address: listener.Address()}
-	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
+	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
 		Limits: quick(4)}, Dial: s.Dial, Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -95,9 +95,9 @@
 	return stop
 }
 
-// peer is a carrier that runs, with what it was told to act by.
+// peer is a transport that runs, with what it was told to act by.
 type peer struct {
-	*Carrier
+	*Transport
 	name string
 	stop func()
 
@@ -107,12 +107,12 @@
 	wholes int
 }
 
-// starts runs a carrier that others can dial.
+// starts runs a transport that others can dial.
 func (n *network) starts(t testing.TB, config distribution.Config, bounds Bounds) *peer {
 	t.Helper()
 	p := &peer{name: config.Name, values: map[distribution.Key]string{}}
 	bounds.Tick = 10 * time.Millisecond
-	p.Carrier = New(Config{Node: config, Dial: n.dial, Apply: p.apply, Log: p.log, Bounds: bounds})
+	p.Transport = New(Config{Node: config, Dial: n.dial, Apply: p.apply, Log: p.log, Bounds: bounds})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { p.Run(ctx) })
--- a/distribution/transport/carrier.go
+++ b/distribution/transport/transport.go
@@ -14,8 +14,8 @@
 	"wheelrill/distribution"
 )
 
-// Config is what a carrier is started with. Callbacks come from the actor's goroutine: they must not wait, nor call the
-// carrier.
+// Config is what a transport is started with. Callbacks come from the actor's goroutine: they must not wait, nor call the
+// transport.
 type Config struct {
 	Node distribution.Config
 	// Dial connects to a peer by its name, with all that has to be said before the first message.
@@ -28,7 +28,7 @@
 	Bounds Bounds
 }
 
-// Bounds are the sizes, counts and times of a carrier.
+// Bounds are the sizes, counts and times of a transport.
 type Bounds struct {
 	Tick         time.Duration // between two looks at the time
 	DialTimeout  time.Duration
@@ -77,16 +77,16 @@
 	return absent
 }
 
-// Carrier is a node on connections. Its methods may be called from any goroutine.
-type Carrier struct {
-	config Config
-	bounds Bounds
-	began  time.Time
-	mail   chan event
-	ended  chan struct{}
-	in     atomic.Int64 // bytes received
-	out    atomic.Int64 // bytes sent
-	late   atomic.Int64 // links closed as their queue was full
+// Transport is a node on connections. Its methods may be called from any goroutine.
+type Transport struct {
+	config    Config
+	bounds    Bounds
+	began     time.Time
+	mail      chan event
+	ended     chan struct{}
+	bytesIn   atomic.Int64 // bytes received
+	bytesOut  atomic.Int64 // bytes sent
+	overflows atomic.Int64 // links closed as their queue was full
 
 	// The actor's alone.
 	node   *distribution.Node
@@ -120,20 +120,20 @@
 	closed
 )
 
-// New makes a carrier. It does nothing before Run.
-func New(config Config) *Carrier {
+// New makes a transport. It does nothing before Run.
+func New(config Config) *Transport {
 	bounds := config.Bounds.withDefaults()
-	c := &Carrier{config: config, bounds: bounds, began: time.Now(), mail: make(chan event, bounds.Mailbox),
+	c := &Transport{config: config, bounds: bounds, began: time.Now(), mail: make(chan event, bounds.Mailbox),
 		ended: make(chan struct{}), links: map[distribution.Link]*link{}, open: map[*link]struct{}{}}
 	c.node = distribution.New(config.Node, host{c}, c.now())
 	return c
 }
 
-// now is the time since the carrier was made, which never goes back.
-func (c *Carrier) now() int64 { return time.Since(c.began).Microseconds() }
+// now is the time since the transport was made, which never goes back.
+func (c *Transport) now() int64 { return time.Since(c.began).Microseconds() }
 
 // Run is the actor. It returns once the context has ended and all dials and writers with it.
-func (c *Carrier) Run(ctx context.Context) {
+func (c *Transport) Run(ctx context.Context) {
 	c.ctx = ctx
 	defer c.running.Wait()
 	defer c.end()
@@ -154,7 +154,7 @@
 }
 
 // take hands the node what happened. What comes of a link that is closed by now is left aside.
-func (c *Carrier) take(e event) {
+func (c *Transport) take(e event) {
 	now := c.now()
 	switch e.kind {
 	case called:
@@ -186,7 +186,7 @@
 }
 
 // dropBroken tells the node of links that could not keep a message.
-func (c *Carrier) dropBroken() {
+func (c *Transport) dropBroken() {
 	for len(c.broken) > 0 {
 		l := c.broken[0]
 		c.broken = c.broken[1:]
@@ -198,8 +198,8 @@
 	c.broken = nil
 }
 
-// post gives the actor an event; it waits while the mailbox is full. False: the carrier has ended.
-func (c *Carrier) post(e event) bool {
+// post gives the actor an event; it waits while the mailbox is full. False: the transport has ended.
+func (c *Transport) post(e event) bool {
 	select {
 	case c.mail <- e:
 		return true
@@ -209,7 +209,7 @@
 }
 
 // end closes all connections; none is taken from now on.
-func (c *Carrier) end() {
+func (c *Transport) end() {
 	close(c.ended)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -220,7 +220,7 @@
 }
 
 // register keeps a link with a connection for the end; false if that has come.
-func (c *Carrier) register(l *link) bool {
+func (c *Transport) register(l *link) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.over {
@@ -230,14 +230,14 @@
 	return true
 }
 
-func (c *Carrier) unregister(l *link) {
+func (c *Transport) unregister(l *link) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.open, l)
 }
 
 // admit counts a caller; false if there are as many as can be.
-func (c *Carrier) admit(change int) bool {
+func (c *Transport) admit(change int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.incoming+change > c.bounds.Incoming {
@@ -249,13 +249,13 @@
 
 // Accept serves the connection of a caller until it ends, and closes it. The caller may subscribe under those names
 // alone that allowed permits; nil permits all.
-func (c *Carrier) Accept(conn net.Conn, allowed func(name string) bool) {
+func (c *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
 	defer conn.Close()
 	if !c.admit(1) {
 		return
 	}
 	defer c.admit(-1)
-	l := &link{carrier: c, conn: conn, allowed: allowed}
+	l := &link{transport: c, conn: conn, allowed: allowed}
 	if !c.register(l) {
 		return
 	}
@@ -266,13 +266,13 @@
 }
 
 // host acts for the node, within the actor's turn.
-type host struct{ *Carrier }
+type host struct{ *Transport }
 
 // Dial implements distribution.Host.
 func (h host) Dial(peer string, id distribution.Link) {
-	c := h.Carrier
+	c := h.Transport
 	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.DialTimeout)
-	l := &link{carrier: c, id: id, cancel: cancel}
+	l := &link{transport: c, id: id, cancel: cancel}
 	c.links[id] = l
 	c.running.Go(func() {
 		conn, err := c.config.Dial(ctx, peer)
@@ -298,7 +298,7 @@
 	if l == nil || l.send(m) {
 		return
 	}
-	h.late.Add(1)
+	h.overflows.Add(1)
 	l.abort()
 	h.broken = append(h.broken, l)
 }
--- a/distribution/transport/carrier_test.go
+++ b/distribution/transport/transport_test.go
@@ -248,8 +248,8 @@
 		serving.Go(func() { v.Accept(theirs, nil) })
 	}
 	until(t, "two are served", func() bool {
-		v.Carrier.mutex.Lock()
-		defer v.Carrier.mutex.Unlock()
+		v.Transport.mutex.Lock()
+		defer v.Transport.mutex.Unlock()
 		return v.incoming == 2
 	})
 	ours, theirs := net.Pipe()
@@ -281,8 +281,8 @@
 	for range 2 * DefaultMailbox {
 		s.Current()
 	}
-	s.Carrier.mutex.Lock()
-	defer s.Carrier.mutex.Unlock()
+	s.Transport.mutex.Lock()
+	defer s.Transport.mutex.Unlock()
 	if len(s.open) != 0 || s.incoming != 0 {
 		t.Errorf("%d links, %d callers are left", len(s.open), s.incoming)
 	}
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -111,7 +111,7 @@
 	t.Helper()
 	c := New(Config{Node: distribution.Config{Name: "writer"}})
 	ours, theirs := net.Pipe()
-	l := &link{carrier: c, conn: theirs}
+	l := &link{transport: c, conn: theirs}
 	if !l.send(m) {
 		t.Fatal("the queue of a new link is full")
 	}
--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -32,8 +32,8 @@
 	inForce    *inForce
 
 	mutex     sync.Mutex
-	carrier   *transport.Carrier // of this life
-	stop      context.CancelFunc // nil while it is down
+	carrier   *transport.Transport // of this life
+	stop      context.CancelFunc   // nil while it is down
 	ended     chan struct{}
 	seen      uint64    // the newest revision that it acts by
 	reachable time.Time // since when
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -122,7 +122,7 @@
 }
 
 // voterCarrier hands out the configuration of a voter.
-func voterCarrier(name string, limits distribution.Limits) *transport.Carrier {
+func voterCarrier(name string, limits distribution.Limits) *transport.Transport {
 	return transport.New(transport.Config{
 		Node: distribution.Config{Name: name, Voter: true, Limits: limits},
 		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
@@ -181,18 +181,18 @@
 
 // voterDistribution hands the record's changes to a carrier, and notes them for comparison.
 type voterDistribution struct {
-	*transport.Carrier
+	*transport.Transport
 	content *content
 }
 
 // Restored tells all of the configuration: at the founding its first change, later what a voter has from its disk.
 func (d voterDistribution) Restored(state distribution.State) {
 	d.content.accepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
-	d.Carrier.Restored(state)
+	d.Transport.Restored(state)
 }
 
 // Accepted tells the next change.
 func (d voterDistribution) Accepted(change distribution.Change) {
 	d.content.accepted(change)
-	d.Carrier.Accepted(change)
+	d.Transport.Accepted(change)
 }
