--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -53,8 +53,8 @@
 		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, WithdrawalsKnown: true}}}
 }
 
-func goldenMark() distribution.Mark {
-	return distribution.Mark{Epoch: distribution.Epoch{Number: 1_700_000_000, Identity: 1<<63 + 7}, Revision: 12}
+func goldenMark() distribution.Version {
+	return distribution.Version{Epoch: distribution.Epoch{Number: 1_700_000_000, Identity: 1<<63 + 7}, Revision: 12}
 }
 
 func goldenProposal() distribution.Proposal {
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -85,7 +85,7 @@
 func (unheard) ProposalCommitted(uint64, uint64)   {}
 func (unheard) ProposalFailed(uint64, uint64)      {}
 
-// member is a voter: a node of the record, and the carrier that hands its configuration on.
+// member is a voter: a node of the record, and the transport that hands its configuration on.
 type member struct {
 	*peer
 	node *consensus.Node
@@ -96,11 +96,11 @@
 	t.Helper()
 	p := &peer{name: name, values: map[distribution.Key]string{}}
 	self := consensus.Peer{Name: name, Address: members[name]}
-	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
+	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
 		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
 	terms := ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: len(members)}
-	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Carrier},
+	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Transport},
 		unheard{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	self := consensus.Peer{Name: name, Address: listener.Address()}
-	p.Carrier = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
+	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
 		Limits: quick(4)}, Dial: s.Dial, Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -140,7 +140,7 @@
 }
 
 // configures has the record hold just some values of the scope pricing.
-func configures(t *testing.T, m *member, values ...string) distribution.Mark {
+func configures(t *testing.T, m *member, values ...string) distribution.Version {
 	t.Helper()
 	var wanted []distribution.Entry
 	for i, value := range values {
@@ -148,11 +148,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	mark, _, err := m.node.Configure(ctx, wanted)
+	version, _, err := m.node.Configure(ctx, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return mark
+	return version
 }
 
 // freeAddresses are some on loopback that nobody listens at, by name.
@@ -191,11 +191,11 @@
 		s, _ := startsSubscriber(t, name, ours.gives(t, name), relayName)
 		all = append(all, s)
 	}
-	everywhere := func(mark distribution.Mark) {
+	everywhere := func(version distribution.Version) {
 		t.Helper()
 		digests := map[distribution.Digest]bool{}
 		for _, p := range all {
-			until(t, fmt.Sprint(p.name, " has ", mark), func() bool { return p.status(t).Mark == mark })
+			until(t, fmt.Sprint(p.name, " has ", version), func() bool { return p.status(t).Version == version })
 			digests[p.status(t).Digest] = true
 		}
 		if len(digests) != 1 {
@@ -208,7 +208,7 @@
 		stranger, _ := startsSubscriber(t, "s8", foreign.gives(t, "s8"), parents...)
 		for _, p := range []*peer{liar, stranger} {
 			until(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
-			if status := p.status(t); status.Parent != "" || status.Mark.Revision > 0 {
+			if status := p.status(t); status.Parent != "" || status.Version.Revision > 0 {
 				t.Errorf("%s: %+v", p.name, status)
 			}
 			p.stop()
@@ -222,12 +222,12 @@
 				break
 			}
 		}
-		mark := configures(t, voters[0], "1", "2")
-		everywhere(mark)
-		if mark.Epoch != last.Epoch || mark.Revision != last.Revision+1 {
-			t.Errorf("from %v to %v", last, mark)
+		version := configures(t, voters[0], "1", "2")
+		everywhere(version)
+		if version.Epoch != last.Epoch || version.Revision != last.Revision+1 {
+			t.Errorf("from %v to %v", last, version)
 		}
-		last = mark
+		last = version
 		for _, p := range all {
 			if p.snapshots() != 1 {
 				t.Errorf("%s took %d snapshots", p.name, p.snapshots())
--- a/distribution/transport/carrier_test.go
+++ b/distribution/transport/transport_test.go
@@ -38,7 +38,7 @@
 	digest := r.state.Digest()
 	for _, p := range all {
 		status := p.status(t)
-		if status.Digest != digest || status.Mark != r.state.Mark() || p.snapshots() != 1 {
+		if status.Digest != digest || status.Version != r.state.Version() || p.snapshots() != 1 {
 			t.Errorf("%s is at %+v, %d snapshots", p.name, status, p.snapshots())
 		}
 		if traffic := p.Traffic(); traffic.In == 0 || traffic.Out == 0 || traffic.Overflows != 0 {
@@ -186,7 +186,7 @@
 			t.Fatal("its queue has no bound")
 		}
 		r.accepts(t, map[string]string{"large": fmt.Sprint(i, string(body))})
-		until(t, "the other has it", func() bool { return s.status(t).Mark == r.state.Mark() })
+		until(t, "the other has it", func() bool { return s.status(t).Version == r.state.Version() })
 	}
 	until(t, "its place is free", func() bool { return len(v.status(t).Children) == 1 })
 	serving.Wait()
@@ -248,8 +248,8 @@
 		serving.Go(func() { v.Accept(theirs, nil) })
 	}
 	until(t, "two are served", func() bool {
-		v.Carrier.mutex.Lock()
-		defer v.Carrier.mutex.Unlock()
+		v.Transport.mutex.Lock()
+		defer v.Transport.mutex.Unlock()
 		return v.incoming == 2
 	})
 	ours, theirs := net.Pipe()
@@ -281,8 +281,8 @@
 	for range 2 * DefaultMailbox {
 		s.Current()
 	}
-	s.Carrier.mutex.Lock()
-	defer s.Carrier.mutex.Unlock()
+	s.Transport.mutex.Lock()
+	defer s.Transport.mutex.Unlock()
 	if len(s.open) != 0 || s.incoming != 0 {
 		t.Errorf("%d links, %d callers are left", len(s.open), s.incoming)
 	}
