--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -66,7 +66,7 @@
 }
 
 func goldenConfiguration() *distribution.State {
-	state := &distribution.State{Mark: goldenMark(), Horizon: 3}
+	state := &distribution.State{Version: goldenMark(), Horizon: 3}
 	for i := range 3 {
 		state.Entries = append(state.Entries, distribution.Entry{Scope: "pricing", Name: fmt.Sprint("n", i), Value: []byte("1"),
 			Revision: uint64(10 + i), AcceptedAt: 1_700_000_000_000_000})
