--- /dev/null
+++ b/internal/start/golden_test.go
@@ -0,0 +1,237 @@
+package start
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/valyala/fastjson"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
+func compareGolden(t *testing.T, name, text string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(want) == text {
+		return
+	}
+	got, wanted := strings.Split(text, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(got), len(wanted)) {
+		if i >= len(got) || i >= len(wanted) || got[i] != wanted[i] {
+			t.Fatalf("%s differs from line %d on:\n got %q\nwant %q", path, i+1, got[min(i, len(got)-1)], wanted[min(i, len(wanted)-1)])
+		}
+	}
+}
+
+// everyKey has each key that settings are read from.
+const everyKey = `{"azs":["a","b"],"familyInfo":{"admission":"fraction","backlog":900.5,"classWrites":[false,true],
+"egressPerS":700,"ingestRate":4000,"keepsWriting":2500,"lingers":1500,"messagesMost":40,"messagesOver":1000,
+"overhead":6,"partitionsN":12,"proxyCount":30,"pushDelayMax":662.5,"reportEvery":1000,"singleWriter":false,
+"socketsMin":8,"staysLocal":[true,false]},"limits":{"mayProbe":true},
+"membershipMode":"subscribe","profiles":[{"deadline":4000,"target":1500,"worth":2},{"deadline":2000,"target":800.25,"worth":0.5}],
+"reporting":{"fields":["cpu","waiting"],"how":"piggyback"},
+"rules":{"askWithin":10000,"coldShare":0.16,"droppedStayOpen":true,"rampTime":17000,"stopSendingWithin":3000},
+"tick":250,"weights":"rough"}`
+
+// leafPaths gives the paths of all values in an object that are no objects, in order; items of lists of objects have
+// their number in it.
+func leafPaths(path string, v any) (paths []string) {
+	switch v := v.(type) {
+	case map[string]any:
+		for _, key := range slices.Sorted(maps.Keys(v)) {
+			paths = append(paths, leafPaths(strings.TrimPrefix(path+"."+key, "."), v[key])...)
+		}
+		return paths
+	case []any:
+		for i, item := range v {
+			if _, ok := item.(map[string]any); ok {
+				paths = append(paths, leafPaths(path+"."+strconv.Itoa(i), item)...)
+			}
+		}
+	}
+	return append(paths, path)
+}
+
+// change has the value at a path replaced, or with no value left out; a new name takes the place of the key's.
+func change(root any, path, name string, value any) {
+	steps := strings.Split(path, ".")
+	for _, step := range steps[:len(steps)-1] {
+		if list, ok := root.([]any); ok {
+			i, _ := strconv.Atoi(step)
+			root = list[i]
+		} else {
+			root = root.(map[string]any)[step]
+		}
+	}
+	object, last := root.(map[string]any), steps[len(steps)-1]
+	delete(object, last)
+	if value != nil {
+		object[name] = value
+	}
+}
+
+// asLines writes an object as path=value lines, as the simulator does.
+func asLines(path string, v any) string {
+	switch v := v.(type) {
+	case map[string]any:
+		text := ""
+		for _, key := range slices.Sorted(maps.Keys(v)) {
+			text += asLines(strings.TrimPrefix(path+"."+key, "."), v[key])
+		}
+		return text
+	case []any:
+		text, words := "", []string{}
+		for i, item := range v {
+			if _, ok := item.(map[string]any); ok {
+				text += asLines(path+"."+strconv.Itoa(i), item)
+			}
+			words = append(words, fmt.Sprint(item))
+		}
+		if text != "" {
+			return text + fmt.Sprintf("%s.count=%d\n", path, len(v))
+		}
+		return path + "=" + strings.Join(words, ",") + "\n"
+	}
+	return fmt.Sprintf("%s=%v\n", path, v)
+}
+
+// readAll reads everything, and gives each value in a line under a name of its own, or the error, and what was odd.
+func readAll(text string, asJSON bool) []string {
+	var odd []string
+	note := func(format string, args ...any) { odd = append(odd, "odd: "+fmt.Sprintf(format, args...)) }
+	var f *Facts
+	if asJSON {
+		f = Nested(fastjson.MustParse(text), note)
+	} else {
+		f = Lines(text, note)
+	}
+	var out []string
+	add := func(name string, value any) { out = append(out, fmt.Sprintf("%s %v", name, value)) }
+	ch, li, cl, pa, si := f.Channel(), f.Limits(), f.Classes(), f.Partition(), f.Sight()
+	add("lines_per_s", ch.LinesPerS)
+	add("overhead_lines", ch.Head)
+	add("limit_lines", ch.Levels)
+	add("backlog_lines", ch.Backlog)
+	add("push_delay_us", ch.LongestWay)
+	add("messages_most", ch.MessagesMost)
+	add("messages_over_us", ch.MessagesSpan)
+	add("proxies", ch.Proxies)
+	add("connections_min", ch.Connections)
+	add("grace_us", li.Grace)
+	add("cold_share", li.ColdShare)
+	add("warm_by_us", li.WarmBy)
+	add("only_draining_binds", li.OnlyDrainingBinds)
+	for i, c := range cl {
+		add(fmt.Sprintf("class_%d", i), fmt.Sprintf("target_us %d deadline_us %d value %v writes %v own_zone %v", c.Target, c.Deadline,
+			c.Value, c.Writes, c.OwnZone))
+	}
+	add("slices", fmt.Sprintf("%d single_owner %v writes_on_us %d settle_us %d", pa.Count, pa.SingleOwner, pa.WritesOn, pa.Settle))
+	add("report_every_us", si.ReportEvery)
+	add("report_lines_per_s", si.LinesPerS)
+	add("may_probe", si.MayProbe)
+	add("must_ask", si.MustAsk)
+	add("live_weights", si.LiveWeights)
+	add("ask_within_us", si.AskWithin)
+	add("admission", uint8(f.Admission()))
+	add("load_fields", strings.Join(f.LoadFields(), "|"))
+	add("zones", strings.Join(f.Zones(), "|"))
+	add("count_proxies", f.Count("familyInfo.proxyCount"))
+	add("tick_us", Micros(f.Maybe("tick", 0)))
+	if f.Err() != nil {
+		return append(odd, "error: "+f.Err().Error())
+	}
+	return append(out, odd...)
+}
+
+// spelledOtherwise writes a key in a way that is taken for a slip.
+func spelledOtherwise(key string) string { return strings.ToUpper(key[:1]) + "_" + key[1:] }
+
+// TestEveryKeyIsReadAndRefusedAsBefore leaves each key out, spells it otherwise and gives it values of each kind; only
+// what differs from the unchanged settings is kept.
+func TestEveryKeyIsReadAndRefusedAsBefore(t *testing.T) {
+	parse := func() any {
+		var root any
+		if err := json.Unmarshal([]byte(everyKey), &root); err != nil {
+			t.Fatal(err)
+		}
+		return root
+	}
+	for _, asJSON := range []bool{false, true} {
+		write := func(root any) string {
+			if !asJSON {
+				return asLines("", root)
+			}
+			body, err := json.Marshal(root)
+			if err != nil {
+				t.Fatal(err)
+			}
+			return string(body)
+		}
+		usual := readAll(write(parse()), asJSON)
+		text := "unchanged\n  " + strings.Join(usual, "\n  ") + "\n"
+		show := func(title string, root any) {
+			text += title + "\n"
+			for _, line := range readAll(write(root), asJSON) {
+				if strings.Contains(line, " words for ") && strings.HasPrefix(title, "profiles ") {
+					line = strings.Replace(line, "familyInfo.staysLocal", "familyInfo.classWrites", 1) // both are wrong; either is named
+				}
+				if !slices.Contains(usual, line) {
+					text += "  " + line + "\n"
+				}
+			}
+		}
+		for _, path := range leafPaths("", parse()) {
+			name := path[strings.LastIndex(path, ".")+1:]
+			root := parse()
+			change(root, path, name, nil)
+			show(path+" left out", root)
+			root = parse()
+			change(root, path, spelledOtherwise(name), 7)
+			show(path+" spelled otherwise", root)
+			for _, value := range []any{"word", "", "NaN", "Inf", -1, 0, 3.75, 17, 70_000, 1e300, true, false, []any{}, []any{"x"},
+				[]any{"x", "x"}, []any{"true", "true"}, []any{1, 2, 3}, "silent", "nominal", "live", "automatic", "fraction", "per_second",
+				json.RawMessage("null"), map[string]any{"a": 1}} {
+				root := parse()
+				change(root, path, name, value)
+				shown, _ := json.Marshal(value)
+				show(path+" = "+string(shown), root)
+			}
+		}
+		name := "lines.golden"
+		if asJSON {
+			name = "nested.golden"
+		}
+		t.Run(strings.TrimSuffix(name, ".golden"), func(t *testing.T) { compareGolden(t, name, text) })
+	}
+}
+
+// TestFiguresAreBoundedAsBefore holds the bounds of figures that come from elsewhere than settings.
+func TestFiguresAreBoundedAsBefore(t *testing.T) {
+	text := ""
+	for _, word := range []string{"0", "-0", "-1", "0.0004", "0.0005", "0.0015", "1.4996", "1e3", "9007199254740.992", "1e300", "NaN", "+Inf", "-Inf"} {
+		x, err := strconv.ParseFloat(word, 64)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, Micros(x), Sane(x))
+	}
+	compareGolden(t, "figures.golden", text)
+}
--- /dev/null
+++ b/options/golden_test.go
@@ -0,0 +1,139 @@
+package options
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
+func compareGolden(t *testing.T, name, text string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(want) == text {
+		return
+	}
+	got, wanted := strings.Split(text, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(got), len(wanted)) {
+		if i >= len(got) || i >= len(wanted) || got[i] != wanted[i] {
+			t.Fatalf("%s differs from line %d on:\n got %q\nwant %q", path, i+1, got[min(i, len(got)-1)], wanted[min(i, len(wanted)-1)])
+		}
+	}
+}
+
+// Files with every key that a member, a voter and a subscriber may give; each key stands in a line of its own.
+const (
+	sharingKeys = `sharing:
+  name: n0
+  members:
+    n0: 10.0.0.4:9443
+    n1: 10.0.0.5:9443
+  folder: /var/lib/w
+  certificate: n0.pem
+  key: n0-key.pem
+  authority: authority.pem
+  plain: false
+  lease: 1500ms
+`
+	voterKeys = sharingKeys + `distribution:
+  role: voter
+  fan_out: 16
+  snapshot_bytes_per_s: 16384
+`
+	subscriberKeys = `distribution:
+  role: subscriber
+  name: s17
+  parents:
+    n0: 10.0.0.4:9443
+    n1: 10.0.0.5:9443
+  scopes: [pricing, orders]
+  listen: 10.0.1.17:9443
+  fan_out: 16
+  snapshot_bytes_per_s: 16384
+  folder: /var/lib/w
+  certificate: s17.pem
+  key: s17-key.pem
+  authority: authority.pem
+  plain: false
+`
+	plainKeys = `distribution:
+  role: subscriber
+  name: s17
+  parents:
+    n0: 127.0.0.1:9001
+    n1: 127.0.0.1:9002
+  scopes: ["*"]
+  listen: 127.0.0.1:9017
+  plain: true
+`
+)
+
+// anyUnknown is the error that names a key that is not known.
+var anyUnknown = regexp.MustCompile(`w\.yaml:\d+: \w+: unknown field "\w+";`)
+
+// parsed gives what a file was read as, each value under its key, or the error.
+func parsed(text string) string {
+	f, err := Parse("w.yaml", []byte(text))
+	if err != nil {
+		return "error: " + err.Error() + "\n"
+	}
+	out := ""
+	if s := f.Sharing; s != nil {
+		out += fmt.Sprintf("sharing name %q members %v folder %q certificate %q key %q authority %q plain %v lease %v, read as %v\n", s.Name,
+			s.Members, s.Folder, s.Certificate, s.Key, s.Authority, s.Plain, s.Lease, s.LeaseTime())
+	}
+	if d := f.Distribution; d != nil {
+		out += fmt.Sprintf("distribution role %q name %q parents %v scopes %q listen %q folder %q certificate %q key %q authority %q plain %v "+
+			"fan_out %d snapshot_bytes_per_s %d\n", d.Role, d.Name, d.Parents, d.Scopes, d.Listen, d.Folder, d.Certificate, d.Key, d.Authority,
+			d.Plain, d.FanOut, d.SnapshotPace)
+	}
+	return out
+}
+
+// TestEveryKeyIsReadAndRefusedAsBefore leaves out each line of each file, misspells its key, writes it twice and gives
+// it values of each kind; it keeps what the file is read as, or the error with line and key.
+func TestEveryKeyIsReadAndRefusedAsBefore(t *testing.T) {
+	values := []string{"word", `""`, "-1", "0", "1", "257", "1023", "1073741825", "3.5", "true", "[]", "[a]", "[a, a]", `[a, "*"]`, "{}", "{a: b}",
+		"{a: 127.0.0.1:1, b: 127.0.0.1:1}", "null", "[", "10m", "499ms", "10s", "127.0.0.1:9017", "0.0.0.0:9017", ":9017", "10.0.0.4", "voter", "subscriber",
+		"n@1", strings.Repeat("s", 193)}
+	for _, file := range []struct{ name, text string }{{"sharing", sharingKeys}, {"voter", voterKeys}, {"subscriber", subscriberKeys},
+		{"plain", plainKeys}} {
+		t.Run(file.name, func(t *testing.T) {
+			text := "unchanged\n  " + parsed(file.text)
+			lines := strings.SplitAfter(strings.TrimSuffix(file.text, "\n"), "\n")
+			for i, line := range lines {
+				with := func(instead string) string {
+					return strings.Join(lines[:i], "") + instead + strings.Join(lines[i+1:], "")
+				}
+				key, _, _ := strings.Cut(line, ":")
+				title := fmt.Sprintf("line %d, %s, ", i+1, strings.TrimSpace(key))
+				leftOut := parsed(with(""))
+				if !strings.HasPrefix(line, " ") { // several keys are unknown then, and any of them is named
+					leftOut = anyUnknown.ReplaceAllString(leftOut, "w.yaml: KEY: unknown field;")
+				}
+				text += title + "left out\n  " + leftOut
+				text += title + "misspelled\n  " + parsed(with(strings.Replace(line, ":", "s:", 1)))
+				text += title + "twice\n  " + parsed(with(strings.TrimSuffix(line, "\n")+"\n"+line))
+				for _, value := range values {
+					text += title + value + "\n  " + parsed(with(key+": "+value+"\n"))
+				}
+			}
+			compareGolden(t, file.name+".golden", text)
+		})
+	}
+}
