--- a/controller/base_test.go
+++ b/controller/base_test.go
@@ -5,12 +5,12 @@
 	"maps"
 	"testing"
 
-	"wheelrill/decide"
-	"wheelrill/share"
+	"wheelrill/balancer"
+	"wheelrill/ownership"
 )
 
 // taken makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
-func taken(base share.Base, brought map[string]float64) (*tables, *hearer, *peer) {
+func taken(base ownership.KnownTable, brought map[string]float64) (*tables, *hearer, *peer) {
 	to := someTables(2)
 	h, p := heard(to, 0, false)
 	for class := range h.lines {
@@ -18,9 +18,9 @@
 		h.levels[class] = []float64{2, 0}
 	}
 	for b := range 10 {
-		to.SetLine(0, b, 1)
+		to.PublishEntry(0, b, 1)
 	}
-	to.streams[0].base = []share.Base{base, base}
+	to.streams[0].base = []ownership.KnownTable{base, base}
 	return to, h, p
 }
 
@@ -38,20 +38,20 @@
 		return of
 	}
 	t.Run("what it surely has is not written again, and levels that others left are lifted, once", func(t *testing.T) {
-		to, h, p := taken(share.Base{Lines: quoted(ten)}, ten)
-		to.Bind(0, 0, 0)
-		to.Mark(1, false)
+		to, h, p := taken(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		to.AssignTable(0, 0, 0)
+		to.RequestAck(1, false)
 		to.writes(t)
 		if h.hears(t, p); h.cost > 3 || !maps.Equal(h.lines[0], ten) || h.levels[0][0] < 1e9 || h.levels[1][0] < 1e9 ||
-			h.levels[0][1] != float64(decide.TryAfterProof) {
+			h.levels[0][1] != float64(balancer.RetryIfNotExecuted) {
 			t.Errorf("got %+v", h)
 		}
-		to.SetLine(0, 3, 0.5)
+		to.PublishEntry(0, 3, 0.5)
 		to.writes(t)
 		if h.hears(t, p); h.cost != 1 || h.levels[0][0] < 1e9 {
 			t.Errorf("a later change wrote %d lines, levels %v", h.cost, h.levels)
 		}
-		to.Admit(decide.AllTables, 0, 7, decide.TryOnce)
+		to.SetAdmissionLimit(balancer.AllTables, 0, 7, balancer.NoRetry)
 		to.writes(t)
 		if h.hears(t, p); h.levels[0][0] != 7 || h.levels[1][0] != 7 {
 			t.Errorf("levels %v", h.levels)
@@ -63,28 +63,28 @@
 		delete(brought, "s-2")
 		known := quoted(brought)
 		delete(known, `"s-9"`) // in doubt: it may have any, or none
-		to, h, p := taken(share.Base{Lines: known, Doubt: map[string]bool{`"s-9"`: true}}, brought)
-		to.Bind(0, 0, 0)
+		to, h, p := taken(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) || h.cost != 5 {
 			t.Errorf("wrote %d lines: %+v", h.cost, h.lines)
 		}
 	})
 	t.Run("where as many differ as there are, it gets the whole table", func(t *testing.T) {
-		to, h, p := taken(share.Base{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
-		to.Bind(0, 0, 0)
+		to, h, p := taken(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || h.levels[0] != nil || to.wholes != 1 || to.deltas != 0 {
 			t.Errorf("got %+v", h)
 		}
 	})
 	t.Run("with classes that had other tables, what any of them may lack is written", func(t *testing.T) {
-		to, h, p := taken(share.Base{Lines: quoted(ten)}, ten)
+		to, h, p := taken(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		delete(h.lines[1], "s-4")
 		less := quoted(ten)
 		delete(less, `"s-4"`)
-		to.streams[0].base[1] = share.Base{Lines: less}
-		to.Bind(0, 0, 0)
+		to.streams[0].base[1] = ownership.KnownTable{Lines: less}
+		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
 			t.Errorf("has %v", h.lines)
--- a/internal/start/facts.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package start reads the settings that a controller starts with into the types of the decisions, whether they
+// Package settings reads the settings that a controller starts with into the types of the decisions, whether they
 // come as lines of path=value or as nested JSON. It decides nothing.
-package start
+package settings
 
 import (
 	"fmt"
@@ -12,11 +12,11 @@
 
 	"github.com/valyala/fastjson"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
-// Facts are settings by their paths. The first key that is missing or unusable is kept.
-type Facts struct {
+// Settings are settings by their paths. The first key that is missing or unusable is kept.
+type Settings struct {
 	pairs map[string]string
 	lists map[string][]string
 	err   error
@@ -24,8 +24,8 @@
 }
 
 // Lines reads settings of one path=value a line; what is odd but usable is told to odd.
-func Lines(text string, odd func(string, ...any)) *Facts {
-	f := &Facts{pairs: map[string]string{}, odd: odd}
+func Lines(text string, odd func(string, ...any)) *Settings {
+	f := &Settings{pairs: map[string]string{}, odd: odd}
 	for _, line := range strings.Split(text, "\n") {
 		if key, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
 			f.pairs[key] = value
@@ -35,13 +35,13 @@
 }
 
 // Nested reads settings from an object, flattened to the paths that Lines reads; lists keep their texts.
-func Nested(settings *fastjson.Value, odd func(string, ...any)) *Facts {
-	f := &Facts{pairs: map[string]string{}, lists: map[string][]string{}, odd: odd}
+func Nested(settings *fastjson.Value, odd func(string, ...any)) *Settings {
+	f := &Settings{pairs: map[string]string{}, lists: map[string][]string{}, odd: odd}
 	f.flatten("", settings)
 	return f
 }
 
-func (f *Facts) flatten(path string, v *fastjson.Value) {
+func (f *Settings) flatten(path string, v *fastjson.Value) {
 	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -69,23 +69,23 @@
 }
 
 // Fail notes that a key cannot be used; the first one stays.
-func (f *Facts) Fail(key, why string) {
+func (f *Settings) Fail(key, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("setting %s %s", key, why)
 	}
 }
 
 // Err names the first key that was missing or unusable among those read so far.
-func (f *Facts) Err() error { return f.err }
+func (f *Settings) Err() error { return f.err }
 
-// Micros turns milliseconds into whole microseconds; what is not a usable figure is 0.
-func Micros(ms float64) int64 {
+// Microseconds turns milliseconds into whole microseconds; what is not a usable figure is 0.
+func Microseconds(ms float64) int64 {
 	const longest = float64(1 << 53)
-	return int64(min(math.Round(Sane(ms)*1000), longest))
+	return int64(min(math.Round(Sanitize(ms)*1000), longest))
 }
 
-// Sane turns what is not a usable figure into 0, the word for absent.
-func Sane(x float64) float64 {
+// Sanitize turns what is not a usable figure into 0, the word for absent.
+func Sanitize(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 		return 0
 	}
@@ -93,7 +93,7 @@
 }
 
 // number reads a figure that the module cannot do without.
-func (f *Facts) number(key string) float64 {
+func (f *Settings) number(key string) float64 {
 	text, ok := f.pairs[key]
 	if !ok {
 		f.Fail(key, "is missing")
@@ -108,7 +108,7 @@
 }
 
 // Count reads a figure that sizes something here.
-func (f *Facts) Count(key string) int {
+func (f *Settings) Count(key string) int {
 	x := f.number(key)
 	if x > math.MaxUint16 {
 		f.Fail(key, "is out of all bounds")
@@ -118,7 +118,7 @@
 }
 
 // Maybe reads a figure whose absence means the given one.
-func (f *Facts) Maybe(key string, absent float64) float64 {
+func (f *Settings) Maybe(key string, absent float64) float64 {
 	if !f.has(key) {
 		return absent
 	}
@@ -127,7 +127,7 @@
 
 // has tells whether a key is there that may be absent. One that is only written otherwise is refused: its absence would
 // be taken for a wish.
-func (f *Facts) has(key string) bool {
+func (f *Settings) has(key string) bool {
 	if _, ok := f.pairs[key]; ok {
 		return true
 	}
@@ -143,10 +143,10 @@
 	return strings.NewReplacer("_", "", "-", "").Replace(strings.ToLower(key))
 }
 
-func (f *Facts) Span(key string) int64 { return Micros(f.number(key)) }
+func (f *Settings) Span(key string) int64 { return Microseconds(f.number(key)) }
 
 // some reads a figure that cannot be 0.
-func (f *Facts) some(key string) float64 {
+func (f *Settings) some(key string) float64 {
 	x := f.number(key)
 	if x == 0 {
 		f.Fail(key, "is 0")
@@ -155,7 +155,7 @@
 }
 
 // truth reads a yes or no; another word, or none, is the careful one.
-func (f *Facts) truth(key string, careful bool) bool {
+func (f *Settings) truth(key string, careful bool) bool {
 	f.has(key)
 	switch text, ok := f.pairs[key]; {
 	case text == "true":
@@ -169,7 +169,7 @@
 }
 
 // List reads a list of plain words.
-func (f *Facts) List(key string) []string {
+func (f *Settings) List(key string) []string {
 	f.has(key)
 	if words, ok := f.lists[key]; ok {
 		return words
@@ -181,7 +181,7 @@
 }
 
 // word finds a word of the wire among ours; another word, or none, is the careful one.
-func word[T any](f *Facts, key string, careful T, known map[string]T) T {
+func word[T any](f *Settings, key string, careful T, known map[string]T) T {
 	text, ok := f.pairs[key]
 	if value, there := known[text]; there {
 		return value
@@ -192,7 +192,7 @@
 	return careful
 }
 
-func (f *Facts) Classes() []decide.Class {
+func (f *Settings) Classes() []balancer.Class {
 	const writesKey, ownKey = "familyInfo.classWrites", "familyInfo.staysLocal"
 	writes, own := f.List(writesKey), f.List(ownKey)
 	at := func(list []string, i int, absent bool) bool {
@@ -210,76 +210,76 @@
 			f.Fail(key, fmt.Sprintf("has %d words for %d classes", len(list), count))
 		}
 	}
-	var classes []decide.Class
+	var classes []balancer.Class
 	for i := 0; f.err == nil && i < count; i++ {
 		key := fmt.Sprintf("profiles.%d.", i)
-		class := decide.Class{
-			Target:   Micros(f.some(key + "target")),
-			Deadline: Micros(f.some(key + "deadline")),
-			Value:    f.Maybe(key+"worth", 1),
-			Writes:   at(writes, i, true),
-			OwnZone:  at(own, i, false),
+		class := balancer.Class{
+			LatencyObjective: Microseconds(f.some(key + "target")),
+			Deadline:         Microseconds(f.some(key + "deadline")),
+			PriorityWeight:   f.Maybe(key+"worth", 1),
+			Writes:           at(writes, i, true),
+			ZoneLocal:        at(own, i, false),
 		}
 		classes = append(classes, class)
 	}
 	return classes
 }
 
-func (f *Facts) Channel() decide.Channel {
-	return decide.Channel{
-		LinesPerS:    f.some("familyInfo.egressPerS"),
-		Head:         f.number("familyInfo.overhead"),
-		Backlog:      f.some("familyInfo.backlog"),
-		LongestWay:   f.Span("familyInfo.pushDelayMax"),
-		MessagesMost: int(min(f.Maybe("familyInfo.messagesMost", 0), math.MaxInt32)),
-		MessagesSpan: Micros(f.Maybe("familyInfo.messagesOver", 0)),
-		Proxies:      int(min(f.Maybe("familyInfo.proxyCount", 0), math.MaxUint16)),
-		Connections:  int(min(f.Maybe("familyInfo.socketsMin", 0), math.MaxUint16)),
+func (f *Settings) PushChannel() balancer.PushChannel {
+	return balancer.PushChannel{
+		LinesPerSecond:        f.some("familyInfo.egressPerS"),
+		MessageOverhead:       f.number("familyInfo.overhead"),
+		Backlog:               f.some("familyInfo.backlog"),
+		MaxLatency:            f.Span("familyInfo.pushDelayMax"),
+		MaxMessages:           int(min(f.Maybe("familyInfo.messagesMost", 0), math.MaxInt32)),
+		MessageWindow:         Microseconds(f.Maybe("familyInfo.messagesOver", 0)),
+		Proxies:               int(min(f.Maybe("familyInfo.proxyCount", 0), math.MaxUint16)),
+		MinBackendConnections: int(min(f.Maybe("familyInfo.socketsMin", 0), math.MaxUint16)),
 	}
 }
 
-func (f *Facts) Limits() decide.Limits {
-	return decide.Limits{
-		Grace:             Micros(f.some("rules.stopSendingWithin")),
-		ColdShare:         f.number("rules.coldShare"),
-		WarmBy:            f.Span("rules.rampTime"),
-		OnlyDrainingBinds: f.truth("rules.droppedStayOpen", false),
+func (f *Settings) RuleLimits() balancer.RuleLimits {
+	return balancer.RuleLimits{
+		DrainGrace:            Microseconds(f.some("rules.stopSendingWithin")),
+		ColdStartShare:        f.number("rules.coldShare"),
+		WarmupTime:            f.Span("rules.rampTime"),
+		OnlyDrainingMustLeave: f.truth("rules.droppedStayOpen", false),
 	}
 }
 
-func (f *Facts) Partition() decide.Partition {
-	p := decide.Partition{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
+func (f *Settings) Sharding() balancer.Sharding {
+	p := balancer.Sharding{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
 	if p.Count > 0 {
 		p.SingleOwner = f.truth("familyInfo.singleWriter", true)
-		p.WritesOn = f.Span("familyInfo.keepsWriting")
-		p.Settle = f.Span("familyInfo.lingers")
+		p.WriteLease = f.Span("familyInfo.keepsWriting")
+		p.SettleTime = f.Span("familyInfo.lingers")
 	}
 	return p
 }
 
-func (f *Facts) Sight() decide.Sight {
-	s := decide.Sight{
-		ReportEvery: Micros(f.some("familyInfo.reportEvery")),
-		LinesPerS:   f.Maybe("familyInfo.ingestRate", 0),
-		MayProbe:    f.truth("limits.mayProbe", false),
-		LiveWeights: word(f, "weights", false, map[string]bool{
+func (f *Settings) Telemetry() balancer.Telemetry {
+	s := balancer.Telemetry{
+		ReportInterval:       Microseconds(f.some("familyInfo.reportEvery")),
+		ReportLinesPerSecond: f.Maybe("familyInfo.ingestRate", 0),
+		HealthChecksAllowed:  f.truth("limits.mayProbe", false),
+		LoadDependentWeights: word(f, "weights", false, map[string]bool{
 			"silent": false, "nominal": false, "rough": false, "live": true}),
-		MustAsk: word(f, "membershipMode", true, map[string]bool{
+		PollingRequired: word(f, "membershipMode", true, map[string]bool{
 			"automatic": false, "subscribe": true}),
 	}
-	if s.MustAsk {
-		s.AskWithin = f.Span("rules.askWithin")
+	if s.PollingRequired {
+		s.MaxPollInterval = f.Span("rules.askWithin")
 	}
 	return s
 }
 
-func (f *Facts) Admission() decide.Admission {
-	return word(f, "familyInfo.admission", decide.AdmitNone, map[string]decide.Admission{
-		"silent": decide.AdmitNone, "fraction": decide.AdmitShare, "per_second": decide.AdmitRate})
+func (f *Settings) AdmissionMode() balancer.AdmissionMode {
+	return word(f, "familyInfo.admission", balancer.AdmissionUnsupported, map[string]balancer.AdmissionMode{
+		"silent": balancer.AdmissionUnsupported, "fraction": balancer.AdmissionByShare, "per_second": balancer.AdmissionByRate})
 }
 
 // LoadFields gives the positions of the figures we read in a load report.
-func (f *Facts) LoadFields() []string {
+func (f *Settings) LoadFields() []string {
 	if f.pairs["reporting.how"] == "silent" {
 		return nil
 	}
@@ -287,7 +287,7 @@
 }
 
 // Zones reads the names of the zones.
-func (f *Facts) Zones() []string {
+func (f *Settings) Zones() []string {
 	zones := f.List("azs")
 	if len(zones) == 0 {
 		f.Fail("azs", "is missing")
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"wheelrill/standin"
+	"wheelrill/fake"
 )
 
 // Times that troubles last.
@@ -56,20 +56,20 @@
 	case "freeze":
 		one.Up = false // for other faults
 		one.Send(syscall.SIGSTOP)
-		p.in.Frozen(at, true)
+		p.in.ControllerFrozen(at, true)
 		p.later(min(frozenFor, p.KillEvery/2), func() error {
 			one.Up = true
-			p.in.Frozen(at, false)
+			p.in.ControllerFrozen(at, false)
 			return one.Send(syscall.SIGCONT)
 		})
 	case "cut":
-		p.cuts(standin.Cut, touches)
+		p.cuts(fake.Cut, touches)
 	case "half": // what it sends to the others is lost, and what they answer
-		p.cuts(standin.Fault{Out: true}, func(pair [2]int) bool { return pair[0] == at })
+		p.cuts(fake.Fault{DropOutgoing: true}, func(pair [2]int) bool { return pair[0] == at })
 	case "split": // no majority is left anywhere
-		p.cuts(standin.Cut, func([2]int) bool { return true })
+		p.cuts(fake.Cut, func([2]int) bool { return true })
 	case "slow":
-		p.cuts(standin.Fault{Delay: 300 * time.Millisecond}, touches)
+		p.cuts(fake.Fault{Delay: 300 * time.Millisecond}, touches)
 	case "reload": // while it may be electing
 		one.Send(syscall.SIGHUP)
 		p.stops(up[(slices.Index(up, at)+1)%len(up)], syscall.SIGKILL)
@@ -88,25 +88,25 @@
 		wait = min(wait, time.Second)
 	}
 	p.later(wait, func() error {
-		p.in.Restarted(at)
+		p.in.ControllerRestarted(at)
 		return one.Start()
 	})
 }
 
 // cuts puts a fault on some of the wires between controllers for a while.
-func (p *play) cuts(f standin.Fault, some func(pair [2]int) bool) {
+func (p *play) cuts(f fake.Fault, some func(pair [2]int) bool) {
 	for pair, wire := range p.between {
 		if some(pair) {
 			wire.Set(f)
-			p.later(min(cutFor, p.KillEvery/2), func() error { wire.Set(standin.Fault{}); return nil })
+			p.later(min(cutFor, p.KillEvery/2), func() error { wire.Set(fake.Fault{}); return nil })
 		}
 	}
 }
 
 // steady draws a worker with which nothing is going on; nil if there is none.
-func (p *play) steady() *standin.Worker {
-	var all []*standin.Worker
-	for _, w := range p.in.Workers {
+func (p *play) steady() *fake.Backend {
+	var all []*fake.Backend
+	for _, w := range p.in.Backends {
 		if !p.busy[w] && w.Warm() {
 			all = append(all, w)
 		}
@@ -126,13 +126,13 @@
 	p.busy[w] = true
 	p.report.Replaced++
 	p.say("%s drains", w.ID)
-	p.in.Discovery.List("draining", w)
+	p.in.Discovery.Publish("draining", w)
 	p.later(drainFor, func() error {
 		p.say("%s is back", w.ID)
 		w.Restart(warmBy)
-		p.in.Discovery.List("up", w)
+		p.in.Discovery.Publish("up", w)
 		p.later(warmBy, func() error {
-			p.in.Discovery.List("up", w) // as it was: the account has it as warm from now on
+			p.in.Discovery.Publish("up", w) // as it was: the account has it as warm from now on
 			delete(p.busy, w)
 			return nil
 		})
@@ -147,14 +147,14 @@
 		return
 	}
 	p.busy[w] = true
-	w.Set(standin.Hangs)
+	w.SetMode(fake.ModeHang)
 	p.report.Hangs++
 	p.say("%s hangs", w.ID)
 	noted := false
 	var look func() error
 	look = func() error {
 		switch since := time.Since(began); {
-		case !noted && p.in.Holding(w.ID) <= p.Relays/10:
+		case !noted && p.in.ProxiesUsing(w.ID) <= p.Relays/10:
 			noted = true
 			*left = append(*left, since)
 			p.say("%s is left", w.ID)
@@ -162,7 +162,7 @@
 			if !noted {
 				*left = append(*left, since)
 			}
-			w.Set(standin.Serves)
+			w.SetMode(fake.ModeHealthy)
 			delete(p.busy, w)
 			return nil
 		}
