--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -1,4 +1,4 @@
-package start
+package settings
 
 import (
 	"encoding/json"
@@ -117,7 +117,7 @@
 func readAll(text string, asJSON bool) []string {
 	var odd []string
 	note := func(format string, args ...any) { odd = append(odd, "odd: "+fmt.Sprintf(format, args...)) }
-	var f *Facts
+	var f *Settings
 	if asJSON {
 		f = Nested(fastjson.MustParse(text), note)
 	} else {
@@ -125,36 +125,36 @@
 	}
 	var out []string
 	add := func(name string, value any) { out = append(out, fmt.Sprintf("%s %v", name, value)) }
-	ch, li, cl, pa, si := f.Channel(), f.Limits(), f.Classes(), f.Partition(), f.Sight()
-	add("lines_per_s", ch.LinesPerS)
-	add("overhead_lines", ch.Head)
-	add("limit_lines", ch.Levels)
+	ch, li, cl, pa, si := f.PushChannel(), f.RuleLimits(), f.Classes(), f.Sharding(), f.Telemetry()
+	add("lines_per_s", ch.LinesPerSecond)
+	add("overhead_lines", ch.MessageOverhead)
+	add("limit_lines", ch.LimitLines)
 	add("backlog_lines", ch.Backlog)
-	add("push_delay_us", ch.LongestWay)
-	add("messages_most", ch.MessagesMost)
-	add("messages_over_us", ch.MessagesSpan)
+	add("push_delay_us", ch.MaxLatency)
+	add("messages_most", ch.MaxMessages)
+	add("messages_over_us", ch.MessageWindow)
 	add("proxies", ch.Proxies)
-	add("connections_min", ch.Connections)
-	add("grace_us", li.Grace)
-	add("cold_share", li.ColdShare)
-	add("warm_by_us", li.WarmBy)
-	add("only_draining_binds", li.OnlyDrainingBinds)
+	add("connections_min", ch.MinBackendConnections)
+	add("grace_us", li.DrainGrace)
+	add("cold_share", li.ColdStartShare)
+	add("warm_by_us", li.WarmupTime)
+	add("only_draining_binds", li.OnlyDrainingMustLeave)
 	for i, c := range cl {
-		add(fmt.Sprintf("class_%d", i), fmt.Sprintf("target_us %d deadline_us %d value %v writes %v own_zone %v", c.Target, c.Deadline,
-			c.Value, c.Writes, c.OwnZone))
+		add(fmt.Sprintf("class_%d", i), fmt.Sprintf("target_us %d deadline_us %d value %v writes %v own_zone %v", c.LatencyObjective, c.Deadline,
+			c.PriorityWeight, c.Writes, c.ZoneLocal))
 	}
-	add("slices", fmt.Sprintf("%d single_owner %v writes_on_us %d settle_us %d", pa.Count, pa.SingleOwner, pa.WritesOn, pa.Settle))
-	add("report_every_us", si.ReportEvery)
-	add("report_lines_per_s", si.LinesPerS)
-	add("may_probe", si.MayProbe)
-	add("must_ask", si.MustAsk)
-	add("live_weights", si.LiveWeights)
-	add("ask_within_us", si.AskWithin)
-	add("admission", uint8(f.Admission()))
+	add("slices", fmt.Sprintf("%d single_owner %v writes_on_us %d settle_us %d", pa.Count, pa.SingleOwner, pa.WriteLease, pa.SettleTime))
+	add("report_every_us", si.ReportInterval)
+	add("report_lines_per_s", si.ReportLinesPerSecond)
+	add("may_probe", si.HealthChecksAllowed)
+	add("must_ask", si.PollingRequired)
+	add("live_weights", si.LoadDependentWeights)
+	add("ask_within_us", si.MaxPollInterval)
+	add("admission", uint8(f.AdmissionMode()))
 	add("load_fields", strings.Join(f.LoadFields(), "|"))
 	add("zones", strings.Join(f.Zones(), "|"))
 	add("count_proxies", f.Count("familyInfo.proxyCount"))
-	add("tick_us", Micros(f.Maybe("tick", 0)))
+	add("tick_us", Microseconds(f.Maybe("tick", 0)))
 	if f.Err() != nil {
 		return append(odd, "error: "+f.Err().Error())
 	}
@@ -231,7 +231,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, Micros(x), Sane(x))
+		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, Microseconds(x), Sanitize(x))
 	}
 	compareGolden(t, "figures.golden", text)
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simwire
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"strings"
 	"testing"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 )
 
 var update = flags.Bool("update", false, "write the golden files anew")
@@ -307,20 +307,20 @@
 		name string
 		call func(in *instance)
 	}{
-		{"sleep 1234.567 ms, tag 0x0102030405060708", func(in *instance) { in.After(1_234_567, 0x0102030405060708) }},
-		{"check backend 77001", func(in *instance) { in.Probe(1) }},
+		{"sleep 1234.567 ms, tag 0x0102030405060708", func(in *instance) { in.SetTimer(1_234_567, 0x0102030405060708) }},
+		{"check backend 77001", func(in *instance) { in.CheckHealth(1) }},
 		{"emit about backend 77001", func(in *instance) { in.Log(1, "is back") }},
 		{"emit about none", func(in *instance) { in.Log(-1, "began") }},
-		{"listen", func(in *instance) { in.Watch() }},
-		{"weight 0.75 of backend 77001 in table 258", func(in *instance) { in.SetLine(258, 1, 0.75) }},
-		{"bind proxy 515 to table 258, classes 0x0a05", func(in *instance) { in.Bind(258, 1, 0x0a05) }},
+		{"listen", func(in *instance) { in.PollEndpoints() }},
+		{"weight 0.75 of backend 77001 in table 258", func(in *instance) { in.PublishEntry(258, 1, 0.75) }},
+		{"bind proxy 515 to table 258, classes 0x0a05", func(in *instance) { in.AssignTable(258, 1, 0x0a05) }},
 		{"withdraw backend 77001", func(in *instance) { in.Withdraw(1, true) }},
 		{"restore backend 77001", func(in *instance) { in.Withdraw(1, false) }},
-		{"level 0.5 in table 258, classes 0x0a05, tries 2", func(in *instance) { in.Admit(258, 0x0a05, 0.5, 2) }},
-		{"level 1200 everywhere, classes 1, tries 0", func(in *instance) { in.Admit(decide.AllTables, 1, 1200, 0) }},
-		{"mark 77 of those that are reached", func(in *instance) { in.Mark(77, false) }},
-		{"mark 78 of all", func(in *instance) { in.Mark(78, true) }},
-		{"nothing for a proxy that came later", func(in *instance) { in.Remind(1, 1, 0); in.Clear(1) }},
+		{"level 0.5 in table 258, classes 0x0a05, tries 2", func(in *instance) { in.SetAdmissionLimit(258, 0x0a05, 0.5, 2) }},
+		{"level 1200 everywhere, classes 1, tries 0", func(in *instance) { in.SetAdmissionLimit(balancer.AllTables, 1, 1200, 0) }},
+		{"mark 77 of those that are reached", func(in *instance) { in.RequestAck(77, false) }},
+		{"mark 78 of all", func(in *instance) { in.RequestAck(78, true) }},
+		{"nothing for a proxy that came later", func(in *instance) { in.SyncWithdrawals(1, 1, 0); in.ClearWithdrawals(1) }},
 		{"panic", func(in *instance) { in.guarded(func() { panic("broken") }) }},
 	} {
 		door := NewDoor(io.Discard)
