--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,247 @@
+package simwire
+
+import (
+	"fmt"
+	"math"
+
+	"wheelrill/balancer"
+)
+
+// instance is one controller of the simulation: the host of its balancer, and the bounds of what events may name.
+type instance struct {
+	server     *Server
+	id         uint16
+	balancer   *balancer.Controller // nil once it has aborted
+	loadFields []string             // names of the figures in a load report, in order
+	classes    int
+	zones      int
+	shards     int
+	backends   index
+	proxies    index
+}
+
+// index gives small numbers to ids in the order in which they are first met.
+type index struct {
+	numbers map[uint32]int
+	ids     []uint32 // by number
+}
+
+func (x *index) number(id uint32) int {
+	if n, ok := x.numbers[id]; ok {
+		return n
+	}
+	if x.numbers == nil {
+		x.numbers = map[uint32]int{}
+	}
+	n := len(x.ids)
+	x.numbers[id] = n
+	x.ids = append(x.ids, id)
+	return n
+}
+
+// abortOnPanic turns a panic of the balancer into the end of this instance alone.
+func (in *instance) abortOnPanic(call func()) {
+	defer func() {
+		if reason := recover(); reason != nil {
+			in.balancer = nil
+			in.server.reply.addText(actionAbort, in.id, fmt.Sprint(reason))
+		}
+	}()
+	call()
+}
+
+// instance is the id of the controller that an event is for; eventEndpointList has none.
+func (r record) instance() uint16 { return r.u16(1) }
+
+// handle takes an event to the balancer, unless it has aborted.
+func (in *instance) handle(r record) {
+	if in.balancer == nil {
+		return
+	}
+	in.abortOnPanic(func() {
+		switch r.code() {
+		case eventEndpointsUpdated, eventHealthCheckCompleted, eventOutcomesReported:
+			in.handleBackendEvent(r)
+		case eventProxyConnected, eventProxyDisconnected, eventAcknowledged, eventDemandReported:
+			in.handleProxyEvent(r)
+		case eventShardDemandReported, eventShardOwnership, eventShardOwnerStored:
+			in.handleShardEvent(r)
+		case eventTimerFired:
+			in.balancer.TimerFired(r.u64(3))
+		case eventPeerMessage:
+			in.server.warn("a peer message came, though we never send one")
+		}
+	})
+}
+
+func (in *instance) handleBackendEvent(r record) {
+	switch r.code() {
+	case eventEndpointsUpdated:
+		in.endpointsUpdated(r)
+	case eventHealthCheckCompleted:
+		backend, ok := in.known(&in.backends, r.u32(3), "backend")
+		if ok {
+			in.balancer.HealthCheckCompleted(backend, in.healthCheckResult(r.u16(7)))
+		}
+	case eventOutcomesReported:
+		backend, ok := in.known(&in.backends, r.u32(4), "backend")
+		if ok && in.exists(int(r.u8(3)), in.zones, "zone") {
+			attempts := int(r.u32(8))
+			failed := min(int(r.u32(12)), attempts)
+			latency := r.microseconds(16)
+			interval := r.microseconds(24)
+			in.balancer.OutcomesReported(backend, attempts, failed, latency, interval, in.loadReport(r, 32))
+		}
+	}
+}
+
+func (in *instance) handleProxyEvent(r record) {
+	if r.code() == eventProxyConnected {
+		zone := int(r.u8(8))
+		if in.exists(zone, in.zones, "zone") {
+			proxy := in.proxies.number(uint32(r.u16(9)))
+			in.balancer.ProxyConnected(proxy, zone, r.f32(4), false)
+		}
+		return
+	}
+	proxy, ok := in.known(&in.proxies, uint32(r.u16(3)), "proxy")
+	if !ok {
+		return
+	}
+	switch r.code() {
+	case eventProxyDisconnected:
+		in.balancer.ProxyDisconnected(proxy)
+	case eventAcknowledged:
+		in.balancer.Acknowledged(proxy, int(r.u64(5)&math.MaxUint16))
+	case eventDemandReported:
+		class := int(r.u8(5))
+		if in.exists(class, in.classes, "class") {
+			in.balancer.DemandReported(proxy, class, int(r.u32(6)), r.microseconds(14))
+		}
+	}
+}
+
+func (in *instance) handleShardEvent(r record) {
+	shard := int(r.u16(3))
+	if !in.exists(shard, in.shards, "slice") {
+		return
+	}
+	switch r.code() {
+	case eventShardDemandReported:
+		class := int(r.u8(5))
+		if in.exists(class, in.classes, "class") {
+			in.balancer.ShardDemandReported(shard, class, int(r.u32(6)), r.microseconds(14))
+		}
+	case eventShardOwnership:
+		if assigned := r.u8(5) != 0; assigned {
+			in.balancer.ShardAssigned(shard)
+		} else {
+			in.balancer.ShardRevoked(shard)
+		}
+	case eventShardOwnerStored:
+		in.balancer.ShardOwnerStored(shard, in.backends.number(r.u32(5)), r.f32(9))
+	}
+}
+
+// exists tells whether a number is below a count, with a warning where it is not.
+func (in *instance) exists(number, count int, what string) bool {
+	if number >= count {
+		in.server.warn("%s %d does not exist", what, number)
+	}
+	return number < count
+}
+
+// known gives the number of an id that was met before, with a warning where it was not.
+func (in *instance) known(x *index, id uint32, what string) (int, bool) {
+	number, ok := x.numbers[id]
+	if !ok {
+		in.server.warn("%s %d was never named before", what, id)
+	}
+	return number, ok
+}
+
+func (in *instance) endpointsUpdated(r record) {
+	kind := r.u8(7)
+	switch {
+	case kind == updateFailed:
+		in.balancer.EndpointPollFailed()
+		return
+	case kind > updateFailed:
+		in.server.warn("list event of unknown kind %d", kind)
+		return
+	}
+	number := r.u32(3)
+	if number >= maxEndpointLists {
+		in.server.warn("list number %d is not known", number)
+		return
+	}
+	entries := in.server.endpointLists[number]
+	endpoints := make([]balancer.Endpoint, 0, len(entries)/endpointSize)
+	for ; len(entries) >= endpointSize; entries = entries[endpointSize:] {
+		entry := record{raw: entries}
+		state := in.endpointState(entry.u8(10))
+		zone := int(entry.u8(17))
+		if !in.exists(zone, in.zones, "zone") {
+			continue
+		}
+		endpoints = append(endpoints, balancer.Endpoint{
+			Backend:   in.backends.number(entry.u32(18)),
+			State:     state,
+			StartedAt: entry.microseconds(0),
+			Weight:    entry.f32(11),
+			Zone:      zone,
+		})
+	}
+	in.balancer.EndpointsUpdated(kind != updateDelta, endpoints)
+}
+
+// endpointState reads a backend's condition; one that is not known counts as draining, which sends nothing new there.
+func (in *instance) endpointState(condition byte) balancer.EndpointState {
+	switch condition {
+	case backendRemoved:
+		return balancer.Removed
+	case backendReady:
+		return balancer.Ready
+	case backendDraining:
+	default:
+		in.server.warn("backend condition %d is not known", condition)
+	}
+	return balancer.Draining
+}
+
+func (in *instance) healthCheckResult(code uint16) balancer.HealthCheckResult {
+	switch code {
+	case checkPassed:
+		return balancer.HealthCheckPassed
+	case checkFailed:
+		return balancer.HealthCheckFailed
+	case checkRefused:
+		return balancer.HealthCheckRefused
+	case checkTimedOut:
+		return balancer.HealthCheckTimedOut
+	case checkUnreachable:
+		return balancer.HealthCheckUnreachable
+	case checkBroken:
+		return balancer.HealthCheckBroken
+	}
+	in.server.warn("probe outcome %d is not known", code)
+	return balancer.HealthCheckUnknown
+}
+
+// loadReport reads the count of figures at a position, and the figures behind it. One that is not there is negative.
+func (in *instance) loadReport(r record, at int) balancer.BackendLoad {
+	load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
+	figures := min(int(r.u8(at)), len(in.loadFields), maxLoadFigures)
+	for i := range figures {
+		x := r.f32(at + 1 + 4*i)
+		switch in.loadFields[i] {
+		case loadCPU:
+			load.CPUUtilization = x
+		case loadQueue:
+			load.QueueLength = x
+		case loadServiceTime:
+			load.ServiceTime = x * microsecondsPerMillisecond
+		}
+	}
+	return load
+}
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,5 +1,3 @@
-// Package simwire speaks the simulator's wire: frames, start settings, and the door through which ids
-// become small indices and the wire's words become ours. It decides nothing.
 package simwire
 
 import (
@@ -13,23 +11,25 @@
 	"wheelrill/internal/settings"
 )
 
+// Sizes of what a frame consists of, in bytes.
 const (
 	batchHeaderSize = 20
 	replyHeaderSize = 12
 	eventSize       = 56
 	actionSize      = 24
-	entrySize       = 22
+	endpointSize    = 22
 )
 
-// Batch is one frame of events. Its bytes stay valid until the next read.
+// Batch is one frame of events. Its bytes stay valid until the next read into the same buffer.
 type Batch struct {
-	Clock   float64
-	Seq     uint32
+	Clock   float64 // simulated time in milliseconds
+	Seq     uint32  // the frame's number, which its reply repeats
 	records []byte
 	tail    []byte
 }
 
-// ReadBatch reads one frame. io.EOF means that the input ended between frames.
+// ReadBatch reads one frame by way of a buffer that the caller keeps. It returns io.EOF where the input ends between
+// frames, and another error where it ends or is wrong within one.
 func ReadBatch(r io.Reader, body *bytes.Buffer) (Batch, error) {
 	var head [batchHeaderSize]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
@@ -59,35 +59,46 @@
 		return Batch{}, fmt.Errorf("frame %d: %w", batch.Seq, err)
 	}
 	all := body.Bytes()
-	batch.records, batch.tail = all[:count*eventSize], all[count*eventSize:]
+	batch.records = all[:count*eventSize]
+	batch.tail = all[count*eventSize:]
 	return batch, nil
 }
 
-// Events gives the batch's records in order.
+// Events is the number of the batch's events.
 func (b Batch) Events() int { return len(b.records) / eventSize }
 
 func (b Batch) event(i int) record {
 	return record{b.records[i*eventSize : (i+1)*eventSize], b.tail}
 }
 
-// record is one event; fields are read by their byte position.
-type record struct{ raw, tail []byte }
+// record is one event, or one entry of an endpoint list; fields are read by their byte position.
+type record struct {
+	raw  []byte
+	tail []byte // of the whole frame
+}
 
-func (r record) code() byte        { return r.raw[0] }
+func (r record) code() eventCode   { return eventCode(r.raw[0]) }
 func (r record) u8(at int) byte    { return r.raw[at] }
 func (r record) u16(at int) uint16 { return binary.LittleEndian.Uint16(r.raw[at:]) }
 func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r.raw[at:]) }
 func (r record) u64(at int) uint64 { return binary.LittleEndian.Uint64(r.raw[at:]) }
+
+// f32 and f64 give 0 for what is negative, infinite or not a number.
 func (r record) f32(at int) float64 {
-	return settings.Sanitize(float64(math.Float32frombits(binary.LittleEndian.Uint32(r.raw[at:]))))
+	return settings.Sanitize(float64(math.Float32frombits(r.u32(at))))
 }
+
 func (r record) f64(at int) float64 {
-	return settings.Sanitize(math.Float64frombits(binary.LittleEndian.Uint64(r.raw[at:])))
+	return settings.Sanitize(math.Float64frombits(r.u64(at)))
 }
 
-// tailOf gives the part of the tail that the field at this position names, unit bytes for each counted thing.
-func (r record) tailOf(at, unit int) ([]byte, error) {
-	from, size := uint64(r.u32(at)), uint64(r.u32(at+4))*uint64(unit)
+// microseconds reads a time, which the wire has in milliseconds.
+func (r record) microseconds(at int) int64 { return settings.Microseconds(r.f64(at)) }
+
+// tailOf gives the part of the tail that the field at this position names, with the size in bytes of each counted item.
+func (r record) tailOf(at, itemSize int) ([]byte, error) {
+	from := uint64(r.u32(at))
+	size := uint64(r.u32(at+4)) * uint64(itemSize)
 	if from+size > uint64(len(r.tail)) {
 		return nil, fmt.Errorf("event code %d: bytes %d to %d lie outside a tail of %d bytes",
 			r.code(), from, from+size, len(r.tail))
@@ -95,38 +106,39 @@
 	return r.tail[from : from+size], nil
 }
 
-func millis(us int64) float64 { return float64(us) / 1000 }
-
-// Reply collects the actions of one batch.
+// Reply collects the actions that answer one batch.
 type Reply struct {
 	seq     uint32
 	records []byte
 	tail    []byte
 }
 
-// Reset starts the reply to the batch with this number.
+// Reset empties the reply, and gives it the number of the batch that it answers.
 func (p *Reply) Reset(seq uint32) {
-	p.seq, p.records, p.tail = seq, p.records[:0], p.tail[:0]
+	p.seq = seq
+	p.records = p.records[:0]
+	p.tail = p.tail[:0]
 }
 
-// act adds an action and gives its bytes, zero but for code and instance.
-func (p *Reply) act(code byte, instance uint16) []byte {
+// add appends an action and gives its bytes, zero but for code and instance.
+func (p *Reply) add(code actionCode, instance uint16) action {
 	from := len(p.records)
 	p.records = append(p.records, make([]byte, actionSize)...)
-	rec := p.records[from:]
-	rec[0] = code
-	binary.LittleEndian.PutUint16(rec[1:], instance)
-	return rec
+	a := action(p.records[from:])
+	a[0] = byte(code)
+	a.putU16(1, instance)
+	return a
 }
 
-func (p *Reply) text(code byte, instance uint16, line string) {
-	rec := p.act(code, instance)
-	binary.LittleEndian.PutUint32(rec[3:], uint32(len(p.tail)))
-	binary.LittleEndian.PutUint32(rec[7:], uint32(len(line)))
-	p.tail = append(p.tail, line...)
+// addText appends an action whose one field is a text in the tail.
+func (p *Reply) addText(code actionCode, instance uint16, text string) {
+	a := p.add(code, instance)
+	a.putU32(3, uint32(len(p.tail)))
+	a.putU32(7, uint32(len(text)))
+	p.tail = append(p.tail, text...)
 }
 
-// WriteTo writes the reply's frame.
+// WriteTo writes the reply's frame, and gives the number of bytes written.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	var head [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(head[0:], uint32(len(p.records)/actionSize))
@@ -142,3 +154,18 @@
 	}
 	return total, nil
 }
+
+// action is the bytes of one action; fields are written by their byte position.
+type action []byte
+
+func (a action) putU16(at int, x uint16)  { binary.LittleEndian.PutUint16(a[at:], x) }
+func (a action) putU32(at int, x uint32)  { binary.LittleEndian.PutUint32(a[at:], x) }
+func (a action) putU64(at int, x uint64)  { binary.LittleEndian.PutUint64(a[at:], x) }
+func (a action) putF32(at int, x float64) { a.putU32(at, math.Float32bits(float32(x))) }
+func (a action) putF64(at int, x float64) { a.putU64(at, math.Float64bits(x)) }
+
+func (a action) putBool(at int, x bool) {
+	if x {
+		a[at] = 1
+	}
+}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -5,7 +5,7 @@
 	"cmp"
 	"encoding/binary"
 	"encoding/hex"
-	flags "flag"
+	"flag"
 	"fmt"
 	"io"
 	"math"
@@ -18,7 +18,7 @@
 	"wheelrill/balancer"
 )
 
-var update = flags.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files anew")
 
 // compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
 func compareGolden(t *testing.T, name, text string) {
@@ -68,7 +68,7 @@
 
 // listed builds one entry of a list of backends.
 func listed(id uint32, condition, zone byte, started float64, weight float32) []byte {
-	e := make([]byte, entrySize)
+	e := make([]byte, endpointSize)
 	put(e, started)
 	e[10] = condition
 	put(e[11:], weight)
@@ -230,7 +230,7 @@
 			s.at(clock+1, nil, fleet(1, 0, 3), message(7, field{1, uint16(1)}, field{3, uint16(41)}))
 		}
 		if second == 18 {
-			list[10], list[entrySize+10] = 2, 0
+			list[10], list[endpointSize+10] = 2, 0
 			s.at(clock+1, list, roster(0, 0, 6), fleet(1, 0, 0), fleet(2, 0, 1))
 		}
 	}
@@ -240,8 +240,8 @@
 
 // TestRepliesAreAsBefore plays a script that has every event code, and keeps each byte that is answered.
 func TestRepliesAreAsBefore(t *testing.T) {
-	var complaints strings.Builder
-	door, body, text, number := NewDoor(&complaints), bytes.Buffer{}, "", uint32(0)
+	var log strings.Builder
+	server, body, text, number := NewServer(&log), bytes.Buffer{}, "", uint32(0)
 	seen, timers := map[byte]bool{}, []timer{}
 	exchange := func(clock float64, tail []byte, records ...[]byte) {
 		t.Helper()
@@ -253,7 +253,7 @@
 		for _, r := range records {
 			seen[r[0]] = true
 		}
-		reply, err := door.Handle(batch)
+		reply, err := server.Handle(batch)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 		}
 	}
 	text += "complaints\n"
-	for line := range strings.Lines(complaints.String()) {
+	for line := range strings.Lines(log.String()) {
 		_, what, _ := strings.Cut(line, ": ") // without the program's name
 		text += what
 	}
@@ -321,20 +321,20 @@
 		{"mark 77 of those that are reached", func(in *instance) { in.RequestAck(77, false) }},
 		{"mark 78 of all", func(in *instance) { in.RequestAck(78, true) }},
 		{"nothing for a proxy that came later", func(in *instance) { in.SyncWithdrawals(1, 1, 0); in.ClearWithdrawals(1) }},
-		{"panic", func(in *instance) { in.guarded(func() { panic("broken") }) }},
+		{"panic", func(in *instance) { in.abortOnPanic(func() { panic("broken") }) }},
 	} {
-		door := NewDoor(io.Discard)
-		in := &instance{door: door, id: 0x0403}
+		server := NewServer(io.Discard)
+		in := &instance{server: server, id: 0x0403}
 		for _, id := range []uint32{77000, 77001} {
 			in.backends.number(id)
 		}
 		for _, id := range []uint32{514, 515} {
 			in.proxies.number(id)
 		}
-		door.reply.Reset(9)
+		server.reply.Reset(9)
 		action.call(in)
 		var out bytes.Buffer
-		if _, err := door.reply.WriteTo(&out); err != nil {
+		if _, err := server.reply.WriteTo(&out); err != nil {
 			t.Fatal(err)
 		}
 		text += action.name + "\n" + hexed(out.Bytes())
@@ -361,11 +361,11 @@
 		{"settings outside the tail", altered(batchHeaderSize+15, uint32(5000))},
 		{"a list outside the tail", framed(5, 3, nil, message(14, field{9, uint32(1)}))},
 	} {
-		door, body, in, err := NewDoor(io.Discard), bytes.Buffer{}, bytes.NewReader(input.raw), error(nil)
+		server, body, in, err := NewServer(io.Discard), bytes.Buffer{}, bytes.NewReader(input.raw), error(nil)
 		for err == nil {
 			var batch Batch
 			if batch, err = ReadBatch(in, &body); err == nil {
-				_, err = door.Handle(batch)
+				_, err = server.Handle(batch)
 			}
 		}
 		text += fmt.Sprintf("%s: %v\n", input.name, err)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -48,22 +48,22 @@
 	return r
 }
 
-// play hands frames to a fresh door and gives the codes of all actions and what was complained of.
-func play(t *testing.T, frames ...[]byte) (codes []byte, tails, complaints string, err error) {
+// play hands frames to a fresh server and gives the codes of all actions and what was logged.
+func play(t *testing.T, frames ...[]byte) (codes []byte, tails, warnings string, err error) {
 	t.Helper()
-	var said strings.Builder
-	door, body := NewDoor(&said), bytes.Buffer{}
+	var log strings.Builder
+	server, body := NewServer(&log), bytes.Buffer{}
 	in := bytes.NewReader(bytes.Join(frames, nil))
 	for {
 		batch, err := ReadBatch(in, &body)
 		if err == io.EOF {
-			return codes, tails, said.String(), nil
+			return codes, tails, log.String(), nil
 		} else if err != nil {
-			return codes, tails, said.String(), err
+			return codes, tails, log.String(), err
 		}
-		reply, err := door.Handle(batch)
+		reply, err := server.Handle(batch)
 		if err != nil {
-			return codes, tails, said.String(), err
+			return codes, tails, log.String(), err
 		}
 		for i := 0; i < len(reply.records); i += actionSize {
 			codes = append(codes, reply.records[i])
@@ -72,12 +72,12 @@
 	}
 }
 
-func TestInput(t *testing.T) {
+func TestUnusableInputIsRefusedOrSkipped(t *testing.T) {
 	good := frame([]byte(sampleSettings), create(3, len(sampleSettings)))
-	t.Run("an instance starts and asks for its beat", func(t *testing.T) {
-		codes, _, said, err := play(t, good)
-		if err != nil || said != "" || !bytes.Equal(codes, []byte{acSleep}) {
-			t.Errorf("codes %v, said %q, error %v", codes, said, err)
+	t.Run("an instance starts and asks for its timer", func(t *testing.T) {
+		codes, _, logged, err := play(t, good)
+		if err != nil || logged != "" || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) {
+			t.Errorf("codes %v, logged %q, error %v", codes, logged, err)
 		}
 	})
 	huge := frame(nil)
@@ -102,36 +102,36 @@
 	}
 	t.Run("unknown codes, words and instances are skipped and said once", func(t *testing.T) {
 		text := strings.Replace(sampleSettings, "=automatic", "=sometimes\nrules.askWithin=10000", 1)
-		codes, _, said, err := play(t, frame([]byte(text), create(3, len(text)), []byte{77}, []byte{77}, []byte{2, 9}))
-		if err != nil || !bytes.Equal(codes, []byte{acSleep}) || strings.Count(said, "event code 77") != 1 ||
-			!strings.Contains(said, "sometimes") || !strings.Contains(said, "instance 9") {
-			t.Errorf("codes %v, said %q, error %v", codes, said, err)
+		codes, _, logged, err := play(t, frame([]byte(text), create(3, len(text)), []byte{77}, []byte{77}, []byte{2, 9}))
+		if err != nil || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) || strings.Count(logged, "event code 77") != 1 ||
+			!strings.Contains(logged, "sometimes") || !strings.Contains(logged, "instance 9") {
+			t.Errorf("codes %v, logged %q, error %v", codes, logged, err)
 		}
 	})
 	t.Run("reports of what was never named, or does not exist, are skipped and said", func(t *testing.T) {
-		codes, _, said, err := play(t, good, frame(nil, []byte{6, 3, 0, 1, 0, 0, 0, 0, 1, 5, 0}, []byte{10, 3, 0, 77},
+		codes, _, logged, err := play(t, good, frame(nil, []byte{6, 3, 0, 1, 0, 0, 0, 0, 1, 5, 0}, []byte{10, 3, 0, 77},
 			[]byte{10, 3, 0, 5, 0, 9}, []byte{7, 3, 0, 78}, []byte{8, 3, 0, 79}, []byte{9, 3, 0, 0, 44}, []byte{12, 3, 0, 46}))
 		for _, want := range []string{"proxy 77", "class 9", "proxy 78", "proxy 79", "backend 44", "slice 46"} {
-			if err != nil || !bytes.Equal(codes, []byte{acSleep}) || !strings.Contains(said, want) {
-				t.Errorf("%s: codes %v, said %q, error %v", want, codes, said, err)
+			if err != nil || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) || !strings.Contains(logged, want) {
+				t.Errorf("%s: codes %v, logged %q, error %v", want, codes, logged, err)
 			}
 		}
 	})
 	for _, key := range []string{"familyInfo.egressPerS", "profiles.0.target", "azs", "rules.rampTime"} {
-		t.Run("without "+key+" the instance bails out, and the others go on", func(t *testing.T) {
+		t.Run("without "+key+" the instance aborts, and the others go on", func(t *testing.T) {
 			text := strings.Replace(sampleSettings, key, "was."+key, 1)
 			codes, tail, _, err := play(t, frame([]byte(text), create(3, len(text))), good, frame(nil, []byte{2, 3}))
-			if err != nil || !bytes.Equal(codes, []byte{acBail, acSleep}) || !strings.Contains(tail, key) {
+			if err != nil || !bytes.Equal(codes, []byte{byte(actionAbort), byte(actionSetTimer)}) || !strings.Contains(tail, key) {
 				t.Errorf("codes %v, tail %q, error %v", codes, tail, err)
 			}
 		})
 	}
 	t.Run("a panic ends its instance alone", func(t *testing.T) {
-		door := NewDoor(io.Discard)
-		in := &instance{door: door, id: 4}
-		in.guarded(func() { panic("index out of range") })
-		if in.control != nil || len(door.reply.records) != actionSize || string(door.reply.tail) != "index out of range" {
-			t.Errorf("reply %v %q", door.reply.records, door.reply.tail)
+		server := NewServer(io.Discard)
+		in := &instance{server: server, id: 4}
+		in.abortOnPanic(func() { panic("index out of range") })
+		if in.balancer != nil || len(server.reply.records) != actionSize || string(server.reply.tail) != "index out of range" {
+			t.Errorf("reply %v %q", server.reply.records, server.reply.tail)
 		}
 	})
 }
@@ -141,15 +141,15 @@
 	f.Add(start)
 	f.Add(append(bytes.Clone(start), frame(nil, []byte{9, 0, 0, 0, 5}, []byte{6, 0, 0}, []byte{1, 0, 0}, []byte{200})...))
 	f.Add(start[:33])
-	f.Add(frame(make([]byte, 2*entrySize), []byte{14, 0, 0, 0, 0, 0, 0, 0, 0, 2}, []byte{1, 0, 0}))
+	f.Add(frame(make([]byte, 2*endpointSize), []byte{14, 0, 0, 0, 0, 0, 0, 0, 0, 2}, []byte{1, 0, 0}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		door, body, in := NewDoor(io.Discard), bytes.Buffer{}, bytes.NewReader(raw)
+		server, body, in := NewServer(io.Discard), bytes.Buffer{}, bytes.NewReader(raw)
 		for {
 			batch, err := ReadBatch(in, &body)
 			if err != nil {
 				return
 			}
-			reply, err := door.Handle(batch)
+			reply, err := server.Handle(batch)
 			if err != nil {
 				return
 			}
