--- /dev/null
+++ b/decide/transcript_test.go
@@ -0,0 +1,510 @@
+package decide
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// The transcript plays seeded sequences of calls, of every exported method and under many settings, and keeps every
+// call, every effect asked of the host with the clock, and every returned value. Golden files hold the first lines of
+// each case and a hash of each chunk of the rest. Log texts are left out.
+//
+//	go test -run TestTranscript -update-transcripts            renews the golden files; never in CI
+//	go test -run TestTranscript -write-transcripts=DIRECTORY   writes complete transcripts, to be compared line by line
+var (
+	updateTranscripts = flag.Bool("update-transcripts", false, "renew the golden transcripts")
+	writeTranscripts  = flag.String("write-transcripts", "", "write complete transcripts into this `directory`")
+)
+
+const (
+	transcriptHead  = 250  // lines that a golden file shows
+	transcriptChunk = 1000 // lines that share a hash after them
+	logMarker       = "# log "
+)
+
+// transcriptCase is one seeded sequence under one setting.
+type transcriptCase struct {
+	name              string
+	backends, proxies int
+	seconds           int
+	span              int64 // what a report line covers
+	loads             bool  // backends report how busy they are
+	mute              bool  // the host cannot tell withdrawals to a proxy
+	change            func(x *setting)
+}
+
+func transcriptCases() []transcriptCase {
+	threeClasses := []Class{
+		{Target: 1500_000, Deadline: 4 * second, Value: 1, OwnZone: true},
+		{Target: 800_000, Deadline: 2 * second, Value: 3, Writes: true, OwnZone: true},
+		{Target: 300_000, Deadline: second, Value: 2, OwnZone: true},
+	}
+	sliced := func(single bool, admit Admission) func(*setting) {
+		return func(x *setting) {
+			x.partition = Partition{Count: 6, SingleOwner: single, WritesOn: 2500_000, Settle: 2 * second}
+			x.admit = admit
+		}
+	}
+	return []transcriptCase{
+		{name: "rate", backends: 12, proxies: 5},
+		{name: "rate-loads", backends: 12, proxies: 5, loads: true},
+		{name: "share", backends: 10, proxies: 4, change: func(x *setting) { x.admit = AdmitShare }},
+		{name: "none", backends: 8, proxies: 4, change: func(x *setting) { x.admit = AdmitNone }},
+		{name: "own-zone", backends: 12, proxies: 6, change: func(x *setting) { x.classes[1].OwnZone = true }},
+		{name: "all-own-zone", backends: 9, proxies: 6, loads: true, change: func(x *setting) { x.classes = threeClasses }},
+		{name: "subsets", backends: 30, proxies: 24, seconds: 150, change: func(x *setting) {
+			x.channel.Connections, x.channel.Proxies = 8, 24
+		}},
+		{name: "subsets-own-zone", backends: 26, proxies: 20, seconds: 150, change: func(x *setting) {
+			x.channel.Connections, x.channel.Proxies, x.classes[1].OwnZone = 8, 24, true
+		}},
+		{name: "subsets-by-channel", backends: 40, proxies: 20, seconds: 150, change: func(x *setting) {
+			x.channel.Proxies, x.channel.LinesPerS = 20, 200
+		}},
+		{name: "subsets-by-both", backends: 60, proxies: 30, seconds: 100, change: func(x *setting) {
+			x.channel.Connections, x.channel.Proxies, x.channel.LinesPerS = 30, 60, 700
+		}},
+		{name: "few-left", backends: 4, proxies: 3, loads: true},
+		{name: "tight-channel", backends: 20, proxies: 12, seconds: 200, change: func(x *setting) {
+			x.channel.LinesPerS, x.channel.Backlog = 120, 150
+		}},
+		{name: "tight-messages", backends: 12, proxies: 8, change: func(x *setting) {
+			x.channel.MessagesMost, x.channel.MessagesSpan = 8, 10*second
+		}},
+		{name: "unlimited-messages", backends: 12, proxies: 8, mute: true, change: func(x *setting) {
+			x.channel.MessagesMost, x.channel.MessagesSpan, x.channel.Levels = 0, 0, 2
+		}},
+		{name: "slices-single-share", backends: 8, proxies: 4, change: sliced(true, AdmitShare)},
+		{name: "slices-single-none", backends: 8, proxies: 4, change: sliced(true, AdmitNone)},
+		{name: "slices-many", backends: 8, proxies: 4, change: sliced(false, AdmitRate)},
+		{name: "only-draining-binds", backends: 12, proxies: 5, change: func(x *setting) { x.limits.OnlyDrainingBinds = true }},
+		{name: "live-weights", backends: 12, proxies: 5, loads: true, change: func(x *setting) { x.sight.LiveWeights = true }},
+		{name: "probes", backends: 12, proxies: 5, change: func(x *setting) { x.sight.MayProbe = true }},
+		{name: "asks", backends: 12, proxies: 5, change: func(x *setting) {
+			x.sight.MustAsk, x.sight.AskWithin = true, 10*second
+		}},
+		{name: "old-news", backends: 12, proxies: 6, span: 12 * second, change: func(x *setting) { x.limits.Grace = 6 * second }},
+		{name: "slow-reports", backends: 12, proxies: 6, span: 2 * second, change: func(x *setting) {
+			x.sight.ReportEvery, x.channel.Proxies = 2*second, 30
+		}},
+	}
+}
+
+// transcript is the host, and the driver, of one case.
+type transcript struct {
+	*rand.Rand
+	c        *Controller
+	of       transcriptCase
+	x        setting
+	now      int64
+	lines    []string
+	timers   []transcriptTimer
+	requests []int // numbers of acknowledgements asked for and not yet given, with their times in due
+	due      []int64
+	joined   []bool
+	listed   []Entry
+	known    int // backends that the controller was told of
+	mood     int // how the fleet does just now
+	few      int // backends below this number are those that differ
+}
+
+type transcriptTimer struct {
+	at  int64
+	tag uint64
+}
+
+func (r *transcript) put(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf("%d ", r.now)+fmt.Sprintf(format, args...))
+}
+
+func (r *transcript) Now() int64 { return r.now }
+func (r *transcript) After(wait int64, tag uint64) {
+	r.timers = append(r.timers, transcriptTimer{r.now + wait, tag})
+	r.put("timer %d %d", wait, tag)
+}
+func (r *transcript) Log(backend int, line string) {
+	r.lines = append(r.lines, fmt.Sprint(logMarker, r.now, " ", backend, " ", line))
+}
+func (r *transcript) Watch()            { r.put("poll") }
+func (r *transcript) Probe(backend int) { r.put("probe %d", backend) }
+func (r *transcript) SetLine(table, backend int, weight float64) {
+	r.put("entry %d %d %v", table, backend, weight)
+}
+func (r *transcript) Bind(table, proxy int, classes uint16) {
+	r.put("bind %d %d %d", table, proxy, classes)
+}
+func (r *transcript) Withdraw(backend int, out bool) { r.put("withdraw %d %v", backend, out) }
+func (r *transcript) Remind(proxy int, allowance float64, tries Tries) bool {
+	r.put("sync %d %v %d", proxy, allowance, tries)
+	return !r.of.mute
+}
+func (r *transcript) Clear(proxy int) { r.put("clear %d", proxy) }
+func (r *transcript) Admit(table int, classes uint16, allowance float64, tries Tries) {
+	r.put("limit %d %d %v %d", table, classes, allowance, tries)
+}
+func (r *transcript) Mark(number int, everyone bool) {
+	r.put("request %d %v", number, everyone)
+	r.requests, r.due = append(r.requests, number), append(r.due, r.now+300_000+r.Int64N(900_000))
+}
+
+// list tells of endpoints.
+func (r *transcript) list(full bool, entries []Entry) {
+	var text strings.Builder
+	for _, e := range entries {
+		fmt.Fprintf(&text, " [%d %d %d %v %d %d]", e.Backend, e.Condition, e.Started, e.Weight, e.Zone, e.Since)
+		r.known = max(r.known, e.Backend+1)
+	}
+	r.put("> endpoints %v%s", full, text.String())
+	r.c.Listed(full, entries)
+}
+
+func (r *transcript) connect(proxy int) {
+	usual, keeps := float64(1+r.IntN(40)), r.IntN(2) == 0
+	r.put("> connect %d %d %v %v", proxy, proxy%2, usual, keeps)
+	r.joined[proxy] = true
+	r.c.Joined(proxy, proxy%2, usual, keeps)
+}
+
+func (r *transcript) disconnect(proxy int) {
+	r.put("> disconnect %d", proxy)
+	r.joined[proxy] = false
+	r.c.Left(proxy)
+}
+
+// outcomes reports what was met at each backend, and what came to each proxy, as the mood has it.
+func (r *transcript) outcomes() {
+	span := max(r.of.span, r.x.sight.ReportEvery)
+	for i := range r.listed {
+		tries, failed, mean := r.IntN(14), 0, 150_000+r.Int64N(120_000)
+		differs := i < r.few
+		switch {
+		case r.mood == 1: // a jam
+			failed, mean = tries/10, 700_000+r.Int64N(500_000)
+		case r.mood == 2 && differs: // some are dead
+			failed, mean = tries, 0
+		case r.mood == 3 && differs: // some are slow
+			failed, mean = tries/4, 1200_000+r.Int64N(800_000)
+		case r.mood == 4 && differs: // some fail fast
+			failed = tries * 3 / 4
+		case r.mood == 5: // thin news
+			tries = r.IntN(2)
+		case r.mood == 6: // everything fails
+			failed, mean = tries, 0
+		case r.mood == 8: // late answers of backends that have little to do
+			mean = 450_000 + r.Int64N(300_000)
+		case r.mood == 7: // nearly nothing waits, and more comes
+			mean = 300_000 + r.Int64N(200_000)
+		}
+		load := Load{Busy: -1, Waiting: -1, Service: -1}
+		if r.of.loads {
+			load = Load{Busy: r.Float64(), Waiting: 2 * r.Float64(), Service: float64(mean) * r.Float64()}
+			if r.mood == 8 {
+				load = Load{Busy: 0.7 + 0.2*r.Float64(), Waiting: r.Float64(), Service: float64(mean) * (0.6 + 0.1*r.Float64())}
+			}
+		}
+		r.put("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.Busy, load.Waiting, load.Service)
+		r.c.Heard(i, tries, failed, mean, span, load)
+	}
+	for proxy, joined := range r.joined {
+		for class := range r.x.classes {
+			n := r.IntN(30)
+			if r.mood == 1 || r.mood == 7 {
+				n *= 3
+			}
+			n = n * int(span/second)
+			if joined && r.IntN(8) > 0 {
+				r.put("> demand %d %d %d %d", proxy, class, n, span)
+				r.c.Came(proxy, class, n, span)
+			}
+		}
+	}
+	for id := range r.x.partition.Count {
+		n, class := r.IntN(20), r.IntN(len(r.x.classes))
+		r.put("> slice demand %d %d %d", id, class, n)
+		r.c.SliceCame(id, class, n, span)
+	}
+}
+
+// change is one change of the list by chance.
+func (r *transcript) change() {
+	var entries []Entry
+	for range 1 + r.IntN(3) {
+		i := r.IntN(len(r.listed))
+		if r.IntN(12) == 0 && len(r.listed) < r.of.backends+6 { // one more
+			i = len(r.listed)
+			r.listed = append(r.listed, Entry{Backend: i, Weight: float64(1 + r.IntN(4)), Zone: i % 3 % 2, Started: r.now})
+		}
+		e := &r.listed[i]
+		switch r.IntN(6) {
+		case 0:
+			e.Condition = Gone
+		case 1:
+			e.Condition, e.Since = Draining, 0
+			if r.IntN(2) == 0 {
+				e.Since = r.now - r.Int64N(2*second)
+			}
+		case 2:
+			e.Condition, e.Started = Ready, r.now-r.Int64N(2*second)
+		case 3:
+			e.Weight = float64(r.IntN(5))
+		default:
+			e.Condition = Ready
+		}
+		entries = append(entries, *e)
+	}
+	if r.IntN(10) == 0 { // a complete list, that may leave some out
+		entries = nil
+		for _, e := range r.listed {
+			if r.IntN(15) > 0 && e.Condition != Gone {
+				entries = append(entries, e)
+			}
+		}
+		r.list(true, entries)
+		return
+	}
+	r.list(false, entries)
+}
+
+// leaveOnly drains all but those below a number.
+func (r *transcript) leaveOnly(below int) {
+	for i := range r.listed {
+		if r.listed[i].Condition = Ready; i >= below {
+			r.listed[i].Condition = Draining
+		}
+	}
+	r.list(false, slices.Clone(r.listed))
+}
+
+// shuffle is any other call by chance.
+func (r *transcript) shuffle() {
+	proxy, backend, class := r.IntN(r.of.proxies), r.IntN(len(r.listed)), r.IntN(len(r.x.classes))
+	switch r.IntN(16) {
+	case 0, 1, 2:
+		if r.joined[proxy] {
+			r.disconnect(proxy)
+		} else {
+			r.connect(proxy)
+		}
+	case 3:
+		for i := range r.joined { // many at once
+			if !r.joined[i] || r.IntN(3) == 0 {
+				r.connect(i)
+			}
+		}
+	case 4, 5:
+		tries := r.IntN(9)
+		failed, mean, wait := tries-tries*r.IntN(2), r.Int64N(900_000), r.Int64N(40*second)
+		r.put("> peer outcomes %d %d %d %d %d", backend, tries, failed, mean, wait)
+		r.c.Learned(backend, tries, failed, mean, wait)
+	case 6:
+		messages := r.IntN(5)
+		r.put("> spent %d %d", proxy, messages)
+		r.c.Spent(proxy, messages)
+	case 7:
+		rates := make([]float64, len(r.x.classes))
+		for i := range rates {
+			rates[i] = 30 * r.Float64()
+		}
+		if r.joined[proxy] {
+			r.put("> demands %d %v", proxy, rates)
+			r.c.Demands(proxy, rates)
+		}
+	case 8:
+		proven, able := r.Float64()/2, r.Float64()/2
+		r.put("> capacity %v %v", proven, able)
+		r.c.Fits(proven, able)
+	case 9:
+		quota := float64(r.IntN(2)) * 200 * r.Float64()
+		r.put("> quota %d %v", class, quota)
+		r.c.Quota(class, quota)
+	case 10, 11:
+		if backend >= r.known {
+			return
+		}
+		forgotten := r.c.Forget(backend)
+		r.put("> forget %d = %v", backend, forgotten)
+		if forgotten {
+			r.listed[backend].Condition, r.listed[backend].Started = Gone, 0
+		}
+	case 12:
+		outcome := Outcome(r.IntN(7))
+		r.put("> probed %d %d", backend, outcome)
+		r.c.Probed(backend, outcome)
+	case 13:
+		r.put("> list failed")
+		r.c.ListFailed()
+	case 14:
+		r.put("> stray timer")
+		r.c.Elapsed(99)
+	case 15:
+		r.slice()
+	}
+}
+
+func (r *transcript) slice() {
+	if r.x.partition.Count == 0 {
+		return
+	}
+	switch id, backend := r.IntN(r.x.partition.Count), r.IntN(len(r.listed)); r.IntN(4) {
+	case 0:
+		r.put("> slice taken %d", id)
+		r.c.SliceTaken(id)
+	case 1:
+		r.put("> slice entry %d %d", id, backend)
+		r.c.SliceLine(id, backend, float64(r.IntN(2)))
+	default:
+		r.put("> slice given %d", id)
+		r.c.SliceGiven(id)
+		r.put("> slice entry %d %d", id, backend)
+		r.c.SliceLine(id, backend, 1)
+	}
+}
+
+// returned keeps what the controller says of itself.
+func (r *transcript) returned() {
+	for i := range len(r.listed) + 1 {
+		tries, failed, wait, away := r.c.Withdrawn(i)
+		r.put("= ejected %d %d %d %d %v", i, tries, failed, wait, away)
+	}
+	proven, able := r.c.Ability()
+	r.put("= capacity %v %v", proven, able)
+	r.put("= delay %d", r.c.Delay())
+}
+
+// step lets a moment pass.
+func (r *transcript) step(i int) {
+	r.now += 40_000 + r.Int64N(20_000)
+	for _, timer := range slices.Clone(r.timers) {
+		if timer.at <= r.now {
+			r.timers = slices.DeleteFunc(r.timers, func(t transcriptTimer) bool { return t == timer })
+			r.put("> timer %d", timer.tag)
+			r.c.Elapsed(timer.tag)
+		}
+	}
+	r.now += r.Int64N(3)
+	for len(r.due) > 0 && r.due[0] <= r.now {
+		number := r.requests[0]
+		r.requests, r.due = r.requests[1:], r.due[1:]
+		for proxy, joined := range r.joined {
+			if joined && r.IntN(25) > 0 {
+				r.put("> acknowledged %d %d", proxy, number)
+				r.c.Applied(proxy, number)
+			}
+		}
+	}
+	every := int(max(r.of.span/4, r.x.sight.ReportEvery) / second * 20)
+	if i%every == every-1 {
+		r.outcomes()
+	}
+	if i%400 == 399 {
+		r.mood, r.few = r.IntN(9), 1+r.IntN(max(1, r.of.backends/3))
+		r.put("mood %d %d", r.mood, r.few)
+	}
+	if r.mood == 2 && i%400 == 200 && r.of.backends < 10 {
+		r.leaveOnly(r.few)
+	}
+	if r.IntN(70) == 0 {
+		r.change()
+	}
+	if r.IntN(30) == 0 {
+		r.shuffle()
+	}
+	if i%200 == 150 {
+		r.returned()
+	}
+}
+
+func (of transcriptCase) play(number int) []string {
+	x := usual()
+	if of.change != nil {
+		of.change(&x)
+	}
+	r := &transcript{Rand: rand.New(rand.NewPCG(uint64(number)+1, 35)), of: of, x: x, now: 100 * second,
+		joined: make([]bool, of.proxies), few: 1}
+	r.c = New(r, 7, x.classes, x.channel, x.limits, x.partition, x.sight, x.admit)
+	for i := range of.backends {
+		r.listed = append(r.listed, Entry{Backend: i, Condition: Ready, Weight: float64(1 + i%3), Zone: i % 3 % 2})
+	}
+	for id := range x.partition.Count {
+		r.put("> slice given %d", id)
+		r.c.SliceGiven(id)
+		r.put("> slice entry %d %d", id, id%of.backends)
+		r.c.SliceLine(id, id%of.backends, 1)
+	}
+	r.connect(0)
+	r.list(true, slices.Clone(r.listed))
+	for proxy := 1; proxy < of.proxies; proxy++ {
+		r.connect(proxy)
+	}
+	seconds := of.seconds
+	if seconds == 0 {
+		seconds = 300
+	}
+	for i := range 20 * seconds {
+		r.step(i)
+	}
+	return r.lines
+}
+
+// summary is the head of a transcript without log lines, and a hash of each chunk after it.
+func summary(lines []string) []byte {
+	lines = slices.DeleteFunc(slices.Clone(lines), func(line string) bool { return strings.HasPrefix(line, logMarker) })
+	var text bytes.Buffer
+	head := min(len(lines), transcriptHead)
+	for _, line := range lines[:head] {
+		fmt.Fprintln(&text, line)
+	}
+	from := head
+	for chunk := range slices.Chunk(lines[head:], transcriptChunk) {
+		hash := sha256.Sum256([]byte(strings.Join(chunk, "\n")))
+		fmt.Fprintf(&text, "lines %d to %d: %x\n", from+1, from+len(chunk), hash[:12])
+		from += len(chunk)
+	}
+	return text.Bytes()
+}
+
+func TestTranscript(t *testing.T) {
+	for number, of := range transcriptCases() {
+		t.Run(of.name, func(t *testing.T) {
+			lines := of.play(number)
+			if *writeTranscripts != "" {
+				path := filepath.Join(*writeTranscripts, of.name+".txt")
+				if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			got, path := summary(lines), filepath.Join("testdata", "transcript", of.name+".txt")
+			if *updateTranscripts {
+				if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+					t.Fatal(err)
+				}
+				if err := os.WriteFile(path, got, 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if bytes.Equal(got, want) {
+				return
+			}
+			ours, theirs := bufio.NewScanner(bytes.NewReader(got)), bufio.NewScanner(bytes.NewReader(want))
+			for line := 1; ; line++ {
+				more, others := ours.Scan(), theirs.Scan()
+				if ours.Text() != theirs.Text() || !more || !others {
+					t.Fatalf("line %d of %s:\ngot  %s\nwant %s\nboth complete: -write-transcripts", line, path, ours.Text(), theirs.Text())
+				}
+			}
+		})
+	}
+}
