--- a/decide/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"bufio"
@@ -44,57 +44,57 @@
 
 func transcriptCases() []transcriptCase {
 	threeClasses := []Class{
-		{Target: 1500_000, Deadline: 4 * second, Value: 1, OwnZone: true},
-		{Target: 800_000, Deadline: 2 * second, Value: 3, Writes: true, OwnZone: true},
-		{Target: 300_000, Deadline: second, Value: 2, OwnZone: true},
+		{LatencyObjective: 1500_000, Deadline: 4 * second, PriorityWeight: 1, ZoneLocal: true},
+		{LatencyObjective: 800_000, Deadline: 2 * second, PriorityWeight: 3, Writes: true, ZoneLocal: true},
+		{LatencyObjective: 300_000, Deadline: second, PriorityWeight: 2, ZoneLocal: true},
 	}
-	sliced := func(single bool, admit Admission) func(*setting) {
+	sliced := func(single bool, admit AdmissionMode) func(*setting) {
 		return func(x *setting) {
-			x.partition = Partition{Count: 6, SingleOwner: single, WritesOn: 2500_000, Settle: 2 * second}
+			x.partition = Sharding{Count: 6, SingleOwner: single, WriteLease: 2500_000, SettleTime: 2 * second}
 			x.admit = admit
 		}
 	}
 	return []transcriptCase{
 		{name: "rate", backends: 12, proxies: 5},
 		{name: "rate-loads", backends: 12, proxies: 5, loads: true},
-		{name: "share", backends: 10, proxies: 4, change: func(x *setting) { x.admit = AdmitShare }},
-		{name: "none", backends: 8, proxies: 4, change: func(x *setting) { x.admit = AdmitNone }},
-		{name: "own-zone", backends: 12, proxies: 6, change: func(x *setting) { x.classes[1].OwnZone = true }},
+		{name: "share", backends: 10, proxies: 4, change: func(x *setting) { x.admit = AdmissionByShare }},
+		{name: "none", backends: 8, proxies: 4, change: func(x *setting) { x.admit = AdmissionUnsupported }},
+		{name: "own-zone", backends: 12, proxies: 6, change: func(x *setting) { x.classes[1].ZoneLocal = true }},
 		{name: "all-own-zone", backends: 9, proxies: 6, loads: true, change: func(x *setting) { x.classes = threeClasses }},
 		{name: "subsets", backends: 30, proxies: 24, seconds: 150, change: func(x *setting) {
-			x.channel.Connections, x.channel.Proxies = 8, 24
+			x.channel.MinBackendConnections, x.channel.Proxies = 8, 24
 		}},
 		{name: "subsets-own-zone", backends: 26, proxies: 20, seconds: 150, change: func(x *setting) {
-			x.channel.Connections, x.channel.Proxies, x.classes[1].OwnZone = 8, 24, true
+			x.channel.MinBackendConnections, x.channel.Proxies, x.classes[1].ZoneLocal = 8, 24, true
 		}},
 		{name: "subsets-by-channel", backends: 40, proxies: 20, seconds: 150, change: func(x *setting) {
-			x.channel.Proxies, x.channel.LinesPerS = 20, 200
+			x.channel.Proxies, x.channel.LinesPerSecond = 20, 200
 		}},
 		{name: "subsets-by-both", backends: 60, proxies: 30, seconds: 100, change: func(x *setting) {
-			x.channel.Connections, x.channel.Proxies, x.channel.LinesPerS = 30, 60, 700
+			x.channel.MinBackendConnections, x.channel.Proxies, x.channel.LinesPerSecond = 30, 60, 700
 		}},
 		{name: "few-left", backends: 4, proxies: 3, loads: true},
 		{name: "tight-channel", backends: 20, proxies: 12, seconds: 200, change: func(x *setting) {
-			x.channel.LinesPerS, x.channel.Backlog = 120, 150
+			x.channel.LinesPerSecond, x.channel.Backlog = 120, 150
 		}},
 		{name: "tight-messages", backends: 12, proxies: 8, change: func(x *setting) {
-			x.channel.MessagesMost, x.channel.MessagesSpan = 8, 10*second
+			x.channel.MaxMessages, x.channel.MessageWindow = 8, 10*second
 		}},
 		{name: "unlimited-messages", backends: 12, proxies: 8, mute: true, change: func(x *setting) {
-			x.channel.MessagesMost, x.channel.MessagesSpan, x.channel.Levels = 0, 0, 2
+			x.channel.MaxMessages, x.channel.MessageWindow, x.channel.LimitLines = 0, 0, 2
 		}},
-		{name: "slices-single-share", backends: 8, proxies: 4, change: sliced(true, AdmitShare)},
-		{name: "slices-single-none", backends: 8, proxies: 4, change: sliced(true, AdmitNone)},
-		{name: "slices-many", backends: 8, proxies: 4, change: sliced(false, AdmitRate)},
-		{name: "only-draining-binds", backends: 12, proxies: 5, change: func(x *setting) { x.limits.OnlyDrainingBinds = true }},
-		{name: "live-weights", backends: 12, proxies: 5, loads: true, change: func(x *setting) { x.sight.LiveWeights = true }},
-		{name: "probes", backends: 12, proxies: 5, change: func(x *setting) { x.sight.MayProbe = true }},
+		{name: "slices-single-share", backends: 8, proxies: 4, change: sliced(true, AdmissionByShare)},
+		{name: "slices-single-none", backends: 8, proxies: 4, change: sliced(true, AdmissionUnsupported)},
+		{name: "slices-many", backends: 8, proxies: 4, change: sliced(false, AdmissionByRate)},
+		{name: "only-draining-binds", backends: 12, proxies: 5, change: func(x *setting) { x.limits.OnlyDrainingMustLeave = true }},
+		{name: "live-weights", backends: 12, proxies: 5, loads: true, change: func(x *setting) { x.sight.LoadDependentWeights = true }},
+		{name: "probes", backends: 12, proxies: 5, change: func(x *setting) { x.sight.HealthChecksAllowed = true }},
 		{name: "asks", backends: 12, proxies: 5, change: func(x *setting) {
-			x.sight.MustAsk, x.sight.AskWithin = true, 10*second
+			x.sight.PollingRequired, x.sight.MaxPollInterval = true, 10*second
 		}},
-		{name: "old-news", backends: 12, proxies: 6, span: 12 * second, change: func(x *setting) { x.limits.Grace = 6 * second }},
+		{name: "old-news", backends: 12, proxies: 6, span: 12 * second, change: func(x *setting) { x.limits.DrainGrace = 6 * second }},
 		{name: "slow-reports", backends: 12, proxies: 6, span: 2 * second, change: func(x *setting) {
-			x.sight.ReportEvery, x.channel.Proxies = 2*second, 30
+			x.sight.ReportInterval, x.channel.Proxies = 2*second, 30
 		}},
 	}
 }
@@ -111,7 +111,7 @@
 	requests []int // numbers of acknowledgements asked for and not yet given, with their times in due
 	due      []int64
 	joined   []bool
-	listed   []Entry
+	listed   []Endpoint
 	known    int // backends that the controller was told of
 	mood     int // how the fleet does just now
 	few      int // backends below this number are those that differ
@@ -127,62 +127,62 @@
 }
 
 func (r *transcript) Now() int64 { return r.now }
-func (r *transcript) After(wait int64, tag uint64) {
+func (r *transcript) SetTimer(wait int64, tag uint64) {
 	r.timers = append(r.timers, transcriptTimer{r.now + wait, tag})
 	r.put("timer %d %d", wait, tag)
 }
 func (r *transcript) Log(backend int, line string) {
 	r.lines = append(r.lines, fmt.Sprint(logMarker, r.now, " ", backend, " ", line))
 }
-func (r *transcript) Watch()            { r.put("poll") }
-func (r *transcript) Probe(backend int) { r.put("probe %d", backend) }
-func (r *transcript) SetLine(table, backend int, weight float64) {
+func (r *transcript) PollEndpoints()          { r.put("poll") }
+func (r *transcript) CheckHealth(backend int) { r.put("probe %d", backend) }
+func (r *transcript) PublishEntry(table, backend int, weight float64) {
 	r.put("entry %d %d %v", table, backend, weight)
 }
-func (r *transcript) Bind(table, proxy int, classes uint16) {
+func (r *transcript) AssignTable(table, proxy int, classes uint16) {
 	r.put("bind %d %d %d", table, proxy, classes)
 }
 func (r *transcript) Withdraw(backend int, out bool) { r.put("withdraw %d %v", backend, out) }
-func (r *transcript) Remind(proxy int, allowance float64, tries Tries) bool {
+func (r *transcript) SyncWithdrawals(proxy int, allowance float64, tries RetryPolicy) bool {
 	r.put("sync %d %v %d", proxy, allowance, tries)
 	return !r.of.mute
 }
-func (r *transcript) Clear(proxy int) { r.put("clear %d", proxy) }
-func (r *transcript) Admit(table int, classes uint16, allowance float64, tries Tries) {
+func (r *transcript) ClearWithdrawals(proxy int) { r.put("clear %d", proxy) }
+func (r *transcript) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
 	r.put("limit %d %d %v %d", table, classes, allowance, tries)
 }
-func (r *transcript) Mark(number int, everyone bool) {
+func (r *transcript) RequestAck(number int, everyone bool) {
 	r.put("request %d %v", number, everyone)
 	r.requests, r.due = append(r.requests, number), append(r.due, r.now+300_000+r.Int64N(900_000))
 }
 
 // list tells of endpoints.
-func (r *transcript) list(full bool, entries []Entry) {
+func (r *transcript) list(full bool, entries []Endpoint) {
 	var text strings.Builder
 	for _, e := range entries {
-		fmt.Fprintf(&text, " [%d %d %d %v %d %d]", e.Backend, e.Condition, e.Started, e.Weight, e.Zone, e.Since)
+		fmt.Fprintf(&text, " [%d %d %d %v %d %d]", e.Backend, e.State, e.StartedAt, e.Weight, e.Zone, e.DrainingSince)
 		r.known = max(r.known, e.Backend+1)
 	}
 	r.put("> endpoints %v%s", full, text.String())
-	r.c.Listed(full, entries)
+	r.c.EndpointsUpdated(full, entries)
 }
 
 func (r *transcript) connect(proxy int) {
 	usual, keeps := float64(1+r.IntN(40)), r.IntN(2) == 0
 	r.put("> connect %d %d %v %v", proxy, proxy%2, usual, keeps)
 	r.joined[proxy] = true
-	r.c.Joined(proxy, proxy%2, usual, keeps)
+	r.c.ProxyConnected(proxy, proxy%2, usual, keeps)
 }
 
 func (r *transcript) disconnect(proxy int) {
 	r.put("> disconnect %d", proxy)
 	r.joined[proxy] = false
-	r.c.Left(proxy)
+	r.c.ProxyDisconnected(proxy)
 }
 
 // outcomes reports what was met at each backend, and what came to each proxy, as the mood has it.
 func (r *transcript) outcomes() {
-	span := max(r.of.span, r.x.sight.ReportEvery)
+	span := max(r.of.span, r.x.sight.ReportInterval)
 	for i := range r.listed {
 		tries, failed, mean := r.IntN(14), 0, 150_000+r.Int64N(120_000)
 		differs := i < r.few
@@ -204,15 +204,15 @@
 		case r.mood == 7: // nearly nothing waits, and more comes
 			mean = 300_000 + r.Int64N(200_000)
 		}
-		load := Load{Busy: -1, Waiting: -1, Service: -1}
+		load := BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 		if r.of.loads {
-			load = Load{Busy: r.Float64(), Waiting: 2 * r.Float64(), Service: float64(mean) * r.Float64()}
+			load = BackendLoad{CPUUtilization: r.Float64(), QueueLength: 2 * r.Float64(), ServiceTime: float64(mean) * r.Float64()}
 			if r.mood == 8 {
-				load = Load{Busy: 0.7 + 0.2*r.Float64(), Waiting: r.Float64(), Service: float64(mean) * (0.6 + 0.1*r.Float64())}
+				load = BackendLoad{CPUUtilization: 0.7 + 0.2*r.Float64(), QueueLength: r.Float64(), ServiceTime: float64(mean) * (0.6 + 0.1*r.Float64())}
 			}
 		}
-		r.put("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.Busy, load.Waiting, load.Service)
-		r.c.Heard(i, tries, failed, mean, span, load)
+		r.put("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.CPUUtilization, load.QueueLength, load.ServiceTime)
+		r.c.OutcomesReported(i, tries, failed, mean, span, load)
 	}
 	for proxy, joined := range r.joined {
 		for class := range r.x.classes {
@@ -223,48 +223,48 @@
 			n = n * int(span/second)
 			if joined && r.IntN(8) > 0 {
 				r.put("> demand %d %d %d %d", proxy, class, n, span)
-				r.c.Came(proxy, class, n, span)
+				r.c.DemandReported(proxy, class, n, span)
 			}
 		}
 	}
 	for id := range r.x.partition.Count {
 		n, class := r.IntN(20), r.IntN(len(r.x.classes))
 		r.put("> slice demand %d %d %d", id, class, n)
-		r.c.SliceCame(id, class, n, span)
+		r.c.ShardDemandReported(id, class, n, span)
 	}
 }
 
 // change is one change of the list by chance.
 func (r *transcript) change() {
-	var entries []Entry
+	var entries []Endpoint
 	for range 1 + r.IntN(3) {
 		i := r.IntN(len(r.listed))
 		if r.IntN(12) == 0 && len(r.listed) < r.of.backends+6 { // one more
 			i = len(r.listed)
-			r.listed = append(r.listed, Entry{Backend: i, Weight: float64(1 + r.IntN(4)), Zone: i % 3 % 2, Started: r.now})
+			r.listed = append(r.listed, Endpoint{Backend: i, Weight: float64(1 + r.IntN(4)), Zone: i % 3 % 2, StartedAt: r.now})
 		}
 		e := &r.listed[i]
 		switch r.IntN(6) {
 		case 0:
-			e.Condition = Gone
+			e.State = Removed
 		case 1:
-			e.Condition, e.Since = Draining, 0
+			e.State, e.DrainingSince = Draining, 0
 			if r.IntN(2) == 0 {
-				e.Since = r.now - r.Int64N(2*second)
+				e.DrainingSince = r.now - r.Int64N(2*second)
 			}
 		case 2:
-			e.Condition, e.Started = Ready, r.now-r.Int64N(2*second)
+			e.State, e.StartedAt = Ready, r.now-r.Int64N(2*second)
 		case 3:
 			e.Weight = float64(r.IntN(5))
 		default:
-			e.Condition = Ready
+			e.State = Ready
 		}
 		entries = append(entries, *e)
 	}
 	if r.IntN(10) == 0 { // a complete list, that may leave some out
 		entries = nil
 		for _, e := range r.listed {
-			if r.IntN(15) > 0 && e.Condition != Gone {
+			if r.IntN(15) > 0 && e.State != Removed {
 				entries = append(entries, e)
 			}
 		}
@@ -277,8 +277,8 @@
 // leaveOnly drains all but those below a number.
 func (r *transcript) leaveOnly(below int) {
 	for i := range r.listed {
-		if r.listed[i].Condition = Ready; i >= below {
-			r.listed[i].Condition = Draining
+		if r.listed[i].State = Ready; i >= below {
+			r.listed[i].State = Draining
 		}
 	}
 	r.list(false, slices.Clone(r.listed))
@@ -304,11 +304,11 @@
 		tries := r.IntN(9)
 		failed, mean, wait := tries-tries*r.IntN(2), r.Int64N(900_000), r.Int64N(40*second)
 		r.put("> peer outcomes %d %d %d %d %d", backend, tries, failed, mean, wait)
-		r.c.Learned(backend, tries, failed, mean, wait)
+		r.c.PeerOutcomesReported(backend, tries, failed, mean, wait)
 	case 6:
 		messages := r.IntN(5)
 		r.put("> spent %d %d", proxy, messages)
-		r.c.Spent(proxy, messages)
+		r.c.MessagesSentByPeers(proxy, messages)
 	case 7:
 		rates := make([]float64, len(r.x.classes))
 		for i := range rates {
@@ -316,35 +316,35 @@
 		}
 		if r.joined[proxy] {
 			r.put("> demands %d %v", proxy, rates)
-			r.c.Demands(proxy, rates)
+			r.c.SeedDemand(proxy, rates)
 		}
 	case 8:
 		proven, able := r.Float64()/2, r.Float64()/2
 		r.put("> capacity %v %v", proven, able)
-		r.c.Fits(proven, able)
+		r.c.SeedThroughput(proven, able)
 	case 9:
 		quota := float64(r.IntN(2)) * 200 * r.Float64()
 		r.put("> quota %d %v", class, quota)
-		r.c.Quota(class, quota)
+		r.c.SetClassQuota(class, quota)
 	case 10, 11:
 		if backend >= r.known {
 			return
 		}
-		forgotten := r.c.Forget(backend)
+		forgotten := r.c.ForgetBackend(backend)
 		r.put("> forget %d = %v", backend, forgotten)
 		if forgotten {
-			r.listed[backend].Condition, r.listed[backend].Started = Gone, 0
+			r.listed[backend].State, r.listed[backend].StartedAt = Removed, 0
 		}
 	case 12:
-		outcome := Outcome(r.IntN(7))
+		outcome := HealthCheckResult(r.IntN(7))
 		r.put("> probed %d %d", backend, outcome)
-		r.c.Probed(backend, outcome)
+		r.c.HealthCheckCompleted(backend, outcome)
 	case 13:
 		r.put("> list failed")
-		r.c.ListFailed()
+		r.c.EndpointPollFailed()
 	case 14:
 		r.put("> stray timer")
-		r.c.Elapsed(99)
+		r.c.TimerFired(99)
 	case 15:
 		r.slice()
 	}
@@ -357,27 +357,27 @@
 	switch id, backend := r.IntN(r.x.partition.Count), r.IntN(len(r.listed)); r.IntN(4) {
 	case 0:
 		r.put("> slice taken %d", id)
-		r.c.SliceTaken(id)
+		r.c.ShardRevoked(id)
 	case 1:
 		r.put("> slice entry %d %d", id, backend)
-		r.c.SliceLine(id, backend, float64(r.IntN(2)))
+		r.c.ShardOwnerStored(id, backend, float64(r.IntN(2)))
 	default:
 		r.put("> slice given %d", id)
-		r.c.SliceGiven(id)
+		r.c.ShardAssigned(id)
 		r.put("> slice entry %d %d", id, backend)
-		r.c.SliceLine(id, backend, 1)
+		r.c.ShardOwnerStored(id, backend, 1)
 	}
 }
 
 // returned keeps what the controller says of itself.
 func (r *transcript) returned() {
 	for i := range len(r.listed) + 1 {
-		tries, failed, wait, away := r.c.Withdrawn(i)
+		tries, failed, wait, away := r.c.Ejection(i)
 		r.put("= ejected %d %d %d %d %v", i, tries, failed, wait, away)
 	}
-	proven, able := r.c.Ability()
+	proven, able := r.c.Throughput()
 	r.put("= capacity %v %v", proven, able)
-	r.put("= delay %d", r.c.Delay())
+	r.put("= delay %d", r.c.QueueDelay())
 }
 
 // step lets a moment pass.
@@ -387,7 +387,7 @@
 		if timer.at <= r.now {
 			r.timers = slices.DeleteFunc(r.timers, func(t transcriptTimer) bool { return t == timer })
 			r.put("> timer %d", timer.tag)
-			r.c.Elapsed(timer.tag)
+			r.c.TimerFired(timer.tag)
 		}
 	}
 	r.now += r.Int64N(3)
@@ -397,11 +397,11 @@
 		for proxy, joined := range r.joined {
 			if joined && r.IntN(25) > 0 {
 				r.put("> acknowledged %d %d", proxy, number)
-				r.c.Applied(proxy, number)
+				r.c.Acknowledged(proxy, number)
 			}
 		}
 	}
-	every := int(max(r.of.span/4, r.x.sight.ReportEvery) / second * 20)
+	every := int(max(r.of.span/4, r.x.sight.ReportInterval) / second * 20)
 	if i%every == every-1 {
 		r.outcomes()
 	}
@@ -432,13 +432,13 @@
 		joined: make([]bool, of.proxies), few: 1}
 	r.c = New(r, 7, x.classes, x.channel, x.limits, x.partition, x.sight, x.admit)
 	for i := range of.backends {
-		r.listed = append(r.listed, Entry{Backend: i, Condition: Ready, Weight: float64(1 + i%3), Zone: i % 3 % 2})
+		r.listed = append(r.listed, Endpoint{Backend: i, State: Ready, Weight: float64(1 + i%3), Zone: i % 3 % 2})
 	}
 	for id := range x.partition.Count {
 		r.put("> slice given %d", id)
-		r.c.SliceGiven(id)
+		r.c.ShardAssigned(id)
 		r.put("> slice entry %d %d", id, id%of.backends)
-		r.c.SliceLine(id, id%of.backends, 1)
+		r.c.ShardOwnerStored(id, id%of.backends, 1)
 	}
 	r.connect(0)
 	r.list(true, slices.Clone(r.listed))
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the simulator drive the controllers' decisions over standard input and output.
+// Command simadapter lets the simulator drive the controllers' decisions over standard input and output.
 package main
 
 import (
@@ -9,22 +9,22 @@
 	"io"
 	"os"
 
-	"wheelrill/internal/benchwire"
+	"wheelrill/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 func run(in io.Reader, out, complaints io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	door := benchwire.NewDoor(complaints)
+	door := simwire.NewDoor(complaints)
 	var body bytes.Buffer
 	for {
-		batch, err := benchwire.ReadBatch(r, &body)
+		batch, err := simwire.ReadBatch(r, &body)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/standin/discovery.go
+++ b/fake/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"wheelrill/rules"
+	"wheelrill/invariant"
 )
 
 // entry is one worker as discovery writes it.
@@ -29,7 +29,7 @@
 type Discovery struct {
 	server  *http.Server
 	address string
-	account *rules.Account
+	account *invariant.Checker
 	clock   func() time.Duration
 
 	mutex   sync.Mutex
@@ -46,7 +46,7 @@
 }
 
 // NewDiscovery begins to serve an empty list.
-func NewDiscovery(account *rules.Account, clock func() time.Duration) (*Discovery, error) {
+func NewDiscovery(account *invariant.Checker, clock func() time.Duration) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 	d.running.Wait()
 }
 
-// Silence has it answer nothing, or go on.
-func (d *Discovery) Silence(silent bool) {
+// SetSilent has it answer nothing, or go on.
+func (d *Discovery) SetSilent(silent bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.silent = silent
@@ -81,8 +81,8 @@
 	d.news = make(chan struct{})
 }
 
-// List writes workers with a state: up, draining or removed.
-func (d *Discovery) List(state string, workers ...*Worker) {
+// Publish writes workers with a state: up, draining or removed.
+func (d *Discovery) Publish(state string, workers ...*Backend) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.version++
@@ -94,7 +94,7 @@
 		} else {
 			d.at[e.ID], d.entries = len(d.entries), append(d.entries, e)
 		}
-		d.account.Listed(w.ID, state == "up", w.Warm(), d.clock())
+		d.account.EndpointListed(w.ID, state == "up", w.Warm(), d.clock())
 	}
 	d.whole = nil
 	d.told()
