--- a/balancer/state.go
+++ b/balancer/state.go
@@ -9,52 +9,52 @@
 )
 
 // backend is all that is known of one backend.
-type backend struct {
+type backendState struct {
 	Endpoint
-	part            int     // of the fleet that it is in
-	listed, drained bool    // drained: was seen draining since it was last ready
-	line            float64 // its weight in our tables
-	out             bool    // withdrawn from whatever tables proxies hold
-	late            int64   // how long its drain had been ordered when we heard of it
-	enteredAt       int64   // when it entered or returned; 0 if it was here from the start
-
-	samples         []sample // what was heard within the reply timeout, and its sums
-	others          []sample // what others heard; it has the place of ours where there are none
-	elsewhere       bool     // so it does
-	learnt          bool     // it left R on that alone: telling it to others again would never end
-	tries, failed   int
-	mean            float64
-	load            BackendLoad
-	answered        int64   // when an answer was last heard of
-	unheard         int     // tries without any answer since then
-	score           float64 // mean over the median, 1 if unheard, negative if it left R
-	away            bool
-	backAt, backoff int64
-	probedAt        int64
-	strained        float64 // part of the listed weight that it is left with; 0 for all of it
-	widenAt         int64
-	since           int64 // when that was: what was heard before says nothing of its new weight
-}
-
-type sample struct {
-	at, from      int64 // when it came, and what it tells of at the earliest, but for a period
-	took          int64 // all answered ones together
-	tries, failed int
-}
-
-type proxy struct {
-	joined, bound    bool
-	keeps, reminded  bool    // keeps: may hold withdrawals of others, until it is cleared of them
-	cleared          bool    // a backend's first line lets it back from then on, and costs two
-	told             float64 // withdrawals that it heard of before it was bound: the same
-	zone, part       int
-	usual            float64 // requests a second that come to it on ordinary days
-	joinedAt, leftAt int64
-	applied          int64     // orders up to this one have come through
-	rates            []float64 // requests a second that come to it, by class
-	sent             []int64   // when messages went to it, within the span that is counted
-	owed             []int64   // the same by others, for when it joins
-	cramped          bool      // others had sent some: its table may take what is kept for what is urgent
+	subset               int     // of the fleet that it is in
+	listed, seenDraining bool    // drained: was seen draining since it was last ready
+	published            float64 // its weight in our tables
+	withdrawn            bool    // withdrawn from whatever tables proxies hold
+	drainDelay           int64   // how long its drain had been ordered when we heard of it
+	enteredAt            int64   // when it entered or returned; 0 if it was here from the start
+
+	ownOutcomes         []outcomeSample // what was heard within the reply timeout, and its sums
+	peerOutcomes        []outcomeSample // what others heard; it has the place of ours where there are none
+	reportedByPeersOnly bool            // so it does
+	ejectedByPeerReport bool            // it left R on that alone: telling it to others again would never end
+	attempts, failures  int
+	meanAnswerTime      float64
+	load                BackendLoad
+	lastAnswerAt        int64   // when an answer was last heard of
+	consecutiveFailures int     // tries without any answer since then
+	score               float64 // mean over the median, 1 if unheard, negative if it left R
+	ejected             bool
+	readmitAt, backoff  int64
+	healthCheckedAt     int64
+	reducedTo           float64 // part of the listed weight that it is left with; 0 for all of it
+	raiseWeightAt       int64
+	weightReducedAt     int64 // when that was: what was heard before says nothing of its new weight
+}
+
+type outcomeSample struct {
+	receivedAt, coversFrom int64 // when it came, and what it tells of at the earliest, but for a period
+	answerTime             int64 // all answered ones together
+	attempts, failures     int
+}
+
+type proxyState struct {
+	connected, assigned               bool
+	mayHoldForeign, withdrawalsSynced bool    // keeps: may hold withdrawals of others, until it is cleared of them
+	withdrawalsCleared                bool    // a backend's first line lets it back from then on, and costs two
+	heldWithdrawals                   float64 // withdrawals that it heard of before it was bound: the same
+	zone, subset                      int
+	baselineRate                      float64 // requests a second that come to it on ordinary days
+	connectedAt, disconnectedAt       int64
+	acknowledged                      int64     // orders up to this one have come through
+	demand                            []float64 // requests a second that come to it, by class
+	messageTimes                      []int64   // when messages went to it, within the span that is counted
+	peerMessageTimes                  []int64   // the same by others, for when it joins
+	reserveReleased                   bool      // others had sent some: its table may take what is kept for what is urgent
 }
 
 func count(yes bool) int {
@@ -64,22 +64,22 @@
 	return 0
 }
 
-func (b *backend) tally(now int64) {
-	old := func(s sample) bool { return s.at <= now-replyTimeout }
-	b.samples, b.others = slices.DeleteFunc(b.samples, old), slices.DeleteFunc(b.others, old)
-	heard := b.samples
-	if b.elsewhere = len(heard) == 0 && len(b.others) > 0; b.elsewhere {
-		heard = b.others
+func (b *backendState) sumOutcomes(now int64) {
+	old := func(s outcomeSample) bool { return s.receivedAt <= now-scoreWindow }
+	b.ownOutcomes, b.peerOutcomes = slices.DeleteFunc(b.ownOutcomes, old), slices.DeleteFunc(b.peerOutcomes, old)
+	heard := b.ownOutcomes
+	if b.reportedByPeersOnly = len(heard) == 0 && len(b.peerOutcomes) > 0; b.reportedByPeersOnly {
+		heard = b.peerOutcomes
 	}
 	took := int64(0)
-	b.tries, b.failed, b.mean = 0, 0, 0
+	b.attempts, b.failures, b.meanAnswerTime = 0, 0, 0
 	for _, s := range heard {
-		if s.from > b.since {
-			b.tries, b.failed, took = b.tries+s.tries, b.failed+s.failed, took+s.took
+		if s.coversFrom > b.weightReducedAt {
+			b.attempts, b.failures, took = b.attempts+s.attempts, b.failures+s.failures, took+s.answerTime
 		}
 	}
-	if b.failed < b.tries {
-		b.mean = float64(took) / float64(b.tries-b.failed)
+	if b.failures < b.attempts {
+		b.meanAnswerTime = float64(took) / float64(b.attempts-b.failures)
 	}
 }
 
@@ -90,52 +90,58 @@
 		return 0, 0, 0, false
 	}
 	b := c.backends[id]
-	if b.unheard > 0 {
-		return b.unheard, b.unheard, b.backoff, b.away && !b.learnt
+	if b.consecutiveFailures > 0 {
+		return b.consecutiveFailures, b.consecutiveFailures, b.backoff, b.ejected && !b.ejectedByPeerReport
 	}
-	return b.tries, b.failed, b.backoff, b.away && !b.learnt
+	return b.attempts, b.failures, b.backoff, b.ejected && !b.ejectedByPeerReport
 }
 
 // Throughput is what the fleet was seen to do for each unit of weight and of ordinary traffic: without a queue, and with
 // one; 0 if that is not known.
-func (c *Controller) Throughput() (proven, able float64) { return c.levels.proven, c.levels.able }
+func (c *Controller) Throughput() (proven, able float64) {
+	return c.admission.provenThroughput, c.admission.saturatedThroughput
+}
 
 // SeedDemand takes what another controller counted at a proxy that joined us, requests a second by class.
-func (c *Controller) SeedDemand(id int, rates []float64) { copy(c.proxies[id].rates, rates) }
+func (c *Controller) SeedDemand(id int, rates []float64) { copy(c.proxies[id].demand, rates) }
 
 // SeedThroughput takes what another controller saw of that, in place of what we have not seen ourselves.
 func (c *Controller) SeedThroughput(proven, able float64) {
-	a := &c.levels
-	a.proven, a.able = cmp.Or(a.proven, max(proven, 0)), cmp.Or(a.able, max(able, 0))
+	a := &c.admission
+	a.provenThroughput, a.saturatedThroughput = cmp.Or(a.provenThroughput, max(proven, 0)), cmp.Or(a.saturatedThroughput, max(able, 0))
 }
 
 // SetClassQuota takes how many requests of a class a second the whole fleet may be sent, at all controllers; 0 is any number.
 func (c *Controller) SetClassQuota(class int, perS float64) {
-	c.levels.quota[class] = perS
-	c.setLevels()
+	c.admission.quota[class] = perS
+	c.distributeLimit()
 }
 
 // MessagesSentByPeers counts messages to a proxy that others have sent within the span, or will have. It counts for
 // one that is joined, and for one that joins next.
 func (c *Controller) MessagesSentByPeers(id, messages int) {
 	for len(c.proxies) <= id {
-		c.proxies = append(c.proxies, &proxy{})
+		c.proxies = append(c.proxies, &proxyState{})
 	}
 	p, at := c.proxies[id], c.host.Now()-1 // not of this clock time: a message of its own would share that one
-	if p.joined {
-		p.sent = append(slices.Repeat([]int64{at}, messages), p.sent...)
+	if p.connected {
+		p.messageTimes = append(slices.Repeat([]int64{at}, messages), p.messageTimes...)
 	} else {
-		p.owed = slices.Repeat([]int64{at}, messages)
+		p.peerMessageTimes = slices.Repeat([]int64{at}, messages)
 	}
 }
 
-func (b *backend) forget(now int64) { b.samples, b.others, b.unheard, b.answered = nil, nil, 0, now }
+func (b *backendState) resetOutcomes(now int64) {
+	b.ownOutcomes, b.peerOutcomes, b.consecutiveFailures, b.lastAnswerAt = nil, nil, 0, now
+}
 
-func (b *backend) carried() float64 { return b.line / cmp.Or(b.strained, 1) } // strain takes no capacity away
+func (b *backendState) publishedCapacity() float64 { return b.published / cmp.Or(b.reducedTo, 1) } // strain takes no capacity away
 
-func (b *backend) answers() float64 { return 1 - float64(b.failed)/float64(max(b.tries, 1)) }
+func (b *backendState) successRate() float64 {
+	return 1 - float64(b.failures)/float64(max(b.attempts, 1))
+}
 
-func middle(values []float64, none float64) float64 {
+func median(values []float64, none float64) float64 {
 	if slices.Sort(values); len(values) > 0 {
 		return values[len(values)/2]
 	}
@@ -143,7 +149,7 @@
 }
 
 // waterline caps rates so that they add up to a total below theirs.
-func waterline(rates []float64, total float64) float64 {
+func maxMinFairRate(rates []float64, total float64) float64 {
 	slices.Sort(rates)
 	for i, r := range rates {
 		if rest := float64(len(rates) - i); r*rest >= total {
@@ -151,65 +157,65 @@
 		}
 		total -= r
 	}
-	return unlimited
+	return unlimitedRate
 }
 
 // applied takes a mark that came back from a proxy, and gives the number of the orders that carried it.
-func (l *ledger) applied(mark int, p *proxy) int64 {
-	number := l.count - (l.count-int64(mark))&0xffff
-	for i := range l.waiting {
-		if o := &l.waiting[i]; o.count == number {
-			o.lines -= o.reached[p]
-			delete(o.reached, p)
-			l.drop(i + count(len(o.reached) == 0))
+func (l *pushQueue) acknowledge(mark int, p *proxyState) int64 {
+	number := l.lastNumber - (l.lastNumber-int64(mark))&0xffff
+	for i := range l.batches {
+		if o := &l.batches[i]; o.number == number {
+			o.lines -= o.linesTo[p]
+			delete(o.linesTo, p)
+			l.discard(i + count(len(o.linesTo) == 0))
 			break
 		}
 	}
 	return number
 }
 
-func (l *ledger) drop(n int) {
-	l.waiting, l.lines = l.waiting[n:], 0
-	for _, o := range l.waiting {
-		l.lines += o.lines
+func (l *pushQueue) discard(n int) {
+	l.batches, l.queuedLines = l.batches[n:], 0
+	for _, o := range l.batches {
+		l.queuedLines += o.lines
 	}
 }
 
 // billEach bills lines to each proxy concerned.
-func (c *Controller) billEach(lines float64, concerned func(p *proxy) bool) {
-	c.laidAt = c.host.Now()
+func (c *Controller) chargeEach(lines float64, concerned func(p *proxyState) bool) {
+	c.changedAt = c.host.Now()
 	for _, p := range c.proxies {
-		if p.joined && concerned(p) {
-			c.bill(p, lines)
+		if p.connected && concerned(p) {
+			c.charge(p, lines)
 		}
 	}
 }
 
 // QueueDelay is how long what waits in the channel takes to leave, in microseconds: a mark is not answered before.
 func (c *Controller) QueueDelay() int64 {
-	return int64(c.channel.lines / max(c.channel.LinesPerSecond, 1) * float64(second))
+	return int64(c.queue.queuedLines / max(c.queue.LinesPerSecond, 1) * float64(second))
 }
 
 // takes is how many lines leave the channel within a time.
-func (l *ledger) takes(within int64) float64 {
+func (l *pushQueue) linesSentIn(within int64) float64 {
 	return max(l.LinesPerSecond, 1) * float64(within) / float64(second)
 }
 
 // withdrawals is how many there are, and what a message costs that tells one proxy of all of them.
-func (c *Controller) withdrawals() (outs, message float64) {
+func (c *Controller) withdrawalCost() (outs, message float64) {
 	for _, b := range c.backends {
-		outs += float64(count(b.out))
+		outs += float64(count(b.withdrawn))
 	}
-	return outs, c.channel.header() + outs + float64(len(c.classes))
+	return outs, c.queue.messageOverhead() + outs + float64(len(c.classes))
 }
 
 // whole is the lines of a proxy's tables, what they cost with header and levels, and whether one is empty.
-func (c *Controller) whole(p *proxy, sizes map[int]float64) (lines, cost float64, bare bool) {
-	cost = c.channel.header() + c.relevels()
-	c.tables(p.part, p.zone, func(table int, _ uint16) {
+func (c *Controller) fullTableCost(p *proxyState, sizes map[int]float64) (lines, cost float64, bare bool) {
+	cost = c.queue.messageOverhead() + c.tableLimitLines()
+	c.eachTable(p.subset, p.zone, func(table int, _ uint16) {
 		n, known := sizes[table]
 		if !known {
-			n = float64(c.laid(table))
+			n = float64(c.tableSize(table))
 			sizes[table] = n
 		}
 		lines, cost, bare = lines+n, cost+n+1, bare || n == 0
@@ -219,45 +225,45 @@
 
 // owing sums what those who wait for their tables cost, and how much may stand in the channel for the first of them to
 // have its in time.
-func (c *Controller) owing(now int64, sizes map[int]float64) {
-	l := &c.channel
-	l.owed, l.due = 0, math.Inf(1)
-	for _, i := range c.waiting {
+func (c *Controller) reserveForTables(now int64, sizes map[int]float64) {
+	l := &c.queue
+	l.reservedLines, l.maxQueuedBeforeTables = 0, math.Inf(1)
+	for _, i := range c.syncQueue {
 		p := c.proxies[i]
-		if !p.joined || p.bound {
+		if !p.connected || p.assigned {
 			continue
 		}
-		if _, cost, bare := c.whole(p, sizes); !bare {
-			l.owed += cost
-			l.due = min(l.due, inTime*l.takes(c.grace)-l.takes(l.MaxLatency+now-p.joinedAt))
+		if _, cost, bare := c.fullTableCost(p, sizes); !bare {
+			l.reservedLines += cost
+			l.maxQueuedBeforeTables = min(l.maxQueuedBeforeTables, tablesShareOfGrace*l.linesSentIn(c.remainingGrace)-l.linesSentIn(l.MaxLatency+now-p.connectedAt))
 		}
 	}
 }
 
 // reading is what the reports since the last look say.
-type reading struct {
-	heat, median        float64 // of all answers, and that of the median backend
-	came, let, answered float64 // units a second, at all, past the levels, and by backends that keep up
-	recent              float64 // weight in lines that was heard of within the reply timeout, as heard is
-	laid, heard, dead   float64 // weight in lines, that keeps up, that answers nothing, times ordinary traffic
+type loadSummary struct {
+	latencyRatio, medianRatio                         float64 // of all answers, and that of the median backend
+	offered, admitted, answered                       float64 // units a second, at all, past the levels, and by backends that keep up
+	recentCapacity                                    float64 // weight in lines that was heard of within the reply timeout, as heard is
+	publishedCapacity, reportedCapacity, deadCapacity float64 // weight in lines, that keeps up, that answers nothing, times ordinary traffic
 }
 
 // laid counts the lines of a table.
-func (c *Controller) laid(table int) (lines int) {
+func (c *Controller) tableSize(table int) (lines int) {
 	for _, b := range c.backends {
-		lines += count(b.line > 0 && c.in(b, table))
+		lines += count(b.published > 0 && c.inTable(b, table))
 	}
 	return lines
 }
 
 // partWeights is the listed weight of the ready backends by part, in all and by zone. Nil counts nothing.
-type partWeights struct {
-	all   []float64
-	zones map[int][]float64
+type subsetWeights struct {
+	all    []float64
+	byZone map[int][]float64
 }
 
-func (c *Controller) partWeights() *partWeights {
-	w := &partWeights{all: make([]float64, c.parts), zones: map[int][]float64{}}
+func (c *Controller) listedSubsetWeights() *subsetWeights {
+	w := &subsetWeights{all: make([]float64, c.subsets), byZone: map[int][]float64{}}
 	for _, b := range c.backends {
 		w.add(b, 1)
 	}
@@ -265,45 +271,45 @@
 }
 
 // add counts a backend, or with a sign of -1 takes it out.
-func (w *partWeights) add(b *backend, sign float64) {
+func (w *subsetWeights) add(b *backendState, sign float64) {
 	if w == nil || !b.listed || b.State != Ready {
 		return
 	}
-	if w.zones[b.Zone] == nil {
-		w.zones[b.Zone] = make([]float64, len(w.all))
+	if w.byZone[b.Zone] == nil {
+		w.byZone[b.Zone] = make([]float64, len(w.all))
 	}
-	w.all[b.part] += sign * b.Weight
-	w.zones[b.Zone][b.part] += sign * b.Weight
+	w.all[b.subset] += sign * b.Weight
+	w.byZone[b.Zone][b.subset] += sign * b.Weight
 }
 
 // counted is the weight of a part with that of a zone counted twice.
-func (w *partWeights) counted(part, zone int) float64 {
-	if ofZone := w.zones[zone]; ofZone != nil {
+func (w *subsetWeights) countingTwice(part, zone int) float64 {
+	if ofZone := w.byZone[zone]; ofZone != nil {
 		return w.all[part] + ofZone[part]
 	}
 	return w.all[part]
 }
 
 // weights is what each part may carry now, and a fair share of it.
-func (c *Controller) weights(now int64) (parts []float64, fair float64) {
-	parts = make([]float64, c.parts)
+func (c *Controller) subsetTargetWeights(now int64) (parts []float64, fair float64) {
+	parts = make([]float64, c.subsets)
 	for _, b := range c.backends {
-		w := c.wanted(b, now)
-		parts[b.part], fair = parts[b.part]+w, fair+w/float64(c.parts)
+		w := c.targetWeight(b, now)
+		parts[b.subset], fair = parts[b.subset]+w, fair+w/float64(c.subsets)
 	}
 	return parts, fair
 }
 
 // demand is what comes to each joined proxy, and in all; where there are slices it is spread evenly.
-func (c *Controller) demand(class int) (rates []float64, total float64) {
+func (c *Controller) classDemand(class int) (rates []float64, total float64) {
 	for _, p := range c.proxies {
-		if p.joined {
-			rates = append(rates, p.rates[class]*float64(count(!c.owners.exist()))*c.levels.trim[class])
+		if p.connected {
+			rates = append(rates, p.demand[class]*float64(count(!c.sharding.enabled()))*c.admission.demandCorrection[class])
 		}
 	}
-	for _, s := range c.owners.all {
-		for i := 0; s.mine && i < len(rates); i++ {
-			rates[i] += s.rates[class] / float64(len(rates))
+	for _, s := range c.sharding.shards {
+		for i := 0; s.assigned && i < len(rates); i++ {
+			rates[i] += s.demand[class] / float64(len(rates))
 		}
 	}
 	for _, rate := range rates {
@@ -313,47 +319,47 @@
 }
 
 // admission is what we let in, in units: a request counts its target latency, as nothing gives its work.
-type admission struct {
-	how        AdmissionMode
-	order      []int // classes by value per unit, the first to be let in
-	units      []float64
-	deadline   float64 // longest deadline, microseconds
-	target     float64 // target latency of the mean request let in, microseconds
-	able       float64 // units a second answered while a queue stood, over heard, see look
-	proven     float64 // the same let in while none stood, the most of it
-	part       float64 // of what is able to be answered; 0 until a queue was seen
-	limit      float64 // units a second
-	bound      bool    // more comes than that
-	urgent     bool    // a cut is to be told
-	told       bool    // a level ever was
-	heat       float64 // at the last look
-	laid, want []float64
-	quota      []float64 // requests a second of each class that the whole fleet may be sent; 0 for any number
-	came       []float64 // requests counted since the last look
-	trim       []float64 // what was counted in all, over the sum of the proxies' rates
-
-	drainedAt, holdUntil int64 // when the queue must be gone, and when reports show it
-	hotSince             int64 // when looks began to show a queue nearly everywhere; 0 while they do not
-	widenedAt            int64 // when it was last widened, or guessed: reports tell of that a lag later
+type admissionState struct {
+	mode                AdmissionMode
+	priorityOrder       []int // classes by value per unit, the first to be let in
+	unitsPerRequest     []float64
+	longestDeadline     float64 // longest deadline, microseconds
+	meanObjective       float64 // target latency of the mean request let in, microseconds
+	saturatedThroughput float64 // units a second answered while a queue stood, over heard, see look
+	provenThroughput    float64 // the same let in while none stood, the most of it
+	limitShare          float64 // of what is able to be answered; 0 until a queue was seen
+	limit               float64 // units a second
+	limiting            bool    // more comes than that
+	cutPending          bool    // a cut is to be told
+	limitsSent          bool    // a level ever was
+	latencyRatio        float64 // at the last look
+	published, target   []float64
+	quota               []float64 // requests a second of each class that the whole fleet may be sent; 0 for any number
+	counted             []float64 // requests counted since the last look
+	demandCorrection    []float64 // what was counted in all, over the sum of the proxies' rates
+
+	queueDrainedAt, holdUntil int64 // when the queue must be gone, and when reports show it
+	overloadedSince           int64 // when looks began to show a queue nearly everywhere; 0 while they do not
+	raisedAt                  int64 // when it was last widened, or guessed: reports tell of that a lag later
 }
 
 // ownership is what we hold of the slices in our charge. A slice's table is one line, its owner.
-type ownership struct {
+type shardingState struct {
 	Sharding
-	all    []slice
-	writes uint16
+	shards       []shardState
+	writeClasses uint16
 }
 
-type slice struct {
-	mine   bool
-	owner  int       // -1 for none
-	rates  []float64 // requests a second, by class
-	held   int64     // the orders that stopped writes; 0 if they go on, -1 if they must stop
-	freeAt int64     // when the former owner has none in hand; 0 while some proxy may still send it one
+type shardState struct {
+	assigned  bool
+	owner     int       // -1 for none
+	demand    []float64 // requests a second, by class
+	fence     int64     // the orders that stopped writes; 0 if they go on, -1 if they must stop
+	settledAt int64     // when the former owner has none in hand; 0 while some proxy may still send it one
 }
 
-type order struct {
-	count, at int64
-	lines     float64
-	reached   map[*proxy]float64 // what it cost each that has not said so: a bind costs many times a line
+type pushBatch struct {
+	number, sentAt int64
+	lines          float64
+	linesTo        map[*proxyState]float64 // what it cost each that has not said so: a bind costs many times a line
 }
--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -39,7 +39,7 @@
 	span              int64 // what a report line covers
 	loads             bool  // backends report how busy they are
 	mute              bool  // the host cannot tell withdrawals to a proxy
-	change            func(x *setting)
+	change            func(x *testSettings)
 }
 
 func transcriptCases() []transcriptCase {
@@ -48,63 +48,63 @@
 		{LatencyObjective: 800_000, Deadline: 2 * second, PriorityWeight: 3, Writes: true, ZoneLocal: true},
 		{LatencyObjective: 300_000, Deadline: second, PriorityWeight: 2, ZoneLocal: true},
 	}
-	sliced := func(single bool, admit AdmissionMode) func(*setting) {
-		return func(x *setting) {
-			x.partition = Sharding{Count: 6, SingleOwner: single, WriteLease: 2500_000, SettleTime: 2 * second}
-			x.admit = admit
+	sliced := func(single bool, admit AdmissionMode) func(*testSettings) {
+		return func(x *testSettings) {
+			x.sharding = Sharding{Count: 6, SingleOwner: single, WriteLease: 2500_000, SettleTime: 2 * second}
+			x.mode = admit
 		}
 	}
 	return []transcriptCase{
 		{name: "rate", backends: 12, proxies: 5},
 		{name: "rate-loads", backends: 12, proxies: 5, loads: true},
-		{name: "share", backends: 10, proxies: 4, change: func(x *setting) { x.admit = AdmissionByShare }},
-		{name: "none", backends: 8, proxies: 4, change: func(x *setting) { x.admit = AdmissionUnsupported }},
-		{name: "own-zone", backends: 12, proxies: 6, change: func(x *setting) { x.classes[1].ZoneLocal = true }},
-		{name: "all-own-zone", backends: 9, proxies: 6, loads: true, change: func(x *setting) { x.classes = threeClasses }},
-		{name: "subsets", backends: 30, proxies: 24, seconds: 150, change: func(x *setting) {
+		{name: "share", backends: 10, proxies: 4, change: func(x *testSettings) { x.mode = AdmissionByShare }},
+		{name: "none", backends: 8, proxies: 4, change: func(x *testSettings) { x.mode = AdmissionUnsupported }},
+		{name: "own-zone", backends: 12, proxies: 6, change: func(x *testSettings) { x.classes[1].ZoneLocal = true }},
+		{name: "all-own-zone", backends: 9, proxies: 6, loads: true, change: func(x *testSettings) { x.classes = threeClasses }},
+		{name: "subsets", backends: 30, proxies: 24, seconds: 150, change: func(x *testSettings) {
 			x.channel.MinBackendConnections, x.channel.Proxies = 8, 24
 		}},
-		{name: "subsets-own-zone", backends: 26, proxies: 20, seconds: 150, change: func(x *setting) {
+		{name: "subsets-own-zone", backends: 26, proxies: 20, seconds: 150, change: func(x *testSettings) {
 			x.channel.MinBackendConnections, x.channel.Proxies, x.classes[1].ZoneLocal = 8, 24, true
 		}},
-		{name: "subsets-by-channel", backends: 40, proxies: 20, seconds: 150, change: func(x *setting) {
+		{name: "subsets-by-channel", backends: 40, proxies: 20, seconds: 150, change: func(x *testSettings) {
 			x.channel.Proxies, x.channel.LinesPerSecond = 20, 200
 		}},
-		{name: "subsets-by-both", backends: 60, proxies: 30, seconds: 100, change: func(x *setting) {
+		{name: "subsets-by-both", backends: 60, proxies: 30, seconds: 100, change: func(x *testSettings) {
 			x.channel.MinBackendConnections, x.channel.Proxies, x.channel.LinesPerSecond = 30, 60, 700
 		}},
 		{name: "few-left", backends: 4, proxies: 3, loads: true},
-		{name: "tight-channel", backends: 20, proxies: 12, seconds: 200, change: func(x *setting) {
+		{name: "tight-channel", backends: 20, proxies: 12, seconds: 200, change: func(x *testSettings) {
 			x.channel.LinesPerSecond, x.channel.Backlog = 120, 150
 		}},
-		{name: "tight-messages", backends: 12, proxies: 8, change: func(x *setting) {
+		{name: "tight-messages", backends: 12, proxies: 8, change: func(x *testSettings) {
 			x.channel.MaxMessages, x.channel.MessageWindow = 8, 10*second
 		}},
-		{name: "unlimited-messages", backends: 12, proxies: 8, mute: true, change: func(x *setting) {
+		{name: "unlimited-messages", backends: 12, proxies: 8, mute: true, change: func(x *testSettings) {
 			x.channel.MaxMessages, x.channel.MessageWindow, x.channel.LimitLines = 0, 0, 2
 		}},
 		{name: "slices-single-share", backends: 8, proxies: 4, change: sliced(true, AdmissionByShare)},
 		{name: "slices-single-none", backends: 8, proxies: 4, change: sliced(true, AdmissionUnsupported)},
 		{name: "slices-many", backends: 8, proxies: 4, change: sliced(false, AdmissionByRate)},
-		{name: "only-draining-binds", backends: 12, proxies: 5, change: func(x *setting) { x.limits.OnlyDrainingMustLeave = true }},
-		{name: "live-weights", backends: 12, proxies: 5, loads: true, change: func(x *setting) { x.sight.LoadDependentWeights = true }},
-		{name: "probes", backends: 12, proxies: 5, change: func(x *setting) { x.sight.HealthChecksAllowed = true }},
-		{name: "asks", backends: 12, proxies: 5, change: func(x *setting) {
-			x.sight.PollingRequired, x.sight.MaxPollInterval = true, 10*second
+		{name: "only-draining-binds", backends: 12, proxies: 5, change: func(x *testSettings) { x.limits.OnlyDrainingMustLeave = true }},
+		{name: "live-weights", backends: 12, proxies: 5, loads: true, change: func(x *testSettings) { x.telemetry.LoadDependentWeights = true }},
+		{name: "probes", backends: 12, proxies: 5, change: func(x *testSettings) { x.telemetry.HealthChecksAllowed = true }},
+		{name: "asks", backends: 12, proxies: 5, change: func(x *testSettings) {
+			x.telemetry.PollingRequired, x.telemetry.MaxPollInterval = true, 10*second
 		}},
-		{name: "old-news", backends: 12, proxies: 6, span: 12 * second, change: func(x *setting) { x.limits.DrainGrace = 6 * second }},
-		{name: "slow-reports", backends: 12, proxies: 6, span: 2 * second, change: func(x *setting) {
-			x.sight.ReportInterval, x.channel.Proxies = 2*second, 30
+		{name: "old-news", backends: 12, proxies: 6, span: 12 * second, change: func(x *testSettings) { x.limits.DrainGrace = 6 * second }},
+		{name: "slow-reports", backends: 12, proxies: 6, span: 2 * second, change: func(x *testSettings) {
+			x.telemetry.ReportInterval, x.channel.Proxies = 2*second, 30
 		}},
 	}
 }
 
 // transcript is the host, and the driver, of one case.
-type transcript struct {
+type transcriptHost struct {
 	*rand.Rand
 	c        *Controller
 	of       transcriptCase
-	x        setting
+	x        testSettings
 	now      int64
 	lines    []string
 	timers   []transcriptTimer
@@ -122,67 +122,67 @@
 	tag uint64
 }
 
-func (r *transcript) put(format string, args ...any) {
+func (r *transcriptHost) record(format string, args ...any) {
 	r.lines = append(r.lines, fmt.Sprintf("%d ", r.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *transcript) Now() int64 { return r.now }
-func (r *transcript) SetTimer(wait int64, tag uint64) {
+func (r *transcriptHost) Now() int64 { return r.now }
+func (r *transcriptHost) SetTimer(wait int64, tag uint64) {
 	r.timers = append(r.timers, transcriptTimer{r.now + wait, tag})
-	r.put("timer %d %d", wait, tag)
+	r.record("timer %d %d", wait, tag)
 }
-func (r *transcript) Log(backend int, line string) {
+func (r *transcriptHost) Log(backend int, line string) {
 	r.lines = append(r.lines, fmt.Sprint(logMarker, r.now, " ", backend, " ", line))
 }
-func (r *transcript) PollEndpoints()          { r.put("poll") }
-func (r *transcript) CheckHealth(backend int) { r.put("probe %d", backend) }
-func (r *transcript) PublishEntry(table, backend int, weight float64) {
-	r.put("entry %d %d %v", table, backend, weight)
+func (r *transcriptHost) PollEndpoints()          { r.record("poll") }
+func (r *transcriptHost) CheckHealth(backend int) { r.record("probe %d", backend) }
+func (r *transcriptHost) PublishEntry(table, backend int, weight float64) {
+	r.record("entry %d %d %v", table, backend, weight)
 }
-func (r *transcript) AssignTable(table, proxy int, classes uint16) {
-	r.put("bind %d %d %d", table, proxy, classes)
+func (r *transcriptHost) AssignTable(table, proxy int, classes uint16) {
+	r.record("bind %d %d %d", table, proxy, classes)
 }
-func (r *transcript) Withdraw(backend int, out bool) { r.put("withdraw %d %v", backend, out) }
-func (r *transcript) SyncWithdrawals(proxy int, allowance float64, tries RetryPolicy) bool {
-	r.put("sync %d %v %d", proxy, allowance, tries)
+func (r *transcriptHost) Withdraw(backend int, out bool) { r.record("withdraw %d %v", backend, out) }
+func (r *transcriptHost) SyncWithdrawals(proxy int, allowance float64, tries RetryPolicy) bool {
+	r.record("sync %d %v %d", proxy, allowance, tries)
 	return !r.of.mute
 }
-func (r *transcript) ClearWithdrawals(proxy int) { r.put("clear %d", proxy) }
-func (r *transcript) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
-	r.put("limit %d %d %v %d", table, classes, allowance, tries)
+func (r *transcriptHost) ClearWithdrawals(proxy int) { r.record("clear %d", proxy) }
+func (r *transcriptHost) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
+	r.record("limit %d %d %v %d", table, classes, allowance, tries)
 }
-func (r *transcript) RequestAck(number int, everyone bool) {
-	r.put("request %d %v", number, everyone)
+func (r *transcriptHost) RequestAck(number int, everyone bool) {
+	r.record("request %d %v", number, everyone)
 	r.requests, r.due = append(r.requests, number), append(r.due, r.now+300_000+r.Int64N(900_000))
 }
 
 // list tells of endpoints.
-func (r *transcript) list(full bool, entries []Endpoint) {
+func (r *transcriptHost) list(full bool, entries []Endpoint) {
 	var text strings.Builder
 	for _, e := range entries {
 		fmt.Fprintf(&text, " [%d %d %d %v %d %d]", e.Backend, e.State, e.StartedAt, e.Weight, e.Zone, e.DrainingSince)
 		r.known = max(r.known, e.Backend+1)
 	}
-	r.put("> endpoints %v%s", full, text.String())
+	r.record("> endpoints %v%s", full, text.String())
 	r.c.EndpointsUpdated(full, entries)
 }
 
-func (r *transcript) connect(proxy int) {
+func (r *transcriptHost) connect(proxy int) {
 	usual, keeps := float64(1+r.IntN(40)), r.IntN(2) == 0
-	r.put("> connect %d %d %v %v", proxy, proxy%2, usual, keeps)
+	r.record("> connect %d %d %v %v", proxy, proxy%2, usual, keeps)
 	r.joined[proxy] = true
 	r.c.ProxyConnected(proxy, proxy%2, usual, keeps)
 }
 
-func (r *transcript) disconnect(proxy int) {
-	r.put("> disconnect %d", proxy)
+func (r *transcriptHost) disconnect(proxy int) {
+	r.record("> disconnect %d", proxy)
 	r.joined[proxy] = false
 	r.c.ProxyDisconnected(proxy)
 }
 
 // outcomes reports what was met at each backend, and what came to each proxy, as the mood has it.
-func (r *transcript) outcomes() {
-	span := max(r.of.span, r.x.sight.ReportInterval)
+func (r *transcriptHost) outcomes() {
+	span := max(r.of.span, r.x.telemetry.ReportInterval)
 	for i := range r.listed {
 		tries, failed, mean := r.IntN(14), 0, 150_000+r.Int64N(120_000)
 		differs := i < r.few
@@ -211,7 +211,7 @@
 				load = BackendLoad{CPUUtilization: 0.7 + 0.2*r.Float64(), QueueLength: r.Float64(), ServiceTime: float64(mean) * (0.6 + 0.1*r.Float64())}
 			}
 		}
-		r.put("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.CPUUtilization, load.QueueLength, load.ServiceTime)
+		r.record("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.CPUUtilization, load.QueueLength, load.ServiceTime)
 		r.c.OutcomesReported(i, tries, failed, mean, span, load)
 	}
 	for proxy, joined := range r.joined {
@@ -222,20 +222,20 @@
 			}
 			n = n * int(span/second)
 			if joined && r.IntN(8) > 0 {
-				r.put("> demand %d %d %d %d", proxy, class, n, span)
+				r.record("> demand %d %d %d %d", proxy, class, n, span)
 				r.c.DemandReported(proxy, class, n, span)
 			}
 		}
 	}
-	for id := range r.x.partition.Count {
+	for id := range r.x.sharding.Count {
 		n, class := r.IntN(20), r.IntN(len(r.x.classes))
-		r.put("> slice demand %d %d %d", id, class, n)
+		r.record("> slice demand %d %d %d", id, class, n)
 		r.c.ShardDemandReported(id, class, n, span)
 	}
 }
 
 // change is one change of the list by chance.
-func (r *transcript) change() {
+func (r *transcriptHost) change() {
 	var entries []Endpoint
 	for range 1 + r.IntN(3) {
 		i := r.IntN(len(r.listed))
@@ -275,7 +275,7 @@
 }
 
 // leaveOnly drains all but those below a number.
-func (r *transcript) leaveOnly(below int) {
+func (r *transcriptHost) leaveOnly(below int) {
 	for i := range r.listed {
 		if r.listed[i].State = Ready; i >= below {
 			r.listed[i].State = Draining
@@ -285,7 +285,7 @@
 }
 
 // shuffle is any other call by chance.
-func (r *transcript) shuffle() {
+func (r *transcriptHost) shuffle() {
 	proxy, backend, class := r.IntN(r.of.proxies), r.IntN(len(r.listed)), r.IntN(len(r.x.classes))
 	switch r.IntN(16) {
 	case 0, 1, 2:
@@ -303,11 +303,11 @@
 	case 4, 5:
 		tries := r.IntN(9)
 		failed, mean, wait := tries-tries*r.IntN(2), r.Int64N(900_000), r.Int64N(40*second)
-		r.put("> peer outcomes %d %d %d %d %d", backend, tries, failed, mean, wait)
+		r.record("> peer outcomes %d %d %d %d %d", backend, tries, failed, mean, wait)
 		r.c.PeerOutcomesReported(backend, tries, failed, mean, wait)
 	case 6:
 		messages := r.IntN(5)
-		r.put("> spent %d %d", proxy, messages)
+		r.record("> spent %d %d", proxy, messages)
 		r.c.MessagesSentByPeers(proxy, messages)
 	case 7:
 		rates := make([]float64, len(r.x.classes))
@@ -315,78 +315,78 @@
 			rates[i] = 30 * r.Float64()
 		}
 		if r.joined[proxy] {
-			r.put("> demands %d %v", proxy, rates)
+			r.record("> demands %d %v", proxy, rates)
 			r.c.SeedDemand(proxy, rates)
 		}
 	case 8:
 		proven, able := r.Float64()/2, r.Float64()/2
-		r.put("> capacity %v %v", proven, able)
+		r.record("> capacity %v %v", proven, able)
 		r.c.SeedThroughput(proven, able)
 	case 9:
 		quota := float64(r.IntN(2)) * 200 * r.Float64()
-		r.put("> quota %d %v", class, quota)
+		r.record("> quota %d %v", class, quota)
 		r.c.SetClassQuota(class, quota)
 	case 10, 11:
 		if backend >= r.known {
 			return
 		}
 		forgotten := r.c.ForgetBackend(backend)
-		r.put("> forget %d = %v", backend, forgotten)
+		r.record("> forget %d = %v", backend, forgotten)
 		if forgotten {
 			r.listed[backend].State, r.listed[backend].StartedAt = Removed, 0
 		}
 	case 12:
 		outcome := HealthCheckResult(r.IntN(7))
-		r.put("> probed %d %d", backend, outcome)
+		r.record("> probed %d %d", backend, outcome)
 		r.c.HealthCheckCompleted(backend, outcome)
 	case 13:
-		r.put("> list failed")
+		r.record("> list failed")
 		r.c.EndpointPollFailed()
 	case 14:
-		r.put("> stray timer")
+		r.record("> stray timer")
 		r.c.TimerFired(99)
 	case 15:
 		r.slice()
 	}
 }
 
-func (r *transcript) slice() {
-	if r.x.partition.Count == 0 {
+func (r *transcriptHost) slice() {
+	if r.x.sharding.Count == 0 {
 		return
 	}
-	switch id, backend := r.IntN(r.x.partition.Count), r.IntN(len(r.listed)); r.IntN(4) {
+	switch id, backend := r.IntN(r.x.sharding.Count), r.IntN(len(r.listed)); r.IntN(4) {
 	case 0:
-		r.put("> slice taken %d", id)
+		r.record("> slice taken %d", id)
 		r.c.ShardRevoked(id)
 	case 1:
-		r.put("> slice entry %d %d", id, backend)
+		r.record("> slice entry %d %d", id, backend)
 		r.c.ShardOwnerStored(id, backend, float64(r.IntN(2)))
 	default:
-		r.put("> slice given %d", id)
+		r.record("> slice given %d", id)
 		r.c.ShardAssigned(id)
-		r.put("> slice entry %d %d", id, backend)
+		r.record("> slice entry %d %d", id, backend)
 		r.c.ShardOwnerStored(id, backend, 1)
 	}
 }
 
 // returned keeps what the controller says of itself.
-func (r *transcript) returned() {
+func (r *transcriptHost) returned() {
 	for i := range len(r.listed) + 1 {
 		tries, failed, wait, away := r.c.Ejection(i)
-		r.put("= ejected %d %d %d %d %v", i, tries, failed, wait, away)
+		r.record("= ejected %d %d %d %d %v", i, tries, failed, wait, away)
 	}
 	proven, able := r.c.Throughput()
-	r.put("= capacity %v %v", proven, able)
-	r.put("= delay %d", r.c.QueueDelay())
+	r.record("= capacity %v %v", proven, able)
+	r.record("= delay %d", r.c.QueueDelay())
 }
 
 // step lets a moment pass.
-func (r *transcript) step(i int) {
+func (r *transcriptHost) step(i int) {
 	r.now += 40_000 + r.Int64N(20_000)
 	for _, timer := range slices.Clone(r.timers) {
 		if timer.at <= r.now {
 			r.timers = slices.DeleteFunc(r.timers, func(t transcriptTimer) bool { return t == timer })
-			r.put("> timer %d", timer.tag)
+			r.record("> timer %d", timer.tag)
 			r.c.TimerFired(timer.tag)
 		}
 	}
@@ -396,18 +396,18 @@
 		r.requests, r.due = r.requests[1:], r.due[1:]
 		for proxy, joined := range r.joined {
 			if joined && r.IntN(25) > 0 {
-				r.put("> acknowledged %d %d", proxy, number)
+				r.record("> acknowledged %d %d", proxy, number)
 				r.c.Acknowledged(proxy, number)
 			}
 		}
 	}
-	every := int(max(r.of.span/4, r.x.sight.ReportInterval) / second * 20)
+	every := int(max(r.of.span/4, r.x.telemetry.ReportInterval) / second * 20)
 	if i%every == every-1 {
 		r.outcomes()
 	}
 	if i%400 == 399 {
 		r.mood, r.few = r.IntN(9), 1+r.IntN(max(1, r.of.backends/3))
-		r.put("mood %d %d", r.mood, r.few)
+		r.record("mood %d %d", r.mood, r.few)
 	}
 	if r.mood == 2 && i%400 == 200 && r.of.backends < 10 {
 		r.leaveOnly(r.few)
@@ -424,20 +424,20 @@
 }
 
 func (of transcriptCase) play(number int) []string {
-	x := usual()
+	x := defaultSettings()
 	if of.change != nil {
 		of.change(&x)
 	}
-	r := &transcript{Rand: rand.New(rand.NewPCG(uint64(number)+1, 35)), of: of, x: x, now: 100 * second,
+	r := &transcriptHost{Rand: rand.New(rand.NewPCG(uint64(number)+1, 35)), of: of, x: x, now: 100 * second,
 		joined: make([]bool, of.proxies), few: 1}
-	r.c = New(r, 7, x.classes, x.channel, x.limits, x.partition, x.sight, x.admit)
+	r.c = New(r, 7, x.classes, x.channel, x.limits, x.sharding, x.telemetry, x.mode)
 	for i := range of.backends {
 		r.listed = append(r.listed, Endpoint{Backend: i, State: Ready, Weight: float64(1 + i%3), Zone: i % 3 % 2})
 	}
-	for id := range x.partition.Count {
-		r.put("> slice given %d", id)
+	for id := range x.sharding.Count {
+		r.record("> slice given %d", id)
 		r.c.ShardAssigned(id)
-		r.put("> slice entry %d %d", id, id%of.backends)
+		r.record("> slice entry %d %d", id, id%of.backends)
 		r.c.ShardOwnerStored(id, id%of.backends, 1)
 	}
 	r.connect(0)
