--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -260,7 +260,7 @@
 		say("no configuration")
 		return text.String()
 	}
-	say("configuration at revision %d of %d-%d, horizon %d", state.Mark.Revision, state.Mark.Epoch.Number, state.Mark.Epoch.Identity, state.Horizon)
+	say("configuration at revision %d of %d-%d, horizon %d", state.Version.Revision, state.Mark.Epoch.Number, state.Mark.Epoch.Identity, state.Horizon)
 	for _, e := range state.Entries {
 		say("  %s %s = %q since %d at %d, deleted %v", e.Scope, e.Name, e.Value, e.Revision, e.AcceptedAt, e.Deleted)
 	}
@@ -320,7 +320,7 @@
 				until(t, "the configuration's last change is read", func() bool {
 					_, machine := m.current()
 					state := machine.configuration.state()
-					return state != nil && state.Mark.Revision == 2
+					return state != nil && state.Version.Revision == 2
 				})
 			}
 			_, machine := m.current()
