--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -260,7 +260,7 @@
 		say("no configuration")
 		return text.String()
 	}
-	say("configuration at revision %d of %d-%d, horizon %d", state.Version.Revision, state.Mark.Epoch.Number, state.Mark.Epoch.Identity, state.Horizon)
+	say("configuration at revision %d of %d-%d, horizon %d", state.Version.Revision, state.Version.Epoch.Number, state.Version.Epoch.Identity, state.Horizon)
 	for _, e := range state.Entries {
 		say("  %s %s = %q since %d at %d, deleted %v", e.Scope, e.Name, e.Value, e.Revision, e.AcceptedAt, e.Deleted)
 	}
