--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -136,11 +136,8 @@
 			continue
 		}
 		a.published[class], laid = a.target[class], true
-		allowance, tries := a.target[class], NoRetry // a further try would only add to the queue
-		if allowance == 0 {
-			allowance, tries = unlimitedRate, RetryIfNotExecuted
-		}
-		c.host.SetAdmissionLimit(AllTables, 1<<class, allowance, tries)
+		limit := cmp.Or(a.target[class], unlimitedRate)
+		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.target[class]))
 		a.limitsSent = true
 		c.chargeEach(1, func(*proxyState) bool { return true })
 	}
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -8,7 +8,6 @@
 )
 
 const (
-	second = int64(1_000_000)
 
 	// From the design page, "ours" there, so defaults.
 	minPublishInterval = 2 * second  // ordinary changes go out at most this often
@@ -80,18 +79,34 @@
 	endpointsKnown, panicMode, queueCongested, warmBackendSeen bool    // warm: some backend was listed that was not cold
 }
 
-// New makes a controller that knows nothing yet: until reports come, nothing is withdrawn for being unheard.
-func New(host Host, seed uint64, classes []Class, channel PushChannel, limits RuleLimits, partition Sharding,
-	sight Telemetry, admit AdmissionMode) *Controller {
-	c := &Controller{host: host, seed: seed, rules: limits, telemetry: sight, classes: classes,
-		evaluatedAt: host.Now(), queue: pushQueue{PushChannel: channel}, admission: newAdmissionState(admit, classes),
-		sharding: newShardingState(partition, classes), subsets: 1, remainingGrace: limits.DrainGrace}
-	for i, class := range classes {
-		c.zoneLocalClasses |= uint16(count(class.ZoneLocal)) << i
+// New makes a controller that knows nothing yet: until reports come, no backend is ejected. It returns ErrClassCount or
+// ErrShardCount where the figures cannot be used.
+func New(host Host, config Config) (*Controller, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
 	}
-	c.sharedClasses = (1<<len(classes) - 1) &^ c.zoneLocalClasses
-	host.SetTimer(tickInterval, seed)
-	return c
+	c := &Controller{
+		host:           host,
+		seed:           config.Seed,
+		rules:          config.Rules,
+		telemetry:      config.Telemetry,
+		classes:        config.Classes,
+		queue:          pushQueue{PushChannel: config.Channel},
+		sharding:       newShardingState(config.Sharding, config.Classes),
+		admission:      newAdmissionState(config.Admission, config.Classes),
+		evaluatedAt:    host.Now(),
+		remainingGrace: config.Rules.DrainGrace,
+		subsets:        1,
+	}
+	for i, class := range config.Classes {
+		if class.ZoneLocal {
+			c.zoneLocalClasses |= 1 << i
+		} else {
+			c.sharedClasses |= 1 << i
+		}
+	}
+	host.SetTimer(tickInterval, c.seed)
+	return c, nil
 }
 
 func (c *Controller) randomFraction() float64 {
--- a/balancer/fake_test.go
+++ b/balancer/fake_test.go
@@ -106,7 +106,7 @@
 func startController(t *testing.T, x testSettings, backends, proxies int) *fakeHost {
 	s := &fakeHost{T: t, now: 100 * second, tables: map[int]map[int]float64{}, withdrawn: map[int]bool{},
 		assigned: map[string]bool{}, limits: map[string]float64{}, retries: map[string]RetryPolicy{}, unsentLines: map[int64]float64{}}
-	s.controller = New(s, 7, x.classes, x.channel, x.limits, x.sharding, x.telemetry, x.mode)
+	s.controller = newController(t, s, x)
 	var all []Endpoint
 	for b := range backends {
 		all = append(all, Endpoint{Backend: b, State: Ready, Weight: 2, Zone: b % 2})
@@ -121,6 +121,24 @@
 	return s
 }
 
+// newController makes a controller that must be possible.
+func newController(t *testing.T, host Host, x testSettings) *Controller {
+	t.Helper()
+	c, err := New(host, Config{
+		Seed:      7,
+		Classes:   x.classes,
+		Channel:   x.channel,
+		Rules:     x.limits,
+		Sharding:  x.sharding,
+		Telemetry: x.telemetry,
+		Admission: x.mode,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
 // plays lets time pass in seconds; every second each is called, if given, and all proxies answer marks.
 func (s *fakeHost) run(seconds float64, each func()) {
 	end := s.now + int64(seconds*float64(second))
--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -423,14 +423,14 @@
 	}
 }
 
-func (of transcriptCase) play(number int) []string {
+func (of transcriptCase) play(t *testing.T, number int) []string {
 	x := defaultSettings()
 	if of.change != nil {
 		of.change(&x)
 	}
 	r := &transcriptHost{Rand: rand.New(rand.NewPCG(uint64(number)+1, 35)), of: of, x: x, now: 100 * second,
 		joined: make([]bool, of.proxies), few: 1}
-	r.c = New(r, 7, x.classes, x.channel, x.limits, x.sharding, x.telemetry, x.mode)
+	r.c = newController(t, r, x)
 	for i := range of.backends {
 		r.listed = append(r.listed, Endpoint{Backend: i, State: Ready, Weight: float64(1 + i%3), Zone: i % 3 % 2})
 	}
@@ -475,7 +475,7 @@
 func TestTranscript(t *testing.T) {
 	for number, of := range transcriptCases() {
 		t.Run(of.name, func(t *testing.T) {
-			lines := of.play(number)
+			lines := of.play(t, number)
 			if *writeTranscripts != "" {
 				path := filepath.Join(*writeTranscripts, of.name+".txt")
 				if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -85,7 +85,9 @@
 		ready: make(chan struct{}), clock: newClock()}
 	m.tables = newTables(p.names, func(backend int) []byte { return m.backends.names[backend] }, p.limits.frame, p.limits.parts)
 	m.now = m.clock()
-	m.control = balancer.New(m, p.seed, p.classes, p.channel, p.rules, balancer.Sharding{}, p.sight, p.admit)
+	if m.control, err = balancer.New(m, p.decisions(p.channel)); err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
 	c.module = m
 	c.list = newList(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
 		m.post(func() { m.listed(whole, version, servers) })
@@ -95,6 +97,18 @@
 	return c, nil
 }
 
+// decisions is what the decisions start with; shards are not played on sockets.
+func (p *plan) decisions(channel balancer.PushChannel) balancer.Config {
+	return balancer.Config{
+		Seed:      p.seed,
+		Classes:   p.classes,
+		Channel:   channel,
+		Rules:     p.rules,
+		Telemetry: p.sight,
+		Admission: p.admit,
+	}
+}
+
 // read takes in a whole configuration, or says what keeps it from being used.
 func read(configuration []byte) (*plan, error) {
 	root, err := fastjson.ParseBytes(configuration)
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -66,8 +66,9 @@
 		channel.MaxMessages = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
-	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Sharding{}, c.plan.sight,
-		c.plan.admit)
+	if m.control, err = balancer.New(m, c.plan.decisions(channel)); err != nil {
+		return err
+	}
 	m.fleet, f.name = f, with.Name
 	f.coordinator = ownership.New(f, with.Name, terms, m.now)
 	f.tick(m.now)
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -103,18 +103,25 @@
 	in := &instance{door: d, id: id}
 	d.instances[id] = in
 	f := settings.Lines(text, d.odd)
-	channel, limits, classes := f.PushChannel(), f.RuleLimits(), f.Classes()
-	channel.LimitLines = float64(len(classes)) // this wire repeats the levels of all tables with each message
-	partition, sight, admission := f.Sharding(), f.Telemetry(), f.AdmissionMode()
-	in.fields, in.classes = f.LoadFields(), len(classes)
-	in.zones, in.slices = len(f.Zones()), partition.Count
-	if err := f.Err(); err != nil {
+	config := balancer.Config{
+		Seed:      seed,
+		Channel:   f.PushChannel(),
+		Rules:     f.RuleLimits(),
+		Classes:   f.Classes(),
+		Sharding:  f.Sharding(),
+		Telemetry: f.Telemetry(),
+		Admission: f.AdmissionMode(),
+	}
+	config.Channel.LimitLines = float64(len(config.Classes)) // this wire repeats the limits of all tables with each message
+	in.fields, in.classes = f.LoadFields(), len(config.Classes)
+	in.zones, in.slices = len(f.Zones()), config.Sharding.Count
+	err := f.Err()
+	if err == nil {
+		in.guarded(func() { in.control, err = balancer.New(in, config) })
+	}
+	if err != nil {
 		d.reply.text(acBail, id, err.Error())
-		return
 	}
-	in.guarded(func() {
-		in.control = balancer.New(in, seed, classes, channel, limits, partition, sight, admission)
-	})
 }
 
 // index gives small numbers to ids in the order in which they are first met.
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -138,8 +138,18 @@
 	before := heapKept()
 	host := newCountingHost(l.proxies)
 	cost.start = spent(func() {
-		host.control = balancer.New(host, 1, measuredClasses(), openChannel(l.proxies), measuredLimits(), balancer.Sharding{},
-			balancer.Telemetry{ReportInterval: reportEvery}, balancer.AdmissionByRate)
+		control, err := balancer.New(host, balancer.Config{
+			Seed:      1,
+			Classes:   measuredClasses(),
+			Channel:   openChannel(l.proxies),
+			Rules:     measuredLimits(),
+			Telemetry: balancer.Telemetry{ReportInterval: reportEvery},
+			Admission: balancer.AdmissionByRate,
+		})
+		if err != nil {
+			panic(err) // measuredClasses gives some
+		}
+		host.control = control
 		host.control.EndpointsUpdated(true, entries)
 		host.answers()
 	})
