--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,177 +6,307 @@
 	"slices"
 )
 
-func newAdmissionState(how AdmissionMode, classes []Class) admissionState {
-	a := admissionState{mode: how, published: make([]float64, len(classes)), target: make([]float64, len(classes)),
-		quota: make([]float64, len(classes))}
+// Admission: under overload (overload.go) a limit bounds what is let in, in units a second.
+//
+//   - Cut: when a queue stands nearly everywhere, what was answered meanwhile is what the fleet can do (saturated
+//     throughput). The limit is set so that the queue drains within 4 s, but never under 0.3 of that: what waits too
+//     long is dropped.
+//   - Hold: the limit then returns to 0.85 of that, less half of the queue that is still reported, without waiting for
+//     reports of the cut, which come late.
+//   - Raise: while it limits and the latency ratio is below 0.40, it is raised by 8%, or 10 to 30% if most backends have no
+//     queue, a step for each time that reports of the last one take, and not beyond 1.15 of what comes.
+//   - Ahead of reports: what the list takes of our entries takes its part of the limit at once. Without a limit the
+//     fleet is taken to be able to do 1.3 of the most that was let in without a queue (proven throughput).
+//
+// The limit is shared out by priority: classes with the highest PriorityWeight over LatencyObjective are served first, and
+// a class that is cut is capped at its busiest proxies, so that repeats of refused requests change nothing. Each class
+// keeps 5% of its demand, so that it is still reported. A class quota bounds its class by the same means.
+//
+// Throughputs are per capacity (published weight times baseline demand); times are microseconds.
+
+const (
+	// maxSaturatedGrowth bounds the saturated throughput by what was answered at a look.
+	maxSaturatedGrowth = 1.5
+	// sustainableShare is the share of the saturated throughput that fixed weights can spread without queues.
+	sustainableShare = 0.85
+	// minLimitShare is the share that a cut leaves: the queue is a guess, and what waits too long is dropped.
+	minLimitShare = 0.3
+	// queueDrainTime is the time within which a queue is drained: changes keep their interval, so not faster.
+	queueDrainTime = 2 * minPublishInterval
+	// maxHeadroom is how far the limit may be ahead of what is answered now: one further ahead is none when it is needed.
+	maxHeadroom = 1.15
+	// raiseStep is the step of a limit while the latency ratio is below overloadedRatio.
+	raiseStep = 0.08
+	// fastRaiseStep is the step while most backends have no queue, and three times that when none has.
+	fastRaiseStep = 0.1
+	// answerTimeAllowance is the time from a request to its answer that reports of a limit take beside their own.
+	answerTimeAllowance = second
+	// assumedHeadroom times what was let in without a queue is taken to be possible, until a queue was seen.
+	assumedHeadroom = 1.3
+	// minAdmittedShare is the share of its demand that each class keeps.
+	minAdmittedShare = 0.05
+	// limitTolerance is the difference below which two limits are one: reports are no finer.
+	limitTolerance = 0.05
+	// unlimitedRate is a rate that no proxy reaches, in requests a second.
+	unlimitedRate RequestsPerSecond = 1_000_000
+	// minUnits is what a request counts at least.
+	minUnits = 1e-3
+)
+
+// admissionState is what is known of the fleet's throughput, and the limit.
+type admissionState struct {
+	mode            AdmissionMode
+	priorityOrder   []int     // classes, the first to be let in first
+	unitsPerRequest []float64 // by class
+	longestDeadline float64   // microseconds
+	meanObjective   float64   // latency objective of the mean request let in, microseconds; 0 before the first look
+
+	provenThroughput    float64 // most units a second let in without a queue, per published capacity; 0 if unknown
+	saturatedThroughput float64 // units a second answered with a queue, per reported capacity; 0 if unknown
+
+	limitShare   float64 // share of the saturated throughput that is let in; 0 until a queue was seen
+	limit        float64 // units a second
+	limiting     bool    // more comes than that
+	cutPending   bool    // a cut is to be published
+	latencyRatio float64 // at the last look
+
+	queueDrainedAt  Microseconds // when the queue of the last cut must be gone ...
+	holdUntil       Microseconds // ... and when reports show it
+	overloadedSince Microseconds // when looks began to show a queue nearly everywhere; 0 while they do not
+	raisedAt        Microseconds // when the limit was last raised, or guessed
+
+	// By class.
+	target           []float64           // limits that are to be published: a share or a rate; 0 for none
+	published        []float64           // limits that are
+	limitsSent       bool                // one ever was
+	quota            []RequestsPerSecond // that the whole fleet may be sent; 0 for any number
+	counted          []float64           // requests since the last look
+	demandCorrection []float64           // what was counted over the sum of the proxies' rates
+}
+
+func newAdmissionState(mode AdmissionMode, classes []Class) admissionState {
+	a := admissionState{
+		mode:             mode,
+		target:           make([]float64, len(classes)),
+		published:        make([]float64, len(classes)),
+		quota:            make([]RequestsPerSecond, len(classes)),
+		counted:          make([]float64, len(classes)),
+		demandCorrection: slices.Repeat([]float64{1}, len(classes)),
+	}
 	for i, class := range classes {
-		a.counted, a.demandCorrection = append(a.counted, 0), append(a.demandCorrection, 1)
 		a.priorityOrder = append(a.priorityOrder, i)
 		a.longestDeadline = max(a.longestDeadline, float64(class.Deadline))
-		a.unitsPerRequest = append(a.unitsPerRequest, max(float64(class.LatencyObjective)/float64(second), 1e-3))
+		a.unitsPerRequest = append(a.unitsPerRequest, max(float64(class.LatencyObjective)/float64(second), minUnits))
 	}
 	slices.SortStableFunc(a.priorityOrder, func(x, y int) int {
-		vx, vy := classes[x].PriorityWeight/a.unitsPerRequest[x], classes[y].PriorityWeight/a.unitsPerRequest[y]
-		return count(vx < vy) - count(vx > vy)
+		return cmp.Compare(classes[y].PriorityWeight/a.unitsPerRequest[y], classes[x].PriorityWeight/a.unitsPerRequest[x])
 	})
 	return a
 }
 
-// steer settles how much is let in. When a queue stands nearly everywhere, what was answered is what can be:
-// less the queue while it drains, then most of it.
-func (c *Controller) updateAdmission(now int64) {
-	a, r := &c.admission, c.summarizeLoad(now)
-	a.latencyRatio = r.latencyRatio
-	if r.latencyRatio > 0 && r.latencyRatio < overloadedRatio && r.recentCapacity > r.publishedCapacity/2 { // thinly heard demand proves nothing
-		a.provenThroughput = max(a.provenThroughput, r.admitted/r.publishedCapacity)
-	}
-	if r.latencyRatio == 0 || r.reportedCapacity == 0 || a.mode == AdmissionUnsupported {
+// updateAdmission looks at the reports since the last look, and settles how much is let in.
+func (c *Controller) updateAdmission(now Microseconds) {
+	a := &c.admission
+	load := c.summarizeLoad(now)
+	a.latencyRatio = load.latencyRatio
+	a.noteProvenThroughput(load)
+	if load.latencyRatio == 0 || load.reportedCapacity == 0 || a.mode == AdmissionUnsupported {
 		return
 	}
-	was, idle := a.limiting, r.latencyRatio < implausiblyIdleRatio && c.backendsIdle(r.latencyRatio*a.meanObjective)
-	rests := r.medianRatio < unloadedRatio && r.latencyRatio < overloadedRatio // most have no queue, whatever a few have
-	lag := c.telemetry.ReportInterval + c.queue.MaxLatency + second
-	queue := max(0, r.latencyRatio-queueFreeRatio) * a.meanObjective // before a new request, as time
-	hot := r.latencyRatio > overloadedRatio && r.medianRatio > unloadedRatio && !idle
-	a.overloadedSince = cmp.Or(a.overloadedSince, now) * int64(count(hot))
-	// What stood in queues then may be answered or given up: only heat that outlasts old news is an overload.
-	hot = hot && (c.reportSpan <= a.longestDeadline || float64(now-a.overloadedSince) >= c.reportSpan)
+	idle := load.latencyRatio < implausiblyIdleRatio && c.backendsIdle(load.latencyRatio*a.meanObjective)
+	overloaded := c.queueOutlastsReports(load, idle, now)
+	reportLag := c.telemetry.ReportInterval + c.queue.MaxLatency + answerTimeAllowance
+	raiseDue := now-a.raisedAt >= reportLag // steps on steps that are not yet reported would overshoot
 	switch {
 	case now < a.holdUntil:
-		// What is heard now is late: half of the queue that it shows may be gone.
-		if part := max(minLimitShare, sustainableShare-queue/2/float64(queueDrainTime)); now >= a.queueDrainedAt || part < a.limitShare {
-			a.limitShare = part
-		}
-	case hot:
-		// As a queue stands, hardly more than was let in; what was answered was, even where demand is still thin.
-		able := min(r.answered/r.reportedCapacity, maxHeadroom*max(r.admitted, r.answered)/r.publishedCapacity)
-		if a.saturatedThroughput == 0 {
-			a.saturatedThroughput = able
-		}
-		a.saturatedThroughput = min((a.saturatedThroughput+able)/2, maxSaturatedGrowth*able) // what was proven before a cut holds no more
-		// What came while we did not know is in the queue as well.
-		queue += max(0, r.admitted/(a.saturatedThroughput*(r.publishedCapacity-r.deadCapacity))-1) * float64(lag/2)
-		a.limitShare = max(minLimitShare, sustainableShare-queue/float64(queueDrainTime))
-		a.queueDrainedAt, a.holdUntil, a.overloadedSince, a.cutPending = now+queueDrainTime, now+queueDrainTime+lag, 0, true
-	case a.limitShare > 0 && r.offered > a.limit && (idle || r.latencyRatio < overloadedRatio) && now-a.raisedAt >= lag:
-		wider := raiseStep // until it is heard of: steps on steps would overshoot by as many as fit into the lag
-		if idle || rests {
-			wider = fastRaiseStep * (1 + 2*max(0, min(1, (unloadedRatio-r.latencyRatio)/(unloadedRatio-queueFreeRatio))))
-		}
-		a.raisedAt = now
-		a.limitShare = min(a.limitShare*(1+wider*r.reportedCapacity/r.publishedCapacity), maxHeadroom*r.offered/(a.saturatedThroughput*r.publishedCapacity)) // as far as we know of it
+		a.holdLimit(load, now)
+	case overloaded:
+		a.cutLimit(load, now, reportLag)
+	case a.mayRaise(load, idle) && raiseDue:
+		a.raiseLimit(load, idle, now)
 	}
-	a.limit = a.limitShare * a.saturatedThroughput * r.publishedCapacity
-	if a.limiting = a.limitShare > 0 && r.offered > a.limit; was != a.limiting {
-		c.logf(-1, "limit bound %v at %.1f units/s: heat %.2f, %.1f come, %.1f answered",
-			a.limiting, a.limit, r.latencyRatio, r.offered, r.answered)
+	a.limit = a.limitShare * a.saturatedThroughput * load.publishedCapacity
+	limiting := a.limitShare > 0 && load.offered > a.limit
+	if limiting != a.limiting {
+		a.limiting = limiting
+		c.logf(-1, "admission limit in force: %v, %.1f units/s: latency ratio %.2f, offered %.1f, answered %.1f",
+			limiting, a.limit, load.latencyRatio, load.offered, load.answered)
 	}
 	c.distributeLimit()
 }
 
-// foresee reckons what the list has just taken of our lines against what was proven: reports show a queue
-// when it stands. Where none ever did, all that is known is what was let in without one, and a guess. Old
-// news takes long to show that it was too low, so there it is made only where something waited already.
-func (c *Controller) limitAheadOfReports(now int64, stood, lost float64) {
-	a, came, ours := &c.admission, 0., 0.
-	for class := range c.classes {
-		_, total := c.classDemand(class)
-		came += total * a.unitsPerRequest[class]
+// noteProvenThroughput keeps the most that was let in without a queue. Demand of which few report proves nothing.
+func (a *admissionState) noteProvenThroughput(load loadSummary) {
+	noQueue := load.latencyRatio > 0 && load.latencyRatio < overloadedRatio
+	if noQueue && load.recentCapacity > load.publishedCapacity/2 {
+		a.provenThroughput = max(a.provenThroughput, load.admitted/load.publishedCapacity)
 	}
-	for _, p := range c.proxies {
-		ours += p.baselineRate
+}
+
+// queueTime is how long a new request waits, in microseconds.
+func (a *admissionState) queueTime(load loadSummary) float64 {
+	return max(0, load.latencyRatio-queueFreeRatio) * a.meanObjective
+}
+
+// holdLimit lets in what the fleet can do once the queue of a cut must be gone; deeper, at once, if the queue has grown.
+func (a *admissionState) holdLimit(load loadSummary, now Microseconds) {
+	// What is reported now is late: half of the queue that it shows may be gone.
+	queue := a.queueTime(load) / 2
+	share := max(minLimitShare, sustainableShare-queue/float64(queueDrainTime))
+	if now >= a.queueDrainedAt || share < a.limitShare {
+		a.limitShare = share
 	}
-	able := assumedHeadroom * a.provenThroughput * (stood - lost) * ours
-	switch {
-	case a.mode == AdmissionUnsupported || lost == 0 || lost >= stood:
+}
+
+// cutLimit takes what was answered for what the fleet can do, and leaves room for the queue to drain.
+func (a *admissionState) cutLimit(load loadSummary, now, reportLag Microseconds) {
+	// As a queue stands, hardly more than was let in; what was answered was, even where demand is still thin.
+	mostAdmitted := max(load.admitted, load.answered)
+	throughput := min(load.answered/load.reportedCapacity, maxHeadroom*mostAdmitted/load.publishedCapacity)
+	if a.saturatedThroughput == 0 {
+		a.saturatedThroughput = throughput
+	}
+	// What was known before a cut holds no more.
+	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
+	// What came while no report told is in the queue as well, from half of that time on average.
+	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
+	queue := a.queueTime(load)
+	queue += max(0, load.admitted/answering-1) * float64(reportLag/2)
+	a.limitShare = max(minLimitShare, sustainableShare-queue/float64(queueDrainTime))
+	a.queueDrainedAt = now + queueDrainTime
+	a.holdUntil = now + queueDrainTime + reportLag
+	a.overloadedSince = 0
+	a.cutPending = true
+}
+
+// mayRaise tells whether the limit holds anything back for which there is room.
+func (a *admissionState) mayRaise(load loadSummary, idle bool) bool {
+	limiting := a.limitShare > 0 && load.offered > a.limit
+	return limiting && (idle || load.latencyRatio < overloadedRatio)
+}
+
+// raiseLimit raises the limit by a step, as far as reports cover the fleet.
+func (a *admissionState) raiseLimit(load loadSummary, idle bool, now Microseconds) {
+	step := raiseStep
+	mostWithoutQueue := load.medianRatio < unloadedRatio && load.latencyRatio < overloadedRatio
+	if idle || mostWithoutQueue {
+		unloaded := (unloadedRatio - load.latencyRatio) / (unloadedRatio - queueFreeRatio)
+		step = fastRaiseStep * (1 + 2*max(0, min(1, unloaded)))
+	}
+	a.raisedAt = now
+	raised := a.limitShare * (1 + step*load.reportedCapacity/load.publishedCapacity)
+	most := maxHeadroom * load.offered / (a.saturatedThroughput * load.publishedCapacity)
+	a.limitShare = min(raised, most)
+}
+
+// limitAheadOfReports takes the part of the limit that the list took of the published capacity (weight): reports show a
+// queue only when it stands. Where none ever did, all that is known is what was let in without one, and a guess. Old
+// reports take long to show that it was too low, so there it is made only where something waited already.
+func (c *Controller) limitAheadOfReports(now Microseconds, capacity, lost float64) {
+	a := &c.admission
+	if a.mode == AdmissionUnsupported || lost == 0 || lost >= capacity {
 		return
+	}
+	offered := c.totalDemand()
+	possible := assumedHeadroom * a.provenThroughput * (capacity - lost) * c.baselineDemand()
+	soonCorrected := !c.reportsAreOld() || a.latencyRatio > unloadedRatio
+	switch {
 	case a.limitShare > 0:
-		a.limit *= 1 - lost/stood
-	case a.provenThroughput > 0 && came > able && (c.reportSpan <= a.longestDeadline || a.latencyRatio > unloadedRatio):
-		a.saturatedThroughput, a.limitShare, a.limit, a.raisedAt = assumedHeadroom*a.provenThroughput, 1, able, now
+		a.limit *= 1 - lost/capacity
+	case a.provenThroughput > 0 && offered > possible && soonCorrected:
+		a.saturatedThroughput = assumedHeadroom * a.provenThroughput
+		a.limitShare = 1
+		a.limit = possible
+		a.raisedAt = now
 	}
-	if was := a.limiting; a.limitShare > 0 && was != (came > a.limit) {
-		a.limiting = !was
-		c.logf(-1, "limit bound %v at %.1f units/s, ahead of reports: %.0f%% of the weight went, %.1f come",
-			a.limiting, a.limit, 100*lost/stood, came)
+	limiting := offered > a.limit
+	if a.limitShare > 0 && limiting != a.limiting {
+		a.limiting = limiting
+		c.logf(-1, "admission limit in force: %v, %.1f units/s, ahead of reports: %.0f%% of the weight lost, offered %.1f",
+			limiting, a.limit, 100*lost/capacity, offered)
 	}
 	c.distributeLimit()
 }
 
-// setLevels shares the limit out, value first; capping the busiest proxies, repeats count for nothing. A
-// quota of a class is that of the whole fleet: of it we have what our proxies are of all.
+// distributeLimit shares the limit out by priority. A quota is that of the whole fleet: of it we have what our proxies
+// are of all.
 func (c *Controller) distributeLimit() {
-	a, joined := &c.admission, 0.
-	for _, p := range c.proxies {
-		joined += float64(count(p.connected))
-	}
-	left, ours := cmp.Or(a.limit, math.Inf(1)), max(joined, 1)/max(joined, float64(c.queue.Proxies), 1)
+	a := &c.admission
+	connected := c.connectedCount()
+	ourShare := max(connected, 1) / max(connected, float64(c.queue.Proxies), 1)
+	left := orUnlimited(a.limit)
 	for _, class := range a.priorityOrder {
 		rates, total := c.classDemand(class)
-		most := min(left/a.unitsPerRequest[class], cmp.Or(a.quota[class], math.Inf(1))*ours)
-		part := min(total, max(most, minAdmittedShare*total))
-		left -= part * a.unitsPerRequest[class]
-		if a.target[class] = 0; part < total && a.mode == AdmissionByRate {
-			a.target[class] = maxMinFairRate(rates, part)
-		} else if part < total && a.mode == AdmissionByShare {
-			a.target[class] = part / total
+		most := min(left/a.unitsPerRequest[class], orUnlimited(a.quota[class])*ourShare)
+		admitted := min(total, max(most, minAdmittedShare*total))
+		left -= admitted * a.unitsPerRequest[class]
+		a.target[class] = 0
+		if admitted >= total {
+			continue
+		}
+		switch a.mode {
+		case AdmissionByRate:
+			a.target[class] = maxMinFairRate(rates, admitted)
+		case AdmissionByShare:
+			a.target[class] = admitted / total
 		}
 	}
 }
 
+// orUnlimited is a limit, or infinity for 0.
+func orUnlimited(limit float64) float64 { return cmp.Or(limit, math.Inf(1)) }
+
+// maxMinFairRate caps rates so that they add up to a total below theirs. It sorts them.
+func maxMinFairRate(rates []float64, total float64) float64 {
+	slices.Sort(rates)
+	for i, rate := range rates {
+		left := float64(len(rates) - i)
+		if rate*left >= total {
+			return total / left
+		}
+		total -= rate
+	}
+	return unlimitedRate
+}
+
+// admittedRate is what the published limit of a class lets in of a proxy's rate.
+func (a *admissionState) admittedRate(class int, rate RequestsPerSecond) RequestsPerSecond {
+	limit := a.published[class]
+	switch {
+	case limit <= 0:
+		return rate
+	case a.mode == AdmissionByRate:
+		return min(rate, limit)
+	default:
+		return rate * limit
+	}
+}
+
+// limitChanged tells whether the limit of a class is to be published anew.
 func (a *admissionState) limitChanged(class int) bool {
-	gap := math.Abs(a.target[class] - a.published[class])
-	return gap > 0 && gap >= limitTolerance*a.published[class]
+	difference := math.Abs(a.target[class] - a.published[class])
+	return difference > 0 && difference >= limitTolerance*a.published[class]
 }
 
-func (c *Controller) publishLimits() bool {
-	a, laid := &c.admission, false
+// publishLimits publishes limits that have changed, with their retry policy, and tells whether there were any.
+func (c *Controller) publishLimits() (published bool) {
+	a := &c.admission
 	for class := range c.classes {
 		if !a.limitChanged(class) {
 			continue
 		}
-		a.published[class], laid = a.target[class], true
+		a.published[class] = a.target[class]
+		published = true
 		limit := cmp.Or(a.target[class], unlimitedRate)
 		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.target[class]))
 		a.limitsSent = true
-		c.chargeEach(1, func(*proxyState) bool { return true })
-	}
-	return laid
-}
-
-// waterline caps rates so that they add up to a total below theirs.
-func maxMinFairRate(rates []float64, total float64) float64 {
-	slices.Sort(rates)
-	for i, r := range rates {
-		if rest := float64(len(rates) - i); r*rest >= total {
-			return total / rest
-		}
-		total -= r
+		c.chargeAll(1)
 	}
-	return unlimitedRate
+	return published
 }
 
-// admission is what we let in, in units: a request counts its target latency, as nothing gives its work.
-type admissionState struct {
-	mode                AdmissionMode
-	priorityOrder       []int // classes by value per unit, the first to be let in
-	unitsPerRequest     []float64
-	longestDeadline     float64 // longest deadline, microseconds
-	meanObjective       float64 // target latency of the mean request let in, microseconds
-	saturatedThroughput float64 // units a second answered while a queue stood, over heard, see look
-	provenThroughput    float64 // the same let in while none stood, the most of it
-	limitShare          float64 // of what is able to be answered; 0 until a queue was seen
-	limit               float64 // units a second
-	limiting            bool    // more comes than that
-	cutPending          bool    // a cut is to be told
-	limitsSent          bool    // a level ever was
-	latencyRatio        float64 // at the last look
-	published, target   []float64
-	quota               []float64 // requests a second of each class that the whole fleet may be sent; 0 for any number
-	counted             []float64 // requests counted since the last look
-	demandCorrection    []float64 // what was counted in all, over the sum of the proxies' rates
-
-	queueDrainedAt, holdUntil int64 // when the queue must be gone, and when reports show it
-	overloadedSince           int64 // when looks began to show a queue nearly everywhere; 0 while they do not
-	raisedAt                  int64 // when it was last widened, or guessed: reports tell of that a lag later
+// seedThroughput takes what another controller saw, in place of what we have not seen ourselves.
+func (a *admissionState) seedThroughput(proven, saturated float64) {
+	a.provenThroughput = cmp.Or(a.provenThroughput, max(proven, 0))
+	a.saturatedThroughput = cmp.Or(a.saturatedThroughput, max(saturated, 0))
 }
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -5,106 +5,151 @@
 	"slices"
 )
 
-func (b *backendState) updateEndpoint(e Endpoint, now int64, entering, live bool) {
-	restarted := b.listed && e.StartedAt > b.StartedAt
-	// One that kept its line while a wrong list had dropped it is neither new nor cold.
-	fresh := !b.listed || restarted || b.State != Ready && b.published == 0
-	if e.State == Removed || live { // the size, not the load of the moment; a gone one's line may stand on
-		e.Weight = max(e.Weight, b.Weight)
+// scoreWindow is how far back reports count for a backend's score.
+const scoreWindow = 5 * second
+
+// backendState is all that is known of one backend.
+type backendState struct {
+	Endpoint                  // as it was listed last
+	listed       bool         // the list has named it
+	subset       int          // which subset it is in
+	seenDraining bool         // it was draining since it was last ready
+	drainDelay   Microseconds // how long its drain had been ordered when we heard of it
+
+	published float64      // its weight in our tables; 0 if it has no entry
+	withdrawn bool         // proxies were told to keep off it, whatever tables they hold
+	enteredAt Microseconds // when it was new or readmitted; 0 if it was on the first list
+
+	ownOutcomes         []outcomeSample // what our proxies met within the score window
+	peerOutcomes        []outcomeSample // what those of other controllers met; counts while ours met nothing
+	reportedByPeersOnly bool            // so it does
+	attempts, failures  int             // sums over the samples that count
+	meanAnswerTime      float64         // of their answered attempts, in microseconds; 0 if there are none
+	load                BackendLoad     // as it reported last
+
+	lastAnswerAt        Microseconds // when an answer was last reported
+	consecutiveFailures int          // attempts since then, all without an answer
+	score               float64      // mean answer time over the median; 1 if unknown, negative if ejected
+
+	ejected             bool
+	ejectedByPeerReport bool // on peer reports alone: told to peers again, that would never end
+	readmitAt           Microseconds
+	backoff             Microseconds // how long the last ejection lasts
+	healthCheckedAt     Microseconds
+	reducedTo           float64      // share of its listed weight that it is left with; 0 for all of it
+	weightReducedAt     Microseconds // what was met before says nothing of the new weight
+	raiseWeightAt       Microseconds // when the next step up is due
+}
+
+// outcomeSample is one report line about a backend.
+type outcomeSample struct {
+	receivedAt Microseconds
+	coversFrom Microseconds // what it tells of is later than this, but for one report interval
+	answerTime Microseconds // sum over the answered attempts
+	attempts   int
+	failures   int
+}
+
+// updateEndpoint takes in a listed state. Entering says that the fleet is known already, so that a new backend enters
+// it; loadDependent that the listed weights fall with load.
+func (b *backendState) updateEndpoint(endpoint Endpoint, now Microseconds, entering, loadDependent bool) {
+	restarted := b.listed && endpoint.StartedAt > b.StartedAt
+	// One that kept its entry while a wrong list had dropped it is neither new nor cold.
+	keptEntry := b.State == Ready || b.published > 0
+	isNew := !b.listed || restarted || !keptEntry
+	if endpoint.State == Removed || loadDependent {
+		// Weight stands for size, not for the load of the moment; the entry of a removed one may stand on.
+		endpoint.Weight = max(endpoint.Weight, b.Weight)
 	}
-	if b.Endpoint, b.listed = e, true; b.Weight <= 0 {
+	b.Endpoint = endpoint
+	b.listed = true
+	if b.Weight <= 0 {
 		b.Weight = 1
 	}
-	if e.State != Ready {
-		if e.State == Draining && e.DrainingSince > 0 {
-			b.drainDelay = max(b.drainDelay, now-e.DrainingSince)
-		}
-		b.seenDraining = b.seenDraining || e.State == Draining
+	if endpoint.State != Ready {
+		b.noteDrain(now)
 		return
 	}
-	if b.seenDraining, b.drainDelay = false, 0; restarted { // another process: what was heard of the old one says nothing
-		b.ejected, b.backoff, b.reducedTo = false, 0, 0
+	b.seenDraining = false
+	b.drainDelay = 0
+	if restarted { // another process: what was reported of the old one says nothing
+		b.ejected = false
+		b.backoff = 0
+		b.reducedTo = 0
 	}
-	if fresh {
-		b.enteredAt = now * int64(count(entering))
+	if isNew {
+		b.enteredAt = 0
+		if entering {
+			b.enteredAt = now
+		}
 		b.resetOutcomes(now)
 	}
 }
 
-// usable leaves the score aside. Where only draining binds, one that the list drops is, until its tries fail.
-func (c *Controller) usable(b *backendState, now int64) bool {
-	if b.State == Removed {
-		return !c.mustLeave(b) && !b.ejected && b.published > 0
-	}
-	return b.listed && b.State == Ready
-}
-
-// backend is all that is known of one backend.
-type backendState struct {
-	Endpoint
-	subset               int     // of the fleet that it is in
-	listed, seenDraining bool    // drained: was seen draining since it was last ready
-	published            float64 // its weight in our tables
-	withdrawn            bool    // withdrawn from whatever tables proxies hold
-	drainDelay           int64   // how long its drain had been ordered when we heard of it
-	enteredAt            int64   // when it entered or returned; 0 if it was here from the start
-
-	ownOutcomes         []outcomeSample // what was heard within the reply timeout, and its sums
-	peerOutcomes        []outcomeSample // what others heard; it has the place of ours where there are none
-	reportedByPeersOnly bool            // so it does
-	ejectedByPeerReport bool            // it left R on that alone: telling it to others again would never end
-	attempts, failures  int
-	meanAnswerTime      float64
-	load                BackendLoad
-	lastAnswerAt        int64   // when an answer was last heard of
-	consecutiveFailures int     // tries without any answer since then
-	score               float64 // mean over the median, 1 if unheard, negative if it left R
-	ejected             bool
-	readmitAt, backoff  int64
-	healthCheckedAt     int64
-	reducedTo           float64 // part of the listed weight that it is left with; 0 for all of it
-	raiseWeightAt       int64
-	weightReducedAt     int64 // when that was: what was heard before says nothing of its new weight
-}
-
-type outcomeSample struct {
-	receivedAt, coversFrom int64 // when it came, and what it tells of at the earliest, but for a period
-	answerTime             int64 // all answered ones together
-	attempts, failures     int
-}
-
-func (b *backendState) sumOutcomes(now int64) {
-	old := func(s outcomeSample) bool { return s.receivedAt <= now-scoreWindow }
-	b.ownOutcomes, b.peerOutcomes = slices.DeleteFunc(b.ownOutcomes, old), slices.DeleteFunc(b.peerOutcomes, old)
-	heard := b.ownOutcomes
-	if b.reportedByPeersOnly = len(heard) == 0 && len(b.peerOutcomes) > 0; b.reportedByPeersOnly {
-		heard = b.peerOutcomes
+// sumOutcomes drops samples older than the score window, and sums those that count.
+func (b *backendState) sumOutcomes(now Microseconds) {
+	outdated := func(sample outcomeSample) bool { return sample.receivedAt <= now-scoreWindow }
+	b.ownOutcomes = slices.DeleteFunc(b.ownOutcomes, outdated)
+	b.peerOutcomes = slices.DeleteFunc(b.peerOutcomes, outdated)
+	counting := b.ownOutcomes
+	b.reportedByPeersOnly = len(b.ownOutcomes) == 0 && len(b.peerOutcomes) > 0
+	if b.reportedByPeersOnly {
+		counting = b.peerOutcomes
 	}
-	took := int64(0)
-	b.attempts, b.failures, b.meanAnswerTime = 0, 0, 0
-	for _, s := range heard {
-		if s.coversFrom > b.weightReducedAt {
-			b.attempts, b.failures, took = b.attempts+s.attempts, b.failures+s.failures, took+s.answerTime
+	answerTime := Microseconds(0)
+	b.attempts = 0
+	b.failures = 0
+	b.meanAnswerTime = 0
+	for _, sample := range counting {
+		if sample.coversFrom > b.weightReducedAt {
+			b.attempts += sample.attempts
+			b.failures += sample.failures
+			answerTime += sample.answerTime
 		}
 	}
 	if b.failures < b.attempts {
-		b.meanAnswerTime = float64(took) / float64(b.attempts-b.failures)
+		b.meanAnswerTime = float64(answerTime) / float64(b.attempts-b.failures)
+	}
+}
+
+// noteAttempts counts attempts without an answer since the last one with an answer.
+func (b *backendState) noteAttempts(attempts, failures int, now Microseconds) {
+	b.consecutiveFailures += attempts
+	if failures < attempts {
+		b.lastAnswerAt = now
+		b.consecutiveFailures = 0
 	}
 }
 
-func (b *backendState) resetOutcomes(now int64) {
-	b.ownOutcomes, b.peerOutcomes, b.consecutiveFailures, b.lastAnswerAt = nil, nil, 0, now
+// resetOutcomes forgets what was met so far.
+func (b *backendState) resetOutcomes(now Microseconds) {
+	b.ownOutcomes = nil
+	b.peerOutcomes = nil
+	b.consecutiveFailures = 0
+	b.lastAnswerAt = now
 }
 
-func (b *backendState) publishedCapacity() float64 { return b.published / cmp.Or(b.reducedTo, 1) } // strain takes no capacity away
+// publishedCapacity is its published weight as if that were not reduced: late answers take no capacity away.
+func (b *backendState) publishedCapacity() float64 { return b.published / cmp.Or(b.reducedTo, 1) }
 
+// successRate is the share of its attempts that were answered; 1 if there were none.
 func (b *backendState) successRate() float64 {
 	return 1 - float64(b.failures)/float64(max(b.attempts, 1))
 }
 
+// usable tells whether a backend may have an entry, its score aside.
+func (c *Controller) usable(backend *backendState) bool {
+	if backend.State == Removed { // where only draining must be left, it keeps its entry until its attempts fail
+		return !c.mustLeave(backend) && !backend.ejected && backend.published > 0
+	}
+	return backend.listed && backend.State == Ready
+}
+
+// median sorts values and returns the upper one of the middle, or another where there are none.
 func median(values []float64, none float64) float64 {
-	if slices.Sort(values); len(values) > 0 {
-		return values[len(values)/2]
+	if len(values) == 0 {
+		return none
 	}
-	return none
+	slices.Sort(values)
+	return values[len(values)/2]
 }
--- a/balancer/fake_test.go
+++ b/balancer/fake_test.go
@@ -223,3 +223,11 @@
 		s.reportDemand(40, 20)
 	}
 }
+
+// count is 1 for a condition that holds, and 0 for one that does not.
+func count(holds bool) int {
+	if holds {
+		return 1
+	}
+	return 0
+}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -1,86 +1,163 @@
 package balancer
 
-// judge scores every backend and settles which leave R.
-func (c *Controller) detectOutliers(now int64) {
-	var shares, means []float64
-	listed, away := 0., 0.
-	for _, b := range c.backends {
-		b.sumOutcomes(now)
-		if !c.usable(b, now) {
+// Outlier detection: a usable backend is ejected, so that its entries are taken out, if
+//   - dead: 5 attempts in a row had no answer;
+//   - failing: of 20 attempts or more, fewer were answered than half the median backend's share;
+//   - lagging although its weight is at its least: see weight.go for what lagging alone does.
+//
+// Lagging is a mean answer time of twice the median backend's and 0.40 of the latency objective, over 10 attempts, at a
+// backend that does not report itself idle.
+//
+// Dead and failing count only where the median backend answers 0.8 of its attempts: what all share condemns none. And
+// no more than three quarters of the listed weight may be ejected, as a mistake must not put the load of many on a few,
+// but for backends that the list has removed.
+//
+// An ejected backend is readmitted after 10 s, doubling with each further ejection to 60 s, or with a passed health
+// check; it then starts slowly (weight.go). If all usable backends are ejected, all are published (panic mode).
+//
+// Inputs are the outcomes reported within 5 s, of our own proxies or, where these met nothing, of other controllers';
+// times are microseconds.
+
+const (
+	consecutiveFailuresToEject = 5 // as many as proxies use
+	minAttemptsToEject         = 20
+	healthySuccessRate         = 0.8  // a share of answers that shows a backend, or the fleet, at work
+	failingShareOfMedian       = 0.5  // of the median success rate
+	maxEjectedShare            = 0.75 // of the listed weight: a cut may hide all zones but one
+
+	minAttemptsToLag = 10
+	laggingScore     = 2.0 // mean answer time over the median: no chance where a queue stands as well
+
+	baseEjectionTime = 10 * second
+	maxEjectionTime  = 60 * second
+	// healthChecksPerBackoff is how many health checks fit into one backoff: a shallow one shows only that the process
+	// runs, so the longer the backoff, the rarer they are.
+	healthChecksPerBackoff = 3
+)
+
+// fleetOutcomes is what a backend is compared with.
+type fleetOutcomes struct {
+	medianSuccessRate float64 // of the backends with answers; 1 if there are none
+	medianAnswerTime  float64 // of the same, in microseconds; 0 if there are none
+	listedWeight      float64 // of all usable backends
+	ejectedWeight     float64 // of these
+}
+
+// detectOutliers scores every backend, and ejects outliers or reduces their weight.
+func (c *Controller) detectOutliers(now Microseconds) {
+	fleet := c.fleetOutcomes(now)
+	for id, backend := range c.backends {
+		if !c.usable(backend) || backend.ejected {
 			continue
 		}
-		listed += b.Weight
-		if b.ejected {
-			away += b.Weight
-		} else if b.meanAnswerTime > 0 {
-			shares, means = append(shares, b.successRate()), append(means, b.meanAnswerTime)
+		backend.score = 1
+		if backend.meanAnswerTime > 0 && fleet.medianAnswerTime > 0 {
+			backend.score = backend.meanAnswerTime / fleet.medianAnswerTime
+		}
+		fleetHealthy := fleet.medianSuccessRate >= healthySuccessRate
+		dead := fleetHealthy && backend.consecutiveFailures >= consecutiveFailuresToEject
+		failing := fleetHealthy && backend.attempts >= minAttemptsToEject &&
+			backend.successRate() < fleet.medianSuccessRate*failingShareOfMedian
+		lagging := c.lagging(backend)
+		atLeastWeight := backend.reducedTo > 0 && backend.reducedTo <= minReducedShare
+		switch {
+		case dead, lagging && atLeastWeight:
+			c.eject(id, now, &fleet)
+		case lagging: // it answers, but late: it has a queue, and others fare far better
+			c.reduceWeight(id, now)
+		case failing:
+			c.eject(id, now, &fleet)
 		}
 	}
-	usual, median := median(shares, 1), median(means, 0)
-	for i, b := range c.backends {
-		if !c.usable(b, now) || b.ejected {
+}
+
+// fleetOutcomes sums the outcomes of every backend, and compares them.
+func (c *Controller) fleetOutcomes(now Microseconds) (fleet fleetOutcomes) {
+	var successRates, answerTimes []float64
+	for _, backend := range c.backends {
+		backend.sumOutcomes(now)
+		if !c.usable(backend) {
 			continue
 		}
-		if b.score = 1; b.meanAnswerTime > 0 && median > 0 {
-			b.score = b.meanAnswerTime / median
+		fleet.listedWeight += backend.Weight
+		if backend.ejected {
+			fleet.ejectedWeight += backend.Weight
+			continue
 		}
-		lags := b.meanAnswerTime >= overloadedRatio*c.admission.meanObjective && b.score >= laggingScore && b.attempts >= minAttemptsToEject/2 &&
-			!b.load.reportsIdle(b.meanAnswerTime) && !b.reportedByPeersOnly
-		switch {
-		// Silence counts only with tries, and where most answer: what is shared condemns nobody.
-		case usual >= healthySuccessRate && b.consecutiveFailures >= consecutiveFailuresToEject,
-			lags && b.reducedTo > 0 && b.reducedTo <= slowStartShare: // it can do nothing even with the least weight
-			away = c.eject(i, now, away, maxEjectedShare*listed)
-		// One that answers, but late, has a queue: if others fare far better it loses part of its weight.
-		case lags:
-			c.reduceWeight(i, now)
-		case b.attempts >= minAttemptsToEject && usual >= healthySuccessRate && b.successRate() < usual/2:
-			away = c.eject(i, now, away, maxEjectedShare*listed)
+		if backend.meanAnswerTime > 0 {
+			successRates = append(successRates, backend.successRate())
+			answerTimes = append(answerTimes, backend.meanAnswerTime)
 		}
 	}
+	fleet.medianSuccessRate = median(successRates, 1)
+	fleet.medianAnswerTime = median(answerTimes, 0)
+	return fleet
+}
+
+// lagging tells whether answers of a scored backend are so late that a queue must stand there, by our own reports.
+func (c *Controller) lagging(backend *backendState) bool {
+	late := backend.meanAnswerTime >= overloadedRatio*c.admission.meanObjective && backend.score >= laggingScore
+	known := backend.attempts >= minAttemptsToLag && !backend.reportedByPeersOnly
+	return late && known && !backend.load.reportsIdle(backend.meanAnswerTime)
+}
+
+// eject ejects a backend, unless too much weight would be ejected then.
+func (c *Controller) eject(id int, now Microseconds, fleet *fleetOutcomes) {
+	backend := c.backends[id]
+	backend.score = -1
+	allowed := maxEjectedShare * fleet.listedWeight
+	if fleet.ejectedWeight+backend.Weight > allowed && backend.State != Removed {
+		return
+	}
+	fleet.ejectedWeight += backend.Weight
+	backend.backoff = max(baseEjectionTime, min(2*backend.backoff, maxEjectionTime))
+	backend.ejected = true
+	backend.ejectedByPeerReport = backend.reportedByPeersOnly
+	backend.readmitAt = now + backend.backoff
+	backend.healthCheckedAt = now
+	c.logf(id, "ejected: %d of %d attempts failed, for %d s", backend.failures, backend.attempts, backend.backoff/second)
 }
 
-// leave takes a backend out of R unless too much is away: a mistake must not put the load of many on a few.
-func (c *Controller) eject(id int, now int64, away, most float64) float64 {
-	b := c.backends[id]
-	b.score = -1
-	if away+b.Weight > most && b.State != Removed {
-		return away
+// readmitDue readmits backends after their backoff, checks the health of others, and gives back reduced weights.
+func (c *Controller) readmitDue(now Microseconds) {
+	for id, backend := range c.backends {
+		checkDue := now-backend.healthCheckedAt >= backend.backoff/healthChecksPerBackoff
+		switch {
+		case backend.ejected && now >= backend.readmitAt:
+			c.readmit(id, now, false)
+		case backend.ejected && c.telemetry.HealthChecksAllowed && checkDue:
+			backend.healthCheckedAt = now
+			c.host.CheckHealth(id)
+		}
+		backend.raiseWeightIfDue(now)
 	}
-	b.backoff = max(baseEjectionTime, min(2*b.backoff, maxEjectionTime))
-	b.ejected, b.ejectedByPeerReport, b.readmitAt, b.healthCheckedAt = true, b.reportedByPeersOnly, now+b.backoff, now
-	c.logf(id, "leaves R: %d of %d tries failed, %d s", b.failures, b.attempts, b.backoff/second)
-	return away + b.Weight
+	c.updatePanicMode()
 }
 
-// returns brings backends back after their time, or probes them. R empty: B random ones, which is all.
-func (c *Controller) readmitDue(now int64) {
-	r, usable := 0, 0
-	for i, b := range c.backends {
-		if b.ejected && now >= b.readmitAt {
-			c.readmit(i, now, false)
-		} else if b.ejected && c.telemetry.HealthChecksAllowed && now-b.healthCheckedAt >= b.backoff/3 {
-			b.healthCheckedAt = now
-			c.host.CheckHealth(i)
+// updatePanicMode publishes ejected backends while there is nothing else.
+func (c *Controller) updatePanicMode() {
+	usable, ejected := 0, 0
+	for _, backend := range c.backends {
+		if !c.usable(backend) {
+			continue
 		}
-		if b.reducedTo > 0 && now >= b.raiseWeightAt {
-			b.raiseWeightAt = now + 2*baseEjectionTime
-			if b.reducedTo /= weightReductionFactor; b.reducedTo > 1-limitTolerance {
-				b.reducedTo = 0
-			}
+		usable++
+		if backend.ejected {
+			ejected++
 		}
-		usable += count(c.usable(b, now))
-		r += count(c.usable(b, now) && !b.ejected)
 	}
-	if empty := r == 0 && usable > 0; empty != c.panicMode {
-		c.panicMode = empty
-		c.logf(-1, "R empty: %v, %d backends usable", empty, usable)
+	allEjected := usable > 0 && ejected == usable
+	if allEjected != c.panicMode {
+		c.panicMode = allEjected
+		c.logf(-1, "panic mode %v: %d of %d usable backends are ejected", allEjected, ejected, usable)
 	}
 }
 
-func (c *Controller) readmit(id int, now int64, probed bool) {
-	b := c.backends[id]
-	b.ejected, b.enteredAt = false, now
-	b.resetOutcomes(now)
-	c.logf(id, "returns to R, probed %v, after %d s", probed, b.backoff/second)
+// readmit lets an ejected backend back, with its outcomes forgotten.
+func (c *Controller) readmit(id int, now Microseconds, healthChecked bool) {
+	backend := c.backends[id]
+	backend.ejected = false
+	backend.enteredAt = now
+	backend.resetOutcomes(now)
+	c.logf(id, "readmitted after %d s, health check passed: %v", backend.backoff/second, healthChecked)
 }
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -1,16 +1,47 @@
 package balancer
 
+// proxyState is all that is known of one proxy.
 type proxyState struct {
-	connected, assigned               bool
-	mayHoldForeign, withdrawalsSynced bool    // keeps: may hold withdrawals of others, until it is cleared of them
-	withdrawalsCleared                bool    // a backend's first line lets it back from then on, and costs two
-	heldWithdrawals                   float64 // withdrawals that it heard of before it was bound: the same
-	zone, subset                      int
-	baselineRate                      float64 // requests a second that come to it on ordinary days
-	connectedAt, disconnectedAt       int64
-	acknowledged                      int64     // orders up to this one have come through
-	demand                            []float64 // requests a second that come to it, by class
-	messageTimes                      []int64   // when messages went to it, within the span that is counted
-	peerMessageTimes                  []int64   // the same by others, for when it joins
-	reserveReleased                   bool      // others had sent some: its table may take what is kept for what is urgent
+	connected      bool
+	connectedAt    Microseconds
+	disconnectedAt Microseconds // 0 if it never was, or is connected again
+	zone, subset   int
+	baselineRate   float64   // requests a second that come to it on ordinary days, 1 at least
+	demand         []float64 // requests a second that come to it now, by class
+
+	assigned bool // its tables are ours
+
+	// Withdrawals of other controllers that it may hold, see sync.go.
+	mayHoldForeign     bool
+	withdrawalsSynced  bool    // it was told of ours before it had our tables
+	withdrawalsCleared bool    // it uses a backend again with that backend's first entry, which costs a line more
+	heldWithdrawals    float64 // how many of ours it holds since then: the same
+
+	acknowledged     int64          // push batches up to this number have come through
+	messageTimes     []Microseconds // when messages went to it, within the window that counts
+	peerMessageTimes []Microseconds // when those of other controllers did, for when it connects
+	reserveReleased  bool           // they did, so that its tables may use what is kept for urgent messages
+}
+
+// mayKeepOff tells whether the proxy may keep off a backend until its first entry, which costs it a line more.
+func (p *proxyState) mayKeepOff() bool { return p.withdrawalsCleared || p.heldWithdrawals > 0 }
+
+// connectedCount is how many proxies are connected.
+func (c *Controller) connectedCount() float64 {
+	connected := 0
+	for _, proxy := range c.proxies {
+		if proxy.connected {
+			connected++
+		}
+	}
+	return float64(connected)
+}
+
+// baselineDemand is what comes to our proxies on ordinary days, in requests a second.
+func (c *Controller) baselineDemand() RequestsPerSecond {
+	total := 0.
+	for _, proxy := range c.proxies {
+		total += proxy.baselineRate
+	}
+	return total
 }
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -1,126 +1,201 @@
 package balancer
 
-import (
-	"slices"
+import "slices"
+
+// Push queue: what waits in the channel to the proxies, in lines. Lines count as waiting until an ack of theirs, or of
+// a later batch, comes back, so that the account holds when the channel is slow; it is too high by what is on its way.
+//
+//   - Required changes may fill the capacity: what the backlog bears, but no more than leaves in 4 s. Held back here, a
+//     change is decided on later reports, and shares messages.
+//   - Ordinary changes, and complete tables, may fill half of it, so that required ones never wait behind more.
+//   - A round of changes begins when no more than an eighth of it is waiting, or when all that is required fits.
+//   - Of the messages that a proxy may be sent within the window, ordinary ones use half.
+//
+// Inputs are PushChannel, the drain grace (microseconds) and the costs of what is to be pushed (lines).
+
+const (
+	maxQueueTime         = 2 * minPublishInterval
+	ordinaryShare        = 1. / 2 // of the capacity
+	drainedShare         = 1. / 8 // of the capacity
+	reservedMessages     = 2      // of a proxy's messages, kept for urgent ones once its tables may use the rest
+	publicationsPerGrace = 2      // how many rounds of required changes the drain grace bears
+
+	// An ack that has not come within maxAckDelay and this many times the nominal sending time will not come.
+	ackTimeoutFactor = 4
+	maxAckDelay      = 2 * second // beside PushChannel.MaxLatency
+
+	batchNumberMask = 0xffff // of a batch's number, this much goes to the proxies
 )
 
-// ledger counts lines until their mark, or a later one, has come back, so it holds when the channel is slow.
+// pushQueue is the account of the channel.
 type pushQueue struct {
 	PushChannel
-	queuedLines           float64
-	reservedLines         float64 // lines that must follow, of the tables of those who wait, and ...
-	maxQueuedBeforeTables float64 // ... how many may stand in the channel with them for the first of these to have its in time
-	batches               []pushBatch
-	lastNumber            int64 // orders so far; a mark is its low 16 bits
+	batches     []pushBatch // without an ack of theirs or of a later one, the oldest first
+	queuedLines Lines       // sum over batches
+	lastNumber  int64       // of the last batch
+
+	// What is kept for the tables of proxies that wait for them, see reserveForTables.
+	reservedLines         Lines // what these tables cost
+	maxQueuedBeforeTables Lines // how many lines may wait, these tables among them, for the first of them to be in time
 }
 
-// bill counts lines to a proxy, and with the first at this clock time the message and its mark.
-func (c *Controller) charge(p *proxyState, lines float64) {
-	l, now := &c.queue, c.host.Now()
-	if n := len(l.batches); n == 0 || l.batches[n-1].sentAt != now {
-		l.lastNumber++
-		l.batches = append(l.batches, pushBatch{number: l.lastNumber, sentAt: now, linesTo: map[*proxyState]float64{}})
-		c.host.RequestAck(int(l.lastNumber&0xffff), false)
-	}
-	o := &l.batches[len(l.batches)-1]
-	if n := len(p.messageTimes); n == 0 || p.messageTimes[n-1] != now {
-		p.messageTimes = append(p.messageTimes, now)
-		lines += l.messageOverhead() + (c.tableLimitLines()-l.LimitLines)*float64(count(!p.assigned)) // it has heard of none yet
-	}
-	o.linesTo[p] += lines
-	o.lines += lines
-	l.queuedLines += lines
+// pushBatch is what goes to proxies at one clock time.
+type pushBatch struct {
+	number  int64
+	sentAt  Microseconds
+	lines   Lines                 // sum over unacknowledged
+	linesTo map[*proxyState]Lines // what went to each proxy that has not answered: tables cost many times an entry
 }
 
-// expire forgets orders whose marks will not come, even at a quarter of the channel's usual speed.
-func (l *pushQueue) expire(now int64) {
-	for len(l.batches) > 0 {
-		patience := l.MaxLatency + 2*second + int64(4*l.queuedLines/max(l.LinesPerSecond, 1)*float64(second))
-		if now-l.batches[0].sentAt < patience {
-			return
+// charge counts lines to a proxy, and with the first ones at this clock time its message, and the request for an ack.
+func (c *Controller) charge(proxy *proxyState, lines Lines) {
+	now := c.host.Now()
+	batch := c.currentBatch(now)
+	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
+		proxy.messageTimes = append(proxy.messageTimes, now)
+		message := c.queue.messageOverhead()
+		if !proxy.assigned { // it has been told of no limits yet
+			message += c.tableLimitLines() - c.queue.LimitLines
 		}
-		l.discard(1)
+		lines += message
 	}
+	batch.linesTo[proxy] += lines
+	batch.lines += lines
+	c.queue.queuedLines += lines
 }
 
-// header is what each message costs beside what it is for: head, mark, and levels where they always go along.
-func (l *pushQueue) messageOverhead() float64 { return l.MessageOverhead + 1 + l.LimitLines }
-
-// room is how many lines may wait. Where the backlog bears far more than two paces take to send, what joins
-// its end would be late by all of that; held back here it is decided on later news, and shares messages.
-func (l *pushQueue) capacity() float64 {
-	return min(l.Backlog, l.linesSentIn(2*minPublishInterval))
+// currentBatch is the batch of this clock time. It is valid until the next one is begun.
+func (c *Controller) currentBatch(now Microseconds) *pushBatch {
+	queue := &c.queue
+	if n := len(queue.batches); n == 0 || queue.batches[n-1].sentAt != now {
+		queue.lastNumber++
+		batch := pushBatch{number: queue.lastNumber, sentAt: now, linesTo: map[*proxyState]Lines{}}
+		queue.batches = append(queue.batches, batch)
+		c.host.RequestAck(int(queue.lastNumber&batchNumberMask), false)
+	}
+	return &queue.batches[len(queue.batches)-1]
 }
 
-// fits tells whether lines may go: what no rule needs, as of a growing fleet, waits at half the room.
-func (l *pushQueue) hasCapacity(cost float64, must bool) bool {
-	return l.queuedLines == 0 || l.queuedLines+cost <= l.capacity()/2 || must && l.queuedLines+cost <= l.capacity()
+// chargeEach counts lines to each connected proxy concerned.
+func (c *Controller) chargeEach(lines Lines, concerned func(proxy *proxyState) bool) {
+	c.changedAt = c.host.Now()
+	for _, proxy := range c.proxies {
+		if proxy.connected && concerned(proxy) {
+			c.charge(proxy, lines)
+		}
+	}
 }
 
-// delays tells whether, with so many lines before them, tables would come too late to those who wait: rule 3
-// binds whatever they brought, and that may name what had gone before we began, which no message takes out.
-func (l *pushQueue) wouldDelayTables(cost float64) bool {
-	return l.reservedLines > 0 && l.queuedLines+cost+l.reservedLines > l.maxQueuedBeforeTables
+// chargeAll counts lines to each connected proxy.
+func (c *Controller) chargeAll(lines Lines) {
+	c.chargeEach(lines, func(*proxyState) bool { return true })
 }
 
-// may tells whether a proxy may be sent one more message. Half of those allowed are kept for what is urgent.
-func (l *pushQueue) mayPush(p *proxyState, now int64, urgent bool) bool {
-	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at int64) bool { return at <= now-l.MessageWindow-l.MaxLatency })
-	if l.MaxMessages == 0 || len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == now {
-		return true
+// acknowledge takes a proxy's answer, and returns the number of the batch that it answers.
+func (q *pushQueue) acknowledge(answered int, proxy *proxyState) (number int64) {
+	number = q.lastNumber - (q.lastNumber-int64(answered))&batchNumberMask
+	for i := range q.batches {
+		batch := &q.batches[i]
+		if batch.number != number {
+			continue
+		}
+		batch.lines -= batch.linesTo[proxy]
+		delete(batch.linesTo, proxy)
+		left := i // all before it have left the channel
+		if len(batch.linesTo) == 0 {
+			left++
+		}
+		q.discard(left)
+		break
 	}
-	return len(p.messageTimes) < max(l.MaxMessages/2, (l.MaxMessages-2)*count(p.reserveReleased), l.MaxMessages*count(urgent))
+	return number
 }
 
-// open tells whether changes may go to all bound proxies now. Needed ones wait for each other as long as the
-// grace bears it twice, what does not fit as one piece for an emptier channel.
-func (l *pushQueue) mayPublish(proxies []*proxyState, now, last, grace int64, need float64) bool {
-	gap := min((grace-l.MaxLatency-tickInterval)/2, l.MessageWindow/int64(max(l.MaxMessages, 1)))
-	if l.MaxMessages > 0 && now > last && now-last < gap ||
-		l.queuedLines > l.capacity()/8 && (need == 0 || l.queuedLines+need > l.capacity()) {
-		return false
+// expire discards batches whose acks will not come.
+func (q *pushQueue) expire(now Microseconds) {
+	for len(q.batches) > 0 {
+		sendingTime := ackTimeoutFactor * q.queuedLines / max(q.LinesPerSecond, 1) * float64(second)
+		timeout := q.MaxLatency + maxAckDelay + int64(sendingTime)
+		if now-q.batches[0].sentAt < timeout {
+			return
+		}
+		q.discard(1)
 	}
-	return !slices.ContainsFunc(proxies, func(p *proxyState) bool { return p.assigned && !l.mayPush(p, now, need > 0) })
 }
 
-// applied takes a mark that came back from a proxy, and gives the number of the orders that carried it.
-func (l *pushQueue) acknowledge(mark int, p *proxyState) int64 {
-	number := l.lastNumber - (l.lastNumber-int64(mark))&0xffff
-	for i := range l.batches {
-		if o := &l.batches[i]; o.number == number {
-			o.lines -= o.linesTo[p]
-			delete(o.linesTo, p)
-			l.discard(i + count(len(o.linesTo) == 0))
-			break
-		}
+// discard takes the first batches out.
+func (q *pushQueue) discard(count int) {
+	q.batches = q.batches[count:]
+	q.queuedLines = 0
+	for _, batch := range q.batches {
+		q.queuedLines += batch.lines
 	}
-	return number
 }
 
-func (l *pushQueue) discard(n int) {
-	l.batches, l.queuedLines = l.batches[n:], 0
-	for _, o := range l.batches {
-		l.queuedLines += o.lines
-	}
+// messageOverhead is what each message costs beside what it is for: its own, the request for an ack, and limits where
+// they always go along.
+func (q *pushQueue) messageOverhead() Lines { return q.MessageOverhead + 1 + q.LimitLines }
+
+// capacity is how many lines may wait.
+func (q *pushQueue) capacity() Lines { return min(q.Backlog, q.linesSentIn(maxQueueTime)) }
+
+// linesSentIn is how many lines leave the channel within a time.
+func (q *pushQueue) linesSentIn(time Microseconds) Lines {
+	return max(q.LinesPerSecond, 1) * float64(time) / float64(second)
 }
 
-// billEach bills lines to each proxy concerned.
-func (c *Controller) chargeEach(lines float64, concerned func(p *proxyState) bool) {
-	c.changedAt = c.host.Now()
-	for _, p := range c.proxies {
-		if p.connected && concerned(p) {
-			c.charge(p, lines)
-		}
-	}
+// delay is how long what waits takes to leave.
+func (q *pushQueue) delay() Microseconds {
+	return int64(q.queuedLines / max(q.LinesPerSecond, 1) * float64(second))
 }
 
-// takes is how many lines leave the channel within a time.
-func (l *pushQueue) linesSentIn(within int64) float64 {
-	return max(l.LinesPerSecond, 1) * float64(within) / float64(second)
+// hasCapacity tells whether so many lines may go now.
+func (q *pushQueue) hasCapacity(cost Lines, required bool) bool {
+	queued := q.queuedLines + cost
+	return q.queuedLines == 0 || queued <= q.capacity()*ordinaryShare || required && queued <= q.capacity()
 }
 
-type pushBatch struct {
-	number, sentAt int64
-	lines          float64
-	linesTo        map[*proxyState]float64 // what it cost each that has not said so: a bind costs many times a line
+// drained tells whether so little waits that a round of changes may begin.
+func (q *pushQueue) drained() bool { return q.queuedLines <= q.capacity()*drainedShare }
+
+// wouldDelayTables tells whether, with so many lines before them, tables would come too late to proxies that wait.
+func (q *pushQueue) wouldDelayTables(cost Lines) bool {
+	return q.reservedLines > 0 && q.queuedLines+cost+q.reservedLines > q.maxQueuedBeforeTables
+}
+
+// mayPush tells whether a proxy may be sent one more message.
+func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, urgent bool) bool {
+	proxy.messageTimes = slices.DeleteFunc(proxy.messageTimes, func(at Microseconds) bool {
+		return at <= now-q.MessageWindow-q.MaxLatency
+	})
+	sent := len(proxy.messageTimes)
+	sharesMessage := sent > 0 && proxy.messageTimes[sent-1] == now
+	if q.MaxMessages == 0 || sharesMessage {
+		return true
+	}
+	allowed := q.MaxMessages / 2
+	if proxy.reserveReleased {
+		allowed = max(allowed, q.MaxMessages-reservedMessages)
+	}
+	if urgent {
+		allowed = max(allowed, q.MaxMessages)
+	}
+	return sent < allowed
+}
+
+// mayPublish tells whether a round of changes may go to all assigned proxies now, with so many lines that are required.
+// Rounds wait for each other as long as the grace bears it, and required changes that do not fit as one piece for a
+// drained channel.
+func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
+	queue := &c.queue
+	interval := min((c.remainingGrace-queue.MaxLatency-tickInterval)/publicationsPerGrace,
+		queue.MessageWindow/int64(max(queue.MaxMessages, 1)))
+	tooSoon := queue.MaxMessages > 0 && now > c.changedAt && now-c.changedAt < interval
+	fits := required > 0 && queue.queuedLines+required <= queue.capacity()
+	if tooSoon || !queue.drained() && !fits {
+		return false
+	}
+	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
+		return proxy.assigned && !queue.mayPush(proxy, now, required > 0)
+	})
 }
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -1,128 +1,197 @@
 package balancer
 
-func newShardingState(p Sharding, classes []Class) shardingState {
-	o := shardingState{Sharding: p, shards: make([]shardState, p.Count)}
+// Shards: keys may fall into shards, and each shard in our charge has one backend as its owner, which is the only entry
+// of its table. An owner stays until it cannot serve: backends would lose what they know of their keys. Its successor is
+// the backend with the least to do for its weight.
+//
+// Where a shard has a single owner, writes to it are stopped (fenced) as it moves, until each proxy has acknowledged
+// that, or was lost for as long as it goes on writing, and the writes that it had sent are settled. Reads go on at the
+// new owner where proxies heed limits.
+//
+// Inputs are target weights (weight.go), demand by shard (requests a second), acks, and Sharding.WriteLease and SettleTime
+// (microseconds).
+
+const (
+	// fencePending is the fence of a shard whose writes must stop, or must be stopped again.
+	fencePending = -1
+	// ownerChangeLines is what an owner's change costs each proxy, in lines.
+	ownerChangeLines Lines = 2
+	// shardReserveShare is the share of the backlog that must be free for an owner to change.
+	shardReserveShare = 1. / 4
+	noOwner           = -1
+)
+
+// shardingState is what we hold of the shards in our charge.
+type shardingState struct {
+	Sharding
+	shards       []shardState
+	writeClasses uint16
+}
+
+type shardState struct {
+	assigned  bool         // to us
+	owner     int          // a backend, or noOwner
+	demand    []float64    // requests a second, by class
+	fence     int64        // number of the push batch that stopped writes; 0 if they go on, or fencePending
+	settledAt Microseconds // when the former owner has no writes in hand; 0 while some proxy may still send it one
+}
+
+func newShardingState(config Sharding, classes []Class) shardingState {
+	sharding := shardingState{Sharding: config, shards: make([]shardState, config.Count)}
 	for i, class := range classes {
 		if class.Writes {
-			o.writeClasses |= 1 << i
+			sharding.writeClasses |= 1 << i
 		}
 	}
-	return o
+	return sharding
 }
 
-func (o *shardingState) enabled() bool { return len(o.shards) > 0 }
+func (s *shardingState) enabled() bool { return len(s.shards) > 0 }
+
+// repeatFences has a proxy that connected told which writes are stopped: it reads only owners from the store.
+func (s *shardingState) repeatFences() {
+	for id := range s.shards {
+		if s.shards[id].fence > 0 {
+			s.shards[id].fence = fencePending
+		}
+	}
+}
 
+// ShardAssigned gives a shard into our charge.
 func (c *Controller) ShardAssigned(id int) {
-	// Unless we just started: whoever had it may have been moving it, and a former owner have writes in hand.
-	unsure := int64(count(c.sharding.SingleOwner && c.admission.meanObjective > 0))
-	c.sharding.shards[id] = shardState{assigned: true, owner: -1, demand: make([]float64, len(c.classes)), fence: -unsure}
+	c.sharding.shards[id] = shardState{assigned: true, owner: noOwner, demand: make([]float64, len(c.classes))}
+	// Whoever had it may have been moving it, and a former owner have writes in hand; not if we all just started.
+	if justStarted := c.admission.meanObjective <= 0; c.sharding.SingleOwner && !justStarted {
+		c.sharding.shards[id].fence = fencePending
+	}
 }
 
+// ShardRevoked takes a shard out of our charge.
 func (c *Controller) ShardRevoked(id int) { c.sharding.shards[id] = shardState{} }
 
+// ShardOwnerStored is an owner of a shard that the store of shards names; proxies read that within moments.
 func (c *Controller) ShardOwnerStored(id, backend int, weight float64) {
-	if s := &c.sharding.shards[id]; s.assigned && weight > 0 {
-		s.owner = backend
-		c.reconcileShards(c.host.Now()) // proxies read the store within moments
+	shard := &c.sharding.shards[id]
+	if shard.assigned && weight > 0 {
+		shard.owner = backend
+		c.reconcileShards(c.host.Now())
 	}
 }
 
-func (c *Controller) ShardDemandReported(id, class, count int, span int64) {
-	if s := &c.sharding.shards[id]; s.assigned && span > 0 {
-		c.updateRate(&s.demand[class], count, span)
+// ShardDemandReported is how many requests of a class came to a shard within a span.
+func (c *Controller) ShardDemandReported(id, class, count int, span Microseconds) {
+	shard := &c.sharding.shards[id]
+	if shard.assigned && span > 0 {
+		c.updateRate(&shard.demand[class], count, span)
 	}
 }
 
-// tendSlices gives slices owners that can serve them. Rule 2, for single ones: writes stop as it moves until
-// each proxy has said so, or was lost for as long as it would write, and what it had sent is settled.
-func (c *Controller) reconcileShards(now int64) {
-	o := &c.sharding
-	for id := range o.shards {
-		s := &o.shards[id]
-		if s.fence > 0 && c.migrationSettled(s, now) {
-			s.fence = 0
-			c.host.PublishEntry(id, s.owner, 1)
-			c.host.SetAdmissionLimit(id, o.writeClasses, unlimitedRate, RetryIfNotExecuted)
-			c.chargeEach(2, func(*proxyState) bool { return true })
-		}
-		from, to := s.owner, c.chooseOwner(s, now)
-		if to < 0 && s.fence < 0 {
-			to = from
+// reconcileShards lets writes go on where a move has settled, and gives shards owners that can serve them.
+func (c *Controller) reconcileShards(now Microseconds) {
+	for id := range c.sharding.shards {
+		shard := &c.sharding.shards[id]
+		if shard.fence > 0 && c.migrationSettled(shard, now) {
+			c.liftFence(id)
 		}
-		if s.fence > 0 || to < 0 || !c.queue.mayPublish(c.proxies, now, c.changedAt, c.remainingGrace, c.queue.Backlog/4) {
-			continue
+		owner := c.chooseOwner(shard, now)
+		if owner == noOwner && shard.fence == fencePending {
+			owner = shard.owner
 		}
-		if s.owner = to; o.SingleOwner && (from >= 0 || s.fence < 0) {
-			c.fenceWrites(id, from)
+		if shard.fence > 0 || owner == noOwner || !c.mayPublish(now, c.queue.Backlog*shardReserveShare) {
 			continue
 		}
-		c.host.PublishEntry(id, to, 1)
-		if from >= 0 {
-			c.host.PublishEntry(id, from, 0)
-		}
-		c.chargeEach(2, func(*proxyState) bool { return true })
+		c.changeOwner(id, owner)
 	}
 }
 
-// hold stops writes to a slice until its move has settled; reads go on at the new owner where levels work.
-func (c *Controller) fenceWrites(id, from int) {
-	s := &c.sharding.shards[id]
-	if c.admission.mode == AdmissionUnsupported && from >= 0 {
-		c.host.PublishEntry(id, from, 0)
-	} else if c.admission.mode != AdmissionUnsupported {
-		c.host.PublishEntry(id, s.owner, 1)
+// changeOwner gives a shard to a backend, with writes stopped if two must not have it.
+func (c *Controller) changeOwner(id, owner int) {
+	shard := &c.sharding.shards[id]
+	former := shard.owner
+	shard.owner = owner
+	if c.sharding.SingleOwner && (former != noOwner || shard.fence == fencePending) {
+		c.fenceWrites(id, former)
+		return
+	}
+	c.host.PublishEntry(id, owner, 1)
+	if former != noOwner {
+		c.host.PublishEntry(id, former, 0)
+	}
+	c.chargeAll(ownerChangeLines)
+}
+
+// fenceWrites stops writes to a shard until its move has settled. Where proxies heed no limits it is left without an
+// owner, so that reads stop too.
+func (c *Controller) fenceWrites(id, former int) {
+	shard := &c.sharding.shards[id]
+	if c.admission.mode != AdmissionUnsupported {
+		c.host.PublishEntry(id, shard.owner, 1)
 		c.host.SetAdmissionLimit(id, c.sharding.writeClasses, 0, NoRetry)
+	} else if former != noOwner {
+		c.host.PublishEntry(id, former, 0)
 	}
-	c.chargeEach(2, func(*proxyState) bool { return true })
-	s.fence, s.settledAt = c.queue.lastNumber, 0
+	c.chargeAll(ownerChangeLines)
+	shard.fence = c.queue.lastNumber
+	shard.settledAt = 0
+}
+
+// liftFence lets writes to a shard go on at its owner.
+func (c *Controller) liftFence(id int) {
+	shard := &c.sharding.shards[id]
+	shard.fence = 0
+	c.host.PublishEntry(id, shard.owner, 1)
+	c.host.SetAdmissionLimit(id, c.sharding.writeClasses, unlimitedRate, RetryIfNotExecuted)
+	c.chargeAll(ownerChangeLines)
 }
 
-func (c *Controller) migrationSettled(s *shardState, now int64) bool {
-	for _, p := range c.proxies {
-		if p.connected && p.acknowledged < s.fence || p.disconnectedAt > 0 && now-p.disconnectedAt < c.sharding.WriteLease {
-			s.settledAt = 0
+// migrationSettled tells whether no write can be in hand at the former owner of a shard whose writes are stopped.
+func (c *Controller) migrationSettled(shard *shardState, now Microseconds) bool {
+	for _, proxy := range c.proxies {
+		notTold := proxy.connected && proxy.acknowledged < shard.fence
+		lostLately := proxy.disconnectedAt > 0 && now-proxy.disconnectedAt < c.sharding.WriteLease
+		if notTold || lostLately {
+			shard.settledAt = 0
 			return false
 		}
 	}
-	if s.settledAt == 0 {
-		s.settledAt = now + c.sharding.SettleTime
+	if shard.settledAt == 0 {
+		shard.settledAt = now + c.sharding.SettleTime
 	}
-	return now >= s.settledAt
+	return now >= shard.settledAt
 }
 
-func (c *Controller) chooseOwner(s *shardState, now int64) int {
-	best, least := -1, 0. // with least to do for its weight; -1 where the slice may stay
-	if !s.assigned || s.owner >= 0 && s.owner < len(c.backends) && c.targetWeight(c.backends[s.owner], now) > 0 {
-		return best
+// chooseOwner is the backend that a shard should go to, or noOwner where it may stay or nobody can serve it.
+func (c *Controller) chooseOwner(shard *shardState, now Microseconds) int {
+	if !shard.assigned {
+		return noOwner
 	}
-	load := make([]float64, len(c.backends))
-	for _, t := range c.sharding.shards {
-		if t.assigned && t.owner >= 0 && t.owner < len(load) {
-			load[t.owner]++
-			for class, rate := range t.demand {
-				load[t.owner] += rate * c.admission.unitsPerRequest[class]
-			}
-		}
+	hasOwner := shard.owner >= 0 && shard.owner < len(c.backends)
+	if hasOwner && c.targetWeight(c.backends[shard.owner], now) > 0 {
+		return noOwner
 	}
-	for i, b := range c.backends {
-		if w := c.targetWeight(b, now); w > 0 && (best < 0 || load[i]/w < least) {
-			best, least = i, load[i]/w
+	load := c.ownerLoads()
+	best, least := noOwner, 0.
+	for id, backend := range c.backends {
+		weight := c.targetWeight(backend, now)
+		if weight > 0 && (best == noOwner || load[id]/weight < least) {
+			best, least = id, load[id]/weight
 		}
 	}
 	return best
 }
 
-// ownership is what we hold of the slices in our charge. A slice's table is one line, its owner.
-type shardingState struct {
-	Sharding
-	shards       []shardState
-	writeClasses uint16
-}
-
-type shardState struct {
-	assigned  bool
-	owner     int       // -1 for none
-	demand    []float64 // requests a second, by class
-	fence     int64     // the orders that stopped writes; 0 if they go on, -1 if they must stop
-	settledAt int64     // when the former owner has none in hand; 0 while some proxy may still send it one
+// ownerLoads is what each backend has to do for the shards that it owns: a unit a shard, and their demand in units a
+// second.
+func (c *Controller) ownerLoads() []float64 {
+	load := make([]float64, len(c.backends))
+	for _, shard := range c.sharding.shards {
+		if !shard.assigned || shard.owner < 0 || shard.owner >= len(load) {
+			continue
+		}
+		load[shard.owner]++
+		for class, rate := range shard.demand {
+			load[shard.owner] += rate * c.admission.unitsPerRequest[class]
+		}
+	}
+	return load
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -5,125 +5,182 @@
 	"slices"
 )
 
-// divide settles the number of parts: one, or as many as connections ask for, or more where the tables of all
-// proxies, if they come to one controller, would not leave in time. One table for all is best where
-// connections suffice, so then parts are no smaller than must be; else tables leave room for drains as well.
+// Subsets: the backends may be parted into subsets, each with a table and a part of the proxies. A proxy is in the
+// subset of its index, a new backend in the one with the least weight.
+//
+// One subset, with one table for all, is best where it can be had. There are more where
+//   - proxies outnumber the connections that the smallest backend takes: as many subsets as that asks for;
+//   - the tables of all proxies, connected to one controller, would not leave the channel within the drain grace: as
+//     many as make them fit, and if connections ask for subsets as well, as many as leave half of that time for drains.
+//
+// A subset that falls short of its share of the weight is given backends of the heaviest one, as its proxies would
+// overfill the few that are left. That counts as required (publish.go).
+//
+// Inputs are PushChannel.Proxies, MinBackendConnections and LinesPerSecond (lines), RuleLimits.DrainGrace
+// (microseconds) and listed weights. The number of subsets is decided once, with the first complete list.
+
+const (
+	// maxProxiesPerConnection is how many proxies there may be for each connection of the smallest backend without
+	// subsets: up to there many are quiet.
+	maxProxiesPerConnection = 1.6
+	// minSubsetSize is how many backends a subset has at least.
+	minSubsetSize = 5
+	// tablesShareOfGrace is the share of the drain grace within which all tables must leave the channel.
+	tablesShareOfGrace = 3. / 4
+	// tableShareWithSubsets is the share of that which tables may take where connections ask for subsets as well.
+	tableShareWithSubsets = 1. / 2
+	// shortSubsetShare is the share of its fair weight below which a subset is given backends of the heaviest ...
+	shortSubsetShare = 0.5
+	// ... until it has restoredSubsetShare.
+	restoredSubsetShare = 0.8
+)
+
+// chooseSubsetCount decides how many subsets there are, and puts the proxies that came before the list into them.
 func (c *Controller) chooseSubsetCount(backends int) {
-	l, proxies, parts, share := &c.queue, float64(c.queue.Proxies), 1., 1.
-	if many := proxies / float64(l.MinBackendConnections); l.MinBackendConnections > 0 && many > maxProxiesPerConnection {
-		parts, share = math.Ceil(many), tableShareWithSubsets
+	proxies := float64(c.queue.Proxies)
+	subsets, tableShare := 1., 1.
+	if connections := c.queue.MinBackendConnections; connections > 0 {
+		perConnection := proxies / float64(connections)
+		if perConnection > maxProxiesPerConnection {
+			subsets = math.Ceil(perConnection)
+			tableShare = tableShareWithSubsets
+		}
 	}
-	within := tablesShareOfGrace * l.linesSentIn(c.rules.DrainGrace)
-	if !c.sharding.enabled() && proxies*(l.messageOverhead()+float64(backends)/parts) > within {
-		parts = math.Ceil(float64(backends) / max(1, share*within/proxies-l.messageOverhead()))
+	overhead := c.queue.messageOverhead()
+	sendable := tablesShareOfGrace * c.queue.linesSentIn(c.rules.DrainGrace)
+	allTables := proxies * (overhead + float64(backends)/subsets)
+	if !c.sharding.enabled() && allTables > sendable {
+		tableSize := tableShare*sendable/proxies - overhead
+		subsets = math.Ceil(float64(backends) / max(1, tableSize))
 	}
-	c.subsets = max(1, min(int(parts), backends/minSubsetSize, l.Proxies)) // a part without a proxy serves nobody
+	// A subset without a proxy would serve nobody.
+	c.subsets = max(1, min(int(subsets), backends/minSubsetSize, c.queue.Proxies))
 
-	for id, p := range c.proxies { // those that came before the list
-		p.subset = id % c.subsets
+	for id, proxy := range c.proxies {
+		proxy.subset = id % c.subsets
 	}
 }
 
-// lightest is the part with the least listed weight, the zone's twice: a lost one takes as much of each.
-func (w *subsetWeights) lightest(zone int) int {
-	least := 0
-	for part := range w.all {
-		if w.countingTwice(part, zone) < w.countingTwice(least, zone) {
-			least = part
-		}
-	}
-	return least
+// subsetWeights is the listed weight of the ready backends by subset, in all and by zone. A nil one counts nothing.
+type subsetWeights struct {
+	all    []float64
+	byZone map[int][]float64
 }
 
-// tables hands out the tables that a proxy of a part and zone uses, with their classes.
-func (c *Controller) eachTable(part, zone int, do func(table int, classes uint16)) {
-	for i, classes := range []uint16{c.sharedClasses, c.zoneLocalClasses} {
-		if classes != 0 {
-			do(part+i*(c.subsets-part+zone), classes)
-		}
+func (c *Controller) listedSubsetWeights() *subsetWeights {
+	weights := &subsetWeights{all: make([]float64, c.subsets), byZone: map[int][]float64{}}
+	for _, backend := range c.backends {
+		weights.add(backend)
 	}
+	return weights
 }
 
-// in tells whether a table is one that has a backend's line: its part's, or its zone's.
-func (c *Controller) inTable(b *backendState, table int) bool {
-	if table >= c.subsets {
-		return c.zoneLocalClasses != 0 && table-c.subsets == b.Zone
+func (w *subsetWeights) add(backend *backendState)    { w.change(backend, backend.Weight) }
+func (w *subsetWeights) remove(backend *backendState) { w.change(backend, -backend.Weight) }
+
+func (w *subsetWeights) change(backend *backendState, weight float64) {
+	if w == nil || !backend.listed || backend.State != Ready {
+		return
+	}
+	if w.byZone[backend.Zone] == nil {
+		w.byZone[backend.Zone] = make([]float64, len(w.all))
 	}
-	return c.sharedClasses != 0 && b.subset == table
+	w.all[backend.subset] += weight
+	w.byZone[backend.Zone][backend.subset] += weight
 }
 
-// even gives parts that are short backends of the one that has most, as far as there is room: their proxies
-// would overfill the few that are left. Never cold ones, which would be new to twice as many proxies.
-func (c *Controller) rebalanceSubsets(now int64, weights []float64, fair float64, bound []float64) (told bool) {
-	for to := range weights {
-		for short := weights[to] < shortSubsetShare*fair; short && weights[to] < restoredSubsetShare*fair; {
-			from := slices.Index(weights, slices.Max(weights))
-			at := slices.IndexFunc(c.backends, func(b *backendState) bool {
-				return b.subset == from && b.published > 0 && c.targetWeight(b, now) == b.published && !c.warmingUp(b, now)
-			})
-			cost := (bound[from] + bound[to]) * (c.queue.messageOverhead() + 1)
-			if at < 0 || weights[from] <= fair || !c.queue.hasCapacity(cost, true) {
-				break
-			}
-			b := c.backends[at]
-			c.logf(at, "goes over to part %d, which has %.0f%% of its share", to, 100*weights[to]/fair)
-			c.publishEntry(b, from, 0, false)
-			b.subset, told = to, true
-			c.publishEntry(b, to, b.published, true)
-			weights[from], weights[to] = weights[from]-b.published, weights[to]+b.published
+// lightest is the subset with the least weight, that of a zone counted twice, so that a lost zone takes as much of each.
+func (w *subsetWeights) lightest(zone int) int {
+	lightest := 0
+	for subset := range w.all {
+		if w.countingTwice(zone, subset) < w.countingTwice(zone, lightest) {
+			lightest = subset
 		}
 	}
-	return told
+	return lightest
 }
 
-// laid counts the lines of a table.
-func (c *Controller) tableSize(table int) (lines int) {
-	for _, b := range c.backends {
-		lines += count(b.published > 0 && c.inTable(b, table))
+func (w *subsetWeights) countingTwice(zone, subset int) float64 {
+	if inZone := w.byZone[zone]; inZone != nil {
+		return w.all[subset] + inZone[subset]
 	}
-	return lines
+	return w.all[subset]
 }
 
-// partWeights is the listed weight of the ready backends by part, in all and by zone. Nil counts nothing.
-type subsetWeights struct {
-	all    []float64
-	byZone map[int][]float64
+// subsetTargetWeights is the weight that each subset may carry now, and a fair share of it.
+func (c *Controller) subsetTargetWeights(now Microseconds) (weights []float64, fair float64) {
+	weights = make([]float64, c.subsets)
+	for _, backend := range c.backends {
+		weight := c.targetWeight(backend, now)
+		weights[backend.subset] += weight
+		fair += weight / float64(c.subsets)
+	}
+	return weights, fair
 }
 
-func (c *Controller) listedSubsetWeights() *subsetWeights {
-	w := &subsetWeights{all: make([]float64, c.subsets), byZone: map[int][]float64{}}
-	for _, b := range c.backends {
-		w.add(b, 1)
+// rebalanceSubsets gives short subsets backends of the heaviest one, as far as there is capacity. It tells whether it
+// moved any.
+func (c *Controller) rebalanceSubsets(p *publication) (moved bool) {
+	for to := range p.subsetWeights {
+		if p.subsetWeights[to] >= shortSubsetShare*p.fairWeight {
+			continue
+		}
+		for p.subsetWeights[to] < restoredSubsetShare*p.fairWeight && c.moveToSubset(to, p) {
+			moved = true
+		}
 	}
-	return w
+	return moved
 }
 
-// add counts a backend, or with a sign of -1 takes it out.
-func (w *subsetWeights) add(b *backendState, sign float64) {
-	if w == nil || !b.listed || b.State != Ready {
-		return
+// moveToSubset moves one backend of the heaviest subset, and tells whether it could. Never one that is warming up, or
+// has a change due: it would be new to twice as many proxies.
+func (c *Controller) moveToSubset(to int, p *publication) bool {
+	from := slices.Index(p.subsetWeights, slices.Max(p.subsetWeights))
+	id := slices.IndexFunc(c.backends, func(backend *backendState) bool {
+		settled := backend.published > 0 && c.targetWeight(backend, p.now) == backend.published
+		return backend.subset == from && settled && !c.warmingUp(backend, p.now)
+	})
+	cost := (p.assignedBySubset[from] + p.assignedBySubset[to]) * (c.queue.messageOverhead() + 1)
+	if id < 0 || p.subsetWeights[from] <= p.fairWeight || !c.queue.hasCapacity(cost, true) {
+		return false
+	}
+	backend := c.backends[id]
+	c.logf(id, "moves to subset %d, which has %.0f%% of its fair weight", to, 100*p.subsetWeights[to]/p.fairWeight)
+	c.publishEntry(backend, from, 0, false)
+	backend.subset = to
+	c.publishEntry(backend, to, backend.published, true)
+	p.subsetWeights[from] -= backend.published
+	p.subsetWeights[to] += backend.published
+	return true
+}
+
+// eachTable calls do with each table that a proxy of a subset and zone uses, and with the classes that use it there.
+func (c *Controller) eachTable(subset, zone int, do func(table int, classes uint16)) {
+	if c.sharedClasses != 0 {
+		do(subset, c.sharedClasses)
 	}
-	if w.byZone[b.Zone] == nil {
-		w.byZone[b.Zone] = make([]float64, len(w.all))
+	if c.zoneLocalClasses != 0 {
+		do(c.zoneTable(zone), c.zoneLocalClasses)
 	}
-	w.all[b.subset] += sign * b.Weight
-	w.byZone[b.Zone][b.subset] += sign * b.Weight
 }
 
-// counted is the weight of a part with that of a zone counted twice.
-func (w *subsetWeights) countingTwice(part, zone int) float64 {
-	if ofZone := w.byZone[zone]; ofZone != nil {
-		return w.all[part] + ofZone[part]
+// zoneTable is the table of a zone, for the classes that must stay in it.
+func (c *Controller) zoneTable(zone int) int { return c.subsets + zone }
+
+// inTable tells whether a table is one that a backend belongs into: its subset's, or its zone's.
+func (c *Controller) inTable(backend *backendState, table int) bool {
+	if table >= c.subsets {
+		return c.zoneLocalClasses != 0 && table == c.zoneTable(backend.Zone)
 	}
-	return w.all[part]
+	return c.sharedClasses != 0 && table == backend.subset
 }
 
-// weights is what each part may carry now, and a fair share of it.
-func (c *Controller) subsetTargetWeights(now int64) (parts []float64, fair float64) {
-	parts = make([]float64, c.subsets)
-	for _, b := range c.backends {
-		w := c.targetWeight(b, now)
-		parts[b.subset], fair = parts[b.subset]+w, fair+w/float64(c.subsets)
+// tableSize counts the entries of a table.
+func (c *Controller) tableSize(table int) (entries int) {
+	for _, backend := range c.backends {
+		if backend.published > 0 && c.inTable(backend, table) {
+			entries++
+		}
 	}
-	return parts, fair
+	return entries
 }
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -1,104 +1,213 @@
 package balancer
 
 import (
+	"cmp"
 	"math"
 	"slices"
 )
 
-// bindWaiting gives whole tables to proxies that hold those of others, as there is room: the busiest first,
-// but those that waited for half the grace before all. Who waits hears at once of levels and withdrawals, as
-// rule 3 binds whatever table it brought, unless a table comes in time for little more. Then all are cleared.
-func (c *Controller) syncProxies(now int64) {
-	unbound, bound, l, spare := 0, 0, &c.queue, c.queue.capacity()/4 // spare is kept for what cannot wait
-	header, sizes := l.messageOverhead(), map[int]float64{}
-	outs, message := c.withdrawalCost()
-	if len(c.syncQueue) == 0 || !l.hasCapacity(header, false) && !l.hasCapacity(message+spare, true) {
-		return // thousands may wait, and this is looked at with each mark
+// Sync: a proxy that connects holds tables of another controller, or none. It gets ours, complete, as soon as there is
+// room; until then it is told which backends are withdrawn and which limits stand, as rules bind whatever tables it
+// brought.
+//
+// Order of tables: proxies that have waited for half the drain grace first, then those with the most baseline demand
+// where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
+// once tables would come later than three quarters of the grace.
+//
+// A proxy is told of withdrawals by a message of its own only if its tables do not tell it in time: they come as soon as
+// those of all who wait can leave within three quarters of the grace, and cost at most three times such a message. A
+// quarter of the capacity stays free for what cannot wait.
+//
+// When all have tables, a proxy that may hold withdrawals of other controllers is cleared of them.
+//
+// Inputs are costs in lines (pushqueue.go), the drain grace and waiting times (microseconds).
+
+const (
+	// syncReserveShare is the share of the capacity that is kept free.
+	syncReserveShare = 1. / 4
+	// tableCostPerMessage is how many times a message that tells all withdrawals tables may cost, to take its place.
+	tableCostPerMessage = 3
+	// tableCostWorthMessage is how many times such a message tables must cost for it to be worth while.
+	tableCostWorthMessage = 2
+)
+
+// syncRound is one look at the proxies that wait. It lives for one call of syncProxies.
+type syncRound struct {
+	now            Microseconds
+	withdrawals    float64         // how many stand
+	withdrawalCost Lines           // of a message that tells them all
+	reserve        Lines           // kept free
+	unassigned     int             // connected proxies that waited for tables as it began
+	assigned       int             // of these, those that got them
+	tableSizes     map[int]float64 // entries by table, as far as counted
+}
+
+// enqueueForSync has a proxy wait for its tables.
+func (c *Controller) enqueueForSync(id int) {
+	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
+	place := len(c.syncQueue)
+	if mayTakeLong := c.queue.capacity() < c.queue.Backlog; mayTakeLong {
+		place, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
+			// In falling order of baseline demand; behind those with the same.
+			return cmp.Or(cmp.Compare(rate, c.proxies[other].baselineRate), -1)
+		})
 	}
-	for _, i := range c.syncQueue {
-		unbound += count(c.proxies[i].connected && !c.proxies[i].assigned)
+	c.syncQueue = slices.Insert(c.syncQueue, place, id)
+}
+
+// syncProxies gives proxies that wait their tables, tells them of withdrawals, or clears them of others'.
+func (c *Controller) syncProxies(now Microseconds) {
+	if len(c.syncQueue) == 0 {
+		return
 	}
-	c.reserveForTables(now, sizes)
-	for _, aged := range []bool{true, false} {
-		for _, i := range c.syncQueue {
-			p := c.proxies[i]
-			if now-p.connectedAt > c.rules.DrainGrace/2 != aged {
-				continue
-			}
-			lines, cost, bare := c.fullTableCost(p, sizes)
-			due := !c.queueCongested || !p.assigned && l.wouldDelayTables(0)
-			ready := p.connected && !bare && due && l.hasCapacity(cost, false) && l.mayPush(p, now, false)
-			switch {
-			case ready && !p.assigned:
-				p.assigned, bound, l.reservedLines = true, bound+1, l.reservedLines-cost
-				c.charge(p, 1+cost-header+min(p.heldWithdrawals, lines))
-				c.eachTable(p.subset, p.zone, func(table int, classes uint16) { c.host.AssignTable(table, i, classes) })
-			case ready && p.mayHoldForeign && !p.withdrawalsCleared && unbound == 0 && l.hasCapacity(lines+spare, false):
-				p.withdrawalsCleared = true
-				c.charge(p, lines)
-				c.host.ClearWithdrawals(i)
-			case !p.assigned && !p.withdrawalsSynced && (p.mayHoldForeign || outs > 0) && l.mayPush(p, now, true) &&
-				(bare || 2*message <= cost) && (aged || !c.queueCongested && !c.tablesSuffice(cost, message, unbound)) &&
-				l.hasCapacity(message+spare, true) && c.host.SyncWithdrawals(i, unlimitedRate, RetryIfNotExecuted):
-				p.withdrawalsSynced, p.heldWithdrawals = true, outs
-				c.charge(p, outs+float64(len(c.classes)))
+	round := &syncRound{now: now, reserve: c.queue.capacity() * syncReserveShare, tableSizes: map[int]float64{}}
+	round.withdrawals, round.withdrawalCost = c.withdrawalCost()
+	anyTable := c.queue.hasCapacity(c.queue.messageOverhead(), false)
+	anyMessage := c.queue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	if !anyTable && !anyMessage {
+		return // thousands may wait, and this is looked at with each ack
+	}
+	for _, id := range c.syncQueue {
+		if c.waitsForTables(c.proxies[id]) {
+			round.unassigned++
+		}
+	}
+	c.reserveForTables(now, round.tableSizes)
+	for _, overdue := range []bool{true, false} {
+		for _, id := range c.syncQueue {
+			waited := now - c.proxies[id].connectedAt
+			if (waited > c.rules.DrainGrace/2) == overdue {
+				c.syncProxy(id, round, overdue)
 			}
 		}
 	}
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(id int) bool {
-		p := c.proxies[id]
-		return !p.connected || p.assigned && p.withdrawalsCleared == p.mayHoldForeign
+		proxy := c.proxies[id]
+		complete := proxy.assigned && proxy.withdrawalsCleared == proxy.mayHoldForeign
+		return !proxy.connected || complete
 	})
-	if bound > 0 && unbound == bound {
+	if round.assigned > 0 && round.unassigned == round.assigned {
 		c.syncProxies(now) // what is to be cleared may go along
 	}
 }
 
-// binds tells whether those who wait are as well bound as told by messages of their own.
-func (c *Controller) tablesSuffice(table, message float64, waiting int) bool {
-	return table <= 3*message && table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.remainingGrace)
+func (c *Controller) waitsForTables(proxy *proxyState) bool {
+	return proxy.connected && !proxy.assigned
+}
+
+// syncProxy does what is next for one proxy, if there is room.
+func (c *Controller) syncProxy(id int, round *syncRound, overdue bool) {
+	proxy := c.proxies[id]
+	entries, cost, anyEmpty := c.fullTableCost(proxy, round.tableSizes)
+	tablesWouldBeLate := !proxy.assigned && c.queue.wouldDelayTables(0)
+	mayGo := proxy.connected && !anyEmpty && (!c.queueCongested || tablesWouldBeLate) &&
+		c.queue.hasCapacity(cost, false) && c.queue.mayPush(proxy, round.now, false)
+	mayClear := proxy.mayHoldForeign && !proxy.withdrawalsCleared && round.unassigned == 0 &&
+		c.queue.hasCapacity(entries+round.reserve, false)
+	switch {
+	case mayGo && !proxy.assigned:
+		c.assignTables(id, entries, cost)
+		round.assigned++
+	case mayGo && mayClear:
+		proxy.withdrawalsCleared = true
+		c.charge(proxy, entries)
+		c.host.ClearWithdrawals(id)
+	case !proxy.assigned && !proxy.withdrawalsSynced:
+		worthMessage := anyEmpty || tableCostWorthMessage*round.withdrawalCost <= cost
+		tablesComeSoon := c.queueCongested || c.tablesSuffice(cost, round.withdrawalCost, round.unassigned)
+		if worthMessage && (overdue || !tablesComeSoon) {
+			c.syncWithdrawals(id, round)
+		}
+	}
+}
+
+// assignTables gives a proxy its tables, that have so many entries and cost so much with their message.
+func (c *Controller) assignTables(id int, entries float64, cost Lines) {
+	proxy := c.proxies[id]
+	proxy.assigned = true
+	c.queue.reservedLines -= cost
+	withdrawalLines := min(proxy.heldWithdrawals, entries)
+	c.charge(proxy, 1+cost-c.queue.messageOverhead()+withdrawalLines)
+	c.eachTable(proxy.subset, proxy.zone, func(table int, classes uint16) {
+		c.host.AssignTable(table, id, classes)
+	})
 }
 
-// relevels is how many lines of levels a whole table takes along, as it makes a proxy forget them.
-func (c *Controller) tableLimitLines() float64 {
-	return max(c.queue.LimitLines, float64(len(c.classes)*count(c.admission.limitsSent)))
+// syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to.
+func (c *Controller) syncWithdrawals(id int, round *syncRound) {
+	proxy := c.proxies[id]
+	anyToTell := proxy.mayHoldForeign || round.withdrawals > 0
+	if !anyToTell || !c.queue.mayPush(proxy, round.now, true) ||
+		!c.queue.hasCapacity(round.withdrawalCost+round.reserve, true) ||
+		!c.host.SyncWithdrawals(id, unlimitedRate, RetryIfNotExecuted) {
+		return
+	}
+	proxy.withdrawalsSynced = true
+	proxy.heldWithdrawals = round.withdrawals
+	c.charge(proxy, round.withdrawals+float64(len(c.classes)))
 }
 
-// withdrawals is how many there are, and what a message costs that tells one proxy of all of them.
-func (c *Controller) withdrawalCost() (outs, message float64) {
-	for _, b := range c.backends {
-		outs += float64(count(b.withdrawn))
+// tablesSuffice tells whether proxies that wait are as well given tables as told of withdrawals by messages of their
+// own, by the costs of both.
+func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
+	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.remainingGrace)
+	return table <= tableCostPerMessage*message && inTime
+}
+
+// withdrawalCost is how many withdrawals stand, and what a message costs that tells one proxy of all of them.
+func (c *Controller) withdrawalCost() (withdrawals float64, message Lines) {
+	for _, backend := range c.backends {
+		if backend.withdrawn {
+			withdrawals++
+		}
 	}
-	return outs, c.queue.messageOverhead() + outs + float64(len(c.classes))
+	return withdrawals, c.queue.messageOverhead() + withdrawals + float64(len(c.classes))
 }
 
-// whole is the lines of a proxy's tables, what they cost with header and levels, and whether one is empty.
-func (c *Controller) fullTableCost(p *proxyState, sizes map[int]float64) (lines, cost float64, bare bool) {
+// fullTableCost is the entries of a proxy's tables, what they cost with their message and limits, and whether one of the
+// tables is empty. Sizes keeps the entries of each table.
+func (c *Controller) fullTableCost(proxy *proxyState, sizes map[int]float64) (entries float64, cost Lines, anyEmpty bool) {
 	cost = c.queue.messageOverhead() + c.tableLimitLines()
-	c.eachTable(p.subset, p.zone, func(table int, _ uint16) {
-		n, known := sizes[table]
+	c.eachTable(proxy.subset, proxy.zone, func(table int, _ uint16) {
+		size, known := sizes[table]
 		if !known {
-			n = float64(c.tableSize(table))
-			sizes[table] = n
+			size = float64(c.tableSize(table))
+			sizes[table] = size
 		}
-		lines, cost, bare = lines+n, cost+n+1, bare || n == 0
+		entries += size
+		cost += size
+		cost++ // for the assignment
+		anyEmpty = anyEmpty || size == 0
 	})
-	return lines, cost, bare
+	return entries, cost, anyEmpty
+}
+
+// tableLimitLines is how many lines of limits go along with complete tables, as these make a proxy forget them.
+func (c *Controller) tableLimitLines() Lines {
+	if !c.admission.limitsSent {
+		return max(c.queue.LimitLines, 0)
+	}
+	return max(c.queue.LimitLines, float64(len(c.classes)))
 }
 
-// owing sums what those who wait for their tables cost, and how much may stand in the channel for the first of them to
-// have its in time.
-func (c *Controller) reserveForTables(now int64, sizes map[int]float64) {
-	l := &c.queue
-	l.reservedLines, l.maxQueuedBeforeTables = 0, math.Inf(1)
-	for _, i := range c.syncQueue {
-		p := c.proxies[i]
-		if !p.connected || p.assigned {
+// reserveForTables sums what the tables of proxies that wait cost, and how much may wait in the channel for the first of
+// them to have its tables in time: a withdrawal may name no backend that had gone before we began, tables do.
+func (c *Controller) reserveForTables(now Microseconds, sizes map[int]float64) {
+	queue := &c.queue
+	queue.reservedLines = 0
+	queue.maxQueuedBeforeTables = math.Inf(1)
+	for _, id := range c.syncQueue {
+		proxy := c.proxies[id]
+		if !c.waitsForTables(proxy) {
 			continue
 		}
-		if _, cost, bare := c.fullTableCost(p, sizes); !bare {
-			l.reservedLines += cost
-			l.maxQueuedBeforeTables = min(l.maxQueuedBeforeTables, tablesShareOfGrace*l.linesSentIn(c.remainingGrace)-l.linesSentIn(l.MaxLatency+now-p.connectedAt))
+		_, cost, anyEmpty := c.fullTableCost(proxy, sizes)
+		if anyEmpty {
+			continue
 		}
+		queue.reservedLines += cost
+		usedUp := queue.linesSentIn(queue.MaxLatency + now - proxy.connectedAt)
+		left := tablesShareOfGrace*queue.linesSentIn(c.remainingGrace) - usedUp
+		queue.maxQueuedBeforeTables = min(queue.maxQueuedBeforeTables, left)
 	}
 }
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -1,44 +1,98 @@
 package balancer
 
-import (
-	"cmp"
+import "cmp"
+
+// Weight: a usable backend is published with its listed weight, or a share of it where it can do less:
+//   - warming up: what it can surely do at its age, in quarters, so that there are few changes. It rises from
+//     RuleLimits.ColdStartShare at its start to all of it after RuleLimits.WarmupTime;
+//   - slow start: a quarter for 5 s after it was new or readmitted, unless it was warming up then;
+//   - reduced: three quarters, nine sixteenths and so on, a quarter at least, as long as its answers lag behind
+//     (outlier.go). Fixed weights overfill slow machines first. A step back is due every 20 s.
+//
+// Inputs are Endpoint.StartedAt and Weight, the time since it entered (microseconds) and its score. The least share
+// counts.
+//
+// A backend that is warming up gets no entry at all while nothing else would keep an overload from it.
+
+const (
+	slowStartShare = 0.25
+	slowStartTime  = 5 * second
+
+	// warmupStepsPerWeight is how many steps lead from no weight to all of it.
+	warmupStepsPerWeight = 4
+
+	weightReductionFactor = 0.75
+	minReducedShare       = 0.25
+	weightRaiseInterval   = 20 * second
+	// fullWeightTolerance is how near to all of its weight a raised share is all of it.
+	fullWeightTolerance = 0.05
 )
 
-// share is the part of its listed weight that a backend may carry now.
-func (c *Controller) weightShare(b *backendState, now int64) float64 {
-	part := cmp.Or(b.reducedTo, 1)
-	if !c.warmingUp(b, b.enteredAt) && now-b.enteredAt < slowStartTime { // a cold one is eased in below
-		part = min(part, slowStartShare)
+// targetWeight is the weight that a backend is to be published with now; 0 for no entry.
+func (c *Controller) targetWeight(backend *backendState, now Microseconds) float64 {
+	ejected := backend.ejected && !c.panicMode
+	tooCold := c.warmingUpStayOut() && c.warmingUp(backend, now)
+	if !c.usable(backend) || ejected || tooCold {
+		return 0
+	}
+	return backend.Weight * c.weightShare(backend, now)
+}
+
+// weightShare is the share of its listed weight that a backend may carry now.
+func (c *Controller) weightShare(backend *backendState, now Microseconds) float64 {
+	share := cmp.Or(backend.reducedTo, 1)
+	enteredWarm := !c.warmingUp(backend, backend.enteredAt)
+	if enteredWarm && now-backend.enteredAt < slowStartTime {
+		share = min(share, slowStartShare)
 	}
-	// Rule 4: a cold backend is sent what it surely can do. Steps of a quarter keep the orders few.
-	if c.warmingUp(b, now) {
-		sure := c.rules.ColdStartShare + (1-c.rules.ColdStartShare)*float64(now-b.StartedAt)/float64(c.rules.WarmupTime)
-		part = min(part, max(float64(int(sure*4))/4, c.rules.ColdStartShare))
+	if c.warmingUp(backend, now) {
+		share = min(share, c.warmShare(now-backend.StartedAt))
 	}
-	return part
+	return share
 }
 
-// cold: one that is to start within as long is so too, as clocks may differ by that.
-func (c *Controller) warmingUp(b *backendState, now int64) bool {
-	return b.StartedAt > 0 && max(now-b.StartedAt, b.StartedAt-now) < c.rules.WarmupTime
+// warmShare is the share of its weight that a backend of an age can surely carry, in steps.
+func (c *Controller) warmShare(age Microseconds) float64 {
+	cold := c.rules.ColdStartShare
+	sure := cold + (1-cold)*float64(age)/float64(c.rules.WarmupTime)
+	step := float64(int(sure*warmupStepsPerWeight)) / warmupStepsPerWeight
+	return max(step, cold)
 }
 
-func (c *Controller) targetWeight(b *backendState, now int64) float64 {
-	// Where proxies heed no levels, or we may have started in a jam, only absence keeps it from a cold one.
-	blind := c.admission.mode == AdmissionUnsupported && c.admission.latencyRatio > overloadedRatio || c.admission.meanObjective == 0 && c.warmBackendSeen
-	out := blind && c.warmingUp(b, now)
-	if !c.usable(b, now) || b.ejected && !c.panicMode || out {
-		return 0
+// warmingUp tells whether a backend was started less than the warm-up time ago. One that is to start within as long is
+// so too, as clocks may differ by that.
+func (c *Controller) warmingUp(backend *backendState, now Microseconds) bool {
+	age := max(now-backend.StartedAt, backend.StartedAt-now)
+	return backend.StartedAt > 0 && age < c.rules.WarmupTime
+}
+
+// warmingUpStayOut tells whether backends that are warming up stay without an entry: where proxies heed no limits and
+// there is an overload; or, if there is a warm one, as long as no report tells whether we started into an overload.
+func (c *Controller) warmingUpStayOut() bool {
+	unlimitedOverload := c.admission.mode == AdmissionUnsupported && c.admission.latencyRatio > overloadedRatio
+	noReportYet := c.admission.meanObjective == 0
+	return unlimitedOverload || noReportYet && c.warmBackendSeen
+}
+
+// reduceWeight takes weight off a backend at which alone a queue must stand; it hurts where times differ by nature.
+func (c *Controller) reduceWeight(id int, now Microseconds) {
+	backend := c.backends[id]
+	if backend.reducedTo == 0 {
+		c.logf(id, "weight reduced: answers take %.1f times the median", backend.score)
 	}
-	return b.Weight * c.weightShare(b, now)
+	backend.reducedTo = max(cmp.Or(backend.reducedTo, 1)*weightReductionFactor, minReducedShare)
+	backend.weightReducedAt = now
+	backend.raiseWeightAt = now + weightRaiseInterval
 }
 
-// strain takes weight off a backend at which alone a queue must stand; hurts where times differ by nature.
-func (c *Controller) reduceWeight(id int, now int64) {
-	b := c.backends[id]
-	if b.reducedTo == 0 {
-		c.logf(id, "strained: answers take %.1f times the median", b.score)
+// raiseWeightIfDue gives back a step of a reduced weight.
+func (b *backendState) raiseWeightIfDue(now Microseconds) {
+	if b.reducedTo == 0 || now < b.raiseWeightAt {
+		return
+	}
+	b.raiseWeightAt = now + weightRaiseInterval
+	b.reducedTo /= weightReductionFactor
+	if b.reducedTo > 1-fullWeightTolerance {
+		b.reducedTo = 0
 	}
-	b.reducedTo = max(cmp.Or(b.reducedTo, 1)*weightReductionFactor, slowStartShare)
-	b.weightReducedAt, b.raiseWeightAt = now, now+2*baseEjectionTime
 }
