--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -115,7 +115,7 @@
 	backend.ejectedByPeerReport = backend.reportedByPeersOnly
 	backend.readmitAt = now + backend.backoff
 	backend.healthCheckedAt = now
-	c.logf(id, "ejected: %d of %d attempts failed, for %d s", backend.failures, backend.attempts, backend.backoff/second)
+	c.logf(id, "leaves R: %d of %d tries failed, %d s", backend.failures, backend.attempts, backend.backoff/second)
 }
 
 // readmitDue readmits backends after their backoff, checks the health of others, and gives back reduced weights.
@@ -149,7 +149,7 @@
 	allEjected := usable > 0 && ejected == usable
 	if allEjected != c.panicMode {
 		c.panicMode = allEjected
-		c.logf(-1, "panic mode %v: %d of %d usable backends are ejected", allEjected, ejected, usable)
+		c.logf(-1, "R empty: %v, %d backends usable", allEjected, usable)
 	}
 }
 
@@ -159,5 +159,5 @@
 	backend.ejected = false
 	backend.enteredAt = now
 	backend.resetOutcomes(now)
-	c.logf(id, "readmitted after %d s, health check passed: %v", backend.backoff/second, healthChecked)
+	c.logf(id, "returns to R, probed %v, after %d s", healthChecked, backend.backoff/second)
 }
