--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -67,7 +67,7 @@
 	limitShare   float64 // share of the saturated throughput that is let in; 0 until a queue was seen
 	limit        float64 // units a second
 	limiting     bool    // more comes than that
-	cutPending   bool    // a cut is to be published
+	limitLowered bool    // a cut is to be published
 	latencyRatio float64 // at the last look
 
 	queueDrainedAt  Microseconds // when the queue of the last cut must be gone ...
@@ -121,7 +121,7 @@
 	case now < a.holdUntil:
 		a.holdLimit(load, now)
 	case overloaded:
-		a.cutLimit(load, now, reportLag)
+		a.lowerLimit(load, now, reportLag)
 	case a.mayRaise(load, idle) && raiseDue:
 		a.raiseLimit(load, idle, now)
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// cutLimit takes what was answered for what the fleet can do, and leaves room for the queue to drain.
-func (a *admissionState) cutLimit(load loadSummary, now, reportLag Microseconds) {
+// lowerLimit takes what was answered for what the fleet can do, and leaves room for the queue to drain.
+func (a *admissionState) lowerLimit(load loadSummary, now, reportLag Microseconds) {
 	// As a queue stands, hardly more than was let in; what was answered was, even where demand is still thin.
 	mostAdmitted := max(load.admitted, load.answered)
 	throughput := min(load.answered/load.reportedCapacity, maxHeadroom*mostAdmitted/load.publishedCapacity)
@@ -176,7 +176,7 @@
 	a.queueDrainedAt = now + queueDrainTime
 	a.holdUntil = now + queueDrainTime + reportLag
 	a.overloadedSince = 0
-	a.cutPending = true
+	a.limitLowered = true
 }
 
 // mayRaise tells whether the limit holds anything back for which there is room.
@@ -199,10 +199,10 @@
 	a.limitShare = min(raised, most)
 }
 
-// limitAheadOfReports takes the part of the limit that the list took of the published capacity (weight): reports show a
+// limitOnCapacityLoss takes the part of the limit that the list took of the published capacity (weight): reports show a
 // queue only when it stands. Where none ever did, all that is known is what was let in without one, and a guess. Old
 // reports take long to show that it was too low, so there it is made only where something waited already.
-func (c *Controller) limitAheadOfReports(now Microseconds, capacity, lost float64) {
+func (c *Controller) limitOnCapacityLoss(now Microseconds, capacity, lost float64) {
 	a := &c.admission
 	if a.mode == AdmissionUnsupported || lost == 0 || lost >= capacity {
 		return
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -107,7 +107,7 @@
 		c.newAttempts = 0
 	}
 	c.readmitDue(now)
-	ordinary := c.admission.cutPending || now-c.publishedAt >= minPublishInterval
+	ordinary := c.admission.limitLowered || now-c.publishedAt >= minPublishInterval
 	c.publishChanges(now, ordinary)
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -50,27 +50,42 @@
 		if !c.usable(backend) || backend.ejected {
 			continue
 		}
-		backend.score = 1
-		if backend.meanAnswerTime > 0 && fleet.medianAnswerTime > 0 {
-			backend.score = backend.meanAnswerTime / fleet.medianAnswerTime
-		}
-		fleetHealthy := fleet.medianSuccessRate >= healthySuccessRate
-		dead := fleetHealthy && backend.consecutiveFailures >= consecutiveFailuresToEject
-		failing := fleetHealthy && backend.attempts >= minAttemptsToEject &&
-			backend.successRate() < fleet.medianSuccessRate*failingShareOfMedian
+		backend.score = fleet.score(backend)
 		lagging := c.lagging(backend)
 		atLeastWeight := backend.reducedTo > 0 && backend.reducedTo <= minReducedShare
 		switch {
-		case dead, lagging && atLeastWeight:
+		case fleet.dead(backend), lagging && atLeastWeight:
 			c.eject(id, now, &fleet)
 		case lagging: // it answers, but late: it has a queue, and others fare far better
 			c.reduceWeight(id, now)
-		case failing:
+		case fleet.failing(backend):
 			c.eject(id, now, &fleet)
 		}
 	}
 }
 
+// score is a backend's mean answer time over the median, or 1 if either is unknown.
+func (f *fleetOutcomes) score(backend *backendState) float64 {
+	if backend.meanAnswerTime <= 0 || f.medianAnswerTime <= 0 {
+		return 1
+	}
+	return backend.meanAnswerTime / f.medianAnswerTime
+}
+
+// dead tells whether a backend answers nothing while others do.
+func (f *fleetOutcomes) dead(backend *backendState) bool {
+	return f.healthy() && backend.consecutiveFailures >= consecutiveFailuresToEject
+}
+
+// failing tells whether a backend answers far less than others.
+func (f *fleetOutcomes) failing(backend *backendState) bool {
+	known := backend.attempts >= minAttemptsToEject
+	return known && f.healthy() && backend.successRate() < f.medianSuccessRate*failingShareOfMedian
+}
+
+// healthy tells whether the fleet is at work, so that failures are a backend's own.
+func (f *fleetOutcomes) healthy() bool { return f.medianSuccessRate >= healthySuccessRate }
+
 // fleetOutcomes sums the outcomes of every backend, and compares them.
 func (c *Controller) fleetOutcomes(now Microseconds) (fleet fleetOutcomes) {
 	var successRates, answerTimes []float64
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -74,7 +74,7 @@
 	if p.withdrawalsDue > 0 && !p.tablesSuffice {
 		p.requiredLines += p.withdrawalsDue + p.outsiders*withdrawalCost
 	}
-	if c.admission.cutPending { // all that is let in meanwhile adds to a queue
+	if c.admission.limitLowered { // all that is let in meanwhile adds to a queue
 		p.requiredLines += (p.overhead + 1) * p.connected
 	}
 	return p
@@ -159,8 +159,8 @@
 	entries := c.publishEntries(p)
 	moved := c.rebalanceSubsets(p)
 	c.publishWithdrawals(p)
-	c.limitAheadOfReports(p.now, capacity, entries.capacityLost)
-	c.admission.cutPending = false
+	c.limitOnCapacityLoss(p.now, capacity, entries.capacityLost)
+	c.admission.limitLowered = false
 	limited := c.publishLimits()
 	if limited || moved || entries.published {
 		c.publishedAt = p.now
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -67,16 +67,11 @@
 	if !anyTable && !anyMessage {
 		return // thousands may wait, and this is looked at with each ack
 	}
-	for _, id := range c.syncQueue {
-		if c.waitsForTables(c.proxies[id]) {
-			round.unassigned++
-		}
-	}
+	round.unassigned = c.countUnassigned()
 	c.reserveForTables(now, round.tableSizes)
 	for _, overdue := range []bool{true, false} {
 		for _, id := range c.syncQueue {
-			waited := now - c.proxies[id].connectedAt
-			if (waited > c.rules.DrainGrace/2) == overdue {
+			if c.overdue(c.proxies[id], now) == overdue {
 				c.syncProxy(id, round, overdue)
 			}
 		}
@@ -91,55 +86,87 @@
 	}
 }
 
+// waitsForTables tells whether a proxy is to get our tables.
 func (c *Controller) waitsForTables(proxy *proxyState) bool {
 	return proxy.connected && !proxy.assigned
 }
 
+// overdue tells whether a proxy has waited for half the drain grace.
+func (c *Controller) overdue(proxy *proxyState, now Microseconds) bool {
+	return now-proxy.connectedAt > c.rules.DrainGrace/2
+}
+
+// countUnassigned counts the proxies that wait for tables.
+func (c *Controller) countUnassigned() (unassigned int) {
+	for _, id := range c.syncQueue {
+		if c.waitsForTables(c.proxies[id]) {
+			unassigned++
+		}
+	}
+	return unassigned
+}
+
 // syncProxy does what is next for one proxy, if there is room.
 func (c *Controller) syncProxy(id int, round *syncRound, overdue bool) {
 	proxy := c.proxies[id]
-	entries, cost, anyEmpty := c.fullTableCost(proxy, round.tableSizes)
-	tablesWouldBeLate := !proxy.assigned && c.queue.wouldDelayTables(0)
-	mayGo := proxy.connected && !anyEmpty && (!c.queueCongested || tablesWouldBeLate) &&
-		c.queue.hasCapacity(cost, false) && c.queue.mayPush(proxy, round.now, false)
-	mayClear := proxy.mayHoldForeign && !proxy.withdrawalsCleared && round.unassigned == 0 &&
-		c.queue.hasCapacity(entries+round.reserve, false)
-	switch {
+	tables := c.fullTablesOf(proxy, round.tableSizes)
+	switch mayGo := c.tablesMayGo(proxy, tables, round.now); {
 	case mayGo && !proxy.assigned:
-		c.assignTables(id, entries, cost)
+		c.assignTables(id, tables)
 		round.assigned++
-	case mayGo && mayClear:
+	case mayGo && c.mayClearWithdrawals(proxy, tables, round):
 		proxy.withdrawalsCleared = true
-		c.charge(proxy, entries)
+		c.charge(proxy, tables.entries)
 		c.host.ClearWithdrawals(id)
-	case !proxy.assigned && !proxy.withdrawalsSynced:
-		worthMessage := anyEmpty || tableCostWorthMessage*round.withdrawalCost <= cost
-		tablesComeSoon := c.queueCongested || c.tablesSuffice(cost, round.withdrawalCost, round.unassigned)
-		if worthMessage && (overdue || !tablesComeSoon) {
-			c.syncWithdrawals(id, round)
-		}
+	case !proxy.assigned && !proxy.withdrawalsSynced && c.messageWorthwhile(tables, round, overdue):
+		c.syncWithdrawals(id, round)
 	}
 }
 
-// assignTables gives a proxy its tables, that have so many entries and cost so much with their message.
-func (c *Controller) assignTables(id int, entries float64, cost Lines) {
+// tablesMayGo tells whether a proxy's tables, or as much as they cost, may go to it now. Changes that wait for the
+// channel go first, unless its tables would be late.
+func (c *Controller) tablesMayGo(proxy *proxyState, tables fullTables, now Microseconds) bool {
+	wouldBeLate := !proxy.assigned && c.queue.wouldDelayTables(0)
+	itsTurn := !c.queueCongested || wouldBeLate
+	return proxy.connected && !tables.anyEmpty && itsTurn &&
+		c.queue.hasCapacity(tables.cost, false) && c.queue.mayPush(proxy, now, false)
+}
+
+// assignTables gives a proxy its tables.
+func (c *Controller) assignTables(id int, tables fullTables) {
 	proxy := c.proxies[id]
 	proxy.assigned = true
-	c.queue.reservedLines -= cost
-	withdrawalLines := min(proxy.heldWithdrawals, entries)
-	c.charge(proxy, 1+cost-c.queue.messageOverhead()+withdrawalLines)
+	c.queue.reservedLines -= tables.cost
+	withdrawalLines := min(proxy.heldWithdrawals, tables.entries)
+	c.charge(proxy, 1+tables.cost-c.queue.messageOverhead()+withdrawalLines)
 	c.eachTable(proxy.subset, proxy.zone, func(table int, classes uint16) {
 		c.host.AssignTable(table, id, classes)
 	})
 }
 
+// mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
+func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
+	due := proxy.mayHoldForeign && !proxy.withdrawalsCleared
+	return due && round.unassigned == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
+}
+
+// messageWorthwhile tells whether a proxy that waits is better told of withdrawals by a message of its own: its tables
+// cost much more, and do not come soon.
+func (c *Controller) messageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
+	costsLittle := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
+	tablesComeSoon := c.queueCongested || c.tablesSuffice(tables.cost, round.withdrawalCost, round.unassigned)
+	return costsLittle && (overdue || !tablesComeSoon)
+}
+
 // syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to.
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
 	anyToTell := proxy.mayHoldForeign || round.withdrawals > 0
-	if !anyToTell || !c.queue.mayPush(proxy, round.now, true) ||
-		!c.queue.hasCapacity(round.withdrawalCost+round.reserve, true) ||
-		!c.host.SyncWithdrawals(id, unlimitedRate, RetryIfNotExecuted) {
+	hasRoom := c.queue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	if !anyToTell || !hasRoom || !c.queue.mayPush(proxy, round.now, true) {
+		return
+	}
+	if !c.host.SyncWithdrawals(id, unlimitedRate, RetryIfNotExecuted) {
 		return
 	}
 	proxy.withdrawalsSynced = true
@@ -164,22 +191,28 @@
 	return withdrawals, c.queue.messageOverhead() + withdrawals + float64(len(c.classes))
 }
 
-// fullTableCost is the entries of a proxy's tables, what they cost with their message and limits, and whether one of the
-// tables is empty. Sizes keeps the entries of each table.
-func (c *Controller) fullTableCost(proxy *proxyState, sizes map[int]float64) (entries float64, cost Lines, anyEmpty bool) {
-	cost = c.queue.messageOverhead() + c.tableLimitLines()
+// fullTables is what a proxy's tables amount to.
+type fullTables struct {
+	entries  float64
+	cost     Lines // with their message and limits
+	anyEmpty bool  // one of them has no entry
+}
+
+// fullTablesOf sums up a proxy's tables. Sizes keeps the entries of each table.
+func (c *Controller) fullTablesOf(proxy *proxyState, sizes map[int]float64) (tables fullTables) {
+	tables.cost = c.queue.messageOverhead() + c.tableLimitLines()
 	c.eachTable(proxy.subset, proxy.zone, func(table int, _ uint16) {
 		size, known := sizes[table]
 		if !known {
 			size = float64(c.tableSize(table))
 			sizes[table] = size
 		}
-		entries += size
-		cost += size
-		cost++ // for the assignment
-		anyEmpty = anyEmpty || size == 0
+		tables.entries += size
+		tables.cost += size
+		tables.cost++ // for the assignment
+		tables.anyEmpty = tables.anyEmpty || size == 0
 	})
-	return entries, cost, anyEmpty
+	return tables
 }
 
 // tableLimitLines is how many lines of limits go along with complete tables, as these make a proxy forget them.
@@ -201,11 +234,11 @@
 		if !c.waitsForTables(proxy) {
 			continue
 		}
-		_, cost, anyEmpty := c.fullTableCost(proxy, sizes)
-		if anyEmpty {
+		tables := c.fullTablesOf(proxy, sizes)
+		if tables.anyEmpty {
 			continue
 		}
-		queue.reservedLines += cost
+		queue.reservedLines += tables.cost
 		usedUp := queue.linesSentIn(queue.MaxLatency + now - proxy.connectedAt)
 		left := tablesShareOfGrace*queue.linesSentIn(c.remainingGrace) - usedUp
 		queue.maxQueuedBeforeTables = min(queue.maxQueuedBeforeTables, left)
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -31,7 +31,7 @@
 // targetWeight is the weight that a backend is to be published with now; 0 for no entry.
 func (c *Controller) targetWeight(backend *backendState, now Microseconds) float64 {
 	ejected := backend.ejected && !c.panicMode
-	tooCold := c.warmingUpStayOut() && c.warmingUp(backend, now)
+	tooCold := c.withholdWarmingUp() && c.warmingUp(backend, now)
 	if !c.usable(backend) || ejected || tooCold {
 		return 0
 	}
@@ -66,9 +66,9 @@
 	return backend.StartedAt > 0 && age < c.rules.WarmupTime
 }
 
-// warmingUpStayOut tells whether backends that are warming up stay without an entry: where proxies heed no limits and
+// withholdWarmingUp tells whether backends that are warming up stay without an entry: where proxies heed no limits and
 // there is an overload; or, if there is a warm one, as long as no report tells whether we started into an overload.
-func (c *Controller) warmingUpStayOut() bool {
+func (c *Controller) withholdWarmingUp() bool {
 	unlimitedOverload := c.admission.mode == AdmissionUnsupported && c.admission.latencyRatio > overloadedRatio
 	noReportYet := c.admission.meanObjective == 0
 	return unlimitedOverload || noReportYet && c.warmBackendSeen
