--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -55,12 +55,12 @@
 		}
 	case "freeze":
 		one.Up = false // for other faults
-		one.Send(syscall.SIGSTOP)
+		one.Signal(syscall.SIGSTOP)
 		p.in.ControllerFrozen(at, true)
 		p.later(min(frozenFor, p.KillEvery/2), func() error {
 			one.Up = true
 			p.in.ControllerFrozen(at, false)
-			return one.Send(syscall.SIGCONT)
+			return one.Signal(syscall.SIGCONT)
 		})
 	case "cut":
 		p.cuts(fake.Cut, touches)
@@ -71,7 +71,7 @@
 	case "slow":
 		p.cuts(fake.Fault{Delay: 300 * time.Millisecond}, touches)
 	case "reload": // while it may be electing
-		one.Send(syscall.SIGHUP)
+		one.Signal(syscall.SIGHUP)
 		p.stops(up[(slices.Index(up, at)+1)%len(up)], syscall.SIGKILL)
 	default:
 		return fmt.Errorf("fault %q; there are kill, leave, pair, freeze, cut, half, split, slow and reload", kind)
@@ -82,7 +82,7 @@
 // stops ends a controller, which comes back as new after a while, one time in four within a second.
 func (p *play) stops(at int, by syscall.Signal) {
 	one := p.instances[at]
-	one.Signal(by)
+	one.Stop(by)
 	wait := time.Duration(p.random.Int64N(int64(min(p.KillEvery/2, 8*time.Second))))
 	if p.random.IntN(4) == 0 {
 		wait = min(wait, time.Second)
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -36,7 +36,7 @@
 	Program   string // that is run as a controller
 	Folder    string // for logs and configurations; a temporary one if empty
 	Progress  func(text string)
-	Watch     func(controllers []*process.Instance, ended bool) // as play begins and as it has ended; nil for nobody
+	Watch     func(controllers []*process.Controller, ended bool) // as play begins and as it has ended; nil for nobody
 }
 
 // Figures of the scenario's installation.
@@ -127,11 +127,11 @@
 			return nil, err
 		}
 	}
-	gone := func() bool { return slices.ContainsFunc(p.instances, (*process.Instance).Gone) }
+	gone := func() bool { return slices.ContainsFunc(p.instances, (*process.Controller).ExitedUnexpectedly) }
 	p.waits(ctx, readyIn, func() bool {
-		return gone() || !slices.ContainsFunc(p.instances, func(i *process.Instance) bool { return !i.Answers() })
+		return gone() || !slices.ContainsFunc(p.instances, func(i *process.Controller) bool { return !i.Responds() })
 	})
-	if gone() || slices.ContainsFunc(p.instances, func(i *process.Instance) bool { return !i.Answers() }) {
+	if gone() || slices.ContainsFunc(p.instances, func(i *process.Controller) bool { return !i.Responds() }) {
 		in.Close()
 		return nil, fmt.Errorf("the controllers have ended, or do not answer within %s; their logs in %s say why", readyIn, folder)
 	}
@@ -150,7 +150,7 @@
 type play struct {
 	*Takeover
 	in        *fake.Fleet
-	instances []*process.Instance
+	instances []*process.Controller
 	between   map[[2]int]*fake.FaultyLink // between members
 	folder    string
 	events    *os.File
@@ -197,7 +197,7 @@
 		if err != nil {
 			return err
 		}
-		one := &process.Instance{Name: name, Program: p.Program, Listen: listen[i], Env: []string{"LB_CONFIG=" + config}}
+		one := &process.Controller{Name: name, Program: p.Program, Listen: listen[i], Env: []string{"LB_CONFIG=" + config}}
 		if p.Sharing {
 			all := map[string]string{}
 			for j := range p.Instances {
@@ -236,8 +236,8 @@
 	p.events.Close()
 	for _, i := range p.instances {
 		if i.Up {
-			i.Signal(syscall.SIGCONT)
-			i.Signal(syscall.SIGKILL)
+			_ = i.Signal(syscall.SIGCONT) // one that is frozen would not end
+			i.Stop(syscall.SIGKILL)
 		}
 		i.Log.Close()
 	}
@@ -247,7 +247,7 @@
 }
 
 func (p *play) play(ctx context.Context) (*Report, error) {
-	load, before, began := process.WatchLateness(), p.in.Counts(), time.Now()
+	load, before, began := process.StartDelayMonitor(), p.in.Counts(), time.Now()
 	if p.Watch != nil {
 		p.Watch(p.instances, false)
 	}
@@ -287,7 +287,7 @@
 			p.replace()
 		}
 		for _, i := range p.instances {
-			if i.Gone() {
+			if i.ExitedUnexpectedly() {
 				return nil, fmt.Errorf("%s has ended by itself; its log is %s", i.Name, i.Log.Name())
 			}
 		}
@@ -297,7 +297,7 @@
 		p.Watch(p.instances, true)
 	}
 	verdict, after := p.in.Close()
-	hundredth, most := load.End()
+	hundredth, most := load.Stop()
 	p.sum(verdict, before, after, left)
 	p.judge(verdict, hundredth, most)
 	return p.report, nil
--- a/scale/change.go
+++ b/scale/change.go
@@ -110,7 +110,7 @@
 
 // reloadedController is one of them.
 type reloadedController struct {
-	process *process.Instance
+	process *process.Controller
 	slots   []*watchedAddress // of discovery, which changes move it around between
 	acts    atomic.Int64      // the last change that it acted by
 }
@@ -137,7 +137,7 @@
 			}
 			c.slots = append(c.slots, slot)
 		}
-		c.process = &process.Instance{Name: memberName(i), Program: o.Program, Listen: listen[i],
+		c.process = &process.Controller{Name: memberName(i), Program: o.Program, Listen: listen[i],
 			Env: []string{"LB_CONFIG=" + f.path(i)}}
 		if c.process.Log, err = os.Create(filepath.Join(folder, memberName(i)+".log")); err != nil {
 			f.close()
@@ -152,7 +152,7 @@
 func (f *reloadedFleet) close() {
 	for _, c := range f.controllers {
 		if c.process != nil && c.process.Up {
-			c.process.Signal(syscall.SIGKILL)
+			c.process.Stop(syscall.SIGKILL)
 		}
 		if c.process != nil && c.process.Log != nil {
 			c.process.Log.Close()
@@ -236,7 +236,7 @@
 				return err
 			}
 			f.written += size
-			if err := c.process.Send(syscall.SIGHUP); err != nil {
+			if err := c.process.Signal(syscall.SIGHUP); err != nil {
 				return fmt.Errorf("%s: %w", c.process.Name, err)
 			}
 		}
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -35,7 +35,7 @@
 
 // listedController is a real controller's process that follows discovery and has no proxies.
 type listedController struct {
-	process *process.Instance
+	process *process.Controller
 	began   time.Time
 	reading sync.WaitGroup // of its log
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &listedController{process: &process.Instance{Name: name, Program: o.Program, Listen: listen,
+	return &listedController{process: &process.Controller{Name: name, Program: o.Program, Listen: listen,
 		Env: []string{"LB_CONFIG=" + path}}}, nil
 }
 
@@ -141,7 +141,7 @@
 // waitReady waits until it is ready, or has ended, or has been waited for too long.
 func (c *listedController) waitReady(ctx context.Context, within time.Duration) error {
 	over := func() bool {
-		return !c.readyAt().IsZero() || c.process.Gone()
+		return !c.readyAt().IsZero() || c.process.ExitedUnexpectedly()
 	}
 	waitTight(ctx, within, over)
 	if c.readyAt().IsZero() {
@@ -153,7 +153,7 @@
 // end kills the process, and waits for the end of its log.
 func (c *listedController) end() {
 	if c.process.Up {
-		c.process.Signal(syscall.SIGKILL)
+		c.process.Stop(syscall.SIGKILL)
 		c.reading.Wait()
 	}
 }
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -72,16 +72,16 @@
 }
 
 // turns watches how late this process gets its turns. Where it gets them too late nothing that was timed means anything.
-type turns struct{ lateness *process.Lateness }
+type turns struct{ lateness *process.DelayMonitor }
 
 // tooLate is a turn's lateness, of one in a hundred, beyond which nothing is judged.
 const tooLate = 100 * time.Millisecond
 
-func watchTurns() turns { return turns{process.WatchLateness()} }
+func watchTurns() turns { return turns{process.StartDelayMonitor()} }
 
 // tooBusy ends the watch, and says why nothing can be judged; empty where it can.
 func (t turns) tooBusy() string {
-	if hundredth, _ := t.lateness.End(); hundredth > tooLate {
+	if hundredth, _ := t.lateness.Stop(); hundredth > tooLate {
 		return fmt.Sprintf("one turn in a hundred was %s late, %s at most; leave the machine more room", hundredth.Round(time.Millisecond), tooLate)
 	}
 	return ""
--- a/scale/record.go
+++ b/scale/record.go
@@ -93,7 +93,7 @@
 }
 
 // watch reads each member's usage as play begins and as it ends.
-func (s *spending) watch(controllers []*process.Instance, ended bool) {
+func (s *spending) watch(controllers []*process.Controller, ended bool) {
 	into := s.before
 	if ended {
 		into, s.ended = s.after, time.Now()
--- a/scale/rolefleet.go
+++ b/scale/rolefleet.go
@@ -190,9 +190,9 @@
 	}
 	has := func() bool {
 		_, ok := c.said("snapshot_taken")
-		return ok || c.process.Gone()
+		return ok || c.process.ExitedUnexpectedly()
 	}
-	if waitTight(ctx, rolesReadyWithin, has); c.process.Gone() {
+	if waitTight(ctx, rolesReadyWithin, has); c.process.ExitedUnexpectedly() {
 		return fmt.Errorf("the %s has ended", role)
 	}
 	line, ok := c.said("snapshot_taken")
