--- a/internal/process/controller.go
+++ b/internal/process/controller.go
@@ -20,7 +20,7 @@
 	Program string   // path of the executable
 	Listen  string   // address that it serves, for Responds
 	Env     []string // in addition to that of this process
-	Args    []string
+	Args    []string // of the program
 	Log     *os.File // takes its standard output and error; the caller closes it
 	Up      bool     // it runs, and is meant to
 
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -7,27 +7,27 @@
 )
 
 // Distribution says what part a controller has in the distribution of configuration: it votes on changes, or subscribes
-// to them.
+// to them. All but the role, FanOut and SnapshotPace are for subscribers.
 type Distribution struct {
-	Role        string            `yaml:"role"`
-	Name        string            `yaml:"name"`
-	Parents     map[string]string `yaml:"parents"`
-	Scopes      []string          `yaml:"scopes"`
-	Listen      string            `yaml:"listen"`
-	Folder      string            `yaml:"folder"`
-	Certificate string            `yaml:"certificate"`
-	Key         string            `yaml:"key"`
-	Authority   string            `yaml:"authority"`
-	Plain       bool              `yaml:"plain"`
-	FanOut      int               `yaml:"fan_out"`
-	// SnapshotPace is how many bytes a second all snapshots to subscribers take together; 0 is as usual.
+	Role        string            `yaml:"role"`        // Voter or Subscriber
+	Name        string            `yaml:"name"`        // LB_NAME where empty
+	Parents     map[string]string `yaml:"parents"`     // addresses by name, to begin with
+	Scopes      []string          `yaml:"scopes"`      // that it is given, or AllScopes
+	Listen      string            `yaml:"listen"`      // address for its own subscribers; empty for none
+	Folder      string            `yaml:"folder"`      // for the configuration, across restarts; empty for nothing
+	Certificate string            `yaml:"certificate"` // path of a PEM file that names the subscriber
+	Key         string            `yaml:"key"`         // path of its PEM file
+	Authority   string            `yaml:"authority"`   // path of the PEM file of who signed the voters', too
+	Plain       bool              `yaml:"plain"`       // plain text, on loopback alone, without the three above
+	FanOut      int               `yaml:"fan_out"`     // subscribers at most; 0 for the default
+	// SnapshotPace is how many bytes a second all snapshots to subscribers take together; 0 for the default.
 	SnapshotPace int `yaml:"snapshot_bytes_per_s"`
 }
 
 // Roles that a controller can have.
 const (
-	Voter      = "voter"
-	Subscriber = "subscriber"
+	Voter      = "voter"      // a member of the replicated record, which accepts changes
+	Subscriber = "subscriber" // is given what the voters accept
 )
 
 // AllScopes stands for all scopes, as the only one that is named.
@@ -35,117 +35,122 @@
 
 // Bounds of the options of distribution.
 const (
-	mostFanOut = 256
-	leastPace  = 1 << 10 // bytes a second
-	mostPace   = 1 << 30
-	mostScopes = 4096
-	mostScope  = 256 // bytes
-	mostName   = 192 // bytes
-	separator  = "@" // between a name and an address, where nodes name each other
+	maxFanOut       = 256
+	minSnapshotPace = 1 << 10 // bytes a second
+	maxSnapshotPace = 1 << 30 // bytes a second
+	maxScopes       = 4096
+	maxScopeSize    = 256 // bytes
+	maxNameSize     = 192 // bytes
+	separator       = "@" // between a name and an address, where nodes name each other
 )
 
-func (d *Distribution) check(l positions, sharing *Sharing) error {
-	if d.FanOut < 0 || d.FanOut > mostFanOut {
-		return l.problem("distribution.fan_out", "is %d; give a number from 1 to %d, or leave it out", d.FanOut, mostFanOut)
+func (d *Distribution) check(where locator, sharing *Sharing) error {
+	if d.FanOut < 0 || d.FanOut > maxFanOut {
+		return where.refuse("distribution.fan_out", "is %d; give a number from 1 to %d, or leave it out", d.FanOut, maxFanOut)
 	}
-	if d.SnapshotPace != 0 && (d.SnapshotPace < leastPace || d.SnapshotPace > mostPace) {
-		return l.problem("distribution.snapshot_bytes_per_s", "is %d; give a number from %d to %d, or leave it out", d.SnapshotPace, leastPace,
-			mostPace)
+	if d.SnapshotPace != 0 && (d.SnapshotPace < minSnapshotPace || d.SnapshotPace > maxSnapshotPace) {
+		return where.refuse("distribution.snapshot_bytes_per_s", "is %d; give a number from %d to %d, or leave it out", d.SnapshotPace,
+			minSnapshotPace, maxSnapshotPace)
 	}
 	switch d.Role {
 	case Voter:
-		return d.checkVoter(l, sharing)
+		return d.checkVoter(where, sharing)
 	case Subscriber:
-		return d.checkSubscriber(l)
+		return d.checkSubscriber(where)
 	}
-	return l.problem("distribution.role", "%q; give voter or subscriber", d.Role)
+	return where.refuse("distribution.role", "%q; give voter or subscriber", d.Role)
 }
 
 // checkVoter refuses what a voter has from sharing already.
-func (d *Distribution) checkVoter(l positions, sharing *Sharing) error {
+func (d *Distribution) checkVoter(where locator, sharing *Sharing) error {
 	if sharing == nil {
-		return l.problem("distribution.role", "a voter is a member that shares the record; add the section sharing, or subscribe")
+		return where.refuse("distribution.role", "a voter is a member that shares the record; add the section sharing, or subscribe")
 	}
-	for _, extra := range []struct {
+	for _, option := range []struct {
 		key   string
 		given bool
 	}{
 		{"name", d.Name != ""}, {"parents", len(d.Parents) > 0}, {"scopes", len(d.Scopes) > 0}, {"listen", d.Listen != ""}, {"folder", d.Folder != ""},
 		{"certificate", d.Certificate != ""}, {"key", d.Key != ""}, {"authority", d.Authority != ""}, {"plain", d.Plain},
 	} {
-		if extra.given {
-			return l.problem("distribution."+extra.key, "is for subscribers; a voter has what the section sharing says")
+		if option.given {
+			return where.refuse("distribution."+option.key, "is for subscribers; a voter has what the section sharing says")
 		}
 	}
 	return nil
 }
 
-func (d *Distribution) checkSubscriber(l positions) error {
-	if len(d.Name) > mostName {
-		return l.problem("distribution.name", "has %d bytes; give a name of %d at most", len(d.Name), mostName)
+func (d *Distribution) checkSubscriber(where locator) error {
+	for _, check := range []func(locator) error{d.checkName, d.checkParents, d.checkScopes, d.checkParentAddresses, d.checkListen} {
+		if err := check(where); err != nil {
+			return err
+		}
+	}
+	return checkCredentials(where, "distribution", d.Plain, d.Certificate, d.Key, d.Authority)
+}
+
+func (d *Distribution) checkName(where locator) error {
+	if len(d.Name) > maxNameSize {
+		return where.refuse("distribution.name", "has %d bytes; give a name of %d at most", len(d.Name), maxNameSize)
 	}
 	if strings.Contains(d.Name, separator) {
-		return l.problem("distribution.name", "%q has a %s, which parts names from addresses; leave it out", d.Name, separator)
+		return where.refuse("distribution.name", "%q has a %s, which parts names from addresses; leave it out", d.Name, separator)
 	}
+	return nil
+}
+
+func (d *Distribution) checkParents(where locator) error {
 	if len(d.Parents) == 0 {
-		return l.problem("distribution.parents", "names nobody; give voters or subscribers that pass on, each with its address, as n0: 10.0.0.4:9443")
+		return where.refuse("distribution.parents", "names nobody; give voters or subscribers that pass on, each with its address, as n0: 10.0.0.4:9443")
 	}
 	if _, itself := d.Parents[d.Name]; itself {
-		return l.problem("distribution.parents."+d.Name, "is this subscriber itself; name others")
-	}
-	if err := d.checkScopes(l); err != nil {
-		return err
-	}
-	if err := checkAddresses(l, "distribution.parents", d.Parents, d.Plain); err != nil {
-		return err
-	}
-	if d.Listen != "" {
-		if err := checkAddress(l, "distribution.listen", d.Listen, d.Plain); err != nil {
-			return err
-		}
-		host, _, _ := net.SplitHostPort(d.Listen)
-		if ip := net.ParseIP(host); host == "" || ip != nil && ip.IsUnspecified() {
-			return l.problem("distribution.listen", "%s is nothing that others could dial; give the address by which they do", d.Listen)
-		}
-	} else if d.FanOut > 0 {
-		return l.problem("distribution.fan_out", "is for one that passes on; give listen as well, or leave it out")
-	} else if d.SnapshotPace > 0 {
-		return l.problem("distribution.snapshot_bytes_per_s", "is for one that passes on; give listen as well, or leave it out")
+		return where.refuse("distribution.parents."+d.Name, "is this subscriber itself; name others")
 	}
-	given := 0
-	for _, path := range []string{d.Certificate, d.Key, d.Authority} {
-		if path != "" {
-			given++
-		}
-	}
-	return checkCredentials(l, "distribution", d.Plain, given)
+	return nil
 }
 
-func (d *Distribution) checkScopes(l positions) error {
-	if len(d.Scopes) == 0 || len(d.Scopes) > mostScopes {
-		return l.problem("distribution.scopes", "has %d; name from 1 to %d that this controller serves", len(d.Scopes), mostScopes)
+func (d *Distribution) checkParentAddresses(where locator) error {
+	return checkAddresses(where, "distribution.parents", d.Parents, d.Plain)
+}
+
+func (d *Distribution) checkScopes(where locator) error {
+	if len(d.Scopes) == 0 || len(d.Scopes) > maxScopes {
+		return where.refuse("distribution.scopes", "has %d; name from 1 to %d that this controller serves", len(d.Scopes), maxScopes)
 	}
 	for i, scope := range d.Scopes {
 		switch {
-		case scope == "" || len(scope) > mostScope:
-			return l.problem("distribution.scopes", "%q; give a name of 1 to %d bytes", scope, mostScope)
+		case scope == "" || len(scope) > maxScopeSize:
+			return where.refuse("distribution.scopes", "%q; give a name of 1 to %d bytes", scope, maxScopeSize)
 		case scope == AllScopes && len(d.Scopes) > 1:
-			return l.problem("distribution.scopes", "%q stands for all of them; give it alone", scope)
+			return where.refuse("distribution.scopes", "%q stands for all of them; give it alone", scope)
 		case slices.Contains(d.Scopes[:i], scope):
-			return l.problem("distribution.scopes", "%q stands there twice; name each once", scope)
+			return where.refuse("distribution.scopes", "%q stands there twice; name each once", scope)
 		}
 	}
 	return nil
 }
 
-// checkAddress refuses what is no address, and one off loopback where plain text is spoken.
-func checkAddress(l positions, key, address string, plain bool) error {
-	host, port, err := net.SplitHostPort(address)
-	if err != nil || port == "" {
-		return l.problem(key, "%q is no address; give host:port", address)
+// checkListen refuses an address that others could not dial, and what is of use only with one.
+func (d *Distribution) checkListen(where locator) error {
+	switch {
+	case d.Listen != "":
+		return d.checkListenAddress(where)
+	case d.FanOut > 0:
+		return where.refuse("distribution.fan_out", "is for one that passes on; give listen as well, or leave it out")
+	case d.SnapshotPace > 0:
+		return where.refuse("distribution.snapshot_bytes_per_s", "is for one that passes on; give listen as well, or leave it out")
+	}
+	return nil
+}
+
+func (d *Distribution) checkListenAddress(where locator) error {
+	if err := checkAddress(where, "distribution.listen", d.Listen, d.Plain); err != nil {
+		return err
 	}
-	if ip := net.ParseIP(host); plain && (ip == nil || !ip.IsLoopback()) {
-		return l.problem(key, "%s is not on loopback, where alone plain text may be spoken; give certificate, key and authority", address)
+	host, _, _ := net.SplitHostPort(d.Listen) // checked above
+	ip := net.ParseIP(host)
+	if host == "" || ip != nil && ip.IsUnspecified() {
+		return where.refuse("distribution.listen", "%s is nothing that others could dial; give the address by which they do", d.Listen)
 	}
 	return nil
 }
--- a/options/distribution_test.go
+++ b/options/distribution_test.go
@@ -24,7 +24,7 @@
   snapshot_bytes_per_s: 1024
 `
 
-func TestParseDistribution(t *testing.T) {
+func TestDistributionIsReadOrRefusedWithItsLine(t *testing.T) {
 	f, err := Parse("w.yaml", []byte(subscribing))
 	if err != nil {
 		t.Fatal(err)
--- a/options/options_test.go
+++ b/options/sharing_test.go
@@ -16,7 +16,7 @@
   lease: 2s
 `
 
-func TestParse(t *testing.T) {
+func TestSharingIsReadOrRefusedWithItsLine(t *testing.T) {
 	f, err := Parse("w.yaml", []byte(good))
 	if err != nil || f.Sharing.LeaseTime() != 2*time.Second || f.Sharing.Members["n1"] != "127.0.0.1:9002" {
 		t.Fatalf("got %+v, %v", f, err)
