--- a/consensus/changes.go
+++ b/consensus/changes.go
@@ -51,7 +51,7 @@
 	seen func(distribution.Epoch)
 
 	mutex sync.Mutex
-	voter *distribution.VoterState
+	voter *distribution.Record
 }
 
 // newChanges is a configuration that nothing was put into. Seen is told epochs; nil for nobody.
@@ -59,7 +59,7 @@
 	if seen == nil {
 		seen = func(distribution.Epoch) {}
 	}
-	return &changes{told: told, seen: seen, voter: distribution.NewVoterState()}
+	return &changes{told: told, seen: seen, voter: distribution.NewRecord()}
 }
 
 // outcome is what became of a proposal.
@@ -82,7 +82,7 @@
 	}
 	c.mutex.Lock()
 	founds := c.voter.Empty()
-	accepted, err := c.voter.Accept(entry.Proposal)
+	accepted, err := c.voter.Apply(entry.Proposal)
 	mark := c.voter.Version()
 	var state distribution.State
 	if err == nil && founds {
@@ -116,9 +116,9 @@
 
 // restore takes over the configuration of a snapshot; nil where it had none.
 func (c *changes) restore(state *distribution.State) {
-	voter := distribution.NewVoterState()
+	voter := distribution.NewRecord()
 	if state != nil {
-		voter = distribution.RestoreVoterState(*state)
+		voter = distribution.RestoreRecord(*state)
 		c.seen(state.Version.Epoch)
 	}
 	c.mutex.Lock()
@@ -130,7 +130,7 @@
 }
 
 // view gives access to the configuration.
-func (c *changes) view(look func(*distribution.VoterState)) {
+func (c *changes) view(look func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	look(c.voter)
@@ -213,7 +213,7 @@
 	}
 	result, _ := future.Response().(outcome)
 	switch {
-	case errors.Is(result.err, distribution.ErrMoved):
+	case errors.Is(result.err, distribution.ErrVersionMismatch):
 		return answer{Why: result.err.Error(), Refusal: refusedMoved}
 	case result.err != nil:
 		return answer{Why: result.err.Error(), Refusal: refusedForGood}
@@ -247,7 +247,7 @@
 	case a.Accepted && a.Mark != nil:
 		return *a.Mark, nil
 	case a.Refusal == refusedMoved:
-		return distribution.Version{}, distribution.ErrMoved
+		return distribution.Version{}, distribution.ErrVersionMismatch
 	case a.Refusal == refusedForGood:
 		return distribution.Version{}, fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
@@ -260,7 +260,7 @@
 	for {
 		_, m := n.current()
 		var p distribution.Proposal
-		m.changes.view(func(voter *distribution.VoterState) { p = voter.Difference(wanted) })
+		m.changes.view(func(voter *distribution.Record) { p = voter.Difference(wanted) })
 		if len(p.Entries) == 0 {
 			return p.Base, 0, nil
 		}
@@ -282,7 +282,7 @@
 	}
 	_, m := n.current()
 	empty := true
-	m.changes.view(func(voter *distribution.VoterState) { empty = voter.Empty() })
+	m.changes.view(func(voter *distribution.Record) { empty = voter.Empty() })
 	seen := progress{leads: r.State() == raft.Leader, inContact: time.Since(r.LastContact()) < n.pace.heartbeat,
 		applied: r.AppliedIndex(), committed: r.CommitIndex(), last: r.LastIndex()}
 	if n.currency.observe(seen) && !empty {
--- a/consensus/changes_test.go
+++ b/consensus/changes_test.go
@@ -38,7 +38,7 @@
 // subscribed stands for the node of the distribution at a voter: it keeps what it is told.
 type subscribed struct {
 	mutex   sync.Mutex
-	state   *distribution.VoterState
+	state   *distribution.Record
 	changes int
 	current int
 	wholes  int
@@ -48,7 +48,7 @@
 func (s *subscribed) Restored(state distribution.State) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.state = distribution.RestoreVoterState(state)
+	s.state = distribution.RestoreRecord(state)
 	s.wholes++
 }
 
@@ -56,7 +56,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	p := distribution.Proposal{AcceptedAt: change.AcceptedAt, Entries: change.Entries}
-	if again, err := s.state.Accept(p); err != nil || again.Revision != change.Revision {
+	if again, err := s.state.Apply(p); err != nil || again.Revision != change.Revision {
 		panic(fmt.Sprint("told out of order: ", change, again, err))
 	}
 	s.changes++
@@ -148,7 +148,7 @@
 				t.Errorf("got %v", err)
 			}
 			_, err = m.Change(context.Background(), distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
-			if !errors.Is(err, distribution.ErrMoved) {
+			if !errors.Is(err, distribution.ErrVersionMismatch) {
 				t.Errorf("on an older base: %v", err)
 			}
 		}
@@ -277,8 +277,8 @@
 		entries = append(entries, entry(fmt.Sprintf("n%05d", i), "1"))
 	}
 	m := changed(t, entries...)
-	m.changes.view(func(v *distribution.VoterState) {
-		if _, err := v.Accept(distribution.Proposal{Entries: []distribution.Entry{{Scope: "pricing", Name: "n00000", Deleted: true}}}); err != nil {
+	m.changes.view(func(v *distribution.Record) {
+		if _, err := v.Apply(distribution.Proposal{Entries: []distribution.Entry{{Scope: "pricing", Name: "n00000", Deleted: true}}}); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/controller/distributed.go
+++ b/controller/distributed.go
@@ -55,8 +55,8 @@
 	}
 	v.GetObject().Visit(func(key []byte, value *fastjson.Value) {
 		name := string(key)
-		if name == "" || len(name) > distribution.MostKeyBytes/2 {
-			r.fail(path, "%q is no name; give one of 1 to %d bytes", name, distribution.MostKeyBytes/2)
+		if name == "" || len(name) > distribution.MaxKeyBytes/2 {
+			r.fail(path, "%q is no name; give one of 1 to %d bytes", name, distribution.MaxKeyBytes/2)
 			return
 		}
 		member(name, path+"."+name, value)
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -88,7 +88,7 @@
 		limits = distribution.DefaultLimits()
 	}
 	if d.SnapshotPace > 0 {
-		limits.PaceBytes = d.SnapshotPace
+		limits.SnapshotBytesPerSecond = d.SnapshotPace
 	}
 	switch {
 	case !d.Voter && d.Listen == "":
@@ -381,9 +381,9 @@
 		d.log.say("parent_lost", append(at, "parent", e.Peer, "why", lostBecause(e.Close))...)
 	case distribution.EventSnapshotTaken:
 		d.log.say("snapshot_taken", append(at, "parent", e.Peer)...)
-	case distribution.EventStale:
+	case distribution.EventSourceStale:
 		d.log.say("cut_off", at...)
-	case distribution.EventCurrent:
+	case distribution.EventSourceCurrent:
 		d.log.say("cut_off_over", at...)
 	case distribution.EventRefusedBy:
 		d.log.seldom("subscription_refused", "subscription_refused", append(at, "parent", e.Peer, "why", e.Refusal.String())...)
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -25,7 +25,7 @@
 // deleted, at an epoch and a revision.
 func storedState(t *testing.T) distribution.State {
 	t.Helper()
-	record := distribution.NewVoterState()
+	record := distribution.NewRecord()
 	accept := func(entries ...distribution.Entry) {
 		t.Helper()
 		proposal := distribution.Proposal{
@@ -33,7 +33,7 @@
 			AcceptedAt: 1_764_700_000_000_000 + int64(record.Version().Revision)*1_000_000,
 			Entries:    entries,
 		}
-		if _, err := record.Accept(proposal); err != nil {
+		if _, err := record.Apply(proposal); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -21,7 +21,7 @@
 
 func TestRefusals(t *testing.T) {
 	limits := DefaultLimits()
-	limits.DepthMost, limits.ScopesMost, limits.FanOut = 2, 3, 3
+	limits.MaxDepth, limits.MaxScopes, limits.FanOut = 2, 3, 3
 	c, _, first, _, leaf := tree(t, limits)
 	empty := c.add(subscriber("empty", AllScopes(), limits))
 	for _, story := range []struct {
@@ -44,7 +44,7 @@
 			if !is || refused.Reason != story.reason {
 				t.Fatalf("answer %+v", refused)
 			}
-			if refused.RetryAfter < limits.BackoffLeast || refused.RetryAfter > limits.RetryMost {
+			if refused.RetryAfter < limits.MinBackoff || refused.RetryAfter > limits.MaxRetryAfter {
 				t.Errorf("retry after %d", refused.RetryAfter)
 			}
 		})
@@ -100,7 +100,7 @@
 	}
 	c.pass(second, tick)
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
-	c.pass(2*DefaultRetryMost, tick)
+	c.pass(2*DefaultMaxRetryAfter, tick)
 	c.fill(1)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, append(leaves, relay)...)
@@ -117,7 +117,7 @@
 
 func TestSnapshotsAreAdmittedAFewAtATime(t *testing.T) {
 	limits := DefaultLimits()
-	limits.Snapshots, limits.PieceBytes = 2, 100
+	limits.MaxSnapshots, limits.PieceBytes = 2, 100
 	c := newCluster()
 	v := c.add(voter("v", limits))
 	for i := range 100 {
@@ -128,14 +128,14 @@
 	for i := range 5 {
 		answer := c.ask(v, &Subscribe{Name: fmt.Sprint("x", i), Scopes: SomeScopes("a")})
 		refused, is := answer.(*Refused)
-		if is != (i >= limits.Snapshots) {
+		if is != (i >= limits.MaxSnapshots) {
 			t.Fatalf("answer %d: %+v", i, answer)
 		}
 		if is {
 			waits = append(waits, refused.RetryAfter)
 		}
 	}
-	if slices.Max(waits) > limits.RetryMost || slices.Min(waits) < second {
+	if slices.Max(waits) > limits.MaxRetryAfter || slices.Min(waits) < second {
 		t.Errorf("waits %v", waits)
 	}
 	version := v.node.Version()
@@ -214,7 +214,7 @@
 	for i := range 1000 {
 		leaf.node.learn([]string{fmt.Sprint("peer", i)}, i%2 == 0)
 	}
-	if len(leaf.node.candidates) != DefaultCandidates+1 {
+	if len(leaf.node.candidates) != DefaultMaxCandidates+1 {
 		t.Errorf("%d candidates", len(leaf.node.candidates))
 	}
 	if leaf.node.candidate("v") == nil || leaf.node.candidate("peer999") == nil {
@@ -258,6 +258,6 @@
 		}
 		c.now += second
 		v.node.Received(link, &Renew{Version: version}, c.now)
-		v.node.Elapsed(c.now)
+		v.node.Tick(c.now)
 	}
 }
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -37,7 +37,7 @@
 	if n.config.Voter {
 		return
 	}
-	if most := max(n.limits.Proposed, n.limits.DepthMost); len(peers) > most {
+	if most := max(n.limits.MaxProposed, n.limits.MaxDepth); len(peers) > most {
 		peers = peers[:most]
 	}
 	for _, peer := range peers {
@@ -52,7 +52,7 @@
 		}
 	}
 	n.candidates = slices.DeleteFunc(n.candidates, func(c candidate) bool {
-		if c.configured || learned <= n.limits.Candidates {
+		if c.configured || learned <= n.limits.MaxCandidates {
 			return false
 		}
 		learned--
@@ -80,7 +80,7 @@
 	if len(best) == 0 {
 		return ""
 	}
-	chosen := best[n.host.Chance()%uint64(len(best))]
+	chosen := best[n.host.Random()%uint64(len(best))]
 	chosen.proposed = false
 	return chosen.peer
 }
@@ -128,14 +128,14 @@
 
 // backoff is the longest wait after a number of failures in a row.
 func (n *Node) backoff(failures int) int64 {
-	wait := n.limits.BackoffLeast
+	wait := n.limits.MinBackoff
 	for range failures - 1 {
-		if wait >= n.limits.BackoffMost {
+		if wait >= n.limits.MaxBackoff {
 			break
 		}
 		wait *= 2
 	}
-	return min(wait, n.limits.BackoffMost)
+	return min(wait, n.limits.MaxBackoff)
 }
 
 // placeIsGood forgets failures once the parent has led this node to a current configuration.
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -22,12 +22,12 @@
 	limits := DefaultLimits()
 	limits.Heartbeat = modelStep
 	limits.Lease, limits.Handshake = 3*modelStep, 3*modelStep
-	limits.StaleMost = 4 * modelStep
-	limits.BackoffLeast, limits.BackoffMost, limits.RetryMost = 4*modelStep, 4*modelStep, 2*modelStep
-	limits.HedgeAfter = 2 * modelStep
+	limits.MaxStaleness = 4 * modelStep
+	limits.MinBackoff, limits.MaxBackoff, limits.MaxRetryAfter = 4*modelStep, 4*modelStep, 2*modelStep
+	limits.HedgeDelay = 2 * modelStep
 	limits.LogChanges, limits.Tombstones = 2, 1
 	limits.BatchBytes, limits.PieceBytes = 150, 1
-	limits.PaceBytes = mebibyte
+	limits.SnapshotBytesPerSecond = mebibyte
 	return limits
 }
 
@@ -133,7 +133,7 @@
 		if m.config.Voter && m.taken == len(c.record) && m.node.Version().Epoch == c.epoch {
 			m.node.Current(c.now)
 		}
-		m.node.Elapsed(c.now)
+		m.node.Tick(c.now)
 	}
 }
 
--- a/distribution/child.go
+++ b/distribution/child.go
@@ -53,16 +53,16 @@
 	u.request++
 	n.incoming = nil
 	m := &Subscribe{
-		Name:    n.config.Name,
-		Scopes:  n.config.Scopes,
-		Version: n.store.version,
-		Digest:  n.store.digest,
-		Whole:   n.doubted || !n.store.covered.Equal(n.config.Scopes),
-		FanOut:  n.limits.FanOut,
-		Request: u.request,
+		Name:         n.config.Name,
+		Scopes:       n.config.Scopes,
+		Version:      n.store.version,
+		Digest:       n.store.digest,
+		WantSnapshot: n.doubted || !n.store.covered.Equal(n.config.Scopes),
+		FanOut:       n.limits.FanOut,
+		Request:      u.request,
 	}
 	if n.store.version.Before(n.config.Floor) {
-		m.Version, m.Whole = n.config.Floor, true
+		m.Version, m.WantSnapshot = n.config.Floor, true
 	}
 	if n.faults.takeOlder {
 		m.Version = Version{}
@@ -216,7 +216,7 @@
 		n.conflict(u, now)
 	case n.older(version) && !n.faults.takeOlder:
 		n.refuseOlder(u.peer, version)
-		n.leave(CloseStale, now)
+		n.leave(CloseBetterParent, now)
 	default:
 		return true
 	}
@@ -283,7 +283,7 @@
 
 // pathFits tells whether a parent with this path can be this node's: it isn't below this node, nor too deep.
 func (n *Node) pathFits(path []string) bool {
-	return len(path) > 0 && len(path) <= n.limits.DepthMost && !slices.Contains(path, n.config.Name)
+	return len(path) > 0 && len(path) <= n.limits.MaxDepth && !slices.Contains(path, n.config.Name)
 }
 
 // setPath takes the parent's path over, and tells the children at once if it is another.
@@ -305,7 +305,7 @@
 
 // gap answers a message that doesn't follow what this node has: it asks for what leads on from there.
 func (n *Node) gap(u *upstream, now int64) {
-	n.counts.Gaps++
+	n.counts.GapsSeen++
 	n.host.Log(Event{Kind: EventGap, Peer: u.peer, Version: n.store.version})
 	n.mend(u, now)
 }
@@ -342,7 +342,7 @@
 // conflict leaves one whose epoch was founded beside this node's.
 func (n *Node) conflict(u *upstream, now int64) {
 	n.host.Log(Event{Kind: EventEpochConflict, Peer: u.peer, Version: n.store.version})
-	n.avoid(u.peer, now+n.limits.RetryMost)
+	n.avoid(u.peer, now+n.limits.MaxRetryAfter)
 	if u == n.parent {
 		n.leave(CloseConflict, now)
 		return
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -41,7 +41,7 @@
 	c.deliver(conn, 0, true)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
-	if counts := leaf.node.Status(c.now).Counts; counts.Gaps != 1 || counts.SnapshotsTaken != snapshots {
+	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 || counts.SnapshotsTaken != snapshots {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -53,7 +53,7 @@
 	c.deliver(c.only(t, leaf), 0, true)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
-	if counts := leaf.node.Status(c.now).Counts; counts.Gaps != 1 {
+	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -163,7 +163,7 @@
 	for i := range 20 {
 		before := v.sent
 		c.pass(second, tick)
-		if bytes := v.sent - before; i > 0 && bytes > limits.PaceBytes+limits.PieceBytes+2048 {
+		if bytes := v.sent - before; i > 0 && bytes > limits.SnapshotBytesPerSecond+limits.PieceBytes+2048 {
 			t.Fatalf("%d bytes in a second", bytes)
 		}
 	}
@@ -176,7 +176,7 @@
 // A pace above a window for each call of Elapsed is made use of: what a child confirms lets the next pieces go.
 func TestFastPace(t *testing.T) {
 	limits := DefaultLimits()
-	limits.PaceBytes = 16 * mebibyte
+	limits.SnapshotBytesPerSecond = 16 * mebibyte
 	c := newCluster()
 	v := c.add(voter("v", limits))
 	for i := range 400 {
@@ -194,11 +194,11 @@
 // A pause of hours, as of a machine that was suspended, gives no more credit than a second does.
 func TestPaceAfterAPause(t *testing.T) {
 	limits := DefaultLimits()
-	limits.PaceBytes = 1 << 30
+	limits.SnapshotBytesPerSecond = 1 << 30
 	n := &Node{limits: limits}
 	for _, pause := range []int64{second, 24 * 3600 * second, 365 * 24 * 3600 * second} {
 		n.credit = 0
-		if n.refill(n.refilledAt + pause); n.credit != int64(limits.PaceBytes)/creditsPerSecond*microsecondsPerSecond {
+		if n.refill(n.refilledAt + pause); n.credit != int64(limits.SnapshotBytesPerSecond)/creditsPerSecond*microsecondsPerSecond {
 			t.Errorf("after %d s: a credit of %d", pause/second, n.credit)
 		}
 	}
@@ -289,7 +289,7 @@
 	c.pass(3*second, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
-	if after.SnapshotsTaken != before.SnapshotsTaken || after.Gaps != 0 || after.WrongDigests != 0 {
+	if after.SnapshotsTaken != before.SnapshotsTaken || after.GapsSeen != 0 || after.WrongDigests != 0 {
 		t.Errorf("counts %+v", after)
 	}
 	if batches := after.DeltasTaken - before.DeltasTaken; batches < 20 || batches > 100 {
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -13,17 +13,17 @@
 
 // Reasons to close a link.
 const (
-	CloseSilent     CloseReason = iota + 1 // the peer said nothing for a lease
-	CloseNotChosen                         // another parent admitted first
-	CloseReplaced                          // the child subscribed anew on another link
-	CloseRefused                           // the place was refused
-	CloseTimedOut                          // dial, admission or subscription took too long
-	CloseStale                             // a better parent was found
-	CloseLoop                              // the node is among its own ancestors, or too deep
-	CloseConflict                          // the parent has an epoch of the same number founded by others
-	CloseNotCovered                        // the parent no longer covers the child's scopes
-	CloseMalformed                         // a message breaks a rule
-	CloseTooLarge                          // the state would pass the bound
+	CloseSilent       CloseReason = iota + 1 // the peer said nothing for a lease
+	CloseNotChosen                           // another parent admitted first
+	CloseReplaced                            // the child subscribed anew on another link
+	CloseRefused                             // the place was refused
+	CloseTimedOut                            // dial, admission or subscription took too long
+	CloseBetterParent                        // a better parent was found
+	CloseLoop                                // the node is among its own ancestors, or too deep
+	CloseConflict                            // the parent has an epoch of the same number founded by others
+	CloseNotCovered                          // the parent no longer covers the child's scopes
+	CloseMalformed                           // a message breaks a rule
+	CloseTooLarge                            // the state would pass the bound
 )
 
 var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "stale", "loop",
@@ -44,15 +44,15 @@
 	EventChildLost                          // the child Peer is gone or was closed, for Close
 	EventGap                                // a message of Peer does not follow what this node has
 	EventWrongDigest                        // a message of Peer ends in another digest; nothing of it was applied
-	EventOlder                              // a message of Peer, or a change, is older than what this node has; refused
+	EventOlderRefused                       // a message of Peer, or a change, is older than what this node has; refused
 	EventEpochConflict                      // Peer has another epoch with the same number; refused
 	EventSnapshotSent                       // a snapshot to Peer is complete
 	EventSnapshotTaken                      // a snapshot of Peer was taken over
 	EventCompacted                          // changes up to Version have left the log
 	EventMalformed                          // a message of Peer breaks a rule
 	EventTooLarge                           // what Peer sent would pass the bound on the state; refused
-	EventStale                              // the source has not been known to be current for StaleMost
-	EventCurrent                            // it is again
+	EventSourceStale                        // the source has not been known to be current for MaxStaleness
+	EventSourceCurrent                      // it is again
 )
 
 var eventNames = [...]string{"none", "admitted", "refused by parent", "parent lost", "child admitted", "child refused",
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -67,7 +67,7 @@
 		c.expectCaughtUp(t, first, leaf)
 	}
 	status := leaf.node.Status(c.now)
-	if status.Counts.SnapshotsTaken != snapshots || status.Counts.Gaps != 0 {
+	if status.Counts.SnapshotsTaken != snapshots || status.Counts.GapsSeen != 0 {
 		t.Errorf("counts %+v", status.Counts)
 	}
 	if want := []string{"v", "first"}; fmt.Sprint(status.Path) != fmt.Sprint(want) {
@@ -143,7 +143,7 @@
 	}
 	c.heal(ahead, leaf)
 	c.fill(1)
-	c.pass(DefaultStaleMost+DefaultRetryMost, tick)
+	c.pass(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
 	c.expectCaughtUp(t, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "ahead" {
 		t.Errorf("it stays with %q, which lags", parent)
@@ -189,8 +189,8 @@
 	if tried := status.Counts.Dials - dials; tried > 6 {
 		t.Errorf("%d dials, and no parent is better", tried)
 	}
-	if leaf.count(EventStale) != 1 {
-		t.Errorf("stale was logged %d times", leaf.count(EventStale))
+	if leaf.count(EventSourceStale) != 1 {
+		t.Errorf("stale was logged %d times", leaf.count(EventSourceStale))
 	}
 	v.leads = true
 	c.fill(1)
@@ -199,8 +199,8 @@
 	if age := leaf.node.Status(c.now).Age; age > 3*second_ {
 		t.Errorf("age %d µs after the majority is back", age)
 	}
-	if leaf.count(EventCurrent) != 1 {
-		t.Errorf("current was logged %d times", leaf.count(EventCurrent))
+	if leaf.count(EventSourceCurrent) != 1 {
+		t.Errorf("current was logged %d times", leaf.count(EventSourceCurrent))
 	}
 }
 
@@ -286,7 +286,7 @@
 	c := newCluster()
 	c.random = true
 	limits := DefaultLimits()
-	limits.FanOut, limits.Snapshots = 4, 2
+	limits.FanOut, limits.MaxSnapshots = 4, 2
 	v := c.add(voter("v", limits))
 	c.fill(40)
 	const subscribers = 40
@@ -306,7 +306,7 @@
 				}
 			}
 			for _, m := range c.members {
-				if due := m.node.snapshotsDue(); due > limits.Snapshots {
+				if due := m.node.snapshotsDue(); due > limits.MaxSnapshots {
 					t.Fatalf("%s has %d snapshots under way", m.config.Name, due)
 				}
 			}
@@ -317,7 +317,7 @@
 		if places := len(m.node.Status(c.now).Children); places > limits.FanOut {
 			t.Errorf("%s has %d children", m.config.Name, places)
 		}
-		if depth := len(m.node.Status(c.now).Path); depth > limits.DepthMost {
+		if depth := len(m.node.Status(c.now).Path); depth > limits.MaxDepth {
 			t.Errorf("%s is %d deep", m.config.Name, depth)
 		}
 	}
--- a/distribution/feed.go
+++ b/distribution/feed.go
@@ -77,7 +77,7 @@
 		}
 	}
 	for _, c := range n.children {
-		if underWay >= n.limits.Snapshots {
+		if underWay >= n.limits.MaxSnapshots {
 			return
 		}
 		if !c.needs || n.ahead(c) {
@@ -110,12 +110,12 @@
 			left += c.snapshot.left
 		}
 	}
-	return int64(left) * microsecondsPerSecond / int64(max(n.limits.PaceBytes, 1))
+	return int64(left) * microsecondsPerSecond / int64(max(n.limits.SnapshotBytesPerSecond, 1))
 }
 
 // refill lets the credit of the snapshots grow with time, up to a piece or a part of a second.
 func (n *Node) refill(now int64) {
-	pace := int64(n.limits.PaceBytes)
+	pace := int64(n.limits.SnapshotBytesPerSecond)
 	most := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
 	passed := min(now-n.refilledAt, second) // more adds nothing, and could overflow after a long pause
 	n.credit = min(n.credit+passed*pace, most)
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -16,8 +16,8 @@
 	// Version and Digest are what the child has.
 	Version Version `cbor:"3,keyasint,omitempty"`
 	Digest  Digest  `cbor:"4,keyasint,omitempty"`
-	// Whole asks for a snapshot also where deltas would do: what the child has is in doubt, or of other scopes.
-	Whole bool `cbor:"5,keyasint,omitempty"`
+	// WantSnapshot asks for a snapshot also where deltas would do: what the child has is in doubt, or of other scopes.
+	WantSnapshot bool `cbor:"5,keyasint,omitempty"`
 	// FanOut is how many children the sender would take itself; with none it is proposed to nobody as a parent.
 	FanOut int `cbor:"6,keyasint,omitempty"`
 	// Request numbers the requests of the child; the answer repeats it, so that the child knows which one it answers.
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -255,8 +255,8 @@
 	}
 }
 
-// Chance implements Host.
-func (m *member) Chance() uint64 {
+// Random implements Host.
+func (m *member) Random() uint64 {
 	if !m.cluster.random {
 		return 0
 	}
@@ -451,7 +451,7 @@
 			c.follow(m, len(c.record))
 			m.node.Current(c.now)
 		}
-		m.node.Elapsed(c.now)
+		m.node.Tick(c.now)
 	}
 }
 
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -23,8 +23,8 @@
 	Apply(change Change, whole bool)
 	// Log tells an event.
 	Log(event Event)
-	// Chance draws a random number, for jitter and choices.
-	Chance() uint64
+	// Random draws a random number, for jitter and choices.
+	Random() uint64
 }
 
 // Config is what a node is started with.
@@ -41,18 +41,18 @@
 
 // Counts are totals since the start of a node.
 type Counts struct {
-	DeltasSent     uint64
-	DeltasTaken    uint64
-	ChangesTaken   uint64
-	SnapshotsSent  uint64 // whole ones
-	SnapshotsTaken uint64
-	Refusals       uint64 // given to children
-	RefusedBy      uint64 // got from parents
-	Gaps           uint64
-	WrongDigests   uint64
-	Older          uint64 // messages refused for being older
-	ParentsLost    uint64
-	Dials          uint64
+	DeltasSent       uint64
+	DeltasTaken      uint64
+	ChangesTaken     uint64
+	SnapshotsSent    uint64 // whole ones
+	SnapshotsTaken   uint64
+	Refusals         uint64 // given to children
+	RefusedByParents uint64 // got from parents
+	GapsSeen         uint64
+	WrongDigests     uint64
+	OlderRefused     uint64 // messages refused for being older
+	ParentsLost      uint64
+	Dials            uint64
 }
 
 // Status is what a node can say about itself.
@@ -122,7 +122,7 @@
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
-	n.nextDial += n.jitter(n.limits.BackoffLeast) // many may start at once
+	n.nextDial += n.jitter(n.limits.MinBackoff) // many may start at once
 	return n
 }
 
@@ -176,8 +176,8 @@
 // Compact drops changes up to a revision from the log, and tombstones up to it, besides what the limits drop.
 func (n *Node) Compact(revision uint64) { n.store.compactTo(revision) }
 
-// Elapsed lets time pass. The host calls it some ten times a second.
-func (n *Node) Elapsed(now int64) {
+// Tick lets time pass. The host calls it some ten times a second.
+func (n *Node) Tick(now int64) {
 	n.watchParent(now)
 	n.watchAttempts(now)
 	n.watchChildren(now)
@@ -261,14 +261,14 @@
 
 // noteStale logs when the source falls out of date, and when it is back.
 func (n *Node) noteStale(now int64) {
-	stale := n.everCurrent && n.age(now) > n.limits.StaleMost
+	stale := n.everCurrent && n.age(now) > n.limits.MaxStaleness
 	if stale == n.stale {
 		return
 	}
 	n.stale = stale
-	kind := EventCurrent
+	kind := EventSourceCurrent
 	if stale {
-		kind = EventStale
+		kind = EventSourceStale
 	}
 	n.host.Log(Event{Kind: kind, Version: n.store.version})
 }
@@ -290,8 +290,8 @@
 
 // refuseOlder notes that something older than what the node has was not taken.
 func (n *Node) refuseOlder(peer string, version Version) {
-	n.counts.Older++
-	n.host.Log(Event{Kind: EventOlder, Peer: peer, Version: version})
+	n.counts.OlderRefused++
+	n.host.Log(Event{Kind: EventOlderRefused, Peer: peer, Version: version})
 }
 
 // apply takes over changes that were prepared, one after the other and each of them whole.
@@ -334,5 +334,5 @@
 	if most <= 0 {
 		return 0
 	}
-	return int64(n.host.Chance() % uint64(most))
+	return int64(n.host.Random() % uint64(most))
 }
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -135,7 +135,7 @@
 // waits for it, also for a snapshot.
 func (n *Node) needsSnapshot(m *Subscribe) bool {
 	have := n.store.version
-	if m.Whole || have.Epoch.Newer(m.Version.Epoch) {
+	if m.WantSnapshot || have.Epoch.Newer(m.Version.Epoch) {
 		return true
 	}
 	if m.Version.Epoch != have.Epoch || m.Version.Revision > have.Revision {
@@ -157,7 +157,7 @@
 		return RefusedFull
 	}
 	waits := n.store.version.Before(m.Version)
-	if !waits && n.needsSnapshot(m) && n.snapshotsDue() >= n.limits.Snapshots {
+	if !waits && n.needsSnapshot(m) && n.snapshotsDue() >= n.limits.MaxSnapshots {
 		return RefusedBusy
 	}
 	return 0
@@ -195,11 +195,11 @@
 // breach tells by which rule a place is refused whether or not there is one left.
 func (n *Node) breach(m *Subscribe) RefusalReason {
 	switch path := n.path(); {
-	case m.Name == "" || len(m.Name) > nameMost || len(m.Scopes.Names) > n.limits.ScopesMost || !m.Scopes.wellFormed():
+	case m.Name == "" || len(m.Name) > nameMost || len(m.Scopes.Names) > n.limits.MaxScopes || !m.Scopes.wellFormed():
 		return RefusedMalformed
 	case slices.Contains(path, m.Name):
 		return RefusedLoop
-	case len(path) > n.limits.DepthMost:
+	case len(path) > n.limits.MaxDepth:
 		return RefusedTooDeep
 	case !n.store.version.Epoch.Known():
 		return RefusedEmpty
@@ -221,14 +221,14 @@
 
 // retryAfter is when a refused child may come again, with jitter so that those refused together don't come together.
 func (n *Node) retryAfter(reason RefusalReason) int64 {
-	least := n.limits.RetryMost / 2
+	least := n.limits.MaxRetryAfter / 2
 	switch reason {
 	case RefusedBusy:
 		least = min(n.snapshotsLeft(), least)
 	case RefusedEmpty:
-		least = n.limits.BackoffMost / 2
+		least = n.limits.MaxBackoff / 2
 	}
-	least = max(least, n.limits.BackoffLeast)
+	least = max(least, n.limits.MinBackoff)
 	return least + n.jitter(least)
 }
 
@@ -238,10 +238,10 @@
 	if len(n.children) == 0 {
 		return nil
 	}
-	first := int(n.host.Chance() % uint64(len(n.children)))
+	first := int(n.host.Random() % uint64(len(n.children)))
 	for i := range n.children {
 		c := n.children[(first+i)%len(n.children)]
-		if len(names) == n.limits.Proposed {
+		if len(names) == n.limits.MaxProposed {
 			break
 		}
 		if c.fanOut > 0 && c.name != m.Name && c.scopes.Cover(m.Scopes) {
--- a/distribution/seek.go
+++ b/distribution/seek.go
@@ -36,7 +36,7 @@
 		if now >= n.nextDial {
 			n.dial(now)
 		}
-	case n.parent == nil && asked < attemptsMost && now-n.attempts[asked-1].since >= n.limits.HedgeAfter:
+	case n.parent == nil && asked < attemptsMost && now-n.attempts[asked-1].since >= n.limits.HedgeDelay:
 		n.dial(now)
 	}
 }
@@ -47,7 +47,7 @@
 	if u == nil {
 		return true
 	}
-	if u.behind && now-u.behindSince >= n.limits.StaleMost {
+	if u.behind && now-u.behindSince >= n.limits.MaxStaleness {
 		return true
 	}
 	good := u.admittedAt
@@ -57,7 +57,7 @@
 	if n.incoming != nil {
 		good = max(good, n.incoming.progressAt)
 	}
-	return now-good >= n.limits.StaleMost
+	return now-good >= n.limits.MaxStaleness
 }
 
 // dial tries one of the candidates, if there is one that may be tried now.
@@ -136,7 +136,7 @@
 // choose makes an attempt the parent, and ends the others.
 func (n *Node) choose(u *upstream, now int64) {
 	if n.parent != nil {
-		n.leave(CloseStale, now)
+		n.leave(CloseBetterParent, now)
 	}
 	n.dropAttempt(u)
 	for _, other := range n.attempts {
@@ -157,9 +157,9 @@
 	}
 	n.host.Close(u.link, reason)
 	n.dropAttempt(u)
-	again := now + n.limits.RetryMost/2 + n.jitter(n.limits.RetryMost/2)
+	again := now + n.limits.MaxRetryAfter/2 + n.jitter(n.limits.MaxRetryAfter/2)
 	n.avoid(u.peer, again)
-	n.nextDial = now + n.jitter(n.limits.BackoffLeast)
+	n.nextDial = now + n.jitter(n.limits.MinBackoff)
 	if n.parent != nil {
 		n.nextDial = again
 	}
@@ -167,7 +167,7 @@
 
 // refusedBy handles a refusal: the peer is left alone as long as it says, and those it names are tried soon.
 func (n *Node) refusedBy(u *upstream, m *Refused, now int64) {
-	n.counts.RefusedBy++
+	n.counts.RefusedByParents++
 	n.host.Log(Event{Kind: EventRefusedBy, Peer: u.peer, Version: n.store.version, Refusal: m.Reason})
 	n.host.Close(u.link, CloseRefused)
 	if u == n.parent {
@@ -175,12 +175,12 @@
 	} else {
 		n.dropAttempt(u)
 	}
-	n.avoid(u.peer, now+min(max(m.RetryAfter, n.limits.BackoffLeast), 2*n.limits.RetryMost))
+	n.avoid(u.peer, now+min(max(m.RetryAfter, n.limits.MinBackoff), 2*n.limits.MaxRetryAfter))
 	n.learn(m.Candidates, true)
 	n.refusals++
 	n.nextDial = now + n.jitter(n.backoff(1+n.refusals/refusalsPerBackoff))
 	if n.parent != nil {
-		n.nextDial += n.limits.RetryMost / 2
+		n.nextDial += n.limits.MaxRetryAfter / 2
 	}
 }
 
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -45,7 +45,7 @@
 
 func newUnrest(seed uint64) *unrest {
 	limits := DefaultLimits()
-	limits.FanOut, limits.Snapshots = 3, 2
+	limits.FanOut, limits.MaxSnapshots = 3, 2
 	limits.LogChanges, limits.Tombstones = 30, 5
 	limits.BatchBytes, limits.PieceBytes = 400, 300
 	leafLimits := limits
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -237,7 +237,7 @@
 	t.Run("the majority is lost: all keep what they have, and say how old it is", func(t *testing.T) {
 		voters[0].stop()
 		for _, p := range all {
-			until(t, p.name+" says so", func() bool { return p.told(distribution.EventStale) })
+			until(t, p.name+" says so", func() bool { return p.told(distribution.EventSourceStale) })
 		}
 		everywhere(last)
 		if relay.has() != "pricing/0=1 pricing/1=2" {
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -34,7 +34,7 @@
 func quick(fanOut int) distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.Heartbeat, limits.Lease, limits.Handshake = 50_000, 400_000, 500_000
-	limits.StaleMost, limits.HedgeAfter, limits.BackoffLeast = 1_000_000, 150_000, 20_000
+	limits.MaxStaleness, limits.HedgeDelay, limits.MinBackoff = 1_000_000, 150_000, 20_000
 	limits.FanOut = fanOut
 	return limits
 }
@@ -188,11 +188,11 @@
 
 // record stands for the voters' record: what is accepted goes to each of them.
 type record struct {
-	state  *distribution.VoterState
+	state  *distribution.Record
 	voters []*peer
 }
 
-func newRecord(voters ...*peer) *record { return &record{distribution.NewVoterState(), voters} }
+func newRecord(voters ...*peer) *record { return &record{distribution.NewRecord(), voters} }
 
 var epoch = distribution.Epoch{Number: 1, Identity: 1}
 
@@ -206,7 +206,7 @@
 		entries = append(entries, e)
 	}
 	founds := r.state.Empty()
-	change, err := r.state.Accept(distribution.Proposal{Epoch: epoch, AcceptedAt: 1, Entries: entries})
+	change, err := r.state.Apply(distribution.Proposal{Epoch: epoch, AcceptedAt: 1, Entries: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -144,7 +144,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.node.Elapsed(c.now())
+			c.node.Tick(c.now())
 			tick.Reset(c.bounds.Tick)
 		case e := <-c.mail:
 			c.take(e)
@@ -325,5 +325,5 @@
 	}
 }
 
-// Chance implements distribution.Host.
-func (h host) Chance() uint64 { return rand.Uint64() }
+// Random implements distribution.Host.
+func (h host) Random() uint64 { return rand.Uint64() }
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -149,12 +149,12 @@
 	s := n.subscriber(t, "s", 0, "v0")
 	until(t, "it is current", func() bool { status := s.status(t); return s.has() == "pricing/a=1" && status.Age >= 0 })
 	lost()
-	until(t, "it tells that what it has is old", func() bool { return s.told(distribution.EventStale) })
+	until(t, "it tells that what it has is old", func() bool { return s.told(distribution.EventSourceStale) })
 	if s.has() != "pricing/a=1" || s.status(t).Age < 900_000 {
 		t.Errorf("has %s, %+v", s.has(), s.status(t))
 	}
 	r.leads(t)
-	until(t, "it is current again", func() bool { return s.told(distribution.EventCurrent) })
+	until(t, "it is current again", func() bool { return s.told(distribution.EventSourceCurrent) })
 	if s.snapshots() != 1 {
 		t.Errorf("%d snapshots", s.snapshots())
 	}
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -54,7 +54,7 @@
 		Entries: []distribution.Entry{set, deleted}}
 	all := []wireMessage{
 		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Version: at, Digest: digest,
-			Whole: true, FanOut: 16, Request: 3}, true},
+			WantSnapshot: true, FanOut: 16, Request: 3}, true},
 		{"subscribe, the least", &distribution.Subscribe{}, false},
 		{"subscribe, two scopes", &distribution.Subscribe{Name: "s17", Scopes: distribution.SomeScopes("pricing", "orders"), Request: 1}, false},
 		{"admitted, every field", &distribution.Admitted{Lease: 1_800_000, Version: at, Path: path, Age: 250_000, Candidates: others,
--- a/distribution/voter.go
+++ b/distribution/voter.go
@@ -17,34 +17,34 @@
 
 // Why a proposal is refused.
 var (
-	ErrNoEpoch   = errors.New("neither the record nor the proposal has an epoch")
-	ErrMoved     = errors.New("the record has changed since")
-	ErrNothing   = errors.New("it changes nothing")
-	ErrMalformed = errors.New("an entry has no scope or name, or is there twice")
-	ErrTooLarge  = errors.New("it is over the bound on a change")
-	ErrFull      = errors.New("the configuration would be over its bound")
+	ErrNoEpoch         = errors.New("neither the record nor the proposal has an epoch")
+	ErrVersionMismatch = errors.New("the record has changed since")
+	ErrNoChange        = errors.New("it changes nothing")
+	ErrMalformed       = errors.New("an entry has no scope or name, or is there twice")
+	ErrTooLarge        = errors.New("it is over the bound on a change")
+	ErrFull            = errors.New("the configuration would be over its bound")
 )
 
 // Bounds on what the voters accept. They are the same at all voters, as each works out alone what is accepted.
 const (
-	MostChangeBytes = 512 * kibibyte
-	MostKeyBytes    = 512 // of a scope, and of a name
-	MostStateBytes  = DefaultStateBytes
+	MaxChangeBytes = 512 * kibibyte
+	MaxKeyBytes    = 512 // of a scope, and of a name
+	MaxStateBytes  = DefaultStateBytes
 )
 
-// VoterState is the configuration as the record of the voters has it: the same at each of them once the same proposals
+// Record is the configuration as the record of the voters has it: the same at each of them once the same proposals
 // were accepted in the same order.
-type VoterState struct {
+type Record struct {
 	store *store
 }
 
-// NewVoterState is a record without an epoch: the first change that is accepted brings it, so that no record is handed
+// NewRecord is a record without an epoch: the first change that is accepted brings it, so that no record is handed
 // out that is empty only because the one before it was lost.
-func NewVoterState() *VoterState { return &VoterState{newStore(Version{}, AllScopes())} }
+func NewRecord() *Record { return &Record{newStore(Version{}, AllScopes())} }
 
-// RestoreVoterState is a record as a snapshot has it.
-func RestoreVoterState(state State) *VoterState {
-	v := &VoterState{newStore(state.Version, AllScopes())}
+// RestoreRecord is a record as a snapshot has it.
+func RestoreRecord(state State) *Record {
+	v := &Record{newStore(state.Version, AllScopes())}
 	for _, e := range state.Entries {
 		v.store.set(e)
 	}
@@ -52,11 +52,11 @@
 	return v
 }
 
-// Accept makes a proposal the next revision, or refuses it whole.
-func (v *VoterState) Accept(p Proposal) (Change, error) {
+// Apply makes a proposal the next revision, or refuses it whole.
+func (v *Record) Apply(p Proposal) (Change, error) {
 	version := v.store.version
 	if p.Conditional && p.Base != version {
-		return Change{}, ErrMoved
+		return Change{}, ErrVersionMismatch
 	}
 	if !version.Epoch.Known() {
 		version.Epoch = p.Epoch
@@ -70,7 +70,7 @@
 		return Change{}, err
 	}
 	prepared := v.store.prepare([]Change{change})
-	if prepared.bytes > MostStateBytes {
+	if prepared.bytes > MaxStateBytes {
 		return Change{}, ErrFull
 	}
 	v.store.version.Epoch = version.Epoch
@@ -82,13 +82,13 @@
 }
 
 // effective checks the entries of a proposal, and leaves out deletions of what is not there.
-func (v *VoterState) effective(proposed []Entry) ([]Entry, error) {
+func (v *Record) effective(proposed []Entry) ([]Entry, error) {
 	var entries []Entry
 	size := 0
 	seen := make(map[Key]bool, len(proposed))
 	for _, e := range proposed {
 		key := e.Key()
-		if e.Scope == "" || e.Name == "" || len(e.Scope) > MostKeyBytes || len(e.Name) > MostKeyBytes || seen[key] {
+		if e.Scope == "" || e.Name == "" || len(e.Scope) > MaxKeyBytes || len(e.Name) > MaxKeyBytes || seen[key] {
 			return nil, ErrMalformed
 		}
 		seen[key] = true
@@ -102,21 +102,21 @@
 		size += clean.size()
 	}
 	switch {
-	case size > MostChangeBytes:
+	case size > MaxChangeBytes:
 		return nil, ErrTooLarge
 	case len(entries) == 0:
-		return nil, ErrNothing
+		return nil, ErrNoChange
 	}
 	return entries, nil
 }
 
-func (v *VoterState) has(key Key) bool {
+func (v *Record) has(key Key) bool {
 	e, found := v.store.lookup(key)
 	return found && !e.Deleted
 }
 
 // Difference is the proposal that leads from the record to just the wanted entries. It has no entries if nothing differs.
-func (v *VoterState) Difference(wanted []Entry) Proposal {
+func (v *Record) Difference(wanted []Entry) Proposal {
 	p := Proposal{Conditional: true, Base: v.store.version}
 	stay := make(map[Key]bool, len(wanted))
 	for _, e := range wanted {
@@ -135,13 +135,13 @@
 }
 
 // Version is the record's position.
-func (v *VoterState) Version() Version { return v.store.version }
+func (v *Record) Version() Version { return v.store.version }
 
 // Digest is that of all entries.
-func (v *VoterState) Digest() Digest { return v.store.digest }
+func (v *Record) Digest() Digest { return v.store.digest }
 
 // State is the whole record, for a snapshot. Its entries do not change with later proposals.
-func (v *VoterState) State() State { return v.store.state() }
+func (v *Record) State() State { return v.store.state() }
 
 // Empty tells whether nothing was ever accepted, so that a snapshot has nothing to keep.
-func (v *VoterState) Empty() bool { return !v.store.version.Epoch.Known() }
+func (v *Record) Empty() bool { return !v.store.version.Epoch.Known() }
--- a/distribution/voter_test.go
+++ b/distribution/voter_test.go
@@ -9,18 +9,18 @@
 
 func value(text string) []byte { return []byte(text) }
 
-func founded(t *testing.T) *VoterState {
+func founded(t *testing.T) *Record {
 	t.Helper()
-	v := NewVoterState()
+	v := NewRecord()
 	accepts(t, v, Entry{Scope: "first", Name: "first"})
 	return v
 }
 
 var epoch = Epoch{Number: 7, Identity: 1}
 
-func accepts(t *testing.T, v *VoterState, entries ...Entry) Change {
+func accepts(t *testing.T, v *Record, entries ...Entry) Change {
 	t.Helper()
-	change, err := v.Accept(Proposal{Epoch: epoch, AcceptedAt: 5, Entries: entries})
+	change, err := v.Apply(Proposal{Epoch: epoch, AcceptedAt: 5, Entries: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,11 +28,11 @@
 }
 
 func TestVoterState(t *testing.T) {
-	v := NewVoterState()
-	if _, err := v.Accept(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNoEpoch) {
+	v := NewRecord()
+	if _, err := v.Apply(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNoEpoch) {
 		t.Errorf("without an epoch: %v", err)
 	}
-	if _, err := v.Accept(Proposal{Epoch: epoch}); !errors.Is(err, ErrNothing) || !v.Empty() {
+	if _, err := v.Apply(Proposal{Epoch: epoch}); !errors.Is(err, ErrNoChange) || !v.Empty() {
 		t.Errorf("a refused proposal gave the record its epoch: %v", err)
 	}
 	change := accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
@@ -40,12 +40,12 @@
 		t.Errorf("accepted as %+v", change)
 	}
 	seen := v.Version()
-	if _, err := v.Accept(Proposal{Epoch: Epoch{Number: 9}, Entries: []Entry{{Scope: "s", Name: "a", Deleted: true}}}); err != nil {
+	if _, err := v.Apply(Proposal{Epoch: Epoch{Number: 9}, Entries: []Entry{{Scope: "s", Name: "a", Deleted: true}}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, base := range []Version{seen, {}} {
 		p := Proposal{Conditional: true, Base: base, Entries: []Entry{{Scope: "s", Name: "c"}}}
-		if _, err := v.Accept(p); !errors.Is(err, ErrMoved) {
+		if _, err := v.Apply(p); !errors.Is(err, ErrVersionMismatch) {
 			t.Errorf("on an older base: %v", err)
 		}
 	}
@@ -55,24 +55,24 @@
 }
 
 func TestVoterStateRefusesWhole(t *testing.T) {
-	large := Entry{Scope: "s", Name: "large", Value: make([]byte, MostChangeBytes)}
+	large := Entry{Scope: "s", Name: "large", Value: make([]byte, MaxChangeBytes)}
 	for name, refused := range map[string]struct {
 		entries []Entry
 		why     error
 	}{
-		"nothing":                   {nil, ErrNothing},
-		"deletes what is not there": {[]Entry{{Scope: "s", Name: "x", Deleted: true}}, ErrNothing},
+		"nothing":                   {nil, ErrNoChange},
+		"deletes what is not there": {[]Entry{{Scope: "s", Name: "x", Deleted: true}}, ErrNoChange},
 		"no scope":                  {[]Entry{{Scope: "s", Name: "b"}, {Name: "a"}}, ErrMalformed},
 		"no name":                   {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s"}}, ErrMalformed},
 		"twice":                     {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s", Name: "b"}}, ErrMalformed},
-		"long name":                 {[]Entry{{Scope: "s", Name: strings.Repeat("n", MostKeyBytes+1)}}, ErrMalformed},
+		"long name":                 {[]Entry{{Scope: "s", Name: strings.Repeat("n", MaxKeyBytes+1)}}, ErrMalformed},
 		"too large":                 {[]Entry{{Scope: "s", Name: "b"}, large}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := founded(t)
 			accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")})
 			version, digest := v.Version(), v.Digest()
-			if _, err := v.Accept(Proposal{Entries: refused.entries}); !errors.Is(err, refused.why) {
+			if _, err := v.Apply(Proposal{Entries: refused.entries}); !errors.Is(err, refused.why) {
 				t.Errorf("got %v", err)
 			}
 			if v.Version() != version || v.Digest() != digest {
@@ -84,11 +84,11 @@
 
 func TestVoterStateFull(t *testing.T) {
 	v := founded(t)
-	body := make([]byte, MostChangeBytes/2)
+	body := make([]byte, MaxChangeBytes/2)
 	for i := 0; ; i++ {
 		before := v.Version()
-		_, err := v.Accept(Proposal{Entries: []Entry{{Scope: "s", Name: fmt.Sprint(i), Value: body}}})
-		if err == nil && i <= MostStateBytes/len(body) {
+		_, err := v.Apply(Proposal{Entries: []Entry{{Scope: "s", Name: fmt.Sprint(i), Value: body}}})
+		if err == nil && i <= MaxStateBytes/len(body) {
 			continue
 		}
 		if !errors.Is(err, ErrFull) || v.Version() != before {
@@ -113,7 +113,7 @@
 	if got := strings.Join(names, " "); got != "otherfalse newfalse gonetrue" || p.Base != v.Version() {
 		t.Errorf("proposes %s on %+v", got, p.Base)
 	}
-	if _, err := v.Accept(p); err != nil {
+	if _, err := v.Apply(p); err != nil {
 		t.Fatal(err)
 	}
 	if p := v.Difference(wanted); len(p.Entries) != 0 {
@@ -127,15 +127,15 @@
 	accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
 	accepts(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
 	kept := v.State()
-	other := RestoreVoterState(kept)
-	for _, state := range []*VoterState{v, other} {
+	other := RestoreRecord(kept)
+	for _, state := range []*Record{v, other} {
 		accepts(t, state, Entry{Scope: "s", Name: "a", Value: value("3")})
 		accepts(t, state, Entry{Scope: "r", Name: "b", Deleted: true})
 	}
 	if v.Version() != other.Version() || v.Digest() != other.Digest() || fmt.Sprint(v.State()) != fmt.Sprint(other.State()) {
 		t.Errorf("%+v\n%+v", v.State(), other.State())
 	}
-	if again := RestoreVoterState(kept); again.Version().Revision != 3 || len(kept.Entries) != 3 {
+	if again := RestoreRecord(kept); again.Version().Revision != 3 || len(kept.Entries) != 3 {
 		t.Error("what was kept changed with later proposals")
 	}
 }
--- a/scale/recoverysnapshot.go
+++ b/scale/recoverysnapshot.go
@@ -94,7 +94,7 @@
 
 // handsOut has a voter by itself hand out entries until the context ends.
 func handsOut(ctx context.Context, running *sync.WaitGroup, network *network, entries []distribution.Entry) error {
-	change, err := distribution.NewVoterState().Accept(distribution.Proposal{AcceptedAt: time.Now().UnixMicro(), Entries: entries,
+	change, err := distribution.NewRecord().Apply(distribution.Proposal{AcceptedAt: time.Now().UnixMicro(), Entries: entries,
 		Epoch: distribution.Epoch{Number: 1, Identity: 1}})
 	if err != nil {
 		return err
--- a/scale/tree.go
+++ b/scale/tree.go
@@ -190,7 +190,7 @@
 		s.mutex.Unlock()
 		if status, ok := s.status(); ok && waits && len(text) < namedWaiting {
 			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
-				status.Counts.RefusedBy, status.Counts.Dials))
+				status.Counts.RefusedByParents, status.Counts.Dials))
 		}
 	}
 	return strings.Join(text, "; ")
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -117,7 +117,7 @@
 // setAsideLimits are those of a node on a machine set aside.
 func setAsideLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
-	limits.FanOut, limits.PaceBytes = mostFanOut, setAsidePace
+	limits.FanOut, limits.SnapshotBytesPerSecond = mostFanOut, setAsidePace
 	return limits
 }
 
