--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -378,7 +378,7 @@
 	case distribution.EventAdmitted:
 		d.log.say("subscribed", append(at, "parent", e.Peer)...)
 	case distribution.EventParentLost:
-		d.log.say("parent_lost", append(at, "parent", e.Peer, "why", lostBecause(e.Close))...)
+		d.log.say("parent_lost", append(at, "parent", e.Peer, "why", lostBecause(e.CloseReason))...)
 	case distribution.EventSnapshotTaken:
 		d.log.say("snapshot_taken", append(at, "parent", e.Peer)...)
 	case distribution.EventSourceStale:
--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -200,7 +200,7 @@
 			accepted++
 		}
 	}
-	if accepted != DefaultFanOut+callersMost {
+	if accepted != DefaultFanOut+maxExtraCallers {
 		t.Errorf("%d callers", accepted)
 	}
 	c.pass(DefaultHandshake+tick, tick)
@@ -212,12 +212,12 @@
 func TestLearnedCandidatesAreBounded(t *testing.T) {
 	c, _, leaf := duo(t, DefaultLimits())
 	for i := range 1000 {
-		leaf.node.learn([]string{fmt.Sprint("peer", i)}, i%2 == 0)
+		leaf.node.learnCandidates([]string{fmt.Sprint("peer", i)}, i%2 == 0)
 	}
 	if len(leaf.node.candidates) != DefaultMaxCandidates+1 {
 		t.Errorf("%d candidates", len(leaf.node.candidates))
 	}
-	if leaf.node.candidate("v") == nil || leaf.node.candidate("peer999") == nil {
+	if leaf.node.candidateByName("v") == nil || leaf.node.candidateByName("peer999") == nil {
 		t.Error("the configured one or the latest is gone")
 	}
 	c.sound(t)
@@ -252,8 +252,8 @@
 		t.Fatal("it is not admitted")
 	}
 	link := v.node.children[1].link
-	for seconds := 0; v.node.child(link) != nil; seconds++ {
-		if seconds > 2*unconfirmedMost {
+	for seconds := 0; v.node.childByLink(link) != nil; seconds++ {
+		if seconds > 2*maxUnconfirmedMessages {
 			t.Fatal("it keeps its place for ever")
 		}
 		c.now += second
--- a/distribution/apply.go
+++ b/distribution/apply.go
@@ -1,7 +1,7 @@
 package distribution
 
-// prepared is a batch of changes whose effect on a store is worked out, and of which nothing is applied yet.
-type prepared struct {
+// preparedBatch is a batch of changes whose effect on a store is worked out, and of which nothing is applied yet.
+type preparedBatch struct {
 	steps  []preparedChange
 	digest Digest // of the store afterwards
 	bytes  int    // of the store afterwards
@@ -11,18 +11,18 @@
 type preparedChange struct {
 	entries     []Entry // each with its own revision and time of acceptance
 	differences []Digest
-	log         logged
+	logged      loggedChange
 }
 
 // prepare works out what changes would do to the store.
-func (s *store) prepare(changes []Change) prepared {
-	result := prepared{digest: s.digest, bytes: s.bytes}
+func (s *store) prepare(changes []Change) preparedBatch {
+	result := preparedBatch{digest: s.digest, bytes: s.bytes}
 	pending := map[Key]Entry{}
 	previous := s.version.Revision
 	for _, change := range changes {
-		step := preparedChange{entries: filledIn(change), log: logged{change: stripped(change)}}
-		step.log.size = step.log.change.size()
-		step.log.previous, previous = previous, change.Revision
+		step := preparedChange{entries: withDefaults(change), logged: loggedChange{change: withoutDefaults(change)}}
+		step.logged.size = step.logged.change.size()
+		step.logged.previous, previous = previous, change.Revision
 		for _, e := range step.entries {
 			old, found := pending[e.Key()]
 			if !found {
@@ -32,11 +32,11 @@
 				result.bytes -= old.size()
 			}
 			pending[e.Key()] = e
-			difference := digestOf(e).minus(digestOf(old))
+			difference := entryDigest(e).subtract(entryDigest(old))
 			step.differences = append(step.differences, difference)
-			step.log.add(e.Scope, difference)
-			step.log.merged = step.log.merged || e.Revision != change.Revision
-			result.digest = result.digest.plus(difference)
+			step.logged.addDigestChange(e.Scope, difference)
+			step.logged.merged = step.logged.merged || e.Revision != change.Revision
+			result.digest = result.digest.add(difference)
 			result.bytes += e.size()
 		}
 		result.steps = append(result.steps, step)
@@ -47,14 +47,14 @@
 // commit applies one change that was prepared, whole.
 func (s *store) commit(step preparedChange) {
 	for i, e := range step.entries {
-		s.put(e, step.differences[i])
+		s.putWithDigest(e, step.differences[i])
 	}
-	s.log.append(step.log)
-	s.version.Revision = step.log.change.Revision
+	s.log.append(step.logged)
+	s.version.Revision = step.logged.change.Revision
 }
 
-// filledIn gives a change's entries with the revision and time that they leave to the change.
-func filledIn(change Change) []Entry {
+// withDefaults gives a change's entries with the revision and time that they leave to the change.
+func withDefaults(change Change) []Entry {
 	entries := make([]Entry, len(change.Entries))
 	for i, e := range change.Entries {
 		if e.Revision == 0 {
@@ -68,8 +68,8 @@
 	return entries
 }
 
-// stripped is a change as it goes over the wire: what is the same for all its entries is left out of them.
-func stripped(change Change) Change {
+// withoutDefaults is a change as it goes over the wire: what is the same for all its entries is left out of them.
+func withoutDefaults(change Change) Change {
 	entries := make([]Entry, len(change.Entries))
 	for i, e := range change.Entries {
 		if e.Revision == change.Revision {
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -4,16 +4,16 @@
 
 // candidate is a possible parent.
 type candidate struct {
-	peer       string
-	configured bool  // it stays; others make room for newer ones
-	proposed   bool  // by a refusal, and not tried since
-	notBefore  int64 // no dial until then
-	failures   int   // in a row
+	name                string
+	configured          bool  // it stays; others make room for newer ones
+	proposed            bool  // by a refusal, and not tried since
+	avoidUntil          int64 // no dial until then
+	consecutiveFailures int   // in a row
 }
 
-func (n *Node) candidate(peer string) *candidate {
+func (n *Node) candidateByName(peer string) *candidate {
 	for i := range n.candidates {
-		if n.candidates[i].peer == peer {
+		if n.candidates[i].name == peer {
 			return &n.candidates[i]
 		}
 	}
@@ -22,18 +22,18 @@
 
 // addCandidate gives the candidate of a name, a new one if there is none yet; nil if the name can't be one.
 func (n *Node) addCandidate(peer string, configured bool) *candidate {
-	if peer == "" || len(peer) > nameMost || peer == n.config.Name {
+	if peer == "" || len(peer) > maxNameBytes || peer == n.config.Name {
 		return nil
 	}
-	if known := n.candidate(peer); known != nil {
+	if known := n.candidateByName(peer); known != nil {
 		return known
 	}
-	n.candidates = append(n.candidates, candidate{peer: peer, configured: configured})
+	n.candidates = append(n.candidates, candidate{name: peer, configured: configured})
 	return &n.candidates[len(n.candidates)-1]
 }
 
-// learn keeps possible parents that another node has named, in place of the oldest of that kind.
-func (n *Node) learn(peers []string, proposed bool) {
+// learnCandidates keeps possible parents that another node has named, in place of the oldest of that kind.
+func (n *Node) learnCandidates(peers []string, proposed bool) {
 	if n.config.Voter {
 		return
 	}
@@ -60,20 +60,20 @@
 	})
 }
 
-// pick chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned;
+// pickCandidate chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned;
 // among those by chance. It gives none if all must be left alone for now.
-func (n *Node) pick(now int64) string {
+func (n *Node) pickCandidate(now int64) string {
 	var best []*candidate
 	rank := 0
 	for i := range n.candidates {
 		c := &n.candidates[i]
-		if now < c.notBefore || n.related(c.peer) {
+		if now < c.avoidUntil || n.isRelated(c.name) {
 			continue
 		}
-		if c.rank() > rank {
-			rank, best = c.rank(), nil
+		if c.priority() > rank {
+			rank, best = c.priority(), nil
 		}
-		if c.rank() == rank {
+		if c.priority() == rank {
 			best = append(best, c)
 		}
 	}
@@ -82,10 +82,10 @@
 	}
 	chosen := best[n.host.Random()%uint64(len(best))]
 	chosen.proposed = false
-	return chosen.peer
+	return chosen.name
 }
 
-func (c *candidate) rank() int {
+func (c *candidate) priority() int {
 	switch {
 	case c.proposed:
 		return 2
@@ -95,8 +95,8 @@
 	return 0
 }
 
-// related tells whether a peer is the parent, being tried, or a child of this node.
-func (n *Node) related(peer string) bool {
+// isRelated tells whether a peer is the parent, being tried, or a child of this node.
+func (n *Node) isRelated(peer string) bool {
 	if n.parent != nil && n.parent.peer == peer {
 		return true
 	}
@@ -108,26 +108,26 @@
 	return n.hasChild(peer)
 }
 
-// avoid leaves a peer alone until a time.
-func (n *Node) avoid(peer string, until int64) {
-	if c := n.candidate(peer); c != nil {
-		c.notBefore = max(c.notBefore, until)
+// avoidUntil leaves a peer alone until a time.
+func (n *Node) avoidUntil(peer string, until int64) {
+	if c := n.candidateByName(peer); c != nil {
+		c.avoidUntil = max(c.avoidUntil, until)
 	}
 }
 
-// backOff notes a failure at a peer: it is left alone for longer each time, and so is everybody.
-func (n *Node) backOff(peer string, now int64) {
-	if c := n.candidate(peer); c != nil {
-		c.failures++
-		wait := n.backoff(c.failures)
-		c.notBefore = max(c.notBefore, now+wait/2+n.jitter(wait/2))
-	}
-	n.failures++
-	n.nextDial = now + n.jitter(n.backoff(n.failures))
+// recordFailure notes a failure at a peer: it is left alone for longer each time, and so is everybody.
+func (n *Node) recordFailure(peer string, now int64) {
+	if c := n.candidateByName(peer); c != nil {
+		c.consecutiveFailures++
+		wait := n.backoffDelay(c.consecutiveFailures)
+		c.avoidUntil = max(c.avoidUntil, now+wait/2+n.jitter(wait/2))
+	}
+	n.consecutiveFailures++
+	n.nextDialAt = now + n.jitter(n.backoffDelay(n.consecutiveFailures))
 }
 
-// backoff is the longest wait after a number of failures in a row.
-func (n *Node) backoff(failures int) int64 {
+// backoffDelay is the longest wait after a number of failures in a row.
+func (n *Node) backoffDelay(failures int) int64 {
 	wait := n.limits.MinBackoff
 	for range failures - 1 {
 		if wait >= n.limits.MaxBackoff {
@@ -138,10 +138,10 @@
 	return min(wait, n.limits.MaxBackoff)
 }
 
-// placeIsGood forgets failures once the parent has led this node to a current configuration.
-func (n *Node) placeIsGood(u *upstream) {
-	n.failures = 0
-	if c := n.candidate(u.peer); c != nil {
-		c.failures = 0
+// resetFailures forgets failures once the parent has led this node to a current configuration.
+func (n *Node) resetFailures(u *parentLink) {
+	n.consecutiveFailures = 0
+	if c := n.candidateByName(u.peer); c != nil {
+		c.consecutiveFailures = 0
 	}
 }
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -31,18 +31,18 @@
 	return limits
 }
 
-// happening is one event: what happens, and to which member.
-type happening struct {
+// modelEvent is one event: what happens, and to which member.
+type modelEvent struct {
 	kind byte
 	who  int
 }
 
-func (h happening) String() string { return fmt.Sprintf("%c%d", h.kind, h.who) }
+func (h modelEvent) String() string { return fmt.Sprintf("%c%d", h.kind, h.who) }
 
 // parsed reads happenings from words like a0 d1.
-func parsed(words string) (happenings []happening) {
+func parsed(words string) (happenings []modelEvent) {
 	for _, word := range strings.Fields(words) {
-		happenings = append(happenings, happening{word[0], int(word[1] - '0')})
+		happenings = append(happenings, modelEvent{word[0], int(word[1] - '0')})
 	}
 	return happenings
 }
@@ -63,7 +63,7 @@
 }
 
 // event plays one event; false where it can do nothing.
-func (c *cluster) event(h happening) bool {
+func (c *cluster) event(h modelEvent) bool {
 	m := c.members[h.who]
 	switch h.kind {
 	case 'a': // a change is accepted; the first voter has it at once
@@ -185,8 +185,8 @@
 	return moved
 }
 
-// world is a start of the model: who there is, and what comes before the orders that are played.
-type world struct {
+// startingState is a start of the model: who there is, and what comes before the orders that are played.
+type startingState struct {
 	name   string
 	voters int
 	relays int
@@ -196,7 +196,7 @@
 }
 
 // begin starts the world's members: voters, relays below the first voter, and one subscriber of scope "a".
-func (w world) begin(plant func(*Node)) *cluster {
+func (w startingState) begin(plant func(*Node)) *cluster {
 	c := newCluster()
 	limits := modelLimits()
 	var voters, parents []string
@@ -226,7 +226,7 @@
 }
 
 // after plays an event on a copy of a state, checks every node after it, and tells whether it could happen.
-func (c *cluster) after(h happening, plant func(*Node)) (next *cluster, could bool) {
+func (c *cluster) after(h modelEvent, plant func(*Node)) (next *cluster, could bool) {
 	next = c.clone()
 	could = next.event(h)
 	plant(next.members[len(next.members)-1].node)
@@ -269,12 +269,12 @@
 // reached is a state of the model and the events that led to it.
 type reached struct {
 	cluster *cluster
-	path    []happening
+	path    []modelEvent
 }
 
 // explore plays every order of the world's events to a depth. It gives the shortest breach, or "" if there is none,
 // and how many states there are.
-func (w world) explore(depth int, plant func(*Node)) (breach string, states int) {
+func (w startingState) explore(depth int, plant func(*Node)) (breach string, states int) {
 	start := reached{cluster: w.begin(plant)}
 	for _, h := range parsed(w.first) {
 		start.path = append(start.path, h)
@@ -322,7 +322,7 @@
 }
 
 func TestEveryOrder(t *testing.T) {
-	for _, w := range []world{
+	for _, w := range []startingState{
 		{"one voter and a subscriber", 1, 0, "", "a0 o0 f0 n0 m0 d1 u1 x1 y1 c1 h0 k1 p1 z1 t0", 4},
 		{"one voter, a relay and a subscriber", 1, 1, "", "a0 o0 f0 n0 m1 d1 x1 u1 d2 u2 x2 c1 c2 h0 k1 p1 k2 t0", 4},
 		{"two voters, the second behind, and a subscriber", 2, 0, "a0 s0", "a0 f1 n0 o0 m1 d2 e2 u2 w2 x2 c2 h0 k2 p2 z2 t0", 4},
@@ -347,14 +347,14 @@
 func TestEveryOrderFindsFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name, finds string
-		world       world
+		world       startingState
 		plant       func(*Node)
 	}{
-		{"a gap taken in", "should have", world{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
-			func(n *Node) { n.faults.takeGap = true }},
-		{"an old parent's revision taken in", "goes back", world{"", 2, 0, "a0 s0", "a0 f1 c2 s0 t0", 4},
-			func(n *Node) { n.faults.takeOlder = true }},
-		{"a half-applied change", "there should be", world{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
+		{"a gap taken in", "should have", startingState{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
+			func(n *Node) { n.faults.acceptGaps = true }},
+		{"an old parent's revision taken in", "goes back", startingState{"", 2, 0, "a0 s0", "a0 f1 c2 s0 t0", 4},
+			func(n *Node) { n.faults.acceptOlder = true }},
+		{"a half-applied change", "there should be", startingState{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
 			func(n *Node) { n.faults.applyHalf = true }},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
--- a/distribution/clone_test.go
+++ b/distribution/clone_test.go
@@ -51,7 +51,7 @@
 	copied.children = nil
 	for _, original := range n.children {
 		c := *original
-		c.unconfirmed = slices.Clone(original.unconfirmed)
+		c.unconfirmedSizes = slices.Clone(original.unconfirmedSizes)
 		if original.snapshot != nil {
 			snapshot := *original.snapshot
 			c.snapshot = &snapshot
@@ -67,10 +67,10 @@
 		u := *original
 		copied.attempts = append(copied.attempts, &u)
 	}
-	if n.incoming != nil {
-		incoming := *n.incoming
-		incoming.store = n.incoming.store.clone()
-		copied.incoming = &incoming
+	if n.incomingSnapshot != nil {
+		incoming := *n.incomingSnapshot
+		incoming.store = n.incomingSnapshot.store.clone()
+		copied.incomingSnapshot = &incoming
 	}
 	return &copied
 }
@@ -81,7 +81,7 @@
 	for name, scope := range s.scopes {
 		copied.scopes[name] = &scopeState{slices.Clone(scope.entries), scope.digest}
 	}
-	copied.graves.list = slices.Clone(s.graves.list)
+	copied.tombstones.queue = slices.Clone(s.tombstones.queue)
 	copied.log.changes = slices.Clone(s.log.changes)
 	return &copied
 }
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -197,9 +197,9 @@
 	limits.SnapshotBytesPerSecond = 1 << 30
 	n := &Node{limits: limits}
 	for _, pause := range []int64{second, 24 * 3600 * second, 365 * 24 * 3600 * second} {
-		n.credit = 0
-		if n.refill(n.refilledAt + pause); n.credit != int64(limits.SnapshotBytesPerSecond)/creditsPerSecond*microsecondsPerSecond {
-			t.Errorf("after %d s: a credit of %d", pause/second, n.credit)
+		n.snapshotCredit = 0
+		if n.refillSnapshotCredit(n.creditRefilledAt + pause); n.snapshotCredit != int64(limits.SnapshotBytesPerSecond)/creditsPerSecond*microsecondsPerSecond {
+			t.Errorf("after %d s: a credit of %d", pause/second, n.snapshotCredit)
 		}
 	}
 }
@@ -253,7 +253,7 @@
 	c.cut(v, relay)
 	for i, leaf := range leaves {
 		c.cut(v, leaf)
-		leaf.node.learn([]string{"relay"}, false)
+		leaf.node.learnCandidates([]string{"relay"}, false)
 		c.cut(relay, leaf)
 		c.accept(set("a", "x", fmt.Sprint(i)), gone("a", fmt.Sprint("entry", i)))
 		c.pass(tick, tick)
@@ -429,14 +429,14 @@
 		Age:      123_456,
 		Source:   Version{Epoch{1_790_000_000, 1 << 60}, 12_345_678},
 	}
-	encoded, err := cbor.Marshal(Wrap(beat))
+	encoded, err := cbor.Marshal(NewEnvelope(beat))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(encoded) > 128 || beat.Size() < len(encoded)*3/4 {
 		t.Errorf("a heartbeat has %d bytes, estimated %d", len(encoded), beat.Size())
 	}
-	renew, err := cbor.Marshal(Wrap(&Renew{Version: beat.Source, Received: 100_000}))
+	renew, err := cbor.Marshal(NewEnvelope(&Renew{Version: beat.Source, Received: 100_000}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -452,7 +452,7 @@
 		}
 	}
 	for _, m := range []Message{&Subscribe{}, &Admitted{}, &Refused{}, &Delta{}, &SnapshotPiece{}, &Heartbeat{}, &Renew{}} {
-		if got, err := Wrap(m).Message(); err != nil || got != m {
+		if got, err := NewEnvelope(m).Message(); err != nil || got != m {
 			t.Errorf("%T comes back as %T, %v", m, got, err)
 		}
 	}
--- a/distribution/digest.go
+++ b/distribution/digest.go
@@ -20,12 +20,12 @@
 	lowSeed  = 2
 )
 
-func (d Digest) plus(other Digest) Digest { return Digest{d.High + other.High, d.Low + other.Low} }
+func (d Digest) add(other Digest) Digest { return Digest{d.High + other.High, d.Low + other.Low} }
 
-func (d Digest) minus(other Digest) Digest { return Digest{d.High - other.High, d.Low - other.Low} }
+func (d Digest) subtract(other Digest) Digest { return Digest{d.High - other.High, d.Low - other.Low} }
 
-// digestOf is one entry's part of a digest: nothing for a tombstone.
-func digestOf(e Entry) Digest {
+// entryDigest is one entry's part of a digest: nothing for a tombstone.
+func entryDigest(e Entry) Digest {
 	if e.Deleted {
 		return Digest{}
 	}
@@ -38,10 +38,10 @@
 	framed = append(framed, e.Value...)
 	framed = binary.AppendUvarint(framed, e.Revision)
 	framed = binary.AppendVarint(framed, e.AcceptedAt)
-	return Digest{seeded(framed, highSeed), seeded(framed, lowSeed)}
+	return Digest{seededHash(framed, highSeed), seededHash(framed, lowSeed)}
 }
 
-func seeded(framed []byte, seed uint64) uint64 {
+func seededHash(framed []byte, seed uint64) uint64 {
 	hash := xxhash.NewWithSeed(seed)
 	_, _ = hash.Write(framed) // never fails
 	return hash.Sum64()
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -63,9 +63,9 @@
 
 // Event is something for the host's log.
 type Event struct {
-	Kind    EventKind
-	Peer    string  // the other node, if there is one
-	Version Version // what this node has, or for EventOlder what was refused
-	Refusal RefusalReason
-	Close   CloseReason
+	Kind        EventKind
+	Peer        string  // the other node, if there is one
+	Version     Version // what this node has, or for EventOlder what was refused
+	Refusal     RefusalReason
+	CloseReason CloseReason
 }
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -46,7 +46,7 @@
 	c.pass(2*second_, tick)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "first"))
 	c.pass(second_, tick)
-	leaf.node.learn([]string{"second"}, false)
+	leaf.node.learnCandidates([]string{"second"}, false)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "first" {
 		t.Fatalf("the parent is %q", parent)
@@ -134,7 +134,7 @@
 	c.pass(second_, tick)
 	c.expectCaughtUp(t, leaf)
 	c.cut(ahead, leaf)
-	leaf.node.learn([]string{"behind"}, false)
+	leaf.node.learnCandidates([]string{"behind"}, false)
 	c.pass(3*second_, tick)
 	c.expectCaughtUp(t, leaf) // it keeps what it has
 	status := leaf.node.Status(c.now)
@@ -236,8 +236,8 @@
 	c.pass(tick, tick)
 	leaf.kill()
 	leaf.start(State{})
-	leaf.node.dial(c.now)
-	leaf.node.dial(c.now)
+	leaf.node.dialCandidate(c.now)
+	leaf.node.dialCandidate(c.now)
 	c.connect()
 	if len(c.conns) != 2 {
 		t.Fatalf("%d connections", len(c.conns))
@@ -262,8 +262,8 @@
 		c.accept(set("a", "large", string(make([]byte, 2000))), set("b", "x", "1"))
 		c.follow(v, 1)
 		c.settle()
-		if place := first.node.child(first.node.children[0].link); place != nil {
-			most = max(most, place.underWay)
+		if place := first.node.childByLink(first.node.children[0].link); place != nil {
+			most = max(most, place.unconfirmedBytes)
 		}
 	}
 	if bound := limits.Window + limits.BatchBytes + 4096; most > bound {
@@ -306,7 +306,7 @@
 				}
 			}
 			for _, m := range c.members {
-				if due := m.node.snapshotsDue(); due > limits.MaxSnapshots {
+				if due := m.node.snapshotsPending(); due > limits.MaxSnapshots {
 					t.Fatalf("%s has %d snapshots under way", m.config.Name, due)
 				}
 			}
--- a/distribution/golden_test.go
+++ b/distribution/golden_test.go
@@ -21,9 +21,9 @@
 		{Scope: "pricing", Name: "weight/s-2", Value: make([]byte, 300), Revision: 1 << 40, AcceptedAt: -1},
 		{Scope: "orders", Name: "drain/s-3", Revision: 2, Deleted: true, AcceptedAt: 7},
 	} {
-		digest := digestOf(e)
+		digest := entryDigest(e)
 		fmt.Fprintf(&lines, "%q %q of revision %d: %016x %016x\n", e.Scope, e.Name, e.Revision, digest.High, digest.Low)
-		store.set(e)
+		store.put(e)
 	}
 	for _, covered := range []Scopes{AllScopes(), SomeScopes("pricing"), SomeScopes("orders"), SomeScopes("absent", "pricing")} {
 		digest := store.digestFor(covered)
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -86,8 +86,8 @@
 	s := n.store
 	k.version(s.version)
 	k.texts(s.covered.Names...)
-	k.numbers(int64(s.digest.High), int64(s.log.floor), int64(s.graves.horizon), int64(len(s.graves.list)))
-	for _, grave := range s.graves.list {
+	k.numbers(int64(s.digest.High), int64(s.log.floor), int64(s.tombstones.horizon), int64(len(s.tombstones.queue)))
+	for _, grave := range s.tombstones.queue {
 		k.numbers(int64(grave.revision))
 	}
 	k.numbers(int64(len(s.log.changes)))
@@ -95,11 +95,11 @@
 		k.numbers(int64(change.change.Revision), int64(change.previous))
 		k.bits(change.merged)
 	}
-	k.bits(n.doubted, n.everCurrent, n.failures > 0, n.incoming != nil, n.parent != nil)
-	k.numbers(until(n.nextDial), since(n.currentAt), int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
-	if n.incoming != nil {
-		k.version(n.incoming.store.version)
-		k.numbers(int64(n.incoming.next))
+	k.bits(n.contentInDoubt, n.sourceEverCurrent, n.consecutiveFailures > 0, n.incomingSnapshot != nil, n.parent != nil)
+	k.numbers(until(n.nextDialAt), since(n.sourceCurrentAt), int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
+	if n.incomingSnapshot != nil {
+		k.version(n.incomingSnapshot.store.version)
+		k.numbers(int64(n.incomingSnapshot.nextIndex))
 	}
 	for _, u := range append(slices.Clone(n.attempts), n.parent) {
 		if u == nil {
@@ -107,24 +107,24 @@
 		}
 		k.texts(u.peer)
 		k.texts(u.path...)
-		k.bits(u.connected, u.awaiting, u.behind)
-		k.numbers(since(u.since), since(u.heard), since(u.askedAt), since(u.behindSince), since(u.admittedAt), int64(u.mends),
-			int64(u.received), int64(u.unconfirmed))
+		k.bits(u.connected, u.subscribing, u.behind)
+		k.numbers(since(u.dialedAt), since(u.lastReceivedAt), since(u.subscribeSentAt), since(u.behindSince), since(u.admittedAt), int64(u.recoveries),
+			int64(u.receivedMessages), int64(u.unconfirmedBytes))
 	}
 	for _, c := range n.children {
 		k.texts(c.name)
 		k.texts(c.scopes.Names...)
-		k.version(c.sent)
-		k.bits(c.needs, c.snapshot != nil)
-		k.numbers(until(c.until), until(c.beatAt), int64(len(c.unconfirmed)))
+		k.version(c.sentVersion)
+		k.bits(c.awaitsSnapshot, c.snapshot != nil)
+		k.numbers(until(c.leaseEnd), until(c.nextHeartbeatAt), int64(len(c.unconfirmedSizes)))
 		if c.snapshot != nil {
 			k.version(c.snapshot.version)
-			k.numbers(int64(c.snapshot.index))
+			k.numbers(int64(c.snapshot.nextIndex))
 		}
 	}
 	for _, candidate := range n.candidates {
-		k.texts(candidate.peer)
+		k.texts(candidate.name)
 		k.bits(candidate.proposed)
-		k.numbers(until(candidate.notBefore))
+		k.numbers(until(candidate.avoidUntil))
 	}
 }
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -125,8 +125,8 @@
 // ErrEnvelope says that an envelope held no message, or several.
 var ErrEnvelope = errors.New("distribution: an envelope must hold just one message")
 
-// Wrap gives the message's envelope.
-func Wrap(m Message) Envelope {
+// NewEnvelope gives the message's envelope.
+func NewEnvelope(m Message) Envelope {
 	switch m := m.(type) {
 	case *Subscribe:
 		return Envelope{Subscribe: m}
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -183,7 +183,7 @@
 	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two alike
 	c.stateAt(c.epoch, change.Revision-1)
 	next := maps.Clone(c.truth[c.epoch][change.Revision-1])
-	for _, e := range filledIn(change) {
+	for _, e := range withDefaults(change) {
 		next[e.Key()] = e
 		if e.Deleted {
 			delete(next, e.Key())
@@ -219,7 +219,7 @@
 // Send implements Host.
 func (m *member) Send(link Link, message Message) {
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "send %d %d %x", link, message.Size(), encoded(Wrap(message)))
+		m.cluster.transcript.note(m, "send %d %d %x", link, message.Size(), encoded(NewEnvelope(message)))
 	}
 	m.sent += message.Size()
 	for _, conn := range m.cluster.conns {
@@ -251,7 +251,7 @@
 func (m *member) Log(event Event) {
 	m.events = append(m.events, event)
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Version), int(event.Refusal), int(event.Close))
+		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Version), int(event.Refusal), int(event.CloseReason))
 	}
 }
 
@@ -314,7 +314,7 @@
 			continue
 		}
 		want++
-		digest = digest.plus(digestOf(e))
+		digest = digest.add(entryDigest(e))
 		if has, found := m.node.Get(key); !found || !sameEntry(has, e) {
 			c.fails("%s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
@@ -323,15 +323,15 @@
 		}
 	}
 	live := 0
-	store.visit(AllScopes(), func(e Entry) bool {
+	store.forEach(AllScopes(), func(e Entry) bool {
 		if !e.Deleted {
 			live++
 		}
 		return true
 	})
-	if live != want || store.live != want || len(m.mirror) != want {
+	if live != want || store.liveEntries != want || len(m.mirror) != want {
 		c.fails("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, version,
-			store.live, len(m.mirror), want)
+			store.liveEntries, len(m.mirror), want)
 	}
 	if digest != store.digest || digest != store.digestFor(store.covered) {
 		c.fails("%s has another digest than its entries at %v", m.config.Name, version)
@@ -397,7 +397,7 @@
 	if !c.encode {
 		return message
 	}
-	bytes, err := cbor.Marshal(Wrap(message))
+	bytes, err := cbor.Marshal(NewEnvelope(message))
 	if err != nil {
 		c.fails("encoding: %v", err)
 	}
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -61,15 +61,15 @@
 	Digest  Digest
 	// Age is for how many µs the source has not been known to be current: how old the configuration may be.
 	// NeverCurrent if it never was.
-	Age       int64
-	Parent    string   // none for a voter, and while looking for one
-	Path      []string // from the voter down to the parent
-	Children  []string // in the order of their admission
-	Snapshots int      // under way to children
-	Entries   int      // live ones
-	LogFloor  uint64   // changes after this revision are kept for deltas
-	Horizon   uint64   // tombstones after this revision are kept
-	Counts    Counts
+	Age                 int64
+	Parent              string   // none for a voter, and while looking for one
+	Path                []string // from the voter down to the parent
+	Children            []string // in the order of their admission
+	SnapshotsInProgress int      // under way to children
+	Entries             int      // live ones
+	LogFloor            uint64   // changes after this revision are kept for deltas
+	Horizon             uint64   // tombstones after this revision are kept
+	Counts              Counts
 }
 
 // Node is a voter or a subscriber, and a parent to bounded many others.
@@ -80,49 +80,49 @@
 	store  *store
 	counts Counts
 
-	lastLink   Link
-	callers    []caller // links that came in and have not subscribed yet
-	children   []*child // in the order of their admission
-	credit     int64    // µbytes that snapshots may send now; below zero after a piece larger than was left
-	refilledAt int64    // when credit was last added
-	turn       int      // the child that the next piece is for
-
-	parent     *upstream   // the place that this node has
-	attempts   []*upstream // to get one, or a better one
-	incoming   *assembly   // the snapshot that is being received
-	doubted    bool        // what the node has is in doubt; only a snapshot of the parent mends it
-	candidates []candidate // configured ones first
-	nextDial   int64
-	failures   int // to get a place, since the source was last known to be current
-	refusals   int // since this node last got a place
-
-	currentAt   int64 // when the source was last known to be current
-	everCurrent bool
-	stale       bool // as last logged
+	lastLink         Link
+	callers          []caller // links that came in and have not subscribed yet
+	children         []*child // in the order of their admission
+	snapshotCredit   int64    // µbytes that snapshots may send now; below zero after a piece larger than was left
+	creditRefilledAt int64    // when credit was last added
+	lastServedChild  int      // the child that the next piece is for
+
+	parent              *parentLink       // the place that this node has
+	attempts            []*parentLink     // to get one, or a better one
+	incomingSnapshot    *incomingSnapshot // the snapshot that is being received
+	contentInDoubt      bool              // what the node has is in doubt; only a snapshot of the parent mends it
+	candidates          []candidate       // configured ones first
+	nextDialAt          int64
+	consecutiveFailures int // to get a place, since the source was last known to be current
+	consecutiveRefusals int // since this node last got a place
+
+	sourceCurrentAt   int64 // when the source was last known to be current
+	sourceEverCurrent bool
+	loggedStale       bool // as last logged
 
 	faults faults
 }
 
 // faults are planted by tests, to show that the checks find them.
 type faults struct {
-	takeGap   bool // a delta that does not follow is taken in
-	takeOlder bool // what an older parent says is taken in
-	applyHalf bool // of a change the first entry alone is applied
+	acceptGaps  bool // a delta that does not follow is taken in
+	acceptOlder bool // what an older parent says is taken in
+	applyHalf   bool // of a change the first entry alone is applied
 }
 
 // New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Elapsed.
 func New(config Config, host Host, now int64) *Node {
-	n := &Node{config: config, host: host, limits: config.Limits, refilledAt: now, nextDial: now}
+	n := &Node{config: config, host: host, limits: config.Limits, creditRefilledAt: now, nextDialAt: now}
 	if config.Voter {
 		n.config.Scopes = AllScopes()
 		n.config.Floor = Version{} // the record's log is replayed from an older state after a restart
 	}
-	n.credit = int64(n.limits.PieceBytes) * microsecondsPerSecond
+	n.snapshotCredit = int64(n.limits.PieceBytes) * microsecondsPerSecond
 	n.store = newStore(Version{}, n.config.Scopes)
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
-	n.nextDial += n.jitter(n.limits.MinBackoff) // many may start at once
+	n.nextDialAt += n.jitter(n.limits.MinBackoff) // many may start at once
 	return n
 }
 
@@ -138,12 +138,12 @@
 	if !n.store.version.Epoch.Known() {
 		n.store.version.Epoch = change.Epoch
 	}
-	if change.Epoch != n.store.version.Epoch || !n.store.version.Before(version) || n.older(version) {
-		n.refuseOlder("", version)
+	if change.Epoch != n.store.version.Epoch || !n.store.version.Before(version) || n.isOlder(version) {
+		n.reportOlder("", version)
 		return false
 	}
-	n.apply(n.store.prepare([]Change{change}))
-	n.feedAll(now)
+	n.applyBatch(n.store.prepare([]Change{change}))
+	n.sendDeltasToAll(now)
 	return true
 }
 
@@ -155,57 +155,57 @@
 	if n.config.Voter {
 		covered = AllScopes()
 	}
-	conflict := n.conflicts(state.Version.Epoch)
-	if !state.Version.Epoch.Known() || n.older(state.Version) || conflict {
-		n.refuseOlder("", state.Version)
+	conflict := n.conflictsWith(state.Version.Epoch)
+	if !state.Version.Epoch.Known() || n.isOlder(state.Version) || conflict {
+		n.reportOlder("", state.Version)
 		return false
 	}
 	restored := newStore(state.Version, covered)
 	for _, e := range state.Entries {
-		restored.set(e)
+		restored.put(e)
 	}
-	restored.graves.horizon = max(restored.graves.horizon, state.Horizon)
+	restored.tombstones.horizon = max(restored.tombstones.horizon, state.Horizon)
 	n.replaceStore(restored, now)
 	return true
 }
 
 // Current says that the voter has just known its record to be led by a majority and itself to have all of it, so that
 // nothing newer was accepted anywhere for longer than that takes to reach it.
-func (n *Node) Current(now int64) { n.knownCurrent(now) }
+func (n *Node) Current(now int64) { n.noteSourceCurrent(now) }
 
 // Compact drops changes up to a revision from the log, and tombstones up to it, besides what the limits drop.
 func (n *Node) Compact(revision uint64) { n.store.compactTo(revision) }
 
 // Tick lets time pass. The host calls it some ten times a second.
 func (n *Node) Tick(now int64) {
-	n.watchParent(now)
-	n.watchAttempts(now)
-	n.watchChildren(now)
-	n.beat(now)
-	n.refill(now)
-	n.sendPieces(now)
-	n.seek(now)
-	n.noteStale(now)
+	n.checkParent(now)
+	n.checkAttempts(now)
+	n.checkChildren(now)
+	n.sendDueHeartbeats(now)
+	n.refillSnapshotCredit(now)
+	n.sendSnapshotPieces(now)
+	n.seekParent(now)
+	n.logStaleness(now)
 }
 
 // Closed says that a link is gone.
 func (n *Node) Closed(link Link, now int64) {
-	n.forgetCaller(link)
-	if c := n.child(link); c != nil {
-		n.dropChild(c, 0, now)
+	n.removeCaller(link)
+	if c := n.childByLink(link); c != nil {
+		n.removeChild(c, 0, now)
 	}
-	n.upstreamClosed(link, now)
+	n.parentLinkClosed(link, now)
 }
 
 // Received hands in a message that came on a link.
 func (n *Node) Received(link Link, m Message, now int64) {
 	switch m := m.(type) {
 	case *Subscribe:
-		n.subscribed(link, m, now)
+		n.handleSubscribe(link, m, now)
 	case *Renew:
-		n.renewed(link, m, now)
+		n.handleRenew(link, m, now)
 	default:
-		n.fromUpstream(link, m, now)
+		n.receiveFromParent(link, m, now)
 	}
 }
 
@@ -226,10 +226,10 @@
 	status := Status{
 		Version:  n.store.version,
 		Digest:   n.store.digest,
-		Age:      n.age(now),
-		Entries:  n.store.live,
+		Age:      n.sourceAge(now),
+		Entries:  n.store.liveEntries,
 		LogFloor: n.store.log.floor,
-		Horizon:  n.store.graves.horizon,
+		Horizon:  n.store.tombstones.horizon,
 		Counts:   n.counts,
 	}
 	if n.parent != nil {
@@ -238,34 +238,34 @@
 	for _, c := range n.children {
 		status.Children = append(status.Children, c.name)
 		if c.snapshot != nil {
-			status.Snapshots++
+			status.SnapshotsInProgress++
 		}
 	}
 	return status
 }
 
-// age is for how long the source has not been known to be current.
-func (n *Node) age(now int64) int64 {
-	if !n.everCurrent {
+// sourceAge is for how long the source has not been known to be current.
+func (n *Node) sourceAge(now int64) int64 {
+	if !n.sourceEverCurrent {
 		return NeverCurrent
 	}
-	return now - n.currentAt
+	return now - n.sourceCurrentAt
 }
 
-// knownCurrent says that what the node has was all that the source had at a time.
-func (n *Node) knownCurrent(at int64) {
-	if !n.everCurrent || at > n.currentAt {
-		n.currentAt, n.everCurrent = at, true
+// noteSourceCurrent says that what the node has was all that the source had at a time.
+func (n *Node) noteSourceCurrent(at int64) {
+	if !n.sourceEverCurrent || at > n.sourceCurrentAt {
+		n.sourceCurrentAt, n.sourceEverCurrent = at, true
 	}
 }
 
-// noteStale logs when the source falls out of date, and when it is back.
-func (n *Node) noteStale(now int64) {
-	stale := n.everCurrent && n.age(now) > n.limits.MaxStaleness
-	if stale == n.stale {
+// logStaleness logs when the source falls out of date, and when it is back.
+func (n *Node) logStaleness(now int64) {
+	stale := n.sourceEverCurrent && n.sourceAge(now) > n.limits.MaxStaleness
+	if stale == n.loggedStale {
 		return
 	}
-	n.stale = stale
+	n.loggedStale = stale
 	kind := EventSourceCurrent
 	if stale {
 		kind = EventSourceStale
@@ -273,13 +273,13 @@
 	n.host.Log(Event{Kind: kind, Version: n.store.version})
 }
 
-// older tells whether a version is older than what the node has, or had before it was started.
-func (n *Node) older(version Version) bool {
+// isOlder tells whether a version is older than what the node has, or had before it was started.
+func (n *Node) isOlder(version Version) bool {
 	return version.Before(n.store.version) || version.Before(n.config.Floor)
 }
 
-// conflicts tells whether an epoch was founded beside the node's, without either knowing of the other.
-func (n *Node) conflicts(epoch Epoch) bool {
+// conflictsWith tells whether an epoch was founded beside the node's, without either knowing of the other.
+func (n *Node) conflictsWith(epoch Epoch) bool {
 	for _, known := range []Epoch{n.store.version.Epoch, n.config.Floor.Epoch} {
 		if epoch.Known() && known.Known() && epoch != known && epoch.Number == known.Number {
 			return true
@@ -288,25 +288,25 @@
 	return false
 }
 
-// refuseOlder notes that something older than what the node has was not taken.
-func (n *Node) refuseOlder(peer string, version Version) {
+// reportOlder notes that something older than what the node has was not taken.
+func (n *Node) reportOlder(peer string, version Version) {
 	n.counts.OlderRefused++
 	n.host.Log(Event{Kind: EventOlderRefused, Peer: peer, Version: version})
 }
 
-// apply takes over changes that were prepared, one after the other and each of them whole.
-func (n *Node) apply(p prepared) {
+// applyBatch takes over changes that were prepared, one after the other and each of them whole.
+func (n *Node) applyBatch(p preparedBatch) {
 	for _, step := range p.steps {
 		if n.faults.applyHalf {
 			step.entries = step.entries[:1]
 		}
 		n.store.commit(step)
 		n.counts.ChangesTaken++
-		change := step.log.change
+		change := step.logged.change
 		change.Epoch, change.Entries = n.store.version.Epoch, step.entries
 		n.host.Apply(change, false)
 	}
-	n.compact()
+	n.compactStore()
 }
 
 // replaceStore takes over a whole state in one step.
@@ -317,13 +317,13 @@
 		Revision: whole.version.Revision,
 		Entries:  whole.collect(AllScopes(), false),
 	}, true)
-	n.compact()
-	n.dropUncovered(now)
-	n.feedAll(now)
+	n.compactStore()
+	n.removeUncoveredChildren(now)
+	n.sendDeltasToAll(now)
 }
 
-// compact keeps the log and the tombstones within their limits.
-func (n *Node) compact() {
+// compactStore keeps the log and the tombstones within their limits.
+func (n *Node) compactStore() {
 	if n.store.compact(n.limits) {
 		n.host.Log(Event{Kind: EventCompacted, Version: Version{n.store.version.Epoch, n.store.log.floor}})
 	}
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -8,41 +8,41 @@
 	since int64
 }
 
-// callersMost bounds the callers, besides as many as there are places.
-const callersMost = 64
+// maxExtraCallers bounds the callers, besides as many as there are places.
+const maxExtraCallers = 64
 
-// unconfirmedMost bounds the messages to a child that renews its lease and confirms nothing.
-const unconfirmedMost = 4096
+// maxUnconfirmedMessages bounds the messages to a child that renews its lease and confirms nothing.
+const maxUnconfirmedMessages = 4096
 
-// nameMost bounds the bytes of a node's name.
-const nameMost = 256
+// maxNameBytes bounds the bytes of a node's name.
+const maxNameBytes = 256
 
-// proposeEvery is the number of heartbeats from one with candidates to the next.
-const proposeEvery = 16
+// heartbeatsPerProposal is the number of heartbeats from one with candidates to the next.
+const heartbeatsPerProposal = 16
 
 // child is a place in the tree below this node, on a lease.
 type child struct {
-	link   Link
-	name   string
-	scopes Scopes
-	fanOut int
-	until  int64 // the end of the lease
-	beatAt int64 // of the next heartbeat
-	beats  int
+	link            Link
+	name            string
+	scopes          Scopes
+	fanOut          int
+	leaseEnd        int64 // the end of the lease
+	nextHeartbeatAt int64 // of the next heartbeat
+	heartbeatsSent  int
 
-	// sent is what the child has once it has got everything that was sent.
-	sent        Version
-	needs       bool      // it waits for a snapshot
-	snapshot    *outgoing // that is under way
-	unconfirmed []int     // sizes of the messages sent that it has not confirmed
-	underWay    int       // their sum
-	confirmed   uint64    // messages that it has confirmed
+	// sentVersion is what the child has once it has got everything that was sent.
+	sentVersion       Version
+	awaitsSnapshot    bool              // it waits for a snapshot
+	snapshot          *outgoingSnapshot // that is under way
+	unconfirmedSizes  []int             // sizes of the messages sent that it has not confirmed
+	unconfirmedBytes  int               // their sum
+	confirmedMessages uint64            // messages that it has confirmed
 }
 
 // Incoming names the link of a caller that the host has accepted. Its first message must be a Subscribe. Zero says
 // that too many callers have not subscribed yet; the host closes the connection.
 func (n *Node) Incoming(now int64) Link {
-	if len(n.callers) >= n.limits.FanOut+callersMost {
+	if len(n.callers) >= n.limits.FanOut+maxExtraCallers {
 		return 0
 	}
 	link := n.newLink()
@@ -50,14 +50,14 @@
 	return link
 }
 
-// forgetCaller takes a link off the callers and tells whether it was one.
-func (n *Node) forgetCaller(link Link) bool {
+// removeCaller takes a link off the callers and tells whether it was one.
+func (n *Node) removeCaller(link Link) bool {
 	before := len(n.callers)
 	n.callers = slices.DeleteFunc(n.callers, func(c caller) bool { return c.link == link })
 	return len(n.callers) < before
 }
 
-func (n *Node) child(link Link) *child {
+func (n *Node) childByLink(link Link) *child {
 	for _, c := range n.children {
 		if c.link == link {
 			return c
@@ -70,65 +70,65 @@
 	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
 }
 
-// path is the way from the voter down to this node.
-func (n *Node) path() []string {
+// ownPath is the way from the voter down to this node.
+func (n *Node) ownPath() []string {
 	if n.parent == nil {
 		return []string{n.config.Name}
 	}
 	return append(slices.Clone(n.parent.path), n.config.Name)
 }
 
-// subscribed handles a request for a place, or for a snapshot by a child that has one.
-func (n *Node) subscribed(link Link, m *Subscribe, now int64) {
-	if c := n.child(link); c != nil {
-		n.subscribedAgain(c, m, now)
+// handleSubscribe handles a request for a place, or for a snapshot by a child that has one.
+func (n *Node) handleSubscribe(link Link, m *Subscribe, now int64) {
+	if c := n.childByLink(link); c != nil {
+		n.handleResubscribe(c, m, now)
 		return
 	}
-	if !n.forgetCaller(link) {
+	if !n.removeCaller(link) {
 		return // closed meanwhile
 	}
-	n.replaceNamesake(m.Name, now)
-	if reason := n.refusal(m); reason != 0 {
+	n.replaceSameName(m.Name, now)
+	if reason := n.refusalReason(m); reason != 0 {
 		n.refuse(link, m, reason)
 		return
 	}
-	n.makeRoom(m, now)
-	c := &child{link: link, name: m.Name, beatAt: now}
+	n.evictFor(m, now)
+	c := &child{link: link, name: m.Name, nextHeartbeatAt: now}
 	n.children = append(n.children, c)
 	n.host.Log(Event{Kind: EventChildAdmitted, Peer: c.name, Version: m.Version})
-	n.admit(c, m, now)
+	n.admitChild(c, m, now)
 }
 
-// subscribedAgain handles a request of a child that has a place.
-func (n *Node) subscribedAgain(c *child, m *Subscribe, now int64) {
-	switch reason := n.breach(m); {
+// handleResubscribe handles a request of a child that has a place.
+func (n *Node) handleResubscribe(c *child, m *Subscribe, now int64) {
+	switch reason := n.violatedRule(m); {
 	case m.Name != c.name:
 		n.refuse(c.link, m, RefusedMalformed)
 	case reason != 0:
 		n.refuse(c.link, m, reason)
 	default:
-		n.admit(c, m, now)
+		n.admitChild(c, m, now)
 		return
 	}
-	n.dropChild(c, CloseRefused, now)
+	n.removeChild(c, CloseRefused, now)
 }
 
-// admit grants the lease and starts to send what the child lacks.
-func (n *Node) admit(c *child, m *Subscribe, now int64) {
-	c.scopes, c.fanOut, c.until = m.Scopes, m.FanOut, now+n.limits.Lease
-	c.sent, c.snapshot = m.Version, nil
-	c.unconfirmed, c.underWay, c.confirmed = nil, 0, 0
-	c.needs = n.needsSnapshot(m)
-	n.send(c, &Admitted{
+// admitChild grants the lease and starts to send what the child lacks.
+func (n *Node) admitChild(c *child, m *Subscribe, now int64) {
+	c.scopes, c.fanOut, c.leaseEnd = m.Scopes, m.FanOut, now+n.limits.Lease
+	c.sentVersion, c.snapshot = m.Version, nil
+	c.unconfirmedSizes, c.unconfirmedBytes, c.confirmedMessages = nil, 0, 0
+	c.awaitsSnapshot = n.needsSnapshot(m)
+	n.sendToChild(c, &Admitted{
 		Lease:      n.limits.Lease,
 		Version:    n.store.version,
-		Path:       n.path(),
-		Age:        n.age(now),
-		Candidates: n.propose(m),
+		Path:       n.ownPath(),
+		Age:        n.sourceAge(now),
+		Candidates: n.proposeCandidates(m),
 		Request:    m.Request,
 	})
 	n.startSnapshots(now)
-	n.feed(c, now)
+	n.sendDeltas(c, now)
 }
 
 // needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is ahead of this node
@@ -148,54 +148,54 @@
 	return !possible
 }
 
-// refusal tells why a new child gets no place; zero if it gets one.
-func (n *Node) refusal(m *Subscribe) RefusalReason {
-	if reason := n.breach(m); reason != 0 {
+// refusalReason tells why a new child gets no place; zero if it gets one.
+func (n *Node) refusalReason(m *Subscribe) RefusalReason {
+	if reason := n.violatedRule(m); reason != 0 {
 		return reason
 	}
-	if len(n.children) >= n.limits.FanOut && n.displaced(m) == nil {
+	if len(n.children) >= n.limits.FanOut && n.evictionCandidate(m) == nil {
 		return RefusedFull
 	}
 	waits := n.store.version.Before(m.Version)
-	if !waits && n.needsSnapshot(m) && n.snapshotsDue() >= n.limits.MaxSnapshots {
+	if !waits && n.needsSnapshot(m) && n.snapshotsPending() >= n.limits.MaxSnapshots {
 		return RefusedBusy
 	}
 	return 0
 }
 
-// displaced gives the child that makes room for a subscriber where every place is taken: the last that cannot pass on
+// evictionCandidate gives the child that makes room for a subscriber where every place is taken: the last that cannot pass on
 // all that this node has, if the subscriber can. A tree whose upper places are taken by leaves could not grow.
-func (n *Node) displaced(m *Subscribe) *child {
-	if !n.passesOn(m.FanOut, m.Scopes) {
+func (n *Node) evictionCandidate(m *Subscribe) *child {
+	if !n.servesAllScopes(m.FanOut, m.Scopes) {
 		return nil
 	}
 	for _, c := range slices.Backward(n.children) {
-		if !n.passesOn(c.fanOut, c.scopes) {
+		if !n.servesAllScopes(c.fanOut, c.scopes) {
 			return c
 		}
 	}
 	return nil
 }
 
-// passesOn tells whether a subscriber can be the parent of any that this node can be the parent of.
-func (n *Node) passesOn(fanOut int, scopes Scopes) bool {
+// servesAllScopes tells whether a subscriber can be the parent of any that this node can be the parent of.
+func (n *Node) servesAllScopes(fanOut int, scopes Scopes) bool {
 	return fanOut > 0 && scopes.Cover(n.store.covered)
 }
 
-// makeRoom ends the place of a child for a subscriber that was not refused.
-func (n *Node) makeRoom(m *Subscribe, now int64) {
+// evictFor ends the place of a child for a subscriber that was not refused.
+func (n *Node) evictFor(m *Subscribe, now int64) {
 	if len(n.children) < n.limits.FanOut {
 		return
 	}
-	c := n.displaced(m)
-	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sent}, RefusedFull)
-	n.dropChild(c, CloseRefused, now)
+	c := n.evictionCandidate(m)
+	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}, RefusedFull)
+	n.removeChild(c, CloseRefused, now)
 }
 
-// breach tells by which rule a place is refused whether or not there is one left.
-func (n *Node) breach(m *Subscribe) RefusalReason {
-	switch path := n.path(); {
-	case m.Name == "" || len(m.Name) > nameMost || len(m.Scopes.Names) > n.limits.MaxScopes || !m.Scopes.wellFormed():
+// violatedRule tells by which rule a place is refused whether or not there is one left.
+func (n *Node) violatedRule(m *Subscribe) RefusalReason {
+	switch path := n.ownPath(); {
+	case m.Name == "" || len(m.Name) > maxNameBytes || len(m.Scopes.Names) > n.limits.MaxScopes || !m.Scopes.wellFormed():
 		return RefusedMalformed
 	case slices.Contains(path, m.Name):
 		return RefusedLoop
@@ -205,7 +205,7 @@
 		return RefusedEmpty
 	case !n.store.covered.Cover(m.Scopes):
 		return RefusedNotCovered
-	case n.conflicts(m.Version.Epoch):
+	case n.conflictsWith(m.Version.Epoch):
 		return RefusedConflict
 	}
 	return 0
@@ -215,7 +215,7 @@
 func (n *Node) refuse(link Link, m *Subscribe, reason RefusalReason) {
 	n.counts.Refusals++
 	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Version: m.Version, Refusal: reason})
-	n.host.Send(link, &Refused{Reason: reason, RetryAfter: n.retryAfter(reason), Candidates: n.propose(m)})
+	n.host.Send(link, &Refused{Reason: reason, RetryAfter: n.retryAfter(reason), Candidates: n.proposeCandidates(m)})
 	n.host.Close(link, CloseRefused)
 }
 
@@ -224,7 +224,7 @@
 	least := n.limits.MaxRetryAfter / 2
 	switch reason {
 	case RefusedBusy:
-		least = min(n.snapshotsLeft(), least)
+		least = min(n.snapshotTimeLeft(), least)
 	case RefusedEmpty:
 		least = n.limits.MaxBackoff / 2
 	}
@@ -232,8 +232,8 @@
 	return least + n.jitter(least)
 }
 
-// propose names children that could be the parent of a subscriber, beginning at a random one.
-func (n *Node) propose(m *Subscribe) []string {
+// proposeCandidates names children that could be the parent of a subscriber, beginning at a random one.
+func (n *Node) proposeCandidates(m *Subscribe) []string {
 	var names []string
 	if len(n.children) == 0 {
 		return nil
@@ -251,62 +251,62 @@
 	return names
 }
 
-// replaceNamesake ends the place that a child has on an older link, which may be half-open.
-func (n *Node) replaceNamesake(name string, now int64) {
+// replaceSameName ends the place that a child has on an older link, which may be half-open.
+func (n *Node) replaceSameName(name string, now int64) {
 	for _, c := range n.children {
 		if c.name == name {
 			n.host.Close(c.link, CloseReplaced)
-			n.dropChild(c, CloseReplaced, now)
+			n.removeChild(c, CloseReplaced, now)
 			return
 		}
 	}
 }
 
-// dropChild frees a place. The link is closed already.
-func (n *Node) dropChild(c *child, reason CloseReason, now int64) {
+// removeChild frees a place. The link is closed already.
+func (n *Node) removeChild(c *child, reason CloseReason, now int64) {
 	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
-	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sent, Close: reason})
+	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sentVersion, CloseReason: reason})
 	n.startSnapshots(now)
 }
 
-// dropUncovered ends the places of children that ask for more than this node has now.
-func (n *Node) dropUncovered(now int64) {
+// removeUncoveredChildren ends the places of children that ask for more than this node has now.
+func (n *Node) removeUncoveredChildren(now int64) {
 	for _, c := range slices.Clone(n.children) {
 		if n.store.covered.Cover(c.scopes) {
 			continue
 		}
-		m := &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sent}
+		m := &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}
 		n.refuse(c.link, m, RefusedNotCovered)
-		n.dropChild(c, CloseNotCovered, now)
+		n.removeChild(c, CloseNotCovered, now)
 	}
 }
 
-// renewed renews a lease and notes what the child has got.
-func (n *Node) renewed(link Link, m *Renew, now int64) {
-	c := n.child(link)
+// handleRenew renews a lease and notes what the child has got.
+func (n *Node) handleRenew(link Link, m *Renew, now int64) {
+	c := n.childByLink(link)
 	if c == nil {
 		return
 	}
-	c.until = now + n.limits.Lease
-	for c.confirmed < m.Received && len(c.unconfirmed) > 0 {
-		c.underWay -= c.unconfirmed[0]
-		c.unconfirmed = c.unconfirmed[1:]
-		c.confirmed++
+	c.leaseEnd = now + n.limits.Lease
+	for c.confirmedMessages < m.Received && len(c.unconfirmedSizes) > 0 {
+		c.unconfirmedBytes -= c.unconfirmedSizes[0]
+		c.unconfirmedSizes = c.unconfirmedSizes[1:]
+		c.confirmedMessages++
 	}
-	n.feed(c, now)
+	n.sendDeltas(c, now)
 	if c.snapshot != nil { // a window may be confirmed many times between two calls of Elapsed
-		n.refill(now)
-		n.sendPieces(now)
+		n.refillSnapshotCredit(now)
+		n.sendSnapshotPieces(now)
 	}
 }
 
-// watchChildren ends leases that were not renewed, and callers that do not subscribe.
-func (n *Node) watchChildren(now int64) {
+// checkChildren ends leases that were not renewed, and callers that do not subscribe.
+func (n *Node) checkChildren(now int64) {
 	for i := 0; i < len(n.children); i++ {
 		c := n.children[i]
-		if now >= c.until || len(c.unconfirmed) > unconfirmedMost {
+		if now >= c.leaseEnd || len(c.unconfirmedSizes) > maxUnconfirmedMessages {
 			n.host.Close(c.link, CloseSilent)
-			n.dropChild(c, CloseSilent, now)
+			n.removeChild(c, CloseSilent, now)
 			i--
 		}
 	}
--- a/distribution/seek.go
+++ b/distribution/seek.go
@@ -5,7 +5,7 @@
 // refusalsPerBackoff is how many refusals lengthen the wait like one failure: being sent down a tree is no failure.
 const refusalsPerBackoff = 3
 
-func (n *Node) attempt(link Link) *upstream {
+func (n *Node) attemptByLink(link Link) *parentLink {
 	for _, u := range n.attempts {
 		if u.link == link {
 			return u
@@ -14,35 +14,35 @@
 	return nil
 }
 
-// upstream gives the parent, or one that was asked to be it, by its link.
-func (n *Node) upstream(link Link) *upstream {
+// parentOrAttempt gives the parent, or one that was asked to be it, by its link.
+func (n *Node) parentOrAttempt(link Link) *parentLink {
 	if n.parent != nil && n.parent.link == link {
 		return n.parent
 	}
-	return n.attempt(link)
+	return n.attemptByLink(link)
 }
 
-// attemptsMost bounds the parents that are asked for a place at once. Two may be silent behind the same cut.
-const attemptsMost = 3
+// maxAttempts bounds the parents that are asked for a place at once. Two may be silent behind the same cut.
+const maxAttempts = 3
 
-// seek dials a possible parent where one is needed, and further ones beside those that take long.
-func (n *Node) seek(now int64) {
-	if n.config.Voter || !n.wanting(now) {
+// seekParent dials a possible parent where one is needed, and further ones beside those that take long.
+func (n *Node) seekParent(now int64) {
+	if n.config.Voter || !n.needsParent(now) {
 		return
 	}
 	asked := len(n.attempts)
 	switch {
 	case asked == 0:
-		if now >= n.nextDial {
-			n.dial(now)
+		if now >= n.nextDialAt {
+			n.dialCandidate(now)
 		}
-	case n.parent == nil && asked < attemptsMost && now-n.attempts[asked-1].since >= n.limits.HedgeDelay:
-		n.dial(now)
+	case n.parent == nil && asked < maxAttempts && now-n.attempts[asked-1].dialedAt >= n.limits.HedgeDelay:
+		n.dialCandidate(now)
 	}
 }
 
-// wanting tells whether this node has no parent, or one that has been behind or without a current source for too long.
-func (n *Node) wanting(now int64) bool {
+// needsParent tells whether this node has no parent, or one that has been behind or without a current source for too long.
+func (n *Node) needsParent(now int64) bool {
 	u := n.parent
 	if u == nil {
 		return true
@@ -51,157 +51,157 @@
 		return true
 	}
 	good := u.admittedAt
-	if n.everCurrent {
-		good = max(good, n.currentAt)
+	if n.sourceEverCurrent {
+		good = max(good, n.sourceCurrentAt)
 	}
-	if n.incoming != nil {
-		good = max(good, n.incoming.progressAt)
+	if n.incomingSnapshot != nil {
+		good = max(good, n.incomingSnapshot.progressAt)
 	}
 	return now-good >= n.limits.MaxStaleness
 }
 
-// dial tries one of the candidates, if there is one that may be tried now.
-func (n *Node) dial(now int64) {
-	peer := n.pick(now)
+// dialCandidate tries one of the candidates, if there is one that may be tried now.
+func (n *Node) dialCandidate(now int64) {
+	peer := n.pickCandidate(now)
 	if peer == "" {
 		return
 	}
-	u := &upstream{link: n.newLink(), peer: peer, since: now, heard: now}
+	u := &parentLink{link: n.newLink(), peer: peer, dialedAt: now, lastReceivedAt: now}
 	n.attempts = append(n.attempts, u)
 	n.counts.Dials++
 	n.host.Dial(peer, u.link)
 }
 
 // DialFailed says that a dial has not succeeded; the link is gone.
-func (n *Node) DialFailed(link Link, now int64) { n.upstreamClosed(link, now) }
+func (n *Node) DialFailed(link Link, now int64) { n.parentLinkClosed(link, now) }
 
-// upstreamClosed handles the end of a link to a parent, or of an attempt to get one.
-func (n *Node) upstreamClosed(link Link, now int64) {
-	if u := n.attempt(link); u != nil {
+// parentLinkClosed handles the end of a link to a parent, or of an attempt to get one.
+func (n *Node) parentLinkClosed(link Link, now int64) {
+	if u := n.attemptByLink(link); u != nil {
 		n.attemptFailed(u, now)
 		return
 	}
 	if n.parent != nil && n.parent.link == link {
-		n.lostParent(0, now)
+		n.loseParent(0, now)
 	}
 }
 
 // attemptFailed puts off the next attempt, at this peer and at all. The link is closed already.
-func (n *Node) attemptFailed(u *upstream, now int64) {
-	n.dropAttempt(u)
-	n.backOff(u.peer, now)
+func (n *Node) attemptFailed(u *parentLink, now int64) {
+	n.removeAttempt(u)
+	n.recordFailure(u.peer, now)
 }
 
-func (n *Node) dropAttempt(u *upstream) {
-	n.attempts = slices.DeleteFunc(n.attempts, func(other *upstream) bool { return other == u })
+func (n *Node) removeAttempt(u *parentLink) {
+	n.attempts = slices.DeleteFunc(n.attempts, func(other *parentLink) bool { return other == u })
 }
 
-// admitted takes a place that was granted, if it is the first or better than the one this node has.
-func (n *Node) admitted(u *upstream, m *Admitted, now int64) {
-	n.learn(m.Candidates, false)
-	if m.Request != u.request {
+// handleAdmitted takes a place that was granted, if it is the first or better than the one this node has.
+func (n *Node) handleAdmitted(u *parentLink, m *Admitted, now int64) {
+	n.learnCandidates(m.Candidates, false)
+	if m.Request != u.lastRequest {
 		return // it answers an earlier request; what follows may be of other scopes
 	}
-	u.awaiting, u.received, u.unconfirmed = false, 1, m.Size()
-	if n.conflicts(m.Version.Epoch) {
-		n.conflict(u, now)
+	u.subscribing, u.receivedMessages, u.unconfirmedBytes = false, 1, m.Size()
+	if n.conflictsWith(m.Version.Epoch) {
+		n.rejectConflict(u, now)
 		return
 	}
-	if !n.pathFits(m.Path) || n.hasChild(u.peer) {
-		n.decline(u, CloseLoop, now)
+	if !n.pathValid(m.Path) || n.hasChild(u.peer) {
+		n.declinePlace(u, CloseLoop, now)
 		return
 	}
 	if u != n.parent {
-		if n.parent != nil && !n.better(m, now) {
-			n.decline(u, CloseNotChosen, now)
+		if n.parent != nil && !n.isBetterPlace(m, now) {
+			n.declinePlace(u, CloseNotChosen, now)
 			return
 		}
-		n.choose(u, now)
+		n.adoptParent(u, now)
 	}
 	u.lease = m.Lease
 	n.setPath(u, m.Path, now)
-	n.noteSource(u, m.Version, m.Age, now)
+	n.noteSourceAge(u, m.Version, m.Age, now)
 }
 
-// better tells whether a place that was granted is better than the one this node has: not behind where the present
+// isBetterPlace tells whether a place that was granted is better than the one this node has: not behind where the present
 // one is, or with a source that was known to be current clearly later.
-func (n *Node) better(m *Admitted, now int64) bool {
-	if n.older(m.Version) || m.Age == NeverCurrent {
+func (n *Node) isBetterPlace(m *Admitted, now int64) bool {
+	if n.isOlder(m.Version) || m.Age == NeverCurrent {
 		return false
 	}
-	age := n.age(now)
+	age := n.sourceAge(now)
 	return n.parent.behind || age == NeverCurrent || m.Age < age/2
 }
 
-// choose makes an attempt the parent, and ends the others.
-func (n *Node) choose(u *upstream, now int64) {
+// adoptParent makes an attempt the parent, and ends the others.
+func (n *Node) adoptParent(u *parentLink, now int64) {
 	if n.parent != nil {
-		n.leave(CloseBetterParent, now)
+		n.leaveParent(CloseBetterParent, now)
 	}
-	n.dropAttempt(u)
+	n.removeAttempt(u)
 	for _, other := range n.attempts {
 		n.host.Close(other.link, CloseNotChosen)
 	}
 	n.attempts = nil
 	n.parent, u.admittedAt = u, now
-	n.refusals = 0
+	n.consecutiveRefusals = 0
 	n.host.Log(Event{Kind: EventAdmitted, Peer: u.peer, Version: n.store.version})
-	n.beatSoon(now)
+	n.scheduleHeartbeats(now)
 }
 
-// decline gives back a place that does not fit or is no better, and waits before the next try.
-func (n *Node) decline(u *upstream, reason CloseReason, now int64) {
+// declinePlace gives back a place that does not fit or is no better, and waits before the next try.
+func (n *Node) declinePlace(u *parentLink, reason CloseReason, now int64) {
 	if u == n.parent {
-		n.leave(reason, now)
+		n.leaveParent(reason, now)
 		return
 	}
 	n.host.Close(u.link, reason)
-	n.dropAttempt(u)
+	n.removeAttempt(u)
 	again := now + n.limits.MaxRetryAfter/2 + n.jitter(n.limits.MaxRetryAfter/2)
-	n.avoid(u.peer, again)
-	n.nextDial = now + n.jitter(n.limits.MinBackoff)
+	n.avoidUntil(u.peer, again)
+	n.nextDialAt = now + n.jitter(n.limits.MinBackoff)
 	if n.parent != nil {
-		n.nextDial = again
+		n.nextDialAt = again
 	}
 }
 
-// refusedBy handles a refusal: the peer is left alone as long as it says, and those it names are tried soon.
-func (n *Node) refusedBy(u *upstream, m *Refused, now int64) {
+// handleRefused handles a refusal: the peer is left alone as long as it says, and those it names are tried soon.
+func (n *Node) handleRefused(u *parentLink, m *Refused, now int64) {
 	n.counts.RefusedByParents++
 	n.host.Log(Event{Kind: EventRefusedBy, Peer: u.peer, Version: n.store.version, Refusal: m.Reason})
 	n.host.Close(u.link, CloseRefused)
 	if u == n.parent {
-		n.lostParent(CloseRefused, now)
+		n.loseParent(CloseRefused, now)
 	} else {
-		n.dropAttempt(u)
+		n.removeAttempt(u)
 	}
-	n.avoid(u.peer, now+min(max(m.RetryAfter, n.limits.MinBackoff), 2*n.limits.MaxRetryAfter))
-	n.learn(m.Candidates, true)
-	n.refusals++
-	n.nextDial = now + n.jitter(n.backoff(1+n.refusals/refusalsPerBackoff))
+	n.avoidUntil(u.peer, now+min(max(m.RetryAfter, n.limits.MinBackoff), 2*n.limits.MaxRetryAfter))
+	n.learnCandidates(m.Candidates, true)
+	n.consecutiveRefusals++
+	n.nextDialAt = now + n.jitter(n.backoffDelay(1+n.consecutiveRefusals/refusalsPerBackoff))
 	if n.parent != nil {
-		n.nextDial += n.limits.MaxRetryAfter / 2
+		n.nextDialAt += n.limits.MaxRetryAfter / 2
 	}
 }
 
-// leave gives the parent up. What it sent stays.
-func (n *Node) leave(reason CloseReason, now int64) {
+// leaveParent gives the parent up. What it sent stays.
+func (n *Node) leaveParent(reason CloseReason, now int64) {
 	n.host.Close(n.parent.link, reason)
-	n.lostParent(reason, now)
+	n.loseParent(reason, now)
 }
 
-// lostParent goes on without a parent; the next dial comes soon, after a jitter.
-func (n *Node) lostParent(reason CloseReason, now int64) {
+// loseParent goes on without a parent; the next dial comes soon, after a jitter.
+func (n *Node) loseParent(reason CloseReason, now int64) {
 	u := n.parent
-	n.parent, n.incoming = nil, nil
+	n.parent, n.incomingSnapshot = nil, nil
 	n.counts.ParentsLost++
-	n.host.Log(Event{Kind: EventParentLost, Peer: u.peer, Version: n.store.version, Close: reason})
-	n.backOff(u.peer, now)
-	n.beatSoon(now)
+	n.host.Log(Event{Kind: EventParentLost, Peer: u.peer, Version: n.store.version, CloseReason: reason})
+	n.recordFailure(u.peer, now)
+	n.scheduleHeartbeats(now)
 }
 
-// watchParent leaves a parent that has said nothing for a lease, or does not answer a request.
-func (n *Node) watchParent(now int64) {
+// checkParent leaves a parent that has said nothing for a lease, or does not answer a request.
+func (n *Node) checkParent(now int64) {
 	u := n.parent
 	if u == nil {
 		return
@@ -211,17 +211,17 @@
 		lease = min(lease, u.lease)
 	}
 	switch {
-	case now-u.heard >= lease:
-		n.leave(CloseSilent, now)
-	case u.awaiting && now-u.askedAt >= n.limits.Handshake:
-		n.leave(CloseTimedOut, now)
+	case now-u.lastReceivedAt >= lease:
+		n.leaveParent(CloseSilent, now)
+	case u.subscribing && now-u.subscribeSentAt >= n.limits.Handshake:
+		n.leaveParent(CloseTimedOut, now)
 	}
 }
 
-// watchAttempts gives up attempts that take too long.
-func (n *Node) watchAttempts(now int64) {
+// checkAttempts gives up attempts that take too long.
+func (n *Node) checkAttempts(now int64) {
 	for _, u := range slices.Clone(n.attempts) {
-		if now-u.since >= n.limits.Handshake {
+		if now-u.dialedAt >= n.limits.Handshake {
 			n.host.Close(u.link, CloseTimedOut)
 			n.attemptFailed(u, now)
 		}
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -8,14 +8,14 @@
 
 // store is the configuration at one version, with the log of the changes that led there.
 type store struct {
-	version Version
-	covered Scopes // the scopes that the contents are complete for
-	scopes  map[string]*scopeState
-	digest  Digest // of all scopes
-	live    int
-	bytes   int // of all entries, tombstones among them
-	graves  tombstones
-	log     changeLog
+	version     Version
+	covered     Scopes // the scopes that the contents are complete for
+	scopes      map[string]*scopeState
+	digest      Digest // of all scopes
+	liveEntries int
+	bytes       int // of all entries, tombstones among them
+	tombstones  tombstoneQueue
+	log         changeLog
 }
 
 // scopeState is the entries of one scope.
@@ -42,8 +42,8 @@
 	return Entry{Scope: key.Scope, Name: key.Name, Deleted: true}, false
 }
 
-// put sets an entry, by which the digest changes as given.
-func (s *store) put(e Entry, difference Digest) {
+// putWithDigest sets an entry, by which the digest changes as given.
+func (s *store) putWithDigest(e Entry, difference Digest) {
 	scope := s.scopes[e.Scope]
 	if scope == nil {
 		scope = &scopeState{}
@@ -53,7 +53,7 @@
 	if found {
 		old := scope.entries[at]
 		e.Scope, e.Name = old.Scope, old.Name // one copy of each text is enough
-		s.count(old, -1)
+		s.addToTotals(old, -1)
 		scope.entries[at] = e
 	} else {
 		if len(scope.entries) > 0 {
@@ -61,33 +61,33 @@
 		}
 		scope.entries = slices.Insert(scope.entries, at, e)
 	}
-	s.count(e, 1)
-	scope.digest = scope.digest.plus(difference)
-	s.digest = s.digest.plus(difference)
+	s.addToTotals(e, 1)
+	scope.digest = scope.digest.add(difference)
+	s.digest = s.digest.add(difference)
 	if e.Deleted {
-		s.graves.add(e)
+		s.tombstones.add(e)
 	}
 }
 
-// set is put for an entry whose effect on the digest is not known yet.
-func (s *store) set(e Entry) {
+// put is put for an entry whose effect on the digest is not known yet.
+func (s *store) put(e Entry) {
 	old, _ := s.lookup(e.Key())
-	s.put(e, digestOf(e).minus(digestOf(old)))
+	s.putWithDigest(e, entryDigest(e).subtract(entryDigest(old)))
 }
 
-// count adds an entry to the totals, or takes it away.
-func (s *store) count(e Entry, sign int) {
+// addToTotals adds an entry to the totals, or takes it away.
+func (s *store) addToTotals(e Entry, sign int) {
 	s.bytes += sign * e.size()
 	if !e.Deleted {
-		s.live += sign
+		s.liveEntries += sign
 	}
 }
 
-// remove drops a tombstone; the digest is that of live entries and stays.
-func (s *store) remove(key Key) {
+// removeTombstone drops a tombstone; the digest is that of live entries and stays.
+func (s *store) removeTombstone(key Key) {
 	scope := s.scopes[key.Scope]
 	at, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
-	s.count(scope.entries[at], -1)
+	s.addToTotals(scope.entries[at], -1)
 	scope.entries = slices.Delete(scope.entries, at, at+1)
 	if len(scope.entries) == 0 {
 		delete(s.scopes, key.Scope)
@@ -102,7 +102,7 @@
 	var sum Digest
 	for _, name := range scopes.Names {
 		if scope := s.scopes[name]; scope != nil {
-			sum = sum.plus(scope.digest)
+			sum = sum.add(scope.digest)
 		}
 	}
 	return sum
@@ -110,14 +110,14 @@
 
 // digestAt is the digest that some scopes had at an earlier revision, if the log still tells.
 func (s *store) digestAt(revision uint64, scopes Scopes) (Digest, bool) {
-	if revision < s.log.floor || revision > s.version.Revision || s.log.merges(revision) {
+	if revision < s.log.floor || revision > s.version.Revision || s.log.insideMerged(revision) {
 		return Digest{}, false
 	}
-	return s.digestFor(scopes).minus(s.log.sumAfter(revision, scopes)), true
+	return s.digestFor(scopes).subtract(s.log.digestChangeAfter(revision, scopes)), true
 }
 
-// visit hands out the entries of some scopes, tombstones among them, by scope and name, until told to stop.
-func (s *store) visit(scopes Scopes, each func(Entry) bool) {
+// forEach hands out the entries of some scopes, tombstones among them, by scope and name, until told to stop.
+func (s *store) forEach(scopes Scopes, each func(Entry) bool) {
 	names := scopes.Names
 	if scopes.All {
 		names = slices.Sorted(maps.Keys(s.scopes))
@@ -138,7 +138,7 @@
 // collect gives the entries of some scopes, with tombstones or without.
 func (s *store) collect(scopes Scopes, withTombstones bool) []Entry {
 	var entries []Entry
-	s.visit(scopes, func(e Entry) bool {
+	s.forEach(scopes, func(e Entry) bool {
 		if withTombstones || !e.Deleted {
 			entries = append(entries, e)
 		}
@@ -147,12 +147,12 @@
 	return entries
 }
 
-// merged gives everything that was set after a revision as one change, if it fits a number of bytes. The caller sees
+// mergedChange gives everything that was set after a revision as one change, if it fits a number of bytes. The caller sees
 // to it that no tombstone after the revision is missing.
-func (s *store) merged(revision uint64, scopes Scopes, most int) (change Change, fits bool) {
+func (s *store) mergedChange(revision uint64, scopes Scopes, most int) (change Change, fits bool) {
 	change = Change{Revision: s.version.Revision}
 	size := 0
-	s.visit(scopes, func(e Entry) bool {
+	s.forEach(scopes, func(e Entry) bool {
 		if e.Revision > revision {
 			change.Entries = append(change.Entries, e)
 			size += e.size()
@@ -171,10 +171,10 @@
 	}
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
 	if from.Revision < s.log.floor {
-		if from.Revision < s.graves.horizon {
+		if from.Revision < s.tombstones.horizon {
 			return nil, false
 		}
-		change, fits := s.merged(from.Revision, scopes, batch)
+		change, fits := s.mergedChange(from.Revision, scopes, batch)
 		if !fits {
 			return nil, false
 		}
@@ -182,7 +182,7 @@
 			delta.Changes = []Change{change}
 		}
 	} else {
-		delta.Changes, delta.Revision = s.log.after(from.Revision, scopes, batch, s.version.Revision)
+		delta.Changes, delta.Revision = s.log.changesAfter(from.Revision, scopes, batch, s.version.Revision)
 	}
 	if len(delta.Changes) == 0 {
 		return nil, true
@@ -193,8 +193,8 @@
 
 // compact drops from the log and the tombstones what the limits do not allow. It tells whether any of the log went.
 func (s *store) compact(limits Limits) bool {
-	dropped := s.log.bound(limits.LogChanges, limits.LogBytes)
-	for len(s.graves.list) > limits.Tombstones {
+	dropped := s.log.enforceLimits(limits.LogChanges, limits.LogBytes)
+	for len(s.tombstones.queue) > limits.Tombstones {
 		s.dropTombstone()
 	}
 	return dropped
@@ -204,21 +204,21 @@
 func (s *store) compactTo(revision uint64) {
 	revision = min(revision, s.version.Revision)
 	s.log.dropTo(revision)
-	for len(s.graves.list) > 0 && s.graves.list[0].revision <= revision {
+	for len(s.tombstones.queue) > 0 && s.tombstones.queue[0].revision <= revision {
 		s.dropTombstone()
 	}
-	s.graves.horizon = max(s.graves.horizon, revision)
+	s.tombstones.horizon = max(s.tombstones.horizon, revision)
 }
 
 // dropTombstone drops the oldest tombstone, unless its key was set again since.
 func (s *store) dropTombstone() {
-	oldest := s.graves.pop()
+	oldest := s.tombstones.pop()
 	if e, found := s.lookup(oldest.key); found && e.Deleted && e.Revision == oldest.revision {
-		s.remove(oldest.key)
+		s.removeTombstone(oldest.key)
 	}
 }
 
 // state is the whole of the store.
 func (s *store) state() State {
-	return State{Version: s.version, Covered: s.covered, Horizon: s.graves.horizon, Entries: s.collect(AllScopes(), true)}
+	return State{Version: s.version, Covered: s.covered, Horizon: s.tombstones.horizon, Entries: s.collect(AllScopes(), true)}
 }
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -111,7 +111,7 @@
 		size := 0
 		for _, m := range messages {
 			size += m.Size()
-			if frame.Append(batch, distribution.Wrap(m)) != nil {
+			if frame.Append(batch, distribution.NewEnvelope(m)) != nil {
 				l.abort()
 				return
 			}
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -176,7 +176,7 @@
 	var serving sync.WaitGroup
 	serving.Go(func() { v.Accept(theirs, nil) })
 	subscribe := &distribution.Subscribe{Name: "deaf", Scopes: distribution.SomeScopes("pricing")}
-	if err := frame.Write(ours, distribution.Wrap(subscribe)); err != nil {
+	if err := frame.Write(ours, distribution.NewEnvelope(subscribe)); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "it has a place", func() bool { return len(v.status(t).Children) == 2 })
@@ -203,7 +203,7 @@
 	defer ours.Close()
 	var serving sync.WaitGroup
 	serving.Go(func() { v.Accept(theirs, func(name string) bool { return name == "s1" }) })
-	if err := frame.Write(ours, distribution.Wrap(&distribution.Subscribe{Name: "s2"})); err != nil {
+	if err := frame.Write(ours, distribution.NewEnvelope(&distribution.Subscribe{Name: "s2"})); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ours.Read(make([]byte, 1)); err == nil {
--- a/distribution/voter.go
+++ b/distribution/voter.go
@@ -46,9 +46,9 @@
 func RestoreRecord(state State) *Record {
 	v := &Record{newStore(state.Version, AllScopes())}
 	for _, e := range state.Entries {
-		v.store.set(e)
+		v.store.put(e)
 	}
-	v.store.graves.horizon = max(v.store.graves.horizon, state.Horizon)
+	v.store.tombstones.horizon = max(v.store.tombstones.horizon, state.Horizon)
 	return v
 }
 
@@ -125,7 +125,7 @@
 			p.Entries = append(p.Entries, Entry{Scope: e.Scope, Name: e.Name, Value: e.Value})
 		}
 	}
-	v.store.visit(AllScopes(), func(e Entry) bool {
+	v.store.forEach(AllScopes(), func(e Entry) bool {
 		if !e.Deleted && !stay[e.Key()] {
 			p.Entries = append(p.Entries, Entry{Scope: e.Scope, Name: e.Name, Deleted: true})
 		}
