--- a/distribution/event.go
+++ b/distribution/event.go
@@ -8,17 +8,17 @@
 	return names[value]
 }
 
-// CloseReason says why a node has a link closed.
+// CloseReason says why a node has a link closed. Zero is the end of the connection itself.
 type CloseReason uint8
 
 // Reasons to close a link.
 const (
-	CloseSilent       CloseReason = iota + 1 // the peer said nothing for a lease
+	CloseSilent       CloseReason = iota + 1 // the peer sent nothing for a lease
 	CloseNotChosen                           // another parent admitted first
 	CloseReplaced                            // the child subscribed anew on another link
 	CloseRefused                             // the place was refused
 	CloseTimedOut                            // dial, admission or subscription took too long
-	CloseBetterParent                        // a better parent was found
+	CloseBetterParent                        // a better parent was found, or the parent is older than this node
 	CloseLoop                                // the node is among its own ancestors, or too deep
 	CloseConflict                            // the parent has an epoch of the same number founded by others
 	CloseNotCovered                          // the parent no longer covers the child's scopes
@@ -29,6 +29,7 @@
 var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "stale", "loop",
 	"conflict", "not covered", "malformed", "too large"}
 
+// String names the reason, as log lines have it.
 func (r CloseReason) String() string { return nameOf(closeNames[:], int(r)) }
 
 // EventKind says what an Event tells.
@@ -38,16 +39,16 @@
 const (
 	EventAdmitted      EventKind = iota + 1 // this node has a place below Peer
 	EventRefusedBy                          // Peer refused this node a place, for Refusal
-	EventParentLost                         // the parent Peer is gone or was left, for Close
+	EventParentLost                         // the parent Peer is gone or was left, for CloseReason
 	EventChildAdmitted                      // Peer has a place below this node
 	EventChildRefused                       // this node refused Peer a place, for Refusal
-	EventChildLost                          // the child Peer is gone or was closed, for Close
+	EventChildLost                          // the child Peer is gone or was closed, for CloseReason
 	EventGap                                // a message of Peer does not follow what this node has
 	EventWrongDigest                        // a message of Peer ends in another digest; nothing of it was applied
-	EventOlderRefused                       // a message of Peer, or a change, is older than what this node has; refused
+	EventOlderRefused                       // a message of Peer, or a change, is older than what this node has
 	EventEpochConflict                      // Peer has another epoch with the same number; refused
 	EventSnapshotSent                       // a snapshot to Peer is complete
-	EventSnapshotTaken                      // a snapshot of Peer was taken over
+	EventSnapshotTaken                      // a snapshot of Peer was installed
 	EventCompacted                          // changes up to Version have left the log
 	EventMalformed                          // a message of Peer breaks a rule
 	EventTooLarge                           // what Peer sent would pass the bound on the state; refused
@@ -59,13 +60,19 @@
 	"child lost", "gap", "wrong digest", "older refused", "epoch conflict", "snapshot sent", "snapshot taken", "compacted",
 	"malformed", "too large", "stale", "current"}
 
+// String names the kind, as log lines have it.
 func (k EventKind) String() string { return nameOf(eventNames[:], int(k)) }
 
 // Event is something for the host's log.
 type Event struct {
-	Kind        EventKind
-	Peer        string  // the other node, if there is one
-	Version     Version // what this node has, or for EventOlder what was refused
-	Refusal     RefusalReason
+	// Kind says what happened, and which of the other fields are set.
+	Kind EventKind
+	// Peer is the other node, if there is one.
+	Peer string
+	// Version is what this node has, or for EventOlderRefused what was refused.
+	Version Version
+	// Refusal is the reason of a refusal.
+	Refusal RefusalReason
+	// CloseReason is why a child or parent was lost.
 	CloseReason CloseReason
 }
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -11,35 +11,57 @@
 
 // Limits bounds what a node keeps, sends and waits for.
 type Limits struct {
-	Heartbeat    int64 // µs between two heartbeats to a child
-	Lease        int64 // µs of silence after which a child loses its place, and a parent its child
-	Handshake    int64 // µs that a dial and its admission may take, and a caller until it subscribes
-	MaxStaleness int64 // µs of age, or of a parent's lag, after which another parent is looked for
-
-	FanOut   int // children of one parent
-	MaxDepth int // nodes above a subscriber, the voter among them
-
-	LogChanges int // changes kept for deltas
-	LogBytes   int // bytes of them
-	Tombstones int // deleted entries kept
-	StateBytes int // bytes of the entries kept
-
-	Window                 int // bytes under way to a child that it has not yet confirmed
-	BatchBytes             int // bytes of the changes in one delta, unless a single change is larger
-	PieceBytes             int // bytes of the entries in one piece of a snapshot, unless a single entry is larger
-	MaxSnapshots           int // snapshots under way to children at once
-	SnapshotBytesPerSecond int // bytes a second of all these snapshots
-
-	MinBackoff    int64 // µs to wait after a first failure, before jitter
-	MaxBackoff    int64 // µs to wait after many
-	HedgeDelay    int64 // µs after which another parent is dialled beside those that have not admitted yet
-	MaxRetryAfter int64 // µs after which a refused child may come again at the latest
-	MaxCandidates int   // possible parents kept, configured ones not counted
-	MaxProposed   int   // candidates in one message
-	MaxScopes     int   // scopes named in one subscription
+	// Heartbeat is the µs between two heartbeats to a child.
+	Heartbeat int64
+	// Lease is the µs of silence after which a child loses its place, and a parent its child.
+	Lease int64
+	// Handshake is the µs that a dial and its admission may take, and a caller until it subscribes.
+	Handshake int64
+	// MaxStaleness is the µs of age, or of a parent's lag, after which another parent is looked for.
+	MaxStaleness int64
+
+	// FanOut is the number of children of one parent.
+	FanOut int
+	// MaxDepth is the number of nodes above a subscriber, the voter among them.
+	MaxDepth int
+
+	// LogChanges is the number of changes kept for deltas.
+	LogChanges int
+	// LogBytes is the number of bytes of the changes kept for deltas.
+	LogBytes int
+	// Tombstones is the number of deleted entries kept.
+	Tombstones int
+	// StateBytes is the number of bytes of the entries kept. A subscriber refuses more.
+	StateBytes int
+
+	// Window is the number of bytes sent to a child that it has not yet confirmed.
+	Window int
+	// BatchBytes bounds the changes in one delta, unless a single change is larger.
+	BatchBytes int
+	// PieceBytes bounds the entries in one piece of a snapshot, unless a single entry is larger.
+	PieceBytes int
+	// MaxSnapshots is the number of snapshots under way to children at once.
+	MaxSnapshots int
+	// SnapshotBytesPerSecond is the pace of all these snapshots together.
+	SnapshotBytesPerSecond int
+
+	// MinBackoff is the µs to wait after a first failure, before jitter.
+	MinBackoff int64
+	// MaxBackoff is the µs to wait after many failures, before jitter.
+	MaxBackoff int64
+	// HedgeDelay is the µs after which another parent is dialled beside those that have not admitted yet.
+	HedgeDelay int64
+	// MaxRetryAfter is the µs after which a refused child may come again at the latest.
+	MaxRetryAfter int64
+	// MaxCandidates is the number of possible parents kept, configured ones not counted.
+	MaxCandidates int
+	// MaxProposed is the number of candidates in one message.
+	MaxProposed int
+	// MaxScopes is the number of scopes named in one subscription.
+	MaxScopes int
 }
 
-// Defaults of the limits.
+// Defaults of the limits, in their units.
 const (
 	DefaultHeartbeat    = second
 	DefaultLease        = 1800 * millisecond // a change reaches the children of a silent parent by another within 3 s
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -2,316 +2,228 @@
 
 import "slices"
 
-// caller is a link that came in and has not subscribed yet.
-type caller struct {
-	link  Link
-	since int64
-}
-
-// maxExtraCallers bounds the callers, besides as many as there are places.
-const maxExtraCallers = 64
-
-// maxUnconfirmedMessages bounds the messages to a child that renews its lease and confirms nothing.
-const maxUnconfirmedMessages = 4096
-
-// maxNameBytes bounds the bytes of a node's name.
-const maxNameBytes = 256
-
-// heartbeatsPerProposal is the number of heartbeats from one with candidates to the next.
-const heartbeatsPerProposal = 16
-
-// child is a place in the tree below this node, on a lease.
-type child struct {
-	link            Link
-	name            string
-	scopes          Scopes
-	fanOut          int
-	leaseEnd        int64 // the end of the lease
-	nextHeartbeatAt int64 // of the next heartbeat
-	heartbeatsSent  int
-
-	// sentVersion is what the child has once it has got everything that was sent.
-	sentVersion       Version
-	awaitsSnapshot    bool              // it waits for a snapshot
-	snapshot          *outgoingSnapshot // that is under way
-	unconfirmedSizes  []int             // sizes of the messages sent that it has not confirmed
-	unconfirmedBytes  int               // their sum
-	confirmedMessages uint64            // messages that it has confirmed
-}
-
-// Incoming names the link of a caller that the host has accepted. Its first message must be a Subscribe. Zero says
-// that too many callers have not subscribed yet; the host closes the connection.
-func (n *Node) Incoming(now int64) Link {
-	if len(n.callers) >= n.limits.FanOut+maxExtraCallers {
-		return 0
-	}
-	link := n.newLink()
-	n.callers = append(n.callers, caller{link, now})
-	return link
-}
+// refusalsPerBackoff is how many refusals lengthen the wait like one failure: being sent down a tree is no failure.
+const refusalsPerBackoff = 3
 
-// removeCaller takes a link off the callers and tells whether it was one.
-func (n *Node) removeCaller(link Link) bool {
-	before := len(n.callers)
-	n.callers = slices.DeleteFunc(n.callers, func(c caller) bool { return c.link == link })
-	return len(n.callers) < before
-}
-
-func (n *Node) childByLink(link Link) *child {
-	for _, c := range n.children {
-		if c.link == link {
-			return c
+func (n *Node) attemptByLink(link Link) *parentLink {
+	for _, u := range n.attempts {
+		if u.link == link {
+			return u
 		}
 	}
 	return nil
 }
 
-func (n *Node) hasChild(name string) bool {
-	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
-}
-
-// ownPath is the way from the voter down to this node.
-func (n *Node) ownPath() []string {
-	if n.parent == nil {
-		return []string{n.config.Name}
+// parentOrAttempt gives the parent, or one that was asked to be it, by its link.
+func (n *Node) parentOrAttempt(link Link) *parentLink {
+	if n.parent != nil && n.parent.link == link {
+		return n.parent
 	}
-	return append(slices.Clone(n.parent.path), n.config.Name)
+	return n.attemptByLink(link)
 }
 
-// handleSubscribe handles a request for a place, or for a snapshot by a child that has one.
-func (n *Node) handleSubscribe(link Link, m *Subscribe, now int64) {
-	if c := n.childByLink(link); c != nil {
-		n.handleResubscribe(c, m, now)
+// maxAttempts bounds the parents that are asked for a place at once. Two may be silent behind the same cut.
+const maxAttempts = 3
+
+// seekParent dials a possible parent where one is needed, and further ones beside those that take long.
+func (n *Node) seekParent(now int64) {
+	if n.config.Voter || !n.needsParent(now) {
 		return
 	}
-	if !n.removeCaller(link) {
-		return // closed meanwhile
-	}
-	n.replaceSameName(m.Name, now)
-	if reason := n.refusalReason(m); reason != 0 {
-		n.refuse(link, m, reason)
-		return
+	asked := len(n.attempts)
+	switch {
+	case asked == 0:
+		if now >= n.nextDialAt {
+			n.dialCandidate(now)
+		}
+	case n.parent == nil && asked < maxAttempts && now-n.attempts[asked-1].dialedAt >= n.limits.HedgeDelay:
+		n.dialCandidate(now)
 	}
-	n.evictFor(m, now)
-	c := &child{link: link, name: m.Name, nextHeartbeatAt: now}
-	n.children = append(n.children, c)
-	n.host.Log(Event{Kind: EventChildAdmitted, Peer: c.name, Version: m.Version})
-	n.admitChild(c, m, now)
 }
 
-// handleResubscribe handles a request of a child that has a place.
-func (n *Node) handleResubscribe(c *child, m *Subscribe, now int64) {
-	switch reason := n.violatedRule(m); {
-	case m.Name != c.name:
-		n.refuse(c.link, m, RefusedMalformed)
-	case reason != 0:
-		n.refuse(c.link, m, reason)
-	default:
-		n.admitChild(c, m, now)
-		return
+// needsParent tells whether this node has no parent, or one that has been behind or without a current source for too long.
+func (n *Node) needsParent(now int64) bool {
+	u := n.parent
+	if u == nil {
+		return true
 	}
-	n.removeChild(c, CloseRefused, now)
-}
-
-// admitChild grants the lease and starts to send what the child lacks.
-func (n *Node) admitChild(c *child, m *Subscribe, now int64) {
-	c.scopes, c.fanOut, c.leaseEnd = m.Scopes, m.FanOut, now+n.limits.Lease
-	c.sentVersion, c.snapshot = m.Version, nil
-	c.unconfirmedSizes, c.unconfirmedBytes, c.confirmedMessages = nil, 0, 0
-	c.awaitsSnapshot = n.needsSnapshot(m)
-	n.sendToChild(c, &Admitted{
-		Lease:      n.limits.Lease,
-		Version:    n.store.version,
-		Path:       n.ownPath(),
-		Age:        n.sourceAge(now),
-		Candidates: n.proposeCandidates(m),
-		Request:    m.Request,
-	})
-	n.startSnapshots(now)
-	n.sendDeltas(c, now)
-}
-
-// needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is ahead of this node
-// waits for it, also for a snapshot.
-func (n *Node) needsSnapshot(m *Subscribe) bool {
-	have := n.store.version
-	if m.WantSnapshot || have.Epoch.Newer(m.Version.Epoch) {
+	if u.behind && now-u.behindSince >= n.limits.MaxStaleness {
 		return true
 	}
-	if m.Version.Epoch != have.Epoch || m.Version.Revision > have.Revision {
-		return false
+	good := u.admittedAt
+	if n.sourceEverCurrent {
+		good = max(good, n.sourceCurrentAt)
 	}
-	if digest, known := n.store.digestAt(m.Version.Revision, m.Scopes); known && digest != m.Digest {
-		return true
+	if n.incomingSnapshot != nil {
+		good = max(good, n.incomingSnapshot.progressAt)
 	}
-	_, possible := n.store.deltaFrom(m.Version, m.Scopes, n.limits.BatchBytes)
-	return !possible
+	return now-good >= n.limits.MaxStaleness
 }
 
-// refusalReason tells why a new child gets no place; zero if it gets one.
-func (n *Node) refusalReason(m *Subscribe) RefusalReason {
-	if reason := n.violatedRule(m); reason != 0 {
-		return reason
-	}
-	if len(n.children) >= n.limits.FanOut && n.evictionCandidate(m) == nil {
-		return RefusedFull
-	}
-	waits := n.store.version.Before(m.Version)
-	if !waits && n.needsSnapshot(m) && n.snapshotsPending() >= n.limits.MaxSnapshots {
-		return RefusedBusy
+// dialCandidate tries one of the candidates, if there is one that may be tried now.
+func (n *Node) dialCandidate(now int64) {
+	peer := n.pickCandidate(now)
+	if peer == "" {
+		return
 	}
-	return 0
+	u := &parentLink{link: n.newLink(), peer: peer, dialedAt: now, lastReceivedAt: now}
+	n.attempts = append(n.attempts, u)
+	n.counts.Dials++
+	n.host.Dial(peer, u.link)
 }
 
-// evictionCandidate gives the child that makes room for a subscriber where every place is taken: the last that cannot pass on
-// all that this node has, if the subscriber can. A tree whose upper places are taken by leaves could not grow.
-func (n *Node) evictionCandidate(m *Subscribe) *child {
-	if !n.servesAllScopes(m.FanOut, m.Scopes) {
-		return nil
+// DialFailed says that a dial has not succeeded; the link is gone.
+func (n *Node) DialFailed(link Link, now int64) { n.parentLinkClosed(link, now) }
+
+// parentLinkClosed handles the end of a link to a parent, or of an attempt to get one.
+func (n *Node) parentLinkClosed(link Link, now int64) {
+	if u := n.attemptByLink(link); u != nil {
+		n.attemptFailed(u, now)
+		return
 	}
-	for _, c := range slices.Backward(n.children) {
-		if !n.servesAllScopes(c.fanOut, c.scopes) {
-			return c
-		}
+	if n.parent != nil && n.parent.link == link {
+		n.loseParent(0, now)
 	}
-	return nil
 }
 
-// servesAllScopes tells whether a subscriber can be the parent of any that this node can be the parent of.
-func (n *Node) servesAllScopes(fanOut int, scopes Scopes) bool {
-	return fanOut > 0 && scopes.Cover(n.store.covered)
+// attemptFailed puts off the next attempt, at this peer and at all. The link is closed already.
+func (n *Node) attemptFailed(u *parentLink, now int64) {
+	n.removeAttempt(u)
+	n.recordFailure(u.peer, now)
 }
 
-// evictFor ends the place of a child for a subscriber that was not refused.
-func (n *Node) evictFor(m *Subscribe, now int64) {
-	if len(n.children) < n.limits.FanOut {
-		return
-	}
-	c := n.evictionCandidate(m)
-	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}, RefusedFull)
-	n.removeChild(c, CloseRefused, now)
+func (n *Node) removeAttempt(u *parentLink) {
+	n.attempts = slices.DeleteFunc(n.attempts, func(other *parentLink) bool { return other == u })
 }
 
-// violatedRule tells by which rule a place is refused whether or not there is one left.
-func (n *Node) violatedRule(m *Subscribe) RefusalReason {
-	switch path := n.ownPath(); {
-	case m.Name == "" || len(m.Name) > maxNameBytes || len(m.Scopes.Names) > n.limits.MaxScopes || !m.Scopes.wellFormed():
-		return RefusedMalformed
-	case slices.Contains(path, m.Name):
-		return RefusedLoop
-	case len(path) > n.limits.MaxDepth:
-		return RefusedTooDeep
-	case !n.store.version.Epoch.Known():
-		return RefusedEmpty
-	case !n.store.covered.Cover(m.Scopes):
-		return RefusedNotCovered
-	case n.conflictsWith(m.Version.Epoch):
-		return RefusedConflict
+// handleAdmitted takes a place that was granted, if it is the first or better than the one this node has.
+func (n *Node) handleAdmitted(u *parentLink, m *Admitted, now int64) {
+	n.learnCandidates(m.Candidates, false)
+	if m.Request != u.lastRequest {
+		return // it answers an earlier request; what follows may be of other scopes
+	}
+	u.subscribing, u.receivedMessages, u.unconfirmedBytes = false, 1, m.Size()
+	if n.conflictsWith(m.Version.Epoch) {
+		n.rejectConflict(u, now)
+		return
 	}
-	return 0
+	if !n.pathValid(m.Path) || n.hasChild(u.peer) {
+		n.declinePlace(u, CloseLoop, now)
+		return
+	}
+	if u != n.parent {
+		if n.parent != nil && !n.isBetterPlace(m, now) {
+			n.declinePlace(u, CloseNotChosen, now)
+			return
+		}
+		n.adoptParent(u, now)
+	}
+	u.lease = m.Lease
+	n.setPath(u, m.Path, now)
+	n.noteSourceAge(u, m.Version, m.Age, now)
 }
 
-// refuse answers a request and closes the link.
-func (n *Node) refuse(link Link, m *Subscribe, reason RefusalReason) {
-	n.counts.Refusals++
-	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Version: m.Version, Refusal: reason})
-	n.host.Send(link, &Refused{Reason: reason, RetryAfter: n.retryAfter(reason), Candidates: n.proposeCandidates(m)})
-	n.host.Close(link, CloseRefused)
+// isBetterPlace tells whether a place that was granted is better than the one this node has: not behind where the present
+// one is, or with a source that was known to be current clearly later.
+func (n *Node) isBetterPlace(m *Admitted, now int64) bool {
+	if n.isOlder(m.Version) || m.Age == NeverCurrent {
+		return false
+	}
+	age := n.sourceAge(now)
+	return n.parent.behind || age == NeverCurrent || m.Age < age/2
 }
 
-// retryAfter is when a refused child may come again, with jitter so that those refused together don't come together.
-func (n *Node) retryAfter(reason RefusalReason) int64 {
-	least := n.limits.MaxRetryAfter / 2
-	switch reason {
-	case RefusedBusy:
-		least = min(n.snapshotTimeLeft(), least)
-	case RefusedEmpty:
-		least = n.limits.MaxBackoff / 2
+// adoptParent makes an attempt the parent, and ends the others.
+func (n *Node) adoptParent(u *parentLink, now int64) {
+	if n.parent != nil {
+		n.leaveParent(CloseBetterParent, now)
+	}
+	n.removeAttempt(u)
+	for _, other := range n.attempts {
+		n.host.Close(other.link, CloseNotChosen)
 	}
-	least = max(least, n.limits.MinBackoff)
-	return least + n.jitter(least)
+	n.attempts = nil
+	n.parent, u.admittedAt = u, now
+	n.consecutiveRefusals = 0
+	n.host.Log(Event{Kind: EventAdmitted, Peer: u.peer, Version: n.store.version})
+	n.scheduleHeartbeats(now)
 }
 
-// proposeCandidates names children that could be the parent of a subscriber, beginning at a random one.
-func (n *Node) proposeCandidates(m *Subscribe) []string {
-	var names []string
-	if len(n.children) == 0 {
-		return nil
+// declinePlace gives back a place that does not fit or is no better, and waits before the next try.
+func (n *Node) declinePlace(u *parentLink, reason CloseReason, now int64) {
+	if u == n.parent {
+		n.leaveParent(reason, now)
+		return
 	}
-	first := int(n.host.Random() % uint64(len(n.children)))
-	for i := range n.children {
-		c := n.children[(first+i)%len(n.children)]
-		if len(names) == n.limits.MaxProposed {
-			break
-		}
-		if c.fanOut > 0 && c.name != m.Name && c.scopes.Cover(m.Scopes) {
-			names = append(names, c.name)
-		}
+	n.host.Close(u.link, reason)
+	n.removeAttempt(u)
+	again := now + n.limits.MaxRetryAfter/2 + n.jitter(n.limits.MaxRetryAfter/2)
+	n.avoidUntil(u.peer, again)
+	n.nextDialAt = now + n.jitter(n.limits.MinBackoff)
+	if n.parent != nil {
+		n.nextDialAt = again
 	}
-	return names
 }
 
-// replaceSameName ends the place that a child has on an older link, which may be half-open.
-func (n *Node) replaceSameName(name string, now int64) {
-	for _, c := range n.children {
-		if c.name == name {
-			n.host.Close(c.link, CloseReplaced)
-			n.removeChild(c, CloseReplaced, now)
-			return
-		}
+// handleRefused handles a refusal: the peer is left alone as long as it says, and those it names are tried soon.
+func (n *Node) handleRefused(u *parentLink, m *Refused, now int64) {
+	n.counts.RefusedByParents++
+	n.host.Log(Event{Kind: EventRefusedBy, Peer: u.peer, Version: n.store.version, Refusal: m.Reason})
+	n.host.Close(u.link, CloseRefused)
+	if u == n.parent {
+		n.loseParent(CloseRefused, now)
+	} else {
+		n.removeAttempt(u)
+	}
+	n.avoidUntil(u.peer, now+min(max(m.RetryAfter, n.limits.MinBackoff), 2*n.limits.MaxRetryAfter))
+	n.learnCandidates(m.Candidates, true)
+	n.consecutiveRefusals++
+	n.nextDialAt = now + n.jitter(n.backoffDelay(1+n.consecutiveRefusals/refusalsPerBackoff))
+	if n.parent != nil {
+		n.nextDialAt += n.limits.MaxRetryAfter / 2
 	}
 }
 
-// removeChild frees a place. The link is closed already.
-func (n *Node) removeChild(c *child, reason CloseReason, now int64) {
-	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
-	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sentVersion, CloseReason: reason})
-	n.startSnapshots(now)
+// leaveParent gives the parent up. What it sent stays.
+func (n *Node) leaveParent(reason CloseReason, now int64) {
+	n.host.Close(n.parent.link, reason)
+	n.loseParent(reason, now)
 }
 
-// removeUncoveredChildren ends the places of children that ask for more than this node has now.
-func (n *Node) removeUncoveredChildren(now int64) {
-	for _, c := range slices.Clone(n.children) {
-		if n.store.covered.Cover(c.scopes) {
-			continue
-		}
-		m := &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}
-		n.refuse(c.link, m, RefusedNotCovered)
-		n.removeChild(c, CloseNotCovered, now)
-	}
+// loseParent goes on without a parent; the next dial comes soon, after a jitter.
+func (n *Node) loseParent(reason CloseReason, now int64) {
+	u := n.parent
+	n.parent, n.incomingSnapshot = nil, nil
+	n.counts.ParentsLost++
+	n.host.Log(Event{Kind: EventParentLost, Peer: u.peer, Version: n.store.version, CloseReason: reason})
+	n.recordFailure(u.peer, now)
+	n.scheduleHeartbeats(now)
 }
 
-// handleRenew renews a lease and notes what the child has got.
-func (n *Node) handleRenew(link Link, m *Renew, now int64) {
-	c := n.childByLink(link)
-	if c == nil {
+// checkParent leaves a parent that has said nothing for a lease, or does not answer a request.
+func (n *Node) checkParent(now int64) {
+	u := n.parent
+	if u == nil {
 		return
 	}
-	c.leaseEnd = now + n.limits.Lease
-	for c.confirmedMessages < m.Received && len(c.unconfirmedSizes) > 0 {
-		c.unconfirmedBytes -= c.unconfirmedSizes[0]
-		c.unconfirmedSizes = c.unconfirmedSizes[1:]
-		c.confirmedMessages++
+	lease := n.limits.Lease
+	if u.lease > 0 {
+		lease = min(lease, u.lease)
 	}
-	n.sendDeltas(c, now)
-	if c.snapshot != nil { // a window may be confirmed many times between two calls of Elapsed
-		n.refillSnapshotCredit(now)
-		n.sendSnapshotPieces(now)
+	switch {
+	case now-u.lastReceivedAt >= lease:
+		n.leaveParent(CloseSilent, now)
+	case u.subscribing && now-u.subscribeSentAt >= n.limits.Handshake:
+		n.leaveParent(CloseTimedOut, now)
 	}
 }
 
-// checkChildren ends leases that were not renewed, and callers that do not subscribe.
-func (n *Node) checkChildren(now int64) {
-	for i := 0; i < len(n.children); i++ {
-		c := n.children[i]
-		if now >= c.leaseEnd || len(c.unconfirmedSizes) > maxUnconfirmedMessages {
-			n.host.Close(c.link, CloseSilent)
-			n.removeChild(c, CloseSilent, now)
-			i--
+// checkAttempts gives up attempts that take too long.
+func (n *Node) checkAttempts(now int64) {
+	for _, u := range slices.Clone(n.attempts) {
+		if now-u.dialedAt >= n.limits.Handshake {
+			n.host.Close(u.link, CloseTimedOut)
+			n.attemptFailed(u, now)
 		}
 	}
-	for len(n.callers) > 0 && now-n.callers[0].since >= n.limits.Handshake {
-		n.host.Close(n.callers[0].link, CloseTimedOut)
-		n.callers = n.callers[1:]
-	}
 }
