--- a/ownership/delta.go
+++ b/ownership/delta.go
@@ -5,38 +5,42 @@
 	"slices"
 )
 
-// Delta is the lines that bring a proxy from what it surely has to what it is to have, for some classes that share a
-// table from now on. A line in doubt is written whatever it is to be, and so is one that any of the classes lacks.
-// Less is false where that takes as many lines as the whole table with its head: the levels of all classes have to be
-// written beside a delta, as only a whole table makes a proxy forget those that another owner left.
-func Delta(base []KnownTable, concerns func(class int) bool, want map[string]float64) (lines []Line, less bool) {
+// Delta gives the lines that bring a proxy from what it holds to a wanted table, for those classes that are to share it.
+// A line that is uncertain, or that one of the classes lacks, is among them. It is worthwhile if it takes fewer lines than
+// the complete table with its header: beside a delta the limits of all classes have to be written, as a complete table
+// alone makes a proxy drop those that another owner left.
+func Delta(base []KnownTable, shares func(class int) bool, wanted map[string]float64) (lines []Line, worthwhile bool) {
 	if base == nil {
 		return nil, false
 	}
 	differ := map[string]bool{}
-	for class, has := range base {
-		if !concerns(class) {
-			continue
-		}
-		for id := range has.Uncertain {
-			differ[id] = true
-		}
-		for id, weight := range want {
-			if has.Lines[id] != weight {
-				differ[id] = true
-			}
-		}
-		for id := range has.Lines {
-			if want[id] == 0 {
-				differ[id] = true
-			}
+	for class, held := range base {
+		if shares(class) {
+			held.addDifferences(differ, wanted)
 		}
 	}
-	if len(differ)+len(base) > len(want)+1 {
+	if len(differ)+len(base) > len(wanted)+1 {
 		return nil, false
 	}
-	for _, id := range slices.Sorted(maps.Keys(differ)) {
-		lines = append(lines, Line{id, want[id]})
+	for _, backend := range slices.Sorted(maps.Keys(differ)) {
+		lines = append(lines, Line{backend, wanted[backend]})
 	}
 	return lines, true
 }
+
+// addDifferences adds the backends whose line differs from the wanted one, or may.
+func (k KnownTable) addDifferences(differ map[string]bool, wanted map[string]float64) {
+	for backend := range k.Uncertain {
+		differ[backend] = true
+	}
+	for backend, weight := range wanted {
+		if k.Lines[backend] != weight {
+			differ[backend] = true
+		}
+	}
+	for backend := range k.Lines {
+		if wanted[backend] == 0 {
+			differ[backend] = true
+		}
+	}
+}
--- /dev/null
+++ b/ownership/doc.go
@@ -0,0 +1,39 @@
+// Package ownership decides which of several controllers (members) owns which proxy, what a proxy that changes its owner
+// is known to hold, and how many messages may still be written to it. It has no I/O, no clock and no goroutine: every
+// method is called by one goroutine of the caller, and times are given to it in µs of the caller's monotonic clock.
+//
+// # The record
+//
+// The members replicate a log of entries (package consensus). Record is the state that results from applying them: the
+// same at every member that has applied the same entries, as Apply depends on nothing else. A member claims a proxy by an
+// entry; each claim is given the next fencing token, and the greatest token owns the proxy.
+//
+// # A member
+//
+// Coordinator is one member's part: it claims the proxies that connect, puts each change of the member's tables on the
+// record before the change is written to a proxy, and goes on without the record where no entry of its own has been
+// committed for a lease. An incarnation is the time between a member's entering the record and its end, its going on
+// without the record, or its restart. Nothing of a Coordinator survives a crash: the next process enters as a new
+// incarnation. What the record holds survives as long as a majority of the members, or the folders of package consensus.
+//
+// # The leader
+//
+// LeaseTracker is what the leader of the record knows besides, by its own clock: until when each member has surely written
+// nothing off the record. A member goes off the record no sooner than a lease after it proposed the last entry whose
+// commit it was told of. Entries of a member come one after the other, the next after the last was answered. So when entry
+// n+1 arrives on the same connection, n was answered, n was proposed after the answer to n-1, and that was after n-1 had
+// arrived: counting the lease from the arrival of n-1 is never too long, however late messages are. A new leader has seen
+// nothing, and vouches for nobody.
+//
+// A process that does not run has written nothing either, and its successor goes off the record no sooner than a lease
+// after its start. So a member is vouched for as well for a lease after its address refused a connection, and for a lease
+// after the entry arrived by which it closed its incarnation.
+//
+// # Messages
+//
+// The limit on messages to a proxy within a window is divided beforehand, so that members need not agree on each message:
+// every member has LeaseTerms.UnownedQuota, an owner has LeaseTerms.OwnerQuota on top, and there is room for the owner
+// quotas of the present owner and of the two before it.
+//
+// docs/shared.md has the reasons and the alternatives.
+package ownership
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Evidence gathers what a member's proxies met, for the others: sums by backend since the last report, which backends
-// are withdrawn here, what comes to each proxy, and what the fleet was seen to be able to do. It reports at most once
-// in an interval, but at once when a backend is withdrawn or back.
+// Evidence gathers what a member's proxies met, for the other members: outcomes by backend since the last report, which
+// backends are withdrawn here, the demand at each proxy, and the fleet's capacity. It is reported at most once a
+// reportInterval, and at once when a backend is withdrawn or restored. It is not safe for concurrent use.
 type Evidence struct {
 	interval   int64 // µs between two reports
 	reportedAt int64
@@ -16,42 +16,46 @@
 	withdrawn     map[string]Observation // backends that are withdrawn here
 	lastWithdrawn map[string]Observation // those of the last report
 
-	demand        map[int][]rate // by proxy and class
-	changedDemand map[int]bool   // proxies whose demand differs from what was last reported
-	lastDemand    map[int][]float64
+	demand        map[int][]rate    // by proxy and class
+	changedDemand map[int]bool      // proxies whose demand differs from the last report
+	lastDemand    map[int][]float64 // of the last report
 
 	capacity     Capacity
-	lastCapacity Capacity
+	lastCapacity Capacity // of the last report
 }
 
-// rate follows requests a second.
-type rate struct {
-	perSecond float64
-	window    int64
+// Report is what is due for the other members; empty if nothing is.
+type Report struct {
+	// Observations are by backend, in the order of their ids.
+	Observations []Observation
+	// Demands are in the order of the proxies, at most maxDemands; the rest is due next.
+	Demands []Demand
+	// Capacity is the zero value where it has not changed.
+	Capacity Capacity
 }
 
-// Capacity is what a fleet was seen to do, in units a second for each unit of weight and of ordinary traffic, so that
-// it holds for another member's proxies as well: without a queue, and with one. 0 is not known.
-type Capacity struct {
-	Proven    float64 `cbor:"1,keyasint"`
-	Saturated float64 `cbor:"2,keyasint"`
-}
+// When something is reported, and how much of it.
+const (
+	maxDemands        = 64               // proxies in a report
+	demandTolerance   = 0.2              // a change of demand by less is not reported
+	capacityTolerance = 0.1              // a change of capacity by less is not reported
+	demandWindow      = int64(5_000_000) // µs over which demand is averaged
+	reportInterval    = int64(1_000_000) // µs between two reports
+)
 
-// Demand is what comes to a proxy, requests a second by class.
-type Demand struct {
-	Proxy int       `cbor:"1,keyasint"`
-	Rates []float64 `cbor:"2,keyasint"`
+// rate is an average of requests a second.
+type rate struct {
+	perSecond float64
+	window    int64 // µs that were averaged so far
 }
 
-const (
-	maxDemands        = 64               // proxies whose demand is reported at a time, the rest the next
-	demandTolerance   = 0.2              // demand that differs by less is the same
-	capacityTolerance = 0.1              // and so is a fleet's ability
-	demandWindow      = int64(5e6)       // µs that demand is weighed over
-	reportInterval    = int64(1_000_000) // µs
-)
+// add takes further requests within a span of time, in µs.
+func (r *rate) add(requests int, span int64) {
+	r.perSecond += (float64(requests)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
+	r.window += span
+}
 
-// NewEvidence begins with none.
+// NewEvidence makes an empty one.
 func NewEvidence() *Evidence {
 	return &Evidence{
 		interval:      reportInterval,
@@ -64,36 +68,50 @@
 	}
 }
 
-// AddOutcomes adds what our proxies met at a backend: tries, those that failed, the mean time of the others and the span
-// in µs.
-func (v *Evidence) AddOutcomes(backend string, tries, failed int, mean, span int64) {
-	s := v.observed[backend]
-	if answered := int64(s.Attempts - s.Failed + tries - failed); answered > 0 {
-		s.MeanLatency = (s.MeanLatency*int64(s.Attempts-s.Failed) + mean*int64(tries-failed)) / answered
+// AddOutcomes adds what our proxies met at a backend within a window, in µs: attempts, how many of them failed, and the
+// mean latency of the others, in µs.
+func (v *Evidence) AddOutcomes(backend string, attempts, failed int, meanLatency, window int64) {
+	observation := v.observed[backend]
+	before := int64(observation.Attempts - observation.Failed)
+	succeeded := int64(attempts - failed)
+	if before+succeeded > 0 {
+		observation.MeanLatency = (observation.MeanLatency*before + meanLatency*succeeded) / (before + succeeded)
 	}
-	s.Backend, s.Attempts, s.Failed, s.Window = backend, s.Attempts+tries, s.Failed+failed, max(s.Window, span)
-	v.observed[backend] = s
+	observation.Backend = backend
+	observation.Attempts += attempts
+	observation.Failed += failed
+	observation.Window = max(observation.Window, window)
+	v.observed[backend] = observation
 }
 
-// SetWithdrawn notes that a backend is withdrawn here, by so many tries of which so many failed, or is not. Wait is its
-// back-off.
-func (v *Evidence) SetWithdrawn(backend string, withdrawn bool, tries, failed int, wait int64) {
+// SetWithdrawn notes whether a backend is withdrawn here, for so many attempts of which so many failed, and for how long,
+// in µs.
+func (v *Evidence) SetWithdrawn(backend string, withdrawn bool, attempts, failed int, backoff int64) {
 	if !withdrawn {
 		delete(v.withdrawn, backend)
-	} else if _, was := v.withdrawn[backend]; !was {
-		v.withdrawn[backend] = Observation{Backend: backend, Attempts: max(tries, 1), Failed: max(failed, 1), Withdrawn: true, Backoff: wait}
+		return
+	}
+	if _, already := v.withdrawn[backend]; already {
+		return
+	}
+	v.withdrawn[backend] = Observation{
+		Backend:   backend,
+		Attempts:  max(attempts, 1),
+		Failed:    max(failed, 1),
+		Withdrawn: true,
+		Backoff:   backoff,
 	}
 }
 
-// ForgetBackend ends what is kept of a backend.
+// ForgetBackend drops all of a backend that is gone.
 func (v *Evidence) ForgetBackend(backend string) {
 	delete(v.observed, backend)
 	delete(v.withdrawn, backend)
 	delete(v.lastWithdrawn, backend)
 }
 
-// AddDemand adds what came to a proxy.
-func (v *Evidence) AddDemand(proxy, class, count int, span int64) {
+// AddDemand adds requests of one class that clients sent to a proxy within a span of time, in µs.
+func (v *Evidence) AddDemand(proxy, class, requests int, span int64) {
 	if span <= 0 {
 		return
 	}
@@ -101,70 +119,112 @@
 	for len(rates) <= class {
 		rates = append(rates, rate{})
 	}
-	r := &rates[class]
-	r.perSecond += (float64(count)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
-	r.window += span
 	v.demand[proxy] = rates
-	if reported := v.lastDemand[proxy]; class >= len(reported) || differs(r.perSecond, reported[class], demandTolerance) {
+	rates[class].add(requests, span)
+	last := v.lastDemand[proxy]
+	if class >= len(last) || differs(rates[class].perSecond, last[class], demandTolerance) {
 		v.changedDemand[proxy] = true
 	}
 }
 
-func differs(now, reported, by float64) bool { return now > reported*(1+by) || now < reported*(1-by) }
-
-// ForgetProxy ends what is kept of a proxy.
+// ForgetProxy drops all of a proxy that is gone.
 func (v *Evidence) ForgetProxy(proxy int) {
 	delete(v.demand, proxy)
 	delete(v.changedDemand, proxy)
 	delete(v.lastDemand, proxy)
 }
 
-// SetCapacity notes what the fleet was seen to be able to do.
+// SetCapacity notes what the fleet was seen to reach.
 func (v *Evidence) SetCapacity(capacity Capacity) { v.capacity = capacity }
 
-// TakeDue gives what is to be reported now, if anything is.
-func (v *Evidence) TakeDue(now int64) (observations []Observation, demands []Demand, capacity Capacity) {
-	turned := len(v.withdrawn) != len(v.lastWithdrawn)
-	for id := range v.withdrawn {
-		_, reported := v.lastWithdrawn[id]
-		turned = turned || !reported
-	}
-	if !turned && now-v.reportedAt < v.interval {
-		return nil, nil, Capacity{}
+// TakeDue gives what is to be reported now, and counts it as reported.
+func (v *Evidence) TakeDue(now int64) Report {
+	if !v.withdrawalsChanged() && now-v.reportedAt < v.interval {
+		return Report{}
 	}
 	v.reportedAt = now
-	for _, id := range slices.Sorted(maps.Keys(v.lastWithdrawn)) {
-		if _, still := v.withdrawn[id]; !still {
-			s := v.observed[id]
-			s.Backend = id // with or without what was met since: it is not withdrawn any more
-			v.observed[id] = s
+	return Report{
+		Observations: v.takeObservations(),
+		Demands:      v.takeDemands(),
+		Capacity:     v.takeCapacity(),
+	}
+}
+
+// withdrawalsChanged tells whether a backend was withdrawn or restored since the last report.
+func (v *Evidence) withdrawalsChanged() bool {
+	if len(v.withdrawn) != len(v.lastWithdrawn) {
+		return true
+	}
+	for backend := range v.withdrawn {
+		if _, reported := v.lastWithdrawn[backend]; !reported {
+			return true
 		}
 	}
-	for id, s := range v.withdrawn {
-		if _, reported := v.lastWithdrawn[id]; reported {
-			delete(v.observed, id) // it stands as it was reported
+	return false
+}
+
+// takeObservations gives what was observed since the last report. A backend that was withdrawn since is reported with the
+// reason instead, one that is still withdrawn not at all, and one that was restored with whatever was observed.
+func (v *Evidence) takeObservations() (observations []Observation) {
+	for backend := range v.lastWithdrawn {
+		if _, still := v.withdrawn[backend]; !still {
+			observation := v.observed[backend]
+			observation.Backend = backend
+			v.observed[backend] = observation
+		}
+	}
+	for backend, reason := range v.withdrawn {
+		if _, reported := v.lastWithdrawn[backend]; reported {
+			delete(v.observed, backend)
 		} else {
-			v.observed[id] = s
+			v.observed[backend] = reason
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(v.observed)) {
-		observations = append(observations, v.observed[id])
+	for _, backend := range slices.Sorted(maps.Keys(v.observed)) {
+		observations = append(observations, v.observed[backend])
 	}
-	v.observed, v.lastWithdrawn = map[string]Observation{}, maps.Clone(v.withdrawn)
-	for _, proxy := range slices.Sorted(maps.Keys(v.changedDemand)) {
-		if len(demands) == maxDemands {
-			break
-		}
-		c := Demand{Proxy: proxy}
-		for _, r := range v.demand[proxy] {
-			c.Rates = append(c.Rates, r.perSecond)
+	v.observed = map[string]Observation{}
+	v.lastWithdrawn = maps.Clone(v.withdrawn)
+	return observations
+}
+
+// takeDemands gives the demand of proxies for which it has changed.
+func (v *Evidence) takeDemands() (demands []Demand) {
+	changed := slices.Sorted(maps.Keys(v.changedDemand))
+	for _, proxy := range changed[:min(len(changed), maxDemands)] {
+		var rates []float64
+		for _, rate := range v.demand[proxy] {
+			rates = append(rates, rate.perSecond)
 		}
-		demands, v.lastDemand[proxy] = append(demands, c), c.Rates
+		demands = append(demands, Demand{Proxy: proxy, Rates: rates})
+		v.lastDemand[proxy] = rates
 		delete(v.changedDemand, proxy)
 	}
-	if differs(v.capacity.Proven, v.lastCapacity.Proven, capacityTolerance) ||
-		differs(v.capacity.Saturated, v.lastCapacity.Saturated, capacityTolerance) {
-		capacity, v.lastCapacity = v.capacity, v.capacity
+	return demands
+}
+
+// takeCapacity gives the capacity if it has changed.
+func (v *Evidence) takeCapacity() Capacity {
+	provenDiffers := differs(v.capacity.Proven, v.lastCapacity.Proven, capacityTolerance)
+	saturatedDiffers := differs(v.capacity.Saturated, v.lastCapacity.Saturated, capacityTolerance)
+	if !provenDiffers && !saturatedDiffers {
+		return Capacity{}
+	}
+	v.lastCapacity = v.capacity
+	return v.capacity
+}
+
+// differs tells whether a value is outside a tolerance, a part of 1, around what was reported.
+func differs(now, reported, tolerance float64) bool {
+	return now > reported*(1+tolerance) || now < reported*(1-tolerance)
+}
+
+// AddEvidence puts what is due of our evidence into the next entry.
+func (c *Coordinator) AddEvidence(evidence *Evidence, now int64) {
+	report := evidence.TakeDue(now)
+	c.pending.Observations = append(c.pending.Observations, report.Observations...)
+	c.pending.Demands = append(c.pending.Demands, report.Demands...)
+	if report.Capacity != (Capacity{}) {
+		c.pending.Capacity = report.Capacity
 	}
-	return observations, demands, capacity
 }
--- a/ownership/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -12,14 +12,14 @@
 		v.TakeDue(5_000_000)
 		v.AddOutcomes("b", 10, 0, 100, 1000)
 		v.AddOutcomes("b", 10, 5, 400, 2000)
-		if seen, _, _ := v.TakeDue(5_500_000); seen != nil {
+		if seen := v.TakeDue(5_500_000).Observations; seen != nil {
 			t.Errorf("told early: %+v", seen)
 		}
-		seen, _, _ := v.TakeDue(6_000_000)
+		seen := v.TakeDue(6_000_000).Observations
 		if want := []Observation{{Backend: "b", Attempts: 20, Failed: 5, MeanLatency: 200, Window: 2000}}; !slices.Equal(seen, want) {
 			t.Errorf("told %+v", seen)
 		}
-		if seen, _, _ := v.TakeDue(7_000_000); seen != nil {
+		if seen := v.TakeDue(7_000_000).Observations; seen != nil {
 			t.Errorf("told twice: %+v", seen)
 		}
 	})
@@ -28,16 +28,16 @@
 		v.TakeDue(5_000_000)
 		v.AddOutcomes("a", 9, 9, 0, 1000)
 		v.SetWithdrawn("a", true, 9, 9, 10)
-		if seen, _, _ := v.TakeDue(5_000_001); len(seen) != 1 || !seen[0].Withdrawn || seen[0].Failed != 9 || seen[0].Backoff != 10 {
+		if seen := v.TakeDue(5_000_001).Observations; len(seen) != 1 || !seen[0].Withdrawn || seen[0].Failed != 9 || seen[0].Backoff != 10 {
 			t.Errorf("told %+v", seen)
 		}
 		v.AddOutcomes("a", 1, 1, 0, 1000)
 		v.SetWithdrawn("a", true, 1, 1, 10)
-		if seen, _, _ := v.TakeDue(6_500_000); seen != nil {
+		if seen := v.TakeDue(6_500_000).Observations; seen != nil {
 			t.Errorf("told again: %+v", seen)
 		}
 		v.SetWithdrawn("a", false, 0, 0, 0)
-		if seen, _, _ := v.TakeDue(6_500_001); len(seen) != 1 || seen[0].Withdrawn {
+		if seen := v.TakeDue(6_500_001).Observations; len(seen) != 1 || seen[0].Withdrawn {
 			t.Errorf("not taken back: %+v", seen)
 		}
 	})
@@ -46,24 +46,24 @@
 		for proxy := range 100 {
 			v.AddDemand(proxy, 1, 20, 2_000_000)
 		}
-		_, came, _ := v.TakeDue(1_000_000)
-		_, rest, _ := v.TakeDue(2_000_000)
+		came := v.TakeDue(1_000_000).Demands
+		rest := v.TakeDue(2_000_000).Demands
 		if len(came) != maxDemands || len(rest) != 100-maxDemands || fmt.Sprint(came[0]) != "{0 [0 10]}" {
 			t.Errorf("told %d and %d, the first %v", len(came), len(rest), came[0])
 		}
 		v.AddDemand(7, 1, 21, 2_000_000)
-		if _, same, _ := v.TakeDue(3_000_000); same != nil {
+		if same := v.TakeDue(3_000_000).Demands; same != nil {
 			t.Errorf("told %v for a little more", same)
 		}
 		for range 5 {
 			v.AddDemand(7, 1, 90, 2_000_000)
 		}
-		if _, more, _ := v.TakeDue(4_000_000); len(more) != 1 || more[0].Proxy != 7 || more[0].Rates[1] < 20 {
+		if more := v.TakeDue(4_000_000).Demands; len(more) != 1 || more[0].Proxy != 7 || more[0].Rates[1] < 20 {
 			t.Errorf("told %v", more)
 		}
 		v.ForgetProxy(7)
 		v.AddDemand(7, 0, 1, 0) // no time at all
-		if _, gone, _ := v.TakeDue(5_000_000); gone != nil || len(v.demand) != 99 {
+		if gone := v.TakeDue(5_000_000).Demands; gone != nil || len(v.demand) != 99 {
 			t.Errorf("told %v, %d are kept", gone, len(v.demand))
 		}
 	})
@@ -72,7 +72,7 @@
 		var told []Capacity
 		for i, proven := range []float64{0, 2, 2.1, 3, 3} {
 			v.SetCapacity(Capacity{Proven: proven})
-			if _, _, fit := v.TakeDue(int64(i+1) * 1_000_000); fit != (Capacity{}) {
+			if fit := v.TakeDue(int64(i+1) * 1_000_000).Capacity; fit != (Capacity{}) {
 				told = append(told, fit)
 			}
 		}
--- /dev/null
+++ b/ownership/leader_clock.go
@@ -0,0 +1,37 @@
+package ownership
+
+// maxLeaderClocks is how many leaders' clocks are known at a time. Of a forgotten one no recent stamp can be left.
+const maxLeaderClocks = 64
+
+// leaderClock relates a leader's clock to ours: the greatest stamp of it that was received, and when, both in µs.
+type leaderClock struct {
+	stampedAt  int64 // by the leader's clock
+	receivedAt int64 // by ours
+}
+
+// observeStamp takes a stamp of the record.
+func (c *Coordinator) observeStamp(stamp Stamp, now int64) {
+	if last, known := c.leaderClocks[stamp.Leader]; known && last.stampedAt > stamp.At {
+		return
+	}
+	c.leaderClocks[stamp.Leader] = leaderClock{stampedAt: stamp.At, receivedAt: now}
+	if len(c.leaderClocks) <= maxLeaderClocks {
+		return
+	}
+	oldest := stamp.Leader
+	for leader, clock := range c.leaderClocks {
+		if clock.receivedAt < c.leaderClocks[oldest].receivedAt {
+			oldest = leader
+		}
+	}
+	delete(c.leaderClocks, oldest)
+}
+
+// stampAge is how long ago a stamp was given at least, in µs. One of an unknown leader counts as older than the window.
+func (c *Coordinator) stampAge(stamp Stamp, now int64) int64 {
+	last, known := c.leaderClocks[stamp.Leader]
+	if !known {
+		return c.terms.MessageWindow
+	}
+	return now - last.receivedAt + last.stampedAt - stamp.At
+}
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -1,86 +1,111 @@
 package ownership
 
-// LeaseTracker is what the leader of the record knows of the other members by its own clock: until when each of them
-// has surely written nothing off the record. A member goes off the record no sooner than a lease after it proposed the
-// last entry of which it was answered that it stands. Entries of a member come one after the other, the next once the
-// last was answered, so that with entry n+1 on the same connection it is known that n was answered, that n was proposed
-// after the answer to n-1, and that this was after n-1 had come. Counting the lease from there is never too long,
-// however late anything is under way. A new leader has seen nothing yet, and vouches for nobody.
-//
-// A process that is surely not there has written nothing either, and one that comes in its place goes off the record no
-// sooner than a lease after its start. So a member is vouched for as well for a lease after it was seen to be gone, or
-// after the entry by which it closed its incarnation came.
+// LeaseTracker is what the leader of the record knows of the members by its own clock: until when each of them has surely
+// written nothing off the record. The package's comment says why its bounds hold. It is kept over several leaderships of
+// one process, and does not survive that. It is not safe for concurrent use.
 type LeaseTracker struct {
-	lease    int64
-	members  int
+	lease    int64                    // µs
+	members  int                      // how many there are
 	arrivals map[uint64]entryArrivals // by incarnation
-	goneAt   map[string]int64         // when a member was last seen to be gone
+	goneAt   map[string]int64         // when a member was last seen not to run
 }
 
-// entryArrivals tells when the last entries of an incarnation came, in a row on one connection; -1 stands for none.
+// entryArrivals tells when the last entries of an incarnation arrived, in a row on one connection.
 type entryArrivals struct {
-	connection            int
-	seq                   uint64
-	arrivedAt, previousAt int64 // when that one came, and the one before
-	leaseFrom             int64 // the lease counts from then on at least
+	connection int
+	seq        uint64
+	arrivedAt  int64 // when that one arrived
+	previousAt int64 // when the one before did, or notArrived
+	leaseFrom  int64 // the lease counts from here at the soonest, or notArrived
 }
 
-// NewLeaseTracker makes a tracker for what all members agree on.
+// notArrived is in place of a time in entryArrivals.
+const notArrived = -1
+
+// NewLeaseTracker makes a tracker that has seen nothing.
 func NewLeaseTracker(terms LeaseTerms) *LeaseTracker {
-	return &LeaseTracker{terms.Duration, terms.Members, map[uint64]entryArrivals{}, map[string]int64{}}
+	return &LeaseTracker{
+		lease:    terms.Duration,
+		members:  terms.Members,
+		arrivals: map[uint64]entryArrivals{},
+		goneAt:   map[string]int64{},
+	}
 }
 
-// MarkGone takes that a member's process was surely not there at some time: nobody listened at its address.
+// MarkGone takes that a member's process did not run at some time: its address refused a connection.
 func (t *LeaseTracker) MarkGone(member string, at int64) {
 	t.goneAt[member] = max(t.goneAt[member], at)
 }
 
-// SilentFor tells whether nothing has come from a member's incarnation for some time, so that it is worth a look whether
-// it is there.
-func (t *LeaseTracker) SilentFor(incarnation uint64, now, since int64) bool {
-	a, known := t.arrivals[incarnation]
-	return !known || now-a.arrivedAt > since
+// SilentFor tells whether nothing has arrived from an incarnation for longer than some time, in µs, so that it is worth
+// asking whether its process runs.
+func (t *LeaseTracker) SilentFor(incarnation uint64, now, duration int64) bool {
+	last, known := t.arrivals[incarnation]
+	return !known || now-last.arrivedAt > duration
 }
 
-// Observe takes an entry as it comes to the leader over a connection.
+// Observe takes an entry as it arrives at the leader. The number tells the connections apart on which entries arrive.
 func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now int64) {
-	a, known := t.arrivals[incarnation]
+	last, known := t.arrivals[incarnation]
+	if !known {
+		last.leaseFrom = notArrived
+	}
+	sameConnection := known && last.connection == connection
 	switch {
-	case known && a.connection == connection && seq == a.seq+1:
-		if a.previousAt >= 0 {
-			a.leaseFrom = max(a.leaseFrom, a.previousAt)
+	case sameConnection && seq == last.seq: // a repeat: the first arrival counts
+	case sameConnection && seq == last.seq+1:
+		if last.previousAt != notArrived {
+			last.leaseFrom = max(last.leaseFrom, last.previousAt)
 		}
-		a.previousAt, a.arrivedAt, a.seq = a.arrivedAt, now, seq
-	case known && a.connection == connection && seq == a.seq: // a repeat: the first coming counts
+		last.previousAt = last.arrivedAt
+		last.arrivedAt = now
+		last.seq = seq
 	default:
-		a = entryArrivals{connection: connection, seq: seq, arrivedAt: now, previousAt: -1, leaseFrom: a.leaseFrom}
-	}
-	if !known {
-		a.leaseFrom = -1
+		last = entryArrivals{connection: connection, seq: seq, arrivedAt: now, previousAt: notArrived, leaseFrom: last.leaseFrom}
 	}
-	t.arrivals[incarnation] = a
+	t.arrivals[incarnation] = last
 }
 
-// OnRecord names the incarnations that have surely written nothing off the record so far. One that has not entered yet
-// may serve off the record as well, so it names none before all have.
+// OnRecord gives the incarnations that have surely written nothing off the record so far, in no order. It is empty until
+// all members have entered: one that has not may serve without the record as well.
 func (t *LeaseTracker) OnRecord(record *Record, now int64) (incarnations []uint64) {
+	t.forgetUnknown(record, now)
+	if len(record.Members) < t.members {
+		return nil
+	}
 	for id, incarnation := range record.Incarnations {
-		a, came := t.arrivals[id]
-		at, gone := t.goneAt[incarnation.Member]
-		switch current := record.Members[incarnation.Member] == id; {
-		case came && a.leaseFrom >= 0 && now-a.leaseFrom < t.lease,
-			current && incarnation.Closed && came && now-a.arrivedAt < t.lease,
-			current && gone && now-at < t.lease && (!came || a.arrivedAt <= at):
+		present := record.Members[incarnation.Member] == id
+		if t.holdsLease(id, now) || present && (t.closedLately(id, incarnation, now) || t.goneLately(id, incarnation, now)) {
 			incarnations = append(incarnations, id)
 		}
 	}
-	for id, a := range t.arrivals {
-		if record.Incarnations[id] == nil && now-a.arrivedAt > t.lease { // it never got in, or is forgotten
+	return incarnations
+}
+
+// holdsLease tells whether an incarnation's lease has surely not ended.
+func (t *LeaseTracker) holdsLease(id uint64, now int64) bool {
+	last, known := t.arrivals[id]
+	return known && last.leaseFrom != notArrived && now-last.leaseFrom < t.lease
+}
+
+// closedLately tells whether the entry by which an incarnation closed arrived within a lease.
+func (t *LeaseTracker) closedLately(id uint64, incarnation *Incarnation, now int64) bool {
+	last, known := t.arrivals[id]
+	return incarnation.Closed && known && now-last.arrivedAt < t.lease
+}
+
+// goneLately tells whether a member was seen not to run within a lease, after all that has arrived from it.
+func (t *LeaseTracker) goneLately(id uint64, incarnation *Incarnation, now int64) bool {
+	goneAt, gone := t.goneAt[incarnation.Member]
+	last, known := t.arrivals[id]
+	return gone && now-goneAt < t.lease && (!known || last.arrivedAt <= goneAt)
+}
+
+// forgetUnknown drops incarnations that never entered, or that the record has forgotten.
+func (t *LeaseTracker) forgetUnknown(record *Record, now int64) {
+	for id, last := range t.arrivals {
+		if record.Incarnations[id] == nil && now-last.arrivedAt > t.lease {
 			delete(t.arrivals, id)
 		}
 	}
-	if len(record.Members) < t.members {
-		return nil
-	}
-	return incarnations
 }
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -5,94 +5,106 @@
 	"slices"
 )
 
-// PeerStatus is what a member has said of itself when it was asked.
+// PeerStatus is what another member has said of itself when it was asked.
 type PeerStatus struct {
-	ID        string // its name with what was drawn for as long as it remembers its votes
+	ID        string // its name, with what was drawn for as long as it remembers its votes
 	HasRecord bool   // it is part of a record
-	Leader    string // the leader's name, if it knows one
+	Leader    string // the name of the leader that it knows; empty for none
 }
 
-// OwnStatus is what we know of ourselves.
+// OwnStatus is what a member knows of itself.
 type OwnStatus struct {
-	Name, ID        string
-	HasRecord       bool // we have a record, with us in it or not
-	IsMember        bool // it has us as a member, by this id
-	HasLeader       bool // it has a leader
-	Durable         bool // our part of it outlasts the process
-	LeaderlessPolls int  // looks in a row without a leader
+	Name            string // among the members
+	ID              string // as in PeerStatus
+	HasRecord       bool   // it is part of a record, as a member or not
+	IsMember        bool   // the record has it as a member, under this ID
+	HasLeader       bool   // the record has a leader
+	Durable         bool   // its part of the record outlasts the process
+	LeaderlessPolls int    // polls in a row without a leader
 }
 
 // Step is what a member does next to belong to a record.
 type Step struct {
-	Action  Action
-	JoinVia string            // the name of the one to ask, for Join
-	IDs     map[string]string // of all by name, for Bootstrap
+	Action  Action            // what to do
+	JoinVia string            // the name of the member to ask, for Join
+	IDs     map[string]string // of all members by name, for Bootstrap
 }
 
-// Action is a kind of step.
+// Action is a kind of Step.
 type Action uint8
 
+// Kinds of steps.
 const (
-	Wait      Action = iota
-	Join             // ask to be taken in under our id
-	Bootstrap        // begin a record of all
-	StartOver        // come as new
+	Wait      Action = iota // do nothing for now
+	Join                    // ask a member to be admitted under our ID
+	Bootstrap               // found a record of all members
+	StartOver               // drop what we have, and come as new
 )
 
-// maxLeaderlessPolls is how many looks without a leader show that none is on its way: an election takes two or three.
+// maxLeaderlessPolls is how many polls without a leader show that none will be elected: an election takes two or three.
 const maxLeaderlessPolls = 25
 
-// NextStep settles the next step of a member, by what the others said that could be reached.
+// NextStep gives the next step of a member, by what those others said that could be reached.
 //
-// A record is founded by the first by name alone, and only if every member is there and none is part of one: otherwise
-// two could stand side by side, as after a split in which one side has forgotten. A member that has lost its votes
-// comes under another id and asks to be let in, whoever it was. Where all others have come as new nobody is left who
-// could elect a leader with us, and what only we remember can never stand again, so we come as new too; what is on a
-// disk is not given up by ourselves.
+// A record is founded by the first member by name alone, and only if every member was reached and none is part of one:
+// otherwise two could stand side by side, as after a split in which one side has forgotten. A member that has lost its
+// votes comes under another ID and asks to be admitted. Where all others have come as new nobody is left who could elect a
+// leader with us, so we come as new too, unless our part is on a disk: that is not given up automatically.
 func NextStep(own OwnStatus, names []string, others map[string]PeerStatus) Step {
 	if own.HasLeader && own.IsMember {
-		return Step{}
+		return Step{Action: Wait}
 	}
-	ask := ""
-	for _, name := range slices.Sorted(maps.Keys(others)) {
-		peer := others[name]
-		switch {
-		case !peer.HasRecord || name == own.Name:
-		case peer.Leader != "" && peer.Leader != own.Name:
-			ask = peer.Leader
-		case ask == "":
-			ask = name
-		}
-	}
-	all := len(others) == len(names)-1
+	via := memberWithRecord(own, others)
+	allReached := len(others) == len(names)-1
 	switch {
-	case ask != "" && !own.IsMember:
-		return Step{Action: Join, JoinVia: ask}
-	case ask != "" || !all:
-		return Step{}
+	case via != "" && !own.IsMember:
+		return Step{Action: Join, JoinVia: via}
+	case via != "" || !allReached:
+		return Step{Action: Wait}
 	case own.HasRecord && !own.Durable && own.LeaderlessPolls >= maxLeaderlessPolls:
 		return Step{Action: StartOver}
 	case !own.HasRecord && own.Name == slices.Min(names):
-		ids := map[string]string{own.Name: own.ID}
-		for name, peer := range others {
-			ids[name] = peer.ID
+		return Step{Action: Bootstrap, IDs: allIDs(own, others)}
+	}
+	return Step{Action: Wait}
+}
+
+// memberWithRecord is whom to ask to be admitted: the leader that others know, or else one that is part of a record; empty
+// if none is. A leader of our own name was an earlier process of ours.
+func memberWithRecord(own OwnStatus, others map[string]PeerStatus) (via string) {
+	for _, name := range slices.Sorted(maps.Keys(others)) {
+		peer := others[name]
+		if !peer.HasRecord || name == own.Name {
+			continue
+		}
+		if peer.Leader != "" && peer.Leader != own.Name {
+			via = peer.Leader
+		} else if via == "" {
+			via = name
 		}
-		return Step{Action: Bootstrap, IDs: ids}
 	}
-	return Step{}
+	return via
+}
+
+func allIDs(own OwnStatus, others map[string]PeerStatus) map[string]string {
+	ids := map[string]string{own.Name: own.ID}
+	for name, peer := range others {
+		ids[name] = peer.ID
+	}
+	return ids
 }
 
-// Admit tells which ids of a record's members go, in their order, before another is taken in under a name; it is in
-// already if itself says so. An id that has forgotten its votes must not be counted on beside the new one.
-func Admit(ids []string, id string, nameOf func(id string) string) (leave []string, in bool) {
+// Admit tells which of a record's IDs have to be removed, in their order, before another is admitted under a name, and
+// whether that one is a member already. An ID that has forgotten its votes must not count beside the new one.
+func Admit(ids []string, id string, nameOf func(id string) string) (remove []string, admitted bool) {
 	for _, other := range ids {
 		switch {
 		case other == id:
-			in = true
+			admitted = true
 		case nameOf(other) == nameOf(id):
-			leave = append(leave, other)
+			remove = append(remove, other)
 		}
 	}
-	slices.Sort(leave)
-	return leave, in
+	slices.Sort(remove)
+	return remove, admitted
 }
--- /dev/null
+++ b/ownership/proxies.go
@@ -0,0 +1,128 @@
+package ownership
+
+import "slices"
+
+// ProxyConnected takes that a proxy's stream has begun. The proxy is granted once its claim is on the record, or at once
+// without a quorum. Until then the caller writes nothing to it: a later owner would not know of it.
+func (c *Coordinator) ProxyConnected(proxy int, now int64) {
+	state := &proxyState{}
+	if c.inFlight != nil {
+		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Reclaims} {
+			if slices.Contains(claims, proxy) {
+				state.staleClaims++
+			}
+		}
+	}
+	c.proxies[proxy] = state
+	c.claim(proxy, newStream)
+	if c.withoutQuorum {
+		c.grantWithoutQuorum(proxy, now)
+	}
+	c.proposePending(now)
+}
+
+// ProxyDisconnected takes that a proxy's stream has ended. It stays ours by the record until another claims it.
+func (c *Coordinator) ProxyDisconnected(proxy int) {
+	delete(c.proxies, proxy)
+	isProxy := func(other int) bool { return other == proxy }
+	c.pending.Claims = slices.DeleteFunc(c.pending.Claims, isProxy)
+	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, isProxy)
+}
+
+// ProxyHeardFrom takes when a proxy was last heard from on its stream. If another member owns it by the record, it is with
+// us nevertheless, and is claimed again.
+func (c *Coordinator) ProxyHeardFrom(proxy int, at int64) {
+	state := c.proxies[proxy]
+	if state != nil && state.silentSince > 0 && at > state.silentSince+c.terms.RenewInterval {
+		c.claim(proxy, sameStream)
+	}
+}
+
+// claim puts a claim of a connected proxy into the next entry.
+func (c *Coordinator) claim(proxy int, kind claimKind) {
+	state := c.proxies[proxy]
+	state.token = 0
+	state.silentSince = 0
+	switch {
+	case kind == sameStream:
+		c.pending.Reclaims = append(c.pending.Reclaims, proxy)
+	case !slices.Contains(c.pending.Claims, proxy):
+		c.pending.Claims = append(c.pending.Claims, proxy)
+	}
+}
+
+// ProxyAcknowledged takes that a proxy has applied all that we wrote to it up to a revision, and which tables its classes
+// are bound to, -1 for none. If withdrawalsKnown, it holds the withdrawals that we ordered, and none of an earlier owner.
+func (c *Coordinator) ProxyAcknowledged(proxy int, revision uint64, tables []int, withdrawalsKnown bool) {
+	state := c.proxies[proxy]
+	if state == nil || revision < state.revision || slices.Contains(tables, -1) {
+		return
+	}
+	if state.revision == revision && state.withdrawalsKnown == withdrawalsKnown && slices.Equal(state.tables, tables) {
+		return
+	}
+	state.revision = revision
+	state.tables = slices.Clone(tables)
+	state.withdrawalsKnown = withdrawalsKnown
+	c.addConfirmation(proxy, state)
+}
+
+// addConfirmation puts what a proxy of ours has acknowledged into the next entry.
+func (c *Coordinator) addConfirmation(proxy int, state *proxyState) {
+	if state.token == 0 || state.revision == 0 {
+		return
+	}
+	confirmation := Confirmation{
+		Proxy:            proxy,
+		Token:            state.token,
+		Revision:         state.revision,
+		Tables:           state.tables,
+		WithdrawalsKnown: state.withdrawalsKnown,
+	}
+	sameProxy := func(other Confirmation) bool { return other.Proxy == proxy }
+	if at := slices.IndexFunc(c.pending.Confirmations, sameProxy); at >= 0 {
+		c.pending.Confirmations[at] = confirmation
+		return
+	}
+	c.pending.Confirmations = append(c.pending.Confirmations, confirmation)
+}
+
+// applyMove takes a change of owners that the record has.
+func (c *Coordinator) applyMove(move Move, now int64) {
+	state := c.proxies[move.Proxy]
+	if state == nil {
+		return
+	}
+	ours := move.To.Incarnation == c.incarnation
+	switch {
+	case ours && state.staleClaims > 0:
+		state.staleClaims--
+	case ours:
+		c.gainProxy(state, move, now)
+	case state.owned && move.To.Token > state.token && move.To.Owner != c.name:
+		c.loseProxy(state, move.Proxy, now)
+	}
+}
+
+// gainProxy takes that our claim of a proxy is on the record.
+func (c *Coordinator) gainProxy(state *proxyState, move Move, now int64) {
+	state.owned = true
+	state.token = move.To.Token
+	state.silentSince = 0
+	if state.granted {
+		c.addConfirmation(move.Proxy, state)
+		return
+	}
+	c.grantByRecord(move, now)
+}
+
+// loseProxy takes that another member has claimed a proxy that is connected to us. Its stream may be half-open; if it is
+// heard from it is claimed again.
+func (c *Coordinator) loseProxy(state *proxyState, proxy int, now int64) {
+	state.owned = false
+	state.token = 0
+	state.silentSince = now
+	if state.granted {
+		c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota())
+	}
+}
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -1,10 +1,3 @@
-// Package ownership holds what several controllers keep together, and what each of them concludes from it: who owns which
-// proxy, what that proxy was surely told, how many messages may still have gone to it, and what others heard of
-// backends. It has no I/O, no clock and no goroutine; docs/shared.md says why things are so.
-//
-// A Record is the replicated record, the same at every member once the same entries were taken in. A Coordinator is one
-// member at work on it: it claims proxies, and lets orders leave once the record has them. A LeaseTracker is what the
-// leader of the record knows besides.
 package ownership
 
 import (
@@ -13,190 +6,130 @@
 	"slices"
 )
 
-// Entry is what one member puts on the record in one piece. A member has one entry under way at a time.
-type Entry struct {
-	Member        string         `cbor:"1,keyasint"`
-	Incarnation   uint64         `cbor:"2,keyasint"`           // drawn anew at each start, and after each time off the record
-	Seq           uint64         `cbor:"3,keyasint"`           // 1 for the first of an incarnation, which is its entering
-	SeenToken     uint64         `cbor:"4,keyasint,omitempty"` // the greatest token that the member has seen
-	Closing       bool           `cbor:"5,keyasint,omitempty"` // nothing will be written to any proxy from now on
-	Claims        []int          `cbor:"6,keyasint,omitempty"`
-	Reclaims      []int          `cbor:"15,keyasint,omitempty"` // claims of proxies whose streams the member has had all the time
-	Revision      uint64         `cbor:"7,keyasint,omitempty"`  // of the tables once TableChanges counts
-	TableChanges  []TableChange  `cbor:"8,keyasint,omitempty"`
-	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
-	Observations  []Observation  `cbor:"10,keyasint,omitempty"`
-	Demands       []Demand       `cbor:"13,keyasint,omitempty"`
-	Capacity      Capacity       `cbor:"14,keyasint,omitempty"`
-	// OnRecord is added by the leader: the incarnations that had surely written nothing off the record when this entry
-	// came to it. It names none before all members have entered.
-	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
-	// Stamp is added by the leader as well.
-	Stamp Stamp `cbor:"12,keyasint,omitempty"`
-}
-
-// Stamp is a time on the clock of one leader, which says something only beside others of the same.
-type Stamp struct {
-	Leader uint64 `cbor:"1,keyasint"` // drawn anew with each leadership
-	At     int64  `cbor:"2,keyasint"` // µs
-}
-
-// TableChange is what changes in one table of a member; a weight of 0 takes a line out.
-type TableChange struct {
-	Table int    `cbor:"1,keyasint"`
-	Lines []Line `cbor:"2,keyasint"`
-}
-
-// Line is one line of a table.
-type Line struct {
-	Backend string  `cbor:"1,keyasint"`
-	Weight  float64 `cbor:"2,keyasint"`
-}
-
-// Confirmation is what a proxy has confirmed: all that its tables, by class, were up to an edition.
-type Confirmation struct {
-	Proxy    int    `cbor:"1,keyasint"`
-	Token    uint64 `cbor:"2,keyasint"`
-	Revision uint64 `cbor:"3,keyasint"`
-	Tables   []int  `cbor:"4,keyasint"`
-	// Sure: it shuts out what the owner ordered, and nothing that others did.
-	WithdrawalsKnown bool `cbor:"5,keyasint,omitempty"`
-}
-
-// WithdrawnTable is the number of a member's table of what it has withdrawn: a weight of 1 shuts out, 0 lets back.
-const WithdrawnTable = -1
-
-// Observation is what a member's proxies met at a backend. Withdrawn: it is withdrawn there, and this is what showed
-// it.
-type Observation struct {
-	Backend     string `cbor:"1,keyasint"`
-	Attempts    int    `cbor:"2,keyasint"`
-	Failed      int    `cbor:"3,keyasint"`
-	MeanLatency int64  `cbor:"4,keyasint"` // µs that an answer took
-	Window      int64  `cbor:"5,keyasint"` // µs that it covers
-	Withdrawn   bool   `cbor:"6,keyasint,omitempty"`
-	Backoff     int64  `cbor:"7,keyasint,omitempty"` // µs that it is withdrawn for
-}
-
-// Record is the replicated record: what every member concludes from the same entries.
+// Record is the replicated state: what every member concludes from the same entries. It is encoded into snapshots. A
+// Record is not safe for concurrent use.
 type Record struct {
-	Token        uint64                            `cbor:"1,keyasint"` // the last one given
-	Members      map[string]uint64                 `cbor:"2,keyasint"` // the incarnation of each
-	Incarnations map[uint64]*Incarnation           `cbor:"3,keyasint"`
-	Proxies      map[int]Ownership                 `cbor:"4,keyasint"`
-	Withdrawn    map[string]map[string]Observation `cbor:"5,keyasint"` // by backend and member
-	Demands      map[int][]float64                 `cbor:"6,keyasint"` // requests a second by proxy and class
-	Capacities   map[string]Capacity               `cbor:"7,keyasint"` // by member
-	Past         map[string][]uint64               `cbor:"8,keyasint"` // incarnations of each member that are over, the last ones
-}
-
-// Incarnation is a member between its entering and its end.
+	// Token is the greatest fencing token that was given.
+	Token uint64 `cbor:"1,keyasint"`
+	// Members has the present incarnation of each member by its name.
+	Members map[string]uint64 `cbor:"2,keyasint"`
+	// Incarnations are the present ones, and those before that still own a proxy.
+	Incarnations map[uint64]*Incarnation `cbor:"3,keyasint"`
+	// Proxies has the owner of each proxy by its number.
+	Proxies map[int]Ownership `cbor:"4,keyasint"`
+	// Withdrawn has why a backend is withdrawn, by backend and by member.
+	Withdrawn map[string]map[string]Observation `cbor:"5,keyasint"`
+	// Demands are requests a second, by proxy and class, as last reported.
+	Demands map[int][]float64 `cbor:"6,keyasint"`
+	// Capacities are by member, as last reported.
+	Capacities map[string]Capacity `cbor:"7,keyasint"`
+	// Past has the last incarnations of each member that are over, at most maxPastIncarnations.
+	Past map[string][]uint64 `cbor:"8,keyasint"`
+}
+
+// Incarnation is a member between its entering the record and its end.
 type Incarnation struct {
-	Member   string         `cbor:"1,keyasint"`
-	Seq      uint64         `cbor:"2,keyasint"`
-	Closed   bool           `cbor:"3,keyasint"`
-	Revision uint64         `cbor:"4,keyasint"`
-	Tables   map[int]*Table `cbor:"5,keyasint"`
-}
-
-// Table is one of a member's tables. A line that was taken out stands with a weight of 0 for a while.
+	// Member is its name.
+	Member string `cbor:"1,keyasint"`
+	// Seq is that of its last entry.
+	Seq uint64 `cbor:"2,keyasint"`
+	// Closed: it has given all proxies away, and its entries do not count any more.
+	Closed bool `cbor:"3,keyasint"`
+	// Revision is that of its tables.
+	Revision uint64 `cbor:"4,keyasint"`
+	// Tables are by number, with WithdrawnTable among them.
+	Tables map[int]*Table `cbor:"5,keyasint"`
+}
+
+// Table is one of a member's tables.
 type Table struct {
-	Lines       map[string]VersionedWeight `cbor:"1,keyasint"`
-	CompactedAt uint64                     `cbor:"2,keyasint"` // of lines taken out before this edition nothing is known any more
+	// Lines are by backend. One that was removed stays with a weight of 0 for a while.
+	Lines map[string]VersionedWeight `cbor:"1,keyasint"`
+	// CompactedAt is the revision before which removed lines are not known any more.
+	CompactedAt uint64 `cbor:"2,keyasint"`
 }
 
-// VersionedWeight is a line and the edition that set it.
+// VersionedWeight is a line of a table with the revision that set it.
 type VersionedWeight struct {
-	Weight   float64 `cbor:"1,keyasint"`
-	Revision uint64  `cbor:"2,keyasint"`
+	// Weight is 0 for a line that was removed.
+	Weight float64 `cbor:"1,keyasint"`
+	// Revision is that of the member's tables.
+	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// Ownership says who owns a proxy, by which token, and what it has confirmed of that owner's; an edition of 0: nothing.
+// Ownership says who owns a proxy, and what the proxy has acknowledged to this owner.
 type Ownership struct {
-	Owner            string  `cbor:"1,keyasint"`
-	Incarnation      uint64  `cbor:"2,keyasint"`
-	Token            uint64  `cbor:"3,keyasint"`
-	Revision         uint64  `cbor:"4,keyasint"`
-	Tables           []int   `cbor:"5,keyasint"`
-	Moves            []Stamp `cbor:"6,keyasint"` // when it was taken over from others, the last ones
-	WithdrawalsKnown bool    `cbor:"7,keyasint,omitempty"`
-}
-
-// KnownTable is what a proxy surely has of one class: lines, and backends of which it may have any line or none.
-type KnownTable struct {
-	Lines     map[string]float64
-	Uncertain map[string]bool
-}
-
-// Move is a change of a proxy's owner. Known is false where the old one may have written what the record lacks.
-type Move struct {
-	Proxy         int
-	From, To      Ownership
-	Known         bool
-	Base          []KnownTable // by class, if it is known
-	NoWithdrawals bool         // it is known besides that it shuts nothing out
-	Demand        []float64    // requests a second that came to it, by class, as last told
-}
-
+	// Owner is the name of a member; empty for a proxy that nobody has claimed.
+	Owner string `cbor:"1,keyasint"`
+	// Incarnation is the owner's when it claimed the proxy.
+	Incarnation uint64 `cbor:"2,keyasint"`
+	// Token is the fencing token of the claim.
+	Token uint64 `cbor:"3,keyasint"`
+	// Revision of the owner's tables that the proxy has acknowledged; 0 for nothing yet.
+	Revision uint64 `cbor:"4,keyasint"`
+	// Tables are the numbers of the tables that its classes are bound to, by class.
+	Tables []int `cbor:"5,keyasint"`
+	// Moves are the last times at which it was taken over from another owner.
+	Moves []Stamp `cbor:"6,keyasint"`
+	// WithdrawalsKnown is as in Confirmation.
+	WithdrawalsKnown bool `cbor:"7,keyasint,omitempty"`
+}
+
+// Bounds on what the record remembers.
 const (
-	maxRemovedLines       = 256 // lines taken out that a table remembers ...
-	removedLinesAfterTrim = 128 // ... and how many are left once there are more
-
-	maxPastIncarnations   = 16 // incarnations of a member that are known to be over
-	previousOwnersCounted = 2  // owners before the present one for whose shares there is room within the span
-	maxMovesWithReserve   = 4  // moves within it up to which an owner has some messages in any case
+	maxRemovedLines       = 256 // removed lines of a table, beyond which ...
+	removedLinesAfterTrim = 128 // ... only so many are left
+	maxPastIncarnations   = 16  // of a member
 )
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{Members: map[string]uint64{}, Incarnations: map[uint64]*Incarnation{}, Proxies: map[int]Ownership{},
-		Withdrawn: map[string]map[string]Observation{}, Demands: map[int][]float64{}, Capacities: map[string]Capacity{},
-		Past: map[string][]uint64{}}
+	return &Record{
+		Members:      map[string]uint64{},
+		Incarnations: map[uint64]*Incarnation{},
+		Proxies:      map[int]Ownership{},
+		Withdrawn:    map[string]map[string]Observation{},
+		Demands:      map[int][]float64{},
+		Capacities:   map[string]Capacity{},
+		Past:         map[string][]uint64{},
+	}
 }
 
-// Apply takes in the next entry. It is false for one that was taken in before, and for one of an incarnation that is
-// over: its member has entered anew since, or has closed.
-func (r *Record) Apply(e Entry) (moves []Move, taken bool) {
-	// A repeat of an entering that was under way for long must not bring back an incarnation that is over.
-	if e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.Past[e.Member], e.Incarnation) {
+// Apply applies the next entry and gives the changes of owners that follow. An entry is not accepted, and changes nothing,
+// if it was applied before, if it leaves one out, or if its incarnation is over.
+func (r *Record) Apply(e Entry) (moves []Move, accepted bool) {
+	if r.mayEnter(e) {
 		r.enter(e)
 	}
-	incarnation := r.Incarnations[e.Incarnation]
-	if incarnation == nil || r.Members[e.Member] != e.Incarnation || e.Seq != incarnation.Seq+1 || incarnation.Closed {
+	if !r.accepts(e) {
 		return nil, false
 	}
+	incarnation := r.Incarnations[e.Incarnation]
 	incarnation.Seq = e.Seq
 	r.Token = max(r.Token, e.SeenToken)
-	r.applyTables(incarnation, e)
-	for _, t := range e.Confirmations {
-		if h, ok := r.Proxies[t.Proxy]; ok && h.Token == t.Token && h.Incarnation == e.Incarnation && t.Revision >= h.Revision {
-			h.Revision, h.Tables, h.WithdrawalsKnown = t.Revision, t.Tables, t.WithdrawalsKnown
-			r.Proxies[t.Proxy] = h
-		}
-	}
-	for _, s := range e.Observations {
-		r.setWithdrawn(e.Member, s)
-	}
-	for _, c := range e.Demands {
-		r.Demands[c.Proxy] = c.Rates
-	}
-	if e.Capacity != (Capacity{}) {
-		r.Capacities[e.Member] = e.Capacity
-	}
+	incarnation.applyTables(e)
+	r.applyConfirmations(e)
+	r.applyEvidence(e)
 	for _, proxy := range e.Claims {
-		moves = append(moves, r.claim(proxy, e, false))
+		moves = append(moves, r.claim(proxy, e, newStream))
 	}
 	for _, proxy := range e.Reclaims {
-		moves = append(moves, r.claim(proxy, e, true))
+		moves = append(moves, r.claim(proxy, e, sameStream))
 	}
 	if e.Closing {
 		incarnation.Closed = true
 		r.clearWithdrawn(e.Member)
 	}
-	r.dropUnused()
+	r.dropUnusedIncarnations()
 	return moves, true
 }
 
+// mayEnter tells whether an entry begins an incarnation. A late repeat of one must not bring back an incarnation that is
+// over.
+func (r *Record) mayEnter(e Entry) bool {
+	return e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.Past[e.Member], e.Incarnation)
+}
+
 func (r *Record) enter(e Entry) {
 	if last, ok := r.Members[e.Member]; ok {
 		past := append(r.Past[e.Member], last)
@@ -207,136 +140,112 @@
 	r.clearWithdrawn(e.Member) // it has forgotten what it withdrew
 }
 
-func (r *Record) applyTables(incarnation *Incarnation, e Entry) {
-	incarnation.Revision = max(incarnation.Revision, e.Revision)
+// accepts tells whether an entry is the next one of its member's present incarnation.
+func (r *Record) accepts(e Entry) bool {
+	incarnation := r.Incarnations[e.Incarnation]
+	if incarnation == nil || incarnation.Closed || r.Members[e.Member] != e.Incarnation {
+		return false
+	}
+	return e.Seq == incarnation.Seq+1
+}
+
+func (i *Incarnation) applyTables(e Entry) {
+	i.Revision = max(i.Revision, e.Revision)
 	for _, change := range e.TableChanges {
-		t := incarnation.Tables[change.Table]
-		if t == nil {
-			t = &Table{Lines: map[string]VersionedWeight{}}
-			incarnation.Tables[change.Table] = t
+		table := i.Tables[change.Table]
+		if table == nil {
+			table = &Table{Lines: map[string]VersionedWeight{}}
+			i.Tables[change.Table] = table
 		}
-		if e.Seq == 1 { // these are tables as they stand: what was taken out of them before nobody knows
-			t.CompactedAt = e.Revision
+		if e.Seq == 1 { // complete tables: what was removed from them before is not known
+			table.CompactedAt = e.Revision
 		}
-		for _, l := range change.Lines {
-			t.Lines[l.Backend] = VersionedWeight{l.Weight, e.Revision}
+		for _, line := range change.Lines {
+			table.Lines[line.Backend] = VersionedWeight{line.Weight, e.Revision}
 		}
-		t.forgetOldRemovals()
+		table.forgetOldRemovals()
 	}
 }
 
-// forgetOldRemovals forgets the oldest of the lines taken out when there are many.
+// forgetOldRemovals drops the oldest of the removed lines where there are many.
 func (t *Table) forgetOldRemovals() {
-	var out []string
-	for id, l := range t.Lines {
-		if l.Weight == 0 {
-			out = append(out, id)
+	var removed []string
+	for backend, line := range t.Lines {
+		if line.Weight == 0 {
+			removed = append(removed, backend)
 		}
 	}
-	if len(out) <= maxRemovedLines {
+	if len(removed) <= maxRemovedLines {
 		return
 	}
-	slices.SortFunc(out, func(x, y string) int {
-		return cmp.Or(cmp.Compare(t.Lines[x].Revision, t.Lines[y].Revision), cmp.Compare(x, y))
+	slices.SortFunc(removed, func(a, b string) int {
+		return cmp.Or(cmp.Compare(t.Lines[a].Revision, t.Lines[b].Revision), cmp.Compare(a, b))
 	})
-	for _, id := range out[:len(out)-removedLinesAfterTrim] {
-		t.CompactedAt = max(t.CompactedAt, t.Lines[id].Revision)
-		delete(t.Lines, id)
+	for _, backend := range removed[:len(removed)-removedLinesAfterTrim] {
+		t.CompactedAt = max(t.CompactedAt, t.Lines[backend].Revision)
+		delete(t.Lines, backend)
 	}
 }
 
-func (r *Record) setWithdrawn(member string, s Observation) {
-	if s.Withdrawn {
-		if r.Withdrawn[s.Backend] == nil {
-			r.Withdrawn[s.Backend] = map[string]Observation{}
+// applyConfirmations takes what proxies have acknowledged to the owner that they still have.
+func (r *Record) applyConfirmations(e Entry) {
+	for _, confirmation := range e.Confirmations {
+		owned, ok := r.Proxies[confirmation.Proxy]
+		if !ok || owned.Token != confirmation.Token || owned.Incarnation != e.Incarnation || confirmation.Revision < owned.Revision {
+			continue
 		}
-		r.Withdrawn[s.Backend][member] = s
-	} else if at := r.Withdrawn[s.Backend]; at != nil {
-		if delete(at, member); len(at) == 0 {
-			delete(r.Withdrawn, s.Backend)
-		}
-	}
-}
-
-func (r *Record) clearWithdrawn(member string) {
-	for _, id := range slices.Collect(maps.Keys(r.Withdrawn)) {
-		r.setWithdrawn(member, Observation{Backend: id})
+		owned.Revision = confirmation.Revision
+		owned.Tables = confirmation.Tables
+		owned.WithdrawalsKnown = confirmation.WithdrawalsKnown
+		r.Proxies[confirmation.Proxy] = owned
 	}
 }
 
-// claim moves a proxy. What it holds is known if all that its last owner wrote is on the record, and if nobody else
-// can have had it since: a member off the record serves whoever comes to it, and cannot say so.
-func (r *Record) claim(proxy int, e Entry, again bool) Move {
-	from := r.Proxies[proxy]
-	r.Token++
-	m := Move{Proxy: proxy, From: from, To: Ownership{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token}}
-	if m.To.Moves = from.Moves; from.Owner != "" && !(again && from.Owner == e.Member) {
-		m.To.Moves = append(slices.Clone(from.Moves), e.Stamp)
-		m.To.Moves = m.To.Moves[max(0, len(m.To.Moves)-maxMovesWithReserve-1):]
+func (r *Record) applyEvidence(e Entry) {
+	for _, observation := range e.Observations {
+		r.setWithdrawn(e.Member, observation)
 	}
-	m.Demand = r.Demands[proxy]
-	last := r.Incarnations[from.Incarnation]
-	sure := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.OnRecord, id) }
-	m.Known = last != nil && len(e.OnRecord) > 0 && (sure(from.Incarnation) || last.Closed)
-	for _, id := range r.Members {
-		m.Known = m.Known && sure(id)
+	for _, demand := range e.Demands {
+		r.Demands[demand.Proxy] = demand.Rates
 	}
-	if m.Known {
-		m.Base, m.Known = r.knownTables(from, last)
-		m.NoWithdrawals = m.Known && from.WithdrawalsKnown && last.hasNoWithdrawals(from.Revision)
+	if e.Capacity != (Capacity{}) {
+		r.Capacities[e.Member] = e.Capacity
 	}
-	r.Proxies[proxy] = m.To
-	return m
 }
 
-// hasNoWithdrawals tells whether one that confirmed an edition shuts nothing out that the incarnation has withdrawn.
-func (i *Incarnation) hasNoWithdrawals(edition uint64) bool {
-	t := i.Tables[WithdrawnTable]
-	if t == nil {
-		return true
-	}
-	for _, l := range t.Lines {
-		if l.Weight > 0 || l.Revision > edition {
-			return false
+// setWithdrawn records that a member has withdrawn a backend, or has not.
+func (r *Record) setWithdrawn(member string, observation Observation) {
+	backend := observation.Backend
+	if observation.Withdrawn {
+		if r.Withdrawn[backend] == nil {
+			r.Withdrawn[backend] = map[string]Observation{}
 		}
+		r.Withdrawn[backend][member] = observation
+		return
+	}
+	delete(r.Withdrawn[backend], member)
+	if len(r.Withdrawn[backend]) == 0 {
+		delete(r.Withdrawn, backend)
 	}
-	return edition >= t.CompactedAt
 }
 
-// knownTables is what a proxy has by the record. A line that was set after what it confirmed may have come to it or not.
-func (r *Record) knownTables(h Ownership, incarnation *Incarnation) (by []KnownTable, known bool) {
-	if h.Revision == 0 || len(h.Tables) == 0 {
-		return nil, false
-	}
-	for _, number := range h.Tables {
-		t := incarnation.Tables[number]
-		if t == nil || h.Revision < t.CompactedAt {
-			return nil, false
-		}
-		has := KnownTable{map[string]float64{}, map[string]bool{}}
-		for id, l := range t.Lines {
-			if l.Revision > h.Revision {
-				has.Uncertain[id] = true
-			} else if l.Weight > 0 {
-				has.Lines[id] = l.Weight
-			}
-		}
-		by = append(by, has)
+func (r *Record) clearWithdrawn(member string) {
+	for _, backend := range slices.Collect(maps.Keys(r.Withdrawn)) {
+		r.setWithdrawn(member, Observation{Backend: backend})
 	}
-	return by, true
 }
 
-// dropUnused forgets incarnations that are over and own nothing.
-func (r *Record) dropUnused() {
+// dropUnusedIncarnations forgets incarnations that are over and own nothing.
+func (r *Record) dropUnusedIncarnations() {
 	used := map[uint64]bool{}
-	for _, incarnation := range r.Members {
-		used[incarnation] = true
+	for _, id := range r.Members {
+		used[id] = true
 	}
 	if len(used) == len(r.Incarnations) {
 		return
 	}
-	for _, h := range r.Proxies {
-		used[h.Incarnation] = true
+	for _, owned := range r.Proxies {
+		used[owned.Incarnation] = true
 	}
 	maps.DeleteFunc(r.Incarnations, func(id uint64, _ *Incarnation) bool { return !used[id] })
 }
