--- /dev/null
+++ b/ownership/coordinator_test.go
@@ -0,0 +1,255 @@
+package ownership
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+var terms = LeaseTerms{Duration: 1000, RenewInterval: 100, MessageWindow: 10_000, MaxMessages: 36, Members: 3, GuaranteedMessages: 4}
+
+// fakeHost notes what a coordinator asks for.
+type fakeHost struct {
+	proposed      []Entry
+	granted       map[int]string
+	sentByPeers   map[int]int
+	released      uint64
+	peerReports   []string
+	withoutQuorum []bool
+	drawn         uint64
+}
+
+func newFakeHost() *fakeHost { return &fakeHost{granted: map[int]string{}, sentByPeers: map[int]int{}} }
+
+func (host *fakeHost) Propose(e Entry) { host.proposed = append(host.proposed, e) }
+func (host *fakeHost) ProxyGranted(grant Grant) {
+	host.granted[grant.Proxy] = fmt.Sprint(grant.Token, " ", grant.Base != nil, " ", grant.SentMessages)
+}
+func (host *fakeHost) MessagesSentByPeers(proxy, messages int) { host.sentByPeers[proxy] += messages }
+func (host *fakeHost) ReleaseUpTo(revision uint64)             { host.released = revision }
+func (host *fakeHost) PeerObservationReported(member string, s Observation) {
+	host.peerReports = append(host.peerReports, member+" "+s.Backend)
+}
+func (host *fakeHost) PeerCapacityReported(f Capacity) {
+	host.peerReports = append(host.peerReports, fmt.Sprint(f))
+}
+func (host *fakeHost) QuorumChanged(withoutQuorum bool, _ string) {
+	host.withoutQuorum = append(host.withoutQuorum, withoutQuorum)
+}
+func (host *fakeHost) RandomID() uint64 { host.drawn++; return host.drawn * 1000 }
+
+// commitLast puts the last proposal on the record, stamped, and answers it.
+func (host *fakeHost) commitLast(coordinator *Coordinator, now int64, recorded ...uint64) Entry {
+	e := host.proposed[len(host.proposed)-1]
+	e.OnRecord, e.Stamp = recorded, Stamp{7, now}
+	coordinator.EntryApplied(e, now)
+	coordinator.ProposalCommitted(e.Incarnation, e.Seq, now)
+	return e
+}
+
+// startOnRecord has a coordinator enter the record, beside two other members.
+func startOnRecord(t *testing.T) (*fakeHost, *Coordinator) {
+	t.Helper()
+	host := newFakeHost()
+	coordinator := New(host, "n0", terms, 0)
+	coordinator.started = -terms.MessageWindow // long ago
+	coordinator.Tick(0)
+	host.commitLast(coordinator, 0)
+	for i, name := range []string{"n1", "n2"} {
+		coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Stamp: Stamp{7, 0}}, 0)
+	}
+	return host, coordinator
+}
+
+func TestCoordinatorClaimsGrantsAndReleases(t *testing.T) {
+	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1, Stamp: Stamp{7, 10},
+			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1, Stamp: Stamp{7, 20},
+			Confirmations: []Confirmation{{5, 1, 1, []int{0, 0}, true}}}, 20)
+		coordinator.ProxyConnected(5, 30)
+		if len(host.granted) > 0 {
+			t.Fatalf("granted %v before its claim stands", host.granted)
+		}
+		host.commitLast(coordinator, 40, 1, 2, 1000)
+		if h := coordinator.record.Proxies[5]; host.granted[5] != "2 true 0" || h.Owner != "n0" || coordinator.OwnedProxies() != 1 {
+			t.Errorf("granted %v, on the record %+v", host.granted, h)
+		}
+	})
+	t.Run("where anybody may have written off the record, what it holds is not known", func(t *testing.T) {
+		for _, recorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
+			host, coordinator := startOnRecord(t)
+			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
+			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1, Confirmations: []Confirmation{{5, 1, 1, []int{0}, true}}}, 20)
+			coordinator.ProxyConnected(5, 30)
+			if host.commitLast(coordinator, 40, recorded...); host.granted[5] != "2 false 0" {
+				t.Errorf("recorded %v: granted %v", recorded, host.granted)
+			}
+		}
+	})
+	t.Run("orders wait for the record, and for no longer than a lease", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		edition := coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}}}}, 100)
+		if host.released >= edition {
+			t.Error("released before it stands")
+		}
+		if coordinator.Tick(999); coordinator.WithoutQuorum() || host.released >= edition {
+			t.Error("off the record too early")
+		}
+		if coordinator.Tick(1100); !coordinator.WithoutQuorum() || host.released != edition || !slices.Equal(host.withoutQuorum, []bool{false, true}) {
+			t.Errorf("alone %v, released %d, modes %v", coordinator.WithoutQuorum(), host.released, host.withoutQuorum)
+		}
+		if coordinator.ProxyConnected(3, 1200); host.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
+			t.Errorf("granted %v", host.granted)
+		}
+		coordinator.Tick(1200 + terms.MessageWindow) // it has of that proxy no more than every member has
+		if host.sentByPeers[3] != terms.OwnerQuota() {
+			t.Errorf("spent %v", host.sentByPeers)
+		}
+	})
+	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old incarnation counts", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		coordinator.ProxyConnected(4, 50)
+		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
+		old := host.proposed[len(host.proposed)-1]
+		coordinator.Tick(1100)
+		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
+		e := host.commitLast(coordinator, 1200)
+		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.WithoutQuorum() {
+			t.Errorf("entered with %+v, alone %v", e, coordinator.WithoutQuorum())
+		}
+		coordinator.ProxyHeardFrom(4, 1000) // heard before: it may be gone since
+		host.commitLast(coordinator, 1300)
+		coordinator.ProxyHeardFrom(4, 1350)
+		host.commitLast(coordinator, 1400) // what was under way
+		if again := host.commitLast(coordinator, 1410); !slices.Equal(again.Reclaims, []int{4}) || coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
+			t.Errorf("claimed with %+v, owns %d, moves %v", again, coordinator.OwnedProxies(), coordinator.record.Proxies[4].Moves)
+		}
+		if _, taken := coordinator.record.Apply(old); taken {
+			t.Error("an entry of the incarnation that is over was taken in")
+		}
+		if incarnation := coordinator.record.Incarnations[e.Incarnation]; incarnation.Tables[0].Lines["a"].Weight != 0 || incarnation.Tables[0].Lines["b"].Weight != 1 {
+			t.Errorf("on the record %+v", incarnation.Tables[0])
+		}
+	})
+	t.Run("a claim that was under way for an older stream does not grant the newer", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		coordinator.ProxyConnected(4, 50)
+		coordinator.ProxyDisconnected(4)
+		coordinator.ProxyConnected(4, 60)
+		if host.commitLast(coordinator, 70, 1, 2, 1000); len(host.granted) > 0 {
+			t.Errorf("granted %v by the older claim", host.granted)
+		}
+		if host.commitLast(coordinator, 80, 1, 2, 1000); host.granted[4] != "2 false 0" {
+			t.Errorf("granted %v", host.granted)
+		}
+	})
+	t.Run("of a proxy that comes and goes between owners no more messages are spent than the limit", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		for i, name := range []string{"n1", "n2", "n1"} {
+			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
+		}
+		coordinator.ProxyConnected(5, 200)
+		if host.commitLast(coordinator, 210); host.granted[5] != fmt.Sprint("4 false ", terms.OwnerQuota()) {
+			t.Errorf("granted %v with three others' shares standing", host.granted)
+		}
+		for i := range maxMovesWithReserve { // and so on: beyond some it has none of its own
+			coordinator.ProxyDisconnected(5)
+			coordinator.EntryApplied(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1), Seq: coordinator.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
+				Stamp: Stamp{7, 220 + int64(i)}}, 220)
+		}
+		coordinator.ProxyConnected(5, 230)
+		if host.commitLast(coordinator, 240); host.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
+			t.Errorf("granted %v after %d moves", host.granted, maxMovesWithReserve+4)
+		}
+		if most := terms.Members*(terms.UnownedQuota()+1) + (previousOwnersCounted+1)*terms.OwnerQuota(); most > terms.MaxMessages {
+			t.Errorf("%d messages by all together", most)
+		}
+	})
+	t.Run("how old a move is counts by one leader's clock, also for who has just started", func(t *testing.T) {
+		host := newFakeHost()
+		coordinator := New(host, "n0", terms, 0)
+		coordinator.Tick(0)
+		for i, name := range []string{"n1", "n2", "n1", "n2"} {
+			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Claims: []int{5}, Stamp: Stamp{7, int64(i)}}, 0)
+		}
+		coordinator.started = -terms.MessageWindow
+		coordinator.ProxyConnected(5, 0)
+		e := host.proposed[0]
+		e.Stamp = Stamp{7, 11_000}
+		coordinator.EntryApplied(e, 1)
+		coordinator.ProposalCommitted(e.Incarnation, e.Seq, 1)
+		e = host.proposed[1]
+		e.Stamp = Stamp{7, 11_001}
+		if coordinator.EntryApplied(e, 2); host.granted[5] != "5 false 0" {
+			t.Errorf("granted %v: the others' shares are long over", host.granted)
+		}
+	})
+	t.Run("one that has just started, or has the proxy back, has few messages left of those that need no claim", func(t *testing.T) {
+		host := newFakeHost()
+		coordinator := New(host, "n0", terms, 0)
+		coordinator.Tick(0)
+		coordinator.Tick(terms.Duration)
+		coordinator.ProxyConnected(5, terms.Duration)
+		if left := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[5] != fmt.Sprint("0 false ", left-terms.GuaranteedMessages) {
+			t.Errorf("granted %v of %d", host.granted, left)
+		}
+		coordinator.ProxyConnected(6, 2*terms.MessageWindow)
+		coordinator.ProxyDisconnected(6)
+		coordinator.ProxyConnected(6, 2*terms.MessageWindow+5)
+		if left := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[6] != fmt.Sprint("0 false ", left-terms.GuaranteedMessages) {
+			t.Errorf("granted %v of %d", host.granted, left)
+		}
+	})
+	t.Run("one that is heard although another claimed it is claimed again, one that is silent is not", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		for _, proxy := range []int{4, 5} {
+			coordinator.ProxyConnected(proxy, 50)
+		}
+		for range 2 {
+			host.commitLast(coordinator, 60)
+		}
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
+		if coordinator.OwnedProxies() != 0 || host.sentByPeers[4] != terms.OwnerQuota() {
+			t.Errorf("owns %d, spent %v", coordinator.OwnedProxies(), host.sentByPeers)
+		}
+		coordinator.ProxyHeardFrom(4, 60) // what was heard before says nothing
+		coordinator.ProxyHeardFrom(5, 300)
+		coordinator.Tick(300)
+		host.commitLast(coordinator, 310)
+		if host.commitLast(coordinator, 320); coordinator.record.Proxies[5].Owner != "n0" || coordinator.record.Proxies[4].Owner != "n1" {
+			t.Errorf("on the record %+v", coordinator.record.Proxies)
+		}
+	})
+	t.Run("one whose entries are not taken in, as another entered under its name, goes off the record", func(t *testing.T) {
+		host, coordinator := startOnRecord(t)
+		coordinator.EntryApplied(Entry{Member: "n0", Incarnation: 77, Seq: 1}, 50)
+		coordinator.Tick(terms.RenewInterval)
+		if host.commitLast(coordinator, terms.RenewInterval); !slices.Contains(host.withoutQuorum, true) || coordinator.incarnation == 1000 {
+			t.Errorf("modes %v, incarnation %d", host.withoutQuorum, coordinator.incarnation)
+		}
+	})
+	t.Run("a withdrawal stands until its member takes it back, or enters anew", func(t *testing.T) {
+		host := newFakeHost()
+		coordinator := New(host, "n0", terms, 0)
+		coordinator.Tick(0)
+		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
+			coordinator.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 1}, 0)
+			coordinator.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 2, Observations: []Observation{{Backend: "a", Attempts: 5, Failed: 5, Withdrawn: true}}}, 10)
+		}
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Observations: []Observation{{Backend: "a", Attempts: 5}}}, 20)
+		if len(coordinator.record.Withdrawn["a"]) != 1 || len(host.peerReports) > 0 {
+			t.Errorf("withdrawn %v, learned %v before we came", coordinator.record.Withdrawn, host.peerReports)
+		}
+		if host.commitLast(coordinator, 30); !slices.Equal(host.peerReports, []string{"n2 a"}) {
+			t.Errorf("learned %v", host.peerReports)
+		}
+		if coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 4, Observations: []Observation{{Backend: "b"}}}, 35); !slices.Equal(host.peerReports, []string{"n2 a", "n1 b"}) {
+			t.Errorf("learned %v", host.peerReports)
+		}
+		if coordinator.EntryApplied(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(coordinator.record.Withdrawn) != 0 {
+			t.Errorf("withdrawn %v", coordinator.record.Withdrawn)
+		}
+	})
+}
--- a/ownership/membership_test.go
+++ b/ownership/membership_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestNextStep(t *testing.T) {
+func TestNextStepToBelongToARecord(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	anew := func(names ...string) map[string]PeerStatus {
 		of := map[string]PeerStatus{}
@@ -20,7 +20,7 @@
 		of[name] = m
 		return of
 	}
-	for _, story := range []struct {
+	for _, c := range []struct {
 		name   string
 		own    OwnStatus
 		others map[string]PeerStatus
@@ -42,9 +42,9 @@
 		{"... but ours is on a disk", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Durable: true, LeaderlessPolls: 99}, anew("b", "c"), Wait, ""},
 		{"... but one cannot be reached, and may remember", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99}, anew("b"), Wait, ""},
 	} {
-		t.Run(story.name, func(t *testing.T) {
-			step := NextStep(story.own, names, story.others)
-			if step.Action != story.action || step.JoinVia != story.ask {
+		t.Run(c.name, func(t *testing.T) {
+			step := NextStep(c.own, names, c.others)
+			if step.Action != c.action || step.JoinVia != c.ask {
 				t.Errorf("got %+v", step)
 			}
 			if all := slices.Sorted(maps.Keys(step.IDs)); step.Action == Bootstrap && !slices.Equal(all, names) {
@@ -54,12 +54,12 @@
 	}
 }
 
-func TestAdmit(t *testing.T) {
+func TestAdmitRemovesTheMembersOldIDs(t *testing.T) {
 	nameOf := func(id string) string { name, _, _ := strings.Cut(id, "/"); return name }
-	for _, story := range []struct {
-		ids   []string
-		leave []string
-		in    bool
+	for _, c := range []struct {
+		ids      []string
+		remove   []string
+		admitted bool
 	}{
 		{[]string{"a/1", "b/1", "c/1"}, []string{"c/1"}, false},
 		{[]string{"a/1", "b/1", "c/2"}, nil, true},
@@ -67,8 +67,8 @@
 		{[]string{"a/1", "b/1"}, nil, false},
 		{[]string{"cc/1"}, nil, false},
 	} {
-		if leave, in := Admit(story.ids, "c/2", nameOf); !slices.Equal(leave, story.leave) || in != story.in {
-			t.Errorf("%v: %v leave, in %v", story.ids, leave, in)
+		if remove, admitted := Admit(c.ids, "c/2", nameOf); !slices.Equal(remove, c.remove) || admitted != c.admitted {
+			t.Errorf("%v: removes %v, admitted %v", c.ids, remove, admitted)
 		}
 	}
 }
