--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -53,8 +53,8 @@
 		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, WithdrawalsKnown: true}}}
 }
 
-func goldenMark() distribution.Mark {
-	return distribution.Mark{Epoch: distribution.Epoch{Number: 1_700_000_000, Identity: 1<<63 + 7}, Revision: 12}
+func goldenMark() distribution.Version {
+	return distribution.Version{Epoch: distribution.Epoch{Number: 1_700_000_000, Identity: 1<<63 + 7}, Revision: 12}
 }
 
 func goldenProposal() distribution.Proposal {
@@ -66,7 +66,7 @@
 }
 
 func goldenConfiguration() *distribution.State {
-	state := &distribution.State{Mark: goldenMark(), Horizon: 3}
+	state := &distribution.State{Version: goldenMark(), Horizon: 3}
 	for i := range 3 {
 		state.Entries = append(state.Entries, distribution.Entry{Scope: "pricing", Name: fmt.Sprint("n", i), Value: []byte("1"),
 			Revision: uint64(10 + i), AcceptedAt: 1_700_000_000_000_000})
@@ -260,7 +260,7 @@
 		say("no configuration")
 		return text.String()
 	}
-	say("configuration at revision %d of %d-%d, horizon %d", state.Mark.Revision, state.Mark.Epoch.Number, state.Mark.Epoch.Identity, state.Horizon)
+	say("configuration at revision %d of %d-%d, horizon %d", state.Version.Revision, state.Version.Epoch.Number, state.Version.Epoch.Identity, state.Horizon)
 	for _, e := range state.Entries {
 		say("  %s %s = %q since %d at %d, deleted %v", e.Scope, e.Name, e.Value, e.Revision, e.AcceptedAt, e.Deleted)
 	}
@@ -320,7 +320,7 @@
 				until(t, "the configuration's last change is read", func() bool {
 					_, machine := m.current()
 					state := machine.configuration.state()
-					return state != nil && state.Mark.Revision == 2
+					return state != nil && state.Version.Revision == 2
 				})
 			}
 			_, machine := m.current()
--- a/scale/subscriber.go
+++ b/scale/subscriber.go
@@ -32,8 +32,8 @@
 	inForce    *inForce
 
 	mutex     sync.Mutex
-	carrier   *transport.Carrier // of this life
-	stop      context.CancelFunc // nil while it is down
+	carrier   *transport.Transport // of this life
+	stop      context.CancelFunc   // nil while it is down
 	ended     chan struct{}
 	seen      uint64    // the newest revision that it acts by
 	reachable time.Time // since when
@@ -164,7 +164,7 @@
 		return // it has just started, and says so to those who ask
 	}
 	if at > 0 {
-		state.Mark.Revision = at
+		state.Version.Revision = at
 	}
 	if text := content.differs(state, s.scopes); text != "" {
 		s.inForce.breaks("%s: %s", s.name, text)
