--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -46,7 +46,7 @@
 	c.pass(2*second_, tick)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "first"))
 	c.pass(second_, tick)
-	leaf.node.learn([]string{"second"}, false)
+	leaf.node.learnCandidates([]string{"second"}, false)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "first" {
 		t.Fatalf("the parent is %q", parent)
@@ -67,7 +67,7 @@
 		c.expectCaughtUp(t, first, leaf)
 	}
 	status := leaf.node.Status(c.now)
-	if status.Counts.SnapshotsTaken != snapshots || status.Counts.Gaps != 0 {
+	if status.Counts.SnapshotsTaken != snapshots || status.Counts.GapsSeen != 0 {
 		t.Errorf("counts %+v", status.Counts)
 	}
 	if want := []string{"v", "first"}; fmt.Sprint(status.Path) != fmt.Sprint(want) {
@@ -134,7 +134,7 @@
 	c.pass(second_, tick)
 	c.expectCaughtUp(t, leaf)
 	c.cut(ahead, leaf)
-	leaf.node.learn([]string{"behind"}, false)
+	leaf.node.learnCandidates([]string{"behind"}, false)
 	c.pass(3*second_, tick)
 	c.expectCaughtUp(t, leaf) // it keeps what it has
 	status := leaf.node.Status(c.now)
@@ -143,7 +143,7 @@
 	}
 	c.heal(ahead, leaf)
 	c.fill(1)
-	c.pass(DefaultStaleMost+DefaultRetryMost, tick)
+	c.pass(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
 	c.expectCaughtUp(t, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "ahead" {
 		t.Errorf("it stays with %q, which lags", parent)
@@ -189,8 +189,8 @@
 	if tried := status.Counts.Dials - dials; tried > 6 {
 		t.Errorf("%d dials, and no parent is better", tried)
 	}
-	if leaf.count(EventStale) != 1 {
-		t.Errorf("stale was logged %d times", leaf.count(EventStale))
+	if leaf.count(EventSourceStale) != 1 {
+		t.Errorf("stale was logged %d times", leaf.count(EventSourceStale))
 	}
 	v.leads = true
 	c.fill(1)
@@ -199,8 +199,8 @@
 	if age := leaf.node.Status(c.now).Age; age > 3*second_ {
 		t.Errorf("age %d µs after the majority is back", age)
 	}
-	if leaf.count(EventCurrent) != 1 {
-		t.Errorf("current was logged %d times", leaf.count(EventCurrent))
+	if leaf.count(EventSourceCurrent) != 1 {
+		t.Errorf("current was logged %d times", leaf.count(EventSourceCurrent))
 	}
 }
 
@@ -236,8 +236,8 @@
 	c.pass(tick, tick)
 	leaf.kill()
 	leaf.start(State{})
-	leaf.node.dial(c.now)
-	leaf.node.dial(c.now)
+	leaf.node.dialCandidate(c.now)
+	leaf.node.dialCandidate(c.now)
 	c.connect()
 	if len(c.conns) != 2 {
 		t.Fatalf("%d connections", len(c.conns))
@@ -262,8 +262,8 @@
 		c.accept(set("a", "large", string(make([]byte, 2000))), set("b", "x", "1"))
 		c.follow(v, 1)
 		c.settle()
-		if place := first.node.child(first.node.children[0].link); place != nil {
-			most = max(most, place.underWay)
+		if place := first.node.childByLink(first.node.children[0].link); place != nil {
+			most = max(most, place.unconfirmedBytes)
 		}
 	}
 	if bound := limits.Window + limits.BatchBytes + 4096; most > bound {
@@ -286,7 +286,7 @@
 	c := newCluster()
 	c.random = true
 	limits := DefaultLimits()
-	limits.FanOut, limits.Snapshots = 4, 2
+	limits.FanOut, limits.MaxSnapshots = 4, 2
 	v := c.add(voter("v", limits))
 	c.fill(40)
 	const subscribers = 40
@@ -306,7 +306,7 @@
 				}
 			}
 			for _, m := range c.members {
-				if due := m.node.snapshotsDue(); due > limits.Snapshots {
+				if due := m.node.snapshotsPending(); due > limits.MaxSnapshots {
 					t.Fatalf("%s has %d snapshots under way", m.config.Name, due)
 				}
 			}
@@ -317,7 +317,7 @@
 		if places := len(m.node.Status(c.now).Children); places > limits.FanOut {
 			t.Errorf("%s has %d children", m.config.Name, places)
 		}
-		if depth := len(m.node.Status(c.now).Path); depth > limits.DepthMost {
+		if depth := len(m.node.Status(c.now).Path); depth > limits.MaxDepth {
 			t.Errorf("%s is %d deep", m.config.Name, depth)
 		}
 	}
