--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -65,7 +65,7 @@
 	host.limits[key], host.retries[key] = allowance, tries
 	host.note("limit %s %.2f %d", key, allowance, tries)
 }
-func (host *fakeHost) RequestAck(number int, everyone bool) {
+func (host *fakeHost) RequestAck(number int, _ bool) {
 	host.ackRequest = number
 	if n := len(host.messages); n == 0 || host.messages[n-1] != host.now {
 		host.messages = append(host.messages, host.now)
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -46,5 +46,5 @@
 	RequestAck(number int, everyone bool)
 }
 
-// AllTables, as the table of SetAdmissionLimit, means every table of every connected proxy.
+// AllTables is, as the table of SetAdmissionLimit, every table of every connected proxy.
 const AllTables = 0xffff
