--- a/distribution/batch.go
+++ b/distribution/batch.go
@@ -4,7 +4,7 @@
 type preparedBatch struct {
 	steps  []preparedChange
 	digest Digest // of the store afterwards
-	bytes  int    // of the store afterwards
+	bytes  int    // of the store's entries afterwards
 }
 
 // preparedChange is one change with what each of its entries does to the digest.
@@ -14,40 +14,42 @@
 	logged      loggedChange
 }
 
-// prepare works out what changes would do to the store.
+// prepare works out what changes would do to the store. The store is not modified.
 func (s *store) prepare(changes []Change) preparedBatch {
-	result := preparedBatch{digest: s.digest, bytes: s.bytes}
+	batch := preparedBatch{digest: s.digest, bytes: s.bytes}
 	pending := map[Key]Entry{}
 	previous := s.version.Revision
 	for _, change := range changes {
-		step := preparedChange{entries: withDefaults(change), logged: loggedChange{change: withoutDefaults(change)}}
+		step := preparedChange{entries: withDefaults(change)}
+		step.logged = loggedChange{change: withoutDefaults(change), previous: previous}
 		step.logged.size = step.logged.change.size()
-		step.logged.previous, previous = previous, change.Revision
-		for _, e := range step.entries {
-			old, found := pending[e.Key()]
+		previous = change.Revision
+		for _, entry := range step.entries {
+			old, found := pending[entry.Key()]
 			if !found {
-				old, found = s.lookup(e.Key())
+				old, found = s.lookup(entry.Key())
 			}
 			if found {
-				result.bytes -= old.size()
+				batch.bytes -= old.size()
 			}
-			pending[e.Key()] = e
-			difference := entryDigest(e).subtract(entryDigest(old))
+			pending[entry.Key()] = entry
+			difference := entryDigest(entry).subtract(entryDigest(old))
 			step.differences = append(step.differences, difference)
-			step.logged.addDigestChange(e.Scope, difference)
-			step.logged.merged = step.logged.merged || e.Revision != change.Revision
-			result.digest = result.digest.add(difference)
-			result.bytes += e.size()
+			step.logged.addDigestChange(entry.Scope, difference)
+			step.logged.merged = step.logged.merged || entry.Revision != change.Revision
+			batch.digest = batch.digest.add(difference)
+			batch.bytes += entry.size()
 		}
-		result.steps = append(result.steps, step)
+		batch.steps = append(batch.steps, step)
 	}
-	return result
+	return batch
 }
 
-// commit applies one change that was prepared, whole.
+// commit applies one change that was prepared, whole. The changes of a batch are committed in their order, with nothing
+// else in between, as each was prepared for what the one before it leaves.
 func (s *store) commit(step preparedChange) {
-	for i, e := range step.entries {
-		s.putWithDigest(e, step.differences[i])
+	for i, entry := range step.entries {
+		s.putWithDigest(entry, step.differences[i])
 	}
 	s.log.append(step.logged)
 	s.version.Revision = step.logged.change.Revision
@@ -56,14 +58,14 @@
 // withDefaults gives a change's entries with the revision and time that they leave to the change.
 func withDefaults(change Change) []Entry {
 	entries := make([]Entry, len(change.Entries))
-	for i, e := range change.Entries {
-		if e.Revision == 0 {
-			e.Revision = change.Revision
+	for i, entry := range change.Entries {
+		if entry.Revision == 0 {
+			entry.Revision = change.Revision
 		}
-		if e.AcceptedAt == 0 {
-			e.AcceptedAt = change.AcceptedAt
+		if entry.AcceptedAt == 0 {
+			entry.AcceptedAt = change.AcceptedAt
 		}
-		entries[i] = e
+		entries[i] = entry
 	}
 	return entries
 }
@@ -71,14 +73,14 @@
 // withoutDefaults is a change as it goes over the wire: what is the same for all its entries is left out of them.
 func withoutDefaults(change Change) Change {
 	entries := make([]Entry, len(change.Entries))
-	for i, e := range change.Entries {
-		if e.Revision == change.Revision {
-			e.Revision = 0
+	for i, entry := range change.Entries {
+		if entry.Revision == change.Revision {
+			entry.Revision = 0
 		}
-		if e.AcceptedAt == change.AcceptedAt {
-			e.AcceptedAt = 0
+		if entry.AcceptedAt == change.AcceptedAt {
+			entry.AcceptedAt = 0
 		}
-		entries[i] = e
+		entries[i] = entry
 	}
 	return Change{Revision: change.Revision, AcceptedAt: change.AcceptedAt, Entries: entries}
 }
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -7,52 +7,67 @@
 	name                string
 	configured          bool  // it stays; others make room for newer ones
 	proposed            bool  // by a refusal, and not tried since
-	avoidUntil          int64 // no dial until then
-	consecutiveFailures int   // in a row
+	avoidUntil          int64 // no dial before that time
+	consecutiveFailures int
 }
 
-func (n *Node) candidateByName(peer string) *candidate {
+// maxNameBytes bounds a node's name.
+const maxNameBytes = 256
+
+// priority orders the candidates: proposed ones know the tree best, learned ones may be gone.
+func (c *candidate) priority() int {
+	switch {
+	case c.proposed:
+		return 2
+	case c.configured:
+		return 1
+	}
+	return 0
+}
+
+func (n *Node) candidateByName(name string) *candidate {
 	for i := range n.candidates {
-		if n.candidates[i].name == peer {
+		if n.candidates[i].name == name {
 			return &n.candidates[i]
 		}
 	}
 	return nil
 }
 
-// addCandidate gives the candidate of a name, a new one if there is none yet; nil if the name can't be one.
-func (n *Node) addCandidate(peer string, configured bool) *candidate {
-	if peer == "" || len(peer) > maxNameBytes || peer == n.config.Name {
+// addCandidate gives the candidate of a name, a new one if there is none yet; nil if the name can't be one. The pointer
+// is valid until the next call.
+func (n *Node) addCandidate(name string, configured bool) *candidate {
+	if name == "" || len(name) > maxNameBytes || name == n.config.Name {
 		return nil
 	}
-	if known := n.candidateByName(peer); known != nil {
+	if known := n.candidateByName(name); known != nil {
 		return known
 	}
-	n.candidates = append(n.candidates, candidate{name: peer, configured: configured})
+	n.candidates = append(n.candidates, candidate{name: name, configured: configured})
 	return &n.candidates[len(n.candidates)-1]
 }
 
-// learnCandidates keeps possible parents that another node has named, in place of the oldest of that kind.
-func (n *Node) learnCandidates(peers []string, proposed bool) {
+// learnCandidates adds possible parents that another node has named, in place of the oldest that were learned.
+func (n *Node) learnCandidates(names []string, proposed bool) {
 	if n.config.Voter {
 		return
 	}
-	if most := max(n.limits.MaxProposed, n.limits.MaxDepth); len(peers) > most {
-		peers = peers[:most]
+	if bound := max(n.limits.MaxProposed, n.limits.MaxDepth); len(names) > bound {
+		names = names[:bound]
 	}
-	for _, peer := range peers {
-		if known := n.addCandidate(peer, false); known != nil && proposed {
+	for _, name := range names {
+		if known := n.addCandidate(name, false); known != nil && proposed {
 			known.proposed = true
 		}
 	}
 	learned := 0
-	for _, c := range n.candidates {
-		if !c.configured {
+	for _, candidate := range n.candidates {
+		if !candidate.configured {
 			learned++
 		}
 	}
-	n.candidates = slices.DeleteFunc(n.candidates, func(c candidate) bool {
-		if c.configured || learned <= n.limits.MaxCandidates {
+	n.candidates = slices.DeleteFunc(n.candidates, func(oldest candidate) bool {
+		if oldest.configured || learned <= n.limits.MaxCandidates {
 			return false
 		}
 		learned--
@@ -60,21 +75,23 @@
 	})
 }
 
-// pickCandidate chooses whom to dial: one that a refusal has named, else one that is configured, else one that was learned;
-// among those by chance. It gives none if all must be left alone for now.
+// pickCandidate chooses whom to dial: one that a refusal has named, else one that is configured, else one that was
+// learned; among those by chance. It gives none if none may be dialled now.
 func (n *Node) pickCandidate(now int64) string {
 	var best []*candidate
-	rank := 0
+	bestPriority := 0
 	for i := range n.candidates {
-		c := &n.candidates[i]
-		if now < c.avoidUntil || n.isRelated(c.name) {
+		candidate := &n.candidates[i]
+		if now < candidate.avoidUntil || n.isRelated(candidate.name) {
 			continue
 		}
-		if c.priority() > rank {
-			rank, best = c.priority(), nil
+		priority := candidate.priority()
+		if priority > bestPriority {
+			bestPriority = priority
+			best = nil
 		}
-		if c.priority() == rank {
-			best = append(best, c)
+		if priority == bestPriority {
+			best = append(best, candidate)
 		}
 	}
 	if len(best) == 0 {
@@ -85,63 +102,53 @@
 	return chosen.name
 }
 
-func (c *candidate) priority() int {
-	switch {
-	case c.proposed:
-		return 2
-	case c.configured:
-		return 1
-	}
-	return 0
-}
-
 // isRelated tells whether a peer is the parent, being tried, or a child of this node.
 func (n *Node) isRelated(peer string) bool {
 	if n.parent != nil && n.parent.peer == peer {
 		return true
 	}
-	for _, u := range n.attempts {
-		if u.peer == peer {
+	for _, attempt := range n.attempts {
+		if attempt.peer == peer {
 			return true
 		}
 	}
 	return n.hasChild(peer)
 }
 
-// avoidUntil leaves a peer alone until a time.
+// avoidUntil has a peer not dialled before a time.
 func (n *Node) avoidUntil(peer string, until int64) {
-	if c := n.candidateByName(peer); c != nil {
-		c.avoidUntil = max(c.avoidUntil, until)
+	if candidate := n.candidateByName(peer); candidate != nil {
+		candidate.avoidUntil = max(candidate.avoidUntil, until)
 	}
 }
 
-// recordFailure notes a failure at a peer: it is left alone for longer each time, and so is everybody.
+// recordFailure notes a failure at a peer: it is not dialled for longer each time, and neither is anybody else.
 func (n *Node) recordFailure(peer string, now int64) {
-	if c := n.candidateByName(peer); c != nil {
-		c.consecutiveFailures++
-		wait := n.backoffDelay(c.consecutiveFailures)
-		c.avoidUntil = max(c.avoidUntil, now+wait/2+n.jitter(wait/2))
+	if candidate := n.candidateByName(peer); candidate != nil {
+		candidate.consecutiveFailures++
+		delay := n.backoffDelay(candidate.consecutiveFailures)
+		candidate.avoidUntil = max(candidate.avoidUntil, now+delay/2+n.jitter(delay/2))
 	}
 	n.consecutiveFailures++
 	n.nextDialAt = now + n.jitter(n.backoffDelay(n.consecutiveFailures))
 }
 
-// backoffDelay is the longest wait after a number of failures in a row.
+// backoffDelay is the longest wait, in µs, after a number of failures in a row.
 func (n *Node) backoffDelay(failures int) int64 {
-	wait := n.limits.MinBackoff
+	delay := n.limits.MinBackoff
 	for range failures - 1 {
-		if wait >= n.limits.MaxBackoff {
+		if delay >= n.limits.MaxBackoff {
 			break
 		}
-		wait *= 2
+		delay *= 2
 	}
-	return min(wait, n.limits.MaxBackoff)
+	return min(delay, n.limits.MaxBackoff)
 }
 
 // resetFailures forgets failures once the parent has led this node to a current configuration.
-func (n *Node) resetFailures(u *parentLink) {
+func (n *Node) resetFailures(upstream *parentLink) {
 	n.consecutiveFailures = 0
-	if c := n.candidateByName(u.peer); c != nil {
-		c.consecutiveFailures = 0
+	if candidate := n.candidateByName(upstream.peer); candidate != nil {
+		candidate.consecutiveFailures = 0
 	}
 }
--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -6,7 +6,7 @@
 type loggedChange struct {
 	change        Change
 	digestChanges []scopeDigestChange
-	size          int
+	size          int // bytes
 	// merged says that the change stands for several, of which the first came after the revision previous.
 	merged   bool
 	previous uint64
@@ -19,18 +19,19 @@
 }
 
 func (l *loggedChange) addDigestChange(scope string, difference Digest) {
-	if last := len(l.digestChanges) - 1; last >= 0 && l.digestChanges[last].scope == scope {
+	last := len(l.digestChanges) - 1
+	if last >= 0 && l.digestChanges[last].scope == scope {
 		l.digestChanges[last].difference = l.digestChanges[last].difference.add(difference)
 		return
 	}
 	l.digestChanges = append(l.digestChanges, scopeDigestChange{scope, difference})
 }
 
-// changeLog holds the latest changes, for deltas.
+// changeLog holds the latest changes, in order of their revisions, for deltas. Who owns it bounds it by enforceLimits.
 type changeLog struct {
 	floor   uint64 // every change after this revision is there
 	changes []loggedChange
-	bytes   int
+	bytes   int // of all changes
 }
 
 func (l *changeLog) append(change loggedChange) {
@@ -59,17 +60,17 @@
 func (l *changeLog) dropOldest() {
 	l.floor = l.changes[0].change.Revision
 	l.bytes -= l.changes[0].size
-	l.changes[0] = loggedChange{} // lets its entries go
+	l.changes[0] = loggedChange{} // the array lives on; its entries can be freed
 	l.changes = l.changes[1:]
 }
 
 // indexAfter is the index of the first change after a revision.
 func (l *changeLog) indexAfter(revision uint64) int {
-	at, _ := slices.BinarySearchFunc(l.changes, revision+1, func(c loggedChange, revision uint64) int {
+	at, _ := slices.BinarySearchFunc(l.changes, revision+1, func(logged loggedChange, revision uint64) int {
 		switch {
-		case c.change.Revision < revision:
+		case logged.change.Revision < revision:
 			return -1
-		case c.change.Revision > revision:
+		case logged.change.Revision > revision:
 			return 1
 		}
 		return 0
@@ -77,18 +78,18 @@
 	return at
 }
 
-// changesAfter gives the changes after a revision in some scopes, as many as fit a batch and at least one, and the revision
-// that they lead to: the last change's, or the newest if nothing is left after them.
-func (l *changeLog) changesAfter(revision uint64, scopes Scopes, batch int, newest uint64) ([]Change, uint64) {
+// changesAfter gives the changes after a revision in some scopes, as many as fit a batch of bytes and at least one, and
+// the revision that they lead to: the last change's, or the newest if nothing is left after them.
+func (l *changeLog) changesAfter(revision uint64, scopes Scopes, batchBytes int, newest uint64) ([]Change, uint64) {
 	var changes []Change
 	size := 0
-	for _, each := range l.changes[l.indexAfter(revision):] {
-		part, any := changeInScopes(each.change, scopes)
+	for _, logged := range l.changes[l.indexAfter(revision):] {
+		part, any := changeInScopes(logged.change, scopes)
 		if !any {
 			continue
 		}
 		size += part.size()
-		if len(changes) > 0 && size > batch {
+		if len(changes) > 0 && size > batchBytes {
 			return changes, changes[len(changes)-1].Revision
 		}
 		changes = append(changes, part)
@@ -96,7 +97,7 @@
 	return changes, newest
 }
 
-// insideMerged tells whether a revision lies within a merged change, so that the log does not know what stood at it.
+// insideMerged tells whether a revision lies within a merged change, so that the log does not know the state at it.
 func (l *changeLog) insideMerged(revision uint64) bool {
 	at := l.indexAfter(revision)
 	return at < len(l.changes) && l.changes[at].merged && l.changes[at].previous < revision
@@ -105,8 +106,8 @@
 // digestChangeAfter is by how much the changes after a revision moved the digest of some scopes.
 func (l *changeLog) digestChangeAfter(revision uint64, scopes Scopes) Digest {
 	var sum Digest
-	for _, each := range l.changes[l.indexAfter(revision):] {
-		for _, part := range each.digestChanges {
+	for _, logged := range l.changes[l.indexAfter(revision):] {
+		for _, part := range logged.digestChanges {
 			if scopes.Has(part.scope) {
 				sum = sum.add(part.difference)
 			}
@@ -116,45 +117,16 @@
 }
 
 // changeInScopes is the part of a change in some scopes, and whether there is any.
-func changeInScopes(change Change, scopes Scopes) (Change, bool) {
+func changeInScopes(change Change, scopes Scopes) (part Change, any bool) {
 	if scopes.All {
 		return change, len(change.Entries) > 0
 	}
 	var entries []Entry
-	for _, e := range change.Entries {
-		if scopes.Has(e.Scope) {
-			entries = append(entries, e)
+	for _, entry := range change.Entries {
+		if scopes.Has(entry.Scope) {
+			entries = append(entries, entry)
 		}
 	}
 	change.Entries = entries
 	return change, len(entries) > 0
 }
-
-// tombstoneQueue knows the deleted entries in the order of their revisions.
-type tombstoneQueue struct {
-	horizon uint64 // no tombstone after this revision is missing
-	queue   []tombstone
-}
-
-type tombstone struct {
-	revision uint64
-	key      Key
-}
-
-// add puts an entry in its place; as a rule the last.
-func (t *tombstoneQueue) add(e Entry) {
-	at := len(t.queue)
-	for at > 0 && t.queue[at-1].revision > e.Revision {
-		at--
-	}
-	t.queue = slices.Insert(t.queue, at, tombstone{e.Revision, e.Key()})
-}
-
-// pop takes the oldest off the list.
-func (t *tombstoneQueue) pop() tombstone {
-	oldest := t.queue[0]
-	t.queue[0] = tombstone{}
-	t.queue = t.queue[1:]
-	t.horizon = max(t.horizon, oldest.revision)
-	return oldest
-}
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -1,27 +1,21 @@
-// Package distribution decides how the configuration on the record of the voters comes to all other controllers: who
-// is below whom in a tree of bounded fan-out, what each receives, and what it refuses.
-//
-// A Node does no I/O, has no clock and starts nothing: it is driven by calls that hand in the time, and acts through
-// its Host. The calls of one node come one at a time. Times called now are in microseconds of any clock that never
-// goes back, of this node alone; only AcceptedAt is wall time.
 package distribution
 
-// Link is a connection to another node as long as it lives. Zero is none.
+// Link identifies a connection to another node, or the dial of one, for as long as it lives. Zero is none.
 type Link uint64
 
-// Host acts for a node. It must not call the node from within these methods.
+// Host acts for a node. Its methods are called from within the node's calls: they must neither wait nor call the node.
 type Host interface {
 	// Dial connects to a peer; Connected or DialFailed answers for the link, unless Close comes first.
 	Dial(peer string, link Link)
-	// Send puts a message on a link, after those before it. It never waits; a host that cannot keep the message closes
-	// the link and says so by Closed. The message must not be modified afterwards.
+	// Send puts a message on a link, after those before it. A host that cannot keep the message closes the link and says
+	// so by Closed. The message must not be modified afterwards.
 	Send(link Link, m Message)
 	// Close ends a link, or a dial, once what was sent on it has left. Closed need not be called for it.
 	Close(link Link, reason CloseReason)
-	// Apply has the controller act by a change: each entry has its revision and its time of acceptance. If whole,
-	// the entries are all that there is, and what is not among them is gone.
-	Apply(change Change, whole bool)
-	// Log tells an event.
+	// Apply has the controller act by a change: each entry has its revision and its time of acceptance. If the change is
+	// complete, its entries are all that there is, and what is not among them is deleted.
+	Apply(change Change, complete bool)
+	// Log is told an event.
 	Log(event Event)
 	// Random draws a random number, for jitter and choices.
 	Random() uint64
@@ -29,50 +23,23 @@
 
 // Config is what a node is started with.
 type Config struct {
-	Name       string   // by which others dial it
-	Voter      bool     // it gets changes from the record by Accepted, and has no parent
-	Scopes     Scopes   // what a subscriber asks for; a voter has all
-	Candidates []string // possible parents, by name; the node's own is left out
+	// Name is the one by which others dial the node. It is unique among all nodes.
+	Name string
+	// Voter says that the node gets changes from the record by Accepted, and has no parent.
+	Voter bool
+	// Scopes are what a subscriber asks for; a voter has all.
+	Scopes Scopes
+	// Candidates are possible parents, by name; the node's own is left out.
+	Candidates []string
 	// Floor is the newest version that a subscriber knows from before a restart: it takes nothing older. Whoever keeps it
 	// keeps the newer of the Floor it started with and the Version of the node.
-	Floor  Version
+	Floor Version
+	// Limits bound the node; none has a default here, see DefaultLimits.
 	Limits Limits
 }
 
-// Counts are totals since the start of a node.
-type Counts struct {
-	DeltasSent       uint64
-	DeltasTaken      uint64
-	ChangesTaken     uint64
-	SnapshotsSent    uint64 // whole ones
-	SnapshotsTaken   uint64
-	Refusals         uint64 // given to children
-	RefusedByParents uint64 // got from parents
-	GapsSeen         uint64
-	WrongDigests     uint64
-	OlderRefused     uint64 // messages refused for being older
-	ParentsLost      uint64
-	Dials            uint64
-}
-
-// Status is what a node can say about itself.
-type Status struct {
-	Version Version
-	Digest  Digest
-	// Age is for how many µs the source has not been known to be current: how old the configuration may be.
-	// NeverCurrent if it never was.
-	Age                 int64
-	Parent              string   // none for a voter, and while looking for one
-	Path                []string // from the voter down to the parent
-	Children            []string // in the order of their admission
-	SnapshotsInProgress int      // under way to children
-	Entries             int      // live ones
-	LogFloor            uint64   // changes after this revision are kept for deltas
-	Horizon             uint64   // tombstones after this revision are kept
-	Counts              Counts
-}
-
-// Node is a voter or a subscriber, and a parent to bounded many others.
+// Node is a voter or a subscriber, and a parent to at most Limits.FanOut others. Its calls come one at a time; nothing
+// of it survives the process but what the host keeps of State.
 type Node struct {
 	config Config
 	host   Host
@@ -80,37 +47,39 @@
 	store  *store
 	counts Counts
 
+	// As a parent.
 	lastLink         Link
-	callers          []caller // links that came in and have not subscribed yet
-	children         []*child // in the order of their admission
-	snapshotCredit   int64    // µbytes that snapshots may send now; below zero after a piece larger than was left
-	creditRefilledAt int64    // when credit was last added
-	lastServedChild  int      // the child that the next piece is for
-
-	parent              *parentLink       // the place that this node has
-	attempts            []*parentLink     // to get one, or a better one
-	incomingSnapshot    *incomingSnapshot // the snapshot that is being received
-	contentInDoubt      bool              // what the node has is in doubt; only a snapshot of the parent mends it
-	candidates          []candidate       // configured ones first
+	callers          []caller // links that came in and have not subscribed yet; at most FanOut and maxExtraCallers
+	children         []*child // in the order of their admission; at most FanOut
+	snapshotCredit   int64    // millionths of a byte that snapshots may send now; below zero after a larger piece
+	creditRefilledAt int64
+	lastServedChild  int // index of the child that got the last piece of a snapshot
+
+	// As a child.
+	parent              *parentLink       // the place that this node has; nil without one
+	attempts            []*parentLink     // to get a place, or a better one; at most maxAttempts
+	incomingSnapshot    *incomingSnapshot // nil while none is being received
+	contentInDoubt      bool              // a digest was wrong; nothing but a snapshot is taken until one is installed
+	candidates          []candidate       // configured ones first; of others at most MaxCandidates
 	nextDialAt          int64
 	consecutiveFailures int // to get a place, since the source was last known to be current
 	consecutiveRefusals int // since this node last got a place
 
 	sourceCurrentAt   int64 // when the source was last known to be current
 	sourceEverCurrent bool
-	loggedStale       bool // as last logged
+	loggedStale       bool // whether EventSourceStale was the last of its two events
 
 	faults faults
 }
 
 // faults are planted by tests, to show that the checks find them.
 type faults struct {
-	acceptGaps  bool // a delta that does not follow is taken in
-	acceptOlder bool // what an older parent says is taken in
+	acceptGaps  bool // a delta that does not follow is applied
+	acceptOlder bool // what an older parent sends is applied
 	applyHalf   bool // of a change the first entry alone is applied
 }
 
-// New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Elapsed.
+// New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Tick.
 func New(config Config, host Host, now int64) *Node {
 	n := &Node{config: config, host: host, limits: config.Limits, creditRefilledAt: now, nextDialAt: now}
 	if config.Voter {
@@ -132,7 +101,7 @@
 }
 
 // Accepted hands a voter the next change of the record. Revisions grow, and need not be consecutive. It tells whether
-// the change was taken: not if it is no newer than what the voter has, or of another epoch.
+// the change was applied: not if it is no newer than what the voter has, or of another epoch.
 func (n *Node) Accepted(change Change, now int64) bool {
 	version := Version{change.Epoch, change.Revision}
 	if !n.store.version.Epoch.Known() {
@@ -148,8 +117,8 @@
 }
 
 // Restored hands a voter the state of a record: at its start, from a snapshot of the record, or empty with a new epoch
-// when a record was founded anew. A subscriber can be started with what it kept. A state older than what the node has
-// is refused.
+// when a record was founded anew. A subscriber can be started with the State of its last run. A state that is older than
+// what the node has, or without an epoch, is refused.
 func (n *Node) Restored(state State, now int64) bool {
 	covered := state.Covered
 	if n.config.Voter {
@@ -161,8 +130,8 @@
 		return false
 	}
 	restored := newStore(state.Version, covered)
-	for _, e := range state.Entries {
-		restored.put(e)
+	for _, entry := range state.Entries {
+		restored.put(entry)
 	}
 	restored.tombstones.horizon = max(restored.tombstones.horizon, state.Horizon)
 	n.replaceStore(restored, now)
@@ -188,15 +157,30 @@
 	n.logStaleness(now)
 }
 
-// Closed says that a link is gone.
-func (n *Node) Closed(link Link, now int64) {
-	n.removeCaller(link)
-	if c := n.childByLink(link); c != nil {
-		n.removeChild(c, 0, now)
+// Incoming identifies the link of a caller that the host has accepted. Its first message must be a Subscribe. Zero says
+// that too many callers have not subscribed yet; the host closes the connection.
+func (n *Node) Incoming(now int64) Link {
+	if len(n.callers) >= n.limits.FanOut+maxExtraCallers {
+		return 0
 	}
-	n.parentLinkClosed(link, now)
+	link := n.newLink()
+	n.callers = append(n.callers, caller{link, now})
+	return link
 }
 
+// Connected says that a dial has succeeded.
+func (n *Node) Connected(link Link, now int64) {
+	u := n.attemptByLink(link)
+	if u == nil || u.connected {
+		return
+	}
+	u.connected = true
+	n.sendSubscribe(u, now)
+}
+
+// DialFailed says that a dial has not succeeded; the link is gone.
+func (n *Node) DialFailed(link Link, now int64) { n.parentLinkClosed(link, now) }
+
 // Received hands in a message that came on a link.
 func (n *Node) Received(link Link, m Message, now int64) {
 	switch m := m.(type) {
@@ -209,130 +193,35 @@
 	}
 }
 
-// Version is what the node has; it is zero until it has anything.
-func (n *Node) Version() Version { return n.store.version }
-
-// State is all that the node has, by scope and name, to be kept for a restart.
-func (n *Node) State() State { return n.store.state() }
-
-// Get gives a live entry.
-func (n *Node) Get(key Key) (Entry, bool) {
-	e, found := n.store.lookup(key)
-	return e, found && !e.Deleted
-}
-
-// Status tells how the node is.
-func (n *Node) Status(now int64) Status {
-	status := Status{
-		Version:  n.store.version,
-		Digest:   n.store.digest,
-		Age:      n.sourceAge(now),
-		Entries:  n.store.liveEntries,
-		LogFloor: n.store.log.floor,
-		Horizon:  n.store.tombstones.horizon,
-		Counts:   n.counts,
-	}
-	if n.parent != nil {
-		status.Parent, status.Path = n.parent.peer, n.parent.path
-	}
-	for _, c := range n.children {
-		status.Children = append(status.Children, c.name)
-		if c.snapshot != nil {
-			status.SnapshotsInProgress++
-		}
-	}
-	return status
-}
-
-// sourceAge is for how long the source has not been known to be current.
-func (n *Node) sourceAge(now int64) int64 {
-	if !n.sourceEverCurrent {
-		return NeverCurrent
-	}
-	return now - n.sourceCurrentAt
-}
-
-// noteSourceCurrent says that what the node has was all that the source had at a time.
-func (n *Node) noteSourceCurrent(at int64) {
-	if !n.sourceEverCurrent || at > n.sourceCurrentAt {
-		n.sourceCurrentAt, n.sourceEverCurrent = at, true
+// Closed says that a link is gone.
+func (n *Node) Closed(link Link, now int64) {
+	n.removeCaller(link)
+	if c := n.childByLink(link); c != nil {
+		n.removeChild(c, 0, now)
 	}
+	n.parentLinkClosed(link, now)
 }
 
-// logStaleness logs when the source falls out of date, and when it is back.
-func (n *Node) logStaleness(now int64) {
-	stale := n.sourceEverCurrent && n.sourceAge(now) > n.limits.MaxStaleness
-	if stale == n.loggedStale {
+// Resubscribe changes what a subscriber asks for. It keeps what it has until a snapshot of the new scopes is complete.
+func (n *Node) Resubscribe(scopes Scopes, now int64) {
+	if n.config.Voter || n.config.Scopes.Equal(scopes) {
 		return
 	}
-	n.loggedStale = stale
-	kind := EventSourceCurrent
-	if stale {
-		kind = EventSourceStale
-	}
-	n.host.Log(Event{Kind: kind, Version: n.store.version})
-}
-
-// isOlder tells whether a version is older than what the node has, or had before it was started.
-func (n *Node) isOlder(version Version) bool {
-	return version.Before(n.store.version) || version.Before(n.config.Floor)
-}
-
-// conflictsWith tells whether an epoch was founded beside the node's, without either knowing of the other.
-func (n *Node) conflictsWith(epoch Epoch) bool {
-	for _, known := range []Epoch{n.store.version.Epoch, n.config.Floor.Epoch} {
-		if epoch.Known() && known.Known() && epoch != known && epoch.Number == known.Number {
-			return true
-		}
+	n.config.Scopes = scopes
+	if n.parent != nil {
+		n.sendSubscribe(n.parent, now)
 	}
-	return false
-}
-
-// reportOlder notes that something older than what the node has was not taken.
-func (n *Node) reportOlder(peer string, version Version) {
-	n.counts.OlderRefused++
-	n.host.Log(Event{Kind: EventOlderRefused, Peer: peer, Version: version})
-}
-
-// applyBatch takes over changes that were prepared, one after the other and each of them whole.
-func (n *Node) applyBatch(p preparedBatch) {
-	for _, step := range p.steps {
-		if n.faults.applyHalf {
-			step.entries = step.entries[:1]
+	for _, u := range n.attempts {
+		if u.connected {
+			n.sendSubscribe(u, now)
 		}
-		n.store.commit(step)
-		n.counts.ChangesTaken++
-		change := step.logged.change
-		change.Epoch, change.Entries = n.store.version.Epoch, step.entries
-		n.host.Apply(change, false)
-	}
-	n.compactStore()
-}
-
-// replaceStore takes over a whole state in one step.
-func (n *Node) replaceStore(whole *store, now int64) {
-	n.store = whole
-	n.host.Apply(Change{
-		Epoch:    whole.version.Epoch,
-		Revision: whole.version.Revision,
-		Entries:  whole.collect(AllScopes(), false),
-	}, true)
-	n.compactStore()
-	n.removeUncoveredChildren(now)
-	n.sendDeltasToAll(now)
-}
-
-// compactStore keeps the log and the tombstones within their limits.
-func (n *Node) compactStore() {
-	if n.store.compact(n.limits) {
-		n.host.Log(Event{Kind: EventCompacted, Version: Version{n.store.version.Epoch, n.store.log.floor}})
 	}
 }
 
 // jitter draws a time up to a bound.
-func (n *Node) jitter(most int64) int64 {
-	if most <= 0 {
+func (n *Node) jitter(bound int64) int64 {
+	if bound <= 0 {
 		return 0
 	}
-	return int64(n.host.Random() % uint64(most))
+	return int64(n.host.Random() % uint64(bound))
 }
--- a/distribution/size.go
+++ b/distribution/size.go
@@ -1,13 +1,13 @@
 package distribution
 
 // Estimates of encoded sizes in bytes: what a field takes besides its text. They only have to be near enough for the
-// bounds on memory and on bytes under way.
+// bounds on memory and on unconfirmed bytes.
 const (
-	fixedSize  = 16 // a message or a change without its lists
-	entrySize  = 24 // an entry without its texts
-	markSize   = 24
-	digestSize = 20
-	textSize   = 2 // a text without its characters
+	fixedSize   = 16 // a message or a change without its lists
+	entrySize   = 24 // an entry without its texts
+	versionSize = 24
+	digestSize  = 20
+	textSize    = 2 // a text without its characters
 )
 
 func textsSize(texts []string) int {
@@ -32,12 +32,12 @@
 
 // Size implements Message.
 func (m *Subscribe) Size() int {
-	return fixedSize + len(m.Name) + textsSize(m.Scopes.Names) + markSize + digestSize
+	return fixedSize + len(m.Name) + textsSize(m.Scopes.Names) + versionSize + digestSize
 }
 
 // Size implements Message.
 func (m *Admitted) Size() int {
-	return fixedSize + markSize + textsSize(m.Path) + textsSize(m.Candidates)
+	return fixedSize + versionSize + textsSize(m.Path) + textsSize(m.Candidates)
 }
 
 // Size implements Message.
@@ -45,7 +45,7 @@
 
 // Size implements Message.
 func (m *Delta) Size() int {
-	size := fixedSize + markSize + digestSize
+	size := fixedSize + versionSize + digestSize
 	for _, change := range m.Changes {
 		size += change.size()
 	}
@@ -54,13 +54,13 @@
 
 // Size implements Message.
 func (m *SnapshotPiece) Size() int {
-	return fixedSize + markSize + digestSize + entriesSize(m.Entries)
+	return fixedSize + versionSize + digestSize + entriesSize(m.Entries)
 }
 
 // Size implements Message.
 func (m *Heartbeat) Size() int {
-	return fixedSize + 2*markSize + digestSize + textsSize(m.Path) + textsSize(m.Candidates)
+	return fixedSize + 2*versionSize + digestSize + textsSize(m.Path) + textsSize(m.Candidates)
 }
 
 // Size implements Message.
-func (m *Renew) Size() int { return fixedSize + markSize }
+func (m *Renew) Size() int { return fixedSize + versionSize }
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// store is the configuration at one version, with the log of the changes that led there.
+// store is the configuration at one version, with the log of the changes that led there. It belongs to one Node or Record
+// and is used within their calls alone. Entries that were read from it stay as they are when others replace them.
 type store struct {
 	version     Version
 	covered     Scopes // the scopes that the contents are complete for
 	scopes      map[string]*scopeState
 	digest      Digest // of all scopes
-	liveEntries int
-	bytes       int // of all entries, tombstones among them
+	liveEntries int    // tombstones not counted
+	bytes       int    // of all entries, tombstones among them
 	tombstones  tombstoneQueue
 	log         changeLog
 }
 
-// scopeState is the entries of one scope.
+// scopeState holds the entries of one scope; there is none without entries.
 type scopeState struct {
 	entries []Entry // by name, tombstones among them
 	digest  Digest
@@ -30,7 +31,7 @@
 	return s
 }
 
-func compareName(e Entry, name string) int { return strings.Compare(e.Name, name) }
+func compareName(entry Entry, name string) int { return strings.Compare(entry.Name, name) }
 
 // lookup gives the entry of a key; where there is none, a tombstone and false.
 func (s *store) lookup(key Key) (Entry, bool) {
@@ -43,47 +44,47 @@
 }
 
 // putWithDigest sets an entry, by which the digest changes as given.
-func (s *store) putWithDigest(e Entry, difference Digest) {
-	scope := s.scopes[e.Scope]
+func (s *store) putWithDigest(entry Entry, difference Digest) {
+	scope := s.scopes[entry.Scope]
 	if scope == nil {
 		scope = &scopeState{}
-		s.scopes[strings.Clone(e.Scope)] = scope
+		s.scopes[strings.Clone(entry.Scope)] = scope
 	}
-	at, found := slices.BinarySearchFunc(scope.entries, e.Name, compareName)
+	at, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
 	if found {
 		old := scope.entries[at]
-		e.Scope, e.Name = old.Scope, old.Name // one copy of each text is enough
+		entry.Scope, entry.Name = old.Scope, old.Name // one copy of each text is enough
 		s.addToTotals(old, -1)
-		scope.entries[at] = e
+		scope.entries[at] = entry
 	} else {
 		if len(scope.entries) > 0 {
-			e.Scope = scope.entries[0].Scope
+			entry.Scope = scope.entries[0].Scope
 		}
-		scope.entries = slices.Insert(scope.entries, at, e)
+		scope.entries = slices.Insert(scope.entries, at, entry)
 	}
-	s.addToTotals(e, 1)
+	s.addToTotals(entry, 1)
 	scope.digest = scope.digest.add(difference)
 	s.digest = s.digest.add(difference)
-	if e.Deleted {
-		s.tombstones.add(e)
+	if entry.Deleted {
+		s.tombstones.add(entry)
 	}
 }
 
-// put is put for an entry whose effect on the digest is not known yet.
-func (s *store) put(e Entry) {
-	old, _ := s.lookup(e.Key())
-	s.putWithDigest(e, entryDigest(e).subtract(entryDigest(old)))
+// put sets an entry whose effect on the digest is not known yet.
+func (s *store) put(entry Entry) {
+	old, _ := s.lookup(entry.Key())
+	s.putWithDigest(entry, entryDigest(entry).subtract(entryDigest(old)))
 }
 
 // addToTotals adds an entry to the totals, or takes it away.
-func (s *store) addToTotals(e Entry, sign int) {
-	s.bytes += sign * e.size()
-	if !e.Deleted {
+func (s *store) addToTotals(entry Entry, sign int) {
+	s.bytes += sign * entry.size()
+	if !entry.Deleted {
 		s.liveEntries += sign
 	}
 }
 
-// removeTombstone drops a tombstone; the digest is that of live entries and stays.
+// removeTombstone takes an entry away that is a tombstone; the digest is that of live entries and stays.
 func (s *store) removeTombstone(key Key) {
 	scope := s.scopes[key.Scope]
 	at, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
@@ -127,8 +128,8 @@
 		if scope == nil {
 			continue
 		}
-		for _, e := range scope.entries {
-			if !each(e) {
+		for _, entry := range scope.entries {
+			if !each(entry) {
 				return
 			}
 		}
@@ -138,51 +139,51 @@
 // collect gives the entries of some scopes, with tombstones or without.
 func (s *store) collect(scopes Scopes, withTombstones bool) []Entry {
 	var entries []Entry
-	s.forEach(scopes, func(e Entry) bool {
-		if withTombstones || !e.Deleted {
-			entries = append(entries, e)
+	s.forEach(scopes, func(entry Entry) bool {
+		if withTombstones || !entry.Deleted {
+			entries = append(entries, entry)
 		}
 		return true
 	})
 	return entries
 }
 
-// mergedChange gives everything that was set after a revision as one change, if it fits a number of bytes. The caller sees
-// to it that no tombstone after the revision is missing.
-func (s *store) mergedChange(revision uint64, scopes Scopes, most int) (change Change, fits bool) {
+// mergedChange gives everything that was set after a revision as one change, if it takes no more than a number of bytes.
+// The caller has checked that no tombstone after the revision is missing.
+func (s *store) mergedChange(revision uint64, scopes Scopes, maxBytes int) (change Change, withinBytes bool) {
 	change = Change{Revision: s.version.Revision}
 	size := 0
-	s.forEach(scopes, func(e Entry) bool {
-		if e.Revision > revision {
-			change.Entries = append(change.Entries, e)
-			size += e.size()
+	s.forEach(scopes, func(entry Entry) bool {
+		if entry.Revision > revision {
+			change.Entries = append(change.Entries, entry)
+			size += entry.size()
 		}
-		return size <= most
+		return size <= maxBytes
 	})
-	return change, size <= most
+	return change, size <= maxBytes
 }
 
-// deltaFrom gives what leads a child from one version on, at most a batch of it; nil if there is nothing in its scopes.
-// It is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor the
-// tombstones reach any more.
-func (s *store) deltaFrom(from Version, scopes Scopes, batch int) (delta *Delta, possible bool) {
+// deltaFrom gives what leads a child from one version on, at most a batch of bytes of it; nil if there is nothing in its
+// scopes. It is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor
+// the tombstones reach any more.
+func (s *store) deltaFrom(from Version, scopes Scopes, batchBytes int) (delta *Delta, possible bool) {
 	if from.Epoch != s.version.Epoch || from.Revision > s.version.Revision {
 		return nil, false
 	}
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
-	if from.Revision < s.log.floor {
+	if from.Revision >= s.log.floor {
+		delta.Changes, delta.Revision = s.log.changesAfter(from.Revision, scopes, batchBytes, s.version.Revision)
+	} else {
 		if from.Revision < s.tombstones.horizon {
 			return nil, false
 		}
-		change, fits := s.mergedChange(from.Revision, scopes, batch)
-		if !fits {
+		change, withinBytes := s.mergedChange(from.Revision, scopes, batchBytes)
+		if !withinBytes {
 			return nil, false
 		}
 		if len(change.Entries) > 0 {
 			delta.Changes = []Change{change}
 		}
-	} else {
-		delta.Changes, delta.Revision = s.log.changesAfter(from.Revision, scopes, batch, s.version.Revision)
 	}
 	if len(delta.Changes) == 0 {
 		return nil, true
@@ -213,7 +214,7 @@
 // dropTombstone drops the oldest tombstone, unless its key was set again since.
 func (s *store) dropTombstone() {
 	oldest := s.tombstones.pop()
-	if e, found := s.lookup(oldest.key); found && e.Deleted && e.Revision == oldest.revision {
+	if entry, found := s.lookup(oldest.key); found && entry.Deleted && entry.Revision == oldest.revision {
 		s.removeTombstone(oldest.key)
 	}
 }
