--- /dev/null
+++ b/controller/wire_golden_test.go
@@ -0,0 +1,507 @@
+package controller
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"wheelrill/decide"
+	"wheelrill/distribution"
+	"wheelrill/share"
+)
+
+// updateGolden renews the golden files. It is for whoever changes the wire on purpose; CI never sets it.
+var updateGolden = flag.Bool("update", false, "write the golden files in testdata anew")
+
+// compareGolden compares a transcript with the golden file of that name, line by line.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGolden {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		gotLine, wantLine := "nothing", "nothing"
+		if i < len(gotLines) {
+			gotLine = gotLines[i]
+		}
+		if i < len(wantLines) {
+			wantLine = wantLines[i]
+		}
+		if gotLine != wantLine {
+			t.Fatalf("%s line %d:\n got %s\nwant %s", path, i+1, gotLine, wantLine)
+		}
+	}
+}
+
+// goldenOrders gives orders to tables as the decisions do, and writes down every byte that each proxy is written.
+type goldenOrders struct {
+	t      *testing.T
+	tables *tables
+	text   strings.Builder
+}
+
+func (g *goldenOrders) line(backend, table int, weight float64) {
+	g.tables.SetLine(table, backend, weight)
+}
+func (g *goldenOrders) bind(proxy, table int, classes uint16) { g.tables.Bind(table, proxy, classes) }
+func (g *goldenOrders) withdraw(backend int, out bool)        { g.tables.Withdraw(backend, out) }
+func (g *goldenOrders) remind(proxy int, limit float64, retry int) {
+	g.tables.Remind(proxy, limit, decide.Tries(retry))
+}
+func (g *goldenOrders) clear(proxy int) { g.tables.Clear(proxy) }
+func (g *goldenOrders) limit(table int, classes uint16, limit float64, retry int) {
+	g.tables.Admit(table, classes, limit, decide.Tries(retry))
+}
+func (g *goldenOrders) limitAll(classes uint16, limit float64, retry int) {
+	g.tables.Admit(decide.AllTables, classes, limit, decide.Tries(retry))
+}
+func (g *goldenOrders) mark(number int, everyone bool) { g.tables.Mark(number, everyone) }
+func (g *goldenOrders) join(proxy int, keeps bool)     { g.tables.join(proxy, &peer{node: proxy}, keeps) }
+func (g *goldenOrders) token(proxy int, token uint64)  { g.tables.streams[proxy].token = token }
+func (g *goldenOrders) brought(proxy int, lines ...share.Base) {
+	g.tables.streams[proxy].base = lines
+}
+
+// written ends a step: what was ordered in it leaves, one message for each proxy concerned.
+func (g *goldenOrders) written(step string) {
+	g.t.Helper()
+	fmt.Fprintf(&g.text, "# %s\n", step)
+	g.tables.flush(func(to *peer, message []byte) error {
+		fmt.Fprintf(&g.text, "proxy %d: %q\n", to.node, message)
+		return nil
+	}, func(proxy int, err error) {
+		fmt.Fprintf(&g.text, "proxy %d is given up\n", proxy)
+	}, func(int, int) {})
+}
+
+func newGoldenOrders(t *testing.T, classes ...string) *goldenOrders {
+	var names [][]byte
+	for _, class := range classes {
+		names = append(names, fmt.Appendf(nil, "%q", class))
+	}
+	return &goldenOrders{t: t, tables: newTables(names, name, 1<<20, 64)}
+}
+
+// TestGoldenOrders holds the bytes of every kind of order to proxies, one kind a step.
+func TestGoldenOrders(t *testing.T) {
+	g := newGoldenOrders(t, "read it", "write", "größer")
+	g.join(0, false)
+	g.written("nothing was ordered")
+	g.line(0, 0, 2)
+	g.line(1, 0, 0.5)
+	g.line(2, 0, 1e-9)
+	g.bind(0, 0, 0)
+	g.mark(1, false)
+	g.written("a whole table for every class, with a mark")
+	g.line(1, 0, 0)
+	g.line(3, 0, 1.0/3)
+	g.written("lines set and taken out")
+	g.line(0, 1, 7)
+	g.bind(0, 1, 0b010)
+	g.line(2, 0, 4)
+	g.mark(2, false)
+	g.written("a second table for one class, a change in the first for the others")
+	g.limit(1, 0b010, 12.5, 0)
+	g.limitAll(0b101, 100, 1)
+	g.written("limits of a table and of every table")
+	g.limitAll(0, 9, 0)
+	g.written("a limit for all classes, of which the lower stands")
+	g.limit(0, 0b100, 3, 2)
+	g.limit(0, 0b001, math.Inf(1), 3)
+	g.limitAll(0b001, math.Inf(1), 1)
+	g.written("limits without a bound, and other manners of trying again")
+	g.withdraw(0, true)
+	g.withdraw(9, true)
+	g.written("a backend that its tables use is withdrawn, and one that they do not use")
+	g.withdraw(0, false)
+	g.written("it is let back")
+	g.withdraw(0, true)
+	g.line(9, 0, 1)
+	g.mark(3, true)
+	g.written("a withdrawal, a first line for a withdrawn backend, a mark for everyone")
+	g.bind(0, 0, 0b011)
+	g.written("a whole table again forgets limits")
+	g.mark(4, true)
+	g.written("a mark alone")
+
+	g.join(1, true)
+	g.written("a proxy that brings tables of others hears nothing")
+	g.remind(1, 55, 1)
+	g.mark(5, false)
+	g.written("until it is reminded of what is withdrawn")
+	g.remind(1, 55, 1)
+	g.written("reminded again")
+	g.withdraw(4, true)
+	g.withdraw(0, false)
+	g.written("withdrawals while none of its tables is ours")
+	g.bind(1, 0, 0)
+	g.written("bound, it is not cleared yet")
+	g.clear(1)
+	g.mark(6, false)
+	g.written("cleared")
+	g.line(4, 0, 2)
+	g.line(5, 0, 2)
+	g.written("first lines after it was cleared")
+
+	g.join(2, false)
+	g.token(2, 1<<40+7)
+	g.bind(2, 1, 0)
+	g.mark(7, false)
+	g.written("with a token, a whole table")
+	g.line(3, 1, math.NaN())
+	g.line(4, 1, -1)
+	g.line(5, 1, math.Inf(1))
+	g.line(6, 1, 1e21)
+	g.written("with a token, figures that are no figures")
+	g.tables.frame = 120
+	for backend := range 12 {
+		g.line(backend, 1, float64(backend)+0.25)
+		g.withdraw(backend, true)
+	}
+	g.limitAll(0, 8, 0)
+	g.mark(8, true)
+	g.written("parts of a message: lines, limits, withdrawals, a mark")
+	g.bind(2, 1, 0)
+	g.written("parts of a whole table")
+	g.tables.parts = 2
+	g.bind(2, 1, 0)
+	g.written("more parts than a message may have")
+	g.tables.frame, g.tables.parts = 1<<20, 64
+
+	for proxy, base := range []share.Base{
+		{Lines: map[string]float64{`"s-0"`: 2, `"s-2"`: 4, `"s-3"`: 1.0 / 3, `"s-4"`: 2, `"s-5"`: 2, `"s-9"`: 1}},
+		{Lines: map[string]float64{`"s-0"`: 1, `"s-2"`: 4, `"s-8"`: 1, `"s-4"`: 2, `"s-5"`: 2}, Doubt: map[string]bool{`"s-9"`: true}},
+		{Lines: map[string]float64{`"s-8"`: 3}},
+	} {
+		g.join(3+proxy, false)
+		g.brought(3+proxy, base, base, base)
+		g.bind(3+proxy, 0, 0)
+		g.mark(9, false)
+		g.written(fmt.Sprint("a proxy that comes from another owner, with base ", proxy))
+	}
+	compareGolden(t, "orders.golden", g.text.String())
+}
+
+// TestGoldenOrdersByChance holds the bytes of orders in thousands of combinations, by their hash for each seed.
+func TestGoldenOrdersByChance(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(60) {
+		g := newGoldenOrders(t, "a", "b", "c")
+		chance := rand.New(rand.NewPCG(seed, 11))
+		if seed%3 == 0 {
+			g.tables.frame = 150
+		}
+		joined := map[int]bool{}
+		for step := range 300 {
+			proxy, backend, table := chance.IntN(6), chance.IntN(12), chance.IntN(3)
+			classes, flag, weight := uint16(chance.IntN(8)), chance.IntN(2) == 0, float64(chance.IntN(4))
+			switch chance.IntN(13) {
+			case 0:
+				g.join(proxy, flag)
+				joined[proxy] = true
+				if chance.IntN(3) == 0 {
+					g.token(proxy, uint64(step))
+				}
+				if chance.IntN(3) == 0 {
+					base := share.Base{Lines: map[string]float64{`"s-1"`: 1, `"s-2"`: weight + 1}}
+					g.brought(proxy, base, base, base)
+				}
+			case 1, 2:
+				g.bind(proxy, table, classes)
+			case 3, 4, 5:
+				g.line(backend, table, weight)
+			case 6, 7:
+				g.withdraw(backend, flag)
+			case 8:
+				g.remind(proxy, weight, 0)
+			case 9:
+				g.clear(proxy)
+			case 10:
+				g.limit(table, classes, weight, backend%4)
+			case 11:
+				g.limitAll(classes, weight+0.5, backend%2)
+			case 12:
+				g.mark(step, flag)
+			}
+			if chance.IntN(2) == 0 {
+				g.written(fmt.Sprint("step ", step))
+			}
+		}
+		fmt.Fprintf(&text, "seed %d: %d bytes, sha256 %x\n", seed, g.text.Len(), sha256.Sum256([]byte(g.text.String())))
+	}
+	compareGolden(t, "orders-by-chance.golden", text.String())
+}
+
+// goldenDay plays a controller through a day of trouble on a clock of its own, and writes down every byte that a proxy
+// is written.
+func goldenDay(t *testing.T, c customer) string {
+	var text strings.Builder
+	m := c.begins(t, 12)
+	chance := rand.New(rand.NewPCG(7, 2))
+	peers := map[int]*peer{}
+	hearers := map[int]*hearer{}
+	for turn := range 40 {
+		later(m, second, func() {})
+		again := chance.IntN(8)
+		for node := range 8 {
+			if turn == 0 || turn%9 == 0 && node == again {
+				peers[node], hearers[node] = joins(t, m, turn+1, node, turn > 0), newHearer(c.names()...)
+			}
+		}
+		changed := chance.IntN(12)
+		m.turn(func() {
+			for b := range 12 {
+				load := decide.Load{Busy: -1, Waiting: -1, Service: -1}
+				if b == 5 && turn > 4 {
+					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, load)
+				} else {
+					m.addOutcomes(fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), second, load)
+				}
+			}
+			for node := range 8 {
+				for class := range c.classes {
+					m.addDemand(node, class, 20+10*class, second)
+				}
+			}
+			switch turn % 5 {
+			case 2:
+				m.listed(false, int64(turn), parsed(t, "["+c.entry(changed, "draining", 0)+","+
+					c.entry(12+turn/5, "up", m.now/1000)+"]").GetArray())
+			case 4:
+				m.listed(false, int64(turn), parsed(t, "["+c.entry(changed, "up", 0)+"]").GetArray())
+			}
+		})
+		for node := range 8 {
+			p := peers[node]
+			p.heard.Store(m.now)
+			for len(p.mailbox) > 0 {
+				message := <-p.mailbox
+				fmt.Fprintf(&text, "%d proxy %d: %q\n", turn, node, message)
+				if err := hearers[node].apply(message); err != nil {
+					t.Fatal(err)
+				}
+			}
+			for _, number := range hearers[node].tickets {
+				m.turn(func() { m.applied(p, number) })
+			}
+			hearers[node].tickets = nil
+		}
+	}
+	return text.String()
+}
+
+// TestGoldenDay holds the bytes that a whole controller writes on its proxies' streams, zones and classes included.
+func TestGoldenDay(t *testing.T) {
+	classes := []profile{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
+		{"audit", 3000, 9000, 0.5, false, true}}
+	var text strings.Builder
+	for _, messages := range []int{0, 4, 30} {
+		day := goldenDay(t, customer{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: messages})
+		lines := strings.SplitAfter(day, "\n")
+		fmt.Fprintf(&text, "# %d messages at most: %d messages, sha256 %x\n", messages, len(lines)-1, sha256.Sum256([]byte(day)))
+		if messages == 30 {
+			text.WriteString(strings.Join(lines[:min(len(lines), 120)], ""))
+		}
+	}
+	compareGolden(t, "day.golden", text.String())
+}
+
+// TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
+func TestGoldenAnswers(t *testing.T) {
+	address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.lasting, l.identifyWithin = 2, 300*time.Millisecond })
+	var text strings.Builder
+	says := func(what string, sent ...string) {
+		c := calls(t, address)
+		for _, raw := range sent {
+			if _, err := c.Write([]byte(raw)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		c.Conn.(*net.TCPConn).CloseWrite()
+		got, err := io.ReadAll(c.in)
+		if err != nil && len(got) == 0 {
+			t.Fatalf("%s: %v", what, err)
+		}
+		fmt.Fprintf(&text, "%s: %q\n", what, got)
+	}
+	stays := func(what string, sent ...string) {
+		c := calls(t, address)
+		for _, raw := range sent {
+			c.Write([]byte(raw))
+		}
+		got, err := io.ReadAll(c.in)
+		if err != nil && len(got) == 0 {
+			t.Fatalf("%s: %v", what, err)
+		}
+		fmt.Fprintf(&text, "%s: %q\n", what, got)
+	}
+	f := func(body string) string { return string(framed(body)) }
+	says("nothing")
+	says("a probe", f(probe))
+	says("two probes", f(probe)+f(probe))
+	says("a collector that probes", f(agent)+f(probe))
+	says("a collector that reports and probes", f(agent)+f(reports)+f(usage)+f(probe))
+	says("a collector that says nonsense and probes", f(agent)+f(`{"msg":"lease"}`)+f(hello)+f(agent)+f(probe))
+	says("a report before it joined", f(reports))
+	says("usage before it joined", f(usage))
+	says("an acknowledgement before it joined", f(`{"msg":"ack","node":3,"nonce":1}`))
+	says("an order", f(`{"msg":"push","out":["s-0"]}`))
+	says("no kind", f(`{}`))
+	prober := calls(t, address) // the answer is waited for, as a refusal does not wait for answers
+	prober.says(probe)
+	fmt.Fprintf(&text, "a probe, then a report: %q", prober.gets())
+	prober.says(reports)
+	refused, _ := io.ReadAll(prober.in)
+	fmt.Fprintf(&text, " %q\n", refused)
+	says("a key twice", f(`{"msg":"probe","msg":"probe"}`))
+	says("no object", f(`[1]`))
+	says("no JSON", f(`{`))
+	says("an empty message", "\x00\x00\x00\x00")
+	says("too long a message", "\x7f\xff\xff\xff")
+	says("half a length", "\x00\x00")
+	says("half a hello", f(hello)[:20])
+	says("an unknown zone of a collector", f(`{"msg":"agent","locality":"q"}`))
+	says("an unknown zone of a proxy", f(strings.Replace(hello, `"b"`, `"q"`, 1)))
+	says("an unknown proxy", f(strings.Replace(hello, "3", "40", 1)))
+	stays("silence")
+	stays("half a hello and then silence", f(hello)[:20])
+	one, other := calls(t, address), calls(t, address)
+	for _, c := range []*caller{one, other} {
+		c.says(agent)
+		c.says(probe)
+		c.gets()
+	}
+	stays("a proxy beyond the room", f(hello))
+	compareGolden(t, "answers.golden", text.String())
+}
+
+// TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
+func TestGoldenRefusals(t *testing.T) {
+	var text strings.Builder
+	for _, why := range []error{errUnidentified, errRefused, errBudget, errStale, errEarly, errUnreadable,
+		&net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset by peer")},
+		errors.New("\"größer\"\n\x01")} {
+		fmt.Fprintf(&text, "%q\n", refusal(why))
+	}
+	compareGolden(t, "refusals.golden", text.String())
+}
+
+// TestGoldenDiscoveryRequests holds the bytes of discovery's requests, by what was answered before.
+func TestGoldenDiscoveryRequests(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	answers := []string{"", listing(7, true, backendIs(0, "up")), listing(7, false), listing(8, false, backendIs(1, "up")),
+		listing(3, false), "{", `{"version":9}`, "[]", "{", "{", listing(9, true), listing(10, false)}
+	var text strings.Builder
+	seen := make(chan struct{})
+	go func() {
+		defer close(seen)
+		for len(answers) > 0 {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			answers = serveGoldenDiscovery(conn, listener.Addr().String(), answers, &text)
+		}
+	}()
+	runs(t, listener.Addr().String(), "null", func(l *limits) { l.retryLeast, l.retryMost = 1, 1 })
+	select {
+	case <-seen:
+	case <-time.After(patience):
+		t.Fatal("it stopped asking")
+	}
+	compareGolden(t, "discovery-requests.golden", text.String())
+}
+
+// serveGoldenDiscovery answers the requests of one connection, writes down their bytes, and gives the answers that are left.
+func serveGoldenDiscovery(conn net.Conn, address string, answers []string, text *strings.Builder) []string {
+	defer conn.Close()
+	var raw bytes.Buffer
+	in := bufio.NewReader(io.TeeReader(conn, &raw))
+	for len(answers) > 0 {
+		if _, err := http.ReadRequest(in); err != nil {
+			return answers
+		}
+		fmt.Fprintf(text, "%q\n", strings.ReplaceAll(raw.String(), address, "HOST"))
+		raw.Reset()
+		if answers[0] == "" {
+			return answers[1:] // closes without an answer
+		}
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answers[0]), answers[0])
+		answers = answers[1:]
+	}
+	return answers
+}
+
+// TestGoldenFolder holds the file of a subscriber's folder: one that was written before is read, and written again by the
+// same bytes.
+func TestGoldenFolder(t *testing.T) {
+	golden := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
+	state := distribution.State{Mark: distribution.Mark{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
+		Covered: distribution.SomeScopes("pricing", "orders"), Horizon: 2, Entries: []distribution.Entry{
+			{Scope: "orders", Name: "limit/read it", Value: []byte("12.5"), Revision: 3, AcceptedAt: 1_700_000_000_000_000},
+			{Scope: "pricing", Name: "drain/s-1", Revision: 6, Deleted: true, AcceptedAt: 1_700_000_001_000_000},
+			{Scope: "pricing", Name: "weight/s-2", Value: []byte("0.5"), Revision: 7, AcceptedAt: 1_700_000_002_000_000}}}
+	folder := t.TempDir()
+	k, err := newKeeper(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := k.save(state); err != nil {
+		t.Fatal(err)
+	}
+	body, err := os.ReadFile(filepath.Join(folder, "configuration.cbor"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *updateGolden {
+		if err := errors.Join(os.MkdirAll(filepath.Dir(golden), 0o755), os.WriteFile(golden, body, 0o644)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(body, want) {
+		t.Errorf("written anew\n got %x\nwant %x", body, want)
+	}
+	if err := os.WriteFile(filepath.Join(folder, "configuration.cbor"), want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	again, err := newKeeper(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := again.load(); err != nil || got == nil || !reflect.DeepEqual(*got, state) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+}
