--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -14,10 +14,10 @@
 
 	"github.com/valyala/fastjson"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
+	"wheelrill/consensus"
 	"wheelrill/distribution"
-	"wheelrill/replica"
-	"wheelrill/subscribe"
+	"wheelrill/distribution/transport"
 )
 
 // Distribution says what part a controller has in the distribution of configuration.
@@ -35,7 +35,7 @@
 	FanOut    int    // that subscribe here at most; 0 is as usual
 	// SnapshotPace is how many bytes a second all snapshots that are sent from here take together; 0 is as usual.
 	SnapshotPace int
-	replica.Credentials
+	consensus.Credentials
 
 	limits distribution.Limits // of the node; usual ones where it is zero
 }
@@ -51,9 +51,9 @@
 type distributor struct {
 	module   *module
 	log      *journal
-	carrier  *subscribe.Carrier
-	node     *replica.Node     // of a voter
-	listener *replica.Listener // of a subscriber that passes on
+	carrier  *transport.Carrier
+	node     *consensus.Node     // of a voter
+	listener *consensus.Listener // of a subscriber that passes on
 	limits   distribution.Limits
 	kept     *keeper                   // of a subscriber with a folder
 	wanted   chan []distribution.Entry // the newest configuration that a voter is to propose
@@ -101,14 +101,14 @@
 
 // subscribe prepares a subscriber.
 func (d *distributor) subscribe(with Distribution) error {
-	subscriber, err := replica.NewSubscriber(with.Credentials)
+	subscriber, err := consensus.NewSubscriber(with.Credentials)
 	if err != nil {
 		return err
 	}
-	if strings.Contains(with.Name, replica.PeerSeparator) {
-		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out", with.Name, replica.PeerSeparator)
+	if strings.Contains(with.Name, consensus.PeerSeparator) {
+		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out", with.Name, consensus.PeerSeparator)
 	}
-	self := replica.Peer{Name: with.Name}
+	self := consensus.Peer{Name: with.Name}
 	if with.Listen != "" {
 		if d.listener, err = subscriber.Listen(with.Listen, d.accept, d.refused); err != nil {
 			return err
@@ -117,13 +117,13 @@
 	}
 	var candidates []string
 	for _, name := range slices.Sorted(maps.Keys(with.Parents)) {
-		candidates = append(candidates, replica.Peer{Name: name, Address: with.Parents[name]}.String())
+		candidates = append(candidates, consensus.Peer{Name: name, Address: with.Parents[name]}.String())
 	}
 	scopes := distribution.SomeScopes(with.Scopes...)
 	if with.AllScopes {
 		scopes = distribution.AllScopes()
 	}
-	d.carrier = subscribe.New(subscribe.Config{
+	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Scopes: scopes, Candidates: candidates, Limits: d.limits},
 		Dial:  subscriber.Dial,
 		Apply: d.apply,
@@ -154,8 +154,8 @@
 var errNoParent = errors.New("a voter has no parent")
 
 // vote prepares a voter, as a member that shares the record.
-func (d *distributor) vote(self replica.Peer) *subscribe.Carrier {
-	d.carrier = subscribe.New(subscribe.Config{
+func (d *distributor) vote(self consensus.Peer) *transport.Carrier {
+	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
 		Apply: d.apply,
@@ -282,17 +282,17 @@
 	}
 	m.log.say("distributed", "revision", last.Revision, "whole", whole, "backends", len(backends),
 		"drained", len(m.overrides.drains), "weighted", len(m.overrides.weights), "late_s", figured(late, 3), "classes", len(classes))
-	var relisted []decide.Entry
+	var relisted []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		if backend, known := m.backends.index[id]; known {
 			relisted = m.overrides.merged(relisted, id, m.overrides.listed[backend])
 		}
 	}
 	if len(relisted) > 0 {
-		m.control.Listed(false, relisted)
+		m.control.EndpointsUpdated(false, relisted)
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		m.control.Quota(m.classes[class], m.overrides.limitOf(class))
+		m.control.SetClassQuota(m.classes[class], m.overrides.limitOf(class))
 	}
 }
 
@@ -332,7 +332,7 @@
 		d.log.say("change_empty", "revision", mark.Revision, "epoch", mark.Epoch.String())
 	case err == nil:
 		d.log.say("change_accepted", "revision", mark.Revision, "epoch", mark.Epoch.String(), "entries", differ)
-	case errors.Is(err, replica.ErrRefused):
+	case errors.Is(err, consensus.ErrRefused):
 		d.log.say("change_refused", "error", err.Error())
 	default:
 		d.log.say("change_unanswered", "error", err.Error())
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"wheelrill/decide"
+	"wheelrill/balancer"
 	"wheelrill/distribution"
-	"wheelrill/share"
+	"wheelrill/ownership"
 )
 
 // updateGolden renews the golden files. It is for whoever changes the wire on purpose; CI never sets it.
@@ -66,24 +66,24 @@
 }
 
 func (g *goldenOrders) line(backend, table int, weight float64) {
-	g.tables.SetLine(table, backend, weight)
+	g.tables.PublishEntry(table, backend, weight)
 }
-func (g *goldenOrders) bind(proxy, table int, classes uint16) { g.tables.Bind(table, proxy, classes) }
+func (g *goldenOrders) bind(proxy, table int, classes uint16) { g.tables.AssignTable(table, proxy, classes) }
 func (g *goldenOrders) withdraw(backend int, out bool)        { g.tables.Withdraw(backend, out) }
 func (g *goldenOrders) remind(proxy int, limit float64, retry int) {
-	g.tables.Remind(proxy, limit, decide.Tries(retry))
+	g.tables.SyncWithdrawals(proxy, limit, balancer.RetryPolicy(retry))
 }
-func (g *goldenOrders) clear(proxy int) { g.tables.Clear(proxy) }
+func (g *goldenOrders) clear(proxy int) { g.tables.ClearWithdrawals(proxy) }
 func (g *goldenOrders) limit(table int, classes uint16, limit float64, retry int) {
-	g.tables.Admit(table, classes, limit, decide.Tries(retry))
+	g.tables.SetAdmissionLimit(table, classes, limit, balancer.RetryPolicy(retry))
 }
 func (g *goldenOrders) limitAll(classes uint16, limit float64, retry int) {
-	g.tables.Admit(decide.AllTables, classes, limit, decide.Tries(retry))
+	g.tables.SetAdmissionLimit(balancer.AllTables, classes, limit, balancer.RetryPolicy(retry))
 }
-func (g *goldenOrders) mark(number int, everyone bool) { g.tables.Mark(number, everyone) }
+func (g *goldenOrders) mark(number int, everyone bool) { g.tables.RequestAck(number, everyone) }
 func (g *goldenOrders) join(proxy int, keeps bool)     { g.tables.join(proxy, &peer{node: proxy}, keeps) }
 func (g *goldenOrders) token(proxy int, token uint64)  { g.tables.streams[proxy].token = token }
-func (g *goldenOrders) brought(proxy int, lines ...share.Base) {
+func (g *goldenOrders) brought(proxy int, lines ...ownership.KnownTable) {
 	g.tables.streams[proxy].base = lines
 }
 
@@ -193,9 +193,9 @@
 	g.written("more parts than a message may have")
 	g.tables.frame, g.tables.parts = 1<<20, 64
 
-	for proxy, base := range []share.Base{
+	for proxy, base := range []ownership.KnownTable{
 		{Lines: map[string]float64{`"s-0"`: 2, `"s-2"`: 4, `"s-3"`: 1.0 / 3, `"s-4"`: 2, `"s-5"`: 2, `"s-9"`: 1}},
-		{Lines: map[string]float64{`"s-0"`: 1, `"s-2"`: 4, `"s-8"`: 1, `"s-4"`: 2, `"s-5"`: 2}, Doubt: map[string]bool{`"s-9"`: true}},
+		{Lines: map[string]float64{`"s-0"`: 1, `"s-2"`: 4, `"s-8"`: 1, `"s-4"`: 2, `"s-5"`: 2}, Uncertain: map[string]bool{`"s-9"`: true}},
 		{Lines: map[string]float64{`"s-8"`: 3}},
 	} {
 		g.join(3+proxy, false)
@@ -228,7 +228,7 @@
 					g.token(proxy, uint64(step))
 				}
 				if chance.IntN(3) == 0 {
-					base := share.Base{Lines: map[string]float64{`"s-1"`: 1, `"s-2"`: weight + 1}}
+					base := ownership.KnownTable{Lines: map[string]float64{`"s-1"`: 1, `"s-2"`: weight + 1}}
 					g.brought(proxy, base, base, base)
 				}
 			case 1, 2:
@@ -276,7 +276,7 @@
 		changed := chance.IntN(12)
 		m.turn(func() {
 			for b := range 12 {
-				load := decide.Load{Busy: -1, Waiting: -1, Service: -1}
+				load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 				if b == 5 && turn > 4 {
 					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, load)
 				} else {
--- a/standin/channel.go
+++ b/fake/channel.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 // channel is the way from one controller to its relays: so many lines a second, one message after the other.
 type channel struct {
-	in    *Installation
+	in    *Fleet
 	of    int
 	lines float64 // a second; 0 for no bound
 
@@ -22,7 +22,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.in.Clock()
-	c.in.account.Entered(fmt.Sprintf("controller %d, life %d", c.of, c.life), relay, lines, now)
+	c.in.account.OrderQueued(fmt.Sprintf("controller %d, life %d", c.of, c.life), relay, lines, now)
 	if c.lines <= 0 {
 		return 0
 	}
