--- a/cmd/wheelrill/main_test.go
+++ b/cmd/wheelrill/main_test.go
@@ -35,7 +35,7 @@
 	writes(good)
 	said := make(lines, 1024)
 	ended := make(chan error, 1)
-	go func() { ended <- run(ending(), hangUps(), "", controller.Journal(said)) }()
+	go func() { ended <- run(ending(), hangUps(), "", controller.NewLogger(said)) }()
 	waits := func(some string) {
 		for line := range said {
 			if strings.Contains(line, some) {
--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -23,7 +23,7 @@
 func root(ctx context.Context, again <-chan os.Signal) *cobra.Command {
 	var path string
 	start := func(*cobra.Command, []string) error {
-		return logged(run(ctx, again, path, controller.Journal(os.Stderr)))
+		return logged(run(ctx, again, path, controller.NewLogger(os.Stderr)))
 	}
 	top := &cobra.Command{Use: "wheelrill", Short: "Assigns requests to backends; without a command it serves",
 		Long: "wheelrill is one controller: proxies and collectors connect to it, it follows discovery, and tells proxies where\n" +
@@ -53,7 +53,7 @@
 // logged writes why a controller could not go on, where its other lines are.
 func logged(err error) error {
 	if err != nil {
-		controller.Journal(os.Stderr).Info("failed", "error", err)
+		controller.NewLogger(os.Stderr).Info("failed", "error", err)
 		return exit(1)
 	}
 	return nil
@@ -75,13 +75,13 @@
 	case err != nil:
 		return err
 	}
-	c, err := controller.New(controller.Place{Name: os.Getenv("LB_NAME"), Listen: os.Getenv("LB_LISTEN"),
+	c, err := controller.New(controller.Identity{Name: os.Getenv("LB_NAME"), Listen: os.Getenv("LB_LISTEN"),
 		Discovery: os.Getenv("LB_DISCOVERY")}, configuration, log)
 	if err != nil {
 		return err
 	}
 	if d := given.Distribution; d != nil {
-		if err := c.Distribute(controller.Distribution{Voter: d.Role == options.Voter, Name: d.Name, Parents: d.Parents,
+		if err := c.JoinDistribution(controller.DistributionConfig{Voter: d.Role == options.Voter, Name: d.Name, Parents: d.Parents,
 			Scopes: d.Scopes, AllScopes: slices.Equal(d.Scopes, []string{options.AllScopes}), Listen: d.Listen, Folder: d.Folder,
 			FanOut: d.FanOut, SnapshotPace: d.SnapshotPace,
 			Credentials: consensus.Credentials{Certificate: d.Certificate, Key: d.Key, Authority: d.Authority}}); err != nil {
@@ -89,7 +89,7 @@
 		}
 	}
 	if s := given.Sharing; s != nil {
-		if err := c.Share(controller.Sharing{Name: s.Name, Members: s.Members, Folder: s.Folder,
+		if err := c.ShareOwnership(controller.OwnershipConfig{Name: s.Name, Members: s.Members, Folder: s.Folder,
 			Credentials: consensus.Credentials{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority},
 			Lease:       s.LeaseTime().Microseconds()}); err != nil {
 			return fmt.Errorf("%s: sharing: %w", path, err)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -25,8 +25,8 @@
 	fit := strings.NewReplacer(`"proxyCount":40`, fmt.Sprintf(`"proxyCount":%d`, proxies),
 		`"egressPerS":900`, fmt.Sprintf(`"egressPerS":%g`, lines), `"backlog":900`,
 		fmt.Sprintf(`"backlog":%g,"socketsMin":83`, 50*lines))
-	c, err := New(Place{}, []byte(fit.Replace(string(configuration("127.0.0.1:9", listing(1, true, entries...))))),
-		Journal(io.Discard))
+	c, err := New(Identity{}, []byte(fit.Replace(string(configuration("127.0.0.1:9", listing(1, true, entries...))))),
+		NewLogger(io.Discard))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/controller/keeper_test.go
+++ b/controller/cache_test.go
@@ -53,7 +53,7 @@
 func TestSubscriberKeepsOverRestart(t *testing.T) {
 	known := listing(1, true, backendIs(0, "up"), backendIs(1, "up"))
 	members, voters := votes(t, known, "n0", "n1")
-	with := Distribution{Parents: members, Folder: t.TempDir()}
+	with := DistributionConfig{Parents: members, Folder: t.TempDir()}
 	s := subscribes(t, "s1", known, with)
 	voters[0].reloads(t, known, `{"pricing":{"drain":{"s-1":true}}}`)
 	s.said.waits(t, "event=distributed revision=1", 1)
--- a/controller/closes_test.go
+++ b/controller/closes_test.go
@@ -276,14 +276,14 @@
 	})
 	t.Run("connections in the instant of the end are closed, whether they were accepted or not", func(t *testing.T) {
 		for range 10 {
-			c, err := New(Place{}, configuration(discovers(t).address, two), Journal(io.Discard))
+			c, err := New(Identity{}, configuration(discovers(t).address, two), NewLogger(io.Discard))
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			said := newDiary()
-			c.log.to = Journal(said)
+			c.log.to = NewLogger(said)
 			ended := make(chan error, 1)
 			go func() { ended <- c.Serve(ctx) }()
 			said.waits(t, "event=serving", 1)
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			changed := strings.Replace(good, change[0], change[1], 1)
-			_, err := New(Place{}, []byte(changed), Journal(io.Discard))
+			_, err := New(Identity{}, []byte(changed), NewLogger(io.Discard))
 			if err == nil || what != "not JSON" && !strings.Contains(err.Error(), what) {
 				t.Errorf("error %v", err)
 			}
@@ -32,7 +32,7 @@
 	t.Run("the place given beats the configuration, and odd words are said", func(t *testing.T) {
 		said := newDiary()
 		odd := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
-		c, err := New(Place{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), Journal(said))
+		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), NewLogger(said))
 		if err != nil || c.plan.Listen != "127.0.0.1:7" || c.list.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
 			c.Memory() != 192<<20 {
 			t.Errorf("got %+v, error %v", c, err)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -22,8 +22,8 @@
 	"wheelrill/internal/settings"
 )
 
-// Place says where a controller stands. An empty field is taken from the configuration.
-type Place struct {
+// Identity says where a controller stands. An empty field is taken from the configuration.
+type Identity struct {
 	Name      string
 	Listen    string // where proxies and collectors connect
 	Discovery string
@@ -44,7 +44,7 @@
 
 // plan is a configuration that was read and found usable.
 type plan struct {
-	Place
+	Identity
 	seed     uint64
 	known    *fastjson.Value
 	limits   *limits
@@ -61,7 +61,7 @@
 }
 
 // New reads a configuration, a JSON object. An error names the key that is missing or unusable.
-func New(place Place, configuration []byte, to *slog.Logger) (*Controller, error) {
+func New(place Identity, configuration []byte, to *slog.Logger) (*Controller, error) {
 	p, err := read(configuration)
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 		return nil, errors.New("configuration: settings is missing")
 	}
 	text := func(key string) string { return string(root.GetStringBytes(key)) }
-	p := &plan{Place: Place{text("name"), text("listen"), text("discovery")}, seed: seed(root.GetStringBytes("seed")),
+	p := &plan{Identity: Identity{text("name"), text("listen"), text("discovery")}, seed: seed(root.GetStringBytes("seed")),
 		known: root.Get("known"), limits: usualLimits(), lasting: map[string]string{}, index: map[string]int{}}
 	for _, key := range []string{"name", "listen", "limits", "settings"} {
 		if v := root.Get(key); v != nil {
@@ -219,7 +219,7 @@
 		return errors.New("distribution: a voter is a member that shares the record, and this one does not")
 	}
 	c.mutex.Lock()
-	place, channel, rules, sight := c.plan.Place, c.plan.channel, c.plan.rules, c.plan.sight
+	place, channel, rules, sight := c.plan.Identity, c.plan.channel, c.plan.rules, c.plan.sight
 	c.mutex.Unlock()
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", place.Listen)
 	if err != nil {
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -69,7 +69,7 @@
 	for b := range backends {
 		all = append(all, c.entry(b, "up", 0))
 	}
-	made, err := New(Place{}, c.configuration("127.0.0.1:9", listing(1, true, all...)), Journal(io.Discard))
+	made, err := New(Identity{}, c.configuration("127.0.0.1:9", listing(1, true, all...)), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 			}
 		}
 		c.classes = append(c.classes, profile{"one more", 500, 3000, 1, false, false})
-		if _, err := New(Place{}, c.configuration("127.0.0.1:9", two), Journal(io.Discard)); err == nil ||
+		if _, err := New(Identity{}, c.configuration("127.0.0.1:9", two), NewLogger(io.Discard)); err == nil ||
 			!strings.Contains(err.Error(), "profiles.count") {
 			t.Errorf("error %v", err)
 		}
@@ -270,11 +270,11 @@
 	})
 	t.Run("what cannot be read one way only is refused by its key, and a reload of it changes nothing", func(t *testing.T) {
 		good := string(configuration("127.0.0.1:9", "null"))
-		made, err := New(Place{}, []byte(good), Journal(io.Discard))
+		made, err := New(Identity{}, []byte(good), NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := fmt.Sprint(made.plan.Place, made.plan.names, made.plan.zones, *made.limits, made.list.address)
+		before := fmt.Sprint(made.plan.Identity, made.plan.names, made.plan.zones, *made.limits, made.list.address)
 		for key, change := range map[string][2]string{
 			"profiles.1.name":               {`"name":"write"`, `"name":"read it"`},
 			"profiles.0.name":               {`"name":"read it"`, `"name":""`},
@@ -301,7 +301,7 @@
 		} {
 			spoilt := strings.Replace(good, change[0], change[1], 1)
 			for what, read := range map[string]func([]byte) error{"a reload": made.Reload, "a start": func(text []byte) error {
-				_, err := New(Place{}, text, Journal(io.Discard))
+				_, err := New(Identity{}, text, NewLogger(io.Discard))
 				return err
 			}} {
 				if err := read([]byte(spoilt)); spoilt == good || err == nil || !strings.Contains(err.Error(), key) {
@@ -309,7 +309,7 @@
 				}
 			}
 		}
-		if after := fmt.Sprint(made.plan.Place, made.plan.names, made.plan.zones, *made.limits, made.list.address); after != before {
+		if after := fmt.Sprint(made.plan.Identity, made.plan.names, made.plan.zones, *made.limits, made.list.address); after != before {
 			t.Errorf("before %s\nafter %s", before, after)
 		}
 	})
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -20,8 +20,8 @@
 	"wheelrill/distribution/transport"
 )
 
-// Distribution says what part a controller has in the distribution of configuration.
-type Distribution struct {
+// DistributionConfig says what part a controller has in the distribution of configuration.
+type DistributionConfig struct {
 	// Voter: it is a member that shares the record, and hands the configuration on to subscribers. Of what follows only
 	// FanOut and SnapshotPace count then.
 	Voter   bool
@@ -63,9 +63,9 @@
 	whole   bool // what arrived is all that there is
 }
 
-// Distribute has the controller take part in the distribution of configuration from Serve on. A voter has to share the
+// JoinDistribution has the controller take part in the distribution of configuration from Serve on. A voter has to share the
 // record as well, by Share, afterwards. An error says what would do.
-func (c *Controller) Distribute(with Distribution) error {
+func (c *Controller) JoinDistribution(with DistributionConfig) error {
 	if with.Name == "" {
 		with.Name = c.plan.Name
 	}
@@ -82,7 +82,7 @@
 }
 
 // nodeLimits are those of the node. One that listens nowhere has no place for others, and is proposed to nobody.
-func (d Distribution) nodeLimits() distribution.Limits {
+func (d DistributionConfig) nodeLimits() distribution.Limits {
 	limits := d.limits
 	if limits == (distribution.Limits{}) {
 		limits = distribution.DefaultLimits()
@@ -100,7 +100,7 @@
 }
 
 // subscribe prepares a subscriber.
-func (d *distributor) subscribe(with Distribution) error {
+func (d *distributor) subscribe(with DistributionConfig) error {
 	subscriber, err := consensus.NewSubscriber(with.Credentials)
 	if err != nil {
 		return err
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -26,7 +26,7 @@
 func startController(t *testing.T, name, known string, prepare func(*Controller) error) *serving {
 	t.Helper()
 	said := newDiary()
-	c, err := New(Place{Name: name}, configuration("127.0.0.1:9", known), Journal(said))
+	c, err := New(Identity{Name: name}, configuration("127.0.0.1:9", known), NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,10 +81,10 @@
 	var all []*serving
 	for _, name := range names {
 		all = append(all, startController(t, name, known, func(c *Controller) error {
-			if err := c.Distribute(Distribution{Voter: true, limits: quickLimits()}); err != nil {
+			if err := c.JoinDistribution(DistributionConfig{Voter: true, limits: quickLimits()}); err != nil {
 				return err
 			}
-			return c.Share(Sharing{Members: members})
+			return c.ShareOwnership(OwnershipConfig{Members: members})
 		}))
 	}
 	for _, v := range all {
@@ -94,10 +94,10 @@
 }
 
 // subscribes runs a controller that subscribes for the scope pricing.
-func subscribes(t *testing.T, name, known string, with Distribution) *serving {
+func subscribes(t *testing.T, name, known string, with DistributionConfig) *serving {
 	t.Helper()
 	with.Scopes, with.limits = []string{"pricing"}, quickLimits()
-	return startController(t, name, known, func(c *Controller) error { return c.Distribute(with) })
+	return startController(t, name, known, func(c *Controller) error { return c.JoinDistribution(with) })
 }
 
 // reloads has a controller read a file that distributes something.
@@ -121,8 +121,8 @@
 	known := listing(1, true, entries...)
 	members, voters := votes(t, known, "n0", "n1", "n2")
 	relayAt := freeAddress(t)
-	relay := subscribes(t, "s1", known, Distribution{Parents: members, Listen: relayAt, FanOut: 4})
-	leaf := subscribes(t, "s2", known, Distribution{Parents: map[string]string{"s1": relayAt}})
+	relay := subscribes(t, "s1", known, DistributionConfig{Parents: members, Listen: relayAt, FanOut: 4})
+	leaf := subscribes(t, "s2", known, DistributionConfig{Parents: map[string]string{"s1": relayAt}})
 	p, h := calls(t, leaf.address), newHearer("read it", "write")
 	p.says(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`)
 	picks := func(what string, is func(ids []string) bool) {
@@ -184,32 +184,32 @@
 func TestDistributionRefused(t *testing.T) {
 	known := listing(1, true, backendIs(0, "up"))
 	for name, x := range map[string]struct {
-		with Distribution
+		with DistributionConfig
 		want string
 	}{
-		"listens everywhere in plain text": {Distribution{Listen: "0.0.0.0:0"}, "loopback"},
-		"address in use":                   {Distribution{Listen: "127.0.0.1:0x"}, "listen"},
-		"a name that is none":              {Distribution{Name: "s@1"}, "leave it out"},
-		"no such certificate":              {Distribution{}, "certificate"},
+		"listens everywhere in plain text": {DistributionConfig{Listen: "0.0.0.0:0"}, "loopback"},
+		"address in use":                   {DistributionConfig{Listen: "127.0.0.1:0x"}, "listen"},
+		"a name that is none":              {DistributionConfig{Name: "s@1"}, "leave it out"},
+		"no such certificate":              {DistributionConfig{}, "certificate"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, err := New(Place{}, configuration("127.0.0.1:9", known), Journal(newDiary()))
+			c, err := New(Identity{}, configuration("127.0.0.1:9", known), NewLogger(newDiary()))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if x.want == "certificate" {
 				x.with.Certificate = "none.pem"
 			}
-			if err := c.Distribute(x.with); err == nil || !strings.Contains(err.Error(), x.want) {
+			if err := c.JoinDistribution(x.with); err == nil || !strings.Contains(err.Error(), x.want) {
 				t.Errorf("got %v", err)
 			}
 		})
 	}
-	c, err := New(Place{}, configuration("127.0.0.1:9", known), Journal(newDiary()))
+	c, err := New(Identity{}, configuration("127.0.0.1:9", known), NewLogger(newDiary()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Distribute(Distribution{Voter: true}); err != nil {
+	if err := c.JoinDistribution(DistributionConfig{Voter: true}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -222,7 +222,7 @@
 // A controller that takes no part reads what its file would distribute as little as before.
 func TestDistributionOff(t *testing.T) {
 	said := newDiary()
-	c, err := New(Place{}, withDistributed(listing(1, true, backendIs(0, "up")), `[]`), Journal(said))
+	c, err := New(Identity{}, withDistributed(listing(1, true, backendIs(0, "up")), `[]`), NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -221,8 +221,8 @@
 func begin(t *testing.T) (*module, *diary) {
 	t.Helper()
 	said := newDiary()
-	c, err := New(Place{}, configuration("127.0.0.1:9", listing(1, true, backendIs(0, "up"), backendIs(1, "up"))),
-		Journal(said))
+	c, err := New(Identity{}, configuration("127.0.0.1:9", listing(1, true, backendIs(0, "up"), backendIs(1, "up"))),
+		NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -55,7 +55,7 @@
 func (c *told) Close() error { return nil }
 
 func fuzzed(t *testing.T) *module {
-	c, err := New(Place{}, configuration("127.0.0.1:9", two), Journal(io.Discard))
+	c, err := New(Identity{}, configuration("127.0.0.1:9", two), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/journal.go
+++ b/controller/log.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Journal makes a log as staff read it: lines of key=value text, the time in UTC first, then the event.
-func Journal(to io.Writer) *slog.Logger {
+// NewLogger makes a log as staff read it: lines of key=value text, the time in UTC first, then the event.
+func NewLogger(to io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(to, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		switch {
 		case len(groups) > 0:
--- a/controller/fleet.go
+++ b/controller/ownership.go
@@ -11,8 +11,8 @@
 	"wheelrill/ownership"
 )
 
-// Sharing says with whom a controller shares its fleet. The members agree on all of it but the folder and the files.
-type Sharing struct {
+// OwnershipConfig says with whom a controller shares its fleet. The members agree on all of it but the folder and the files.
+type OwnershipConfig struct {
 	Name    string            // ours among the members; the controller's own if empty
 	Members map[string]string // the address of each for the others, by its name
 	Folder  string            // for what must outlast the process; empty: nothing does
@@ -30,8 +30,8 @@
 	uncounted    = 1 << 20 // messages that may go to a proxy where no setting limits them
 )
 
-// Share has the controller share its fleet from Serve on. An error says what would do.
-func (c *Controller) Share(with Sharing) error {
+// ShareOwnership has the controller share its fleet from Serve on. An error says what would do.
+func (c *Controller) ShareOwnership(with OwnershipConfig) error {
 	if with.Name == "" {
 		with.Name = c.plan.Name
 	}
--- a/controller/fleet_test.go
+++ b/controller/ownership_test.go
@@ -55,11 +55,11 @@
 	var running []*sharer
 	for _, name := range names {
 		said := newDiary()
-		c, err := New(Place{Name: name}, configuration("127.0.0.1:9", known), Journal(said))
+		c, err := New(Identity{Name: name}, configuration("127.0.0.1:9", known), NewLogger(said))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Share(Sharing{Members: all}); err != nil {
+		if err := c.ShareOwnership(OwnershipConfig{Members: all}); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -163,15 +163,15 @@
 		}
 	})
 	t.Run("sharing that cannot be is refused with what would do", func(t *testing.T) {
-		c, err := New(Place{Name: "n9"}, configuration("127.0.0.1:9", known), Journal(newDiary()))
+		c, err := New(Identity{Name: "n9"}, configuration("127.0.0.1:9", known), NewLogger(newDiary()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Share(Sharing{Members: map[string]string{"n0": "127.0.0.1:0"}}); err == nil ||
+		if err := c.ShareOwnership(OwnershipConfig{Members: map[string]string{"n0": "127.0.0.1:0"}}); err == nil ||
 			!strings.Contains(err.Error(), `"n9" is not among them`) {
 			t.Errorf("got %v", err)
 		}
-		if err := c.Share(Sharing{Members: map[string]string{"n9": "127.0.0.1:0"}, Lease: 1000}); err == nil ||
+		if err := c.ShareOwnership(OwnershipConfig{Members: map[string]string{"n9": "127.0.0.1:0"}, Lease: 1000}); err == nil ||
 			!strings.Contains(err.Error(), "lease") {
 			t.Errorf("got %v", err)
 		}
--- a/controller/server_test.go
+++ b/controller/server_test.go
@@ -41,7 +41,7 @@
 
 func TestConnectionLimit(t *testing.T) {
 	const joined, limit, flood = 8, 24, 100
-	c, err := New(Place{}, configuration(discovers(t).address, two), Journal(newDiary()))
+	c, err := New(Identity{}, configuration(discovers(t).address, two), NewLogger(newDiary()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/serving_test.go
+++ b/controller/serving_test.go
@@ -22,7 +22,7 @@
 func runsWith(t *testing.T, configuration []byte, change func(*limits)) (c *Controller, address string, said *diary) {
 	t.Helper()
 	said = newDiary()
-	c, err := New(Place{}, configuration, Journal(said))
+	c, err := New(Identity{}, configuration, NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -14,7 +14,7 @@
 
 func TestShutdown(t *testing.T) {
 	t.Run("before it listens it does not begin", func(t *testing.T) {
-		c, err := New(Place{}, configuration("127.0.0.1:9", two), Journal(io.Discard))
+		c, err := New(Identity{}, configuration("127.0.0.1:9", two), NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/controller/sockets_test.go
+++ b/controller/sockets_test.go
@@ -282,7 +282,7 @@
 			t.Fatal(err)
 		}
 		defer taken.Close()
-		c, err := New(Place{Listen: taken.Addr().String()}, configuration("127.0.0.1:9", two), Journal(io.Discard))
+		c, err := New(Identity{Listen: taken.Addr().String()}, configuration("127.0.0.1:9", two), NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -377,8 +377,8 @@
 			for id := range 20 {
 				entries = append(entries, backendIs(id, "up"))
 			}
-			c, err := New(Place{}, []byte(wide.Replace(string(configuration("127.0.0.1:9", listing(1, true, entries...))))),
-				Journal(io.Discard))
+			c, err := New(Identity{}, []byte(wide.Replace(string(configuration("127.0.0.1:9", listing(1, true, entries...))))),
+				NewLogger(io.Discard))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -68,8 +68,10 @@
 func (g *goldenOrders) line(backend, table int, weight float64) {
 	g.tables.PublishEntry(table, backend, weight)
 }
-func (g *goldenOrders) bind(proxy, table int, classes uint16) { g.tables.AssignTable(table, proxy, classes) }
-func (g *goldenOrders) withdraw(backend int, out bool)        { g.tables.Withdraw(backend, out) }
+func (g *goldenOrders) bind(proxy, table int, classes uint16) {
+	g.tables.AssignTable(table, proxy, classes)
+}
+func (g *goldenOrders) withdraw(backend int, out bool) { g.tables.Withdraw(backend, out) }
 func (g *goldenOrders) remind(proxy int, limit float64, retry int) {
 	g.tables.SyncWithdrawals(proxy, limit, balancer.RetryPolicy(retry))
 }
