--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -10,13 +10,13 @@
 )
 
 // crowd makes a controller for a fleet of so many proxies and 200 backends, with a channel of so many lines a second.
-func crowd(b *testing.B, proxies int, lines float64) *module {
+func crowd(b *testing.B, proxies int, lines float64) *eventLoop {
 	b.Helper()
 	return crowdOf(b, proxies, 200, lines)
 }
 
 // crowdOf makes one for so many backends.
-func crowdOf(b *testing.B, proxies, backends int, lines float64) *module {
+func crowdOf(b *testing.B, proxies, backends int, lines float64) *eventLoop {
 	b.Helper()
 	var entries []string
 	for id := range backends {
@@ -30,35 +30,35 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	now := c.module.now
-	c.module.clock = func() int64 { return now }
-	c.module.turn(func() {})
-	return c.module
+	now := c.loop.now
+	c.loop.clock = func() int64 { return now }
+	c.loop.iterate(func() {})
+	return c.loop
 }
 
 // arrive has proxies join at one clock time, each on a stream that takes all it is sent.
-func arrive(m *module, proxies int) (peers []*peer) {
-	m.turn(func() {
+func arrive(m *eventLoop, proxies int) (peers []*connection) {
+	m.iterate(func() {
 		for node := range proxies {
-			p := newPeer(&told{Reader: strings.NewReader("")}, node+1, m, func(*peer) error { return nil })
-			p.kind, p.node, p.zone = proxy, node, node%2
-			p.heard.Store(m.now)
+			p := newConnection(&told{Reader: strings.NewReader("")}, node+1, m, func(*connection) error { return nil })
+			p.kind, p.proxy, p.zone = kindProxy, node, node%2
+			p.lastHeard.Store(m.now)
 			peers = append(peers, p)
-			m.joined(p, 0.5, true)
+			m.proxyConnected(p, 0.5, true)
 		}
 	})
 	return peers
 }
 
 // answers has every proxy take what it was sent and answer the last mark.
-func answers(m *module, peers []*peer) {
-	m.turn(func() {
+func answers(m *eventLoop, peers []*connection) {
+	m.iterate(func() {
 		for _, p := range peers {
-			for len(p.mailbox) > 0 {
-				<-p.mailbox
+			for len(p.outbox) > 0 {
+				<-p.outbox
 			}
-			if j := m.joins[p.node]; j != nil && len(j.waiting) > 0 {
-				m.applied(p, j.waiting[len(j.waiting)-1].number)
+			if j := m.sessions[p.proxy]; j != nil && len(j.unacked) > 0 {
+				m.acknowledged(p, j.unacked[len(j.unacked)-1].nonce)
 			}
 		}
 	})
@@ -85,26 +85,26 @@
 		m := crowd(b, proxies, wide)
 		peers := arrive(m, proxies)
 		answers(m, peers)
-		later(m, 5*second, func() {})
+		later(m, 5*microsPerSecond, func() {})
 		answers(m, peers)
 		b.Run(fmt.Sprintf("report/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			id := m.backends.ids[0]
 			for i := range b.N {
-				m.addOutcomes(id, 5, 0, 200_000, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
-				m.addDemand(i%proxies, i%2, 3, 2*second)
+				m.outcomesReported(id, 5, 0, 200_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+				m.demandReported(i%proxies, i%2, 3, 2*microsPerSecond)
 			}
-			m.control.EndpointsUpdated(false, nil)
+			m.decisions.EndpointsUpdated(false, nil)
 		})
 		b.Run(fmt.Sprintf("order/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				jump(m, 3*second, func() {
-					m.control.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
+				jump(m, 3*microsPerSecond, func() {
+					m.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
-					p.heard.Store(m.now)
+					p.lastHeard.Store(m.now)
 				}
 				answers(m, peers)
 			}
@@ -112,7 +112,7 @@
 		b.Run(fmt.Sprintf("beat/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				jump(m, second/4, func() {})
+				jump(m, microsPerSecond/4, func() {})
 			}
 		})
 	}
@@ -139,16 +139,16 @@
 		m := crowdOf(b, proxies, backends, wide)
 		peers := arrive(m, proxies)
 		answers(m, peers)
-		later(m, 5*second, func() {})
+		later(m, 5*microsPerSecond, func() {})
 		answers(m, peers)
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				jump(m, 3*second, func() {
-					m.control.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
+				jump(m, 3*microsPerSecond, func() {
+					m.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
-					p.heard.Store(m.now)
+					p.lastHeard.Store(m.now)
 				}
 				answers(m, peers)
 			}
--- a/controller/cache.go
+++ b/controller/cache.go
@@ -13,33 +13,33 @@
 	"wheelrill/distribution/transport"
 )
 
-// keeper keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older.
-type keeper struct {
-	path string
-	last distribution.Mark // as written
+// configurationCache keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older.
+type configurationCache struct {
+	path  string
+	saved distribution.Mark // as written
 }
 
 const (
-	keptFile   = "configuration.cbor"
-	keptFolder = os.FileMode(0o700)
+	cacheFile       = "configuration.cbor"
+	cacheFolderMode = os.FileMode(0o700)
 )
 
-// newKeeper checks that a folder can be written to.
-func newKeeper(folder string) (*keeper, error) {
-	if err := os.MkdirAll(folder, keptFolder); err != nil {
+// openConfigurationCache checks that a folder can be written to.
+func openConfigurationCache(folder string) (*configurationCache, error) {
+	if err := os.MkdirAll(folder, cacheFolderMode); err != nil {
 		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
 	}
-	probe, err := os.CreateTemp(folder, keptFile+".*")
+	probe, err := os.CreateTemp(folder, cacheFile+".*")
 	if err != nil {
 		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
 	}
 	probe.Close()
-	return &keeper{path: filepath.Join(folder, keptFile)}, os.Remove(probe.Name())
+	return &configurationCache{path: filepath.Join(folder, cacheFile)}, os.Remove(probe.Name())
 }
 
 // load reads what was kept; nil where nothing was.
-func (k *keeper) load() (*distribution.State, error) {
-	body, err := os.ReadFile(k.path)
+func (c *configurationCache) load() (*distribution.State, error) {
+	body, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -48,38 +48,38 @@
 	}
 	state, err := consensus.ReadConfiguration(body)
 	if err != nil {
-		return nil, fmt.Errorf("%s: damaged: %w", k.path, err)
+		return nil, fmt.Errorf("%s: damaged: %w", c.path, err)
 	}
 	if state != nil {
-		k.last = state.Mark
+		c.saved = state.Mark
 	}
 	return state, nil
 }
 
 // update writes what the carrier has, if that has moved on since.
-func (k *keeper) update(carrier *transport.Carrier) error {
+func (c *configurationCache) update(carrier *transport.Carrier) error {
 	status, ok := carrier.Status()
-	if !ok || status.Mark == k.last || !status.Mark.Epoch.Known() {
+	if !ok || status.Mark == c.saved || !status.Mark.Epoch.Known() {
 		return nil
 	}
 	state, ok := carrier.State()
 	if !ok {
 		return nil
 	}
-	if err := k.save(state); err != nil {
+	if err := c.save(state); err != nil {
 		return err
 	}
-	k.last = state.Mark
+	c.saved = state.Mark
 	return nil
 }
 
 // save replaces the file in one step, so that it is whole whenever the process ends.
-func (k *keeper) save(state distribution.State) error {
+func (c *configurationCache) save(state distribution.State) error {
 	var body bytes.Buffer
 	if err := consensus.WriteConfiguration(&body, &state); err != nil {
 		return err
 	}
-	file, err := os.CreateTemp(filepath.Dir(k.path), keptFile+".*")
+	file, err := os.CreateTemp(filepath.Dir(c.path), cacheFile+".*")
 	if err != nil {
 		return err
 	}
@@ -88,5 +88,5 @@
 	if err := errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	return os.Rename(file.Name(), k.path)
+	return os.Rename(file.Name(), c.path)
 }
--- a/controller/cache_test.go
+++ b/controller/cache_test.go
@@ -12,7 +12,7 @@
 
 func TestKeeper(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new")
-	k, err := newKeeper(folder)
+	k, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,27 +24,27 @@
 	if err := k.save(state); err != nil {
 		t.Fatal(err)
 	}
-	again, err := newKeeper(folder)
+	again, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.last != state.Mark {
+	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.saved != state.Mark {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if left, err := os.ReadDir(folder); err != nil || len(left) != 1 {
 		t.Errorf("left in the folder: %v, %v", left, err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, keptFile), []byte("damaged"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, cacheFile), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err == nil || got != nil || !strings.Contains(err.Error(), keptFile) {
+	if got, err := again.load(); err == nil || got != nil || !strings.Contains(err.Error(), cacheFile) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newKeeper(file); err == nil || !strings.Contains(err.Error(), "folder") {
+	if _, err := openConfigurationCache(file); err == nil || !strings.Contains(err.Error(), "folder") {
 		t.Errorf("a file for a folder: %v", err)
 	}
 }
--- a/controller/closes_test.go
+++ b/controller/closes_test.go
@@ -34,12 +34,12 @@
 // rest reads until the controller has ended the connection in good order; a reset is an error.
 func (c *caller) rest() (texts []string, err error) {
 	raw, err := io.ReadAll(c.in)
-	for len(raw) >= headSize {
+	for len(raw) >= lengthSize {
 		size := int(uint32(raw[0])<<24 | uint32(raw[1])<<16 | uint32(raw[2])<<8 | uint32(raw[3]))
-		if len(raw) < headSize+size {
-			return texts, fmt.Errorf("%d bytes of a frame of %d", len(raw)-headSize, size)
+		if len(raw) < lengthSize+size {
+			return texts, fmt.Errorf("%d bytes of a frame of %d", len(raw)-lengthSize, size)
 		}
-		texts, raw = append(texts, string(raw[headSize:headSize+size])), raw[headSize+size:]
+		texts, raw = append(texts, string(raw[lengthSize:lengthSize+size])), raw[lengthSize+size:]
 	}
 	return texts, err
 }
@@ -51,7 +51,7 @@
 func TestCloses(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyWithin = patience })
+		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyTimeout = patience })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -64,7 +64,7 @@
 		}
 	})
 	t.Run("an answer that waits for readiness holds nothing longer than a stranger may stay", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyWithin = 50 * time.Millisecond })
+		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyTimeout = 50 * time.Millisecond })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -126,9 +126,9 @@
 		said.waits(t, "event=stranger_ended", 1)
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeat = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeatInterval = 0 })
 		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
-		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + headSize - 1} {
+		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			p := calls(t, address)
 			p.says(helloOf(node))
 			p.gets()
@@ -180,25 +180,25 @@
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.finalRead = patience
+		m.limits.finalReadTimeout = patience
 		here, there := net.Pipe()
 		defer there.Close()
-		p := newPeer(here, 1, m, func(*peer) error { return nil })
+		p := newConnection(here, 1, m, func(*connection) error { return nil })
 		p.evict()
 		ended := make(chan error, 1)
-		go func() { ended <- p.read() }()
+		go func() { ended <- p.readMessages() }()
 		there.Write(framed(hello))
 		there.Write(framed(usage)) // it is read on: the deadline of a stranger binds no more
 		there.Close()
-		if err := <-ended; err != io.EOF || p.kind != proxy {
+		if err := <-ended; err != io.EOF || p.kind != kindProxy {
 			t.Errorf("ended by %v as a %v", err, p.kind)
 		}
 	})
 	t.Run("a message that met a deadline while we stood still goes on where it was", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.write, m.limits.finalRead = time.Nanosecond, patience // the deadline has passed before the first byte
+		m.limits.writeTimeout, m.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
-		p := newPeer(here, 1, m, func(*peer) error { return nil })
+		p := newConnection(here, 1, m, func(*connection) error { return nil })
 		ended := make(chan error, 1)
 		message := bytes.Repeat([]byte("order "), 1000)
 		go func() { ended <- p.deliver(message) }()
@@ -223,7 +223,7 @@
 		said.waits(t, "event=joined node=3", 1)
 		d.answers <- two
 		q.gets()
-		if got := string(p.gets()[headSize:]); got != isAlive {
+		if got := string(p.gets()[lengthSize:]); got != isAlive {
 			t.Errorf("first it got %q", got)
 		}
 		if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
@@ -233,7 +233,7 @@
 	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serves(t, discovers(t).address, two, func(l *limits) {
-			l.unidentified, l.identifyWithin, l.evictAfter, l.finalRead = 40, patience, time.Millisecond, patience/200
+			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, patience, time.Millisecond, patience/200
 		})
 		for range 200 {
 			calls(t, address)
@@ -249,7 +249,7 @@
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin, l.unidentified = 300*time.Millisecond, 60 })
+		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
 		var odd []*caller
 		for i := range 120 {
 			c := calls(t, address)
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -33,7 +33,7 @@
 		said := newDiary()
 		odd := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
 		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), NewLogger(said))
-		if err != nil || c.plan.Listen != "127.0.0.1:7" || c.list.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
+		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
 			c.Memory() != 192<<20 {
 			t.Errorf("got %+v, error %v", c, err)
 		}
@@ -45,7 +45,7 @@
 	t.Run("another address is followed at once, and streams and what is known live on", func(t *testing.T) {
 		d, next := discovers(t), discovers(t)
 		d.answers <- "silence"
-		c, address, said := runs(t, d.address, two, func(l *limits) { l.watchOver = patience })
+		c, address, said := runs(t, d.address, two, func(l *limits) { l.watchMargin = patience })
 		if query := <-d.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -15,20 +15,20 @@
 )
 
 var (
-	errUnreadable   = errors.New("cannot be read")
-	errFull         = errors.New("too many messages wait for it")
-	errEnded        = errors.New("it has ended")
-	errUnidentified = errors.New("it never said who it is")
-	errReplaced     = errors.New("a newer connection took its place")
-	errSilent       = errors.New("it is silent and leaves marks unanswered")
-	errRefused      = errors.New("it cannot be taken")
-	errBudget       = errors.New("no socket is left for it")
-	errStale        = errors.New("a newer connection came before it spoke")
-	errEarly        = errors.New("it must say first who it is")
+	errUnreadable      = errors.New("cannot be read")
+	errOutboxFull      = errors.New("too many messages wait for it")
+	errClosed          = errors.New("it has ended")
+	errIdentifyTimeout = errors.New("it never said who it is")
+	errReplaced        = errors.New("a newer connection took its place")
+	errSilent          = errors.New("it is silent and leaves marks unanswered")
+	errUnacceptable    = errors.New("it cannot be taken")
+	errNoRoom          = errors.New("no socket is left for it")
+	errSuperseded      = errors.New("a newer connection came before it spoke")
+	errNotIdentified   = errors.New("it must say first who it is")
 )
 
-// cause is what went wrong, without the addresses that make each line of a log another.
-func cause(err error) string {
+// reasonOf is what went wrong, without the addresses that make each line of a log another.
+func reasonOf(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
 		return op.Op + ": " + op.Err.Error()
@@ -44,188 +44,188 @@
 	return err.Error()
 }
 
-// kind is what a connection has said that it is.
-type kind uint8
+// connectionKind is what a connection has said that it is.
+type connectionKind uint8
 
 const (
-	unidentified kind = iota
-	collector
-	proxy
+	kindUnidentified connectionKind = iota
+	kindCollector
+	kindProxy
 )
 
 // String gives the kind as the log has it.
-func (k kind) String() string { return [...]string{"stranger", "collector", "proxy"}[k] }
+func (k connectionKind) String() string { return [...]string{"stranger", "collector", "proxy"}[k] }
 
-// peer is one connection: a reader that decodes what comes into calls to the module, and a writer whose mailbox holds
+// connection is one connection: a reader that decodes what comes into calls to the module, and a writer whose mailbox holds
 // what waits to leave. Both end when the connection is closed.
-type peer struct {
+type connection struct {
 	conn     net.Conn
 	limits   *limits
-	module   *module
+	loop     *eventLoop
 	log      *journal
-	identify func(p *peer) error // called when it has said who it is; refuses one that is too many
-	serial   int                 // in the order in which connections came
+	register func(p *connection) error // called when it has said who it is; refuses one that is too many
+	sequence int                       // in the order in which connections came
 
-	body          *bytes.Buffer // the message being read
-	kind          kind          // set by the reader before identify
-	fenced        bool          // it asked for tokens with its orders
+	body          *bytes.Buffer  // the message being read
+	kind          connectionKind // set by the reader before identify
+	wantsToken    bool           // it asked for tokens with its orders
 	zone          int
-	node          int
+	proxy         int
 	acceptedAt    time.Time // when it was accepted
 	finalReadDone bool      // its deadline has passed, and what had arrived by then is being read
 
 	evicted atomic.Bool // it was asked to make room
 
-	mailbox     chan []byte
+	outbox      chan []byte
 	readDone    chan struct{} // closed when the reader has ended: what waits in the mailbox is all that is still owed
 	awaitsReady bool          // and may wait for readiness; set before readDone is closed
-	ended       chan struct{}
-	once        sync.Once
-	why         error        // set before ended is closed
-	heard       atomic.Int64 // module's clock when something whole last came
+	closed      chan struct{}
+	closeOnce   sync.Once
+	closeReason error        // set before ended is closed
+	lastHeard   atomic.Int64 // module's clock when something whole last came
 }
 
-func newPeer(conn net.Conn, serial int, m *module, identify func(*peer) error) *peer {
-	p := &peer{conn: conn, serial: serial, limits: m.limits, module: m, log: m.log, identify: identify, node: -1, zone: -1,
-		acceptedAt: time.Now(), mailbox: make(chan []byte, m.limits.outgoing), readDone: make(chan struct{}),
-		ended: make(chan struct{})}
-	conn.SetReadDeadline(p.acceptedAt.Add(m.limits.identifyWithin)) // the one deadline until it has said who it is
+func newConnection(conn net.Conn, serial int, m *eventLoop, identify func(*connection) error) *connection {
+	p := &connection{conn: conn, sequence: serial, limits: m.limits, loop: m, log: m.log, register: identify, proxy: -1, zone: -1,
+		acceptedAt: time.Now(), outbox: make(chan []byte, m.limits.outboxSize), readDone: make(chan struct{}),
+		closed: make(chan struct{})}
+	conn.SetReadDeadline(p.acceptedAt.Add(m.limits.identifyTimeout)) // the one deadline until it has said who it is
 	return p
 }
 
 // evict has an unidentified peer judged by what has arrived of it.
-func (p *peer) evict() {
-	p.evicted.Store(true)
-	p.conn.SetReadDeadline(p.acceptedAt)
+func (c *connection) evict() {
+	c.evicted.Store(true)
+	c.conn.SetReadDeadline(c.acceptedAt)
 	select {
-	case <-p.readDone: // nobody reads any more, and an answer may wait for readiness
-		time.AfterFunc(p.limits.finalRead, func() { p.end(errUnidentified) })
+	case <-c.readDone: // nobody reads any more, and an answer may wait for readiness
+		time.AfterFunc(c.limits.finalReadTimeout, func() { c.close(errIdentifyTimeout) })
 	default:
 	}
 }
 
 // Read reads from the connection. When the deadline has passed, what arrived by then is still read: it may be we who
 // stood still.
-func (p *peer) Read(b []byte) (int, error) {
-	n, err := p.conn.Read(b)
-	if n == 0 && errors.Is(err, errTimeout) && !p.finalReadDone {
-		p.finalReadDone = true
-		p.conn.SetReadDeadline(time.Now().Add(p.limits.finalRead))
-		return p.conn.Read(b)
+func (c *connection) Read(b []byte) (int, error) {
+	n, err := c.conn.Read(b)
+	if n == 0 && errors.Is(err, errTimeout) && !c.finalReadDone {
+		c.finalReadDone = true
+		c.conn.SetReadDeadline(time.Now().Add(c.limits.finalReadTimeout))
+		return c.conn.Read(b)
 	}
 	return n, err
 }
 
-// end closes the connection; the first reason stays.
-func (p *peer) end(why error) {
-	p.once.Do(func() {
-		p.why = why
-		close(p.ended)
-		p.conn.Close()
+// close closes the connection; the first reason stays.
+func (c *connection) close(why error) {
+	c.closeOnce.Do(func() {
+		c.closeReason = why
+		close(c.closed)
+		c.conn.Close()
 	})
 }
 
 // send puts a message into the mailbox. It never waits: a peer whose mailbox is full does not take what it is sent.
-func (p *peer) send(message []byte) error {
+func (c *connection) send(message []byte) error {
 	select {
-	case <-p.ended:
-		return errEnded
+	case <-c.closed:
+		return errClosed
 	default:
 	}
 	select {
-	case p.mailbox <- message:
+	case c.outbox <- message:
 		return nil
 	default:
-		return errFull
+		return errOutboxFull
 	}
 }
 
 // run plays the peer until its connection ends, and pays first what is owed to one that is not broken: the answers to
 // what it asked, and to an unidentified one the reason why it is refused.
-func (p *peer) run() {
+func (c *connection) run() {
 	var writer sync.WaitGroup
-	writer.Go(p.write)
-	err := p.read()
+	writer.Go(c.writeMessages)
+	err := c.readMessages()
 	asked := err == io.EOF // it has said its last, and may still listen
-	if asked || p.kind == unidentified {
-		p.flushMailbox(&writer, err, asked && p.kind != proxy)
+	if asked || c.kind == kindUnidentified {
+		c.flushOutbox(&writer, err, asked && c.kind != kindProxy)
 	}
-	if p.kind == unidentified && !asked {
-		p.refuse(err)
+	if c.kind == kindUnidentified && !asked {
+		c.refuse(err)
 	}
-	p.end(err)
+	c.close(err)
 	writer.Wait()
-	if p.kind == proxy {
-		p.module.post(func() { p.module.left(p) })
+	if c.kind == kindProxy {
+		c.loop.post(func() { c.loop.proxyDisconnected(c) })
 	}
 }
 
-// flushMailbox lets the writer send what waits in the mailbox, for as long as an unidentified peer has at most.
-func (p *peer) flushMailbox(writer *sync.WaitGroup, why error, awaitReady bool) {
-	p.awaitsReady = awaitReady
-	close(p.readDone)
-	patience := max(p.limits.finalRead, time.Until(p.acceptedAt.Add(p.limits.identifyWithin)))
-	if p.evicted.Load() {
-		patience = p.limits.finalRead
+// flushOutbox lets the writer send what waits in the mailbox, for as long as an unidentified peer has at most.
+func (c *connection) flushOutbox(writer *sync.WaitGroup, why error, awaitReady bool) {
+	c.awaitsReady = awaitReady
+	close(c.readDone)
+	patience := max(c.limits.finalReadTimeout, time.Until(c.acceptedAt.Add(c.limits.identifyTimeout)))
+	if c.evicted.Load() {
+		patience = c.limits.finalReadTimeout
 	}
-	late := time.AfterFunc(patience, func() { p.end(why) })
+	late := time.AfterFunc(patience, func() { c.close(why) })
 	defer late.Stop()
 	writer.Wait()
 }
 
 // refuse gives an unidentified peer the reason, and then reads on for a moment: a close with bytes unread is a reset, and
 // a reset can overtake the reason.
-func (p *peer) refuse(why error) {
-	linger := p.limits.linger
-	if p.evicted.Load() {
-		linger = p.limits.finalRead
+func (c *connection) refuse(why error) {
+	linger := c.limits.lingerTimeout
+	if c.evicted.Load() {
+		linger = c.limits.finalReadTimeout
 	}
-	p.conn.SetWriteDeadline(time.Now().Add(p.limits.finalRead))
-	if _, err := p.conn.Write(refusal(why)); err != nil {
+	c.conn.SetWriteDeadline(time.Now().Add(c.limits.finalReadTimeout))
+	if _, err := c.conn.Write(errorMessage(why)); err != nil {
 		return
 	}
-	if half, ok := p.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		p.conn.SetReadDeadline(time.Now().Add(linger))
-		io.CopyN(io.Discard, p.conn, int64(p.limits.frame))
+	if half, ok := c.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+		c.conn.SetReadDeadline(time.Now().Add(linger))
+		io.CopyN(io.Discard, c.conn, int64(c.limits.maxFrame))
 	}
 }
 
-// write sends what waits, until the connection ends or, when the reader has, the mailbox is empty. Nothing leaves before
+// writeMessages sends what waits, until the connection ends or, when the reader has, the mailbox is empty. Nothing leaves before
 // the module can decide, the answer to a probe among it.
-func (p *peer) write() {
+func (c *connection) writeMessages() {
 	select {
-	case <-p.module.ready:
-	case <-p.ended:
+	case <-c.loop.ready:
+	case <-c.closed:
 		return
-	case <-p.readDone:
-		if len(p.mailbox) == 0 || !p.awaitsReady {
+	case <-c.readDone:
+		if len(c.outbox) == 0 || !c.awaitsReady {
 			return
 		}
 		select {
-		case <-p.module.ready:
-		case <-p.ended:
+		case <-c.loop.ready:
+		case <-c.closed:
 			return
 		}
 	}
-	for message := p.nextMessage(); message != nil; message = p.nextMessage() {
-		if err := p.deliver(message); err != nil {
-			p.end(fmt.Errorf("write: %w", err))
+	for message := c.nextMessage(); message != nil; message = c.nextMessage() {
+		if err := c.deliver(message); err != nil {
+			c.close(fmt.Errorf("write: %w", err))
 			return
 		}
 	}
 }
 
 // nextMessage waits for a message; nil says that there will be none.
-func (p *peer) nextMessage() []byte {
+func (c *connection) nextMessage() []byte {
 	select {
-	case <-p.ended:
+	case <-c.closed:
 		return nil
-	case message := <-p.mailbox:
+	case message := <-c.outbox:
 		return message
-	case <-p.readDone:
+	case <-c.readDone:
 	}
 	select {
-	case message := <-p.mailbox:
+	case message := <-c.outbox:
 		return message
 	default:
 		return nil
@@ -234,62 +234,62 @@
 
 // deliver writes a message. When the deadline has passed, what the connection takes all the same still counts: it may
 // be we who stood still.
-func (p *peer) deliver(message []byte) error {
-	wait := p.limits.write
+func (c *connection) deliver(message []byte) error {
+	wait := c.limits.writeTimeout
 	for {
-		p.conn.SetWriteDeadline(time.Now().Add(wait))
-		n, err := p.conn.Write(message)
+		c.conn.SetWriteDeadline(time.Now().Add(wait))
+		n, err := c.conn.Write(message)
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, errTimeout) || n == 0 && wait == p.limits.finalRead {
+		if !errors.Is(err, errTimeout) || n == 0 && wait == c.limits.finalReadTimeout {
 			return err
 		}
-		if message = message[n:]; wait == p.limits.finalRead {
-			wait = p.limits.write
+		if message = message[n:]; wait == c.limits.finalReadTimeout {
+			wait = c.limits.writeTimeout
 		} else {
-			wait = p.limits.finalRead
+			wait = c.limits.finalReadTimeout
 		}
 	}
 }
 
-// read decodes messages until the connection ends. What is no JSON object cannot be read, and a stream that goes on
+// readMessages decodes messages until the connection ends. What is no JSON object cannot be read, and a stream that goes on
 // with such counts as left already; a message that merely makes no sense is skipped.
-func (p *peer) read() error {
-	in, parser := bufio.NewReader(p), &fastjson.Parser{}
-	p.body = &bytes.Buffer{}
+func (c *connection) readMessages() error {
+	in, parser := bufio.NewReader(c), &fastjson.Parser{}
+	c.body = &bytes.Buffer{}
 	for {
-		most := p.limits.frame
-		if p.kind == unidentified {
-			most = p.limits.firstFrame
+		most := c.limits.maxFrame
+		if c.kind == kindUnidentified {
+			most = c.limits.maxFirstFrame
 		}
-		if err := readFrame(in, p.body, most); err != nil {
-			if p.kind == unidentified && errors.Is(err, errTimeout) {
-				return errUnidentified
+		if err := readFrame(in, c.body, most); err != nil {
+			if c.kind == kindUnidentified && errors.Is(err, errTimeout) {
+				return errIdentifyTimeout
 			}
 			return err
 		}
-		message, err := parser.ParseBytes(p.body.Bytes())
+		message, err := parser.ParseBytes(c.body.Bytes())
 		if err != nil || message.Type() != fastjson.TypeObject {
 			return fmt.Errorf("a message that is no JSON object: %w", errUnreadable)
 		}
-		p.heard.Store(p.module.clock())
-		if err := p.take(message); err != nil {
+		c.lastHeard.Store(c.loop.clock())
+		if err := c.dispatch(message); err != nil {
 			return err
 		}
-		if p.body.Cap() > p.limits.keptBuffer {
-			p.body, parser = &bytes.Buffer{}, &fastjson.Parser{}
+		if c.body.Cap() > c.limits.maxIdleBuffer {
+			c.body, parser = &bytes.Buffer{}, &fastjson.Parser{}
 		}
 	}
 }
 
-// becomes has an unidentified peer taken for what it says that it is, from when on it has no deadline.
-func (p *peer) becomes(k kind, node, zone int) error {
-	p.kind, p.node, p.zone = k, node, zone
-	if err := p.identify(p); err != nil {
-		p.kind = unidentified
+// identifyAs has an unidentified peer taken for what it says that it is, from when on it has no deadline.
+func (c *connection) identifyAs(k connectionKind, node, zone int) error {
+	c.kind, c.proxy, c.zone = k, node, zone
+	if err := c.register(c); err != nil {
+		c.kind = kindUnidentified
 		return err
 	}
-	p.conn.SetReadDeadline(time.Time{})
+	c.conn.SetReadDeadline(time.Time{})
 	return nil
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -31,38 +31,38 @@
 
 // Controller is one controller.
 type Controller struct {
-	limits *limits
-	log    *journal
-	module *module
-	list   *list
+	limits  *limits
+	log     *journal
+	loop    *eventLoop
+	watcher *endpointWatcher
 
 	distributor *distributor // nil for none
 
-	mutex sync.Mutex
-	plan  *plan // what the last configuration that counts said
+	mutex         sync.Mutex
+	configuration *parsedConfiguration // what the last configuration that counts said
 }
 
-// plan is a configuration that was read and found usable.
-type plan struct {
+// parsedConfiguration is a configuration that was read and found usable.
+type parsedConfiguration struct {
 	Identity
-	seed     uint64
-	known    *fastjson.Value
-	limits   *limits
-	channel  balancer.PushChannel
-	rules    balancer.RuleLimits
-	classes  []balancer.Class
-	names    [][]byte       // of the classes, as they are written
-	index    map[string]int // and as they are read
-	zones    []string
-	sight    balancer.Telemetry
-	admit    balancer.AdmissionMode
-	lasting  map[string]string // what counts from a start on, as the file has it
-	complain []string          // what is odd, but can be borne
+	seed          uint64
+	cachedList    *fastjson.Value
+	limits        *limits
+	channel       balancer.PushChannel
+	rules         balancer.RuleLimits
+	classes       []balancer.Class
+	classNames    [][]byte       // of the classes, as they are written
+	classIndex    map[string]int // and as they are read
+	zones         []string
+	telemetry     balancer.Telemetry
+	admissionMode balancer.AdmissionMode
+	needsRestart  map[string]string // what counts from a start on, as the file has it
+	warnings      []string          // what is odd, but can be borne
 }
 
 // New reads a configuration, a JSON object. An error names the key that is missing or unusable.
 func New(place Identity, configuration []byte, to *slog.Logger) (*Controller, error) {
-	p, err := read(configuration)
+	p, err := parseConfiguration(configuration)
 	if err != nil {
 		return nil, err
 	}
@@ -76,27 +76,27 @@
 	case err != nil:
 		return nil, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.logRepeat, p.limits.logKinds), plan: p}
-	for _, text := range p.complain {
+	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.logRepeatInterval, p.limits.maxLogKinds), configuration: p}
+	for _, text := range p.warnings {
 		c.log.say("setting", "text", text)
 	}
-	m := &module{limits: p.limits, log: c.log, zones: index(p.zones), zoneNames: p.zones, classes: p.index,
-		backends: newBackends(), mail: make(chan func(), p.limits.mailbox), done: make(chan struct{}),
+	m := &eventLoop{limits: p.limits, log: c.log, zoneIndex: indexByName(p.zones), zoneNames: p.zones, classIndex: p.classIndex,
+		backends: newBackends(), inbox: make(chan func(), p.limits.inboxSize), stopped: make(chan struct{}),
 		ready: make(chan struct{}), clock: newClock()}
-	m.tables = newTables(p.names, func(backend int) []byte { return m.backends.names[backend] }, p.limits.frame, p.limits.parts)
+	m.tables = newTables(p.classNames, func(backend int) []byte { return m.backends.names[backend] }, p.limits.maxFrame, p.limits.maxParts)
 	m.now = m.clock()
-	m.control = balancer.New(m, p.seed, p.classes, p.channel, p.rules, balancer.Sharding{}, p.sight, p.admit)
-	c.module = m
-	c.list = newList(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
-		m.post(func() { m.listed(whole, version, servers) })
+	m.decisions = balancer.New(m, p.seed, p.classes, p.channel, p.rules, balancer.Sharding{}, p.telemetry, p.admissionMode)
+	c.loop = m
+	c.watcher = newEndpointWatcher(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
+		m.post(func() { m.endpointsUpdated(whole, version, servers) })
 	}, func() { m.post(func() { m.becomeReady("discovery has answered") }) })
-	m.list = c.list
-	c.list.start(p.known)
+	m.watcher = c.watcher
+	c.watcher.loadCached(p.cachedList)
 	return c, nil
 }
 
-// read takes in a whole configuration, or says what keeps it from being used.
-func read(configuration []byte) (*plan, error) {
+// parseConfiguration takes in a whole configuration, or says what keeps it from being used.
+func parseConfiguration(configuration []byte) (*parsedConfiguration, error) {
 	root, err := fastjson.ParseBytes(configuration)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -109,26 +109,26 @@
 		return nil, errors.New("configuration: settings is missing")
 	}
 	text := func(key string) string { return string(root.GetStringBytes(key)) }
-	p := &plan{Identity: Identity{text("name"), text("listen"), text("discovery")}, seed: seed(root.GetStringBytes("seed")),
-		known: root.Get("known"), limits: usualLimits(), lasting: map[string]string{}, index: map[string]int{}}
+	p := &parsedConfiguration{Identity: Identity{text("name"), text("listen"), text("discovery")}, seed: parseSeed(root.GetStringBytes("seed")),
+		cachedList: root.Get("known"), limits: defaultLimits(), needsRestart: map[string]string{}, classIndex: map[string]int{}}
 	for _, key := range []string{"name", "listen", "limits", "settings"} {
 		if v := root.Get(key); v != nil {
-			p.lasting[key] = v.String()
+			p.needsRestart[key] = v.String()
 		}
 	}
 	var given [3]float64
 	for i, key := range []string{"cores", "memory_mb", "sockets"} {
-		x, ok := figureAt(root.Get("limits"), key)
+		x, ok := numberAt(root.Get("limits"), key)
 		if given[i] = x; !ok || x == 0 {
 			return nil, fmt.Errorf("configuration: limits.%s is missing, or no figure above 0", key)
 		}
 	}
-	p.limits.give(given[0], given[1], given[2])
+	p.limits.fitResources(given[0], given[1], given[2])
 	facts := settings.Nested(values, func(format string, args ...any) {
-		p.complain = append(p.complain, fmt.Sprintf(format, args...))
+		p.warnings = append(p.warnings, fmt.Sprintf(format, args...))
 	})
 	p.channel, p.rules, p.classes = facts.PushChannel(), facts.RuleLimits(), facts.Classes()
-	p.sight, p.admit, p.zones = facts.Telemetry(), facts.AdmissionMode(), facts.Zones()
+	p.telemetry, p.admissionMode, p.zones = facts.Telemetry(), facts.AdmissionMode(), facts.Zones()
 	nodes := facts.Count("familyInfo.proxyCount")
 	if nodes == 0 {
 		facts.Fail("familyInfo.proxyCount", "is 0")
@@ -136,10 +136,10 @@
 	if facts.Maybe("familyInfo.partitionsN", 0) > 0 {
 		facts.Fail("familyInfo.partitionsN", "asks for slices, which no page describes on sockets yet")
 	}
-	if p.sight.HealthChecksAllowed {
-		p.complain = append(p.complain, "probes are left off: no page describes them on sockets yet")
+	if p.telemetry.HealthChecksAllowed {
+		p.warnings = append(p.warnings, "probes are left off: no page describes them on sockets yet")
 	}
-	p.sight.HealthChecksAllowed, p.sight.PollingRequired = false, false // the list is followed here without being asked for
+	p.telemetry.HealthChecksAllowed, p.telemetry.PollingRequired = false, false // the list is followed here without being asked for
 	tick := settings.Microseconds(facts.Maybe("tick", 0))
 	for i := range p.classes {
 		name := values.Get("profiles", strconv.Itoa(i), "name")
@@ -148,15 +148,15 @@
 			break
 		}
 		text := string(name.GetStringBytes())
-		if _, again := p.index[text]; again || text == "" {
+		if _, again := p.classIndex[text]; again || text == "" {
 			facts.Fail(fmt.Sprintf("profiles.%d.name", i), fmt.Sprintf("is %q, which is empty or another's", text))
 		}
-		p.names, p.index[text] = append(p.names, name.MarshalTo(nil)), i
+		p.classNames, p.classIndex[text] = append(p.classNames, name.MarshalTo(nil)), i
 	}
 	if err := facts.Err(); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	p.limits.size(nodes, len(p.zones), tick, p.channel, p.sight, p.classes)
+	p.limits.fitFleet(nodes, len(p.zones), tick, p.channel, p.telemetry, p.classes)
 	return p, nil
 }
 
@@ -164,34 +164,34 @@
 // more than what the environment said; the rest of it counts from the next start on. One that cannot be used changes
 // nothing. Streams, tables and all that is known live on.
 func (c *Controller) Reload(configuration []byte) error {
-	p, err := read(configuration)
+	p, err := parseConfiguration(configuration)
 	if err != nil {
 		return err
 	}
 	if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
 		return fmt.Errorf("configuration: discovery: %w", err)
 	}
-	wanted, distributes, err := c.wanted(configuration)
+	wanted, distributes, err := c.distributedEntries(configuration)
 	if err != nil {
 		return err
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, key := range slices.Sorted(maps.Keys(p.lasting)) {
-		if p.lasting[key] != c.plan.lasting[key] {
+	for _, key := range slices.Sorted(maps.Keys(p.needsRestart)) {
+		if p.needsRestart[key] != c.configuration.needsRestart[key] {
 			c.log.say("reload_later", "key", key, "text", "it differs, and counts from the next start on")
 		}
 	}
 	c.log.say("reloaded", "discovery", p.Discovery)
-	c.plan = p
-	c.list.follow(p.Discovery, p.known)
+	c.configuration = p
+	c.watcher.follow(p.Discovery, p.cachedList)
 	if distributes {
-		c.distributor.configure(wanted)
+		c.distributor.enqueueProposal(wanted)
 	}
 	return nil
 }
 
-func index(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	of := map[string]int{}
 	for i, name := range names {
 		of[name] = i
@@ -199,8 +199,8 @@
 	return of
 }
 
-// seed reads the hexadecimal seed; any other text serves as well.
-func seed(text []byte) uint64 {
+// parseSeed reads the hexadecimal seed; any other text serves as well.
+func parseSeed(text []byte) uint64 {
 	if n, err := strconv.ParseUint(string(text), 16, 64); err == nil {
 		return n
 	}
@@ -219,15 +219,15 @@
 		return errors.New("distribution: a voter is a member that shares the record, and this one does not")
 	}
 	c.mutex.Lock()
-	place, channel, rules, sight := c.plan.Identity, c.plan.channel, c.plan.rules, c.plan.sight
+	place, channel, rules, sight := c.configuration.Identity, c.configuration.channel, c.configuration.rules, c.configuration.telemetry
 	c.mutex.Unlock()
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", place.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	c.log.say("serving", "name", place.Name, "listen", listener.Addr(), "discovery", place.Discovery,
-		"proxies", c.limits.nodes, "strangers", c.limits.unidentified, "sockets", c.limits.sockets)
-	seconds := func(micros int64, places int) string { return figured(float64(micros)/second, places) }
+		"proxies", c.limits.proxies, "strangers", c.limits.maxUnidentified, "sockets", c.limits.sockets)
+	seconds := func(micros int64, places int) string { return figured(float64(micros)/microsPerSecond, places) }
 	c.log.say("given", "lines_per_s", figured(channel.LinesPerSecond, 0), "backlog", figured(channel.Backlog, 0),
 		"head", figured(channel.MessageOverhead, 0), "way_s", seconds(channel.MaxLatency, 2), "messages", channel.MaxMessages,
 		"messages_span_s", seconds(channel.MessageWindow, 0), "grace_s", seconds(rules.DrainGrace, 1),
@@ -238,26 +238,26 @@
 	defer cancel()
 	// Where the fleet is shared, streams and the record outlast the module, which gives its proxies away first.
 	after, end := context.WithCancel(ctx)
-	if c.module.fleet != nil {
+	if c.loop.ownership != nil {
 		after, end = context.WithCancel(context.WithoutCancel(ctx))
 	}
 	defer end()
 	var parts sync.WaitGroup
-	defer time.AfterFunc(c.limits.patience, func() {
-		c.module.post(func() { c.module.becomeReady("nothing is known, and discovery keeps silent") })
+	defer time.AfterFunc(c.limits.readyTimeout, func() {
+		c.loop.post(func() { c.loop.becomeReady("nothing is known, and discovery keeps silent") })
 	}).Stop()
-	parts.Go(func() { c.module.run(ctx); end() })
-	parts.Go(func() { c.list.run(ctx) })
+	parts.Go(func() { c.loop.run(ctx); end() })
+	parts.Go(func() { c.watcher.run(ctx) })
 	// The record's address goes last: who finds nobody there takes it that no stream of ours is left.
 	recorded, forget := context.WithCancel(context.WithoutCancel(ctx))
 	defer forget()
-	if c.module.fleet != nil {
-		parts.Go(func() { c.module.fleet.node.Run(recorded) })
+	if c.loop.ownership != nil {
+		parts.Go(func() { c.loop.ownership.node.Run(recorded) })
 	}
 	if c.distributor != nil {
 		parts.Go(func() { c.distributor.run(recorded) })
 	}
-	err = (&server{limits: c.limits, module: c.module, log: c.log}).run(after, listener)
+	err = (&server{limits: c.limits, loop: c.loop, log: c.log}).run(after, listener)
 	cancel()
 	forget()
 	parts.Wait()
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -63,7 +63,7 @@
 }
 
 // begins makes a controller for it that nobody serves, with some backends.
-func (c customer) begins(t *testing.T, backends int) *module {
+func (c customer) begins(t *testing.T, backends int) *eventLoop {
 	t.Helper()
 	var all []string
 	for b := range backends {
@@ -73,9 +73,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, now := made.module, made.module.now
+	m, now := made.loop, made.loop.now
 	m.clock = func() int64 { return now }
-	m.turn(func() {})
+	m.iterate(func() {})
 	return m
 }
 
@@ -84,14 +84,14 @@
 func (c customer) plays(t *testing.T, order []int) (account []string) {
 	m := c.begins(t, 12)
 	chance := rand.New(rand.NewPCG(1, 2))
-	peers, hearers := map[int]*peer{}, map[int]*hearer{}
+	peers, hearers := map[int]*connection{}, map[int]*hearer{}
 	place := map[string]int{}
 	for b := range 40 {
 		place[fmt.Sprint(c.backend, b)] = b
 	}
 	for turn := range 40 {
 		drawn := []int{chance.IntN(12), chance.IntN(12), chance.IntN(8)}
-		later(m, second, func() {
+		later(m, microsPerSecond, func() {
 			for node := range 8 {
 				if turn == 0 || turn%9 == 0 && node == drawn[2] {
 					hearers[node] = newHearer(c.names()...)
@@ -104,35 +104,35 @@
 				peers[node].zone = node % len(c.zones)
 			}
 		}
-		m.turn(func() {
+		m.iterate(func() {
 			for b := range 12 {
 				mean := int64(200_000 + 60_000*turn)
 				if b == 5 && turn > 4 {
-					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					m.outcomesReported(fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				} else {
-					m.addOutcomes(fmt.Sprint(c.backend, b), 20, 1, mean, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					m.outcomesReported(fmt.Sprint(c.backend, b), 20, 1, mean, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				}
 			}
 			for node := range 8 {
 				for at, class := range order { // the same classes in the same order, wherever they stand in the settings
-					m.addDemand(node, class, 20+10*at, second)
+					m.demandReported(node, class, 20+10*at, microsPerSecond)
 				}
 			}
 			if turn%5 == 2 {
-				m.listed(false, int64(turn), parsed(t, "["+c.entry(drawn[0], "draining", 0)+","+
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(drawn[0], "draining", 0)+","+
 					c.entry(12+turn/5, "up", m.now/1000)+"]").GetArray())
 			}
 			if turn%5 == 4 {
-				m.listed(false, int64(turn), parsed(t, "["+c.entry(drawn[1], "up", 0)+"]").GetArray())
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(drawn[1], "up", 0)+"]").GetArray())
 			}
 		})
 		for _, node := range slices.Sorted(maps.Keys(peers)) {
 			h, p := hearers[node], peers[node]
-			p.heard.Store(m.now)
+			p.lastHeard.Store(m.now)
 			before := len(h.tickets)
 			h.hears(t, p)
 			for _, mark := range h.tickets[before:] {
-				m.turn(func() { m.applied(p, mark) })
+				m.iterate(func() { m.acknowledged(p, mark) })
 			}
 			line := fmt.Sprint(turn, " ", node)
 			for _, class := range order {
@@ -195,7 +195,7 @@
 		for class := range 16 {
 			m.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(1+class), balancer.RetryPolicy(class%2))
 		}
-		later(m, 3*second, func() {})
+		later(m, 3*microsPerSecond, func() {})
 		h.hears(t, p)
 		for class := range 16 {
 			if len(h.picks(class)) != 3 || h.levels[class] == nil || h.levels[class][0] != float64(1+class) ||
@@ -240,10 +240,10 @@
 					t.Errorf("round %d: the other picks %v", round, g.picks(class))
 				}
 			}
-			if fmt.Sprint(mine.module.classes, mine.module.zones, theirs.module.classes, theirs.module.zones) !=
+			if fmt.Sprint(mine.loop.classIndex, mine.loop.zoneIndex, theirs.loop.classIndex, theirs.loop.zoneIndex) !=
 				"map[read:0 write:1] map[a:0 b:1] map[other:1 read:2 write:0] map[a:1 b:0]" {
-				t.Errorf("round %d: %v %v, %v %v", round, mine.module.classes, mine.module.zones, theirs.module.classes,
-					theirs.module.zones)
+				t.Errorf("round %d: %v %v, %v %v", round, mine.loop.classIndex, mine.loop.zoneIndex, theirs.loop.classIndex,
+					theirs.loop.zoneIndex)
 			}
 			if err := mine.Reload(other.configuration(d.address, "null")); err != nil { // counts from the next start on
 				t.Fatal(err)
@@ -274,7 +274,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := fmt.Sprint(made.plan.Identity, made.plan.names, made.plan.zones, *made.limits, made.list.address)
+		before := fmt.Sprint(made.configuration.Identity, made.configuration.classNames, made.configuration.zones, *made.limits, made.watcher.address)
 		for key, change := range map[string][2]string{
 			"profiles.1.name":               {`"name":"write"`, `"name":"read it"`},
 			"profiles.0.name":               {`"name":"read it"`, `"name":""`},
@@ -309,7 +309,7 @@
 				}
 			}
 		}
-		if after := fmt.Sprint(made.plan.Identity, made.plan.names, made.plan.zones, *made.limits, made.list.address); after != before {
+		if after := fmt.Sprint(made.configuration.Identity, made.configuration.classNames, made.configuration.zones, *made.limits, made.watcher.address); after != before {
 			t.Errorf("before %s\nafter %s", before, after)
 		}
 	})
@@ -323,7 +323,7 @@
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
 		m := c.begins(t, 8)
-		h, p := newHearer(c.names()...), (*peer)(nil)
+		h, p := newHearer(c.names()...), (*connection)(nil)
 		cut := 0
 		for turn := range 60 {
 			switch turn % 20 {
@@ -333,23 +333,23 @@
 					h = newHearer(c.names()...)
 				}
 			case 7:
-				m.turn(func() { m.listed(false, 2, parsed(t, "["+c.entry(1, "draining", 0)+"]").GetArray()) })
+				m.iterate(func() { m.endpointsUpdated(false, 2, parsed(t, "["+c.entry(1, "draining", 0)+"]").GetArray()) })
 			case 14:
-				m.turn(func() { m.listed(false, 3, parsed(t, "["+c.entry(1, "up", m.now/1000)+"]").GetArray()) })
+				m.iterate(func() { m.endpointsUpdated(false, 3, parsed(t, "["+c.entry(1, "up", m.now/1000)+"]").GetArray()) })
 			}
-			later(m, second/2, func() {
-				p.heard.Store(m.now)
+			later(m, microsPerSecond/2, func() {
+				p.lastHeard.Store(m.now)
 				for b := range 8 {
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.addOutcomes(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), second/2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					m.outcomesReported(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond/2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 				}
 				for class := range 4 {
-					m.addDemand(0, class, 30, second/2)
+					m.demandReported(0, class, 30, microsPerSecond/2)
 				}
 			})
 			h.hears(t, p)
 			for _, mark := range h.tickets {
-				m.turn(func() { m.applied(p, mark) })
+				m.iterate(func() { m.acknowledged(p, mark) })
 			}
 			h.tickets = nil
 			for class, l := range h.levels {
@@ -369,8 +369,8 @@
 	t.Run("a permission is written for just the classes that it is meant for", func(t *testing.T) {
 		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
 		to := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
-		here, p := newHearer("safe", "once", "zone"), &peer{mailbox: make(chan []byte, 64), ended: make(chan struct{})}
-		to.join(0, p, false)
+		here, p := newHearer("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
+		to.connect(0, p, false)
 		story := rand.New(rand.NewPCG(3, 4))
 		want := make([]float64, 3)
 		to.AssignTable(0, 0, 0b011)
@@ -392,7 +392,7 @@
 			case 2:
 				to.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
 			}
-			to.flush((*peer).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
+			to.flush((*connection).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
 			here.hears(t, p)
 			for class, l := range here.levels {
 				if l == nil || l[1] != want[class] {
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -7,48 +7,48 @@
 	"wheelrill/internal/settings"
 )
 
-// take acts on a message by its kind and by whom it comes from.
-func (p *peer) take(m *fastjson.Value) error {
+// dispatch acts on a message by its kind and by whom it comes from.
+func (c *connection) dispatch(m *fastjson.Value) error {
 	if key := duplicateKey(m); key != "" { // which of the two counts is anybody's guess
-		if p.skip("a key stands there twice"); p.kind == unidentified {
-			return errRefused
+		if c.skipMessage("a key stands there twice"); c.kind == kindUnidentified {
+			return errUnacceptable
 		}
 		return nil
 	}
 	switch word := string(m.GetStringBytes("msg")); {
 	case word == "probe":
-		if err := p.send(alive); err != nil && p.kind == unidentified {
+		if err := c.send(aliveMessage); err != nil && c.kind == kindUnidentified {
 			return err
 		}
 	case word == "hello":
-		return p.hello(m)
+		return c.proxyHello(m)
 	case word == "agent":
-		return p.agent(m)
-	case word == "ack" && p.kind == proxy:
-		p.ack(m)
-	case word == "outcomes" && p.kind == collector:
-		p.outcomes(m)
-	case word == "demand" && p.kind != unidentified:
-		p.demand(m)
-	case p.kind == unidentified:
-		p.skip("not expected of a stranger")
-		return errEarly
+		return c.collectorHello(m)
+	case word == "ack" && c.kind == kindProxy:
+		c.ack(m)
+	case word == "outcomes" && c.kind == kindCollector:
+		c.outcomes(m)
+	case word == "demand" && c.kind != kindUnidentified:
+		c.demand(m)
+	case c.kind == kindUnidentified:
+		c.skipMessage("not expected of a stranger")
+		return errNotIdentified
 	default:
-		p.skip("not expected of a " + p.kind.String())
+		c.skipMessage("not expected of a " + c.kind.String())
 	}
 	return nil
 }
 
-// skip notes a message that is passed over, with some of its text.
-func (p *peer) skip(why string) {
+// skipMessage notes a message that is passed over, with some of its text.
+func (c *connection) skipMessage(why string) {
 	const shown = 160
-	text := p.body.Bytes()
-	p.log.seldom("skipped "+why, "skipped", "peer", p.conn.RemoteAddr(), "kind", p.kind, "why", why,
+	text := c.body.Bytes()
+	c.log.seldom("skipped "+why, "skipped", "peer", c.conn.RemoteAddr(), "kind", c.kind, "why", why,
 		"message", string(text[:min(len(text), shown)]))
 }
 
-// figureAt reads a figure; one that is missing, not a number, without end or below 0 is not usable.
-func figureAt(m *fastjson.Value, key string) (float64, bool) {
+// numberAt reads a figure; one that is missing, not a number, without end or below 0 is not usable.
+func numberAt(m *fastjson.Value, key string) (float64, bool) {
 	v := m.Get(key)
 	if v == nil {
 		return 0, false
@@ -60,11 +60,11 @@
 	return x, x >= 0 && settings.Sanitize(x) == x
 }
 
-// eitherAt reads a figure that goes by one of two names; one that is not there is negative. One that is there and not
+// numberAtEither reads a figure that goes by one of two names; one that is not there is negative. One that is there and not
 // usable, or above the most, spoils what it stands in.
-func eitherAt(m *fastjson.Value, name, other string, most float64, spoilt *bool) float64 {
+func numberAtEither(m *fastjson.Value, name, other string, most float64, spoilt *bool) float64 {
 	for _, key := range []string{name, other} {
-		if x, ok := figureAt(m, key); ok && x <= most {
+		if x, ok := numberAt(m, key); ok && x <= most {
 			return x
 		} else if m.Exists(key) {
 			*spoilt = true
@@ -75,15 +75,15 @@
 
 // indexAt reads a whole number below a bound.
 func indexAt(m *fastjson.Value, key string, below int) (int, bool) {
-	x, ok := figureAt(m, key)
+	x, ok := numberAt(m, key)
 	return int(x), ok && x < float64(below) && x == float64(int(x))
 }
 
 // spanAt reads the time that a report covers, in seconds; no time at all, or too long a one, is not usable.
-func (p *peer) spanAt(m *fastjson.Value) (int64, float64, bool) {
-	x, ok := figureAt(m, "interval")
+func (c *connection) spanAt(m *fastjson.Value) (int64, float64, bool) {
+	x, ok := numberAt(m, "interval")
 	span := settings.Microseconds(x)
-	return span, float64(span) / second, ok && span > 0 && span <= p.limits.span
+	return span, float64(span) / microsPerSecond, ok && span > 0 && span <= c.limits.maxReportInterval
 }
 
 // countAt reads a count of requests, of which so many can come in a second; parts of one do not exist.
@@ -117,91 +117,91 @@
 	return path
 }
 
-func (p *peer) zoneAt(m *fastjson.Value) (int, bool) {
-	zone, ok := p.module.zones[string(m.GetStringBytes("locality"))]
+func (c *connection) zoneAt(m *fastjson.Value) (int, bool) {
+	zone, ok := c.loop.zoneIndex[string(m.GetStringBytes("locality"))]
 	return zone, ok
 }
 
-func (p *peer) agent(m *fastjson.Value) error {
-	zone, ok := p.zoneAt(m)
+func (c *connection) collectorHello(m *fastjson.Value) error {
+	zone, ok := c.zoneAt(m)
 	switch {
-	case p.kind != unidentified:
-		p.skip("it has said who it is")
+	case c.kind != kindUnidentified:
+		c.skipMessage("it has said who it is")
 	case !ok:
-		p.skip("unknown zone")
-		return errRefused
+		c.skipMessage("unknown zone")
+		return errUnacceptable
 	default:
-		return p.becomes(collector, -1, zone)
+		return c.identifyAs(kindCollector, -1, zone)
 	}
 	return nil
 }
 
-func (p *peer) hello(m *fastjson.Value) error {
-	if p.kind != unidentified {
-		p.skip("it has said who it is") // ending a joined proxy's stream would not count as its leaving
+func (c *connection) proxyHello(m *fastjson.Value) error {
+	if c.kind != kindUnidentified {
+		c.skipMessage("it has said who it is") // ending a joined proxy's stream would not count as its leaving
 		return nil
 	}
-	node, ok := indexAt(m, "node", p.limits.nodes)
-	zone, there := p.zoneAt(m)
+	node, ok := indexAt(m, "node", c.limits.proxies)
+	zone, there := c.zoneAt(m)
 	if !ok || !there {
-		p.skip("unknown proxy or zone")
-		return errRefused
+		c.skipMessage("unknown proxy or zone")
+		return errUnacceptable
 	}
-	usual, ok := figureAt(m, "w")
-	if !ok || usual > p.limits.proxyRate {
+	usual, ok := numberAt(m, "w")
+	if !ok || usual > c.limits.maxProxyRate {
 		usual = 0 // not known: it is served all the same
 	}
 	keeps := !m.GetBool("cold") // if nothing is said it may hold something
-	p.fenced = m.GetBool("fence")
-	if err := p.becomes(proxy, node, zone); err != nil {
+	c.wantsToken = m.GetBool("fence")
+	if err := c.identifyAs(kindProxy, node, zone); err != nil {
 		return err
 	}
-	p.module.post(func() { p.module.joined(p, usual, keeps) })
+	c.loop.post(func() { c.loop.proxyConnected(c, usual, keeps) })
 	return nil
 }
 
-func (p *peer) ack(m *fastjson.Value) {
+func (c *connection) ack(m *fastjson.Value) {
 	mark, ok := indexAt(m, "nonce", 1<<16)
-	if node, same := indexAt(m, "node", p.limits.nodes); !ok || same && node != p.node {
-		p.skip("no usable mark")
+	if node, same := indexAt(m, "node", c.limits.proxies); !ok || same && node != c.proxy {
+		c.skipMessage("no usable mark")
 		return
 	}
-	p.module.post(func() { p.module.applied(p, mark) })
+	c.loop.post(func() { c.loop.acknowledged(c, mark) })
 }
 
 // outcomes is what the proxies of a zone met at a backend. A report is used whole or not at all. Fields that nobody
 // reads are not looked at, but for those that show whether the others can be right: its zone and its time.
-func (p *peer) outcomes(m *fastjson.Value) {
-	span, seconds, timed := p.spanAt(m)
+func (c *connection) outcomes(m *fastjson.Value) {
+	span, seconds, timed := c.spanAt(m)
 	id := string(m.GetStringBytes("endpoint"))
-	tries, ok := countAt(m, "total", p.limits.fleetRate, seconds)
-	failed, counted := countAt(m, "errors", p.limits.fleetRate, seconds)
-	rtt, answered := figureAt(m, "rtt")
+	tries, ok := countAt(m, "total", c.limits.maxFleetRate, seconds)
+	failed, counted := countAt(m, "errors", c.limits.maxFleetRate, seconds)
+	rtt, answered := numberAt(m, "rtt")
 	mean := settings.Microseconds(rtt)
 	said, spoilt := m.Get("metrics"), false
 	if said != nil && said.Type() != fastjson.TypeObject {
 		spoilt = true
 	}
-	load := balancer.BackendLoad{CPUUtilization: eitherAt(said, "util", "cpu", p.limits.busy, &spoilt),
-		QueueLength: eitherAt(said, "queue", "waiting", p.limits.queue, &spoilt),
-		ServiceTime: 1000 * eitherAt(said, "latency_ms", "avg_ms", float64(p.limits.answer)/1000, &spoilt)}
-	if _, there := p.zoneAt(m); !ok || !counted || !there || !timed || id == "" || spoilt || failed > tries ||
-		failed < tries && (!answered || mean > p.limits.answer) {
-		p.skip("outcomes without usable figures")
+	load := balancer.BackendLoad{CPUUtilization: numberAtEither(said, "util", "cpu", c.limits.maxUtilization, &spoilt),
+		QueueLength: numberAtEither(said, "queue", "waiting", c.limits.maxQueueLength, &spoilt),
+		ServiceTime: 1000 * numberAtEither(said, "latency_ms", "avg_ms", float64(c.limits.maxResponseTime)/1000, &spoilt)}
+	if _, there := c.zoneAt(m); !ok || !counted || !there || !timed || id == "" || spoilt || failed > tries ||
+		failed < tries && (!answered || mean > c.limits.maxResponseTime) {
+		c.skipMessage("outcomes without usable figures")
 		return
 	}
-	p.module.report(func() { p.module.addOutcomes(id, tries, failed, mean, span, load) })
+	c.loop.tryPost(func() { c.loop.outcomesReported(id, tries, failed, mean, span, load) })
 }
 
 // demand is what came to a proxy; it may come over the proxy's stream or any collector.
-func (p *peer) demand(m *fastjson.Value) {
-	node, ok := indexAt(m, "node", p.limits.nodes)
-	class, there := p.module.classes[string(m.GetStringBytes("route"))]
-	span, seconds, timed := p.spanAt(m)
-	count, counted := countAt(m, "total", p.limits.proxyRate, seconds)
-	if !ok || !there || !counted || !timed || p.kind == proxy && node != p.node {
-		p.skip("demand without usable figures")
+func (c *connection) demand(m *fastjson.Value) {
+	node, ok := indexAt(m, "node", c.limits.proxies)
+	class, there := c.loop.classIndex[string(m.GetStringBytes("route"))]
+	span, seconds, timed := c.spanAt(m)
+	count, counted := countAt(m, "total", c.limits.maxProxyRate, seconds)
+	if !ok || !there || !counted || !timed || c.kind == kindProxy && node != c.proxy {
+		c.skipMessage("demand without usable figures")
 		return
 	}
-	p.module.report(func() { p.module.addDemand(node, class, count, span) })
+	c.loop.tryPost(func() { c.loop.demandReported(node, class, count, span) })
 }
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -70,7 +70,7 @@
 			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listing(0, true)} {
 			d.answers <- bad
 		}
-		address, said := serves(t, d.address, two, func(l *limits) { l.retryLeast, l.retryMost, l.logRepeat = 1, 1, 0 })
+		address, said := serves(t, d.address, two, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		for range 10 {
 			if query := <-d.asked; query != "since=1&timeout_ms=50" && query != "" {
 				t.Errorf("asked %q", query)
@@ -95,7 +95,7 @@
 		for range 6 {
 			d.answers <- listing(7, true, backendIs(1, "up"))
 		}
-		_, said := serves(t, d.address, known, func(l *limits) { l.retryLeast, l.retryMost = 1, 1 })
+		_, said := serves(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 		said.waits(t, "event=list version=7 whole=true entries=1", 1)
 		for i := range 6 {
 			if query := <-d.asked; (query == "") != (i == 5) {
@@ -109,7 +109,7 @@
 			d.answers <- "status 500"
 		}
 		d.answers <- listing(3, true, backendIs(0, "up"), backendIs(1, "up"))
-		_, said := serves(t, d.address, two, func(l *limits) { l.retryLeast, l.retryMost = 1, 1 })
+		_, said := serves(t, d.address, two, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 		said.waits(t, "event=list version=3 whole=true entries=2", 1)
 		for i, want := range []string{"since=1", "since=1", "since=1", "since=1", "since=1", "", "since=3"} {
 			if query := <-d.asked; !strings.HasPrefix(query, want) || want == "" && query != "" {
--- a/controller/distributed_entries.go
+++ b/controller/distributed_entries.go
@@ -11,18 +11,18 @@
 	"wheelrill/distribution"
 )
 
-// keyDistributed is the object of the configuration whose entries the voters distribute: by scope, kind and name.
-const keyDistributed = "distributed"
+// distributedKey is the object of the configuration whose entries the voters distribute: by scope, kind and name.
+const distributedKey = "distributed"
 
 // readDistributed reads the entries that are to be distributed, sorted by their keys; ok is false where the file has none, and
 // nothing is to change.
 func readDistributed(root *fastjson.Value) (entries []distribution.Entry, ok bool, err error) {
-	scopes := root.Get(keyDistributed)
+	scopes := root.Get(distributedKey)
 	if scopes == nil {
 		return nil, false, nil
 	}
 	r := &distributedReader{}
-	r.object(scopes, keyDistributed, func(scope, path string, kinds *fastjson.Value) {
+	r.object(scopes, distributedKey, func(scope, path string, kinds *fastjson.Value) {
 		r.object(kinds, path, func(kind, path string, names *fastjson.Value) {
 			r.object(names, path, func(name, path string, value *fastjson.Value) {
 				r.entry(scope, kind, name, path, value)
@@ -68,12 +68,12 @@
 	text := string(value.MarshalTo(nil))
 	switch kind {
 	case kindDrain:
-		if text != drained {
+		if text != drainValue {
 			r.fail(path, "is %s; a drain is true, and ends when its entry is taken out", text)
 		}
 	case kindWeight:
-		if _, ok := usableWeight(text); !ok || value.Type() != fastjson.TypeNumber {
-			r.fail(path, "is %s; give a number above 0, up to %g", text, float64(mostWeight))
+		if _, ok := parseWeight(text); !ok || value.Type() != fastjson.TypeNumber {
+			r.fail(path, "is %s; give a number above 0, up to %g", text, float64(maxWeight))
 		}
 	case kindLimit:
 		if limit, err := value.Float64(); err != nil || limit < 0 {
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -41,35 +41,35 @@
 }
 
 const (
-	configureWithin = 10 * time.Second // that a change waits for the record
-	statsEvery      = 10 * time.Second // between two lines that tell the state of the distribution
-	keepEvery       = 5 * time.Second  // that what has changed is written to the folder ...
-	keepPause       = 100              // ... and no sooner than so many times what the last writing took
+	proposeTimeout   = 10 * time.Second // that a change waits for the record
+	statusInterval   = 10 * time.Second // between two lines that tell the state of the distribution
+	cacheInterval    = 5 * time.Second  // that what has changed is written to the folder ...
+	cachePauseFactor = 100              // ... and no sooner than so many times what the last writing took
 )
 
 // distributor is the module's side of the distribution: what arrives waits here until the module takes it.
 type distributor struct {
-	module   *module
-	log      *journal
-	carrier  *transport.Carrier
-	node     *consensus.Node     // of a voter
-	listener *consensus.Listener // of a subscriber that passes on
-	limits   distribution.Limits
-	kept     *keeper                   // of a subscriber with a folder
-	wanted   chan []distribution.Entry // the newest configuration that a voter is to propose
+	loop      *eventLoop
+	log       *journal
+	carrier   *transport.Carrier
+	node      *consensus.Node     // of a voter
+	listener  *consensus.Listener // of a subscriber that passes on
+	limits    distribution.Limits
+	cache     *configurationCache       // of a subscriber with a folder
+	proposals chan []distribution.Entry // the newest configuration that a voter is to propose
 
-	mutex   sync.Mutex
-	arrived map[distribution.Key]distribution.Entry
-	whole   bool // what arrived is all that there is
+	mutex    sync.Mutex
+	arrived  map[distribution.Key]distribution.Entry
+	complete bool // what arrived is all that there is
 }
 
 // JoinDistribution has the controller take part in the distribution of configuration from Serve on. A voter has to share the
 // record as well, by Share, afterwards. An error says what would do.
 func (c *Controller) JoinDistribution(with DistributionConfig) error {
 	if with.Name == "" {
-		with.Name = c.plan.Name
+		with.Name = c.configuration.Name
 	}
-	d := &distributor{module: c.module, log: c.log, limits: with.nodeLimits(), wanted: make(chan []distribution.Entry, 1),
+	d := &distributor{loop: c.loop, log: c.log, limits: with.nodeLimits(), proposals: make(chan []distribution.Entry, 1),
 		arrived: map[distribution.Key]distribution.Entry{}}
 	if !with.Voter {
 		if err := d.subscribe(with); err != nil {
@@ -77,7 +77,7 @@
 		}
 	}
 	c.distributor = d
-	c.module.distributor, c.module.overrides = d, newOverrides()
+	c.loop.distributor, c.loop.overrides = d, newOverrides()
 	return nil
 }
 
@@ -110,7 +110,7 @@
 	}
 	self := consensus.Peer{Name: with.Name}
 	if with.Listen != "" {
-		if d.listener, err = subscriber.Listen(with.Listen, d.accept, d.refused); err != nil {
+		if d.listener, err = subscriber.Listen(with.Listen, d.accept, d.logRefused); err != nil {
 			return err
 		}
 		self.Address = d.listener.Address()
@@ -127,7 +127,7 @@
 		Node:  distribution.Config{Name: self.String(), Scopes: scopes, Candidates: candidates, Limits: d.limits},
 		Dial:  subscriber.Dial,
 		Apply: d.apply,
-		Log:   d.event,
+		Log:   d.logEvent,
 	})
 	return d.restore(with.Folder)
 }
@@ -138,10 +138,10 @@
 		return nil
 	}
 	var err error
-	if d.kept, err = newKeeper(folder); err != nil {
+	if d.cache, err = openConfigurationCache(folder); err != nil {
 		return err
 	}
-	switch state, err := d.kept.load(); {
+	switch state, err := d.cache.load(); {
 	case err != nil:
 		d.log.say("kept_unusable", "error", err.Error())
 	case state != nil:
@@ -153,13 +153,13 @@
 
 var errNoParent = errors.New("a voter has no parent")
 
-// vote prepares a voter, as a member that shares the record.
-func (d *distributor) vote(self consensus.Peer) *transport.Carrier {
+// becomeVoter prepares a voter, as a member that shares the record.
+func (d *distributor) becomeVoter(self consensus.Peer) *transport.Carrier {
 	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
 		Apply: d.apply,
-		Log:   d.event,
+		Log:   d.logEvent,
 	})
 	return d.carrier
 }
@@ -169,7 +169,7 @@
 	d.carrier.Accept(conn, allowed)
 }
 
-func (d *distributor) refused(from net.Addr, why error) {
+func (d *distributor) logRefused(from net.Addr, why error) {
 	d.log.seldom("subscriber_refused", "subscriber_refused", "peer", from.String(), "why", why.Error())
 }
 
@@ -180,23 +180,23 @@
 	parts.Go(func() { d.carrier.Run(carried) })
 	parts.Go(func() {
 		defer end()
-		d.keep(ctx)
+		d.runCache(ctx)
 	})
 	if d.listener != nil {
 		parts.Go(func() { d.listener.Run(ctx) })
 	}
-	parts.Go(func() { d.report(ctx) })
-	parts.Go(func() { d.propose(ctx) })
+	parts.Go(func() { d.runStatusReports(ctx) })
+	parts.Go(func() { d.runProposals(ctx) })
 	parts.Wait()
 }
 
-// keep writes what a subscriber has now and then, and at the end.
-func (d *distributor) keep(ctx context.Context) {
-	if d.kept == nil {
+// runCache writes what a subscriber has now and then, and at the end.
+func (d *distributor) runCache(ctx context.Context) {
+	if d.cache == nil {
 		<-ctx.Done()
 		return
 	}
-	look := time.NewTimer(keepEvery)
+	look := time.NewTimer(cacheInterval)
 	defer look.Stop()
 	for last := false; !last; {
 		select {
@@ -205,10 +205,10 @@
 		case <-look.C:
 		}
 		began := time.Now()
-		if err := d.kept.update(d.carrier); err != nil {
+		if err := d.cache.update(d.carrier); err != nil {
 			d.log.seldom("kept", "keep_failed", "error", err.Error())
 		}
-		look.Reset(max(keepEvery, keepPause*time.Since(began)))
+		look.Reset(max(cacheInterval, cachePauseFactor*time.Since(began)))
 	}
 }
 
@@ -216,41 +216,41 @@
 func (d *distributor) apply(change distribution.Change, whole bool) {
 	d.mutex.Lock()
 	if whole {
-		d.whole, d.arrived = true, map[distribution.Key]distribution.Entry{}
+		d.complete, d.arrived = true, map[distribution.Key]distribution.Entry{}
 	}
 	for _, e := range change.Entries {
 		d.arrived[e.Key()] = e
 	}
 	d.mutex.Unlock()
 	select {
-	case d.module.mail <- func() {}: // has it take a turn
+	case d.loop.inbox <- func() {}: // has it take a turn
 	default: // it will take one, as its mailbox is full
 	}
 }
 
-// take gives what has arrived since it was last called.
-func (d *distributor) take() (entries []distribution.Entry, whole bool) {
+// takeArrived gives what has arrived since it was last called.
+func (d *distributor) takeArrived() (entries []distribution.Entry, whole bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if len(d.arrived) == 0 && !d.whole {
+	if len(d.arrived) == 0 && !d.complete {
 		return nil, false
 	}
 	for _, e := range d.arrived {
 		entries = append(entries, e)
 	}
-	whole = d.whole
-	d.arrived, d.whole = map[distribution.Key]distribution.Entry{}, false
+	whole = d.complete
+	d.arrived, d.complete = map[distribution.Key]distribution.Entry{}, false
 	slices.SortFunc(entries, func(a, b distribution.Entry) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Scope, b.Scope), cmp.Compare(a.Name, b.Name))
 	})
 	return entries, whole
 }
 
-// configured has the decisions act by what has arrived: through the list of backends, and the quotas of classes.
-func (m *module) configured(entries []distribution.Entry, whole bool) {
+// applyDistributed has the decisions act by what has arrived: through the list of backends, and the quotas of classes.
+func (l *eventLoop) applyDistributed(entries []distribution.Entry, whole bool) {
 	backends, classes := map[string]bool{}, map[string]bool{}
 	touch := func(s subject) (known bool) {
-		_, ours := m.classes[s.class]
+		_, ours := l.classIndex[s.class]
 		if s.backend != "" {
 			backends[s.backend] = true
 		} else if ours {
@@ -259,15 +259,15 @@
 		return s.backend != "" || ours
 	}
 	if whole {
-		for _, s := range m.overrides.reset() {
+		for _, s := range l.overrides.reset() {
 			touch(s)
 		}
 	}
 	var last distribution.Entry
 	for _, e := range entries {
-		changed, ok := m.overrides.put(e)
+		changed, ok := l.overrides.apply(e)
 		if !ok {
-			m.log.seldom("distributed", "distributed_unusable", "scope", e.Scope, "name", e.Name, "revision", e.Revision)
+			l.log.seldom("distributed", "distributed_unusable", "scope", e.Scope, "name", e.Name, "revision", e.Revision)
 		}
 		if touch(changed) {
 			last = e // entries come in the order of their revisions
@@ -278,53 +278,53 @@
 	}
 	late := 0.0 // since the newest of them was accepted at the voter, by both wall clocks
 	if last.AcceptedAt > 0 {
-		late = float64(m.now-last.AcceptedAt) / second
+		late = float64(l.now-last.AcceptedAt) / microsPerSecond
 	}
-	m.log.say("distributed", "revision", last.Revision, "whole", whole, "backends", len(backends),
-		"drained", len(m.overrides.drains), "weighted", len(m.overrides.weights), "late_s", figured(late, 3), "classes", len(classes))
+	l.log.say("distributed", "revision", last.Revision, "whole", whole, "backends", len(backends),
+		"drained", len(l.overrides.drains), "weighted", len(l.overrides.weights), "late_s", figured(late, 3), "classes", len(classes))
 	var relisted []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
-		if backend, known := m.backends.index[id]; known {
-			relisted = m.overrides.merged(relisted, id, m.overrides.listed[backend])
+		if backend, known := l.backends.index[id]; known {
+			relisted = l.overrides.merged(relisted, id, l.overrides.listed[backend])
 		}
 	}
 	if len(relisted) > 0 {
-		m.control.EndpointsUpdated(false, relisted)
+		l.decisions.EndpointsUpdated(false, relisted)
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		m.control.SetClassQuota(m.classes[class], m.overrides.limitOf(class))
+		l.decisions.SetClassQuota(l.classIndex[class], l.overrides.limitOf(class))
 	}
 }
 
-// configure has a voter propose what the file wants to be distributed; the newest replaces what waits.
-func (d *distributor) configure(wanted []distribution.Entry) {
+// enqueueProposal has a voter propose what the file wants to be distributed; the newest replaces what waits.
+func (d *distributor) enqueueProposal(wanted []distribution.Entry) {
 	for {
 		select {
-		case d.wanted <- wanted:
+		case d.proposals <- wanted:
 			return
 		default:
 		}
 		select {
-		case <-d.wanted:
+		case <-d.proposals:
 		default:
 		}
 	}
 }
 
-// propose brings what is wanted onto the record, one change after the other.
-func (d *distributor) propose(ctx context.Context) {
+// runProposals brings what is wanted onto the record, one change after the other.
+func (d *distributor) runProposals(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case wanted := <-d.wanted:
-			d.proposeOne(ctx, wanted)
+		case wanted := <-d.proposals:
+			d.proposeChange(ctx, wanted)
 		}
 	}
 }
 
-func (d *distributor) proposeOne(ctx context.Context, wanted []distribution.Entry) {
-	ctx, cancel := context.WithTimeout(ctx, configureWithin)
+func (d *distributor) proposeChange(ctx context.Context, wanted []distribution.Entry) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	mark, differ, err := d.node.Configure(ctx, wanted)
 	switch {
@@ -339,9 +339,9 @@
 	}
 }
 
-// report tells the state of the distribution now and then.
-func (d *distributor) report(ctx context.Context) {
-	look := time.NewTicker(statsEvery)
+// runStatusReports tells the state of the distribution now and then.
+func (d *distributor) runStatusReports(ctx context.Context) {
+	look := time.NewTicker(statusInterval)
 	defer look.Stop()
 	last := d.carrier.Traffic()
 	for {
@@ -355,30 +355,30 @@
 			return
 		}
 		now := d.carrier.Traffic()
-		rate := func(now, last int64) string { return figured(float64(now-last)/statsEvery.Seconds(), 0) }
-		d.log.say("distribution", "revision", status.Mark.Revision, "epoch", status.Mark.Epoch.String(), "age_s", aged(status.Age),
+		rate := func(now, last int64) string { return figured(float64(now-last)/statusInterval.Seconds(), 0) }
+		d.log.say("distribution", "revision", status.Mark.Revision, "epoch", status.Mark.Epoch.String(), "age_s", formatAge(status.Age),
 			"parent", status.Parent, "depth", len(status.Path), "children", len(status.Children), "entries", status.Entries,
 			"in_bytes_per_s", rate(now.In, last.In), "out_bytes_per_s", rate(now.Out, last.Out), "overflows", now.Overflows)
 		last = now
 	}
 }
 
-// aged is an age as a line of the log has it.
-func aged(age int64) string {
+// formatAge is an age as a line of the log has it.
+func formatAge(age int64) string {
 	if age == distribution.NeverCurrent {
 		return "unknown"
 	}
-	return figured(float64(age)/second, 1)
+	return figured(float64(age)/microsPerSecond, 1)
 }
 
-// event logs what the node tells. What children or parents could call forth again and again is held back.
-func (d *distributor) event(e distribution.Event) {
+// logEvent logs what the node tells. What children or parents could call forth again and again is held back.
+func (d *distributor) logEvent(e distribution.Event) {
 	at := []any{"revision", e.Mark.Revision, "epoch", e.Mark.Epoch.String()}
 	switch e.Kind {
 	case distribution.EventAdmitted:
 		d.log.say("subscribed", append(at, "parent", e.Peer)...)
 	case distribution.EventParentLost:
-		d.log.say("parent_lost", append(at, "parent", e.Peer, "why", lostBecause(e.Close))...)
+		d.log.say("parent_lost", append(at, "parent", e.Peer, "why", lossReason(e.Close))...)
 	case distribution.EventSnapshotTaken:
 		d.log.say("snapshot_taken", append(at, "parent", e.Peer)...)
 	case distribution.EventStale:
@@ -395,16 +395,16 @@
 	}
 }
 
-// lostBecause says why a parent was lost; none of the node's reasons is the end of the connection.
-func lostBecause(reason distribution.CloseReason) string {
+// lossReason says why a parent was lost; none of the node's reasons is the end of the connection.
+func lossReason(reason distribution.CloseReason) string {
 	if reason == 0 {
 		return "connection closed"
 	}
 	return reason.String()
 }
 
-// wanted reads what a file wants to be distributed, at a voter; elsewhere it is left alone.
-func (c *Controller) wanted(configuration []byte) (entries []distribution.Entry, ok bool, err error) {
+// distributedEntries reads what a file wants to be distributed, at a voter; elsewhere it is left alone.
+func (c *Controller) distributedEntries(configuration []byte) (entries []distribution.Entry, ok bool, err error) {
 	if c.distributor == nil || c.distributor.node == nil {
 		return nil, false, nil
 	}
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -67,7 +67,7 @@
 // quickLimits are limits with which losses are seen soon.
 func quickLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
-	limits.Heartbeat, limits.Lease, limits.Handshake, limits.StaleMost = second/10, second/2, second, 3*second/2
+	limits.Heartbeat, limits.Lease, limits.Handshake, limits.StaleMost = microsPerSecond/10, microsPerSecond/2, microsPerSecond, 3*microsPerSecond/2
 	return limits
 }
 
--- a/controller/encode.go
+++ b/controller/encode.go
@@ -6,145 +6,145 @@
 	"strconv"
 )
 
-var errTooLong = errors.New("more parts than one message may have")
-
-// order is one message to a proxy as it is written: frames one after the other, each but the last with "more".
-type order struct {
-	classes [][]byte // names of the classes, as JSON
-	limit   int      // bytes of a part
-	most    int      // parts
-	token   uint64   // of whoever owns the proxy, for one that asked for it; 0 for none
-
-	raw      []byte
-	from     int // where the open part begins
-	parts    int
-	mask     uint16 // classes that the open part means
-	levelled bool   // the open part has a level
+var errTooManyParts = errors.New("more parts than one message may have")
+
+// messageWriter is one message to a proxy as it is written: frames one after the other, each but the last with "more".
+type messageWriter struct {
+	classNames [][]byte // names of the classes, as JSON
+	maxFrame   int      // bytes of a part
+	maxParts   int      // parts
+	token      uint64   // of whoever owns the proxy, for one that asked for it; 0 for none
+
+	raw         []byte
+	partStart   int // where the open part begins
+	parts       int
+	partClasses uint16 // classes that the open part means
+	hasLimit    bool   // the open part has a level
 }
 
 const partTail = len(`],"more":true}`)
 
-// part opens a part for some classes, if the open one is not for the same.
-func (o *order) part(mask uint16) {
-	if o.parts > 0 && o.mask == mask {
+// openPart opens a part for some classes, if the open one is not for the same.
+func (w *messageWriter) openPart(mask uint16) {
+	if w.parts > 0 && w.partClasses == mask {
 		return
 	}
-	o.next(mask)
+	w.nextPart(mask)
 }
 
-func (o *order) next(mask uint16) {
-	if o.parts > 0 {
-		o.raw = append(o.raw, `,"more":true}`...)
-		closeFrame(o.raw, o.from)
+func (w *messageWriter) nextPart(mask uint16) {
+	if w.parts > 0 {
+		w.raw = append(w.raw, `,"more":true}`...)
+		putFrameLength(w.raw, w.partStart)
 	}
-	o.parts++
-	o.mask, o.levelled, o.from = mask, false, len(o.raw)
-	o.raw = append(o.raw, 0, 0, 0, 0)
-	o.raw = append(o.raw, `{"msg":"push"`...)
-	if o.token > 0 {
-		o.raw = strconv.AppendUint(append(o.raw, `,"token":`...), o.token, 10)
+	w.parts++
+	w.partClasses, w.hasLimit, w.partStart = mask, false, len(w.raw)
+	w.raw = append(w.raw, 0, 0, 0, 0)
+	w.raw = append(w.raw, `{"msg":"push"`...)
+	if w.token > 0 {
+		w.raw = strconv.AppendUint(append(w.raw, `,"token":`...), w.token, 10)
 	}
-	if mask == 0 || mask == 1<<len(o.classes)-1 {
+	if mask == 0 || mask == 1<<len(w.classNames)-1 {
 		return // all
 	}
-	o.raw = append(o.raw, `,"classes":`...)
+	w.raw = append(w.raw, `,"classes":`...)
 	sep := byte('[')
-	for i, name := range o.classes {
+	for i, name := range w.classNames {
 		if mask&(1<<i) != 0 {
-			o.raw = append(append(o.raw, sep), name...)
+			w.raw = append(append(w.raw, sep), name...)
 			sep = ','
 		}
 	}
-	o.raw = append(o.raw, ']')
+	w.raw = append(w.raw, ']')
 }
 
-// list writes an array of items; where the part would become too long, the array goes on in a further one.
-func (o *order) list(key string, items [][]byte) {
-	open := func() { o.raw = append(append(append(o.raw, `,"`...), key...), `":[`...) }
+// writeArray writes an array of items; where the part would become too long, the array goes on in a further one.
+func (w *messageWriter) writeArray(key string, items [][]byte) {
+	open := func() { w.raw = append(append(append(w.raw, `,"`...), key...), `":[`...) }
 	open()
 	for i, item := range items {
-		if len(o.raw)-o.from+len(item)+1+partTail > o.limit+headSize {
-			o.raw = append(o.raw, ']')
-			o.next(o.mask)
+		if len(w.raw)-w.partStart+len(item)+1+partTail > w.maxFrame+lengthSize {
+			w.raw = append(w.raw, ']')
+			w.nextPart(w.partClasses)
 			open()
 		} else if i > 0 {
-			o.raw = append(o.raw, ',')
+			w.raw = append(w.raw, ',')
 		}
-		o.raw = append(o.raw, item...)
+		w.raw = append(w.raw, item...)
 	}
-	o.raw = append(o.raw, ']')
+	w.raw = append(w.raw, ']')
 }
 
-func (o *order) whole(mask uint16, lines [][]byte) {
-	o.part(mask)
-	o.raw = append(o.raw, `,"whole":true`...)
-	o.list("lines", lines)
+func (w *messageWriter) writeFullTable(mask uint16, lines [][]byte) {
+	w.openPart(mask)
+	w.raw = append(w.raw, `,"whole":true`...)
+	w.writeArray("lines", lines)
 }
 
-func (o *order) change(mask uint16, lines [][]byte) {
-	o.part(mask)
-	o.list("lines", lines)
+func (w *messageWriter) writeTableChange(mask uint16, lines [][]byte) {
+	w.openPart(mask)
+	w.writeArray("lines", lines)
 }
 
-func (o *order) level(mask uint16, l level) {
-	if o.part(mask); o.levelled {
-		o.next(mask)
+func (w *messageWriter) writeLimit(mask uint16, l admissionLimit) {
+	if w.openPart(mask); w.hasLimit {
+		w.nextPart(mask)
 	}
-	o.room(64)
-	o.raw = appendFigure(append(o.raw, `,"level":`...), l.allowance)
-	o.raw = strconv.AppendInt(append(o.raw, `,"retry":`...), int64(l.tries), 10)
-	o.levelled = true
+	w.ensureRoom(64)
+	w.raw = appendNumber(append(w.raw, `,"level":`...), l.limit)
+	w.raw = strconv.AppendInt(append(w.raw, `,"retry":`...), int64(l.retry), 10)
+	w.hasLimit = true
 }
 
-// backends writes those that are to be shut out, or let back.
-func (o *order) backends(key string, names [][]byte) {
+// writeBackends writes those that are to be shut out, or let back.
+func (w *messageWriter) writeBackends(key string, names [][]byte) {
 	if len(names) == 0 {
 		return
 	}
-	if o.parts == 0 {
-		o.next(0)
+	if w.parts == 0 {
+		w.nextPart(0)
 	}
-	o.room(64)
-	o.list(key, names)
+	w.ensureRoom(64)
+	w.writeArray(key, names)
 }
 
-func (o *order) ticket(number int) {
-	if o.parts == 0 {
-		o.next(0)
+func (w *messageWriter) writeAckRequest(number int) {
+	if w.parts == 0 {
+		w.nextPart(0)
 	}
-	o.room(64)
-	o.raw = strconv.AppendInt(append(o.raw, `,"ticket":`...), int64(number), 10)
+	w.ensureRoom(64)
+	w.raw = strconv.AppendInt(append(w.raw, `,"ticket":`...), int64(number), 10)
 }
 
-// room opens a further part when a few more bytes would not go into this one.
-func (o *order) room(bytes int) {
-	if len(o.raw)-o.from+bytes+partTail > o.limit+headSize {
-		o.next(o.mask)
+// ensureRoom opens a further part when a few more bytes would not go into this one.
+func (w *messageWriter) ensureRoom(bytes int) {
+	if len(w.raw)-w.partStart+bytes+partTail > w.maxFrame+lengthSize {
+		w.nextPart(w.partClasses)
 	}
 }
 
-// end closes the last part and gives the message.
-func (o *order) end() ([]byte, error) {
-	if o.parts > o.most {
-		return nil, errTooLong
+// finish closes the last part and gives the message.
+func (w *messageWriter) finish() ([]byte, error) {
+	if w.parts > w.maxParts {
+		return nil, errTooManyParts
 	}
-	o.raw = append(o.raw, '}')
-	closeFrame(o.raw, o.from)
-	return o.raw, nil
+	w.raw = append(w.raw, '}')
+	putFrameLength(w.raw, w.partStart)
+	return w.raw, nil
 }
 
-// line encodes a backend with its weight.
-func line(name []byte, weight float64) []byte {
+// encodeEntry encodes a backend with its weight.
+func encodeEntry(name []byte, weight float64) []byte {
 	b := append(append(make([]byte, 0, len(name)+16), '['), name...)
-	return append(appendFigure(append(b, ','), weight), ']')
+	return append(appendNumber(append(b, ','), weight), ']')
 }
 
-// appendFigure writes a figure that every reader can use: never negative, without end, or no number.
-func appendFigure(b []byte, x float64) []byte {
-	return strconv.AppendFloat(b, figure(x), 'g', -1, 64)
+// appendNumber writes a figure that every reader can use: never negative, without end, or no number.
+func appendNumber(b []byte, x float64) []byte {
+	return strconv.AppendFloat(b, sanitizeNumber(x), 'g', -1, 64)
 }
 
-func figure(x float64) float64 {
+func sanitizeNumber(x float64) float64 {
 	if math.IsNaN(x) || x < 0 {
 		return 0
 	}
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -12,47 +12,47 @@
 	"wheelrill/internal/settings"
 )
 
-// module is the actor around the decisions: it hands them what happens, one thing after the other, and is their Host.
+// eventLoop is the actor around the decisions: it hands them what happens, one thing after the other, and is their Host.
 // All that it takes at once happens at one clock time, after which each proxy concerned is written one message.
-type module struct {
+type eventLoop struct {
 	*tables
-	limits  *limits
-	log     *journal
-	control *balancer.Controller
+	limits    *limits
+	log       *journal
+	decisions *balancer.Controller
 
-	list  *list
-	fleet *fleet // what is shared with other controllers; nil for nothing
+	watcher   *endpointWatcher
+	ownership *ownershipHost // what is shared with other controllers; nil for nothing
 
 	distributor *distributor // where distributed configuration arrives; nil for nowhere
 	overrides   *overrides   // what that says of backends; nil where none arrives
 
-	zones, classes map[string]int
-	zoneNames      []string
-	backends       *backends
-	joins          []*join // by proxy; nil if it is not joined
-
-	mail   chan func()
-	done   chan struct{}
-	ready  chan struct{} // closed once the decisions know a backend, or have waited for one
-	clock  func() int64
-	now    int64 // of this turn
-	stood  int64 // when we last came to ourselves after standing still
-	timers []timer
+	zoneIndex, classIndex map[string]int
+	zoneNames             []string
+	backends              *backendIndex
+	sessions              []*session // by proxy; nil if it is not joined
+
+	inbox     chan func()
+	stopped   chan struct{}
+	ready     chan struct{} // closed once the decisions know a backend, or have waited for one
+	clock     func() int64
+	now       int64 // of this turn
+	stalledAt int64 // when we last came to ourselves after standing still
+	timers    []timer
 }
 
-// join is a proxy's stream, and the marks on it that are unanswered.
-type join struct {
-	peer    *peer
-	waiting []*mark
-	bound   *mark // the first that went out with tables of ours for every class, until it is answered
-	whole   bool  // and then
+// session is a proxy's stream, and the marks on it that are unanswered.
+type session struct {
+	conn          *connection
+	unacked       []*pendingAck
+	firstComplete *pendingAck // the first that went out with tables of ours for every class, until it is answered
+	complete      bool        // and then
 }
 
-// mark is one that went out at some clock time, to however many proxies.
-type mark struct {
-	number        int
-	edition       uint64 // of our tables then, where they are shared
-	due, answered int64  // due: when the last of them can have left; answered: when the first of them did
+// pendingAck is one that went out at some clock time, to however many proxies.
+type pendingAck struct {
+	nonce                   int
+	edition                 uint64 // of our tables then, where they are shared
+	sentBy, firstAnsweredAt int64  // due: when the last of them can have left; answered: when the first of them did
 }
 
 type timer struct {
@@ -67,44 +67,44 @@
 }
 
 // post gives the module something that must not be lost; it waits while the mailbox is full.
-func (m *module) post(what func()) {
+func (l *eventLoop) post(what func()) {
 	select {
-	case m.mail <- what:
-	case <-m.done:
+	case l.inbox <- what:
+	case <-l.stopped:
 	}
 }
 
-// report gives the module something that may be lost. With a full mailbox it is given up: the reader has to go on
+// tryPost gives the module something that may be lost. With a full mailbox it is given up: the reader has to go on
 // reading, and thousands of reports that wait already say nearly the same.
-func (m *module) report(what func()) {
+func (l *eventLoop) tryPost(what func()) {
 	select {
-	case m.mail <- what:
+	case l.inbox <- what:
 	default:
-		m.log.seldom("reports", "report_dropped", "mailbox", m.limits.mailbox)
+		l.log.seldom("reports", "report_dropped", "mailbox", l.limits.inboxSize)
 	}
 }
 
-func (m *module) run(ctx context.Context) {
-	defer close(m.done)
-	if m.fleet != nil {
-		defer m.fleet.close()
+func (l *eventLoop) run(ctx context.Context) {
+	defer close(l.stopped)
+	if l.ownership != nil {
+		defer l.ownership.handOver()
 	}
-	m.now = m.clock()
+	l.now = l.clock()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
-		next := m.limits.logRepeat
-		if len(m.timers) > 0 {
-			next = time.Duration(m.timers[0].at-m.clock()) * time.Microsecond
+		next := l.limits.logRepeatInterval
+		if len(l.timers) > 0 {
+			next = time.Duration(l.timers[0].at-l.clock()) * time.Microsecond
 		}
 		wake.Reset(max(next, 0))
 		select {
 		case <-ctx.Done():
 			return
 		case <-wake.C:
-			m.turn(func() {})
-		case what := <-m.mail:
-			if early := m.now + m.limits.tick.Microseconds() - m.clock(); early > 0 {
+			l.iterate(func() {})
+		case what := <-l.inbox:
+			if early := l.now + l.limits.tick.Microseconds() - l.clock(); early > 0 {
 				wake.Reset(time.Duration(early) * time.Microsecond)
 				select {
 				case <-ctx.Done():
@@ -112,168 +112,168 @@
 				case <-wake.C:
 				}
 			}
-			m.turn(what)
+			l.iterate(what)
 		}
 	}
 }
 
-// turn takes what has come in, and the timers that are due, at one clock time.
-func (m *module) turn(first func()) {
-	last := m.now
-	if m.now = max(m.clock(), last+1); m.now-last > m.limits.still {
-		m.log.seldom("stood", "stood_still", "seconds", figured(float64(m.now-last)/second, 1))
-		m.stood = m.now
+// iterate takes what has come in, and the timers that are due, at one clock time.
+func (l *eventLoop) iterate(first func()) {
+	last := l.now
+	if l.now = max(l.clock(), last+1); l.now-last > l.limits.stallThreshold {
+		l.log.seldom("stood", "stood_still", "seconds", figured(float64(l.now-last)/microsPerSecond, 1))
+		l.stalledAt = l.now
 	}
 	first()
-	if m.distributor != nil {
-		if entries, whole := m.distributor.take(); whole || len(entries) > 0 {
-			m.configured(entries, whole)
+	if l.distributor != nil {
+		if entries, whole := l.distributor.takeArrived(); whole || len(entries) > 0 {
+			l.applyDistributed(entries, whole)
 		}
 	}
-	for taken := 1; taken < m.limits.turn; taken++ {
+	for taken := 1; taken < l.limits.eventsPerIteration; taken++ {
 		select {
-		case what := <-m.mail:
+		case what := <-l.inbox:
 			what()
 			continue
 		default:
 		}
 		break
 	}
-	for len(m.timers) > 0 && m.timers[0].at <= m.now {
-		due := m.timers[0]
-		m.timers = m.timers[1:]
-		if due.tag == coordinatorTag {
-			m.fleet.tick(m.now)
+	for len(l.timers) > 0 && l.timers[0].at <= l.now {
+		due := l.timers[0]
+		l.timers = l.timers[1:]
+		if due.tag == coordinatorTimer {
+			l.ownership.renew(l.now)
 			continue
 		}
-		m.control.TimerFired(due.tag)
+		l.decisions.TimerFired(due.tag)
 	}
-	m.findSilent()
-	defer m.forget()
-	sends, edition := (*peer).send, uint64(0)
-	if m.fleet != nil {
-		m.fleet.recordTableChanges()
-		sends, edition = m.fleet.send, m.fleet.coordinator.Revision()
+	l.dropSilentProxies()
+	defer l.forgetRemovedBackends()
+	sends, edition := (*connection).send, uint64(0)
+	if l.ownership != nil {
+		l.ownership.recordTableChanges()
+		sends, edition = l.ownership.send, l.ownership.coordinator.Revision()
 	}
-	var one *mark
-	m.flush(sends, m.dropProxy, func(proxy, number int) {
+	var one *pendingAck
+	l.flush(sends, l.dropProxy, func(proxy, number int) {
 		if one == nil {
-			one = &mark{number: number, edition: edition, due: m.now + m.control.QueueDelay()}
+			one = &pendingAck{nonce: number, edition: edition, sentBy: l.now + l.decisions.QueueDelay()}
 		}
-		j := m.joins[proxy]
-		if m.fleet != nil && j.bound == nil && !j.whole && !slices.Contains(m.at(proxy).bound, unbound) {
-			j.bound = one
+		j := l.sessions[proxy]
+		if l.ownership != nil && j.firstComplete == nil && !j.complete && !slices.Contains(l.proxy(proxy).tables, unbound) {
+			j.firstComplete = one
 		}
-		if j.waiting = append(j.waiting, one); len(j.waiting) > m.limits.marks {
-			j.waiting = j.waiting[1:] // it talks, but answers nothing
+		if j.unacked = append(j.unacked, one); len(j.unacked) > l.limits.maxUnacked {
+			j.unacked = j.unacked[1:] // it talks, but answers nothing
 		}
 	})
 }
 
-// forget ends what is kept of backends that are gone for long. Nothing on its way names them by their index.
-func (m *module) forget() {
-	many := m.backends.sweep(m.now, m.limits.gone, func(backend int) bool {
-		gone := m.tables.forget(backend, func() bool { return m.control.ForgetBackend(backend) })
-		if gone && m.fleet != nil {
-			m.fleet.evidence.ForgetBackend(m.backends.ids[backend])
+// forgetRemovedBackends ends what is kept of backends that are gone for long. Nothing on its way names them by their index.
+func (l *eventLoop) forgetRemovedBackends() {
+	many := l.backends.sweep(l.now, l.limits.forgetAfter, func(backend int) bool {
+		gone := l.tables.forget(backend, func() bool { return l.decisions.ForgetBackend(backend) })
+		if gone && l.ownership != nil {
+			l.ownership.evidence.ForgetBackend(l.backends.ids[backend])
 		}
 		return gone
 	})
 	if many > 0 {
-		m.log.say("forgotten", "backends", many, "kept", len(m.backends.index))
+		l.log.say("forgotten", "backends", many, "kept", len(l.backends.index))
 	}
 }
 
 // Now is the clock time of this turn.
-func (m *module) Now() int64 { return m.now }
+func (l *eventLoop) Now() int64 { return l.now }
 
 // SetTimer has Elapsed called after a while.
-func (m *module) SetTimer(wait int64, tag uint64) {
-	t := timer{m.now + max(wait, 1), tag}
-	at, _ := slices.BinarySearchFunc(m.timers, t, func(a, b timer) int {
+func (l *eventLoop) SetTimer(wait int64, tag uint64) {
+	t := timer{l.now + max(wait, 1), tag}
+	at, _ := slices.BinarySearchFunc(l.timers, t, func(a, b timer) int {
 		if a.at > b.at {
 			return 1
 		}
 		return -1
 	})
-	m.timers = slices.Insert(m.timers, at, t)
+	l.timers = slices.Insert(l.timers, at, t)
 }
 
 // Log writes a change of mode, with the id of the backend that it is about as staff know it.
-func (m *module) Log(backend int, line string) {
+func (l *eventLoop) Log(backend int, line string) {
 	if backend < 0 {
-		m.log.say("decision", "text", line)
+		l.log.say("decision", "text", line)
 		return
 	}
-	m.log.say("decision", "backend", m.backends.ids[backend], "text", line)
+	l.log.say("decision", "backend", l.backends.ids[backend], "text", line)
 }
 
 // PollEndpoints has the list ask now, if it waits after a failed call. It is followed all the time, as asking costs
 // discovery nothing here.
-func (m *module) PollEndpoints() { m.list.wake() }
+func (l *eventLoop) PollEndpoints() { l.watcher.wake() }
 
 // CheckHealth is not called: on sockets no page says how backends are probed, so the decisions are told they may not.
-func (m *module) CheckHealth(int) {}
+func (l *eventLoop) CheckHealth(int) {}
 
-func (m *module) zoneName(zone int) string {
-	if zone < 0 || zone >= len(m.zoneNames) {
+func (l *eventLoop) zoneName(zone int) string {
+	if zone < 0 || zone >= len(l.zoneNames) {
 		return ""
 	}
-	return m.zoneNames[zone]
+	return l.zoneNames[zone]
 }
 
-// listed takes in the list, whole or what changed.
-func (m *module) listed(whole bool, version int64, servers []*fastjson.Value) {
+// endpointsUpdated takes in the list, whole or what changed.
+func (l *eventLoop) endpointsUpdated(whole bool, version int64, servers []*fastjson.Value) {
 	entries := make([]balancer.Endpoint, 0, len(servers))
 	there := map[int]bool{}
 	for _, server := range servers {
-		if e, ok := m.entry(server); ok {
-			entries, there[e.Backend] = m.merged(entries, e), e.State != balancer.Removed
+		if e, ok := l.decodeEndpoint(server); ok {
+			entries, there[e.Backend] = l.withOverrides(entries, e), e.State != balancer.Removed
 		}
 	}
-	if whole && m.overrides != nil {
-		m.overrides.dropped(there)
+	if whole && l.overrides != nil {
+		l.overrides.noteUnlisted(there)
 	}
-	for backend, since := range m.backends.gone {
+	for backend, since := range l.backends.removedAt {
 		switch here, named := there[backend]; {
 		case here:
-			m.backends.gone[backend] = 0
+			l.backends.removedAt[backend] = 0
 		case since == 0 && (named || whole):
-			m.backends.gone[backend] = m.now
+			l.backends.removedAt[backend] = l.now
 		}
 	}
-	m.log.say("list", "version", version, "whole", whole, "entries", len(entries))
-	m.control.EndpointsUpdated(whole, entries)
+	l.log.say("list", "version", version, "whole", whole, "entries", len(entries))
+	l.decisions.EndpointsUpdated(whole, entries)
 	if len(entries) > 0 {
-		m.becomeReady("the list is known")
+		l.becomeReady("the list is known")
 	}
 }
 
-// merged adds the entry of a backend to a list, with what distributed configuration says of it.
-func (m *module) merged(to []balancer.Endpoint, e balancer.Endpoint) []balancer.Endpoint {
-	if m.overrides == nil {
+// withOverrides adds the entry of a backend to a list, with what distributed configuration says of it.
+func (l *eventLoop) withOverrides(to []balancer.Endpoint, e balancer.Endpoint) []balancer.Endpoint {
+	if l.overrides == nil {
 		return append(to, e)
 	}
-	m.overrides.note(e)
-	return m.overrides.merged(to, m.backends.ids[e.Backend], e)
+	l.overrides.noteListed(e)
+	return l.overrides.merged(to, l.backends.ids[e.Backend], e)
 }
 
 // becomeReady has answers leave from now on. A controller that knows no backend orders nothing, and proxies go on with
 // what they hold, which is no worse than with none to connect to.
-func (m *module) becomeReady(why string) {
+func (l *eventLoop) becomeReady(why string) {
 	select {
-	case <-m.ready:
+	case <-l.ready:
 	default:
-		close(m.ready)
-		m.log.say("ready", "backends", len(m.backends.index), "why", why)
+		close(l.ready)
+		l.log.say("ready", "backends", len(l.backends.index), "why", why)
 	}
 }
 
-func (m *module) entry(server *fastjson.Value) (e balancer.Endpoint, ok bool) {
+func (l *eventLoop) decodeEndpoint(server *fastjson.Value) (e balancer.Endpoint, ok bool) {
 	id := server.GetStringBytes("id")
-	zone, there := m.zones[string(server.GetStringBytes("zone"))]
-	if len(id) == 0 || len(id) > m.limits.id || !there {
-		m.log.seldom("entry", "entry_skipped", "id", string(id[:min(len(id), m.limits.id)]), "why", "no usable id or zone")
+	zone, there := l.zoneIndex[string(server.GetStringBytes("zone"))]
+	if len(id) == 0 || len(id) > l.limits.maxIDBytes || !there {
+		l.log.seldom("entry", "entry_skipped", "id", string(id[:min(len(id), l.limits.maxIDBytes)]), "why", "no usable id or zone")
 		return e, false
 	}
 	condition := balancer.Draining // the careful reading of a word that we do not know
@@ -284,135 +284,135 @@
 	case "removed":
 		condition = balancer.Removed
 	default:
-		m.log.seldom("state", "entry_state", "id", string(id), "state", state, "taken", "draining")
+		l.log.seldom("state", "entry_state", "id", string(id), "state", state, "taken", "draining")
 	}
-	backend, ok := m.backends.take(string(id), server.Get("id").MarshalTo(nil), m.limits.backends)
+	backend, ok := l.backends.assign(string(id), server.Get("id").MarshalTo(nil), l.limits.maxBackends)
 	if !ok {
-		m.log.seldom("backends", "entry_skipped", "id", string(id), "why", "too many backends")
+		l.log.seldom("backends", "entry_skipped", "id", string(id), "why", "too many backends")
 		return e, false
 	}
-	weight, _ := figureAt(server, "weight")
-	began, _ := figureAt(server, "started_ms")
+	weight, _ := numberAt(server, "weight")
+	began, _ := numberAt(server, "started_ms")
 	return balancer.Endpoint{Backend: backend, State: condition, StartedAt: settings.Microseconds(began), Weight: weight,
 		Zone: zone}, true
 }
 
-// joined takes a proxy's stream. A newer one replaces the old, whose end then says nothing.
-func (m *module) joined(p *peer, usual float64, keeps bool) {
-	for len(m.joins) <= p.node {
-		m.joins = append(m.joins, nil)
+// proxyConnected takes a proxy's stream. A newer one replaces the old, whose end then says nothing.
+func (l *eventLoop) proxyConnected(p *connection, usual float64, keeps bool) {
+	for len(l.sessions) <= p.proxy {
+		l.sessions = append(l.sessions, nil)
 	}
-	if old := m.joins[p.node]; old != nil && old.peer.serial > p.serial {
-		p.end(errStale) // its first words were under way for longer than the next stream took
+	if old := l.sessions[p.proxy]; old != nil && old.conn.sequence > p.sequence {
+		p.close(errSuperseded) // its first words were under way for longer than the next stream took
 		return
 	} else if old != nil {
-		m.removeStream(p.node)
-		old.peer.end(errReplaced)
+		l.removeSession(p.proxy)
+		old.conn.close(errReplaced)
 	}
-	m.log.seldom(fmt.Sprint("joined ", p.node), "joined", "node", p.node, "zone", m.zoneName(p.zone),
+	l.log.seldom(fmt.Sprint("joined ", p.proxy), "joined", "node", p.proxy, "zone", l.zoneName(p.zone),
 		"usual", figured(usual, 1), "keeps", keeps, "peer", p.conn.RemoteAddr())
-	m.joins[p.node] = &join{peer: p}
-	s := m.join(p.node, p, keeps)
-	if m.fleet != nil {
-		s.unowned, s.fenced = true, p.fenced
-		m.fleet.proxyJoined(p.node, pendingJoin{p.zone, usual, keeps})
+	l.sessions[p.proxy] = &session{conn: p}
+	s := l.connect(p.proxy, p, keeps)
+	if l.ownership != nil {
+		s.unowned, s.wantsToken = true, p.wantsToken
+		l.ownership.proxyJoined(p.proxy, pendingProxy{p.zone, usual, keeps})
 		return
 	}
-	m.control.ProxyConnected(p.node, p.zone, usual, keeps)
+	l.decisions.ProxyConnected(p.proxy, p.zone, usual, keeps)
 }
 
-func (m *module) current(p *peer) bool {
-	return p.node < len(m.joins) && m.joins[p.node] != nil && m.joins[p.node].peer == p
+func (l *eventLoop) isCurrent(p *connection) bool {
+	return p.proxy < len(l.sessions) && l.sessions[p.proxy] != nil && l.sessions[p.proxy].conn == p
 }
 
-// left takes the end of a stream, unless another has replaced it.
-func (m *module) left(p *peer) {
-	if m.current(p) {
-		m.log.seldom(fmt.Sprint("left ", p.node), "left", "node", p.node, "why", p.why)
-		m.removeStream(p.node)
+// proxyDisconnected takes the end of a stream, unless another has replaced it.
+func (l *eventLoop) proxyDisconnected(p *connection) {
+	if l.isCurrent(p) {
+		l.log.seldom(fmt.Sprint("left ", p.proxy), "left", "node", p.proxy, "why", p.closeReason)
+		l.removeSession(p.proxy)
 	}
 }
 
 // dropProxy ends the stream of a proxy that cannot be reached.
-func (m *module) dropProxy(node int, err error) {
-	if p := m.joins[node].peer; err != errEnded {
-		m.log.say("lost", "node", node, "why", err)
-		p.end(err)
+func (l *eventLoop) dropProxy(node int, err error) {
+	if p := l.sessions[node].conn; err != errClosed {
+		l.log.say("lost", "node", node, "why", err)
+		p.close(err)
 	}
-	m.removeStream(node)
+	l.removeSession(node)
 }
 
-// removeStream ends what is kept of a proxy's stream.
-func (m *module) removeStream(node int) {
-	m.joins[node] = nil
-	m.leave(node)
-	if m.fleet == nil || m.fleet.proxyLeft(node) {
-		m.control.ProxyDisconnected(node)
+// removeSession ends what is kept of a proxy's stream.
+func (l *eventLoop) removeSession(node int) {
+	l.sessions[node] = nil
+	l.disconnect(node)
+	if l.ownership == nil || l.ownership.proxyLeft(node) {
+		l.decisions.ProxyDisconnected(node)
 	}
 }
 
-// findSilent ends streams that are half-open. They say nothing and cannot be told from quiet ones but by marks that
+// dropSilentProxies ends streams that are half-open. They say nothing and cannot be told from quiet ones but by marks that
 // stay unanswered, so both are asked for.
 // Messages leave the channel one by one, so time counts from when all that waits can have left.
 // Where other proxies have answered the same mark, less time will do. While we stood still ourselves we heard nobody,
 // which says nothing of them.
-func (m *module) findSilent() {
-	for node, j := range m.joins {
-		if j == nil || len(j.waiting) == 0 {
+func (l *eventLoop) dropSilentProxies() {
+	for node, j := range l.sessions {
+		if j == nil || len(j.unacked) == 0 {
 			continue
 		}
-		oldest, unheard := j.waiting[0], m.now-max(j.peer.heard.Load(), m.stood)
-		if min(m.now-oldest.due, unheard) > m.limits.silence ||
-			oldest.answered > 0 && min(m.now-oldest.answered, unheard) > m.limits.lag {
-			m.dropProxy(node, errSilent)
+		oldest, unheard := j.unacked[0], l.now-max(j.conn.lastHeard.Load(), l.stalledAt)
+		if min(l.now-oldest.sentBy, unheard) > l.limits.silenceTimeout ||
+			oldest.firstAnsweredAt > 0 && min(l.now-oldest.firstAnsweredAt, unheard) > l.limits.ackLagTimeout {
+			l.dropProxy(node, errSilent)
 		}
 	}
 }
 
-// applied takes a mark that came back. From a stream that has been replaced it says nothing.
-func (m *module) applied(p *peer, number int) {
-	if !m.current(p) {
+// acknowledged takes a mark that came back. From a stream that has been replaced it says nothing.
+func (l *eventLoop) acknowledged(p *connection, number int) {
+	if !l.isCurrent(p) {
 		return
 	}
-	j := m.joins[p.node]
-	at := slices.IndexFunc(j.waiting, func(w *mark) bool { return w.number == number })
+	j := l.sessions[p.proxy]
+	at := slices.IndexFunc(j.unacked, func(w *pendingAck) bool { return w.nonce == number })
 	if at < 0 {
-		m.log.seldom("mark", "mark_unknown", "node", p.node, "mark", number)
+		l.log.seldom("mark", "mark_unknown", "node", p.proxy, "mark", number)
 		return
 	}
-	if j.waiting[at].answered == 0 {
-		j.waiting[at].answered = m.now
+	if j.unacked[at].firstAnsweredAt == 0 {
+		j.unacked[at].firstAnsweredAt = l.now
 	}
-	if m.fleet != nil {
-		j.whole = j.whole || slices.Contains(j.waiting[:at+1], j.bound)
-		if j.whole {
-			s := m.at(p.node)
-			m.fleet.coordinator.ProxyAcknowledged(p.node, j.waiting[at].edition, s.bound, s.cleared || !s.mayHoldWithdrawals)
+	if l.ownership != nil {
+		j.complete = j.complete || slices.Contains(j.unacked[:at+1], j.firstComplete)
+		if j.complete {
+			s := l.proxy(p.proxy)
+			l.ownership.coordinator.ProxyAcknowledged(p.proxy, j.unacked[at].edition, s.tables, s.cleared || !s.mayHoldWithdrawals)
 		}
 	}
-	j.waiting = slices.Delete(j.waiting, 0, at+1)
-	m.control.Acknowledged(p.node, number)
+	j.unacked = slices.Delete(j.unacked, 0, at+1)
+	l.decisions.Acknowledged(p.proxy, number)
 }
 
-// addOutcomes takes in what the proxies of a zone met at a backend.
-func (m *module) addOutcomes(id string, tries, failed int, mean, span int64, load balancer.BackendLoad) {
-	backend, ok := m.backends.index[id]
+// outcomesReported takes in what the proxies of a zone met at a backend.
+func (l *eventLoop) outcomesReported(id string, tries, failed int, mean, span int64, load balancer.BackendLoad) {
+	backend, ok := l.backends.index[id]
 	if !ok {
-		m.log.seldom("unlisted", "report_unlisted", "id", id[:min(len(id), m.limits.id)])
+		l.log.seldom("unlisted", "report_unlisted", "id", id[:min(len(id), l.limits.maxIDBytes)])
 		return
 	}
-	m.control.OutcomesReported(backend, tries, failed, mean, span, load)
-	if m.fleet != nil {
-		m.fleet.evidence.AddOutcomes(id, tries, failed, mean, span)
+	l.decisions.OutcomesReported(backend, tries, failed, mean, span, load)
+	if l.ownership != nil {
+		l.ownership.evidence.AddOutcomes(id, tries, failed, mean, span)
 	}
 }
 
-// addDemand takes in what came to a proxy.
-func (m *module) addDemand(node, class, count int, span int64) {
-	if node < len(m.joins) && m.joins[node] != nil && !m.at(node).unowned {
-		m.control.DemandReported(node, class, count, span)
-		if m.fleet != nil {
-			m.fleet.evidence.AddDemand(node, class, count, span)
+// demandReported takes in what came to a proxy.
+func (l *eventLoop) demandReported(node, class, count int, span int64) {
+	if node < len(l.sessions) && l.sessions[node] != nil && !l.proxy(node).unowned {
+		l.decisions.DemandReported(node, class, count, span)
+		if l.ownership != nil {
+			l.ownership.evidence.AddDemand(node, class, count, span)
 		}
 	}
 }
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -30,9 +30,9 @@
 		m, _ := begin(t)
 		p, h := joins(t, m, 1, 3, false), newHearer("read it", "write")
 		h.hears(t, p)
-		m.applied(p, h.tickets[0])
+		m.acknowledged(p, h.tickets[0])
 		news := fmt.Sprintf("[%s,%s,%s]", backendIs(0, "draining"), backendIs(1, "removed"), backendIs(2, "up"))
-		later(m, 5*second, func() { m.listed(false, 2, parsed(t, news).GetArray()) })
+		later(m, 5*microsPerSecond, func() { m.endpointsUpdated(false, 2, parsed(t, news).GetArray()) })
 		if h.hears(t, p); h.told != 2 || !slices.Equal(h.picks(0), []string{"s-2"}) {
 			t.Errorf("got %+v", h)
 		}
@@ -42,17 +42,17 @@
 		old, h := joins(t, m, 1, 0, false), newHearer("read it", "write")
 		h.hears(t, old)
 		p, h2 := joins(t, m, 2, 0, true), newHearer("read it", "write")
-		m.turn(func() { m.applied(old, h.tickets[0]); m.left(old) })
+		m.iterate(func() { m.acknowledged(old, h.tickets[0]); m.proxyDisconnected(old) })
 		h2.hears(t, p)
-		if !m.current(p) || old.send(nil) != errEnded || len(h2.picks(0)) != 2 {
-			t.Errorf("current %v, picks %v", m.current(p), h2.picks(0))
+		if !m.isCurrent(p) || old.send(nil) != errClosed || len(h2.picks(0)) != 2 {
+			t.Errorf("current %v, picks %v", m.isCurrent(p), h2.picks(0))
 		}
 		stale := joins(t, m, 1, 0, true)
-		if !m.current(p) || stale.send(nil) != errEnded {
+		if !m.isCurrent(p) || stale.send(nil) != errClosed {
 			t.Error("a hello that was under way for long took the stream's place")
 		}
-		m.turn(func() { p.end(io.EOF); m.left(p) })
-		if text, _ := said.read(); m.current(p) || !strings.Contains(text, `event=left node=0 why=EOF`) {
+		m.iterate(func() { p.close(io.EOF); m.proxyDisconnected(p) })
+		if text, _ := said.read(); m.isCurrent(p) || !strings.Contains(text, `event=left node=0 why=EOF`) {
 			t.Errorf("did not leave: %s", text)
 		}
 	})
@@ -61,43 +61,43 @@
 		gone, talks, quiet := joins(t, m, 1, 0, false), joins(t, m, 2, 1, false), joins(t, m, 3, 2, false)
 		h := newHearer("read it", "write")
 		h.hears(t, quiet)
-		m.turn(func() { m.applied(quiet, h.tickets[0]) })
-		later(m, m.limits.silence-second/2, func() {
-			talks.heard.Store(m.now)
-			m.addDemand(0, 0, 4, second) // through a collector: that says nothing of the stream
+		m.iterate(func() { m.acknowledged(quiet, h.tickets[0]) })
+		later(m, m.limits.silenceTimeout-microsPerSecond/2, func() {
+			talks.lastHeard.Store(m.now)
+			m.demandReported(0, 0, 4, microsPerSecond) // through a collector: that says nothing of the stream
 		})
-		if !m.current(gone) || !m.current(talks) {
+		if !m.isCurrent(gone) || !m.isCurrent(talks) {
 			t.Error("given up too early")
 		}
-		later(m, second, func() {})
-		if m.current(gone) || !m.current(talks) || !m.current(quiet) {
-			t.Errorf("gone %v, talks %v, quiet %v", m.current(gone), m.current(talks), m.current(quiet))
+		later(m, microsPerSecond, func() {})
+		if m.isCurrent(gone) || !m.isCurrent(talks) || !m.isCurrent(quiet) {
+			t.Errorf("gone %v, talks %v, quiet %v", m.isCurrent(gone), m.isCurrent(talks), m.isCurrent(quiet))
 		}
 	})
 	t.Run("a stream whose mark waits in the channel behind others is not half-open", func(t *testing.T) {
 		m, _ := begin(t)
 		p := joins(t, m, 1, 0, false)
-		one := *m.joins[0].waiting[0]
-		one.due += 30 * second // as where thousands join at once
-		m.joins[0].waiting[0] = &one
-		later(m, 20*second, func() {})
-		if !m.current(p) {
+		one := *m.sessions[0].unacked[0]
+		one.sentBy += 30 * microsPerSecond // as where thousands join at once
+		m.sessions[0].unacked[0] = &one
+		later(m, 20*microsPerSecond, func() {})
+		if !m.isCurrent(p) {
 			t.Error("given up while its mark waited")
 		}
-		later(m, 20*second, func() {})
-		if m.current(p) {
+		later(m, 20*microsPerSecond, func() {})
+		if m.isCurrent(p) {
 			t.Error("never given up")
 		}
 	})
 	t.Run("after standing still ourselves nobody is taken for silent", func(t *testing.T) {
 		m, said := begin(t)
 		p := joins(t, m, 1, 0, false)
-		jump(m, 2*m.limits.silence, func() {})
-		if !m.current(p) {
+		jump(m, 2*m.limits.silenceTimeout, func() {})
+		if !m.isCurrent(p) {
 			t.Error("given up before it could be heard")
 		}
-		later(m, m.limits.silence+second, func() {})
-		if m.current(p) {
+		later(m, m.limits.silenceTimeout+microsPerSecond, func() {})
+		if m.isCurrent(p) {
 			t.Error("never given up")
 		}
 		said.waits(t, "event=stood_still", 1)
@@ -107,28 +107,28 @@
 		gone, here := joins(t, m, 1, 0, false), joins(t, m, 2, 1, false)
 		h := newHearer("read it", "write")
 		h.hears(t, here)
-		m.turn(func() { m.applied(here, h.tickets[0]) })
-		later(m, 4*second, func() { m.listed(false, 2, parsed(t, "["+backendIs(0, "draining")+"]").GetArray()) })
+		m.iterate(func() { m.acknowledged(here, h.tickets[0]) })
+		later(m, 4*microsPerSecond, func() { m.endpointsUpdated(false, 2, parsed(t, "["+backendIs(0, "draining")+"]").GetArray()) })
 		h.hears(t, here)
-		first := m.joins[0].waiting[0].number
-		m.turn(func() { m.applied(here, h.tickets[len(h.tickets)-1]) })
-		m.joins[0].waiting = slices.DeleteFunc(m.joins[0].waiting, func(w *mark) bool { return w.number == first })
-		later(m, m.limits.lag+second/10, func() {})
-		if m.current(gone) || !m.current(here) {
-			t.Errorf("gone %v, here %v", m.current(gone), m.current(here))
+		first := m.sessions[0].unacked[0].nonce
+		m.iterate(func() { m.acknowledged(here, h.tickets[len(h.tickets)-1]) })
+		m.sessions[0].unacked = slices.DeleteFunc(m.sessions[0].unacked, func(w *pendingAck) bool { return w.nonce == first })
+		later(m, m.limits.ackLagTimeout+microsPerSecond/10, func() {})
+		if m.isCurrent(gone) || !m.isCurrent(here) {
+			t.Errorf("gone %v, here %v", m.isCurrent(gone), m.isCurrent(here))
 		}
 	})
 	t.Run("reports are given up when the mailbox is full, and the log says so", func(t *testing.T) {
 		m, said := begin(t)
-		for range m.limits.mailbox + 5 {
-			m.report(func() {})
+		for range m.limits.inboxSize + 5 {
+			m.tryPost(func() {})
 		}
 		said.waits(t, "event=report_dropped", 1)
-		for range m.limits.mailbox / m.limits.turn {
-			m.turn(func() {})
+		for range m.limits.inboxSize / m.limits.eventsPerIteration {
+			m.iterate(func() {})
 		}
-		if len(m.mail) > m.limits.turn {
-			t.Errorf("%d still wait", len(m.mail))
+		if len(m.inbox) > m.limits.eventsPerIteration {
+			t.Errorf("%d still wait", len(m.inbox))
 		}
 	})
 }
@@ -140,12 +140,12 @@
 	for version := 2; version < 60; version++ { // each backend is replaced by one under a new id
 		h.hears(t, p)
 		if n := len(h.tickets); n > 0 {
-			m.applied(p, h.tickets[n-1])
+			m.acknowledged(p, h.tickets[n-1])
 		}
 		news := fmt.Sprintf("[%s,%s]", backendIs(version, "up"), backendIs(version-2, "removed"))
-		later(m, 3*second, func() {
-			p.heard.Store(m.now)
-			m.listed(false, int64(version), parsed(t, news).GetArray())
+		later(m, 3*microsPerSecond, func() {
+			p.lastHeard.Store(m.now)
+			m.endpointsUpdated(false, int64(version), parsed(t, news).GetArray())
 		})
 	}
 	h.hears(t, p)
@@ -158,8 +158,8 @@
 	if _, known := m.backends.index["s-50"]; !known || m.backends.ids[first] == "s-0" {
 		t.Error("forgotten too soon, or not at all")
 	}
-	m.addOutcomes("s-0", 9, 9, 0, second, balancer.BackendLoad{}) // a late report says nothing of the one that has its index now
-	later(m, 3*second, func() { p.heard.Store(m.now) })
+	m.outcomesReported("s-0", 9, 9, 0, microsPerSecond, balancer.BackendLoad{}) // a late report says nothing of the one that has its index now
+	later(m, 3*microsPerSecond, func() { p.lastHeard.Store(m.now) })
 	h.hears(t, p)
 	if len(h.picks(0)) != 2 {
 		t.Errorf("picks %v", h.picks(0))
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -140,11 +140,11 @@
 }
 
 // hears applies what waits in a peer's mailbox.
-func (h *hearer) hears(t *testing.T, p *peer) {
+func (h *hearer) hears(t *testing.T, p *connection) {
 	t.Helper()
 	for {
 		select {
-		case raw := <-p.mailbox:
+		case raw := <-p.outbox:
 			if err := h.apply(raw); err != nil {
 				t.Fatal(err)
 			}
@@ -218,7 +218,7 @@
 }
 
 // begin makes a controller that nobody serves: the story takes its turns, and plays time.
-func begin(t *testing.T) (*module, *diary) {
+func begin(t *testing.T) (*eventLoop, *diary) {
 	t.Helper()
 	said := newDiary()
 	c, err := New(Identity{}, configuration("127.0.0.1:9", listing(1, true, backendIs(0, "up"), backendIs(1, "up"))),
@@ -226,10 +226,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := c.module.now
-	c.module.clock = func() int64 { return now }
-	c.module.turn(func() {})
-	return c.module, said
+	now := c.loop.now
+	c.loop.clock = func() int64 { return now }
+	c.loop.iterate(func() {})
+	return c.loop, said
 }
 
 func parsed(t *testing.T, text string) *fastjson.Value {
@@ -242,28 +242,28 @@
 }
 
 // later takes a turn after a while, and idle ones before it, as timers bring them.
-func later(m *module, wait int64, what func()) {
-	for ; wait > second/2; wait -= second / 2 {
-		jump(m, second/2, func() {})
+func later(m *eventLoop, wait int64, what func()) {
+	for ; wait > microsPerSecond/2; wait -= microsPerSecond / 2 {
+		jump(m, microsPerSecond/2, func() {})
 	}
 	jump(m, wait, what)
 }
 
 // jump takes a turn after a while in which we stood still.
-func jump(m *module, wait int64, what func()) {
+func jump(m *eventLoop, wait int64, what func()) {
 	now := m.now + wait
 	m.clock = func() int64 { return now }
-	m.turn(what)
+	m.iterate(what)
 }
 
 // joins has a proxy join on a connection that nobody reads.
-func joins(t *testing.T, m *module, serial, node int, keeps bool) *peer {
+func joins(t *testing.T, m *eventLoop, serial, node int, keeps bool) *connection {
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
-	p := newPeer(here, serial, m, func(*peer) error { return nil })
-	p.kind, p.node, p.zone = proxy, node, node%2
-	p.heard.Store(m.now)
-	m.turn(func() { m.joined(p, 10, keeps) })
+	p := newConnection(here, serial, m, func(*connection) error { return nil })
+	p.kind, p.proxy, p.zone = kindProxy, node, node%2
+	p.lastHeard.Store(m.now)
+	m.iterate(func() { m.proxyConnected(p, 10, keeps) })
 	return p
 }
 
--- a/controller/frame.go
+++ b/controller/frame.go
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// headSize is the length that stands before each message, most significant byte first.
-const headSize = 4
+// lengthSize is the length that stands before each message, most significant byte first.
+const lengthSize = 4
 
 // readFrame reads one message into a buffer. io.EOF means that the stream ended between messages. The buffer grows
 // with what arrives, so that a length that is only claimed costs no memory.
 func readFrame(r io.Reader, body *bytes.Buffer, most int) error {
-	var head [headSize]byte
+	var head [lengthSize]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if n > 0 {
 			return fmt.Errorf("cut off after %d bytes of a length: %w", n, err)
@@ -32,22 +32,22 @@
 	return nil
 }
 
-// closeFrame writes the length of the message that begins at from, where its head was left open.
-func closeFrame(b []byte, from int) {
-	binary.BigEndian.PutUint32(b[from:], uint32(len(b)-from-headSize))
+// putFrameLength writes the length of the message that begins at from, where its head was left open.
+func putFrameLength(b []byte, from int) {
+	binary.BigEndian.PutUint32(b[from:], uint32(len(b)-from-lengthSize))
 }
 
-// refusal is the last word to one that has not joined.
-func refusal(why error) []byte {
-	b := strconv.AppendQuoteToASCII(append(make([]byte, headSize), `{"msg":"error","reason":`...), cause(why))
+// errorMessage is the last word to one that has not joined.
+func errorMessage(why error) []byte {
+	b := strconv.AppendQuoteToASCII(append(make([]byte, lengthSize), `{"msg":"error","reason":`...), reasonOf(why))
 	b = append(b, '}')
-	closeFrame(b, 0)
+	putFrameLength(b, 0)
 	return b
 }
 
-// alive is the answer to a probe.
-var alive = func() []byte {
-	b := append(make([]byte, headSize), `{"msg":"alive"}`...)
-	closeFrame(b, 0)
+// aliveMessage is the answer to a probe.
+var aliveMessage = func() []byte {
+	b := append(make([]byte, lengthSize), `{"msg":"alive"}`...)
+	putFrameLength(b, 0)
 	return b
 }()
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -31,11 +31,11 @@
 			if before != "" {
 				first = framed(before)
 			}
-			p := newPeer(&told{Reader: bytes.NewReader(append(first, raw...))}, 1, m, func(*peer) error { return nil })
-			if err := p.read(); err == nil {
+			p := newConnection(&told{Reader: bytes.NewReader(append(first, raw...))}, 1, m, func(*connection) error { return nil })
+			if err := p.readMessages(); err == nil {
 				t.Fatal("bytes without an end")
 			}
-			m.turn(func() {})
+			m.iterate(func() {})
 		}
 	})
 }
@@ -54,11 +54,11 @@
 
 func (c *told) Close() error { return nil }
 
-func fuzzed(t *testing.T) *module {
+func fuzzed(t *testing.T) *eventLoop {
 	c, err := New(Identity{}, configuration("127.0.0.1:9", two), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.module.turn(func() {})
-	return c.module
+	c.loop.iterate(func() {})
+	return c.loop
 }
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -53,12 +53,12 @@
 			}
 			for i, to := range both {
 				written[i] = written[i][:0]
-				for _, s := range to.streams {
+				for _, s := range to.proxies {
 					if s != nil && i == 1 {
-						s.settled = false
+						s.reconciled = false
 					}
 				}
-				to.flush(func(_ *peer, message []byte) error {
+				to.flush(func(_ *connection, message []byte) error {
 					written[i] = append(written[i], message...)
 					return nil
 				}, func(proxy int, err error) { t.Fatal(proxy, err) }, func(int, int) {})
@@ -84,11 +84,11 @@
 					to.PublishEntry(0, backend, 1)
 				}
 				for proxy := range proxies {
-					to.join(proxy, nil, false)
+					to.connect(proxy, nil, false)
 					to.AssignTable(0, proxy, 0)
 				}
 				flush := func() {
-					to.flush(func(_ *peer, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
+					to.flush(func(_ *connection, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
 				}
 				flush()
 				b.ResetTimer()
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -10,7 +10,7 @@
 )
 
 // taken makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
-func taken(base ownership.KnownTable, brought map[string]float64) (*tables, *hearer, *peer) {
+func taken(base ownership.KnownTable, brought map[string]float64) (*tables, *hearer, *connection) {
 	to := someTables(2)
 	h, p := heard(to, 0, false)
 	for class := range h.lines {
@@ -20,7 +20,7 @@
 	for b := range 10 {
 		to.PublishEntry(0, b, 1)
 	}
-	to.streams[0].base = []ownership.KnownTable{base, base}
+	to.proxies[0].base = []ownership.KnownTable{base, base}
 	return to, h, p
 }
 
@@ -74,7 +74,7 @@
 		to, h, p := taken(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
-		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || h.levels[0] != nil || to.wholes != 1 || to.deltas != 0 {
+		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || h.levels[0] != nil || to.fullTables != 1 || to.deltaTables != 0 {
 			t.Errorf("got %+v", h)
 		}
 	})
@@ -83,7 +83,7 @@
 		delete(h.lines[1], "s-4")
 		less := quoted(ten)
 		delete(less, `"s-4"`)
-		to.streams[0].base[1] = ownership.KnownTable{Lines: less}
+		to.proxies[0].base[1] = ownership.KnownTable{Lines: less}
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
 		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -23,49 +23,49 @@
 
 // overrides are what distributed entries say of backends, over discovery's word, and of classes. They belong to the module.
 type overrides struct {
-	limits  map[string]map[distribution.Key]float64 // by class, requests a second
-	drains  map[string]map[distribution.Key]int64   // by backend, when the entries that drain it were accepted, Unix µs
-	weights map[string]map[distribution.Key]written // by backend
-	listed  []balancer.Endpoint                     // by index, as discovery has it; an index that is given anew is listed anew
+	limits  map[string]map[distribution.Key]float64        // by class, requests a second
+	drains  map[string]map[distribution.Key]int64          // by backend, when the entries that drain it were accepted, Unix µs
+	weights map[string]map[distribution.Key]weightOverride // by backend
+	listed  []balancer.Endpoint                            // by index, as discovery has it; an index that is given anew is listed anew
 }
 
-// written is a weight and the revision that set it.
-type written struct {
+// weightOverride is a weight and the revision that set it.
+type weightOverride struct {
 	weight   float64
 	revision uint64
 }
 
 func newOverrides() *overrides {
-	return &overrides{drains: map[string]map[distribution.Key]int64{}, weights: map[string]map[distribution.Key]written{},
+	return &overrides{drains: map[string]map[distribution.Key]int64{}, weights: map[string]map[distribution.Key]weightOverride{},
 		limits: map[string]map[distribution.Key]float64{}}
 }
 
 // subject is what an entry is about: a backend, or a class, or for others neither.
 type subject struct{ backend, class string }
 
-// put takes an entry in; it gives what the decisions have to hear of anew. False: the entry makes no sense, and counts as if it
+// apply takes an entry in; it gives what the decisions have to hear of anew. False: the entry makes no sense, and counts as if it
 // were not there.
-func (o *overrides) put(e distribution.Entry) (changed subject, ok bool) {
+func (o *overrides) apply(e distribution.Entry) (changed subject, ok bool) {
 	kind, about, _ := strings.Cut(e.Name, kindSeparator)
 	switch kind {
 	case kindDrain:
-		ok = e.Deleted || string(e.Value) == drained
-		set(o.drains, about, e.Key(), e.AcceptedAt, ok && !e.Deleted)
+		ok = e.Deleted || string(e.Value) == drainValue
+		setOverride(o.drains, about, e.Key(), e.AcceptedAt, ok && !e.Deleted)
 		return subject{backend: about}, ok
 	case kindWeight:
-		weight, usable := usableWeight(string(e.Value))
-		set(o.weights, about, e.Key(), written{weight, e.Revision}, usable && !e.Deleted)
+		weight, usable := parseWeight(string(e.Value))
+		setOverride(o.weights, about, e.Key(), weightOverride{weight, e.Revision}, usable && !e.Deleted)
 		return subject{backend: about}, usable || e.Deleted
 	case kindLimit:
-		limit, usable := usableLimit(string(e.Value))
-		set(o.limits, about, e.Key(), limit, usable && !e.Deleted)
+		limit, usable := parseLimit(string(e.Value))
+		setOverride(o.limits, about, e.Key(), limit, usable && !e.Deleted)
 		return subject{class: about}, usable || e.Deleted
 	}
 	return subject{}, true
 }
 
-// set keeps what a key says of a backend, or forgets it.
-func set[T any](by map[string]map[distribution.Key]T, backend string, key distribution.Key, value T, stands bool) {
+// setOverride keeps what a key says of a backend, or forgets it.
+func setOverride[T any](by map[string]map[distribution.Key]T, backend string, key distribution.Key, value T, stands bool) {
 	switch {
 	case !stands:
 		if delete(by[backend], key); len(by[backend]) == 0 {
@@ -78,23 +78,23 @@
 	}
 }
 
-// drained is the one value of a drain.
-const drained = "true"
+// drainValue is the one value of a drain.
+const drainValue = "true"
 
-// mostWeight is beyond what a list can mean.
-const mostWeight = 1e6
+// maxWeight is beyond what a list can mean.
+const maxWeight = 1e6
 
-func usableWeight(text string) (float64, bool) {
+func parseWeight(text string) (float64, bool) {
 	weight, err := strconv.ParseFloat(text, 64)
-	return weight, err == nil && weight > 0 && weight <= mostWeight
+	return weight, err == nil && weight > 0 && weight <= maxWeight
 }
 
-// leastLimit stands for a limit of 0, as 0 is none at all for the decisions: they let little through then, to hear of it.
-const leastLimit = 1e-9
+// minLimit stands for a limit of 0, as 0 is none at all for the decisions: they let little through then, to hear of it.
+const minLimit = 1e-9
 
-func usableLimit(text string) (float64, bool) {
+func parseLimit(text string) (float64, bool) {
 	limit, err := strconv.ParseFloat(text, 64)
-	return max(limit, leastLimit), err == nil && limit >= 0 && !math.IsInf(limit, 1)
+	return max(limit, minLimit), err == nil && limit >= 0 && !math.IsInf(limit, 1)
 }
 
 // limitOf is the least limit that stands for a class; 0 where there is none.
@@ -119,13 +119,13 @@
 		changed = append(changed, subject{class: class})
 	}
 	o.limits = map[string]map[distribution.Key]float64{}
-	o.drains, o.weights = map[string]map[distribution.Key]int64{}, map[string]map[distribution.Key]written{}
+	o.drains, o.weights = map[string]map[distribution.Key]int64{}, map[string]map[distribution.Key]weightOverride{}
 	return changed
 }
 
 // weightOf is the weight that stands for a backend: of several scopes' the one that was set last.
 func (o *overrides) weightOf(backend string) (weight float64, ok bool) {
-	var last written
+	var last weightOverride
 	for _, w := range o.weights[backend] {
 		if w.revision > last.revision || w.revision == last.revision && w.weight < last.weight || !ok {
 			last, ok = w, true
@@ -144,16 +144,16 @@
 	return since
 }
 
-// note keeps what discovery says of a backend.
-func (o *overrides) note(e balancer.Endpoint) {
+// noteListed keeps what discovery says of a backend.
+func (o *overrides) noteListed(e balancer.Endpoint) {
 	for len(o.listed) <= e.Backend {
 		o.listed = append(o.listed, balancer.Endpoint{})
 	}
 	o.listed[e.Backend] = e
 }
 
-// dropped notes those that a whole list lacks.
-func (o *overrides) dropped(listed map[int]bool) {
+// noteUnlisted notes those that a whole list lacks.
+func (o *overrides) noteUnlisted(listed map[int]bool) {
 	for backend := range o.listed {
 		if _, named := listed[backend]; !named {
 			o.listed[backend].State = balancer.Removed
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -26,7 +26,7 @@
 	}
 	puts := func(e distribution.Entry, usable bool) {
 		t.Helper()
-		if _, ok := o.put(e); ok != usable {
+		if _, ok := o.apply(e); ok != usable {
 			t.Errorf("%+v: usable %v", e, ok)
 		}
 	}
@@ -91,7 +91,7 @@
 	puts(said("limit/read it", "7", 9), true)
 	lower := said("limit/read it", "0", 10)
 	lower.Scope = "orders"
-	if puts(lower, true); o.limitOf("read it") != leastLimit {
+	if puts(lower, true); o.limitOf("read it") != minLimit {
 		t.Errorf("of 7 and 0 the limit is %v", o.limitOf("read it"))
 	}
 	lower.Deleted = true
@@ -117,64 +117,64 @@
 }
 
 // picks takes what a proxy was told, and gives what it can pick.
-func (h *hearer) heardPicks(t *testing.T, p *peer) []string {
+func (h *hearer) heardPicks(t *testing.T, p *connection) []string {
 	t.Helper()
 	h.hears(t, p)
 	return h.picks(0)
 }
 
 func TestDistributedEntries(t *testing.T) {
-	begins := func(t *testing.T) (*module, *hearer, *peer) {
+	begins := func(t *testing.T) (*eventLoop, *hearer, *connection) {
 		m, _ := begin(t)
 		m.overrides = newOverrides()
-		m.turn(func() {
-			m.listed(true, 2, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
+		m.iterate(func() {
+			m.endpointsUpdated(true, 2, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
 		})
 		p, h := joins(t, m, 1, 0, false), newHearer("read it", "write")
 		if got := h.heardPicks(t, p); len(got) != 2 {
 			t.Fatalf("picks %v", got)
 		}
-		m.turn(func() { m.applied(p, h.tickets[len(h.tickets)-1]) })
+		m.iterate(func() { m.acknowledged(p, h.tickets[len(h.tickets)-1]) })
 		return m, h, p
 	}
-	without := func(t *testing.T, m *module, h *hearer, p *peer, id string) {
+	without := func(t *testing.T, m *eventLoop, h *hearer, p *connection, id string) {
 		t.Helper()
-		later(m, 2*second, func() {})
+		later(m, 2*microsPerSecond, func() {})
 		if got := h.heardPicks(t, p); slices.Contains(got, id) {
 			t.Errorf("picks %v", got)
 		}
 	}
 	t.Run("a drain takes a backend out, and its end brings it back", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
+		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
-		m.turn(func() { // whatever discovery says
-			m.listed(true, 3, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
+		m.iterate(func() { // whatever discovery says
+			m.endpointsUpdated(true, 3, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
 		})
 		without(t, m, h, p, "s-0")
-		m.turn(func() { m.configured(drainOf("s-0", 2, true), false) })
-		later(m, 5*second, func() {})
+		m.iterate(func() { m.applyDistributed(drainOf("s-0", 2, true), false) })
+		later(m, 5*microsPerSecond, func() {})
 		if got := h.heardPicks(t, p); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
 	t.Run("a drain counts for a backend that is listed later", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.turn(func() { m.configured(drainOf("s-2", 1, false), false) })
-		m.turn(func() { m.listed(false, 3, parsed(t, "["+backendIs(2, "up")+"]").GetArray()) })
+		m.iterate(func() { m.applyDistributed(drainOf("s-2", 1, false), false) })
+		m.iterate(func() { m.endpointsUpdated(false, 3, parsed(t, "["+backendIs(2, "up")+"]").GetArray()) })
 		without(t, m, h, p, "s-2")
 	})
 	t.Run("a drain of one that discovery has dropped takes it out", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.turn(func() { m.listed(true, 3, parsed(t, "["+backendIs(1, "up")+"]").GetArray()) })
-		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
+		m.iterate(func() { m.endpointsUpdated(true, 3, parsed(t, "["+backendIs(1, "up")+"]").GetArray()) })
+		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
-		later(m, m.limits.gone+2*second, func() {})
+		later(m, m.limits.forgetAfter+2*microsPerSecond, func() {})
 		if m.backends.ids[0] == "s-0" {
 			t.Error("it is never forgotten")
 		}
-		m.turn(func() { m.listed(false, 4, parsed(t, "["+backendIs(8, "up")+"]").GetArray()) })
-		later(m, 5*second, func() {})
+		m.iterate(func() { m.endpointsUpdated(false, 4, parsed(t, "["+backendIs(8, "up")+"]").GetArray()) })
+		later(m, 5*microsPerSecond, func() {})
 		next := newHearer("read it", "write")
 		if got := next.heardPicks(t, joins(t, m, 2, 1, false)); m.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
 			t.Errorf("the next that has its index is %s; picks %v", m.backends.ids[0], got)
@@ -182,34 +182,34 @@
 	})
 	t.Run("a whole configuration ends what it lacks", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.turn(func() { m.configured(drainOf("s-0", 1, false), false) })
+		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
-		m.turn(func() { m.configured(nil, true) })
-		later(m, 5*second, func() {})
+		m.iterate(func() { m.applyDistributed(nil, true) })
+		later(m, 5*microsPerSecond, func() {})
 		if got := h.heardPicks(t, p); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
 	t.Run("a limit of a class is told to the proxies, and its end", func(t *testing.T) {
 		m, h, p := begins(t)
-		index := m.classes["read it"]
+		index := m.classIndex["read it"]
 		comes := func() {
 			for range 8 {
-				m.control.DemandReported(0, index, 80, second)
-				later(m, second, func() {})
+				m.decisions.DemandReported(0, index, 80, microsPerSecond)
+				later(m, microsPerSecond, func() {})
 				h.hears(t, p)
-				m.turn(func() { m.applied(p, h.tickets[len(h.tickets)-1]) })
+				m.iterate(func() { m.acknowledged(p, h.tickets[len(h.tickets)-1]) })
 			}
 		}
 		comes()
-		m.turn(func() {
-			m.configured([]distribution.Entry{said("limit/read it", "8", 1), said("limit/tenant-17", "1", 1)}, false)
+		m.iterate(func() {
+			m.applyDistributed([]distribution.Entry{said("limit/read it", "8", 1), said("limit/tenant-17", "1", 1)}, false)
 		})
 		comes()
 		if len(h.levels[0]) == 0 || h.levels[0][0] <= 0 || h.levels[0][0] > 8.1 {
 			t.Errorf("levels %v", h.levels)
 		}
-		m.turn(func() { m.configured(nil, true) })
+		m.iterate(func() { m.applyDistributed(nil, true) })
 		comes()
 		if len(h.levels[0]) > 0 && h.levels[0][0] <= 80 {
 			t.Errorf("levels once it is over: %v", h.levels)
@@ -217,8 +217,8 @@
 	})
 	t.Run("a weight stands over the listed one", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.turn(func() { m.configured([]distribution.Entry{said("weight/s-0", "4", 1)}, false) })
-		later(m, 20*second, func() {})
+		m.iterate(func() { m.applyDistributed([]distribution.Entry{said("weight/s-0", "4", 1)}, false) })
+		later(m, 20*microsPerSecond, func() {})
 		h.hears(t, p)
 		if lines := h.lines[0]; lines["s-0"] <= lines["s-1"] {
 			t.Errorf("lines %v", lines)
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -23,117 +23,117 @@
 // Figures of sharing that follow from no setting: a lease must fit into the time in which a drain has to reach all
 // proxies, and an entry or two may be lost within it.
 const (
-	usualLease = 3 * second / 2
-	leaseParts = 8 // an entry is proposed this often in a lease at least
+	defaultLease     = 3 * microsPerSecond / 2
+	renewalsPerLease = 8 // an entry is proposed this often in a lease at least
 	// Of the messages to a proxy: its bind, what goes first to one that waits, a drain, and one more.
-	keptMessages = 4
-	uncounted    = 1 << 20 // messages that may go to a proxy where no setting limits them
+	reservedMessages  = 4
+	unlimitedMessages = 1 << 20 // messages that may go to a proxy where no setting limits them
 )
 
 // ShareOwnership has the controller share its fleet from Serve on. An error says what would do.
 func (c *Controller) ShareOwnership(with OwnershipConfig) error {
 	if with.Name == "" {
-		with.Name = c.plan.Name
+		with.Name = c.configuration.Name
 	}
-	m := c.module
-	terms := ownership.LeaseTerms{Duration: with.Lease, MessageWindow: c.plan.channel.MessageWindow + c.plan.channel.MaxLatency,
-		MaxMessages: c.plan.channel.MaxMessages, Members: len(with.Members), GuaranteedMessages: keptMessages}
+	m := c.loop
+	terms := ownership.LeaseTerms{Duration: with.Lease, MessageWindow: c.configuration.channel.MessageWindow + c.configuration.channel.MaxLatency,
+		MaxMessages: c.configuration.channel.MaxMessages, Members: len(with.Members), GuaranteedMessages: reservedMessages}
 	if terms.Duration == 0 {
-		terms.Duration = usualLease
+		terms.Duration = defaultLease
 	}
-	if terms.RenewInterval = terms.Duration / leaseParts; terms.RenewInterval < m.limits.tick.Microseconds() {
+	if terms.RenewInterval = terms.Duration / renewalsPerLease; terms.RenewInterval < m.limits.tick.Microseconds() {
 		return fmt.Errorf("lease: %d ms is too short for a tick of %s", terms.Duration/1000, m.limits.tick)
 	}
 	if terms.MaxMessages == 0 {
-		terms.MaxMessages = uncounted
+		terms.MaxMessages = unlimitedMessages
 	}
-	f := &fleet{module: m, pending: map[int]pendingJoin{}, evidence: ownership.NewEvidence(), terms: terms}
+	f := &ownershipHost{loop: m, pending: map[int]pendingProxy{}, evidence: ownership.NewEvidence(), terms: terms}
 	config := consensus.Config{Name: with.Name, Members: with.Members, Folder: with.Folder, Credentials: with.Credentials, Terms: terms}
 	votes := c.distributor != nil && c.distributor.carrier == nil
 	if votes {
-		config.Distribution = c.distributor.vote(consensus.Peer{Name: with.Name, Address: with.Members[with.Name]})
+		config.Distribution = c.distributor.becomeVoter(consensus.Peer{Name: with.Name, Address: with.Members[with.Name]})
 	}
 	var err error
-	if f.node, err = consensus.New(config, recordEvents{m, f}, c.log.to); err != nil {
+	if f.node, err = consensus.New(config, consensusEvents{m, f}, c.log.to); err != nil {
 		return err
 	}
 	if votes {
 		c.distributor.node = f.node
 	}
 	// What the decisions may send is our part of it.
-	channel := c.plan.channel
+	channel := c.configuration.channel
 	if channel.MaxMessages > 0 {
 		channel.MaxMessages = terms.UnownedQuota() + terms.OwnerQuota()
 	}
 	m.timers = nil // those of the decisions that were made to be alone
-	m.control = balancer.New(m, c.plan.seed, c.plan.classes, channel, c.plan.rules, balancer.Sharding{}, c.plan.sight,
-		c.plan.admit)
-	m.fleet, f.name = f, with.Name
+	m.decisions = balancer.New(m, c.configuration.seed, c.configuration.classes, channel, c.configuration.rules, balancer.Sharding{}, c.configuration.telemetry,
+		c.configuration.admissionMode)
+	m.ownership, f.name = f, with.Name
 	f.coordinator = ownership.New(f, with.Name, terms, m.now)
-	f.tick(m.now)
+	f.renew(m.now)
 	return nil
 }
 
-// recordEvents hands on to the module what becomes of the record.
-type recordEvents struct {
-	*module
-	fleet *fleet
+// consensusEvents hands on to the module what becomes of the record.
+type consensusEvents struct {
+	*eventLoop
+	host *ownershipHost
 }
 
-func (r recordEvents) EntryCommitted(e ownership.Entry) {
-	r.post(func() { r.fleet.coordinator.EntryApplied(e, r.now) })
+func (r consensusEvents) EntryCommitted(e ownership.Entry) {
+	r.post(func() { r.host.coordinator.EntryApplied(e, r.now) })
 }
 
-func (r recordEvents) SnapshotRestored(record *ownership.Record) {
-	r.post(func() { r.fleet.coordinator.SnapshotRestored(record, r.now) })
+func (r consensusEvents) SnapshotRestored(record *ownership.Record) {
+	r.post(func() { r.host.coordinator.SnapshotRestored(record, r.now) })
 }
 
-func (r recordEvents) ProposalCommitted(incarnation, seq uint64) {
-	r.post(func() { r.fleet.coordinator.ProposalCommitted(incarnation, seq, r.now) })
+func (r consensusEvents) ProposalCommitted(incarnation, seq uint64) {
+	r.post(func() { r.host.coordinator.ProposalCommitted(incarnation, seq, r.now) })
 }
 
-func (r recordEvents) ProposalFailed(incarnation, seq uint64) {
-	r.post(func() { r.fleet.coordinator.ProposalFailed(incarnation, seq, r.now) })
+func (r consensusEvents) ProposalFailed(incarnation, seq uint64) {
+	r.post(func() { r.host.coordinator.ProposalFailed(incarnation, seq, r.now) })
 }
 
-// fleet is the module's side of sharing: it joins the coordinator with the decisions, the tables and the streams.
-type fleet struct {
-	module      *module
+// ownershipHost is the module's side of sharing: it joins the coordinator with the decisions, the tables and the streams.
+type ownershipHost struct {
+	loop        *eventLoop
 	name        string
 	coordinator *ownership.Coordinator
 	node        *consensus.Node
 	terms       ownership.LeaseTerms
 
-	pending  map[int]pendingJoin // proxies that joined and are not granted yet
-	queued   []queuedMessage     // in their order
+	pending  map[int]pendingProxy // proxies that joined and are not granted yet
+	queued   []queuedMessage      // in their order
 	released uint64
 	evidence *ownership.Evidence
 }
 
-// pendingJoin is what the decisions are told of a proxy once it is granted.
-type pendingJoin struct {
-	zone  int
-	usual float64
-	keeps bool
+// pendingProxy is what the decisions are told of a proxy once it is granted.
+type pendingProxy struct {
+	zone               int
+	requestsPerSecond  float64
+	mayHoldWithdrawals bool
 }
 
 // queuedMessage is a message that waits until what it says stands on the record.
 type queuedMessage struct {
-	peer    *peer
+	conn    *connection
 	message []byte
 	edition uint64
 }
 
-// close gives our proxies away at a planned end: nothing is written any more, and the record says so before any of
+// handOver gives our proxies away at a planned end: nothing is written any more, and the record says so before any of
 // their streams ends, if it can be told soon.
-func (f *fleet) close() {
-	m := f.module
+func (h *ownershipHost) handOver() {
+	m := h.loop
 	m.now = max(m.clock(), m.now+1)
-	f.coordinator.Close(m.now)
-	late := time.After(m.limits.farewell)
-	for !f.coordinator.Closed() {
+	h.coordinator.Close(m.now)
+	late := time.After(m.limits.handOverTimeout)
+	for !h.coordinator.Closed() {
 		select {
-		case what := <-m.mail:
+		case what := <-m.inbox:
 			m.now = max(m.clock(), m.now+1)
 			what()
 		case <-late:
@@ -141,153 +141,153 @@
 			return
 		}
 	}
-	m.log.say("sharing", "closed", true, "owned", f.coordinator.Owned())
+	m.log.say("sharing", "closed", true, "owned", h.coordinator.Owned())
 }
 
 // tag of the coordinator's timer, which the decisions' is not.
-const coordinatorTag = 1<<64 - 1
+const coordinatorTimer = 1<<64 - 1
 
-func (f *fleet) tick(now int64) {
-	f.coordinator.Tick(now)
-	for node, j := range f.module.joins {
+func (h *ownershipHost) renew(now int64) {
+	h.coordinator.Tick(now)
+	for node, j := range h.loop.sessions {
 		if j != nil {
-			f.coordinator.ProxyHeardFrom(node, j.peer.heard.Load())
+			h.coordinator.ProxyHeardFrom(node, j.conn.lastHeard.Load())
 		}
 	}
-	f.shareEvidence(now)
-	f.module.SetTimer(f.terms.RenewInterval/2, coordinatorTag)
+	h.shareEvidence(now)
+	h.loop.SetTimer(h.terms.RenewInterval/2, coordinatorTimer)
 }
 
 // proxyJoined has a proxy wait until it is granted.
-func (f *fleet) proxyJoined(node int, a pendingJoin) {
-	f.pending[node] = a
-	f.coordinator.ProxyConnected(node, f.module.now)
+func (h *ownershipHost) proxyJoined(node int, a pendingProxy) {
+	h.pending[node] = a
+	h.coordinator.ProxyConnected(node, h.loop.now)
 }
 
 // proxyLeft forgets a proxy; it tells whether the decisions had it.
-func (f *fleet) proxyLeft(node int) bool {
-	_, waits := f.pending[node]
-	delete(f.pending, node)
-	f.evidence.ForgetProxy(node)
-	f.coordinator.ProxyDisconnected(node)
+func (h *ownershipHost) proxyLeft(node int) bool {
+	_, waits := h.pending[node]
+	delete(h.pending, node)
+	h.evidence.ForgetProxy(node)
+	h.coordinator.ProxyDisconnected(node)
 	return !waits
 }
 
 // ProxyGranted gives a proxy to the decisions.
-func (f *fleet) ProxyGranted(node int, token uint64, base []ownership.KnownTable, clean bool, came []float64, spent int) {
-	a, ok := f.pending[node]
+func (h *ownershipHost) ProxyGranted(node int, token uint64, base []ownership.KnownTable, clean bool, came []float64, spent int) {
+	a, ok := h.pending[node]
 	if !ok {
 		return
 	}
-	delete(f.pending, node)
-	s := f.module.at(node)
+	delete(h.pending, node)
+	s := h.loop.proxy(node)
 	s.unowned, s.base = false, base
 	if clean {
-		s.mayHoldWithdrawals, a.keeps = false, false
+		s.mayHoldWithdrawals, a.mayHoldWithdrawals = false, false
 	}
-	if s.fenced {
+	if s.wantsToken {
 		s.token = token
 	}
-	f.module.log.seldom("granted", "granted", "node", node, "token", token, "known", base != nil, "clean", clean,
+	h.loop.log.seldom("granted", "granted", "node", node, "token", token, "known", base != nil, "clean", clean,
 		"spent", spent)
-	f.module.control.MessagesSentByPeers(node, spent)
-	f.module.control.ProxyConnected(node, a.zone, a.usual, a.keeps)
-	f.module.control.SeedDemand(node, came)
+	h.loop.decisions.MessagesSentByPeers(node, spent)
+	h.loop.decisions.ProxyConnected(node, a.zone, a.requestsPerSecond, a.mayHoldWithdrawals)
+	h.loop.decisions.SeedDemand(node, came)
 }
 
 // PeerCapacityReported hands on what another member saw the fleet do.
-func (f *fleet) PeerCapacityReported(capacity ownership.Capacity) {
-	f.module.control.SeedThroughput(capacity.Proven, capacity.Able)
+func (h *ownershipHost) PeerCapacityReported(capacity ownership.Capacity) {
+	h.loop.decisions.SeedThroughput(capacity.Proven, capacity.Able)
 }
 
 // MessagesSentByPeers has the decisions write less to a proxy.
-func (f *fleet) MessagesSentByPeers(node, messages int) {
-	f.module.control.MessagesSentByPeers(node, messages)
+func (h *ownershipHost) MessagesSentByPeers(node, messages int) {
+	h.loop.decisions.MessagesSentByPeers(node, messages)
 }
 
 // Propose puts an entry on the record.
-func (f *fleet) Propose(e ownership.Entry) { f.node.Propose(e) }
+func (h *ownershipHost) Propose(e ownership.Entry) { h.node.Propose(e) }
 
 // ReleaseUpTo lets what waited leave.
-func (f *fleet) ReleaseUpTo(edition uint64) {
-	f.released = max(f.released, edition)
+func (h *ownershipHost) ReleaseUpTo(edition uint64) {
+	h.released = max(h.released, edition)
 	n := 0
-	for ; n < len(f.queued) && f.queued[n].edition <= f.released; n++ {
-		l := f.queued[n]
-		if !f.module.current(l.peer) {
+	for ; n < len(h.queued) && h.queued[n].edition <= h.released; n++ {
+		l := h.queued[n]
+		if !h.loop.isCurrent(l.conn) {
 			continue
 		}
-		if err := l.peer.send(l.message); err != nil {
-			f.module.dropProxy(l.peer.node, err)
+		if err := l.conn.send(l.message); err != nil {
+			h.loop.dropProxy(l.conn.proxy, err)
 		}
 	}
-	f.queued = slices.Delete(f.queued, 0, n)
+	h.queued = slices.Delete(h.queued, 0, n)
 }
 
 // send has a message leave, or wait behind others for the record.
-func (f *fleet) send(p *peer, message []byte) error {
-	if edition := f.coordinator.Revision(); len(f.queued) > 0 || edition > f.released {
-		f.queued = append(f.queued, queuedMessage{p, message, edition})
+func (h *ownershipHost) send(p *connection, message []byte) error {
+	if edition := h.coordinator.Revision(); len(h.queued) > 0 || edition > h.released {
+		h.queued = append(h.queued, queuedMessage{p, message, edition})
 		return nil
 	}
 	return p.send(message)
 }
 
 // recordTableChanges puts on the record what this turn has changed in our tables, before any of it is written.
-func (f *fleet) recordTableChanges() {
+func (h *ownershipHost) recordTableChanges() {
 	var changes []ownership.TableChange
-	for _, number := range slices.Sorted(maps.Keys(f.module.byNumber)) {
-		in := f.module.byNumber[number]
+	for _, number := range slices.Sorted(maps.Keys(h.loop.byNumber)) {
+		in := h.loop.byNumber[number]
 		if len(in.changed) == 0 {
 			continue
 		}
 		change := ownership.TableChange{Table: number}
 		for _, b := range in.changed {
-			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: in.weights[b]})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(h.loop.backendName(b)), Weight: in.weights[b]})
 		}
 		changes = append(changes, change)
 	}
-	if len(f.module.withdrawalChanges) > 0 {
+	if len(h.loop.withdrawalChanges) > 0 {
 		change := ownership.TableChange{Table: ownership.WithdrawnTable}
-		for _, b := range f.module.withdrawalChanges {
+		for _, b := range h.loop.withdrawalChanges {
 			shut := 0.
-			if f.module.withdrawn[b] {
+			if h.loop.withdrawn[b] {
 				shut = 1
 			}
-			change.Lines = append(change.Lines, ownership.Line{Backend: string(f.module.name(b)), Weight: shut})
+			change.Lines = append(change.Lines, ownership.Line{Backend: string(h.loop.backendName(b)), Weight: shut})
 		}
 		changes = append(changes, change)
 	}
 	if len(changes) > 0 {
-		f.coordinator.ChangeTables(changes, f.module.now)
+		h.coordinator.ChangeTables(changes, h.loop.now)
 	}
 }
 
 // shareEvidence puts on the record what our proxies met, which backends are withdrawn here, and what comes to whom.
-func (f *fleet) shareEvidence(now int64) {
-	for backend, id := range f.module.backends.ids {
+func (h *ownershipHost) shareEvidence(now int64) {
+	for backend, id := range h.loop.backends.ids {
 		if id != "" {
-			tries, failed, wait, away := f.module.control.Ejection(backend)
-			f.evidence.SetWithdrawn(id, away, tries, failed, wait)
+			tries, failed, wait, away := h.loop.decisions.Ejection(backend)
+			h.evidence.SetWithdrawn(id, away, tries, failed, wait)
 		}
 	}
-	proven, able := f.module.control.Throughput()
-	f.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
-	f.coordinator.AddEvidence(f.evidence, now)
+	proven, able := h.loop.decisions.Throughput()
+	h.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
+	h.coordinator.AddEvidence(h.evidence, now)
 }
 
 // PeerObservationReported hands on what another member's proxies met.
-func (f *fleet) PeerObservationReported(_ string, s ownership.Observation) {
-	if backend, ok := f.module.backends.index[s.Backend]; ok {
-		f.module.control.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
+func (h *ownershipHost) PeerObservationReported(_ string, s ownership.Observation) {
+	if backend, ok := h.loop.backends.index[s.Backend]; ok {
+		h.loop.decisions.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
 	}
 }
 
 // QuorumChanged logs that we go off the record, or are on it again.
-func (f *fleet) QuorumChanged(alone bool, why string) {
-	f.module.log.say("sharing", "alone", alone, "why", why, "owned", f.coordinator.Owned(),
-		"deltas", f.module.deltas, "wholes", f.module.wholes)
+func (h *ownershipHost) QuorumChanged(alone bool, why string) {
+	h.loop.log.say("sharing", "alone", alone, "why", why, "owned", h.coordinator.Owned(),
+		"deltas", h.loop.deltaTables, "wholes", h.loop.fullTables)
 }
 
 // RandomID names a new incarnation.
-func (f *fleet) RandomID() uint64 { return randomID() }
+func (h *ownershipHost) RandomID() uint64 { return randomID() }
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -16,7 +16,7 @@
 	address string
 	said    *diary
 	stop    func()
-	module  *module
+	module  *eventLoop
 }
 
 // confirmed waits until a member has it on the record that a proxy confirmed a table of its owner's.
@@ -26,7 +26,7 @@
 	for {
 		stands := make(chan bool, 1)
 		s.module.post(func() {
-			h := s.module.fleet.coordinator.Record().Proxies[node]
+			h := s.module.ownership.coordinator.Record().Proxies[node]
 			stands <- h.Owner == owner && h.Edition > 0
 		})
 		select {
@@ -73,7 +73,7 @@
 				t.Errorf("%s ended with %v", name, err)
 			}
 			ended <- nil
-		}, c.module}
+		}, c.loop}
 		t.Cleanup(s.stop)
 		t.Cleanup(func() {
 			if text, _ := said.read(); t.Failed() {
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -48,13 +48,13 @@
 				address = refusing(t)
 			}
 			at, said := serves(t, address, story.known, func(l *limits) {
-				if l.patience = patience; story.why == waited {
-					l.patience = 300 * time.Millisecond
+				if l.readyTimeout = patience; story.why == waited {
+					l.readyTimeout = 300 * time.Millisecond
 				}
 			})
 			c, p, h := calls(t, at), calls(t, at), newHearer("read it", "write")
 			c.says(probe) // it waits since before readiness
-			if got := string(c.gets()[headSize:]); got != isAlive {
+			if got := string(c.gets()[lengthSize:]); got != isAlive {
 				t.Errorf("answered %q", got)
 			}
 			said.waits(t, "event=ready", 1)
@@ -64,7 +64,7 @@
 			p.says(hello)
 			if story.picks == 0 { // nothing is ordered, and it is served
 				p.says(probe)
-				if got := string(p.gets()[headSize:]); got != isAlive {
+				if got := string(p.gets()[lengthSize:]); got != isAlive {
 					t.Errorf("got %q", got)
 				}
 				return
@@ -76,7 +76,7 @@
 	}
 	t.Run("the list that comes after readiness is ordered to who has joined meanwhile", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, "null", func(l *limits) { l.patience = time.Millisecond })
+		address, said := serves(t, d.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
 		p, h := calls(t, address), newHearer("read it", "write")
 		p.says(hello)
 		said.waits(t, "event=joined", 1)
@@ -133,7 +133,7 @@
 func TestQuietList(t *testing.T) {
 	// follows has a proxy joined that hears what the list says.
 	follows := func(t *testing.T, d *discovery, known string) (*caller, *hearer, *diary) {
-		address, said := serves(t, d.address, known, func(l *limits) { l.retryLeast, l.retryMost, l.logRepeat = 1, 1, 0 })
+		address, said := serves(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		p, h := calls(t, address), newHearer("read it", "write")
 		p.says(hello)
 		if err := h.apply(p.gets()); err != nil {
@@ -151,14 +151,14 @@
 	}
 	t.Run("an answer of the former address does not overrule the newer one", func(t *testing.T) {
 		taken := 0
-		l := newList("127.0.0.1:1", usualLimits(), newJournal(slog.New(slog.DiscardHandler), time.Second, 9),
+		l := newEndpointWatcher("127.0.0.1:1", defaultLimits(), newJournal(slog.New(slog.DiscardHandler), time.Second, 9),
 			func(bool, int64, []*fastjson.Value) { taken++ }, func() { taken++ })
 		body := listing(50, true, backendIs(0, "up"))
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		l.client.Dial = func(string) (net.Conn, error) {
 			return &handed{text: answer, then: func() { l.follow("127.0.0.1:2", nil) }}, nil
 		}
-		if err := l.watch(); !errors.Is(err, errMoved) || taken != 0 || l.hasVersion {
+		if err := l.poll(); !errors.Is(err, errMoved) || taken != 0 || l.hasVersion {
 			t.Errorf("error %v, taken %d times, version %d", err, taken, l.version)
 		}
 	})
@@ -205,7 +205,7 @@
 		for range calls {
 			d.answers <- listing(1, false)
 		}
-		serves(t, d.address, two, func(l *limits) { l.watch, l.retryLeast = patience, breath })
+		serves(t, d.address, two, func(l *limits) { l.watchWait, l.minBackoff = patience, breath })
 		for range calls {
 			<-d.asked
 		}
--- a/controller/reports_test.go
+++ b/controller/reports_test.go
@@ -14,11 +14,11 @@
 		for _, text := range texts {
 			raw = append(raw, framed(text)...)
 		}
-		p := newPeer(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*peer) error { return nil })
-		if err := p.read(); err != io.EOF {
+		p := newConnection(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
+		if err := p.readMessages(); err != io.EOF {
 			t.Errorf("the stream ended with %v", err)
 		}
-		return len(m.mail) - strings.Count(first, "hello")
+		return len(m.inbox) - strings.Count(first, "hello")
 	}
 	full := strings.Replace(reports, "41.7", `41.7,"metrics":{"util":0.5,"queue":2,"latency_ms":30}`, 1)
 	ack := `{"msg":"ack","node":3,"nonce":1,"latency":3.5}`
@@ -61,17 +61,17 @@
 		m, _ := begin(t)
 		for _, w := range []string{`"w":-1,"cold":true`, `"w":1e30,"cold":true`, `"w":"x","cold":true`, `"w":[],"cold":7`} {
 			h := newHearer("read it", "write")
-			p := newPeer(&told{Reader: bytes.NewReader(framed(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, m,
-				func(*peer) error { return nil })
-			p.read()
-			if m.turn(func() {}); !m.current(p) {
+			p := newConnection(&told{Reader: bytes.NewReader(framed(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, m,
+				func(*connection) error { return nil })
+			p.readMessages()
+			if m.iterate(func() {}); !m.isCurrent(p) {
 				t.Fatalf("%s: it has not joined", w)
 			}
 			if h.hears(t, p); len(h.picks(0)) != 2 {
 				t.Errorf("%s: picks %v", w, h.picks(0))
 			}
-			m.turn(func() { m.left(p) })
-			later(m, 5*second, func() {})
+			m.iterate(func() { m.proxyDisconnected(p) })
+			later(m, 5*microsPerSecond, func() {})
 		}
 	})
 }
--- a/controller/server.go
+++ b/controller/server.go
@@ -18,14 +18,14 @@
 // share of their own, of which the oldest make room once each has had a moment to speak, so that whoever speaks gets in.
 type server struct {
 	limits *limits
-	module *module
+	loop   *eventLoop
 	log    *journal
 
 	mutex        sync.Mutex
-	unidentified []*peer // the oldest first
-	identified   []*peer
+	unidentified []*connection // the oldest first
+	identified   []*connection
 	accepted     int
-	peers        sync.WaitGroup
+	running      sync.WaitGroup
 }
 
 // run accepts until the context ends, then ends every connection.
@@ -53,11 +53,11 @@
 			continue
 		}
 		s.accepted++
-		p := newPeer(conn, s.accepted, s.module, s.identify)
+		p := newConnection(conn, s.accepted, s.loop, s.identify)
 		s.mutex.Lock()
 		s.unidentified = append(s.unidentified, p)
 		s.mutex.Unlock()
-		s.peers.Go(func() {
+		s.running.Go(func() {
 			p.run()
 			s.remove(p)
 		})
@@ -82,7 +82,7 @@
 	if !ok {
 		return
 	}
-	tcp.SetDeadline(time.Now().Add(s.limits.finalRead))
+	tcp.SetDeadline(time.Now().Add(s.limits.finalReadTimeout))
 	for {
 		conn, err := tcp.Accept()
 		if err != nil {
@@ -104,7 +104,7 @@
 func (s *server) waitForRoom(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		s.mutex.Lock()
-		over := max(len(s.unidentified)+len(s.identified)-s.limits.conns, len(s.unidentified)-s.limits.unidentified) + 1
+		over := max(len(s.unidentified)+len(s.identified)-s.limits.maxConnections, len(s.unidentified)-s.limits.maxUnidentified) + 1
 		s.mutex.Unlock()
 		if over <= 0 {
 			return true
@@ -122,7 +122,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, p := range s.unidentified {
-		if count <= 0 || time.Since(p.acceptedAt) < s.limits.evictAfter {
+		if count <= 0 || time.Since(p.acceptedAt) < s.limits.minEvictAge {
 			return
 		}
 		if !p.evicted.Load() {
@@ -135,42 +135,42 @@
 // identify moves a peer to those that have identified themselves. A proxy's newer connection takes the place of the
 // older, and a collector too many of a zone that of the oldest, as they may be half-open; beyond the budget the newcomer
 // is the one to go.
-func (s *server) identify(p *peer) error {
+func (s *server) identify(p *connection) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	same := 1
 	for _, other := range slices.Backward(slices.Clone(s.identified)) {
-		if other.kind != p.kind || other.node != p.node || other.zone != p.zone && p.kind == collector {
+		if other.kind != p.kind || other.proxy != p.proxy || other.zone != p.zone && p.kind == kindCollector {
 			continue
 		}
-		if same++; p.kind == proxy && other.serial > p.serial {
-			return errStale // its first words were under way for longer than the next connection took
+		if same++; p.kind == kindProxy && other.sequence > p.sequence {
+			return errSuperseded // its first words were under way for longer than the next connection took
 		}
-		if p.kind == proxy || same > s.limits.perZone {
+		if p.kind == kindProxy || same > s.limits.collectorsPerZone {
 			s.identified = without(s.identified, other)
-			other.end(errReplaced)
+			other.close(errReplaced)
 		}
 	}
-	if len(s.identified) >= s.limits.lasting {
-		return errBudget
+	if len(s.identified) >= s.limits.maxIdentified {
+		return errNoRoom
 	}
 	s.unidentified, s.identified = without(s.unidentified, p), append(s.identified, p)
 	return nil
 }
 
-func (s *server) remove(p *peer) {
+func (s *server) remove(p *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
-	if p.kind == unidentified {
-		s.log.seldom("stranger "+rootCause(p.why), "stranger_ended", "peer", p.conn.RemoteAddr(), "why", p.why)
+	if p.kind == kindUnidentified {
+		s.log.seldom("stranger "+rootCause(p.closeReason), "stranger_ended", "peer", p.conn.RemoteAddr(), "why", p.closeReason)
 		return
 	}
 	s.log.seldom(p.kind.String()+" ended", "ended", "peer", p.conn.RemoteAddr(), "kind", p.kind,
-		"node", p.node, "zone", s.module.zoneName(p.zone), "why", p.why)
+		"node", p.proxy, "zone", s.loop.zoneName(p.zone), "why", p.closeReason)
 }
 
-func without(peers []*peer, p *peer) []*peer {
+func without(peers []*connection, p *connection) []*connection {
 	for i, other := range peers {
 		if other == p {
 			return append(peers[:i:i], peers[i+1:]...)
@@ -182,8 +182,8 @@
 func (s *server) closeAll() {
 	s.mutex.Lock()
 	for _, p := range append(s.unidentified, s.identified...) {
-		p.end(context.Canceled)
+		p.close(context.Canceled)
 	}
 	s.mutex.Unlock()
-	s.peers.Wait()
+	s.running.Wait()
 }
--- a/controller/server_test.go
+++ b/controller/server_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.limits.conns, c.limits.unidentified, c.limits.evictAfter = limit, limit-4, time.Millisecond
+	c.limits.maxConnections, c.limits.maxUnidentified, c.limits.minEvictAge = limit, limit-4, time.Millisecond
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,9 +53,9 @@
 	listener := &countingListener{TCPListener: tcp.(*net.TCPListener)}
 	ctx, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
-	parts.Go(func() { c.module.run(ctx) })
+	parts.Go(func() { c.loop.run(ctx) })
 	parts.Go(func() {
-		if err := (&server{limits: c.limits, module: c.module, log: c.log}).run(ctx, listener); err != nil {
+		if err := (&server{limits: c.limits, loop: c.loop, log: c.log}).run(ctx, listener); err != nil {
 			t.Error(err)
 		}
 	})
--- a/controller/serving_test.go
+++ b/controller/serving_test.go
@@ -26,10 +26,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.limits.watch, c.limits.watchOver = 50*time.Millisecond, time.Second
+	c.limits.watchWait, c.limits.watchMargin = 50*time.Millisecond, time.Second
 	if change != nil {
 		change(c.limits)
-		c.log.repeatEvery = c.limits.logRepeat
+		c.log.repeatEvery = c.limits.logRepeatInterval
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -25,7 +25,7 @@
 		}
 	})
 	t.Run("a discovery that takes no connection holds nothing up", func(t *testing.T) {
-		serves(t, deaf(t), two, func(l *limits) { l.dial = patience }) // and ends with the story
+		serves(t, deaf(t), two, func(l *limits) { l.dialTimeout = patience }) // and ends with the story
 	})
 	t.Run("a peer that reads nothing holds nothing up, and no order leaves that was not counted", func(t *testing.T) {
 		m, _ := begin(t)
@@ -33,7 +33,7 @@
 		here, there := net.Pipe()
 		short := &shortOf{Listener: &net.TCPListener{}, conns: []net.Conn{here}, done: ctx.Done()}
 		ended, ran := make(chan error, 1), make(chan struct{})
-		s := &server{limits: m.limits, module: m, log: m.log}
+		s := &server{limits: m.limits, loop: m, log: m.log}
 		go func() { defer close(ran); m.run(ctx) }()
 		go func() { ended <- s.run(ctx, short) }()
 		there.Write(framed(hello))
@@ -58,7 +58,7 @@
 		t.Run("of one with proxies, collectors, strangers and a reload under way", func(t *testing.T) {
 			d, next := discovers(t), discovers(t)
 			d.answers <- "silence"
-			c, address, _ := runs(t, d.address, two, func(l *limits) { l.watchOver = patience })
+			c, address, _ := runs(t, d.address, two, func(l *limits) { l.watchMargin = patience })
 			for node := range 5 {
 				p := calls(t, address)
 				p.says(helloOf(node))
--- a/controller/sockets_test.go
+++ b/controller/sockets_test.go
@@ -121,7 +121,7 @@
 		}
 	})
 	t.Run("a stranger has one deadline, whatever it says and however slowly", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin = 300 * time.Millisecond })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.identifyTimeout = 300 * time.Millisecond })
 		began, push := time.Now(), `{"msg":"push","out":["s-0"]}`
 		for what, bad := range map[string]string{"a report before it joined": string(framed(reports)),
 			"usage before it joined": string(framed(usage)), "a mark": string(framed(`{"msg":"ack","node":3,"nonce":1}`)),
@@ -155,17 +155,17 @@
 	})
 	t.Run("what arrived while we stood still is read before anybody is judged late", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.identifyWithin = time.Nanosecond
+		m.limits.identifyTimeout = time.Nanosecond
 		here, there := net.Pipe()
 		go there.Write(framed(hello))
-		p := newPeer(here, 1, m, func(*peer) error { there.Close(); return nil })
-		if p.read(); p.kind != proxy {
+		p := newConnection(here, 1, m, func(*connection) error { there.Close(); return nil })
+		if p.readMessages(); p.kind != kindProxy {
 			t.Errorf("it is a %v", p.kind)
 		}
 	})
 	t.Run("strangers that say nothing are ended, and keep nobody out", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, two, func(l *limits) { l.unidentified, l.identifyWithin = 10, 200*time.Millisecond })
+		address, said := serves(t, d.address, two, func(l *limits) { l.maxUnidentified, l.identifyTimeout = 10, 200*time.Millisecond })
 		p := calls(t, address)
 		p.says(hello)
 		p.gets()
@@ -196,19 +196,19 @@
 	})
 	t.Run("a peer that reads nothing ends when a message does not leave in time", func(t *testing.T) {
 		m, said := begin(t)
-		m.limits.write = 20 * time.Millisecond
+		m.limits.writeTimeout = 20 * time.Millisecond
 		p := joins(t, m, 1, 0, false) // its first table waits already
 		p.run()
-		if text, _ := said.read(); !strings.Contains(fmt.Sprint(p.why), "write: ") {
-			t.Errorf("ended by %v: %s", p.why, text)
+		if text, _ := said.read(); !strings.Contains(fmt.Sprint(p.closeReason), "write: ") {
+			t.Errorf("ended by %v: %s", p.closeReason, text)
 		}
-		m.turn(func() {})
-		if m.current(p) {
+		m.iterate(func() {})
+		if m.isCurrent(p) {
 			t.Error("it is still joined")
 		}
 	})
 	t.Run("while hundreds are silent, proxies that come back all at once take the places of their old streams", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.conns, l.lasting, l.unidentified = 48, 42, 48 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.maxConnections, l.maxIdentified, l.maxUnidentified = 48, 42, 48 })
 		var old, now []*caller
 		for round := range 2 {
 			for range 100 {
@@ -233,12 +233,12 @@
 				}
 			}
 		}
-		if text, _ := said.read(); strings.Contains(text, errBudget.Error()) {
+		if text, _ := said.read(); strings.Contains(text, errNoRoom.Error()) {
 			t.Error("one of them found no room")
 		}
 	})
 	t.Run("of a zone's collectors the newest stay, and beyond the budget nobody is taken", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.lasting = 4 })
+		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.maxIdentified = 4 })
 		var all []*caller
 		for range 3 {
 			c := calls(t, address)
@@ -267,7 +267,7 @@
 		defer here.Close()
 		short := &shortOf{Listener: &net.TCPListener{}, conns: []net.Conn{there, nil, nil}, done: ctx.Done()}
 		ended := make(chan error)
-		s := &server{limits: m.limits, module: m, log: m.log}
+		s := &server{limits: m.limits, loop: m, log: m.log}
 		go func() { ended <- s.run(ctx, short) }()
 		said.waits(t, "event=accept_failed", 1)
 		said.waits(t, "event=stranger_ended", 1)
--- a/controller/spoilt_test.go
+++ b/controller/spoilt_test.go
@@ -31,10 +31,10 @@
 				m, said := begin(t)
 				m.log.repeatEvery = 0
 				raw := append(append(framed(first), framed(text)...), framed(usage)...)
-				p := newPeer(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*peer) error { return nil })
-				err := p.read()
-				m.turn(func() {})
-				came, log := len(m.mail), said.text.String()
+				p := newConnection(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
+				err := p.readMessages()
+				m.iterate(func() {})
+				came, log := len(m.inbox), said.text.String()
 				switch object := fastjson.Validate(text) == nil && strings.HasPrefix(text, "{"); {
 				case !object && (!errors.Is(err, errUnreadable) || came != 0):
 					t.Errorf("%.60s: the stream went on: %v", text, err)
@@ -56,7 +56,7 @@
 		p.says(hello)
 		p.gets()
 		p.says(string(append(text, '}')))
-		if got := string(p.gets()[headSize:]); got != isAlive || time.Since(began) > patience/4 {
+		if got := string(p.gets()[lengthSize:]); got != isAlive || time.Since(began) > patience/4 {
 			t.Errorf("got %q after %v", got, time.Since(began))
 		}
 	})
@@ -64,7 +64,7 @@
 		address, said := serves(t, discovers(t).address, two, nil)
 		c := calls(t, address)
 		c.says(`{"msg":"hello","node":3,"node":4,"locality":"b","w":1,"cold":true}`)
-		if texts, err := c.rest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errRefused.Error()) {
+		if texts, err := c.rest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errUnacceptable.Error()) {
 			t.Errorf("got %q, error %v", texts, err)
 		}
 		if text, _ := said.read(); strings.Contains(text, "event=joined") {
@@ -72,7 +72,7 @@
 		}
 	})
 	t.Run("lengths of nothing, of the limit and of one more", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.frame = 4 << 10; l.firstFrame = 1 << 10; l.logRepeat = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.maxFrame = 4 << 10; l.maxFirstFrame = 1 << 10; l.logRepeatInterval = 0 })
 		padded := func(text string, size int) []byte { return framed(text + strings.Repeat(" ", size-len(text))) }
 		for node, x := range []struct {
 			first, then []byte
@@ -95,7 +95,7 @@
 				if x.then != nil {
 					said.waits(t, fmt.Sprintf("event=left node=%d", node), 1)
 				}
-			} else if got := string(p.gets()[headSize:]); got != isAlive {
+			} else if got := string(p.gets()[lengthSize:]); got != isAlive {
 				t.Errorf("node %d got %q", node, got)
 			}
 		}
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -24,11 +24,11 @@
 }
 
 // heard is a proxy joined to tables, with the peer that its messages go through.
-func heard(t *tables, proxy int, keeps bool) (*hearer, *peer) {
-	p := &peer{mailbox: make(chan []byte, 64), ended: make(chan struct{})}
-	t.join(proxy, p, keeps)
+func heard(t *tables, proxy int, keeps bool) (*hearer, *connection) {
+	p := &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
+	t.connect(proxy, p, keeps)
 	h := newHearer()
-	for i := range t.classes {
+	for i := range t.classNames {
 		h.classes = append(h.classes, fmt.Sprintf("c%d", i))
 		h.lines, h.levels = append(h.lines, map[string]float64{}), append(h.levels, nil)
 	}
@@ -37,7 +37,7 @@
 
 func (t *tables) writes(test *testing.T) {
 	test.Helper()
-	t.flush((*peer).send, func(proxy int, err error) { test.Errorf("proxy %d lost: %v", proxy, err) }, func(int, int) {})
+	t.flush((*connection).send, func(proxy int, err error) { test.Errorf("proxy %d lost: %v", proxy, err) }, func(int, int) {})
 }
 
 func TestOrders(t *testing.T) {
@@ -178,7 +178,7 @@
 		if again.hears(t, r); !again.shut["s-7"] || again.cost != 1 {
 			t.Errorf("got %+v", again)
 		}
-		to.leave(0)
+		to.disconnect(0)
 		to.Withdraw(7, false)
 		to.writes(t)
 		if late.hears(t, q); late.shut["s-7"] {
@@ -187,7 +187,7 @@
 	})
 	t.Run("a long table is cut into parts, and one that has too many is not written", func(t *testing.T) {
 		to := someTables(1)
-		to.frame = 200
+		to.maxFrame = 200
 		one, p := heard(to, 0, true)
 		for b := range 100 {
 			to.PublishEntry(0, b, 1.5)
@@ -200,12 +200,12 @@
 			!slices.Equal(one.tickets, []int{8}) {
 			t.Errorf("told %d in %d parts, %d lines, %d picks", one.told, one.parts, one.cost, len(one.picks(0)))
 		}
-		to.frame = 60
+		to.maxFrame = 60
 		to.AssignTable(0, 0, 0)
 		lost := 0
-		to.flush((*peer).send, func(int, error) { lost++ }, func(int, int) {})
-		if lost != 1 || len(p.mailbox) != 0 {
-			t.Errorf("lost %d, %d messages wait", lost, len(p.mailbox))
+		to.flush((*connection).send, func(int, error) { lost++ }, func(int, int) {})
+		if lost != 1 || len(p.outbox) != 0 {
+			t.Errorf("lost %d, %d messages wait", lost, len(p.outbox))
 		}
 	})
 	t.Run("figures that no proxy can use are not written", func(t *testing.T) {
@@ -225,11 +225,11 @@
 		to := someTables(1)
 		_, full := heard(to, 0, false)
 		one, p := heard(to, 1, false)
-		full.mailbox = make(chan []byte)
+		full.outbox = make(chan []byte)
 		to.RequestAck(1, true)
 		lost := []string{}
-		to.flush((*peer).send, func(proxy int, err error) { lost = append(lost, fmt.Sprint(proxy, " ", err)) }, func(int, int) {})
-		if one.hears(t, p); strings.Join(lost, ",") != fmt.Sprint("0 ", errFull) || one.told != 1 {
+		to.flush((*connection).send, func(proxy int, err error) { lost = append(lost, fmt.Sprint(proxy, " ", err)) }, func(int, int) {})
+		if one.hears(t, p); strings.Join(lost, ",") != fmt.Sprint("0 ", errOutboxFull) || one.told != 1 {
 			t.Errorf("lost %v, told %d", lost, one.told)
 		}
 	})
@@ -250,12 +250,12 @@
 		dice := rand.New(rand.NewPCG(seed, 1))
 		to := someTables(classes)
 		lines, out := [numbers]map[int]float64{}, map[int]bool{}
-		var all [classes]level
-		var levels [numbers][classes]level
+		var all [classes]admissionLimit
+		var levels [numbers][classes]admissionLimit
 		for i := range lines {
 			lines[i] = map[int]float64{}
 		}
-		wanted, hearers, peers := [proxies]*meant{}, [proxies]*hearer{}, [proxies]*peer{}
+		wanted, hearers, peers := [proxies]*meant{}, [proxies]*hearer{}, [proxies]*connection{}
 		for range 60 {
 			for range 1 + dice.IntN(4) {
 				p, b, table := dice.IntN(proxies), dice.IntN(backends), dice.IntN(numbers)
@@ -297,19 +297,19 @@
 					to.SetAdmissionLimit(table, mask, weight, balancer.RetryPolicy(table))
 					for class := range classes {
 						if in(class) {
-							levels[table][class] = level{true, weight, balancer.RetryPolicy(table)}
+							levels[table][class] = admissionLimit{true, weight, balancer.RetryPolicy(table)}
 						}
 					}
 				case 6:
 					to.SetAdmissionLimit(balancer.AllTables, mask, weight+0.5, balancer.NoRetry)
 					for class := range classes {
 						if in(class) {
-							all[class] = level{true, weight + 0.5, balancer.NoRetry}
+							all[class] = admissionLimit{true, weight + 0.5, balancer.NoRetry}
 						}
 					}
 				case 7:
 					if wanted[p] != nil {
-						to.leave(p)
+						to.disconnect(p)
 						wanted[p] = nil
 					}
 				case 8:
@@ -341,7 +341,7 @@
 						}
 						if own := levels[number][class]; own.set {
 							if now.set {
-								own.allowance = min(own.allowance, now.allowance)
+								own.limit = min(own.limit, now.limit)
 							}
 							now = own
 						}
@@ -357,7 +357,7 @@
 						t.Fatalf("seed %d proxy %d class %d in table %d: picks %v, want %v", seed, p, class, number, got, picks)
 					}
 					if number != unbound && now.set != (h.levels[class] != nil) || number != unbound && now.set &&
-						!slices.Equal(h.levels[class], []float64{now.allowance, float64(now.tries)}) {
+						!slices.Equal(h.levels[class], []float64{now.limit, float64(now.retry)}) {
 						t.Fatalf("seed %d proxy %d class %d: levels %v, want %+v", seed, p, class, h.levels[class], now)
 					}
 				}
@@ -382,43 +382,43 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m, hearers, left := c.module, map[*peer]*hearer{}, 0
+			m, hearers, left := c.loop, map[*connection]*hearer{}, 0
 			now := m.now
 			m.clock = func() int64 { return now }
-			m.turn(func() {})
+			m.iterate(func() {})
 			for step := range 160 {
-				later(m, second/4, func() {
+				later(m, microsPerSecond/4, func() {
 					for range chance.IntN(4) {
 						switch node := chance.IntN(40); chance.IntN(5) {
 						case 0, 1:
-							p := newPeer(&told{Reader: strings.NewReader("")}, step, m, func(*peer) error { return nil })
-							p.kind, p.node, p.zone = proxy, node, node%2
-							m.joined(p, 1+float64(chance.IntN(20)), chance.IntN(2) == 0)
+							p := newConnection(&told{Reader: strings.NewReader("")}, step, m, func(*connection) error { return nil })
+							p.kind, p.proxy, p.zone = kindProxy, node, node%2
+							m.proxyConnected(p, 1+float64(chance.IntN(20)), chance.IntN(2) == 0)
 							hearers[p] = newHearer("read it", "write")
 						case 2:
 							state := []string{"up", "draining", "removed"}[chance.IntN(3)]
-							m.listed(false, int64(step), parsed(t, "["+backendIs(chance.IntN(22), state)+"]").GetArray())
+							m.endpointsUpdated(false, int64(step), parsed(t, "["+backendIs(chance.IntN(22), state)+"]").GetArray())
 						default: // a jam for a while, then none
 							for id := range 20 {
-								m.addOutcomes(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, second, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+								m.outcomesReported(fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 							}
 							for other := range 40 {
-								m.addDemand(other, other%2, 30, second)
+								m.demandReported(other, other%2, 30, microsPerSecond)
 							}
 						}
 					}
 				})
 				for p, h := range hearers {
-					p.heard.Store(m.now)
-					for len(p.mailbox) > 0 {
+					p.lastHeard.Store(m.now)
+					for len(p.outbox) > 0 {
 						before := h.told
-						if err := h.apply(<-p.mailbox); err != nil || h.told != before+1 {
+						if err := h.apply(<-p.outbox); err != nil || h.told != before+1 {
 							t.Fatal(err)
 						}
 						left += 4 + h.cost
 					}
 				}
-				if counted := m.control.QueueDelay(); int64(left) > counted {
+				if counted := m.decisions.QueueDelay(); int64(left) > counted {
 					t.Fatalf("step %d: %d lines left, %d were counted", step, left, counted)
 				}
 			}
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -83,18 +83,20 @@
 	g.tables.SetAdmissionLimit(balancer.AllTables, classes, limit, balancer.RetryPolicy(retry))
 }
 func (g *goldenOrders) mark(number int, everyone bool) { g.tables.RequestAck(number, everyone) }
-func (g *goldenOrders) join(proxy int, keeps bool)     { g.tables.join(proxy, &peer{node: proxy}, keeps) }
-func (g *goldenOrders) token(proxy int, token uint64)  { g.tables.streams[proxy].token = token }
+func (g *goldenOrders) join(proxy int, keeps bool) {
+	g.tables.connect(proxy, &connection{proxy: proxy}, keeps)
+}
+func (g *goldenOrders) token(proxy int, token uint64) { g.tables.proxies[proxy].token = token }
 func (g *goldenOrders) brought(proxy int, lines ...ownership.KnownTable) {
-	g.tables.streams[proxy].base = lines
+	g.tables.proxies[proxy].base = lines
 }
 
 // written ends a step: what was ordered in it leaves, one message for each proxy concerned.
 func (g *goldenOrders) written(step string) {
 	g.t.Helper()
 	fmt.Fprintf(&g.text, "# %s\n", step)
-	g.tables.flush(func(to *peer, message []byte) error {
-		fmt.Fprintf(&g.text, "proxy %d: %q\n", to.node, message)
+	g.tables.flush(func(to *connection, message []byte) error {
+		fmt.Fprintf(&g.text, "proxy %d: %q\n", to.proxy, message)
 		return nil
 	}, func(proxy int, err error) {
 		fmt.Fprintf(&g.text, "proxy %d is given up\n", proxy)
@@ -180,7 +182,7 @@
 	g.line(5, 1, math.Inf(1))
 	g.line(6, 1, 1e21)
 	g.written("with a token, figures that are no figures")
-	g.tables.frame = 120
+	g.tables.maxFrame = 120
 	for backend := range 12 {
 		g.line(backend, 1, float64(backend)+0.25)
 		g.withdraw(backend, true)
@@ -190,10 +192,10 @@
 	g.written("parts of a message: lines, limits, withdrawals, a mark")
 	g.bind(2, 1, 0)
 	g.written("parts of a whole table")
-	g.tables.parts = 2
+	g.tables.maxParts = 2
 	g.bind(2, 1, 0)
 	g.written("more parts than a message may have")
-	g.tables.frame, g.tables.parts = 1<<20, 64
+	g.tables.maxFrame, g.tables.maxParts = 1<<20, 64
 
 	for proxy, base := range []ownership.KnownTable{
 		{Lines: map[string]float64{`"s-0"`: 2, `"s-2"`: 4, `"s-3"`: 1.0 / 3, `"s-4"`: 2, `"s-5"`: 2, `"s-9"`: 1}},
@@ -216,7 +218,7 @@
 		g := newGoldenOrders(t, "a", "b", "c")
 		chance := rand.New(rand.NewPCG(seed, 11))
 		if seed%3 == 0 {
-			g.tables.frame = 150
+			g.tables.maxFrame = 150
 		}
 		joined := map[int]bool{}
 		for step := range 300 {
@@ -265,10 +267,10 @@
 	var text strings.Builder
 	m := c.begins(t, 12)
 	chance := rand.New(rand.NewPCG(7, 2))
-	peers := map[int]*peer{}
+	peers := map[int]*connection{}
 	hearers := map[int]*hearer{}
 	for turn := range 40 {
-		later(m, second, func() {})
+		later(m, microsPerSecond, func() {})
 		again := chance.IntN(8)
 		for node := range 8 {
 			if turn == 0 || turn%9 == 0 && node == again {
@@ -276,40 +278,40 @@
 			}
 		}
 		changed := chance.IntN(12)
-		m.turn(func() {
+		m.iterate(func() {
 			for b := range 12 {
 				load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 				if b == 5 && turn > 4 {
-					m.addOutcomes(fmt.Sprint(c.backend, b), 9, 9, 0, second, load)
+					m.outcomesReported(fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load)
 				} else {
-					m.addOutcomes(fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), second, load)
+					m.outcomesReported(fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), microsPerSecond, load)
 				}
 			}
 			for node := range 8 {
 				for class := range c.classes {
-					m.addDemand(node, class, 20+10*class, second)
+					m.demandReported(node, class, 20+10*class, microsPerSecond)
 				}
 			}
 			switch turn % 5 {
 			case 2:
-				m.listed(false, int64(turn), parsed(t, "["+c.entry(changed, "draining", 0)+","+
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(changed, "draining", 0)+","+
 					c.entry(12+turn/5, "up", m.now/1000)+"]").GetArray())
 			case 4:
-				m.listed(false, int64(turn), parsed(t, "["+c.entry(changed, "up", 0)+"]").GetArray())
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(changed, "up", 0)+"]").GetArray())
 			}
 		})
 		for node := range 8 {
 			p := peers[node]
-			p.heard.Store(m.now)
-			for len(p.mailbox) > 0 {
-				message := <-p.mailbox
+			p.lastHeard.Store(m.now)
+			for len(p.outbox) > 0 {
+				message := <-p.outbox
 				fmt.Fprintf(&text, "%d proxy %d: %q\n", turn, node, message)
 				if err := hearers[node].apply(message); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for _, number := range hearers[node].tickets {
-				m.turn(func() { m.applied(p, number) })
+				m.iterate(func() { m.acknowledged(p, number) })
 			}
 			hearers[node].tickets = nil
 		}
@@ -335,7 +337,7 @@
 
 // TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
 func TestGoldenAnswers(t *testing.T) {
-	address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.lasting, l.identifyWithin = 2, 300*time.Millisecond })
+	address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.maxIdentified, l.identifyTimeout = 2, 300*time.Millisecond })
 	var text strings.Builder
 	says := func(what string, sent ...string) {
 		c := calls(t, address)
@@ -405,10 +407,10 @@
 // TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
 func TestGoldenRefusals(t *testing.T) {
 	var text strings.Builder
-	for _, why := range []error{errUnidentified, errRefused, errBudget, errStale, errEarly, errUnreadable,
+	for _, why := range []error{errIdentifyTimeout, errUnacceptable, errNoRoom, errSuperseded, errNotIdentified, errUnreadable,
 		&net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset by peer")},
 		errors.New("\"größer\"\n\x01")} {
-		fmt.Fprintf(&text, "%q\n", refusal(why))
+		fmt.Fprintf(&text, "%q\n", errorMessage(why))
 	}
 	compareGolden(t, "refusals.golden", text.String())
 }
@@ -434,7 +436,7 @@
 			answers = serveGoldenDiscovery(conn, listener.Addr().String(), answers, &text)
 		}
 	}()
-	runs(t, listener.Addr().String(), "null", func(l *limits) { l.retryLeast, l.retryMost = 1, 1 })
+	runs(t, listener.Addr().String(), "null", func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 	select {
 	case <-seen:
 	case <-time.After(patience):
@@ -473,7 +475,7 @@
 			{Scope: "pricing", Name: "drain/s-1", Revision: 6, Deleted: true, AcceptedAt: 1_700_000_001_000_000},
 			{Scope: "pricing", Name: "weight/s-2", Value: []byte("0.5"), Revision: 7, AcceptedAt: 1_700_000_002_000_000}}}
 	folder := t.TempDir()
-	k, err := newKeeper(folder)
+	k, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -499,7 +501,7 @@
 	if err := os.WriteFile(filepath.Join(folder, "configuration.cbor"), want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again, err := newKeeper(folder)
+	again, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
