--- a/cmd/wheelrill/distribution_test.go
+++ b/cmd/wheelrill/distribution_test.go
@@ -49,13 +49,13 @@
 	voters := []*process{begins("n0", voting("n0")), begins("n1", voting("n1"))}
 	subscriber := begins("s1", "distribution:\n  role: subscriber\n  name: s1\n  plain: true\n  scopes: [pricing]\n  parents:\n"+members)
 	for _, v := range voters {
-		v.waits(t, "event=sharing alone=false")
+		v.waits(t, "msg=quorum_changed quorum=true")
 	}
 	changed := strings.Replace(string(sample), `"seed"`, `"distributed": {"pricing": {"drain": {"s-5be2a07c": true}}}, "seed"`, 1)
 	writes("n1.json", changed)
 	if err := voters[1].Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	voters[1].waits(t, "event=change_accepted revision=1")
-	subscriber.waits(t, "event=distributed revision=1")
+	voters[1].waits(t, "msg=change_accepted revision=1")
+	subscriber.waits(t, "msg=configuration_applied revision=1")
 }
--- a/cmd/wheelrill/ending_test.go
+++ b/cmd/wheelrill/ending_test.go
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 		p := starts(t, path)
-		p.waits(t, "event=serving")
+		p.waits(t, "msg=serving")
 		os.Remove(path)
 		held := pipe(t, path)
 		p.Process.Signal(syscall.SIGHUP)
@@ -122,7 +122,7 @@
 	})
 	t.Run("before discovery has answered, and again and again until the end", func(t *testing.T) {
 		p := starts(t, sample)
-		p.waits(t, "event=serving")
+		p.waits(t, "msg=serving")
 		began, over := time.Now(), make(chan struct{})
 		go func() {
 			defer close(over)
--- a/cmd/wheelrill/main_test.go
+++ b/cmd/wheelrill/main_test.go
@@ -43,9 +43,9 @@
 			}
 		}
 	}
-	waits("event=serving")
-	for text, answer := range map[string]string{good: "event=reloaded discovery=127.0.0.1:8500",
-		good[:len(good)/2]: "event=reload_refused", "": "event=reload_refused"} {
+	waits("msg=serving")
+	for text, answer := range map[string]string{good: "msg=configuration_reloaded discovery=127.0.0.1:8500",
+		good[:len(good)/2]: "msg=reload_refused", "": "msg=reload_refused"} {
 		writes(text)
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -53,7 +53,7 @@
 // logged writes why a controller could not go on, where its other lines are.
 func logged(err error) error {
 	if err != nil {
-		controller.NewLogger(os.Stderr).Info("failed", "error", err)
+		controller.NewLogger(os.Stderr).Error("failed", "error", err)
 		return exit(1)
 	}
 	return nil
@@ -150,6 +150,6 @@
 		err = c.Reload(configuration)
 	}
 	if err != nil {
-		log.Info("reload_refused", "error", err, "text", "the configuration stays as it was")
+		log.Warn("reload_refused", "error", err, "text", "the configuration stays as it was")
 	}
 }
--- a/controller/cache_test.go
+++ b/controller/cache_test.go
@@ -56,12 +56,12 @@
 	with := DistributionConfig{Parents: members, Folder: t.TempDir()}
 	s := subscribes(t, "s1", known, with)
 	voters[0].reloads(t, known, `{"pricing":{"drain":{"s-1":true}}}`)
-	s.said.waits(t, "event=distributed revision=1", 1)
+	s.said.waits(t, "msg=configuration_applied revision=1", 1)
 	s.stop()
 	for _, v := range voters {
 		v.stop()
 	}
 	s = subscribes(t, "s1", known, with)
-	s.said.waits(t, "event=kept revision=1", 1)
-	s.said.waits(t, "event=distributed revision=1 whole=true backends=1 drained=1", 1)
+	s.said.waits(t, "msg=cache_loaded revision=1", 1)
+	s.said.waits(t, "msg=configuration_applied revision=1 full=true backends=1 drained=1", 1)
 }
--- a/controller/closes_test.go
+++ b/controller/closes_test.go
@@ -57,7 +57,7 @@
 		asks.half()
 		silent := calls(t, address)
 		silent.half()
-		said.waits(t, "event=stranger_ended", 1) // the one that asked nothing: the other's end has been seen as well, or will be
+		said.waits(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
 		d.answers <- two
 		if texts, err := asks.rest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
@@ -80,7 +80,7 @@
 		if texts, err := c.rest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
-		said.waits(t, "event=report_unlisted id=s-last", 1)
+		said.waits(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
 	t.Run("a proxy's last mark and demand before its close are taken in, then it has left", func(t *testing.T) {
 		address, said := serves(t, discovers(t).address, two, nil)
@@ -96,8 +96,8 @@
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != isAlive {
 			t.Errorf("got %q, error %v", texts, err)
 		}
-		said.waits(t, "event=mark_unknown node=3", 1)
-		said.waits(t, "event=left node=3 why=EOF", 1)
+		said.waits(t, "msg=ack_unknown proxy=3", 1)
+		said.waits(t, "msg=proxy_disconnected proxy=3 error=EOF", 1)
 	})
 	t.Run("a refusal reaches its reader though bytes wait unread, and its end is no reset", func(t *testing.T) {
 		address, _ := serves(t, discovers(t).address, two, nil)
@@ -123,7 +123,7 @@
 				break
 			}
 		}
-		said.waits(t, "event=stranger_ended", 1)
+		said.waits(t, "msg=unidentified_closed", 1)
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
 		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeatInterval = 0 })
@@ -138,9 +138,9 @@
 			} else {
 				p.Close()
 			}
-			said.waits(t, fmt.Sprintf("event=left node=%d", node), 1)
+			said.waits(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 		}
-		if text, _ := said.read(); strings.Contains(text, "event=skipped") {
+		if text, _ := said.read(); strings.Contains(text, "msg=message_skipped") {
 			t.Errorf("half a message was taken for one: %s", text)
 		}
 	})
@@ -157,7 +157,7 @@
 			old.gets()
 			if endsFirst {
 				old.Close()
-				said.waits(t, "event=left node=3", 1)
+				said.waits(t, "msg=proxy_disconnected proxy=3", 1)
 			}
 			p.says(hello)
 			if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 5-version {
@@ -175,7 +175,7 @@
 				}
 			}
 			p.Close()
-			said.waits(t, "event=ended", 1)
+			said.waits(t, "msg=connection_closed", 1)
 		}
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
@@ -220,7 +220,7 @@
 		p.says(hello)
 		p.says(probe)
 		q.says(probe)
-		said.waits(t, "event=joined node=3", 1)
+		said.waits(t, "msg=proxy_connected proxy=3", 1)
 		d.answers <- two
 		q.gets()
 		if got := string(p.gets()[lengthSize:]); got != isAlive {
@@ -283,12 +283,12 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			said := newDiary()
-			c.log.to = NewLogger(said)
+			c.log = NewLogger(said)
 			ended := make(chan error, 1)
 			go func() { ended <- c.Serve(ctx) }()
-			said.waits(t, "event=serving", 1)
+			said.waits(t, "msg=serving", 1)
 			text, _ := said.read()
-			address := regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
+			address := regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
 			var all sync.WaitGroup
 			for i := range 40 {
 				all.Go(func() {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -68,7 +68,7 @@
 		if query := <-next.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("the new one was asked %q", query)
 		}
-		said.waits(t, "event=reloaded discovery="+next.address, 3)
+		said.waits(t, "msg=configuration_reloaded discovery="+next.address, 3)
 	})
 	t.Run("one that cannot be used changes nothing, and says why", func(t *testing.T) {
 		d := discovers(t)
@@ -88,7 +88,7 @@
 		if query := <-d.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
-		if text, _ := said.read(); strings.Contains(text, "event=reloaded") {
+		if text, _ := said.read(); strings.Contains(text, "msg=configuration_reloaded") {
 			t.Errorf("one was taken: %s", text)
 		}
 	})
@@ -98,7 +98,7 @@
 		if err := c.Reload([]byte(strings.Replace(changed, `127.0.0.1:0`, `127.0.0.1:1`, 1))); err != nil {
 			t.Fatal(err)
 		}
-		said.waits(t, "event=reload_later key=listen", 1)
-		said.waits(t, "event=reload_later key=settings", 1)
+		said.waits(t, "msg=reload_needs_restart key=listen", 1)
+		said.waits(t, "msg=reload_needs_restart key=settings", 1)
 	})
 }
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -36,14 +37,6 @@
 	return err.Error()
 }
 
-// rootCause is the error at the bottom of one: a few different ones, however often a client thinks of new numbers.
-func rootCause(err error) string {
-	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
-		err = inner
-	}
-	return err.Error()
-}
-
 // connectionKind is what a connection has said that it is.
 type connectionKind uint8
 
@@ -62,7 +55,7 @@
 	conn     net.Conn
 	limits   *limits
 	loop     *eventLoop
-	log      *journal
+	log      *slog.Logger
 	register func(p *connection) error // called when it has said who it is; refuses one that is too many
 	sequence int                       // in the order in which connections came
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -32,7 +32,7 @@
 // Controller is one controller.
 type Controller struct {
 	limits  *limits
-	log     *journal
+	log     *slog.Logger
 	loop    *eventLoop
 	watcher *endpointWatcher
 
@@ -76,9 +76,9 @@
 	case err != nil:
 		return nil, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	c := &Controller{limits: p.limits, log: newJournal(to, p.limits.logRepeatInterval, p.limits.maxLogKinds), configuration: p}
+	c := &Controller{limits: p.limits, log: newRateLimitedLogger(to, p.limits), configuration: p}
 	for _, text := range p.warnings {
-		c.log.say("setting", "text", text)
+		c.log.Warn("setting_unusual", "text", text)
 	}
 	m := &eventLoop{limits: p.limits, log: c.log, zoneIndex: indexByName(p.zones), zoneNames: p.zones, classIndex: p.classIndex,
 		backends: newBackends(), inbox: make(chan func(), p.limits.inboxSize), stopped: make(chan struct{}),
@@ -89,7 +89,7 @@
 	c.loop = m
 	c.watcher = newEndpointWatcher(p.Discovery, p.limits, c.log, func(whole bool, version int64, servers []*fastjson.Value) {
 		m.post(func() { m.endpointsUpdated(whole, version, servers) })
-	}, func() { m.post(func() { m.becomeReady("discovery has answered") }) })
+	}, func() { m.post(func() { m.becomeReady(readyDiscoveryAnswered) }) })
 	m.watcher = c.watcher
 	c.watcher.loadCached(p.cachedList)
 	return c, nil
@@ -179,10 +179,10 @@
 	defer c.mutex.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(p.needsRestart)) {
 		if p.needsRestart[key] != c.configuration.needsRestart[key] {
-			c.log.say("reload_later", "key", key, "text", "it differs, and counts from the next start on")
+			c.log.Warn("reload_needs_restart", "key", key, "text", "it differs, and counts from the next start on")
 		}
 	}
-	c.log.say("reloaded", "discovery", p.Discovery)
+	c.log.Info("configuration_reloaded", "discovery", p.Discovery)
 	c.configuration = p
 	c.watcher.follow(p.Discovery, p.cachedList)
 	if distributes {
@@ -225,14 +225,14 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	c.log.say("serving", "name", place.Name, "listen", listener.Addr(), "discovery", place.Discovery,
-		"proxies", c.limits.proxies, "strangers", c.limits.maxUnidentified, "sockets", c.limits.sockets)
-	seconds := func(micros int64, places int) string { return figured(float64(micros)/microsPerSecond, places) }
-	c.log.say("given", "lines_per_s", figured(channel.LinesPerSecond, 0), "backlog", figured(channel.Backlog, 0),
-		"head", figured(channel.MessageOverhead, 0), "way_s", seconds(channel.MaxLatency, 2), "messages", channel.MaxMessages,
-		"messages_span_s", seconds(channel.MessageWindow, 0), "grace_s", seconds(rules.DrainGrace, 1),
-		"warm_s", seconds(rules.WarmupTime, 0), "report_s", seconds(sight.ReportInterval, 1),
-		"reports_per_s", figured(sight.ReportLinesPerSecond, 0), "connections", channel.MinBackendConnections,
+	c.log.Info("serving", "name", place.Name, "listen", listener.Addr(), "discovery", place.Discovery,
+		"proxies", c.limits.proxies, "max_unidentified", c.limits.maxUnidentified, "sockets", c.limits.sockets)
+	seconds := func(micros int64, places int) string { return formatDecimal(float64(micros)/microsPerSecond, places) }
+	c.log.Info("settings_in_force", "lines_per_s", formatDecimal(channel.LinesPerSecond, 0), "backlog", formatDecimal(channel.Backlog, 0),
+		"message_overhead", formatDecimal(channel.MessageOverhead, 0), "max_push_latency_s", seconds(channel.MaxLatency, 2), "max_messages", channel.MaxMessages,
+		"message_window_s", seconds(channel.MessageWindow, 0), "drain_grace_s", seconds(rules.DrainGrace, 1),
+		"warmup_s", seconds(rules.WarmupTime, 0), "report_interval_s", seconds(sight.ReportInterval, 1),
+		"reports_per_s", formatDecimal(sight.ReportLinesPerSecond, 0), "min_backend_connections", channel.MinBackendConnections,
 		"memory_mb", c.limits.memory>>20)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -244,7 +244,7 @@
 	defer end()
 	var parts sync.WaitGroup
 	defer time.AfterFunc(c.limits.readyTimeout, func() {
-		c.loop.post(func() { c.loop.becomeReady("nothing is known, and discovery keeps silent") })
+		c.loop.post(func() { c.loop.becomeReady(readyWithoutList) })
 	}).Stop()
 	parts.Go(func() { c.loop.run(ctx); end() })
 	parts.Go(func() { c.watcher.run(ctx) })
@@ -261,6 +261,6 @@
 	cancel()
 	forget()
 	parts.Wait()
-	c.log.say("stopped", "name", place.Name)
+	c.log.Info("stopped", "name", place.Name)
 	return err
 }
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -43,7 +43,7 @@
 func (c *connection) skipMessage(why string) {
 	const shown = 160
 	text := c.body.Bytes()
-	c.log.seldom("skipped "+why, "skipped", "peer", c.conn.RemoteAddr(), "kind", c.kind, "why", why,
+	c.log.Warn("message_skipped", "remote", c.conn.RemoteAddr(), "kind", c.kind, "reason", why,
 		"message", string(text[:min(len(text), shown)]))
 }
 
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"sync"
@@ -19,7 +20,7 @@
 	client         *fasthttp.HostClient
 	wakeups        chan struct{} // the mailbox: a wish to be told at once
 	limits         *limits
-	log            *journal
+	log            *slog.Logger
 	onEndpoints    func(whole bool, version int64, servers []*fastjson.Value)
 	onAnswer       func() // called once discovery itself has given an answer of use
 	version        int64
@@ -41,7 +42,7 @@
 	cached  *fastjson.Value
 }
 
-func newEndpointWatcher(address string, l *limits, log *journal, take func(bool, int64, []*fastjson.Value), heard func()) *endpointWatcher {
+func newEndpointWatcher(address string, l *limits, log *slog.Logger, take func(bool, int64, []*fastjson.Value), heard func()) *endpointWatcher {
 	f := &endpointWatcher{limits: l, log: log, onEndpoints: take, onAnswer: sync.OnceFunc(heard), wakeups: make(chan struct{}, 1), address: address,
 		cancelDial: func() {}}
 	f.client = f.newClient(address)
@@ -68,7 +69,7 @@
 		return
 	}
 	if err := w.accept(known); err != nil {
-		w.log.say("known_unusable", "error", err)
+		w.log.Warn("cached_list_unusable", "error", err)
 	}
 }
 
@@ -167,7 +168,7 @@
 		case ctx.Err() != nil:
 			return
 		default:
-			w.log.seldom("discovery", "discovery_failed", "error", err, "version", w.version)
+			w.log.Warn("discovery_failed", "error", err, "version", w.version)
 		}
 		select {
 		case <-ctx.Done():
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -87,7 +87,7 @@
 				t.Fatal(err)
 			}
 		}
-		said.waits(t, "event=discovery_failed", 1)
+		said.waits(t, "msg=discovery_failed", 1)
 	})
 	t.Run("one that says again and again that it knows less is taken at its word, whole", func(t *testing.T) {
 		d := discovers(t)
@@ -96,7 +96,7 @@
 			d.answers <- listing(7, true, backendIs(1, "up"))
 		}
 		_, said := serves(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
-		said.waits(t, "event=list version=7 whole=true entries=1", 1)
+		said.waits(t, "msg=endpoint_list_updated version=7 full=true endpoints=1", 1)
 		for i := range 6 {
 			if query := <-d.asked; (query == "") != (i == 5) {
 				t.Errorf("call %d asked %q", i, query)
@@ -110,7 +110,7 @@
 		}
 		d.answers <- listing(3, true, backendIs(0, "up"), backendIs(1, "up"))
 		_, said := serves(t, d.address, two, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
-		said.waits(t, "event=list version=3 whole=true entries=2", 1)
+		said.waits(t, "msg=endpoint_list_updated version=3 full=true endpoints=2", 1)
 		for i, want := range []string{"since=1", "since=1", "since=1", "since=1", "since=1", "", "since=3"} {
 			if query := <-d.asked; !strings.HasPrefix(query, want) || want == "" && query != "" {
 				t.Errorf("call %d asked %q", i, query)
@@ -128,6 +128,6 @@
 		if err := h.apply(p.gets()); err != nil || !slices.Equal(h.picks(0), []string{"s-0", `say "7"`}) {
 			t.Errorf("error %v, got %v", err, h.picks(0))
 		}
-		said.waits(t, `state=resting taken=draining`, 1)
+		said.waits(t, `state=resting treated_as=draining`, 1)
 	})
 }
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"maps"
 	"net"
 	"slices"
@@ -50,7 +51,7 @@
 // distributor is the module's side of the distribution: what arrives waits here until the module takes it.
 type distributor struct {
 	loop      *eventLoop
-	log       *journal
+	log       *slog.Logger
 	carrier   *transport.Carrier
 	node      *consensus.Node     // of a voter
 	listener  *consensus.Listener // of a subscriber that passes on
@@ -143,9 +144,9 @@
 	}
 	switch state, err := d.cache.load(); {
 	case err != nil:
-		d.log.say("kept_unusable", "error", err.Error())
+		d.log.Warn("cache_unusable", "error", err)
 	case state != nil:
-		d.log.say("kept", "revision", state.Mark.Revision, "epoch", state.Mark.Epoch.String(), "entries", len(state.Entries))
+		d.log.Info("cache_loaded", "revision", state.Mark.Revision, "epoch", state.Mark.Epoch.String(), "entries", len(state.Entries))
 		d.carrier.Restored(*state)
 	}
 	return nil
@@ -170,7 +171,7 @@
 }
 
 func (d *distributor) logRefused(from net.Addr, why error) {
-	d.log.seldom("subscriber_refused", "subscriber_refused", "peer", from.String(), "why", why.Error())
+	d.log.Warn("subscriber_refused", "remote", from, "error", why)
 }
 
 // run carries the distribution until the context ends.
@@ -206,7 +207,7 @@
 		}
 		began := time.Now()
 		if err := d.cache.update(d.carrier); err != nil {
-			d.log.seldom("kept", "keep_failed", "error", err.Error())
+			d.log.Warn("cache_write_failed", "error", err)
 		}
 		look.Reset(max(cacheInterval, cachePauseFactor*time.Since(began)))
 	}
@@ -267,7 +268,7 @@
 	for _, e := range entries {
 		changed, ok := l.overrides.apply(e)
 		if !ok {
-			l.log.seldom("distributed", "distributed_unusable", "scope", e.Scope, "name", e.Name, "revision", e.Revision)
+			l.log.Warn("entry_unusable", "scope", e.Scope, "name", e.Name, "revision", e.Revision)
 		}
 		if touch(changed) {
 			last = e // entries come in the order of their revisions
@@ -280,8 +281,8 @@
 	if last.AcceptedAt > 0 {
 		late = float64(l.now-last.AcceptedAt) / microsPerSecond
 	}
-	l.log.say("distributed", "revision", last.Revision, "whole", whole, "backends", len(backends),
-		"drained", len(l.overrides.drains), "weighted", len(l.overrides.weights), "late_s", figured(late, 3), "classes", len(classes))
+	l.log.Info("configuration_applied", "revision", last.Revision, "full", whole, "backends", len(backends),
+		"drained", len(l.overrides.drains), "weighted", len(l.overrides.weights), "delay_s", formatDecimal(late, 3), "classes", len(classes))
 	var relisted []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		if backend, known := l.backends.index[id]; known {
@@ -329,13 +330,13 @@
 	mark, differ, err := d.node.Configure(ctx, wanted)
 	switch {
 	case err == nil && differ == 0:
-		d.log.say("change_empty", "revision", mark.Revision, "epoch", mark.Epoch.String())
+		d.log.Info("change_empty", "revision", mark.Revision, "epoch", mark.Epoch.String())
 	case err == nil:
-		d.log.say("change_accepted", "revision", mark.Revision, "epoch", mark.Epoch.String(), "entries", differ)
+		d.log.Info("change_accepted", "revision", mark.Revision, "epoch", mark.Epoch.String(), "entries", differ)
 	case errors.Is(err, consensus.ErrRefused):
-		d.log.say("change_refused", "error", err.Error())
+		d.log.Warn("change_refused", "error", err)
 	default:
-		d.log.say("change_unanswered", "error", err.Error())
+		d.log.Warn("change_unanswered", "error", err)
 	}
 }
 
@@ -355,8 +356,8 @@
 			return
 		}
 		now := d.carrier.Traffic()
-		rate := func(now, last int64) string { return figured(float64(now-last)/statusInterval.Seconds(), 0) }
-		d.log.say("distribution", "revision", status.Mark.Revision, "epoch", status.Mark.Epoch.String(), "age_s", formatAge(status.Age),
+		rate := func(now, last int64) string { return formatDecimal(float64(now-last)/statusInterval.Seconds(), 0) }
+		d.log.Info("distribution_status", "revision", status.Mark.Revision, "epoch", status.Mark.Epoch.String(), "age_s", formatAge(status.Age),
 			"parent", status.Parent, "depth", len(status.Path), "children", len(status.Children), "entries", status.Entries,
 			"in_bytes_per_s", rate(now.In, last.In), "out_bytes_per_s", rate(now.Out, last.Out), "overflows", now.Overflows)
 		last = now
@@ -368,7 +369,7 @@
 	if age == distribution.NeverCurrent {
 		return "unknown"
 	}
-	return figured(float64(age)/microsPerSecond, 1)
+	return formatDecimal(float64(age)/microsPerSecond, 1)
 }
 
 // logEvent logs what the node tells. What children or parents could call forth again and again is held back.
@@ -376,22 +377,22 @@
 	at := []any{"revision", e.Mark.Revision, "epoch", e.Mark.Epoch.String()}
 	switch e.Kind {
 	case distribution.EventAdmitted:
-		d.log.say("subscribed", append(at, "parent", e.Peer)...)
+		d.log.Info("subscribed", append(at, "parent", e.Peer)...)
 	case distribution.EventParentLost:
-		d.log.say("parent_lost", append(at, "parent", e.Peer, "why", lossReason(e.Close))...)
+		d.log.Warn("parent_lost", append(at, "parent", e.Peer, "reason", lossReason(e.Close))...)
 	case distribution.EventSnapshotTaken:
-		d.log.say("snapshot_taken", append(at, "parent", e.Peer)...)
+		d.log.Info("snapshot_applied", append(at, "parent", e.Peer)...)
 	case distribution.EventStale:
-		d.log.say("cut_off", at...)
+		d.log.Warn("configuration_stale", at...)
 	case distribution.EventCurrent:
-		d.log.say("cut_off_over", at...)
+		d.log.Info("configuration_current", at...)
 	case distribution.EventRefusedBy:
-		d.log.seldom("subscription_refused", "subscription_refused", append(at, "parent", e.Peer, "why", e.Refusal.String())...)
+		d.log.Warn("subscription_refused", append(at, "parent", e.Peer, "reason", e.Refusal.String())...)
 	case distribution.EventChildAdmitted, distribution.EventChildLost, distribution.EventChildRefused, distribution.EventSnapshotSent,
 		distribution.EventCompacted:
-		d.log.seldom(fmt.Sprint("tree ", e.Kind), "tree", append(at, "peer", e.Peer, "what", e.Kind.String())...)
+		d.log.Info("distribution_tree", append(at, "peer", e.Peer, "detail", e.Kind.String())...)
 	default:
-		d.log.seldom(fmt.Sprint("distribution ", e.Kind), "distribution_refused", append(at, "peer", e.Peer, "what", e.Kind.String())...)
+		d.log.Warn("distribution_message_refused", append(at, "peer", e.Peer, "detail", e.Kind.String())...)
 	}
 }
 
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -47,9 +47,9 @@
 		}
 	})
 	t.Cleanup(s.stop)
-	said.waits(t, "event=serving", 1)
+	said.waits(t, "msg=serving", 1)
 	text, _ := said.read()
-	s.address = regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
+	s.address = regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
 	return s
 }
 
@@ -88,7 +88,7 @@
 		}))
 	}
 	for _, v := range all {
-		v.said.waits(t, "event=sharing alone=false", 1)
+		v.said.waits(t, "msg=quorum_changed quorum=true", 1)
 	}
 	return members, all
 }
@@ -140,42 +140,42 @@
 	picks("all", func(ids []string) bool { return len(ids) == 6 && !h.inside })
 	t.Run("a drain is in force at a controller below another subscriber", func(t *testing.T) {
 		voters[1].reloads(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
-		voters[1].said.waits(t, "event=change_accepted revision=1", 1)
+		voters[1].said.waits(t, "msg=change_accepted revision=1", 1)
 		picks("without the drained one", func(ids []string) bool { return !slices.Contains(ids, "s-2") && !h.inside })
 		if !slices.Contains(h.picks(0), "s-3") {
 			t.Error("a drain of another scope counts")
 		}
 		for _, s := range []*serving{relay, leaf, voters[0], voters[2]} {
-			s.said.waits(t, "event=distributed revision=1", 1)
+			s.said.waits(t, "msg=configuration_applied revision=1", 1)
 		}
-		leaf.said.waits(t, "event=snapshot_taken revision=1", 1)
-		leaf.said.waits(t, `event=subscribed`, 1)
+		leaf.said.waits(t, "msg=snapshot_applied revision=1", 1)
+		leaf.said.waits(t, `msg=subscribed`, 1)
 	})
 	t.Run("the same file again is no change, and a bad one changes nothing", func(t *testing.T) {
 		voters[0].reloads(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
-		voters[0].said.waits(t, "event=change_empty revision=1", 1)
+		voters[0].said.waits(t, "msg=change_empty revision=1", 1)
 		if err := voters[0].Reload(withDistributed(known, `{"pricing":{"drain":{"s-4":1}}}`)); err == nil {
 			t.Error("taken")
 		}
 		voters[0].reloads(t, known, fmt.Sprintf(`{"pricing":{"service":{"x":{"y":%q}}}}`, strings.Repeat("z", 1<<20)))
-		voters[0].said.waits(t, "event=change_refused", 1)
+		voters[0].said.waits(t, "msg=change_refused", 1)
 	})
 	t.Run("the parent is lost, and the voters' majority: it goes on with what it has", func(t *testing.T) {
 		relay.stop()
-		leaf.said.waits(t, "event=parent_lost", 1)
-		leaf.said.waits(t, "event=subscribed", 2) // at one that it has learned of
+		leaf.said.waits(t, "msg=parent_lost", 1)
+		leaf.said.waits(t, "msg=subscribed", 2) // at one that it has learned of
 		voters[2].reloads(t, known, `{"pricing":{"drain":{"s-4":true}}}`)
-		voters[2].said.waits(t, "event=change_accepted revision=2", 1)
+		voters[2].said.waits(t, "msg=change_accepted revision=2", 1)
 		picks("with the second change", func(ids []string) bool {
 			return !slices.Contains(ids, "s-4") && slices.Contains(ids, "s-2") && !h.inside
 		})
 		voters[0].stop()
 		voters[1].stop()
-		leaf.said.waits(t, "event=cut_off revision=2", 1)
+		leaf.said.waits(t, "msg=configuration_stale revision=2", 1)
 		if picks := h.picks(0); len(picks) != 5 {
 			t.Errorf("picks %v", picks)
 		}
-		if text, _ := leaf.said.read(); strings.Count(text, "event=snapshot_taken") != 1 {
+		if text, _ := leaf.said.read(); strings.Count(text, "msg=snapshot_applied") != 1 {
 			t.Errorf("a snapshot where a delta would do")
 		}
 	})
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"log/slog"
 	"slices"
 	"time"
 
@@ -17,7 +17,7 @@
 type eventLoop struct {
 	*tables
 	limits    *limits
-	log       *journal
+	log       *slog.Logger
 	decisions *balancer.Controller
 
 	watcher   *endpointWatcher
@@ -80,7 +80,7 @@
 	select {
 	case l.inbox <- what:
 	default:
-		l.log.seldom("reports", "report_dropped", "mailbox", l.limits.inboxSize)
+		l.log.Warn("report_dropped", "inbox_size", l.limits.inboxSize)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (l *eventLoop) iterate(first func()) {
 	last := l.now
 	if l.now = max(l.clock(), last+1); l.now-last > l.limits.stallThreshold {
-		l.log.seldom("stood", "stood_still", "seconds", figured(float64(l.now-last)/microsPerSecond, 1))
+		l.log.Warn("process_stalled", "stalled_s", formatDecimal(float64(l.now-last)/microsPerSecond, 1))
 		l.stalledAt = l.now
 	}
 	first()
@@ -180,7 +180,7 @@
 		return gone
 	})
 	if many > 0 {
-		l.log.say("forgotten", "backends", many, "kept", len(l.backends.index))
+		l.log.Info("backends_forgotten", "backends", many, "known", len(l.backends.index))
 	}
 }
 
@@ -202,10 +202,10 @@
 // Log writes a change of mode, with the id of the backend that it is about as staff know it.
 func (l *eventLoop) Log(backend int, line string) {
 	if backend < 0 {
-		l.log.say("decision", "text", line)
+		l.log.Info("decision", "text", line)
 		return
 	}
-	l.log.say("decision", "backend", l.backends.ids[backend], "text", line)
+	l.log.Info("decision", "backend", l.backends.ids[backend], "text", line)
 }
 
 // PollEndpoints has the list ask now, if it waits after a failed call. It is followed all the time, as asking costs
@@ -242,10 +242,10 @@
 			l.backends.removedAt[backend] = l.now
 		}
 	}
-	l.log.say("list", "version", version, "whole", whole, "entries", len(entries))
+	l.log.Info("endpoint_list_updated", "version", version, "full", whole, "endpoints", len(entries))
 	l.decisions.EndpointsUpdated(whole, entries)
 	if len(entries) > 0 {
-		l.becomeReady("the list is known")
+		l.becomeReady(readyListKnown)
 	}
 }
 
@@ -258,6 +258,13 @@
 	return l.overrides.merged(to, l.backends.ids[e.Backend], e)
 }
 
+// Reasons why answers leave.
+const (
+	readyListKnown         = "the list is known"
+	readyDiscoveryAnswered = "discovery has answered"
+	readyWithoutList       = "nothing is known, and discovery keeps silent"
+)
+
 // becomeReady has answers leave from now on. A controller that knows no backend orders nothing, and proxies go on with
 // what they hold, which is no worse than with none to connect to.
 func (l *eventLoop) becomeReady(why string) {
@@ -265,7 +272,11 @@
 	case <-l.ready:
 	default:
 		close(l.ready)
-		l.log.say("ready", "backends", len(l.backends.index), "why", why)
+		level := slog.LevelInfo
+		if why == readyWithoutList {
+			level = slog.LevelWarn
+		}
+		l.log.Log(context.Background(), level, "ready", "backends", len(l.backends.index), "reason", why)
 	}
 }
 
@@ -273,7 +284,7 @@
 	id := server.GetStringBytes("id")
 	zone, there := l.zoneIndex[string(server.GetStringBytes("zone"))]
 	if len(id) == 0 || len(id) > l.limits.maxIDBytes || !there {
-		l.log.seldom("entry", "entry_skipped", "id", string(id[:min(len(id), l.limits.maxIDBytes)]), "why", "no usable id or zone")
+		l.log.Warn("endpoint_skipped", "backend", string(id[:min(len(id), l.limits.maxIDBytes)]), "reason", "no usable id or zone")
 		return e, false
 	}
 	condition := balancer.Draining // the careful reading of a word that we do not know
@@ -284,11 +295,11 @@
 	case "removed":
 		condition = balancer.Removed
 	default:
-		l.log.seldom("state", "entry_state", "id", string(id), "state", state, "taken", "draining")
+		l.log.Warn("endpoint_state_unknown", "backend", string(id), "state", state, "treated_as", "draining")
 	}
 	backend, ok := l.backends.assign(string(id), server.Get("id").MarshalTo(nil), l.limits.maxBackends)
 	if !ok {
-		l.log.seldom("backends", "entry_skipped", "id", string(id), "why", "too many backends")
+		l.log.Warn("endpoint_skipped", "backend", string(id), "reason", "too many backends")
 		return e, false
 	}
 	weight, _ := numberAt(server, "weight")
@@ -309,8 +320,8 @@
 		l.removeSession(p.proxy)
 		old.conn.close(errReplaced)
 	}
-	l.log.seldom(fmt.Sprint("joined ", p.proxy), "joined", "node", p.proxy, "zone", l.zoneName(p.zone),
-		"usual", figured(usual, 1), "keeps", keeps, "peer", p.conn.RemoteAddr())
+	l.log.Info("proxy_connected", "proxy", p.proxy, "zone", l.zoneName(p.zone),
+		"requests_per_s", formatDecimal(usual, 1), "may_hold_withdrawals", keeps, "remote", p.conn.RemoteAddr())
 	l.sessions[p.proxy] = &session{conn: p}
 	s := l.connect(p.proxy, p, keeps)
 	if l.ownership != nil {
@@ -328,7 +339,7 @@
 // proxyDisconnected takes the end of a stream, unless another has replaced it.
 func (l *eventLoop) proxyDisconnected(p *connection) {
 	if l.isCurrent(p) {
-		l.log.seldom(fmt.Sprint("left ", p.proxy), "left", "node", p.proxy, "why", p.closeReason)
+		l.log.Info("proxy_disconnected", "proxy", p.proxy, "error", p.closeReason)
 		l.removeSession(p.proxy)
 	}
 }
@@ -336,7 +347,7 @@
 // dropProxy ends the stream of a proxy that cannot be reached.
 func (l *eventLoop) dropProxy(node int, err error) {
 	if p := l.sessions[node].conn; err != errClosed {
-		l.log.say("lost", "node", node, "why", err)
+		l.log.Warn("proxy_dropped", "proxy", node, "error", err)
 		p.close(err)
 	}
 	l.removeSession(node)
@@ -377,7 +388,7 @@
 	j := l.sessions[p.proxy]
 	at := slices.IndexFunc(j.unacked, func(w *pendingAck) bool { return w.nonce == number })
 	if at < 0 {
-		l.log.seldom("mark", "mark_unknown", "node", p.proxy, "mark", number)
+		l.log.Warn("ack_unknown", "proxy", p.proxy, "nonce", number)
 		return
 	}
 	if j.unacked[at].firstAnsweredAt == 0 {
@@ -398,7 +409,7 @@
 func (l *eventLoop) outcomesReported(id string, tries, failed int, mean, span int64, load balancer.BackendLoad) {
 	backend, ok := l.backends.index[id]
 	if !ok {
-		l.log.seldom("unlisted", "report_unlisted", "id", id[:min(len(id), l.limits.maxIDBytes)])
+		l.log.Info("report_for_unknown_backend", "backend", id[:min(len(id), l.limits.maxIDBytes)])
 		return
 	}
 	l.decisions.OutcomesReported(backend, tries, failed, mean, span, load)
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -52,7 +52,7 @@
 			t.Error("a hello that was under way for long took the stream's place")
 		}
 		m.iterate(func() { p.close(io.EOF); m.proxyDisconnected(p) })
-		if text, _ := said.read(); m.isCurrent(p) || !strings.Contains(text, `event=left node=0 why=EOF`) {
+		if text, _ := said.read(); m.isCurrent(p) || !strings.Contains(text, `msg=proxy_disconnected proxy=0 error=EOF`) {
 			t.Errorf("did not leave: %s", text)
 		}
 	})
@@ -100,7 +100,7 @@
 		if m.isCurrent(p) {
 			t.Error("never given up")
 		}
-		said.waits(t, "event=stood_still", 1)
+		said.waits(t, "msg=process_stalled", 1)
 	})
 	t.Run("it is found sooner where others have answered the same mark", func(t *testing.T) {
 		m, _ := begin(t)
@@ -123,7 +123,7 @@
 		for range m.limits.inboxSize + 5 {
 			m.tryPost(func() {})
 		}
-		said.waits(t, "event=report_dropped", 1)
+		said.waits(t, "msg=report_dropped", 1)
 		for range m.limits.inboxSize / m.limits.eventsPerIteration {
 			m.iterate(func() {})
 		}
--- a/controller/log.go
+++ b/controller/log.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"strconv"
@@ -8,64 +10,146 @@
 	"time"
 )
 
-// NewLogger makes a log as staff read it: lines of key=value text, the time in UTC first, then the event.
+// timeFormat is how log lines give the time of day, in UTC.
+const timeFormat = "15:04:05.000000"
+
+// NewLogger makes a logger that writes lines of key=value text: time (of day, in UTC), level, msg (the event), and the event's
+// keys. It may be used by several goroutines at once.
 func NewLogger(to io.Writer) *slog.Logger {
-	return slog.New(slog.NewTextHandler(to, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
-		switch {
-		case len(groups) > 0:
-		case a.Key == slog.TimeKey:
-			return slog.String(a.Key, a.Value.Time().UTC().Format("15:04:05.000000"))
-		case a.Key == slog.LevelKey && a.Value.Any() == slog.LevelInfo:
-			return slog.Attr{}
-		case a.Key == slog.MessageKey:
-			a.Key = "event"
-		}
-		return a
-	}}))
+	return slog.New(slog.NewTextHandler(to, &slog.HandlerOptions{ReplaceAttr: formatTime}))
+}
+
+// formatTime replaces the time of a record by its time of day.
+func formatTime(groups []string, attr slog.Attr) slog.Attr {
+	if len(groups) == 0 && attr.Key == slog.TimeKey {
+		return slog.String(attr.Key, attr.Value.Time().UTC().Format(timeFormat))
+	}
+	return attr
+}
+
+// rateLimitedEvents are those that a peer could cause at will, with the key whose values are counted apart: one line of an
+// event and a value is written in limits.logRepeatInterval. Where the key is empty, all lines of the event count together.
+var rateLimitedEvents = map[string]string{
+	"accept_failed":                "",
+	"ack_unknown":                  "",
+	"cache_write_failed":           "",
+	"connection_closed":            "kind",
+	"discovery_failed":             "",
+	"distribution_message_refused": "detail",
+	"distribution_tree":            "detail",
+	"endpoint_skipped":             "reason",
+	"endpoint_state_unknown":       "",
+	"entry_unusable":               "",
+	"message_skipped":              "reason",
+	"process_stalled":              "",
+	"proxy_connected":              "proxy",
+	"proxy_disconnected":           "proxy",
+	"proxy_granted":                "",
+	"report_dropped":               "",
+	"report_for_unknown_backend":   "",
+	"subscriber_refused":           "",
+	"subscription_refused":         "",
+	"unidentified_closed":          "error",
 }
 
-// journal writes events. Lines that any client could cause go through seldom.
-type journal struct {
-	to          *slog.Logger
-	repeatEvery time.Duration // how often a kind of line is written, at most
-	maxKinds    int           // whose repeats are counted; all others count as one
+// suppressedKey is the key of how many lines of the same kind were left out since the last one.
+const suppressedKey = "suppressed"
+
+// rateLimitHandler passes records on to another handler, but leaves out rate-limited events that repeat too soon. It may be used
+// by several goroutines at once.
+type rateLimitHandler struct {
+	slog.Handler
+	limits  *limits       // logRepeatInterval, maxLogKinds
+	repeats *repeatCounts // shared with the handlers derived from this one
+}
 
-	mutex   sync.Mutex
-	repeats map[string]*repeat
+// repeatCounts counts the lines of each kind; a kind is an event with the value of its key.
+type repeatCounts struct {
+	mutex  sync.Mutex // guards byKind and what it points to
+	byKind map[string]*repeatCount
 }
 
-type repeat struct {
-	since time.Time // when the last was written
-	times int       // since then
+// repeatCount is what is known of one kind of line.
+type repeatCount struct {
+	lastWritten time.Time
+	suppressed  int // lines left out since then
 }
 
-func newJournal(to *slog.Logger, repeatEvery time.Duration, maxKinds int) *journal {
-	return &journal{to: to, repeatEvery: repeatEvery, maxKinds: maxKinds, repeats: map[string]*repeat{}}
+// newRateLimitedLogger gives a logger that writes through another, with its repeats left out.
+func newRateLimitedLogger(to *slog.Logger, limits *limits) *slog.Logger {
+	return slog.New(&rateLimitHandler{to.Handler(), limits, &repeatCounts{byKind: map[string]*repeatCount{}}})
 }
 
-// say writes an event with its keys and values.
-func (j *journal) say(event string, pairs ...any) { j.to.Info(event, pairs...) }
+// Handle implements slog.Handler.
+func (h *rateLimitHandler) Handle(ctx context.Context, record slog.Record) error {
+	key, limited := rateLimitedEvents[record.Message]
+	if !limited {
+		return h.Handler.Handle(ctx, record)
+	}
+	suppressed, write := h.repeats.count(record.Message+" "+valueOf(record, key), h.limits)
+	if !write {
+		return nil
+	}
+	record = record.Clone()
+	record.AddAttrs(slog.Int(suppressedKey, suppressed))
+	return h.Handler.Handle(ctx, record)
+}
 
-// seldom writes an event of a kind unless one was written lately; it says then how many were held back.
-func (j *journal) seldom(kind, event string, pairs ...any) {
-	j.mutex.Lock()
-	if j.repeats[kind] == nil && len(j.repeats) >= j.maxKinds {
+// WithAttrs implements slog.Handler; the new handler counts repeats together with this one.
+func (h *rateLimitHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitHandler{h.Handler.WithAttrs(attrs), h.limits, h.repeats}
+}
+
+// WithGroup implements slog.Handler; the new handler counts repeats together with this one.
+func (h *rateLimitHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitHandler{h.Handler.WithGroup(name), h.limits, h.repeats}
+}
+
+// count takes in a line of a kind. It tells whether the line is to be written, and how many were left out before it. Kinds beyond
+// limits.maxLogKinds count as one, so that peers cannot have the table grow.
+func (r *repeatCounts) count(kind string, limits *limits) (suppressed int, write bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.byKind[kind] == nil && len(r.byKind) >= limits.maxLogKinds {
 		kind = ""
 	}
-	if j.repeats[kind] == nil {
-		j.repeats[kind] = &repeat{}
+	if r.byKind[kind] == nil {
+		r.byKind[kind] = &repeatCount{}
+	}
+	known := r.byKind[kind]
+	if time.Since(known.lastWritten) < limits.logRepeatInterval {
+		known.suppressed++
+		return 0, false
 	}
-	r := j.repeats[kind]
-	r.times++
-	if time.Since(r.since) < j.repeatEvery {
-		j.mutex.Unlock()
-		return
+	suppressed = known.suppressed
+	*known = repeatCount{lastWritten: time.Now()}
+	return suppressed, true
+}
+
+// valueOf gives the value of a record's key as text. Of an error it is the root cause, as what wraps it may hold numbers that
+// differ each time.
+func valueOf(record slog.Record, key string) (text string) {
+	record.Attrs(func(attr slog.Attr) bool {
+		if attr.Key != key {
+			return true
+		}
+		if err, ok := attr.Value.Any().(error); ok {
+			text = rootCause(err)
+		} else {
+			text = attr.Value.String()
+		}
+		return false
+	})
+	return text
+}
+
+// rootCause is the text of the innermost error that an error wraps.
+func rootCause(err error) string {
+	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
+		err = inner
 	}
-	held := r.times - 1
-	*r = repeat{since: time.Now()}
-	j.mutex.Unlock()
-	j.to.Info(event, append(pairs, "held_back", held)...)
+	return err.Error()
 }
 
-// figured is a figure with so many places as a line needs.
-func figured(x float64, places int) string { return strconv.FormatFloat(x, 'f', places, 64) }
+// formatDecimal gives a number with a fixed count of decimal places.
+func formatDecimal(x float64, places int) string { return strconv.FormatFloat(x, 'f', places, 64) }
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -1,7 +1,9 @@
 package controller
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
 	"maps"
 	"slices"
 	"time"
@@ -54,7 +56,7 @@
 		config.Distribution = c.distributor.becomeVoter(consensus.Peer{Name: with.Name, Address: with.Members[with.Name]})
 	}
 	var err error
-	if f.node, err = consensus.New(config, consensusEvents{m, f}, c.log.to); err != nil {
+	if f.node, err = consensus.New(config, consensusEvents{m, f}, c.log); err != nil {
 		return err
 	}
 	if votes {
@@ -137,11 +139,11 @@
 			m.now = max(m.clock(), m.now+1)
 			what()
 		case <-late:
-			m.log.say("sharing", "closed", false, "why", "the record does not answer")
+			m.log.Warn("handover_unconfirmed", "owned", h.coordinator.Owned(), "reason", "the record does not answer")
 			return
 		}
 	}
-	m.log.say("sharing", "closed", true, "owned", h.coordinator.Owned())
+	m.log.Info("handover_confirmed", "owned", h.coordinator.Owned())
 }
 
 // tag of the coordinator's timer, which the decisions' is not.
@@ -188,8 +190,8 @@
 	if s.wantsToken {
 		s.token = token
 	}
-	h.loop.log.seldom("granted", "granted", "node", node, "token", token, "known", base != nil, "clean", clean,
-		"spent", spent)
+	h.loop.log.Info("proxy_granted", "proxy", node, "token", token, "tables_known", base != nil, "withdrawals_known", clean,
+		"messages_sent", spent)
 	h.loop.decisions.MessagesSentByPeers(node, spent)
 	h.loop.decisions.ProxyConnected(node, a.zone, a.requestsPerSecond, a.mayHoldWithdrawals)
 	h.loop.decisions.SeedDemand(node, came)
@@ -283,10 +285,14 @@
 	}
 }
 
-// QuorumChanged logs that we go off the record, or are on it again.
-func (h *ownershipHost) QuorumChanged(alone bool, why string) {
-	h.loop.log.say("sharing", "alone", alone, "why", why, "owned", h.coordinator.Owned(),
-		"deltas", h.loop.deltaTables, "wholes", h.loop.fullTables)
+// QuorumChanged implements ownership.Host: it logs that we act without the record, or with it again.
+func (h *ownershipHost) QuorumChanged(alone bool, reason string) {
+	level := slog.LevelInfo
+	if alone {
+		level = slog.LevelWarn
+	}
+	h.loop.log.Log(context.Background(), level, "quorum_changed", "quorum", !alone, "reason", reason,
+		"owned", h.coordinator.Owned(), "delta_tables", h.loop.deltaTables, "full_tables", h.loop.fullTables)
 }
 
 // RandomID names a new incarnation.
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -65,9 +65,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- c.Serve(ctx) }()
-		said.waits(t, "event=serving", 1)
+		said.waits(t, "msg=serving", 1)
 		text, _ := said.read()
-		s := &sharer{regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said, func() {
+		s := &sharer{regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said, func() {
 			cancel()
 			if err := <-ended; err != nil {
 				t.Errorf("%s ended with %v", name, err)
@@ -108,7 +108,7 @@
 	t.Run("a proxy that goes over is told what differs, and not the whole table again", func(t *testing.T) {
 		all := shares(t, known, 3, "n0", "n1", "n2")
 		for _, s := range all { // each has entered, and its tables stand
-			s.said.waits(t, "event=sharing alone=false", 1)
+			s.said.waits(t, "msg=quorum_changed quorum=true", 1)
 		}
 		h := newHearer("read it", "write")
 		p := joinsAt(t, all[0].address, h, true)
@@ -121,7 +121,7 @@
 			p.Close()
 			p = joinsAt(t, all[at%3].address, h, false)
 			text, _ := all[at%3].said.read()
-			if told = strings.Count(text, "known=true"); told > 0 && h.cost > 6 {
+			if told = strings.Count(text, "tables_known=true"); told > 0 && h.cost > 6 {
 				t.Errorf("%d lines for a proxy that had all of them", h.cost)
 			}
 			if picks := h.picks(0); len(picks) != 12 || !slices.Equal(picks, h.picks(1)) {
@@ -134,10 +134,10 @@
 	})
 	t.Run("at a planned end the record says so before the streams end", func(t *testing.T) {
 		all := shares(t, known, 3, "n0", "n1", "n2")
-		all[1].said.waits(t, "event=sharing alone=false", 1)
+		all[1].said.waits(t, "msg=quorum_changed quorum=true", 1)
 		p := joinsAt(t, all[1].address, newHearer("read it", "write"), true)
 		all[1].stop()
-		if text, _ := all[1].said.read(); !strings.Contains(text, "event=sharing closed=true") || !p.ends() {
+		if text, _ := all[1].said.read(); !strings.Contains(text, "msg=handover_confirmed") || !p.ends() {
 			t.Errorf("said %s", text)
 		}
 	})
@@ -146,7 +146,7 @@
 		h := newHearer("read it", "write")
 		began := time.Now()
 		joinsAt(t, alone.address, h, true)
-		if text, _ := alone.said.read(); len(h.picks(0)) != 12 || !strings.Contains(text, "event=sharing alone=true") {
+		if text, _ := alone.said.read(); len(h.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
 			t.Errorf("it can pick %v; said %s", h.picks(0), text)
 		}
 		if waited := time.Since(began); waited > 3*time.Second { // the grace of these settings
@@ -155,7 +155,7 @@
 	})
 	t.Run("with tokens asked for, each order has its owner's", func(t *testing.T) {
 		all := shares(t, known, 2, "n0", "n1")
-		all[0].said.waits(t, "event=sharing alone=false", 1)
+		all[0].said.waits(t, "msg=quorum_changed quorum=true", 1)
 		p := calls(t, all[0].address)
 		p.says(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true,"fence":true}`)
 		if raw := string(p.gets()); !strings.Contains(raw, `{"msg":"push","token":`) {
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -57,8 +57,8 @@
 			if got := string(c.gets()[lengthSize:]); got != isAlive {
 				t.Errorf("answered %q", got)
 			}
-			said.waits(t, "event=ready", 1)
-			if text, _ := said.read(); !strings.Contains(text, fmt.Sprintf("why=%q", story.why)) {
+			said.waits(t, "msg=ready", 1)
+			if text, _ := said.read(); !strings.Contains(text, fmt.Sprintf("reason=%q", story.why)) {
 				t.Errorf("ready for another reason: %s", text)
 			}
 			p.says(hello)
@@ -79,7 +79,7 @@
 		address, said := serves(t, d.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
 		p, h := calls(t, address), newHearer("read it", "write")
 		p.says(hello)
-		said.waits(t, "event=joined", 1)
+		said.waits(t, "msg=proxy_connected", 1)
 		d.answers <- two
 		if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
 			t.Errorf("error %v, picks %v", err, h.lines)
@@ -151,7 +151,7 @@
 	}
 	t.Run("an answer of the former address does not overrule the newer one", func(t *testing.T) {
 		taken := 0
-		l := newEndpointWatcher("127.0.0.1:1", defaultLimits(), newJournal(slog.New(slog.DiscardHandler), time.Second, 9),
+		l := newEndpointWatcher("127.0.0.1:1", defaultLimits(), slog.New(slog.DiscardHandler),
 			func(bool, int64, []*fastjson.Value) { taken++ }, func() { taken++ })
 		body := listing(50, true, backendIs(0, "up"))
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/controller/server.go
+++ b/controller/server.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"slices"
@@ -19,7 +20,7 @@
 type server struct {
 	limits *limits
 	loop   *eventLoop
-	log    *journal
+	log    *slog.Logger
 
 	mutex        sync.Mutex
 	unidentified []*connection // the oldest first
@@ -45,7 +46,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err)
 		case err != nil: // the caller has gone again, or no descriptor is left
-			s.log.seldom("accept", "accept_failed", "error", err)
+			s.log.Warn("accept_failed", "error", err)
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				s.evict(1)
 			}
@@ -163,11 +164,11 @@
 	defer s.mutex.Unlock()
 	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
 	if p.kind == kindUnidentified {
-		s.log.seldom("stranger "+rootCause(p.closeReason), "stranger_ended", "peer", p.conn.RemoteAddr(), "why", p.closeReason)
+		s.log.Info("unidentified_closed", "remote", p.conn.RemoteAddr(), "error", p.closeReason)
 		return
 	}
-	s.log.seldom(p.kind.String()+" ended", "ended", "peer", p.conn.RemoteAddr(), "kind", p.kind,
-		"node", p.proxy, "zone", s.loop.zoneName(p.zone), "why", p.closeReason)
+	s.log.Info("connection_closed", "remote", p.conn.RemoteAddr(), "kind", p.kind,
+		"proxy", p.proxy, "zone", s.loop.zoneName(p.zone), "error", p.closeReason)
 }
 
 func without(peers []*connection, p *connection) []*connection {
--- a/controller/serving_test.go
+++ b/controller/serving_test.go
@@ -29,7 +29,6 @@
 	c.limits.watchWait, c.limits.watchMargin = 50*time.Millisecond, time.Second
 	if change != nil {
 		change(c.limits)
-		c.log.repeatEvery = c.limits.logRepeatInterval
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -45,7 +44,7 @@
 			t.Error("did not end in time")
 		}
 	})
-	said.waits(t, "event=serving", 1)
+	said.waits(t, "msg=serving", 1)
 	text, _ := said.read()
-	return c, regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said
+	return c, regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said
 }
--- a/controller/sockets_test.go
+++ b/controller/sockets_test.go
@@ -58,19 +58,19 @@
 			}
 		}
 		p.Close()
-		said.waits(t, "event=left node=3", 1)
+		said.waits(t, "msg=proxy_disconnected proxy=3", 1)
 	})
 	t.Run("nothing is answered before the list is known", func(t *testing.T) {
 		d := discovers(t)
 		address, said := serves(t, d.address, "null", nil)
 		p := calls(t, address)
 		p.says(probe)
-		if text, _ := said.read(); strings.Contains(text, "event=ready") {
+		if text, _ := said.read(); strings.Contains(text, "msg=ready") {
 			t.Error("ready without a backend")
 		}
 		d.answers <- two
 		p.gets()
-		said.waits(t, "event=ready", 1)
+		said.waits(t, "msg=ready", 1)
 	})
 	t.Run("odd messages are skipped, unreadable ones end the stream", func(t *testing.T) {
 		address, said := serves(t, discovers(t).address, two, nil)
@@ -100,7 +100,7 @@
 		c.says(hello)
 		c.says(probe)
 		c.gets()
-		said.waits(t, "event=skipped", 5)
+		said.waits(t, "msg=message_skipped", 5)
 		for _, raw := range []string{"\x00\x00\x00\x00", "\x00\x10\x00\x01", "\xff\xff\xff\xff", string(framed("{")),
 			string(framed("[1]")), string(framed("null")), string(framed(strings.Repeat("[", 5000)))} {
 			q := calls(t, address)
@@ -138,8 +138,8 @@
 			c.Write(framed(hello)[:5+size])
 			c.Close()
 		}
-		said.waits(t, "event=stranger_ended", 3)
-		if text, _ := said.read(); strings.Count(text, "event=stranger_ended") > 10 {
+		said.waits(t, "msg=unidentified_closed", 3)
+		if text, _ := said.read(); strings.Count(text, "msg=unidentified_closed") > 10 {
 			t.Errorf("too much is said of strangers: %s", text)
 		}
 		if spent := time.Since(began); spent > 2*time.Second {
@@ -187,7 +187,7 @@
 		}
 		p.says(probe)
 		p.gets()
-		said.waits(t, "event=stranger_ended", 1)
+		said.waits(t, "msg=unidentified_closed", 1)
 		for late := time.Now().Add(patience); runtime.NumGoroutine() > before+20; runtime.Gosched() {
 			if time.Now().After(late) {
 				t.Fatalf("%d goroutines before, %d after", before, runtime.NumGoroutine())
@@ -269,8 +269,8 @@
 		ended := make(chan error)
 		s := &server{limits: m.limits, loop: m, log: m.log}
 		go func() { ended <- s.run(ctx, short) }()
-		said.waits(t, "event=accept_failed", 1)
-		said.waits(t, "event=stranger_ended", 1)
+		said.waits(t, "msg=accept_failed", 1)
+		said.waits(t, "msg=unidentified_closed", 1)
 		stop()
 		if err := <-ended; err != nil {
 			t.Errorf("ended with %v", err)
--- a/controller/spoilt_test.go
+++ b/controller/spoilt_test.go
@@ -29,7 +29,7 @@
 		for _, text := range spoilt {
 			for _, first := range []string{hello, agent} {
 				m, said := begin(t)
-				m.log.repeatEvery = 0
+				m.limits.logRepeatInterval = 0
 				raw := append(append(framed(first), framed(text)...), framed(usage)...)
 				p := newConnection(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
 				err := p.readMessages()
@@ -40,7 +40,7 @@
 					t.Errorf("%.60s: the stream went on: %v", text, err)
 				case object && err != io.EOF:
 					t.Errorf("%.60s: the stream ended: %v", text, err)
-				case object && !strings.Contains(log, "event=skipped") && !strings.Contains(log, "event=report_unlisted"):
+				case object && !strings.Contains(log, "msg=message_skipped") && !strings.Contains(log, "msg=report_for_unknown_backend"):
 					t.Errorf("%.60s: taken", text)
 				}
 			}
@@ -67,7 +67,7 @@
 		if texts, err := c.rest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errUnacceptable.Error()) {
 			t.Errorf("got %q, error %v", texts, err)
 		}
-		if text, _ := said.read(); strings.Contains(text, "event=joined") {
+		if text, _ := said.read(); strings.Contains(text, "msg=proxy_connected") {
 			t.Error("it has joined")
 		}
 	})
@@ -93,13 +93,13 @@
 			if !x.stays {
 				p.rest()
 				if x.then != nil {
-					said.waits(t, fmt.Sprintf("event=left node=%d", node), 1)
+					said.waits(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 				}
 			} else if got := string(p.gets()[lengthSize:]); got != isAlive {
 				t.Errorf("node %d got %q", node, got)
 			}
 		}
-		if text, _ := said.read(); strings.Contains(text, "event=joined node=3") {
+		if text, _ := said.read(); strings.Contains(text, "msg=proxy_connected proxy=3") {
 			t.Error("one byte more than a stranger may send was taken")
 		}
 	})
--- a/rehearse/takeover.go
+++ b/rehearse/takeover.go
@@ -305,7 +305,7 @@
 
 // say tells who watches, and notes it beside the controllers' logs.
 func (p *play) say(format string, args ...any) {
-	fmt.Fprintf(p.events, "time=%s event=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), fmt.Sprintf(format, args...))
+	fmt.Fprintf(p.events, "time=%s msg=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), fmt.Sprintf(format, args...))
 	if p.Progress != nil {
 		p.Progress(fmt.Sprintf(format, args...))
 	}
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -116,7 +116,7 @@
 func (c *listedController) read(line string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	event := field(line, "event")
+	event := field(line, "msg")
 	c.last[event] = logLine{line, time.Now()}
 	if event == "ready" {
 		c.ready, c.known = time.Now(), field(line, "backends")
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -118,7 +118,7 @@
 	_, now := discovery.Sent()
 	cost.listBytes = now - sent
 	if cost.known, err = strconv.ParseFloat(c.known, 64); err != nil {
-		return cost, fmt.Errorf("backends of event=ready: %w", err)
+		return cost, fmt.Errorf("backends of msg=ready: %w", err)
 	}
 	span := min(listIdle, o.For/4)
 	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, span) }); err != nil {
--- a/scale/record.go
+++ b/scale/record.go
@@ -151,9 +151,9 @@
 	found := false
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		switch line := lines.Text(); {
-		case strings.Contains(line, " event=leading "):
+		case strings.Contains(line, " msg=leading "):
 			cost.leads = field(line, "leads") == "true"
-		case strings.Contains(line, " event=record "):
+		case strings.Contains(line, " msg=record "):
 			found = true
 			cost.entries, err = strconv.ParseFloat(field(line, "entries_per_s"), 64)
 			if err == nil {
--- a/scale/rolefleet.go
+++ b/scale/rolefleet.go
@@ -160,8 +160,8 @@
 				return false
 			}
 		}
-		line, ok := real.said("sharing")
-		return ok && field(line.text, "alone") == "false"
+		line, ok := real.said("quorum_changed")
+		return ok && field(line.text, "quorum") == "true"
 	}
 	if !waitFor(ctx, startsWithin, entered) {
 		return fmt.Errorf("the voters have no record within %s", startsWithin)
@@ -189,13 +189,13 @@
 		return err
 	}
 	has := func() bool {
-		_, ok := c.said("snapshot_taken")
+		_, ok := c.said("snapshot_applied")
 		return ok || c.process.Gone()
 	}
 	if waitTight(ctx, rolesReadyWithin, has); c.process.Gone() {
 		return fmt.Errorf("the %s has ended", role)
 	}
-	line, ok := c.said("snapshot_taken")
+	line, ok := c.said("snapshot_applied")
 	if !ok {
 		return fmt.Errorf("the %s has no configuration within %s", role, rolesReadyWithin)
 	}
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -131,7 +131,7 @@
 // bytesPerS is what a process last logged of what it passes: a voter on all connections of the record, on which others
 // subscribe as well, the rest on those of the distribution.
 func (r *roleFleet) bytesPerS(role string) (sum float64, err error) {
-	event, keys := "distribution", []string{"in_bytes_per_s", "out_bytes_per_s"}
+	event, keys := "distribution_status", []string{"in_bytes_per_s", "out_bytes_per_s"}
 	if role == voterRole {
 		event, keys = "record", []string{"bytes_per_s"}
 	}
@@ -142,7 +142,7 @@
 	for _, key := range keys {
 		value, err := strconv.ParseFloat(field(line.text, key), 64)
 		if err != nil {
-			return 0, fmt.Errorf("%s of event=%s: %w", key, event, err)
+			return 0, fmt.Errorf("%s of msg=%s: %w", key, event, err)
 		}
 		sum += value
 	}
