--- a/controller/cache.go
+++ b/controller/cache.go
@@ -16,7 +16,7 @@
 // configurationCache keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older.
 type configurationCache struct {
 	path  string
-	saved distribution.Mark // as written
+	saved distribution.Version // as written
 }
 
 const (
@@ -51,15 +51,15 @@
 		return nil, fmt.Errorf("%s: damaged: %w", c.path, err)
 	}
 	if state != nil {
-		c.saved = state.Mark
+		c.saved = state.Version
 	}
 	return state, nil
 }
 
 // update writes what the carrier has, if that has moved on since.
-func (c *configurationCache) update(carrier *transport.Carrier) error {
+func (c *configurationCache) update(carrier *transport.Transport) error {
 	status, ok := carrier.Status()
-	if !ok || status.Mark == c.saved || !status.Mark.Epoch.Known() {
+	if !ok || status.Version == c.saved || !status.Version.Epoch.Known() {
 		return nil
 	}
 	state, ok := carrier.State()
@@ -69,7 +69,7 @@
 	if err := c.save(state); err != nil {
 		return err
 	}
-	c.saved = state.Mark
+	c.saved = state.Version
 	return nil
 }
 
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -52,7 +52,7 @@
 type distributor struct {
 	loop      *eventLoop
 	log       *slog.Logger
-	carrier   *transport.Carrier
+	carrier   *transport.Transport
 	node      *consensus.Node     // of a voter
 	listener  *consensus.Listener // of a subscriber that passes on
 	limits    distribution.Limits
@@ -146,7 +146,7 @@
 	case err != nil:
 		d.log.Warn("cache_unusable", "error", err)
 	case state != nil:
-		d.log.Info("cache_loaded", "revision", state.Mark.Revision, "epoch", state.Mark.Epoch.String(), "entries", len(state.Entries))
+		d.log.Info("cache_loaded", "revision", state.Version.Revision, "epoch", state.Version.Epoch.String(), "entries", len(state.Entries))
 		d.carrier.Restored(*state)
 	}
 	return nil
@@ -155,7 +155,7 @@
 var errNoParent = errors.New("a voter has no parent")
 
 // becomeVoter prepares a voter, as a member that shares the record.
-func (d *distributor) becomeVoter(self consensus.Peer) *transport.Carrier {
+func (d *distributor) becomeVoter(self consensus.Peer) *transport.Transport {
 	d.carrier = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
@@ -357,7 +357,7 @@
 		}
 		now := d.carrier.Traffic()
 		rate := func(now, last int64) string { return formatDecimal(float64(now-last)/statusInterval.Seconds(), 0) }
-		d.log.Info("distribution_status", "revision", status.Mark.Revision, "epoch", status.Mark.Epoch.String(), "age_s", formatAge(status.Age),
+		d.log.Info("distribution_status", "revision", status.Version.Revision, "epoch", status.Version.Epoch.String(), "age_s", formatAge(status.Age),
 			"parent", status.Parent, "depth", len(status.Path), "children", len(status.Children), "entries", status.Entries,
 			"in_bytes_per_s", rate(now.In, last.In), "out_bytes_per_s", rate(now.Out, last.Out), "overflows", now.Overflows)
 		last = now
@@ -374,7 +374,7 @@
 
 // logEvent logs what the node tells. What children or parents could call forth again and again is held back.
 func (d *distributor) logEvent(e distribution.Event) {
-	at := []any{"revision", e.Mark.Revision, "epoch", e.Mark.Epoch.String()}
+	at := []any{"revision", e.Version.Revision, "epoch", e.Version.Epoch.String()}
 	switch e.Kind {
 	case distribution.EventAdmitted:
 		d.log.Info("subscribed", append(at, "parent", e.Peer)...)
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -139,11 +139,11 @@
 			m.now = max(m.clock(), m.now+1)
 			what()
 		case <-late:
-			m.log.Warn("handover_unconfirmed", "owned", h.coordinator.Owned(), "reason", "the record does not answer")
+			m.log.Warn("handover_unconfirmed", "owned", h.coordinator.OwnedProxies(), "reason", "the record does not answer")
 			return
 		}
 	}
-	m.log.Info("handover_confirmed", "owned", h.coordinator.Owned())
+	m.log.Info("handover_confirmed", "owned", h.coordinator.OwnedProxies())
 }
 
 // tag of the coordinator's timer, which the decisions' is not.
@@ -176,30 +176,31 @@
 }
 
 // ProxyGranted gives a proxy to the decisions.
-func (h *ownershipHost) ProxyGranted(node int, token uint64, base []ownership.KnownTable, clean bool, came []float64, spent int) {
+func (h *ownershipHost) ProxyGranted(grant ownership.Grant) {
+	node := grant.Proxy
 	a, ok := h.pending[node]
 	if !ok {
 		return
 	}
 	delete(h.pending, node)
 	s := h.loop.proxy(node)
-	s.unowned, s.base = false, base
-	if clean {
+	s.unowned, s.base = false, grant.Base
+	if grant.NoWithdrawals {
 		s.mayHoldWithdrawals, a.mayHoldWithdrawals = false, false
 	}
 	if s.wantsToken {
-		s.token = token
+		s.token = grant.Token
 	}
-	h.loop.log.Info("proxy_granted", "proxy", node, "token", token, "tables_known", base != nil, "withdrawals_known", clean,
-		"messages_sent", spent)
-	h.loop.decisions.MessagesSentByPeers(node, spent)
+	h.loop.log.Info("proxy_granted", "proxy", node, "token", grant.Token, "tables_known", grant.Base != nil, "withdrawals_known", grant.NoWithdrawals,
+		"messages_sent", grant.SentMessages)
+	h.loop.decisions.MessagesSentByPeers(node, grant.SentMessages)
 	h.loop.decisions.ProxyConnected(node, a.zone, a.requestsPerSecond, a.mayHoldWithdrawals)
-	h.loop.decisions.SeedDemand(node, came)
+	h.loop.decisions.SeedDemand(node, grant.Demand)
 }
 
 // PeerCapacityReported hands on what another member saw the fleet do.
 func (h *ownershipHost) PeerCapacityReported(capacity ownership.Capacity) {
-	h.loop.decisions.SeedThroughput(capacity.Proven, capacity.Able)
+	h.loop.decisions.SeedThroughput(capacity.Proven, capacity.Saturated)
 }
 
 // MessagesSentByPeers has the decisions write less to a proxy.
@@ -274,25 +275,25 @@
 		}
 	}
 	proven, able := h.loop.decisions.Throughput()
-	h.evidence.SetCapacity(ownership.Capacity{Proven: proven, Able: able})
+	h.evidence.SetCapacity(ownership.Capacity{Proven: proven, Saturated: able})
 	h.coordinator.AddEvidence(h.evidence, now)
 }
 
 // PeerObservationReported hands on what another member's proxies met.
 func (h *ownershipHost) PeerObservationReported(_ string, s ownership.Observation) {
 	if backend, ok := h.loop.backends.index[s.Backend]; ok {
-		h.loop.decisions.PeerOutcomesReported(backend, s.Tries, s.Failed, s.Mean, s.Wait)
+		h.loop.decisions.PeerOutcomesReported(backend, s.Attempts, s.Failed, s.MeanLatency, s.Backoff)
 	}
 }
 
 // QuorumChanged implements ownership.Host: it logs that we act without the record, or with it again.
-func (h *ownershipHost) QuorumChanged(alone bool, reason string) {
+func (h *ownershipHost) QuorumChanged(withoutQuorum bool, reason string) {
 	level := slog.LevelInfo
-	if alone {
+	if withoutQuorum {
 		level = slog.LevelWarn
 	}
-	h.loop.log.Log(context.Background(), level, "quorum_changed", "quorum", !alone, "reason", reason,
-		"owned", h.coordinator.Owned(), "delta_tables", h.loop.deltaTables, "full_tables", h.loop.fullTables)
+	h.loop.log.Log(context.Background(), level, "quorum_changed", "quorum", !withoutQuorum, "reason", reason,
+		"owned", h.coordinator.OwnedProxies(), "delta_tables", h.loop.deltaTables, "full_tables", h.loop.fullTables)
 }
 
 // RandomID names a new incarnation.
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -469,7 +469,7 @@
 // same bytes.
 func TestGoldenFolder(t *testing.T) {
 	golden := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
-	state := distribution.State{Mark: distribution.Mark{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
+	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
 		Covered: distribution.SomeScopes("pricing", "orders"), Horizon: 2, Entries: []distribution.Entry{
 			{Scope: "orders", Name: "limit/read it", Value: []byte("12.5"), Revision: 3, AcceptedAt: 1_700_000_000_000_000},
 			{Scope: "pricing", Name: "drain/s-1", Revision: 6, Deleted: true, AcceptedAt: 1_700_000_001_000_000},
