--- a/controller/backend_index.go
+++ b/controller/backend_index.go
@@ -1,35 +1,51 @@
 package controller
 
-// backendIndex gives each backend that the list names a small index, and takes it back some time after the backend has gone:
-// then another may have it.
+// backendIndex gives each backend that the list names a small index, and takes it back some time after the backend has been
+// removed: then another may have it. The event loop owns it.
 type backendIndex struct {
-	index     map[string]int
-	ids       []string
-	names     [][]byte // ids as they go onto streams
-	removedAt []int64  // since when the list lacks it; 0 while it is there
-	free      []int
-	sweptAt   int64
+	index     map[string]int // by id
+	ids       []string       // by index; empty where the index is free
+	names     [][]byte       // by index: the id as it stands in messages, a JSON string
+	removedAt []int64        // by index: since when the list lacks it, µs; 0 while it is listed
+	free      []int          // indices that nobody has
+	sweptAt   int64          // when sweep last looked, µs
 }
 
-func newBackends() *backendIndex { return &backendIndex{index: map[string]int{}} }
+func newBackendIndex() *backendIndex { return &backendIndex{index: map[string]int{}} }
 
-// assign gives the index of a backend, a new one if need be. There are as many as the bound says, at most.
-func (b *backendIndex) assign(id string, name []byte, most int) (index int, ok bool) {
+// assign gives the index of a backend, a new one if need be; not ok where there would be more than limit of them.
+func (b *backendIndex) assign(id string, name []byte, limit int) (index int, ok bool) {
 	if index, ok = b.index[id]; ok {
 		return index, true
 	}
-	if n := len(b.free); n > 0 {
-		index, b.free = b.free[n-1], b.free[:n-1]
-	} else if index = len(b.ids); index >= most {
-		return 0, false
-	} else {
+	switch free := len(b.free); {
+	case free > 0:
+		index, b.free = b.free[free-1], b.free[:free-1]
+	case len(b.ids) < limit:
+		index = len(b.ids)
 		b.ids, b.names, b.removedAt = append(b.ids, ""), append(b.names, nil), append(b.removedAt, 0)
+	default:
+		return 0, false
 	}
 	b.index[id], b.ids[index], b.names[index] = index, id, name
 	return index, true
 }
 
-// sweep forgets those that have been gone for some time, if everybody else can; it looks once in that time's tenth.
+// noteListed takes in which backends a list names, and whether they are there still; a full list lacks those that it does not name.
+func (b *backendIndex) noteListed(listed map[int]bool, full bool, now int64) {
+	for backend, since := range b.removedAt {
+		there, named := listed[backend]
+		switch {
+		case there:
+			b.removedAt[backend] = 0
+		case since == 0 && (named || full):
+			b.removedAt[backend] = now
+		}
+	}
+}
+
+// sweep forgets backends that were removed longer than keep µs ago, where forget says that everybody else can; it looks once in a
+// tenth of that time.
 func (b *backendIndex) sweep(now, keep int64, forget func(index int) bool) (forgotten int) {
 	if now-b.sweptAt < keep/10 {
 		return 0
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -91,7 +91,7 @@
 			b.ReportAllocs()
 			id := m.backends.ids[0]
 			for i := range b.N {
-				m.outcomesReported(id, 5, 0, 200_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+				m.outcomesReported(outcomeReport{id, 5, 0, 200_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				m.demandReported(i%proxies, i%2, 3, 2*microsPerSecond)
 			}
 			m.decisions.EndpointsUpdated(false, nil)
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -15,135 +15,76 @@
 	"github.com/valyala/fastjson"
 )
 
-var (
-	errUnreadable      = errors.New("cannot be read")
-	errOutboxFull      = errors.New("too many messages wait for it")
-	errClosed          = errors.New("it has ended")
-	errIdentifyTimeout = errors.New("it never said who it is")
-	errReplaced        = errors.New("a newer connection took its place")
-	errSilent          = errors.New("it is silent and leaves marks unanswered")
-	errUnacceptable    = errors.New("it cannot be taken")
-	errNoRoom          = errors.New("no socket is left for it")
-	errSuperseded      = errors.New("a newer connection came before it spoke")
-	errNotIdentified   = errors.New("it must say first who it is")
-)
-
-// reasonOf is what went wrong, without the addresses that make each line of a log another.
-func reasonOf(err error) string {
-	var op *net.OpError
-	if errors.As(err, &op) {
-		return op.Op + ": " + op.Err.Error()
-	}
-	return err.Error()
-}
-
-// connectionKind is what a connection has said that it is.
+// connectionKind is what a connection has identified itself as.
 type connectionKind uint8
 
 const (
-	kindUnidentified connectionKind = iota
+	kindUnidentified connectionKind = iota // it has not said who it is
 	kindCollector
 	kindProxy
 )
 
 // String gives the kind as the log has it.
-func (k connectionKind) String() string { return [...]string{"stranger", "collector", "proxy"}[k] }
+func (k connectionKind) String() string {
+	return [...]string{"unidentified", "collector", "proxy"}[k]
+}
 
-// connection is one connection: a reader that decodes what comes into calls to the module, and a writer whose mailbox holds
-// what waits to leave. Both end when the connection is closed.
+// connection is one connection of a proxy, a collector, or of somebody who has not said who it is. It has two goroutines, which run
+// starts and awaits: the reader decodes messages into events of the loop, the writer sends what waits in outbox. Both end once the
+// connection is closed. Any goroutine may call send and close.
 type connection struct {
-	conn     net.Conn
+	socket   net.Conn
 	limits   *limits
 	loop     *eventLoop
 	log      *slog.Logger
-	register func(p *connection) error // called when it has said who it is; refuses one that is too many
-	sequence int                       // in the order in which connections came
+	register func(*connection) error // called once it has identified itself; refuses one that is too many
+	sequence int                     // in the order in which connections were accepted
 
-	body          *bytes.Buffer  // the message being read
-	kind          connectionKind // set by the reader before identify
-	wantsToken    bool           // it asked for tokens with its orders
+	// Of the reader. What it sets before register, and before it posts the connection to the loop, others may read afterwards.
+	body          *bytes.Buffer // the message being read
+	kind          connectionKind
+	wantsToken    bool // it asked for fencing tokens with its pushes
 	zone          int
 	proxy         int
-	acceptedAt    time.Time // when it was accepted
-	finalReadDone bool      // its deadline has passed, and what had arrived by then is being read
-
-	evicted atomic.Bool // it was asked to make room
-
-	outbox      chan []byte
-	readDone    chan struct{} // closed when the reader has ended: what waits in the mailbox is all that is still owed
-	awaitsReady bool          // and may wait for readiness; set before readDone is closed
-	closed      chan struct{}
-	closeOnce   sync.Once
-	closeReason error        // set before ended is closed
-	lastHeard   atomic.Int64 // module's clock when something whole last came
-}
+	acceptedAt    time.Time
+	finalReadDone bool // its deadline has passed, and what had arrived by then is being read
 
-func newConnection(conn net.Conn, serial int, m *eventLoop, identify func(*connection) error) *connection {
-	p := &connection{conn: conn, sequence: serial, limits: m.limits, loop: m, log: m.log, register: identify, proxy: -1, zone: -1,
-		acceptedAt: time.Now(), outbox: make(chan []byte, m.limits.outboxSize), readDone: make(chan struct{}),
-		closed: make(chan struct{})}
-	conn.SetReadDeadline(p.acceptedAt.Add(m.limits.identifyTimeout)) // the one deadline until it has said who it is
-	return p
-}
-
-// evict has an unidentified peer judged by what has arrived of it.
-func (c *connection) evict() {
-	c.evicted.Store(true)
-	c.conn.SetReadDeadline(c.acceptedAt)
-	select {
-	case <-c.readDone: // nobody reads any more, and an answer may wait for readiness
-		time.AfterFunc(c.limits.finalReadTimeout, func() { c.close(errIdentifyTimeout) })
-	default:
-	}
-}
+	evicted   atomic.Bool  // it was asked to make room
+	lastHeard atomic.Int64 // the loop's clock when the last complete message came, µs
 
-// Read reads from the connection. When the deadline has passed, what arrived by then is still read: it may be we who
-// stood still.
-func (c *connection) Read(b []byte) (int, error) {
-	n, err := c.conn.Read(b)
-	if n == 0 && errors.Is(err, errTimeout) && !c.finalReadDone {
-		c.finalReadDone = true
-		c.conn.SetReadDeadline(time.Now().Add(c.limits.finalReadTimeout))
-		return c.conn.Read(b)
-	}
-	return n, err
-}
+	outbox      chan []byte   // messages that wait; limits.outboxSize of them, then send fails and the proxy is dropped
+	readDone    chan struct{} // closed when the reader has ended: what waits in outbox is all that is still owed
+	awaitsReady bool          // what is owed may wait for readiness; set before readDone is closed
 
-// close closes the connection; the first reason stays.
-func (c *connection) close(why error) {
-	c.closeOnce.Do(func() {
-		c.closeReason = why
-		close(c.closed)
-		c.conn.Close()
-	})
+	closed      chan struct{} // closed by close
+	closeOnce   sync.Once
+	closeReason error // set before closed is closed
 }
 
-// send puts a message into the mailbox. It never waits: a peer whose mailbox is full does not take what it is sent.
-func (c *connection) send(message []byte) error {
-	select {
-	case <-c.closed:
-		return errClosed
-	default:
-	}
-	select {
-	case c.outbox <- message:
-		return nil
-	default:
-		return errOutboxFull
-	}
+// newConnection prepares a connection that was accepted; run serves it.
+func newConnection(socket net.Conn, sequence int, loop *eventLoop, register func(*connection) error) *connection {
+	c := &connection{
+		socket: socket, sequence: sequence, limits: loop.limits, loop: loop, log: loop.log, register: register,
+		proxy: -1, zone: -1, acceptedAt: time.Now(),
+		outbox:   make(chan []byte, loop.limits.outboxSize),
+		readDone: make(chan struct{}),
+		closed:   make(chan struct{}),
+	}
+	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout)) // the one deadline until it has identified itself
+	return c
 }
 
-// run plays the peer until its connection ends, and pays first what is owed to one that is not broken: the answers to
-// what it asked, and to an unidentified one the reason why it is refused.
+// run serves the connection until its end, and pays first what is owed to one that is not broken: the answers to what it asked, and
+// to an unidentified one the reason why it is refused. The server has a goroutine for it.
 func (c *connection) run() {
 	var writer sync.WaitGroup
 	writer.Go(c.writeMessages)
 	err := c.readMessages()
-	asked := err == io.EOF // it has said its last, and may still listen
-	if asked || c.kind == kindUnidentified {
-		c.flushOutbox(&writer, err, asked && c.kind != kindProxy)
+	finished := err == io.EOF // it has said its last, and may still listen
+	if finished || c.kind == kindUnidentified {
+		c.flushOutbox(&writer, err, finished && c.kind != kindProxy)
 	}
-	if c.kind == kindUnidentified && !asked {
+	if c.kind == kindUnidentified && !finished {
 		c.refuse(err)
 	}
 	c.close(err)
@@ -153,113 +94,66 @@
 	}
 }
 
-// flushOutbox lets the writer send what waits in the mailbox, for as long as an unidentified peer has at most.
-func (c *connection) flushOutbox(writer *sync.WaitGroup, why error, awaitReady bool) {
-	c.awaitsReady = awaitReady
-	close(c.readDone)
-	patience := max(c.limits.finalReadTimeout, time.Until(c.acceptedAt.Add(c.limits.identifyTimeout)))
-	if c.evicted.Load() {
-		patience = c.limits.finalReadTimeout
-	}
-	late := time.AfterFunc(patience, func() { c.close(why) })
-	defer late.Stop()
-	writer.Wait()
+// close closes the connection; the first reason stays.
+func (c *connection) close(reason error) {
+	c.closeOnce.Do(func() {
+		c.closeReason = reason
+		close(c.closed)
+		_ = c.socket.Close() // nothing is to be done for one that cannot be closed
+	})
 }
 
-// refuse gives an unidentified peer the reason, and then reads on for a moment: a close with bytes unread is a reset, and
-// a reset can overtake the reason.
-func (c *connection) refuse(why error) {
-	linger := c.limits.lingerTimeout
-	if c.evicted.Load() {
-		linger = c.limits.finalReadTimeout
-	}
-	c.conn.SetWriteDeadline(time.Now().Add(c.limits.finalReadTimeout))
-	if _, err := c.conn.Write(errorMessage(why)); err != nil {
-		return
-	}
-	if half, ok := c.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.conn.SetReadDeadline(time.Now().Add(linger))
-		io.CopyN(io.Discard, c.conn, int64(c.limits.maxFrame))
+// evict has an unidentified connection judged by what has arrived of it.
+func (c *connection) evict() {
+	c.evicted.Store(true)
+	c.readUntil(c.acceptedAt)
+	select {
+	case <-c.readDone: // nobody reads any more, and an answer may wait for readiness
+		time.AfterFunc(c.limits.finalReadTimeout, func() { c.close(errIdentifyTimeout) })
+	default:
 	}
 }
 
-// writeMessages sends what waits, until the connection ends or, when the reader has, the mailbox is empty. Nothing leaves before
-// the module can decide, the answer to a probe among it.
-func (c *connection) writeMessages() {
-	select {
-	case <-c.loop.ready:
-	case <-c.closed:
-		return
-	case <-c.readDone:
-		if len(c.outbox) == 0 || !c.awaitsReady {
-			return
-		}
-		select {
-		case <-c.loop.ready:
-		case <-c.closed:
-			return
-		}
-	}
-	for message := c.nextMessage(); message != nil; message = c.nextMessage() {
-		if err := c.deliver(message); err != nil {
-			c.close(fmt.Errorf("write: %w", err))
-			return
-		}
+// identifyAs takes an unidentified connection for what it says that it is. From then on it has no deadline.
+func (c *connection) identifyAs(kind connectionKind, proxy, zone int) error {
+	c.kind, c.proxy, c.zone = kind, proxy, zone
+	if err := c.register(c); err != nil {
+		c.kind = kindUnidentified
+		return err
 	}
+	c.readUntil(time.Time{})
+	return nil
 }
 
-// nextMessage waits for a message; nil says that there will be none.
-func (c *connection) nextMessage() []byte {
-	select {
-	case <-c.closed:
-		return nil
-	case message := <-c.outbox:
-		return message
-	case <-c.readDone:
-	}
-	select {
-	case message := <-c.outbox:
-		return message
-	default:
-		return nil
-	}
+// readUntil sets the deadline of reads; none for the zero time.
+func (c *connection) readUntil(deadline time.Time) {
+	_ = c.socket.SetReadDeadline(deadline) // fails only on a closed connection, which the next read tells
 }
 
-// deliver writes a message. When the deadline has passed, what the connection takes all the same still counts: it may
-// be we who stood still.
-func (c *connection) deliver(message []byte) error {
-	wait := c.limits.writeTimeout
-	for {
-		c.conn.SetWriteDeadline(time.Now().Add(wait))
-		n, err := c.conn.Write(message)
-		if err == nil {
-			return nil
-		}
-		if !errors.Is(err, errTimeout) || n == 0 && wait == c.limits.finalReadTimeout {
-			return err
-		}
-		if message = message[n:]; wait == c.limits.finalReadTimeout {
-			wait = c.limits.writeTimeout
-		} else {
-			wait = c.limits.finalReadTimeout
-		}
+// writeWithin sets the deadline of the next write.
+func (c *connection) writeWithin(timeout time.Duration) {
+	_ = c.socket.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, which the next write tells
+}
+
+// Read reads from the socket. When the deadline has passed, what arrived by then is still read: it may be this process that
+// stalled.
+func (c *connection) Read(buffer []byte) (int, error) {
+	n, err := c.socket.Read(buffer)
+	if n == 0 && errors.Is(err, errTimeout) && !c.finalReadDone {
+		c.finalReadDone = true
+		c.readUntil(time.Now().Add(c.limits.finalReadTimeout))
+		return c.socket.Read(buffer)
 	}
+	return n, err
 }
 
-// readMessages decodes messages until the connection ends. What is no JSON object cannot be read, and a stream that goes on
-// with such counts as left already; a message that merely makes no sense is skipped.
+// readMessages decodes messages until the connection ends, and says why it ended. What is no JSON object cannot be read, and a
+// stream that goes on with such counts as ended already; a message that merely makes no sense is skipped.
 func (c *connection) readMessages() error {
 	in, parser := bufio.NewReader(c), &fastjson.Parser{}
 	c.body = &bytes.Buffer{}
 	for {
-		most := c.limits.maxFrame
-		if c.kind == kindUnidentified {
-			most = c.limits.maxFirstFrame
-		}
-		if err := readFrame(in, c.body, most); err != nil {
-			if c.kind == kindUnidentified && errors.Is(err, errTimeout) {
-				return errIdentifyTimeout
-			}
+		if err := c.readNext(in); err != nil {
 			return err
 		}
 		message, err := parser.ParseBytes(c.body.Bytes())
@@ -276,13 +170,15 @@
 	}
 }
 
-// identifyAs has an unidentified peer taken for what it says that it is, from when on it has no deadline.
-func (c *connection) identifyAs(k connectionKind, node, zone int) error {
-	c.kind, c.proxy, c.zone = k, node, zone
-	if err := c.register(c); err != nil {
-		c.kind = kindUnidentified
-		return err
+// readNext reads one message into body.
+func (c *connection) readNext(in io.Reader) error {
+	maxSize := c.limits.maxFrame
+	if c.kind == kindUnidentified {
+		maxSize = c.limits.maxFirstFrame
 	}
-	c.conn.SetReadDeadline(time.Time{})
-	return nil
+	err := readFrame(in, c.body, maxSize)
+	if c.kind == kindUnidentified && errors.Is(err, errTimeout) {
+		return errIdentifyTimeout
+	}
+	return err
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -81,7 +81,7 @@
 		c.log.Warn("setting_unusual", "text", text)
 	}
 	m := &eventLoop{limits: p.limits, log: c.log, zoneIndex: indexByName(p.zones), zoneNames: p.zones, classIndex: p.classIndex,
-		backends: newBackends(), inbox: make(chan func(), p.limits.inboxSize), stopped: make(chan struct{}),
+		backends: newBackendIndex(), inbox: make(chan func(), p.limits.inboxSize), stopped: make(chan struct{}),
 		ready: make(chan struct{}), clock: newClock()}
 	m.tables = newTables(p.classNames, func(backend int) []byte { return m.backends.names[backend] }, p.limits.maxFrame, p.limits.maxParts)
 	m.now = m.clock()
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -108,9 +108,9 @@
 			for b := range 12 {
 				mean := int64(200_000 + 60_000*turn)
 				if b == 5 && turn > 4 {
-					m.outcomesReported(fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				} else {
-					m.outcomesReported(fmt.Sprint(c.backend, b), 20, 1, mean, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, mean, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
 			}
 			for node := range 8 {
@@ -341,7 +341,7 @@
 				p.lastHeard.Store(m.now)
 				for b := range 8 {
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.outcomesReported(fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond/2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					m.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond/2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
 				for class := range 4 {
 					m.demandReported(0, class, 30, microsPerSecond/2)
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -14,185 +14,124 @@
 	"github.com/valyala/fastjson"
 )
 
-// endpointWatcher follows what discovery says of the backends: one watch after the other, without a pause while they succeed.
-// What was known stays while calls fail, and when another address takes over.
+// endpointWatcher follows discovery's list of endpoints: one watch after the other, without a pause while they succeed. What is
+// known stays while calls fail, and when another address takes over. Its goroutine is run's; any other may call wake, follow and
+// cancelCall.
 type endpointWatcher struct {
+	limits      *limits
+	log         *slog.Logger
+	onEndpoints func(full bool, version int64, servers []*fastjson.Value) // called with each answer that says something
+	onAnswer    func()                                                    // called once discovery itself has given an answer of use
+	wakeups     chan struct{}                                             // one wish to call at once; further ones are the same wish
+
+	// Of run's goroutine, and of loadCached before it begins.
 	client         *fasthttp.HostClient
-	wakeups        chan struct{} // the mailbox: a wish to be told at once
-	limits         *limits
-	log            *slog.Logger
-	onEndpoints    func(whole bool, version int64, servers []*fastjson.Value)
-	onAnswer       func() // called once discovery itself has given an answer of use
-	version        int64
-	hasVersion     bool
-	staleAnswers   int // in a row, with a version older than ours
-	uselessAnswers int // in a row
-
-	mutex         sync.Mutex
-	address       string      // where it is to be followed
-	relocationDue *relocation // to be made before the next call
-	conn          net.Conn    // to discovery, for a call to be given up
-	cancelDial    func()      // of the last dial
-	stopped       bool
-}
-
-// relocation asks that the list be followed at another address. What is known may help one who knows nothing yet.
+	version        int64 // of the list that is known
+	hasVersion     bool  // a list is known
+	staleAnswers   int   // in a row, with an older version than ours
+	uselessAnswers int   // in a row
+
+	mutex         sync.Mutex // guards what follows
+	address       string     // where the list is to be followed
+	relocationDue *relocation
+	conn          net.Conn // to discovery, for a call to be cancelled
+	cancelDial    func()   // cancels the last dial
+	stopped       bool     // no call is of interest any more
+}
+
+// relocation asks that the list be followed at another address, before the next call.
 type relocation struct {
 	address string
-	cached  *fastjson.Value
+	cached  *fastjson.Value // a list that helps where none is known yet; nil for none
 }
 
-func newEndpointWatcher(address string, l *limits, log *slog.Logger, take func(bool, int64, []*fastjson.Value), heard func()) *endpointWatcher {
-	f := &endpointWatcher{limits: l, log: log, onEndpoints: take, onAnswer: sync.OnceFunc(heard), wakeups: make(chan struct{}, 1), address: address,
-		cancelDial: func() {}}
-	f.client = f.newClient(address)
-	return f
+func newEndpointWatcher(address string, limits *limits, log *slog.Logger, onEndpoints func(bool, int64, []*fastjson.Value),
+	onAnswer func()) *endpointWatcher {
+	w := &endpointWatcher{limits: limits, log: log, onEndpoints: onEndpoints, onAnswer: sync.OnceFunc(onAnswer),
+		wakeups: make(chan struct{}, 1), address: address, cancelDial: func() {}}
+	w.client = w.newClient(address)
+	return w
 }
 
+// newClient makes a client of one connection. Retries are run's to pace, and each call must come in time or be known to have failed.
 func (w *endpointWatcher) newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
-		Addr:                address,
-		MaxConns:            1,
-		Dial:                w.dial,
-		ReadTimeout:         w.limits.watchWait + w.limits.watchMargin,
-		WriteTimeout:        w.limits.dialTimeout,
-		MaxResponseBodySize: w.limits.maxResponseBody,
-		// Further tries are ours to pace, and each call must come in time or be known to have failed.
+		Addr:                      address,
+		MaxConns:                  1,
+		Dial:                      w.dial,
+		ReadTimeout:               w.limits.watchWait + w.limits.watchMargin,
+		WriteTimeout:              w.limits.dialTimeout,
+		MaxResponseBodySize:       w.limits.maxResponseBody,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
 
-// loadCached takes in what a configuration knew of the list.
-func (w *endpointWatcher) loadCached(known *fastjson.Value) {
-	if known == nil || w.hasVersion {
+// loadCached takes in the list of a configuration where none is known yet.
+func (w *endpointWatcher) loadCached(cached *fastjson.Value) {
+	if cached == nil || w.hasVersion {
 		return
 	}
-	if err := w.accept(known); err != nil {
+	if err := w.accept(cached); err != nil {
 		w.log.Warn("cached_list_unusable", "error", err)
 	}
 }
 
-func (w *endpointWatcher) dial(address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), w.limits.dialTimeout)
-	defer cancel()
-	w.mutex.Lock()
-	w.cancelDial = cancel
-	past := w.stopped || address != w.address
-	w.mutex.Unlock()
-	if past {
-		return nil, errMoved
-	}
-	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.conn = conn; err == nil && (w.stopped || address != w.address) {
-		conn.Close()
-	}
-	return conn, err
-}
-
-// cancelCall ends the call that is under way, at whatever step it is.
-func (w *endpointWatcher) cancelCall() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.stopped = true
-	w.abortCall()
-}
-
-func (w *endpointWatcher) abortCall() {
-	if w.cancelDial(); w.conn != nil {
-		w.conn.Close()
-	}
-}
-
-// hasMoved tells whether what was asked of an address is of no interest any more.
-func (w *endpointWatcher) hasMoved(from string) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.address != from
-}
-
-// follow has the list go on at an address. A call that is under way elsewhere is given up.
-func (w *endpointWatcher) follow(address string, known *fastjson.Value) {
-	w.mutex.Lock()
-	if w.relocationDue = (&relocation{address, known}); address != w.address {
-		w.abortCall()
-	}
-	w.address = address
-	w.mutex.Unlock()
-	w.wake()
-}
-
-// relocate follows the list at another address, if that is asked for. The next call goes on from the version that is
-// known.
-func (w *endpointWatcher) relocate() bool {
-	w.mutex.Lock()
-	next := w.relocationDue
-	w.relocationDue = nil
-	w.mutex.Unlock()
-	if next == nil {
-		return false
-	}
-	if next.address != w.client.Addr {
-		w.client.CloseIdleConnections()
-		w.client, w.staleAnswers, w.uselessAnswers = w.newClient(next.address), 0, 0
-	}
-	w.loadCached(next.cached)
-	return true
-}
-
-// wake cuts a pause short.
-func (w *endpointWatcher) wake() {
-	select {
-	case w.wakeups <- struct{}{}:
-	default:
-	}
-}
-
-// run follows the list until the context ends.
+// run follows the list until the context ends. Controller.Serve starts it and waits for its end.
 func (w *endpointWatcher) run(ctx context.Context) {
 	defer func() { w.client.CloseIdleConnections() }()
 	defer context.AfterFunc(ctx, w.cancelCall)()
-	pause := w.limits.minBackoff
+	backoff := w.limits.minBackoff
 	for ctx.Err() == nil {
 		w.relocate()
 		version, began := w.version, time.Now()
 		err := w.poll()
+		endedAtOnce := w.version == version && time.Since(began) < w.limits.watchWait/2
 		switch {
-		case err == nil && w.version == version && time.Since(began) < w.limits.watchWait/2:
-			pause = w.limits.minBackoff // it ends watches at once, and would have us ask without a breath
+		case err == nil && endedAtOnce: // it ends watches at once, and would have us ask without a breath
+			backoff = w.limits.minBackoff
 		case err == nil || w.relocate():
-			pause = w.limits.minBackoff
+			backoff = w.limits.minBackoff
 			continue
 		case ctx.Err() != nil:
 			return
 		default:
 			w.log.Warn("discovery_failed", "error", err, "version", w.version)
 		}
-		select {
-		case <-ctx.Done():
-		case <-w.wakeups:
-		case <-time.After(pause/2 + rand.N(pause/2+1)):
-		}
+		w.pause(ctx, backoff)
 		if err != nil {
-			pause = min(2*pause, w.limits.maxBackoff)
+			backoff = min(2*backoff, w.limits.maxBackoff)
 		}
 	}
 }
 
-var (
-	errMalformedList = errors.New("not a list")
-	errMoved         = errors.New("it is followed elsewhere by now")
-)
+// pause waits for half a backoff to all of it, by chance, unless it is woken.
+func (w *endpointWatcher) pause(ctx context.Context, backoff time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-w.wakeups:
+	case <-time.After(backoff/2 + rand.N(backoff/2+1)):
+	}
+}
+
+// wake cuts a pause short.
+func (w *endpointWatcher) wake() {
+	select {
+	case w.wakeups <- struct{}{}:
+	default:
+	}
+}
 
+// poll makes one call: a watch from the version that is known, or for the full list where none is known, or where watches have been
+// of no use again and again.
 func (w *endpointWatcher) poll() error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	uri, incremental := "http://"+w.client.Addr+"/api/targets", w.hasVersion && w.uselessAnswers < w.limits.maxUselessAnswers
+	uri := "http://" + w.client.Addr + discoveryPath
+	incremental := w.hasVersion && w.uselessAnswers < w.limits.maxUselessAnswers
 	if incremental {
-		uri += fmt.Sprintf("?since=%d&timeout_ms=%d", w.version, w.limits.watchWait.Milliseconds())
+		uri += fmt.Sprintf("?%s=%d&%s=%d", paramSince, w.version, paramTimeout, w.limits.watchWait.Milliseconds())
 	}
 	request.SetRequestURI(uri)
 	if err := w.client.DoTimeout(request, response, w.limits.watchWait+w.limits.watchMargin); err != nil {
@@ -201,20 +140,12 @@
 	if w.hasMoved(w.client.Addr) {
 		return errMoved
 	}
-	// An answer counts as useless until it proves to be of use. A discovery that will not go on from our version may still
-	// say all it knows.
-	w.uselessAnswers++
-	if code := response.StatusCode(); code != fasthttp.StatusOK {
-		return fmt.Errorf("status %d", code)
-	}
-	answer, err := fastjson.ParseBytes(response.Body())
+	w.uselessAnswers++ // until it proves to be of use
+	answer, err := decodeAnswer(response)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errMalformedList, err)
-	}
-	if key := duplicateKey(answer); key != "" {
-		return fmt.Errorf("%w: %s stands there twice", errMalformedList, key)
+		return err
 	}
-	if !incremental && !answer.GetBool("full") {
+	if !incremental && !answer.GetBool(keyFullList) {
 		return fmt.Errorf("%w: changes, where all was asked for", errMalformedList)
 	}
 	if err := w.accept(answer); err != nil {
@@ -224,25 +155,117 @@
 	return nil
 }
 
-// accept takes in an answer unless it is older than what is known: that may come from a copy of discovery that lags.
-// When it says so again and again we ask for the whole list and take that.
-func (w *endpointWatcher) accept(a *fastjson.Value) error {
-	version, ok := numberAt(a, "version")
-	servers := a.Get("servers")
+// decodeAnswer reads an answer, which must be JSON without ambiguous keys.
+func decodeAnswer(response *fasthttp.Response) (*fastjson.Value, error) {
+	if code := response.StatusCode(); code != fasthttp.StatusOK {
+		return nil, fmt.Errorf("status %d", code)
+	}
+	answer, err := fastjson.ParseBytes(response.Body())
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errMalformedList, err)
+	}
+	if key := duplicateKey(answer); key != "" {
+		return nil, fmt.Errorf("%w: %s stands there twice", errMalformedList, key)
+	}
+	return answer, nil
+}
+
+// accept takes in an answer unless it is older than what is known: that may come from a copy of discovery that lags. Where answers
+// are older again and again, a full list is taken all the same.
+func (w *endpointWatcher) accept(answer *fastjson.Value) error {
+	version, ok := numberAt(answer, keyVersion)
+	servers := answer.Get(keyEndpoints)
 	if !ok || servers == nil || servers.Type() != fastjson.TypeArray {
 		return errMalformedList
 	}
-	whole := a.GetBool("full")
-	if w.hasVersion && int64(version) < w.version && (w.staleAnswers < w.limits.maxUselessAnswers || !whole) {
+	full := answer.GetBool(keyFullList)
+	older := w.hasVersion && int64(version) < w.version
+	if older && (w.staleAnswers < w.limits.maxUselessAnswers || !full) {
 		w.staleAnswers++
 		return fmt.Errorf("version %.0f is older than %d", version, w.version)
 	}
-	if !w.hasVersion && !whole {
+	if !w.hasVersion && !full {
 		return fmt.Errorf("%w: changes to nothing", errMalformedList)
 	}
-	if whole || len(servers.GetArray()) > 0 {
-		w.onEndpoints(whole, int64(version), servers.GetArray())
+	if endpoints := servers.GetArray(); full || len(endpoints) > 0 {
+		w.onEndpoints(full, int64(version), endpoints)
 	}
-	w.version, w.hasVersion, w.staleAnswers, w.uselessAnswers = int64(version), true, 0, 0
+	w.version, w.hasVersion = int64(version), true
+	w.staleAnswers, w.uselessAnswers = 0, 0
 	return nil
 }
+
+// follow has the list be followed at an address from the next call on. A call that is under way elsewhere is cancelled.
+func (w *endpointWatcher) follow(address string, cached *fastjson.Value) {
+	w.mutex.Lock()
+	w.relocationDue = &relocation{address, cached}
+	if address != w.address {
+		w.abortCall()
+	}
+	w.address = address
+	w.mutex.Unlock()
+	w.wake()
+}
+
+// relocate goes over to another address, if that is asked for, and tells whether it was. The next call goes on from the version that
+// is known.
+func (w *endpointWatcher) relocate() bool {
+	w.mutex.Lock()
+	next := w.relocationDue
+	w.relocationDue = nil
+	w.mutex.Unlock()
+	if next == nil {
+		return false
+	}
+	if next.address != w.client.Addr {
+		w.client.CloseIdleConnections()
+		w.client = w.newClient(next.address)
+		w.staleAnswers, w.uselessAnswers = 0, 0
+	}
+	w.loadCached(next.cached)
+	return true
+}
+
+// hasMoved tells whether what an address answers is of no interest any more.
+func (w *endpointWatcher) hasMoved(from string) bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.address != from
+}
+
+// dial connects to discovery, in a way that follow and cancelCall can cancel.
+func (w *endpointWatcher) dial(address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), w.limits.dialTimeout)
+	defer cancel()
+	w.mutex.Lock()
+	w.cancelDial = cancel
+	obsolete := w.stopped || address != w.address
+	w.mutex.Unlock()
+	if obsolete {
+		return nil, errMoved
+	}
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.conn = conn
+	if err == nil && (w.stopped || address != w.address) {
+		err = errors.Join(errMoved, conn.Close())
+	}
+	return conn, err
+}
+
+// cancelCall ends the call that is under way, at whatever step it is, and all that follow.
+func (w *endpointWatcher) cancelCall() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.stopped = true
+	w.abortCall()
+}
+
+// abortCall ends the call that is under way. The mutex is held.
+func (w *endpointWatcher) abortCall() {
+	w.cancelDial()
+	if w.conn != nil {
+		_ = w.conn.Close() // the call fails, which is all that is wanted
+	}
+}
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -158,7 +158,7 @@
 	if _, known := m.backends.index["s-50"]; !known || m.backends.ids[first] == "s-0" {
 		t.Error("forgotten too soon, or not at all")
 	}
-	m.outcomesReported("s-0", 9, 9, 0, microsPerSecond, balancer.BackendLoad{}) // a late report says nothing of the one that has its index now
+	m.outcomesReported(outcomeReport{"s-0", 9, 9, 0, microsPerSecond, balancer.BackendLoad{}}) // a late report says nothing of the one that has its index now
 	later(m, 3*microsPerSecond, func() { p.lastHeard.Store(m.now) })
 	h.hears(t, p)
 	if len(h.picks(0)) != 2 {
--- a/controller/frame.go
+++ b/controller/frame.go
@@ -8,46 +8,56 @@
 	"strconv"
 )
 
-// lengthSize is the length that stands before each message, most significant byte first.
+// lengthSize is how many bytes of length stand before each message, most significant byte first.
 const lengthSize = 4
 
-// readFrame reads one message into a buffer. io.EOF means that the stream ended between messages. The buffer grows
-// with what arrives, so that a length that is only claimed costs no memory.
-func readFrame(r io.Reader, body *bytes.Buffer, most int) error {
-	var head [lengthSize]byte
-	if n, err := io.ReadFull(r, head[:]); err != nil {
+// readFrame reads one message of at most maxSize bytes into a buffer. io.EOF means that the stream ended between messages. The
+// buffer grows with what arrives, so that a length that is only claimed costs no memory.
+func readFrame(in io.Reader, body *bytes.Buffer, maxSize int) error {
+	var length [lengthSize]byte
+	if n, err := io.ReadFull(in, length[:]); err != nil {
 		if n > 0 {
 			return fmt.Errorf("cut off after %d bytes of a length: %w", n, err)
 		}
 		return err
 	}
-	size := int64(binary.BigEndian.Uint32(head[:]))
-	if size == 0 || size > int64(most) {
-		return fmt.Errorf("a message of %d bytes, %d at most: %w", size, most, errUnreadable)
+	size := int64(binary.BigEndian.Uint32(length[:]))
+	if size == 0 || size > int64(maxSize) {
+		return fmt.Errorf("a message of %d bytes, %d at most: %w", size, maxSize, errUnreadable)
 	}
 	body.Reset()
-	if n, err := io.CopyN(body, r, size); err != nil {
+	if n, err := io.CopyN(body, in, size); err != nil {
 		return fmt.Errorf("cut off after %d of %d bytes: %w", n, size, err)
 	}
 	return nil
 }
 
-// putFrameLength writes the length of the message that begins at from, where its head was left open.
-func putFrameLength(b []byte, from int) {
-	binary.BigEndian.PutUint32(b[from:], uint32(len(b)-from-lengthSize))
+// appendMessageStart begins a message: room for its length, an opening brace, and its kind.
+func appendMessageStart(to []byte, kind string) []byte {
+	to = append(to, make([]byte, lengthSize)...)
+	to = append(to, `{"`+keyMessage+`":"`...)
+	to = append(to, kind...)
+	return append(to, '"')
 }
 
-// errorMessage is the last word to one that has not joined.
-func errorMessage(why error) []byte {
-	b := strconv.AppendQuoteToASCII(append(make([]byte, lengthSize), `{"msg":"error","reason":`...), reasonOf(why))
-	b = append(b, '}')
-	putFrameLength(b, 0)
-	return b
+// putFrameLength writes the length of the message that begins at start, once it is complete.
+func putFrameLength(raw []byte, start int) {
+	binary.BigEndian.PutUint32(raw[start:], uint32(len(raw)-start-lengthSize))
+}
+
+// errorMessage is the last message to a connection that is refused.
+func errorMessage(reason error) []byte {
+	raw := appendMessageStart(nil, messageError)
+	raw = append(raw, `,"`+keyReason+`":`...)
+	raw = strconv.AppendQuoteToASCII(raw, reasonOf(reason))
+	raw = append(raw, '}')
+	putFrameLength(raw, 0)
+	return raw
 }
 
 // aliveMessage is the answer to a probe.
 var aliveMessage = func() []byte {
-	b := append(make([]byte, lengthSize), `{"msg":"alive"}`...)
-	putFrameLength(b, 0)
-	return b
+	raw := append(appendMessageStart(nil, messageAlive), '}')
+	putFrameLength(raw, 0)
+	return raw
 }()
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -111,4 +111,3 @@
 	}
 }
 
-const microsPerSecond = 1_000_000 // µs
--- a/controller/server.go
+++ b/controller/server.go
@@ -6,15 +6,12 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"syscall"
 	"time"
 )
 
-var errTimeout = os.ErrDeadlineExceeded
-
 // server accepts connections and keeps them within the socket budget. Those that have not identified themselves have a
 // share of their own, of which the oldest make room once each has had a moment to speak, so that whoever speaks gets in.
 type server struct {
@@ -164,10 +161,10 @@
 	defer s.mutex.Unlock()
 	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
 	if p.kind == kindUnidentified {
-		s.log.Info("unidentified_closed", "remote", p.conn.RemoteAddr(), "error", p.closeReason)
+		s.log.Info("unidentified_closed", "remote", p.socket.RemoteAddr(), "error", p.closeReason)
 		return
 	}
-	s.log.Info("connection_closed", "remote", p.conn.RemoteAddr(), "kind", p.kind,
+	s.log.Info("connection_closed", "remote", p.socket.RemoteAddr(), "kind", p.kind,
 		"proxy", p.proxy, "zone", s.loop.zoneName(p.zone), "error", p.closeReason)
 }
 
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -1,44 +1,48 @@
 package controller
 
 import (
-	"math"
 	"slices"
 
 	"wheelrill/balancer"
 	"wheelrill/ownership"
 )
 
-// tables knows the tables, levels and withdrawals that the decisions have ordered, and what was last written on each
-// proxy's stream. It turns the orders of one clock time into one message for each proxy concerned.
+// tables keeps the tables, admission limits and withdrawals that the decisions have ordered, and what each connected proxy was last
+// written. Orders change it and mark the proxies concerned; flush writes each of them one message for all orders of one clock time.
+// The event loop owns it.
 type tables struct {
-	classNames  [][]byte // names as they are written
-	backendName func(backend int) []byte
-	maxFrame    int
-	maxParts    int
-
-	byNumber          map[int]*table
-	limitsForAll      []admissionLimit // for every table of every joined proxy, by class
-	withdrawn         []bool           // by backend
-	withdrawalChanges []int            // backends that were withdrawn or let back at this time
-	proxies           []*proxyState
-
-	ackNonce                 int
-	ackRequested, ackFromAll bool
-	deltaTables, fullTables  int // tables that went out as what differs, and as a whole
+	classNames  [][]byte                 // by class: its name as it stands in messages, a JSON string
+	backendName func(backend int) []byte // the same of a backend's id
+	maxFrame    int                      // bytes of a part of a message
+	maxParts    int                      // parts of a message
+
+	byNumber     map[int]*table
+	limitsForAll []admissionLimit // by class: for every table of every connected proxy
+	withdrawn    []bool           // by backend
+	proxies      []*proxyState    // by proxy; nil if it is not connected
+
+	// Of this clock time, until flush.
+	withdrawalChanges []int // backends that were withdrawn or restored
+	ackNonce          int   // of the acknowledgement that is asked for ...
+	ackRequested      bool  // ... if one is ...
+	ackFromAll        bool  // ... from all connected proxies, not only those that are written something
+
+	deltaTables int // tables that were written as what differs from those that a proxy brought, in all
+	fullTables  int // tables that were written in full, in all
 }
 
-// table is one of those that proxies can be bound to.
+// table is one of those that proxies can be assigned.
 type table struct {
-	weights   []float64        // by backend; 0 is no line
-	changed   []int            // backends whose lines were set at this time
-	isChanged []bool           // by backend: it is among them
+	weights   []float64        // by backend; 0 is no entry
+	changed   []int            // backends whose entries were set at this clock time
+	isChanged []bool           // by backend: it is among changed
 	limits    []admissionLimit // by class
 }
 
-// admissionLimit is how much of a class proxies let in, and how they try again.
+// admissionLimit is how much of a class proxies admit, and how they may retry.
 type admissionLimit struct {
-	set   bool
-	limit float64
+	set   bool    // false: nothing was ordered
+	limit float64 // a share, or requests a second, by the site's admission mode
 	retry balancer.RetryPolicy
 }
 
@@ -46,48 +50,58 @@
 type backendState uint8
 
 const (
-	backendUnknown backendState = iota // as it was when the proxy joined
-	backendAllowed
-	backendWithdrawn
+	backendUnknown   backendState = iota // as it was when the proxy connected
+	backendAllowed                       // it may use it
+	backendWithdrawn                     // it was told not to
 )
 
-// proxyState is a joined proxy's.
+// unbound stands for the table of a class that is not ours: the proxy goes on with the one that it has.
+const unbound = -1
+
+// proxyState is what a connected proxy is to have, and what it was written.
 type proxyState struct {
-	conn               *connection
-	tables             []int // table by class, or unbound
-	fullDue            uint16
-	dirty              bool
-	withdrawalChanges  []int            // backends withdrawn or let back since its last message, where that concerns it
-	limits             []admissionLimit // as last written, by class
-	defaultLimit       admissionLimit   // in force where no level was ordered and no table is ours, once it was sent
-	backendStates      []backendState
-	mayHoldWithdrawals bool // it may have joined with withdrawals of other controllers
-	unowned            bool // another may own it still: nothing may be written to it
-	wantsToken         bool // it asked for tokens, and refuses what comes with an older one than it has seen
-	token              uint64
-	base               []ownership.KnownTable // what it surely has by class, until a table of ours is written
-	cleared            bool                   // backends that its tables use are let back
-	reconciled         bool                   // its states were compared with all of its tables since it was bound or cleared
+	conn   *connection
+	tables []int // by class: number of its table, or unbound
+
+	// What is to be written.
+	dirty             bool             // something is
+	fullDue           uint16           // classes whose tables are to be written in full
+	withdrawalChanges []int            // backends withdrawn or restored since its last message, where that concerns it
+	defaultLimit      admissionLimit   // in force where no limit was ordered and no table is ours, once it was written
+	limits            []admissionLimit // by class: as last written; a limit below 0 stands for one that nobody knows
+	backendStates     []backendState   // by backend: as last written; those beyond its end are as at first
+	cleared           bool             // withdrawals of others are lifted from the backends that its tables use
+	reconciled        bool             // backendStates agrees with all of its tables but for what changed since its last message
+
+	// What it came with.
+	mayHoldWithdrawals bool                   // it may have withdrawals of other controllers
+	base               []ownership.KnownTable // by class: what it surely has, until a table of ours is written; nil if unknown
+
+	// Where ownership is shared.
+	unowned    bool   // another controller may own it still: nothing may be written to it
+	wantsToken bool   // it asked for fencing tokens, and refuses what comes with an older one than it has seen
+	token      uint64 // our fencing token for it; 0 for none
 }
 
-const unbound = -1
-
-func newTables(classes [][]byte, name func(int) []byte, frame, parts int) *tables {
-	return &tables{classNames: classes, backendName: name, maxFrame: frame, maxParts: parts, byNumber: map[int]*table{},
-		limitsForAll: make([]admissionLimit, len(classes))}
+func newTables(classNames [][]byte, backendName func(int) []byte, maxFrame, maxParts int) *tables {
+	return &tables{classNames: classNames, backendName: backendName, maxFrame: maxFrame, maxParts: maxParts,
+		byNumber: map[int]*table{}, limitsForAll: make([]admissionLimit, len(classNames))}
 }
 
-func (t *tables) connect(proxy int, p *connection, keeps bool) *proxyState {
+// connect begins what is kept of a proxy.
+func (t *tables) connect(proxy int, conn *connection, mayHoldWithdrawals bool) *proxyState {
 	for len(t.proxies) <= proxy {
 		t.proxies = append(t.proxies, nil)
 	}
-	t.proxies[proxy] = &proxyState{conn: p, mayHoldWithdrawals: keeps, limits: make([]admissionLimit, len(t.classNames)),
-		tables: slices.Repeat([]int{unbound}, len(t.classNames))}
+	t.proxies[proxy] = &proxyState{conn: conn, mayHoldWithdrawals: mayHoldWithdrawals,
+		limits: make([]admissionLimit, len(t.classNames)), tables: slices.Repeat([]int{unbound}, len(t.classNames))}
 	return t.proxies[proxy]
 }
 
+// disconnect ends what is kept of a proxy.
 func (t *tables) disconnect(proxy int) { t.proxies[proxy] = nil }
 
+// proxy gives what is kept of a proxy; nil if it is not connected.
 func (t *tables) proxy(proxy int) *proxyState {
 	if proxy < 0 || proxy >= len(t.proxies) {
 		return nil
@@ -95,6 +109,7 @@
 	return t.proxies[proxy]
 }
 
+// table gives the table of a number, an empty one if nothing was ordered of it.
 func (t *tables) table(number int) *table {
 	if t.byNumber[number] == nil {
 		t.byNumber[number] = &table{limits: make([]admissionLimit, len(t.classNames))}
@@ -102,137 +117,125 @@
 	return t.byNumber[number]
 }
 
-func (t *tables) classMask(classes uint16) uint16 {
-	if every := uint16(1<<len(t.classNames) - 1); classes != 0 {
-		return classes & every
-	} else {
-		return every
+// allClasses is the set of all classes.
+func (t *tables) allClasses() uint16 { return uint16(1<<len(t.classNames) - 1) }
+
+// classSet reads a set of classes as orders give it: none in particular stands for all.
+func (t *tables) classSet(classes uint16) uint16 {
+	if classes == 0 {
+		return t.allClasses()
 	}
+	return classes & t.allClasses()
 }
 
-// PublishEntry sets or takes out a line of a table.
+// hasClass tells whether a class is in a set.
+func hasClass(set uint16, class int) bool { return set&(1<<class) != 0 }
+
+// PublishEntry implements balancer.Host: it sets the entry of a backend in a table, or takes it out.
 func (t *tables) PublishEntry(number, backend int, weight float64) {
-	in := t.table(number)
-	for len(in.weights) <= backend {
-		in.weights, in.isChanged = append(in.weights, 0), append(in.isChanged, false)
+	table := t.table(number)
+	for len(table.weights) <= backend {
+		table.weights, table.isChanged = append(table.weights, 0), append(table.isChanged, false)
 	}
-	in.weights[backend] = sanitizeNumber(weight)
-	if !in.isChanged[backend] {
-		in.isChanged[backend], in.changed = true, append(in.changed, backend)
+	table.weights[backend] = sanitizeNumber(weight)
+	if !table.isChanged[backend] {
+		table.isChanged[backend], table.changed = true, append(table.changed, backend)
 	}
-	t.markDirty(func(s *proxyState) bool { return slices.Contains(s.tables, number) })
+	t.markDirty(func(proxy *proxyState) bool { return slices.Contains(proxy.tables, number) })
 }
 
-// AssignTable gives a proxy a whole table, and later what changes in it.
+// AssignTable implements balancer.Host: a proxy gets a full table for some classes, and later what changes in it.
 func (t *tables) AssignTable(number, proxy int, classes uint16) {
-	s := t.proxy(proxy)
-	if s == nil {
-		return // it left meanwhile
+	state := t.proxy(proxy)
+	if state == nil {
+		return // it disconnected meanwhile
 	}
 	t.table(number)
-	s.reconciled = false
-	for class := range s.tables {
-		if t.classMask(classes)&(1<<class) != 0 {
-			s.tables[class] = number
-			s.fullDue |= 1 << class
+	state.reconciled = false
+	for class := range state.tables {
+		if hasClass(t.classSet(classes), class) {
+			state.tables[class] = number
+			state.fullDue |= 1 << class
 		}
 	}
-	s.dirty = true
+	state.dirty = true
 }
 
-// Withdraw keeps joined proxies off a backend whatever their tables say, or lets them use it again.
-func (t *tables) Withdraw(backend int, out bool) {
+// Withdraw implements balancer.Host: it keeps connected proxies off a backend whatever their tables say, or restores it.
+func (t *tables) Withdraw(backend int, withdrawn bool) {
 	for len(t.withdrawn) <= backend {
 		t.withdrawn = append(t.withdrawn, false)
 	}
-	t.withdrawn[backend], t.withdrawalChanges = out, append(t.withdrawalChanges, backend)
-	t.markDirty(func(s *proxyState) bool {
-		// Tables that are not ours may have it.
-		concerned := slices.Contains(s.tables, unbound) || t.uses(s, backend)
+	t.withdrawn[backend] = withdrawn
+	t.withdrawalChanges = append(t.withdrawalChanges, backend)
+	t.markDirty(func(proxy *proxyState) bool {
+		// A table that is not ours may have it.
+		concerned := slices.Contains(proxy.tables, unbound) || t.uses(proxy, backend)
 		if concerned {
-			s.withdrawalChanges = append(s.withdrawalChanges, backend)
+			proxy.withdrawalChanges = append(proxy.withdrawalChanges, backend)
 		}
 		return concerned
 	})
 }
 
-// SyncWithdrawals tells one proxy what is withdrawn, as it may use any of it while some table of it is not ours, and its levels.
-func (t *tables) SyncWithdrawals(proxy int, allowance float64, tries balancer.RetryPolicy) bool {
-	s := t.proxy(proxy)
-	if s == nil || !slices.Contains(s.tables, unbound) {
+// SyncWithdrawals implements balancer.Host: a proxy of which some table is not ours is told all that is withdrawn, as it may use any
+// of it, and a limit for what has none. False where all of its tables are ours.
+func (t *tables) SyncWithdrawals(proxy int, limit float64, retry balancer.RetryPolicy) bool {
+	state := t.proxy(proxy)
+	if state == nil || !slices.Contains(state.tables, unbound) {
 		return false
 	}
-	s.defaultLimit, s.dirty = admissionLimit{true, sanitizeNumber(allowance), tries}, true
-	for backend, out := range t.withdrawn {
-		if out {
-			s.withdrawalChanges = append(s.withdrawalChanges, backend)
+	state.defaultLimit = admissionLimit{true, sanitizeNumber(limit), retry}
+	state.dirty = true
+	for backend, withdrawn := range t.withdrawn {
+		if withdrawn {
+			state.withdrawalChanges = append(state.withdrawalChanges, backend)
 		}
 	}
 	return true
 }
 
-// forget ends what is kept of a backend that no table and no proxy's tables have, if the decisions can. A proxy that we
-// shut it out from goes on doing so: as long as that stream lives the backend must be known if it comes back.
-func (t *tables) forget(backend int, decisions func() bool) bool {
-	for _, s := range t.proxies {
-		if s != nil && backend < len(s.backendStates) && s.backendStates[backend] == backendWithdrawn {
-			return false
-		}
-	}
-	if !decisions() {
-		return false
-	}
-	if backend < len(t.withdrawn) {
-		t.withdrawn[backend] = false
-	}
-	for _, s := range t.proxies {
-		if s != nil && backend < len(s.backendStates) {
-			if s.backendStates[backend] = backendAllowed; s.mayHoldWithdrawals {
-				s.backendStates[backend] = backendUnknown
-			}
-		}
-	}
-	return true
-}
-
-// ClearWithdrawals lets a proxy use what others had withdrawn from it.
+// ClearWithdrawals implements balancer.Host: a proxy may use what its tables have and others had withdrawn from it.
 func (t *tables) ClearWithdrawals(proxy int) {
-	if s := t.proxy(proxy); s != nil {
-		s.cleared, s.dirty, s.reconciled = true, true, false
+	if state := t.proxy(proxy); state != nil {
+		state.cleared, state.dirty, state.reconciled = true, true, false
 	}
 }
 
-// SetAdmissionLimit sets a level of a table, or of all. The lower one stands, and the table's own manner of trying again.
-func (t *tables) SetAdmissionLimit(number int, classes uint16, allowance float64, tries balancer.RetryPolicy) {
-	levels, concerned := t.limitsForAll, func(*proxyState) bool { return true }
+// SetAdmissionLimit implements balancer.Host: it sets the limit of some classes in a table, or in all. The lower of the two stands,
+// with the table's own retry policy.
+func (t *tables) SetAdmissionLimit(number int, classes uint16, limit float64, retry balancer.RetryPolicy) {
+	limits, concerned := t.limitsForAll, func(*proxyState) bool { return true }
 	if number != balancer.AllTables {
-		levels = t.table(number).limits
-		concerned = func(s *proxyState) bool { return slices.Contains(s.tables, number) }
+		limits = t.table(number).limits
+		concerned = func(proxy *proxyState) bool { return slices.Contains(proxy.tables, number) }
 	}
-	for class := range levels {
-		if t.classMask(classes)&(1<<class) != 0 {
-			levels[class] = admissionLimit{true, sanitizeNumber(allowance), tries}
+	for class := range limits {
+		if hasClass(t.classSet(classes), class) {
+			limits[class] = admissionLimit{true, sanitizeNumber(limit), retry}
 		}
 	}
 	t.markDirty(concerned)
 }
 
-// RequestAck has the proxies reached at this time, or all joined ones, say when they have applied it.
-func (t *tables) RequestAck(number int, everyone bool) {
-	t.ackNonce, t.ackRequested, t.ackFromAll = number, true, t.ackFromAll || everyone
+// RequestAck implements balancer.Host: the proxies that are written something at this clock time, or all connected ones, are to
+// acknowledge it.
+func (t *tables) RequestAck(nonce int, everyone bool) {
+	t.ackNonce, t.ackRequested, t.ackFromAll = nonce, true, t.ackFromAll || everyone
 }
 
+// markDirty has the proxies concerned be written a message.
 func (t *tables) markDirty(concerned func(*proxyState) bool) {
-	for _, s := range t.proxies {
-		if s != nil && concerned(s) {
-			s.dirty = true
+	for _, proxy := range t.proxies {
+		if proxy != nil && concerned(proxy) {
+			proxy.dirty = true
 		}
 	}
 }
 
-// uses tells whether a proxy's tables, as far as they are ours, have a line for a backend.
-func (t *tables) uses(s *proxyState, backend int) bool {
-	for _, number := range s.tables {
+// uses tells whether a proxy's tables, as far as they are ours, have an entry for a backend.
+func (t *tables) uses(proxy *proxyState, backend int) bool {
+	for _, number := range proxy.tables {
 		if number != unbound && t.weight(number, backend) > 0 {
 			return true
 		}
@@ -240,228 +243,61 @@
 	return false
 }
 
+// weight gives the weight of a backend in a table; 0 for no entry.
 func (t *tables) weight(number, backend int) float64 {
-	if w := t.byNumber[number].weights; backend < len(w) {
-		return w[backend]
+	if weights := t.byNumber[number].weights; backend < len(weights) {
+		return weights[backend]
 	}
 	return 0
 }
 
-// flush writes what was ordered since the last one and hands each message over, in the order of the proxies. A proxy
-// whose message could not be handed over is given to lost.
-func (t *tables) flush(sends func(*connection, []byte) error, lost func(proxy int, err error), marked func(proxy, mark int)) {
-	for proxy, s := range t.proxies {
-		if s == nil || s.unowned || !s.dirty && !(t.ackRequested && t.ackFromAll) {
-			continue
-		}
-		s.dirty = false
-		message, err := t.encodeFor(s)
-		if err == nil {
-			err = sends(s.conn, message)
-		}
-		if err != nil {
-			lost(proxy, err)
-			continue
-		}
-		if t.ackRequested {
-			marked(proxy, t.ackNonce)
-		}
-	}
-	for _, in := range t.byNumber {
-		for _, backend := range in.changed {
-			in.isChanged[backend] = false
-		}
-		in.changed = in.changed[:0]
-	}
-	t.ackRequested, t.ackFromAll, t.withdrawalChanges = false, false, t.withdrawalChanges[:0]
-}
-
-// encodeFor encodes what one proxy must be told, and notes it as written.
-func (t *tables) encodeFor(s *proxyState) ([]byte, error) {
-	o := &messageWriter{classNames: t.classNames, maxFrame: t.maxFrame, maxParts: t.maxParts, token: s.token}
-	rest := uint16(1<<len(t.classNames) - 1)
-	for class, number := range s.tables {
-		if rest&(1<<class) == 0 || number == unbound {
-			continue
-		}
-		var due, stand uint16 // classes of this table that get it whole, and those that have it
-		for other, same := range s.tables {
-			if same == number {
-				due |= s.fullDue & (1 << other)
-				stand |= 1 << other &^ s.fullDue
-			}
-		}
-		rest &^= due | stand
-		in := t.byNumber[number]
-		if due != 0 {
-			if differ, ok := t.encodeDelta(s, in, due); ok {
-				o.writeTableChange(due, differ)
-				t.deltaTables++
-			} else {
-				o.writeFullTable(due, t.encodeEntries(in, nil))
-				t.fullTables++
-			}
-		}
-		if stand != 0 && len(in.changed) > 0 {
-			o.writeTableChange(stand, t.encodeEntries(in, in.changed))
-		}
-	}
-	t.writeLimits(s, o)
-	t.writeWithdrawals(s, o)
-	if s.fullDue != 0 {
-		s.base = nil
-	}
-	s.fullDue = 0
-	if t.ackRequested {
-		o.writeAckRequest(t.ackNonce)
-	}
-	if o.parts == 0 {
-		o.nextPart(0)
-	}
-	return o.finish()
-}
-
-// encodeEntries encodes the changed lines of a table, or all that stand.
-func (t *tables) encodeEntries(in *table, changed []int) (lines [][]byte) {
-	for _, b := range changed {
-		lines = append(lines, encodeEntry(t.backendName(b), in.weights[b]))
-	}
-	if changed != nil {
-		return lines
-	}
-	for b, weight := range in.weights {
-		if weight > 0 {
-			lines = append(lines, encodeEntry(t.backendName(b), weight))
+// limitFor is the limit that stands for a class at a proxy: the lower one of its table's and that of all, with the table's own
+// retry policy.
+func (t *tables) limitFor(proxy *proxyState, class int) admissionLimit {
+	forAll := t.limitsForAll[class]
+	number := proxy.tables[class]
+	if number == unbound {
+		if forAll.set {
+			return forAll
 		}
+		return proxy.defaultLimit
 	}
-	return lines
-}
-
-// encodeDelta encodes the lines of a table that a proxy lacks, or may lack, by what it surely has, where that is less than
-// the whole table.
-func (t *tables) encodeDelta(s *proxyState, in *table, due uint16) (lines [][]byte, ok bool) {
-	if s.base == nil {
-		return nil, false
+	own := t.byNumber[number].limits[class]
+	if !own.set {
+		return forAll
 	}
-	want := map[string]float64{}
-	for b, weight := range in.weights {
-		if weight > 0 {
-			want[string(t.backendName(b))] = weight
-		}
-	}
-	differ, ok := ownership.Delta(s.base, func(class int) bool { return due&(1<<class) != 0 }, want)
-	if !ok {
-		return nil, false
-	}
-	for _, l := range differ {
-		lines = append(lines, encodeEntry([]byte(l.Backend), l.Weight))
-	}
-	for class := range s.limits { // it may have any: each is written anew, as where a table of ours is whole it has none
-		if due&(1<<class) != 0 {
-			s.limits[class] = admissionLimit{set: true, limit: -1}
-		}
+	if forAll.set {
+		own.limit = min(own.limit, forAll.limit)
 	}
-	return lines, true
+	return own
 }
 
-// unlimited is the level of a class for which none was ordered, where it has to be said: no proxy reaches it, and tries are
-// as proxies make them without any order.
-var unlimited = admissionLimit{true, math.MaxFloat32, balancer.RetryIfNotExecuted}
-
-// writeLimits writes what differs from the levels that the proxy was last told; a whole table forgets them.
-func (t *tables) writeLimits(s *proxyState, o *messageWriter) {
-	var open uint16
-	for class := range t.classNames {
-		now, kept := t.limitFor(s, class), s.limits[class].limit < 0
-		if s.fullDue&(1<<class) != 0 && !kept {
-			s.limits[class] = admissionLimit{}
-		}
-		if !now.set && (kept || s.limits[class] == unlimited) {
-			now = unlimited
-		}
-		if now != s.limits[class] {
-			s.limits[class] = now
-			open |= 1 << class
+// forget ends what is kept of a backend that no table and no proxy's tables have, if the decisions can. A proxy that was told not to
+// use it goes on so: as long as that connection lives, the backend must be known if it comes back.
+func (t *tables) forget(backend int, decisionsForget func() bool) bool {
+	for _, proxy := range t.proxies {
+		if proxy != nil && backend < len(proxy.backendStates) && proxy.backendStates[backend] == backendWithdrawn {
+			return false
 		}
 	}
-	for class, now := range s.limits {
-		same := uint16(0)
-		for other := class; other < len(s.limits) && open&(1<<class) != 0; other++ {
-			if open&(1<<other) != 0 && s.limits[other] == now {
-				same |= 1 << other
-			}
-		}
-		if same != 0 {
-			o.writeLimit(same, now)
-			open &^= same
-		}
+	if !decisionsForget() {
+		return false
 	}
-}
-
-// limitFor is what stands for a class at a proxy: the lower one, and the table's own manner of trying again.
-func (t *tables) limitFor(s *proxyState, class int) admissionLimit {
-	now := t.limitsForAll[class]
-	if number := s.tables[class]; number != unbound {
-		if own := t.byNumber[number].limits[class]; own.set {
-			if now.set {
-				own.limit = min(own.limit, now.limit)
-			}
-			return own
-		}
-	} else if !now.set {
-		now = s.defaultLimit
+	if backend < len(t.withdrawn) {
+		t.withdrawn[backend] = false
 	}
-	return now
-}
-
-// writeWithdrawals writes which backends are withdrawn, and which are let back. A proxy keeps withdrawals of other
-// controllers, and of our process before this one, while the decisions count on a cleared proxy to keep only ours: so
-// whatever its tables use and it may keep withdrawn is let back then, or with the first line for it.
-func (t *tables) writeWithdrawals(s *proxyState, o *messageWriter) {
-	var out, back [][]byte
-	for _, b := range t.uncertainBackends(s) {
-		unsure := slices.Contains(s.tables, unbound) && slices.Contains(s.withdrawalChanges, b)
-		if !unsure && !t.uses(s, b) {
-			continue
-		}
-		for len(s.backendStates) <= b {
-			state := backendAllowed
-			if s.mayHoldWithdrawals {
-				state = backendUnknown
-			}
-			s.backendStates = append(s.backendStates, state)
-		}
-		switch withdrawn := b < len(t.withdrawn) && t.withdrawn[b]; {
-		case withdrawn && s.backendStates[b] != backendWithdrawn:
-			out, s.backendStates[b] = append(out, t.backendName(b)), backendWithdrawn
-		case !withdrawn && (s.backendStates[b] == backendWithdrawn || s.backendStates[b] == backendUnknown && (s.cleared || unsure)):
-			back, s.backendStates[b] = append(back, t.backendName(b)), backendAllowed
+	for _, proxy := range t.proxies {
+		if proxy != nil && backend < len(proxy.backendStates) {
+			proxy.backendStates[backend] = proxy.initialState()
 		}
 	}
-	s.withdrawalChanges, s.reconciled = s.withdrawalChanges[:0], true
-	o.writeBackends("out", out)
-	o.writeBackends("back", back)
+	return true
 }
 
-// uncertainBackends are the backends that a proxy may keep in another state than it should, in order: all that are known, until its
-// tables were gone through once, and then those whose lines or withdrawals changed since its last message.
-func (t *tables) uncertainBackends(s *proxyState) (all []int) {
-	if s.reconciled {
-		all = slices.Clone(s.withdrawalChanges)
-		for class, number := range s.tables {
-			if number != unbound && !slices.Contains(s.tables[:class], number) {
-				all = append(all, t.byNumber[number].changed...)
-			}
-		}
-		slices.Sort(all)
-		return slices.Compact(all)
-	}
-	most := len(t.withdrawn)
-	for _, in := range t.byNumber {
-		most = max(most, len(in.weights))
-	}
-	for b := range most {
-		all = append(all, b)
+// initialState is the state of a backend of which the proxy was told nothing.
+func (p *proxyState) initialState() backendState {
+	if p.mayHoldWithdrawals {
+		return backendUnknown
 	}
-	return all
+	return backendAllowed
 }
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -282,9 +282,9 @@
 			for b := range 12 {
 				load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 				if b == 5 && turn > 4 {
-					m.outcomesReported(fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load)
+					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load})
 				} else {
-					m.outcomesReported(fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), microsPerSecond, load)
+					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), microsPerSecond, load})
 				}
 			}
 			for node := range 8 {
