--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -89,7 +89,7 @@
 		limits = distribution.DefaultLimits()
 	}
 	if d.SnapshotPace > 0 {
-		limits.PaceBytes = d.SnapshotPace
+		limits.SnapshotBytesPerSecond = d.SnapshotPace
 	}
 	switch {
 	case !d.Voter && d.Listen == "":
@@ -379,12 +379,12 @@
 	case distribution.EventAdmitted:
 		d.log.Info("subscribed", append(at, "parent", e.Peer)...)
 	case distribution.EventParentLost:
-		d.log.Warn("parent_lost", append(at, "parent", e.Peer, "reason", lossReason(e.Close))...)
+		d.log.Warn("parent_lost", append(at, "parent", e.Peer, "reason", lossReason(e.CloseReason))...)
 	case distribution.EventSnapshotTaken:
 		d.log.Info("snapshot_applied", append(at, "parent", e.Peer)...)
-	case distribution.EventStale:
+	case distribution.EventSourceStale:
 		d.log.Warn("configuration_stale", at...)
-	case distribution.EventCurrent:
+	case distribution.EventSourceCurrent:
 		d.log.Info("configuration_current", at...)
 	case distribution.EventRefusedBy:
 		d.log.Warn("subscription_refused", append(at, "parent", e.Peer, "reason", e.Refusal.String())...)
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -2,316 +2,203 @@
 
 import "slices"
 
-// caller is a link that came in and has not subscribed yet.
-type caller struct {
-	link  Link
-	since int64
-}
-
-// callersMost bounds the callers, besides as many as there are places.
-const callersMost = 64
-
-// unconfirmedMost bounds the messages to a child that renews its lease and confirms nothing.
-const unconfirmedMost = 4096
-
-// nameMost bounds the bytes of a node's name.
-const nameMost = 256
-
-// proposeEvery is the number of heartbeats from one with candidates to the next.
-const proposeEvery = 16
-
-// child is a place in the tree below this node, on a lease.
-type child struct {
-	link   Link
-	name   string
-	scopes Scopes
-	fanOut int
-	until  int64 // the end of the lease
-	beatAt int64 // of the next heartbeat
-	beats  int
-
-	// sent is what the child has once it has got everything that was sent.
-	sent        Version
-	needs       bool      // it waits for a snapshot
-	snapshot    *outgoing // that is under way
-	unconfirmed []int     // sizes of the messages sent that it has not confirmed
-	underWay    int       // their sum
-	confirmed   uint64    // messages that it has confirmed
-}
-
-// Incoming names the link of a caller that the host has accepted. Its first message must be a Subscribe. Zero says
-// that too many callers have not subscribed yet; the host closes the connection.
-func (n *Node) Incoming(now int64) Link {
-	if len(n.callers) >= n.limits.FanOut+callersMost {
-		return 0
-	}
-	link := n.newLink()
-	n.callers = append(n.callers, caller{link, now})
-	return link
-}
-
-// forgetCaller takes a link off the callers and tells whether it was one.
-func (n *Node) forgetCaller(link Link) bool {
-	before := len(n.callers)
-	n.callers = slices.DeleteFunc(n.callers, func(c caller) bool { return c.link == link })
-	return len(n.callers) < before
-}
-
-func (n *Node) child(link Link) *child {
-	for _, c := range n.children {
-		if c.link == link {
-			return c
+// parentLink is a place that this node has at a parent, or tries to get.
+type parentLink struct {
+	link           Link
+	peer           string
+	dialedAt       int64
+	connected      bool
+	lastReceivedAt int64 // when the last message came
+
+	subscribing     bool   // a Subscribe is sent and not answered; until it is, what comes answers an earlier one
+	lastRequest     uint64 // number of the last Subscribe
+	subscribeSentAt int64
+	recoveries      int // requests after a gap or a wrong digest since a message last applied
+
+	admittedAt       int64
+	lease            int64 // µs, as granted
+	path             []string
+	behind           bool   // the parent is older than this node
+	behindSince      int64  // only if behind
+	receivedMessages uint64 // since the admission
+	unconfirmedBytes int    // received since the last Renew
+}
+
+func (n *Node) attemptByLink(link Link) *parentLink {
+	for _, attempt := range n.attempts {
+		if attempt.link == link {
+			return attempt
 		}
 	}
 	return nil
 }
 
-func (n *Node) hasChild(name string) bool {
-	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
-}
-
-// path is the way from the voter down to this node.
-func (n *Node) path() []string {
-	if n.parent == nil {
-		return []string{n.config.Name}
+// parentOrAttempt gives the parent, or one that was asked to be it, by its link.
+func (n *Node) parentOrAttempt(link Link) *parentLink {
+	if n.parent != nil && n.parent.link == link {
+		return n.parent
 	}
-	return append(slices.Clone(n.parent.path), n.config.Name)
+	return n.attemptByLink(link)
 }
 
-// subscribed handles a request for a place, or for a snapshot by a child that has one.
-func (n *Node) subscribed(link Link, m *Subscribe, now int64) {
-	if c := n.child(link); c != nil {
-		n.subscribedAgain(c, m, now)
-		return
+// sendSubscribe asks for a place, or asks the parent anew for what is missing.
+func (n *Node) sendSubscribe(upstream *parentLink, now int64) {
+	upstream.subscribing = true
+	upstream.subscribeSentAt = now
+	upstream.lastRequest++
+	n.incomingSnapshot = nil
+	request := &Subscribe{
+		Name:         n.config.Name,
+		Scopes:       n.config.Scopes,
+		Version:      n.store.version,
+		Digest:       n.store.digest,
+		WantSnapshot: !n.contentComplete(),
+		FanOut:       n.limits.FanOut,
+		Request:      upstream.lastRequest,
 	}
-	if !n.forgetCaller(link) {
-		return // closed meanwhile
+	if n.store.version.Before(n.config.Floor) {
+		request.Version = n.config.Floor
+		request.WantSnapshot = true
 	}
-	n.replaceNamesake(m.Name, now)
-	if reason := n.refusal(m); reason != 0 {
-		n.refuse(link, m, reason)
-		return
+	if n.faults.acceptOlder {
+		request.Version = Version{}
 	}
-	n.makeRoom(m, now)
-	c := &child{link: link, name: m.Name, beatAt: now}
-	n.children = append(n.children, c)
-	n.host.Log(Event{Kind: EventChildAdmitted, Peer: c.name, Version: m.Version})
-	n.admit(c, m, now)
+	n.host.Send(upstream.link, request)
 }
 
-// subscribedAgain handles a request of a child that has a place.
-func (n *Node) subscribedAgain(c *child, m *Subscribe, now int64) {
-	switch reason := n.breach(m); {
-	case m.Name != c.name:
-		n.refuse(c.link, m, RefusedMalformed)
-	case reason != 0:
-		n.refuse(c.link, m, reason)
-	default:
-		n.admit(c, m, now)
-		return
+// handleAdmitted takes a place that was granted, if it is the first or better than the one this node has.
+func (n *Node) handleAdmitted(upstream *parentLink, m *Admitted, now int64) {
+	n.learnCandidates(m.Candidates, false)
+	if m.Request != upstream.lastRequest {
+		return // it answers an earlier request; what follows may be of other scopes
 	}
-	n.dropChild(c, CloseRefused, now)
-}
-
-// admit grants the lease and starts to send what the child lacks.
-func (n *Node) admit(c *child, m *Subscribe, now int64) {
-	c.scopes, c.fanOut, c.until = m.Scopes, m.FanOut, now+n.limits.Lease
-	c.sent, c.snapshot = m.Version, nil
-	c.unconfirmed, c.underWay, c.confirmed = nil, 0, 0
-	c.needs = n.needsSnapshot(m)
-	n.send(c, &Admitted{
-		Lease:      n.limits.Lease,
-		Version:    n.store.version,
-		Path:       n.path(),
-		Age:        n.age(now),
-		Candidates: n.propose(m),
-		Request:    m.Request,
-	})
-	n.startSnapshots(now)
-	n.feed(c, now)
-}
-
-// needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is ahead of this node
-// waits for it, also for a snapshot.
-func (n *Node) needsSnapshot(m *Subscribe) bool {
-	have := n.store.version
-	if m.Whole || have.Epoch.Newer(m.Version.Epoch) {
-		return true
+	upstream.subscribing = false
+	upstream.receivedMessages = 1
+	upstream.unconfirmedBytes = m.Size()
+	if n.conflictsWith(m.Version.Epoch) {
+		n.rejectConflict(upstream, now)
+		return
 	}
-	if m.Version.Epoch != have.Epoch || m.Version.Revision > have.Revision {
-		return false
+	if !n.pathValid(m.Path) || n.hasChild(upstream.peer) {
+		n.declinePlace(upstream, CloseLoop, now)
+		return
 	}
-	if digest, known := n.store.digestAt(m.Version.Revision, m.Scopes); known && digest != m.Digest {
-		return true
+	if upstream != n.parent {
+		if n.parent != nil && !n.isBetterPlace(m, now) {
+			n.declinePlace(upstream, CloseNotChosen, now)
+			return
+		}
+		n.adoptParent(upstream, now)
 	}
-	_, possible := n.store.deltaFrom(m.Version, m.Scopes, n.limits.BatchBytes)
-	return !possible
+	upstream.lease = m.Lease
+	n.setPath(upstream, m.Path, now)
+	n.noteSourceAge(upstream, m.Version, m.Age, now)
 }
 
-// refusal tells why a new child gets no place; zero if it gets one.
-func (n *Node) refusal(m *Subscribe) RefusalReason {
-	if reason := n.breach(m); reason != 0 {
-		return reason
-	}
-	if len(n.children) >= n.limits.FanOut && n.displaced(m) == nil {
-		return RefusedFull
-	}
-	waits := n.store.version.Before(m.Version)
-	if !waits && n.needsSnapshot(m) && n.snapshotsDue() >= n.limits.Snapshots {
-		return RefusedBusy
+// isBetterPlace tells whether a place that was granted is better than the one this node has: not behind where the
+// present one is, or with a source that was known to be current clearly later.
+func (n *Node) isBetterPlace(m *Admitted, now int64) bool {
+	if n.isOlder(m.Version) || m.Age == NeverCurrent {
+		return false
 	}
-	return 0
+	age := n.sourceAge(now)
+	return n.parent.behind || age == NeverCurrent || m.Age < age/2
 }
 
-// displaced gives the child that makes room for a subscriber where every place is taken: the last that cannot pass on
-// all that this node has, if the subscriber can. A tree whose upper places are taken by leaves could not grow.
-func (n *Node) displaced(m *Subscribe) *child {
-	if !n.passesOn(m.FanOut, m.Scopes) {
-		return nil
+// adoptParent makes an attempt the parent, and ends the others.
+func (n *Node) adoptParent(upstream *parentLink, now int64) {
+	if n.parent != nil {
+		n.leaveParent(CloseBetterParent, now)
 	}
-	for _, c := range slices.Backward(n.children) {
-		if !n.passesOn(c.fanOut, c.scopes) {
-			return c
-		}
+	n.removeAttempt(upstream)
+	for _, other := range n.attempts {
+		n.host.Close(other.link, CloseNotChosen)
 	}
-	return nil
+	n.attempts = nil
+	n.parent = upstream
+	upstream.admittedAt = now
+	n.consecutiveRefusals = 0
+	n.host.Log(Event{Kind: EventAdmitted, Peer: upstream.peer, Version: n.store.version})
+	n.scheduleHeartbeats(now)
 }
 
-// passesOn tells whether a subscriber can be the parent of any that this node can be the parent of.
-func (n *Node) passesOn(fanOut int, scopes Scopes) bool {
-	return fanOut > 0 && scopes.Cover(n.store.covered)
+// pathValid tells whether a parent with this path can be this node's: it isn't below this node, nor too deep.
+func (n *Node) pathValid(path []string) bool {
+	return len(path) > 0 && len(path) <= n.limits.MaxDepth && !slices.Contains(path, n.config.Name)
 }
 
-// makeRoom ends the place of a child for a subscriber that was not refused.
-func (n *Node) makeRoom(m *Subscribe, now int64) {
-	if len(n.children) < n.limits.FanOut {
+// setPath stores the parent's path, and tells the children at the next Tick if it is another.
+func (n *Node) setPath(upstream *parentLink, path []string, now int64) {
+	if slices.Equal(upstream.path, path) {
 		return
 	}
-	c := n.displaced(m)
-	n.refuse(c.link, &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sent}, RefusedFull)
-	n.dropChild(c, CloseRefused, now)
+	upstream.path = path
+	n.learnCandidates(path, false)
+	n.scheduleHeartbeats(now)
 }
 
-// breach tells by which rule a place is refused whether or not there is one left.
-func (n *Node) breach(m *Subscribe) RefusalReason {
-	switch path := n.path(); {
-	case m.Name == "" || len(m.Name) > nameMost || len(m.Scopes.Names) > n.limits.ScopesMost || !m.Scopes.wellFormed():
-		return RefusedMalformed
-	case slices.Contains(path, m.Name):
-		return RefusedLoop
-	case len(path) > n.limits.DepthMost:
-		return RefusedTooDeep
-	case !n.store.version.Epoch.Known():
-		return RefusedEmpty
-	case !n.store.covered.Cover(m.Scopes):
-		return RefusedNotCovered
-	case n.conflicts(m.Version.Epoch):
-		return RefusedConflict
-	}
-	return 0
-}
-
-// refuse answers a request and closes the link.
-func (n *Node) refuse(link Link, m *Subscribe, reason RefusalReason) {
-	n.counts.Refusals++
-	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Version: m.Version, Refusal: reason})
-	n.host.Send(link, &Refused{Reason: reason, RetryAfter: n.retryAfter(reason), Candidates: n.propose(m)})
-	n.host.Close(link, CloseRefused)
-}
-
-// retryAfter is when a refused child may come again, with jitter so that those refused together don't come together.
-func (n *Node) retryAfter(reason RefusalReason) int64 {
-	least := n.limits.RetryMost / 2
-	switch reason {
-	case RefusedBusy:
-		least = min(n.snapshotsLeft(), least)
-	case RefusedEmpty:
-		least = n.limits.BackoffMost / 2
+// ownPath holds the names from the voter down to this node, which is the last.
+func (n *Node) ownPath() []string {
+	if n.parent == nil {
+		return []string{n.config.Name}
 	}
-	least = max(least, n.limits.BackoffLeast)
-	return least + n.jitter(least)
+	return append(slices.Clone(n.parent.path), n.config.Name)
 }
 
-// propose names children that could be the parent of a subscriber, beginning at a random one.
-func (n *Node) propose(m *Subscribe) []string {
-	var names []string
-	if len(n.children) == 0 {
-		return nil
+// checkParent leaves a parent that has sent nothing for a lease, or does not answer a request.
+func (n *Node) checkParent(now int64) {
+	parent := n.parent
+	if parent == nil {
+		return
 	}
-	first := int(n.host.Chance() % uint64(len(n.children)))
-	for i := range n.children {
-		c := n.children[(first+i)%len(n.children)]
-		if len(names) == n.limits.Proposed {
-			break
-		}
-		if c.fanOut > 0 && c.name != m.Name && c.scopes.Cover(m.Scopes) {
-			names = append(names, c.name)
-		}
+	lease := n.limits.Lease
+	if parent.lease > 0 {
+		lease = min(lease, parent.lease)
 	}
-	return names
-}
-
-// replaceNamesake ends the place that a child has on an older link, which may be half-open.
-func (n *Node) replaceNamesake(name string, now int64) {
-	for _, c := range n.children {
-		if c.name == name {
-			n.host.Close(c.link, CloseReplaced)
-			n.dropChild(c, CloseReplaced, now)
-			return
-		}
+	switch {
+	case now-parent.lastReceivedAt >= lease:
+		n.leaveParent(CloseSilent, now)
+	case parent.subscribing && now-parent.subscribeSentAt >= n.limits.Handshake:
+		n.leaveParent(CloseTimedOut, now)
 	}
 }
 
-// dropChild frees a place. The link is closed already.
-func (n *Node) dropChild(c *child, reason CloseReason, now int64) {
-	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
-	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sent, Close: reason})
-	n.startSnapshots(now)
+// leaveParent gives the parent up. What it sent stays in force.
+func (n *Node) leaveParent(reason CloseReason, now int64) {
+	n.host.Close(n.parent.link, reason)
+	n.loseParent(reason, now)
 }
 
-// dropUncovered ends the places of children that ask for more than this node has now.
-func (n *Node) dropUncovered(now int64) {
-	for _, c := range slices.Clone(n.children) {
-		if n.store.covered.Cover(c.scopes) {
-			continue
-		}
-		m := &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sent}
-		n.refuse(c.link, m, RefusedNotCovered)
-		n.dropChild(c, CloseNotCovered, now)
-	}
+// loseParent goes on without a parent; the next dial comes soon, after a jitter. The link is closed already.
+func (n *Node) loseParent(reason CloseReason, now int64) {
+	lost := n.parent
+	n.parent = nil
+	n.incomingSnapshot = nil
+	n.counts.ParentsLost++
+	n.host.Log(Event{Kind: EventParentLost, Peer: lost.peer, Version: n.store.version, CloseReason: reason})
+	n.recordFailure(lost.peer, now)
+	n.scheduleHeartbeats(now)
 }
 
-// renewed renews a lease and notes what the child has got.
-func (n *Node) renewed(link Link, m *Renew, now int64) {
-	c := n.child(link)
-	if c == nil {
+// parentLinkClosed handles the end of a link to a parent, or of an attempt to get one.
+func (n *Node) parentLinkClosed(link Link, now int64) {
+	if attempt := n.attemptByLink(link); attempt != nil {
+		n.attemptFailed(attempt, now)
 		return
 	}
-	c.until = now + n.limits.Lease
-	for c.confirmed < m.Received && len(c.unconfirmed) > 0 {
-		c.underWay -= c.unconfirmed[0]
-		c.unconfirmed = c.unconfirmed[1:]
-		c.confirmed++
-	}
-	n.feed(c, now)
-	if c.snapshot != nil { // a window may be confirmed many times between two calls of Elapsed
-		n.refill(now)
-		n.sendPieces(now)
+	if n.parent != nil && n.parent.link == link {
+		n.loseParent(0, now)
 	}
 }
 
-// watchChildren ends leases that were not renewed, and callers that do not subscribe.
-func (n *Node) watchChildren(now int64) {
-	for i := 0; i < len(n.children); i++ {
-		c := n.children[i]
-		if now >= c.until || len(c.unconfirmed) > unconfirmedMost {
-			n.host.Close(c.link, CloseSilent)
-			n.dropChild(c, CloseSilent, now)
-			i--
-		}
-	}
-	for len(n.callers) > 0 && now-n.callers[0].since >= n.limits.Handshake {
-		n.host.Close(n.callers[0].link, CloseTimedOut)
-		n.callers = n.callers[1:]
+// rejectConflict leaves one whose epoch was founded beside this node's.
+func (n *Node) rejectConflict(upstream *parentLink, now int64) {
+	n.host.Log(Event{Kind: EventEpochConflict, Peer: upstream.peer, Version: n.store.version})
+	n.avoidUntil(upstream.peer, now+n.limits.MaxRetryAfter)
+	if upstream == n.parent {
+		n.leaveParent(CloseConflict, now)
+		return
 	}
+	n.host.Close(upstream.link, CloseConflict)
+	n.attemptFailed(upstream, now)
 }
--- /dev/null
+++ b/distribution/receive.go
@@ -0,0 +1,197 @@
+package distribution
+
+// maxRecoveries is how often a node asks a parent to recover from a gap before it leaves it.
+const maxRecoveries = 3
+
+// renewsPerWindow is how often a window of the parent's is confirmed besides at heartbeats.
+const renewsPerWindow = 4
+
+// receiveFromParent handles a message of a parent, or of one that was asked to be it.
+func (n *Node) receiveFromParent(link Link, m Message, now int64) {
+	upstream := n.parentOrAttempt(link)
+	if upstream == nil {
+		return
+	}
+	upstream.lastReceivedAt = now
+	upstream.receivedMessages++
+	upstream.unconfirmedBytes += m.Size()
+	switch m := m.(type) {
+	case *Admitted:
+		n.handleAdmitted(upstream, m, now)
+	case *Refused:
+		n.handleRefused(upstream, m, now)
+	default:
+		if upstream == n.parent && !upstream.subscribing {
+			n.handleParentMessage(upstream, m, now)
+		}
+	}
+}
+
+// handleParentMessage handles what a parent sends to a child with a place, and renews the lease if it is time to.
+func (n *Node) handleParentMessage(upstream *parentLink, m Message, now int64) {
+	isHeartbeat := false
+	switch m := m.(type) {
+	case *Delta:
+		n.handleDelta(upstream, m, now)
+	case *SnapshotPiece:
+		n.handleSnapshotPiece(upstream, m, now)
+	case *Heartbeat:
+		isHeartbeat = true
+		n.handleHeartbeat(upstream, m, now)
+	}
+	hasPlace := upstream == n.parent && !upstream.subscribing // handling the message may have ended it
+	enough := upstream.unconfirmedBytes >= n.limits.Window/renewsPerWindow
+	if hasPlace && (isHeartbeat || enough) {
+		n.host.Send(upstream.link, &Renew{Version: n.store.version, Received: upstream.receivedMessages})
+		upstream.unconfirmedBytes = 0
+	}
+}
+
+// handleDelta applies changes if they follow what this node has and end in the digest that they should.
+func (n *Node) handleDelta(upstream *parentLink, m *Delta, now int64) {
+	version := Version{m.Epoch, m.Revision}
+	if n.isOlder(version) || version == n.store.version {
+		n.reportOlder(upstream.peer, version)
+		return
+	}
+	if !n.followsContent(m.Epoch, m.Previous) {
+		n.handleGap(upstream, now)
+		return
+	}
+	if !n.deltaWellFormed(m) {
+		n.rejectMalformed(upstream, now)
+		return
+	}
+	batch := n.store.prepare(m.Changes)
+	if batch.digest != m.Digest && !n.faults.acceptGaps {
+		n.handleWrongDigest(upstream, now)
+		return
+	}
+	if batch.bytes > n.limits.StateBytes {
+		n.rejectTooLarge(upstream, now)
+		return
+	}
+	n.applyBatch(batch)
+	n.store.version.Revision = m.Revision
+	n.counts.DeltasTaken++
+	upstream.recoveries = 0
+	n.sendDeltasToAll(now)
+}
+
+// followsContent tells whether what was sent for a child at a revision applies to what this node has.
+func (n *Node) followsContent(epoch Epoch, previous uint64) bool {
+	if n.faults.acceptGaps {
+		return epoch == n.store.version.Epoch
+	}
+	sound := n.contentComplete() && n.incomingSnapshot == nil
+	return sound && n.store.version == Version{epoch, previous}
+}
+
+// deltaWellFormed tells whether the changes are in order and in this node's scopes.
+func (n *Node) deltaWellFormed(m *Delta) bool {
+	last := m.Previous
+	for _, change := range m.Changes {
+		inOrder := change.Revision > last && change.Revision <= m.Revision
+		if !inOrder || len(change.Entries) == 0 {
+			return false
+		}
+		last = change.Revision
+		if !n.entriesValid(change.Entries, change.Revision) {
+			return false
+		}
+	}
+	return len(m.Changes) > 0
+}
+
+// entriesValid tells whether entries are in this node's scopes and none is newer than a revision.
+func (n *Node) entriesValid(entries []Entry, revision uint64) bool {
+	for _, entry := range entries {
+		if !n.config.Scopes.Has(entry.Scope) || entry.Revision > revision {
+			return false
+		}
+	}
+	return true
+}
+
+// handleHeartbeat notes that the parent is there, and moves on past revisions with nothing in this node's scopes.
+func (n *Node) handleHeartbeat(upstream *parentLink, m *Heartbeat, now int64) {
+	n.learnCandidates(m.Candidates, false)
+	if !n.pathValid(m.Path) {
+		n.leaveParent(CloseLoop, now)
+		return
+	}
+	n.setPath(upstream, m.Path, now)
+	if m.Epoch.Known() {
+		n.advanceByHeartbeat(upstream, m, now)
+	}
+	if upstream == n.parent && !upstream.subscribing {
+		n.noteSourceAge(upstream, m.Source, m.Age, now)
+	}
+}
+
+// advanceByHeartbeat takes the revision of a heartbeat that follows what this node has.
+func (n *Node) advanceByHeartbeat(upstream *parentLink, m *Heartbeat, now int64) {
+	version := Version{m.Epoch, m.Revision}
+	switch {
+	case n.isOlder(version):
+		n.reportOlder(upstream.peer, version)
+	case !n.followsContent(m.Epoch, m.Previous):
+		n.handleGap(upstream, now)
+	case m.Digest != n.store.digest && !n.faults.acceptGaps:
+		n.handleWrongDigest(upstream, now)
+	default:
+		n.store.version.Revision = max(n.store.version.Revision, m.Revision)
+		upstream.recoveries = 0
+	}
+}
+
+// noteSourceAge notes how old the parent's configuration is, and whether it is behind this node's.
+func (n *Node) noteSourceAge(upstream *parentLink, source Version, age, now int64) {
+	behind := n.isOlder(source)
+	if behind && !upstream.behind {
+		upstream.behindSince = now
+	}
+	upstream.behind = behind
+	own := n.store.version
+	hasAll := n.contentComplete() && own.Epoch == source.Epoch && own.Revision >= source.Revision
+	if hasAll && age != NeverCurrent {
+		n.noteSourceCurrent(now - age)
+		n.resetFailures(upstream)
+	}
+}
+
+// handleGap answers a message that doesn't follow what this node has: it asks for what leads on from there.
+func (n *Node) handleGap(upstream *parentLink, now int64) {
+	n.counts.GapsSeen++
+	n.host.Log(Event{Kind: EventGap, Peer: upstream.peer, Version: n.store.version})
+	n.requestRecovery(upstream, now)
+}
+
+// handleWrongDigest answers changes or a snapshot that end in another digest than they should: nothing of them was
+// applied, and as nothing tells where the fault is, only a snapshot helps.
+func (n *Node) handleWrongDigest(upstream *parentLink, now int64) {
+	n.counts.WrongDigests++
+	n.host.Log(Event{Kind: EventWrongDigest, Peer: upstream.peer, Version: n.store.version})
+	n.contentInDoubt = true
+	n.requestRecovery(upstream, now)
+}
+
+// requestRecovery asks the parent anew, and leaves one that was asked maxRecoveries times without success.
+func (n *Node) requestRecovery(upstream *parentLink, now int64) {
+	upstream.recoveries++
+	if upstream.recoveries > maxRecoveries {
+		n.leaveParent(CloseMalformed, now)
+		return
+	}
+	n.sendSubscribe(upstream, now)
+}
+
+func (n *Node) rejectMalformed(upstream *parentLink, now int64) {
+	n.host.Log(Event{Kind: EventMalformed, Peer: upstream.peer, Version: n.store.version})
+	n.leaveParent(CloseMalformed, now)
+}
+
+func (n *Node) rejectTooLarge(upstream *parentLink, now int64) {
+	n.host.Log(Event{Kind: EventTooLarge, Peer: upstream.peer, Version: n.store.version})
+	n.leaveParent(CloseTooLarge, now)
+}
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -149,12 +149,12 @@
 	s := n.subscriber(t, "s", 0, "v0")
 	until(t, "it is current", func() bool { status := s.status(t); return s.has() == "pricing/a=1" && status.Age >= 0 })
 	lost()
-	until(t, "it tells that what it has is old", func() bool { return s.told(distribution.EventStale) })
+	until(t, "it tells that what it has is old", func() bool { return s.told(distribution.EventSourceStale) })
 	if s.has() != "pricing/a=1" || s.status(t).Age < 900_000 {
 		t.Errorf("has %s, %+v", s.has(), s.status(t))
 	}
 	r.leads(t)
-	until(t, "it is current again", func() bool { return s.told(distribution.EventCurrent) })
+	until(t, "it is current again", func() bool { return s.told(distribution.EventSourceCurrent) })
 	if s.snapshots() != 1 {
 		t.Errorf("%d snapshots", s.snapshots())
 	}
@@ -176,7 +176,7 @@
 	var serving sync.WaitGroup
 	serving.Go(func() { v.Accept(theirs, nil) })
 	subscribe := &distribution.Subscribe{Name: "deaf", Scopes: distribution.SomeScopes("pricing")}
-	if err := frame.Write(ours, distribution.Wrap(subscribe)); err != nil {
+	if err := frame.Write(ours, distribution.NewEnvelope(subscribe)); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "it has a place", func() bool { return len(v.status(t).Children) == 2 })
@@ -203,7 +203,7 @@
 	defer ours.Close()
 	var serving sync.WaitGroup
 	serving.Go(func() { v.Accept(theirs, func(name string) bool { return name == "s1" }) })
-	if err := frame.Write(ours, distribution.Wrap(&distribution.Subscribe{Name: "s2"})); err != nil {
+	if err := frame.Write(ours, distribution.NewEnvelope(&distribution.Subscribe{Name: "s2"})); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ours.Read(make([]byte, 1)); err == nil {
