--- a/controller/keeper_test.go
+++ b/controller/cache_test.go
@@ -12,7 +12,7 @@
 
 func TestKeeper(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new")
-	k, err := newKeeper(folder)
+	k, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,27 +24,27 @@
 	if err := k.save(state); err != nil {
 		t.Fatal(err)
 	}
-	again, err := newKeeper(folder)
+	again, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.last != state.Version {
+	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.saved != state.Version {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if left, err := os.ReadDir(folder); err != nil || len(left) != 1 {
 		t.Errorf("left in the folder: %v, %v", left, err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, keptFile), []byte("damaged"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, cacheFile), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err == nil || got != nil || !strings.Contains(err.Error(), keptFile) {
+	if got, err := again.load(); err == nil || got != nil || !strings.Contains(err.Error(), cacheFile) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newKeeper(file); err == nil || !strings.Contains(err.Error(), "folder") {
+	if _, err := openConfigurationCache(file); err == nil || !strings.Contains(err.Error(), "folder") {
 		t.Errorf("a file for a folder: %v", err)
 	}
 }
@@ -53,15 +53,15 @@
 func TestSubscriberKeepsOverRestart(t *testing.T) {
 	known := listing(1, true, backendIs(0, "up"), backendIs(1, "up"))
 	members, voters := votes(t, known, "n0", "n1")
-	with := Distribution{Parents: members, Folder: t.TempDir()}
+	with := DistributionConfig{Parents: members, Folder: t.TempDir()}
 	s := subscribes(t, "s1", known, with)
 	voters[0].reloads(t, known, `{"pricing":{"drain":{"s-1":true}}}`)
-	s.said.waits(t, "event=distributed revision=1", 1)
+	s.said.waits(t, "msg=configuration_applied revision=1", 1)
 	s.stop()
 	for _, v := range voters {
 		v.stop()
 	}
 	s = subscribes(t, "s1", known, with)
-	s.said.waits(t, "event=kept revision=1", 1)
-	s.said.waits(t, "event=distributed revision=1 whole=true backends=1 drained=1", 1)
+	s.said.waits(t, "msg=cache_loaded revision=1", 1)
+	s.said.waits(t, "msg=configuration_applied revision=1 full=true backends=1 drained=1", 1)
 }
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -26,7 +26,7 @@
 func startController(t *testing.T, name, known string, prepare func(*Controller) error) *serving {
 	t.Helper()
 	said := newDiary()
-	c, err := New(Place{Name: name}, configuration("127.0.0.1:9", known), Journal(said))
+	c, err := New(Identity{Name: name}, configuration("127.0.0.1:9", known), NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,9 +47,9 @@
 		}
 	})
 	t.Cleanup(s.stop)
-	said.waits(t, "event=serving", 1)
+	said.waits(t, "msg=serving", 1)
 	text, _ := said.read()
-	s.address = regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
+	s.address = regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
 	return s
 }
 
@@ -67,7 +67,7 @@
 // quickLimits are limits with which losses are seen soon.
 func quickLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
-	limits.Heartbeat, limits.Lease, limits.Handshake, limits.MaxStaleness = second/10, second/2, second, 3*second/2
+	limits.Heartbeat, limits.Lease, limits.Handshake, limits.MaxStaleness = microsPerSecond/10, microsPerSecond/2, microsPerSecond, 3*microsPerSecond/2
 	return limits
 }
 
@@ -81,23 +81,23 @@
 	var all []*serving
 	for _, name := range names {
 		all = append(all, startController(t, name, known, func(c *Controller) error {
-			if err := c.Distribute(Distribution{Voter: true, limits: quickLimits()}); err != nil {
+			if err := c.JoinDistribution(DistributionConfig{Voter: true, limits: quickLimits()}); err != nil {
 				return err
 			}
-			return c.Share(Sharing{Members: members})
+			return c.ShareOwnership(OwnershipConfig{Members: members})
 		}))
 	}
 	for _, v := range all {
-		v.said.waits(t, "event=sharing alone=false", 1)
+		v.said.waits(t, "msg=quorum_changed quorum=true", 1)
 	}
 	return members, all
 }
 
 // subscribes runs a controller that subscribes for the scope pricing.
-func subscribes(t *testing.T, name, known string, with Distribution) *serving {
+func subscribes(t *testing.T, name, known string, with DistributionConfig) *serving {
 	t.Helper()
 	with.Scopes, with.limits = []string{"pricing"}, quickLimits()
-	return startController(t, name, known, func(c *Controller) error { return c.Distribute(with) })
+	return startController(t, name, known, func(c *Controller) error { return c.JoinDistribution(with) })
 }
 
 // reloads has a controller read a file that distributes something.
@@ -121,8 +121,8 @@
 	known := listing(1, true, entries...)
 	members, voters := votes(t, known, "n0", "n1", "n2")
 	relayAt := freeAddress(t)
-	relay := subscribes(t, "s1", known, Distribution{Parents: members, Listen: relayAt, FanOut: 4})
-	leaf := subscribes(t, "s2", known, Distribution{Parents: map[string]string{"s1": relayAt}})
+	relay := subscribes(t, "s1", known, DistributionConfig{Parents: members, Listen: relayAt, FanOut: 4})
+	leaf := subscribes(t, "s2", known, DistributionConfig{Parents: map[string]string{"s1": relayAt}})
 	p, h := calls(t, leaf.address), newHearer("read it", "write")
 	p.says(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`)
 	picks := func(what string, is func(ids []string) bool) {
@@ -140,42 +140,42 @@
 	picks("all", func(ids []string) bool { return len(ids) == 6 && !h.inside })
 	t.Run("a drain is in force at a controller below another subscriber", func(t *testing.T) {
 		voters[1].reloads(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
-		voters[1].said.waits(t, "event=change_accepted revision=1", 1)
+		voters[1].said.waits(t, "msg=change_accepted revision=1", 1)
 		picks("without the drained one", func(ids []string) bool { return !slices.Contains(ids, "s-2") && !h.inside })
 		if !slices.Contains(h.picks(0), "s-3") {
 			t.Error("a drain of another scope counts")
 		}
 		for _, s := range []*serving{relay, leaf, voters[0], voters[2]} {
-			s.said.waits(t, "event=distributed revision=1", 1)
+			s.said.waits(t, "msg=configuration_applied revision=1", 1)
 		}
-		leaf.said.waits(t, "event=snapshot_taken revision=1", 1)
-		leaf.said.waits(t, `event=subscribed`, 1)
+		leaf.said.waits(t, "msg=snapshot_applied revision=1", 1)
+		leaf.said.waits(t, `msg=subscribed`, 1)
 	})
 	t.Run("the same file again is no change, and a bad one changes nothing", func(t *testing.T) {
 		voters[0].reloads(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
-		voters[0].said.waits(t, "event=change_empty revision=1", 1)
+		voters[0].said.waits(t, "msg=change_empty revision=1", 1)
 		if err := voters[0].Reload(withDistributed(known, `{"pricing":{"drain":{"s-4":1}}}`)); err == nil {
 			t.Error("taken")
 		}
 		voters[0].reloads(t, known, fmt.Sprintf(`{"pricing":{"service":{"x":{"y":%q}}}}`, strings.Repeat("z", 1<<20)))
-		voters[0].said.waits(t, "event=change_refused", 1)
+		voters[0].said.waits(t, "msg=change_refused", 1)
 	})
 	t.Run("the parent is lost, and the voters' majority: it goes on with what it has", func(t *testing.T) {
 		relay.stop()
-		leaf.said.waits(t, "event=parent_lost", 1)
-		leaf.said.waits(t, "event=subscribed", 2) // at one that it has learned of
+		leaf.said.waits(t, "msg=parent_lost", 1)
+		leaf.said.waits(t, "msg=subscribed", 2) // at one that it has learned of
 		voters[2].reloads(t, known, `{"pricing":{"drain":{"s-4":true}}}`)
-		voters[2].said.waits(t, "event=change_accepted revision=2", 1)
+		voters[2].said.waits(t, "msg=change_accepted revision=2", 1)
 		picks("with the second change", func(ids []string) bool {
 			return !slices.Contains(ids, "s-4") && slices.Contains(ids, "s-2") && !h.inside
 		})
 		voters[0].stop()
 		voters[1].stop()
-		leaf.said.waits(t, "event=cut_off revision=2", 1)
+		leaf.said.waits(t, "msg=configuration_stale revision=2", 1)
 		if picks := h.picks(0); len(picks) != 5 {
 			t.Errorf("picks %v", picks)
 		}
-		if text, _ := leaf.said.read(); strings.Count(text, "event=snapshot_taken") != 1 {
+		if text, _ := leaf.said.read(); strings.Count(text, "msg=snapshot_applied") != 1 {
 			t.Errorf("a snapshot where a delta would do")
 		}
 	})
@@ -184,32 +184,32 @@
 func TestDistributionRefused(t *testing.T) {
 	known := listing(1, true, backendIs(0, "up"))
 	for name, x := range map[string]struct {
-		with Distribution
+		with DistributionConfig
 		want string
 	}{
-		"listens everywhere in plain text": {Distribution{Listen: "0.0.0.0:0"}, "loopback"},
-		"address in use":                   {Distribution{Listen: "127.0.0.1:0x"}, "listen"},
-		"a name that is none":              {Distribution{Name: "s@1"}, "leave it out"},
-		"no such certificate":              {Distribution{}, "certificate"},
+		"listens everywhere in plain text": {DistributionConfig{Listen: "0.0.0.0:0"}, "loopback"},
+		"address in use":                   {DistributionConfig{Listen: "127.0.0.1:0x"}, "listen"},
+		"a name that is none":              {DistributionConfig{Name: "s@1"}, "leave it out"},
+		"no such certificate":              {DistributionConfig{}, "certificate"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, err := New(Place{}, configuration("127.0.0.1:9", known), Journal(newDiary()))
+			c, err := New(Identity{}, configuration("127.0.0.1:9", known), NewLogger(newDiary()))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if x.want == "certificate" {
 				x.with.Certificate = "none.pem"
 			}
-			if err := c.Distribute(x.with); err == nil || !strings.Contains(err.Error(), x.want) {
+			if err := c.JoinDistribution(x.with); err == nil || !strings.Contains(err.Error(), x.want) {
 				t.Errorf("got %v", err)
 			}
 		})
 	}
-	c, err := New(Place{}, configuration("127.0.0.1:9", known), Journal(newDiary()))
+	c, err := New(Identity{}, configuration("127.0.0.1:9", known), NewLogger(newDiary()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Distribute(Distribution{Voter: true}); err != nil {
+	if err := c.JoinDistribution(DistributionConfig{Voter: true}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -222,7 +222,7 @@
 // A controller that takes no part reads what its file would distribute as little as before.
 func TestDistributionOff(t *testing.T) {
 	said := newDiary()
-	c, err := New(Place{}, withDistributed(listing(1, true, backendIs(0, "up")), `[]`), Journal(said))
+	c, err := New(Identity{}, withDistributed(listing(1, true, backendIs(0, "up")), `[]`), NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
