--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -129,7 +129,7 @@
 	limiting := a.limitShare > 0 && load.offered > a.limit
 	if limiting != a.limiting {
 		a.limiting = limiting
-		c.logf(-1, "limit bound %v at %.1f units/s: heat %.2f, %.1f come, %.1f answered",
+		c.logf(-1, "limit in force %v at %.1f units/s: latency ratio %.2f, %.1f offered, %.1f answered",
 			limiting, a.limit, load.latencyRatio, load.offered, load.answered)
 	}
 	c.distributeLimit()
@@ -222,7 +222,7 @@
 	limiting := offered > a.limit
 	if a.limitShare > 0 && limiting != a.limiting {
 		a.limiting = limiting
-		c.logf(-1, "limit bound %v at %.1f units/s, ahead of reports: %.0f%% of the weight went, %.1f come",
+		c.logf(-1, "limit in force %v at %.1f units/s, ahead of reports: %.0f%% of the weight lost, %.1f offered",
 			limiting, a.limit, 100*lost/capacity, offered)
 	}
 	c.distributeLimit()
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -130,7 +130,7 @@
 	backend.ejectedByPeerReport = backend.reportedByPeersOnly
 	backend.readmitAt = now + backend.backoff
 	backend.healthCheckedAt = now
-	c.logf(id, "leaves R: %d of %d tries failed, %d s", backend.failures, backend.attempts, backend.backoff/second)
+	c.logf(id, "ejected: %d of %d attempts failed, %d s", backend.failures, backend.attempts, backend.backoff/second)
 }
 
 // readmitDue readmits backends after their backoff, checks the health of others, and gives back reduced weights.
@@ -164,7 +164,7 @@
 	allEjected := usable > 0 && ejected == usable
 	if allEjected != c.panicMode {
 		c.panicMode = allEjected
-		c.logf(-1, "R empty: %v, %d backends usable", allEjected, usable)
+		c.logf(-1, "panic mode %v, %d backends usable", allEjected, usable)
 	}
 }
 
@@ -174,5 +174,5 @@
 	backend.ejected = false
 	backend.enteredAt = now
 	backend.resetOutcomes(now)
-	c.logf(id, "returns to R, probed %v, after %d s", healthChecked, backend.backoff/second)
+	c.logf(id, "readmitted, health check passed %v, after %d s", healthChecked, backend.backoff/second)
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	backend := c.backends[id]
-	c.logf(id, "goes over to part %d, which has %.0f%% of its share", to, 100*p.subsetWeights[to]/p.fairWeight)
+	c.logf(id, "moves to subset %d, which has %.0f%% of its fair weight", to, 100*p.subsetWeights[to]/p.fairWeight)
 	c.publishEntry(backend, from, 0, false)
 	backend.subset = to
 	c.publishEntry(backend, to, backend.published, true)
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -78,7 +78,7 @@
 func (c *Controller) reduceWeight(id int, now Microseconds) {
 	backend := c.backends[id]
 	if backend.reducedTo == 0 {
-		c.logf(id, "strained: answers take %.1f times the median", backend.score)
+		c.logf(id, "weight reduced: answers take %.1f times the median", backend.score)
 	}
 	backend.reducedTo = max(cmp.Or(backend.reducedTo, 1)*weightReductionFactor, minReducedShare)
 	backend.weightReducedAt = now
