--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -19,6 +19,10 @@
 
 // Controller decides for the proxies that are connected to it. Its methods are the events that it handles; one may be
 // called at a time. It belongs to its caller, and ends when that drops it.
+//
+// Reports about a backend that was never listed are ignored. Other indices must be known: of a proxy, one that
+// ProxyConnected or MessagesSentByPeers was given; of a class or shard, one below their number. An event about an unknown
+// one panics, as that is a caller's error.
 type Controller struct {
 	host      Host
 	seed      uint64
@@ -171,7 +175,7 @@
 }
 
 // ForgetBackend ends what is kept of a backend that is removed and has no entry left, so that its index may mean
-// another. It tells whether it did.
+// another, and tells whether it did. The backend must have been listed once.
 func (c *Controller) ForgetBackend(id int) bool {
 	backend := c.backends[id]
 	if backend.State != Removed || backend.published != 0 {
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -86,13 +86,15 @@
 		sum.attempts += answered
 		sum.answerTime += answerTime
 		// One that lags far behind the median says how slow things are, but not what a weight can do.
-		if keepsUp := backend.published > 0 && backend.score < laggingScore; keepsUp {
+		keepsUp := backend.published > 0 && backend.score < laggingScore
+		if keepsUp {
 			sum.answers += answered
 			load.reportedCapacity += capacity * reporting
 		}
 		// Failures of one that answers late are time-outs in its queue; others, like lost answers or connections that it
 		// does not take, are none.
-		if late := mean > overloadedRatio*c.admission.meanObjective; late {
+		late := mean > overloadedRatio*c.admission.meanObjective
+		if late {
 			sum.attempts += failures
 			sum.answerTime += float64(failures) * c.admission.longestDeadline / 2
 		} else {
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -194,7 +194,8 @@
 				continue
 			}
 			// What our ejections take is only what our own proxies cannot reach.
-			if takenByList := backend.State != Ready || c.warmingUp(backend, p.now); takenByList {
+			takenByList := backend.State != Ready || c.warmingUp(backend, p.now)
+			if takenByList {
 				entries.capacityLost += max(0, backend.published-weight) / cmp.Or(backend.reducedTo, 1)
 			}
 			c.setPublished(backend, weight)
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -61,7 +61,8 @@
 func (c *Controller) ShardAssigned(id int) {
 	c.sharding.shards[id] = shardState{assigned: true, owner: noOwner, demand: make([]float64, len(c.classes))}
 	// Whoever had it may have been moving it, and a former owner have writes in hand; not if we all just started.
-	if justStarted := c.admission.meanObjective <= 0; c.sharding.SingleOwner && !justStarted {
+	justStarted := c.admission.meanObjective <= 0
+	if c.sharding.SingleOwner && !justStarted {
 		c.sharding.shards[id].fence = fencePending
 	}
 }
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -46,7 +46,8 @@
 func (c *Controller) enqueueForSync(id int) {
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
 	place := len(c.syncQueue)
-	if mayTakeLong := c.queue.capacity() < c.queue.Backlog; mayTakeLong {
+	mayTakeLong := c.queue.capacity() < c.queue.Backlog
+	if mayTakeLong {
 		place, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
 			// In falling order of baseline demand; behind those with the same.
 			return cmp.Or(cmp.Compare(rate, c.proxies[other].baselineRate), -1)
@@ -110,7 +111,8 @@
 func (c *Controller) syncProxy(id int, round *syncRound, overdue bool) {
 	proxy := c.proxies[id]
 	tables := c.fullTablesOf(proxy, round.tableSizes)
-	switch mayGo := c.tablesMayGo(proxy, tables, round.now); {
+	mayGo := c.tablesMayGo(proxy, tables, round.now)
+	switch {
 	case mayGo && !proxy.assigned:
 		c.assignTables(id, tables)
 		round.assigned++
