--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -76,21 +76,21 @@
 	raisedAt        Microseconds // when the limit was last raised, or guessed
 
 	// By class.
-	target           []float64           // limits that are to be published: a share or a rate; 0 for none
-	published        []float64           // limits that are
+	targetLimits     []float64           // limits that are to be published: a share or a rate; 0 for none
+	publishedLimits  []float64           // limits that are
 	limitsSent       bool                // one ever was
 	quota            []RequestsPerSecond // that the whole fleet may be sent; 0 for any number
-	counted          []float64           // requests since the last look
+	countedRequests  []float64           // requests since the last look
 	demandCorrection []float64           // what was counted over the sum of the proxies' rates
 }
 
 func newAdmissionState(mode AdmissionMode, classes []Class) admissionState {
 	a := admissionState{
 		mode:             mode,
-		target:           make([]float64, len(classes)),
-		published:        make([]float64, len(classes)),
+		targetLimits:     make([]float64, len(classes)),
+		publishedLimits:  make([]float64, len(classes)),
 		quota:            make([]RequestsPerSecond, len(classes)),
-		counted:          make([]float64, len(classes)),
+		countedRequests:  make([]float64, len(classes)),
 		demandCorrection: slices.Repeat([]float64{1}, len(classes)),
 	}
 	for i, class := range classes {
@@ -240,15 +240,15 @@
 		most := min(left/a.unitsPerRequest[class], orUnlimited(a.quota[class])*ourShare)
 		admitted := min(total, max(most, minAdmittedShare*total))
 		left -= admitted * a.unitsPerRequest[class]
-		a.target[class] = 0
+		a.targetLimits[class] = 0
 		if admitted >= total {
 			continue
 		}
 		switch a.mode {
 		case AdmissionByRate:
-			a.target[class] = maxMinFairRate(rates, admitted)
+			a.targetLimits[class] = maxMinFairRate(rates, admitted)
 		case AdmissionByShare:
-			a.target[class] = admitted / total
+			a.targetLimits[class] = admitted / total
 		}
 	}
 }
@@ -271,7 +271,7 @@
 
 // admittedRate is what the published limit of a class lets in of a proxy's rate.
 func (a *admissionState) admittedRate(class int, rate RequestsPerSecond) RequestsPerSecond {
-	limit := a.published[class]
+	limit := a.publishedLimits[class]
 	switch {
 	case limit <= 0:
 		return rate
@@ -284,8 +284,8 @@
 
 // limitChanged tells whether the limit of a class is to be published anew.
 func (a *admissionState) limitChanged(class int) bool {
-	difference := math.Abs(a.target[class] - a.published[class])
-	return difference > 0 && difference >= limitTolerance*a.published[class]
+	difference := math.Abs(a.targetLimits[class] - a.publishedLimits[class])
+	return difference > 0 && difference >= limitTolerance*a.publishedLimits[class]
 }
 
 // publishLimits publishes limits that have changed, with their retry policy, and tells whether there were any.
@@ -295,10 +295,10 @@
 		if !a.limitChanged(class) {
 			continue
 		}
-		a.published[class] = a.target[class]
+		a.publishedLimits[class] = a.targetLimits[class]
 		published = true
-		limit := cmp.Or(a.target[class], unlimitedRate)
-		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.target[class]))
+		limit := cmp.Or(a.targetLimits[class], unlimitedRate)
+		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.targetLimits[class]))
 		a.limitsSent = true
 		c.chargeAll(1)
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -330,13 +330,13 @@
 	t.Run("a wide class quota leaves an overload limit unchanged", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 16, 3)
 		host.run(2, reportOverload(host))
-		limit, level := host.controller.admission.limit, host.controller.admission.target[0]
+		limit, level := host.controller.admission.limit, host.controller.admission.targetLimits[0]
 		host.controller.SetClassQuota(0, 1000)
-		if host.controller.admission.limit != limit || host.controller.admission.target[0] != level {
-			t.Errorf("limit %.1f, limit %.2f; %.1f and %.2f before", host.controller.admission.limit, host.controller.admission.target[0], limit, level)
+		if host.controller.admission.limit != limit || host.controller.admission.targetLimits[0] != level {
+			t.Errorf("limit %.1f, limit %.2f; %.1f and %.2f before", host.controller.admission.limit, host.controller.admission.targetLimits[0], limit, level)
 		}
-		if host.controller.SetClassQuota(0, 6); host.controller.admission.target[0] > 2.01 || host.controller.admission.target[0] <= 0 || level < 3 {
-			t.Errorf("limit %.2f with a quota of 2 for each proxy, %.2f before", host.controller.admission.target[0], level)
+		if host.controller.SetClassQuota(0, 6); host.controller.admission.targetLimits[0] > 2.01 || host.controller.admission.targetLimits[0] <= 0 || level < 3 {
+			t.Errorf("limit %.2f with a quota of 2 for each proxy, %.2f before", host.controller.admission.targetLimits[0], level)
 		}
 	})
 }
--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -104,16 +104,16 @@
 	t.Run("two evaluations that cover the fleet prove its throughput, and a release is limited by it", func(t *testing.T) {
 		host := replaced(t, 2)
 		let := 0.
-		for class, level := range host.controller.admission.published {
+		for class, level := range host.controller.admission.publishedLimits {
 			let += level * 48 * host.controller.admission.unitsPerRequest[class]
 		}
 		if a := &host.controller.admission; !a.limiting || let == 0 || let > assumedHeadroom*a.provenThroughput*160*480 { // of the 80 that stay
-			t.Errorf("proven %.4f, limiting %v, limits %v let in %.1f", a.provenThroughput, a.limiting, a.published, let)
+			t.Errorf("proven %.4f, limiting %v, limits %v let in %.1f", a.provenThroughput, a.limiting, a.publishedLimits, let)
 		}
 	})
 	t.Run("reports of a tenth at a time prove nothing, and limit nothing", func(t *testing.T) {
-		if a := &replaced(t, 10).controller.admission; a.provenThroughput > 0 || a.limiting || len(a.published) == 0 || a.published[0] > 0 || a.published[1] > 0 {
-			t.Errorf("proven %.4f, limiting %v, limits %v", a.provenThroughput, a.limiting, a.published)
+		if a := &replaced(t, 10).controller.admission; a.provenThroughput > 0 || a.limiting || len(a.publishedLimits) == 0 || a.publishedLimits[0] > 0 || a.publishedLimits[1] > 0 {
+			t.Errorf("proven %.4f, limiting %v, limits %v", a.provenThroughput, a.limiting, a.publishedLimits)
 		}
 	})
 }
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -49,7 +49,7 @@
 	panicMode   bool         // every usable backend is ejected, so all are published
 
 	// Tables: one a subset for the shared classes, then one a zone for the zone-local ones.
-	subsets          int
+	subsetCount      int
 	sharedClasses    uint16
 	zoneLocalClasses uint16
 
@@ -80,7 +80,7 @@
 		admission:      newAdmissionState(config.Admission, config.Classes),
 		evaluatedAt:    host.Now(),
 		remainingGrace: config.Rules.DrainGrace,
-		subsets:        1,
+		subsetCount:    1,
 	}
 	for i, class := range config.Classes {
 		if class.ZoneLocal {
@@ -148,7 +148,7 @@
 		}
 		named[endpoint.Backend] = true
 		backend := c.backends[endpoint.Backend]
-		if !backend.listed && c.subsets > 1 {
+		if !backend.listed && c.subsetCount > 1 {
 			if weights == nil {
 				weights = c.listedSubsetWeights()
 			}
@@ -256,7 +256,7 @@
 		return
 	}
 	c.updateRate(&proxy.demand[class], count, span)
-	c.admission.counted[class] += float64(count)
+	c.admission.countedRequests[class] += float64(count)
 	c.noteReportSpan(span)
 }
 
@@ -273,10 +273,10 @@
 		connected:       true,
 		connectedAt:     now,
 		zone:            zone,
-		subset:          id % c.subsets,
+		subset:          id % c.subsetCount,
 		baselineRate:    max(baseline, 1),
 		demand:          slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
-		assigned:        c.sharding.enabled(),                                                 // it reads owners from the store
+		hasOurTables:    c.sharding.enabled(),                                                 // it reads owners from the store
 		mayHoldForeign:  mayHoldForeign,
 		messageTimes:    before.peerMessageTimes,
 		reserveReleased: before.peerMessageTimes != nil,
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -40,7 +40,7 @@
 		rates = append(rates, rate)
 	}
 	for _, shard := range c.sharding.shards {
-		if !shard.assigned {
+		if !shard.assignedToUs {
 			continue
 		}
 		for i := range rates {
@@ -64,10 +64,10 @@
 
 // correctDemand moves the correction of a class half way to what was counted since the last look, seconds ago.
 func (a *admissionState) correctDemand(class int, total RequestsPerSecond, seconds float64) {
-	if a.counted[class] <= 0 || total <= 0 {
+	if a.countedRequests[class] <= 0 || total <= 0 {
 		return
 	}
-	correction := a.demandCorrection[class] * (1 + a.counted[class]/seconds/total) / 2
+	correction := a.demandCorrection[class] * (1 + a.countedRequests[class]/seconds/total) / 2
 	a.demandCorrection[class] = max(minDemandCorrection, min(1, correction))
-	a.counted[class] = 0
+	a.countedRequests[class] = 0
 }
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -9,7 +9,7 @@
 	baselineRate   float64   // requests a second that come to it on ordinary days, 1 at least
 	demand         []float64 // requests a second that come to it now, by class
 
-	assigned bool // its tables are ours
+	hasOurTables bool // its tables are ours
 
 	// Withdrawals of other controllers that it may hold, see sync.go.
 	mayHoldForeign     bool
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -27,14 +27,14 @@
 	overhead    Lines // of a message
 	tablesEmpty bool  // no backend has an entry
 
-	connected        float64   // proxies
-	outsiders        float64   // connected proxies that withdrawals are told to: with other tables than ours, or with shards
-	assignedBySubset []float64 // proxies with our tables
-	keepOffBySubset  []float64 // of these, those for which a backend's first entry costs a line more
+	connected       float64   // proxies
+	outsiders       float64   // connected proxies that withdrawals are told to: with other tables than ours, or with shards
+	proxiesBySubset []float64 // proxies with our tables
+	keepOffBySubset []float64 // of these, those for which a backend's first entry costs a line more
 
-	subsetWeights []float64 // target weight by subset
-	fairWeight    float64   // of a subset
-	messagePaid   []bool    // by subset: its proxies are sent a message anyhow
+	targetBySubset []float64 // target weight by subset
+	fairWeight     float64   // of a subset
+	messagePaid    []bool    // by subset: its proxies are sent a message anyhow
 
 	changesDue     bool  // some entry or limit is not as it should be
 	requiredLines  Lines // what required changes cost
@@ -47,13 +47,13 @@
 func (c *Controller) publishChanges(now Microseconds, ordinary bool) {
 	c.remainingGrace = c.drainGraceLeft()
 	c.reserveForTables(now, map[int]float64{})
-	p := c.planPublication(now)
-	goes := (ordinary || p.requiredLines > 0) && c.mayPublish(now, p.requiredLines)
-	ordinaryWaits := ordinary && p.changesDue && !c.queue.drained()
-	requiredWaits := p.requiredLines > 0 && c.queue.queuedLines+p.requiredLines > c.queue.capacity()
+	plan := c.planPublication(now)
+	goes := (ordinary || plan.requiredLines > 0) && c.mayPublish(now, plan.requiredLines)
+	ordinaryWaits := ordinary && plan.changesDue && !c.queue.drained()
+	requiredWaits := plan.requiredLines > 0 && c.queue.queuedLines+plan.requiredLines > c.queue.capacity()
 	c.queueCongested = !goes && (ordinaryWaits || requiredWaits)
 	if goes {
-		c.publishRound(p)
+		c.publishRound(plan)
 	}
 	c.reconcileShards(now)
 	c.syncProxies(now)
@@ -61,40 +61,40 @@
 
 // planPublication sums up what is to be published, and what that costs.
 func (c *Controller) planPublication(now Microseconds) *publication {
-	p := &publication{now: now, overhead: c.queue.messageOverhead(), messagePaid: make([]bool, c.subsets)}
-	p.tablesEmpty = !slices.ContainsFunc(c.backends, func(backend *backendState) bool { return backend.published > 0 })
-	p.subsetWeights, p.fairWeight = c.subsetTargetWeights(now)
-	p.changesDue = slices.ContainsFunc(c.admission.priorityOrder, c.admission.limitChanged)
-	c.countProxies(p)
-	c.sumRequired(p)
-	tableCost := p.overhead + float64(len(c.backends)/c.subsets)
-	withdrawalCost := p.overhead + p.withdrawalsDue
-	p.tablesSuffice = p.outsiders > 0 && !c.sharding.enabled() &&
-		c.tablesSuffice(tableCost, withdrawalCost, int(p.outsiders))
-	if p.withdrawalsDue > 0 && !p.tablesSuffice {
-		p.requiredLines += p.withdrawalsDue + p.outsiders*withdrawalCost
+	plan := &publication{now: now, overhead: c.queue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
+	plan.tablesEmpty = !slices.ContainsFunc(c.backends, func(backend *backendState) bool { return backend.published > 0 })
+	plan.targetBySubset, plan.fairWeight = c.subsetTargetWeights(now)
+	plan.changesDue = slices.ContainsFunc(c.admission.priorityOrder, c.admission.limitChanged)
+	c.countProxies(plan)
+	c.sumRequired(plan)
+	tableCost := plan.overhead + float64(len(c.backends)/c.subsetCount)
+	withdrawalCost := plan.overhead + plan.withdrawalsDue
+	plan.tablesSuffice = plan.outsiders > 0 && !c.sharding.enabled() &&
+		c.tablesSuffice(tableCost, withdrawalCost, int(plan.outsiders))
+	if plan.withdrawalsDue > 0 && !plan.tablesSuffice {
+		plan.requiredLines += plan.withdrawalsDue + plan.outsiders*withdrawalCost
 	}
 	if c.admission.limitLowered { // all that is let in meanwhile adds to a queue
-		p.requiredLines += (p.overhead + 1) * p.connected
+		plan.requiredLines += (plan.overhead + 1) * plan.connected
 	}
-	return p
+	return plan
 }
 
 // countProxies counts the proxies that changes go to.
-func (c *Controller) countProxies(p *publication) {
-	p.assignedBySubset = make([]float64, c.subsets)
-	p.keepOffBySubset = make([]float64, c.subsets)
+func (c *Controller) countProxies(plan *publication) {
+	plan.proxiesBySubset = make([]float64, c.subsetCount)
+	plan.keepOffBySubset = make([]float64, c.subsetCount)
 	for _, proxy := range c.proxies {
-		if proxy.assigned {
-			p.assignedBySubset[proxy.subset]++
+		if proxy.hasOurTables {
+			plan.proxiesBySubset[proxy.subset]++
 			if proxy.mayKeepOff() {
-				p.keepOffBySubset[proxy.subset]++
+				plan.keepOffBySubset[proxy.subset]++
 			}
 		}
 		if proxy.connected {
-			p.connected++
+			plan.connected++
 			if c.hearsWithdrawals(proxy) {
-				p.outsiders++
+				plan.outsiders++
 			}
 		}
 	}
@@ -103,67 +103,67 @@
 // hearsWithdrawals tells whether a proxy may use backends that our tables do not give it: those of another controller's
 // tables, or owners that it reads from the store of shards.
 func (c *Controller) hearsWithdrawals(proxy *proxyState) bool {
-	return !proxy.assigned || c.sharding.enabled()
+	return !proxy.hasOurTables || c.sharding.enabled()
 }
 
 // sumRequired sums the costs of required changes of entries.
-func (c *Controller) sumRequired(p *publication) {
-	for subset, weight := range p.subsetWeights {
-		if weight < shortSubsetShare*p.fairWeight {
-			p.requiredLines++
-			p.requiredLines += p.assignedBySubset[subset] * p.overhead
-			p.messagePaid[subset] = true
+func (c *Controller) sumRequired(plan *publication) {
+	for subset, weight := range plan.targetBySubset {
+		if weight < shortSubsetShare*plan.fairWeight {
+			plan.requiredLines++
+			plan.requiredLines += plan.proxiesBySubset[subset] * plan.overhead
+			plan.messagePaid[subset] = true
 		}
 	}
 	for _, backend := range c.backends {
-		weight := c.targetWeight(backend, p.now)
+		weight := c.targetWeight(backend, plan.now)
 		if weight != backend.published {
-			p.changesDue = true
+			plan.changesDue = true
 		}
-		if c.changeRequired(p, backend, weight) {
-			p.requiredLines += max(p.entryCost(backend), 1)
-			p.messagePaid[backend.subset] = true
+		if c.changeRequired(plan, backend, weight) {
+			plan.requiredLines += max(plan.entryCost(backend), 1)
+			plan.messagePaid[backend.subset] = true
 		}
 		if backend.withdrawn != c.mustLeave(backend) {
-			p.withdrawalsDue++
+			plan.withdrawalsDue++
 		}
 	}
 }
 
 // changeRequired tells whether a rule needs a backend's entry to change to a weight.
-func (c *Controller) changeRequired(p *publication, backend *backendState, weight float64) bool {
-	lowers := weight < backend.published && (c.warmingUp(backend, p.now) || c.mustLeave(backend))
-	fillsEmptyTable := weight > 0 && p.tablesEmpty
+func (c *Controller) changeRequired(plan *publication, backend *backendState, weight float64) bool {
+	lowers := weight < backend.published && (c.warmingUp(backend, plan.now) || c.mustLeave(backend))
+	fillsEmptyTable := weight > 0 && plan.tablesEmpty
 	return lowers || fillsEmptyTable
 }
 
 // entryCost is what a change of a backend's entry costs: the proxies of its subset hear of it, each in one message with
 // all else that goes to it now.
-func (p *publication) entryCost(backend *backendState) Lines {
-	cost := p.assignedBySubset[backend.subset]
-	if !p.messagePaid[backend.subset] {
-		cost *= 1 + p.overhead
+func (plan *publication) entryCost(backend *backendState) Lines {
+	cost := plan.proxiesBySubset[backend.subset]
+	if !plan.messagePaid[backend.subset] {
+		cost *= 1 + plan.overhead
 	}
 	if backend.published == 0 {
-		cost += p.keepOffBySubset[backend.subset]
+		cost += plan.keepOffBySubset[backend.subset]
 	}
 	return cost
 }
 
 // publishRound publishes as much as the channel takes.
-func (c *Controller) publishRound(p *publication) {
-	capacity := 0.
+func (c *Controller) publishRound(plan *publication) {
+	fleetCapacity := 0.
 	for _, backend := range c.backends {
-		capacity += backend.publishedCapacity()
+		fleetCapacity += backend.publishedCapacity()
 	}
-	entries := c.publishEntries(p)
-	moved := c.rebalanceSubsets(p)
-	c.publishWithdrawals(p)
-	c.limitOnCapacityLoss(p.now, capacity, entries.capacityLost)
+	entries := c.publishEntries(plan)
+	moved := c.rebalanceSubsets(plan)
+	c.publishWithdrawals(plan)
+	c.limitOnCapacityLoss(plan.now, fleetCapacity, entries.capacityLost)
 	c.admission.limitLowered = false
 	limited := c.publishLimits()
 	if limited || moved || entries.published {
-		c.publishedAt = p.now
+		c.publishedAt = plan.now
 		if entries.leftOver { // the rest goes as soon as there is room
 			c.publishedAt = 0
 		}
@@ -178,30 +178,30 @@
 }
 
 // publishEntries publishes required changes, then others, as the channel takes them.
-func (c *Controller) publishEntries(p *publication) (entries entryChanges) {
-	order := c.orderChanges(p)
-	clear(p.messagePaid)
+func (c *Controller) publishEntries(plan *publication) (entries entryChanges) {
+	order := c.orderChanges(plan)
+	clear(plan.messagePaid)
 	for _, required := range []bool{true, false} {
 		for _, backend := range order {
-			weight := c.targetWeight(backend, p.now)
-			if weight == backend.published || c.changeRequired(p, backend, weight) != required {
+			weight := c.targetWeight(backend, plan.now)
+			if weight == backend.published || c.changeRequired(plan, backend, weight) != required {
 				continue
 			}
-			cost := p.entryCost(backend)
+			cost := plan.entryCost(backend)
 			delaysTables := !required && c.queue.wouldDelayTables(cost)
 			if delaysTables || !c.queue.hasCapacity(cost, required) {
 				entries.leftOver = true
 				continue
 			}
 			// What our ejections take is only what our own proxies cannot reach.
-			takenByList := backend.State != Ready || c.warmingUp(backend, p.now)
+			takenByList := backend.State != Ready || c.warmingUp(backend, plan.now)
 			if takenByList {
 				entries.capacityLost += max(0, backend.published-weight) / cmp.Or(backend.reducedTo, 1)
 			}
 			c.setPublished(backend, weight)
 			entries.published = true
-			p.messagePaid[backend.subset] = true
-			p.tablesEmpty = p.tablesEmpty && weight == 0
+			plan.messagePaid[backend.subset] = true
+			plan.tablesEmpty = plan.tablesEmpty && weight == 0
 		}
 	}
 	return entries
@@ -209,13 +209,13 @@
 
 // orderChanges is the backends whose entries are to change: subset by subset, as these share messages, where most
 // changes first.
-func (c *Controller) orderChanges(p *publication) (order []*backendState) {
+func (c *Controller) orderChanges(plan *publication) (order []*backendState) {
 	difference := func(backend *backendState) float64 {
-		return math.Abs(c.targetWeight(backend, p.now) - backend.published)
+		return math.Abs(c.targetWeight(backend, plan.now) - backend.published)
 	}
-	bySubset := make([]float64, c.subsets)
+	bySubset := make([]float64, c.subsetCount)
 	for _, backend := range c.backends {
-		if c.targetWeight(backend, p.now) != backend.published {
+		if c.targetWeight(backend, plan.now) != backend.published {
 			order = append(order, backend)
 			bySubset[backend.subset] += difference(backend)
 		}
@@ -244,7 +244,7 @@
 // publishEntry publishes a backend's entry in one table.
 func (c *Controller) publishEntry(backend *backendState, table int, weight float64, entering bool) {
 	uses := func(proxy *proxyState) bool {
-		return proxy.assigned && (table == proxy.subset || table == c.zoneTable(proxy.zone))
+		return proxy.hasOurTables && (table == proxy.subset || table == c.zoneTable(proxy.zone))
 	}
 	c.host.PublishEntry(table, backend.Backend, weight)
 	c.chargeEach(1, uses)
@@ -253,21 +253,21 @@
 
 // publishWithdrawals tells proxies that may hold tables of others which backends must be left, once these have no entry:
 // as long as one stands, a withdrawal would cost each assigned proxy a line too.
-func (c *Controller) publishWithdrawals(p *publication) {
-	if p.tablesSuffice {
+func (c *Controller) publishWithdrawals(plan *publication) {
+	if plan.tablesSuffice {
 		return
 	}
-	message := p.overhead + float64(len(c.classes)) // for the first withdrawal of the round
+	message := plan.overhead + float64(len(c.classes)) // for the first withdrawal of the round
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
-		if withdrawn == backend.withdrawn || !c.queue.hasCapacity(p.outsiders*(1+message), true) {
+		if withdrawn == backend.withdrawn || !c.queue.hasCapacity(plan.outsiders*(1+message), true) {
 			continue
 		}
 		message = 0
 		backend.withdrawn = withdrawn
 		c.host.Withdraw(id, withdrawn)
 		for _, proxy := range c.proxies {
-			if proxy.connected && !proxy.assigned {
+			if proxy.connected && !proxy.hasOurTables {
 				proxy.heldWithdrawals++
 			}
 		}
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -54,7 +54,7 @@
 	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
 		proxy.messageTimes = append(proxy.messageTimes, now)
 		message := c.queue.messageOverhead()
-		if !proxy.assigned { // it has been told of no limits yet
+		if !proxy.hasOurTables { // it has been told of no limits yet
 			message += c.tableLimitLines() - c.queue.LimitLines
 		}
 		lines += message
@@ -196,6 +196,6 @@
 		return false
 	}
 	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
-		return proxy.assigned && !queue.mayPush(proxy, now, required > 0)
+		return proxy.hasOurTables && !queue.mayPush(proxy, now, required > 0)
 	})
 }
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -29,11 +29,11 @@
 }
 
 type shardState struct {
-	assigned  bool         // to us
-	owner     int          // a backend, or noOwner
-	demand    []float64    // requests a second, by class
-	fence     int64        // number of the push batch that stopped writes; 0 if they go on, or fencePending
-	settledAt Microseconds // when the former owner has no writes in hand; 0 while some proxy may still send it one
+	assignedToUs bool         // to us
+	owner        int          // a backend, or noOwner
+	demand       []float64    // requests a second, by class
+	fence        int64        // number of the push batch that stopped writes; 0 if they go on, or fencePending
+	settledAt    Microseconds // when the former owner has no writes in hand; 0 while some proxy may still send it one
 }
 
 func newShardingState(config Sharding, classes []Class) shardingState {
@@ -59,7 +59,7 @@
 
 // ShardAssigned gives a shard into our charge.
 func (c *Controller) ShardAssigned(id int) {
-	c.sharding.shards[id] = shardState{assigned: true, owner: noOwner, demand: make([]float64, len(c.classes))}
+	c.sharding.shards[id] = shardState{assignedToUs: true, owner: noOwner, demand: make([]float64, len(c.classes))}
 	// Whoever had it may have been moving it, and a former owner have writes in hand; not if we all just started.
 	justStarted := c.admission.meanObjective <= 0
 	if c.sharding.SingleOwner && !justStarted {
@@ -73,7 +73,7 @@
 // ShardOwnerStored is an owner of a shard that the store of shards names; proxies read that within moments.
 func (c *Controller) ShardOwnerStored(id, backend int, weight float64) {
 	shard := &c.sharding.shards[id]
-	if shard.assigned && weight > 0 {
+	if shard.assignedToUs && weight > 0 {
 		shard.owner = backend
 		c.reconcileShards(c.host.Now())
 	}
@@ -82,7 +82,7 @@
 // ShardDemandReported is how many requests of a class came to a shard within a span.
 func (c *Controller) ShardDemandReported(id, class, count int, span Microseconds) {
 	shard := &c.sharding.shards[id]
-	if shard.assigned && span > 0 {
+	if shard.assignedToUs && span > 0 {
 		c.updateRate(&shard.demand[class], count, span)
 	}
 }
@@ -163,7 +163,7 @@
 
 // chooseOwner is the backend that a shard should go to, or noOwner where it may stay or nobody can serve it.
 func (c *Controller) chooseOwner(shard *shardState, now Microseconds) int {
-	if !shard.assigned {
+	if !shard.assignedToUs {
 		return noOwner
 	}
 	hasOwner := shard.owner >= 0 && shard.owner < len(c.backends)
@@ -186,7 +186,7 @@
 func (c *Controller) ownerLoads() []float64 {
 	load := make([]float64, len(c.backends))
 	for _, shard := range c.sharding.shards {
-		if !shard.assigned || shard.owner < 0 || shard.owner >= len(load) {
+		if !shard.assignedToUs || shard.owner < 0 || shard.owner >= len(load) {
 			continue
 		}
 		load[shard.owner]++
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -54,10 +54,10 @@
 		subsets = math.Ceil(float64(backends) / max(1, tableSize))
 	}
 	// A subset without a proxy would serve nobody.
-	c.subsets = max(1, min(int(subsets), backends/minSubsetSize, c.queue.Proxies))
+	c.subsetCount = max(1, min(int(subsets), backends/minSubsetSize, c.queue.Proxies))
 
 	for id, proxy := range c.proxies {
-		proxy.subset = id % c.subsets
+		proxy.subset = id % c.subsetCount
 	}
 }
 
@@ -68,7 +68,7 @@
 }
 
 func (c *Controller) listedSubsetWeights() *subsetWeights {
-	weights := &subsetWeights{all: make([]float64, c.subsets), byZone: map[int][]float64{}}
+	weights := &subsetWeights{all: make([]float64, c.subsetCount), byZone: map[int][]float64{}}
 	for _, backend := range c.backends {
 		weights.add(backend)
 	}
@@ -109,23 +109,23 @@
 
 // subsetTargetWeights is the weight that each subset may carry now, and a fair share of it.
 func (c *Controller) subsetTargetWeights(now Microseconds) (weights []float64, fair float64) {
-	weights = make([]float64, c.subsets)
+	weights = make([]float64, c.subsetCount)
 	for _, backend := range c.backends {
 		weight := c.targetWeight(backend, now)
 		weights[backend.subset] += weight
-		fair += weight / float64(c.subsets)
+		fair += weight / float64(c.subsetCount)
 	}
 	return weights, fair
 }
 
 // rebalanceSubsets gives short subsets backends of the heaviest one, as far as there is capacity. It tells whether it
 // moved any.
-func (c *Controller) rebalanceSubsets(p *publication) (moved bool) {
-	for to := range p.subsetWeights {
-		if p.subsetWeights[to] >= shortSubsetShare*p.fairWeight {
+func (c *Controller) rebalanceSubsets(plan *publication) (moved bool) {
+	for to := range plan.targetBySubset {
+		if plan.targetBySubset[to] >= shortSubsetShare*plan.fairWeight {
 			continue
 		}
-		for p.subsetWeights[to] < restoredSubsetShare*p.fairWeight && c.moveToSubset(to, p) {
+		for plan.targetBySubset[to] < restoredSubsetShare*plan.fairWeight && c.moveToSubset(to, plan) {
 			moved = true
 		}
 	}
@@ -134,23 +134,23 @@
 
 // moveToSubset moves one backend of the heaviest subset, and tells whether it could. Never one that is warming up, or
 // has a change due: it would be new to twice as many proxies.
-func (c *Controller) moveToSubset(to int, p *publication) bool {
-	from := slices.Index(p.subsetWeights, slices.Max(p.subsetWeights))
+func (c *Controller) moveToSubset(to int, plan *publication) bool {
+	from := slices.Index(plan.targetBySubset, slices.Max(plan.targetBySubset))
 	id := slices.IndexFunc(c.backends, func(backend *backendState) bool {
-		settled := backend.published > 0 && c.targetWeight(backend, p.now) == backend.published
-		return backend.subset == from && settled && !c.warmingUp(backend, p.now)
+		settled := backend.published > 0 && c.targetWeight(backend, plan.now) == backend.published
+		return backend.subset == from && settled && !c.warmingUp(backend, plan.now)
 	})
-	cost := (p.assignedBySubset[from] + p.assignedBySubset[to]) * (c.queue.messageOverhead() + 1)
-	if id < 0 || p.subsetWeights[from] <= p.fairWeight || !c.queue.hasCapacity(cost, true) {
+	cost := (plan.proxiesBySubset[from] + plan.proxiesBySubset[to]) * (c.queue.messageOverhead() + 1)
+	if id < 0 || plan.targetBySubset[from] <= plan.fairWeight || !c.queue.hasCapacity(cost, true) {
 		return false
 	}
 	backend := c.backends[id]
-	c.logf(id, "moves to subset %d, which has %.0f%% of its fair weight", to, 100*p.subsetWeights[to]/p.fairWeight)
+	c.logf(id, "moves to subset %d, which has %.0f%% of its fair weight", to, 100*plan.targetBySubset[to]/plan.fairWeight)
 	c.publishEntry(backend, from, 0, false)
 	backend.subset = to
 	c.publishEntry(backend, to, backend.published, true)
-	p.subsetWeights[from] -= backend.published
-	p.subsetWeights[to] += backend.published
+	plan.targetBySubset[from] -= backend.published
+	plan.targetBySubset[to] += backend.published
 	return true
 }
 
@@ -165,11 +165,11 @@
 }
 
 // zoneTable is the table of a zone, for the classes that must stay in it.
-func (c *Controller) zoneTable(zone int) int { return c.subsets + zone }
+func (c *Controller) zoneTable(zone int) int { return c.subsetCount + zone }
 
 // inTable tells whether a table is one that a backend belongs into: its subset's, or its zone's.
 func (c *Controller) inTable(backend *backendState, table int) bool {
-	if table >= c.subsets {
+	if table >= c.subsetCount {
 		return c.zoneLocalClasses != 0 && table == c.zoneTable(backend.Zone)
 	}
 	return c.sharedClasses != 0 && table == backend.subset
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -59,8 +59,8 @@
 		whole, single := startController(t, settings, 0, 10), startController(t, settings, 0, 10)
 		for _, host := range []*fakeHost{whole, single} {
 			host.controller.EndpointsUpdated(true, []Endpoint{{Backend: 59, State: Ready, Weight: 1, StartedAt: 1}})
-			if host.controller.chooseSubsetCount(30); host.controller.subsets < 2 {
-				t.Fatalf("%d subsets", host.controller.subsets)
+			if host.controller.chooseSubsetCount(30); host.controller.subsetCount < 2 {
+				t.Fatalf("%d subsets", host.controller.subsetCount)
 			}
 		}
 		random := rand.New(rand.NewPCG(1, 2))
@@ -96,9 +96,9 @@
 			}
 			host.controller.EndpointsUpdated(true, all)
 			host.drainQueue(10)
-			of := make([]int, host.controller.subsets)
+			of := make([]int, host.controller.subsetCount)
 			for _, p := range host.controller.proxies {
-				of[p.subset] += count(p.assigned)
+				of[p.subset] += count(p.hasOurTables)
 			}
 			if slices.Min(of) < 90/len(of) || len(of) < 2 {
 				t.Errorf("%s: proxies by part: %v", what, of)
@@ -141,14 +141,14 @@
 		settings := wholeFleet()
 		settings.channel, settings.limits.DrainGrace = c.channel, c.grace
 		host := startController(t, settings, 200, 0)
-		if host.controller.subsets != c.parts {
-			t.Errorf("%s: %d subsets, want %d", c.what, host.controller.subsets, c.parts)
+		if host.controller.subsetCount != c.parts {
+			t.Errorf("%s: %d subsets, want %d", c.what, host.controller.subsetCount, c.parts)
 		}
 		all := 0.
 		for p := range c.channel.Proxies { // what it costs to give each its table
-			all += host.controller.queue.messageOverhead() + float64(len(host.tables[p%host.controller.subsets]))
+			all += host.controller.queue.messageOverhead() + float64(len(host.tables[p%host.controller.subsetCount]))
 		}
-		if within := tablesShareOfGrace * host.controller.queue.linesSentIn(c.grace); host.controller.subsets < min(200/minSubsetSize, c.channel.Proxies) && all > within {
+		if within := tablesShareOfGrace * host.controller.queue.linesSentIn(c.grace); host.controller.subsetCount < min(200/minSubsetSize, c.channel.Proxies) && all > within {
 			t.Errorf("%s: %.0f lines to all proxies, %.0f leave in time", c.what, all, within)
 		}
 	}
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -37,8 +37,8 @@
 	withdrawals    float64         // how many stand
 	withdrawalCost Lines           // of a message that tells them all
 	reserve        Lines           // kept free
-	unassigned     int             // connected proxies that waited for tables as it began
-	assigned       int             // of these, those that got them
+	waiting        int             // connected proxies that waited for tables as it began
+	served         int             // of these, those that got them
 	tableSizes     map[int]float64 // entries by table, as far as counted
 }
 
@@ -68,7 +68,7 @@
 	if !anyTable && !anyMessage {
 		return // thousands may wait, and this is looked at with each ack
 	}
-	round.unassigned = c.countUnassigned()
+	round.waiting = c.countWaitingForTables()
 	c.reserveForTables(now, round.tableSizes)
 	for _, overdue := range []bool{true, false} {
 		for _, id := range c.syncQueue {
@@ -79,17 +79,17 @@
 	}
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(id int) bool {
 		proxy := c.proxies[id]
-		complete := proxy.assigned && proxy.withdrawalsCleared == proxy.mayHoldForeign
+		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeign
 		return !proxy.connected || complete
 	})
-	if round.assigned > 0 && round.unassigned == round.assigned {
+	if round.served > 0 && round.waiting == round.served {
 		c.syncProxies(now) // what is to be cleared may go along
 	}
 }
 
 // waitsForTables tells whether a proxy is to get our tables.
 func (c *Controller) waitsForTables(proxy *proxyState) bool {
-	return proxy.connected && !proxy.assigned
+	return proxy.connected && !proxy.hasOurTables
 }
 
 // overdue tells whether a proxy has waited for half the drain grace.
@@ -98,7 +98,7 @@
 }
 
 // countUnassigned counts the proxies that wait for tables.
-func (c *Controller) countUnassigned() (unassigned int) {
+func (c *Controller) countWaitingForTables() (unassigned int) {
 	for _, id := range c.syncQueue {
 		if c.waitsForTables(c.proxies[id]) {
 			unassigned++
@@ -113,14 +113,14 @@
 	tables := c.fullTablesOf(proxy, round.tableSizes)
 	mayGo := c.tablesMayGo(proxy, tables, round.now)
 	switch {
-	case mayGo && !proxy.assigned:
+	case mayGo && !proxy.hasOurTables:
 		c.assignTables(id, tables)
-		round.assigned++
+		round.served++
 	case mayGo && c.mayClearWithdrawals(proxy, tables, round):
 		proxy.withdrawalsCleared = true
 		c.charge(proxy, tables.entries)
 		c.host.ClearWithdrawals(id)
-	case !proxy.assigned && !proxy.withdrawalsSynced && c.messageWorthwhile(tables, round, overdue):
+	case !proxy.hasOurTables && !proxy.withdrawalsSynced && c.messageWorthwhile(tables, round, overdue):
 		c.syncWithdrawals(id, round)
 	}
 }
@@ -128,7 +128,7 @@
 // tablesMayGo tells whether a proxy's tables, or as much as they cost, may go to it now. Changes that wait for the
 // channel go first, unless its tables would be late.
 func (c *Controller) tablesMayGo(proxy *proxyState, tables fullTables, now Microseconds) bool {
-	wouldBeLate := !proxy.assigned && c.queue.wouldDelayTables(0)
+	wouldBeLate := !proxy.hasOurTables && c.queue.wouldDelayTables(0)
 	itsTurn := !c.queueCongested || wouldBeLate
 	return proxy.connected && !tables.anyEmpty && itsTurn &&
 		c.queue.hasCapacity(tables.cost, false) && c.queue.mayPush(proxy, now, false)
@@ -137,7 +137,7 @@
 // assignTables gives a proxy its tables.
 func (c *Controller) assignTables(id int, tables fullTables) {
 	proxy := c.proxies[id]
-	proxy.assigned = true
+	proxy.hasOurTables = true
 	c.queue.reservedLines -= tables.cost
 	withdrawalLines := min(proxy.heldWithdrawals, tables.entries)
 	c.charge(proxy, 1+tables.cost-c.queue.messageOverhead()+withdrawalLines)
@@ -149,14 +149,14 @@
 // mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
 func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
 	due := proxy.mayHoldForeign && !proxy.withdrawalsCleared
-	return due && round.unassigned == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
+	return due && round.waiting == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
 }
 
 // messageWorthwhile tells whether a proxy that waits is better told of withdrawals by a message of its own: its tables
 // cost much more, and do not come soon.
 func (c *Controller) messageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
 	costsLittle := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
-	tablesComeSoon := c.queueCongested || c.tablesSuffice(tables.cost, round.withdrawalCost, round.unassigned)
+	tablesComeSoon := c.queueCongested || c.tablesSuffice(tables.cost, round.withdrawalCost, round.waiting)
 	return costsLittle && (overdue || !tablesComeSoon)
 }
 
--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -104,17 +104,17 @@
 	if of.change != nil {
 		of.change(&settings)
 	}
-	host := &transcriptHost{Rand: rand.New(rand.NewPCG(uint64(number)+1, 35)), of: of, x: settings, now: 100 * second,
+	host := &transcriptHost{Rand: rand.New(rand.NewPCG(uint64(number)+1, 35)), testCase: of, settings: settings, now: 100 * second,
 		joined: make([]bool, of.proxies), few: 1}
-	host.c = newController(t, host, settings)
+	host.controller = newController(t, host, settings)
 	for i := range of.backends {
 		host.listed = append(host.listed, Endpoint{Backend: i, State: Ready, Weight: float64(1 + i%3), Zone: i % 3 % 2})
 	}
 	for id := range settings.sharding.Count {
 		host.record("> slice given %d", id)
-		host.c.ShardAssigned(id)
+		host.controller.ShardAssigned(id)
 		host.record("> slice entry %d %d", id, id%of.backends)
-		host.c.ShardOwnerStored(id, id%of.backends, 1)
+		host.controller.ShardOwnerStored(id, id%of.backends, 1)
 	}
 	host.connect(0)
 	host.list(true, slices.Clone(host.listed))
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -10,19 +10,19 @@
 // transcript is the host, and the driver, of one case.
 type transcriptHost struct {
 	*rand.Rand
-	c        *Controller
-	of       transcriptCase
-	x        testSettings
-	now      int64
-	lines    []string
-	timers   []transcriptTimer
-	requests []int // numbers of acknowledgements asked for and not yet given, with their times in due
-	due      []int64
-	joined   []bool
-	listed   []Endpoint
-	known    int // backends that the controller was told of
-	mood     int // how the fleet does just now
-	few      int // backends below this number are those that differ
+	controller *Controller
+	testCase   transcriptCase
+	settings   testSettings
+	now        int64
+	lines      []string
+	timers     []transcriptTimer
+	requests   []int // numbers of acknowledgements asked for and not yet given, with their times in due
+	due        []int64
+	joined     []bool
+	listed     []Endpoint
+	known      int // backends that the controller was told of
+	mood       int // how the fleet does just now
+	few        int // backends below this number are those that differ
 }
 
 type transcriptTimer struct {
@@ -55,7 +55,7 @@
 }
 func (host *transcriptHost) SyncWithdrawals(proxy int, allowance float64, tries RetryPolicy) bool {
 	host.record("sync %d %v %d", proxy, allowance, tries)
-	return !host.of.mute
+	return !host.testCase.mute
 }
 func (host *transcriptHost) ClearWithdrawals(proxy int) { host.record("clear %d", proxy) }
 func (host *transcriptHost) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
@@ -74,25 +74,25 @@
 		host.known = max(host.known, e.Backend+1)
 	}
 	host.record("> endpoints %v%s", full, text.String())
-	host.c.EndpointsUpdated(full, entries)
+	host.controller.EndpointsUpdated(full, entries)
 }
 
 func (host *transcriptHost) connect(proxy int) {
 	usual, keeps := float64(1+host.IntN(40)), host.IntN(2) == 0
 	host.record("> connect %d %d %v %v", proxy, proxy%2, usual, keeps)
 	host.joined[proxy] = true
-	host.c.ProxyConnected(proxy, proxy%2, usual, keeps)
+	host.controller.ProxyConnected(proxy, proxy%2, usual, keeps)
 }
 
 func (host *transcriptHost) disconnect(proxy int) {
 	host.record("> disconnect %d", proxy)
 	host.joined[proxy] = false
-	host.c.ProxyDisconnected(proxy)
+	host.controller.ProxyDisconnected(proxy)
 }
 
 // outcomes reports what was met at each backend, and what came to each proxy, as the mood has it.
 func (host *transcriptHost) outcomes() {
-	span := max(host.of.span, host.x.telemetry.ReportInterval)
+	span := max(host.testCase.span, host.settings.telemetry.ReportInterval)
 	for i := range host.listed {
 		tries, failed, mean := host.IntN(14), 0, 150_000+host.Int64N(120_000)
 		differs := i < host.few
@@ -115,17 +115,17 @@
 			mean = 300_000 + host.Int64N(200_000)
 		}
 		load := BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
-		if host.of.loads {
+		if host.testCase.loads {
 			load = BackendLoad{CPUUtilization: host.Float64(), QueueLength: 2 * host.Float64(), ServiceTime: float64(mean) * host.Float64()}
 			if host.mood == 8 {
 				load = BackendLoad{CPUUtilization: 0.7 + 0.2*host.Float64(), QueueLength: host.Float64(), ServiceTime: float64(mean) * (0.6 + 0.1*host.Float64())}
 			}
 		}
 		host.record("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.CPUUtilization, load.QueueLength, load.ServiceTime)
-		host.c.OutcomesReported(i, tries, failed, mean, span, load)
+		host.controller.OutcomesReported(i, tries, failed, mean, span, load)
 	}
 	for proxy, joined := range host.joined {
-		for class := range host.x.classes {
+		for class := range host.settings.classes {
 			n := host.IntN(30)
 			if host.mood == 1 || host.mood == 7 {
 				n *= 3
@@ -133,14 +133,14 @@
 			n = n * int(span/second)
 			if joined && host.IntN(8) > 0 {
 				host.record("> demand %d %d %d %d", proxy, class, n, span)
-				host.c.DemandReported(proxy, class, n, span)
+				host.controller.DemandReported(proxy, class, n, span)
 			}
 		}
 	}
-	for id := range host.x.sharding.Count {
-		n, class := host.IntN(20), host.IntN(len(host.x.classes))
+	for id := range host.settings.sharding.Count {
+		n, class := host.IntN(20), host.IntN(len(host.settings.classes))
 		host.record("> slice demand %d %d %d", id, class, n)
-		host.c.ShardDemandReported(id, class, n, span)
+		host.controller.ShardDemandReported(id, class, n, span)
 	}
 }
 
@@ -149,7 +149,7 @@
 	var entries []Endpoint
 	for range 1 + host.IntN(3) {
 		i := host.IntN(len(host.listed))
-		if host.IntN(12) == 0 && len(host.listed) < host.of.backends+6 { // one more
+		if host.IntN(12) == 0 && len(host.listed) < host.testCase.backends+6 { // one more
 			i = len(host.listed)
 			host.listed = append(host.listed, Endpoint{Backend: i, Weight: float64(1 + host.IntN(4)), Zone: i % 3 % 2, StartedAt: host.now})
 		}
@@ -196,7 +196,7 @@
 
 // shuffle is any other call by chance.
 func (host *transcriptHost) shuffle() {
-	proxy, backend, class := host.IntN(host.of.proxies), host.IntN(len(host.listed)), host.IntN(len(host.x.classes))
+	proxy, backend, class := host.IntN(host.testCase.proxies), host.IntN(len(host.listed)), host.IntN(len(host.settings.classes))
 	switch host.IntN(16) {
 	case 0, 1, 2:
 		if host.joined[proxy] {
@@ -214,33 +214,33 @@
 		tries := host.IntN(9)
 		failed, mean, wait := tries-tries*host.IntN(2), host.Int64N(900_000), host.Int64N(40*second)
 		host.record("> peer outcomes %d %d %d %d %d", backend, tries, failed, mean, wait)
-		host.c.PeerOutcomesReported(backend, tries, failed, mean, wait)
+		host.controller.PeerOutcomesReported(backend, tries, failed, mean, wait)
 	case 6:
 		messages := host.IntN(5)
 		host.record("> spent %d %d", proxy, messages)
-		host.c.MessagesSentByPeers(proxy, messages)
+		host.controller.MessagesSentByPeers(proxy, messages)
 	case 7:
-		rates := make([]float64, len(host.x.classes))
+		rates := make([]float64, len(host.settings.classes))
 		for i := range rates {
 			rates[i] = 30 * host.Float64()
 		}
 		if host.joined[proxy] {
 			host.record("> demands %d %v", proxy, rates)
-			host.c.SeedDemand(proxy, rates)
+			host.controller.SeedDemand(proxy, rates)
 		}
 	case 8:
 		proven, able := host.Float64()/2, host.Float64()/2
 		host.record("> capacity %v %v", proven, able)
-		host.c.SeedThroughput(proven, able)
+		host.controller.SeedThroughput(proven, able)
 	case 9:
 		quota := float64(host.IntN(2)) * 200 * host.Float64()
 		host.record("> quota %d %v", class, quota)
-		host.c.SetClassQuota(class, quota)
+		host.controller.SetClassQuota(class, quota)
 	case 10, 11:
 		if backend >= host.known {
 			return
 		}
-		forgotten := host.c.ForgetBackend(backend)
+		forgotten := host.controller.ForgetBackend(backend)
 		host.record("> forget %d = %v", backend, forgotten)
 		if forgotten {
 			host.listed[backend].State, host.listed[backend].StartedAt = Removed, 0
@@ -248,46 +248,46 @@
 	case 12:
 		outcome := HealthCheckResult(host.IntN(7))
 		host.record("> probed %d %d", backend, outcome)
-		host.c.HealthCheckCompleted(backend, outcome)
+		host.controller.HealthCheckCompleted(backend, outcome)
 	case 13:
 		host.record("> list failed")
-		host.c.EndpointPollFailed()
+		host.controller.EndpointPollFailed()
 	case 14:
 		host.record("> stray timer")
-		host.c.TimerFired(99)
+		host.controller.TimerFired(99)
 	case 15:
 		host.slice()
 	}
 }
 
 func (host *transcriptHost) slice() {
-	if host.x.sharding.Count == 0 {
+	if host.settings.sharding.Count == 0 {
 		return
 	}
-	switch id, backend := host.IntN(host.x.sharding.Count), host.IntN(len(host.listed)); host.IntN(4) {
+	switch id, backend := host.IntN(host.settings.sharding.Count), host.IntN(len(host.listed)); host.IntN(4) {
 	case 0:
 		host.record("> slice taken %d", id)
-		host.c.ShardRevoked(id)
+		host.controller.ShardRevoked(id)
 	case 1:
 		host.record("> slice entry %d %d", id, backend)
-		host.c.ShardOwnerStored(id, backend, float64(host.IntN(2)))
+		host.controller.ShardOwnerStored(id, backend, float64(host.IntN(2)))
 	default:
 		host.record("> slice given %d", id)
-		host.c.ShardAssigned(id)
+		host.controller.ShardAssigned(id)
 		host.record("> slice entry %d %d", id, backend)
-		host.c.ShardOwnerStored(id, backend, 1)
+		host.controller.ShardOwnerStored(id, backend, 1)
 	}
 }
 
 // returned keeps what the controller says of itself.
 func (host *transcriptHost) returned() {
 	for i := range len(host.listed) + 1 {
-		tries, failed, wait, away := host.c.Ejection(i)
+		tries, failed, wait, away := host.controller.Ejection(i)
 		host.record("= ejected %d %d %d %d %v", i, tries, failed, wait, away)
 	}
-	proven, able := host.c.Throughput()
+	proven, able := host.controller.Throughput()
 	host.record("= capacity %v %v", proven, able)
-	host.record("= delay %d", host.c.QueueDelay())
+	host.record("= delay %d", host.controller.QueueDelay())
 }
 
 // step lets a moment pass.
@@ -297,7 +297,7 @@
 		if timer.at <= host.now {
 			host.timers = slices.DeleteFunc(host.timers, func(t transcriptTimer) bool { return t == timer })
 			host.record("> timer %d", timer.tag)
-			host.c.TimerFired(timer.tag)
+			host.controller.TimerFired(timer.tag)
 		}
 	}
 	host.now += host.Int64N(3)
@@ -307,19 +307,19 @@
 		for proxy, joined := range host.joined {
 			if joined && host.IntN(25) > 0 {
 				host.record("> acknowledged %d %d", proxy, number)
-				host.c.Acknowledged(proxy, number)
+				host.controller.Acknowledged(proxy, number)
 			}
 		}
 	}
-	every := int(max(host.of.span/4, host.x.telemetry.ReportInterval) / second * 20)
+	every := int(max(host.testCase.span/4, host.settings.telemetry.ReportInterval) / second * 20)
 	if i%every == every-1 {
 		host.outcomes()
 	}
 	if i%400 == 399 {
-		host.mood, host.few = host.IntN(9), 1+host.IntN(max(1, host.of.backends/3))
+		host.mood, host.few = host.IntN(9), 1+host.IntN(max(1, host.testCase.backends/3))
 		host.record("mood %d %d", host.mood, host.few)
 	}
-	if host.mood == 2 && i%400 == 200 && host.of.backends < 10 {
+	if host.mood == 2 && i%400 == 200 && host.testCase.backends < 10 {
 		host.leaveOnly(host.few)
 	}
 	if host.IntN(70) == 0 {
