--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -25,11 +25,11 @@
 // Throughputs are per capacity (published weight times baseline demand); times are microseconds.
 
 const (
-	// maxSaturatedGrowth bounds the saturated throughput by what was answered at a look.
+	// maxSaturatedGrowth bounds the saturated throughput by what was answered until one evaluation.
 	maxSaturatedGrowth = 1.5
 	// sustainableShare is the share of the saturated throughput that fixed weights can spread without queues.
 	sustainableShare = 0.85
-	// minLimitShare is the share that a cut leaves: the queue is a guess, and what waits too long is dropped.
+	// minLimitShare is the share that a cut leaves: the queue is an estimate, and what waits too long is dropped.
 	minLimitShare = 0.3
 	// queueDrainTime is the time within which a queue is drained: changes keep their interval, so not faster.
 	queueDrainTime = 2 * minPublishInterval
@@ -59,7 +59,7 @@
 	priorityOrder   []int     // classes, the first to be let in first
 	unitsPerRequest []float64 // by class
 	longestDeadline float64   // microseconds
-	meanObjective   float64   // latency objective of the mean request let in, microseconds; 0 before the first look
+	meanObjective   float64   // latency objective of the mean request let in, microseconds; 0 before the first evaluation
 
 	provenThroughput    float64 // most units a second let in without a queue, per published capacity; 0 if unknown
 	saturatedThroughput float64 // units a second answered with a queue, per reported capacity; 0 if unknown
@@ -68,19 +68,19 @@
 	limit        float64 // units a second
 	limiting     bool    // more comes than that
 	limitLowered bool    // a cut is to be published
-	latencyRatio float64 // at the last look
+	latencyRatio float64 // at the last evaluation
 
 	queueDrainedAt  Microseconds // when the queue of the last cut must be gone ...
 	holdUntil       Microseconds // ... and when reports show it
-	overloadedSince Microseconds // when looks began to show a queue nearly everywhere; 0 while they do not
-	raisedAt        Microseconds // when the limit was last raised, or guessed
+	overloadedSince Microseconds // when evaluations began to show a queue nearly everywhere; 0 while they do not
+	raisedAt        Microseconds // when the limit was last raised, or assumed
 
 	// By class.
 	targetLimits     []float64           // limits that are to be published: a share or a rate; 0 for none
 	publishedLimits  []float64           // limits that are
 	limitsSent       bool                // one ever was
 	quota            []RequestsPerSecond // that the whole fleet may be sent; 0 for any number
-	countedRequests  []float64           // requests since the last look
+	countedRequests  []float64           // requests since the last evaluation
 	demandCorrection []float64           // what was counted over the sum of the proxies' rates
 }
 
@@ -104,7 +104,7 @@
 	return a
 }
 
-// updateAdmission looks at the reports since the last look, and settles how much is let in.
+// updateAdmission evaluates the reports since the last evaluation, and decides how much is let in.
 func (c *Controller) updateAdmission(now Microseconds) {
 	a := &c.admission
 	load := c.summarizeLoad(now)
@@ -168,7 +168,7 @@
 	}
 	// What was known before a cut holds no more.
 	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
-	// What came while no report told is in the queue as well, from half of that time on average.
+	// What came before reports showed it is in the queue as well, from half of that time on average.
 	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
 	queue := a.queueTime(load)
 	queue += max(0, load.admitted/answering-1) * float64(reportLag/2)
@@ -200,7 +200,7 @@
 }
 
 // limitOnCapacityLoss takes the part of the limit that the list took of the published capacity (weight): reports show a
-// queue only when it stands. Where none ever did, all that is known is what was let in without one, and a guess. Old
+// queue only when it stands. Where none ever did, all that is known is what was let in without one, and an assumption. Old
 // reports take long to show that it was too low, so there it is made only where something waited already.
 func (c *Controller) limitOnCapacityLoss(now Microseconds, capacity, lost float64) {
 	a := &c.admission
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -14,10 +14,10 @@
 	listed       bool         // the list has named it
 	subset       int          // which subset it is in
 	seenDraining bool         // it was draining since it was last ready
-	drainDelay   Microseconds // how long its drain had been ordered when we heard of it
+	drainDelay   Microseconds // how long its drain had been ordered when it was listed
 
 	published float64      // its weight in our tables; 0 if it has no entry
-	withdrawn bool         // proxies were told to keep off it, whatever tables they hold
+	withdrawn bool         // proxies were notified to keep off it, whatever tables they hold
 	enteredAt Microseconds // when it was new or readmitted; 0 if it was on the first list
 
 	ownOutcomes         []outcomeSample // what our proxies met within the score window
@@ -32,7 +32,7 @@
 	score               float64      // mean answer time over the median; 1 if unknown, negative if ejected
 
 	ejected             bool
-	ejectedByPeerReport bool // on peer reports alone: told to peers again, that would never end
+	ejectedByPeerReport bool // on peer reports alone: reported to peers again, that would never end
 	readmitAt           Microseconds
 	backoff             Microseconds // how long the last ejection lasts
 	healthCheckedAt     Microseconds
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -11,7 +11,7 @@
 	Microseconds = int64
 	// RequestsPerSecond is a rate of requests.
 	RequestsPerSecond = float64
-	// Lines is a cost of a push: what a proxy is told counts by lines of its table, and each message some for its overhead.
+	// Lines is a cost of a push: each table entry is one, and each message some for its overhead.
 	Lines = float64
 )
 
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -286,7 +286,7 @@
 	c.syncProxies(now)
 }
 
-// ProxyDisconnected is the end of a proxy's connection: it goes on with what it holds, and can be told nothing more.
+// ProxyDisconnected is the end of a proxy's connection: it goes on with what it holds, and can be sent nothing more.
 func (c *Controller) ProxyDisconnected(id int) {
 	c.proxies[id] = &proxyState{disconnectedAt: c.host.Now()}
 }
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -18,12 +18,13 @@
 	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.telemetry.ReportInterval+span)
 }
 
-// noteReportSpan follows how long report lines cover of late: what they tell of is as old.
+// noteReportSpan follows how long report lines cover of late: what they describe is as old.
 func (c *Controller) noteReportSpan(span Microseconds) {
 	c.reportSpan += (float64(span) - c.reportSpan) / reportSpanSmoothing
 }
 
-// reportsAreOld tells whether report lines cover more than the longest deadline: what they tell of is all over.
+// reportsAreOld tells whether report lines cover more than the longest deadline: the requests that they describe are
+// all over.
 func (c *Controller) reportsAreOld() bool { return c.reportSpan > c.admission.longestDeadline }
 
 // classDemand is what comes to each connected proxy, and in all, in requests a second. That of our shards is spread
@@ -62,7 +63,7 @@
 	return units
 }
 
-// correctDemand moves the correction of a class half way to what was counted since the last look, seconds ago.
+// correctDemand moves the correction of a class half way to what was counted since the last evaluation, seconds ago.
 func (a *admissionState) correctDemand(class int, total RequestsPerSecond, seconds float64) {
 	if a.countedRequests[class] <= 0 || total <= 0 {
 		return
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -7,7 +7,7 @@
 //	weight.go     which share of its listed weight a backend gets: warm-up, slow start, lagging answers
 //	subset.go     how many subsets of the backends there are, and which backend is in which
 //	publish.go    which table entries go out, and when
-//	sync.go       when proxies that connect get complete tables, and what they are told until then
+//	sync.go       when proxies that connect get complete tables, and of what they are notified until then
 //	pushqueue.go  what may be sent without queueing for too long
 //	overload.go   what load reports say of the whole fleet
 //	admission.go  the limit of what is let in under overload, and how classes share it
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -4,7 +4,7 @@
 // unless RuleLimits.OnlyDrainingMustLeave. Such a change goes out at once (publish.go), and withdrawals follow for
 // proxies that hold tables of other controllers.
 //
-// Inputs are the listed state and Endpoint.DrainingSince (microseconds): a drain that we hear of late has only what is
+// Inputs are the listed state and Endpoint.DrainingSince (microseconds): a drain that is listed late has only what is
 // left of its grace.
 
 // noteDrain takes in that the backend is listed as not ready.
@@ -24,7 +24,8 @@
 	return backend.listed && backend.State != Ready && binds
 }
 
-// drainGraceLeft is what is left of the grace of the drain that we heard of latest after its order, until all are told.
+// drainGraceLeft is what is left of the grace of the drain that was listed latest after its order, until all proxies
+// are notified.
 func (c *Controller) drainGraceLeft() Microseconds {
 	delay := Microseconds(0)
 	for _, backend := range c.backends {
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -6,10 +6,10 @@
 // stands nearly everywhere, if it does at the median backend too, most backends do not report themselves idle, and it
 // lasts longer than reports are old: what stood in queues then may be answered or given up by now.
 //
-// Inputs are the outcomes of our own proxies since the last look, their demand (requests a second), the baseline demand
-// of our proxies and the loads that backends report. Demand, throughput and limits are in units a second: a request
-// counts its latency objective in seconds, as nothing tells its work. Capacity is published weight times the baseline
-// demand of our proxies, so that proxies of a lost controller bring its share.
+// Inputs are the outcomes of our own proxies since the last evaluation, their demand (requests a second), the baseline
+// demand of our proxies and the loads that backends report. Demand, throughput and limits are in units a second: a
+// request counts its latency objective in seconds, as nothing tells its work. Capacity is published weight times the
+// baseline demand of our proxies, so that proxies of a lost controller bring its share.
 
 const (
 	// overloadedRatio is the latency ratio from which a queue stands nearly everywhere: its tail misses the objective.
@@ -26,7 +26,7 @@
 	idleServiceShare = 0.67
 )
 
-// loadSummary is what the reports since the last look say.
+// loadSummary is what the reports since the last evaluation say.
 type loadSummary struct {
 	latencyRatio float64 // of all answers; 0 if there are none
 	medianRatio  float64 // of the median backend
@@ -41,7 +41,7 @@
 	deadCapacity      float64 // of those that answered nothing
 }
 
-// summarizeLoad sums up the reports since the last look, and follows the mean latency objective.
+// summarizeLoad sums up the reports since the last evaluation, and follows the mean latency objective.
 func (c *Controller) summarizeLoad(now Microseconds) (load loadSummary) {
 	a := &c.admission
 	outcomes := c.sumFleetOutcomes(now, &load)
@@ -57,7 +57,7 @@
 	return load
 }
 
-// fleetAnswers sums outcomes since the last look over all backends.
+// fleetAnswers sums outcomes since the last evaluation over all backends.
 type fleetAnswers struct {
 	attempts        int     // answered, or timed out in a queue
 	answers         int     // of backends that keep up, and failures that are none of a queue
@@ -65,13 +65,14 @@
 	meanAnswerTimes []float64
 }
 
-// sumFleetOutcomes sums outcomes since the last look, and the capacities that they are of.
+// sumFleetOutcomes sums outcomes since the last evaluation, and the capacities that they are of.
 func (c *Controller) sumFleetOutcomes(now Microseconds, load *loadSummary) (sum fleetAnswers) {
 	baseline, reporting := c.baselineDemand(), c.reportingDemand(now)
 	for _, backend := range c.backends {
 		capacity := backend.publishedCapacity()
 		load.publishedCapacity += capacity * baseline
-		if backend.attempts > 0 && !backend.reportedByPeersOnly { // where reports are few, one look hears of some backends
+		reportedOfLate := backend.attempts > 0 && !backend.reportedByPeersOnly
+		if reportedOfLate { // where reports are few, one evaluation covers only some backends
 			load.recentCapacity += capacity * reporting
 		}
 		answered, failures, answerTime := backend.outcomesSince(c.evaluatedAt)
@@ -104,8 +105,8 @@
 	return sum
 }
 
-// reportingDemand is the baseline demand of our proxies as far as they can have reported since the last look: of those
-// that just connected reports are still to come.
+// reportingDemand is the baseline demand of our proxies as far as they can have reported since the last evaluation: of
+// those that just connected reports are still to come.
 func (c *Controller) reportingDemand(now Microseconds) RequestsPerSecond {
 	total := 0.
 	for _, proxy := range c.proxies {
@@ -157,7 +158,7 @@
 	return !c.reportsAreOld() || float64(now-a.overloadedSince) >= c.reportSpan
 }
 
-// backendsIdle tells whether most backends that reported their load since the last look have no queue: then it is the
+// backendsIdle tells whether most backends that reported their load since the last evaluation have no queue: then it is the
 // proxies that stand still.
 func (c *Controller) backendsIdle(meanAnswerTime float64) bool {
 	reporting, idle := 0, 0
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -13,7 +13,7 @@
 
 	// Withdrawals of other controllers that it may hold, see sync.go.
 	mayHoldForeign     bool
-	withdrawalsSynced  bool    // it was told of ours before it had our tables
+	withdrawalsSynced  bool    // it was notified of ours before it had our tables
 	withdrawalsCleared bool    // it uses a backend again with that backend's first entry, which costs a line more
 	heldWithdrawals    float64 // how many of ours it holds since then: the same
 
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -28,7 +28,7 @@
 	tablesEmpty bool  // no backend has an entry
 
 	connected       float64   // proxies
-	outsiders       float64   // connected proxies that withdrawals are told to: with other tables than ours, or with shards
+	outsiders       float64   // connected proxies that hear of withdrawals: with other tables than ours, or with shards
 	proxiesBySubset []float64 // proxies with our tables
 	keepOffBySubset []float64 // of these, those for which a backend's first entry costs a line more
 
@@ -39,7 +39,7 @@
 	changesDue     bool  // some entry or limit is not as it should be
 	requiredLines  Lines // what required changes cost
 	withdrawalsDue float64
-	tablesSuffice  bool // outsiders are told of withdrawals by their tables
+	tablesSuffice  bool // tables notify outsiders as well as withdrawals would
 }
 
 // publishChanges publishes what differs from the tables that stand: what is required, and ordinary changes too if it is
@@ -137,7 +137,7 @@
 	return lowers || fillsEmptyTable
 }
 
-// entryCost is what a change of a backend's entry costs: the proxies of its subset hear of it, each in one message with
+// entryCost is what a change of a backend's entry costs: it goes to the proxies of its subset, each in one message with
 // all else that goes to it now.
 func (plan *publication) entryCost(backend *backendState) Lines {
 	cost := plan.proxiesBySubset[backend.subset]
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -54,7 +54,7 @@
 	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
 		proxy.messageTimes = append(proxy.messageTimes, now)
 		message := c.queue.messageOverhead()
-		if !proxy.hasOurTables { // it has been told of no limits yet
+		if !proxy.hasOurTables { // it knows no limits yet
 			message += c.tableLimitLines() - c.queue.LimitLines
 		}
 		lines += message
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -48,7 +48,7 @@
 
 func (s *shardingState) enabled() bool { return len(s.shards) > 0 }
 
-// repeatFences has a proxy that connected told which writes are stopped: it reads only owners from the store.
+// repeatFences has a proxy that connected notified which writes are stopped: it reads only owners from the store.
 func (s *shardingState) repeatFences() {
 	for id := range s.shards {
 		if s.shards[id].fence > 0 {
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -7,14 +7,14 @@
 )
 
 // Sync: a proxy that connects holds tables of another controller, or none. It gets ours, complete, as soon as there is
-// room; until then it is told which backends are withdrawn and which limits stand, as rules bind whatever tables it
+// room; until then it is notified which backends are withdrawn and which limits stand, as rules bind whatever tables it
 // brought.
 //
 // Order of tables: proxies that have waited for half the drain grace first, then those with the most baseline demand
 // where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
 // once tables would come later than three quarters of the grace.
 //
-// A proxy is told of withdrawals by a message of its own only if its tables do not tell it in time: they come as soon as
+// A proxy is notified of withdrawals by a message of its own only if its tables would not do in time: they come as soon as
 // those of all who wait can leave within three quarters of the grace, and cost at most three times such a message. A
 // quarter of the capacity stays free for what cannot wait.
 //
@@ -31,7 +31,7 @@
 	tableCostWorthMessage = 2
 )
 
-// syncRound is one look at the proxies that wait. It lives for one call of syncProxies.
+// syncRound is one pass over the proxies that wait. It lives for one call of syncProxies.
 type syncRound struct {
 	now            Microseconds
 	withdrawals    float64         // how many stand
@@ -152,7 +152,7 @@
 	return due && round.waiting == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
 }
 
-// messageWorthwhile tells whether a proxy that waits is better told of withdrawals by a message of its own: its tables
+// messageWorthwhile tells whether a proxy that waits is better notified of withdrawals by a message of its own: its tables
 // cost much more, and do not come soon.
 func (c *Controller) messageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
 	costsLittle := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
@@ -176,7 +176,7 @@
 	c.charge(proxy, round.withdrawals+float64(len(c.classes)))
 }
 
-// tablesSuffice tells whether proxies that wait are as well given tables as told of withdrawals by messages of their
+// tablesSuffice tells whether proxies that wait are as well given tables as notified of withdrawals by messages of their
 // own, by the costs of both.
 func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
 	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.remainingGrace)
