--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -19,6 +19,10 @@
 
 // Controller decides for the proxies that are connected to it. Its methods are the events that it handles; one may be
 // called at a time. It belongs to its caller, and ends when that drops it.
+//
+// Reports about a backend that was never listed are ignored. Other indices must be known: of a proxy, one that
+// ProxyConnected or MessagesSentByPeers was given; of a class or shard, one below their number. An event about an unknown
+// one panics, as that is a caller's error.
 type Controller struct {
 	host      Host
 	seed      uint64
@@ -45,7 +49,7 @@
 	panicMode   bool         // every usable backend is ejected, so all are published
 
 	// Tables: one a subset for the shared classes, then one a zone for the zone-local ones.
-	subsets          int
+	subsetCount      int
 	sharedClasses    uint16
 	zoneLocalClasses uint16
 
@@ -76,7 +80,7 @@
 		admission:      newAdmissionState(config.Admission, config.Classes),
 		evaluatedAt:    host.Now(),
 		remainingGrace: config.Rules.DrainGrace,
-		subsets:        1,
+		subsetCount:    1,
 	}
 	for i, class := range config.Classes {
 		if class.ZoneLocal {
@@ -144,7 +148,7 @@
 		}
 		named[endpoint.Backend] = true
 		backend := c.backends[endpoint.Backend]
-		if !backend.listed && c.subsets > 1 {
+		if !backend.listed && c.subsetCount > 1 {
 			if weights == nil {
 				weights = c.listedSubsetWeights()
 			}
@@ -171,7 +175,7 @@
 }
 
 // ForgetBackend ends what is kept of a backend that is removed and has no entry left, so that its index may mean
-// another. It tells whether it did.
+// another, and tells whether it did. The backend must have been listed once.
 func (c *Controller) ForgetBackend(id int) bool {
 	backend := c.backends[id]
 	if backend.State != Removed || backend.published != 0 {
@@ -252,7 +256,7 @@
 		return
 	}
 	c.updateRate(&proxy.demand[class], count, span)
-	c.admission.counted[class] += float64(count)
+	c.admission.countedRequests[class] += float64(count)
 	c.noteReportSpan(span)
 }
 
@@ -269,10 +273,10 @@
 		connected:       true,
 		connectedAt:     now,
 		zone:            zone,
-		subset:          id % c.subsets,
+		subset:          id % c.subsetCount,
 		baselineRate:    max(baseline, 1),
 		demand:          slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
-		assigned:        c.sharding.enabled(),                                                 // it reads owners from the store
+		hasOurTables:    c.sharding.enabled(),                                                 // it reads owners from the store
 		mayHoldForeign:  mayHoldForeign,
 		messageTimes:    before.peerMessageTimes,
 		reserveReleased: before.peerMessageTimes != nil,
@@ -282,7 +286,7 @@
 	c.syncProxies(now)
 }
 
-// ProxyDisconnected is the end of a proxy's connection: it goes on with what it holds, and can be told nothing more.
+// ProxyDisconnected is the end of a proxy's connection: it goes on with what it holds, and can be sent nothing more.
 func (c *Controller) ProxyDisconnected(id int) {
 	c.proxies[id] = &proxyState{disconnectedAt: c.host.Now()}
 }
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -9,11 +9,11 @@
 	baselineRate   float64   // requests a second that come to it on ordinary days, 1 at least
 	demand         []float64 // requests a second that come to it now, by class
 
-	assigned bool // its tables are ours
+	hasOurTables bool // its tables are ours
 
 	// Withdrawals of other controllers that it may hold, see sync.go.
 	mayHoldForeign     bool
-	withdrawalsSynced  bool    // it was told of ours before it had our tables
+	withdrawalsSynced  bool    // it was notified of ours before it had our tables
 	withdrawalsCleared bool    // it uses a backend again with that backend's first entry, which costs a line more
 	heldWithdrawals    float64 // how many of ours it holds since then: the same
 
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -7,14 +7,14 @@
 )
 
 // Sync: a proxy that connects holds tables of another controller, or none. It gets ours, complete, as soon as there is
-// room; until then it is told which backends are withdrawn and which limits stand, as rules bind whatever tables it
+// room; until then it is notified which backends are withdrawn and which limits stand, as rules bind whatever tables it
 // brought.
 //
 // Order of tables: proxies that have waited for half the drain grace first, then those with the most baseline demand
 // where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
 // once tables would come later than three quarters of the grace.
 //
-// A proxy is told of withdrawals by a message of its own only if its tables do not tell it in time: they come as soon as
+// A proxy is notified of withdrawals by a message of its own only if its tables would not do in time: they come as soon as
 // those of all who wait can leave within three quarters of the grace, and cost at most three times such a message. A
 // quarter of the capacity stays free for what cannot wait.
 //
@@ -31,14 +31,14 @@
 	tableCostWorthMessage = 2
 )
 
-// syncRound is one look at the proxies that wait. It lives for one call of syncProxies.
+// syncRound is one pass over the proxies that wait. It lives for one call of syncProxies.
 type syncRound struct {
 	now            Microseconds
 	withdrawals    float64         // how many stand
 	withdrawalCost Lines           // of a message that tells them all
 	reserve        Lines           // kept free
-	unassigned     int             // connected proxies that waited for tables as it began
-	assigned       int             // of these, those that got them
+	waiting        int             // connected proxies that waited for tables as it began
+	served         int             // of these, those that got them
 	tableSizes     map[int]float64 // entries by table, as far as counted
 }
 
@@ -46,7 +46,8 @@
 func (c *Controller) enqueueForSync(id int) {
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
 	place := len(c.syncQueue)
-	if mayTakeLong := c.queue.capacity() < c.queue.Backlog; mayTakeLong {
+	mayTakeLong := c.queue.capacity() < c.queue.Backlog
+	if mayTakeLong {
 		place, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
 			// In falling order of baseline demand; behind those with the same.
 			return cmp.Or(cmp.Compare(rate, c.proxies[other].baselineRate), -1)
@@ -67,7 +68,7 @@
 	if !anyTable && !anyMessage {
 		return // thousands may wait, and this is looked at with each ack
 	}
-	round.unassigned = c.countUnassigned()
+	round.waiting = c.countWaitingForTables()
 	c.reserveForTables(now, round.tableSizes)
 	for _, overdue := range []bool{true, false} {
 		for _, id := range c.syncQueue {
@@ -78,17 +79,17 @@
 	}
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(id int) bool {
 		proxy := c.proxies[id]
-		complete := proxy.assigned && proxy.withdrawalsCleared == proxy.mayHoldForeign
+		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeign
 		return !proxy.connected || complete
 	})
-	if round.assigned > 0 && round.unassigned == round.assigned {
+	if round.served > 0 && round.waiting == round.served {
 		c.syncProxies(now) // what is to be cleared may go along
 	}
 }
 
 // waitsForTables tells whether a proxy is to get our tables.
 func (c *Controller) waitsForTables(proxy *proxyState) bool {
-	return proxy.connected && !proxy.assigned
+	return proxy.connected && !proxy.hasOurTables
 }
 
 // overdue tells whether a proxy has waited for half the drain grace.
@@ -97,7 +98,7 @@
 }
 
 // countUnassigned counts the proxies that wait for tables.
-func (c *Controller) countUnassigned() (unassigned int) {
+func (c *Controller) countWaitingForTables() (unassigned int) {
 	for _, id := range c.syncQueue {
 		if c.waitsForTables(c.proxies[id]) {
 			unassigned++
@@ -110,15 +111,16 @@
 func (c *Controller) syncProxy(id int, round *syncRound, overdue bool) {
 	proxy := c.proxies[id]
 	tables := c.fullTablesOf(proxy, round.tableSizes)
-	switch mayGo := c.tablesMayGo(proxy, tables, round.now); {
-	case mayGo && !proxy.assigned:
+	mayGo := c.tablesMayGo(proxy, tables, round.now)
+	switch {
+	case mayGo && !proxy.hasOurTables:
 		c.assignTables(id, tables)
-		round.assigned++
+		round.served++
 	case mayGo && c.mayClearWithdrawals(proxy, tables, round):
 		proxy.withdrawalsCleared = true
 		c.charge(proxy, tables.entries)
 		c.host.ClearWithdrawals(id)
-	case !proxy.assigned && !proxy.withdrawalsSynced && c.messageWorthwhile(tables, round, overdue):
+	case !proxy.hasOurTables && !proxy.withdrawalsSynced && c.messageWorthwhile(tables, round, overdue):
 		c.syncWithdrawals(id, round)
 	}
 }
@@ -126,7 +128,7 @@
 // tablesMayGo tells whether a proxy's tables, or as much as they cost, may go to it now. Changes that wait for the
 // channel go first, unless its tables would be late.
 func (c *Controller) tablesMayGo(proxy *proxyState, tables fullTables, now Microseconds) bool {
-	wouldBeLate := !proxy.assigned && c.queue.wouldDelayTables(0)
+	wouldBeLate := !proxy.hasOurTables && c.queue.wouldDelayTables(0)
 	itsTurn := !c.queueCongested || wouldBeLate
 	return proxy.connected && !tables.anyEmpty && itsTurn &&
 		c.queue.hasCapacity(tables.cost, false) && c.queue.mayPush(proxy, now, false)
@@ -135,7 +137,7 @@
 // assignTables gives a proxy its tables.
 func (c *Controller) assignTables(id int, tables fullTables) {
 	proxy := c.proxies[id]
-	proxy.assigned = true
+	proxy.hasOurTables = true
 	c.queue.reservedLines -= tables.cost
 	withdrawalLines := min(proxy.heldWithdrawals, tables.entries)
 	c.charge(proxy, 1+tables.cost-c.queue.messageOverhead()+withdrawalLines)
@@ -147,14 +149,14 @@
 // mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
 func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
 	due := proxy.mayHoldForeign && !proxy.withdrawalsCleared
-	return due && round.unassigned == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
+	return due && round.waiting == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
 }
 
-// messageWorthwhile tells whether a proxy that waits is better told of withdrawals by a message of its own: its tables
+// messageWorthwhile tells whether a proxy that waits is better notified of withdrawals by a message of its own: its tables
 // cost much more, and do not come soon.
 func (c *Controller) messageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
 	costsLittle := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
-	tablesComeSoon := c.queueCongested || c.tablesSuffice(tables.cost, round.withdrawalCost, round.unassigned)
+	tablesComeSoon := c.queueCongested || c.tablesSuffice(tables.cost, round.withdrawalCost, round.waiting)
 	return costsLittle && (overdue || !tablesComeSoon)
 }
 
@@ -174,7 +176,7 @@
 	c.charge(proxy, round.withdrawals+float64(len(c.classes)))
 }
 
-// tablesSuffice tells whether proxies that wait are as well given tables as told of withdrawals by messages of their
+// tablesSuffice tells whether proxies that wait are as well given tables as notified of withdrawals by messages of their
 // own, by the costs of both.
 func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
 	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.remainingGrace)
