--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -43,9 +43,9 @@
 	c.fill(5)
 	first = c.add(subscriber("first", AllScopes(), limits, "v"))
 	second = c.add(subscriber("second", AllScopes(), limits, "v"))
-	c.pass(2*second_, tick)
+	c.pass(2*oneSecond, tick)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "first"))
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	leaf.node.learnCandidates([]string{"second"}, false)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "first" {
@@ -54,8 +54,8 @@
 	return c, v, first, second, leaf
 }
 
-// second_ is a second where a member is called second.
-const second_ = second
+// oneSecond is second where a member is called second.
+const oneSecond = second
 
 func TestChangesGoDownTheTreeAtOnce(t *testing.T) {
 	c, v, first, _, leaf := tree(t, DefaultLimits())
@@ -93,7 +93,7 @@
 			before := leaf.node.Status(c.now).Counts
 			failure.inflict(c, first, leaf)
 			c.fill(3)
-			c.pass(DefaultLease+second_, tick)
+			c.pass(DefaultLease+oneSecond, tick)
 			c.expectCaughtUp(t, second, leaf)
 			status := leaf.node.Status(c.now)
 			if status.Parent != "second" && status.Parent != "v" {
@@ -102,7 +102,7 @@
 			if status.Counts.SnapshotsTaken != before.SnapshotsTaken {
 				t.Error("a snapshot was sent where deltas would do")
 			}
-			if status.Age > 2*second_ {
+			if status.Age > 2*oneSecond {
 				t.Errorf("age %d µs", status.Age)
 			}
 		})
@@ -112,13 +112,13 @@
 func TestFrozenParentIsLeftAndItsPlaceFreed(t *testing.T) {
 	c, v, first, _, _ := tree(t, DefaultLimits())
 	first.frozen = true
-	c.pass(DefaultLease+second_, tick)
+	c.pass(DefaultLease+oneSecond, tick)
 	if children := v.node.Status(c.now).Children; slices.Contains(children, "first") {
 		t.Errorf("the voter's children are %v", children)
 	}
 	first.frozen = false
 	c.fill(2)
-	c.pass(3*second_, tick)
+	c.pass(3*oneSecond, tick)
 	c.expectCaughtUp(t, first)
 }
 
@@ -127,18 +127,18 @@
 	limits := DefaultLimits()
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
 	c.fill(5)
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	behind.leads = false // it hears no more of the record
 	c.fill(4)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "ahead"))
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	c.cut(ahead, leaf)
 	leaf.node.learnCandidates([]string{"behind"}, false)
-	c.pass(3*second_, tick)
+	c.pass(3*oneSecond, tick)
 	c.expectCaughtUp(t, leaf) // it keeps what it has
 	status := leaf.node.Status(c.now)
-	if status.Parent != "behind" || status.Age < 2*second_ {
+	if status.Parent != "behind" || status.Age < 2*oneSecond {
 		t.Errorf("parent %q, age %d", status.Parent, status.Age)
 	}
 	c.heal(ahead, leaf)
@@ -154,11 +154,11 @@
 	c, v, first, second, leaf := tree(t, DefaultLimits())
 	kept := v.node.State()
 	c.fill(4)
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	v.kill()
 	v.leads = false // the record's log comes later
 	v.start(kept)
-	c.pass(3*second_, tick)
+	c.pass(3*oneSecond, tick)
 	c.sound(t)
 	if version := v.node.Version(); version != kept.Version {
 		t.Fatalf("the voter is at %v", version)
@@ -166,7 +166,7 @@
 	snapshots := first.node.Status(c.now).Counts.SnapshotsTaken
 	c.fill(1)
 	v.leads = true
-	c.pass(2*second_, tick)
+	c.pass(2*oneSecond, tick)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if first.node.Status(c.now).Counts.SnapshotsTaken != snapshots {
 		t.Error("a snapshot was sent where deltas would do")
@@ -177,10 +177,10 @@
 	c, v, first, _, leaf := tree(t, DefaultLimits())
 	v.leads = false
 	dials := leaf.node.Status(c.now).Counts.Dials
-	c.pass(30*second_, tick)
+	c.pass(30*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	status := leaf.node.Status(c.now)
-	if status.Age < 28*second_ || status.Age > 33*second_ {
+	if status.Age < 28*oneSecond || status.Age > 33*oneSecond {
 		t.Errorf("age %d µs after 30 s", status.Age)
 	}
 	if status.Parent != "first" {
@@ -194,9 +194,9 @@
 	}
 	v.leads = true
 	c.fill(1)
-	c.pass(3*second_, tick)
+	c.pass(3*oneSecond, tick)
 	c.expectCaughtUp(t, first, leaf)
-	if age := leaf.node.Status(c.now).Age; age > 3*second_ {
+	if age := leaf.node.Status(c.now).Age; age > 3*oneSecond {
 		t.Errorf("age %d µs after the majority is back", age)
 	}
 	if leaf.count(EventSourceCurrent) != 1 {
@@ -213,14 +213,14 @@
 	c.pass(tick, tick)
 	slow.frozen = true
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "slow", "quick"))
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if status := leaf.node.Status(c.now); status.Parent != "quick" || status.Counts.Dials != 2 {
 		t.Errorf("status %+v", status)
 	}
 	slow.frozen = false // the late admission counts for nothing
 	c.fill(1)
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := slow.node.Status(c.now).Children; len(children) > 0 {
 		t.Errorf("a place at both: %v", children)
@@ -243,7 +243,7 @@
 		t.Fatalf("%d connections", len(c.conns))
 	}
 	c.settle()
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	places := len(one.node.Status(c.now).Children) + len(other.node.Status(c.now).Children)
 	if places != 1 {
@@ -269,12 +269,12 @@
 	if bound := limits.Window + limits.BatchBytes + 4096; most > bound {
 		t.Errorf("%d bytes under way to it, bound %d", most, bound)
 	}
-	c.pass(DefaultLease+second_, tick)
+	c.pass(DefaultLease+oneSecond, tick)
 	if children := first.node.Status(c.now).Children; len(children) > 0 {
 		t.Errorf("it keeps its place: %v", children)
 	}
 	leaf.frozen = false
-	c.pass(5*second_, tick)
+	c.pass(5*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsTaken+after.DeltasTaken == before.SnapshotsTaken+before.DeltasTaken {
@@ -330,12 +330,12 @@
 	v := c.add(voter("v", limits))
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
 	c.fill(10)
-	c.pass(second_, tick)
+	c.pass(oneSecond, tick)
 	var region []*member
 	for i := range 60 {
 		region = append(region, c.add(subscriber(fmt.Sprint("r", i), SomeScopes("a"), limits, "relay", "v")))
 	}
-	c.pass(20*second_, tick)
+	c.pass(20*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
 	snapshots := func() (sum uint64) {
 		for _, m := range region {
@@ -351,20 +351,20 @@
 	dials := region[0].node.Status(c.now).Counts.Dials
 	for range 60 {
 		c.fill(2)
-		c.pass(5*second_, 500*millisecond)
+		c.pass(5*oneSecond, 500*millisecond)
 	}
 	c.sound(t)
 	if tried := region[0].node.Status(c.now).Counts.Dials - dials; tried > 600 {
 		t.Errorf("%d dials in five minutes", tried)
 	}
-	if age := region[0].node.Status(c.now).Age; age < 290*second_ {
+	if age := region[0].node.Status(c.now).Age; age < 290*oneSecond {
 		t.Errorf("age %d µs", age)
 	}
 	for _, m := range region {
 		c.heal(v, m)
 		c.heal(relay, m)
 	}
-	c.pass(6*second_, tick)
+	c.pass(6*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
 	if more := snapshots() - before; more > 0 {
 		t.Errorf("%d snapshots where deltas would do", more)
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -178,7 +178,7 @@
 }
 
 // accept puts a change on the record; the voters get it by follow.
-func (c *cluster) accept(entries ...Entry) Change {
+func (c *cluster) accept(entries ...Entry) {
 	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
 	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two alike
 	c.stateAt(c.epoch, change.Revision-1)
@@ -191,7 +191,6 @@
 	}
 	c.truth[c.epoch][change.Revision] = next
 	c.record = append(c.record, change)
-	return change
 }
 
 // stateAt is what a node with all scopes has at a revision.
--- a/distribution/transport/calls.go
+++ b/distribution/transport/calls.go
@@ -2,60 +2,68 @@
 
 import "wheelrill/distribution"
 
-// Traffic is what passed over all links: bytes of the messages with their lengths, and links closed because their peer
-// did not read.
-type Traffic struct{ In, Out, Overflows int64 }
-
-// Traffic gives the totals since the start.
-func (c *Transport) Traffic() Traffic {
-	return Traffic{c.bytesIn.Load(), c.bytesOut.Load(), c.overflows.Load()}
+// Traffic is what passed over all links since the start.
+type Traffic struct {
+	// In is the number of bytes received, with the lengths of the messages.
+	In int64
+	// Out is the number of bytes sent, with the lengths of the messages.
+	Out int64
+	// Overflows counts the links closed because their queue was full.
+	Overflows int64
 }
 
-// call has the actor do something; it does not wait for it.
-func (c *Transport) call(what func(now int64)) { c.post(event{kind: called, call: what}) }
+// Traffic gives the totals since the start. It does not wait for the event loop.
+func (t *Transport) Traffic() Traffic {
+	return Traffic{In: t.bytesIn.Load(), Out: t.bytesOut.Load(), Overflows: t.overflows.Load()}
+}
 
 // Accepted hands a voter the next change of the record.
-func (c *Transport) Accepted(change distribution.Change) {
-	c.call(func(now int64) { c.node.Accepted(change, now) })
+func (t *Transport) Accepted(change distribution.Change) {
+	t.postCall(func(now int64) { t.node.Accepted(change, now) })
 }
 
-// Restored hands in a whole state: a voter's record, or what a subscriber has kept.
-func (c *Transport) Restored(state distribution.State) {
-	c.call(func(now int64) { c.node.Restored(state, now) })
+// Restored hands in a whole state: a voter's record, or what a subscriber has stored.
+func (t *Transport) Restored(state distribution.State) {
+	t.postCall(func(now int64) { t.node.Restored(state, now) })
 }
 
 // Current says that the voter has just known its record to be led by a majority.
-func (c *Transport) Current() { c.call(c.current) }
-
-func (c *Transport) current(now int64) { c.node.Current(now) }
+func (t *Transport) Current() { t.postCall(t.node.Current) }
 
 // Resubscribe changes the scopes of a subscriber.
-func (c *Transport) Resubscribe(scopes distribution.Scopes) {
-	c.call(func(now int64) { c.node.Resubscribe(scopes, now) })
+func (t *Transport) Resubscribe(scopes distribution.Scopes) {
+	t.postCall(func(now int64) { t.node.Resubscribe(scopes, now) })
 }
 
-// Status asks the node how it is; false once the transport has ended.
-func (c *Transport) Status() (status distribution.Status, ok bool) {
-	ok = c.ask(func(now int64) { status = c.node.Status(now) })
+// Status asks the node how it is, and waits for it; false once Run has ended.
+func (t *Transport) Status() (status distribution.Status, ok bool) {
+	ok = t.postCallAndWait(func(now int64) { status = t.node.Status(now) })
 	return status, ok
 }
 
-// State asks the node for all that it has; false once the transport has ended.
-func (c *Transport) State() (state distribution.State, ok bool) {
-	ok = c.ask(func(int64) { state = c.node.State() })
+// State asks the node for all that it has, and waits for it; false once Run has ended. Nobody modifies the state.
+func (t *Transport) State() (state distribution.State, ok bool) {
+	ok = t.postCallAndWait(func(int64) { state = t.node.State() })
 	return state, ok
 }
 
-// ask has the actor do something, and waits for it.
-func (c *Transport) ask(what func(now int64)) bool {
+// postCall has the event loop run something; it waits for room in the mailbox alone.
+func (t *Transport) postCall(run func(now int64)) { t.post(event{kind: eventCall, run: run}) }
+
+// postCallAndWait has the event loop run something, and waits for it; false once Run has ended.
+func (t *Transport) postCallAndWait(run func(now int64)) bool {
 	done := make(chan struct{})
-	if !c.post(event{kind: called, call: func(now int64) { what(now); close(done) }}) {
+	runAndSay := func(now int64) {
+		run(now)
+		close(done)
+	}
+	if !t.post(event{kind: eventCall, run: runAndSay}) {
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-c.ended:
+	case <-t.ended:
 		return false
 	}
 }
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	readBuffer = 512     // of each connection
-	keptBuffer = 4 << 10 // a buffer that grew beyond is given back
-	keptBatch  = 64 << 10
+	readBufferBytes     = 512     // of each connection
+	maxIdleBufferBytes  = 4 << 10 // a read buffer that grew beyond is freed after the message
+	maxPooledBatchBytes = 64 << 10
 )
 
-// link is a connection to one peer. A reader lives as long as it; a writer only while something waits to leave, so that
-// an idle link costs one goroutine.
+// link is a connection to one peer. A reader lives as long as it; a writer only while something waits to be written, so
+// that an idle link costs one goroutine.
 type link struct {
 	transport *Transport
-	id        distribution.Link      // the actor's alone
+	id        distribution.Link      // used by the event loop alone
 	allowed   func(name string) bool // names under which the peer may subscribe; nil for any
-
-	mutex   sync.Mutex
-	conn    net.Conn           // nil while it is dialled
-	cancel  context.CancelFunc // of the dial
-	queue   []distribution.Message
-	queued  int // bytes, by the messages' estimates, with what is being written
-	writing bool
-	closing bool // nothing is sent any more; the connection is closed once all has left
+	cancel    context.CancelFunc     // of the dial; nil for an accepted link
+
+	mutex       sync.Mutex             // of the fields below
+	conn        net.Conn               // nil while it is dialled; set once
+	queue       []distribution.Message // at most Bounds.QueueCount
+	queuedBytes int                    // by the messages' estimates, with what is being written; at most Bounds.QueueBytes
+	writing     bool                   // the writer runs
+	closing     bool                   // nothing is queued any more; the connection is closed once the queue is written
 }
 
 // attach gives a dialled link its connection; false if it was closed meanwhile.
@@ -45,26 +45,29 @@
 	return true
 }
 
-// send queues a message. False: the queue is full.
+// send queues a message, and starts a writer if none runs. False: the queue is full.
 func (l *link) send(m distribution.Message) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closing || l.conn == nil {
-		return true // nobody will read it; the actor hears of that
+		return true // nobody will read it; the event loop hears of that
 	}
-	bounds, size := l.transport.bounds, m.Size()
-	if l.queued > 0 && (len(l.queue) >= bounds.QueueCount || l.queued+size > bounds.QueueBytes) {
+	bounds := l.transport.bounds
+	size := m.Size()
+	full := len(l.queue) >= bounds.QueueCount || l.queuedBytes+size > bounds.QueueBytes
+	if l.queuedBytes > 0 && full { // a single message of any size is let through
 		return false
 	}
-	l.queue, l.queued = append(l.queue, m), l.queued+size
+	l.queue = append(l.queue, m)
+	l.queuedBytes += size
 	if !l.writing {
 		l.writing = true
-		l.transport.running.Go(l.write)
+		l.transport.goroutines.Go(l.write)
 	}
 	return true
 }
 
-// close ends the link once what is queued has left, or has had its time.
+// close ends the link once what is queued is written, or CloseTimeout has passed.
 func (l *link) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -86,50 +89,59 @@
 func (l *link) abort() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.closing, l.queue = true, nil
+	l.closing = true
+	l.queue = nil
 	if l.conn != nil {
 		l.conn.Close()
 	}
 }
 
-var batches = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+// batchPool holds buffers of at most maxPooledBatchBytes, as a writer needs one for a moment only.
+var batchPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// write sends what is queued until nothing is.
+// write sends what is queued until nothing is, or the connection fails.
 func (l *link) write() {
-	batch := batches.Get().(*bytes.Buffer)
+	batch := batchPool.Get().(*bytes.Buffer)
 	defer func() {
-		if batch.Cap() <= keptBatch {
-			batches.Put(batch)
+		if batch.Cap() <= maxPooledBatchBytes {
+			batchPool.Put(batch)
 		}
 	}()
 	for {
-		messages, ok := l.next()
-		if !ok {
+		messages, any := l.nextBatch()
+		if !any {
 			return
 		}
-		batch.Reset()
-		size := 0
-		for _, m := range messages {
-			size += m.Size()
-			if frame.Append(batch, distribution.NewEnvelope(m)) != nil {
-				l.abort()
-				return
-			}
-		}
-		n, err := l.conn.Write(batch.Bytes())
-		l.transport.bytesOut.Add(int64(n))
-		if err != nil {
+		if !l.writeBatch(batch, messages) {
 			l.abort() // the reader sees it, and says so
 			return
 		}
-		l.mutex.Lock()
-		l.queued -= size
-		l.mutex.Unlock()
 	}
 }
 
-// next takes what is to be written, and gives it a deadline.
-func (l *link) next() ([]distribution.Message, bool) {
+// writeBatch encodes messages and writes them in one call; false if that fails.
+func (l *link) writeBatch(batch *bytes.Buffer, messages []distribution.Message) bool {
+	batch.Reset()
+	size := 0
+	for _, m := range messages {
+		size += m.Size()
+		if frame.Append(batch, distribution.NewEnvelope(m)) != nil {
+			return false
+		}
+	}
+	written, err := l.conn.Write(batch.Bytes())
+	l.transport.bytesOut.Add(int64(written))
+	if err != nil {
+		return false
+	}
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.queuedBytes -= size
+	return true
+}
+
+// nextBatch takes what is to be written, and gives it a deadline; false if there is nothing, which ends the writer.
+func (l *link) nextBatch() ([]distribution.Message, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if len(l.queue) == 0 {
@@ -141,53 +153,58 @@
 	}
 	messages := l.queue
 	l.queue = nil
-	patience := l.transport.bounds.WriteTimeout
+	timeout := l.transport.bounds.WriteTimeout
 	if l.closing {
-		patience = l.transport.bounds.CloseTimeout
+		timeout = l.transport.bounds.CloseTimeout
 	}
-	l.conn.SetWriteDeadline(time.Now().Add(patience))
+	l.conn.SetWriteDeadline(time.Now().Add(timeout))
 	return messages, true
 }
 
-// read hands the actor what the peer sends, until the connection ends.
+// read hands the event loop what the peer sends, until the connection ends or a message breaks a rule.
 func (l *link) read() {
-	c := l.transport
+	t := l.transport
 	defer func() {
 		l.conn.Close()
-		c.post(event{kind: closed, link: l})
+		t.post(event{kind: eventClosed, link: l})
 	}()
-	from := bufio.NewReaderSize(counted{l.conn, c}, readBuffer)
+	from := bufio.NewReaderSize(countingConn{l.conn, t}, readBufferBytes)
 	var buffer []byte
 	for {
 		var envelope distribution.Envelope
 		var err error
-		if buffer, err = frame.ReadWith(from, buffer, c.bounds.MessageBytes, &envelope); err != nil {
+		buffer, err = frame.ReadWith(from, buffer, t.bounds.MessageBytes, &envelope)
+		if err != nil {
 			return
 		}
-		if cap(buffer) > keptBuffer {
+		if cap(buffer) > maxIdleBufferBytes {
 			buffer = nil
 		}
 		m, err := envelope.Message()
-		if err != nil || !l.permits(m) || !c.post(event{kind: received, link: l, message: m}) {
+		if err != nil || !l.allows(m) {
+			return
+		}
+		if !t.post(event{kind: eventReceived, link: l, message: m}) {
 			return
 		}
 	}
 }
 
-// permits tells whether the peer may say that: it subscribes under its own names alone.
-func (l *link) permits(m distribution.Message) bool {
-	s, subscribes := m.(*distribution.Subscribe)
-	return !subscribes || l.allowed == nil || l.allowed(s.Name)
+// allows tells whether the peer may send that: it subscribes under its own names alone.
+func (l *link) allows(m distribution.Message) bool {
+	subscribe, subscribes := m.(*distribution.Subscribe)
+	return !subscribes || l.allowed == nil || l.allowed(subscribe.Name)
 }
 
-// counted counts what comes in.
-type counted struct {
+// countingConn counts the bytes that come in.
+type countingConn struct {
 	net.Conn
 	transport *Transport
 }
 
-func (c counted) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+// Read implements net.Conn.
+func (c countingConn) Read(into []byte) (int, error) {
+	n, err := c.Conn.Read(into)
 	c.transport.bytesIn.Add(int64(n))
 	return n, err
 }
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -1,6 +1,3 @@
-// Package transport carries the distribution of configuration over connections: it runs a distribution.Node as an
-// actor, brings it what peers send, and sends them what it says. Who is whose parent, what each receives and what is
-// refused the node decides; here nothing is decided.
 package transport
 
 import (
@@ -14,316 +11,205 @@
 	"wheelrill/distribution"
 )
 
-// Config is what a transport is started with. Callbacks come from the actor's goroutine: they must not wait, nor call the
-// transport.
-type Config struct {
-	Node distribution.Config
-	// Dial connects to a peer by its name, with all that has to be said before the first message.
-	Dial func(ctx context.Context, peer string) (net.Conn, error)
-	// Apply is told each change, in order; if whole, the entries are all that there is.
-	Apply func(change distribution.Change, whole bool)
-	// Log is told events; nil for nobody.
-	Log func(event distribution.Event)
-	// Bounds; what is 0 has its default.
-	Bounds Bounds
-}
-
-// Bounds are the sizes, counts and times of a transport.
-type Bounds struct {
-	Tick         time.Duration // between two looks at the time
-	DialTimeout  time.Duration
-	WriteTimeout time.Duration // for what is queued for a peer to leave
-	CloseTimeout time.Duration // the same, once the link is to be closed
-	Mailbox      int           // events that wait for the actor; readers wait beyond
-	QueueCount   int           // messages that wait for a peer; beyond, its link is closed
-	QueueBytes   int           // bytes of them, by the messages' estimates
-	MessageBytes int           // of one message that a peer sends
-	Incoming     int           // connections of callers; the next is closed at once
-}
-
-// Defaults of the bounds.
-const (
-	DefaultTick         = 100 * time.Millisecond
-	DefaultDialTimeout  = 2 * time.Second
-	DefaultWriteTimeout = 5 * time.Second
-	DefaultCloseTimeout = 500 * time.Millisecond
-	DefaultMailbox      = 64
-	DefaultQueueCount   = 256
-	DefaultQueueBytes   = 512 << 10
-	DefaultMessageBytes = 4 << 20
-	DefaultIncoming     = 1024
-)
-
-func (b Bounds) withDefaults() Bounds {
-	defaults := Bounds{DefaultTick, DefaultDialTimeout, DefaultWriteTimeout, DefaultCloseTimeout, DefaultMailbox,
-		DefaultQueueCount, DefaultQueueBytes, DefaultMessageBytes, DefaultIncoming}
-	return Bounds{
-		Tick:         given(b.Tick, defaults.Tick),
-		DialTimeout:  given(b.DialTimeout, defaults.DialTimeout),
-		WriteTimeout: given(b.WriteTimeout, defaults.WriteTimeout),
-		CloseTimeout: given(b.CloseTimeout, defaults.CloseTimeout),
-		Mailbox:      given(b.Mailbox, defaults.Mailbox),
-		QueueCount:   given(b.QueueCount, defaults.QueueCount),
-		QueueBytes:   given(b.QueueBytes, defaults.QueueBytes),
-		MessageBytes: given(b.MessageBytes, defaults.MessageBytes),
-		Incoming:     given(b.Incoming, defaults.Incoming),
-	}
-}
-
-func given[T int | time.Duration](value, absent T) T {
-	if value > 0 {
-		return value
-	}
-	return absent
-}
-
-// Transport is a node on connections. Its methods may be called from any goroutine.
+// Transport is a node on connections. Its methods may be called from any goroutine, but Run once only.
 type Transport struct {
 	config    Config
 	bounds    Bounds
-	began     time.Time
-	mail      chan event
-	ended     chan struct{}
-	bytesIn   atomic.Int64 // bytes received
-	bytesOut  atomic.Int64 // bytes sent
+	startedAt time.Time
+	mailbox   chan event    // of Bounds.Mailbox; read by Run, never closed
+	ended     chan struct{} // closed by Run at its end
+
+	bytesIn   atomic.Int64 // received
+	bytesOut  atomic.Int64 // sent
 	overflows atomic.Int64 // links closed as their queue was full
 
-	// The actor's alone.
-	node   *distribution.Node
-	links  map[distribution.Link]*link
-	broken []*link // that could not keep a message of this turn
-	ctx    context.Context
+	// Used by Run and what it calls alone.
+	node            *distribution.Node
+	links           map[distribution.Link]*link
+	overflowedLinks []*link // aborted in the event that is being handled; the node hears of them after it
+	ctx             context.Context
+
+	mutex     sync.Mutex         // of the three fields below
+	openLinks map[*link]struct{} // those with a connection, to be aborted at the end
+	closed    bool               // Run has ended; no link is added to openLinks any more
+	callers   int                // accepted connections, at most Bounds.Callers
 
-	mutex    sync.Mutex
-	open     map[*link]struct{} // links with a connection, for the end
-	over     bool
-	incoming int
-	running  sync.WaitGroup // dials and writers
+	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for them
 }
 
-// event is something for the actor.
+// event is something for the event loop. The kind says which of the other fields are set.
 type event struct {
 	kind    eventKind
-	link    *link
-	message distribution.Message
-	call    func(now int64)
+	link    *link                // of all kinds but eventCall
+	message distribution.Message // of eventReceived
+	run     func(now int64)      // of eventCall
 }
 
 type eventKind uint8
 
 const (
-	called eventKind = iota
-	accepted
-	connected
-	dialFailed
-	received
-	closed
+	eventCall eventKind = iota
+	eventAccepted
+	eventConnected
+	eventDialFailed
+	eventReceived
+	eventClosed
 )
 
 // New makes a transport. It does nothing before Run.
 func New(config Config) *Transport {
 	bounds := config.Bounds.withDefaults()
-	c := &Transport{config: config, bounds: bounds, began: time.Now(), mail: make(chan event, bounds.Mailbox),
-		ended: make(chan struct{}), links: map[distribution.Link]*link{}, open: map[*link]struct{}{}}
-	c.node = distribution.New(config.Node, host{c}, c.now())
-	return c
-}
-
-// now is the time since the transport was made, which never goes back.
-func (c *Transport) now() int64 { return time.Since(c.began).Microseconds() }
-
-// Run is the actor. It returns once the context has ended and all dials and writers with it.
-func (c *Transport) Run(ctx context.Context) {
-	c.ctx = ctx
-	defer c.running.Wait()
-	defer c.end()
-	tick := time.NewTimer(rand.N(c.bounds.Tick)) // many in one process do not all wake at once
+	t := &Transport{
+		config:    config,
+		bounds:    bounds,
+		startedAt: time.Now(),
+		mailbox:   make(chan event, bounds.Mailbox),
+		ended:     make(chan struct{}),
+		links:     map[distribution.Link]*link{},
+		openLinks: map[*link]struct{}{},
+	}
+	t.node = distribution.New(config.Node, host{t}, t.now())
+	return t
+}
+
+// now is the time in µs since the transport was made, which never goes back.
+func (t *Transport) now() int64 { return time.Since(t.startedAt).Microseconds() }
+
+// Run is the event loop. It returns once the context has ended and all dials and writers with it.
+func (t *Transport) Run(ctx context.Context) {
+	t.ctx = ctx
+	defer t.goroutines.Wait()
+	defer t.closeAll()
+	tick := time.NewTimer(rand.N(t.bounds.Tick)) // many in one process do not all wake at once
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.node.Tick(c.now())
-			tick.Reset(c.bounds.Tick)
-		case e := <-c.mail:
-			c.take(e)
+			t.node.Tick(t.now())
+			tick.Reset(t.bounds.Tick)
+		case e := <-t.mailbox:
+			t.handleEvent(e)
 		}
-		c.dropBroken()
+		t.reportOverflowedLinks()
 	}
 }
 
-// take hands the node what happened. What comes of a link that is closed by now is left aside.
-func (c *Transport) take(e event) {
-	now := c.now()
+// handleEvent tells the node what happened. Events of a link that is closed by now are dropped.
+func (t *Transport) handleEvent(e event) {
+	now := t.now()
 	switch e.kind {
-	case called:
-		e.call(now)
+	case eventCall:
+		e.run(now)
 		return
-	case accepted:
-		if e.link.id = c.node.Incoming(now); e.link.id == 0 {
-			e.link.close()
-			return
-		}
-		c.links[e.link.id] = e.link
+	case eventAccepted:
+		t.addCaller(e.link, now)
 		return
 	}
-	if c.links[e.link.id] != e.link {
+	if t.links[e.link.id] != e.link {
 		return
 	}
 	switch e.kind {
-	case connected:
-		c.node.Connected(e.link.id, now)
-	case dialFailed:
-		delete(c.links, e.link.id)
-		c.node.DialFailed(e.link.id, now)
-	case received:
-		c.node.Received(e.link.id, e.message, now)
-	case closed:
-		delete(c.links, e.link.id)
-		c.node.Closed(e.link.id, now)
+	case eventConnected:
+		t.node.Connected(e.link.id, now)
+	case eventDialFailed:
+		delete(t.links, e.link.id)
+		t.node.DialFailed(e.link.id, now)
+	case eventReceived:
+		t.node.Received(e.link.id, e.message, now)
+	case eventClosed:
+		delete(t.links, e.link.id)
+		t.node.Closed(e.link.id, now)
+	}
+}
+
+// addCaller has the node identify an accepted link, or closes the link if the node takes no more.
+func (t *Transport) addCaller(l *link, now int64) {
+	l.id = t.node.Incoming(now)
+	if l.id == 0 {
+		l.close()
+		return
 	}
+	t.links[l.id] = l
 }
 
-// dropBroken tells the node of links that could not keep a message.
-func (c *Transport) dropBroken() {
-	for len(c.broken) > 0 {
-		l := c.broken[0]
-		c.broken = c.broken[1:]
-		if c.links[l.id] == l {
-			delete(c.links, l.id)
-			c.node.Closed(l.id, c.now())
+// reportOverflowedLinks tells the node of links that could not keep a message.
+func (t *Transport) reportOverflowedLinks() {
+	for len(t.overflowedLinks) > 0 { // telling the node may add to them
+		overflowed := t.overflowedLinks[0]
+		t.overflowedLinks = t.overflowedLinks[1:]
+		if t.links[overflowed.id] == overflowed {
+			delete(t.links, overflowed.id)
+			t.node.Closed(overflowed.id, t.now())
 		}
 	}
-	c.broken = nil
+	t.overflowedLinks = nil
 }
 
-// post gives the actor an event; it waits while the mailbox is full. False: the transport has ended.
-func (c *Transport) post(e event) bool {
+// post gives the event loop an event; it waits while the mailbox is full. False: Run has ended.
+func (t *Transport) post(e event) bool {
 	select {
-	case c.mail <- e:
+	case t.mailbox <- e:
 		return true
-	case <-c.ended:
+	case <-t.ended:
 		return false
 	}
 }
 
-// end closes all connections; none is taken from now on.
-func (c *Transport) end() {
-	close(c.ended)
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.over = true
-	for l := range c.open {
+// closeAll aborts all connections; none is added from now on.
+func (t *Transport) closeAll() {
+	close(t.ended)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.closed = true
+	for l := range t.openLinks {
 		l.abort()
 	}
 }
 
-// register keeps a link with a connection for the end; false if that has come.
-func (c *Transport) register(l *link) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.over {
+// register adds a link with a connection to those that closeAll aborts; false if that is over.
+func (t *Transport) register(l *link) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.closed {
 		return false
 	}
-	c.open[l] = struct{}{}
+	t.openLinks[l] = struct{}{}
 	return true
 }
 
-func (c *Transport) unregister(l *link) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	delete(c.open, l)
+func (t *Transport) unregister(l *link) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	delete(t.openLinks, l)
 }
 
-// admit counts a caller; false if there are as many as can be.
-func (c *Transport) admit(change int) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.incoming+change > c.bounds.Incoming {
+// countCaller adds to the callers, or takes away; false if there are as many as can be.
+func (t *Transport) countCaller(change int) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.callers+change > t.bounds.Callers {
 		return false
 	}
-	c.incoming += change
+	t.callers += change
 	return true
 }
 
 // Accept serves the connection of a caller until it ends, and closes it. The caller may subscribe under those names
 // alone that allowed permits; nil permits all.
-func (c *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
+func (t *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
 	defer conn.Close()
-	if !c.admit(1) {
+	if !t.countCaller(1) {
 		return
 	}
-	defer c.admit(-1)
-	l := &link{transport: c, conn: conn, allowed: allowed}
-	if !c.register(l) {
+	defer t.countCaller(-1)
+	l := &link{transport: t, conn: conn, allowed: allowed}
+	if !t.register(l) {
 		return
 	}
-	defer c.unregister(l)
-	if c.post(event{kind: accepted, link: l}) {
+	defer t.unregister(l)
+	if t.post(event{kind: eventAccepted, link: l}) {
 		l.read()
 	}
 }
-
-// host acts for the node, within the actor's turn.
-type host struct{ *Transport }
-
-// Dial implements distribution.Host.
-func (h host) Dial(peer string, id distribution.Link) {
-	c := h.Transport
-	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.DialTimeout)
-	l := &link{transport: c, id: id, cancel: cancel}
-	c.links[id] = l
-	c.running.Go(func() {
-		conn, err := c.config.Dial(ctx, peer)
-		cancel()
-		if err != nil {
-			c.post(event{kind: dialFailed, link: l})
-			return
-		}
-		defer conn.Close()
-		if !l.attach(conn) || !c.register(l) {
-			return
-		}
-		defer c.unregister(l)
-		if c.post(event{kind: connected, link: l}) {
-			l.read()
-		}
-	})
-}
-
-// Send implements distribution.Host.
-func (h host) Send(id distribution.Link, m distribution.Message) {
-	l := h.links[id]
-	if l == nil || l.send(m) {
-		return
-	}
-	h.overflows.Add(1)
-	l.abort()
-	h.broken = append(h.broken, l)
-}
-
-// Close implements distribution.Host.
-func (h host) Close(id distribution.Link, _ distribution.CloseReason) {
-	if l := h.links[id]; l != nil {
-		delete(h.links, id)
-		l.close()
-	}
-}
-
-// Apply implements distribution.Host.
-func (h host) Apply(change distribution.Change, whole bool) {
-	if h.config.Apply != nil {
-		h.config.Apply(change, whole)
-	}
-}
-
-// Log implements distribution.Host.
-func (h host) Log(event distribution.Event) {
-	if h.config.Log != nil {
-		h.config.Log(event)
-	}
-}
-
-// Random implements distribution.Host.
-func (h host) Random() uint64 { return rand.Uint64() }
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -239,7 +239,7 @@
 
 func TestCallersAreBounded(t *testing.T) {
 	n := newNetwork()
-	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{Incoming: 2})
+	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{Callers: 2})
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	for range 2 {
@@ -250,7 +250,7 @@
 	until(t, "two are served", func() bool {
 		v.Transport.mutex.Lock()
 		defer v.Transport.mutex.Unlock()
-		return v.incoming == 2
+		return v.callers == 2
 	})
 	ours, theirs := net.Pipe()
 	v.Accept(theirs, nil)
@@ -283,7 +283,7 @@
 	}
 	s.Transport.mutex.Lock()
 	defer s.Transport.mutex.Unlock()
-	if len(s.open) != 0 || s.incoming != 0 {
-		t.Errorf("%d links, %d callers are left", len(s.open), s.incoming)
+	if len(s.openLinks) != 0 || s.callers != 0 {
+		t.Errorf("%d links, %d callers are left", len(s.openLinks), s.callers)
 	}
 }
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.running.Wait()
+	c.goroutines.Wait()
 	return bytes
 }
 
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,4 +1,5 @@
-// Package frame writes and reads messages on a stream: four bytes of length, the highest first, then CBOR.
+// Package frame writes and reads messages on a stream: four bytes of length, the highest first, then CBOR. Its functions
+// may be called at once on different streams.
 package frame
 
 import (
@@ -10,29 +11,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Header is the number of bytes before a message.
-const Header = 4
+// HeaderBytes is the number of bytes before a message.
+const HeaderBytes = 4
 
-const usualSize = 256 // of a new buffer
+const initialBufferBytes = 256
 
-// ErrTooLarge is a message over the bound of whoever writes or reads it.
-type ErrTooLarge struct{ Size, Most int }
+// TooLargeError is what a reader returns for a message over its bound. The stream cannot be read on.
+type TooLargeError struct {
+	// Size is the number of bytes of the message, without the header.
+	Size int
+	// Max is the bound on it.
+	Max int
+}
 
 // Error says both sizes.
-func (e ErrTooLarge) Error() string {
-	return fmt.Sprintf("a message of %d bytes, %d at most", e.Size, e.Most)
+func (e TooLargeError) Error() string {
+	return fmt.Sprintf("frame: a message of %d bytes, %d at most", e.Size, e.Max)
 }
 
-// Append adds a message as it goes onto the stream.
+// Append adds a message as it goes onto the stream. A message that cannot be encoded leaves the buffer as it was.
 func Append(to *bytes.Buffer, message any) error {
 	start := to.Len()
-	to.Write(make([]byte, Header))
+	to.Write(make([]byte, HeaderBytes))
 	if err := cbor.MarshalToBuffer(message, to); err != nil {
 		to.Truncate(start)
 		return err
 	}
 	framed := to.Bytes()[start:]
-	binary.BigEndian.PutUint32(framed, uint32(len(framed)-Header))
+	binary.BigEndian.PutUint32(framed, uint32(len(framed)-HeaderBytes))
 	return nil
 }
 
@@ -46,25 +52,26 @@
 	return err
 }
 
-// Read reads one message of a bounded size.
-func Read(from io.Reader, most int, into any) error {
-	_, err := ReadWith(from, nil, most, into)
+// Read reads one message of at most maxBytes. At the end of the stream the error is io.EOF, within a message
+// io.ErrUnexpectedEOF, and over the bound TooLargeError.
+func Read(from io.Reader, maxBytes int, into any) error {
+	_, err := ReadWith(from, nil, maxBytes, into)
 	return err
 }
 
-// ReadWith reads one message through a buffer, and gives the buffer back, which may have grown. Nothing that was read
-// refers to the buffer, as CBOR copies what it decodes.
-func ReadWith(from io.Reader, buffer []byte, most int, into any) ([]byte, error) {
-	if cap(buffer) < Header {
-		buffer = make([]byte, usualSize)
+// ReadWith is Read through a buffer, and gives the buffer back, which may have grown. Nothing that was read refers to the
+// buffer, as CBOR copies what it decodes.
+func ReadWith(from io.Reader, buffer []byte, maxBytes int, into any) ([]byte, error) {
+	if cap(buffer) < HeaderBytes {
+		buffer = make([]byte, initialBufferBytes)
 	}
-	header := buffer[:Header]
+	header := buffer[:HeaderBytes]
 	if _, err := io.ReadFull(from, header); err != nil {
 		return buffer, err
 	}
 	size := int64(binary.BigEndian.Uint32(header))
-	if size > int64(most) {
-		return buffer, ErrTooLarge{int(size), most}
+	if size > int64(maxBytes) {
+		return buffer, TooLargeError{Size: int(size), Max: maxBytes}
 	}
 	if int64(cap(buffer)) < size {
 		buffer = make([]byte, size)
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -45,7 +45,7 @@
 	}
 	framed := stream.Bytes()
 	var m message
-	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &ErrTooLarge{}) {
+	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &TooLargeError{}) {
 		t.Errorf("over the bound: %v", err)
 	}
 	if err := Read(bytes.NewReader(framed[:50]), 500, &m); !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -54,7 +54,7 @@
 	if err := Read(bytes.NewReader([]byte{0, 0, 0, 1, 0xff}), 500, &m); err == nil {
 		t.Error("taken, though it is no CBOR")
 	}
-	if err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 500, &m); !errors.As(err, &ErrTooLarge{}) {
+	if err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 500, &m); !errors.As(err, &TooLargeError{}) {
 		t.Errorf("far over the bound: %v", err)
 	}
 }
