--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -19,7 +19,7 @@
 	return conn.queues[0][0]
 }
 
-func TestRefusals(t *testing.T) {
+func TestSubscribeIsRefusedForEachReason(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxDepth, limits.MaxScopes, limits.FanOut = 2, 3, 3
 	c, _, first, _, leaf := tree(t, limits)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestScopesMustBeCovered(t *testing.T) {
+func TestSubscribeOfScopesThatTheParentLacksIsRefused(t *testing.T) {
 	limits := DefaultLimits()
 	c, _, leaf := duo(t, limits)
 	for _, wider := range []Scopes{AllScopes(), SomeScopes("b"), SomeScopes("a", "b")} {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestFullParentNamesOthers(t *testing.T) {
+func TestFullParentProposesItsChildren(t *testing.T) {
 	limits := DefaultLimits()
 	limits.FanOut = 2
 	c, v, _, _, _ := tree(t, limits)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestLeavesMakeRoomForRelays(t *testing.T) {
+func TestLeafIsEvictedForASubscriberWithChildren(t *testing.T) {
 	limits := DefaultLimits()
 	limits.FanOut = 2
 	leafLimits := limits
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestSnapshotsAreAdmittedAFewAtATime(t *testing.T) {
+func TestSubscribersBeyondMaxSnapshotsAreRefusedAsBusy(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxSnapshots, limits.PieceBytes = 2, 100
 	c := newCluster()
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestNoLoop(t *testing.T) {
+func TestSubscribersThatLoseTheVoterFormNoLoop(t *testing.T) {
 	limits := DefaultLimits()
 	c := newCluster()
 	c.random = true
@@ -179,7 +179,7 @@
 	c.expectCaughtUp(t, upper, middle, lower)
 }
 
-func TestHalfOpenPlaceIsReplaced(t *testing.T) {
+func TestHalfOpenPlaceIsReplacedByTheSameName(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
 	for _, conn := range c.conns { // the leaf's process is gone, and the voter has not heard of it
 		conn.dialer = &member{cluster: c, config: Config{Name: "lost"}, frozen: true}
@@ -223,7 +223,7 @@
 	c.sound(t)
 }
 
-func TestStateIsBounded(t *testing.T) {
+func TestSubscriberRefusesStateOverItsBound(t *testing.T) {
 	small := DefaultLimits()
 	small.StateBytes = 4000
 	c := newCluster()
@@ -244,7 +244,7 @@
 	c.expectCaughtUp(t, leaf)
 }
 
-func TestChildThatRenewsAndConfirmsNothing(t *testing.T) {
+func TestChildThatConfirmsNothingLosesItsPlace(t *testing.T) {
 	c, v, _ := duo(t, DefaultLimits())
 	version := v.node.Version()
 	request := &Subscribe{Name: "x", Scopes: AllScopes(), Version: version, Digest: v.node.store.digest}
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -321,7 +321,7 @@
 	return given
 }
 
-func TestEveryOrder(t *testing.T) {
+func TestNodesStayConsistentInEveryOrderOfEvents(t *testing.T) {
 	for _, w := range []startingState{
 		{"one voter and a subscriber", 1, 0, "", "a0 o0 f0 n0 m0 d1 u1 x1 y1 c1 h0 k1 p1 z1 t0", 4},
 		{"one voter, a relay and a subscriber", 1, 1, "", "a0 o0 f0 n0 m1 d1 x1 u1 d2 u2 x2 c1 c2 h0 k1 p1 k2 t0", 4},
@@ -344,7 +344,7 @@
 	}
 }
 
-func TestEveryOrderFindsFaults(t *testing.T) {
+func TestModelCheckFindsPlantedFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name, finds string
 		world       startingState
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"testing"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
 // only gives the one connection of a member as a dialer.
@@ -32,7 +30,7 @@
 	return c, v, leaf
 }
 
-func TestLostDeltaIsMendedByDeltas(t *testing.T) {
+func TestLostDeltaIsRecoveredByDeltas(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsTaken
 	c.fill(2)
@@ -46,7 +44,7 @@
 	}
 }
 
-func TestLastDeltaLostIsSeenByTheHeartbeat(t *testing.T) {
+func TestLossOfTheLastDeltaIsSeenByTheHeartbeat(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
 	c.fill(1)
 	c.follow(v, 1)
@@ -83,7 +81,7 @@
 	}
 }
 
-func TestWrongDigestAtTheChildIsSeenAtSubscribing(t *testing.T) {
+func TestWrongDigestOfAChildIsSeenWhenItSubscribes(t *testing.T) {
 	c, _, leaf := duo(t, DefaultLimits())
 	kept := leaf.node.State()
 	kept.Entries[0].Value = []byte("damaged")
@@ -99,7 +97,7 @@
 	}
 }
 
-func TestSubscriberStartsWithWhatItKept(t *testing.T) {
+func TestSubscriberStartsWithItsStoredState(t *testing.T) {
 	c, _, leaf := duo(t, DefaultLimits())
 	kept := leaf.node.State()
 	leaf.kill()
@@ -112,7 +110,7 @@
 	}
 }
 
-func TestSnapshotIsTakenWholeOrNotAtAll(t *testing.T) {
+func TestSnapshotIsInstalledWholeOrNotAtAll(t *testing.T) {
 	limits := DefaultLimits()
 	limits.PieceBytes = 64
 	c := newCluster()
@@ -149,7 +147,7 @@
 	}
 }
 
-func TestPiecesArePaced(t *testing.T) {
+func TestSnapshotPiecesKeepToThePace(t *testing.T) {
 	limits := DefaultLimits()
 	c := newCluster()
 	v := c.add(voter("v", limits))
@@ -174,7 +172,7 @@
 }
 
 // A pace above a window for each call of Elapsed is made use of: what a child confirms lets the next pieces go.
-func TestFastPace(t *testing.T) {
+func TestFastPaceIsReachedBetweenTicks(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 16 * mebibyte
 	c := newCluster()
@@ -192,7 +190,7 @@
 }
 
 // A pause of hours, as of a machine that was suspended, gives no more credit than a second does.
-func TestPaceAfterAPause(t *testing.T) {
+func TestCreditOfThePaceIsBoundedAfterAPause(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 1 << 30
 	n := &Node{limits: limits}
@@ -204,7 +202,7 @@
 	}
 }
 
-func TestCompactedRevision(t *testing.T) {
+func TestChildAtACompactedRevisionCatchesUp(t *testing.T) {
 	for _, story := range []struct {
 		name       string
 		compact    func(v *member, revision uint64)
@@ -238,8 +236,8 @@
 	}
 }
 
-// TestMergedChangeIsPassedOn has a relay that took a merged change serve children from before, within and after it.
-func TestMergedChangeIsPassedOn(t *testing.T) {
+// TestMergedChangeReachesChildrenOfChildren has a relay that took a merged change serve children from before, within and after it.
+func TestMergedChangeReachesChildrenOfChildren(t *testing.T) {
 	limits := DefaultLimits()
 	c := newCluster()
 	v := c.add(voter("v", limits))
@@ -297,108 +295,7 @@
 	}
 }
 
-func TestEpochs(t *testing.T) {
-	t.Run("a newer one is taken by a snapshot", func(t *testing.T) {
-		c, _, first, _, leaf := tree(t, DefaultLimits())
-		old := leaf.node.Version()
-		c.found(Epoch{Number: 8, Identity: 80})
-		c.fill(2)
-		c.pass(3*second, tick)
-		c.expectCaughtUp(t, first, leaf)
-		if !old.Before(leaf.node.Version()) {
-			t.Error("the newer epoch is not after the older")
-		}
-	})
-	t.Run("an older one is refused", func(t *testing.T) {
-		c, v, leaf := duo(t, DefaultLimits())
-		c.found(Epoch{Number: 8, Identity: 80})
-		c.fill(2)
-		c.pass(2*second, tick)
-		before := leaf.node.Version()
-		v.kill()
-		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
-		v.start(State{})
-		c.fill(9)
-		c.pass(20*second, tick)
-		c.sound(t)
-		if leaf.node.Version() != before {
-			t.Errorf("it went to %v", leaf.node.Version())
-		}
-	})
-	t.Run("one of the same number is refused and logged", func(t *testing.T) {
-		c, v, leaf := duo(t, DefaultLimits())
-		before := leaf.node.Version()
-		v.kill()
-		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
-		v.start(State{})
-		c.fill(9)
-		c.pass(20*second, tick)
-		c.sound(t)
-		if leaf.node.Version() != before {
-			t.Errorf("it went to %v", leaf.node.Version())
-		}
-		refused := 0
-		for _, e := range v.events {
-			if e.Refusal == RefusedConflict {
-				refused++
-			}
-		}
-		if refused == 0 || refused > 5 {
-			t.Errorf("refused %d times", refused)
-		}
-	})
-	t.Run("the next grows also for one who has lost all", func(t *testing.T) {
-		first := NextEpoch(Epoch{}, 1_700_000_000, 1)
-		second := NextEpoch(first, 1_600_000_000, 2)
-		third := NextEpoch(Epoch{}, 1_700_000_100, 3)
-		if !second.Newer(first) || !third.Newer(second) {
-			t.Errorf("%v, %v, %v", first, second, third)
-		}
-	})
-}
-
-func TestVoterRefusesWhatDoesNotFollow(t *testing.T) {
-	c, v, _ := duo(t, DefaultLimits())
-	version := v.node.Version()
-	for _, change := range []Change{
-		{Epoch: c.epoch, Revision: version.Revision},
-		{Epoch: c.epoch, Revision: 1},
-		{Epoch: Epoch{Number: 9}, Revision: 99},
-		{Epoch: Epoch{Number: 1}, Revision: 99},
-	} {
-		change.Entries = []Entry{set("a", "x", "wrong")}
-		if v.node.Accepted(change, c.now) {
-			t.Errorf("%v was taken", change)
-		}
-	}
-	if v.node.Restored(State{Version: Version{c.epoch, 1}}, c.now) {
-		t.Error("an older state was taken")
-	}
-	v.verify()
-	c.sound(t)
-}
-
-func TestRestartWithAFloorTakesNothingOlder(t *testing.T) {
-	c := newCluster()
-	limits := DefaultLimits()
-	behind := c.add(voter("behind", limits))
-	c.fill(5)
-	c.pass(tick, tick)
-	behind.leads = false
-	config := subscriber("leaf", SomeScopes("a"), limits, "behind")
-	config.Floor = Version{c.epoch, 8}
-	leaf := c.add(config)
-	c.fill(4)
-	c.pass(10*second, tick)
-	if leaf.node.Version() != (Version{}) {
-		t.Fatalf("it took %v", leaf.node.Version())
-	}
-	behind.leads = true
-	c.pass(3*second, tick)
-	c.expectCaughtUp(t, leaf)
-}
-
-func TestResubscribe(t *testing.T) {
+func TestResubscribeKeepsTheOldScopesUntilTheSnapshotIsComplete(t *testing.T) {
 	c, _, leaf := duo(t, DefaultLimits())
 	leaf.node.Resubscribe(SomeScopes("b", "a"), c.now)
 	if _, found := leaf.node.Get(Key{"a", "entry0"}); !found {
@@ -419,45 +316,6 @@
 	}
 }
 
-func TestMessagesAreSmall(t *testing.T) {
-	beat := &Heartbeat{
-		Epoch:    Epoch{1_790_000_000, 1 << 60},
-		Previous: 12_345_678,
-		Revision: 12_345_678,
-		Digest:   Digest{1 << 60, 1 << 61},
-		Path:     []string{"voter-1", "relay-12", "relay-345"},
-		Age:      123_456,
-		Source:   Version{Epoch{1_790_000_000, 1 << 60}, 12_345_678},
-	}
-	encoded, err := cbor.Marshal(NewEnvelope(beat))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(encoded) > 128 || beat.Size() < len(encoded)*3/4 {
-		t.Errorf("a heartbeat has %d bytes, estimated %d", len(encoded), beat.Size())
-	}
-	renew, err := cbor.Marshal(NewEnvelope(&Renew{Version: beat.Source, Received: 100_000}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(renew) > 48 {
-		t.Errorf("a renewal has %d bytes", len(renew))
-	}
-}
-
-func TestEnvelopeHoldsOneMessage(t *testing.T) {
-	for _, envelope := range []Envelope{{}, {Renew: &Renew{}, Refused: &Refused{}}} {
-		if m, err := envelope.Message(); err == nil {
-			t.Errorf("%+v gives %v", envelope, m)
-		}
-	}
-	for _, m := range []Message{&Subscribe{}, &Admitted{}, &Refused{}, &Delta{}, &SnapshotPiece{}, &Heartbeat{}, &Renew{}} {
-		if got, err := NewEnvelope(m).Message(); err != nil || got != m {
-			t.Errorf("%T comes back as %T, %v", m, got, err)
-		}
-	}
-}
-
 // dropLog drops the log up to a revision and leaves the tombstones.
 func dropLog(m *member, revision uint64) { m.node.store.log.dropTo(revision) }
 
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestParentLost(t *testing.T) {
+func TestChildOfALostParentCatchesUpByDeltas(t *testing.T) {
 	for _, failure := range []struct {
 		name    string
 		inflict func(c *cluster, parent, leaf *member)
@@ -122,7 +122,7 @@
 	c.expectCaughtUp(t, first)
 }
 
-func TestParentAtAnOlderRevision(t *testing.T) {
+func TestParentThatLagsChangesNothingAndIsLeftForABetterOne(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestMajorityLost(t *testing.T) {
+func TestSubscribersTellTheirAgeWhileTheMajorityIsLost(t *testing.T) {
 	c, v, first, _, leaf := tree(t, DefaultLimits())
 	v.leads = false
 	dials := leaf.node.Status(c.now).Counts.Dials
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestTwoParentsAtOnce(t *testing.T) {
+func TestSlowParentIsHedgedByASecond(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
 	slow := c.add(voter("slow", limits))
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestBothParentsAdmit(t *testing.T) {
+func TestFirstOfTwoParentsThatAdmitIsChosen(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
 	one, other := c.add(voter("one", limits)), c.add(voter("other", limits))
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestSubscriberThatReadsNothing(t *testing.T) {
+func TestChildThatReadsNothingHoldsNobodyUp(t *testing.T) {
 	limits := DefaultLimits()
 	limits.LogChanges, limits.Tombstones = 50, 10
 	c, v, first, _, leaf := tree(t, limits)
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestAllStartAtOnce(t *testing.T) {
+func TestManySubscribersThatStartAtOnceAllCatchUp(t *testing.T) {
 	c := newCluster()
 	c.random = true
 	limits := DefaultLimits()
@@ -323,7 +323,7 @@
 	}
 }
 
-func TestRegionComesBack(t *testing.T) {
+func TestRegionThatWasCutOffCatchesUp(t *testing.T) {
 	c := newCluster()
 	c.random = true
 	limits := DefaultLimits()
--- a/distribution/record_test.go
+++ b/distribution/record_test.go
@@ -27,7 +27,7 @@
 	return change
 }
 
-func TestVoterState(t *testing.T) {
+func TestRecordAppliesProposalsInOrder(t *testing.T) {
 	v := NewRecord()
 	if _, err := v.Apply(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNoEpoch) {
 		t.Errorf("without an epoch: %v", err)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestVoterStateRefusesWhole(t *testing.T) {
+func TestRecordRefusesAProposalWhole(t *testing.T) {
 	large := Entry{Scope: "s", Name: "large", Value: make([]byte, MaxChangeBytes)}
 	for name, refused := range map[string]struct {
 		entries []Entry
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestVoterStateFull(t *testing.T) {
+func TestRecordRefusesProposalsOverItsBound(t *testing.T) {
 	v := founded(t)
 	body := make([]byte, MaxChangeBytes/2)
 	for i := 0; ; i++ {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestDifference(t *testing.T) {
+func TestDifferenceLeadsToTheWantedEntries(t *testing.T) {
 	v := founded(t)
 	accepts(t, v, Entry{Scope: "s", Name: "same", Value: value("1")}, Entry{Scope: "s", Name: "other", Value: value("1")},
 		Entry{Scope: "r", Name: "gone", Value: value("1")}, Entry{Scope: "r", Name: "buried", Value: value("1")})
@@ -122,7 +122,7 @@
 }
 
 // A record that is restored goes on as the one that it was taken from.
-func TestVoterStateRestored(t *testing.T) {
+func TestRestoredRecordGoesOnLikeTheOriginal(t *testing.T) {
 	v := founded(t)
 	accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
 	accepts(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
@@ -141,7 +141,7 @@
 }
 
 // Tombstones are bounded, and the horizon says from where on none is missing.
-func TestVoterStateForgetsTombstones(t *testing.T) {
+func TestRecordBoundsItsTombstones(t *testing.T) {
 	v := founded(t)
 	const more = 5
 	for i := range DefaultTombstones + more {
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -170,8 +170,8 @@
 	return free
 }
 
-// TestMembers plays voters on a real record over TLS, and subscribers that are no members.
-func TestMembers(t *testing.T) {
+// TestSubscribersFollowARecordOfThreeMembersOverTLS plays voters on a real record over TLS, and subscribers that are no members.
+func TestSubscribersFollowARecordOfThreeMembersOverTLS(t *testing.T) {
 	ours, foreign := newAuthority(t), newAuthority(t)
 	members := freeAddresses(t, "a", "b", "c")
 	var parents []string
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -11,7 +11,7 @@
 	"wheelrill/internal/frame"
 )
 
-func TestChangesReachAll(t *testing.T) {
+func TestChangesReachAllSubscribers(t *testing.T) {
 	n := newNetwork()
 	voters := []*peer{n.voter(t, "v0", 2), n.voter(t, "v1", 2), n.voter(t, "v2", 2)}
 	r := newRecord(voters...)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestParentKilled(t *testing.T) {
+func TestSubscriberOfAKilledParentGetsTheNextChangeFromAnother(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestParentThatSaysNothing(t *testing.T) {
+func TestParentThatNeverAnswersIsLeftForAnother(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
@@ -89,7 +89,7 @@
 }
 
 // A parent that is frozen, with its connections open: the kernel goes on taking what is sent to it.
-func TestParentFreezes(t *testing.T) {
+func TestFrozenParentIsLeftAndTheAgeTold(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestMajorityLost(t *testing.T) {
+func TestSubscriberTellsWhenTheMajorityIsLost(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
@@ -194,7 +194,7 @@
 	until(t, "the other has all", func() bool { return s.has() == "pricing/a=2" })
 }
 
-func TestNamesThatAreNotAllowed(t *testing.T) {
+func TestSubscribeUnderANameThatIsNotAllowedIsClosed(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
 	r := newRecord(v)
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestBrokenMessages(t *testing.T) {
+func TestBrokenMessagesCloseTheConnection(t *testing.T) {
 	n := newNetwork()
 	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{MessageBytes: 1 << 10})
 	for name, bytes := range map[string][]byte{
@@ -260,7 +260,7 @@
 }
 
 // At the end all connections are closed, and Run returns only when nothing of it is left.
-func TestEnd(t *testing.T) {
+func TestRunClosesAllConnectionsAtItsEnd(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
 	r := newRecord(v)
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -12,7 +12,7 @@
 	Body []byte `cbor:"2,keyasint,omitempty"`
 }
 
-func TestFrames(t *testing.T) {
+func TestFramesAreReadInOrderThroughOneBuffer(t *testing.T) {
 	var stream bytes.Buffer
 	sent := []message{{"a", []byte{1, 2, 3}}, {"b", bytes.Repeat([]byte{7}, 5000)}, {"c", nil}}
 	for _, m := range sent {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestFramesRefused(t *testing.T) {
+func TestFramesThatAreTooLargeOrCutOffAreRefused(t *testing.T) {
 	var stream bytes.Buffer
 	if err := Append(&stream, message{Name: "a", Body: make([]byte, 100)}); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestAppendKeepsWhatWasThere(t *testing.T) {
+func TestAppendThatFailsLeavesTheBufferAsItWas(t *testing.T) {
 	var stream bytes.Buffer
 	if err := Write(&stream, message{Name: "a"}); err != nil {
 		t.Fatal(err)
