--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // handleSubscribe handles a request for a place, or for a snapshot by a child that has one.
-func (n *Node) handleSubscribe(link Link, m *Subscribe, now int64) {
+func (n *Node) handleSubscribe(link Link, m *Subscribe, now Microseconds) {
 	if known := n.childByLink(link); known != nil {
 		n.handleResubscribe(known, m, now)
 		return
@@ -24,7 +24,7 @@
 }
 
 // handleResubscribe handles a request of a child that has a place.
-func (n *Node) handleResubscribe(c *child, m *Subscribe, now int64) {
+func (n *Node) handleResubscribe(c *child, m *Subscribe, now Microseconds) {
 	reason := n.violatedRule(m)
 	if m.Name != c.name {
 		reason = RefusedMalformed
@@ -38,7 +38,7 @@
 }
 
 // admitChild grants the lease and starts to send what the child lacks.
-func (n *Node) admitChild(c *child, m *Subscribe, now int64) {
+func (n *Node) admitChild(c *child, m *Subscribe, now Microseconds) {
 	c.scopes = m.Scopes
 	c.fanOut = m.FanOut
 	c.leaseEnd = now + n.limits.Lease
@@ -138,7 +138,7 @@
 }
 
 // evictFor ends the place of a child for a subscriber that was not refused, where every place is taken.
-func (n *Node) evictFor(m *Subscribe, now int64) {
+func (n *Node) evictFor(m *Subscribe, now Microseconds) {
 	if len(n.children) < n.limits.FanOut {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 // replaceSameName ends the place that a child has on an older link, which may be half-open.
-func (n *Node) replaceSameName(name string, now int64) {
+func (n *Node) replaceSameName(name string, now Microseconds) {
 	for _, child := range n.children {
 		if child.name == name {
 			n.host.Close(child.link, CloseReplaced)
@@ -168,7 +168,7 @@
 
 // retryAfter is the µs after which a refused child may come again, with jitter so that those refused together don't come
 // together.
-func (n *Node) retryAfter(reason RefusalReason) int64 {
+func (n *Node) retryAfter(reason RefusalReason) Microseconds {
 	least := n.limits.MaxRetryAfter / 2
 	switch reason {
 	case RefusedBusy:
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -5,9 +5,9 @@
 // candidate is a possible parent.
 type candidate struct {
 	name                string
-	configured          bool  // it stays; others make room for newer ones
-	proposed            bool  // by a refusal, and not tried since
-	avoidUntil          int64 // no dial before that time
+	configured          bool         // it stays; others make room for newer ones
+	proposed            bool         // by a refusal, and not tried since
+	avoidUntil          Microseconds // no dial before that time
 	consecutiveFailures int
 }
 
@@ -77,7 +77,7 @@
 
 // pickCandidate chooses whom to dial: one that a refusal has named, else one that is configured, else one that was
 // learned; among those by chance. It gives none if none may be dialled now.
-func (n *Node) pickCandidate(now int64) string {
+func (n *Node) pickCandidate(now Microseconds) string {
 	var best []*candidate
 	bestPriority := 0
 	for i := range n.candidates {
@@ -116,14 +116,14 @@
 }
 
 // avoidUntil has a peer not dialled before a time.
-func (n *Node) avoidUntil(peer string, until int64) {
+func (n *Node) avoidUntil(peer string, until Microseconds) {
 	if candidate := n.candidateByName(peer); candidate != nil {
 		candidate.avoidUntil = max(candidate.avoidUntil, until)
 	}
 }
 
 // recordFailure notes a failure at a peer: it is not dialled for longer each time, and neither is anybody else.
-func (n *Node) recordFailure(peer string, now int64) {
+func (n *Node) recordFailure(peer string, now Microseconds) {
 	if candidate := n.candidateByName(peer); candidate != nil {
 		candidate.consecutiveFailures++
 		delay := n.backoffDelay(candidate.consecutiveFailures)
@@ -134,7 +134,7 @@
 }
 
 // backoffDelay is the longest wait, in µs, after a number of failures in a row.
-func (n *Node) backoffDelay(failures int) int64 {
+func (n *Node) backoffDelay(failures int) Microseconds {
 	delay := n.limits.MinBackoff
 	for range failures - 1 {
 		if delay >= n.limits.MaxBackoff {
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -11,7 +11,7 @@
 // caller is a link that came in and has not subscribed yet.
 type caller struct {
 	link  Link
-	since int64
+	since Microseconds
 }
 
 // child is a place in the tree below this node, on a lease.
@@ -20,8 +20,8 @@
 	name            string
 	scopes          Scopes
 	fanOut          int // children that it would take itself
-	leaseEnd        int64
-	nextHeartbeatAt int64
+	leaseEnd        Microseconds
+	nextHeartbeatAt Microseconds
 	heartbeatsSent  int
 
 	// sentVersion is what the child has once it has got everything that was sent.
@@ -54,14 +54,14 @@
 }
 
 // removeChild frees a place. The link is closed already.
-func (n *Node) removeChild(c *child, reason CloseReason, now int64) {
+func (n *Node) removeChild(c *child, reason CloseReason, now Microseconds) {
 	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
 	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sentVersion, CloseReason: reason})
 	n.startSnapshots(now)
 }
 
 // removeUncoveredChildren ends the places of children that ask for more than this node has now.
-func (n *Node) removeUncoveredChildren(now int64) {
+func (n *Node) removeUncoveredChildren(now Microseconds) {
 	for _, child := range slices.Clone(n.children) {
 		if n.store.covered.Cover(child.scopes) {
 			continue
@@ -77,7 +77,7 @@
 }
 
 // handleRenew renews a lease and notes what the child has got.
-func (n *Node) handleRenew(link Link, m *Renew, now int64) {
+func (n *Node) handleRenew(link Link, m *Renew, now Microseconds) {
 	child := n.childByLink(link)
 	if child == nil {
 		return
@@ -96,7 +96,7 @@
 }
 
 // checkChildren ends leases that were not renewed, and callers that do not subscribe.
-func (n *Node) checkChildren(now int64) {
+func (n *Node) checkChildren(now Microseconds) {
 	for i := 0; i < len(n.children); i++ {
 		child := n.children[i]
 		if now >= child.leaseEnd || len(child.unconfirmedSizes) > maxUnconfirmedMessages {
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -43,7 +43,7 @@
 }
 
 // replaceStore installs a complete state in one step.
-func (n *Node) replaceStore(installed *store, now int64) {
+func (n *Node) replaceStore(installed *store, now Microseconds) {
 	n.store = installed
 	n.host.Apply(Change{
 		Epoch:    installed.version.Epoch,
--- a/distribution/deltas.go
+++ b/distribution/deltas.go
@@ -12,7 +12,7 @@
 }
 
 // sendDeltasToAll sends every child what it lacks.
-func (n *Node) sendDeltasToAll(now int64) {
+func (n *Node) sendDeltasToAll(now Microseconds) {
 	for _, child := range n.children {
 		n.sendDeltas(child, now)
 	}
@@ -22,7 +22,7 @@
 // sendDeltas sends a child the deltas that it lacks, as far as its window allows, and tells whether everything is sent.
 // Nothing is queued for a child: what it has yet to get is what the log holds after the version sent to it, and if the
 // log drops that, a snapshot follows.
-func (n *Node) sendDeltas(c *child, now int64) (allSent bool) {
+func (n *Node) sendDeltas(c *child, now Microseconds) (allSent bool) {
 	for !c.awaitsSnapshot && c.snapshot == nil && !n.isNewerThanOwn(c) && c.unconfirmedBytes < n.limits.Window {
 		delta, possible := n.store.deltaFrom(c.sentVersion, c.scopes, n.limits.BatchBytes)
 		if !possible {
@@ -44,14 +44,14 @@
 func (n *Node) isNewerThanOwn(c *child) bool { return n.store.version.Before(c.sentVersion) }
 
 // scheduleHeartbeats has every child get a heartbeat with the next Tick.
-func (n *Node) scheduleHeartbeats(now int64) {
+func (n *Node) scheduleHeartbeats(now Microseconds) {
 	for _, child := range n.children {
 		child.nextHeartbeatAt = now
 	}
 }
 
 // sendDueHeartbeats sends the heartbeats that are due.
-func (n *Node) sendDueHeartbeats(now int64) {
+func (n *Node) sendDueHeartbeats(now Microseconds) {
 	for _, child := range n.children {
 		if now >= child.nextHeartbeatAt {
 			n.sendHeartbeat(child, now)
@@ -61,7 +61,7 @@
 
 // sendHeartbeat tells a child that this node is there. If the child has got everything, it moves the child on to this
 // node's revision.
-func (n *Node) sendHeartbeat(c *child, now int64) {
+func (n *Node) sendHeartbeat(c *child, now Microseconds) {
 	c.nextHeartbeatAt = now + n.limits.Heartbeat
 	heartbeat := &Heartbeat{Source: n.store.version, Path: n.ownPath(), Age: n.sourceAge(now)}
 	if c.heartbeatsSent%heartbeatsPerProposal == 0 {
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -3,12 +3,12 @@
 // incomingSnapshot is a snapshot that is built up aside; the node's store stays as it is until the snapshot is complete.
 type incomingSnapshot struct {
 	store      *store
-	nextIndex  int   // of the next piece
-	progressAt int64 // when the last piece arrived
+	nextIndex  int          // of the next piece
+	progressAt Microseconds // when the last piece arrived
 }
 
 // handleSnapshotPiece adds a piece to the snapshot that is being received, and installs the snapshot after the last.
-func (n *Node) handleSnapshotPiece(upstream *parentLink, m *SnapshotPiece, now int64) {
+func (n *Node) handleSnapshotPiece(upstream *parentLink, m *SnapshotPiece, now Microseconds) {
 	if m.Index == 0 {
 		if !n.acceptsSnapshotOf(upstream, m.Version, now) {
 			return
@@ -41,7 +41,7 @@
 
 // acceptsSnapshotOf tells whether a snapshot of a version may replace what this node has: it is no older, and not of an
 // epoch founded beside. The parent is left if not.
-func (n *Node) acceptsSnapshotOf(upstream *parentLink, version Version, now int64) bool {
+func (n *Node) acceptsSnapshotOf(upstream *parentLink, version Version, now Microseconds) bool {
 	switch {
 	case n.conflictsWith(version.Epoch) || !version.Epoch.Known():
 		n.rejectConflict(upstream, now)
@@ -55,7 +55,7 @@
 }
 
 // installSnapshot replaces what this node has by a snapshot that is complete and matches its digest.
-func (n *Node) installSnapshot(upstream *parentLink, m *SnapshotPiece, now int64) {
+func (n *Node) installSnapshot(upstream *parentLink, m *SnapshotPiece, now Microseconds) {
 	installed := n.incomingSnapshot.store
 	installed.tombstones.horizon = max(installed.tombstones.horizon, m.Horizon)
 	n.incomingSnapshot = nil
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -1,9 +1,12 @@
 package distribution
 
+// Microseconds is a time of the node's own clock, or a duration on it.
+type Microseconds = int64
+
 // Units of the limits: times are in microseconds, sizes in bytes.
 const (
-	millisecond int64 = 1_000
-	second      int64 = 1_000 * millisecond
+	millisecond Microseconds = 1_000
+	second      Microseconds = 1_000 * millisecond
 
 	kibibyte = 1 << 10
 	mebibyte = 1 << 20
@@ -11,14 +14,14 @@
 
 // Limits bounds what a node keeps, sends and waits for.
 type Limits struct {
-	// Heartbeat is the µs between two heartbeats to a child.
-	Heartbeat int64
-	// Lease is the µs of silence after which a child loses its place, and a parent its child.
-	Lease int64
-	// Handshake is the µs that a dial and its admission may take, and a caller until it subscribes.
-	Handshake int64
-	// MaxStaleness is the µs of age, or of a parent's lag, after which another parent is looked for.
-	MaxStaleness int64
+	// Heartbeat is the time between two heartbeats to a child.
+	Heartbeat Microseconds
+	// Lease is the time of silence after which a child loses its place, and a parent its child.
+	Lease Microseconds
+	// Handshake is the time that a dial and its admission may take, and a caller until it subscribes.
+	Handshake Microseconds
+	// MaxStaleness is the time of age, or of a parent's lag, after which another parent is looked for.
+	MaxStaleness Microseconds
 
 	// FanOut is the number of children of one parent.
 	FanOut int
@@ -45,14 +48,14 @@
 	// SnapshotBytesPerSecond is the pace of all these snapshots together.
 	SnapshotBytesPerSecond int
 
-	// MinBackoff is the µs to wait after a first failure, before jitter.
-	MinBackoff int64
-	// MaxBackoff is the µs to wait after many failures, before jitter.
-	MaxBackoff int64
-	// HedgeDelay is the µs after which another parent is dialled beside those that have not admitted yet.
-	HedgeDelay int64
-	// MaxRetryAfter is the µs after which a refused child may come again at the latest.
-	MaxRetryAfter int64
+	// MinBackoff is the time to wait after a first failure, before jitter.
+	MinBackoff Microseconds
+	// MaxBackoff is the time to wait after many failures, before jitter.
+	MaxBackoff Microseconds
+	// HedgeDelay is the time after which another parent is dialled beside those that have not admitted yet.
+	HedgeDelay Microseconds
+	// MaxRetryAfter is the time after which a refused child may come again at the latest.
+	MaxRetryAfter Microseconds
 	// MaxCandidates is the number of possible parents kept, configured ones not counted.
 	MaxCandidates int
 	// MaxProposed is the number of candidates in one message.
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -26,18 +26,18 @@
 }
 
 // NeverCurrent is the age of a node that has not known its source to be current since it started.
-const NeverCurrent int64 = -1
+const NeverCurrent Microseconds = -1
 
 // Admitted grants a lease on a place.
 type Admitted struct {
 	// Lease is the µs without a Renew after which the place is free again.
-	Lease int64 `cbor:"1,keyasint,omitempty"`
+	Lease Microseconds `cbor:"1,keyasint,omitempty"`
 	// Version is what the parent has.
 	Version Version `cbor:"2,keyasint,omitempty"`
 	// Path holds the names from the voter down to the parent, which is the last.
 	Path []string `cbor:"3,keyasint,omitempty"`
 	// Age is the µs for which the parent has not known its source to be current; NeverCurrent if it never was.
-	Age int64 `cbor:"4,keyasint,omitempty"`
+	Age Microseconds `cbor:"4,keyasint,omitempty"`
 	// Candidates are other possible parents.
 	Candidates []string `cbor:"5,keyasint,omitempty"`
 	// Request is that of the Subscribe that this answers.
@@ -70,7 +70,7 @@
 	// Reason is never zero.
 	Reason RefusalReason `cbor:"1,keyasint,omitempty"`
 	// RetryAfter is the µs before the child may ask here again.
-	RetryAfter int64 `cbor:"2,keyasint,omitempty"`
+	RetryAfter Microseconds `cbor:"2,keyasint,omitempty"`
 	// Candidates are parents that the child may ask instead.
 	Candidates []string `cbor:"3,keyasint,omitempty"`
 }
@@ -120,7 +120,7 @@
 	// Path is as in Admitted.
 	Path []string `cbor:"5,keyasint,omitempty"`
 	// Age is as in Admitted.
-	Age int64 `cbor:"6,keyasint,omitempty"`
+	Age Microseconds `cbor:"6,keyasint,omitempty"`
 	// Candidates are as in Admitted, in one of heartbeatsPerProposal heartbeats.
 	Candidates []string `cbor:"7,keyasint,omitempty"`
 	// Source is what the parent has.
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -52,7 +52,7 @@
 	callers          []caller // links that came in and have not subscribed yet; at most FanOut and maxExtraCallers
 	children         []*child // in the order of their admission; at most FanOut
 	snapshotCredit   int64    // millionths of a byte that snapshots may send now; below zero after a larger piece
-	creditRefilledAt int64
+	creditRefilledAt Microseconds
 	lastServedChild  int // index of the child that got the last piece of a snapshot
 
 	// As a child.
@@ -61,11 +61,11 @@
 	incomingSnapshot    *incomingSnapshot // nil while none is being received
 	contentInDoubt      bool              // a digest was wrong; nothing but a snapshot is taken until one is installed
 	candidates          []candidate       // configured ones first; of others at most MaxCandidates
-	nextDialAt          int64
+	nextDialAt          Microseconds
 	consecutiveFailures int // to get a place, since the source was last known to be current
 	consecutiveRefusals int // since this node last got a place
 
-	sourceCurrentAt   int64 // when the source was last known to be current
+	sourceCurrentAt   Microseconds // when the source was last known to be current
 	sourceEverCurrent bool
 	loggedStale       bool // whether EventSourceStale was the last of its two events
 
@@ -80,7 +80,7 @@
 }
 
 // New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Tick.
-func New(config Config, host Host, now int64) *Node {
+func New(config Config, host Host, now Microseconds) *Node {
 	n := &Node{config: config, host: host, limits: config.Limits, creditRefilledAt: now, nextDialAt: now}
 	if config.Voter {
 		n.config.Scopes = AllScopes()
@@ -102,7 +102,7 @@
 
 // Accepted hands a voter the next change of the record. Revisions grow, and need not be consecutive. It tells whether
 // the change was applied: not if it is no newer than what the voter has, or of another epoch.
-func (n *Node) Accepted(change Change, now int64) bool {
+func (n *Node) Accepted(change Change, now Microseconds) bool {
 	version := Version{change.Epoch, change.Revision}
 	if !n.store.version.Epoch.Known() {
 		n.store.version.Epoch = change.Epoch
@@ -119,7 +119,7 @@
 // Restored hands a voter the state of a record: at its start, from a snapshot of the record, or empty with a new epoch
 // when a record was founded anew. A subscriber can be started with the State of its last run. A state that is older than
 // what the node has, or without an epoch, is refused.
-func (n *Node) Restored(state State, now int64) bool {
+func (n *Node) Restored(state State, now Microseconds) bool {
 	covered := state.Covered
 	if n.config.Voter {
 		covered = AllScopes()
@@ -140,13 +140,13 @@
 
 // Current says that the voter has just known its record to be led by a majority and itself to have all of it, so that
 // nothing newer was accepted anywhere for longer than that takes to reach it.
-func (n *Node) Current(now int64) { n.noteSourceCurrent(now) }
+func (n *Node) Current(now Microseconds) { n.noteSourceCurrent(now) }
 
 // Compact drops changes up to a revision from the log, and tombstones up to it, besides what the limits drop.
 func (n *Node) Compact(revision uint64) { n.store.compactTo(revision) }
 
 // Tick lets time pass. The host calls it some ten times a second.
-func (n *Node) Tick(now int64) {
+func (n *Node) Tick(now Microseconds) {
 	n.checkParent(now)
 	n.checkAttempts(now)
 	n.checkChildren(now)
@@ -159,7 +159,7 @@
 
 // Incoming identifies the link of a caller that the host has accepted. Its first message must be a Subscribe. Zero says
 // that too many callers have not subscribed yet; the host closes the connection.
-func (n *Node) Incoming(now int64) Link {
+func (n *Node) Incoming(now Microseconds) Link {
 	if len(n.callers) >= n.limits.FanOut+maxExtraCallers {
 		return 0
 	}
@@ -169,7 +169,7 @@
 }
 
 // Connected says that a dial has succeeded.
-func (n *Node) Connected(link Link, now int64) {
+func (n *Node) Connected(link Link, now Microseconds) {
 	u := n.attemptByLink(link)
 	if u == nil || u.connected {
 		return
@@ -179,10 +179,10 @@
 }
 
 // DialFailed says that a dial has not succeeded; the link is gone.
-func (n *Node) DialFailed(link Link, now int64) { n.parentLinkClosed(link, now) }
+func (n *Node) DialFailed(link Link, now Microseconds) { n.parentLinkClosed(link, now) }
 
 // Received hands in a message that came on a link.
-func (n *Node) Received(link Link, m Message, now int64) {
+func (n *Node) Received(link Link, m Message, now Microseconds) {
 	switch m := m.(type) {
 	case *Subscribe:
 		n.handleSubscribe(link, m, now)
@@ -194,7 +194,7 @@
 }
 
 // Closed says that a link is gone.
-func (n *Node) Closed(link Link, now int64) {
+func (n *Node) Closed(link Link, now Microseconds) {
 	n.removeCaller(link)
 	if c := n.childByLink(link); c != nil {
 		n.removeChild(c, 0, now)
@@ -203,7 +203,7 @@
 }
 
 // Resubscribe changes what a subscriber asks for. It keeps what it has until a snapshot of the new scopes is complete.
-func (n *Node) Resubscribe(scopes Scopes, now int64) {
+func (n *Node) Resubscribe(scopes Scopes, now Microseconds) {
 	if n.config.Voter || n.config.Scopes.Equal(scopes) {
 		return
 	}
@@ -219,7 +219,7 @@
 }
 
 // jitter draws a time up to a bound.
-func (n *Node) jitter(bound int64) int64 {
+func (n *Node) jitter(bound Microseconds) Microseconds {
 	if bound <= 0 {
 		return 0
 	}
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -30,7 +30,7 @@
 
 // startSnapshots begins snapshots for children that wait, in the order of their admission, as many as may be under
 // way.
-func (n *Node) startSnapshots(now int64) {
+func (n *Node) startSnapshots(now Microseconds) {
 	underWay := 0
 	for _, child := range n.children {
 		if child.snapshot != nil {
@@ -64,7 +64,7 @@
 }
 
 // snapshotTimeLeft estimates the µs until the snapshots under way are sent.
-func (n *Node) snapshotTimeLeft() int64 {
+func (n *Node) snapshotTimeLeft() Microseconds {
 	bytesLeft := 0
 	for _, child := range n.children {
 		if child.snapshot != nil {
@@ -75,7 +75,7 @@
 }
 
 // refillSnapshotCredit lets the credit of the snapshots grow with time, up to a piece or a part of a second.
-func (n *Node) refillSnapshotCredit(now int64) {
+func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
 	passed := min(now-n.creditRefilledAt, second) // more adds nothing, and could overflow after a long pause
@@ -84,7 +84,7 @@
 }
 
 // sendSnapshotPieces sends pieces of the snapshots under way in turn, while there is credit. A piece may overdraw it.
-func (n *Node) sendSnapshotPieces(now int64) {
+func (n *Node) sendSnapshotPieces(now Microseconds) {
 	idle := 0
 	for n.snapshotCredit > 0 && idle < len(n.children) {
 		n.lastServedChild = (n.lastServedChild + 1) % len(n.children)
@@ -99,7 +99,7 @@
 }
 
 // sendSnapshotPiece sends the next piece of a child's snapshot.
-func (n *Node) sendSnapshotPiece(c *child, now int64) {
+func (n *Node) sendSnapshotPiece(c *child, now Microseconds) {
 	snapshot := c.snapshot
 	piece := &SnapshotPiece{Version: snapshot.version, Index: snapshot.nextIndex}
 	piece.Entries, snapshot.entries = splitEntries(snapshot.entries, n.limits.PieceBytes)
@@ -118,7 +118,7 @@
 }
 
 // finishSnapshot goes on with deltas after a snapshot, and lets the next snapshot begin.
-func (n *Node) finishSnapshot(c *child, now int64) {
+func (n *Node) finishSnapshot(c *child, now Microseconds) {
 	c.sentVersion = c.snapshot.version
 	c.snapshot = nil
 	n.counts.SnapshotsSent++
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -6,22 +6,22 @@
 type parentLink struct {
 	link           Link
 	peer           string
-	dialedAt       int64
+	dialedAt       Microseconds
 	connected      bool
-	lastReceivedAt int64 // when the last message came
+	lastReceivedAt Microseconds // when the last message came
 
 	subscribing     bool   // a Subscribe is sent and not answered; until it is, what comes answers an earlier one
 	lastRequest     uint64 // number of the last Subscribe
-	subscribeSentAt int64
+	subscribeSentAt Microseconds
 	recoveries      int // requests after a gap or a wrong digest since a message last applied
 
-	admittedAt       int64
-	lease            int64 // µs, as granted
+	admittedAt       Microseconds
+	lease            Microseconds // µs, as granted
 	path             []string
-	behind           bool   // the parent is older than this node
-	behindSince      int64  // only if behind
-	receivedMessages uint64 // since the admission
-	unconfirmedBytes int    // received since the last Renew
+	behind           bool         // the parent is older than this node
+	behindSince      Microseconds // only if behind
+	receivedMessages uint64       // since the admission
+	unconfirmedBytes int          // received since the last Renew
 }
 
 func (n *Node) attemptByLink(link Link) *parentLink {
@@ -42,7 +42,7 @@
 }
 
 // sendSubscribe asks for a place, or asks the parent anew for what is missing.
-func (n *Node) sendSubscribe(upstream *parentLink, now int64) {
+func (n *Node) sendSubscribe(upstream *parentLink, now Microseconds) {
 	upstream.subscribing = true
 	upstream.subscribeSentAt = now
 	upstream.lastRequest++
@@ -67,7 +67,7 @@
 }
 
 // handleAdmitted takes a place that was granted, if it is the first or better than the one this node has.
-func (n *Node) handleAdmitted(upstream *parentLink, m *Admitted, now int64) {
+func (n *Node) handleAdmitted(upstream *parentLink, m *Admitted, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if m.Request != upstream.lastRequest {
 		return // it answers an earlier request; what follows may be of other scopes
@@ -97,7 +97,7 @@
 
 // isBetterPlace tells whether a place that was granted is better than the one this node has: not behind where the
 // present one is, or with a source that was known to be current clearly later.
-func (n *Node) isBetterPlace(m *Admitted, now int64) bool {
+func (n *Node) isBetterPlace(m *Admitted, now Microseconds) bool {
 	if n.isOlder(m.Version) || m.Age == NeverCurrent {
 		return false
 	}
@@ -106,7 +106,7 @@
 }
 
 // adoptParent makes an attempt the parent, and ends the others.
-func (n *Node) adoptParent(upstream *parentLink, now int64) {
+func (n *Node) adoptParent(upstream *parentLink, now Microseconds) {
 	if n.parent != nil {
 		n.leaveParent(CloseBetterParent, now)
 	}
@@ -128,7 +128,7 @@
 }
 
 // setPath stores the parent's path, and tells the children at the next Tick if it is another.
-func (n *Node) setPath(upstream *parentLink, path []string, now int64) {
+func (n *Node) setPath(upstream *parentLink, path []string, now Microseconds) {
 	if slices.Equal(upstream.path, path) {
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // checkParent leaves a parent that has sent nothing for a lease, or does not answer a request.
-func (n *Node) checkParent(now int64) {
+func (n *Node) checkParent(now Microseconds) {
 	parent := n.parent
 	if parent == nil {
 		return
@@ -164,13 +164,13 @@
 }
 
 // leaveParent gives the parent up. What it sent stays in force.
-func (n *Node) leaveParent(reason CloseReason, now int64) {
+func (n *Node) leaveParent(reason CloseReason, now Microseconds) {
 	n.host.Close(n.parent.link, reason)
 	n.loseParent(reason, now)
 }
 
 // loseParent goes on without a parent; the next dial comes soon, after a jitter. The link is closed already.
-func (n *Node) loseParent(reason CloseReason, now int64) {
+func (n *Node) loseParent(reason CloseReason, now Microseconds) {
 	lost := n.parent
 	n.parent = nil
 	n.incomingSnapshot = nil
@@ -181,7 +181,7 @@
 }
 
 // parentLinkClosed handles the end of a link to a parent, or of an attempt to get one.
-func (n *Node) parentLinkClosed(link Link, now int64) {
+func (n *Node) parentLinkClosed(link Link, now Microseconds) {
 	if attempt := n.attemptByLink(link); attempt != nil {
 		n.attemptFailed(attempt, now)
 		return
@@ -192,7 +192,7 @@
 }
 
 // rejectConflict leaves one whose epoch was founded beside this node's.
-func (n *Node) rejectConflict(upstream *parentLink, now int64) {
+func (n *Node) rejectConflict(upstream *parentLink, now Microseconds) {
 	n.host.Log(Event{Kind: EventEpochConflict, Peer: upstream.peer, Version: n.store.version})
 	n.avoidUntil(upstream.peer, now+n.limits.MaxRetryAfter)
 	if upstream == n.parent {
--- a/distribution/parent_search.go
+++ b/distribution/parent_search.go
@@ -9,7 +9,7 @@
 const maxAttempts = 3
 
 // seekParent dials a possible parent where one is needed, and further ones beside those that take long.
-func (n *Node) seekParent(now int64) {
+func (n *Node) seekParent(now Microseconds) {
 	if n.config.Voter || !n.needsParent(now) {
 		return
 	}
@@ -29,7 +29,7 @@
 
 // needsParent tells whether this node has no parent, or one that has been behind or without a current source for
 // MaxStaleness.
-func (n *Node) needsParent(now int64) bool {
+func (n *Node) needsParent(now Microseconds) bool {
 	parent := n.parent
 	if parent == nil {
 		return true
@@ -48,7 +48,7 @@
 }
 
 // dialCandidate tries one of the candidates, if there is one that may be tried now.
-func (n *Node) dialCandidate(now int64) {
+func (n *Node) dialCandidate(now Microseconds) {
 	peer := n.pickCandidate(now)
 	if peer == "" {
 		return
@@ -60,7 +60,7 @@
 }
 
 // checkAttempts gives up attempts that take too long.
-func (n *Node) checkAttempts(now int64) {
+func (n *Node) checkAttempts(now Microseconds) {
 	for _, attempt := range slices.Clone(n.attempts) {
 		if now-attempt.dialedAt >= n.limits.Handshake {
 			n.host.Close(attempt.link, CloseTimedOut)
@@ -70,7 +70,7 @@
 }
 
 // attemptFailed puts off the next attempt, at this peer and at all. The link is closed already.
-func (n *Node) attemptFailed(attempt *parentLink, now int64) {
+func (n *Node) attemptFailed(attempt *parentLink, now Microseconds) {
 	n.removeAttempt(attempt)
 	n.recordFailure(attempt.peer, now)
 }
@@ -80,7 +80,7 @@
 }
 
 // declinePlace gives back a place that cannot be used or is no better, and waits before the next try.
-func (n *Node) declinePlace(upstream *parentLink, reason CloseReason, now int64) {
+func (n *Node) declinePlace(upstream *parentLink, reason CloseReason, now Microseconds) {
 	if upstream == n.parent {
 		n.leaveParent(reason, now)
 		return
@@ -96,7 +96,7 @@
 }
 
 // handleRefused handles a refusal: the peer is not asked for as long as it says, and those it names are tried soon.
-func (n *Node) handleRefused(upstream *parentLink, m *Refused, now int64) {
+func (n *Node) handleRefused(upstream *parentLink, m *Refused, now Microseconds) {
 	n.counts.RefusedByParents++
 	n.host.Log(Event{Kind: EventRefusedBy, Peer: upstream.peer, Version: n.store.version, Refusal: m.Reason})
 	n.host.Close(upstream.link, CloseRefused)
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -7,7 +7,7 @@
 const renewsPerWindow = 4
 
 // receiveFromParent handles a message of a parent, or of one that was asked to be it.
-func (n *Node) receiveFromParent(link Link, m Message, now int64) {
+func (n *Node) receiveFromParent(link Link, m Message, now Microseconds) {
 	upstream := n.parentOrAttempt(link)
 	if upstream == nil {
 		return
@@ -28,7 +28,7 @@
 }
 
 // handleParentMessage handles what a parent sends to a child with a place, and renews the lease if it is time to.
-func (n *Node) handleParentMessage(upstream *parentLink, m Message, now int64) {
+func (n *Node) handleParentMessage(upstream *parentLink, m Message, now Microseconds) {
 	isHeartbeat := false
 	switch m := m.(type) {
 	case *Delta:
@@ -48,7 +48,7 @@
 }
 
 // handleDelta applies changes if they follow what this node has and end in the digest that they should.
-func (n *Node) handleDelta(upstream *parentLink, m *Delta, now int64) {
+func (n *Node) handleDelta(upstream *parentLink, m *Delta, now Microseconds) {
 	version := Version{m.Epoch, m.Revision}
 	if n.isOlder(version) || version == n.store.version {
 		n.reportOlder(upstream.peer, version)
@@ -114,7 +114,7 @@
 }
 
 // handleHeartbeat notes that the parent is there, and moves on past revisions with nothing in this node's scopes.
-func (n *Node) handleHeartbeat(upstream *parentLink, m *Heartbeat, now int64) {
+func (n *Node) handleHeartbeat(upstream *parentLink, m *Heartbeat, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if !n.pathValid(m.Path) {
 		n.leaveParent(CloseLoop, now)
@@ -130,7 +130,7 @@
 }
 
 // advanceByHeartbeat takes the revision of a heartbeat that follows what this node has.
-func (n *Node) advanceByHeartbeat(upstream *parentLink, m *Heartbeat, now int64) {
+func (n *Node) advanceByHeartbeat(upstream *parentLink, m *Heartbeat, now Microseconds) {
 	version := Version{m.Epoch, m.Revision}
 	switch {
 	case n.isOlder(version):
@@ -146,7 +146,7 @@
 }
 
 // noteSourceAge notes how old the parent's configuration is, and whether it is behind this node's.
-func (n *Node) noteSourceAge(upstream *parentLink, source Version, age, now int64) {
+func (n *Node) noteSourceAge(upstream *parentLink, source Version, age, now Microseconds) {
 	behind := n.isOlder(source)
 	if behind && !upstream.behind {
 		upstream.behindSince = now
@@ -161,7 +161,7 @@
 }
 
 // handleGap answers a message that doesn't follow what this node has: it asks for what leads on from there.
-func (n *Node) handleGap(upstream *parentLink, now int64) {
+func (n *Node) handleGap(upstream *parentLink, now Microseconds) {
 	n.counts.GapsSeen++
 	n.host.Log(Event{Kind: EventGap, Peer: upstream.peer, Version: n.store.version})
 	n.requestRecovery(upstream, now)
@@ -169,7 +169,7 @@
 
 // handleWrongDigest answers changes or a snapshot that end in another digest than they should: nothing of them was
 // applied, and as nothing tells where the fault is, only a snapshot helps.
-func (n *Node) handleWrongDigest(upstream *parentLink, now int64) {
+func (n *Node) handleWrongDigest(upstream *parentLink, now Microseconds) {
 	n.counts.WrongDigests++
 	n.host.Log(Event{Kind: EventWrongDigest, Peer: upstream.peer, Version: n.store.version})
 	n.contentInDoubt = true
@@ -177,7 +177,7 @@
 }
 
 // requestRecovery asks the parent anew, and leaves one that was asked maxRecoveries times without success.
-func (n *Node) requestRecovery(upstream *parentLink, now int64) {
+func (n *Node) requestRecovery(upstream *parentLink, now Microseconds) {
 	upstream.recoveries++
 	if upstream.recoveries > maxRecoveries {
 		n.leaveParent(CloseMalformed, now)
@@ -186,12 +186,12 @@
 	n.sendSubscribe(upstream, now)
 }
 
-func (n *Node) rejectMalformed(upstream *parentLink, now int64) {
+func (n *Node) rejectMalformed(upstream *parentLink, now Microseconds) {
 	n.host.Log(Event{Kind: EventMalformed, Peer: upstream.peer, Version: n.store.version})
 	n.leaveParent(CloseMalformed, now)
 }
 
-func (n *Node) rejectTooLarge(upstream *parentLink, now int64) {
+func (n *Node) rejectTooLarge(upstream *parentLink, now Microseconds) {
 	n.host.Log(Event{Kind: EventTooLarge, Peer: upstream.peer, Version: n.store.version})
 	n.leaveParent(CloseTooLarge, now)
 }
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -36,7 +36,7 @@
 	Digest Digest
 	// Age is for how many µs the source has not been known to be current: how old the configuration may be.
 	// NeverCurrent if it never was.
-	Age int64
+	Age Microseconds
 	// Parent is the parent's name; none for a voter, and while looking for one.
 	Parent string
 	// Path holds the names from the voter down to the parent.
@@ -68,7 +68,7 @@
 }
 
 // Status tells how the node is.
-func (n *Node) Status(now int64) Status {
+func (n *Node) Status(now Microseconds) Status {
 	status := Status{
 		Version:  n.store.version,
 		Digest:   n.store.digest,
@@ -92,7 +92,7 @@
 }
 
 // sourceAge is for how many µs the source has not been known to be current; NeverCurrent if it never was.
-func (n *Node) sourceAge(now int64) int64 {
+func (n *Node) sourceAge(now Microseconds) Microseconds {
 	if !n.sourceEverCurrent {
 		return NeverCurrent
 	}
@@ -100,7 +100,7 @@
 }
 
 // noteSourceCurrent says that what the node has was all that the source had at a time.
-func (n *Node) noteSourceCurrent(at int64) {
+func (n *Node) noteSourceCurrent(at Microseconds) {
 	if n.sourceEverCurrent && at <= n.sourceCurrentAt {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // logStaleness logs when the source falls out of date, and when it is current again.
-func (n *Node) logStaleness(now int64) {
+func (n *Node) logStaleness(now Microseconds) {
 	stale := n.sourceEverCurrent && n.sourceAge(now) > n.limits.MaxStaleness
 	if stale == n.loggedStale {
 		return
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -40,9 +40,9 @@
 // event is something for the event loop. The kind says which of the other fields are set.
 type event struct {
 	kind    eventKind
-	link    *link                // of all kinds but eventCall
-	message distribution.Message // of eventReceived
-	run     func(now int64)      // of eventCall
+	link    *link                               // of all kinds but eventCall
+	message distribution.Message                // of eventReceived
+	run     func(now distribution.Microseconds) // of eventCall
 }
 
 type eventKind uint8
@@ -73,7 +73,7 @@
 }
 
 // now is the time in µs since the transport was made, which never goes back.
-func (t *Transport) now() int64 { return time.Since(t.startedAt).Microseconds() }
+func (t *Transport) now() distribution.Microseconds { return time.Since(t.startedAt).Microseconds() }
 
 // Run is the event loop. It returns once the context has ended and all dials and writers with it.
 func (t *Transport) Run(ctx context.Context) {
@@ -125,7 +125,7 @@
 }
 
 // addCaller has the node identify an accepted link, or closes the link if the node takes no more.
-func (t *Transport) addCaller(l *link, now int64) {
+func (t *Transport) addCaller(l *link, now distribution.Microseconds) {
 	l.id = t.node.Incoming(now)
 	if l.id == 0 {
 		l.close()
