--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -22,16 +22,16 @@
 	c.puts(b, ownership.Entry{Member: "c", Incarnation: 3, Seq: 1})
 	c.stop()
 	lead := a
-	if r, _ := other.current(); r.State() == raft.Leader {
+	if r := other.current().raft; r.State() == raft.Leader {
 		lead = other
 	}
 	for lead.status().Leader == "c" || lead.status().Leader == "" {
 		time.Sleep(pollInterval)
-		if r, _ := other.current(); r.State() == raft.Leader {
+		if r := other.current().raft; r.State() == raft.Leader {
 			lead = other
 		}
 	}
-	r, m := lead.current()
+	r, m := lead.current().raft, lead.current().machine
 	var last raft.ApplyFuture
 	began := time.Now()
 	for n := range hour {
@@ -72,7 +72,7 @@
 				back.stop()
 				b.StartTimer()
 			}
-			b.ReportMetric(float64(m.bytes.Load()), "snapshot-bytes")
+			b.ReportMetric(float64(m.snapshotBytes.Load()), "snapshot-bytes")
 		})
 	}
 }
--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -9,150 +9,100 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"wheelrill/distribution"
 	"wheelrill/ownership"
 )
 
-// memberRequest is what members ask each other; answer is what they get.
-type memberRequest struct {
-	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // to be put on the record
-	Status bool             `cbor:"2,keyasint,omitempty"`
-	Name   string           `cbor:"3,keyasint,omitempty"` // with ID: this member would join as that
-	ID     string           `cbor:"4,keyasint,omitempty"`
-	// Subscribe: the messages of package distribution follow the answer, both ways, until the connection ends.
-	Subscribe bool                   `cbor:"5,keyasint,omitempty"`
-	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // to be accepted by the record
-}
-
-type memberResponse struct {
-	Accepted  bool   `cbor:"1,keyasint,omitempty"`
-	Why       string `cbor:"2,keyasint,omitempty"`
-	ID        string `cbor:"3,keyasint,omitempty"`
-	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
-	Leader    string `cbor:"5,keyasint,omitempty"` // name
-
-	Mark    *distribution.Version `cbor:"6,keyasint,omitempty"` // of an accepted change
-	Refusal refusal               `cbor:"7,keyasint,omitempty"` // of a change
-}
+// applyTimeout is how long raft may take to accept an entry, or a change of the members, into its queue.
+const applyTimeout = 500 * time.Millisecond
 
-// serve answers one connection's calls, one after the other. Who is no member may subscribe, and do nothing else.
+// serve answers one connection's calls, one after the other, until it ends. Who is no member may subscribe, and do nothing
+// else.
 func (n *Node) serve(conn net.Conn, from caller, connection int) {
 	if len(from.members) == 0 {
 		conn.SetReadDeadline(time.Now().Add(callTimeout))
 	}
 	for {
-		var c memberRequest
-		if err := receive(conn, &c); err != nil {
+		var request memberRequest
+		if err := receive(conn, &request); err != nil {
 			return
 		}
-		a := n.handle(c, from, connection)
+		response := n.handle(request, from, connection)
 		conn.SetWriteDeadline(time.Now().Add(callTimeout))
-		if err := send(conn, a); err != nil {
+		if err := send(conn, response); err != nil {
 			return
 		}
-		if c.Subscribe && a.Accepted {
+		if request.Subscribe && response.Accepted {
 			conn.SetDeadline(time.Time{})
-			n.config.Distribution.Accept(conn, from.subscribesAs)
+			n.config.Distribution.Accept(conn, from.maySubscribeAs)
 			return
 		}
 	}
 }
 
-func (n *Node) handle(c memberRequest, from caller, connection int) memberResponse {
+func (n *Node) handle(request memberRequest, from caller, connection int) memberResponse {
 	switch {
-	case c.Subscribe:
+	case request.Subscribe:
 		return subscribeResponse(n.config.Distribution != nil)
 	case len(from.members) == 0:
-		return memberResponse{Why: errNotMember.Error()}
-	case c.Status:
+		return memberResponse{Why: whyNotMember}
+	case request.Status:
 		return n.status()
-	case c.Change != nil:
-		return n.acceptChange(*c.Change)
-	case c.Entry != nil && slices.Contains(from.members, c.Entry.Member):
-		return n.appendEntry(*c.Entry, connection)
-	case c.ID != "" && slices.Contains(from.members, c.Name) && nameOf(raft.ServerID(c.ID)) == c.Name:
-		return n.admit(c.Name, c.ID)
+	case request.Change != nil:
+		return n.acceptChange(*request.Change)
+	case request.Entry != nil && from.maySpeakFor(request.Entry.Member):
+		return n.appendEntry(*request.Entry, connection)
+	case request.ID != "" && from.maySpeakFor(request.Name) && nameOf(raft.ServerID(request.ID)) == request.Name:
+		return n.admit(request.Name, request.ID)
 	}
-	return memberResponse{Why: "it may not speak for that member"}
+	return memberResponse{Why: whyNotThatMember}
 }
 
+// maySpeakFor tells whether a caller may make a member's calls.
+func (c caller) maySpeakFor(member string) bool { return slices.Contains(c.members, member) }
+
 func (n *Node) status() memberResponse {
-	r, _ := n.current()
-	a := memberResponse{ID: n.ID()}
-	_, leader := r.LeaderWithID()
-	a.Leader = nameOf(leader)
-	if f := r.GetConfiguration(); f.Error() == nil {
-		a.HasRecord = len(f.Configuration().Servers) > 0
+	current := n.current()
+	response := memberResponse{ID: current.id, Leader: n.leaderName()}
+	if servers, err := current.servers(); err == nil {
+		response.HasRecord = len(servers) > 0
 	}
-	return a
+	return response
 }
 
-// appendEntry puts an entry on the record, if we lead. The number tells the connections apart that entries come by.
-func (n *Node) appendEntry(e ownership.Entry, connection int) memberResponse {
-	r, m := n.current()
-	if r.State() != raft.Leader {
-		return memberResponse{Why: "not the leader"}
+// appendEntry appends an entry to the record, if we lead, and waits until it is committed. The number tells the
+// connections apart on which entries arrive.
+func (n *Node) appendEntry(entry ownership.Entry, connection int) memberResponse {
+	current := n.current()
+	if current.raft.State() != raft.Leader {
+		return memberResponse{Why: whyNotLeader}
 	}
-	n.leaderMutex.Lock()
-	now := n.clock()
-	n.leases.Observe(e.Incarnation, e.Seq, connection, now)
-	m.withRecord(func(record *ownership.Record) { e.OnRecord = n.leases.OnRecord(record, now) })
-	e.Stamp = ownership.Stamp{Leader: n.stamp, At: now}
-	n.leaderMutex.Unlock()
-	body, err := cbor.Marshal(e)
+	n.stampEntry(current.machine, &entry, connection)
+	body, err := cbor.Marshal(entry)
 	if err != nil {
 		return memberResponse{Why: err.Error()}
 	}
-	if err := r.Apply(body, applyTimeout).Error(); err != nil {
+	if err := current.raft.Apply(body, applyTimeout).Error(); err != nil {
 		return memberResponse{Why: err.Error()}
 	}
 	return memberResponse{Accepted: true}
 }
 
-// admit has a member take part under a new id: it has forgotten its votes, or never had any. Its old id goes first.
-func (n *Node) admit(name, id string) memberResponse {
-	r, _ := n.current()
-	if r.State() != raft.Leader {
-		return memberResponse{Why: "not the leader"}
-	}
-	f := r.GetConfiguration()
-	if err := f.Error(); err != nil {
-		return memberResponse{Why: err.Error()}
-	}
-	var ids []string
-	for _, server := range f.Configuration().Servers {
-		ids = append(ids, string(server.ID))
-	}
-	leave, in := ownership.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
-	for _, other := range leave {
-		if err := r.RemoveServer(raft.ServerID(other), 0, applyTimeout).Error(); err != nil {
-			return memberResponse{Why: err.Error()}
-		}
-	}
-	if in {
-		return memberResponse{Accepted: true}
-	}
-	if err := r.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyTimeout).Error(); err != nil {
-		return memberResponse{Why: err.Error()}
-	}
-	n.log.Info("member_joined", "name", name, "id", id)
-	return memberResponse{Accepted: true}
+// stampEntry adds to an entry what the leader knows: when it arrived, and who has written nothing off the record.
+func (n *Node) stampEntry(machine *stateMachine, entry *ownership.Entry, connection int) {
+	n.leaderMutex.Lock()
+	defer n.leaderMutex.Unlock()
+	now := n.clock()
+	n.leases.Observe(entry.Incarnation, entry.Seq, connection, now)
+	machine.withRecord(func(record *ownership.Record) { entry.OnRecord = n.leases.OnRecord(record, now) })
+	entry.Stamp = ownership.Stamp{Leader: n.stamp, At: now}
 }
 
 // callMember makes one call on a connection of its own.
-func (n *Node) callMember(ctx context.Context, name string, c memberRequest) (a memberResponse, err error) {
+func (n *Node) callMember(ctx context.Context, name string, request memberRequest) (memberResponse, error) {
 	conn, err := n.transport.dial(ctx, name, connCalls)
 	if err != nil {
-		return a, err
+		return memberResponse{}, err
 	}
 	defer conn.Close()
-	return a, roundTrip(conn, c, &a)
-}
-
-func roundTrip(conn net.Conn, c memberRequest, a *memberResponse) error {
-	conn.SetDeadline(time.Now().Add(callTimeout))
-	if err := send(conn, c); err != nil {
-		return err
-	}
-	return receive(conn, a)
+	return roundTrip(conn, request)
 }
--- a/consensus/changes_test.go
+++ b/consensus/changes_test.go
@@ -212,7 +212,7 @@
 	config := Config{Name: "a", Members: addresses(t, "a"), Folder: t.TempDir(), Distribution: &subscribed{}}
 	a := starts(t, config)
 	configures(t, a, entry("x", "1"))
-	r, _ := a.current()
+	r := a.current().raft
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := snapshotOf(t, m); !bytes.Equal(got, before) || m.bytes.Load() != int64(len(before)) {
+	if got := snapshotOf(t, m); !bytes.Equal(got, before) || m.snapshotBytes.Load() != int64(len(before)) {
 		t.Errorf("%x, and was %x", got, before)
 	}
 	other := changed(t, entry("x", "1"))
--- /dev/null
+++ b/consensus/configuration.go
@@ -0,0 +1,146 @@
+package consensus
+
+import (
+	"fmt"
+	"net"
+	"sync"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"wheelrill/distribution"
+)
+
+// Distribution is told the distributed configuration as the record has it, in order, and serves those who subscribe to it.
+// Its methods are called on raft's goroutines, but for Current, and may block, but must not wait for a call of the Node.
+type Distribution interface {
+	// Restored gives the whole configuration.
+	Restored(state distribution.State)
+	// Accepted gives the next change.
+	Accepted(change distribution.Change)
+	// Current says that a majority was just known to be led, and that we have all that it has accepted.
+	Current()
+	// Accept serves the connection of a subscriber until it ends, and closes it. It may subscribe under the names that are
+	// allowed.
+	Accept(conn net.Conn, allowed func(name string) bool)
+}
+
+// entryKind is the kind of a configurationEntry.
+type entryKind uint8
+
+const kindProposal entryKind = 1
+
+// configurationEntry is an entry of raft's log that changes the distributed configuration. It is encoded as an array, by
+// which it is told from entries of the ownership record, which are maps.
+type configurationEntry struct {
+	_        struct{} `cbor:",toarray"`
+	Kind     entryKind
+	Proposal distribution.Proposal
+}
+
+// cborArray is CBOR's major type of arrays, the upper three bits of a first byte.
+const cborArray = 4
+
+func isConfigurationEntry(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
+
+// configuration is the part of the state machine that holds the distributed configuration. Every member has it, whether or
+// not anybody can subscribe there.
+type configuration struct {
+	distribution Distribution             // nil where nobody can subscribe
+	onEpoch      func(distribution.Epoch) // of each change and snapshot
+
+	mutex sync.Mutex // over voter
+	voter *distribution.VoterState
+}
+
+// newConfiguration makes an empty one. Distribution and onEpoch may be nil.
+func newConfiguration(told Distribution, onEpoch func(distribution.Epoch)) *configuration {
+	if onEpoch == nil {
+		onEpoch = func(distribution.Epoch) {}
+	}
+	return &configuration{distribution: told, onEpoch: onEpoch, voter: distribution.NewVoterState()}
+}
+
+// changeResult is what became of a proposal.
+type changeResult struct {
+	version distribution.Version
+	err     error // one of distribution's, or that the entry cannot be read
+}
+
+// apply applies an entry of the log, whole or not at all. One that cannot be read changes nothing, at every member alike.
+func (c *configuration) apply(data []byte, onUnreadable func(error)) changeResult {
+	var entry configurationEntry
+	err := cbor.Unmarshal(data, &entry)
+	if err == nil && entry.Kind != kindProposal {
+		err = fmt.Errorf("consensus: an entry of the unknown kind %d", entry.Kind)
+	}
+	if err != nil {
+		onUnreadable(err)
+		return changeResult{err: err}
+	}
+	return c.accept(entry.Proposal)
+}
+
+// accept makes a proposal the next change, or refuses it, and tells the distribution: of the first change as a whole.
+func (c *configuration) accept(proposal distribution.Proposal) changeResult {
+	c.mutex.Lock()
+	first := c.voter.Empty()
+	change, err := c.voter.Accept(proposal)
+	version := c.voter.Version()
+	var whole distribution.State
+	if err == nil && first {
+		whole = c.voter.State()
+	}
+	c.mutex.Unlock()
+	if err != nil {
+		return changeResult{err: err}
+	}
+	c.onEpoch(version.Epoch)
+	switch {
+	case c.distribution == nil:
+	case first:
+		c.distribution.Restored(whole)
+	default:
+		c.distribution.Accepted(change)
+	}
+	return changeResult{version: version}
+}
+
+// state is the configuration for a snapshot; nil where there is none.
+func (c *configuration) state() *distribution.State {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.voter.Empty() {
+		return nil
+	}
+	state := c.voter.State()
+	return &state
+}
+
+// restore takes the configuration of a snapshot; nil where it had none.
+func (c *configuration) restore(state *distribution.State) {
+	voter := distribution.NewVoterState()
+	if state != nil {
+		voter = distribution.RestoreVoterState(*state)
+		c.onEpoch(state.Version.Epoch)
+	}
+	c.mutex.Lock()
+	c.voter = voter
+	c.mutex.Unlock()
+	if state != nil && c.distribution != nil {
+		c.distribution.Restored(*state)
+	}
+}
+
+// view calls a function with the configuration, under the lock.
+func (c *configuration) view(look func(*distribution.VoterState)) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	look(c.voter)
+}
+
+// empty tells whether nothing was ever accepted.
+func (c *configuration) empty() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.voter.Empty()
+}
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -91,8 +91,8 @@
 		{"call, subscribe", memberRequest{Subscribe: true}},
 		{"call, change", memberRequest{Change: &p}},
 		{"answer, empty", memberResponse{}},
-		{"answer, full", memberResponse{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Mark: &mark, Refusal: refusedPermanently}},
-		{"answer, change accepted", memberResponse{Accepted: true, Mark: &mark}},
+		{"answer, full", memberResponse{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Version: &mark, Refusal: refusedPermanently}},
+		{"answer, change accepted", memberResponse{Accepted: true, Version: &mark}},
 		{"answer, change refused for now", memberResponse{Why: "not the leader", Refusal: refusedRetry}},
 		{"answer, change refused as the base moved", memberResponse{Why: "moved", Refusal: refusedBaseMoved}},
 		{"answer, change refused for good", memberResponse{Why: "no", Refusal: refusedPermanently}},
@@ -173,7 +173,7 @@
 func TestConversationsAreThoseOfTheGoldenFile(t *testing.T) {
 	var text strings.Builder
 	plain := func(address string) *transport {
-		return &transport{members: map[string]string{"n0": address}, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+		return newTransport(map[string]string{"n0": address}, nil)
 	}
 	fmt.Fprintf(&text, "raft at a member: %x\n", firstBytes(t, 17, func(address string) {
 		conn, err := (&layer{transport: plain(address)}).Dial(addressOf("n0", "n0/ABCDEFGH"), 0)
@@ -280,7 +280,7 @@
 	if configured {
 		configures(t, m, entry("x", "1"), entry("y", "1"))
 	}
-	r, _ := m.current()
+	r := m.current().raft
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
@@ -318,12 +318,12 @@
 			}
 			if name == "configuration" {
 				until(t, "the configuration's last change is read", func() bool {
-					_, machine := m.current()
+					machine := m.current().machine
 					state := machine.configuration.state()
 					return state != nil && state.Version.Revision == 2
 				})
 			}
-			_, machine := m.current()
+			machine := m.current().machine
 			compareWithGolden(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
 			m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
 		})
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -208,7 +208,7 @@
 			back := starts(story, Config{Name: "c", Members: at})
 			back.puts(t, ownership.Entry{Member: "c", Incarnation: 30, Seq: 1})
 			back.waits(t, "recorded a 1 2")
-			r, _ := back.current()
+			r := back.current().raft
 			f := r.GetConfiguration()
 			if f.Error() != nil || back.ID() == old || len(f.Configuration().Servers) != 3 ||
 				strings.Contains(fmt.Sprint(f.Configuration()), old) {
@@ -316,14 +316,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+		l := newTransport(at, secure)
 		conn, err := l.dial(context.Background(), to, connCalls)
 		if err != nil {
 			return memberResponse{}, err
 		}
 		defer conn.Close()
-		var got memberResponse
-		return got, roundTrip(conn, c, &got)
+		return roundTrip(conn, c)
 	}
 	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("b"),
 		"a name that is no member's": ours.gives("z"), "plain text": {}} {
@@ -345,7 +344,7 @@
 	})
 	t.Run("a connection for an id that is over is not taken for ours", func(t *testing.T) {
 		secure, _ := ours.gives("b").tlsConfig()
-		l := &layer{transport: &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}}
+		l := &layer{transport: newTransport(at, secure)}
 		conn, err := l.Dial(addressOf("a", "a/older"), 0)
 		if err != nil {
 			t.Fatal(err)
@@ -420,7 +419,7 @@
 			}
 		}
 		until(func() bool { // somebody else leads
-			r, _ := a.current()
+			r := a.current().raft
 			if r.State() == raft.Leader {
 				r.LeadershipTransfer().Error()
 			}
@@ -460,10 +459,7 @@
 			}
 			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: terms}, newReader(), quiet())
 			if err == nil {
-				n.mutex.Lock()
-				shut := n.closeRaft
-				n.mutex.Unlock()
-				shut()
+				n.current().close()
 				n.transport.close()
 			}
 			if err == nil || !strings.Contains(err.Error(), folder) {
--- /dev/null
+++ b/consensus/propose_change.go
@@ -0,0 +1,108 @@
+package consensus
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+
+	"wheelrill/distribution"
+)
+
+// Configure has the record hold just the wanted entries, by one change, and tells how many entries differed; 0 if none did,
+// and nothing was proposed. While nobody leads the record it tries again, until the context ends. Its errors are those of
+// ProposeChange.
+func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differ int, err error) {
+	for {
+		var proposal distribution.Proposal
+		n.current().machine.configuration.view(func(voter *distribution.VoterState) { proposal = voter.Difference(wanted) })
+		if len(proposal.Entries) == 0 {
+			return proposal.Base, 0, nil
+		}
+		version, err = n.ProposeChange(ctx, proposal)
+		if err == nil || errors.Is(err, ErrRefused) {
+			return version, len(proposal.Entries), err
+		}
+		if !sleep(ctx, pollInterval) {
+			return version, 0, err
+		}
+	}
+}
+
+// ProposeChange has the record accept a change: once, whole, and gives the version that it makes. The error is
+// ErrUnanswered where it is not known whether it will be accepted, distribution.ErrMoved where the record is not at the
+// base of the proposal, and ErrRefused otherwise.
+func (n *Node) ProposeChange(ctx context.Context, proposal distribution.Proposal) (distribution.Version, error) {
+	response, err := n.proposeAtLeader(ctx, proposal)
+	switch {
+	case err != nil:
+		return distribution.Version{}, err
+	case response.Accepted && response.Version != nil:
+		return *response.Version, nil
+	case response.Refusal == refusedBaseMoved:
+		return distribution.Version{}, distribution.ErrMoved
+	case response.Refusal == refusedPermanently:
+		return distribution.Version{}, fmt.Errorf("%w: %s", ErrRefused, response.Why)
+	}
+	return distribution.Version{}, fmt.Errorf("%w: %s", ErrUnanswered, response.Why)
+}
+
+func (n *Node) proposeAtLeader(ctx context.Context, proposal distribution.Proposal) (memberResponse, error) {
+	switch leader := n.leaderName(); leader {
+	case "":
+		return memberResponse{}, ErrUnanswered
+	case n.config.Name:
+		return n.acceptChange(proposal), nil
+	default:
+		response, err := n.callMember(ctx, leader, memberRequest{Change: &proposal})
+		if err != nil {
+			return memberResponse{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
+		}
+		return response, nil
+	}
+}
+
+// acceptChange appends a change to the record, if we lead, and waits until it is committed.
+func (n *Node) acceptChange(proposal distribution.Proposal) memberResponse {
+	r := n.current().raft
+	if r.State() != raft.Leader {
+		return memberResponse{Why: whyNotLeader, Refusal: refusedRetry}
+	}
+	proposal.Epoch = n.nextEpoch()
+	proposal.AcceptedAt = time.Now().UnixMicro()
+	body, err := cbor.Marshal(configurationEntry{Kind: kindProposal, Proposal: proposal})
+	if err != nil {
+		return memberResponse{Why: err.Error(), Refusal: refusedPermanently}
+	}
+	future := r.Apply(body, applyTimeout)
+	if err := future.Error(); err != nil {
+		return memberResponse{Why: err.Error(), Refusal: refusedRetry}
+	}
+	result, _ := future.Response().(changeResult)
+	switch {
+	case errors.Is(result.err, distribution.ErrMoved):
+		return memberResponse{Why: result.err.Error(), Refusal: refusedBaseMoved}
+	case result.err != nil:
+		return memberResponse{Why: result.err.Error(), Refusal: refusedPermanently}
+	}
+	return memberResponse{Accepted: true, Version: &result.version}
+}
+
+// nextEpoch is the epoch that a configuration gets which has none yet: newer than all that this process has seen.
+func (n *Node) nextEpoch() distribution.Epoch {
+	n.leaderMutex.Lock()
+	defer n.leaderMutex.Unlock()
+	return distribution.NextEpoch(n.epoch, uint64(time.Now().Unix()), randomID())
+}
+
+// noteEpoch remembers the greatest epoch, over several records.
+func (n *Node) noteEpoch(epoch distribution.Epoch) {
+	n.leaderMutex.Lock()
+	defer n.leaderMutex.Unlock()
+	if epoch.Newer(n.epoch) {
+		n.epoch = epoch
+	}
+}
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -8,120 +8,76 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"wheelrill/distribution"
 	"wheelrill/ownership"
 )
 
-// stateMachine takes the entries of raft's log into a record, and hands them on in their order.
+// stateMachine is what raft applies its log to: the ownership record, which it hands on entry by entry, and the distributed
+// configuration. Raft calls Apply, Snapshot and Restore one at a time, on one goroutine.
 type stateMachine struct {
 	events       Events
 	onUnreadable func(err error)
 
-	mutex  sync.Mutex
+	mutex  sync.Mutex // over record
 	record *ownership.Record
-	bytes  atomic.Int64 // of the last snapshot
 
 	configuration *configuration
+	snapshotBytes atomic.Int64 // of the last snapshot
 }
 
-// Apply takes one entry in. One that cannot be read stands on the record of every member alike, and changes nothing.
-func (m *stateMachine) Apply(l *raft.Log) any {
-	if isConfigurationEntry(l.Data) {
-		return m.configuration.apply(l.Data, m.onUnreadable)
+// Apply applies one entry. One that cannot be read changes nothing, at every member alike. The result is a changeResult
+// for a change of the configuration, and nil otherwise.
+func (m *stateMachine) Apply(entry *raft.Log) any {
+	if isConfigurationEntry(entry.Data) {
+		return m.configuration.apply(entry.Data, m.onUnreadable)
 	}
 	var e ownership.Entry
-	if err := cbor.Unmarshal(l.Data, &e); err != nil {
+	if err := cbor.Unmarshal(entry.Data, &e); err != nil {
 		m.onUnreadable(err)
 		return nil
 	}
-	m.mutex.Lock()
-	m.record.Apply(e)
-	m.mutex.Unlock()
+	m.withRecord(func(record *ownership.Record) { record.Apply(e) })
 	m.events.EntryCommitted(e)
 	return nil
 }
 
-// withRecord gives access to the record.
-func (m *stateMachine) withRecord(what func(*ownership.Record)) {
+// withRecord calls a function with the record, under the lock.
+func (m *stateMachine) withRecord(use func(*ownership.Record)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	what(m.record)
+	use(m.record)
 }
 
-// Snapshot gives the record as it stands.
+// Snapshot gives the state as it is now; it is written later.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	body, err := cbor.Marshal(m.record)
-	return &snapshot{record: body, configuration: m.configuration.state(), bytes: &m.bytes}, err
+	return &snapshot{record: body, configuration: m.configuration.state(), bytes: &m.snapshotBytes}, err
 }
 
-// Restore takes a record in place of all entries before.
+// Restore takes a snapshot in place of all entries before. One that is damaged changes nothing.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	body, err := io.ReadAll(from)
 	if err != nil {
 		return err
 	}
-	ours, theirs := ownership.NewRecord(), ownership.NewRecord()
-	var rest []byte
-	for _, record := range []*ownership.Record{ours, theirs} {
-		if rest, err = cbor.UnmarshalFirst(body, record); err != nil {
-			return err
-		}
-	}
-	configuration, err := ReadConfiguration(rest)
-	if err != nil {
+	record := ownership.NewRecord()
+	if _, err := cbor.UnmarshalFirst(body, record); err != nil {
 		return err
 	}
-	m.mutex.Lock()
-	m.record = ours
-	m.bytes.Store(int64(len(body)))
-	m.mutex.Unlock()
-	m.configuration.restore(configuration)
-	m.events.SnapshotRestored(theirs)
-	return nil
-}
-
-// snapshot is the record, and behind it the configuration if there is any: so it reads like one of before, where nothing
-// is distributed.
-type snapshot struct {
-	record        []byte
-	configuration *distribution.State
-	bytes         *atomic.Int64
-}
-
-// Persist writes it.
-func (s *snapshot) Persist(to raft.SnapshotSink) error {
-	counted := &countingWriter{to: to}
-	if err := s.write(counted); err != nil {
-		to.Cancel()
+	copied := ownership.NewRecord() // the receiver of the event owns it
+	rest, err := cbor.UnmarshalFirst(body, copied)
+	if err != nil {
 		return err
 	}
-	s.bytes.Store(counted.bytes)
-	return to.Close()
-}
-
-func (s *snapshot) write(to io.Writer) error {
-	if _, err := to.Write(s.record); err != nil {
+	state, err := ReadConfiguration(rest)
+	if err != nil {
 		return err
 	}
-	if s.configuration == nil {
-		return nil
-	}
-	return WriteConfiguration(to, s.configuration)
-}
-
-// Release does nothing: a snapshot holds no more than copies.
-func (s *snapshot) Release() {}
-
-type countingWriter struct {
-	to    io.Writer
-	bytes int64
-}
-
-func (w *countingWriter) Write(b []byte) (int, error) {
-	n, err := w.to.Write(b)
-	w.bytes += int64(n)
-	return n, err
+	m.withRecord(func(*ownership.Record) { m.record = record })
+	m.snapshotBytes.Store(int64(len(body)))
+	m.configuration.restore(state)
+	m.events.SnapshotRestored(copied)
+	return nil
 }
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -3,68 +3,15 @@
 import (
 	"context"
 	"crypto/tls"
-	"errors"
-	"fmt"
 	"net"
-	"strings"
 	"sync"
 	"time"
 )
 
-// Peer is a node of the distribution as others know it: its name, which its certificate has, and where it can be
-// dialled. Nodes name each other by both, so that a subscriber can dial one that another has told it of.
-type Peer struct {
-	Name    string
-	Address string // empty for one that nobody dials
-}
-
-// PeerSeparator stands between name and address; no name has it.
-const PeerSeparator = "@"
-
-// String is the peer as it is named in messages.
-func (p Peer) String() string {
-	if p.Address == "" {
-		return p.Name
-	}
-	return p.Name + PeerSeparator + p.Address
-}
-
-// ParsePeer reads a peer as it is named in messages.
-func ParsePeer(text string) Peer {
-	name, address, _ := strings.Cut(text, PeerSeparator)
-	return Peer{name, address}
-}
-
-// subscribesAs tells whether a caller may subscribe under a name.
-func (c caller) subscribesAs(name string) bool {
-	return c.named == nil || c.named(ParsePeer(name).Name)
-}
-
-var errNoSubscribers = errors.New("nobody can subscribe here")
-
-func subscribeResponse(on bool) memberResponse {
-	if !on {
-		return memberResponse{Why: errNoSubscribers.Error()}
-	}
-	return memberResponse{Accepted: true}
-}
-
-// requireLoopback refuses an address to which plain text may not be spoken.
-func requireLoopback(address string) error {
-	host, _, err := net.SplitHostPort(address)
-	if err != nil {
-		return err
-	}
-	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%s is not on loopback, and plain text is for loopback alone; give certificate, key and authority", address)
-	}
-	return nil
-}
-
-// Subscriber makes and takes connections for subscriptions: by the calls and credentials of the members, without being
-// one.
+// Subscriber makes and takes connections for subscriptions to the distributed configuration, by the calls and credentials
+// of the members, without being one. Its methods may be called at the same time.
 type Subscriber struct {
-	secure *tls.Config
+	secure *tls.Config // nil for plain text
 }
 
 // NewSubscriber reads the credentials; where they are empty, plain text is spoken on loopback alone.
@@ -73,7 +20,8 @@
 	return &Subscriber{secure}, err
 }
 
-// Dial connects to a peer, given as Peer's String has it, and makes the call to subscribe.
+// Dial connects to a peer, given as Peer.String has it, and makes the call to subscribe. The error is a RefusedError where
+// the peer refuses it.
 func (s *Subscriber) Dial(ctx context.Context, peer string) (net.Conn, error) {
 	to := ParsePeer(peer)
 	if s.secure == nil {
@@ -100,67 +48,82 @@
 // subscribe makes the call over a connection.
 func (s *Subscriber) subscribe(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	if s.secure != nil {
-		as := s.secure.Clone()
-		as.ServerName = name
-		secured := tls.Client(conn, as)
+		secured := tls.Client(conn, withServerName(s.secure, name))
 		if err := secured.HandshakeContext(ctx); err != nil {
 			return nil, err
 		}
 		conn = secured
 	}
-	if _, err := conn.Write([]byte{connCalls}); err != nil {
+	if _, err := conn.Write([]byte{byte(connCalls)}); err != nil {
 		return nil, err
 	}
-	var a memberResponse
-	if err := roundTrip(conn, memberRequest{Subscribe: true}, &a); err != nil {
+	response, err := roundTrip(conn, memberRequest{Subscribe: true})
+	if err != nil {
 		return nil, err
 	}
-	if !a.Accepted {
-		return nil, errors.New(a.Why)
+	if !response.Accepted {
+		return nil, &RefusedError{response.Why}
 	}
 	return conn, conn.SetDeadline(time.Time{})
 }
 
-// Listener takes the connections of subscribers at one that passes on. It serves nothing else.
+// subscribeResponse answers the call to subscribe.
+func subscribeResponse(accepted bool) memberResponse {
+	if !accepted {
+		return memberResponse{Why: whyNoSubscribers}
+	}
+	return memberResponse{Accepted: true}
+}
+
+// Listener takes the connections of subscribers at a subscriber that passes the configuration on. It serves nothing else.
 type Listener struct {
 	transport *transport
 }
 
 // Listen listens at an address. Serve gets each connection after its call, with the names under which the caller may
-// subscribe; it returns when the connection has ended. Refused is told of callers that were not let in.
+// subscribe; it returns when the connection has ended. OnRefused is told of callers that were not let in. Both are called
+// on a goroutine for each connection. The error is a ConfigError.
 func (s *Subscriber) Listen(address string, serve func(conn net.Conn, allowed func(name string) bool),
-	refused func(from net.Addr, why error)) (*Listener, error) {
+	onRefused func(from net.Addr, why error)) (*Listener, error) {
 	if s.secure == nil {
 		if err := requireLoopback(address); err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
+			return nil, &ConfigError{"listen", err}
 		}
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, &ConfigError{"listen", err}
 	}
-	t := &transport{secure: s.secure, listener: listener, raftConns: make(chan net.Conn), ended: make(chan struct{}),
-		conns: map[net.Conn]bool{}, allowSubscribers: true, onRefused: refused}
+	t := newTransport(nil, s.secure)
+	t.listener = listener
+	t.allowSubscribers = true
+	t.onRefused = onRefused
 	t.serve = func(conn net.Conn, from caller, _ int) {
-		conn.SetDeadline(time.Now().Add(callTimeout))
-		var c memberRequest
-		if receive(conn, &c) != nil {
-			return
+		if acceptSubscription(conn) {
+			serve(conn, from.maySubscribeAs)
 		}
-		a := subscribeResponse(c.Subscribe)
-		if send(conn, a) != nil || !a.Accepted {
-			return
-		}
-		conn.SetDeadline(time.Time{})
-		serve(conn, from.subscribesAs)
 	}
 	return &Listener{t}, nil
 }
 
-// Address is where it listens.
+// acceptSubscription answers the first call of a connection; it is true if that was to subscribe.
+func acceptSubscription(conn net.Conn) bool {
+	conn.SetDeadline(time.Now().Add(callTimeout))
+	var request memberRequest
+	if receive(conn, &request) != nil {
+		return false
+	}
+	if send(conn, subscribeResponse(request.Subscribe)) != nil {
+		return false
+	}
+	conn.SetDeadline(time.Time{})
+	return request.Subscribe
+}
+
+// Address is where it listens, host:port.
 func (l *Listener) Address() string { return l.transport.listener.Addr().String() }
 
-// Run takes connections until the context ends, and closes them then.
+// Run takes connections until the context ends, and returns when all of them are closed.
 func (l *Listener) Run(ctx context.Context) {
 	var accepting sync.WaitGroup
 	accepting.Go(l.transport.acceptLoop)
--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	as := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+	as := newTransport(at, secure)
 	for name, c := range map[string]memberRequest{
 		"propose":       {Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}},
 		"propose as it": {Entry: &ownership.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
@@ -44,8 +44,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			var got memberResponse
-			if err := roundTrip(conn, c, &got); err != nil || got.Why != errNotMember.Error() || got.Accepted || got.ID != "" {
+			if got, err := roundTrip(conn, c); err != nil || got.Why != whyNotMember || got.Accepted || got.ID != "" {
 				t.Errorf("got %+v, %v", got, err)
 			}
 		})
@@ -116,7 +115,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String()); err == nil || err.Error() != errNoSubscribers.Error() {
+	conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String())
+	if refused := new(RefusedError); !errors.As(err, &refused) || refused.Reason != whyNoSubscribers {
 		t.Errorf("got %v, %v", conn, err)
 	}
 }
@@ -158,15 +158,13 @@
 		}
 	}
 	t.Run("nothing else is served", func(t *testing.T) {
-		as := &transport{members: map[string]string{"s1": l.Address()}, secure: other.secure, ended: make(chan struct{}),
-			conns: map[net.Conn]bool{}}
+		as := newTransport(map[string]string{"s1": l.Address()}, other.secure)
 		conn, err := as.dial(context.Background(), "s1", connCalls)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		var got memberResponse
-		if err := roundTrip(conn, memberRequest{Status: true}, &got); err != nil || got.Accepted || got.ID != "" {
+		if got, err := roundTrip(conn, memberRequest{Status: true}); err != nil || got.Accepted || got.ID != "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
 		raw, err := as.dial(context.Background(), "s1", connRaft)
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -25,7 +25,7 @@
 		{"a call to subscribe", memberRequest{Subscribe: true}, "a105f5"},
 		{"a call that brings a change", memberRequest{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
 			"a106a10581a201617302616e"},
-		{"an answer to a change", memberResponse{Accepted: true, Mark: &distribution.Version{Revision: 3}}, "a201f506a10203"},
+		{"an answer to a change", memberResponse{Accepted: true, Version: &distribution.Version{Revision: 3}}, "a201f506a10203"},
 		{"a refusal of a change", memberResponse{Why: "b", Refusal: refusedBaseMoved}, "a20261620702"},
 		{"an entry of the log that changes the configuration", configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{AcceptedAt: 5}},
 			"8201a10405"},
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -77,9 +77,9 @@
 
 // Bounds on what the record remembers.
 const (
-	maxRemovedLines       = 256 // removed lines of a table, beyond which ...
-	removedLinesAfterTrim = 128 // ... only so many are left
-	maxPastIncarnations   = 16  // of a member
+	maxRemovedLines             = 256 // removed lines of a table, beyond which ...
+	removedLinesAfterCompaction = 128 // ... only so many are left
+	maxPastIncarnations         = 16  // of a member
 )
 
 // NewRecord makes an empty record.
@@ -163,12 +163,12 @@
 		for _, line := range change.Lines {
 			table.Lines[line.Backend] = VersionedWeight{line.Weight, e.Revision}
 		}
-		table.forgetOldRemovals()
+		table.compactRemovals()
 	}
 }
 
-// forgetOldRemovals drops the oldest of the removed lines where there are many.
-func (t *Table) forgetOldRemovals() {
+// compactRemovals drops the oldest of the removed lines where there are many.
+func (t *Table) compactRemovals() {
 	var removed []string
 	for backend, line := range t.Lines {
 		if line.Weight == 0 {
@@ -181,7 +181,7 @@
 	slices.SortFunc(removed, func(a, b string) int {
 		return cmp.Or(cmp.Compare(t.Lines[a].Revision, t.Lines[b].Revision), cmp.Compare(a, b))
 	})
-	for _, backend := range removed[:len(removed)-removedLinesAfterTrim] {
+	for _, backend := range removed[:len(removed)-removedLinesAfterCompaction] {
 		t.CompactedAt = max(t.CompactedAt, t.Lines[backend].Revision)
 		delete(t.Lines, backend)
 	}
