--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -49,7 +49,7 @@
 	onEpoch      func(distribution.Epoch) // of each change and snapshot
 
 	mutex sync.Mutex // over voter
-	voter *distribution.VoterState
+	voter *distribution.Record
 }
 
 // newConfiguration makes an empty one. Distribution and onEpoch may be nil.
@@ -57,7 +57,7 @@
 	if onEpoch == nil {
 		onEpoch = func(distribution.Epoch) {}
 	}
-	return &configuration{distribution: told, onEpoch: onEpoch, voter: distribution.NewVoterState()}
+	return &configuration{distribution: told, onEpoch: onEpoch, voter: distribution.NewRecord()}
 }
 
 // changeResult is what became of a proposal.
@@ -84,7 +84,7 @@
 func (c *configuration) accept(proposal distribution.Proposal) changeResult {
 	c.mutex.Lock()
 	first := c.voter.Empty()
-	change, err := c.voter.Accept(proposal)
+	change, err := c.voter.Apply(proposal)
 	version := c.voter.Version()
 	var whole distribution.State
 	if err == nil && first {
@@ -118,9 +118,9 @@
 
 // restore takes the configuration of a snapshot; nil where it had none.
 func (c *configuration) restore(state *distribution.State) {
-	voter := distribution.NewVoterState()
+	voter := distribution.NewRecord()
 	if state != nil {
-		voter = distribution.RestoreVoterState(*state)
+		voter = distribution.RestoreRecord(*state)
 		c.onEpoch(state.Version.Epoch)
 	}
 	c.mutex.Lock()
@@ -132,7 +132,7 @@
 }
 
 // view calls a function with the configuration, under the lock.
-func (c *configuration) view(look func(*distribution.VoterState)) {
+func (c *configuration) view(look func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	look(c.voter)
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -18,7 +18,7 @@
 func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differ int, err error) {
 	for {
 		var proposal distribution.Proposal
-		n.current().machine.configuration.view(func(voter *distribution.VoterState) { proposal = voter.Difference(wanted) })
+		n.current().machine.configuration.view(func(voter *distribution.Record) { proposal = voter.Difference(wanted) })
 		if len(proposal.Entries) == 0 {
 			return proposal.Base, 0, nil
 		}
@@ -33,7 +33,7 @@
 }
 
 // ProposeChange has the record accept a change: once, whole, and gives the version that it makes. The error is
-// ErrUnanswered where it is not known whether it will be accepted, distribution.ErrMoved where the record is not at the
+// ErrUnanswered where it is not known whether it will be accepted, distribution.ErrVersionMismatch where the record is not at the
 // base of the proposal, and ErrRefused otherwise.
 func (n *Node) ProposeChange(ctx context.Context, proposal distribution.Proposal) (distribution.Version, error) {
 	response, err := n.proposeAtLeader(ctx, proposal)
@@ -43,7 +43,7 @@
 	case response.Accepted && response.Version != nil:
 		return *response.Version, nil
 	case response.Refusal == refusedBaseMoved:
-		return distribution.Version{}, distribution.ErrMoved
+		return distribution.Version{}, distribution.ErrVersionMismatch
 	case response.Refusal == refusedPermanently:
 		return distribution.Version{}, fmt.Errorf("%w: %s", ErrRefused, response.Why)
 	}
@@ -83,7 +83,7 @@
 	}
 	result, _ := future.Response().(changeResult)
 	switch {
-	case errors.Is(result.err, distribution.ErrMoved):
+	case errors.Is(result.err, distribution.ErrVersionMismatch):
 		return memberResponse{Why: result.err.Error(), Refusal: refusedBaseMoved}
 	case result.err != nil:
 		return memberResponse{Why: result.err.Error(), Refusal: refusedPermanently}
--- /dev/null
+++ b/distribution/admission.go
@@ -0,0 +1,200 @@
+package distribution
+
+import "slices"
+
+// handleSubscribe handles a request for a place, or for a snapshot by a child that has one.
+func (n *Node) handleSubscribe(link Link, m *Subscribe, now int64) {
+	if known := n.childByLink(link); known != nil {
+		n.handleResubscribe(known, m, now)
+		return
+	}
+	if !n.removeCaller(link) {
+		return // closed meanwhile
+	}
+	n.replaceSameName(m.Name, now)
+	if reason := n.refusalReason(m); reason != 0 {
+		n.refuseSubscribe(link, m, reason)
+		return
+	}
+	n.evictFor(m, now)
+	admitted := &child{link: link, name: m.Name, nextHeartbeatAt: now}
+	n.children = append(n.children, admitted)
+	n.host.Log(Event{Kind: EventChildAdmitted, Peer: admitted.name, Version: m.Version})
+	n.admitChild(admitted, m, now)
+}
+
+// handleResubscribe handles a request of a child that has a place.
+func (n *Node) handleResubscribe(c *child, m *Subscribe, now int64) {
+	reason := n.violatedRule(m)
+	if m.Name != c.name {
+		reason = RefusedMalformed
+	}
+	if reason != 0 {
+		n.refuseSubscribe(c.link, m, reason)
+		n.removeChild(c, CloseRefused, now)
+		return
+	}
+	n.admitChild(c, m, now)
+}
+
+// admitChild grants the lease and starts to send what the child lacks.
+func (n *Node) admitChild(c *child, m *Subscribe, now int64) {
+	c.scopes = m.Scopes
+	c.fanOut = m.FanOut
+	c.leaseEnd = now + n.limits.Lease
+	c.sentVersion = m.Version
+	c.snapshot = nil
+	c.unconfirmedSizes = nil
+	c.unconfirmedBytes = 0
+	c.confirmedMessages = 0
+	c.awaitsSnapshot = n.needsSnapshot(m)
+	n.sendToChild(c, &Admitted{
+		Lease:      n.limits.Lease,
+		Version:    n.store.version,
+		Path:       n.ownPath(),
+		Age:        n.sourceAge(now),
+		Candidates: n.proposeCandidates(m),
+		Request:    m.Request,
+	})
+	n.startSnapshots(now)
+	n.sendDeltas(c, now)
+}
+
+// needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is newer than this node
+// waits for it, also for a snapshot.
+func (n *Node) needsSnapshot(m *Subscribe) bool {
+	own := n.store.version
+	if m.WantSnapshot || own.Epoch.Newer(m.Version.Epoch) {
+		return true
+	}
+	if m.Version.Epoch != own.Epoch || m.Version.Revision > own.Revision {
+		return false
+	}
+	if digest, known := n.store.digestAt(m.Version.Revision, m.Scopes); known && digest != m.Digest {
+		return true
+	}
+	_, possible := n.store.deltaFrom(m.Version, m.Scopes, n.limits.BatchBytes)
+	return !possible
+}
+
+// refusalReason tells why a new child gets no place; zero if it gets one.
+func (n *Node) refusalReason(m *Subscribe) RefusalReason {
+	if reason := n.violatedRule(m); reason != 0 {
+		return reason
+	}
+	if len(n.children) >= n.limits.FanOut && n.evictionCandidate(m) == nil {
+		return RefusedFull
+	}
+	newer := n.store.version.Before(m.Version)
+	if !newer && n.needsSnapshot(m) && n.snapshotsPending() >= n.limits.MaxSnapshots {
+		return RefusedBusy
+	}
+	return 0
+}
+
+// violatedRule tells by which rule a place is refused whether or not there is one left; zero if by none.
+func (n *Node) violatedRule(m *Subscribe) RefusalReason {
+	path := n.ownPath()
+	switch {
+	case !n.wellFormed(m):
+		return RefusedMalformed
+	case slices.Contains(path, m.Name):
+		return RefusedLoop
+	case len(path) > n.limits.MaxDepth:
+		return RefusedTooDeep
+	case !n.store.version.Epoch.Known():
+		return RefusedEmpty
+	case !n.store.covered.Cover(m.Scopes):
+		return RefusedNotCovered
+	case n.conflictsWith(m.Version.Epoch):
+		return RefusedConflict
+	}
+	return 0
+}
+
+// wellFormed tells whether a request has a name and scopes that a node may have.
+func (n *Node) wellFormed(m *Subscribe) bool {
+	nameValid := m.Name != "" && len(m.Name) <= maxNameBytes
+	return nameValid && len(m.Scopes.Names) <= n.limits.MaxScopes && m.Scopes.sorted()
+}
+
+// evictionCandidate gives the child that makes room for a subscriber where every place is taken: the last that cannot
+// pass on all that this node has, if the subscriber can. A tree whose upper places are taken by leaves could not grow.
+func (n *Node) evictionCandidate(m *Subscribe) *child {
+	if !n.servesAllScopes(m.FanOut, m.Scopes) {
+		return nil
+	}
+	for _, child := range slices.Backward(n.children) {
+		if !n.servesAllScopes(child.fanOut, child.scopes) {
+			return child
+		}
+	}
+	return nil
+}
+
+// servesAllScopes tells whether a subscriber can be the parent of any that this node can be the parent of.
+func (n *Node) servesAllScopes(fanOut int, scopes Scopes) bool {
+	return fanOut > 0 && scopes.Cover(n.store.covered)
+}
+
+// evictFor ends the place of a child for a subscriber that was not refused, where every place is taken.
+func (n *Node) evictFor(m *Subscribe, now int64) {
+	if len(n.children) < n.limits.FanOut {
+		return
+	}
+	evicted := n.evictionCandidate(m)
+	n.refuseSubscribe(evicted.link, evicted.subscription(), RefusedFull)
+	n.removeChild(evicted, CloseRefused, now)
+}
+
+// replaceSameName ends the place that a child has on an older link, which may be half-open.
+func (n *Node) replaceSameName(name string, now int64) {
+	for _, child := range n.children {
+		if child.name == name {
+			n.host.Close(child.link, CloseReplaced)
+			n.removeChild(child, CloseReplaced, now)
+			return
+		}
+	}
+}
+
+// refuseSubscribe answers a request and closes the link.
+func (n *Node) refuseSubscribe(link Link, m *Subscribe, reason RefusalReason) {
+	n.counts.Refusals++
+	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Version: m.Version, Refusal: reason})
+	n.host.Send(link, &Refused{Reason: reason, RetryAfter: n.retryAfter(reason), Candidates: n.proposeCandidates(m)})
+	n.host.Close(link, CloseRefused)
+}
+
+// retryAfter is the µs after which a refused child may come again, with jitter so that those refused together don't come
+// together.
+func (n *Node) retryAfter(reason RefusalReason) int64 {
+	least := n.limits.MaxRetryAfter / 2
+	switch reason {
+	case RefusedBusy:
+		least = min(n.snapshotTimeLeft(), least)
+	case RefusedEmpty:
+		least = n.limits.MaxBackoff / 2
+	}
+	least = max(least, n.limits.MinBackoff)
+	return least + n.jitter(least)
+}
+
+// proposeCandidates names children that could be the parent of a subscriber, beginning at a random one.
+func (n *Node) proposeCandidates(m *Subscribe) []string {
+	if len(n.children) == 0 {
+		return nil
+	}
+	var names []string
+	first := int(n.host.Random() % uint64(len(n.children)))
+	for i := range n.children {
+		child := n.children[(first+i)%len(n.children)]
+		if len(names) == n.limits.MaxProposed {
+			break
+		}
+		if child.fanOut > 0 && child.name != m.Name && child.scopes.Cover(m.Scopes) {
+			names = append(names, child.name)
+		}
+	}
+	return names
+}
