--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"strings"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -84,13 +85,16 @@
 	result, _ := future.Response().(changeResult)
 	switch {
 	case errors.Is(result.err, distribution.ErrVersionMismatch):
-		return memberResponse{Why: result.err.Error(), Refusal: refusedBaseMoved}
+		return memberResponse{Why: whyRefused(result.err), Refusal: refusedBaseMoved}
 	case result.err != nil:
-		return memberResponse{Why: result.err.Error(), Refusal: refusedPermanently}
+		return memberResponse{Why: whyRefused(result.err), Refusal: refusedPermanently}
 	}
 	return memberResponse{Accepted: true, Version: &result.version}
 }
 
+// whyRefused is an error as it is given on the wire, where reasons have no package before them.
+func whyRefused(err error) string { return strings.TrimPrefix(err.Error(), "distribution: ") }
+
 // nextEpoch is the epoch that a configuration gets which has none yet: newer than all that this process has seen.
 func (n *Node) nextEpoch() distribution.Epoch {
 	n.leaderMutex.Lock()
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -39,3 +39,22 @@
 		}
 	}
 }
+
+// The reasons for which a change is refused are given on the wire as they always were.
+func TestReasonsOfRefusedChangesOnTheWire(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want string
+	}{
+		{distribution.ErrNoEpoch, "neither the record nor the proposal has an epoch"},
+		{distribution.ErrVersionMismatch, "the record has changed since"},
+		{distribution.ErrNoChange, "it changes nothing"},
+		{distribution.ErrMalformed, "an entry has no scope or name, or is there twice"},
+		{distribution.ErrTooLarge, "it is over the bound on a change"},
+		{distribution.ErrFull, "the configuration would be over its bound"},
+	} {
+		if got := whyRefused(c.err); got != c.want {
+			t.Errorf("%v is given as %q, and was given as %q", c.err, got, c.want)
+		}
+	}
+}
