--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -15,11 +15,11 @@
 // others, who own 400 proxies between them.
 func BenchmarkCatchUp(b *testing.B) {
 	const hour, proxies = 16 * 3600, 400
-	at := addresses(b, "a", "b", "c")
-	a, other, c := starts(b, Config{Name: "a", Members: at}), starts(b, Config{Name: "b", Members: at}), starts(b, Config{Name: "c", Members: at})
-	a.puts(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	other.puts(b, ownership.Entry{Member: "b", Incarnation: 2, Seq: 1})
-	c.puts(b, ownership.Entry{Member: "c", Incarnation: 3, Seq: 1})
+	at := freeAddresses(b, "a", "b", "c")
+	a, other, c := startMember(b, Config{Name: "a", Members: at}), startMember(b, Config{Name: "b", Members: at}), startMember(b, Config{Name: "c", Members: at})
+	a.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	other.commit(b, ownership.Entry{Member: "b", Incarnation: 2, Seq: 1})
+	c.commit(b, ownership.Entry{Member: "c", Incarnation: 3, Seq: 1})
 	c.stop()
 	lead := a
 	if r := other.current().raft; r.State() == raft.Leader {
@@ -59,15 +59,15 @@
 	b.Logf("%d entries taken in by two in %s", hour, time.Since(began).Round(time.Millisecond))
 	for _, way := range []struct{ name, told string }{{"log", fmt.Sprintf("recorded b 2 %d", hour/2+1)}, {"snapshot", "restored"}} {
 		if way.told == "restored" {
-			a.puts(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: hour/2 + 2}) // behind the last change of members
+			a.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: hour/2 + 2}) // behind the last change of members
 			if err := r.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot {
 				b.Fatal(err)
 			}
 		}
 		b.Run(way.name, func(b *testing.B) {
 			for range b.N {
-				back := starts(b, Config{Name: "c", Members: at})
-				back.waits(b, way.told)
+				back := startMember(b, Config{Name: "c", Members: at})
+				back.waitFor(b, way.told)
 				b.StopTimer()
 				back.stop()
 				b.StartTimer()
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -160,7 +160,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		text := make([]byte, length)
 		n, _ := io.ReadFull(conn, text)
 		got <- text[:n]
@@ -192,7 +192,7 @@
 			t.Error("nobody has answered")
 		}
 	}))
-	a := starts(t, Config{Name: "n0", Members: addresses(t, "n0", "n1")})
+	a := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0", "n1")})
 	address := a.transport.members["n0"]
 	for _, c := range []struct {
 		name, sent string
@@ -211,7 +211,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := conn.Write(body); err != nil {
 			t.Fatal(err)
 		}
@@ -270,25 +270,25 @@
 // writeVoter runs a member on a folder until there is a snapshot, and a log beyond it.
 func writeVoter(t *testing.T, folder string, configured bool) {
 	t.Helper()
-	config := Config{Name: "n0", Members: addresses(t, "n0"), Folder: folder}
+	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder}
 	if configured {
-		config.Distribution = &subscribed{}
+		config.Distribution = &fakeDistribution{}
 	}
-	m := starts(t, config)
-	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Revision: 1,
+	m := startMember(t, config)
+	m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Revision: 1,
 		TableChanges: []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 1}, {Backend: "b", Weight: 0.25}}}}})
 	if configured {
-		configures(t, m, entry("x", "1"), entry("y", "1"))
+		configure(t, m, entry("x", "1"), entry("y", "1"))
 	}
 	r := m.current().raft
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Revision: 2,
+	m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Revision: 2,
 		TableChanges:  []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 0}}}},
 		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Revision: 2, Tables: []int{0, 0}, WithdrawalsKnown: true}}})
 	if configured {
-		configures(t, m, entry("x", "2"), entry("z", "1"))
+		configure(t, m, entry("x", "2"), entry("z", "1"))
 	}
 	m.stop()
 }
@@ -311,13 +311,13 @@
 			if err := os.CopyFS(folder, os.DirFS(stored)); err != nil {
 				t.Fatal(err)
 			}
-			m := starts(t, Config{Name: "n0", Members: addresses(t, "n0"), Folder: folder})
-			m.waits(t, "recorded n0 5 2") // from the log, after the snapshot
+			m := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder})
+			m.waitFor(t, "recorded n0 5 2") // from the log, after the snapshot
 			if told, _ := m.has("restored"); !told {
 				t.Error("the snapshot was not read")
 			}
 			if name == "configuration" {
-				until(t, "the configuration's last change is read", func() bool {
+				waitUntil(t, "the configuration's last change is read", func() bool {
 					machine := m.current().machine
 					state := machine.configuration.state()
 					return state != nil && state.Version.Revision == 2
@@ -325,7 +325,7 @@
 			}
 			machine := m.current().machine
 			compareWithGolden(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
-			m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
+			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
 		})
 	}
 }
@@ -336,9 +336,9 @@
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join("testdata", "snapshot-"+name+".cbor")
 			if *update {
-				m := changed(t)
+				m := machineWith(t)
 				if name == "configuration" {
-					m = changed(t, entry("x", "1"), entry("y", "2"), entry("x", "3"))
+					m = machineWith(t, entry("x", "1"), entry("y", "2"), entry("x", "3"))
 				}
 				e := goldenEntry()
 				e.Seq = 1
@@ -352,7 +352,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := newReader()
+			r := newEventLog()
 			m := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfiguration(nil, nil), onUnreadable: func(err error) { t.Error(err) }}
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
--- a/consensus/pace_test.go
+++ b/consensus/pace_test.go
@@ -8,7 +8,7 @@
 )
 
 // A longer lease slows the pace in proportion, and raft takes each.
-func TestPace(t *testing.T) {
+func TestPaceFollowsTheLease(t *testing.T) {
 	const usualLease = 1500 * time.Millisecond
 	usual := pace{400 * time.Millisecond, 300 * time.Millisecond, 50 * time.Millisecond}
 	for lease, want := range map[time.Duration]pace{
--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -16,16 +16,16 @@
 
 func TestSubscriberIsNoMember(t *testing.T) {
 	ours, foreign := newAuthority(t), newAuthority(t)
-	at := addresses(t, "a")
+	at := freeAddresses(t, "a")
 	served := make(chan func(string) bool, 1)
-	told := &subscribed{served: func(conn net.Conn, allowed func(string) bool) {
+	told := &fakeDistribution{onAccept: func(conn net.Conn, allowed func(string) bool) {
 		served <- allowed
 		io.WriteString(conn, "streams")
 		conn.Close()
 	}}
-	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a"), Distribution: told})
-	a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	secure, err := ours.gives("s17").tlsConfig()
+	a := startMember(t, Config{Name: "a", Members: at, Credentials: ours.issue("a"), Distribution: told})
+	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	secure, err := ours.issue("s17").tlsConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,19 +55,19 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("read %d bytes, %v", n, err)
 		}
 	})
-	until(t, "who was refused is forgotten", func() bool {
+	waitUntil(t, "who was refused is forgotten", func() bool {
 		a.transport.mutex.Lock()
 		defer a.transport.mutex.Unlock()
 		return len(a.transport.conns) == 0
 	})
 	peer := Peer{"a", at["a"]}.String()
 	t.Run("it may subscribe, under its own name", func(t *testing.T) {
-		s, err := NewSubscriber(ours.gives("s17"))
+		s, err := NewSubscriber(ours.issue("s17"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 			t.Error("it may subscribe under other names")
 		}
 	})
-	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("s17"), "plain text": {}} {
+	for name, given := range map[string]Credentials{"a foreign authority": foreign.issue("s17"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
 			s, err := NewSubscriber(given)
 			if err != nil {
@@ -97,7 +97,7 @@
 		})
 	}
 	t.Run("who has another name than was dialled is refused", func(t *testing.T) {
-		s, err := NewSubscriber(ours.gives("s17"))
+		s, err := NewSubscriber(ours.issue("s17"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,9 +108,9 @@
 	})
 }
 
-func TestSubscribingIsOff(t *testing.T) {
-	at := addresses(t, "a")
-	starts(t, Config{Name: "a", Members: at})
+func TestSubscribingIsRefusedWhereItIsOff(t *testing.T) {
+	at := freeAddresses(t, "a")
+	startMember(t, Config{Name: "a", Members: at})
 	s, err := NewSubscriber(Credentials{})
 	if err != nil {
 		t.Fatal(err)
@@ -121,9 +121,9 @@
 	}
 }
 
-func TestListener(t *testing.T) {
+func TestListenerServesSubscribersAlone(t *testing.T) {
 	ours := newAuthority(t)
-	s, err := NewSubscriber(ours.gives("s1"))
+	s, err := NewSubscriber(ours.issue("s1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	running.Go(func() { l.Run(ctx) })
 	defer running.Wait()
 	defer cancel()
-	other, err := NewSubscriber(ours.gives("s2"))
+	other, err := NewSubscriber(ours.issue("s2"))
 	if err != nil {
 		t.Fatal(err)
 	}
