--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -47,7 +47,7 @@
 			n.log.Info("leading", "leads", leads, "name", n.config.Name)
 		case <-poll.C:
 			if err := loop.poll(ctx); err != nil {
-				n.log.Error("record_lost", "error", err.Error())
+				n.log.Error("record_failed", "error", err.Error())
 				return
 			}
 		}
@@ -122,7 +122,7 @@
 
 // startOver drops what we have of the record, and comes as new.
 func (l *membershipLoop) startOver(current *instance) error {
-	l.log.Warn("record_lost", "text", "all others have come as new; so do we")
+	l.log.Warn("record_restarted", "text", "all others have come as new; so do we")
 	current.close()
 	if err := l.openInstance(); err != nil {
 		return err
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -105,7 +105,7 @@
 }
 
 func (n *Node) halt(err error) {
-	n.log.Error("record_lost", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
+	n.log.Error("record_halted", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
 	n.halted.Store(true)
 }
 
