--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -25,7 +25,7 @@
 		{"a call to subscribe", memberRequest{Subscribe: true}, "a105f5"},
 		{"a call that brings a change", memberRequest{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
 			"a106a10581a201617302616e"},
-		{"an answer to a change", memberResponse{Accepted: true, Mark: &distribution.Version{Revision: 3}}, "a201f506a10203"},
+		{"an answer to a change", memberResponse{Accepted: true, Version: &distribution.Version{Revision: 3}}, "a201f506a10203"},
 		{"a refusal of a change", memberResponse{Why: "b", Refusal: refusedBaseMoved}, "a20261620702"},
 		{"an entry of the log that changes the configuration", configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{AcceptedAt: 5}},
 			"8201a10405"},
@@ -39,3 +39,22 @@
 		}
 	}
 }
+
+// The reasons for which a change is refused are given on the wire as they always were.
+func TestReasonsOfRefusedChangesOnTheWire(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want string
+	}{
+		{distribution.ErrNoEpoch, "neither the record nor the proposal has an epoch"},
+		{distribution.ErrVersionMismatch, "the record has changed since"},
+		{distribution.ErrNoChange, "it changes nothing"},
+		{distribution.ErrMalformed, "an entry has no scope or name, or is there twice"},
+		{distribution.ErrTooLarge, "it is over the bound on a change"},
+		{distribution.ErrFull, "the configuration would be over its bound"},
+	} {
+		if got := whyRefused(c.err); got != c.want {
+			t.Errorf("%v is given as %q, and was given as %q", c.err, got, c.want)
+		}
+	}
+}
