--- a/cmd/wheelrill/golden_test.go
+++ b/cmd/wheelrill/golden_test.go
@@ -95,7 +95,7 @@
 		}
 		text += fmt.Sprintf("%s: %d\n", strings.ReplaceAll(strings.Join(append([]string{"wheelrill"}, args...), " "), folder, "FOLDER"), c.ProcessState.ExitCode())
 	}
-	for _, verdict := range []string{rehearse.Kept, rehearse.Broken, rehearse.Unjudged, "another"} {
+	for _, verdict := range []rehearse.Verdict{rehearse.VerdictPassed, rehearse.VerdictViolated, rehearse.VerdictInconclusive, "another"} {
 		code, err := exit(0), exitOf(verdict)
 		if err != nil && !errors.As(err, &code) {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 	report, run := &rehearse.Report{}, &scale.Run{}
 	fill(reflect.ValueOf(report).Elem())
 	fill(reflect.ValueOf(run).Elem())
-	report.Verdict = rehearse.Kept
+	report.Verdict = rehearse.VerdictPassed
 	var rehearsed, measured bytes.Buffer
 	if err := writeReport(&rehearsed, report, true); err != nil {
 		t.Fatal(err)
--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -26,7 +26,7 @@
 			fmt.Fprintln(c.OutOrStdout(), "calm       nothing goes wrong")
 			fmt.Fprintln(c.OutOrStdout(), "takeover   controllers are killed under load, and come back as new; a worker hangs now and then")
 		}}
-	t := &rehearse.Takeover{}
+	t := &rehearse.Scenario{}
 	var asJSON bool
 	sharing := "on"
 	run := &cobra.Command{Use: "run NAME", Short: "Play one", Args: cobra.ExactArgs(1),
@@ -50,7 +50,7 @@
 			if shown, err := os.Stderr.Stat(); err == nil && shown.Mode()&os.ModeCharDevice != 0 {
 				began := time.Now()
 				t.Progress = func(text string) {
-					fmt.Fprintf(os.Stderr, "%6.1f s of %s  %s\n", time.Since(began).Seconds(), t.For, text)
+					fmt.Fprintf(os.Stderr, "%6.1f s of %s  %s\n", time.Since(began).Seconds(), t.Duration, text)
 				}
 			}
 			report, err := t.Run(ctx)
@@ -60,11 +60,11 @@
 			return writeReport(c.OutOrStdout(), report, asJSON)
 		}}
 	f := run.Flags()
-	f.DurationVar(&t.For, "for", time.Minute, "how long it is played")
-	f.DurationVar(&t.KillEvery, "kill-every", 6*time.Second, "time between two faults")
-	f.IntVar(&t.Instances, "instances", 3, "controllers")
-	f.IntVar(&t.Relays, "relays", 60, "relays")
-	f.IntVar(&t.Workers, "workers", 12, "workers")
+	f.DurationVar(&t.Duration, "for", time.Minute, "how long it is played")
+	f.DurationVar(&t.FaultInterval, "kill-every", 6*time.Second, "time between two faults")
+	f.IntVar(&t.Controllers, "instances", 3, "controllers")
+	f.IntVar(&t.Proxies, "relays", 60, "relays")
+	f.IntVar(&t.Backends, "workers", 12, "workers")
 	f.Uint64Var(&t.Seed, "seed", 1, "of all that is drawn")
 	f.StringVar(&sharing, "sharing", "on", "on, or off for a baseline")
 	f.BoolVar(&t.Fenced, "fenced", false, "relays ask for owners' tokens, and refuse older ones")
@@ -88,19 +88,19 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(to, "%s, seed %d, %d controllers, sharing %v, %d relays, %.0f s, faults %v\n", r.Scenario, r.Seed, r.Instances,
-			r.Sharing, r.Relays, r.Seconds, r.Faults)
+		fmt.Fprintf(to, "%s, seed %d, %d controllers, sharing %v, %d relays, %.0f s, faults %v\n", r.Scenario, r.Seed, r.Controllers,
+			r.Sharing, r.Proxies, r.Seconds, r.Faults)
 		fmt.Fprintf(to, "effects %d, broken rules %v; longest without a line %.2f s, most messages to a relay %d\n", r.Effects,
-			r.Broken, r.BareMost, r.Messages)
-		fmt.Fprintf(to, "value served in time %.4f of %d requests; lost %d, refused %d\n", r.Served, r.Came, r.Lost, r.Refused)
+			r.ViolationCounts, r.LongestEmptyTable, r.MostMessages)
+		fmt.Fprintf(to, "value served in time %.4f of %d requests; lost %d, refused %d\n", r.ServedValue, r.Requests, r.Lost, r.Rejected)
 		fmt.Fprintf(to, "streams begun %d, lines in the first second of each %.1f; all lines %d in %d orders; refused as stale %d\n",
-			r.Takeovers, r.JoinLines, r.Lines, r.Orders, r.Stale)
+			r.StreamsBegun, r.LinesAtConnect, r.Lines, r.Orders, r.StaleOrdersRejected)
 		fmt.Fprintf(to, "hangs %d, left after %.2f s in the mean, %.2f s at most; tries into them %d; workers replaced %d\n", r.Hangs,
-			r.LeaveMean, r.LeaveMost, r.IntoHang, r.Replaced)
-		for _, b := range r.Breaches {
-			fmt.Fprintf(to, "rule %d at %.1f s: %s: %s\n", b.Rule, b.At.Seconds(), b.Whose, b.Text)
+			r.MeanHangDetection, r.MaxHangDetection, r.AttemptsIntoHang, r.BackendsReplaced)
+		for _, b := range r.Violations {
+			fmt.Fprintf(to, "rule %d at %.1f s: %s: %s\n", b.Rule, b.At.Seconds(), b.Subject, b.Text)
 		}
-		fmt.Fprintf(to, "verdict: %s %s\n", r.Verdict, r.Why)
+		fmt.Fprintf(to, "verdict: %s %s\n", r.Verdict, r.Reason)
 	}
 	return exitOf(r.Verdict)
 }
@@ -112,11 +112,11 @@
 }
 
 // exitOf ends with the code of a verdict.
-func exitOf(verdict string) error {
+func exitOf(verdict rehearse.Verdict) error {
 	switch verdict {
-	case rehearse.Kept:
+	case rehearse.VerdictPassed:
 		return nil
-	case rehearse.Broken:
+	case rehearse.VerdictViolated:
 		return exit(exitBroken)
 	}
 	return exit(exitUnjudged)
--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -33,26 +33,26 @@
 	t.Setenv(asProgram, "yes")
 	for _, story := range []struct {
 		name string
-		play rehearse.Takeover
+		play rehearse.Scenario
 	}{
-		{"members are killed", rehearse.Takeover{Sharing: true, Fenced: true}},
-		{"members freeze, are cut off and leave", rehearse.Takeover{Sharing: true, Faults: "freeze,half,leave"}},
-		{"two die at once, and no majority is left", rehearse.Takeover{Sharing: true, Fenced: true, Faults: "pair,split"}},
-		{"nothing is shared", rehearse.Takeover{}},
-		{"nothing goes wrong", rehearse.Takeover{Sharing: true, Calm: true}},
+		{"members are killed", rehearse.Scenario{Sharing: true, Fenced: true}},
+		{"members freeze, are cut off and leave", rehearse.Scenario{Sharing: true, Faults: "freeze,half,leave"}},
+		{"two die at once, and no majority is left", rehearse.Scenario{Sharing: true, Fenced: true, Faults: "pair,split"}},
+		{"nothing is shared", rehearse.Scenario{}},
+		{"nothing goes wrong", rehearse.Scenario{Sharing: true, Calm: true}},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			p := story.play
-			p.For, p.KillEvery, p.Instances, p.Relays, p.Workers, p.Seed = 6*time.Second, 2*time.Second, 3, 12, 4, 3
+			p.Duration, p.FaultInterval, p.Controllers, p.Proxies, p.Backends, p.Seed = 6*time.Second, 2*time.Second, 3, 12, 4, 3
 			p.Program, p.Folder = program, t.TempDir()
 			report, err := p.Run(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if report.Verdict == rehearse.Unjudged {
-				t.Skip(report.Why)
+			if report.Verdict == rehearse.VerdictInconclusive {
+				t.Skip(report.Reason)
 			}
-			if report.Verdict != rehearse.Kept || (len(report.Faults) == 0) != p.Calm || report.Served == 0 {
+			if report.Verdict != rehearse.VerdictPassed || (len(report.Faults) == 0) != p.Calm || report.ServedValue == 0 {
 				t.Errorf("got %+v", report)
 			}
 		})
@@ -60,10 +60,10 @@
 }
 
 func TestVerdict(t *testing.T) {
-	for verdict, want := range map[string]error{rehearse.Kept: nil, rehearse.Broken: exit(1), rehearse.Unjudged: exit(2)} {
-		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Breaches: []invariant.Violation{{Rule: 2, Whose: "x", Text: "twice"}}}
+	for verdict, want := range map[rehearse.Verdict]error{rehearse.VerdictPassed: nil, rehearse.VerdictViolated: exit(1), rehearse.VerdictInconclusive: exit(2)} {
+		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Violations: []invariant.Violation{{Rule: 2, Subject: "x", Text: "twice"}}}
 		var text bytes.Buffer
-		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+verdict) ||
+		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+string(verdict)) ||
 			!strings.Contains(text.String(), "rule 2 at 0.0 s: x: twice") {
 			t.Errorf("%s: ended with %v, said %s", verdict, err, text.String())
 		}
--- a/cmd/wheelrill/scale_test.go
+++ b/cmd/wheelrill/scale_test.go
@@ -9,6 +9,7 @@
 	"strings"
 	"testing"
 
+	"wheelrill/rehearse"
 	"wheelrill/scale"
 )
 
@@ -50,7 +51,7 @@
 	if entries, _ := told.Samples[0].Get("entries_per_s"); entries < 5 {
 		t.Errorf("three members put %v entries a second on the record", entries)
 	}
-	if want := map[string]int{scale.Kept: 0, scale.Broken: exitBroken, scale.Unjudged: exitUnjudged}[told.Verdict]; code != want {
+	if want := map[rehearse.Verdict]int{scale.VerdictPassed: 0, scale.VerdictViolated: exitBroken, scale.VerdictInconclusive: exitUnjudged}[told.Verdict]; code != want {
 		t.Errorf("verdict %s ended with %d", told.Verdict, code)
 	}
 	if kept, err := scale.Load(folder); err != nil || len(kept) != 1 || kept[0].Name != "short" {
@@ -95,7 +96,7 @@
 	if _, code := report("--refit"); code != 0 {
 		t.Errorf("--refit ended with %d", code)
 	}
-	if again, err := scale.Load(folder); err != nil || again[0].Verdict != scale.Kept {
+	if again, err := scale.Load(folder); err != nil || again[0].Verdict != scale.VerdictPassed {
 		t.Errorf("a run without a verdict was made %+v, %v", again, err)
 	}
 	write("<!-- scale report none -->\n<!-- end -->\n")
--- a/fake/collector.go
+++ b/fake/collector.go
@@ -2,56 +2,54 @@
 
 import (
 	"context"
+	"maps"
 	"net"
 	"slices"
 	"sync"
 	"time"
 )
 
-// collector forwards to one controller what the relays of a zone met that have their streams there.
+// collector forwards to one controller what proxies of one zone met that have their streams there.
 type collector struct {
-	in   *Fleet
-	zone string
-	at   int
+	fleet      *Fleet
+	zone       string
+	controller int
 
-	mutex sync.Mutex
-	met   map[string]*met
+	mutex    sync.Mutex
+	outcomes map[string]*outcomeCounts // by backend, since the last report
 }
 
-type met struct {
-	tries, failed int
-	took          time.Duration
+type outcomeCounts struct {
+	attempts int
+	failed   int
+	took     time.Duration // sum over those that succeeded
 }
 
-type outcomes struct {
-	Msg      string  `json:"msg"`
-	Zone     string  `json:"locality"`
-	Endpoint string  `json:"endpoint"`
-	Total    int     `json:"total"`
-	Errors   int     `json:"errors"`
-	RTT      float64 `json:"rtt"`
-	Interval float64 `json:"interval"`
+func newCollector(fleet *Fleet, zone string, controller int) *collector {
+	return &collector{fleet: fleet, zone: zone, controller: controller, outcomes: map[string]*outcomeCounts{}}
 }
 
-func (c *collector) note(worker string, result Outcome, took time.Duration) {
+// note counts the outcome of an attempt.
+func (c *collector) note(backend string, outcome Outcome, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	m := c.met[worker]
-	if m == nil {
-		m = &met{}
-		c.met[worker] = m
+	counts := c.outcomes[backend]
+	if counts == nil {
+		counts = &outcomeCounts{}
+		c.outcomes[backend] = counts
 	}
-	if m.tries++; result == OutcomeSucceeded {
-		m.took += took
+	counts.attempts++
+	if outcome == OutcomeSucceeded {
+		counts.took += took
 	} else {
-		m.failed++
+		counts.failed++
 	}
 }
 
-// run keeps a connection, and forwards each second.
+// run keeps a connection, and forwards at each interval until the context ends. What falls into a break is lost.
 func (c *collector) run(ctx context.Context) {
-	every := time.NewTicker(c.in.reports)
-	defer every.Stop()
+	ticker := time.NewTicker(c.fleet.reportInterval)
+	defer ticker.Stop()
 	var conn net.Conn
 	defer func() {
 		if conn != nil {
@@ -62,38 +60,53 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
-		c.mutex.Lock()
-		seen := c.met
-		c.met = map[string]*met{}
-		c.mutex.Unlock()
+		reports := c.takeReports()
 		if conn == nil {
-			var err error
-			if conn, err = net.DialTimeout("tcp", c.in.controllers[c.at].Address(), dialWithin); err != nil {
-				conn = nil
-				continue
-			}
-			conn.Write(frame(map[string]string{"msg": "agent", "locality": c.zone}))
+			conn = c.dial()
 		}
-		var out []byte
-		var ids []string
-		for id := range seen {
-			ids = append(ids, id)
-		}
-		slices.Sort(ids)
-		for _, id := range ids {
-			m := seen[id]
-			o := outcomes{"outcomes", c.zone, id, m.tries, m.failed, 0, float64(c.in.reports.Milliseconds())}
-			if answered := m.tries - m.failed; answered > 0 {
-				o.RTT = float64(m.took.Microseconds()) / 1000 / float64(answered)
-			}
-			out = append(out, frame(o)...)
+		if conn == nil {
+			continue
 		}
-		conn.SetWriteDeadline(time.Now().Add(dialWithin))
-		if _, err := conn.Write(out); err != nil {
+		if err := write(conn, reports, dialTimeout); err != nil {
 			conn.Close()
 			conn = nil
 		}
 	}
 }
+
+// dial gives a connection on which the collector has said who it is, or nil.
+func (c *collector) dial() net.Conn {
+	conn, err := net.DialTimeout("tcp", c.fleet.links[c.controller].Address(), dialTimeout)
+	if err != nil {
+		return nil
+	}
+	if err := write(conn, frame(agent{Msg: msgAgent, Zone: c.zone}), dialTimeout); err != nil {
+		conn.Close()
+		return nil
+	}
+	return conn
+}
+
+// takeReports gives the reports of what was counted, framed, and begins to count anew.
+func (c *collector) takeReports() []byte {
+	c.mutex.Lock()
+	outcomes := c.outcomes
+	c.outcomes = map[string]*outcomeCounts{}
+	c.mutex.Unlock()
+	var out []byte
+	for _, id := range slices.Sorted(maps.Keys(outcomes)) {
+		counts := outcomes[id]
+		report := outcomeReport{Msg: msgOutcomes, Zone: c.zone, Backend: id, Total: counts.attempts, Errors: counts.failed,
+			Interval: milliseconds(c.fleet.reportInterval)}
+		if succeeded := counts.attempts - counts.failed; succeeded > 0 {
+			report.Latency = float64(counts.took.Microseconds()) / 1000 / float64(succeeded)
+		}
+		out = append(out, frame(report)...)
+	}
+	return out
+}
+
+// milliseconds gives whole ones.
+func milliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -11,59 +11,51 @@
 	"wheelrill/invariant"
 )
 
-// entry is one worker as discovery writes it.
-type entry struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
-
-	version int
-}
-
-// Discovery tells controllers of workers, over HTTP with watches.
+// Discovery tells controllers of backends, over HTTP with long polls. Its methods may be called at once.
 type Discovery struct {
 	server  *http.Server
 	address string
-	account *invariant.Checker
+	checker *invariant.Checker // nil where nothing is published
 	clock   func() time.Duration
-
-	mutex   sync.Mutex
-	version int
-	entries []entry
-	at      map[string]int // index of an entry by its id
-	whole   []byte         // the whole list as it is sent, until something changes
-	sent    int64          // bytes of answers
-	answers int
-	news    chan struct{}
-	silent  bool
-	ended   chan struct{}
-	running sync.WaitGroup
+	closed  chan struct{}
+	running sync.WaitGroup // the server's goroutine, which Close ends
+
+	mutex     sync.Mutex // of all below
+	version   int
+	entries   []discoveryEntry
+	indexByID map[string]int // of entries
+	fullBody  []byte         // the full list as it is sent; nil once something has changed
+	changed   chan struct{}  // closed at each change
+	silent    bool
+	answers   int
+	bytesSent int64
 }
 
 // NewDiscovery begins to serve an empty list.
-func NewDiscovery(account *invariant.Checker, clock func() time.Duration) (*Discovery, error) {
+func NewDiscovery(checker *invariant.Checker, clock func() time.Duration) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{address: listener.Addr().String(), account: account, clock: clock, at: map[string]int{}, news: make(chan struct{}),
-		ended: make(chan struct{})}
+	d := &Discovery{
+		address:   listener.Addr().String(),
+		checker:   checker,
+		clock:     clock,
+		closed:    make(chan struct{}),
+		indexByID: map[string]int{},
+		changed:   make(chan struct{}),
+	}
 	d.server = &http.Server{Handler: d}
-	d.running.Go(func() { d.server.Serve(listener) })
+	d.running.Go(func() { _ = d.server.Serve(listener) }) // its error is that it was closed
 	return d, nil
 }
 
 // Address is where it serves.
 func (d *Discovery) Address() string { return d.address }
 
-// Close ends it.
+// Close ends it. It is called once.
 func (d *Discovery) Close() {
-	close(d.ended)
+	close(d.closed)
 	d.server.Close()
 	d.running.Wait()
 }
@@ -73,103 +65,114 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.silent = silent
-	d.told()
+	d.notifyWatchers()
 }
 
-func (d *Discovery) told() {
-	close(d.news)
-	d.news = make(chan struct{})
+// notifyWatchers has long polls look again. The discovery is locked.
+func (d *Discovery) notifyWatchers() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Publish writes workers with a state: up, draining or removed.
-func (d *Discovery) Publish(state string, workers ...*Backend) {
+// Publish writes backends with a state, as one version of the list.
+func (d *Discovery) Publish(state State, backends ...*Backend) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.version++
-	for _, w := range workers {
-		e := w.entry(state)
-		e.version = d.version
-		if at, known := d.at[e.ID]; known {
-			d.entries[at] = e
+	for _, b := range backends {
+		entry := b.discoveryEntry(state)
+		entry.version = d.version
+		if i, known := d.indexByID[entry.ID]; known {
+			d.entries[i] = entry
 		} else {
-			d.at[e.ID], d.entries = len(d.entries), append(d.entries, e)
+			d.indexByID[entry.ID] = len(d.entries)
+			d.entries = append(d.entries, entry)
 		}
-		d.account.EndpointListed(w.ID, state == "up", w.Warm(), d.clock())
+		d.checker.EndpointListed(b.ID, state == StateUp, b.Warm(), d.clock())
 	}
-	d.whole = nil
-	d.told()
+	d.fullBody = nil
+	d.notifyWatchers()
 }
 
 // Sent is how many answers it has given, and how many bytes their bodies had.
 func (d *Discovery) Sent() (answers int, bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.answers, d.sent
+	return d.answers, d.bytesSent
 }
 
-type answer struct {
-	Version int     `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []entry `json:"servers"`
+// listing is an answer at a moment.
+type listing struct {
+	body    []byte
+	version int
+	changed chan struct{} // closed once another answer may be due
+	silent  bool
 }
 
-// since gives what has changed after a version as it is sent, the version, and what to wait on for more.
-func (d *Discovery) since(version int, full bool) (body []byte, at int, more chan struct{}, silent bool) {
+// since gives what has changed after a version, or the full list.
+func (d *Discovery) since(version int, full bool) listing {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if full && d.whole != nil {
-		return d.whole, d.version, d.news, d.silent
+	now := listing{version: d.version, changed: d.changed, silent: d.silent}
+	if full && d.fullBody != nil {
+		now.body = d.fullBody
+		return now
 	}
-	a := answer{Version: d.version, Full: full, Servers: []entry{}}
-	for _, e := range d.entries {
-		if full && e.State != "removed" || !full && e.version > version {
-			a.Servers = append(a.Servers, e)
+	answer := discoveryAnswer{Version: d.version, Full: full, Servers: []discoveryEntry{}}
+	for _, entry := range d.entries {
+		if full && entry.State != StateRemoved || !full && entry.version > version {
+			answer.Servers = append(answer.Servers, entry)
 		}
 	}
-	body, err := json.Marshal(a)
+	body, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // our own words
+		panic(err) // weights are numbers that can be written
 	}
+	now.body = body
 	if full {
-		d.whole = body
+		d.fullBody = body
 	}
-	return body, d.version, d.news, d.silent
+	return now
 }
 
-func (d *Discovery) sends(to http.ResponseWriter, body []byte) {
-	d.mutex.Lock()
-	d.answers++
-	d.sent += int64(len(body))
-	d.mutex.Unlock()
-	to.Header().Set("Content-Type", "application/json")
-	to.Write(body)
-}
+// silentRecheck is how long an answer that is due waits for the end of a silence, where nothing else ends it.
+const silentRecheck = time.Hour
 
-// ServeHTTP answers the whole list, or a watch.
+// ServeHTTP answers with the full list at once, or to a poll with since= with what has changed after that version, once
+// something has or after timeout_ms=.
 func (d *Discovery) ServeHTTP(to http.ResponseWriter, r *http.Request) {
 	version, err := strconv.Atoi(r.URL.Query().Get("since"))
 	full := err != nil
-	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	late := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer late.Stop()
+	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")) // 0 where it is none
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		body, at, more, silent := d.since(version, full)
-		if !silent && (full || at > version) {
-			d.sends(to, body)
+		now := d.since(version, full)
+		if !now.silent && (full || now.version > version) {
+			d.answer(to, now.body)
 			return
 		}
 		select {
-		case <-more:
-		case <-late.C:
-			if !silent {
-				d.sends(to, body)
+		case <-now.changed:
+		case <-timeout.C:
+			if !now.silent {
+				d.answer(to, now.body)
 				return
 			}
-			late.Reset(time.Hour)
+			timeout.Reset(silentRecheck)
 		case <-r.Context().Done():
 			return
-		case <-d.ended:
+		case <-d.closed:
 			return
 		}
 	}
 }
+
+func (d *Discovery) answer(to http.ResponseWriter, body []byte) {
+	d.mutex.Lock()
+	d.answers++
+	d.bytesSent += int64(len(body))
+	d.mutex.Unlock()
+	to.Header().Set("Content-Type", "application/json")
+	_, _ = to.Write(body) // who asked is gone, and asks again
+}
--- a/fake/protocol_test.go
+++ b/fake/protocol_test.go
@@ -16,9 +16,11 @@
 		{"hello of one that asks for tokens", hello{"hello", 7, "a", 4, false, true},
 			`{"msg":"hello","node":7,"locality":"a","w":4,"cold":false,"fence":true}`},
 		{"ack", ack{"ack", 7, 31, 1}, `{"msg":"ack","node":7,"nonce":31,"latency":1}`},
-		{"demand", demand{"demand", 7, "order", 12, 0, 1000}, `{"msg":"demand","node":7,"route":"order","total":12,"errors":0,"interval":1000}`},
-		{"outcomes", outcomes{"outcomes", "a", "w-01", 12, 3, 1.25, 1000},
+		{"demand", demandReport{"demand", 7, "order", 12, 0, 1000}, `{"msg":"demand","node":7,"route":"order","total":12,"errors":0,"interval":1000}`},
+		{"outcomes", outcomeReport{"outcomes", "a", "w-01", 12, 3, 1.25, 1000},
 			`{"msg":"outcomes","locality":"a","endpoint":"w-01","total":12,"errors":3,"rtt":1.25,"interval":1000}`},
+		{"probe", probe{"probe"}, `{"msg":"probe"}`},
+		{"agent", agent{"a", "agent"}, `{"locality":"a","msg":"agent"}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			framed := frame(c.message)
@@ -31,7 +33,7 @@
 		})
 	}
 	t.Run("discovery", func(t *testing.T) {
-		body, err := json.Marshal(answer{Version: 5, Full: true, Servers: []entry{{ID: "w-01", Addr: "w-01", Zone: "a", Kind: "w", Cell: 2,
+		body, err := json.Marshal(discoveryAnswer{Version: 5, Full: true, Servers: []discoveryEntry{{ID: "w-01", Addr: "w-01", Zone: "a", Kind: "w", Cell: 2,
 			State: "up", Weight: 1, Started: 77, version: 4}}})
 		const want = `{"version":5,"full":true,"servers":[{"id":"w-01","addr":"w-01","zone":"a","kind":"w","cell":2,"state":"up",` +
 			`"weight":1,"started_ms":77}]}`
@@ -40,17 +42,17 @@
 		}
 	})
 	t.Run("an order is read by its keys", func(t *testing.T) {
-		var p push
+		var p orderPart
 		text := `{"msg":"push","token":5,"classes":["read"],"whole":true,"lines":[["w-00",1]],"level":2.5,"retry":2,"out":["w-01"],` +
 			`"back":["w-02"],"ticket":9,"more":true}`
 		if err := json.Unmarshal([]byte(text), &p); err != nil {
 			t.Fatal(err)
 		}
-		if p.Msg != "push" || p.Token != 5 || p.Classes[0] != "read" || !p.Whole || p.Lines[0][0] != "w-00" || p.Lines[0][1] != 1. ||
-			*p.Level != 2.5 || p.Retry != 2 || p.Out[0] != "w-01" || p.Back[0] != "w-02" || *p.Ticket != 9 || !p.More {
+		if p.Msg != "push" || p.Token != 5 || p.Classes[0] != "read" || !p.Full || p.Entries[0][0] != "w-00" || p.Entries[0][1] != 1. ||
+			*p.Limit != 2.5 || p.Retry != 2 || p.Withdrawn[0] != "w-01" || p.Restored[0] != "w-02" || *p.Nonce != 9 || !p.More {
 			t.Errorf("read as %+v", p)
 		}
-		if n := lines(p); n != 6 {
+		if n := p.lines(); n != 6 {
 			t.Errorf("it costs %d lines", n)
 		}
 	})
--- /dev/null
+++ b/fake/stream.go
@@ -0,0 +1,174 @@
+package fake
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"net"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	dialTimeout     = 300 * time.Millisecond
+	probeInterval   = time.Second
+	silenceTimeout  = 3 * time.Second        // without a byte a stream is given up
+	applyTimePerRow = 100 * time.Microsecond // for each line of an order
+	connectWindow   = time.Second            // in which orders count as those of a beginning stream
+	messageOverhead = 4                      // lines that a message costs beside its own
+	minRedialDelay  = 20                     // ms
+	redialJitter    = 130                    // ms
+	ackLatency      = 1                      // ms, as acknowledgements have it
+)
+
+// run keeps a stream to some controller until the context ends: after each break to the next one, after a moment.
+func (p *Proxy) run(ctx context.Context) {
+	order := p.random.Perm(len(p.fleet.links))
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		controller := order[attempt%len(order)]
+		conn, err := net.DialTimeout("tcp", p.fleet.links[controller].Address(), dialTimeout)
+		if err == nil {
+			p.stream(ctx, conn, controller)
+		}
+		wait := time.Duration(minRedialDelay+p.random.IntN(redialJitter)) * time.Millisecond
+		select {
+		case <-ctx.Done():
+		case <-time.After(wait):
+		}
+	}
+}
+
+// stream speaks with one controller until the connection or the context ends.
+func (p *Proxy) stream(ctx context.Context, conn net.Conn, controller int) {
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	defer conn.Close()
+	if _, err := conn.Write(frame(p.hello())); err != nil {
+		return
+	}
+	began := time.Now()
+	if _, err := conn.Write(frame(probe{msgProbe})); err != nil {
+		return
+	}
+	var reporting sync.WaitGroup
+	reportingCtx, stopReporting := context.WithCancel(ctx)
+	reporting.Go(func() { p.reportDemand(reportingCtx, conn) })
+	defer reporting.Wait()
+	defer stopReporting()
+	defer conn.Close()
+	p.readOrders(ctx, conn, controller, began)
+}
+
+func (p *Proxy) hello() hello {
+	rate := 0.
+	for _, class := range p.fleet.classes {
+		rate += class.Rate
+	}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return hello{Msg: msgHello, Proxy: p.number, Zone: p.zone, Rate: rate, Cold: p.cold, Fence: p.fenced}
+}
+
+// readOrders applies and acknowledges orders until one cannot be read or used. The proxy counts as connected from the
+// first message of the controller on, which shows that it is there.
+func (p *Proxy) readOrders(ctx context.Context, conn net.Conn, controller int, began time.Time) {
+	reader := bufio.NewReader(conn)
+	connected := false
+	defer func() {
+		if connected {
+			p.disconnected()
+		}
+	}()
+	var pending order
+	for {
+		if err := conn.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
+			return
+		}
+		body, err := readFrame(reader)
+		if err != nil {
+			return
+		}
+		if !connected {
+			connected = true
+			p.connected(controller)
+		}
+		var part orderPart
+		if err := json.Unmarshal(body, &part); err != nil {
+			return
+		}
+		switch part.Msg {
+		case msgAlive:
+			continue
+		case msgPush:
+			pending.add(part)
+		default:
+			return
+		}
+		if part.More {
+			continue
+		}
+		p.awaitDelivery(ctx, controller, pending.lines)
+		connecting := time.Since(began) < connectWindow
+		if err := p.apply(pending, controller, connecting); err != nil {
+			return
+		}
+		p.acknowledge(conn, pending)
+		pending = order{}
+	}
+}
+
+// awaitDelivery waits as long as an order takes through the controller's push channel and to be applied.
+func (p *Proxy) awaitDelivery(ctx context.Context, controller, lines int) {
+	wait := p.fleet.channels[controller].enter(p.number, lines+messageOverhead) + time.Duration(lines)*applyTimePerRow
+	select {
+	case <-time.After(wait):
+	case <-ctx.Done():
+	}
+}
+
+// acknowledge answers each part that asks for it. A failed write shows as the next read fails.
+func (p *Proxy) acknowledge(conn net.Conn, o order) {
+	for _, part := range o.parts {
+		if part.Nonce != nil {
+			_, _ = conn.Write(frame(ack{Msg: msgAck, Proxy: p.number, Nonce: *part.Nonce, Latency: ackLatency}))
+		}
+	}
+}
+
+// reportDemand probes the controller and reports demand at each interval, until the context ends or a write fails,
+// which closes the connection.
+func (p *Proxy) reportDemand(ctx context.Context, conn net.Conn) {
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		p.mutex.Lock()
+		demand := slices.Clone(p.demand)
+		clear(p.demand)
+		p.mutex.Unlock()
+		out := frame(probe{msgProbe})
+		for i, n := range demand {
+			report := demandReport{Msg: msgDemand, Proxy: p.number, Class: p.fleet.classes[i].Name, Total: n,
+				Interval: float64(probeInterval.Milliseconds())}
+			out = append(out, frame(report)...)
+		}
+		if err := write(conn, out, probeInterval); err != nil {
+			conn.Close()
+			return
+		}
+	}
+}
+
+// write writes all within a time.
+func write(conn net.Conn, out []byte, timeout time.Duration) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
+		return err
+	}
+	_, err := conn.Write(out)
+	return err
+}
--- a/fake/table.go
+++ b/fake/table.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// Table is what a relay draws backends from, for one class. Lines are set, and then indexed for draws.
+// Table is what a proxy picks backends from, for one class. Entries are set, and then indexed for picks. Not safe for
+// concurrent use.
 type Table struct {
-	weights map[string]float64
-	ids     []string  // of the lines that may be drawn, in order
-	sums    []float64 // of their weights, up to and with each
+	weights map[string]float64 // by backend
+	ids     []string           // of the backends that may be picked, in order
+	sums    []float64          // of their weights, up to and with each
 }
 
-// NewTable is a table without lines.
+// NewTable is a table without entries.
 func NewTable() *Table { return &Table{weights: map[string]float64{}} }
 
-// Set gives a backend a line, or takes it out with a weight of 0.
+// Set gives a backend an entry, or removes it with a weight of 0.
 func (t *Table) Set(id string, weight float64) {
 	if weight > 0 {
 		t.weights[id] = weight
@@ -21,11 +22,12 @@
 	}
 }
 
-// Index makes what was set count for draws. Backends that are shut out are not drawn.
-func (t *Table) Index(shut map[string]bool) {
-	t.ids, t.sums = t.ids[:0], t.sums[:0]
+// Index makes what was set count for picks. Backends that are withdrawn are not picked.
+func (t *Table) Index(withdrawn map[string]bool) {
+	t.ids = t.ids[:0]
+	t.sums = t.sums[:0]
 	for id := range t.weights {
-		if !shut[id] {
+		if !withdrawn[id] {
 			t.ids = append(t.ids, id)
 		}
 	}
@@ -37,57 +39,60 @@
 	}
 }
 
-// Has tells whether a backend may be drawn.
+// Has tells whether a backend may be picked.
 func (t *Table) Has(id string) bool {
 	_, found := slices.BinarySearch(t.ids, id)
 	return found
 }
 
-// Empty tells whether none may be drawn.
+// Empty tells whether none may be picked.
 func (t *Table) Empty() bool { return len(t.ids) == 0 }
 
-// Pick chooses a backend by weight, but not the one that was tried before. Drawn is a random number; found is false
-// where no backend is left.
-func (t *Table) Pick(before string, drawn uint64) (chosen string, found bool) {
-	tried, left := slices.BinarySearch(t.ids, before)
-	switch {
-	case len(t.ids) == 0 || left && len(t.ids) == 1:
+// Pick chooses a backend by weight with a random number, but not the one of the attempt before; found is false where no
+// backend is left.
+func (t *Table) Pick(previous string, random uint64) (chosen string, found bool) {
+	skipped, listed := slices.BinarySearch(t.ids, previous)
+	if t.Empty() || listed && len(t.ids) == 1 {
 		return "", false
-	case !left:
-		return t.ids[t.under(unit(drawn)*t.upTo(len(t.ids)))], true
 	}
-	// The line of the one that was tried is stepped over.
-	from, to := t.upTo(tried), t.upTo(tried+1)
-	at := unit(drawn) * (t.upTo(len(t.ids)) - (to - from))
-	if at >= from {
-		at += to - from
+	total := t.sumOf(len(t.ids))
+	if !listed {
+		return t.ids[t.entryAt(unit(random)*total)], true
 	}
-	line := t.under(at)
-	if line == tried { // by rounding alone
-		line = (tried + 1) % len(t.ids)
+	// The part of the sum that is the previous backend's is stepped over.
+	from := t.sumOf(skipped)
+	to := t.sumOf(skipped + 1)
+	point := unit(random) * (total - (to - from))
+	if point >= from {
+		point += to - from
 	}
-	return t.ids[line], true
+	entry := t.entryAt(point)
+	if entry == skipped { // by rounding alone
+		entry = (skipped + 1) % len(t.ids)
+	}
+	return t.ids[entry], true
 }
 
-// upTo sums the weights of the first lines.
-func (t *Table) upTo(lines int) float64 {
-	if lines == 0 {
+// sumOf sums the weights of the first entries.
+func (t *Table) sumOf(entries int) float64 {
+	if entries == 0 {
 		return 0
 	}
-	return t.sums[lines-1]
+	return t.sums[entries-1]
 }
 
-// under is the line within whose part of the sum a point lies.
-func (t *Table) under(point float64) int {
-	line, exact := slices.BinarySearch(t.sums, point)
+// entryAt is the entry within whose part of the sum a point lies.
+func (t *Table) entryAt(point float64) int {
+	entry, exact := slices.BinarySearch(t.sums, point)
 	if exact {
-		line++ // a line's part ends before its sum
+		entry++ // an entry's part ends before its sum
 	}
-	return min(line, len(t.sums)-1)
+	return min(entry, len(t.sums)-1)
 }
 
-// unit turns a random number into one from 0 up to 1.
-func unit(drawn uint64) float64 { return float64(drawn>>11) / (1 << 53) }
+// unit turns a random number into one from 0 up to 1, with as many bits as a float64 holds.
+func unit(random uint64) float64 { return float64(random>>11) / (1 << 53) }
 
-// NextRandom gives the random number of the next try of a request from that of the last.
-func NextRandom(drawn uint64) uint64 { return drawn*6364136223846793005 + 1442695040888963407 }
+// NextRandom gives the random number of a request's next attempt from that of the last: a step of a linear congruential
+// generator, as proxies have it.
+func NextRandom(random uint64) uint64 { return random*6364136223846793005 + 1442695040888963407 }
--- a/fake/table_test.go
+++ b/fake/table_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// byHand draws as a table does, line by line.
-func byHand(ids []string, weights map[string]float64, before string, drawn uint64) string {
+// pickByHand picks as a table does, line by line.
+func pickByHand(ids []string, weights map[string]float64, before string, drawn uint64) string {
 	total, last := 0., ""
 	for _, id := range ids {
 		if id != before {
@@ -26,7 +26,7 @@
 	return last
 }
 
-func TestTableDraws(t *testing.T) {
+func TestTablePicksByWeightAndSkipsThePreviousBackend(t *testing.T) {
 	weights := map[string]float64{"a": 1, "b": 2, "c": 0.5, "d": 4, "e": 0.25, "f": 3}
 	ids := []string{"a", "b", "d", "e", "f"} // c is shut out
 	table := NewTable()
@@ -42,7 +42,7 @@
 		number := random.Uint64()
 		for _, before := range append([]string{"", "c", "x"}, ids...) {
 			got, found := table.Pick(before, number)
-			if want := byHand(ids, weights, before, number); !found || got != want {
+			if want := pickByHand(ids, weights, before, number); !found || got != want {
 				t.Fatalf("after %q drew %q, %v; by hand %q", before, got, found, want)
 			}
 		}
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestTableRunsOut(t *testing.T) {
+func TestTableWithoutAnotherBackendPicksNone(t *testing.T) {
 	table := NewTable()
 	if _, found := table.Pick("", 1); found || !table.Empty() {
 		t.Error("a table without lines was drawn from")
--- /dev/null
+++ b/rehearse/backends.go
@@ -0,0 +1,88 @@
+package rehearse
+
+import (
+	"time"
+
+	"wheelrill/fake"
+)
+
+const (
+	drainTime         = 6 * time.Second // of a backend, which is back then as a new process
+	hangTime          = 8 * time.Second
+	hangPollInterval  = 50 * time.Millisecond
+	leftWhenOneIn     = 10 // a backend counts as left once no more than one proxy in ten uses it
+	minSteadyBackends = 2  // of which one is left to serve
+)
+
+// pickSteadyBackend draws a backend with which nothing is going on; nil if there are too few.
+func (r *run) pickSteadyBackend() *fake.Backend {
+	var steady []*fake.Backend
+	for _, b := range r.fleet.Backends {
+		if !r.busyBackends[b] && b.Warm() {
+			steady = append(steady, b)
+		}
+	}
+	if len(steady) < minSteadyBackends {
+		return nil
+	}
+	return steady[r.random.IntN(len(steady))]
+}
+
+// replaceBackend has a backend drain, and come back as a new process, which is cold at first.
+func (r *run) replaceBackend() {
+	b := r.pickSteadyBackend()
+	if b == nil {
+		return
+	}
+	r.busyBackends[b] = true
+	r.report.BackendsReplaced++
+	r.log("%s drains", b.ID)
+	r.fleet.Discovery.Publish(fake.StateDraining, b)
+	r.after(drainTime, func() error {
+		r.log("%s is back", b.ID)
+		b.Restart(warmupTime)
+		r.fleet.Discovery.Publish(fake.StateUp, b)
+		r.after(warmupTime, func() error {
+			r.fleet.Discovery.Publish(fake.StateUp, b) // as it was: the checker has it as warm from now on
+			delete(r.busyBackends, b)
+			return nil
+		})
+		return nil
+	})
+}
+
+// hangBackend has a backend take everything and answer nothing for a while, and notes when nearly all proxies had left
+// it.
+func (r *run) hangBackend() {
+	b := r.pickSteadyBackend()
+	began := time.Now()
+	if b == nil {
+		return
+	}
+	r.busyBackends[b] = true
+	b.SetMode(fake.ModeHang)
+	r.report.Hangs++
+	r.log("%s hangs", b.ID)
+	detected := false
+	var poll func() error
+	poll = func() error {
+		since := time.Since(began)
+		left := r.fleet.ProxiesUsing(b.ID) <= r.Proxies/leftWhenOneIn
+		switch {
+		case left && !detected:
+			detected = true
+			r.hangDetections = append(r.hangDetections, since)
+			r.log("%s is left", b.ID)
+		case since >= hangTime:
+			if !detected {
+				r.hangDetections = append(r.hangDetections, since)
+			}
+			b.SetMode(fake.ModeHealthy)
+			delete(r.busyBackends, b)
+			return nil
+		}
+		r.after(hangPollInterval, poll)
+		return nil
+	}
+	r.after(0, poll)
+}
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -8,85 +8,113 @@
 	"wheelrill/invariant"
 )
 
-// Report is what a rehearsal has shown.
+// Report is what a run has shown. Its keys as JSON are read by others and stay.
 type Report struct {
-	Scenario   string                `json:"scenario"`
-	Seed       uint64                `json:"seed"`
-	Sharing    bool                  `json:"sharing"`
-	Instances  int                   `json:"instances"`
-	Relays     int                   `json:"relays"`
-	Seconds    float64               `json:"seconds"`
-	Faults     map[string]int        `json:"faults"`
-	Verdict    string                `json:"verdict"` // kept, broken, or could not be judged
-	Why        string                `json:"why,omitempty"`
-	Breaches   []invariant.Violation `json:"breaches"`
-	Broken     map[string]int        `json:"broken"`
-	Effects    int                   `json:"effects"`
-	BareMost   float64               `json:"longest_without_a_line_s"`
-	Messages   int                   `json:"most_messages_to_a_relay"`
-	Served     float64               `json:"value_served"` // share of what was asked for, in time
-	Lost       int                   `json:"lost"`
-	Refused    int                   `json:"refused"`
-	Came       int                   `json:"came"`
-	Takeovers  int                   `json:"streams_begun"`
-	JoinLines  float64               `json:"lines_in_the_first_second_of_a_stream"`
-	Lines      int                   `json:"lines"`
-	Orders     int                   `json:"orders"`
-	Stale      int                   `json:"orders_refused_as_of_an_older_owner"`
-	Hangs      int                   `json:"hangs"`
-	Replaced   int                   `json:"workers_replaced"`
-	LeaveMean  float64               `json:"left_a_hung_worker_after_s_mean"`
-	LeaveMost  float64               `json:"left_a_hung_worker_after_s_most"`
-	IntoHang   int                   `json:"tries_into_a_hang"`
-	TurnsLate  float64               `json:"turn_late_ms_of_one_in_a_hundred"`
-	LatestTurn float64               `json:"turn_late_ms_most"`
-	Folder     string                `json:"folder"`
+	Scenario    string         `json:"scenario"`  // calm or takeover
+	Seed        uint64         `json:"seed"`      // of all that was drawn
+	Sharing     bool           `json:"sharing"`   // of the ownership of proxies
+	Controllers int            `json:"instances"` // number of them
+	Proxies     int            `json:"relays"`    // number of them
+	Seconds     float64        `json:"seconds"`   // that were played
+	Faults      map[string]int `json:"faults"`    // that befell controllers, by kind
+
+	Verdict    Verdict               `json:"verdict"`       // of the run
+	Reason     string                `json:"why,omitempty"` // of an inconclusive verdict
+	Violations []invariant.Violation `json:"breaches"`      // the first hundred
+	// ViolationCounts are those of all violations by rule, also where there are too many to keep.
+	ViolationCounts map[string]int `json:"broken"`
+
+	Effects           int     `json:"effects"`                  // requests that took effect
+	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // seconds
+	MostMessages      int     `json:"most_messages_to_a_relay"` // within the window
+	ServedValue       float64 `json:"value_served"`             // in time, as a share of the value that came
+	Lost              int     `json:"lost"`                     // requests
+	Rejected          int     `json:"refused"`                  // requests that were not admitted
+	Requests          int     `json:"came"`                     // all
+
+	StreamsBegun        int     `json:"streams_begun"`                         // of proxies to controllers
+	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean
+	Lines               int     `json:"lines"`                                 // in all orders
+	Orders              int     `json:"orders"`                                // that proxies applied
+	StaleOrdersRejected int     `json:"orders_refused_as_of_an_older_owner"`   // by their tokens
+
+	Hangs             int     `json:"hangs"`                           // of backends
+	BackendsReplaced  int     `json:"workers_replaced"`                // that drained, and came back as new
+	MeanHangDetection float64 `json:"left_a_hung_worker_after_s_mean"` // seconds
+	MaxHangDetection  float64 `json:"left_a_hung_worker_after_s_most"` // seconds
+	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // sent to backends that hung
+
+	SchedulingDelayP99 float64 `json:"turn_late_ms_of_one_in_a_hundred"` // ms, of this process
+	SchedulingDelayMax float64 `json:"turn_late_ms_most"`                // ms, of this process
+	Folder             string  `json:"folder"`                           // of logs and configurations
 }
 
+// Verdict is how a run is judged.
+type Verdict string
+
 // Verdicts.
 const (
-	Kept     = "kept"
-	Broken   = "broken"
-	Unjudged = "could not be judged"
+	VerdictPassed       Verdict = "kept"
+	VerdictViolated     Verdict = "broken"
+	VerdictInconclusive Verdict = "could not be judged"
 )
 
-// tooLate is how late one turn in a hundred may be; beyond it nothing measured means anything.
-const tooLate = 100 * time.Millisecond
+// maxSchedulingDelay is what the 99th percentile may be; beyond it nothing measured means anything.
+const maxSchedulingDelay = 100 * time.Millisecond
 
-// sum takes into the report what the installation counted while it was played.
-func (p *play) sum(v invariant.Verdict, before, after fake.Counts, left []time.Duration) {
-	r := p.report
-	r.Faults, r.Effects, r.Messages = p.faults, v.Effects, v.Most
-	r.Breaches, r.Broken, r.BareMost = v.Breaches, v.Counts, v.Longest.Seconds()
-	r.Served = (after.ServedValue - before.ServedValue) / max(after.AskedValue-before.AskedValue, 1)
-	r.Came, r.Lost, r.Refused = after.Came-before.Came, after.Lost-before.Lost, after.Refused-before.Refused
-	r.Takeovers, r.Stale = after.Streams-before.Streams, after.Refusals-before.Refusals
-	r.Lines, r.Orders = after.Lines-before.Lines, after.Orders-before.Orders
-	r.JoinLines = float64(after.JoinLines-before.JoinLines) / float64(max(r.Takeovers, 1))
-	r.IntoHang = after.IntoHang - before.IntoHang
-	for _, l := range left {
-		r.LeaveMean += l.Seconds() / float64(len(left))
-		r.LeaveMost = max(r.LeaveMost, l.Seconds())
+// summarize takes into the report what the fleet counted while it was played.
+func (r *run) summarize(v invariant.Verdict, before, after fake.Counts) {
+	report := r.report
+	report.Faults = r.faultCounts
+	report.Violations = v.Violations
+	report.ViolationCounts = v.Counts
+	report.Effects = v.Effects
+	report.LongestEmptyTable = v.LongestEmptyTable.Seconds()
+	report.MostMessages = v.MostMessages
+	report.ServedValue = (after.ServedValue - before.ServedValue) / max(after.OfferedValue-before.OfferedValue, 1)
+	report.Lost = after.Lost - before.Lost
+	report.Rejected = after.Rejected - before.Rejected
+	report.Requests = after.Requests - before.Requests
+	report.StreamsBegun = after.Streams - before.Streams
+	report.LinesAtConnect = float64(after.LinesAtConnect-before.LinesAtConnect) / float64(max(report.StreamsBegun, 1))
+	report.Lines = after.Lines - before.Lines
+	report.Orders = after.Orders - before.Orders
+	report.StaleOrdersRejected = after.StaleOrdersRejected - before.StaleOrdersRejected
+	report.AttemptsIntoHang = after.AttemptsIntoHang - before.AttemptsIntoHang
+	for _, d := range r.hangDetections {
+		report.MeanHangDetection += d.Seconds() / float64(len(r.hangDetections))
+		report.MaxHangDetection = max(report.MaxHangDetection, d.Seconds())
 	}
 }
 
-// judge settles the verdict: a machine that was too busy shows nothing, for or against.
-func (p *play) judge(v invariant.Verdict, hundredth, most time.Duration) {
-	r := p.report
-	r.TurnsLate, r.LatestTurn = float64(hundredth.Microseconds())/1000, float64(most.Microseconds())/1000
+// decideVerdict settles the verdict: a machine that was too busy shows nothing, for or against.
+func (r *run) decideVerdict(v invariant.Verdict, delayP99, delayMax time.Duration) {
+	report := r.report
+	report.SchedulingDelayP99 = milliseconds(delayP99)
+	report.SchedulingDelayMax = milliseconds(delayMax)
+	tookOver := report.StreamsBegun > 0 || !r.stoppedAny() // what is only between controllers moves no proxy
 	switch {
-	case hundredth > tooLate:
-		r.Verdict, r.Why = Unjudged, fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", tooLate)
-	case len(v.Breaches) > 0:
-		r.Verdict = Broken
-	case r.Effects == 0 || r.Takeovers == 0 && p.ended(): // what is only between controllers moves no relay
-		r.Verdict, r.Why = Unjudged, "no relay was taken over, or nothing took effect; play it for longer"
+	case delayP99 > maxSchedulingDelay:
+		report.Verdict = VerdictInconclusive
+		report.Reason = fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", maxSchedulingDelay)
+	case len(v.Violations) > 0:
+		report.Verdict = VerdictViolated
+	case report.Effects == 0 || !tookOver:
+		report.Verdict = VerdictInconclusive
+		report.Reason = "no relay was taken over, or nothing took effect; play it for longer"
 	default:
-		r.Verdict = Kept
+		report.Verdict = VerdictPassed
 	}
 }
 
-// ended tells whether any controller's process was stopped.
-func (p *play) ended() bool {
-	return p.faults["kill"]+p.faults["leave"]+p.faults["pair"]+p.faults["freeze"]+p.faults["reload"] > 0
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
+// stoppedAny tells whether any controller's process was stopped.
+func (r *run) stoppedAny() bool {
+	for _, kind := range []string{faultKill, faultLeave, faultPair, faultFreeze, faultReload} {
+		if r.faultCounts[kind] > 0 {
+			return true
+		}
+	}
+	return false
 }
--- a/scale/change.go
+++ b/scale/change.go
@@ -60,7 +60,7 @@
 
 // Needs are those of the controllers.
 func (changeByFile) Needs(size int, o Options) Needs {
-	return Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size,
+	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
 		Time: startsWithin + time.Duration(len(changeRates()))*(o.For+settleWithin)}
 }
 
@@ -118,7 +118,7 @@
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
 	f = &reloadedFleet{folder: folder, seed: o.Seed}
 	classes := []fake.Class{{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}}
-	f.settings = (&rehearse.Takeover{Relays: recordRelays}).Settings(classes)
+	f.settings = (&rehearse.Scenario{Proxies: recordProxies}).Settings(classes)
 	if f.discovery, err = fake.NewDiscovery(nil, nil); err != nil {
 		return nil, err
 	}
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -74,7 +74,7 @@
 	path, err := process.WriteJSON(folder, name+".json", map[string]any{"name": name, "listen": listen,
 		"discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": megabytes, "sockets": memberSockets},
-		"settings": (&rehearse.Takeover{Relays: recordRelays}).Settings(classes)})
+		"settings": (&rehearse.Scenario{Proxies: recordProxies}).Settings(classes)})
 	if err != nil {
 		return nil, err
 	}
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -128,7 +128,7 @@
 	cost.changeTime = span.Seconds() / listChanges
 	cost.changing, err = c.spends(func() error {
 		for i := range listChanges {
-			state := []string{"draining", "up"}[i%2]
+			state := []fake.State{fake.StateDraining, fake.StateUp}[i%2]
 			discovery.Publish(state, workers[i/2*len(workers)/listChanges])
 			if err := pauseFor(ctx, span/listChanges); err != nil {
 				return err
--- a/scale/record.go
+++ b/scale/record.go
@@ -21,12 +21,12 @@
 
 // Figures of the installation around the members.
 const (
-	recordRelays  = 30
-	recordWorkers = 12
-	memberMemory  = 64 << 20 // bytes that a real member takes, about
-	standinMemory = 64 << 20
-	startsWithin  = 30 * time.Second
-	costLineEvery = 10 * time.Second // a member logs what the record costs it
+	recordProxies  = 30
+	recordBackends = 12
+	memberMemory   = 64 << 20 // bytes that a real member takes, about
+	fakesMemory    = 64 << 20
+	startsWithin   = 30 * time.Second
+	costLineEvery  = 10 * time.Second // a member logs what the record costs it
 )
 
 // recordMetrics are those of both measurements of the record.
@@ -49,7 +49,7 @@
 
 // Needs are those of the members and of the stand-ins in our process.
 func (recordReal) Needs(size int, o Options) Needs {
-	needs := Needs{Memory: int64(size)*memberMemory + standinMemory, Processes: size, Time: 2*startsWithin + o.For}
+	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startsWithin + o.For}
 	if terms := (ownership.LeaseTerms{MaxMessages: messagesMost, Members: size}); terms.OwnerQuota() < 1 {
 		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
 			size, messagesMost, messagesSpan)
@@ -66,8 +66,8 @@
 		return Sample{}, err
 	}
 	spent := &spending{before: map[string]Usage{}, after: map[string]Usage{}}
-	play := rehearse.Takeover{Calm: true, Sharing: true, For: o.For, KillEvery: o.For, Instances: size, Relays: recordRelays,
-		Workers: recordWorkers, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Watch: spent.watch}
+	play := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.For, FaultInterval: o.For, Controllers: size, Proxies: recordProxies,
+		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: spent.observe}
 	report, err := play.Run(ctx)
 	if err = errors.Join(err, spent.failed); err != nil {
 		return Sample{}, err
@@ -79,8 +79,8 @@
 		}
 	}
 	s := spent.sample(members)
-	if report.Verdict != rehearse.Kept {
-		s.Unknown = fmt.Sprintf("the rehearsal's verdict is %q: %s; %v", report.Verdict, report.Why, report.Broken)
+	if report.Verdict != rehearse.VerdictPassed {
+		s.Unknown = fmt.Sprintf("the rehearsal's verdict is %q: %s; %v", report.Verdict, report.Reason, report.ViolationCounts)
 	}
 	return s, nil
 }
@@ -92,8 +92,8 @@
 	failed        error
 }
 
-// watch reads each member's usage as play begins and as it ends.
-func (s *spending) watch(controllers []*process.Controller, ended bool) {
+// observe reads each member's usage as play begins and as it ends.
+func (s *spending) observe(controllers []*process.Controller, ended bool) {
 	into := s.before
 	if ended {
 		into, s.ended = s.after, time.Now()
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -54,7 +54,7 @@
 
 // Needs tells what one size takes at most.
 func (r recovery) Needs(size int, o Options) Needs {
-	return Needs{Memory: standinMemory + int64(size)*int64(listedMemory+r.backends()*backendMemory), Processes: size,
+	return Needs{Memory: fakesMemory + int64(size)*int64(listedMemory+r.backends()*backendMemory), Processes: size,
 		Time: o.For + listReady}
 }
 
--- a/scale/run.go
+++ b/scale/run.go
@@ -15,20 +15,20 @@
 
 // Run is one measurement over its sizes, as it is kept.
 type Run struct {
-	Name      string   `json:"name"`
-	About     string   `json:"about"`
-	Text      string   `json:"text"` // the commit that was measured
-	Date      string   `json:"date"` // UTC
-	Machine   Machine  `json:"machine"`
-	Transport string   `json:"transport"`
-	Seed      uint64   `json:"seed"`
-	Seconds   float64  `json:"seconds"` // that each size was observed
-	Size      string   `json:"size"`    // what sizes count
-	Targets   []int    `json:"targets,omitempty"`
-	Metrics   []Metric `json:"metrics"`
-	Samples   []Sample `json:"samples"`
-	Fits      []Fit    `json:"fits"`
-	Verdict   string   `json:"verdict"`
+	Name      string           `json:"name"`
+	About     string           `json:"about"`
+	Text      string           `json:"text"` // the commit that was measured
+	Date      string           `json:"date"` // UTC
+	Machine   Machine          `json:"machine"`
+	Transport string           `json:"transport"`
+	Seed      uint64           `json:"seed"`
+	Seconds   float64          `json:"seconds"` // that each size was observed
+	Size      string           `json:"size"`    // what sizes count
+	Targets   []int            `json:"targets,omitempty"`
+	Metrics   []Metric         `json:"metrics"`
+	Samples   []Sample         `json:"samples"`
+	Fits      []Fit            `json:"fits"`
+	Verdict   rehearse.Verdict `json:"verdict"`
 }
 
 // Sample is what was seen at one size.
@@ -67,9 +67,9 @@
 
 // Verdicts, as those of a rehearsal.
 const (
-	Kept     = rehearse.Kept
-	Broken   = rehearse.Broken
-	Unjudged = rehearse.Unjudged
+	VerdictPassed       = rehearse.VerdictPassed
+	VerdictViolated     = rehearse.VerdictViolated
+	VerdictInconclusive = rehearse.VerdictInconclusive
 )
 
 // Breach is a budget that a sample is over.
@@ -111,12 +111,12 @@
 			r.Fits = append(r.Fits, fit)
 		}
 	}
-	r.Verdict = Kept
+	r.Verdict = VerdictPassed
 	if len(r.Samples) == 0 || slices.ContainsFunc(r.Samples, func(s Sample) bool { return s.Unknown != "" }) {
-		r.Verdict = Unjudged
+		r.Verdict = VerdictInconclusive
 	}
 	if len(r.Breaches()) > 0 || slices.ContainsFunc(r.Samples, func(s Sample) bool { return len(s.Broken) > 0 }) {
-		r.Verdict = Broken
+		r.Verdict = VerdictViolated
 	}
 }
 
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -53,19 +53,19 @@
 
 func TestVerdicts(t *testing.T) {
 	r := sampleRun()
-	if all := r.Breaches(); r.Verdict != Broken || len(all) != 1 || all[0].Size != 9 {
+	if all := r.Breaches(); r.Verdict != VerdictViolated || len(all) != 1 || all[0].Size != 9 {
 		t.Errorf("over a budget: %s, %v", r.Verdict, all)
 	}
 	r.Samples = r.Samples[:2]
-	if r.Settle(); r.Verdict != Kept {
+	if r.Settle(); r.Verdict != VerdictPassed {
 		t.Errorf("within budgets: %s", r.Verdict)
 	}
 	r.Samples[0].Unknown = "the machine was too busy"
-	if r.Settle(); r.Verdict != Unjudged {
+	if r.Settle(); r.Verdict != VerdictInconclusive {
 		t.Errorf("a sample that shows nothing: %s", r.Verdict)
 	}
 	r.Samples[1].Broken = []string{"a digest differs"}
-	if r.Settle(); r.Verdict != Broken {
+	if r.Settle(); r.Verdict != VerdictViolated {
 		t.Errorf("a digest that differs: %s", r.Verdict)
 	}
 }
