--- a/consensus/changes.go
+++ b/consensus/changes.go
@@ -51,7 +51,7 @@
 	seen         func(distribution.Epoch)
 
 	mutex sync.Mutex
-	voter *distribution.VoterState
+	voter *distribution.Record
 }
 
 // newConfiguration is a configuration that nothing was put into. Seen is told epochs; nil for nobody.
@@ -59,7 +59,7 @@
 	if seen == nil {
 		seen = func(distribution.Epoch) {}
 	}
-	return &configuration{distribution: told, seen: seen, voter: distribution.NewVoterState()}
+	return &configuration{distribution: told, seen: seen, voter: distribution.NewRecord()}
 }
 
 // changeResult is what became of a proposal.
@@ -82,7 +82,7 @@
 	}
 	c.mutex.Lock()
 	founds := c.voter.Empty()
-	accepted, err := c.voter.Accept(entry.Proposal)
+	accepted, err := c.voter.Apply(entry.Proposal)
 	mark := c.voter.Version()
 	var state distribution.State
 	if err == nil && founds {
@@ -116,9 +116,9 @@
 
 // restore takes over the configuration of a snapshot; nil where it had none.
 func (c *configuration) restore(state *distribution.State) {
-	voter := distribution.NewVoterState()
+	voter := distribution.NewRecord()
 	if state != nil {
-		voter = distribution.RestoreVoterState(*state)
+		voter = distribution.RestoreRecord(*state)
 		c.seen(state.Version.Epoch)
 	}
 	c.mutex.Lock()
@@ -130,7 +130,7 @@
 }
 
 // view gives access to the configuration.
-func (c *configuration) view(look func(*distribution.VoterState)) {
+func (c *configuration) view(look func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	look(c.voter)
@@ -213,7 +213,7 @@
 	}
 	result, _ := future.Response().(changeResult)
 	switch {
-	case errors.Is(result.err, distribution.ErrMoved):
+	case errors.Is(result.err, distribution.ErrVersionMismatch):
 		return memberResponse{Why: result.err.Error(), Refusal: refusedBaseMoved}
 	case result.err != nil:
 		return memberResponse{Why: result.err.Error(), Refusal: refusedPermanently}
@@ -247,7 +247,7 @@
 	case a.Accepted && a.Mark != nil:
 		return *a.Mark, nil
 	case a.Refusal == refusedBaseMoved:
-		return distribution.Version{}, distribution.ErrMoved
+		return distribution.Version{}, distribution.ErrVersionMismatch
 	case a.Refusal == refusedPermanently:
 		return distribution.Version{}, fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
@@ -260,7 +260,7 @@
 	for {
 		_, m := n.current()
 		var p distribution.Proposal
-		m.configuration.view(func(voter *distribution.VoterState) { p = voter.Difference(wanted) })
+		m.configuration.view(func(voter *distribution.Record) { p = voter.Difference(wanted) })
 		if len(p.Entries) == 0 {
 			return p.Base, 0, nil
 		}
@@ -282,7 +282,7 @@
 	}
 	_, m := n.current()
 	empty := true
-	m.configuration.view(func(voter *distribution.VoterState) { empty = voter.Empty() })
+	m.configuration.view(func(voter *distribution.Record) { empty = voter.Empty() })
 	seen := progress{leads: r.State() == raft.Leader, inContact: time.Since(r.LastContact()) < n.pace.heartbeat,
 		applied: r.AppliedIndex(), committed: r.CommitIndex(), last: r.LastIndex()}
 	if n.currency.observe(seen) && !empty {
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -103,24 +103,26 @@
 	in := &instance{server: s, id: r.instance()}
 	s.instances[in.id] = in
 	read := settings.ParseLines(string(text), s.warn)
-	channel := read.PushChannel()
-	limits := read.RuleLimits()
-	classes := read.Classes()
-	channel.LimitLines = float64(len(classes)) // this wire repeats the limits of all tables with each message
-	sharding := read.Sharding()
-	telemetry := read.Telemetry()
-	admission := read.AdmissionMode()
+	config := balancer.Config{
+		Seed:      r.u64(3),
+		Channel:   read.PushChannel(),
+		Rules:     read.RuleLimits(),
+		Classes:   read.Classes(),
+		Sharding:  read.Sharding(),
+		Telemetry: read.Telemetry(),
+		Admission: read.AdmissionMode(),
+	}
+	config.Channel.LimitLines = float64(len(config.Classes)) // this wire repeats the limits of all tables with each message
 	in.loadFields = read.LoadFields()
-	in.classes = len(classes)
+	in.classes = len(config.Classes)
 	in.zones = len(read.Zones())
-	in.shards = sharding.Count
-	if err := read.Err(); err != nil {
+	in.shards = config.Sharding.Count
+	err = read.Err()
+	if err == nil {
+		in.abortOnPanic(func() { in.balancer, err = balancer.New(in, config) })
+	}
+	if err != nil {
 		s.reply.addText(actionAbort, in.id, err.Error())
-		return nil
 	}
-	seed := r.u64(3)
-	in.abortOnPanic(func() {
-		in.balancer = balancer.New(in, seed, classes, channel, limits, sharding, telemetry, admission)
-	})
 	return nil
 }
