--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -56,7 +56,7 @@
 // Close ends it. It is called once.
 func (d *Discovery) Close() {
 	close(d.closed)
-	d.server.Close()
+	_ = d.server.Close() // the listener is closed, whatever it says
 	d.running.Wait()
 }
 
--- a/fake/fake_test.go
+++ b/fake/fake_test.go
@@ -203,7 +203,7 @@
 		eventually(t, fmt.Sprintf("%d proxies use %s", n, worker), func() bool { return fleet.ProxiesUsing(worker) == n })
 	}
 	awaitUsers("w-00", 1)
-	t.Run("a message in parts is applied whole; a class is meant alone", func(t *testing.T) {
+	t.Run("a message in parts is applied whole; a class is meant alone", func(*testing.T) {
 		c.send(`{"msg":"push","token":5,"classes":["read"],"lines":[["w-00",0]],"more":true}`)
 		c.send(`{"msg":"push","token":5,"out":["w-01"],"lines":[["w-02",1]],"ticket":8}`)
 		c.receiveKind("ack")
--- a/rehearse/backends.go
+++ b/rehearse/backends.go
@@ -51,38 +51,51 @@
 	})
 }
 
+// hang is one of a backend, while it lasts.
+type hang struct {
+	backend  *fake.Backend
+	began    time.Time
+	detected bool // nearly all proxies have left it
+}
+
 // hangBackend has a backend take everything and answer nothing for a while, and notes when nearly all proxies had left
 // it.
 func (r *run) hangBackend() {
 	b := r.pickSteadyBackend()
-	began := time.Now()
 	if b == nil {
 		return
 	}
+	h := &hang{backend: b, began: time.Now()}
 	r.busyBackends[b] = true
 	b.SetMode(fake.ModeHang)
 	r.report.Hangs++
 	r.log("%s hangs", b.ID)
-	detected := false
-	var poll func() error
-	poll = func() error {
-		since := time.Since(began)
-		left := r.fleet.ProxiesUsing(b.ID) <= r.Proxies/leftWhenOneIn
-		switch {
-		case left && !detected:
-			detected = true
+	r.pollHangAfter(0, h)
+}
+
+func (r *run) pollHangAfter(wait time.Duration, h *hang) {
+	r.after(wait, func() error {
+		r.pollHang(h)
+		return nil
+	})
+}
+
+// pollHang looks whether the backend is left, and ends the hang once it has lasted long enough.
+func (r *run) pollHang(h *hang) {
+	since := time.Since(h.began)
+	left := r.fleet.ProxiesUsing(h.backend.ID) <= r.Proxies/leftWhenOneIn
+	switch {
+	case left && !h.detected:
+		h.detected = true
+		r.hangDetections = append(r.hangDetections, since)
+		r.log("%s is left", h.backend.ID)
+	case since >= hangTime:
+		if !h.detected {
 			r.hangDetections = append(r.hangDetections, since)
-			r.log("%s is left", b.ID)
-		case since >= hangTime:
-			if !detected {
-				r.hangDetections = append(r.hangDetections, since)
-			}
-			b.SetMode(fake.ModeHealthy)
-			delete(r.busyBackends, b)
-			return nil
 		}
-		r.after(hangPollInterval, poll)
-		return nil
+		h.backend.SetMode(fake.ModeHealthy)
+		delete(r.busyBackends, h.backend)
+		return
 	}
-	r.after(0, poll)
+	r.pollHangAfter(hangPollInterval, h)
 }
