--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -32,7 +32,7 @@
 			host := startController(t, defaultSettings(), 16, 3)
 			host.run(60, func() {
 				for b := range 16 {
-					host.controller.OutcomesReported(b, 10, 0, mean, 20*second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+					host.controller.OutcomesReported(OutcomeReport{Backend: b, Attempts: 10, MeanAnswerTime: mean, Span: 20 * second, Load: noLoad})
 				}
 				host.reportDemandOver(20 * second)
 			})
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -185,33 +185,32 @@
 	return true
 }
 
-// OutcomesReported is what our proxies met at a backend, within a span that ended a moment ago: the mean answer time is
-// that of the answered attempts.
-func (c *Controller) OutcomesReported(id, attempts, failures int, mean, span Microseconds, load BackendLoad) {
-	if id >= len(c.backends) || attempts <= 0 {
+// OutcomesReported is what our proxies met at a backend.
+func (c *Controller) OutcomesReported(report OutcomeReport) {
+	if report.Backend >= len(c.backends) || report.Attempts <= 0 {
 		return
 	}
 	now := c.host.Now()
-	backend := c.backends[id]
-	c.newAttempts += attempts
+	backend := c.backends[report.Backend]
+	c.newAttempts += report.Attempts
 	coversFrom := now
 	if c.reportsAreOld() {
-		coversFrom -= max(0, span-c.telemetry.ReportInterval)
+		coversFrom -= max(0, report.Span-c.telemetry.ReportInterval)
 		if coversFrom < max(backend.StartedAt, backend.enteredAt) {
-			return // of another process, or of when it was away
+			return // of another process, or of when it was ejected
 		}
 	}
 	backend.ownOutcomes = append(backend.ownOutcomes, outcomeSample{
 		receivedAt: now,
 		coversFrom: coversFrom,
-		answerTime: mean * int64(attempts-failures),
-		attempts:   attempts,
-		failures:   failures,
+		answerTime: report.MeanAnswerTime * int64(report.Attempts-report.Failures),
+		attempts:   report.Attempts,
+		failures:   report.Failures,
 	})
-	if load.CPUUtilization >= 0 || load.QueueLength >= 0 {
-		backend.load = load
+	if report.Load.CPUUtilization >= 0 || report.Load.QueueLength >= 0 {
+		backend.load = report.Load
 	}
-	backend.noteAttempts(attempts, failures, now)
+	backend.noteAttempts(report.Attempts, report.Failures, now)
 }
 
 // PeerOutcomesReported is what proxies of another controller met at a backend. It counts where ours met nothing, or no
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -40,6 +40,22 @@
 	ServiceTime float64
 }
 
+// OutcomeReport is what proxies met at a backend within a span of time.
+type OutcomeReport struct {
+	// Backend is its index.
+	Backend int
+	// Attempts is how many attempts ended there.
+	Attempts int
+	// Failures is how many of these failed: timed out, were refused, or answered with an error.
+	Failures int
+	// MeanAnswerTime is the mean over the others; any value if there are none.
+	MeanAnswerTime Microseconds
+	// Span is the time that the report covers; it ended a moment ago.
+	Span Microseconds
+	// Load is what the backend reported of itself with its answers.
+	Load BackendLoad
+}
+
 // HealthCheckResult is how a health check ended.
 type HealthCheckResult uint8
 
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -171,7 +171,7 @@
 
 // reportOutcomes reports one backend's attempts of the last second.
 func (host *fakeHost) reportOutcomes(b, tries, failed int, mean int64) {
-	host.controller.OutcomesReported(b, tries, failed, mean, second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+	host.controller.OutcomesReported(OutcomeReport{Backend: b, Attempts: tries, Failures: failed, MeanAnswerTime: mean, Span: second, Load: noLoad})
 }
 
 // updateEndpoints lists backends from one number to another, in one go.
@@ -219,6 +219,9 @@
 	}
 }
 
+// noLoad is the load of a backend that reports none.
+var noLoad = BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
+
 // reportOverload reports answers that are late everywhere, and more demand.
 func reportOverload(host *fakeHost) func() {
 	return func() {
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -108,7 +108,7 @@
 			host.run(6, func() {
 				host.reportHealthy(3)
 				host.reportDemandOver(span)
-				host.controller.OutcomesReported(3, 30, 30, 0, span, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+				host.controller.OutcomesReported(OutcomeReport{Backend: 3, Attempts: 30, Failures: 30, Span: span, Load: noLoad})
 			})
 			if host.controller.backends[3].ejected != away {
 				t.Errorf("reports over %d s: ejected %v", span/second, !away)
@@ -120,7 +120,7 @@
 		host := startController(t, defaultSettings(), 8, 2)
 		host.run(5, func() { host.reportHealthy() })
 		host.updateEndpoints(3, 4, Ready, host.now)
-		host.controller.OutcomesReported(3, 30, 30, 0, 20*second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+		host.controller.OutcomesReported(OutcomeReport{Backend: 3, Attempts: 30, Failures: 30, Span: 20 * second, Load: noLoad})
 		if host.run(3, func() { host.reportHealthy(3) }); !host.controller.backends[3].ejected {
 			t.Error("it was not heard")
 		}
@@ -131,7 +131,7 @@
 		slow := func() {
 			host.reportHealthy(3)
 			host.reportDemandOver(10 * second)
-			host.controller.OutcomesReported(3, 30, 0, 1_200_000, 10*second, BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+			host.controller.OutcomesReported(OutcomeReport{Backend: 3, Attempts: 30, MeanAnswerTime: 1_200_000, Span: 10 * second, Load: noLoad})
 		}
 		host.run(7, slow)
 		host.expectWeight(3, 2*weightReductionFactor, "after the first reports")
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -18,7 +18,7 @@
 			host := startController(t, defaultSettings(), 8, 3)
 			host.run(6, func() {
 				for b := range 8 {
-					host.controller.OutcomesReported(b, 10, 0, x.mean, second, x.load)
+					host.controller.OutcomesReported(OutcomeReport{Backend: b, Attempts: 10, MeanAnswerTime: x.mean, Span: second, Load: x.load})
 				}
 				host.reportDemand(20, 20)
 			})
--- a/balancer/start_test.go
+++ b/balancer/start_test.go
@@ -59,8 +59,8 @@
 	})
 	t.Run("absent and foreign figures do no harm", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 3, 1)
-		host.controller.OutcomesReported(99, 5, 5, 0, second, BackendLoad{})
-		host.controller.OutcomesReported(1, 0, 0, 0, second, BackendLoad{})
+		host.controller.OutcomesReported(OutcomeReport{Backend: 99, Attempts: 5, Failures: 5, Span: second})
+		host.controller.OutcomesReported(OutcomeReport{Backend: 1, Attempts: 0, Span: second})
 		host.controller.DemandReported(0, 1, 5, 0)
 		host.controller.Acknowledged(0, 60000)
 		host.controller.HealthCheckCompleted(44, HealthCheckPassed)
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -122,7 +122,7 @@
 			}
 		}
 		host.record("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.CPUUtilization, load.QueueLength, load.ServiceTime)
-		host.controller.OutcomesReported(i, tries, failed, mean, span, load)
+		host.controller.OutcomesReported(OutcomeReport{Backend: i, Attempts: tries, Failures: failed, MeanAnswerTime: mean, Span: span, Load: load})
 	}
 	for proxy, joined := range host.joined {
 		for class := range host.settings.classes {
--- a/balancer/weight_test.go
+++ b/balancer/weight_test.go
@@ -64,8 +64,8 @@
 		host := startController(t, defaultSettings(), 6, 2)
 		host.run(12, func() {
 			host.reportHealthy(1, 2)
-			host.controller.OutcomesReported(1, 10, 0, 900_000, second, BackendLoad{CPUUtilization: 0.5, QueueLength: -1, ServiceTime: -1})
-			host.controller.OutcomesReported(2, 10, 0, 900_000, second, BackendLoad{CPUUtilization: 0.95, QueueLength: -1, ServiceTime: -1})
+			host.controller.OutcomesReported(OutcomeReport{Backend: 1, Attempts: 10, MeanAnswerTime: 900_000, Span: second, Load: BackendLoad{CPUUtilization: 0.5, QueueLength: -1, ServiceTime: -1}})
+			host.controller.OutcomesReported(OutcomeReport{Backend: 2, Attempts: 10, MeanAnswerTime: 900_000, Span: second, Load: BackendLoad{CPUUtilization: 0.95, QueueLength: -1, ServiceTime: -1}})
 		})
 		if host.expectWeight(1, 2, "idle"); host.tables[0][2] >= 2 {
 			t.Errorf("weight %.2f of one that is busy, and late", host.tables[0][2])
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -162,7 +162,14 @@
 		l.log.Info("report_for_unknown_backend", "backend", id)
 		return
 	}
-	l.decisions.OutcomesReported(backend, report.attempts, report.failed, report.meanLatency, report.interval, report.load)
+	l.decisions.OutcomesReported(balancer.OutcomeReport{
+		Backend:        backend,
+		Attempts:       report.attempts,
+		Failures:       report.failed,
+		MeanAnswerTime: report.meanLatency,
+		Span:           report.interval,
+		Load:           report.load,
+	})
 	if l.ownership != nil {
 		l.ownership.evidence.AddOutcomes(report.backend, report.attempts, report.failed, report.meanLatency, report.interval)
 	}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -90,7 +90,14 @@
 			failed := min(int(r.u32(12)), attempts)
 			latency := r.microseconds(16)
 			interval := r.microseconds(24)
-			in.balancer.OutcomesReported(backend, attempts, failed, latency, interval, in.loadReport(r, 32))
+			in.balancer.OutcomesReported(balancer.OutcomeReport{
+				Backend:        backend,
+				Attempts:       attempts,
+				Failures:       failed,
+				MeanAnswerTime: latency,
+				Span:           interval,
+				Load:           in.loadReport(r, 32),
+			})
 		}
 	}
 }
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -189,7 +189,13 @@
 func (l decisionLife) reports(host *countingHost) (lines int) {
 	const tries, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
-		host.control.OutcomesReported(backend, tries, 0, mean, reportEvery, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+		host.control.OutcomesReported(balancer.OutcomeReport{
+			Backend:        backend,
+			Attempts:       tries,
+			MeanAnswerTime: mean,
+			Span:           reportEvery,
+			Load:           balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1},
+		})
 	}
 	classes := len(measuredClasses())
 	for proxy := range l.proxies {
