--- a/cmd/wheelrill/golden_test.go
+++ b/cmd/wheelrill/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"os/exec"
@@ -17,30 +16,11 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"wheelrill/internal/golden"
 	"wheelrill/rehearse"
 	"wheelrill/scale"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
-func compareGolden(t *testing.T, name, text string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) != text {
-		t.Fatalf("%s differs:\n got %s\nwant %s", path, text, want)
-	}
-}
-
 // described gives a command, its flags with types and defaults, and the commands under it.
 func described(c *cobra.Command) string {
 	text := fmt.Sprintf("%s (%s)\n", c.CommandPath(), c.Use)
@@ -55,7 +35,7 @@
 
 // TestCommandsAndFlagsAreAsBefore keeps each command, flag and default.
 func TestCommandsAndFlagsAreAsBefore(t *testing.T) {
-	compareGolden(t, "commands.golden", described(root(t.Context(), nil)))
+	golden.Compare(t, "commands.golden", described(root(t.Context(), nil)))
 }
 
 // TestExitCodesAreAsBefore runs the program with arguments that end at once, and keeps the code of each.
@@ -102,7 +82,7 @@
 		}
 		text += fmt.Sprintf("verdict %q: %d\n", verdict, code)
 	}
-	compareGolden(t, "exits.golden", text)
+	golden.Compare(t, "exits.golden", text)
 }
 
 // fill gives each field that can be written a value other than none.
@@ -148,8 +128,8 @@
 	if err := writeRun(&measured, run, true); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "rehearsal.json", rehearsed.String())
-	compareGolden(t, "run.json", measured.String())
+	golden.Compare(t, "rehearsal.json", rehearsed.String())
+	golden.Compare(t, "run.json", measured.String())
 }
 
 // keysOf gives the paths of an object's keys, without the numbers of items.
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/hex"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"maps"
@@ -20,33 +19,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"wheelrill/distribution"
+	"wheelrill/internal/golden"
 	"wheelrill/ownership"
 )
 
-var update = flag.Bool("update", false, "write the golden files of this package anew")
-
-// compareWithGolden compares text with a file of testdata, or writes the file where -update is given.
-func compareWithGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: is\n%s\nand was\n%s", path, got, want)
-	}
-}
-
 func goldenEntry() ownership.Entry {
 	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, SeenToken: 4, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
 		TableChanges:  []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "a", Weight: 0.5}}}},
@@ -126,7 +102,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&text, "pieces of a long configuration:%s\n", sequenceLengths(t, configuration.Bytes()))
-	compareWithGolden(t, "encoded.txt", text.String())
+	golden.Compare(t, "encoded.txt", text.String())
 }
 
 // sequenceLengths is how many bytes each item of a CBOR sequence has.
@@ -226,7 +202,7 @@
 		conn.Close()
 		fmt.Fprintf(&text, "%s: %x answered %x%x %q\n", c.name, body, head, got, got)
 	}
-	compareWithGolden(t, "conversations.txt", text.String())
+	golden.Compare(t, "conversations.txt", text.String())
 }
 
 // describe writes what a member has of the record and of the configuration as text, in words and an order of its own.
@@ -298,7 +274,7 @@
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
 			stored := filepath.Join("testdata", "voter-"+name)
-			if *update {
+			if golden.Updating() {
 				if err := os.RemoveAll(stored); err != nil {
 					t.Fatal(err)
 				}
@@ -324,7 +300,7 @@
 				})
 			}
 			machine := m.current().machine
-			compareWithGolden(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
+			golden.Compare(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
 			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
 		})
 	}
@@ -335,7 +311,7 @@
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join("testdata", "snapshot-"+name+".cbor")
-			if *update {
+			if golden.Updating() {
 				m := machineWith(t)
 				if name == "configuration" {
 					m = machineWith(t, entry("x", "1"), entry("y", "2"), entry("x", "3"))
@@ -357,7 +333,7 @@
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
 			}
-			compareWithGolden(t, "snapshot-"+name+".txt", describe(m))
+			golden.Compare(t, "snapshot-"+name+".txt", describe(m))
 			state, err := ReadConfiguration(nil)
 			if state != nil || err != nil {
 				t.Error(state, err)
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"crypto/sha256"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"math"
@@ -21,43 +20,10 @@
 
 	"wheelrill/balancer"
 	"wheelrill/distribution"
+	"wheelrill/internal/golden"
 	"wheelrill/ownership"
 )
 
-// updateGolden renews the golden files. It is for whoever changes the wire on purpose; CI never sets it.
-var updateGolden = flag.Bool("update", false, "write the golden files in testdata anew")
-
-// compareGolden compares a transcript with the golden file of that name, line by line.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		gotLine, wantLine := "nothing", "nothing"
-		if i < len(gotLines) {
-			gotLine = gotLines[i]
-		}
-		if i < len(wantLines) {
-			wantLine = wantLines[i]
-		}
-		if gotLine != wantLine {
-			t.Fatalf("%s line %d:\n got %s\nwant %s", path, i+1, gotLine, wantLine)
-		}
-	}
-}
-
 // goldenOrders gives orders to tables as the decisions do, and writes down every byte that each proxy is written.
 type goldenOrders struct {
 	t      *testing.T
@@ -208,7 +174,7 @@
 		g.mark(9, false)
 		g.written(fmt.Sprint("a proxy that comes from another owner, with base ", proxy))
 	}
-	compareGolden(t, "orders.golden", g.text.String())
+	golden.Compare(t, "orders.golden", g.text.String())
 }
 
 // TestGoldenOrdersByChance holds the bytes of orders in thousands of combinations, by their hash for each seed.
@@ -258,7 +224,7 @@
 		}
 		fmt.Fprintf(&text, "seed %d: %d bytes, sha256 %x\n", seed, g.text.Len(), sha256.Sum256([]byte(g.text.String())))
 	}
-	compareGolden(t, "orders-by-chance.golden", text.String())
+	golden.Compare(t, "orders-by-chance.golden", text.String())
 }
 
 // goldenDay plays a controller through a day of trouble on a clock of its own, and writes down every byte that a proxy
@@ -284,7 +250,7 @@
 				if b == 5 && turn > 4 {
 					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load})
 				} else {
-					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), microsPerSecond, load})
+					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000 + 60_000*turn), microsPerSecond, load})
 				}
 			}
 			for node := range 8 {
@@ -332,7 +298,7 @@
 			text.WriteString(strings.Join(lines[:min(len(lines), 120)], ""))
 		}
 	}
-	compareGolden(t, "day.golden", text.String())
+	golden.Compare(t, "day.golden", text.String())
 }
 
 // TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
@@ -401,7 +367,7 @@
 		c.gets()
 	}
 	stays("a proxy beyond the room", f(hello))
-	compareGolden(t, "answers.golden", text.String())
+	golden.Compare(t, "answers.golden", text.String())
 }
 
 // TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
@@ -412,7 +378,7 @@
 		errors.New("\"größer\"\n\x01")} {
 		fmt.Fprintf(&text, "%q\n", errorMessage(why))
 	}
-	compareGolden(t, "refusals.golden", text.String())
+	golden.Compare(t, "refusals.golden", text.String())
 }
 
 // TestGoldenDiscoveryRequests holds the bytes of discovery's requests, by what was answered before.
@@ -442,7 +408,7 @@
 	case <-time.After(patience):
 		t.Fatal("it stopped asking")
 	}
-	compareGolden(t, "discovery-requests.golden", text.String())
+	golden.Compare(t, "discovery-requests.golden", text.String())
 }
 
 // serveGoldenDiscovery answers the requests of one connection, writes down their bytes, and gives the answers that are left.
@@ -468,7 +434,7 @@
 // TestGoldenFolder holds the file of a subscriber's folder: one that was written before is read, and written again by the
 // same bytes.
 func TestGoldenFolder(t *testing.T) {
-	golden := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
+	kept := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
 	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
 		Covered: distribution.SomeScopes("pricing", "orders"), Horizon: 2, Entries: []distribution.Entry{
 			{Scope: "orders", Name: "limit/read it", Value: []byte("12.5"), Revision: 3, AcceptedAt: 1_700_000_000_000_000},
@@ -486,12 +452,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *updateGolden {
-		if err := errors.Join(os.MkdirAll(filepath.Dir(golden), 0o755), os.WriteFile(golden, body, 0o644)); err != nil {
+	if golden.Updating() {
+		if err := errors.Join(os.MkdirAll(filepath.Dir(kept), 0o755), os.WriteFile(kept, body, 0o644)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(golden)
+	want, err := os.ReadFile(kept)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/distribution/golden_test.go
+++ b/distribution/golden_test.go
@@ -1,15 +1,12 @@
 package distribution
 
 import (
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the golden file of the digests anew")
+	"wheelrill/internal/golden"
+)
 
 // Two nodes compare digests, so each version must work out the same for the same entries.
 func TestDigestsAreAsTheGoldenFileHasThem(t *testing.T) {
@@ -29,17 +26,5 @@
 		digest := store.digestFor(covered)
 		fmt.Fprintf(&lines, "all %t scopes %q: %016x %016x\n", covered.All, covered.Names, digest.High, digest.Low)
 	}
-	path := filepath.Join("testdata", "digests.golden")
-	if *update {
-		if err := os.WriteFile(path, []byte(lines.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if lines.String() != string(want) {
-		t.Errorf("worked out\n%s, the golden file has\n%s", lines.String(), want)
-	}
+	golden.Compare(t, "digests.golden", lines.String())
 }
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -3,12 +3,12 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
+	"wheelrill/internal/golden"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 )
@@ -198,17 +198,5 @@
 		}
 		fmt.Fprintf(&lines, "seed %d, events by their numbers: %v\n", seed, kinds)
 	}
-	path := filepath.Join("testdata", "transcript.golden")
-	if *update {
-		if err := os.WriteFile(path, []byte(lines.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if lines.String() != string(want) {
-		t.Errorf("asked\n%s, the golden file has\n%s", lines.String(), want)
-	}
+	golden.Compare(t, "transcript.golden", lines.String())
 }
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -16,10 +15,9 @@
 
 	"wheelrill/distribution"
 	"wheelrill/internal/frame"
+	"wheelrill/internal/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden file of the messages anew")
-
 // wireMessage is a message whose bytes are held by the golden file, under a name that is the golden file's own.
 type wireMessage struct {
 	name    string
@@ -147,7 +145,7 @@
 func TestMessagesAreWrittenAndReadAsTheGoldenFileHasThem(t *testing.T) {
 	path := filepath.Join("testdata", "messages.golden")
 	messages := wireMessages()
-	if *update {
+	if golden.Updating() {
 		var lines strings.Builder
 		for _, m := range messages {
 			fmt.Fprintf(&lines, "%s: %x\n", m.name, written(t, m.message))
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -2,45 +2,18 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 
+	"wheelrill/internal/golden"
+
 	"github.com/valyala/fastjson"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
-func compareGolden(t *testing.T, name, text string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == text {
-		return
-	}
-	got, wanted := strings.Split(text, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(got), len(wanted)) {
-		if i >= len(got) || i >= len(wanted) || got[i] != wanted[i] {
-			t.Fatalf("%s differs from line %d on:\n got %q\nwant %q", path, i+1, got[min(i, len(got)-1)], wanted[min(i, len(wanted)-1)])
-		}
-	}
-}
-
 // everyKey has each key that settings are read from.
 const everyKey = `{"azs":["a","b"],"familyInfo":{"admission":"fraction","backlog":900.5,"classWrites":[false,true],
 "egressPerS":700,"ingestRate":4000,"keepsWriting":2500,"lingers":1500,"messagesMost":40,"messagesOver":1000,
@@ -216,7 +189,7 @@
 		if asJSON {
 			name = "nested.golden"
 		}
-		t.Run(strings.TrimSuffix(name, ".golden"), func(t *testing.T) { compareGolden(t, name, text) })
+		t.Run(strings.TrimSuffix(name, ".golden"), func(t *testing.T) { golden.Compare(t, name, text) })
 	}
 }
 
@@ -230,5 +203,5 @@
 		}
 		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, Microseconds(x), Sanitize(x))
 	}
-	compareGolden(t, "figures.golden", text)
+	golden.Compare(t, "figures.golden", text)
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -5,45 +5,17 @@
 	"cmp"
 	"encoding/binary"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"io"
 	"math"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
 	"wheelrill/balancer"
+	"wheelrill/internal/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
-func compareGolden(t *testing.T, name, text string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == text {
-		return
-	}
-	got, wanted := strings.Split(text, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(got), len(wanted)) {
-		if i >= len(got) || i >= len(wanted) || got[i] != wanted[i] {
-			t.Fatalf("%s differs from line %d on:\n got %q\nwant %q", path, i+1, got[min(i, len(got)-1)], wanted[min(i, len(wanted)-1)])
-		}
-	}
-}
-
 // field is a value at a byte position of a record.
 type field struct {
 	at    int
@@ -297,7 +269,7 @@
 		_, what, _ := strings.Cut(line, ": ") // without the program's name
 		text += what
 	}
-	compareGolden(t, "replies.golden", text)
+	golden.Compare(t, "replies.golden", text)
 }
 
 // TestActionsAreWrittenAsBefore keeps the bytes of each action, with values that tell its fields apart.
@@ -339,7 +311,7 @@
 		}
 		text += action.name + "\n" + hexed(out.Bytes())
 	}
-	compareGolden(t, "actions.golden", text)
+	golden.Compare(t, "actions.golden", text)
 }
 
 // TestFramesAreRefusedAsBefore keeps what is said of input that cannot be read.
@@ -370,5 +342,5 @@
 		}
 		text += fmt.Sprintf("%s: %v\n", input.name, err)
 	}
-	compareGolden(t, "refused.golden", text)
+	golden.Compare(t, "refused.golden", text)
 }
--- a/options/golden_test.go
+++ b/options/golden_test.go
@@ -1,40 +1,13 @@
 package options
 
 import (
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
-func compareGolden(t *testing.T, name, text string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == text {
-		return
-	}
-	got, wanted := strings.Split(text, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(got), len(wanted)) {
-		if i >= len(got) || i >= len(wanted) || got[i] != wanted[i] {
-			t.Fatalf("%s differs from line %d on:\n got %q\nwant %q", path, i+1, got[min(i, len(got)-1)], wanted[min(i, len(wanted)-1)])
-		}
-	}
-}
+	"wheelrill/internal/golden"
+)
 
 // Files with every key that a member, a voter and a subscriber may give; each key stands in a line of its own.
 const (
@@ -133,7 +106,7 @@
 					text += title + value + "\n  " + parsed(with(key+": "+value+"\n"))
 				}
 			}
-			compareGolden(t, file.name+".golden", text)
+			golden.Compare(t, file.name+".golden", text)
 		})
 	}
 }
--- a/ownership/golden_test.go
+++ b/ownership/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -11,42 +10,11 @@
 	"strings"
 	"testing"
 
+	"wheelrill/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 )
 
-var update = flag.Bool("update", false, "write the golden files of this package anew")
-
-// compareWithGolden compares text with a file of testdata, or writes the file where -update is given.
-func compareWithGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		line := func(of []string) string {
-			if i < len(of) {
-				return of[i]
-			}
-			return "(end)"
-		}
-		if line(gotLines) != line(wantLines) {
-			t.Fatalf("%s:%d: is\n%s\nand was\n%s", path, i+1, line(gotLines), line(wantLines))
-		}
-	}
-}
-
 // fullEntry has every field set.
 func fullEntry() Entry {
 	return Entry{
@@ -177,13 +145,13 @@
 		}
 		fmt.Fprintf(&text, "%s: %s\n", c.name, hex.EncodeToString(body))
 	}
-	compareWithGolden(t, "encoded.txt", text.String())
+	golden.Compare(t, "encoded.txt", text.String())
 }
 
 // A snapshot of the record as an earlier version wrote it is read as what it was, and claims on it come out the same.
 func TestStoredRecordIsRead(t *testing.T) {
 	path := filepath.Join("testdata", "record.cbor")
-	if *update {
+	if golden.Updating() {
 		body, err := cbor.Marshal(fullRecord())
 		if err != nil {
 			t.Fatal(err)
@@ -209,7 +177,7 @@
 	for _, move := range moves {
 		text += describeMove(move) + "\n"
 	}
-	compareWithGolden(t, "record.txt", text+describeRecord(record))
+	golden.Compare(t, "record.txt", text+describeRecord(record))
 }
 
 func describeMove(move Move) string {
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"wheelrill/internal/golden"
 )
 
 // transcript is three members at work on one record by a seeded sequence of calls; it writes down all that their hosts
@@ -211,11 +213,11 @@
 // The same calls lead to the same requests to the hosts and to the same record as when the golden files were made: one
 // sequence word by word, others by their sums.
 func TestSameCallsSameTranscript(t *testing.T) {
-	compareWithGolden(t, "transcript.txt", play(1, 500))
+	golden.Compare(t, "transcript.txt", play(1, 500))
 	var sums strings.Builder
 	for seed := range uint64(40) {
 		text := play(seed, 5000)
 		fmt.Fprintf(&sums, "seed %d: %d lines, %x\n", seed, strings.Count(text, "\n"), sha256.Sum256([]byte(text)))
 	}
-	compareWithGolden(t, "transcripts.txt", sums.String())
+	golden.Compare(t, "transcripts.txt", sums.String())
 }
