--- a/controller/cache.go
+++ b/controller/cache.go
@@ -2,29 +2,35 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
+	"time"
 
 	"wheelrill/consensus"
 	"wheelrill/distribution"
 	"wheelrill/distribution/transport"
 )
 
-// configurationCache keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older.
-type configurationCache struct {
-	path  string
-	saved distribution.Version // as written
-}
-
 const (
 	cacheFile       = "configuration.cbor"
 	cacheFolderMode = os.FileMode(0o700)
+
+	cacheInterval    = 5 * time.Second // that what has changed is written ...
+	cachePauseFactor = 100             // ... and no sooner than so many times what the last writing took
 )
 
-// openConfigurationCache checks that a folder can be written to.
+// configurationCache keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older. The file
+// is replaced in one step: after a crash it is complete, and cacheInterval old at most. runCache's goroutine owns it.
+type configurationCache struct {
+	path  string
+	saved distribution.Version // what the file has
+}
+
+// openConfigurationCache makes a cache in a folder, if that can be written to.
 func openConfigurationCache(folder string) (*configurationCache, error) {
 	if err := os.MkdirAll(folder, cacheFolderMode); err != nil {
 		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
@@ -33,11 +39,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
 	}
-	probe.Close()
+	_ = probe.Close() // nothing was written to it
 	return &configurationCache{path: filepath.Join(folder, cacheFile)}, os.Remove(probe.Name())
 }
 
-// load reads what was kept; nil where nothing was.
+// load reads the file; nil where there is none. One that is damaged is left as it is, until the next writing replaces it.
 func (c *configurationCache) load() (*distribution.State, error) {
 	body, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -56,13 +62,13 @@
 	return state, nil
 }
 
-// update writes what the carrier has, if that has moved on since.
-func (c *configurationCache) update(carrier *transport.Transport) error {
-	status, ok := carrier.Status()
+// update writes what a node of the tree has, if that has moved on since.
+func (c *configurationCache) update(node *transport.Transport) error {
+	status, ok := node.Status()
 	if !ok || status.Version == c.saved || !status.Version.Epoch.Known() {
 		return nil
 	}
-	state, ok := carrier.State()
+	state, ok := node.State()
 	if !ok {
 		return nil
 	}
@@ -73,7 +79,7 @@
 	return nil
 }
 
-// save replaces the file in one step, so that it is whole whenever the process ends.
+// save replaces the file in one step, so that it is complete whenever the process ends.
 func (c *configurationCache) save(state distribution.State) error {
 	var body bytes.Buffer
 	if err := consensus.WriteConfiguration(&body, &state); err != nil {
@@ -83,10 +89,33 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(file.Name()) // where it did not come to the renaming
+	defer func() { _ = os.Remove(file.Name()) }() // where it did not come to the renaming
 	_, err = file.Write(body.Bytes())
 	if err := errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
 	return os.Rename(file.Name(), c.path)
 }
+
+// runCache writes what a subscriber has each cacheInterval, and at the end of the context. It returns then, so that the transport,
+// which is asked for it, can end.
+func (d *distributor) runCache(ctx context.Context) {
+	if d.cache == nil {
+		<-ctx.Done()
+		return
+	}
+	timer := time.NewTimer(cacheInterval)
+	defer timer.Stop()
+	for ended := false; !ended; {
+		select {
+		case <-ctx.Done():
+			ended = true
+		case <-timer.C:
+		}
+		began := time.Now()
+		if err := d.cache.update(d.carrier); err != nil {
+			d.log.Warn("cache_write_failed", "error", err)
+		}
+		timer.Reset(max(cacheInterval, cachePauseFactor*time.Since(began)))
+	}
+}
--- a/controller/customers_test.go
+++ b/controller/customers_test.go
@@ -341,7 +341,7 @@
 				p.lastHeard.Store(m.now)
 				for b := range 8 {
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond/2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+					m.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
 				for class := range 4 {
 					m.demandReported(0, class, 30, microsPerSecond/2)
--- /dev/null
+++ b/controller/distribution_log.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"wheelrill/distribution"
+)
+
+// logRefused logs that somebody called a subscriber's address and was not let in. Goroutines of the listener call it.
+func (d *distributor) logRefused(from net.Addr, reason error) {
+	d.log.Warn("subscriber_refused", "remote", from, "error", reason)
+}
+
+// logEvent logs what our node of the tree tells. The transport's goroutine calls it.
+func (d *distributor) logEvent(event distribution.Event) {
+	log := d.log.With("revision", event.Version.Revision, "epoch", event.Version.Epoch.String())
+	switch event.Kind {
+	case distribution.EventAdmitted:
+		log.Info("subscribed", "parent", event.Peer)
+	case distribution.EventParentLost:
+		log.Warn("parent_lost", "parent", event.Peer, "reason", lossReason(event.CloseReason))
+	case distribution.EventSnapshotTaken:
+		log.Info("snapshot_applied", "parent", event.Peer)
+	case distribution.EventSourceStale:
+		log.Warn("configuration_stale")
+	case distribution.EventSourceCurrent:
+		log.Info("configuration_current")
+	case distribution.EventRefusedBy:
+		log.Warn("subscription_refused", "parent", event.Peer, "reason", event.Refusal.String())
+	case distribution.EventChildAdmitted, distribution.EventChildLost, distribution.EventChildRefused,
+		distribution.EventSnapshotSent, distribution.EventCompacted:
+		log.Info("distribution_tree", "peer", event.Peer, "detail", event.Kind.String())
+	default:
+		log.Warn("distribution_message_refused", "peer", event.Peer, "detail", event.Kind.String())
+	}
+}
+
+// lossReason says why a parent was lost; none of the node's reasons is the end of the connection.
+func lossReason(reason distribution.CloseReason) string {
+	if reason == 0 {
+		return "connection closed"
+	}
+	return reason.String()
+}
+
+// runStatusReports logs the state of the distribution each statusInterval, until the context ends.
+func (d *distributor) runStatusReports(ctx context.Context) {
+	ticker := time.NewTicker(statusInterval)
+	defer ticker.Stop()
+	last := d.carrier.Traffic()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		status, ok := d.carrier.Status()
+		if !ok {
+			return
+		}
+		now := d.carrier.Traffic()
+		d.log.Info("distribution_status", "revision", status.Version.Revision, "epoch", status.Version.Epoch.String(),
+			"age_s", formatAge(status.Age), "parent", status.Parent, "depth", len(status.Path),
+			"children", len(status.Children), "entries", status.Entries,
+			"in_bytes_per_s", perSecond(now.In-last.In, statusInterval),
+			"out_bytes_per_s", perSecond(now.Out-last.Out, statusInterval), "overflows", now.Overflows)
+		last = now
+	}
+}
+
+// perSecond gives a rate as the log has it.
+func perSecond(amount int64, interval time.Duration) string {
+	return formatDecimal(float64(amount)/interval.Seconds(), 0)
+}
+
+// formatAge gives an age in µs as the log has it, in seconds.
+func formatAge(age int64) string {
+	if age == distribution.NeverCurrent {
+		return "unknown"
+	}
+	return formatDecimal(float64(age)/microsPerSecond, 1)
+}
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -6,108 +6,167 @@
 	"wheelrill/balancer"
 )
 
-// limits are the sizes, counts and times of everything around the decisions. They are filled once, at start, and
-// each part is handed what it needs of them.
+// limits are the sizes, counts and times of everything around the decisions. New fills them; nobody changes them after that, so any
+// goroutine may read them.
 type limits struct {
-	cores             int
-	memory            int64 // bytes the process may use; 0 if nobody said
-	sockets           int   // descriptors the process may hold
-	proxies           int   // proxies that exist
-	collectorsPerZone int   // collectors of a zone that are kept; the oldest goes
-	maxConnections    int   // connections; the oldest of those that have not identified themselves go
-	maxUnidentified   int   // of those, at most
-	maxIdentified     int   // of those that have identified themselves, at most
-	maxBackends       int   // backends that are known at a time
-	forgetAfter       int64 // µs that one is known on after the list has dropped it
-	maxIDBytes        int   // bytes of a backend's id
-
-	maxFrame           int // bytes of one message, at most, either way
-	maxFirstFrame      int // the same while a connection has not said who it is
-	maxParts           int // parts of one message to a proxy
-	maxIdleBuffer      int // a reader's buffer that grew beyond this is given back
-	inboxSize          int // things that wait for the module; reports beyond this are given up
-	eventsPerIteration int // things that the module takes at one clock time
-	outboxSize         int // messages that wait for one peer
-	maxUnacked         int // unanswered marks that are remembered of one proxy
+	// What the process is given, and who exists.
+	cores   int
+	memory  int64 // bytes; 0 if nobody said
+	sockets int   // descriptors
+	proxies int   // proxies that exist
+
+	// Connections.
+	maxConnections    int // in all; at the bound, the oldest unidentified ones are evicted, and others wait in the backlog
+	maxUnidentified   int // of those that have not identified themselves; at the bound, the oldest are evicted
+	maxIdentified     int // of the others; at the bound, a newcomer is refused
+	collectorsPerZone int // at the bound, a newcomer replaces the oldest
+
+	// Backends.
+	maxBackends int   // at the bound, further ones of the list are skipped
+	maxIDBytes  int   // of a backend's id
+	forgetAfter int64 // µs that a backend is known on after the list has dropped it
+
+	// Messages, either way, and queues.
+	maxFrame           int // bytes of a message, or of a part of one
+	maxFirstFrame      int // bytes of a message of an unidentified connection
+	maxParts           int // of a message to a proxy
+	maxIdleBuffer      int // bytes; a reader's buffer that grew beyond this is given back
+	inboxSize          int // events that wait for the loop; at the bound, reports are dropped and other events make their senders wait
+	eventsPerIteration int // events that the loop takes at one clock time
+	outboxSize         int // messages that wait for one connection; at the bound, a proxy is dropped
+	maxUnacked         int // acknowledgements that are missing of one proxy; at the bound, the oldest is forgotten
 	maxResponseBody    int // bytes of an answer of discovery
 
-	// What reports can say. Beyond it they are spoilt.
-	maxProxyRate      float64 // requests a second that can come to a proxy, by far
-	maxFleetRate      float64 // and to all of them
-	maxResponseTime   int64   // µs that an answer can take
-	maxReportInterval int64   // µs that one report can cover
-	maxUtilization    float64 // share of its cores that a backend can have at work; it may count them in percent
-	maxQueueLength    float64 // requests that can wait at it
-
-	tick              time.Duration // between two clock times of the module
-	identifyTimeout   time.Duration // from accept on, for a connection to say who it is
-	minEvictAge       time.Duration // that it has for this at least, however many others come
-	finalReadTimeout  time.Duration // that what had arrived by then is read, and that a last word may take
-	lingerTimeout     time.Duration // that what a refused connection still sends is read
-	writeTimeout      time.Duration // for one message to leave
-	dialTimeout       time.Duration // for a connection to discovery to come up
-	watchWait         time.Duration // that discovery may wait for something new
+	// What load reports can say; beyond it a report is skipped.
+	maxProxyRate      float64 // requests a second that arrive at a proxy
+	maxFleetRate      float64 // the same of all proxies
+	maxResponseTime   int64   // µs
+	maxReportInterval int64   // µs that one report covers
+	maxUtilization    float64 // share of its cores that a backend has at work; it may count them in percent
+	maxQueueLength    float64 // requests that wait at a backend
+
+	// Times of the loop.
+	tick            time.Duration // between two iterations, at least
+	stallThreshold  int64         // µs without an iteration that show that the process stalled: the decisions want several a second
+	readyTimeout    time.Duration // from the start on, after which answers leave without a list
+	handOverTimeout time.Duration // that the record may take to say that our proxies are given away
+	silenceTimeout  int64         // µs without a message, and an acknowledgement missing as long, that show a half-open connection
+	ackLagTimeout   int64         // the same where another proxy has given that acknowledgement
+
+	// Times of connections.
+	identifyTimeout  time.Duration // from accept on, for a connection to identify itself
+	minEvictAge      time.Duration // that it has for this at least, however many others come
+	finalReadTimeout time.Duration // that what had arrived at a deadline is read, and that a last message may take
+	lingerTimeout    time.Duration // that what a refused connection still sends is read
+	writeTimeout     time.Duration // for one message to leave
+
+	// Times of discovery.
+	dialTimeout       time.Duration
+	watchWait         time.Duration // that discovery may wait for a change
 	watchMargin       time.Duration // beyond that before the call has failed
-	readyTimeout      time.Duration // from the start on, that a list is waited for before answers leave without
-	minBackoff        time.Duration // pause after a failed call, doubling ...
+	minBackoff        time.Duration // after a failed call; it doubles ...
 	maxBackoff        time.Duration // ... up to this
-	maxUselessAnswers int           // answers of no use, or older than what we know, before we ask for all and take that
-	handOverTimeout   time.Duration // that others are told of a planned end
-	silenceTimeout    int64         // µs without a word, a mark unanswered as long, show a half-open stream
-	ackLagTimeout     int64         // the same where other proxies have answered the mark
-	stallThreshold    int64         // µs without a turn show that we stood still: the decisions want one several times a second
-	logRepeatInterval time.Duration // a line of the log that repeats is held back for so long
-	maxLogKinds       int           // different lines whose repeats are counted
+	maxUselessAnswers int           // in a row, before the full list is asked for, and taken even if it is older
+
+	// The log.
+	logRepeatInterval time.Duration // between two lines of a kind that is rate limited
+	maxLogKinds       int           // kinds of lines that are counted apart
 }
 
 // defaultLimits are those that do not depend on what the process is given.
 func defaultLimits() *limits {
 	return &limits{
-		cores: 1, collectorsPerZone: 2, maxBackends: 1 << 16, forgetAfter: 30 * microsPerSecond, maxIDBytes: 256,
-		maxFrame: 1 << 20, maxFirstFrame: 16 << 10, maxParts: 64, maxIdleBuffer: 64 << 10,
-		inboxSize: 4096, eventsPerIteration: 1024, outboxSize: 64, maxUnacked: 256, maxResponseBody: 16 << 20,
-		identifyTimeout: 1500 * time.Millisecond, minEvictAge: 50 * time.Millisecond, finalReadTimeout: 20 * time.Millisecond,
-		lingerTimeout: 200 * time.Millisecond,
-		writeTimeout:  10 * time.Second,
-		dialTimeout:   500 * time.Millisecond, watchWait: 2 * time.Second, watchMargin: time.Second,
-		readyTimeout: 5 * time.Second, // of the ten seconds that the platform waits for a process that restarts
-		minBackoff:   50 * time.Millisecond, maxBackoff: time.Second, maxUselessAnswers: 5,
-		handOverTimeout: 400 * time.Millisecond, logRepeatInterval: 10 * time.Second, maxLogKinds: 1024, stallThreshold: microsPerSecond, maxProxyRate: 1000, maxUtilization: 100, maxQueueLength: 1e6,
+		cores: 1,
+
+		collectorsPerZone: 2,
+
+		maxBackends: 1 << 16,
+		maxIDBytes:  256,
+		forgetAfter: 30 * microsPerSecond,
+
+		maxFrame:           1 << 20,
+		maxFirstFrame:      16 << 10,
+		maxParts:           64,
+		maxIdleBuffer:      64 << 10,
+		inboxSize:          4096,
+		eventsPerIteration: 1024,
+		outboxSize:         64,
+		maxUnacked:         256,
+		maxResponseBody:    16 << 20,
+
+		maxProxyRate:   1000,
+		maxUtilization: 100,
+		maxQueueLength: 1e6,
+
+		stallThreshold:  microsPerSecond,
+		readyTimeout:    5 * time.Second, // of the ten seconds that the platform waits for a process that restarts
+		handOverTimeout: 400 * time.Millisecond,
+
+		identifyTimeout:  1500 * time.Millisecond,
+		minEvictAge:      50 * time.Millisecond,
+		finalReadTimeout: 20 * time.Millisecond,
+		lingerTimeout:    200 * time.Millisecond,
+		writeTimeout:     10 * time.Second,
+
+		dialTimeout:       500 * time.Millisecond,
+		watchWait:         2 * time.Second,
+		watchMargin:       time.Second,
+		minBackoff:        50 * time.Millisecond,
+		maxBackoff:        time.Second,
+		maxUselessAnswers: 5,
+
+		logRepeatInterval: 10 * time.Second,
+		maxLogKinds:       1024,
 	}
 }
 
-// fitResources fits the limits to the cores, megabytes and descriptors that the process has; 0 is as many as are usual.
+// fitResources fits the limits to the cores, megabytes and descriptors that the process has; 0 stands for as many as are usual.
 func (l *limits) fitResources(cores, memoryMB, sockets float64) {
-	const usual = 1024
-	l.cores, l.memory, l.sockets = max(1, int(cores)), int64(memoryMB)<<20, usual
+	const usualSockets, maxSockets = 1024, 1 << 20
+	l.cores = max(1, int(cores))
+	l.memory = int64(memoryMB) << 20
+	l.sockets = usualSockets
 	if sockets > 0 {
-		l.sockets = int(min(sockets, 1<<20))
+		l.sockets = int(min(sockets, maxSockets))
 	}
 }
 
-// fitFleet fits the limits to the proxies and zones that exist, after give, and to the pace of orders and reports.
-func (l *limits) fitFleet(nodes, zones int, tick int64, channel balancer.PushChannel, sight balancer.Telemetry,
+// fitFleet fits the limits to the proxies and zones that exist, after fitResources, and to the pace of pushes and reports. The tick is
+// in µs.
+func (l *limits) fitFleet(proxies, zones int, tick int64, channel balancer.PushChannel, telemetry balancer.Telemetry,
 	classes []balancer.Class) {
-	const spare = 24 // descriptors of the runtime, the standard streams, the listener and discovery
-	const least = 8  // room for unidentified connections in any case: each is one at first
-	l.proxies = nodes
-	// Proxies twice over, as a new stream may come before the old one is seen to end.
-	l.maxConnections = max(l.sockets-spare, least+1)
-	l.maxIdentified = min(2*nodes+(l.collectorsPerZone+1)*zones, l.maxConnections-least)
-	l.maxUnidentified = max(256, nodes+zones) // after a restart all come at once, and each is unidentified at first
+	l.proxies = proxies
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
-	// A live proxy reports each period. It may stand still for two seconds, and the channel may be full.
-	const stall = 2 * microsPerSecond
-	l.silenceTimeout = 2*channel.MaxLatency + 3*sight.ReportInterval + stall
-	l.ackLagTimeout = channel.MaxLatency + stall
-	// A proxy gives a request up at its deadline. Where lines wait for their turn one counts many periods.
-	l.maxFleetRate = l.maxProxyRate * float64(max(nodes, 1))
-	for _, class := range classes {
-		l.maxResponseTime = max(l.maxResponseTime, 2*class.Deadline)
-	}
-	l.maxReportInterval = max(60*microsPerSecond, 30*sight.ReportInterval)
+	l.fitConnections(zones)
+	l.fitReports(telemetry, classes)
+
+	// A live proxy reports each interval. It may stall for two seconds, and the channel may be full.
+	const proxyStall = 2 * microsPerSecond
+	l.silenceTimeout = 2*channel.MaxLatency + 3*telemetry.ReportInterval + proxyStall
+	l.ackLagTimeout = channel.MaxLatency + proxyStall
 	if channel.LinesPerSecond > 0 {
 		l.ackLagTimeout += int64(channel.Backlog / channel.LinesPerSecond * microsPerSecond)
 	}
 }
 
+// fitConnections fits the bounds of connections to the sockets, proxies and zones.
+func (l *limits) fitConnections(zones int) {
+	const reservedSockets = 24        // of the runtime, the standard streams, the listener and discovery
+	const reservedForUnidentified = 8 // connections in any case: each is unidentified at first
+	const usualUnidentified = 256
+	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
+	// Proxies twice over, as a new connection may come before the old one is seen to end.
+	wanted := 2*l.proxies + (l.collectorsPerZone+1)*zones
+	l.maxIdentified = min(wanted, l.maxConnections-reservedForUnidentified)
+	l.maxUnidentified = max(usualUnidentified, l.proxies+zones) // after a restart all come at once
+}
+
+// fitReports fits what load reports can say to the proxies, the pace of reports and the classes.
+func (l *limits) fitReports(telemetry balancer.Telemetry, classes []balancer.Class) {
+	const minReportInterval = 60 * microsPerSecond // where reports wait for their turn, one covers many intervals
+	l.maxFleetRate = l.maxProxyRate * float64(max(l.proxies, 1))
+	l.maxReportInterval = max(minReportInterval, 30*telemetry.ReportInterval)
+	for _, class := range classes {
+		l.maxResponseTime = max(l.maxResponseTime, 2*class.Deadline) // a proxy gives a request up at its deadline
+	}
+}
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -9,24 +9,34 @@
 	"wheelrill/distribution"
 )
 
-// Kinds of distributed entries. The name of an entry is its kind, a slash, and what it is about; an entry of the scope
-// "pricing" that drains the backend s-1 has the name "drain/s-1".
+// Kinds of distributed entries. The name of an entry is its kind, a slash, and what it is about; an entry of the scope "pricing" that
+// drains the backend s-1 has the name "drain/s-1".
 const (
 	kindDrain   = "drain"   // of a backend
 	kindWeight  = "weight"  // of a backend
-	kindLimit   = "limit"   // of a class, requests a second of the whole fleet; of a tenant it is carried alone
+	kindLimit   = "limit"   // of a class, requests a second of all proxies; of a tenant it is carried alone
 	kindRoute   = "route"   // by its name
 	kindService = "service" // by its name
+
+	kindSeparator = "/"
 )
 
-const kindSeparator = "/"
+// drainValue is the one value of a drain.
+const drainValue = "true"
+
+// maxWeight is beyond what a list can mean.
+const maxWeight = 1e6
+
+// minLimit stands for a limit of 0, as 0 is none at all for the decisions: they let little through then, to hear of it.
+const minLimit = 1e-9
 
-// overrides are what distributed entries say of backends, over discovery's word, and of classes. They belong to the module.
+// overrides are what distributed entries say of backends, over discovery's word, and of classes. A backend or class may have entries
+// of several scopes. The event loop owns it; after a restart it is filled anew by the distribution.
 type overrides struct {
 	limits  map[string]map[distribution.Key]float64        // by class, requests a second
-	drains  map[string]map[distribution.Key]int64          // by backend, when the entries that drain it were accepted, Unix µs
-	weights map[string]map[distribution.Key]weightOverride // by backend
-	listed  []balancer.Endpoint                            // by index, as discovery has it; an index that is given anew is listed anew
+	drains  map[string]map[distribution.Key]int64          // by backend's id: when the entry was accepted, Unix µs
+	weights map[string]map[distribution.Key]weightOverride // by backend's id
+	listed  []balancer.Endpoint                            // by backend, as discovery has it; an index that is given anew is listed anew
 }
 
 // weightOverride is a weight and the revision that set it.
@@ -36,75 +46,77 @@
 }
 
 func newOverrides() *overrides {
-	return &overrides{drains: map[string]map[distribution.Key]int64{}, weights: map[string]map[distribution.Key]weightOverride{},
-		limits: map[string]map[distribution.Key]float64{}}
+	o := &overrides{}
+	o.clear()
+	return o
+}
+
+// clear forgets all distributed entries.
+func (o *overrides) clear() {
+	o.limits = map[string]map[distribution.Key]float64{}
+	o.drains = map[string]map[distribution.Key]int64{}
+	o.weights = map[string]map[distribution.Key]weightOverride{}
 }
 
 // subject is what an entry is about: a backend, or a class, or for others neither.
 type subject struct{ backend, class string }
 
-// apply takes an entry in; it gives what the decisions have to hear of anew. False: the entry makes no sense, and counts as if it
-// were not there.
-func (o *overrides) apply(e distribution.Entry) (changed subject, ok bool) {
-	kind, about, _ := strings.Cut(e.Name, kindSeparator)
+// apply takes an entry in; it gives what the decisions have to hear of anew. Not ok: the entry makes no sense, and counts as if it were
+// not there.
+func (o *overrides) apply(entry distribution.Entry) (changed subject, ok bool) {
+	kind, about, _ := strings.Cut(entry.Name, kindSeparator)
 	switch kind {
 	case kindDrain:
-		ok = e.Deleted || string(e.Value) == drainValue
-		setOverride(o.drains, about, e.Key(), e.AcceptedAt, ok && !e.Deleted)
-		return subject{backend: about}, ok
+		usable := string(entry.Value) == drainValue
+		setOverride(o.drains, about, entry.Key(), entry.AcceptedAt, usable && !entry.Deleted)
+		return subject{backend: about}, usable || entry.Deleted
 	case kindWeight:
-		weight, usable := parseWeight(string(e.Value))
-		setOverride(o.weights, about, e.Key(), weightOverride{weight, e.Revision}, usable && !e.Deleted)
-		return subject{backend: about}, usable || e.Deleted
+		weight, usable := parseWeight(string(entry.Value))
+		setOverride(o.weights, about, entry.Key(), weightOverride{weight, entry.Revision}, usable && !entry.Deleted)
+		return subject{backend: about}, usable || entry.Deleted
 	case kindLimit:
-		limit, usable := parseLimit(string(e.Value))
-		setOverride(o.limits, about, e.Key(), limit, usable && !e.Deleted)
-		return subject{class: about}, usable || e.Deleted
+		limit, usable := parseLimit(string(entry.Value))
+		setOverride(o.limits, about, entry.Key(), limit, usable && !entry.Deleted)
+		return subject{class: about}, usable || entry.Deleted
 	}
 	return subject{}, true
 }
 
-// setOverride keeps what a key says of a backend, or forgets it.
-func setOverride[T any](by map[string]map[distribution.Key]T, backend string, key distribution.Key, value T, stands bool) {
-	switch {
-	case !stands:
-		if delete(by[backend], key); len(by[backend]) == 0 {
-			delete(by, backend)
+// setOverride keeps what a key says of a backend or class, or forgets it.
+func setOverride[T any](bySubject map[string]map[distribution.Key]T, about string, key distribution.Key, value T, stands bool) {
+	if !stands {
+		delete(bySubject[about], key)
+		if len(bySubject[about]) == 0 {
+			delete(bySubject, about)
 		}
-	case by[backend] == nil:
-		by[backend] = map[distribution.Key]T{key: value}
-	default:
-		by[backend][key] = value
+		return
 	}
+	if bySubject[about] == nil {
+		bySubject[about] = map[distribution.Key]T{}
+	}
+	bySubject[about][key] = value
 }
 
-// drainValue is the one value of a drain.
-const drainValue = "true"
-
-// maxWeight is beyond what a list can mean.
-const maxWeight = 1e6
-
-func parseWeight(text string) (float64, bool) {
+// parseWeight reads a weight; not ok if it is none, 0 or less, or above maxWeight.
+func parseWeight(text string) (weight float64, ok bool) {
 	weight, err := strconv.ParseFloat(text, 64)
 	return weight, err == nil && weight > 0 && weight <= maxWeight
 }
 
-// minLimit stands for a limit of 0, as 0 is none at all for the decisions: they let little through then, to hear of it.
-const minLimit = 1e-9
-
-func parseLimit(text string) (float64, bool) {
+// parseLimit reads a limit; not ok if it is none, below 0 or infinite.
+func parseLimit(text string) (limit float64, ok bool) {
 	limit, err := strconv.ParseFloat(text, 64)
 	return max(limit, minLimit), err == nil && limit >= 0 && !math.IsInf(limit, 1)
 }
 
-// limitOf is the least limit that stands for a class; 0 where there is none.
-func (o *overrides) limitOf(class string) (least float64) {
+// limitOf is the lowest limit that stands for a class; 0 where there is none.
+func (o *overrides) limitOf(class string) (lowest float64) {
 	for _, limit := range o.limits[class] {
-		if least == 0 || limit < least {
-			least = limit
+		if lowest == 0 || limit < lowest {
+			lowest = limit
 		}
 	}
-	return least
+	return lowest
 }
 
 // reset forgets all distributed entries, and gives what they were about.
@@ -118,41 +130,43 @@
 	for class := range o.limits {
 		changed = append(changed, subject{class: class})
 	}
-	o.limits = map[string]map[distribution.Key]float64{}
-	o.drains, o.weights = map[string]map[distribution.Key]int64{}, map[string]map[distribution.Key]weightOverride{}
+	o.clear()
 	return changed
 }
 
-// weightOf is the weight that stands for a backend: of several scopes' the one that was set last.
+// weightOf is the weight that stands for a backend: of several scopes' the one that was set last, the lowest where they were set by
+// one revision.
 func (o *overrides) weightOf(backend string) (weight float64, ok bool) {
-	var last weightOverride
-	for _, w := range o.weights[backend] {
-		if w.revision > last.revision || w.revision == last.revision && w.weight < last.weight || !ok {
-			last, ok = w, true
+	var newest weightOverride
+	for _, override := range o.weights[backend] {
+		newer := override.revision > newest.revision
+		lower := override.revision == newest.revision && override.weight < newest.weight
+		if !ok || newer || lower {
+			newest, ok = override, true
 		}
 	}
-	return last.weight, ok
+	return newest.weight, ok
 }
 
 // drainedSince is when the first of the entries that drain a backend was accepted, Unix µs; 0 where none says.
 func (o *overrides) drainedSince(backend string) (since int64) {
-	for _, at := range o.drains[backend] {
-		if at > 0 && (since == 0 || at < since) {
-			since = at
+	for _, acceptedAt := range o.drains[backend] {
+		if acceptedAt > 0 && (since == 0 || acceptedAt < since) {
+			since = acceptedAt
 		}
 	}
 	return since
 }
 
 // noteListed keeps what discovery says of a backend.
-func (o *overrides) noteListed(e balancer.Endpoint) {
-	for len(o.listed) <= e.Backend {
+func (o *overrides) noteListed(endpoint balancer.Endpoint) {
+	for len(o.listed) <= endpoint.Backend {
 		o.listed = append(o.listed, balancer.Endpoint{})
 	}
-	o.listed[e.Backend] = e
+	o.listed[endpoint.Backend] = endpoint
 }
 
-// noteUnlisted notes those that a whole list lacks.
+// noteUnlisted notes those that a full list lacks.
 func (o *overrides) noteUnlisted(listed map[int]bool) {
 	for backend := range o.listed {
 		if _, named := listed[backend]; !named {
@@ -161,19 +175,20 @@
 	}
 }
 
-// merged adds the entry of a backend as the decisions are to have it. One that is drained and that discovery has dropped
-// is drained first: dropped alone, it might go on being used.
-func (o *overrides) merged(to []balancer.Endpoint, id string, e balancer.Endpoint) []balancer.Endpoint {
+// merged adds an endpoint as the decisions are to have it. One that is drained and that discovery has dropped is drained first:
+// dropped alone, it might go on being used.
+func (o *overrides) merged(to []balancer.Endpoint, id string, endpoint balancer.Endpoint) []balancer.Endpoint {
 	if weight, ok := o.weightOf(id); ok {
-		e.Weight = weight
+		endpoint.Weight = weight
 	}
 	if len(o.drains[id]) == 0 {
-		return append(to, e)
+		return append(to, endpoint)
 	}
-	gone := e
-	e.State, e.DrainingSince = balancer.Draining, o.drainedSince(id)
-	if to = append(to, e); gone.State == balancer.Removed {
-		to = append(to, gone)
+	draining := endpoint
+	draining.State, draining.DrainingSince = balancer.Draining, o.drainedSince(id)
+	to = append(to, draining)
+	if endpoint.State == balancer.Removed {
+		to = append(to, endpoint)
 	}
 	return to
 }
--- a/controller/server.go
+++ b/controller/server.go
@@ -12,32 +12,34 @@
 	"time"
 )
 
-// server accepts connections and keeps them within the socket budget. Those that have not identified themselves have a
-// share of their own, of which the oldest make room once each has had a moment to speak, so that whoever speaks gets in.
+// server accepts connections and keeps them within the bounds of limits. Those that have not identified themselves have a bound of
+// their own, at which the oldest make room once each has had a moment to speak, so that whoever speaks gets in. Controller.Serve
+// runs it; it has a goroutine for each connection, and awaits them all.
 type server struct {
 	limits *limits
 	loop   *eventLoop
 	log    *slog.Logger
 
-	mutex        sync.Mutex
+	accepted int            // connections so far; of run's goroutine
+	running  sync.WaitGroup // goroutines of connections
+
+	mutex        sync.Mutex    // guards what follows
 	unidentified []*connection // the oldest first
-	identified   []*connection
-	accepted     int
-	running      sync.WaitGroup
+	identified   []*connection // the oldest first
 }
 
-// run accepts until the context ends, then ends every connection.
+// run accepts until the context ends, and closes every connection then. An error is what kept it from accepting.
 func (s *server) run(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { interrupt(listener) })
 	defer stop()
 	defer s.closeAll()
 	defer s.drainBacklog(listener)
 	for s.waitForRoom(ctx) {
-		conn, err := listener.Accept()
+		socket, err := listener.Accept()
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				conn.Close()
+				_ = socket.Close() // it goes elsewhere
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
@@ -48,48 +50,52 @@
 				s.evict(1)
 			}
 			s.pause(ctx)
-			continue
+		default:
+			s.serve(socket)
 		}
-		s.accepted++
-		p := newConnection(conn, s.accepted, s.loop, s.identify)
-		s.mutex.Lock()
-		s.unidentified = append(s.unidentified, p)
-		s.mutex.Unlock()
-		s.running.Go(func() {
-			p.run()
-			s.remove(p)
-		})
 	}
 	return nil
 }
 
+// serve starts serving a connection.
+func (s *server) serve(socket net.Conn) {
+	s.accepted++
+	c := newConnection(socket, s.accepted, s.loop, s.identify)
+	s.mutex.Lock()
+	s.unidentified = append(s.unidentified, c)
+	s.mutex.Unlock()
+	s.running.Go(func() {
+		c.run()
+		s.remove(c)
+	})
+}
+
 // interrupt ends a wait for a connection, and leaves the listener open where it can.
 func interrupt(listener net.Listener) {
-	if tcp, ok := listener.(*net.TCPListener); ok {
-		tcp.SetDeadline(time.Now())
+	if tcp, ok := listener.(*net.TCPListener); ok && tcp.SetDeadline(time.Now()) == nil {
 		return
 	}
-	listener.Close()
+	_ = listener.Close() // the wait ends, which is all that is wanted
 }
 
-// drainBacklog closes the listener and, for a moment before, what waits in its backlog: not every kernel ends that with
-// the listener, and whoever waits on it would wait for good.
+// drainBacklog closes the listener and, for a moment before, what waits in its backlog: not every kernel ends that with the listener,
+// and whoever waits on it would wait for good.
 func (s *server) drainBacklog(listener net.Listener) {
-	defer listener.Close()
+	defer func() { _ = listener.Close() }() // it is of no use any more
 	tcp, ok := listener.(*net.TCPListener)
-	if !ok {
+	if !ok || tcp.SetDeadline(time.Now().Add(s.limits.finalReadTimeout)) != nil {
 		return
 	}
-	tcp.SetDeadline(time.Now().Add(s.limits.finalReadTimeout))
 	for {
-		conn, err := tcp.Accept()
+		socket, err := tcp.Accept()
 		if err != nil {
 			return
 		}
-		conn.Close()
+		_ = socket.Close() // it goes elsewhere
 	}
 }
 
+// pause waits for a tick.
 func (s *server) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -97,54 +103,61 @@
 	}
 }
 
-// waitForRoom waits until one more connection fits, and tells whether it does before the end. Who comes meanwhile waits
-// in the backlog of the listener.
+// waitForRoom waits until one more connection fits; false if the context ends before. Who comes meanwhile waits in the listener's
+// backlog.
 func (s *server) waitForRoom(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		s.mutex.Lock()
-		over := max(len(s.unidentified)+len(s.identified)-s.limits.maxConnections, len(s.unidentified)-s.limits.maxUnidentified) + 1
-		s.mutex.Unlock()
-		if over <= 0 {
+		excess := s.excess()
+		if excess <= 0 {
 			return true
 		}
-		s.evict(over)
+		s.evict(excess)
 		s.pause(ctx)
 	}
 	return false
 }
 
-// evict has so many more of the oldest unidentified peers make room, if they had their time to speak: each is judged by
-// what has arrived of it. Those that were evicted before are on their way out, and a flood must not come in only as fast
-// as one goes.
+// excess is how many connections have to go for one more to fit.
+func (s *server) excess() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	overAll := len(s.unidentified) + len(s.identified) - s.limits.maxConnections
+	overUnidentified := len(s.unidentified) - s.limits.maxUnidentified
+	return max(overAll, overUnidentified) + 1
+}
+
+// evict has so many more of the oldest unidentified connections make room, if they had their time to speak: each is judged by what has
+// arrived of it. Those that were evicted before are on their way out, and a flood must not come in only as fast as one goes.
 func (s *server) evict(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, p := range s.unidentified {
-		if count <= 0 || time.Since(p.acceptedAt) < s.limits.minEvictAge {
+	for _, c := range s.unidentified {
+		if count <= 0 || time.Since(c.acceptedAt) < s.limits.minEvictAge {
 			return
 		}
-		if !p.evicted.Load() {
-			p.evict()
+		if !c.evicted.Load() {
+			c.evict()
 			count--
 		}
 	}
 }
 
-// identify moves a peer to those that have identified themselves. A proxy's newer connection takes the place of the
-// older, and a collector too many of a zone that of the oldest, as they may be half-open; beyond the budget the newcomer
-// is the one to go.
-func (s *server) identify(p *connection) error {
+// identify moves a connection to the identified ones. A proxy's newer connection takes the place of the older, and a collector too
+// many of a zone that of the oldest, as they may be half-open; beyond the bound the newcomer is refused. Goroutines of connections
+// call it.
+func (s *server) identify(c *connection) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	same := 1
+	ofSame := 1 // connections of the same proxy, or of collectors of the same zone
 	for _, other := range slices.Backward(slices.Clone(s.identified)) {
-		if other.kind != p.kind || other.proxy != p.proxy || other.zone != p.zone && p.kind == kindCollector {
+		if !c.isSameParty(other) {
 			continue
 		}
-		if same++; p.kind == kindProxy && other.sequence > p.sequence {
-			return errSuperseded // its first words were under way for longer than the next connection took
+		ofSame++
+		if c.kind == kindProxy && other.sequence > c.sequence {
+			return errSuperseded // its hello was under way for longer than the next connection took
 		}
-		if p.kind == kindProxy || same > s.limits.collectorsPerZone {
+		if c.kind == kindProxy || ofSame > s.limits.collectorsPerZone {
 			s.identified = without(s.identified, other)
 			other.close(errReplaced)
 		}
@@ -152,35 +165,46 @@
 	if len(s.identified) >= s.limits.maxIdentified {
 		return errNoRoom
 	}
-	s.unidentified, s.identified = without(s.unidentified, p), append(s.identified, p)
+	s.unidentified, s.identified = without(s.unidentified, c), append(s.identified, c)
 	return nil
 }
 
-func (s *server) remove(p *connection) {
+// isSameParty tells whether another connection is of the same proxy, or of a collector of the same zone.
+func (c *connection) isSameParty(other *connection) bool {
+	if other.kind != c.kind || other.proxy != c.proxy {
+		return false
+	}
+	return c.kind != kindCollector || other.zone == c.zone
+}
+
+// remove forgets a connection that has ended.
+func (s *server) remove(c *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.unidentified, s.identified = without(s.unidentified, p), without(s.identified, p)
-	if p.kind == kindUnidentified {
-		s.log.Info("unidentified_closed", "remote", p.socket.RemoteAddr(), "error", p.closeReason)
+	s.unidentified, s.identified = without(s.unidentified, c), without(s.identified, c)
+	if c.kind == kindUnidentified {
+		s.log.Info("unidentified_closed", "remote", c.socket.RemoteAddr(), "error", c.closeReason)
 		return
 	}
-	s.log.Info("connection_closed", "remote", p.socket.RemoteAddr(), "kind", p.kind,
-		"proxy", p.proxy, "zone", s.loop.zoneName(p.zone), "error", p.closeReason)
+	s.log.Info("connection_closed", "remote", c.socket.RemoteAddr(), "kind", c.kind, "proxy", c.proxy,
+		"zone", s.loop.zoneName(c.zone), "error", c.closeReason)
 }
 
-func without(peers []*connection, p *connection) []*connection {
-	for i, other := range peers {
-		if other == p {
-			return append(peers[:i:i], peers[i+1:]...)
+// without gives connections but one, in a new array, so that who goes over the old one is not disturbed.
+func without(connections []*connection, removed *connection) []*connection {
+	for i, c := range connections {
+		if c == removed {
+			return append(connections[:i:i], connections[i+1:]...)
 		}
 	}
-	return peers
+	return connections
 }
 
+// closeAll closes every connection, and waits for their goroutines.
 func (s *server) closeAll() {
 	s.mutex.Lock()
-	for _, p := range append(s.unidentified, s.identified...) {
-		p.close(context.Canceled)
+	for _, c := range slices.Concat(s.unidentified, s.identified) {
+		c.close(context.Canceled)
 	}
 	s.mutex.Unlock()
 	s.running.Wait()
--- a/controller/tables_test.go
+++ b/controller/tables_test.go
@@ -400,7 +400,7 @@
 							m.endpointsUpdated(false, int64(step), parsed(t, "["+backendIs(chance.IntN(22), state)+"]").GetArray())
 						default: // a jam for a while, then none
 							for id := range 20 {
-								m.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0, 200_000+int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+								m.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0, 200_000 + int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 							}
 							for other := range 40 {
 								m.demandReported(other, other%2, 30, microsPerSecond)
--- a/controller/wire_golden_test.go
+++ b/controller/wire_golden_test.go
@@ -284,7 +284,7 @@
 				if b == 5 && turn > 4 {
 					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load})
 				} else {
-					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000+60_000*turn), microsPerSecond, load})
+					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000 + 60_000*turn), microsPerSecond, load})
 				}
 			}
 			for node := range 8 {
