--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -11,7 +11,8 @@
 )
 
 // Distribution is told the distributed configuration as the record has it, in order, and serves those who subscribe to it.
-// Its methods are called on raft's goroutines, but for Current, and may block, but must not wait for a call of the Node.
+// Restored and Accepted are called one at a time on raft's goroutine, Current on the Node's, Accept on one for each
+// connection. They may block, but must not wait for a call of the Node.
 type Distribution interface {
 	// Restored gives the whole configuration.
 	Restored(state distribution.State)
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -5,10 +5,11 @@
 // # What is stored
 //
 // With Config.Folder a member keeps its ID, raft's term, vote and log in record.db (bbolt), and the last two snapshots in
-// the folder snapshots. What raft has acknowledged survives a crash. A file that is damaged makes New fail with an error
-// that names the folder; nothing is repaired or deleted. Without a folder everything is lost with the process, and the
-// member comes back under a new ID and asks to be admitted. A full disk halts the member's part in raft, and the
-// controller goes on without the record.
+// the folder snapshots. What raft has acknowledged survives a crash. A damaged record.db makes New fail with an error that
+// names the folder; of the snapshots the newest that can be read is taken, and New fails where there are some and none can.
+// Nothing is repaired or deleted. Without a folder everything is lost with the process, and the member comes back under a
+// new ID and asks to be admitted. A full disk halts the member's part in raft, and the controller goes on without the
+// record.
 //
 // A snapshot is a CBOR sequence: the ownership record, and behind it the distributed configuration if there is any. An
 // entry of the log is a CBOR map for the ownership record, and a CBOR array for the configuration.
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -12,7 +12,7 @@
 )
 
 // stateMachine is what raft applies its log to: the ownership record, which it hands on entry by entry, and the distributed
-// configuration. Raft calls Apply, Snapshot and Restore one at a time, on one goroutine.
+// configuration. Raft calls Apply, Snapshot and Restore one at a time.
 type stateMachine struct {
 	events       Events
 	onUnreadable func(err error)
--- a/consensus/storage_test.go
+++ b/consensus/storage_test.go
@@ -95,3 +95,26 @@
 		})
 	}
 }
+
+// Where no snapshot can be read New fails, and nothing on the disk is changed.
+func TestDamagedSnapshotIsRefused(t *testing.T) {
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "voter-record"))); err != nil {
+		t.Fatal(err)
+	}
+	paths, err := filepath.Glob(filepath.Join(folder, "snapshots", "*", "state.bin"))
+	if err != nil || len(paths) != 1 {
+		t.Fatalf("snapshots %v, %v", paths, err)
+	}
+	damaged := []byte("no snapshot")
+	if err := os.WriteFile(paths[0], damaged, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder, Terms: testTerms}
+	if _, err := New(config, newEventLog(), quietLog()); err == nil || !strings.Contains(err.Error(), "snapshots") {
+		t.Errorf("got %v", err)
+	}
+	if text, err := os.ReadFile(paths[0]); err != nil || !bytes.Equal(text, damaged) {
+		t.Errorf("the snapshot is %q now, %v", text, err)
+	}
+}
--- a/ownership/check_test.go
+++ b/ownership/model_test.go
@@ -4,11 +4,7 @@
 	"fmt"
 	"hash/fnv"
 	"maps"
-	"os"
 	"slices"
-	"strconv"
-	"strings"
-	"testing"
 )
 
 // The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
@@ -16,6 +12,24 @@
 
 var modelTerms = LeaseTerms{Duration: 3, RenewInterval: 1, MessageWindow: 5, MaxMessages: 16, Members: 2}
 
+// eventKind is a letter, by which orders of events are written.
+type eventKind byte
+
+const (
+	eventTick        eventKind = 't' // a unit of time passes
+	eventDial        eventKind = 'd' // the proxy dials the member
+	eventOrder       eventKind = 'o' // the member changes its table
+	eventAcknowledge eventKind = 'c' // the proxy acknowledges all that it was told
+	eventCut         eventKind = 'x' // the member is cut off the record
+	eventLoseAnswers eventKind = 'l' // its entries arrive, their answers do not
+	eventHeal        eventKind = 'h' // it is connected again
+	eventKill        eventKind = 'k' // its process ends
+	eventClose       eventKind = 'q' // it ends as planned
+	eventStart       eventKind = 's' // its process starts
+	eventStartCutOff eventKind = 'z' // it starts, and reaches no record
+	eventFlood       eventKind = 'f' // it writes as much as it may
+)
+
 // world is one state of the model.
 type world struct {
 	now     int64
@@ -191,9 +205,9 @@
 }
 
 // event plays one event; false where it can do nothing.
-func (w *world) event(kind byte, p *player) bool {
+func (w *world) event(kind eventKind, p *player) bool {
 	switch kind {
-	case 't':
+	case eventTick:
 		w.now++
 		for _, p := range w.members {
 			if !p.up { // the leader looks
@@ -208,12 +222,12 @@
 				p.coordinator.ProxyHeardFrom(0, w.now)
 			}
 		}
-	case 'd':
+	case eventDial:
 		if !p.up {
 			return false
 		}
 		w.dial(p)
-	case 'o':
+	case eventOrder:
 		if !p.up || p.granted == p.joined && !p.may() {
 			return false
 		}
@@ -222,50 +236,50 @@
 		p.edition = p.coordinator.Revision() + 1
 		p.wait[len(p.wait)-1] = p.edition
 		p.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", p.line}}}}, w.now)
-	case 'c':
+	case eventAcknowledge:
 		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
 			return false
 		}
 		p.coordinator.ProxyAcknowledged(0, p.coordinator.Revision(), []int{0}, true)
-	case 'x':
+	case eventCut:
 		if !p.up || p.cut {
 			return false
 		}
 		p.cut = true
-	case 'l':
+	case eventLoseAnswers:
 		if !p.up || p.deaf || p.cut {
 			return false
 		}
 		p.deaf = true
-	case 'h':
+	case eventHeal:
 		if !p.up || !p.cut && !p.deaf {
 			return false
 		}
 		p.cut, p.deaf, p.conn = false, false, p.conn+1
-	case 'k':
+	case eventKill:
 		if !p.up {
 			return false
 		}
 		p.up = false
-	case 'q': // a planned end
+	case eventClose:
 		if !p.up || p.cut || p.deaf {
 			return false
 		}
 		p.coordinator.Close(w.now)
 		w.settle()
 		p.up = false
-	case 's':
+	case eventStart:
 		if p.up {
 			return false
 		}
 		w.start(p)
-	case 'z': // it starts, and reaches no record
+	case eventStartCutOff:
 		if p.up {
 			return false
 		}
 		w.start(p)
 		p.cut = true
-	case 'f': // it writes as much as it may
+	case eventFlood:
 		if !p.up || p.granted != p.joined {
 			return false
 		}
@@ -285,12 +299,12 @@
 	}
 	w.settle()
 	for range 3 {
-		w.event('t', nil)
+		w.event(eventTick, nil)
 	}
 	w.dial(w.members[0])
 	w.settle()
-	w.event('c', w.members[0])
-	w.event('t', nil)
+	w.event(eventAcknowledge, w.members[0])
+	w.event(eventTick, nil)
 	w.written = nil
 	return w
 }
@@ -333,129 +347,3 @@
 	}
 	return h.Sum64()
 }
-
-// step is one event: what happens, and to which member.
-type step struct {
-	kind byte
-	who  int
-}
-
-// path reads steps from words like x0 t0 d1.
-func path(words string) (steps []step) {
-	for _, word := range strings.Fields(words) {
-		steps = append(steps, step{word[0], int(word[1] - '0')})
-	}
-	return steps
-}
-
-// explore plays every order of events up to a depth, after those given first. It gives the shortest breach, or "" if
-// there is none, and how many states there are.
-func explore(first string, depth int, plant func(*world)) (breach string, states int) {
-	var steps []step
-	for _, kind := range "dockqszlxhf" {
-		for i := range modelTerms.Members {
-			steps = append(steps, step{byte(kind), i})
-		}
-	}
-	steps = append(steps, step{'t', 0})
-	play := func(path []step) (*world, bool) {
-		w := begin()
-		plant(w)
-		for _, s := range path {
-			if !w.event(s.kind, w.members[s.who]) {
-				return w, false
-			}
-			plant(w)
-		}
-		return w, true
-	}
-	seen, level := map[uint64]bool{}, [][]step{path(first)}
-	for range depth {
-		var next [][]step
-		for _, path := range level {
-			for _, s := range steps {
-				further := append(slices.Clone(path), s)
-				w, ok := play(further)
-				if !ok {
-					continue
-				}
-				if w.broken != "" {
-					var words []string
-					for _, s := range further {
-						words = append(words, fmt.Sprintf("%c%d", s.kind, s.who))
-					}
-					return strings.Join(words, " ") + ": " + w.broken, len(seen)
-				}
-				if key := w.key(); !seen[key] {
-					seen[key] = true
-					next = append(next, further)
-				}
-			}
-		}
-		level = next
-	}
-	return "", len(seen)
-}
-
-func TestEveryOrder(t *testing.T) {
-	depth := 4
-	if given, err := strconv.Atoi(os.Getenv("SHARE_DEPTH")); err == nil {
-		depth = given // 6 takes a minute
-	}
-	sound := func(*world) {}
-	for _, story := range []struct {
-		name, first string
-		members     int
-		depth       int
-	}{
-		{"two members", "", 2, depth},
-		{"two members, one of them about to go off the record", "x0 t0 t0", 2, depth - 1},
-		{"two members, a proxy that moves back and forth", "f0 d1 f1", 2, depth - 1},
-		{"three members", "", 3, depth - 1},
-	} {
-		t.Run(story.name, func(t *testing.T) {
-			modelTerms.Members, modelTerms.MaxMessages = story.members, 8*story.members
-			breach, states := explore(story.first, story.depth, sound)
-			if breach != "" {
-				t.Errorf("after %s", breach)
-			}
-			t.Logf("depth %d, %d states", story.depth, states)
-		})
-	}
-	modelTerms.Members, modelTerms.MaxMessages = 2, 16
-	for _, fault := range []struct {
-		name, first, finds string
-		depth              int
-		plant              func(*world)
-	}{
-		{"a lease tracker that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.leases.lease = 1 << 40 }},
-		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(w *world) {
-			for _, record := range []*Record{w.record, w.members[0].coordinator.record, w.members[1].coordinator.record} {
-				h := record.Proxies[0]
-				h.Moves = nil
-				record.Proxies[0] = h
-			}
-			for _, p := range w.members {
-				clear(p.coordinator.grantTimes)
-				p.coordinator.started = -modelTerms.MessageWindow
-			}
-		}},
-		{"a closed incarnation that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
-			func(w *world) {
-				for id, incarnation := range w.record.Incarnations {
-					if incarnation.Closed {
-						w.leases.arrivals[id] = entryArrivals{arrivedAt: w.now, leaseFrom: w.now}
-					}
-				}
-			}},
-		{"orders that leave before they stand on the record", "l0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.members[0].ReleaseUpTo(1 << 60) }},
-	} {
-		t.Run("it finds "+fault.name, func(t *testing.T) {
-			if breach, _ := explore(fault.first, fault.depth, fault.plant); !strings.Contains(breach, fault.finds) {
-				t.Errorf("found %q", breach)
-			}
-		})
-	}
-}
