--- a/cmd/wheelrill/main_test.go
+++ b/cmd/wheelrill/main_test.go
@@ -35,7 +35,7 @@
 	writes(good)
 	said := make(lines, 1024)
 	ended := make(chan error, 1)
-	go func() { ended <- run(ending(), hangUps(), "", controller.Journal(said)) }()
+	go func() { ended <- run(ending(), hangUps(), "", controller.NewLogger(said)) }()
 	waits := func(some string) {
 		for line := range said {
 			if strings.Contains(line, some) {
@@ -43,9 +43,9 @@
 			}
 		}
 	}
-	waits("event=serving")
-	for text, answer := range map[string]string{good: "event=reloaded discovery=127.0.0.1:8500",
-		good[:len(good)/2]: "event=reload_refused", "": "event=reload_refused"} {
+	waits("msg=serving")
+	for text, answer := range map[string]string{good: "msg=configuration_reloaded discovery=127.0.0.1:8500",
+		good[:len(good)/2]: "msg=reload_refused", "": "msg=reload_refused"} {
 		writes(text)
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/controller/configuration.go
@@ -0,0 +1,176 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"strconv"
+
+	"github.com/valyala/fastjson"
+
+	"wheelrill/balancer"
+	"wheelrill/internal/settings"
+)
+
+// needsRestart are the keys of a configuration that count from a start on, not from a reload.
+var needsRestart = []string{"name", "listen", "limits", "settings"}
+
+// parsedConfiguration is a configuration that was read and found usable.
+type parsedConfiguration struct {
+	Identity
+	seed          uint64
+	cachedList    *fastjson.Value // discovery's list as it was known when the configuration was written; nil for none
+	limits        *limits
+	channel       balancer.PushChannel
+	rules         balancer.RuleLimits
+	classes       []balancer.Class
+	classNames    [][]byte       // by class: its name as it stands in messages, a JSON string
+	classIndex    map[string]int // index of a class by its name
+	zones         []string
+	telemetry     balancer.Telemetry
+	admissionMode balancer.AdmissionMode
+	needsRestart  map[string]string // text of the keys of needsRestart that are there
+	warnings      []string          // what is odd, but can be borne
+}
+
+// resources are what the process may use, as the configuration has it.
+type resources struct{ cores, memoryMB, sockets float64 }
+
+// parseConfiguration reads a whole configuration. An error names the key that is missing or unusable.
+func parseConfiguration(configuration []byte) (*parsedConfiguration, error) {
+	root, err := fastjson.ParseBytes(configuration)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	if key := duplicateKey(root); key != "" {
+		return nil, fmt.Errorf("configuration: %s stands there twice", key)
+	}
+	values := root.Get("settings")
+	if values == nil || values.Type() != fastjson.TypeObject {
+		return nil, errors.New("configuration: settings is missing")
+	}
+	p := newParsedConfiguration(root)
+	given, err := parseResources(root.Get("limits"))
+	if err != nil {
+		return nil, err
+	}
+	p.limits.fitResources(given.cores, given.memoryMB, given.sockets)
+	if err := p.parseSettings(values); err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	return p, nil
+}
+
+// newParsedConfiguration reads the keys that may be missing.
+func newParsedConfiguration(root *fastjson.Value) *parsedConfiguration {
+	text := func(key string) string { return string(root.GetStringBytes(key)) }
+	p := &parsedConfiguration{
+		Identity:     Identity{Name: text("name"), Listen: text("listen"), Discovery: text("discovery")},
+		seed:         parseSeed(root.GetStringBytes("seed")),
+		cachedList:   root.Get("known"),
+		limits:       defaultLimits(),
+		classIndex:   map[string]int{},
+		needsRestart: map[string]string{},
+	}
+	for _, key := range needsRestart {
+		if value := root.Get(key); value != nil {
+			p.needsRestart[key] = value.String()
+		}
+	}
+	return p
+}
+
+// parseSeed reads a hexadecimal seed; any other text serves as well.
+func parseSeed(text []byte) uint64 {
+	if seed, err := strconv.ParseUint(string(text), 16, 64); err == nil {
+		return seed
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write(text) // never fails
+	return hash.Sum64()
+}
+
+// parseResources reads what the process may use.
+func parseResources(values *fastjson.Value) (given resources, err error) {
+	for _, resource := range []struct {
+		key   string
+		value *float64
+	}{{"cores", &given.cores}, {"memory_mb", &given.memoryMB}, {"sockets", &given.sockets}} {
+		number, ok := numberAt(values, resource.key)
+		if !ok || number == 0 {
+			return given, fmt.Errorf("configuration: limits.%s is missing, or no figure above 0", resource.key)
+		}
+		*resource.value = number
+	}
+	return given, nil
+}
+
+// parseSettings reads the settings, and fits the limits to them. What is odd goes to warnings; an error names the key.
+func (p *parsedConfiguration) parseSettings(values *fastjson.Value) error {
+	parsed := settings.ParseJSON(values, p.warnf)
+	p.channel, p.rules, p.classes = parsed.PushChannel(), parsed.RuleLimits(), parsed.Classes()
+	p.telemetry, p.admissionMode, p.zones = parsed.Telemetry(), parsed.AdmissionMode(), parsed.Zones()
+	proxies := parsed.Count("familyInfo.proxyCount")
+	if proxies == 0 {
+		parsed.Reject("familyInfo.proxyCount", "is 0")
+	}
+	if parsed.NumberOr("familyInfo.partitionsN", 0) > 0 {
+		parsed.Reject("familyInfo.partitionsN", "asks for slices, which no page describes on sockets yet")
+	}
+	if p.telemetry.HealthChecksAllowed {
+		p.warnf("probes are left off: no page describes them on sockets yet")
+	}
+	p.telemetry.HealthChecksAllowed = false
+	p.telemetry.PollingRequired = false // the list is watched here all the time
+	tick := settings.Microseconds(parsed.NumberOr("tick", 0))
+	p.parseClassNames(values, parsed)
+	if err := parsed.Err(); err != nil {
+		return err
+	}
+	p.limits.fitFleet(proxies, len(p.zones), tick, p.channel, p.telemetry, p.classes)
+	return nil
+}
+
+// warnf notes what is odd, but can be borne.
+func (p *parsedConfiguration) warnf(format string, args ...any) {
+	p.warnings = append(p.warnings, fmt.Sprintf(format, args...))
+}
+
+// parseClassNames reads the names of the classes, which differ from each other.
+func (p *parsedConfiguration) parseClassNames(values *fastjson.Value, parsed *settings.Settings) {
+	for class := range p.classes {
+		key := fmt.Sprintf("profiles.%d.name", class)
+		value := values.Get("profiles", strconv.Itoa(class), "name")
+		if value == nil || value.Type() != fastjson.TypeString {
+			parsed.Reject(key, "is missing")
+			return
+		}
+		name := string(value.GetStringBytes())
+		if _, taken := p.classIndex[name]; taken || name == "" {
+			parsed.Reject(key, fmt.Sprintf("is %q, which is empty or another's", name))
+		}
+		p.classNames = append(p.classNames, value.MarshalTo(nil))
+		p.classIndex[name] = class
+	}
+}
+
+// newDecisions begins decisions with a configuration, on a channel; shards are not played on sockets.
+func (p *parsedConfiguration) newDecisions(host balancer.Host, channel balancer.PushChannel) (*balancer.Controller, error) {
+	return balancer.New(host, balancer.Config{
+		Seed:      p.seed,
+		Classes:   p.classes,
+		Channel:   channel,
+		Rules:     p.rules,
+		Telemetry: p.telemetry,
+		Admission: p.admissionMode,
+	})
+}
+
+// indexByName gives the index of each name.
+func indexByName(names []string) map[string]int {
+	index := map[string]int{}
+	for i, name := range names {
+		index[name] = i
+	}
+	return index
+}
--- a/scale/listed.go
+++ b/scale/listed.go
@@ -74,7 +74,7 @@
 	path, err := process.WriteJSON(folder, name+".json", map[string]any{"name": name, "listen": listen,
 		"discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": megabytes, "sockets": memberSockets},
-		"settings": (&rehearse.Takeover{Relays: recordRelays}).Settings(classes)})
+		"settings": (&rehearse.Scenario{Proxies: recordProxies}).Settings(classes)})
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 func (c *listedController) read(line string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	event := field(line, "event")
+	event := field(line, "msg")
 	c.last[event] = logLine{line, time.Now()}
 	if event == "ready" {
 		c.ready, c.known = time.Now(), field(line, "backends")
