--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -15,7 +15,6 @@
 	"net"
 	"os"
 	"path/filepath"
-	"sync"
 	"testing"
 	"time"
 
@@ -77,13 +76,13 @@
 		Key: a.writes(t, name+"-key.pem", "EC PRIVATE KEY", der), Authority: filepath.Join(a.folder, "authority.pem")}
 }
 
-// unheard takes what becomes of the record and does nothing with it.
-type unheard struct{}
+// ignoredEvents does nothing with what becomes of the record.
+type ignoredEvents struct{}
 
-func (unheard) EntryCommitted(ownership.Entry)     {}
-func (unheard) SnapshotRestored(*ownership.Record) {}
-func (unheard) ProposalCommitted(uint64, uint64)   {}
-func (unheard) ProposalFailed(uint64, uint64)      {}
+func (ignoredEvents) EntryCommitted(ownership.Entry)     {}
+func (ignoredEvents) SnapshotRestored(*ownership.Record) {}
+func (ignoredEvents) ProposalCommitted(uint64, uint64)   {}
+func (ignoredEvents) ProposalFailed(uint64, uint64)      {}
 
 // member is a voter: a node of the record, and the transport that hands its configuration on.
 type member struct {
@@ -94,48 +93,56 @@
 // startsMember runs a voter of a record.
 func startsMember(t *testing.T, name string, members map[string]string, credentials consensus.Credentials) *member {
 	t.Helper()
-	p := &peer{name: name, values: map[distribution.Key]string{}}
 	self := consensus.Peer{Name: name, Address: members[name]}
-	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
-		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
-		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
-	terms := ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: len(members)}
-	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Transport},
-		unheard{}, slog.New(slog.DiscardHandler))
+	p := newPeer(name, Config{
+		Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
+		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
+	})
+	terms := ownership.LeaseTerms{
+		Duration:      1_500_000,
+		RenewInterval: 200_000,
+		MessageWindow: 10_000_000,
+		MaxMessages:   30,
+		Members:       len(members),
+	}
+	node, err := consensus.New(consensus.Config{
+		Name:         name,
+		Members:      members,
+		Credentials:  credentials,
+		Terms:        terms,
+		Distribution: p.Transport,
+	}, ignoredEvents{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { p.Run(ctx) })
-	running.Go(func() { node.Run(ctx) })
-	p.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
-	t.Cleanup(p.stop)
+	p.run(t, func(ctx context.Context) { node.Run(ctx) })
 	return &member{p, node}
 }
 
 // startsSubscriber runs a subscriber that others can dial by the calls of the members.
 func startsSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
 	t.Helper()
-	s, err := consensus.NewSubscriber(credentials)
+	subscriber, err := consensus.NewSubscriber(credentials)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{name: name, values: map[distribution.Key]string{}}
+	var p *peer
 	serve := func(conn net.Conn, allowed func(string) bool) { p.Accept(conn, allowed) }
-	listener, err := s.Listen("127.0.0.1:0", serve, func(net.Addr, error) {})
+	listener, err := subscriber.Listen("127.0.0.1:0", serve, func(net.Addr, error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	self := consensus.Peer{Name: name, Address: listener.Address()}
-	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
-		Limits: quick(4)}, Dial: s.Dial, Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { p.Run(ctx) })
-	running.Go(func() { listener.Run(ctx) })
-	p.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
-	t.Cleanup(p.stop)
+	p = newPeer(name, Config{
+		Node: distribution.Config{
+			Name:       self.String(),
+			Scopes:     distribution.SomeScopes("pricing"),
+			Candidates: parents,
+			Limits:     quick(4),
+		},
+		Dial: subscriber.Dial,
+	})
+	p.run(t, func(ctx context.Context) { listener.Run(ctx) })
 	return p, self.String()
 }
 
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -107,18 +107,42 @@
 	wholes int
 }
 
-// starts runs a transport that others can dial.
-func (n *network) starts(t testing.TB, config distribution.Config, bounds Bounds) *peer {
+// newPeer makes a transport that does not run yet, with what it is told kept.
+func newPeer(name string, config Config) *peer {
+	p := &peer{name: name, values: map[distribution.Key]string{}}
+	config.Apply, config.Log = p.apply, p.log
+	config.Bounds.Tick = 10 * time.Millisecond
+	p.Transport = New(config)
+	return p
+}
+
+// run runs the transport, and what else there is to the peer, until it is stopped or the test ends.
+func (p *peer) run(t testing.TB, others ...func(context.Context)) {
 	t.Helper()
-	p := &peer{name: config.Name, values: map[distribution.Key]string{}}
-	bounds.Tick = 10 * time.Millisecond
-	p.Transport = New(Config{Node: config, Dial: n.dial, Apply: p.apply, Log: p.log, Bounds: bounds})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { p.Run(ctx) })
-	hangUp := n.listen(t, config.Name, func(conn net.Conn) { p.Accept(conn, nil) })
-	p.stop = sync.OnceFunc(func() { cancel(); running.Wait(); hangUp() })
+	for _, part := range append(others, p.Run) {
+		running.Go(func() { part(ctx) })
+	}
+	p.stop = sync.OnceFunc(func() {
+		cancel()
+		running.Wait()
+	})
 	t.Cleanup(p.stop)
+}
+
+// starts runs a transport that others can dial.
+func (n *network) starts(t testing.TB, config distribution.Config, bounds Bounds) *peer {
+	t.Helper()
+	p := newPeer(config.Name, Config{Node: config, Dial: n.dial, Bounds: bounds})
+	p.run(t)
+	stopRunning := p.stop
+	stopListening := n.listen(t, config.Name, func(conn net.Conn) { p.Accept(conn, nil) })
+	p.stop = sync.OnceFunc(func() {
+		stopRunning()
+		stopListening()
+	})
+	t.Cleanup(p.stop) // before those of its parts: who serves a connection waits for the transport to end it
 	return p
 }
 
