--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -25,11 +25,11 @@
 // Throughputs are per capacity (published weight times baseline demand); times are microseconds.
 
 const (
-	// maxSaturatedGrowth bounds the saturated throughput by what was answered at a look.
+	// maxSaturatedGrowth bounds the saturated throughput by what was answered until one evaluation.
 	maxSaturatedGrowth = 1.5
 	// sustainableShare is the share of the saturated throughput that fixed weights can spread without queues.
 	sustainableShare = 0.85
-	// minLimitShare is the share that a cut leaves: the queue is a guess, and what waits too long is dropped.
+	// minLimitShare is the share that a cut leaves: the queue is an estimate, and what waits too long is dropped.
 	minLimitShare = 0.3
 	// queueDrainTime is the time within which a queue is drained: changes keep their interval, so not faster.
 	queueDrainTime = 2 * minPublishInterval
@@ -59,7 +59,7 @@
 	priorityOrder   []int     // classes, the first to be let in first
 	unitsPerRequest []float64 // by class
 	longestDeadline float64   // microseconds
-	meanObjective   float64   // latency objective of the mean request let in, microseconds; 0 before the first look
+	meanObjective   float64   // latency objective of the mean request let in, microseconds; 0 before the first evaluation
 
 	provenThroughput    float64 // most units a second let in without a queue, per published capacity; 0 if unknown
 	saturatedThroughput float64 // units a second answered with a queue, per reported capacity; 0 if unknown
@@ -68,29 +68,29 @@
 	limit        float64 // units a second
 	limiting     bool    // more comes than that
 	limitLowered bool    // a cut is to be published
-	latencyRatio float64 // at the last look
+	latencyRatio float64 // at the last evaluation
 
 	queueDrainedAt  Microseconds // when the queue of the last cut must be gone ...
 	holdUntil       Microseconds // ... and when reports show it
-	overloadedSince Microseconds // when looks began to show a queue nearly everywhere; 0 while they do not
-	raisedAt        Microseconds // when the limit was last raised, or guessed
+	overloadedSince Microseconds // when evaluations began to show a queue nearly everywhere; 0 while they do not
+	raisedAt        Microseconds // when the limit was last raised, or assumed
 
 	// By class.
-	target           []float64           // limits that are to be published: a share or a rate; 0 for none
-	published        []float64           // limits that are
+	targetLimits     []float64           // limits that are to be published: a share or a rate; 0 for none
+	publishedLimits  []float64           // limits that are
 	limitsSent       bool                // one ever was
 	quota            []RequestsPerSecond // that the whole fleet may be sent; 0 for any number
-	counted          []float64           // requests since the last look
+	countedRequests  []float64           // requests since the last evaluation
 	demandCorrection []float64           // what was counted over the sum of the proxies' rates
 }
 
 func newAdmissionState(mode AdmissionMode, classes []Class) admissionState {
 	a := admissionState{
 		mode:             mode,
-		target:           make([]float64, len(classes)),
-		published:        make([]float64, len(classes)),
+		targetLimits:     make([]float64, len(classes)),
+		publishedLimits:  make([]float64, len(classes)),
 		quota:            make([]RequestsPerSecond, len(classes)),
-		counted:          make([]float64, len(classes)),
+		countedRequests:  make([]float64, len(classes)),
 		demandCorrection: slices.Repeat([]float64{1}, len(classes)),
 	}
 	for i, class := range classes {
@@ -104,7 +104,7 @@
 	return a
 }
 
-// updateAdmission looks at the reports since the last look, and settles how much is let in.
+// updateAdmission evaluates the reports since the last evaluation, and decides how much is let in.
 func (c *Controller) updateAdmission(now Microseconds) {
 	a := &c.admission
 	load := c.summarizeLoad(now)
@@ -129,7 +129,7 @@
 	limiting := a.limitShare > 0 && load.offered > a.limit
 	if limiting != a.limiting {
 		a.limiting = limiting
-		c.logf(-1, "limit bound %v at %.1f units/s: heat %.2f, %.1f come, %.1f answered",
+		c.logf(-1, "limit in force %v at %.1f units/s: latency ratio %.2f, %.1f offered, %.1f answered",
 			limiting, a.limit, load.latencyRatio, load.offered, load.answered)
 	}
 	c.distributeLimit()
@@ -168,7 +168,7 @@
 	}
 	// What was known before a cut holds no more.
 	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
-	// What came while no report told is in the queue as well, from half of that time on average.
+	// What came before reports showed it is in the queue as well, from half of that time on average.
 	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
 	queue := a.queueTime(load)
 	queue += max(0, load.admitted/answering-1) * float64(reportLag/2)
@@ -200,7 +200,7 @@
 }
 
 // limitOnCapacityLoss takes the part of the limit that the list took of the published capacity (weight): reports show a
-// queue only when it stands. Where none ever did, all that is known is what was let in without one, and a guess. Old
+// queue only when it stands. Where none ever did, all that is known is what was let in without one, and an assumption. Old
 // reports take long to show that it was too low, so there it is made only where something waited already.
 func (c *Controller) limitOnCapacityLoss(now Microseconds, capacity, lost float64) {
 	a := &c.admission
@@ -222,7 +222,7 @@
 	limiting := offered > a.limit
 	if a.limitShare > 0 && limiting != a.limiting {
 		a.limiting = limiting
-		c.logf(-1, "limit bound %v at %.1f units/s, ahead of reports: %.0f%% of the weight went, %.1f come",
+		c.logf(-1, "limit in force %v at %.1f units/s, ahead of reports: %.0f%% of the weight lost, %.1f offered",
 			limiting, a.limit, 100*lost/capacity, offered)
 	}
 	c.distributeLimit()
@@ -240,15 +240,15 @@
 		most := min(left/a.unitsPerRequest[class], orUnlimited(a.quota[class])*ourShare)
 		admitted := min(total, max(most, minAdmittedShare*total))
 		left -= admitted * a.unitsPerRequest[class]
-		a.target[class] = 0
+		a.targetLimits[class] = 0
 		if admitted >= total {
 			continue
 		}
 		switch a.mode {
 		case AdmissionByRate:
-			a.target[class] = maxMinFairRate(rates, admitted)
+			a.targetLimits[class] = maxMinFairRate(rates, admitted)
 		case AdmissionByShare:
-			a.target[class] = admitted / total
+			a.targetLimits[class] = admitted / total
 		}
 	}
 }
@@ -271,7 +271,7 @@
 
 // admittedRate is what the published limit of a class lets in of a proxy's rate.
 func (a *admissionState) admittedRate(class int, rate RequestsPerSecond) RequestsPerSecond {
-	limit := a.published[class]
+	limit := a.publishedLimits[class]
 	switch {
 	case limit <= 0:
 		return rate
@@ -284,8 +284,8 @@
 
 // limitChanged tells whether the limit of a class is to be published anew.
 func (a *admissionState) limitChanged(class int) bool {
-	difference := math.Abs(a.target[class] - a.published[class])
-	return difference > 0 && difference >= limitTolerance*a.published[class]
+	difference := math.Abs(a.targetLimits[class] - a.publishedLimits[class])
+	return difference > 0 && difference >= limitTolerance*a.publishedLimits[class]
 }
 
 // publishLimits publishes limits that have changed, with their retry policy, and tells whether there were any.
@@ -295,10 +295,10 @@
 		if !a.limitChanged(class) {
 			continue
 		}
-		a.published[class] = a.target[class]
+		a.publishedLimits[class] = a.targetLimits[class]
 		published = true
-		limit := cmp.Or(a.target[class], unlimitedRate)
-		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.target[class]))
+		limit := cmp.Or(a.targetLimits[class], unlimitedRate)
+		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.targetLimits[class]))
 		a.limitsSent = true
 		c.chargeAll(1)
 	}
--- a/controller/closes_test.go
+++ b/controller/closes_test.go
@@ -34,12 +34,12 @@
 // rest reads until the controller has ended the connection in good order; a reset is an error.
 func (c *caller) rest() (texts []string, err error) {
 	raw, err := io.ReadAll(c.in)
-	for len(raw) >= headSize {
+	for len(raw) >= lengthSize {
 		size := int(uint32(raw[0])<<24 | uint32(raw[1])<<16 | uint32(raw[2])<<8 | uint32(raw[3]))
-		if len(raw) < headSize+size {
-			return texts, fmt.Errorf("%d bytes of a frame of %d", len(raw)-headSize, size)
+		if len(raw) < lengthSize+size {
+			return texts, fmt.Errorf("%d bytes of a frame of %d", len(raw)-lengthSize, size)
 		}
-		texts, raw = append(texts, string(raw[headSize:headSize+size])), raw[headSize+size:]
+		texts, raw = append(texts, string(raw[lengthSize:lengthSize+size])), raw[lengthSize+size:]
 	}
 	return texts, err
 }
@@ -51,20 +51,20 @@
 func TestCloses(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
 		d := discovers(t)
-		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyWithin = patience })
+		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyTimeout = patience })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
 		silent := calls(t, address)
 		silent.half()
-		said.waits(t, "event=stranger_ended", 1) // the one that asked nothing: the other's end has been seen as well, or will be
+		said.waits(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
 		d.answers <- two
 		if texts, err := asks.rest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
 	t.Run("an answer that waits for readiness holds nothing longer than a stranger may stay", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyWithin = 50 * time.Millisecond })
+		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyTimeout = 50 * time.Millisecond })
 		asks := calls(t, address)
 		asks.says(probe)
 		asks.half()
@@ -80,7 +80,7 @@
 		if texts, err := c.rest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
-		said.waits(t, "event=report_unlisted id=s-last", 1)
+		said.waits(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
 	t.Run("a proxy's last mark and demand before its close are taken in, then it has left", func(t *testing.T) {
 		address, said := serves(t, discovers(t).address, two, nil)
@@ -96,8 +96,8 @@
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != isAlive {
 			t.Errorf("got %q, error %v", texts, err)
 		}
-		said.waits(t, "event=mark_unknown node=3", 1)
-		said.waits(t, "event=left node=3 why=EOF", 1)
+		said.waits(t, "msg=ack_unknown proxy=3", 1)
+		said.waits(t, "msg=proxy_disconnected proxy=3 error=EOF", 1)
 	})
 	t.Run("a refusal reaches its reader though bytes wait unread, and its end is no reset", func(t *testing.T) {
 		address, _ := serves(t, discovers(t).address, two, nil)
@@ -123,12 +123,12 @@
 				break
 			}
 		}
-		said.waits(t, "event=stranger_ended", 1)
+		said.waits(t, "msg=unidentified_closed", 1)
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeat = 0 })
+		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeatInterval = 0 })
 		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
-		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + headSize - 1} {
+		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			p := calls(t, address)
 			p.says(helloOf(node))
 			p.gets()
@@ -138,9 +138,9 @@
 			} else {
 				p.Close()
 			}
-			said.waits(t, fmt.Sprintf("event=left node=%d", node), 1)
+			said.waits(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 		}
-		if text, _ := said.read(); strings.Contains(text, "event=skipped") {
+		if text, _ := said.read(); strings.Contains(text, "msg=message_skipped") {
 			t.Errorf("half a message was taken for one: %s", text)
 		}
 	})
@@ -157,7 +157,7 @@
 			old.gets()
 			if endsFirst {
 				old.Close()
-				said.waits(t, "event=left node=3", 1)
+				said.waits(t, "msg=proxy_disconnected proxy=3", 1)
 			}
 			p.says(hello)
 			if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 5-version {
@@ -175,30 +175,30 @@
 				}
 			}
 			p.Close()
-			said.waits(t, "event=ended", 1)
+			said.waits(t, "msg=connection_closed", 1)
 		}
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.finalRead = patience
+		m.limits.finalReadTimeout = patience
 		here, there := net.Pipe()
 		defer there.Close()
-		p := newPeer(here, 1, m, func(*peer) error { return nil })
+		p := newConnection(here, 1, m, func(*connection) error { return nil })
 		p.evict()
 		ended := make(chan error, 1)
-		go func() { ended <- p.read() }()
+		go func() { ended <- p.readMessages() }()
 		there.Write(framed(hello))
 		there.Write(framed(usage)) // it is read on: the deadline of a stranger binds no more
 		there.Close()
-		if err := <-ended; err != io.EOF || p.kind != proxy {
+		if err := <-ended; err != io.EOF || p.kind != kindProxy {
 			t.Errorf("ended by %v as a %v", err, p.kind)
 		}
 	})
 	t.Run("a message that met a deadline while we stood still goes on where it was", func(t *testing.T) {
 		m, _ := begin(t)
-		m.limits.write, m.limits.finalRead = time.Nanosecond, patience // the deadline has passed before the first byte
+		m.limits.writeTimeout, m.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
-		p := newPeer(here, 1, m, func(*peer) error { return nil })
+		p := newConnection(here, 1, m, func(*connection) error { return nil })
 		ended := make(chan error, 1)
 		message := bytes.Repeat([]byte("order "), 1000)
 		go func() { ended <- p.deliver(message) }()
@@ -220,10 +220,10 @@
 		p.says(hello)
 		p.says(probe)
 		q.says(probe)
-		said.waits(t, "event=joined node=3", 1)
+		said.waits(t, "msg=proxy_connected proxy=3", 1)
 		d.answers <- two
 		q.gets()
-		if got := string(p.gets()[headSize:]); got != isAlive {
+		if got := string(p.gets()[lengthSize:]); got != isAlive {
 			t.Errorf("first it got %q", got)
 		}
 		if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
@@ -233,7 +233,7 @@
 	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serves(t, discovers(t).address, two, func(l *limits) {
-			l.unidentified, l.identifyWithin, l.evictAfter, l.finalRead = 40, patience, time.Millisecond, patience/200
+			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, patience, time.Millisecond, patience/200
 		})
 		for range 200 {
 			calls(t, address)
@@ -249,7 +249,7 @@
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyWithin, l.unidentified = 300*time.Millisecond, 60 })
+		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
 		var odd []*caller
 		for i := range 120 {
 			c := calls(t, address)
@@ -276,19 +276,19 @@
 	})
 	t.Run("connections in the instant of the end are closed, whether they were accepted or not", func(t *testing.T) {
 		for range 10 {
-			c, err := New(Place{}, configuration(discovers(t).address, two), Journal(io.Discard))
+			c, err := New(Identity{}, configuration(discovers(t).address, two), NewLogger(io.Discard))
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			said := newDiary()
-			c.log.to = Journal(said)
+			c.log = NewLogger(said)
 			ended := make(chan error, 1)
 			go func() { ended <- c.Serve(ctx) }()
-			said.waits(t, "event=serving", 1)
+			said.waits(t, "msg=serving", 1)
 			text, _ := said.read()
-			address := regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
+			address := regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
 			var all sync.WaitGroup
 			for i := range 40 {
 				all.Go(func() {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			changed := strings.Replace(good, change[0], change[1], 1)
-			_, err := New(Place{}, []byte(changed), Journal(io.Discard))
+			_, err := New(Identity{}, []byte(changed), NewLogger(io.Discard))
 			if err == nil || what != "not JSON" && !strings.Contains(err.Error(), what) {
 				t.Errorf("error %v", err)
 			}
@@ -32,8 +32,8 @@
 	t.Run("the place given beats the configuration, and odd words are said", func(t *testing.T) {
 		said := newDiary()
 		odd := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
-		c, err := New(Place{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), Journal(said))
-		if err != nil || c.plan.Listen != "127.0.0.1:7" || c.list.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
+		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), NewLogger(said))
+		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
 			c.Memory() != 192<<20 {
 			t.Errorf("got %+v, error %v", c, err)
 		}
@@ -45,7 +45,7 @@
 	t.Run("another address is followed at once, and streams and what is known live on", func(t *testing.T) {
 		d, next := discovers(t), discovers(t)
 		d.answers <- "silence"
-		c, address, said := runs(t, d.address, two, func(l *limits) { l.watchOver = patience })
+		c, address, said := runs(t, d.address, two, func(l *limits) { l.watchMargin = patience })
 		if query := <-d.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
@@ -68,7 +68,7 @@
 		if query := <-next.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("the new one was asked %q", query)
 		}
-		said.waits(t, "event=reloaded discovery="+next.address, 3)
+		said.waits(t, "msg=configuration_reloaded discovery="+next.address, 3)
 	})
 	t.Run("one that cannot be used changes nothing, and says why", func(t *testing.T) {
 		d := discovers(t)
@@ -88,7 +88,7 @@
 		if query := <-d.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
-		if text, _ := said.read(); strings.Contains(text, "event=reloaded") {
+		if text, _ := said.read(); strings.Contains(text, "msg=configuration_reloaded") {
 			t.Errorf("one was taken: %s", text)
 		}
 	})
@@ -98,7 +98,7 @@
 		if err := c.Reload([]byte(strings.Replace(changed, `127.0.0.1:0`, `127.0.0.1:1`, 1))); err != nil {
 			t.Fatal(err)
 		}
-		said.waits(t, "event=reload_later key=listen", 1)
-		said.waits(t, "event=reload_later key=settings", 1)
+		said.waits(t, "msg=reload_needs_restart key=listen", 1)
+		said.waits(t, "msg=reload_needs_restart key=settings", 1)
 	})
 }
--- a/controller/serving_test.go
+++ b/controller/serving_test.go
@@ -22,14 +22,13 @@
 func runsWith(t *testing.T, configuration []byte, change func(*limits)) (c *Controller, address string, said *diary) {
 	t.Helper()
 	said = newDiary()
-	c, err := New(Place{}, configuration, Journal(said))
+	c, err := New(Identity{}, configuration, NewLogger(said))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.limits.watch, c.limits.watchOver = 50*time.Millisecond, time.Second
+	c.limits.watchWait, c.limits.watchMargin = 50*time.Millisecond, time.Second
 	if change != nil {
 		change(c.limits)
-		c.log.repeatEvery = c.limits.logRepeat
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -45,7 +44,7 @@
 			t.Error("did not end in time")
 		}
 	})
-	said.waits(t, "event=serving", 1)
+	said.waits(t, "msg=serving", 1)
 	text, _ := said.read()
-	return c, regexp.MustCompile(`event=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said
+	return c, regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said
 }
