--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -84,8 +84,8 @@
 	var changes []Change
 	size := 0
 	for _, logged := range l.changes[l.indexAfter(revision):] {
-		part, any := changeInScopes(logged.change, scopes)
-		if !any {
+		part, found := changeInScopes(logged.change, scopes)
+		if !found {
 			continue
 		}
 		size += part.size()
@@ -117,7 +117,7 @@
 }
 
 // changeInScopes is the part of a change in some scopes, and whether there is any.
-func changeInScopes(change Change, scopes Scopes) (part Change, any bool) {
+func changeInScopes(change Change, scopes Scopes) (part Change, found bool) {
 	if scopes.All {
 		return change, len(change.Entries) > 0
 	}
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -62,64 +62,88 @@
 	return []Entry{set("b", "y", value), set("b", "z", value)}
 }
 
+// Kinds of events, by the letters that stand for them in the words of a start. A subscriber's first connection is the one
+// that it dialled first; down is to the subscriber, up to its parent.
+const (
+	acceptChange       = 'a' // a change is accepted; the first voter has it at once
+	followRecord       = 'f' // a voter that lags gets one change more, or the new record
+	foundRecord        = 'n' // the record is founded anew, which the first voter knows at once
+	restartVoterBehind = 'o' // a voter starts anew, with all but the last change of the record
+	deliverDown        = 'd' // a message arrives on a subscriber's first connection
+	deliverUp          = 'u'
+	loseDown           = 'x' // a message is lost on a subscriber's first connection
+	loseUp             = 'y'
+	deliverDown2       = 'e' // a message arrives on a subscriber's second connection
+	deliverUp2         = 'w'
+	cutConnection      = 'c' // a subscriber's first connection is cut, and none to that parent succeeds
+	healCuts           = 'h' // connections succeed again
+	restartWithVersion = 'k' // a subscriber starts anew, and knows no more than the version that it had
+	restartWithNothing = 'q' // a subscriber starts anew, and knows nothing of what it had
+	restartWithState   = 'p' // a subscriber starts anew with what it had
+	compactLog         = 'm' // a node drops its log and tombstones
+	changeScopes       = 'z' // a subscriber asks for other scopes
+	settleAll          = 's' // everything on its way arrives
+	passTime           = 't' // modelStep passes, and every node is told
+)
+
 // event plays one event; false where it can do nothing.
 func (c *cluster) event(h modelEvent) bool {
 	m := c.members[h.who]
 	switch h.kind {
-	case 'a': // a change is accepted; the first voter has it at once
+	case acceptChange:
 		c.accept(modelEntries(len(c.record) + 1)...)
 		c.follow(c.members[0], len(c.record))
-	case 'f': // a voter that lags gets one change more, or the new record
+	case followRecord:
 		return c.followOne(m)
-	case 'n': // the record is founded anew, which the first voter knows at once
+	case foundRecord:
 		c.epoch, c.record = Epoch{c.epoch.Number + 1, c.epoch.Identity + 1}, nil
 		c.followOne(c.members[0])
-	case 'o': // a voter starts anew, with all but the last change of the record
+	case restartVoterBehind:
 		if m.node.Version().Revision == 0 {
 			return false
 		}
 		m.kill()
 		m.start(State{})
 		c.follow(m, len(c.record)-1)
-	case 'd', 'e', 'u', 'w', 'x', 'y':
+	case deliverDown, deliverDown2, deliverUp, deliverUp2, loseDown, loseUp:
 		return c.moveOne(m, h.kind)
-	case 'c': // the first connection of a subscriber is cut, and none to that parent succeeds
+	case cutConnection:
 		conns := c.dialled(m)
 		if len(conns) == 0 {
 			return false
 		}
 		c.cut(m, conns[0].acceptor)
-	case 'h':
+	case healCuts:
 		if len(c.cuts) == 0 {
 			return false
 		}
 		clear(c.cuts)
-	case 'k': // a subscriber starts anew, and knows no more than the version that it had
+	case restartWithVersion:
 		m.kill()
 		m.config.Floor = m.highest
 		m.start(State{})
-	case 'q': // a relay starts anew, and knows nothing of what it had
+	case restartWithNothing:
 		m.highest = Version{}
 		m.kill()
 		m.start(State{})
-	case 'p': // a subscriber starts anew with what it had
+	case restartWithState:
 		state := m.node.State()
 		m.kill()
 		m.start(state)
-	case 'm':
+	case compactLog:
 		if m.node.store.log.floor == m.node.Version().Revision {
 			return false
 		}
 		m.node.Compact(m.node.Version().Revision)
-	case 'z': // a subscriber asks for other scopes
+	case changeScopes:
 		m.config.Scopes = SomeScopes("a", "b")
 		if m.node.config.Scopes.Has("b") {
 			m.config.Scopes = SomeScopes("a")
 		}
 		m.node.Resubscribe(m.config.Scopes, c.now)
-	case 's':
+	case settleAll:
 		c.settle()
-	case 't':
+	case passTime:
 		c.now += modelStep
 		c.modelTick()
 	}
@@ -162,25 +186,34 @@
 	return conns
 }
 
-// moveOne lets one message of a subscriber's first or second connection arrive or get lost.
+// messageMove says which message of a subscriber moves, and how.
+type messageMove struct {
+	connection int // of those that the subscriber dialled
+	side       int // 0 to the subscriber, 1 to its parent
+	lose       bool
+}
+
+var messageMoves = map[byte]messageMove{
+	deliverDown:  {connection: 0, side: 0},
+	deliverUp:    {connection: 0, side: 1},
+	loseDown:     {connection: 0, side: 0, lose: true},
+	loseUp:       {connection: 0, side: 1, lose: true},
+	deliverDown2: {connection: 1, side: 0},
+	deliverUp2:   {connection: 1, side: 1},
+}
+
+// moveOne lets one message of a subscriber's first or second connection arrive or get lost; false if there is none.
 func (c *cluster) moveOne(m *member, kind byte) bool {
+	move := messageMoves[kind]
 	conns := c.dialled(m)
-	index := strings.IndexByte("dux ew y", kind) / 4
-	if kind == 'y' {
-		index = 0
-	}
-	if index >= len(conns) {
+	if move.connection >= len(conns) {
 		return false
 	}
-	side := 0 // to the subscriber
-	if kind == 'u' || kind == 'w' || kind == 'y' {
-		side = 1
-	}
-	lose := kind == 'x' || kind == 'y'
-	if lose && len(conns[index].queues[side]) == 0 {
+	conn := conns[move.connection]
+	if move.lose && len(conn.queues[move.side]) == 0 {
 		return false
 	}
-	moved := c.deliver(conns[index], side, lose)
+	moved := c.deliver(conn, move.side, move.lose)
 	c.connect()
 	return moved
 }
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -24,7 +24,7 @@
 	drawn   uint64
 	// messageKeys are worked out once for each message of the model.
 	messageKeys map[Message]int64
-	random      bool // Chance draws; else it gives zero
+	random      bool // Random draws; else it gives zero
 	broken      string
 	transcript  *transcript // of what is asked of the hosts; nil for none
 }
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -108,8 +108,8 @@
 		}
 	}()
 	for {
-		messages, any := l.nextBatch()
-		if !any {
+		messages, found := l.nextBatch()
+		if !found {
 			return
 		}
 		if !l.writeBatch(batch, messages) {
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -48,12 +48,12 @@
 type eventKind uint8
 
 const (
-	eventCall eventKind = iota
-	eventAccepted
-	eventConnected
-	eventDialFailed
-	eventReceived
-	eventClosed
+	eventCall       eventKind = iota // run a function on the event loop
+	eventAccepted                    // a caller's connection was accepted
+	eventConnected                   // a dial has succeeded
+	eventDialFailed                  // a dial has not succeeded
+	eventReceived                    // a message was read
+	eventClosed                      // the connection has ended
 )
 
 // New makes a transport. It does nothing before Run.
