--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -11,6 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"wheelrill/scale"
+	"wheelrill/scale/results"
 )
 
 // keptRuns is where runs are kept in a checkout.
@@ -56,7 +57,7 @@
 				r.Name = name
 			}
 			if text != "" {
-				r.Text = text
+				r.Revision = text
 			}
 			if folder != "" {
 				path, err := r.Save(folder)
@@ -93,12 +94,12 @@
 	return func(text string) { fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), text) }
 }
 
-func writeRun(to io.Writer, r *scale.Run, asJSON bool) error {
+func writeRun(to io.Writer, r *results.Run, asJSON bool) error {
 	if asJSON {
 		return writeJSON(to, r)
 	}
 	fmt.Fprint(to, r.Markdown())
-	for _, b := range r.Breaches() {
+	for _, b := range r.OverBudget() {
 		fmt.Fprintln(to, b)
 	}
 	return nil
@@ -113,7 +114,7 @@
 			"1: the page differs; 2: runs or page cannot be read.",
 		Example: "  wheelrill scale report --check docs/CAPACITY.md",
 		RunE: func(c *cobra.Command, _ []string) error {
-			runs, err := scale.Load(folder)
+			runs, err := results.Load(folder)
 			switch {
 			case err != nil:
 				return unjudged(err)
@@ -145,9 +146,9 @@
 }
 
 // refitted keeps runs with fits and verdicts made anew of their samples.
-func refitted(folder string, runs []*scale.Run) error {
+func refitted(folder string, runs []*results.Run) error {
 	for _, r := range runs {
-		r.Settle()
+		r.Evaluate()
 		if _, err := r.Save(folder); err != nil {
 			return unjudged(err)
 		}
@@ -155,24 +156,24 @@
 	return nil
 }
 
-func checkPage(path string, runs []*scale.Run) error {
+func checkPage(path string, runs []*results.Run) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
 		return unjudged(err)
 	}
-	if err := scale.Check(string(page), runs); err != nil {
+	if err := results.Check(string(page), runs); err != nil {
 		fmt.Fprintf(os.Stderr, "wheelrill: %s: %s\n", path, err)
 		return exit(exitBroken)
 	}
 	return nil
 }
 
-func writePage(path string, runs []*scale.Run) error {
+func writePage(path string, runs []*results.Run) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
 		return unjudged(err)
 	}
-	filled, err := scale.Fill(string(page), runs)
+	filled, err := results.Fill(string(page), runs)
 	if err != nil {
 		return unjudged(fmt.Errorf("%s: %w", path, err))
 	}
--- a/scale/change.go
+++ b/scale/change.go
@@ -16,6 +16,7 @@
 	"wheelrill/fake"
 	"wheelrill/internal/process"
 	"wheelrill/rehearse"
+	"wheelrill/scale/results"
 )
 
 // changeByFile is how long a change takes as it is made today: a file on each machine and a SIGHUP. The change moves
@@ -36,15 +37,15 @@
 		Size: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{controllersToCome}, Transport: "loopback"}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			Metric{Name: "half" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 50 in 100, " + rate.about, Most: 1000 * mostInForce, Fit: true},
-			Metric{Name: "p99" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 99 in 100, " + rate.about, Most: 1000 * mostInForce, Fit: true},
-			Metric{Name: "most" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, most, " + rate.about, Most: 1000 * mostInForce, Fit: true},
-			Metric{Name: "written" + rate.suffix, Unit: "ms", About: "of that, until the last file was written and signal sent, mean, " + rate.about, Fit: true},
-			Metric{Name: "processor" + rate.suffix, Unit: "% of a core", About: "processor time of a controller, mean, " + rate.about, Most: mostProcessor, Fit: true})
+			results.Metric{Name: "half" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 50 in 100, " + rate.about, Budget: 1000 * mostInForce, Fit: true},
+			results.Metric{Name: "p99" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 99 in 100, " + rate.about, Budget: 1000 * mostInForce, Fit: true},
+			results.Metric{Name: "most" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, most, " + rate.about, Budget: 1000 * mostInForce, Fit: true},
+			results.Metric{Name: "written" + rate.suffix, Unit: "ms", About: "of that, until the last file was written and signal sent, mean, " + rate.about, Fit: true},
+			results.Metric{Name: "processor" + rate.suffix, Unit: "% of a core", About: "processor time of a controller, mean, " + rate.about, Budget: mostProcessor, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
-		Metric{Name: "bytes_per_change", Unit: "bytes", About: "files that a change writes, in all", Fit: true},
-		Metric{Name: "memory", Unit: "MB", About: "resident memory of a controller, most", Most: mostMegabytes})
+		results.Metric{Name: "bytes_per_change", Unit: "bytes", About: "files that a change writes, in all", Fit: true},
+		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a controller, most", Budget: mostMegabytes})
 	return d
 }
 
@@ -65,7 +66,7 @@
 }
 
 // Run makes changes at each pace, and notes when each controller acted by them.
-func (changeByFile) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (changeByFile) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "change-")
 	if err != nil {
 		return s, err
@@ -212,7 +213,7 @@
 }
 
 // changes makes changes at a pace for a while.
-func (f *reloadedFleet) changes(ctx context.Context, rate changeRate, o Options, s *Sample) error {
+func (f *reloadedFleet) changes(ctx context.Context, rate changeRate, o Options, s *results.Sample) error {
 	random := rand.New(rand.NewPCG(f.seed, uint64(f.changed)))
 	inForce := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)
 	var waits sync.WaitGroup
@@ -254,7 +255,7 @@
 	waits.Wait()
 	after, seconds := f.processor(), time.Since(began).Seconds()
 	if late > 0 {
-		s.Broken = append(s.Broken, fmt.Sprintf("%d changes of %d were not in force within %s, %s", late, made, settleWithin, rate.about))
+		s.Violations = append(s.Violations, fmt.Sprintf("%d changes of %d were not in force within %s, %s", late, made, settleWithin, rate.about))
 	}
 	milliseconds := func(quantile float64) float64 { return float64(inForce.ValueAtQuantile(quantile)) / 1000 }
 	s.Set("half"+rate.suffix, milliseconds(50))
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheelrill/balancer"
+	"wheelrill/scale/results"
 )
 
 const (
@@ -39,7 +40,7 @@
 	d := Description{Name: "decisions-backends", Size: "backends", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
 		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", usualProxies),
-		Metrics: []Metric{
+		Metrics: []results.Metric{
 			{Name: "start", Unit: "ms", About: "the whole list, to a controller that knows nothing", Fit: true},
 			{Name: "again", Unit: "ms", About: "the same whole list once more", Fit: true},
 			{Name: "join", Unit: "ms", About: "all proxies join and are bound", Fit: true},
@@ -47,8 +48,8 @@
 			{Name: "report_line", Unit: "µs", About: "one line of a report", Fit: true},
 			{Name: "beat", Unit: "ms", About: "a look at waiting work, four times a second", Fit: true},
 			{Name: "look", Unit: "ms", About: "the same once reports have come, each 2 s", Fit: true},
-			{Name: "processor", Unit: "% of a core", About: "beats, looks and 75 report lines a second", Most: mostProcessor, Fit: true},
-			{Name: "heap", Unit: "MB", About: "heap kept", Most: mostMegabytes, Fit: true},
+			{Name: "processor", Unit: "% of a core", About: "beats, looks and 75 report lines a second", Budget: mostProcessor, Fit: true},
+			{Name: "heap", Unit: "MB", About: "heap kept", Budget: mostMegabytes, Fit: true},
 			{Name: "orders", Unit: "orders", About: "lines, binds, withdrawals, levels and marks"},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
@@ -66,7 +67,7 @@
 }
 
 // Run plays the repeats, each with a controller of its own, and takes the median.
-func (m decisions) Run(ctx context.Context, size int, o Options) (sample Sample, err error) {
+func (m decisions) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	life := decisionLife{backends: size, proxies: usualProxies, changes: decisionChanges, beats: decisionBeats}
 	if m.byProxies {
 		life.backends, life.proxies = usualBackends, size
@@ -81,7 +82,7 @@
 	}
 	for _, other := range lives {
 		if other.orders != lives[0].orders {
-			sample.Broken = append(sample.Broken, fmt.Sprintf("orders differ between repeats: %+v and %+v", lives[0].orders, other.orders))
+			sample.Violations = append(sample.Violations, fmt.Sprintf("orders differ between repeats: %+v and %+v", lives[0].orders, other.orders))
 		}
 	}
 	sample.Values = decisionValues(lives).Values
@@ -89,7 +90,7 @@
 }
 
 // decisionValues are the medians of several lives.
-func decisionValues(lives []decisionCost) (s Sample) {
+func decisionValues(lives []decisionCost) (s results.Sample) {
 	middle := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
 		return medianOf(lives, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
 	}
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"os"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // distributed is what distribution below the record costs and how fast it is: voters, distributors and subscribers.
@@ -34,29 +36,29 @@
 	}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Most: mostInForce, Fit: true},
-			Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Most: mostInForce, Fit: true},
-			Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Most: mostInForce, Fit: true},
-			Metric{Name: "parents_lost" + rate.suffix, Unit: "times", About: "nodes that lost or left their parent, " + rate.about})
+			results.Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Budget: mostInForce, Fit: true},
+			results.Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Budget: mostInForce, Fit: true},
+			results.Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Budget: mostInForce, Fit: true},
+			results.Metric{Name: "parents_lost" + rate.suffix, Unit: "times", About: "nodes that lost or left their parent, " + rate.about})
 		for _, of := range treeRoles() {
 			d.Metrics = append(d.Metrics,
-				Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Most: mostBytesPerS, Fit: true},
-				Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", worst, " + rate.about, Most: mostBytesPerS, Fit: true},
-				Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Most: mostProcessor},
-				Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Most: mostProcessor})
+				results.Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Budget: mostBytesPerS, Fit: true},
+				results.Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", worst, " + rate.about, Budget: mostBytesPerS, Fit: true},
+				results.Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Budget: mostProcessor},
+				results.Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Budget: mostProcessor})
 		}
 	}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			Metric{Name: recordBytes + rate.suffix, Unit: "bytes/s", About: "in and out for the record at a voter that follows, mean, " + rate.about, Most: mostBytesPerS},
-			Metric{Name: recordBytes + "_leader" + rate.suffix, Unit: "bytes/s", About: "in and out for the record at the leader, " + rate.about, Most: mostBytesPerS})
+			results.Metric{Name: recordBytes + rate.suffix, Unit: "bytes/s", About: "in and out for the record at a voter that follows, mean, " + rate.about, Budget: mostBytesPerS},
+			results.Metric{Name: recordBytes + "_leader" + rate.suffix, Unit: "bytes/s", About: "in and out for the record at the leader, " + rate.about, Budget: mostBytesPerS})
 	}
 	d.Metrics = append(d.Metrics,
-		Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Most: mostMegabytes},
-		Metric{Name: "depth", Unit: "nodes", About: "from a voter to the deepest subscriber"},
-		Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Most: mostMachines},
-		Metric{Name: "distributors_ready", Unit: "s", About: "until all distributors have all scopes, all starting at once", Fit: true},
-		Metric{Name: "ready", Unit: "s", About: "until all subscribers have their configuration then, all starting at once", Fit: true})
+		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Budget: mostMegabytes},
+		results.Metric{Name: "depth", Unit: "nodes", About: "from a voter to the deepest subscriber"},
+		results.Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Budget: mostMachines},
+		results.Metric{Name: "distributors_ready", Unit: "s", About: "until all distributors have all scopes, all starting at once", Fit: true},
+		results.Metric{Name: "ready", Unit: "s", About: "until all subscribers have their configuration then, all starting at once", Fit: true})
 	return d
 }
 
@@ -75,7 +77,7 @@
 }
 
 // Run makes changes at each pace, and reads what each node passed on and when it acted.
-func (m distributed) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (m distributed) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, m.plan(size), o)
 	if err != nil {
 		return s, err
@@ -100,12 +102,12 @@
 	if needless := t.needless(); needless > 0 {
 		t.inForce.breaks("%d snapshots were taken where deltas would have done", needless)
 	}
-	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
 	return s, nil
 }
 
 // pace makes changes at one pace for a while, and notes what that cost.
-func (t *tree) pace(ctx context.Context, rate changeRate, s *Sample) error {
+func (t *tree) pace(ctx context.Context, rate changeRate, s *results.Sample) error {
 	t.inForce.reset()
 	lost := t.parentsLost()
 	before, record, spent, began := t.bytes(), t.recordBytes(), processorOfSelf(), time.Now()
@@ -168,7 +170,7 @@
 }
 
 // setRecord notes what the record has cost, the leader apart: who passed the most.
-func (t *tree) setRecord(before, after map[string]int64, rate changeRate, seconds float64, s *Sample) {
+func (t *tree) setRecord(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
 	sum, leader := 0., 0.
 	for name := range after {
 		passed := float64(after[name]-before[name]) / seconds
--- a/scale/draw.go
+++ b/scale/draw.go
@@ -11,6 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"wheelrill/fake"
+	"wheelrill/scale/results"
 )
 
 // addedTime measures what a proxy's draw adds to a request by the lines of its table, with the code of the stand-in
@@ -31,13 +32,13 @@
 	return Description{Name: "added-time", Size: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
 		About: "Time that a proxy's draw and an ordered retry add to a request by the lines of its table",
-		Metrics: []Metric{
-			{Name: "draw_half", Unit: "ms", About: "a draw, 50 in 100", Most: mostAdded, Fit: true},
-			{Name: "draw_p99", Unit: "ms", About: "a draw, 99 in 100", Most: mostAdded, Fit: true},
-			{Name: "retried_half", Unit: "ms", About: "a draw and that of a retry, 50 in 100", Most: mostAdded, Fit: true},
-			{Name: "retried_p99", Unit: "ms", About: "a draw and that of a retry, 99 in 100", Most: mostAdded, Fit: true},
+		Metrics: []results.Metric{
+			{Name: "draw_half", Unit: "ms", About: "a draw, 50 in 100", Budget: mostAdded, Fit: true},
+			{Name: "draw_p99", Unit: "ms", About: "a draw, 99 in 100", Budget: mostAdded, Fit: true},
+			{Name: "retried_half", Unit: "ms", About: "a draw and that of a retry, 50 in 100", Budget: mostAdded, Fit: true},
+			{Name: "retried_p99", Unit: "ms", About: "a draw and that of a retry, 99 in 100", Budget: mostAdded, Fit: true},
 			{Name: "draw_processor", Unit: "ms", About: "processor time of a draw, 99 in 100", Fit: true},
-			{Name: "retried_processor", Unit: "ms", About: "processor time of a draw and that of a retry, 99 in 100", Most: mostAdded, Fit: true},
+			{Name: "retried_processor", Unit: "ms", About: "processor time of a draw and that of a retry, 99 in 100", Budget: mostAdded, Fit: true},
 			{Name: "index", Unit: "ms", About: "processor time at each change of the table, beside requests", Fit: true},
 			{Name: "requests", Unit: "requests", About: "in each of five repeats, of which the median is taken"},
 		}}
@@ -62,7 +63,7 @@
 }
 
 // Run plays the repeats over one table, and takes the median of their percentiles.
-func (addedTime) Run(ctx context.Context, size int, o Options) (sample Sample, err error) {
+func (addedTime) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	table := weightedTable(size, o.Seed)
 	index := time.Duration(0)
 	for range indexRepeats {
--- a/scale/faults.go
+++ b/scale/faults.go
@@ -5,6 +5,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // distributedFaults is distribution below the record while things fail.
@@ -42,13 +44,13 @@
 		Size: "subscribers", Sizes: []int{1100}, Transport: "memory"}
 	for _, f := range treeFaults() {
 		d.Metrics = append(d.Metrics,
-			Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Most: mostInForce},
-			Metric{Name: f.name + "_p99", Unit: "s", About: f.about + ": until in force, 99 in 100", Most: mostInForce},
-			Metric{Name: f.name + "_most", Unit: "s", About: f.about + ": until in force, 100 in 100", Most: mostInForce},
-			Metric{Name: f.name + "_back", Unit: "s", About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Most: mostInForce},
-			Metric{Name: f.name + "_faults", Unit: "times", About: f.about + ": nodes hit"},
-			Metric{Name: f.name + "_snapshots", Unit: "snapshots", About: f.about + ": taken by nodes that were started anew"},
-			Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s", About: f.about + ": in and out at the worst node", Most: mostBytesPerS})
+			results.Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Budget: mostInForce},
+			results.Metric{Name: f.name + "_p99", Unit: "s", About: f.about + ": until in force, 99 in 100", Budget: mostInForce},
+			results.Metric{Name: f.name + "_most", Unit: "s", About: f.about + ": until in force, 100 in 100", Budget: mostInForce},
+			results.Metric{Name: f.name + "_back", Unit: "s", About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Budget: mostInForce},
+			results.Metric{Name: f.name + "_faults", Unit: "times", About: f.about + ": nodes hit"},
+			results.Metric{Name: f.name + "_snapshots", Unit: "snapshots", About: f.about + ": taken by nodes that were started anew"},
+			results.Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s", About: f.about + ": in and out at the worst node", Budget: mostBytesPerS})
 	}
 	return d
 }
@@ -60,7 +62,7 @@
 }
 
 // Run plays one fault after the other.
-func (distributedFaults) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (distributedFaults) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(size), o)
 	if err != nil {
 		return s, err
@@ -73,12 +75,12 @@
 			return s, err
 		}
 	}
-	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
 	return s, nil
 }
 
 // under plays a fault beside changes, and notes what came of it.
-func (t *tree) under(ctx context.Context, f treeFault, s *Sample) error {
+func (t *tree) under(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.inForce.reset()
 	span := max(t.options.For/time.Duration(f.part), downFor)
 	starts, needless, before, began := t.starts.Load(), t.needless(), t.bytes(), time.Now()
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"wheelrill/fake"
+	"wheelrill/scale/results"
 )
 
 // lists measures what discovery's list costs a real controller by its entries: until it is ready after a start, while
@@ -28,15 +29,15 @@
 	return Description{Name: "lists", Size: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
 		Targets: []int{99_000}, Transport: "loopback",
 		About: "What discovery's list costs one real controller without proxies: recovery of one, and each change",
-		Metrics: []Metric{
+		Metrics: []results.Metric{
 			{Name: "ready", Unit: "s", About: "from the process's start until it is ready", Fit: true},
 			{Name: "ready_processor", Unit: "s", About: "processor time until then", Fit: true},
-			{Name: "list_bytes", Unit: "bytes", About: "of the whole list as discovery sends it", Most: mostListed, Fit: true},
+			{Name: "list_bytes", Unit: "bytes", About: "of the whole list as discovery sends it", Budget: mostListed, Fit: true},
 			{Name: "entry_bytes", Unit: "bytes", About: "of one entry in it"},
-			{Name: "idle_processor", Unit: "% of a core", About: "processor time while nothing changes", Most: mostProcessor, Fit: true},
+			{Name: "idle_processor", Unit: "% of a core", About: "processor time while nothing changes", Budget: mostProcessor, Fit: true},
 			{Name: "change_processor", Unit: "ms", About: "processor time of one change of one entry, beyond that"},
 			{Name: "change_bytes", Unit: "bytes", About: "that discovery sends for it"},
-			{Name: "memory", Unit: "MB", About: "resident memory, the most", Most: mostMegabytes, Fit: true},
+			{Name: "memory", Unit: "MB", About: "resident memory, the most", Budget: mostMegabytes, Fit: true},
 			{Name: "known", Unit: "backends", About: "that the controller takes in"},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
@@ -59,7 +60,7 @@
 }
 
 // Run plays the repeats, each with a process of its own.
-func (lists) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (lists) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "lists-")
 	if err != nil {
 		return s, err
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -8,14 +8,9 @@
 	"github.com/prometheus/procfs"
 
 	"wheelrill/internal/process"
+	"wheelrill/scale/results"
 )
 
-// Machine is where a run was played.
-type Machine struct {
-	Cores  int   `json:"cores"`
-	Memory int64 `json:"memory_bytes"`
-}
-
 // What a run may take of the machine.
 const (
 	memoryShare   = 2                // one part in so many
@@ -29,27 +24,27 @@
 // Error says why, and what would do.
 func (r *Refused) Error() string { return r.why }
 
-// ThisMachine reads what the machine has.
-func ThisMachine() (Machine, error) {
+// thisMachine reads what the machine has.
+func thisMachine() (results.Machine, error) {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
-		return Machine{}, err
+		return results.Machine{}, err
 	}
 	memory, err := proc.Meminfo()
 	if err != nil {
-		return Machine{}, err
+		return results.Machine{}, err
 	}
-	return Machine{Cores: runtime.NumCPU(), Memory: int64(*memory.MemTotalBytes)}, nil
+	return results.Machine{Cores: runtime.NumCPU(), Memory: int64(*memory.MemTotalBytes)}, nil
 }
 
-// bears gives a Refused error where a size cannot be measured, or needs more than a run may take.
-func (m Machine) bears(size int, needs Needs) error {
+// checkMachine gives a Refused error where a size cannot be measured, or needs more than a run may take.
+func checkMachine(machine results.Machine, size int, needs Needs) error {
 	switch {
 	case needs.Refusal != "":
 		return &Refused{needs.Refusal}
-	case needs.Memory > m.Memory/memoryShare:
+	case needs.Memory > machine.Memory/memoryShare:
 		return &Refused{fmt.Sprintf("size %d needs about %d MB, and half of this machine's memory is %d MB; give smaller sizes", size,
-			needs.Memory>>20, m.Memory/memoryShare>>20)}
+			needs.Memory>>20, machine.Memory/memoryShare>>20)}
 	case needs.Processes > mostProcesses:
 		return &Refused{fmt.Sprintf("size %d needs %d processes, %d at most; give smaller sizes", size, needs.Processes, mostProcesses)}
 	case needs.Time > mostTime:
--- a/scale/record.go
+++ b/scale/record.go
@@ -14,6 +14,7 @@
 	"wheelrill/internal/process"
 	"wheelrill/ownership"
 	"wheelrill/rehearse"
+	"wheelrill/scale/results"
 )
 
 // recordReal is what the record costs real controllers, as processes with relays around them: all are members.
@@ -30,11 +31,11 @@
 )
 
 // recordMetrics are those of both measurements of the record.
-func recordMetrics() []Metric {
-	return []Metric{
+func recordMetrics() []results.Metric {
+	return []results.Metric{
 		{Name: "entries_per_s", Unit: "1/s", About: "entries at each member", Fit: true},
-		{Name: "follower_bytes_per_s", Unit: "bytes/s", About: "in and out at a follower, mean", Most: mostBytesPerS, Fit: true},
-		{Name: "leader_bytes_per_s", Unit: "bytes/s", About: "in and out at the leader", Most: mostBytesPerS, Fit: true}}
+		{Name: "follower_bytes_per_s", Unit: "bytes/s", About: "in and out at a follower, mean", Budget: mostBytesPerS, Fit: true},
+		{Name: "leader_bytes_per_s", Unit: "bytes/s", About: "in and out at the leader", Budget: mostBytesPerS, Fit: true}}
 }
 
 // Describe says what it is.
@@ -42,9 +43,9 @@
 	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, controllersToCome}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
-			Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Most: mostProcessor, Fit: true},
-			Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Most: mostProcessor, Fit: true},
-			Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Most: mostMegabytes, Fit: true})}
+			results.Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Budget: mostProcessor, Fit: true},
+			results.Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Budget: mostProcessor, Fit: true},
+			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: mostMegabytes, Fit: true})}
 }
 
 // Needs are those of the members and of the stand-ins in our process.
@@ -60,27 +61,27 @@
 }
 
 // Run plays a calm installation, and reads what each member logged of the record and spent.
-func (recordReal) Run(ctx context.Context, size int, o Options) (Sample, error) {
+func (recordReal) Run(ctx context.Context, size int, o Options) (results.Sample, error) {
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
-		return Sample{}, err
+		return results.Sample{}, err
 	}
 	spent := &spending{before: map[string]Usage{}, after: map[string]Usage{}}
 	play := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.For, FaultInterval: o.For, Controllers: size, Proxies: recordProxies,
 		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: spent.observe}
 	report, err := play.Run(ctx)
 	if err = errors.Join(err, spent.failed); err != nil {
-		return Sample{}, err
+		return results.Sample{}, err
 	}
 	members := map[string]memberCost{}
 	for name := range spent.before {
 		if members[name], err = costLogged(filepath.Join(folder, name+".log")); err != nil {
-			return Sample{}, err
+			return results.Sample{}, err
 		}
 	}
 	s := spent.sample(members)
 	if report.Verdict != rehearse.VerdictPassed {
-		s.Unknown = fmt.Sprintf("the rehearsal's verdict is %q: %s; %v", report.Verdict, report.Reason, report.ViolationCounts)
+		s.Inconclusive = fmt.Sprintf("the rehearsal's verdict is %q: %s; %v", report.Verdict, report.Reason, report.ViolationCounts)
 	}
 	return s, nil
 }
@@ -113,7 +114,7 @@
 }
 
 // sample sums members up, followers apart from the leader.
-func (s *spending) sample(members map[string]memberCost) (sample Sample) {
+func (s *spending) sample(members map[string]memberCost) (sample results.Sample) {
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
 	for name, cost := range members {
--- a/scale/recordhollow.go
+++ b/scale/recordhollow.go
@@ -5,6 +5,8 @@
 	"os"
 	"sync"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // recordHollow is what the record costs hollow controllers, all members, in one process: by their number, or by their lease.
@@ -21,8 +23,8 @@
 	d := Description{Name: "record-hollow", About: "The record, all controllers being members, hollow ones without proxies in one process",
 		Size: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, controllersToCome}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
-			Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Most: mostProcessor, Fit: true},
-			Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Most: mostMegabytes, Fit: true})}
+			results.Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Budget: mostProcessor, Fit: true},
+			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Budget: mostMegabytes, Fit: true})}
 	if r.byLease {
 		d.Name, d.About = "record-lease", "The record of the voters, hollow ones without proxies in one process, by their lease"
 		d.Size, d.Sizes, d.Targets = "ms of lease", []int{1500, 3000, 4500, 6000, 9000}, []int{int(voterLease.Milliseconds())}
@@ -45,7 +47,7 @@
 }
 
 // Run has members renew their leases, and reads what passed over their connections.
-func (r recordHollow) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (r recordHollow) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	size, lease := r.members(size, o)
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -92,7 +94,7 @@
 	s.Set("processor", percent*(spent.Processor-spentBefore.Processor).Seconds()/seconds/float64(size))
 	s.Set("memory", float64(spent.Memory)/megabyte/float64(size))
 	if leader == 0 {
-		s.Unknown = "no member led at the end"
+		s.Inconclusive = "no member led at the end"
 	}
 	return s, nil
 }
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -6,6 +6,8 @@
 	"os"
 	"sync"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // recovery measures what controllers that restart at once cost as they learn the list anew from discovery, each a real
@@ -30,12 +32,12 @@
 		Targets: []int{40, 220, controllersToCome}, Transport: "loopback",
 		About: fmt.Sprintf("Real controllers that restart at once on one machine, and learn %d backends from discovery: those of %d services",
 			r.backends(), servicesPerGroup),
-		Metrics: []Metric{
+		Metrics: []results.Metric{
 			{Name: "ready", Unit: "s", About: "until the last is ready, all on this machine's cores", Fit: true},
 			{Name: "ready_processor", Unit: "s", About: "processor time of a controller until it is ready, mean"},
 			{Name: "all_bytes", Unit: "bytes", About: "that discovery sends to all of them", Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one is sent, mean"},
-			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Most: mostMegabytes},
+			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Budget: mostMegabytes},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
 	if r.whole {
@@ -65,7 +67,7 @@
 }
 
 // Run restarts all as often as there are repeats.
-func (r recovery) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (r recovery) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "recovery-")
 	if err != nil {
 		return s, err
--- a/scale/recoverysnapshot.go
+++ b/scale/recoverysnapshot.go
@@ -11,6 +11,7 @@
 
 	"wheelrill/distribution"
 	"wheelrill/distribution/transport"
+	"wheelrill/scale/results"
 )
 
 // recoverySnapshot measures what one subscriber that starts anew is sent by its parent until it has its configuration,
@@ -34,7 +35,7 @@
 	return Description{Name: "recovery-snapshot", Size: "entries of its scope", Sizes: []int{77, 250, 800, 2500},
 		Targets: []int{entriesServed, entriesOfAll}, Transport: "memory",
 		About: fmt.Sprintf("A subscriber that starts anew, until it has its scope from a voter; values of %d bytes, pace by default", valueBytes),
-		Metrics: []Metric{
+		Metrics: []results.Metric{
 			{Name: "ready", Unit: "s", About: "from its start until it has its configuration", Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that it is sent", Fit: true},
 			{Name: "entry_bytes", Unit: "bytes", About: "an entry as CBOR has it"},
@@ -55,7 +56,7 @@
 }
 
 // Run starts a subscriber anew as often as there are repeats.
-func (recoverySnapshot) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (recoverySnapshot) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
--- a/scale/recoverytree.go
+++ b/scale/recoverytree.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // recoveryTree measures subscribers that restart at once, in an installation that runs.
@@ -26,10 +28,10 @@
 		Targets: []int{40, 220, controllersToCome}, Transport: "memory",
 		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", m.subscribers,
 			commonEntries+servicesPerGroup),
-		Metrics: []Metric{
+		Metrics: []results.Metric{
 			{Name: "ready", Unit: "s", About: "until the last has its configuration", Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
-			{Name: "worst_bytes_per_s", Unit: "bytes/s", About: "in and out at the node that passes on most meanwhile", Most: mostBytesPerS},
+			{Name: "worst_bytes_per_s", Unit: "bytes/s", About: "in and out at the node that passes on most meanwhile", Budget: mostBytesPerS},
 			{Name: "processor", Unit: "ms", About: "processor time of the whole installation for each of them", Fit: true},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
@@ -48,7 +50,7 @@
 }
 
 // Run restarts so many subscribers, drawn by the seed, as often as there are repeats.
-func (m recoveryTree) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (m recoveryTree) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(max(size, m.subscribers)), o)
 	if err != nil {
 		return s, err
@@ -69,7 +71,7 @@
 	s.Set("worst_bytes_per_s", medianOf(all, func(c restartCost) float64 { return c.worst }))
 	s.Set("processor", medianOf(all, func(c restartCost) float64 { return c.processor.Seconds() * 1000 / float64(size) }))
 	s.Set("repeats", float64(len(all)))
-	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
 	return s, nil
 }
 
@@ -110,8 +112,8 @@
 	return Description{Name: "recovery-delta", Size: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
 		Transport: "memory",
 		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", m.subscribers/regions),
-		Metrics: []Metric{
-			{Name: "ready", Unit: "s", About: "from the end of the cut until the last has all changes", Most: mostInForce, Fit: true},
+		Metrics: []results.Metric{
+			{Name: "ready", Unit: "s", About: "from the end of the cut until the last has all changes", Budget: mostInForce, Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
 			{Name: "snapshots", Unit: "snapshots", About: "that were taken, where deltas would have done"},
 		}}
@@ -123,7 +125,7 @@
 }
 
 // Run cuts a region without voters off while so many changes are made.
-func (m recoveryDelta) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (m recoveryDelta) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(m.subscribers), o)
 	if err != nil {
 		return s, err
@@ -164,7 +166,7 @@
 	s.Set("ready", ready.Seconds())
 	s.Set("bytes", (after-before)/float64(len(behind)))
 	s.Set("snapshots", float64(t.needless()))
-	s.Broken, s.Unknown = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
 	return s, nil
 }
 
--- /dev/null
+++ b/scale/results/fit.go
@@ -0,0 +1,84 @@
+package results
+
+import (
+	"math"
+	"slices"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// Forms of a fit.
+const (
+	FormPower  = "power"  // coefficient * n^exponent
+	FormLinear = "linear" // intercept + slope * n
+)
+
+// Fit is a metric over sizes n: both forms, and the one that is nearer to what was seen.
+type Fit struct {
+	Metric        string  `json:"metric"`                // its name
+	Form          string  `json:"form"`                  // that is nearer
+	Coefficient   float64 `json:"coefficient"`           // of FormPower
+	Exponent      float64 `json:"exponent"`              // of FormPower
+	Intercept     float64 `json:"intercept"`             // of FormLinear
+	Slope         float64 `json:"slope"`                 // of FormLinear
+	Residual      float64 `json:"residual"`              // root of the mean squared relative error, of the form that is taken
+	OtherResidual float64 `json:"residual_of_the_other"` // of the form that is not
+	Sizes         int     `json:"sizes"`                 // different ones it rests on
+}
+
+// minSizes is the fewest that a fit may rest on.
+const minSizes = 3
+
+// FitOver fits a metric over the samples; false where too few sizes have it, or a figure is 0. A line that is below 0 at
+// one of the targets is not taken.
+func FitOver(samples []Sample, metric string, targets []int) (Fit, bool) {
+	var sizes, values, logSizes, logValues []float64
+	different := map[int]bool{}
+	for _, s := range samples {
+		value, ok := s.Get(metric)
+		if !ok || value <= 0 || s.Size <= 0 {
+			continue
+		}
+		different[s.Size] = true
+		sizes = append(sizes, float64(s.Size))
+		values = append(values, value)
+		logSizes = append(logSizes, math.Log(float64(s.Size)))
+		logValues = append(logValues, math.Log(value))
+	}
+	if len(different) < minSizes {
+		return Fit{}, false
+	}
+	f := Fit{Metric: metric, Form: FormPower, Sizes: len(different)}
+	logCoefficient, exponent := stat.LinearRegression(logSizes, logValues, nil, false)
+	f.Coefficient = math.Exp(logCoefficient)
+	f.Exponent = exponent
+	f.Intercept, f.Slope = stat.LinearRegression(sizes, values, nil, false)
+	f.Residual = relativeError(sizes, values, f.power)
+	f.OtherResidual = relativeError(sizes, values, f.linear)
+	negative := slices.ContainsFunc(targets, func(target int) bool { return f.linear(float64(target)) <= 0 })
+	if f.OtherResidual < f.Residual && !negative {
+		f.Form = FormLinear
+		f.Residual, f.OtherResidual = f.OtherResidual, f.Residual
+	}
+	return f, true
+}
+
+func (f Fit) power(size float64) float64  { return f.Coefficient * math.Pow(size, f.Exponent) }
+func (f Fit) linear(size float64) float64 { return f.Intercept + f.Slope*size }
+
+// At reads the fit at a size.
+func (f Fit) At(size int) float64 {
+	if f.Form == FormLinear {
+		return f.linear(float64(size))
+	}
+	return f.power(float64(size))
+}
+
+// relativeError is the root of the mean squared relative error of a curve.
+func relativeError(sizes, values []float64, curve func(float64) float64) float64 {
+	squares := make([]float64, len(values))
+	for i, value := range values {
+		squares[i] = math.Pow((curve(sizes[i])-value)/value, 2)
+	}
+	return math.Sqrt(stat.Mean(squares, nil))
+}
--- a/scale/report.go
+++ b/scale/results/markdown.go
@@ -1,4 +1,4 @@
-package scale
+package results
 
 import (
 	"fmt"
@@ -9,54 +9,54 @@
 	"github.com/dustin/go-humanize"
 )
 
-// significant is how many digits of a figure a table shows.
-const significant = 3
+// shownDigits is how many digits of a figure a table shows.
+const shownDigits = 3
 
 // smallest is what a table does not take for 0.
 const smallest = 1e-9
 
-// Figure writes a figure as tables have it: three digits that count, and commas.
-func Figure(value float64) string {
+// FormatFigure writes a figure as tables have it: three digits that count, and commas.
+func FormatFigure(value float64) string {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return fmt.Sprint(value)
 	}
 	if math.Abs(value) < smallest {
 		return "0"
 	}
-	digits := significant - 1 - int(math.Floor(math.Log10(math.Abs(value))))
+	digits := shownDigits - 1 - int(math.Floor(math.Log10(math.Abs(value))))
 	if digits > 0 {
 		return strconv.FormatFloat(value, 'f', digits, 64)
 	}
-	scale := int64(math.Pow10(-digits))
-	return humanize.Comma(int64(math.Round(value/float64(scale))) * scale)
+	unit := int64(math.Pow10(-digits)) // of the last digit that is shown
+	return humanize.Comma(int64(math.Round(value/float64(unit))) * unit)
 }
 
 // Markdown writes a run as the tables of a page: what was measured, what was fitted, and the fits at the sizes to come.
 func (r *Run) Markdown() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s. Run `%s`, text %s, %s UTC, %d cores, %d MB, over %s, seed %d, %s s a size: %s.\n\n", r.About, r.Name, r.Text,
-		r.Date, r.Machine.Cores, r.Machine.Memory>>20, r.Transport, r.Seed, Figure(r.Seconds), r.Verdict)
-	r.measured(&b)
+	fmt.Fprintf(&b, "%s. Run `%s`, text %s, %s UTC, %d cores, %d MB, over %s, seed %d, %s s a size: %s.\n\n", r.About, r.Name, r.Revision,
+		r.Date, r.Machine.Cores, r.Machine.Memory>>20, r.Transport, r.Seed, FormatFigure(r.Seconds), r.Verdict)
+	r.writeSamples(&b)
 	for _, s := range r.Samples {
-		for _, text := range s.Broken {
+		for _, text := range s.Violations {
 			fmt.Fprintf(&b, "\nBroken at %d: %s.\n", s.Size, text)
 		}
 		if s.Partial != "" {
 			fmt.Fprintf(&b, "\nPartial at %d: %s.\n", s.Size, s.Partial)
 		}
-		if s.Unknown != "" {
-			fmt.Fprintf(&b, "\nNot judged at %d: %s.\n", s.Size, s.Unknown)
+		if s.Inconclusive != "" {
+			fmt.Fprintf(&b, "\nNot judged at %d: %s.\n", s.Size, s.Inconclusive)
 		}
 	}
 	if len(r.Fits) > 0 {
 		b.WriteString("\n")
-		r.fitted(&b)
+		r.writeFits(&b)
 	}
 	return b.String()
 }
 
-// measured writes the samples, a row a metric.
-func (r *Run) measured(b *strings.Builder) {
+// writeSamples writes the samples, a row a metric.
+func (r *Run) writeSamples(b *strings.Builder) {
 	fmt.Fprintf(b, "| measured, by %s |", r.Size)
 	for _, s := range r.Samples {
 		fmt.Fprintf(b, " %s |", humanize.Comma(int64(s.Size)))
@@ -66,12 +66,12 @@
 		fmt.Fprintf(b, "| %s, %s |", m.About, m.Unit)
 		for _, s := range r.Samples {
 			if value, ok := s.Get(m.Name); ok {
-				fmt.Fprintf(b, " %s |", mark(value, m.Most))
+				fmt.Fprintf(b, " %s |", emphasize(value, m.Budget))
 			} else {
 				b.WriteString(" - |")
 			}
 		}
-		fmt.Fprintf(b, " %s |\n", budget(m))
+		fmt.Fprintf(b, " %s |\n", formatBudget(m))
 	}
 	b.WriteString("| load of the machine before |")
 	for _, s := range r.Samples {
@@ -80,8 +80,8 @@
 	b.WriteString(" - |\n")
 }
 
-// fitted writes the fits, and what they give at the sizes to come.
-func (r *Run) fitted(b *strings.Builder) {
+// writeFits writes the fits, and what they give at the sizes to come.
+func (r *Run) writeFits(b *strings.Builder) {
 	fmt.Fprintf(b, "| fitted, n %s | form | exponent | residual |", r.Size)
 	for _, target := range r.Targets {
 		fmt.Fprintf(b, " at %s, fitted |", humanize.Comma(int64(target)))
@@ -89,31 +89,31 @@
 	b.WriteString(" budget |\n| --- | --- |" + strings.Repeat(" ---: |", len(r.Targets)+3) + "\n")
 	for _, f := range r.Fits {
 		m := r.metric(f.Metric)
-		form := fmt.Sprintf("%s n^%.2f", Figure(f.Coefficient), f.Exponent)
-		if f.Form == Linear {
-			form = fmt.Sprintf("%s + %s n", Figure(f.Intercept), Figure(f.Slope))
+		form := fmt.Sprintf("%s n^%.2f", FormatFigure(f.Coefficient), f.Exponent)
+		if f.Form == FormLinear {
+			form = fmt.Sprintf("%s + %s n", FormatFigure(f.Intercept), FormatFigure(f.Slope))
 		}
 		fmt.Fprintf(b, "| %s, %s | %s | %.2f | %.1f%% |", m.About, m.Unit, form, f.Exponent, 100*f.Residual)
 		for _, target := range r.Targets {
-			fmt.Fprintf(b, " %s |", mark(f.At(target), m.Most))
+			fmt.Fprintf(b, " %s |", emphasize(f.At(target), m.Budget))
 		}
-		fmt.Fprintf(b, " %s |\n", budget(m))
+		fmt.Fprintf(b, " %s |\n", formatBudget(m))
 	}
 }
 
-// mark writes a figure, in bold where it is over its budget.
-func mark(value, most float64) string {
-	if most > 0 && value > most {
-		return "**" + Figure(value) + "**"
+// emphasize writes a figure, in bold where it is over its budget.
+func emphasize(value, budget float64) string {
+	if budget > 0 && value > budget {
+		return "**" + FormatFigure(value) + "**"
 	}
-	return Figure(value)
+	return FormatFigure(value)
 }
 
-func budget(m Metric) string {
-	if m.Most == 0 {
+func formatBudget(m Metric) string {
+	if m.Budget == 0 {
 		return "-"
 	}
-	return Figure(m.Most)
+	return FormatFigure(m.Budget)
 }
 
 func (r *Run) metric(name string) Metric {
@@ -129,12 +129,12 @@
 func (r *Run) Figure(metric string, size int) (string, error) {
 	for _, s := range r.Samples {
 		if value, ok := s.Get(metric); ok && s.Size == size {
-			return Figure(value), nil
+			return FormatFigure(value), nil
 		}
 	}
 	for _, f := range r.Fits {
 		if f.Metric == metric {
-			return Figure(f.At(size)), nil
+			return FormatFigure(f.At(size)), nil
 		}
 	}
 	return "", fmt.Errorf("run %s has no %s at %d, measured or fitted", r.Name, metric, size)
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -7,6 +7,8 @@
 	"os"
 	"strconv"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // roles measures a voter, a distributor and a controller that passes on, each a real process of its own, by the entries that
@@ -38,15 +40,15 @@
 			mostFanOut, controllerChildren, backendsServed)}
 	for _, role := range []string{voterRole, distributorRole, controllerRole} {
 		d.Metrics = append(d.Metrics,
-			Metric{Name: role + "_bytes_per_s", Unit: "bytes/s", About: "in and out at the " + role, Most: mostBytesPerS},
-			Metric{Name: role + "_processor", Unit: "% of a core", About: "processor time of the " + role, Most: mostProcessor},
-			Metric{Name: role + "_memory", Unit: "MB", About: "resident memory of the " + role + ", the most", Most: mostMegabytes, Fit: true})
+			results.Metric{Name: role + "_bytes_per_s", Unit: "bytes/s", About: "in and out at the " + role, Budget: mostBytesPerS},
+			results.Metric{Name: role + "_processor", Unit: "% of a core", About: "processor time of the " + role, Budget: mostProcessor},
+			results.Metric{Name: role + "_memory", Unit: "MB", About: "resident memory of the " + role + ", the most", Budget: mostMegabytes, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
-		Metric{Name: "distributor_ready", Unit: "s", About: "from the start of the distributor until it has all entries", Fit: true},
-		Metric{Name: "controller_ready", Unit: "s", About: "from the start of the controller until it has those of its services", Fit: true},
-		Metric{Name: "controller_entries", Unit: "entries", About: "of its services, and those of all"},
-		Metric{Name: "most", Unit: "s", About: "until in force at the last child, 100 in 100", Most: mostInForce})
+		results.Metric{Name: "distributor_ready", Unit: "s", About: "from the start of the distributor until it has all entries", Fit: true},
+		results.Metric{Name: "controller_ready", Unit: "s", About: "from the start of the controller until it has those of its services", Fit: true},
+		results.Metric{Name: "controller_entries", Unit: "entries", About: "of its services, and those of all"},
+		results.Metric{Name: "most", Unit: "s", About: "until in force at the last child, 100 in 100", Budget: mostInForce})
 	return d
 }
 
@@ -63,7 +65,7 @@
 }
 
 // Run starts all from the voters down, makes changes, and reads what the three processes spent.
-func (roles) Run(ctx context.Context, size int, o Options) (s Sample, err error) {
+func (roles) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "roles-")
 	if err != nil {
 		return s, err
@@ -80,12 +82,12 @@
 	if err := r.measure(ctx, &s); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
-	s.Broken, s.Unknown = r.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = r.inForce.broken, late.tooBusy()
 	return s, nil
 }
 
 // measure makes changes for as long as is observed, and notes what each process spent meanwhile.
-func (r *roleFleet) measure(ctx context.Context, s *Sample) error {
+func (r *roleFleet) measure(ctx context.Context, s *results.Sample) error {
 	r.inForce.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
 	before, began := map[string]processUsage{}, time.Now()
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -9,6 +9,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"wheelrill/scale/results"
 )
 
 // Options are what a run may be asked for.
@@ -28,15 +30,6 @@
 	}
 }
 
-// Metric is one figure of a sample.
-type Metric struct {
-	Name  string  `json:"name"`
-	Unit  string  `json:"unit"`
-	About string  `json:"about"`
-	Most  float64 `json:"budget,omitempty"` // what it may be at most; 0 for no budget
-	Fit   bool    `json:"fit,omitempty"`    // it is fitted over the sizes
-}
-
 // Description says what a measurement is.
 type Description struct {
 	Name      string
@@ -45,7 +38,7 @@
 	Sizes     []int  // that are measured unless others are asked for
 	Targets   []int  // sizes that fits are read at, as the one in two years
 	Transport string // how controllers reach each other: "loopback" or "memory"
-	Metrics   []Metric
+	Metrics   []results.Metric
 }
 
 // Needs are what one size takes of the machine, estimated before it begins.
@@ -60,7 +53,7 @@
 type Measurement interface {
 	Describe() Description
 	Needs(size int, options Options) Needs
-	Run(ctx context.Context, size int, options Options) (Sample, error)
+	Run(ctx context.Context, size int, options Options) (results.Sample, error)
 }
 
 // Measurements are all there are, in the order in which they are listed.
@@ -100,23 +93,33 @@
 
 // Play runs a measurement at each size, and fits what it saw. It refuses, with a Refused error, what the machine would
 // not bear, before anything starts.
-func Play(ctx context.Context, m Measurement, sizes []int, options Options) (*Run, error) {
+func Play(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
 	about := m.Describe()
 	if len(sizes) == 0 {
 		sizes = about.Sizes
 	}
-	machine, err := ThisMachine()
+	machine, err := thisMachine()
 	if err != nil {
 		return nil, err
 	}
 	for _, size := range sizes {
-		if err := machine.bears(size, m.Needs(size, options)); err != nil {
+		if err := checkMachine(machine, size, m.Needs(size, options)); err != nil {
 			return nil, err
 		}
 	}
-	run := &Run{Name: about.Name, About: about.About, Text: builtFrom(), Date: time.Now().UTC().Format(time.DateTime), Machine: machine,
-		Transport: about.Transport, Seed: options.Seed, Seconds: options.For.Seconds(), Size: about.Size,
-		Targets: slices.Clone(about.Targets), Metrics: about.Metrics}
+	run := &results.Run{
+		Name:      about.Name,
+		About:     about.About,
+		Revision:  builtFrom(),
+		Date:      time.Now().UTC().Format(time.DateTime),
+		Machine:   machine,
+		Transport: about.Transport,
+		Seed:      options.Seed,
+		Seconds:   options.For.Seconds(),
+		Size:      about.Size,
+		Targets:   slices.Clone(about.Targets),
+		Metrics:   about.Metrics,
+	}
 	for _, size := range sizes {
 		options.say("%s: %d %s", about.Name, size, about.Size)
 		limited, cancel := context.WithTimeout(ctx, 2*m.Needs(size, options).Time)
@@ -129,7 +132,7 @@
 		sample.Size, sample.Load = size, load
 		run.Samples = append(run.Samples, sample)
 	}
-	run.Settle()
+	run.Evaluate()
 	return run, nil
 }
 
