--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -16,20 +16,20 @@
 
 func TestSubscriberIsNoMember(t *testing.T) {
 	ours, foreign := newAuthority(t), newAuthority(t)
-	at := addresses(t, "a")
+	at := freeAddresses(t, "a")
 	served := make(chan func(string) bool, 1)
-	told := &subscribed{served: func(conn net.Conn, allowed func(string) bool) {
+	told := &fakeDistribution{onAccept: func(conn net.Conn, allowed func(string) bool) {
 		served <- allowed
 		io.WriteString(conn, "streams")
 		conn.Close()
 	}}
-	a := starts(t, Config{Name: "a", Members: at, Credentials: ours.gives("a"), Distribution: told})
-	a.puts(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	secure, err := ours.gives("s17").tlsConfig()
+	a := startMember(t, Config{Name: "a", Members: at, Credentials: ours.issue("a"), Distribution: told})
+	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	secure, err := ours.issue("s17").tlsConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
-	as := &transport{members: at, secure: secure, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+	as := newTransport(at, secure)
 	for name, c := range map[string]memberRequest{
 		"propose":       {Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}},
 		"propose as it": {Entry: &ownership.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
@@ -44,8 +44,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			var got memberResponse
-			if err := roundTrip(conn, c, &got); err != nil || got.Why != errNotMember.Error() || got.Accepted || got.ID != "" {
+			if got, err := roundTrip(conn, c); err != nil || got.Why != whyNotMember || got.Accepted || got.ID != "" {
 				t.Errorf("got %+v, %v", got, err)
 			}
 		})
@@ -56,19 +55,19 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("read %d bytes, %v", n, err)
 		}
 	})
-	until(t, "who was refused is forgotten", func() bool {
+	waitUntil(t, "who was refused is forgotten", func() bool {
 		a.transport.mutex.Lock()
 		defer a.transport.mutex.Unlock()
 		return len(a.transport.conns) == 0
 	})
 	peer := Peer{"a", at["a"]}.String()
 	t.Run("it may subscribe, under its own name", func(t *testing.T) {
-		s, err := NewSubscriber(ours.gives("s17"))
+		s, err := NewSubscriber(ours.issue("s17"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +84,7 @@
 			t.Error("it may subscribe under other names")
 		}
 	})
-	for name, given := range map[string]Credentials{"a foreign authority": foreign.gives("s17"), "plain text": {}} {
+	for name, given := range map[string]Credentials{"a foreign authority": foreign.issue("s17"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
 			s, err := NewSubscriber(given)
 			if err != nil {
@@ -98,7 +97,7 @@
 		})
 	}
 	t.Run("who has another name than was dialled is refused", func(t *testing.T) {
-		s, err := NewSubscriber(ours.gives("s17"))
+		s, err := NewSubscriber(ours.issue("s17"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,21 +108,22 @@
 	})
 }
 
-func TestSubscribingIsOff(t *testing.T) {
-	at := addresses(t, "a")
-	starts(t, Config{Name: "a", Members: at})
+func TestSubscribingIsRefusedWhereItIsOff(t *testing.T) {
+	at := freeAddresses(t, "a")
+	startMember(t, Config{Name: "a", Members: at})
 	s, err := NewSubscriber(Credentials{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String()); err == nil || err.Error() != errNoSubscribers.Error() {
+	conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String())
+	if refused := new(RefusedError); !errors.As(err, &refused) || refused.Reason != whyNoSubscribers {
 		t.Errorf("got %v, %v", conn, err)
 	}
 }
 
-func TestListener(t *testing.T) {
+func TestListenerServesSubscribersAlone(t *testing.T) {
 	ours := newAuthority(t)
-	s, err := NewSubscriber(ours.gives("s1"))
+	s, err := NewSubscriber(ours.issue("s1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	running.Go(func() { l.Run(ctx) })
 	defer running.Wait()
 	defer cancel()
-	other, err := NewSubscriber(ours.gives("s2"))
+	other, err := NewSubscriber(ours.issue("s2"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,15 +158,13 @@
 		}
 	}
 	t.Run("nothing else is served", func(t *testing.T) {
-		as := &transport{members: map[string]string{"s1": l.Address()}, secure: other.secure, ended: make(chan struct{}),
-			conns: map[net.Conn]bool{}}
+		as := newTransport(map[string]string{"s1": l.Address()}, other.secure)
 		conn, err := as.dial(context.Background(), "s1", connCalls)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		var got memberResponse
-		if err := roundTrip(conn, memberRequest{Status: true}, &got); err != nil || got.Accepted || got.ID != "" {
+		if got, err := roundTrip(conn, memberRequest{Status: true}); err != nil || got.Accepted || got.ID != "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
 		raw, err := as.dial(context.Background(), "s1", connRaft)
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -68,25 +68,25 @@
 func TestStoredFolderOfASubscriberIsReadAndWrittenAsBefore(t *testing.T) {
 	want := storedState(t)
 	if *updateStored {
-		k, err := newKeeper(storedFolder)
+		cache, err := openConfigurationCache(storedFolder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := k.save(want); err != nil {
+		if err := cache.save(want); err != nil {
 			t.Fatal(err)
 		}
 	}
 	folder := storedCopy(t)
-	k, err := newKeeper(folder)
+	cache, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := k.load()
+	got, err := cache.load()
 	if err != nil || got == nil {
 		t.Fatalf("read %v, %v", got, err)
 	}
-	if !reflect.DeepEqual(*got, want) || k.last != want.Version {
-		t.Errorf("read %+v at %+v, %d entries; %+v, %d entries was written", got.Version, k.last, len(got.Entries), want.Version, len(want.Entries))
+	if !reflect.DeepEqual(*got, want) || cache.saved != want.Version {
+		t.Errorf("read %+v at %+v, %d entries; %+v, %d entries was written", got.Version, cache.saved, len(got.Entries), want.Version, len(want.Entries))
 	}
 	path := filepath.Join(folder, storedFile)
 	before, err := os.ReadFile(path)
@@ -96,7 +96,7 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.save(*got); err != nil {
+	if err := cache.save(*got); err != nil {
 		t.Fatal(err)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, before) {
@@ -116,18 +116,18 @@
 	if err := os.WriteFile(path, cut, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, err := newKeeper(folder)
+	cache, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := k.load()
+	got, err := cache.load()
 	if got != nil || err == nil || !strings.Contains(err.Error(), path+": damaged: ") {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, cut) || k.last != (distribution.Version{}) {
-		t.Errorf("%d bytes are left of %d at %+v: %v", len(left), len(cut), k.last, err)
+	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, cut) || cache.saved != (distribution.Version{}) {
+		t.Errorf("%d bytes are left of %d at %+v: %v", len(left), len(cut), cache.saved, err)
 	}
-	if err := k.save(storedState(t)); err != nil {
+	if err := cache.save(storedState(t)); err != nil {
 		t.Fatal(err)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, whole) {
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -12,7 +12,7 @@
 	Body []byte `cbor:"2,keyasint,omitempty"`
 }
 
-func TestFrames(t *testing.T) {
+func TestFramesAreReadInOrderThroughOneBuffer(t *testing.T) {
 	var stream bytes.Buffer
 	sent := []message{{"a", []byte{1, 2, 3}}, {"b", bytes.Repeat([]byte{7}, 5000)}, {"c", nil}}
 	for _, m := range sent {
@@ -38,14 +38,14 @@
 	}
 }
 
-func TestFramesRefused(t *testing.T) {
+func TestFramesThatAreTooLargeOrCutOffAreRefused(t *testing.T) {
 	var stream bytes.Buffer
 	if err := Append(&stream, message{Name: "a", Body: make([]byte, 100)}); err != nil {
 		t.Fatal(err)
 	}
 	framed := stream.Bytes()
 	var m message
-	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &ErrTooLarge{}) {
+	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &TooLargeError{}) {
 		t.Errorf("over the bound: %v", err)
 	}
 	if err := Read(bytes.NewReader(framed[:50]), 500, &m); !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -54,12 +54,12 @@
 	if err := Read(bytes.NewReader([]byte{0, 0, 0, 1, 0xff}), 500, &m); err == nil {
 		t.Error("taken, though it is no CBOR")
 	}
-	if err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 500, &m); !errors.As(err, &ErrTooLarge{}) {
+	if err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 500, &m); !errors.As(err, &TooLargeError{}) {
 		t.Errorf("far over the bound: %v", err)
 	}
 }
 
-func TestAppendKeepsWhatWasThere(t *testing.T) {
+func TestAppendThatFailsLeavesTheBufferAsItWas(t *testing.T) {
 	var stream bytes.Buffer
 	if err := Write(&stream, message{Name: "a"}); err != nil {
 		t.Fatal(err)
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -179,7 +179,7 @@
 // log notes what happens beside the controllers' logs, and tells who watches.
 func (r *run) log(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	fmt.Fprintf(r.events, "time=%s event=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), text)
+	fmt.Fprintf(r.events, "time=%s msg=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), text)
 	if r.Progress != nil {
 		r.Progress(text)
 	}
