--- a/cmd/wheelrill/distribution_test.go
+++ b/cmd/wheelrill/distribution_test.go
@@ -24,14 +24,14 @@
 	return free
 }
 
-// TestDistribution runs the program as two voters and a subscriber: a file and a SIGHUP at a voter reach the subscriber.
-func TestDistribution(t *testing.T) {
+// TestChangeAtAVoterReachesASubscriber runs the program as two voters and a subscriber: a file and a SIGHUP at a voter reach the subscriber.
+func TestChangeAtAVoterReachesASubscriber(t *testing.T) {
 	sample, err := os.ReadFile("../../deploy/sample.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	folder, at := t.TempDir(), addresses(t, 2)
-	writes := func(name, text string) string {
+	write := func(name, text string) string {
 		path := filepath.Join(folder, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -39,23 +39,23 @@
 		return path
 	}
 	members := fmt.Sprintf("    n0: %s\n    n1: %s\n", at[0], at[1])
-	begins := func(name, options string) *process {
-		configuration := writes(name+".json", string(sample))
-		return starts(t, configuration, "serve", "--options", writes(name+".yaml", options))
+	start := func(name, options string) *process {
+		configuration := write(name+".json", string(sample))
+		return startProgram(t, configuration, "serve", "--options", write(name+".yaml", options))
 	}
 	voting := func(name string) string {
 		return "sharing:\n  plain: true\n  name: " + name + "\n  members:\n" + members + "distribution:\n  role: voter\n"
 	}
-	voters := []*process{begins("n0", voting("n0")), begins("n1", voting("n1"))}
-	subscriber := begins("s1", "distribution:\n  role: subscriber\n  name: s1\n  plain: true\n  scopes: [pricing]\n  parents:\n"+members)
+	voters := []*process{start("n0", voting("n0")), start("n1", voting("n1"))}
+	subscriber := start("s1", "distribution:\n  role: subscriber\n  name: s1\n  plain: true\n  scopes: [pricing]\n  parents:\n"+members)
 	for _, v := range voters {
-		v.waits(t, "msg=quorum_changed quorum=true")
+		v.awaitLine(t, "msg=quorum_changed quorum=true")
 	}
 	changed := strings.Replace(string(sample), `"seed"`, `"distributed": {"pricing": {"drain": {"s-5be2a07c": true}}}, "seed"`, 1)
-	writes("n1.json", changed)
+	write("n1.json", changed)
 	if err := voters[1].Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	voters[1].waits(t, "msg=change_accepted revision=1")
-	subscriber.waits(t, "msg=configuration_applied revision=1")
+	voters[1].awaitLine(t, "msg=change_accepted revision=1")
+	subscriber.awaitLine(t, "msg=configuration_applied revision=1")
 }
--- a/cmd/wheelrill/golden_test.go
+++ b/cmd/wheelrill/golden_test.go
@@ -55,7 +55,7 @@
 
 // TestCommandsAndFlagsAreAsBefore keeps each command, flag and default.
 func TestCommandsAndFlagsAreAsBefore(t *testing.T) {
-	compareGolden(t, "commands.golden", described(root(t.Context(), nil)))
+	compareGolden(t, "commands.golden", described(newRootCommand(t.Context(), nil)))
 }
 
 // TestExitCodesAreAsBefore runs the program with arguments that end at once, and keeps the code of each.
@@ -96,7 +96,7 @@
 		text += fmt.Sprintf("%s: %d\n", strings.ReplaceAll(strings.Join(append([]string{"wheelrill"}, args...), " "), folder, "FOLDER"), c.ProcessState.ExitCode())
 	}
 	for _, verdict := range []rehearse.Verdict{rehearse.VerdictPassed, rehearse.VerdictViolated, rehearse.VerdictInconclusive, "another"} {
-		code, err := exit(0), exitOf(verdict)
+		code, err := exitCode(0), verdictError(verdict)
 		if err != nil && !errors.As(err, &code) {
 			t.Fatal(err)
 		}
--- a/cmd/wheelrill/main_test.go
+++ b/cmd/wheelrill/main_test.go
@@ -10,15 +10,15 @@
 	"wheelrill/controller"
 )
 
-// lines hands on what is logged.
-type lines chan string
+// logLines hands on what is logged.
+type logLines chan string
 
-func (l lines) Write(line []byte) (int, error) {
+func (l logLines) Write(line []byte) (int, error) {
 	l <- string(line)
 	return len(line), nil
 }
 
-func TestSignals(t *testing.T) {
+func TestHangUpsReloadAndSIGTERMEnds(t *testing.T) {
 	sample, err := os.ReadFile("../../deploy/sample.json")
 	if err != nil {
 		t.Fatal(err)
@@ -27,30 +27,30 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("LB_CONFIG", path)
 	t.Setenv("LB_DISCOVERY", "127.0.0.1:7")
-	writes := func(text string) {
+	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	writes(good)
-	said := make(lines, 1024)
+	write(good)
+	logged := make(logLines, 1024)
 	ended := make(chan error, 1)
-	go func() { ended <- run(ending(), hangUps(), "", controller.NewLogger(said)) }()
-	waits := func(some string) {
-		for line := range said {
+	go func() { ended <- serve(contextOfSignals(), hangUpSignals(), "", controller.NewLogger(logged)) }()
+	awaitLine := func(some string) {
+		for line := range logged {
 			if strings.Contains(line, some) {
 				return
 			}
 		}
 	}
-	waits("msg=serving")
+	awaitLine("msg=serving")
 	for text, answer := range map[string]string{good: "msg=configuration_reloaded discovery=127.0.0.1:8500",
 		good[:len(good)/2]: "msg=reload_refused", "": "msg=reload_refused"} {
-		writes(text)
+		write(text)
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waits(answer)
+		awaitLine(answer)
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -25,13 +25,13 @@
 	os.Exit(m.Run())
 }
 
-func TestTakeover(t *testing.T) {
+func TestRulesHoldWhileControllersFail(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv(asProgram, "yes")
-	for _, story := range []struct {
+	for _, c := range []struct {
 		name string
 		play rehearse.Scenario
 	}{
@@ -41,8 +41,8 @@
 		{"nothing is shared", rehearse.Scenario{}},
 		{"nothing goes wrong", rehearse.Scenario{Sharing: true, Calm: true}},
 	} {
-		t.Run(story.name, func(t *testing.T) {
-			p := story.play
+		t.Run(c.name, func(t *testing.T) {
+			p := c.play
 			p.Duration, p.FaultInterval, p.Controllers, p.Proxies, p.Backends, p.Seed = 6*time.Second, 2*time.Second, 3, 12, 4, 3
 			p.Program, p.Folder = program, t.TempDir()
 			report, err := p.Run(context.Background())
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestVerdict(t *testing.T) {
-	for verdict, want := range map[rehearse.Verdict]error{rehearse.VerdictPassed: nil, rehearse.VerdictViolated: exit(1), rehearse.VerdictInconclusive: exit(2)} {
+func TestReportIsWrittenWithTheCodeOfItsVerdict(t *testing.T) {
+	for verdict, want := range map[rehearse.Verdict]error{rehearse.VerdictPassed: nil, rehearse.VerdictViolated: exitCode(1), rehearse.VerdictInconclusive: exitCode(2)} {
 		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Violations: []invariant.Violation{{Rule: 2, Subject: "x", Text: "twice"}}}
 		var text bytes.Buffer
 		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+string(verdict)) ||
@@ -75,25 +75,25 @@
 	}
 	for _, args := range [][]string{{"rehearse", "run", "nothing"}, {"rehearse", "run", "takeover", "--sharing", "some"},
 		{"rehearse", "run", "takeover", "--instances", "1"}} {
-		top := root(t.Context(), nil)
-		top.SetArgs(args)
-		var code exit
-		if err := top.Execute(); !errors.As(err, &code) || code != exitUnjudged {
+		root := newRootCommand(t.Context(), nil)
+		root.SetArgs(args)
+		var code exitCode
+		if err := root.Execute(); !errors.As(err, &code) || code != exitInconclusive {
 			t.Errorf("%v ended with %v", args, err)
 		}
 	}
 }
 
-func TestOptions(t *testing.T) {
+func TestOptionsFileIsRefusedWithItsLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "w.yaml")
 	if err := os.WriteFile(path, []byte("sharing:\n  member: {}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("LB_CONFIG", "../../deploy/sample.json")
-	if err := run(t.Context(), nil, path, nil); err == nil || !strings.Contains(err.Error(), "w.yaml:2: member: unknown field") {
+	if err := serve(t.Context(), nil, path, nil); err == nil || !strings.Contains(err.Error(), "w.yaml:2: member: unknown field") {
 		t.Errorf("got %v", err)
 	}
-	if err := run(t.Context(), nil, "../../deploy/none.yaml", nil); err == nil || !strings.Contains(err.Error(), "cannot be read") {
+	if err := serve(t.Context(), nil, "../../deploy/none.yaml", nil); err == nil || !strings.Contains(err.Error(), "cannot be read") {
 		t.Errorf("got %v", err)
 	}
 	if shipped, err := os.ReadFile("../../deploy/wheelrill.yaml"); err != nil || len(shipped) == 0 {
--- a/cmd/wheelrill/scale_test.go
+++ b/cmd/wheelrill/scale_test.go
@@ -15,21 +15,21 @@
 )
 
 // commands runs the program's command line, and gives what it wrote and the code that it ended with.
-func commands(t *testing.T, args ...string) (string, int) {
+func commands(t *testing.T, args ...string) (string, exitCode) {
 	t.Helper()
-	top := root(t.Context(), nil)
+	root := newRootCommand(t.Context(), nil)
 	var text bytes.Buffer
-	top.SetOut(&text)
-	top.SetArgs(args)
-	err := top.Execute()
-	var code exit
+	root.SetOut(&text)
+	root.SetArgs(args)
+	err := root.Execute()
+	var code exitCode
 	if err != nil && !errors.As(err, &code) {
 		t.Fatalf("%v: %v", args, err)
 	}
-	return text.String(), int(code)
+	return text.String(), code
 }
 
-func TestScaleRun(t *testing.T) {
+func TestScaleRunMeasuresKeepsAndRefuses(t *testing.T) {
 	listed, code := commands(t, "scale", "list")
 	for _, m := range scale.Measurements() {
 		if !strings.Contains(listed, m.Describe().Name) || code != 0 {
@@ -39,28 +39,28 @@
 	for _, args := range [][]string{{"scale", "run", "nothing"}, {"scale", "run", "record", "--for", "5s"},
 		{"scale", "run", "record", "--sizes", "200"}, {"scale", "run", "record", "--sizes", "15"},
 		{"scale", "run", "distribution", "--sizes", "10000000"}, {"scale", "run", "record-hollow", "--sizes", "3", "--for", "2h"}} {
-		if text, code := commands(t, args...); code != exitUnjudged || text != "" {
+		if text, code := commands(t, args...); code != exitInconclusive || text != "" {
 			t.Errorf("%v ended with %d and wrote %q", args, code, text)
 		}
 	}
 	folder := t.TempDir()
 	text, code := commands(t, "scale", "run", "record-hollow", "--sizes", "3", "--for", "1s", "--out", folder, "--name", "short", "--text", "abc", "--json")
-	var told results.Run
-	if err := json.Unmarshal([]byte(text), &told); err != nil || told.Revision != "abc" || len(told.Samples) != 1 {
+	var run results.Run
+	if err := json.Unmarshal([]byte(text), &run); err != nil || run.Revision != "abc" || len(run.Samples) != 1 {
 		t.Fatalf("%v in %s", err, text)
 	}
-	if entries, _ := told.Samples[0].Get("entries_per_s"); entries < 5 {
+	if entries, _ := run.Samples[0].Get("entries_per_s"); entries < 5 {
 		t.Errorf("three members put %v entries a second on the record", entries)
 	}
-	if want := map[rehearse.Verdict]int{results.VerdictPassed: 0, results.VerdictViolated: exitBroken, results.VerdictInconclusive: exitUnjudged}[told.Verdict]; code != want {
-		t.Errorf("verdict %s ended with %d", told.Verdict, code)
+	if want := map[rehearse.Verdict]exitCode{results.VerdictPassed: 0, results.VerdictViolated: exitViolated, results.VerdictInconclusive: exitInconclusive}[run.Verdict]; code != want {
+		t.Errorf("verdict %s ended with %d", run.Verdict, code)
 	}
 	if kept, err := results.Load(folder); err != nil || len(kept) != 1 || kept[0].Name != "short" {
 		t.Errorf("kept: %v, %v", kept, err)
 	}
 }
 
-func TestScaleReport(t *testing.T) {
+func TestScaleReportChecksAndWritesPages(t *testing.T) {
 	folder := t.TempDir()
 	run := &results.Run{Name: "one", About: "One", Size: "members", Metrics: []results.Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes"}}}
 	s := results.Sample{Size: 3}
@@ -75,11 +75,11 @@
 			t.Fatal(err)
 		}
 	}
-	report := func(args ...string) (string, int) {
+	report := func(args ...string) (string, exitCode) {
 		return commands(t, append([]string{"scale", "report", "--runs", folder}, args...)...)
 	}
 	write("<!-- scale report one -->\n<!-- end -->\n")
-	if _, code := report("--check", page); code != exitBroken {
+	if _, code := report("--check", page); code != exitViolated {
 		t.Errorf("a page without its table ended with %d", code)
 	}
 	if _, code := report("--write", page); code != 0 {
