--- a/cmd/wheelrill/golden_test.go
+++ b/cmd/wheelrill/golden_test.go
@@ -18,7 +18,7 @@
 
 	"wheelrill/internal/golden"
 	"wheelrill/rehearse"
-	"wheelrill/scale"
+	"wheelrill/scale/results"
 )
 
 // described gives a command, its flags with types and defaults, and the commands under it.
@@ -35,7 +35,7 @@
 
 // TestCommandsAndFlagsAreAsBefore keeps each command, flag and default.
 func TestCommandsAndFlagsAreAsBefore(t *testing.T) {
-	golden.Compare(t, "commands.golden", described(root(t.Context(), nil)))
+	golden.Compare(t, "commands.golden", described(newRootCommand(t.Context(), nil)))
 }
 
 // TestExitCodesAreAsBefore runs the program with arguments that end at once, and keeps the code of each.
@@ -76,7 +76,7 @@
 		text += fmt.Sprintf("%s: %d\n", strings.ReplaceAll(strings.Join(append([]string{"wheelrill"}, args...), " "), folder, "FOLDER"), c.ProcessState.ExitCode())
 	}
 	for _, verdict := range []rehearse.Verdict{rehearse.VerdictPassed, rehearse.VerdictViolated, rehearse.VerdictInconclusive, "another"} {
-		code, err := exit(0), exitOf(verdict)
+		code, err := exitCode(0), verdictError(verdict)
 		if err != nil && !errors.As(err, &code) {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 
 // TestReportsAreWrittenAsBefore keeps what --json writes of a rehearsal and of a measurement, with all fields given.
 func TestReportsAreWrittenAsBefore(t *testing.T) {
-	report, run := &rehearse.Report{}, &scale.Run{}
+	report, run := &rehearse.Report{}, &results.Run{}
 	fill(reflect.ValueOf(report).Elem())
 	fill(reflect.ValueOf(run).Elem())
 	report.Verdict = rehearse.VerdictPassed
@@ -150,7 +150,7 @@
 // TestKeptRunsAreReadAsBefore reads every kept run of the checkout, and writes it again with the same keys and values.
 func TestKeptRunsAreReadAsBefore(t *testing.T) {
 	const folder = "../../docs/capacity"
-	runs, err := scale.Load(folder)
+	runs, err := results.Load(folder)
 	if err != nil || len(runs) < 20 {
 		t.Fatalf("%d runs are kept, %v", len(runs), err)
 	}
