--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"os"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -62,64 +61,88 @@
 	return []Entry{set("b", "y", value), set("b", "z", value)}
 }
 
+// Kinds of events, by the letters that stand for them in the words of a start. A subscriber's first connection is the one
+// that it dialled first; down is to the subscriber, up to its parent.
+const (
+	acceptChange       = 'a' // a change is accepted; the first voter has it at once
+	followRecord       = 'f' // a voter that lags gets one change more, or the new record
+	foundRecord        = 'n' // the record is founded anew, which the first voter knows at once
+	restartVoterBehind = 'o' // a voter starts anew, with all but the last change of the record
+	deliverDown        = 'd' // a message arrives on a subscriber's first connection
+	deliverUp          = 'u'
+	loseDown           = 'x' // a message is lost on a subscriber's first connection
+	loseUp             = 'y'
+	deliverDown2       = 'e' // a message arrives on a subscriber's second connection
+	deliverUp2         = 'w'
+	cutConnection      = 'c' // a subscriber's first connection is cut, and none to that parent succeeds
+	healCuts           = 'h' // connections succeed again
+	restartWithVersion = 'k' // a subscriber starts anew, and knows no more than the version that it had
+	restartWithNothing = 'q' // a subscriber starts anew, and knows nothing of what it had
+	restartWithState   = 'p' // a subscriber starts anew with what it had
+	compactLog         = 'm' // a node drops its log and tombstones
+	changeScopes       = 'z' // a subscriber asks for other scopes
+	settleAll          = 's' // everything on its way arrives
+	passTime           = 't' // modelStep passes, and every node is told
+)
+
 // event plays one event; false where it can do nothing.
 func (c *cluster) event(h modelEvent) bool {
 	m := c.members[h.who]
 	switch h.kind {
-	case 'a': // a change is accepted; the first voter has it at once
+	case acceptChange:
 		c.accept(modelEntries(len(c.record) + 1)...)
 		c.follow(c.members[0], len(c.record))
-	case 'f': // a voter that lags gets one change more, or the new record
+	case followRecord:
 		return c.followOne(m)
-	case 'n': // the record is founded anew, which the first voter knows at once
+	case foundRecord:
 		c.epoch, c.record = Epoch{c.epoch.Number + 1, c.epoch.Identity + 1}, nil
 		c.followOne(c.members[0])
-	case 'o': // a voter starts anew, with all but the last change of the record
+	case restartVoterBehind:
 		if m.node.Version().Revision == 0 {
 			return false
 		}
 		m.kill()
 		m.start(State{})
 		c.follow(m, len(c.record)-1)
-	case 'd', 'e', 'u', 'w', 'x', 'y':
+	case deliverDown, deliverDown2, deliverUp, deliverUp2, loseDown, loseUp:
 		return c.moveOne(m, h.kind)
-	case 'c': // the first connection of a subscriber is cut, and none to that parent succeeds
+	case cutConnection:
 		conns := c.dialled(m)
 		if len(conns) == 0 {
 			return false
 		}
 		c.cut(m, conns[0].acceptor)
-	case 'h':
+	case healCuts:
 		if len(c.cuts) == 0 {
 			return false
 		}
 		clear(c.cuts)
-	case 'k': // a subscriber starts anew, and knows no more than the version that it had
+	case restartWithVersion:
 		m.kill()
 		m.config.Floor = m.highest
 		m.start(State{})
-	case 'q': // a relay starts anew, and knows nothing of what it had
+	case restartWithNothing:
 		m.highest = Version{}
 		m.kill()
 		m.start(State{})
-	case 'p': // a subscriber starts anew with what it had
+	case restartWithState:
 		state := m.node.State()
 		m.kill()
 		m.start(state)
-	case 'm':
+	case compactLog:
 		if m.node.store.log.floor == m.node.Version().Revision {
 			return false
 		}
 		m.node.Compact(m.node.Version().Revision)
-	case 'z': // a subscriber asks for other scopes
+	case changeScopes:
 		m.config.Scopes = SomeScopes("a", "b")
 		if m.node.config.Scopes.Has("b") {
 			m.config.Scopes = SomeScopes("a")
 		}
 		m.node.Resubscribe(m.config.Scopes, c.now)
-	case 's':
+	case settleAll:
 		c.settle()
-	case 't':
+	case passTime:
 		c.now += modelStep
 		c.modelTick()
 	}
@@ -162,159 +185,38 @@
 	return conns
 }
 
-// moveOne lets one message of a subscriber's first or second connection arrive or get lost.
+// messageMove says which message of a subscriber moves, and how.
+type messageMove struct {
+	connection int // of those that the subscriber dialled
+	side       int // 0 to the subscriber, 1 to its parent
+	lose       bool
+}
+
+var messageMoves = map[byte]messageMove{
+	deliverDown:  {connection: 0, side: 0},
+	deliverUp:    {connection: 0, side: 1},
+	loseDown:     {connection: 0, side: 0, lose: true},
+	loseUp:       {connection: 0, side: 1, lose: true},
+	deliverDown2: {connection: 1, side: 0},
+	deliverUp2:   {connection: 1, side: 1},
+}
+
+// moveOne lets one message of a subscriber's first or second connection arrive or get lost; false if there is none.
 func (c *cluster) moveOne(m *member, kind byte) bool {
+	move := messageMoves[kind]
 	conns := c.dialled(m)
-	index := strings.IndexByte("dux ew y", kind) / 4
-	if kind == 'y' {
-		index = 0
-	}
-	if index >= len(conns) {
+	if move.connection >= len(conns) {
 		return false
 	}
-	side := 0 // to the subscriber
-	if kind == 'u' || kind == 'w' || kind == 'y' {
-		side = 1
-	}
-	lose := kind == 'x' || kind == 'y'
-	if lose && len(conns[index].queues[side]) == 0 {
+	conn := conns[move.connection]
+	if move.lose && len(conn.queues[move.side]) == 0 {
 		return false
 	}
-	moved := c.deliver(conns[index], side, lose)
+	moved := c.deliver(conn, move.side, move.lose)
 	c.connect()
 	return moved
 }
 
-// startingState is a start of the model: who there is, and what comes before the orders that are played.
-type startingState struct {
-	name   string
-	voters int
-	relays int
-	first  string // before every order
-	kinds  string // the events, by kind and member as in "a0 d2"
-	depth  int
-}
-
-// begin starts the world's members: voters, relays below the first voter, and one subscriber of scope "a".
-func (w startingState) begin(plant func(*Node)) *cluster {
-	c := newCluster()
-	limits := modelLimits()
-	var voters, parents []string
-	for i := range w.voters {
-		voters = append(voters, fmt.Sprint("v", i))
-		c.add(voter(voters[i], limits))
-	}
-	for i := range w.relays {
-		parents = append(parents, fmt.Sprint("r", i))
-		c.add(subscriber(parents[i], AllScopes(), limits, voters...))
-	}
-	if w.relays == 0 {
-		parents = voters
-	}
-	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, parents...))
-	c.accept(modelEntries(1)...)
-	for _, m := range c.members[:w.voters] {
-		c.follow(m, 1)
-	}
-	for range 3 {
-		c.now += modelStep
-		c.modelTick()
-		c.settle()
-	}
-	plant(leaf.node)
-	return c
-}
-
-// after plays an event on a copy of a state, checks every node after it, and tells whether it could happen.
-func (c *cluster) after(h modelEvent, plant func(*Node)) (next *cluster, could bool) {
-	next = c.clone()
-	could = next.event(h)
-	plant(next.members[len(next.members)-1].node)
-	next.verify()
-	return next, could
-}
-
-func (c *cluster) verify() {
-	for _, m := range c.members {
-		m.verify()
-	}
-}
-
-// convergeSteps is the time in which everybody has the whole record once nothing fails any more.
-const convergeSteps = 14
-
-// converge ends all failures and checks that everybody gets the whole record.
-func (c *cluster) converge() {
-	clear(c.cuts)
-	for range convergeSteps {
-		for _, m := range c.members {
-			for c.followOne(m) {
-			}
-		}
-		c.now += modelStep
-		c.modelTick()
-		c.settle()
-		for _, m := range c.members {
-			m.note()
-		}
-	}
-	c.verify()
-	for _, m := range c.members {
-		if want := (Version{c.epoch, uint64(len(c.record))}); m.node.Version() != want {
-			c.fails("%s stays at %v, the record is at %v", m.config.Name, m.node.Version(), want)
-		}
-	}
-}
-
-// reached is a state of the model and the events that led to it.
-type reached struct {
-	cluster *cluster
-	path    []modelEvent
-}
-
-// explore plays every order of the world's events to a depth. It gives the shortest breach, or "" if there is none,
-// and how many states there are.
-func (w startingState) explore(depth int, plant func(*Node)) (breach string, states int) {
-	start := reached{cluster: w.begin(plant)}
-	for _, h := range parsed(w.first) {
-		start.path = append(start.path, h)
-		start.cluster, _ = start.cluster.after(h, plant)
-		if start.cluster.broken != "" {
-			return fmt.Sprint(start.path, ": ", start.cluster.broken), 0
-		}
-	}
-	kinds := parsed(w.kinds)
-	seen, level := map[uint64]bool{}, []reached{start}
-	for range depth {
-		var next []reached
-		for _, from := range level {
-			for _, h := range kinds {
-				c, could := from.cluster.after(h, plant)
-				path := append(slices.Clone(from.path), h)
-				if c.broken != "" {
-					return fmt.Sprint(path, ": ", c.broken), len(seen)
-				}
-				if !could {
-					continue
-				}
-				key := c.key()
-				if seen[key] {
-					continue
-				}
-				seen[key] = true
-				next = append(next, reached{c, path})
-				end := c.clone()
-				end.converge()
-				if end.broken != "" {
-					return fmt.Sprint(path, " and no failure any more: ", end.broken), len(seen)
-				}
-			}
-		}
-		level = next
-	}
-	return "", len(seen)
-}
-
 // deeper is how many events more than usual are played.
 func deeper() int {
 	given, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // 2 takes minutes
