--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -1,8 +1,6 @@
 package balancer
 
 import (
-	"bufio"
-	"bytes"
 	"crypto/sha256"
 	"flag"
 	"fmt"
@@ -12,18 +10,18 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"wheelrill/internal/golden"
 )
 
 // The transcript plays seeded sequences of calls, of every exported method and under many settings, and keeps every
 // call, every effect asked of the host with the clock, and every returned value. Golden files hold the first lines of
 // each case and a hash of each chunk of the rest. Log texts are left out.
 //
-//	go test -run TestTranscript -update-transcripts            renews the golden files; never in CI
+//	go test -run TestTranscript -update                        renews the golden files; never in CI
 //	go test -run TestTranscript -write-transcripts=DIRECTORY   writes complete transcripts, to be compared line by line
-var (
-	updateTranscripts = flag.Bool("update-transcripts", false, "renew the golden transcripts")
-	writeTranscripts  = flag.String("write-transcripts", "", "write complete transcripts into this `directory`")
-)
+
+var writeTranscripts = flag.String("write-transcripts", "", "write complete transcripts into this `directory`")
 
 const (
 	transcriptHead  = 250  // lines that a golden file shows
@@ -132,9 +130,9 @@
 }
 
 // summary is the head of a transcript without log lines, and a hash of each chunk after it.
-func summary(lines []string) []byte {
+func summary(lines []string) string {
 	lines = slices.DeleteFunc(slices.Clone(lines), func(line string) bool { return strings.HasPrefix(line, logMarker) })
-	var text bytes.Buffer
+	var text strings.Builder
 	head := min(len(lines), transcriptHead)
 	for _, line := range lines[:head] {
 		fmt.Fprintln(&text, line)
@@ -145,7 +143,7 @@
 		fmt.Fprintf(&text, "lines %d to %d: %x\n", from+1, from+len(chunk), hash[:12])
 		from += len(chunk)
 	}
-	return text.Bytes()
+	return text.String()
 }
 
 func TestTranscript(t *testing.T) {
@@ -158,29 +156,7 @@
 					t.Fatal(err)
 				}
 			}
-			got, path := summary(lines), filepath.Join("testdata", "transcript", of.name+".txt")
-			if *updateTranscripts {
-				if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-					t.Fatal(err)
-				}
-				if err := os.WriteFile(path, got, 0o644); err != nil {
-					t.Fatal(err)
-				}
-			}
-			want, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if bytes.Equal(got, want) {
-				return
-			}
-			ours, theirs := bufio.NewScanner(bytes.NewReader(got)), bufio.NewScanner(bytes.NewReader(want))
-			for line := 1; ; line++ {
-				more, others := ours.Scan(), theirs.Scan()
-				if ours.Text() != theirs.Text() || !more || !others {
-					t.Fatalf("line %d of %s:\ngot  %s\nwant %s\nboth complete: -write-transcripts", line, path, ours.Text(), theirs.Text())
-				}
-			}
+			golden.Compare(t, filepath.Join("transcript", of.name+".txt"), summary(lines))
 		})
 	}
 }
