--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -106,7 +106,7 @@
 	case ownership.Join:
 		response, err := l.callMember(ctx, step.JoinVia, memberRequest{Name: l.config.Name, ID: current.id})
 		if err == nil && !response.Accepted {
-			l.log.Debug("join", "at", step.JoinVia, "why", response.Why)
+			l.log.Debug("join", "at", step.JoinVia, "reason", response.Why)
 		}
 	case ownership.Bootstrap:
 		var servers []raft.Server
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -128,7 +128,7 @@
 	if errors.Is(why, errOtherID) || errors.Is(why, net.ErrClosed) || errors.Is(why, io.EOF) {
 		return
 	}
-	n.log.Warn("member_refused", "peer", from.String(), "why", why.Error())
+	n.log.Warn("member_refused", "peer", from.String(), "reason", why.Error())
 }
 
 // Run takes part in the record until the context ends. It hands the leadership on, and returns when all has ended.
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -119,9 +119,9 @@
 		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.WithoutQuorum() {
 			t.Errorf("entered with %+v, alone %v", e, coordinator.WithoutQuorum())
 		}
-		coordinator.ProxyHeardFrom(4, 1000) // heard before: it may be gone since
+		coordinator.ProxyActiveAt(4, 1000) // heard before: it may be gone since
 		host.commitLast(coordinator, 1300)
-		coordinator.ProxyHeardFrom(4, 1350)
+		coordinator.ProxyActiveAt(4, 1350)
 		host.commitLast(coordinator, 1400) // what was under way
 		if again := host.commitLast(coordinator, 1410); !slices.Equal(again.Reclaims, []int{4}) || coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
 			t.Errorf("claimed with %+v, owns %d, moves %v", again, coordinator.OwnedProxies(), coordinator.record.Proxies[4].Moves)
@@ -214,8 +214,8 @@
 		if coordinator.OwnedProxies() != 0 || host.sentByPeers[4] != terms.OwnerQuota() {
 			t.Errorf("owns %d, spent %v", coordinator.OwnedProxies(), host.sentByPeers)
 		}
-		coordinator.ProxyHeardFrom(4, 60) // what was heard before says nothing
-		coordinator.ProxyHeardFrom(5, 300)
+		coordinator.ProxyActiveAt(4, 60) // what was heard before says nothing
+		coordinator.ProxyActiveAt(5, 300)
 		coordinator.Tick(300)
 		host.commitLast(coordinator, 310)
 		if host.commitLast(coordinator, 320); coordinator.record.Proxies[5].Owner != "n0" || coordinator.record.Proxies[4].Owner != "n1" {
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -219,7 +219,7 @@
 				p.coordinator.Tick(w.now)
 			}
 			if p.up && w.stream == p.index && w.serial == p.joined {
-				p.coordinator.ProxyHeardFrom(0, w.now)
+				p.coordinator.ProxyActiveAt(0, w.now)
 			}
 		}
 	case eventDial:
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -29,9 +29,9 @@
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, isProxy)
 }
 
-// ProxyHeardFrom takes when a proxy was last heard from on its stream. If another member owns it by the record, it is with
+// ProxyActiveAt takes when a proxy was last heard from on its stream. If another member owns it by the record, it is with
 // us nevertheless, and is claimed again.
-func (c *Coordinator) ProxyHeardFrom(proxy int, at int64) {
+func (c *Coordinator) ProxyActiveAt(proxy int, at int64) {
 	state := c.proxies[proxy]
 	if state != nil && state.silentSince > 0 && at > state.silentSince+c.terms.RenewInterval {
 		c.claim(proxy, sameStream)
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -145,7 +145,7 @@
 			m.coordinator.ProxyAcknowledged(proxy, m.released, tables, m.random.IntN(2) == 0)
 		}
 	case 5:
-		m.coordinator.ProxyHeardFrom(proxy, m.now)
+		m.coordinator.ProxyActiveAt(proxy, m.now)
 	case 6:
 		m.evidence.AddOutcomes(backend, 1+m.random.IntN(9), m.random.IntN(2), int64(m.random.IntN(5000)), 300)
 	case 7:
