--- a/consensus/node.go
+++ b/consensus/node.go
@@ -51,7 +51,7 @@
 	events    Events
 	log       *slog.Logger
 	transport *transport
-	clock     func() int64 // µs since New
+	clock     func() ownership.Microseconds // since New
 	pace      pace
 
 	// proposals holds the entry that is to be forwarded next, and no other: a member has one entry in flight.
@@ -107,7 +107,7 @@
 		stamp:     randomID(),
 		leases:    ownership.NewLeaseTracker(config.Terms),
 		pace:      paceFor(time.Duration(config.Terms.Duration) * time.Microsecond),
-		clock:     func() int64 { return time.Since(started).Microseconds() },
+		clock:     func() ownership.Microseconds { return time.Since(started).Microseconds() },
 	}
 	n.transport = newTransport(config.Members, secure)
 	n.transport.listener = listener
--- a/ownership/apply.go
+++ b/ownership/apply.go
@@ -6,7 +6,7 @@
 )
 
 // EntryApplied takes the next committed entry of the record, of whatever member.
-func (c *Coordinator) EntryApplied(e Entry, now int64) {
+func (c *Coordinator) EntryApplied(e Entry, now Microseconds) {
 	c.observeStamp(e.Stamp, now)
 	moves, accepted := c.record.Apply(e)
 	if !accepted {
@@ -27,7 +27,7 @@
 }
 
 // SnapshotRestored takes the record as a whole, in place of the entries that led to it.
-func (c *Coordinator) SnapshotRestored(record *Record, now int64) {
+func (c *Coordinator) SnapshotRestored(record *Record, now Microseconds) {
 	c.record = record
 	for proxy, owned := range record.Proxies {
 		for _, stamp := range owned.Moves {
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -53,35 +53,35 @@
 
 	// The incarnation and its entries.
 	incarnation    uint64
-	seq            uint64 // of the last entry that was committed; 0 before the incarnation has entered
-	inFlight       *Entry // proposed and not answered yet; nil for none
-	proposedAt     int64  // when inFlight was first proposed
-	pending        Entry  // what gathers for the entry after it
-	leaseFrom      int64  // when the last committed entry had been proposed
-	lastProposedAt int64  // when any entry was
-	lastEnteredAt  int64  // when the entry that enters was last proposed
-	withoutQuorum  bool   // we go on without the record
+	seq            uint64       // of the last entry that was committed; 0 before the incarnation has entered
+	inFlight       *Entry       // proposed and not answered yet; nil for none
+	proposedAt     Microseconds // when inFlight was first proposed
+	pending        Entry        // what gathers for the entry after it
+	leaseFrom      Microseconds // when the last committed entry had been proposed
+	lastProposedAt Microseconds // when any entry was
+	lastEnteredAt  Microseconds // when the entry that enters was last proposed
+	withoutQuorum  bool         // we go on without the record
 	closing        bool
-	started        int64
+	started        Microseconds
 
 	revision     uint64                     // of our tables
 	tables       map[int]map[string]float64 // weights by table and backend
 	proxies      map[int]*proxyState        // that are connected to us
-	grantTimes   map[int][]int64            // when proxies were granted to us, within the window
+	grantTimes   map[int][]Microseconds     // when proxies were granted to us, within the window
 	leaderClocks map[uint64]leaderClock
 }
 
 // proxyState is a proxy that is connected to us.
 type proxyState struct {
 	granted   bool
-	grantedAt int64
+	grantedAt Microseconds
 	owned     bool   // by the record, in this incarnation or in the last
 	token     uint64 // of this incarnation's claim; 0 while there is none
 	// staleClaims counts claims of ours that were in flight as its stream began: they were for an older stream.
 	staleClaims int
 	// silentSince is since when it has been ours by no claim, and has to be heard from before it is claimed; 0 for one that
 	// is ours, or is claimed.
-	silentSince int64
+	silentSince Microseconds
 
 	// What it has acknowledged, as in Confirmation.
 	revision         uint64
@@ -90,7 +90,7 @@
 }
 
 // New makes the Coordinator of a member that has just started.
-func New(host Host, name string, terms LeaseTerms, now int64) *Coordinator {
+func New(host Host, name string, terms LeaseTerms, now Microseconds) *Coordinator {
 	c := &Coordinator{
 		host:           host,
 		terms:          terms,
@@ -101,7 +101,7 @@
 		lastProposedAt: now - terms.RenewInterval,
 		tables:         map[int]map[string]float64{},
 		proxies:        map[int]*proxyState{},
-		grantTimes:     map[int][]int64{},
+		grantTimes:     map[int][]Microseconds{},
 		leaderClocks:   map[uint64]leaderClock{},
 	}
 	c.enterRecord(now)
@@ -129,7 +129,7 @@
 
 // Tick does what is due by time: it leaves the record when the lease has ended, ends quotas whose window has passed, and
 // renews. It is to be called several times within LeaseTerms.RenewInterval.
-func (c *Coordinator) Tick(now int64) {
+func (c *Coordinator) Tick(now Microseconds) {
 	if !c.withoutQuorum && now-c.leaseFrom >= c.terms.Duration {
 		c.leaveRecord(now)
 	}
@@ -149,7 +149,7 @@
 }
 
 // Close gives all proxies away at a planned end: the caller writes to none from now on.
-func (c *Coordinator) Close(now int64) {
+func (c *Coordinator) Close(now Microseconds) {
 	c.closing = true
 	c.pending.Closing = true
 	c.pending.Claims = nil
@@ -165,7 +165,7 @@
 
 // enterRecord begins an incarnation, with our tables as they stand. Connected proxies are claimed as they are heard from:
 // we may have stood still, and a claim would take back those that have gone to others since.
-func (c *Coordinator) enterRecord(now int64) {
+func (c *Coordinator) enterRecord(now Microseconds) {
 	c.incarnation = c.host.RandomID()
 	c.seq = 0
 	c.inFlight = nil
@@ -179,7 +179,7 @@
 
 // leaveRecord has the member go on without the record, as a new incarnation: orders that waited are released, and every
 // connected proxy is granted.
-func (c *Coordinator) leaveRecord(now int64) {
+func (c *Coordinator) leaveRecord(now Microseconds) {
 	c.withoutQuorum = true
 	c.host.QuorumChanged(true, "no entry of ours stands for a lease, or another entered under our name")
 	c.host.ReleaseUpTo(c.revision)
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -1,6 +1,6 @@
 // Package ownership decides which of several controllers (members) owns which proxy, what a proxy that changes its owner
 // is known to hold, and how many messages may still be written to it. It has no I/O, no clock and no goroutine: every
-// method is called by one goroutine of the caller, and times are given to it in µs of the caller's monotonic clock.
+// method is called by one goroutine of the caller, and times are those of the caller's monotonic clock.
 //
 // # The record
 //
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -40,8 +40,8 @@
 type Stamp struct {
 	// Leader is a random number that a process draws for its clock.
 	Leader uint64 `cbor:"1,keyasint"`
-	// At is in µs since that process started.
-	At int64 `cbor:"2,keyasint"`
+	// At is since that process started.
+	At Microseconds `cbor:"2,keyasint"`
 }
 
 // WithdrawnTable is the number under which a member records what it has withdrawn: a weight of 1 withdraws a backend, 0
@@ -86,14 +86,14 @@
 	Attempts int `cbor:"2,keyasint"`
 	// Failed counts those of them that failed.
 	Failed int `cbor:"3,keyasint"`
-	// MeanLatency of the others, in µs.
-	MeanLatency int64 `cbor:"4,keyasint"`
-	// Window is the span that was observed, in µs.
-	Window int64 `cbor:"5,keyasint"`
+	// MeanLatency is that of the others.
+	MeanLatency Microseconds `cbor:"4,keyasint"`
+	// Window is the span that was observed.
+	Window Microseconds `cbor:"5,keyasint"`
 	// Withdrawn: the member has withdrawn the backend, for the attempts given here.
 	Withdrawn bool `cbor:"6,keyasint,omitempty"`
-	// Backoff is for how long it is withdrawn, in µs.
-	Backoff int64 `cbor:"7,keyasint,omitempty"`
+	// Backoff is for how long it is withdrawn.
+	Backoff Microseconds `cbor:"7,keyasint,omitempty"`
 }
 
 // Demand is the load that clients put on a proxy.
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -9,8 +9,8 @@
 // backends are withdrawn here, the demand at each proxy, and the fleet's capacity. It is reported at most once a
 // reportInterval, and at once when a backend is withdrawn or restored. It is not safe for concurrent use.
 type Evidence struct {
-	interval   int64 // µs between two reports
-	reportedAt int64
+	interval   Microseconds // between two reports
+	reportedAt Microseconds
 
 	observed      map[string]Observation // since the last report, by backend
 	withdrawn     map[string]Observation // backends that are withdrawn here
@@ -36,21 +36,22 @@
 
 // When something is reported, and how much of it.
 const (
-	maxDemands        = 64               // proxies in a report
-	demandTolerance   = 0.2              // a change of demand by less is not reported
-	capacityTolerance = 0.1              // a change of capacity by less is not reported
-	demandWindow      = int64(5_000_000) // µs over which demand is averaged
-	reportInterval    = int64(1_000_000) // µs between two reports
+	maxDemands        = 64  // proxies in a report
+	demandTolerance   = 0.2 // a change of demand by less is not reported
+	capacityTolerance = 0.1 // a change of capacity by less is not reported
+
+	demandWindow   = Microseconds(5_000_000) // over which demand is averaged
+	reportInterval = Microseconds(1_000_000) // between two reports
 )
 
 // rate is an average of requests a second.
 type rate struct {
 	perSecond float64
-	window    int64 // µs that were averaged so far
+	window    Microseconds // that were averaged so far
 }
 
-// add takes further requests within a span of time, in µs.
-func (r *rate) add(requests int, span int64) {
+// add takes further requests within a span of time.
+func (r *rate) add(requests int, span Microseconds) {
 	r.perSecond += (float64(requests)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
 	r.window += span
 }
@@ -68,9 +69,9 @@
 	}
 }
 
-// AddOutcomes adds what our proxies met at a backend within a window, in µs: attempts, how many of them failed, and the
-// mean latency of the others, in µs.
-func (v *Evidence) AddOutcomes(backend string, attempts, failed int, meanLatency, window int64) {
+// AddOutcomes adds what our proxies met at a backend within a window: attempts, how many of them failed, and the mean
+// latency of the others.
+func (v *Evidence) AddOutcomes(backend string, attempts, failed int, meanLatency, window Microseconds) {
 	observation := v.observed[backend]
 	before := int64(observation.Attempts - observation.Failed)
 	succeeded := int64(attempts - failed)
@@ -84,9 +85,8 @@
 	v.observed[backend] = observation
 }
 
-// SetWithdrawn notes whether a backend is withdrawn here, for so many attempts of which so many failed, and for how long,
-// in µs.
-func (v *Evidence) SetWithdrawn(backend string, withdrawn bool, attempts, failed int, backoff int64) {
+// SetWithdrawn notes whether a backend is withdrawn here, for so many attempts of which so many failed, and for how long.
+func (v *Evidence) SetWithdrawn(backend string, withdrawn bool, attempts, failed int, backoff Microseconds) {
 	if !withdrawn {
 		delete(v.withdrawn, backend)
 		return
@@ -110,8 +110,8 @@
 	delete(v.lastWithdrawn, backend)
 }
 
-// AddDemand adds requests of one class that clients sent to a proxy within a span of time, in µs.
-func (v *Evidence) AddDemand(proxy, class, requests int, span int64) {
+// AddDemand adds requests of one class that clients sent to a proxy within a span of time.
+func (v *Evidence) AddDemand(proxy, class, requests int, span Microseconds) {
 	if span <= 0 {
 		return
 	}
@@ -138,7 +138,7 @@
 func (v *Evidence) SetCapacity(capacity Capacity) { v.capacity = capacity }
 
 // TakeDue gives what is to be reported now, and counts it as reported.
-func (v *Evidence) TakeDue(now int64) Report {
+func (v *Evidence) TakeDue(now Microseconds) Report {
 	if !v.withdrawalsChanged() && now-v.reportedAt < v.interval {
 		return Report{}
 	}
@@ -220,7 +220,7 @@
 }
 
 // AddEvidence puts what is due of our evidence into the next entry.
-func (c *Coordinator) AddEvidence(evidence *Evidence, now int64) {
+func (c *Coordinator) AddEvidence(evidence *Evidence, now Microseconds) {
 	report := evidence.TakeDue(now)
 	c.pending.Observations = append(c.pending.Observations, report.Observations...)
 	c.pending.Demands = append(c.pending.Demands, report.Demands...)
--- a/ownership/leader_clock.go
+++ b/ownership/leader_clock.go
@@ -3,14 +3,14 @@
 // maxLeaderClocks is how many leaders' clocks are known at a time. Of a forgotten one no recent stamp can be left.
 const maxLeaderClocks = 64
 
-// leaderClock relates a leader's clock to ours: the greatest stamp of it that was received, and when, both in µs.
+// leaderClock relates a leader's clock to ours: the greatest stamp of it that was received, and when.
 type leaderClock struct {
-	stampedAt  int64 // by the leader's clock
-	receivedAt int64 // by ours
+	stampedAt  Microseconds // by the leader's clock
+	receivedAt Microseconds // by ours
 }
 
 // observeStamp takes a stamp of the record.
-func (c *Coordinator) observeStamp(stamp Stamp, now int64) {
+func (c *Coordinator) observeStamp(stamp Stamp, now Microseconds) {
 	if last, known := c.leaderClocks[stamp.Leader]; known && last.stampedAt > stamp.At {
 		return
 	}
@@ -27,8 +27,8 @@
 	delete(c.leaderClocks, oldest)
 }
 
-// stampAge is how long ago a stamp was given at least, in µs. One of an unknown leader counts as older than the window.
-func (c *Coordinator) stampAge(stamp Stamp, now int64) int64 {
+// stampAge is how long ago a stamp was given at least. One of an unknown leader counts as older than the window.
+func (c *Coordinator) stampAge(stamp Stamp, now Microseconds) Microseconds {
 	last, known := c.leaderClocks[stamp.Leader]
 	if !known {
 		return c.terms.MessageWindow
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -4,19 +4,19 @@
 // written nothing off the record. The package's comment says why its bounds hold. It is kept over several leaderships of
 // one process, and does not survive that. It is not safe for concurrent use.
 type LeaseTracker struct {
-	lease    int64                    // µs
+	lease    Microseconds
 	members  int                      // how many there are
 	arrivals map[uint64]entryArrivals // by incarnation
-	goneAt   map[string]int64         // when a member was last seen not to run
+	goneAt   map[string]Microseconds  // when a member was last seen not to run
 }
 
 // entryArrivals tells when the last entries of an incarnation arrived, in a row on one connection.
 type entryArrivals struct {
 	connection int
 	seq        uint64
-	arrivedAt  int64 // when that one arrived
-	previousAt int64 // when the one before did, or notArrived
-	leaseFrom  int64 // the lease counts from here at the soonest, or notArrived
+	arrivedAt  Microseconds // when that one arrived
+	previousAt Microseconds // when the one before did, or notArrived
+	leaseFrom  Microseconds // the lease counts from here at the soonest, or notArrived
 }
 
 // notArrived is in place of a time in entryArrivals.
@@ -28,24 +28,24 @@
 		lease:    terms.Duration,
 		members:  terms.Members,
 		arrivals: map[uint64]entryArrivals{},
-		goneAt:   map[string]int64{},
+		goneAt:   map[string]Microseconds{},
 	}
 }
 
 // MarkGone takes that a member's process did not run at some time: its address refused a connection.
-func (t *LeaseTracker) MarkGone(member string, at int64) {
+func (t *LeaseTracker) MarkGone(member string, at Microseconds) {
 	t.goneAt[member] = max(t.goneAt[member], at)
 }
 
-// SilentFor tells whether nothing has arrived from an incarnation for longer than some time, in µs, so that it is worth
-// asking whether its process runs.
-func (t *LeaseTracker) SilentFor(incarnation uint64, now, duration int64) bool {
+// SilentFor tells whether nothing has arrived from an incarnation for longer than some time, so that it is worth asking
+// whether its process runs.
+func (t *LeaseTracker) SilentFor(incarnation uint64, now, duration Microseconds) bool {
 	last, known := t.arrivals[incarnation]
 	return !known || now-last.arrivedAt > duration
 }
 
 // Observe takes an entry as it arrives at the leader. The number tells the connections apart on which entries arrive.
-func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now int64) {
+func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now Microseconds) {
 	last, known := t.arrivals[incarnation]
 	if !known {
 		last.leaseFrom = notArrived
@@ -68,7 +68,7 @@
 
 // OnRecord gives the incarnations that have surely written nothing off the record so far, in no order. It is empty until
 // all members have entered: one that has not may serve without the record as well.
-func (t *LeaseTracker) OnRecord(record *Record, now int64) (incarnations []uint64) {
+func (t *LeaseTracker) OnRecord(record *Record, now Microseconds) (incarnations []uint64) {
 	t.forgetUnknown(record, now)
 	if len(record.Members) < t.members {
 		return nil
@@ -83,26 +83,26 @@
 }
 
 // holdsLease tells whether an incarnation's lease has surely not ended.
-func (t *LeaseTracker) holdsLease(id uint64, now int64) bool {
+func (t *LeaseTracker) holdsLease(id uint64, now Microseconds) bool {
 	last, known := t.arrivals[id]
 	return known && last.leaseFrom != notArrived && now-last.leaseFrom < t.lease
 }
 
 // closedLately tells whether the entry by which an incarnation closed arrived within a lease.
-func (t *LeaseTracker) closedLately(id uint64, incarnation *Incarnation, now int64) bool {
+func (t *LeaseTracker) closedLately(id uint64, incarnation *Incarnation, now Microseconds) bool {
 	last, known := t.arrivals[id]
 	return incarnation.Closed && known && now-last.arrivedAt < t.lease
 }
 
 // goneLately tells whether a member was seen not to run within a lease, after all that has arrived from it.
-func (t *LeaseTracker) goneLately(id uint64, incarnation *Incarnation, now int64) bool {
+func (t *LeaseTracker) goneLately(id uint64, incarnation *Incarnation, now Microseconds) bool {
 	goneAt, gone := t.goneAt[incarnation.Member]
 	last, known := t.arrivals[id]
 	return gone && now-goneAt < t.lease && (!known || last.arrivedAt <= goneAt)
 }
 
 // forgetUnknown drops incarnations that never entered, or that the record has forgotten.
-func (t *LeaseTracker) forgetUnknown(record *Record, now int64) {
+func (t *LeaseTracker) forgetUnknown(record *Record, now Microseconds) {
 	for id, last := range t.arrivals {
 		if record.Incarnations[id] == nil && now-last.arrivedAt > t.lease {
 			delete(t.arrivals, id)
--- a/ownership/proposals.go
+++ b/ownership/proposals.go
@@ -1,7 +1,7 @@
 package ownership
 
 // proposePending proposes what has gathered, if it is due and no other entry is in flight.
-func (c *Coordinator) proposePending(now int64) {
+func (c *Coordinator) proposePending(now Microseconds) {
 	if c.inFlight != nil || !c.entryDue(now) {
 		return
 	}
@@ -28,7 +28,7 @@
 
 // entryDue tells whether an entry is to be proposed now: at once for what somebody waits for, soon for acknowledgements,
 // and otherwise to renew the lease.
-func (c *Coordinator) entryDue(now int64) bool {
+func (c *Coordinator) entryDue(now Microseconds) bool {
 	if c.seq == 0 || c.pending.urgent() {
 		return true
 	}
@@ -45,7 +45,7 @@
 }
 
 // enteredRecently holds back another entering: two processes of one name would enter by turns as fast as they can.
-func (c *Coordinator) enteredRecently(now int64) bool {
+func (c *Coordinator) enteredRecently(now Microseconds) bool {
 	return c.lastEnteredAt > 0 && now-c.lastEnteredAt < c.terms.RenewInterval
 }
 
@@ -55,7 +55,7 @@
 }
 
 // ProposalCommitted takes that a proposed entry is on the record. The lease counts from when it was proposed.
-func (c *Coordinator) ProposalCommitted(incarnation, seq uint64, now int64) {
+func (c *Coordinator) ProposalCommitted(incarnation, seq uint64, now Microseconds) {
 	if !c.isInFlight(incarnation, seq) {
 		return
 	}
@@ -77,7 +77,7 @@
 
 // ProposalFailed takes that it is not known whether a proposed entry is on the record. It is proposed again as it is:
 // Record.Apply ignores repeats.
-func (c *Coordinator) ProposalFailed(incarnation, seq uint64, _ int64) {
+func (c *Coordinator) ProposalFailed(incarnation, seq uint64, _ Microseconds) {
 	if c.isInFlight(incarnation, seq) {
 		c.host.Propose(*c.inFlight)
 	}
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -4,7 +4,7 @@
 
 // ProxyConnected takes that a proxy's stream has begun. The proxy is granted once its claim is on the record, or at once
 // without a quorum. Until then the caller writes nothing to it: a later owner would not know of it.
-func (c *Coordinator) ProxyConnected(proxy int, now int64) {
+func (c *Coordinator) ProxyConnected(proxy int, now Microseconds) {
 	state := &proxyState{}
 	if c.inFlight != nil {
 		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Reclaims} {
@@ -31,7 +31,7 @@
 
 // ProxyActiveAt takes when a proxy was last heard from on its stream. If another member owns it by the record, it is with
 // us nevertheless, and is claimed again.
-func (c *Coordinator) ProxyActiveAt(proxy int, at int64) {
+func (c *Coordinator) ProxyActiveAt(proxy int, at Microseconds) {
 	state := c.proxies[proxy]
 	if state != nil && state.silentSince > 0 && at > state.silentSince+c.terms.RenewInterval {
 		c.claim(proxy, sameStream)
@@ -88,7 +88,7 @@
 }
 
 // applyMove takes a change of owners that the record has.
-func (c *Coordinator) applyMove(move Move, now int64) {
+func (c *Coordinator) applyMove(move Move, now Microseconds) {
 	state := c.proxies[move.Proxy]
 	if state == nil {
 		return
@@ -105,7 +105,7 @@
 }
 
 // gainProxy takes that our claim of a proxy is on the record.
-func (c *Coordinator) gainProxy(state *proxyState, move Move, now int64) {
+func (c *Coordinator) gainProxy(state *proxyState, move Move, now Microseconds) {
 	state.owned = true
 	state.token = move.To.Token
 	state.silentSince = 0
@@ -118,7 +118,7 @@
 
 // loseProxy takes that another member has claimed a proxy that is connected to us. Its stream may be half-open; if it is
 // heard from it is claimed again.
-func (c *Coordinator) loseProxy(state *proxyState, proxy int, now int64) {
+func (c *Coordinator) loseProxy(state *proxyState, proxy int, now Microseconds) {
 	state.owned = false
 	state.token = 0
 	state.silentSince = now
--- a/ownership/tables.go
+++ b/ownership/tables.go
@@ -7,7 +7,7 @@
 
 // ChangeTables takes what has changed in our tables. It gives the revision that orders belong to from now on, which may be
 // written once ReleaseUpTo names it.
-func (c *Coordinator) ChangeTables(changes []TableChange, now int64) uint64 {
+func (c *Coordinator) ChangeTables(changes []TableChange, now Microseconds) uint64 {
 	c.revision++
 	for _, change := range changes {
 		c.applyTableChange(change)
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -1,13 +1,16 @@
 package ownership
 
-// LeaseTerms are the figures that all members have to agree on. Times are in µs.
+// Microseconds are a span of time, or a time on a monotonic clock that starts at an arbitrary point.
+type Microseconds = int64
+
+// LeaseTerms are the figures that all members have to agree on.
 type LeaseTerms struct {
 	// Duration is the lease: without a committed entry for so long a member goes on without the record.
-	Duration int64
+	Duration Microseconds
 	// RenewInterval is the longest time between two entries of a member.
-	RenewInterval int64
+	RenewInterval Microseconds
 	// MessageWindow is the time over which messages to a proxy are counted.
-	MessageWindow int64
+	MessageWindow Microseconds
 	// MaxMessages may be written to a proxy within MessageWindow, by all members together.
 	MaxMessages int
 	// Members is how many members there are.
