--- a/cmd/wheelrill/golden_test.go
+++ b/cmd/wheelrill/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"os/exec"
@@ -17,30 +16,11 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"wheelrill/internal/golden"
 	"wheelrill/rehearse"
-	"wheelrill/scale"
+	"wheelrill/scale/results"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// compareGolden compares text with a golden file of testdata, or writes it where the flag says so.
-func compareGolden(t *testing.T, name, text string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) != text {
-		t.Fatalf("%s differs:\n got %s\nwant %s", path, text, want)
-	}
-}
-
 // described gives a command, its flags with types and defaults, and the commands under it.
 func described(c *cobra.Command) string {
 	text := fmt.Sprintf("%s (%s)\n", c.CommandPath(), c.Use)
@@ -55,7 +35,7 @@
 
 // TestCommandsAndFlagsAreAsBefore keeps each command, flag and default.
 func TestCommandsAndFlagsAreAsBefore(t *testing.T) {
-	compareGolden(t, "commands.golden", described(root(t.Context(), nil)))
+	golden.Compare(t, "commands.golden", described(newRootCommand(t.Context(), nil)))
 }
 
 // TestExitCodesAreAsBefore runs the program with arguments that end at once, and keeps the code of each.
@@ -96,13 +76,13 @@
 		text += fmt.Sprintf("%s: %d\n", strings.ReplaceAll(strings.Join(append([]string{"wheelrill"}, args...), " "), folder, "FOLDER"), c.ProcessState.ExitCode())
 	}
 	for _, verdict := range []rehearse.Verdict{rehearse.VerdictPassed, rehearse.VerdictViolated, rehearse.VerdictInconclusive, "another"} {
-		code, err := exit(0), exitOf(verdict)
+		code, err := exitCode(0), verdictError(verdict)
 		if err != nil && !errors.As(err, &code) {
 			t.Fatal(err)
 		}
 		text += fmt.Sprintf("verdict %q: %d\n", verdict, code)
 	}
-	compareGolden(t, "exits.golden", text)
+	golden.Compare(t, "exits.golden", text)
 }
 
 // fill gives each field that can be written a value other than none.
@@ -137,7 +117,7 @@
 
 // TestReportsAreWrittenAsBefore keeps what --json writes of a rehearsal and of a measurement, with all fields given.
 func TestReportsAreWrittenAsBefore(t *testing.T) {
-	report, run := &rehearse.Report{}, &scale.Run{}
+	report, run := &rehearse.Report{}, &results.Run{}
 	fill(reflect.ValueOf(report).Elem())
 	fill(reflect.ValueOf(run).Elem())
 	report.Verdict = rehearse.VerdictPassed
@@ -148,8 +128,8 @@
 	if err := writeRun(&measured, run, true); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "rehearsal.json", rehearsed.String())
-	compareGolden(t, "run.json", measured.String())
+	golden.Compare(t, "rehearsal.json", rehearsed.String())
+	golden.Compare(t, "run.json", measured.String())
 }
 
 // keysOf gives the paths of an object's keys, without the numbers of items.
@@ -170,7 +150,7 @@
 // TestKeptRunsAreReadAsBefore reads every kept run of the checkout, and writes it again with the same keys and values.
 func TestKeptRunsAreReadAsBefore(t *testing.T) {
 	const folder = "../../docs/capacity"
-	runs, err := scale.Load(folder)
+	runs, err := results.Load(folder)
 	if err != nil || len(runs) < 20 {
 		t.Fatalf("%d runs are kept, %v", len(runs), err)
 	}
