--- a/consensus/credentials_test.go
+++ b/consensus/credentials_test.go
@@ -6,14 +6,15 @@
 	"testing"
 	"time"
 
+	"wheelrill/internal/testcert"
 	"wheelrill/ownership"
 )
 
 func TestOnlyMembersWithTheirOwnNameAreServed(t *testing.T) {
-	ours, foreign := newAuthority(t), newAuthority(t)
+	ours, foreign := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	at := freeAddresses(t, "a", "b")
-	a := startMember(t, Config{Name: "a", Members: at, Credentials: ours.issue("a")})
-	b := startMember(t, Config{Name: "b", Members: at, Credentials: ours.issue("b")})
+	a := startMember(t, Config{Name: "a", Members: at, Credentials: issueCredentials(t, ours, "a")})
+	b := startMember(t, Config{Name: "b", Members: at, Credentials: issueCredentials(t, ours, "b")})
 	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	b.waitFor(t, "recorded a 1 1")
 
@@ -30,8 +31,8 @@
 		defer conn.Close()
 		return roundTrip(conn, c)
 	}
-	for name, given := range map[string]Credentials{"a foreign authority": foreign.issue("b"),
-		"a name that is no member's": ours.issue("z"), "plain text": {}} {
+	for name, given := range map[string]Credentials{"a foreign authority": issueCredentials(t, foreign, "b"),
+		"a name that is no member's": issueCredentials(t, ours, "z"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
 			if got, err := asks(given, "a", memberRequest{Status: true}); err == nil {
 				t.Errorf("got %+v", got)
@@ -40,16 +41,16 @@
 	}
 	t.Run("a member may not speak for another", func(t *testing.T) {
 		leader := a.status().Leader
-		got, err := asks(ours.issue("b"), leader, memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}})
+		got, err := asks(issueCredentials(t, ours, "b"), leader, memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}})
 		if err != nil || got.Accepted || got.Why == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
-		if got, err := asks(ours.issue("b"), leader, memberRequest{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
+		if got, err := asks(issueCredentials(t, ours, "b"), leader, memberRequest{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
 			t.Errorf("joined for another: %+v, %v", got, err)
 		}
 	})
 	t.Run("a connection for an id that is over is not taken for ours", func(t *testing.T) {
-		secure, _ := ours.issue("b").tlsConfig()
+		secure, _ := issueCredentials(t, ours, "b").tlsConfig()
 		l := &layer{transport: newTransport(at, secure)}
 		conn, err := l.Dial(addressOf("a", "a/older"), 0)
 		if err != nil {
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -16,6 +16,7 @@
 	"github.com/hashicorp/raft"
 
 	"wheelrill/distribution"
+	"wheelrill/internal/testcert"
 	"wheelrill/ownership"
 )
 
@@ -279,3 +280,9 @@
 	}
 	return persisted(t, s)
 }
+
+// issueCredentials makes the credentials of a name.
+func issueCredentials(t testing.TB, authority *testcert.Authority, name string) Credentials {
+	t.Helper()
+	return Credentials(authority.Issue(t, name))
+}
--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -11,11 +11,12 @@
 	"time"
 
 	"wheelrill/distribution"
+	"wheelrill/internal/testcert"
 	"wheelrill/ownership"
 )
 
 func TestSubscriberIsNoMember(t *testing.T) {
-	ours, foreign := newAuthority(t), newAuthority(t)
+	ours, foreign := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	at := freeAddresses(t, "a")
 	served := make(chan func(string) bool, 1)
 	told := &fakeDistribution{onAccept: func(conn net.Conn, allowed func(string) bool) {
@@ -23,9 +24,9 @@
 		io.WriteString(conn, "streams")
 		conn.Close()
 	}}
-	a := startMember(t, Config{Name: "a", Members: at, Credentials: ours.issue("a"), Distribution: told})
+	a := startMember(t, Config{Name: "a", Members: at, Credentials: issueCredentials(t, ours, "a"), Distribution: told})
 	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	secure, err := ours.issue("s17").tlsConfig()
+	secure, err := issueCredentials(t, ours, "s17").tlsConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +68,7 @@
 	})
 	peer := Peer{"a", at["a"]}.String()
 	t.Run("it may subscribe, under its own name", func(t *testing.T) {
-		s, err := NewSubscriber(ours.issue("s17"))
+		s, err := NewSubscriber(issueCredentials(t, ours, "s17"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +85,7 @@
 			t.Error("it may subscribe under other names")
 		}
 	})
-	for name, given := range map[string]Credentials{"a foreign authority": foreign.issue("s17"), "plain text": {}} {
+	for name, given := range map[string]Credentials{"a foreign authority": issueCredentials(t, foreign, "s17"), "plain text": {}} {
 		t.Run(name+" is refused", func(t *testing.T) {
 			s, err := NewSubscriber(given)
 			if err != nil {
@@ -97,7 +98,7 @@
 		})
 	}
 	t.Run("who has another name than was dialled is refused", func(t *testing.T) {
-		s, err := NewSubscriber(ours.issue("s17"))
+		s, err := NewSubscriber(issueCredentials(t, ours, "s17"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,8 +123,8 @@
 }
 
 func TestListenerServesSubscribersAlone(t *testing.T) {
-	ours := newAuthority(t)
-	s, err := NewSubscriber(ours.issue("s1"))
+	ours := testcert.NewAuthority(t)
+	s, err := NewSubscriber(issueCredentials(t, ours, "s1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +142,7 @@
 	running.Go(func() { l.Run(ctx) })
 	defer running.Wait()
 	defer cancel()
-	other, err := NewSubscriber(ours.issue("s2"))
+	other, err := NewSubscriber(issueCredentials(t, ours, "s2"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -2,78 +2,22 @@
 
 import (
 	"context"
-	"crypto/ecdsa"
-	"crypto/elliptic"
-	"crypto/rand"
-	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/big"
 	"net"
-	"os"
-	"path/filepath"
 	"testing"
-	"time"
 
 	"wheelrill/consensus"
 	"wheelrill/distribution"
+	"wheelrill/internal/testcert"
 	"wheelrill/ownership"
 )
 
-// authority signs certificates for names.
-type authority struct {
-	folder string
-	key    *ecdsa.PrivateKey
-	cert   *x509.Certificate
-}
-
-func newAuthority(t *testing.T) *authority {
+// issueCredentials makes the credentials of a name.
+func issueCredentials(t *testing.T, authority *testcert.Authority, name string) consensus.Credentials {
 	t.Helper()
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := &authority{t.TempDir(), key, &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
-		IsCA: true, NotAfter: time.Now().Add(time.Hour), BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}}
-	a.writes(t, "authority.pem", "CERTIFICATE", a.signs(t, a.cert, key))
-	return a
-}
-
-func (a *authority) signs(t *testing.T, c *x509.Certificate, key *ecdsa.PrivateKey) []byte {
-	t.Helper()
-	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return der
-}
-
-func (a *authority) writes(t *testing.T, name, kind string, der []byte) string {
-	t.Helper()
-	path := filepath.Join(a.folder, name)
-	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-func (a *authority) gives(t *testing.T, name string) consensus.Credentials {
-	t.Helper()
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		t.Fatal(err)
-	}
-	der, err := x509.MarshalECPrivateKey(key)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(2), DNSNames: []string{name}, NotAfter: time.Now().Add(time.Hour),
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	return consensus.Credentials{Certificate: a.writes(t, name+".pem", "CERTIFICATE", a.signs(t, c, key)),
-		Key: a.writes(t, name+"-key.pem", "EC PRIVATE KEY", der), Authority: filepath.Join(a.folder, "authority.pem")}
+	return consensus.Credentials(authority.Issue(t, name))
 }
 
 // ignoredEvents does nothing with what becomes of the record.
@@ -179,7 +123,7 @@
 
 // TestSubscribersFollowARecordOfThreeMembersOverTLS plays voters on a real record over TLS, and subscribers that are no members.
 func TestSubscribersFollowARecordOfThreeMembersOverTLS(t *testing.T) {
-	ours, foreign := newAuthority(t), newAuthority(t)
+	ours, foreign := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	members := freeAddresses(t, "a", "b", "c")
 	var parents []string
 	for name, address := range members {
@@ -187,15 +131,15 @@
 	}
 	var voters []*member
 	for name := range members {
-		voters = append(voters, startsMember(t, name, members, ours.gives(t, name)))
+		voters = append(voters, startsMember(t, name, members, issueCredentials(t, ours, name)))
 	}
 	last := configures(t, voters[0], "1")
 	var all []*peer
-	relay, relayName := startsSubscriber(t, "s0", ours.gives(t, "s0"), parents...)
+	relay, relayName := startsSubscriber(t, "s0", issueCredentials(t, ours, "s0"), parents...)
 	all = append(all, relay)
 	for i := 1; i < 4; i++ {
 		name := fmt.Sprint("s", i)
-		s, _ := startsSubscriber(t, name, ours.gives(t, name), relayName)
+		s, _ := startsSubscriber(t, name, issueCredentials(t, ours, name), relayName)
 		all = append(all, s)
 	}
 	everywhere := func(version distribution.Version) {
@@ -211,8 +155,8 @@
 	}
 	everywhere(last)
 	t.Run("a certificate with another name, or of another authority, gets no place", func(t *testing.T) {
-		liar, _ := startsSubscriber(t, "s1", ours.gives(t, "s9"), parents...)
-		stranger, _ := startsSubscriber(t, "s8", foreign.gives(t, "s8"), parents...)
+		liar, _ := startsSubscriber(t, "s1", issueCredentials(t, ours, "s9"), parents...)
+		stranger, _ := startsSubscriber(t, "s8", issueCredentials(t, foreign, "s8"), parents...)
 		for _, p := range []*peer{liar, stranger} {
 			until(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
 			if status := p.status(t); status.Parent != "" || status.Version.Revision > 0 {
