--- a/consensus/node.go
+++ b/consensus/node.go
@@ -51,7 +51,7 @@
 	events    Events
 	log       *slog.Logger
 	transport *transport
-	clock     func() int64 // µs since New
+	clock     func() ownership.Microseconds // since New
 	pace      pace
 
 	// proposals holds the entry that is to be forwarded next, and no other: a member has one entry in flight.
@@ -107,7 +107,7 @@
 		stamp:     randomID(),
 		leases:    ownership.NewLeaseTracker(config.Terms),
 		pace:      paceFor(time.Duration(config.Terms.Duration) * time.Microsecond),
-		clock:     func() int64 { return time.Since(started).Microseconds() },
+		clock:     func() ownership.Microseconds { return time.Since(started).Microseconds() },
 	}
 	n.transport = newTransport(config.Members, secure)
 	n.transport.listener = listener
@@ -128,7 +128,7 @@
 	if errors.Is(why, errOtherID) || errors.Is(why, net.ErrClosed) || errors.Is(why, io.EOF) {
 		return
 	}
-	n.log.Warn("member_refused", "peer", from.String(), "why", why.Error())
+	n.log.Warn("member_refused", "peer", from.String(), "reason", why.Error())
 }
 
 // Run takes part in the record until the context ends. It hands the leadership on, and returns when all has ended.
