--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -9,23 +9,23 @@
 	"wheelrill/balancer"
 )
 
-// crowd makes a controller for a fleet of so many proxies and 200 backends, with a channel of so many lines a second.
-func crowd(b *testing.B, proxies int, lines float64) *eventLoop {
+// newFleet makes a controller for a fleet of so many proxies and 200 backends, with a channel of so many lines a second.
+func newFleet(b *testing.B, proxies int, lines float64) *eventLoop {
 	b.Helper()
-	return crowdOf(b, proxies, 200, lines)
+	return newFleetOf(b, proxies, 200, lines)
 }
 
-// crowdOf makes one for so many backends.
-func crowdOf(b *testing.B, proxies, backends int, lines float64) *eventLoop {
+// newFleetOf makes one for so many backends.
+func newFleetOf(b *testing.B, proxies, backends int, lines float64) *eventLoop {
 	b.Helper()
 	var entries []string
 	for id := range backends {
-		entries = append(entries, backendIs(id, "up"))
+		entries = append(entries, endpointJSON(id, "up"))
 	}
 	fit := strings.NewReplacer(`"proxyCount":40`, fmt.Sprintf(`"proxyCount":%d`, proxies),
 		`"egressPerS":900`, fmt.Sprintf(`"egressPerS":%g`, lines), `"backlog":900`,
 		fmt.Sprintf(`"backlog":%g,"socketsMin":83`, 50*lines))
-	c, err := New(Identity{}, []byte(fit.Replace(string(configuration("127.0.0.1:9", listing(1, true, entries...))))),
+	c, err := New(Identity{}, []byte(fit.Replace(string(configuration("127.0.0.1:9", listJSON(1, true, entries...))))),
 		NewLogger(io.Discard))
 	if err != nil {
 		b.Fatal(err)
@@ -40,9 +40,9 @@
 func arrive(m *eventLoop, proxies int) (peers []*connection) {
 	m.iterate(func() {
 		for node := range proxies {
-			p := newConnection(&told{Reader: strings.NewReader("")}, node+1, m, func(*connection) error { return nil })
+			p := newConnection(&readerConn{Reader: strings.NewReader("")}, node+1, m, func(*connection) error { return nil })
 			p.kind, p.proxy, p.zone = kindProxy, node, node%2
-			p.lastHeard.Store(m.now)
+			p.lastMessageAt.Store(m.now)
 			peers = append(peers, p)
 			m.proxyConnected(p, 0.5, true)
 		}
@@ -75,17 +75,17 @@
 				b.ReportAllocs()
 				for range b.N {
 					b.StopTimer()
-					m := crowd(b, proxies, lines)
+					m := newFleet(b, proxies, lines)
 					b.StartTimer()
 					answers(m, arrive(m, proxies))
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(proxies), "ns/proxy")
 			})
 		}
-		m := crowd(b, proxies, wide)
+		m := newFleet(b, proxies, wide)
 		peers := arrive(m, proxies)
 		answers(m, peers)
-		later(m, 5*microsPerSecond, func() {})
+		advance(m, 5*microsPerSecond, func() {})
 		answers(m, peers)
 		b.Run(fmt.Sprintf("report/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
@@ -100,11 +100,11 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				jump(m, 3*microsPerSecond, func() {
+				advanceAtOnce(m, 3*microsPerSecond, func() {
 					m.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
-					p.lastHeard.Store(m.now)
+					p.lastMessageAt.Store(m.now)
 				}
 				answers(m, peers)
 			}
@@ -112,7 +112,7 @@
 		b.Run(fmt.Sprintf("beat/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				jump(m, microsPerSecond/4, func() {})
+				advanceAtOnce(m, microsPerSecond/4, func() {})
 			}
 		})
 	}
@@ -136,19 +136,19 @@
 				t.flush(nil, nil, nil)
 			}
 		})
-		m := crowdOf(b, proxies, backends, wide)
+		m := newFleetOf(b, proxies, backends, wide)
 		peers := arrive(m, proxies)
 		answers(m, peers)
-		later(m, 5*microsPerSecond, func() {})
+		advance(m, 5*microsPerSecond, func() {})
 		answers(m, peers)
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				jump(m, 3*microsPerSecond, func() {
+				advanceAtOnce(m, 3*microsPerSecond, func() {
 					m.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, p := range peers {
-					p.lastHeard.Store(m.now)
+					p.lastMessageAt.Store(m.now)
 				}
 				answers(m, peers)
 			}
--- a/controller/cache_test.go
+++ b/controller/cache_test.go
@@ -10,7 +10,7 @@
 	"wheelrill/distribution"
 )
 
-func TestKeeper(t *testing.T) {
+func TestConfigurationCache(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new")
 	k, err := openConfigurationCache(folder)
 	if err != nil {
@@ -20,7 +20,7 @@
 		t.Errorf("kept before anything was: %v, %v", state, err)
 	}
 	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4}, Revision: 7},
-		Covered: distribution.SomeScopes("pricing"), Horizon: 2, Entries: []distribution.Entry{said("drain/s-1", "true", 5)}}
+		Covered: distribution.SomeScopes("pricing"), Horizon: 2, Entries: []distribution.Entry{distributedEntry("drain/s-1", "true", 5)}}
 	if err := k.save(state); err != nil {
 		t.Fatal(err)
 	}
@@ -50,18 +50,18 @@
 }
 
 // A subscriber that starts again while nobody can be reached goes on with what it had.
-func TestSubscriberKeepsOverRestart(t *testing.T) {
-	known := listing(1, true, backendIs(0, "up"), backendIs(1, "up"))
-	members, voters := votes(t, known, "n0", "n1")
+func TestSubscriberBeginsWithItsCacheAfterARestart(t *testing.T) {
+	known := listJSON(1, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
+	members, voters := runVoters(t, known, "n0", "n1")
 	with := DistributionConfig{Parents: members, Folder: t.TempDir()}
-	s := subscribes(t, "s1", known, with)
-	voters[0].reloads(t, known, `{"pricing":{"drain":{"s-1":true}}}`)
-	s.said.waits(t, "msg=configuration_applied revision=1", 1)
+	s := runSubscriber(t, "s1", known, with)
+	voters[0].reload(t, known, `{"pricing":{"drain":{"s-1":true}}}`)
+	s.logged.waitFor(t, "msg=configuration_applied revision=1", 1)
 	s.stop()
 	for _, v := range voters {
 		v.stop()
 	}
-	s = subscribes(t, "s1", known, with)
-	s.said.waits(t, "msg=cache_loaded revision=1", 1)
-	s.said.waits(t, "msg=configuration_applied revision=1 full=true backends=1 drained=1", 1)
+	s = runSubscriber(t, "s1", known, with)
+	s.logged.waitFor(t, "msg=cache_loaded revision=1", 1)
+	s.logged.waitFor(t, "msg=configuration_applied revision=1 full=true backends=1 drained=1", 1)
 }
--- a/controller/closes_test.go
+++ b/controller/closing_test.go
@@ -17,22 +17,22 @@
 	"github.com/valyala/fastjson"
 )
 
-// half closes the side on which a caller speaks: it has said its last, and still listens.
-func (c *caller) half() {
+// closeWriting closes the side on which a caller speaks: it has logged its last, and still listens.
+func (c *client) closeWriting() {
 	c.Helper()
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		c.Fatal(err)
 	}
 }
 
-// resets ends a caller's connection the hard way.
-func (c *caller) resets() {
+// reset ends a caller's connection the hard way.
+func (c *client) reset() {
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// rest reads until the controller has ended the connection in good order; a reset is an error.
-func (c *caller) rest() (texts []string, err error) {
+// readRest reads until the controller has ended the connection in good order; a reset is an error.
+func (c *client) readRest() (texts []string, err error) {
 	raw, err := io.ReadAll(c.in)
 	for len(raw) >= lengthSize {
 		size := int(uint32(raw[0])<<24 | uint32(raw[1])<<16 | uint32(raw[2])<<8 | uint32(raw[3]))
@@ -48,66 +48,66 @@
 
 func helloOf(node int) string { return strings.Replace(hello, "3", fmt.Sprint(node), 1) }
 
-func TestCloses(t *testing.T) {
+func TestClosingConnections(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
-		d := discovers(t)
-		address, said := serves(t, d.address, "null", func(l *limits) { l.identifyTimeout = patience })
-		asks := calls(t, address)
-		asks.says(probe)
-		asks.half()
-		silent := calls(t, address)
-		silent.half()
-		said.waits(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
-		d.answers <- two
-		if texts, err := asks.rest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
+		d := newFakeDiscovery(t)
+		address, logged := serve(t, d.address, "null", func(l *limits) { l.identifyTimeout = patience })
+		asks := dial(t, address)
+		asks.send(probe)
+		asks.closeWriting()
+		silent := dial(t, address)
+		silent.closeWriting()
+		logged.waitFor(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
+		d.answers <- twoEndpoints
+		if texts, err := asks.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
 	t.Run("an answer that waits for readiness holds nothing longer than a stranger may stay", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, "null", func(l *limits) { l.identifyTimeout = 50 * time.Millisecond })
-		asks := calls(t, address)
-		asks.says(probe)
-		asks.half()
-		if texts, err := asks.rest(); err != nil || len(texts) != 0 {
+		address, _ := serve(t, newFakeDiscovery(t).address, "null", func(l *limits) { l.identifyTimeout = 50 * time.Millisecond })
+		asks := dial(t, address)
+		asks.send(probe)
+		asks.closeWriting()
+		if texts, err := asks.readRest(); err != nil || len(texts) != 0 {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
 	t.Run("a collector's last report before its close is taken in", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, nil)
-		c := calls(t, address)
-		c.Write(bytes.Join([][]byte{framed(agent), framed(strings.Replace(reports, "s-0", "s-last", 1)), framed(probe)}, nil))
-		c.half()
-		if texts, err := c.rest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
+		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
+		c := dial(t, address)
+		c.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(reports, "s-0", "s-last", 1)), frame(probe)}, nil))
+		c.closeWriting()
+		if texts, err := c.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
-		said.waits(t, "msg=report_for_unknown_backend backend=s-last", 1)
+		logged.waitFor(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
 	t.Run("a proxy's last mark and demand before its close are taken in, then it has left", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, nil)
-		p, h := calls(t, address), newHearer("read it", "write")
-		p.says(hello)
-		if err := h.apply(p.gets()); err != nil || len(h.tickets) != 1 {
-			t.Fatalf("error %v, marks %v", err, h.tickets)
+		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
+		p, h := dial(t, address), newFakeProxy("read it", "write")
+		p.send(hello)
+		if err := h.apply(p.receive()); err != nil || len(h.nonces) != 1 {
+			t.Fatalf("error %v, marks %v", err, h.nonces)
 		}
-		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, h.tickets[0])
-		p.Write(bytes.Join([][]byte{framed(ack), framed(ack), framed(probe)}, nil)) // the second is one too many
-		p.half()
-		texts, err := p.rest()
+		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, h.nonces[0])
+		p.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second is one too many
+		p.closeWriting()
+		texts, err := p.readRest()
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != isAlive {
 			t.Errorf("got %q, error %v", texts, err)
 		}
-		said.waits(t, "msg=ack_unknown proxy=3", 1)
-		said.waits(t, "msg=proxy_disconnected proxy=3 error=EOF", 1)
+		logged.waitFor(t, "msg=ack_unknown proxy=3", 1)
+		logged.waitFor(t, "msg=proxy_disconnected proxy=3 error=EOF", 1)
 	})
 	t.Run("a refusal reaches its reader though bytes wait unread, and its end is no reset", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, nil)
-		for what, first := range map[string][]byte{"no object": framed("[]"), "a report": framed(reports),
-			"no such proxy": framed(helloOf(99)), "no length": {0, 0, 0, 0}, "too long": {0xff, 0, 0, 0}} {
-			c := calls(t, address)
+		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
+		for what, first := range map[string][]byte{"no object": frame("[]"), "a report": frame(reports),
+			"no such proxy": frame(helloOf(99)), "no length": {0, 0, 0, 0}, "too long": {0xff, 0, 0, 0}} {
+			c := dial(t, address)
 			if _, err := c.Write(append(first, bytes.Repeat([]byte("unread "), 10000)...)); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			texts, err := c.rest()
+			texts, err := c.readRest()
 			if err != nil || len(texts) != 1 || !strings.HasPrefix(texts[0], `{"msg":"error","reason":"`) ||
 				fastjson.Validate(texts[0]) != nil {
 				t.Errorf("%s: got %q, error %v", what, texts, err)
@@ -115,52 +115,52 @@
 		}
 	})
 	t.Run("one who is refused and goes on without end is let go all the same", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, nil)
-		c := calls(t, address)
-		c.Write(framed("[]"))
+		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
+		c := dial(t, address)
+		c.Write(frame("[]"))
 		for {
 			if _, err := c.Write(make([]byte, 64<<10)); err != nil {
 				break
 			}
 		}
-		said.waits(t, "msg=unidentified_closed", 1)
+		logged.waitFor(t, "msg=unidentified_closed", 1)
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.logRepeatInterval = 0 })
+		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
 		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
-			p := calls(t, address)
-			p.says(helloOf(node))
-			p.gets()
-			p.Write(framed(text)[:cut])
+			p := dial(t, address)
+			p.send(helloOf(node))
+			p.receive()
+			p.Write(frame(text)[:cut])
 			if node%2 == 0 {
-				p.resets()
+				p.reset()
 			} else {
 				p.Close()
 			}
-			said.waits(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
+			logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 		}
-		if text, _ := said.read(); strings.Contains(text, "msg=message_skipped") {
+		if text, _ := logged.read(); strings.Contains(text, "msg=message_skipped") {
 			t.Errorf("half a message was taken for one: %s", text)
 		}
 	})
 	t.Run("a stream's end and its successor's hello may come in either order", func(t *testing.T) {
-		d := discovers(t)
+		d := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
-			five = append(five, backendIs(b, "up"))
+			five = append(five, endpointJSON(b, "up"))
 		}
-		address, said := serves(t, d.address, listing(1, true, five...), nil)
+		address, logged := serve(t, d.address, listJSON(1, true, five...), nil)
 		for version, endsFirst := range []bool{false, true, false} {
-			old, p, h := calls(t, address), calls(t, address), newHearer("read it", "write")
-			old.says(hello)
-			old.gets()
+			old, p, h := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
+			old.send(hello)
+			old.receive()
 			if endsFirst {
 				old.Close()
-				said.waits(t, "msg=proxy_disconnected proxy=3", 1)
+				logged.waitFor(t, "msg=proxy_disconnected proxy=3", 1)
 			}
-			p.says(hello)
-			if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 5-version {
+			p.send(hello)
+			if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 5-version {
 				t.Fatalf("ends first %v: error %v, picks %v", endsFirst, err, h.picks(0))
 			}
 			if old.Close(); !endsFirst {
@@ -168,18 +168,18 @@
 					t.Error("the old stream goes on")
 				}
 			}
-			d.answers <- listing(2+version, false, backendIs(version, "draining")) // the order reaches the successor
+			d.answers <- listJSON(2+version, false, endpointJSON(version, "draining")) // the order reaches the successor
 			for len(h.picks(0)) > 4-version {
-				if err := h.apply(p.gets()); err != nil {
+				if err := h.apply(p.receive()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			p.Close()
-			said.waits(t, "msg=connection_closed", 1)
+			logged.waitFor(t, "msg=connection_closed", 1)
 		}
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
-		m, _ := begin(t)
+		m, _ := newIdleLoop(t)
 		m.limits.finalReadTimeout = patience
 		here, there := net.Pipe()
 		defer there.Close()
@@ -187,15 +187,15 @@
 		p.evict()
 		ended := make(chan error, 1)
 		go func() { ended <- p.readMessages() }()
-		there.Write(framed(hello))
-		there.Write(framed(usage)) // it is read on: the deadline of a stranger binds no more
+		there.Write(frame(hello))
+		there.Write(frame(usage)) // it is read on: the deadline of a stranger binds no more
 		there.Close()
 		if err := <-ended; err != io.EOF || p.kind != kindProxy {
 			t.Errorf("ended by %v as a %v", err, p.kind)
 		}
 	})
 	t.Run("a message that met a deadline while we stood still goes on where it was", func(t *testing.T) {
-		m, _ := begin(t)
+		m, _ := newIdleLoop(t)
 		m.limits.writeTimeout, m.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
 		p := newConnection(here, 1, m, func(*connection) error { return nil })
@@ -212,50 +212,50 @@
 	})
 }
 
-func TestLateAndMany(t *testing.T) {
+func TestLateAndManyConnections(t *testing.T) {
 	t.Run("who comes between listen and readiness is served once the list is there", func(t *testing.T) {
-		d := discovers(t)
-		address, said := serves(t, d.address, "null", nil)
-		p, q, h := calls(t, address), calls(t, address), newHearer("read it", "write")
-		p.says(hello)
-		p.says(probe)
-		q.says(probe)
-		said.waits(t, "msg=proxy_connected proxy=3", 1)
-		d.answers <- two
-		q.gets()
-		if got := string(p.gets()[lengthSize:]); got != isAlive {
+		d := newFakeDiscovery(t)
+		address, logged := serve(t, d.address, "null", nil)
+		p, q, h := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
+		p.send(hello)
+		p.send(probe)
+		q.send(probe)
+		logged.waitFor(t, "msg=proxy_connected proxy=3", 1)
+		d.answers <- twoEndpoints
+		q.receive()
+		if got := string(p.receive()[lengthSize:]); got != isAlive {
 			t.Errorf("first it got %q", got)
 		}
-		if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
+		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
 			t.Errorf("error %v, picks %v", err, h.lines)
 		}
 	})
 	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) {
+		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) {
 			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, patience, time.Millisecond, patience/200
 		})
 		for range 200 {
-			calls(t, address)
+			dial(t, address)
 		}
-		var proxies []*caller
+		var proxies []*client
 		for node := range 40 {
-			p := calls(t, address)
-			p.says(helloOf(node))
+			p := dial(t, address)
+			p.send(helloOf(node))
 			proxies = append(proxies, p)
 		}
 		for _, p := range proxies {
-			p.gets()
+			p.receive()
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
-		address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
-		var odd []*caller
+		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
+		var odd []*client
 		for i := range 120 {
-			c := calls(t, address)
+			c := dial(t, address)
 			switch i % 4 {
 			case 0:
-				c.Write(framed(hello)[:1])
+				c.Write(frame(hello)[:1])
 			case 1:
 				c.Write([]byte{0, 0, 64, 0}) // the most that a stranger may announce, and nothing of it
 			case 2:
@@ -264,30 +264,30 @@
 			odd = append(odd, c)
 		}
 		for node := range 40 {
-			p := calls(t, address)
-			p.says(helloOf(node))
-			p.gets()
+			p := dial(t, address)
+			p.send(helloOf(node))
+			p.receive()
 		}
 		for _, c := range odd {
-			if !c.refused() {
+			if !c.isRefused() {
 				t.Error("one of them stayed")
 			}
 		}
 	})
 	t.Run("connections in the instant of the end are closed, whether they were accepted or not", func(t *testing.T) {
 		for range 10 {
-			c, err := New(Identity{}, configuration(discovers(t).address, two), NewLogger(io.Discard))
+			c, err := New(Identity{}, configuration(newFakeDiscovery(t).address, twoEndpoints), NewLogger(io.Discard))
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			said := newDiary()
-			c.log = NewLogger(said)
+			logged := newLogBuffer()
+			c.log = NewLogger(logged)
 			ended := make(chan error, 1)
 			go func() { ended <- c.Serve(ctx) }()
-			said.waits(t, "msg=serving", 1)
-			text, _ := said.read()
+			logged.waitFor(t, "msg=serving", 1)
+			text, _ := logged.read()
 			address := regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1]
 			var all sync.WaitGroup
 			for i := range 40 {
@@ -300,7 +300,7 @@
 						return // refused: it goes elsewhere
 					}
 					defer conn.Close()
-					conn.Write(framed(helloOf(i)))
+					conn.Write(frame(helloOf(i)))
 					conn.SetReadDeadline(time.Now().Add(patience))
 					if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
 						t.Error("one was left open")
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -127,7 +127,9 @@
 	if err := parsed.Err(); err != nil {
 		return err
 	}
-	p.limits.fitFleet(proxies, len(p.zones), tick, p.channel, p.telemetry, p.classes)
+	p.limits.fitFleet(proxies, len(p.zones))
+	p.limits.fitPace(tick, p.channel, p.telemetry)
+	p.limits.fitReports(p.telemetry, p.classes)
 	return nil
 }
 
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestConfiguration(t *testing.T) {
+func TestUnusableConfigurationIsRefused(t *testing.T) {
 	good := string(configuration("127.0.0.1:9", "null"))
 	for what, change := range map[string][2]string{
 		"not JSON":                       {"{", "["},
@@ -30,28 +30,28 @@
 		})
 	}
 	t.Run("the place given beats the configuration, and odd words are said", func(t *testing.T) {
-		said := newDiary()
+		logged := newLogBuffer()
 		odd := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
-		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), NewLogger(said))
+		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), NewLogger(logged))
 		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
 			c.Memory() != 192<<20 {
 			t.Errorf("got %+v, error %v", c, err)
 		}
-		said.waits(t, "guessed", 1)
+		logged.waitFor(t, "guessed", 1)
 	})
 }
 
-func TestReload(t *testing.T) {
+func TestReloadingTheConfiguration(t *testing.T) {
 	t.Run("another address is followed at once, and streams and what is known live on", func(t *testing.T) {
-		d, next := discovers(t), discovers(t)
+		d, next := newFakeDiscovery(t), newFakeDiscovery(t)
 		d.answers <- "silence"
-		c, address, said := runs(t, d.address, two, func(l *limits) { l.watchMargin = patience })
+		c, address, logged := runController(t, d.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
 		if query := <-d.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
-		p, h := calls(t, address), newHearer("read it", "write")
-		p.says(hello)
-		if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 2 {
+		p, h := dial(t, address), newFakeProxy("read it", "write")
+		p.send(hello)
+		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 {
 			t.Errorf("error %v, got %+v", err, h)
 		}
 		for range 3 { // several in a row are one
@@ -59,20 +59,20 @@
 				t.Fatal(err)
 			}
 		}
-		next.answers <- listing(2, false, backendIs(5, "up"))
+		next.answers <- listJSON(2, false, endpointJSON(5, "up"))
 		for len(h.picks(0)) != 3 {
-			if err := h.apply(p.gets()); err != nil {
+			if err := h.apply(p.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if query := <-next.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("the new one was asked %q", query)
 		}
-		said.waits(t, "msg=configuration_reloaded discovery="+next.address, 3)
+		logged.waitFor(t, "msg=configuration_reloaded discovery="+next.address, 3)
 	})
 	t.Run("one that cannot be used changes nothing, and says why", func(t *testing.T) {
-		d := discovers(t)
-		c, _, said := runs(t, d.address, two, nil)
+		d := newFakeDiscovery(t)
+		c, _, logged := runController(t, d.address, twoEndpoints, nil)
 		good := string(configuration("127.0.0.1:9", "null"))
 		for change, why := range map[[2]string]string{{"{", "["}: "configuration", {`"discovery"`, `"was"`}: "discovery",
 			{"127.0.0.1:9", "nowhere"}: "discovery", {`"settings"`, `"was"`}: "settings", {good[90:], ""}: "configuration",
@@ -88,17 +88,17 @@
 		if query := <-d.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
-		if text, _ := said.read(); strings.Contains(text, "msg=configuration_reloaded") {
+		if text, _ := logged.read(); strings.Contains(text, "msg=configuration_reloaded") {
 			t.Errorf("one was taken: %s", text)
 		}
 	})
 	t.Run("what counts from the next start on is said", func(t *testing.T) {
-		c, _, said := runs(t, discovers(t).address, two, nil)
+		c, _, logged := runController(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		changed := strings.Replace(string(configuration("127.0.0.1:9", "null")), `"backlog":900`, `"backlog":901`, 1)
 		if err := c.Reload([]byte(strings.Replace(changed, `127.0.0.1:0`, `127.0.0.1:1`, 1))); err != nil {
 			t.Fatal(err)
 		}
-		said.waits(t, "msg=reload_needs_restart key=listen", 1)
-		said.waits(t, "msg=reload_needs_restart key=settings", 1)
+		logged.waitFor(t, "msg=reload_needs_restart key=listen", 1)
+		logged.waitFor(t, "msg=reload_needs_restart key=settings", 1)
 	})
 }
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -49,8 +49,8 @@
 	acceptedAt    time.Time
 	finalReadDone bool // its deadline has passed, and what had arrived by then is being read
 
-	evicted   atomic.Bool  // it was asked to make room
-	lastHeard atomic.Int64 // the loop's clock when the last complete message came, µs
+	evicted       atomic.Bool  // it was asked to make room
+	lastMessageAt atomic.Int64 // the loop's clock when the last complete message came, µs
 
 	outbox      chan []byte   // messages that wait; limits.outboxSize of them, then send fails and the proxy is dropped
 	readDone    chan struct{} // closed when the reader has ended: what waits in outbox is all that is still owed
@@ -160,7 +160,7 @@
 		if err != nil || message.Type() != fastjson.TypeObject {
 			return fmt.Errorf("a message that is no JSON object: %w", errUnreadable)
 		}
-		c.lastHeard.Store(c.loop.clock())
+		c.lastMessageAt.Store(c.loop.clock())
 		if err := c.dispatch(message); err != nil {
 			return err
 		}
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -17,30 +17,46 @@
 		}
 		return nil
 	}
-	switch word := string(message.GetStringBytes(keyMessage)); {
-	case word == messageProbe:
-		if err := c.send(aliveMessage); err != nil && c.kind == kindUnidentified {
-			return err
-		}
-	case word == messageHello:
+	switch kind := string(message.GetStringBytes(keyMessage)); kind {
+	case messageProbe:
+		return c.answerProbe()
+	case messageHello:
 		return c.proxyHello(message)
-	case word == messageAgent:
+	case messageAgent:
 		return c.collectorHello(message)
-	case word == messageAck && c.kind == kindProxy:
-		c.ack(message)
-	case word == messageOutcomes && c.kind == kindCollector:
-		c.outcomes(message)
-	case word == messageDemand && c.kind != kindUnidentified:
-		c.demand(message)
+	default:
+		return c.dispatchIdentified(kind, message)
+	}
+}
+
+// dispatchIdentified acts on a message that only an identified connection sends, and not each of them.
+func (c *connection) dispatchIdentified(kind string, message *fastjson.Value) error {
+	switch {
 	case c.kind == kindUnidentified:
 		c.skipMessage("not expected before it has identified itself")
 		return errNotIdentified
+	case kind == messageDemand:
+		c.demand(message)
+	case kind == messageAck && c.kind == kindProxy:
+		c.ack(message)
+	case kind == messageOutcomes && c.kind == kindCollector:
+		c.outcomes(message)
 	default:
 		c.skipMessage("not expected of a " + c.kind.String())
 	}
 	return nil
 }
 
+// answerProbe answers a health check of this controller. One that has identified itself is not closed where the answer cannot leave:
+// the loop does that.
+func (c *connection) answerProbe() error {
+	err := c.send(aliveMessage)
+	if c.kind == kindUnidentified {
+		return err
+	}
+	return nil
+}
+
 // skipMessage logs a message that is passed over, with the beginning of its text.
 func (c *connection) skipMessage(reason string) {
 	const maxShown = 160 // bytes
--- a/controller/customers_test.go
+++ b/controller/deployments_test.go
@@ -1,12 +1,10 @@
 package controller
 
 import (
-	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
 	"maps"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -15,22 +13,22 @@
 	"wheelrill/balancer"
 )
 
-// customer is a deployment as its settings tell of it.
-type customer struct {
-	classes  []profile
+// deployment is a deployment as its settings tell of it.
+type deployment struct {
+	classes  []classSettings
 	zones    []string
 	backend  string // what the names of its backends begin with
 	messages int
 }
 
-type profile struct {
+type classSettings struct {
 	name             string
 	target, deadline float64
 	worth            float64
 	writes, own      bool
 }
 
-func (c customer) configuration(discovery, known string) []byte {
+func (c deployment) configuration(discovery, known string) []byte {
 	var profiles, writes, own []any
 	for _, p := range c.classes {
 		profiles = append(profiles, map[string]any{"name": p.name, "target": p.target, "deadline": p.deadline, "worth": p.worth})
@@ -50,26 +48,26 @@
 	return text
 }
 
-func (c customer) entry(b int, state string, started int64) string {
+func (c deployment) endpointJSON(b int, state string, started int64) string {
 	return fmt.Sprintf(`{"id":%q,"zone":%q,"state":%q,"weight":2,"started_ms":%d}`, fmt.Sprint(c.backend, b),
 		c.zones[b%len(c.zones)], state, started)
 }
 
-func (c customer) names() (names []string) {
+func (c deployment) classNames() (names []string) {
 	for _, p := range c.classes {
 		names = append(names, p.name)
 	}
 	return names
 }
 
-// begins makes a controller for it that nobody serves, with some backends.
-func (c customer) begins(t *testing.T, backends int) *eventLoop {
+// newLoop makes a controller for it that nobody serves, with some backends.
+func (c deployment) newLoop(t *testing.T, backends int) *eventLoop {
 	t.Helper()
 	var all []string
 	for b := range backends {
-		all = append(all, c.entry(b, "up", 0))
+		all = append(all, c.endpointJSON(b, "up", 0))
 	}
-	made, err := New(Identity{}, c.configuration("127.0.0.1:9", listing(1, true, all...)), NewLogger(io.Discard))
+	made, err := New(Identity{}, c.configuration("127.0.0.1:9", listJSON(1, true, all...)), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,28 +77,28 @@
 	return m
 }
 
-// plays has trouble come: demand that outgrows the backends, one that hangs, drains, newcomers, proxies that come and
+// play has trouble come: demand that outgrows the backends, one that hangs, drains, newcomers, proxies that come and
 // go. What each proxy holds after each second is told, with every name replaced by its place in the settings.
-func (c customer) plays(t *testing.T, order []int) (account []string) {
-	m := c.begins(t, 12)
+func (c deployment) play(t *testing.T, order []int) (account []string) {
+	m := c.newLoop(t, 12)
 	chance := rand.New(rand.NewPCG(1, 2))
-	peers, hearers := map[int]*connection{}, map[int]*hearer{}
+	peers, hearers := map[int]*connection{}, map[int]*fakeProxy{}
 	place := map[string]int{}
 	for b := range 40 {
 		place[fmt.Sprint(c.backend, b)] = b
 	}
 	for turn := range 40 {
 		drawn := []int{chance.IntN(12), chance.IntN(12), chance.IntN(8)}
-		later(m, microsPerSecond, func() {
+		advance(m, microsPerSecond, func() {
 			for node := range 8 {
 				if turn == 0 || turn%9 == 0 && node == drawn[2] {
-					hearers[node] = newHearer(c.names()...)
+					hearers[node] = newFakeProxy(c.classNames()...)
 				}
 			}
 		})
 		for node := range 8 {
 			if turn == 0 || turn%9 == 0 && node == drawn[2] {
-				peers[node] = joins(t, m, turn+1, node, turn > 0)
+				peers[node] = connectProxy(t, m, turn+1, node, turn > 0)
 				peers[node].zone = node % len(c.zones)
 			}
 		}
@@ -119,19 +117,19 @@
 				}
 			}
 			if turn%5 == 2 {
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(drawn[0], "draining", 0)+","+
-					c.entry(12+turn/5, "up", m.now/1000)+"]").GetArray())
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[0], "draining", 0)+","+
+					c.endpointJSON(12+turn/5, "up", m.now/1000)+"]").GetArray())
 			}
 			if turn%5 == 4 {
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(drawn[1], "up", 0)+"]").GetArray())
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[1], "up", 0)+"]").GetArray())
 			}
 		})
 		for _, node := range slices.Sorted(maps.Keys(peers)) {
 			h, p := hearers[node], peers[node]
-			p.lastHeard.Store(m.now)
-			before := len(h.tickets)
-			h.hears(t, p)
-			for _, mark := range h.tickets[before:] {
+			p.lastMessageAt.Store(m.now)
+			before := len(h.nonces)
+			h.receive(t, p)
+			for _, mark := range h.nonces[before:] {
 				m.iterate(func() { m.acknowledged(p, mark) })
 			}
 			line := fmt.Sprint(turn, " ", node)
@@ -141,12 +139,12 @@
 					held[place[id]] = weight
 				}
 				line += fmt.Sprint(" ", held)
-				if l := h.levels[class]; l != nil {
+				if l := h.limits[class]; l != nil {
 					line += fmt.Sprintf(" %.4g/%g", l[0], l[1])
 				}
 			}
 			shut := []int{}
-			for id := range h.shut {
+			for id := range h.withdrawn {
 				shut = append(shut, place[id])
 			}
 			slices.Sort(shut)
@@ -156,12 +154,12 @@
 	return account
 }
 
-func TestNames(t *testing.T) {
+func TestDecisionsDoNotDependOnNames(t *testing.T) {
 	t.Run("other names and another order of classes give the same decisions", func(t *testing.T) {
-		classes := []profile{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
+		classes := []classSettings{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
 			{"audit", 3000, 9000, 0.5, false, true}}
-		one := customer{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: 30}
-		want := one.plays(t, []int{0, 1, 2})
+		one := deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: 30}
+		want := one.play(t, []int{0, 1, 2})
 		limited := 0
 		for _, line := range want {
 			limited += strings.Count(line, "/0")
@@ -170,14 +168,14 @@
 			t.Fatalf("the story orders no tables, or cuts nothing: %s", want[len(want)-1])
 		}
 		for what, order := range map[string][]int{"turned round": {2, 1, 0}, "rotated": {1, 2, 0}, "as they were": {0, 1, 2}} {
-			other := customer{zones: []string{`north "1"`, "süd"}, backend: "worker/", messages: 30,
-				classes: make([]profile, len(classes))}
+			other := deployment{zones: []string{`north "1"`, "süd"}, backend: "worker/", messages: 30,
+				classes: make([]classSettings, len(classes))}
 			for i, at := range order {
 				p := classes[i]
 				p.name = []string{"größer", "a b", "x"}[i]
 				other.classes[at] = p
 			}
-			got := other.plays(t, order)
+			got := other.play(t, order)
 			for i := range want {
 				if got[i] != want[i] {
 					t.Fatalf("%s: line %d of %d\n got %s\nwant %s", what, i, len(want), got[i], want[i])
@@ -186,49 +184,49 @@
 		}
 	})
 	t.Run("sixteen classes, each with its own table and level; a seventeenth is refused", func(t *testing.T) {
-		c := customer{zones: []string{"a"}, backend: "s-", messages: 30}
+		c := deployment{zones: []string{"a"}, backend: "s-", messages: 30}
 		for i := range 16 {
-			c.classes = append(c.classes, profile{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
+			c.classes = append(c.classes, classSettings{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
 		}
-		m := c.begins(t, 3)
-		p, h := joins(t, m, 1, 0, false), newHearer(c.names()...)
+		m := c.newLoop(t, 3)
+		p, h := connectProxy(t, m, 1, 0, false), newFakeProxy(c.classNames()...)
 		for class := range 16 {
 			m.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(1+class), balancer.RetryPolicy(class%2))
 		}
-		later(m, 3*microsPerSecond, func() {})
-		h.hears(t, p)
+		advance(m, 3*microsPerSecond, func() {})
+		h.receive(t, p)
 		for class := range 16 {
-			if len(h.picks(class)) != 3 || h.levels[class] == nil || h.levels[class][0] != float64(1+class) ||
-				h.levels[class][1] != float64(class%2) {
-				t.Errorf("class %d: picks %v, level %v", class, h.picks(class), h.levels[class])
+			if len(h.picks(class)) != 3 || h.limits[class] == nil || h.limits[class][0] != float64(1+class) ||
+				h.limits[class][1] != float64(class%2) {
+				t.Errorf("class %d: picks %v, level %v", class, h.picks(class), h.limits[class])
 			}
 		}
-		c.classes = append(c.classes, profile{"one more", 500, 3000, 1, false, false})
-		if _, err := New(Identity{}, c.configuration("127.0.0.1:9", two), NewLogger(io.Discard)); err == nil ||
+		c.classes = append(c.classes, classSettings{"one more", 500, 3000, 1, false, false})
+		if _, err := New(Identity{}, c.configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard)); err == nil ||
 			!strings.Contains(err.Error(), "profiles.count") {
 			t.Errorf("error %v", err)
 		}
 	})
 }
 
-func TestCustomers(t *testing.T) {
+func TestControllersOfOneProcessAreApart(t *testing.T) {
 	t.Run("two in one process see nothing of each other, before and after a reload of either", func(t *testing.T) {
-		one := customer{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []profile{
+		one := deployment{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []classSettings{
 			{"read", 1500, 4000, 1, false, false}, {"write", 800, 2000, 3, true, false}}}
-		other := customer{zones: []string{"b", "a"}, backend: "s-", messages: 4, classes: []profile{
+		other := deployment{zones: []string{"b", "a"}, backend: "s-", messages: 4, classes: []classSettings{
 			{"write", 3000, 9000, 1, false, false}, {"other", 100, 500, 9, true, false}, {"read", 800, 2000, 3, true, false}}}
-		serve := func(c customer, known string) (*Controller, *discovery, *caller, *hearer) {
-			d := discovers(t)
-			made, address, _ := runsWith(t, c.configuration(d.address, known), nil)
-			p, h := calls(t, address), newHearer(c.names()...)
-			p.says(`{"msg":"hello","node":0,"locality":"a","w":5,"cold":true}`)
-			if err := h.apply(p.gets()); err != nil {
+		serve := func(c deployment, known string) (*Controller, *fakeDiscovery, *client, *fakeProxy) {
+			d := newFakeDiscovery(t)
+			made, address, _ := runConfiguration(t, c.configuration(d.address, known), nil)
+			p, h := dial(t, address), newFakeProxy(c.classNames()...)
+			p.send(`{"msg":"hello","node":0,"locality":"a","w":5,"cold":true}`)
+			if err := h.apply(p.receive()); err != nil {
 				t.Fatal(err)
 			}
 			return made, d, p, h
 		}
-		mine, d, p, h := serve(one, listing(1, true, one.entry(0, "up", 0), one.entry(1, "up", 0)))
-		theirs, e, q, g := serve(other, listing(1, true, other.entry(0, "up", 0), other.entry(2, "up", 0)))
+		mine, d, p, h := serve(one, listJSON(1, true, one.endpointJSON(0, "up", 0), one.endpointJSON(1, "up", 0)))
+		theirs, e, q, g := serve(other, listJSON(1, true, other.endpointJSON(0, "up", 0), other.endpointJSON(2, "up", 0)))
 		for round := range 2 {
 			for class := range one.classes {
 				if want := []string{"s-0", "s-1"}; !slices.Equal(h.picks(class), want) {
@@ -252,15 +250,15 @@
 				t.Error("half a configuration was taken")
 			}
 		}
-		d.answers <- listing(2, false, one.entry(0, "draining", 0))
-		e.answers <- listing(2, false, other.entry(2, "draining", 0))
+		d.answers <- listJSON(2, false, one.endpointJSON(0, "draining", 0))
+		e.answers <- listJSON(2, false, other.endpointJSON(2, "draining", 0))
 		for len(h.picks(1)) > 1 {
-			if err := h.apply(p.gets()); err != nil {
+			if err := h.apply(p.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for len(g.picks(2)) > 1 {
-			if err := g.apply(q.gets()); err != nil {
+			if err := g.apply(q.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -314,91 +312,3 @@
 		}
 	})
 }
-
-func TestRepeats(t *testing.T) {
-	t.Run("no class is ever permitted more than a try after proof, and one that is cut none", func(t *testing.T) {
-		// Classes that may run twice and such that may not stand side by side, in tables of the fleet and of the zone,
-		// with windows that a request outlasts: nothing here may depend on how long one is.
-		c := customer{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []profile{
-			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
-			{"rare", 3000, 9000, 0.1, false, true}}}
-		m := c.begins(t, 8)
-		h, p := newHearer(c.names()...), (*connection)(nil)
-		cut := 0
-		for turn := range 60 {
-			switch turn % 20 {
-			case 0: // restarted stream, or its first
-				p = joins(t, m, turn+1, 0, turn%40 == 20)
-				if turn%40 == 0 {
-					h = newHearer(c.names()...)
-				}
-			case 7:
-				m.iterate(func() { m.endpointsUpdated(false, 2, parsed(t, "["+c.entry(1, "draining", 0)+"]").GetArray()) })
-			case 14:
-				m.iterate(func() { m.endpointsUpdated(false, 3, parsed(t, "["+c.entry(1, "up", m.now/1000)+"]").GetArray()) })
-			}
-			later(m, microsPerSecond/2, func() {
-				p.lastHeard.Store(m.now)
-				for b := range 8 {
-					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
-				}
-				for class := range 4 {
-					m.demandReported(0, class, 30, microsPerSecond/2)
-				}
-			})
-			h.hears(t, p)
-			for _, mark := range h.tickets {
-				m.iterate(func() { m.acknowledged(p, mark) })
-			}
-			h.tickets = nil
-			for class, l := range h.levels {
-				if l == nil {
-					continue
-				}
-				limited := l[0] < 1_000_000
-				if cut += map[bool]int{true: 1}[limited]; l[1] > 1 || limited && l[1] != 0 {
-					t.Fatalf("turn %d, class %d: level %g with permission %g", turn, class, l[0], l[1])
-				}
-			}
-		}
-		if cut == 0 {
-			t.Error("the story cuts nothing")
-		}
-	})
-	t.Run("a permission is written for just the classes that it is meant for", func(t *testing.T) {
-		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
-		to := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
-		here, p := newHearer("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
-		to.connect(0, p, false)
-		story := rand.New(rand.NewPCG(3, 4))
-		want := make([]float64, 3)
-		to.AssignTable(0, 0, 0b011)
-		to.AssignTable(1, 0, 0b100)
-		for turn := range 300 {
-			for class := range 3 {
-				if story.IntN(3) == 0 {
-					want[class] = float64(story.IntN(2))
-					to.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.RetryPolicy(want[class]))
-				} else if turn == 0 {
-					to.SetAdmissionLimit(balancer.AllTables, 1<<class, 5, balancer.NoRetry)
-				}
-			}
-			switch story.IntN(4) {
-			case 0:
-				to.AssignTable(0, 0, 0b011) // a whole table forgets levels
-			case 1:
-				to.AssignTable(1, 0, 0b100)
-			case 2:
-				to.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
-			}
-			to.flush((*connection).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
-			here.hears(t, p)
-			for class, l := range here.levels {
-				if l == nil || l[1] != want[class] {
-					t.Fatalf("turn %d: class %d has level %v, permission %g was meant", turn, class, l, want[class])
-				}
-			}
-		}
-	})
-}
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -13,19 +13,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// discovery is a stand-in that answers each call with the next text; none left, a watch ends without news.
-type discovery struct {
+// fakeDiscovery is a stand-in that answers each call with the next text; none left, a watch ends without news.
+type fakeDiscovery struct {
 	address string
 	answers chan string
 	asked   chan string // the query of each call
 }
 
-func discovers(t *testing.T) *discovery {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &discovery{listener.Addr().String(), make(chan string, 16), make(chan string, 1024)}
+	d := &fakeDiscovery{listener.Addr().String(), make(chan string, 16), make(chan string, 1024)}
 	stop := make(chan struct{})
 	s := &fasthttp.Server{Logger: log.New(io.Discard, "", 0), Handler: func(call *fasthttp.RequestCtx) {
 		select {
@@ -53,7 +53,7 @@
 				call.SetBodyString(text)
 			}
 		case <-wait:
-			call.SetBodyString(listing(call.QueryArgs().GetUintOrZero("since"), false))
+			call.SetBodyString(listJSON(call.QueryArgs().GetUintOrZero("since"), false))
 		case <-stop:
 		}
 	}}
@@ -63,40 +63,40 @@
 	return d
 }
 
-func TestDiscovery(t *testing.T) {
+func TestWatchingDiscovery(t *testing.T) {
 	t.Run("while it fails what was known stays, and the watch goes on where it was", func(t *testing.T) {
-		d := discovers(t)
-		for _, bad := range []string{"status 500", "reset", "silence", "{", "[]", `{"version":9}`, "half" + two,
-			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listing(0, true)} {
+		d := newFakeDiscovery(t)
+		for _, bad := range []string{"status 500", "reset", "silence", "{", "[]", `{"version":9}`, "half" + twoEndpoints,
+			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listJSON(0, true)} {
 			d.answers <- bad
 		}
-		address, said := serves(t, d.address, two, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
+		address, logged := serve(t, d.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		for range 10 {
 			if query := <-d.asked; query != "since=1&timeout_ms=50" && query != "" {
 				t.Errorf("asked %q", query)
 			}
 		}
-		p, h := calls(t, address), newHearer("read it", "write")
-		p.says(hello)
-		if err := h.apply(p.gets()); err != nil || len(h.picks(0)) != 2 {
+		p, h := dial(t, address), newFakeProxy("read it", "write")
+		p.send(hello)
+		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 {
 			t.Errorf("error %v, got %+v", err, h)
 		}
-		d.answers <- listing(2, true, backendIs(0, "up"), backendIs(1, "up"), backendIs(5, "up")) // all was asked for by now
+		d.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up")) // all was asked for by now
 		for len(h.picks(0)) != 3 {
-			if err := h.apply(p.gets()); err != nil {
+			if err := h.apply(p.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		said.waits(t, "msg=discovery_failed", 1)
+		logged.waitFor(t, "msg=discovery_failed", 1)
 	})
 	t.Run("one that says again and again that it knows less is taken at its word, whole", func(t *testing.T) {
-		d := discovers(t)
-		known := listing(50, true, backendIs(0, "up"))
+		d := newFakeDiscovery(t)
+		known := listJSON(50, true, endpointJSON(0, "up"))
 		for range 6 {
-			d.answers <- listing(7, true, backendIs(1, "up"))
+			d.answers <- listJSON(7, true, endpointJSON(1, "up"))
 		}
-		_, said := serves(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
-		said.waits(t, "msg=endpoint_list_updated version=7 full=true endpoints=1", 1)
+		_, logged := serve(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
+		logged.waitFor(t, "msg=endpoint_list_updated version=7 full=true endpoints=1", 1)
 		for i := range 6 {
 			if query := <-d.asked; (query == "") != (i == 5) {
 				t.Errorf("call %d asked %q", i, query)
@@ -104,13 +104,13 @@
 		}
 	})
 	t.Run("one that will not go on from our version is asked for all it knows", func(t *testing.T) {
-		d := discovers(t)
+		d := newFakeDiscovery(t)
 		for range 5 {
 			d.answers <- "status 500"
 		}
-		d.answers <- listing(3, true, backendIs(0, "up"), backendIs(1, "up"))
-		_, said := serves(t, d.address, two, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
-		said.waits(t, "msg=endpoint_list_updated version=3 full=true endpoints=2", 1)
+		d.answers <- listJSON(3, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
+		_, logged := serve(t, d.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
+		logged.waitFor(t, "msg=endpoint_list_updated version=3 full=true endpoints=2", 1)
 		for i, want := range []string{"since=1", "since=1", "since=1", "since=1", "since=1", "", "since=3"} {
 			if query := <-d.asked; !strings.HasPrefix(query, want) || want == "" && query != "" {
 				t.Errorf("call %d asked %q", i, query)
@@ -118,16 +118,16 @@
 		}
 	})
 	t.Run("entries that cannot be used are left out, unknown words read with care", func(t *testing.T) {
-		d := discovers(t)
+		d := newFakeDiscovery(t)
 		odd := []string{`{"id":"","zone":"a","state":"up"}`, `{"id":"s-8","zone":"q","state":"up"}`, `7`, `{"zone":"a"}`,
-			`{"id":"` + strings.Repeat("x", 300) + `","zone":"a","state":"up"}`, backendIs(6, "resting"),
+			`{"id":"` + strings.Repeat("x", 300) + `","zone":"a","state":"up"}`, endpointJSON(6, "resting"),
 			`{"id":"say \"7\"","zone":"a","state":"up","weight":"big","started_ms":-3}`}
-		address, said := serves(t, d.address, listing(1, true, append(odd, backendIs(0, "up"))...), nil)
-		p, h := calls(t, address), newHearer("read it", "write")
-		p.says(hello)
-		if err := h.apply(p.gets()); err != nil || !slices.Equal(h.picks(0), []string{"s-0", `say "7"`}) {
+		address, logged := serve(t, d.address, listJSON(1, true, append(odd, endpointJSON(0, "up"))...), nil)
+		p, h := dial(t, address), newFakeProxy("read it", "write")
+		p.send(hello)
+		if err := h.apply(p.receive()); err != nil || !slices.Equal(h.picks(0), []string{"s-0", `say "7"`}) {
 			t.Errorf("error %v, got %v", err, h.picks(0))
 		}
-		said.waits(t, `state=resting treated_as=draining`, 1)
+		logged.waitFor(t, `state=resting treated_as=draining`, 1)
 	})
 }
--- a/controller/encode.go
+++ b/controller/encode.go
@@ -85,7 +85,7 @@
 	w.openField(key)
 	w.raw = append(w.raw, '[')
 	for i, item := range items {
-		if !w.fits(len(item) + 1) {
+		if !w.hasRoomFor(len(item) + 1) {
 			w.raw = append(w.raw, ']')
 			w.nextPart(w.partClasses)
 			w.openField(key)
@@ -98,14 +98,14 @@
 	w.raw = append(w.raw, ']')
 }
 
-// fits tells whether some more bytes, and the end of the part, go into the open part.
-func (w *messageWriter) fits(size int) bool {
+// hasRoomFor tells whether some more bytes, and the end of the part, go into the open part.
+func (w *messageWriter) hasRoomFor(size int) bool {
 	return len(w.raw)-w.partStart+size+partTail <= w.maxFrame+lengthSize
 }
 
 // ensureRoom opens a further part when a field would not go into this one.
 func (w *messageWriter) ensureRoom() {
-	if !w.fits(maxFieldBytes) {
+	if !w.hasRoomFor(maxFieldBytes) {
 		w.nextPart(w.partClasses)
 	}
 }
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -20,21 +20,21 @@
 // patience bounds what a story waits for; nothing waits for it to pass.
 const patience = 20 * time.Second
 
-// hearer is a proxy as the protocol's page describes it: it applies messages, and counts what the channel counts.
-type hearer struct {
-	classes []string
-	lines   []map[string]float64
-	levels  [][]float64 // level and manner of trying again, or nil
-	shut    map[string]bool
-	tickets []int
-	cost    int // lines of the last message
-	told    int // messages
-	inside  bool
-	parts   int
+// fakeProxy is a proxy as the protocol's page describes it: it applies messages, and counts what the channel counts.
+type fakeProxy struct {
+	classes   []string
+	lines     []map[string]float64
+	limits    [][]float64 // level and manner of trying again, or nil
+	withdrawn map[string]bool
+	nonces    []int
+	cost      int // lines of the last message
+	messages  int // messages
+	inMessage bool
+	parts     int
 }
 
-func newHearer(classes ...string) *hearer {
-	h := &hearer{classes: classes, shut: map[string]bool{}, levels: make([][]float64, len(classes))}
+func newFakeProxy(classes ...string) *fakeProxy {
+	h := &fakeProxy{classes: classes, withdrawn: map[string]bool{}, limits: make([][]float64, len(classes))}
 	for range classes {
 		h.lines = append(h.lines, map[string]float64{})
 	}
@@ -55,7 +55,7 @@
 }
 
 // apply takes frames as they leave; an error is what a proxy would reset its stream for.
-func (h *hearer) apply(raw []byte) error {
+func (h *fakeProxy) apply(raw []byte) error {
 	for len(raw) > 0 {
 		size := int(binary.BigEndian.Uint32(raw))
 		if size > 1<<20 || len(raw) < 4+size {
@@ -69,18 +69,18 @@
 	return nil
 }
 
-func (h *hearer) part(text []byte) error {
+func (h *fakeProxy) part(text []byte) error {
 	var p push
 	decode := json.NewDecoder(bytes.NewReader(text))
 	decode.DisallowUnknownFields()
 	if err := decode.Decode(&p); err != nil || p.Msg != "push" || (p.Level == nil) != (p.Retry == nil) {
 		return fmt.Errorf("not a push: %w", err)
 	}
-	if !h.inside {
+	if !h.inMessage {
 		h.cost, h.parts = 0, 0
-		h.told++
+		h.messages++
 	}
-	h.inside = p.More
+	h.inMessage = p.More
 	if h.parts++; h.parts > 64 {
 		return fmt.Errorf("too many parts")
 	}
@@ -94,7 +94,7 @@
 			return fmt.Errorf("unknown class %q", name)
 		}
 		if p.Whole {
-			h.lines[class], h.levels[class] = map[string]float64{}, nil
+			h.lines[class], h.limits[class] = map[string]float64{}, nil
 		}
 		for _, l := range p.Lines {
 			id, weight := l[0].(string), l[1].(float64)
@@ -107,14 +107,14 @@
 			}
 		}
 		if p.Level != nil {
-			h.levels[class] = []float64{*p.Level, float64(*p.Retry)}
+			h.limits[class] = []float64{*p.Level, float64(*p.Retry)}
 		}
 	}
 	for _, id := range p.Out {
-		h.shut[id] = true
+		h.withdrawn[id] = true
 	}
 	for _, id := range p.Back {
-		delete(h.shut, id)
+		delete(h.withdrawn, id)
 	}
 	h.cost += len(p.Lines) + len(p.Out) + len(p.Back)
 	for _, one := range []bool{p.Whole, p.Level != nil, p.Ticket != nil} {
@@ -123,15 +123,15 @@
 		}
 	}
 	if p.Ticket != nil {
-		h.tickets = append(h.tickets, *p.Ticket)
+		h.nonces = append(h.nonces, *p.Ticket)
 	}
 	return nil
 }
 
 // picks gives the backends that the proxy can pick for a class.
-func (h *hearer) picks(class int) (ids []string) {
+func (h *fakeProxy) picks(class int) (ids []string) {
 	for id := range h.lines[class] {
-		if !h.shut[id] {
+		if !h.withdrawn[id] {
 			ids = append(ids, id)
 		}
 	}
@@ -139,8 +139,8 @@
 	return ids
 }
 
-// hears applies what waits in a peer's mailbox.
-func (h *hearer) hears(t *testing.T, p *connection) {
+// receive applies what waits in a peer's mailbox.
+func (h *fakeProxy) receive(t *testing.T, p *connection) {
 	t.Helper()
 	for {
 		select {
@@ -154,30 +154,30 @@
 	}
 }
 
-// diary keeps the lines of a log, and lets stories wait for one.
-type diary struct {
-	mutex sync.Mutex
-	text  strings.Builder
-	more  chan struct{}
+// logBuffer keeps the lines of a log, and lets stories wait for one.
+type logBuffer struct {
+	mutex   sync.Mutex
+	text    strings.Builder
+	changed chan struct{}
 }
 
-func (d *diary) Write(line []byte) (int, error) {
+func (d *logBuffer) Write(line []byte) (int, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.text.Write(line)
-	close(d.more)
-	d.more = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 	return len(line), nil
 }
 
-func (d *diary) read() (string, chan struct{}) {
+func (d *logBuffer) read() (string, chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.text.String(), d.more
+	return d.text.String(), d.changed
 }
 
-// waits until a line holds some text as often as asked.
-func (d *diary) waits(t *testing.T, some string, times int) {
+// waitFor until a line holds some text as often as asked.
+func (d *logBuffer) waitFor(t *testing.T, some string, times int) {
 	t.Helper()
 	late := time.After(patience)
 	for {
@@ -193,7 +193,7 @@
 	}
 }
 
-func newDiary() *diary { return &diary{more: make(chan struct{})} }
+func newLogBuffer() *logBuffer { return &logBuffer{changed: make(chan struct{})} }
 
 // sampleSettings are those of a small deployment of two classes and two zones.
 const sampleSettings = `{"azs":["a","b"],"tick":1.0,"weights":"rough","membershipMode":"automatic",
@@ -202,13 +202,13 @@
 "profiles":[{"name":"read it","deadline":4000,"target":1500},{"name":"write","deadline":2000,"target":800}],
 "reporting":{"how":"silent","fields":[]},"rules":{"coldShare":0.2,"rampTime":17000,"stopSendingWithin":3000}}`
 
-func backendIs(id int, state string) string {
+func endpointJSON(id int, state string) string {
 	return fmt.Sprintf(`{"id":"s-%d","addr":"x","zone":"%s","state":"%s","weight":2,"started_ms":0}`,
 		id, string("ab"[id%2]), state)
 }
 
-// listing is an answer of discovery: version, whole, and entries.
-func listing(version int, whole bool, entries ...string) string {
+// listJSON is an answer of discovery: version, whole, and entries.
+func listJSON(version int, whole bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, whole, strings.Join(entries, ","))
 }
 
@@ -217,19 +217,19 @@
 "limits":{"cores":1,"memory_mb":192,"sockets":200},"settings":%s}`, discovery, known, sampleSettings))
 }
 
-// begin makes a controller that nobody serves: the story takes its turns, and plays time.
-func begin(t *testing.T) (*eventLoop, *diary) {
+// newIdleLoop makes a controller that nobody serves: the story takes its turns, and plays time.
+func newIdleLoop(t *testing.T) (*eventLoop, *logBuffer) {
 	t.Helper()
-	said := newDiary()
-	c, err := New(Identity{}, configuration("127.0.0.1:9", listing(1, true, backendIs(0, "up"), backendIs(1, "up"))),
-		NewLogger(said))
+	logged := newLogBuffer()
+	c, err := New(Identity{}, configuration("127.0.0.1:9", listJSON(1, true, endpointJSON(0, "up"), endpointJSON(1, "up"))),
+		NewLogger(logged))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := c.loop.now
 	c.loop.clock = func() int64 { return now }
 	c.loop.iterate(func() {})
-	return c.loop, said
+	return c.loop, logged
 }
 
 func parsed(t *testing.T, text string) *fastjson.Value {
@@ -241,40 +241,40 @@
 	return v
 }
 
-// later takes a turn after a while, and idle ones before it, as timers bring them.
-func later(m *eventLoop, wait int64, what func()) {
+// advance takes a turn after a while, and idle ones before it, as timers bring them.
+func advance(m *eventLoop, wait int64, what func()) {
 	for ; wait > microsPerSecond/2; wait -= microsPerSecond / 2 {
-		jump(m, microsPerSecond/2, func() {})
+		advanceAtOnce(m, microsPerSecond/2, func() {})
 	}
-	jump(m, wait, what)
+	advanceAtOnce(m, wait, what)
 }
 
-// jump takes a turn after a while in which we stood still.
-func jump(m *eventLoop, wait int64, what func()) {
+// advanceAtOnce takes a turn after a while in which we stood still.
+func advanceAtOnce(m *eventLoop, wait int64, what func()) {
 	now := m.now + wait
 	m.clock = func() int64 { return now }
 	m.iterate(what)
 }
 
-// joins has a proxy join on a connection that nobody reads.
-func joins(t *testing.T, m *eventLoop, serial, node int, keeps bool) *connection {
+// connectProxy has a proxy join on a connection that nobody reads.
+func connectProxy(t *testing.T, m *eventLoop, serial, node int, keeps bool) *connection {
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	p := newConnection(here, serial, m, func(*connection) error { return nil })
 	p.kind, p.proxy, p.zone = kindProxy, node, node%2
-	p.lastHeard.Store(m.now)
+	p.lastMessageAt.Store(m.now)
 	m.iterate(func() { m.proxyConnected(p, 10, keeps) })
 	return p
 }
 
-// caller is a connection to a controller, as a proxy or collector has it.
-type caller struct {
+// client is a connection to a controller, as a proxy or collector has it.
+type client struct {
 	*testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-func calls(t *testing.T, address string) *caller {
+func dial(t *testing.T, address string) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -282,22 +282,22 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(patience))
-	return &caller{t, conn, bufio.NewReader(conn)}
+	return &client{t, conn, bufio.NewReader(conn)}
 }
 
-func framed(text string) []byte {
+func frame(text string) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 }
 
-func (c *caller) says(text string) {
+func (c *client) send(text string) {
 	c.Helper()
-	if _, err := c.Write(framed(text)); err != nil {
+	if _, err := c.Write(frame(text)); err != nil {
 		c.Fatal(err)
 	}
 }
 
-// gets reads one frame, with its length.
-func (c *caller) gets() []byte {
+// receive reads one frame, with its length.
+func (c *client) receive() []byte {
 	c.Helper()
 	raw := make([]byte, 4)
 	if _, err := io.ReadFull(c.in, raw); err != nil {
@@ -310,18 +310,18 @@
 	return raw
 }
 
-// ends tells whether the controller closes the connection without another word.
-func (c *caller) ends() bool {
+// isClosed tells whether the controller closes the connection without another word.
+func (c *client) isClosed() bool {
 	_, err := c.in.ReadByte()
 	late, ok := err.(net.Error)
 	return err != nil && !(ok && late.Timeout())
 }
 
-// refused tells whether the controller closes the connection with no other word than an error, if it gets through.
-func (c *caller) refused() bool {
+// isRefused tells whether the controller closes the connection with no other word than an error, if it gets through.
+func (c *client) isRefused() bool {
 	text, err := io.ReadAll(c.in)
 	late, ok := err.(net.Error)
-	said := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
+	logged := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
 		fastjson.ValidateBytes(text[4:]) == nil && int(binary.BigEndian.Uint32(text)) == len(text)-4
-	return said && !(ok && late.Timeout())
+	return logged && !(ok && late.Timeout())
 }
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// FuzzStream gives a peer whatever bytes, as what is said by a stranger, and then by a proxy.
+// FuzzStream gives a peer whatever bytes, as what is logged by a stranger, and then by a proxy.
 func FuzzStream(f *testing.F) {
-	f.Add(slices.Concat(framed(hello), framed(usage), framed(probe), framed(`{"msg":"ack","node":3,"nonce":1}`)))
-	f.Add(slices.Concat(framed(agent), framed(reports), framed(usage), framed("null")))
+	f.Add(slices.Concat(frame(hello), frame(usage), frame(probe), frame(`{"msg":"ack","node":3,"nonce":1}`)))
+	f.Add(slices.Concat(frame(agent), frame(reports), frame(usage), frame("null")))
 	f.Add([]byte("\x00\x10\x00\x00{"))
 	for _, text := range spoilt {
-		f.Add(append(framed(text), framed(probe)...))
+		f.Add(append(frame(text), frame(probe)...))
 	}
 	for _, size := range []int{0, 16 << 10, 16<<10 + 1, 1 << 20, 1<<20 + 1} {
 		f.Add(append(binary.BigEndian.AppendUint32(nil, uint32(size)), hello...))
 	}
-	for cut := range framed(hello) {
-		f.Add(framed(hello)[:cut])
+	for cut := range frame(hello) {
+		f.Add(frame(hello)[:cut])
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m := fuzzed(t)
 		for _, before := range []string{"", hello, agent} {
 			var first []byte
 			if before != "" {
-				first = framed(before)
+				first = frame(before)
 			}
-			p := newConnection(&told{Reader: bytes.NewReader(append(first, raw...))}, 1, m, func(*connection) error { return nil })
+			p := newConnection(&readerConn{Reader: bytes.NewReader(append(first, raw...))}, 1, m, func(*connection) error { return nil })
 			if err := p.readMessages(); err == nil {
 				t.Fatal("bytes without an end")
 			}
@@ -40,22 +40,22 @@
 	})
 }
 
-// told is a connection that brings some bytes and ends.
-type told struct {
+// readerConn is a connection that brings some bytes and ends.
+type readerConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (c *told) Read(b []byte) (int, error) { return c.Reader.Read(b) }
+func (c *readerConn) Read(b []byte) (int, error) { return c.Reader.Read(b) }
 
-func (c *told) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (c *readerConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-func (c *told) SetReadDeadline(time.Time) error { return nil }
+func (c *readerConn) SetReadDeadline(time.Time) error { return nil }
 
-func (c *told) Close() error { return nil }
+func (c *readerConn) Close() error { return nil }
 
 func fuzzed(t *testing.T) *eventLoop {
-	c, err := New(Identity{}, configuration("127.0.0.1:9", two), NewLogger(io.Discard))
+	c, err := New(Identity{}, configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/wire_golden_test.go
+++ b/controller/golden_pushes_test.go
@@ -1,26 +1,17 @@
 package controller
 
 import (
-	"bufio"
-	"bytes"
 	"crypto/sha256"
-	"errors"
 	"flag"
 	"fmt"
-	"io"
 	"math"
 	"math/rand/v2"
-	"net"
-	"net/http"
 	"os"
 	"path/filepath"
-	"reflect"
 	"strings"
 	"testing"
-	"time"
 
 	"wheelrill/balancer"
-	"wheelrill/distribution"
 	"wheelrill/ownership"
 )
 
@@ -263,18 +254,18 @@
 
 // goldenDay plays a controller through a day of trouble on a clock of its own, and writes down every byte that a proxy
 // is written.
-func goldenDay(t *testing.T, c customer) string {
+func goldenDay(t *testing.T, c deployment) string {
 	var text strings.Builder
-	m := c.begins(t, 12)
+	m := c.newLoop(t, 12)
 	chance := rand.New(rand.NewPCG(7, 2))
 	peers := map[int]*connection{}
-	hearers := map[int]*hearer{}
+	hearers := map[int]*fakeProxy{}
 	for turn := range 40 {
-		later(m, microsPerSecond, func() {})
+		advance(m, microsPerSecond, func() {})
 		again := chance.IntN(8)
 		for node := range 8 {
 			if turn == 0 || turn%9 == 0 && node == again {
-				peers[node], hearers[node] = joins(t, m, turn+1, node, turn > 0), newHearer(c.names()...)
+				peers[node], hearers[node] = connectProxy(t, m, turn+1, node, turn > 0), newFakeProxy(c.classNames()...)
 			}
 		}
 		changed := chance.IntN(12)
@@ -294,15 +285,15 @@
 			}
 			switch turn % 5 {
 			case 2:
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(changed, "draining", 0)+","+
-					c.entry(12+turn/5, "up", m.now/1000)+"]").GetArray())
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(changed, "draining", 0)+","+
+					c.endpointJSON(12+turn/5, "up", m.now/1000)+"]").GetArray())
 			case 4:
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.entry(changed, "up", 0)+"]").GetArray())
+				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(changed, "up", 0)+"]").GetArray())
 			}
 		})
 		for node := range 8 {
 			p := peers[node]
-			p.lastHeard.Store(m.now)
+			p.lastMessageAt.Store(m.now)
 			for len(p.outbox) > 0 {
 				message := <-p.outbox
 				fmt.Fprintf(&text, "%d proxy %d: %q\n", turn, node, message)
@@ -310,10 +301,10 @@
 					t.Fatal(err)
 				}
 			}
-			for _, number := range hearers[node].tickets {
+			for _, number := range hearers[node].nonces {
 				m.iterate(func() { m.acknowledged(p, number) })
 			}
-			hearers[node].tickets = nil
+			hearers[node].nonces = nil
 		}
 	}
 	return text.String()
@@ -321,11 +312,11 @@
 
 // TestGoldenDay holds the bytes that a whole controller writes on its proxies' streams, zones and classes included.
 func TestGoldenDay(t *testing.T) {
-	classes := []profile{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
+	classes := []classSettings{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
 		{"audit", 3000, 9000, 0.5, false, true}}
 	var text strings.Builder
 	for _, messages := range []int{0, 4, 30} {
-		day := goldenDay(t, customer{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: messages})
+		day := goldenDay(t, deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: messages})
 		lines := strings.SplitAfter(day, "\n")
 		fmt.Fprintf(&text, "# %d messages at most: %d messages, sha256 %x\n", messages, len(lines)-1, sha256.Sum256([]byte(day)))
 		if messages == 30 {
@@ -334,178 +325,3 @@
 	}
 	compareGolden(t, "day.golden", text.String())
 }
-
-// TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
-func TestGoldenAnswers(t *testing.T) {
-	address, _ := serves(t, discovers(t).address, two, func(l *limits) { l.maxIdentified, l.identifyTimeout = 2, 300*time.Millisecond })
-	var text strings.Builder
-	says := func(what string, sent ...string) {
-		c := calls(t, address)
-		for _, raw := range sent {
-			if _, err := c.Write([]byte(raw)); err != nil {
-				t.Fatal(err)
-			}
-		}
-		c.Conn.(*net.TCPConn).CloseWrite()
-		got, err := io.ReadAll(c.in)
-		if err != nil && len(got) == 0 {
-			t.Fatalf("%s: %v", what, err)
-		}
-		fmt.Fprintf(&text, "%s: %q\n", what, got)
-	}
-	stays := func(what string, sent ...string) {
-		c := calls(t, address)
-		for _, raw := range sent {
-			c.Write([]byte(raw))
-		}
-		got, err := io.ReadAll(c.in)
-		if err != nil && len(got) == 0 {
-			t.Fatalf("%s: %v", what, err)
-		}
-		fmt.Fprintf(&text, "%s: %q\n", what, got)
-	}
-	f := func(body string) string { return string(framed(body)) }
-	says("nothing")
-	says("a probe", f(probe))
-	says("two probes", f(probe)+f(probe))
-	says("a collector that probes", f(agent)+f(probe))
-	says("a collector that reports and probes", f(agent)+f(reports)+f(usage)+f(probe))
-	says("a collector that says nonsense and probes", f(agent)+f(`{"msg":"lease"}`)+f(hello)+f(agent)+f(probe))
-	says("a report before it joined", f(reports))
-	says("usage before it joined", f(usage))
-	says("an acknowledgement before it joined", f(`{"msg":"ack","node":3,"nonce":1}`))
-	says("an order", f(`{"msg":"push","out":["s-0"]}`))
-	says("no kind", f(`{}`))
-	prober := calls(t, address) // the answer is waited for, as a refusal does not wait for answers
-	prober.says(probe)
-	fmt.Fprintf(&text, "a probe, then a report: %q", prober.gets())
-	prober.says(reports)
-	refused, _ := io.ReadAll(prober.in)
-	fmt.Fprintf(&text, " %q\n", refused)
-	says("a key twice", f(`{"msg":"probe","msg":"probe"}`))
-	says("no object", f(`[1]`))
-	says("no JSON", f(`{`))
-	says("an empty message", "\x00\x00\x00\x00")
-	says("too long a message", "\x7f\xff\xff\xff")
-	says("half a length", "\x00\x00")
-	says("half a hello", f(hello)[:20])
-	says("an unknown zone of a collector", f(`{"msg":"agent","locality":"q"}`))
-	says("an unknown zone of a proxy", f(strings.Replace(hello, `"b"`, `"q"`, 1)))
-	says("an unknown proxy", f(strings.Replace(hello, "3", "40", 1)))
-	stays("silence")
-	stays("half a hello and then silence", f(hello)[:20])
-	one, other := calls(t, address), calls(t, address)
-	for _, c := range []*caller{one, other} {
-		c.says(agent)
-		c.says(probe)
-		c.gets()
-	}
-	stays("a proxy beyond the room", f(hello))
-	compareGolden(t, "answers.golden", text.String())
-}
-
-// TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
-func TestGoldenRefusals(t *testing.T) {
-	var text strings.Builder
-	for _, why := range []error{errIdentifyTimeout, errUnacceptable, errNoRoom, errSuperseded, errNotIdentified, errUnreadable,
-		&net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset by peer")},
-		errors.New("\"größer\"\n\x01")} {
-		fmt.Fprintf(&text, "%q\n", errorMessage(why))
-	}
-	compareGolden(t, "refusals.golden", text.String())
-}
-
-// TestGoldenDiscoveryRequests holds the bytes of discovery's requests, by what was answered before.
-func TestGoldenDiscoveryRequests(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	answers := []string{"", listing(7, true, backendIs(0, "up")), listing(7, false), listing(8, false, backendIs(1, "up")),
-		listing(3, false), "{", `{"version":9}`, "[]", "{", "{", listing(9, true), listing(10, false)}
-	var text strings.Builder
-	seen := make(chan struct{})
-	go func() {
-		defer close(seen)
-		for len(answers) > 0 {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			answers = serveGoldenDiscovery(conn, listener.Addr().String(), answers, &text)
-		}
-	}()
-	runs(t, listener.Addr().String(), "null", func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
-	select {
-	case <-seen:
-	case <-time.After(patience):
-		t.Fatal("it stopped asking")
-	}
-	compareGolden(t, "discovery-requests.golden", text.String())
-}
-
-// serveGoldenDiscovery answers the requests of one connection, writes down their bytes, and gives the answers that are left.
-func serveGoldenDiscovery(conn net.Conn, address string, answers []string, text *strings.Builder) []string {
-	defer conn.Close()
-	var raw bytes.Buffer
-	in := bufio.NewReader(io.TeeReader(conn, &raw))
-	for len(answers) > 0 {
-		if _, err := http.ReadRequest(in); err != nil {
-			return answers
-		}
-		fmt.Fprintf(text, "%q\n", strings.ReplaceAll(raw.String(), address, "HOST"))
-		raw.Reset()
-		if answers[0] == "" {
-			return answers[1:] // closes without an answer
-		}
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answers[0]), answers[0])
-		answers = answers[1:]
-	}
-	return answers
-}
-
-// TestGoldenFolder holds the file of a subscriber's folder: one that was written before is read, and written again by the
-// same bytes.
-func TestGoldenFolder(t *testing.T) {
-	golden := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
-	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
-		Covered: distribution.SomeScopes("pricing", "orders"), Horizon: 2, Entries: []distribution.Entry{
-			{Scope: "orders", Name: "limit/read it", Value: []byte("12.5"), Revision: 3, AcceptedAt: 1_700_000_000_000_000},
-			{Scope: "pricing", Name: "drain/s-1", Revision: 6, Deleted: true, AcceptedAt: 1_700_000_001_000_000},
-			{Scope: "pricing", Name: "weight/s-2", Value: []byte("0.5"), Revision: 7, AcceptedAt: 1_700_000_002_000_000}}}
-	folder := t.TempDir()
-	k, err := openConfigurationCache(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := k.save(state); err != nil {
-		t.Fatal(err)
-	}
-	body, err := os.ReadFile(filepath.Join(folder, "configuration.cbor"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if *updateGolden {
-		if err := errors.Join(os.MkdirAll(filepath.Dir(golden), 0o755), os.WriteFile(golden, body, 0o644)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(golden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(body, want) {
-		t.Errorf("written anew\n got %x\nwant %x", body, want)
-	}
-	if err := os.WriteFile(filepath.Join(folder, "configuration.cbor"), want, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	again, err := openConfigurationCache(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got, err := again.load(); err != nil || got == nil || !reflect.DeepEqual(*got, state) {
-		t.Errorf("read %+v, %v", got, err)
-	}
-}
--- /dev/null
+++ b/controller/golden_wire_test.go
@@ -0,0 +1,194 @@
+package controller
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"wheelrill/distribution"
+)
+
+// TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
+func TestGoldenAnswers(t *testing.T) {
+	address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxIdentified, l.identifyTimeout = 2, 300*time.Millisecond })
+	var text strings.Builder
+	says := func(what string, sent ...string) {
+		c := dial(t, address)
+		for _, raw := range sent {
+			if _, err := c.Write([]byte(raw)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		c.Conn.(*net.TCPConn).CloseWrite()
+		got, err := io.ReadAll(c.in)
+		if err != nil && len(got) == 0 {
+			t.Fatalf("%s: %v", what, err)
+		}
+		fmt.Fprintf(&text, "%s: %q\n", what, got)
+	}
+	stays := func(what string, sent ...string) {
+		c := dial(t, address)
+		for _, raw := range sent {
+			c.Write([]byte(raw))
+		}
+		got, err := io.ReadAll(c.in)
+		if err != nil && len(got) == 0 {
+			t.Fatalf("%s: %v", what, err)
+		}
+		fmt.Fprintf(&text, "%s: %q\n", what, got)
+	}
+	f := func(body string) string { return string(frame(body)) }
+	says("nothing")
+	says("a probe", f(probe))
+	says("two probes", f(probe)+f(probe))
+	says("a collector that probes", f(agent)+f(probe))
+	says("a collector that reports and probes", f(agent)+f(reports)+f(usage)+f(probe))
+	says("a collector that says nonsense and probes", f(agent)+f(`{"msg":"lease"}`)+f(hello)+f(agent)+f(probe))
+	says("a report before it joined", f(reports))
+	says("usage before it joined", f(usage))
+	says("an acknowledgement before it joined", f(`{"msg":"ack","node":3,"nonce":1}`))
+	says("an order", f(`{"msg":"push","out":["s-0"]}`))
+	says("no kind", f(`{}`))
+	prober := dial(t, address) // the answer is waited for, as a refusal does not wait for answers
+	prober.send(probe)
+	fmt.Fprintf(&text, "a probe, then a report: %q", prober.receive())
+	prober.send(reports)
+	refused, _ := io.ReadAll(prober.in)
+	fmt.Fprintf(&text, " %q\n", refused)
+	says("a key twice", f(`{"msg":"probe","msg":"probe"}`))
+	says("no object", f(`[1]`))
+	says("no JSON", f(`{`))
+	says("an empty message", "\x00\x00\x00\x00")
+	says("too long a message", "\x7f\xff\xff\xff")
+	says("half a length", "\x00\x00")
+	says("half a hello", f(hello)[:20])
+	says("an unknown zone of a collector", f(`{"msg":"agent","locality":"q"}`))
+	says("an unknown zone of a proxy", f(strings.Replace(hello, `"b"`, `"q"`, 1)))
+	says("an unknown proxy", f(strings.Replace(hello, "3", "40", 1)))
+	stays("silence")
+	stays("half a hello and then silence", f(hello)[:20])
+	one, other := dial(t, address), dial(t, address)
+	for _, c := range []*client{one, other} {
+		c.send(agent)
+		c.send(probe)
+		c.receive()
+	}
+	stays("a proxy beyond the room", f(hello))
+	compareGolden(t, "answers.golden", text.String())
+}
+
+// TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
+func TestGoldenRefusals(t *testing.T) {
+	var text strings.Builder
+	for _, why := range []error{errIdentifyTimeout, errUnacceptable, errNoRoom, errSuperseded, errNotIdentified, errUnreadable,
+		&net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset by peer")},
+		errors.New("\"größer\"\n\x01")} {
+		fmt.Fprintf(&text, "%q\n", errorMessage(why))
+	}
+	compareGolden(t, "refusals.golden", text.String())
+}
+
+// TestGoldenDiscoveryRequests holds the bytes of discovery's requests, by what was answered before.
+func TestGoldenDiscoveryRequests(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	answers := []string{"", listJSON(7, true, endpointJSON(0, "up")), listJSON(7, false), listJSON(8, false, endpointJSON(1, "up")),
+		listJSON(3, false), "{", `{"version":9}`, "[]", "{", "{", listJSON(9, true), listJSON(10, false)}
+	var text strings.Builder
+	seen := make(chan struct{})
+	go func() {
+		defer close(seen)
+		for len(answers) > 0 {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			answers = serveGoldenDiscovery(conn, listener.Addr().String(), answers, &text)
+		}
+	}()
+	runController(t, listener.Addr().String(), "null", func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
+	select {
+	case <-seen:
+	case <-time.After(patience):
+		t.Fatal("it stopped asking")
+	}
+	compareGolden(t, "discovery-requests.golden", text.String())
+}
+
+// serveGoldenDiscovery answers the requests of one connection, writes down their bytes, and gives the answers that are left.
+func serveGoldenDiscovery(conn net.Conn, address string, answers []string, text *strings.Builder) []string {
+	defer conn.Close()
+	var raw bytes.Buffer
+	in := bufio.NewReader(io.TeeReader(conn, &raw))
+	for len(answers) > 0 {
+		if _, err := http.ReadRequest(in); err != nil {
+			return answers
+		}
+		fmt.Fprintf(text, "%q\n", strings.ReplaceAll(raw.String(), address, "HOST"))
+		raw.Reset()
+		if answers[0] == "" {
+			return answers[1:] // closes without an answer
+		}
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answers[0]), answers[0])
+		answers = answers[1:]
+	}
+	return answers
+}
+
+// TestGoldenFolder holds the file of a subscriber's folder: one that was written before is read, and written again by the
+// same bytes.
+func TestGoldenFolder(t *testing.T) {
+	golden := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
+	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
+		Covered: distribution.SomeScopes("pricing", "orders"), Horizon: 2, Entries: []distribution.Entry{
+			{Scope: "orders", Name: "limit/read it", Value: []byte("12.5"), Revision: 3, AcceptedAt: 1_700_000_000_000_000},
+			{Scope: "pricing", Name: "drain/s-1", Revision: 6, Deleted: true, AcceptedAt: 1_700_000_001_000_000},
+			{Scope: "pricing", Name: "weight/s-2", Value: []byte("0.5"), Revision: 7, AcceptedAt: 1_700_000_002_000_000}}}
+	folder := t.TempDir()
+	k, err := openConfigurationCache(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := k.save(state); err != nil {
+		t.Fatal(err)
+	}
+	body, err := os.ReadFile(filepath.Join(folder, "configuration.cbor"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *updateGolden {
+		if err := errors.Join(os.MkdirAll(filepath.Dir(golden), 0o755), os.WriteFile(golden, body, 0o644)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(body, want) {
+		t.Errorf("written anew\n got %x\nwant %x", body, want)
+	}
+	if err := os.WriteFile(filepath.Join(folder, "configuration.cbor"), want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	again, err := openConfigurationCache(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := again.load(); err != nil || got == nil || !reflect.DeepEqual(*got, state) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+}
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -9,25 +9,25 @@
 	"wheelrill/balancer"
 )
 
-// TestHeldIncrementally has tables that look only at what changed write what others write that go through all backends
+// TestIncrementalPushesEqualFullComparison has tables that look only at what changed write what others write that go through all backends
 // each time.
-func TestHeldIncrementally(t *testing.T) {
+func TestIncrementalPushesEqualFullComparison(t *testing.T) {
 	const proxies, backends, numbers, steps = 6, 12, 3, 400
 	for seed := range uint64(40) {
 		chance := rand.New(rand.NewPCG(seed, 9))
-		both := []*tables{someTables(2), someTables(2)}
+		both := []*tables{newTestTables(2), newTestTables(2)}
 		do := func(what func(to *tables)) {
 			for _, to := range both {
 				what(to)
 			}
 		}
-		said, written := 0, make([][]byte, len(both))
+		logged, written := 0, make([][]byte, len(both))
 		for step := range steps {
 			proxy, backend, number, classes := chance.IntN(proxies), chance.IntN(backends), chance.IntN(numbers), uint16(chance.IntN(4))
 			flag, weight := chance.IntN(2) == 0, float64(chance.IntN(3))
 			switch chance.IntN(12) {
 			case 0:
-				do(func(to *tables) { heard(to, proxy, flag) })
+				do(func(to *tables) { connectFakeProxy(to, proxy, flag) })
 			case 1, 2:
 				do(func(to *tables) { to.AssignTable(number, proxy, classes) })
 			case 3, 4, 5:
@@ -66,20 +66,20 @@
 			if string(written[0]) != string(written[1]) {
 				t.Fatalf("seed %d, step %d:\n%q\n%q by going through all", seed, step, written[0], written[1])
 			}
-			said += len(written[0])
+			logged += len(written[0])
 		}
-		if said < 10*steps {
-			t.Errorf("seed %d: only %d bytes were written", seed, said)
+		if logged < 10*steps {
+			t.Errorf("seed %d: only %d bytes were written", seed, logged)
 		}
 	}
 }
 
-// BenchmarkChange tells what a change of one line costs tables as proxies and backends grow in number, without decisions.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkChangedEntry tells what a change of one line costs tables as proxies and backends grow in number, without decisions.
+func BenchmarkChangedEntry(b *testing.B) {
 	for _, proxies := range []int{100, 400, 1200, 2400} {
 		for _, backends := range []int{1000, 5000, 20_000} {
 			b.Run(fmt.Sprintf("%d/%d", proxies, backends), func(b *testing.B) {
-				to := someTables(2)
+				to := newTestTables(2)
 				for backend := range backends {
 					to.PublishEntry(0, backend, 1)
 				}
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -9,13 +9,13 @@
 	"wheelrill/ownership"
 )
 
-// taken makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
-func taken(base ownership.KnownTable, brought map[string]float64) (*tables, *hearer, *connection) {
-	to := someTables(2)
-	h, p := heard(to, 0, false)
+// newKnownTable makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
+func newKnownTable(base ownership.KnownTable, brought map[string]float64) (*tables, *fakeProxy, *connection) {
+	to := newTestTables(2)
+	h, p := connectFakeProxy(to, 0, false)
 	for class := range h.lines {
 		h.lines[class] = maps.Clone(brought)
-		h.levels[class] = []float64{2, 0}
+		h.limits[class] = []float64{2, 0}
 	}
 	for b := range 10 {
 		to.PublishEntry(0, b, 1)
@@ -24,7 +24,7 @@
 	return to, h, p
 }
 
-func TestBase(t *testing.T) {
+func TestPushingAgainstKnownTables(t *testing.T) {
 	ten := map[string]float64{}
 	for b := range 10 {
 		ten[fmt.Sprint("s-", b)] = 1
@@ -38,23 +38,23 @@
 		return of
 	}
 	t.Run("what it surely has is not written again, and levels that others left are lifted, once", func(t *testing.T) {
-		to, h, p := taken(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		to, h, p := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		to.AssignTable(0, 0, 0)
 		to.RequestAck(1, false)
 		to.writes(t)
-		if h.hears(t, p); h.cost > 3 || !maps.Equal(h.lines[0], ten) || h.levels[0][0] < 1e9 || h.levels[1][0] < 1e9 ||
-			h.levels[0][1] != float64(balancer.RetryIfNotExecuted) {
+		if h.receive(t, p); h.cost > 3 || !maps.Equal(h.lines[0], ten) || h.limits[0][0] < 1e9 || h.limits[1][0] < 1e9 ||
+			h.limits[0][1] != float64(balancer.RetryIfNotExecuted) {
 			t.Errorf("got %+v", h)
 		}
 		to.PublishEntry(0, 3, 0.5)
 		to.writes(t)
-		if h.hears(t, p); h.cost != 1 || h.levels[0][0] < 1e9 {
-			t.Errorf("a later change wrote %d lines, levels %v", h.cost, h.levels)
+		if h.receive(t, p); h.cost != 1 || h.limits[0][0] < 1e9 {
+			t.Errorf("a later change wrote %d lines, levels %v", h.cost, h.limits)
 		}
 		to.SetAdmissionLimit(balancer.AllTables, 0, 7, balancer.NoRetry)
 		to.writes(t)
-		if h.hears(t, p); h.levels[0][0] != 7 || h.levels[1][0] != 7 {
-			t.Errorf("levels %v", h.levels)
+		if h.receive(t, p); h.limits[0][0] != 7 || h.limits[1][0] != 7 {
+			t.Errorf("levels %v", h.limits)
 		}
 	})
 	t.Run("lines that differ, that it lacks, that it has too many, and those in doubt are written", func(t *testing.T) {
@@ -63,30 +63,30 @@
 		delete(brought, "s-2")
 		known := quoted(brought)
 		delete(known, `"s-9"`) // in doubt: it may have any, or none
-		to, h, p := taken(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
+		to, h, p := newKnownTable(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
-		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) || h.cost != 5 {
+		if h.receive(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) || h.cost != 5 {
 			t.Errorf("wrote %d lines: %+v", h.cost, h.lines)
 		}
 	})
 	t.Run("where as many differ as there are, it gets the whole table", func(t *testing.T) {
-		to, h, p := taken(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
+		to, h, p := newKnownTable(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
-		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || h.levels[0] != nil || to.fullTables != 1 || to.deltaTables != 0 {
+		if h.receive(t, p); !maps.Equal(h.lines[0], ten) || h.limits[0] != nil || to.fullTables != 1 || to.deltaTables != 0 {
 			t.Errorf("got %+v", h)
 		}
 	})
 	t.Run("with classes that had other tables, what any of them may lack is written", func(t *testing.T) {
-		to, h, p := taken(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		to, h, p := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		delete(h.lines[1], "s-4")
 		less := quoted(ten)
 		delete(less, `"s-4"`)
 		to.proxies[0].base[1] = ownership.KnownTable{Lines: less}
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
-		if h.hears(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
+		if h.receive(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
 			t.Errorf("has %v", h.lines)
 		}
 	})
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -131,15 +131,22 @@
 	}
 }
 
-// fitFleet fits the limits to the proxies and zones that exist, after fitResources, and to the pace of pushes and reports. The tick is
-// in µs.
-func (l *limits) fitFleet(proxies, zones int, tick int64, channel balancer.PushChannel, telemetry balancer.Telemetry,
-	classes []balancer.Class) {
+// fitFleet fits the limits to the proxies and zones that exist, after fitResources.
+func (l *limits) fitFleet(proxies, zones int) {
+	const reservedSockets = 24        // of the runtime, the standard streams, the listener and discovery
+	const reservedForUnidentified = 8 // connections in any case: each is unidentified at first
+	const usualUnidentified = 256
 	l.proxies = proxies
-	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
-	l.fitConnections(zones)
-	l.fitReports(telemetry, classes)
+	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
+	// Proxies twice over, as a new connection may come before the old one is seen to end.
+	wanted := 2*proxies + (l.collectorsPerZone+1)*zones
+	l.maxIdentified = min(wanted, l.maxConnections-reservedForUnidentified)
+	l.maxUnidentified = max(usualUnidentified, proxies+zones) // after a restart all come at once
+}
 
+// fitPace fits the limits to the pace of the loop (a tick in µs), of pushes and of reports.
+func (l *limits) fitPace(tick int64, channel balancer.PushChannel, telemetry balancer.Telemetry) {
+	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
 	// A live proxy reports each interval. It may stall for two seconds, and the channel may be full.
 	const proxyStall = 2 * microsPerSecond
 	l.silenceTimeout = 2*channel.MaxLatency + 3*telemetry.ReportInterval + proxyStall
@@ -149,19 +156,7 @@
 	}
 }
 
-// fitConnections fits the bounds of connections to the sockets, proxies and zones.
-func (l *limits) fitConnections(zones int) {
-	const reservedSockets = 24        // of the runtime, the standard streams, the listener and discovery
-	const reservedForUnidentified = 8 // connections in any case: each is unidentified at first
-	const usualUnidentified = 256
-	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
-	// Proxies twice over, as a new connection may come before the old one is seen to end.
-	wanted := 2*l.proxies + (l.collectorsPerZone+1)*zones
-	l.maxIdentified = min(wanted, l.maxConnections-reservedForUnidentified)
-	l.maxUnidentified = max(usualUnidentified, l.proxies+zones) // after a restart all come at once
-}
-
-// fitReports fits what load reports can say to the proxies, the pace of reports and the classes.
+// fitReports fits what load reports can say to the proxies, the pace of reports and the classes, after fitFleet.
 func (l *limits) fitReports(telemetry balancer.Telemetry, classes []balancer.Class) {
 	const minReportInterval = 60 * microsPerSecond // where reports wait for their turn, one covers many intervals
 	l.maxFleetRate = l.maxProxyRate * float64(max(l.proxies, 1))
--- a/controller/reports_test.go
+++ b/controller/load_reports_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-func TestReports(t *testing.T) {
+func TestLoadReports(t *testing.T) {
 	taken := func(t *testing.T, first string, texts ...string) int {
-		m, _ := begin(t)
-		raw := framed(first)
+		m, _ := newIdleLoop(t)
+		raw := frame(first)
 		for _, text := range texts {
-			raw = append(raw, framed(text)...)
+			raw = append(raw, frame(text)...)
 		}
-		p := newConnection(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
+		p := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
 		if err := p.readMessages(); err != io.EOF {
 			t.Errorf("the stream ended with %v", err)
 		}
@@ -58,20 +58,20 @@
 		})
 	}
 	t.Run("a joining with a spoilt detail is served", func(t *testing.T) {
-		m, _ := begin(t)
+		m, _ := newIdleLoop(t)
 		for _, w := range []string{`"w":-1,"cold":true`, `"w":1e30,"cold":true`, `"w":"x","cold":true`, `"w":[],"cold":7`} {
-			h := newHearer("read it", "write")
-			p := newConnection(&told{Reader: bytes.NewReader(framed(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, m,
+			h := newFakeProxy("read it", "write")
+			p := newConnection(&readerConn{Reader: bytes.NewReader(frame(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, m,
 				func(*connection) error { return nil })
 			p.readMessages()
 			if m.iterate(func() {}); !m.isCurrent(p) {
 				t.Fatalf("%s: it has not joined", w)
 			}
-			if h.hears(t, p); len(h.picks(0)) != 2 {
+			if h.receive(t, p); len(h.picks(0)) != 2 {
 				t.Errorf("%s: picks %v", w, h.picks(0))
 			}
 			m.iterate(func() { m.proxyDisconnected(p) })
-			later(m, 5*microsPerSecond, func() {})
+			advance(m, 5*microsPerSecond, func() {})
 		}
 	})
 }
--- a/controller/log_test.go
+++ b/controller/log_test.go
@@ -13,8 +13,8 @@
 )
 
 // logTo gives a rate-limited logger and what it writes.
-func logTo(limits *limits) (*slog.Logger, *diary) {
-	written := newDiary()
+func logTo(limits *limits) (*slog.Logger, *logBuffer) {
+	written := newLogBuffer()
 	return newRateLimitedLogger(NewLogger(written), limits), written
 }
 
@@ -32,7 +32,7 @@
 }
 
 func TestRateLimitHandler(t *testing.T) {
-	count := func(written *diary, text string) int {
+	count := func(written *logBuffer, text string) int {
 		all, _ := written.read()
 		return strings.Count(all, text)
 	}
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -10,11 +10,11 @@
 	"wheelrill/distribution"
 )
 
-func said(name, value string, revision uint64) distribution.Entry {
+func distributedEntry(name, value string, revision uint64) distribution.Entry {
 	return distribution.Entry{Scope: "pricing", Name: name, Value: []byte(value), Revision: revision, AcceptedAt: 1}
 }
 
-func TestOverrides(t *testing.T) {
+func TestOverridesOfEndpoints(t *testing.T) {
 	o := newOverrides()
 	ready := balancer.Endpoint{Backend: 3, State: balancer.Ready, Weight: 2}
 	merged := func(e balancer.Endpoint) string {
@@ -37,19 +37,19 @@
 		}
 	}
 	wants(ready, fmt.Sprint(balancer.Ready, 2))
-	puts(said("weight/s-3", "0.5", 1), true)
+	puts(distributedEntry("weight/s-3", "0.5", 1), true)
 	wants(ready, fmt.Sprint(balancer.Ready, 0.5))
-	other := said("weight/s-3", "1.5", 2)
+	other := distributedEntry("weight/s-3", "1.5", 2)
 	other.Scope = "orders"
 	puts(other, true)
 	wants(ready, fmt.Sprint(balancer.Ready, 1.5)) // set last
-	puts(said("drain/s-3", "true", 3), true)
+	puts(distributedEntry("drain/s-3", "true", 3), true)
 	wants(ready, fmt.Sprint(balancer.Draining, 1.5))
-	first := said("drain/s-3", "true", 2)
+	first := distributedEntry("drain/s-3", "true", 2)
 	first.Scope, first.AcceptedAt = "orders", 5
-	second := said("drain/s-3", "true", 4)
+	second := distributedEntry("drain/s-3", "true", 4)
 	second.AcceptedAt = 9
-	unknown := said("drain/s-3", "true", 5)
+	unknown := distributedEntry("drain/s-3", "true", 5)
 	unknown.Scope, unknown.AcceptedAt = "billing", 0
 	for _, step := range []struct {
 		drain distribution.Entry
@@ -70,26 +70,26 @@
 	gone.State = balancer.Removed
 	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Removed))
 	for _, nonsense := range []string{"false", "", "1"} { // as if it were not there
-		puts(said("drain/s-3", nonsense, 4), false)
+		puts(distributedEntry("drain/s-3", nonsense, 4), false)
 		wants(ready, fmt.Sprint(balancer.Ready, 1.5))
 	}
 	other.Deleted = true
 	puts(other, true)
 	wants(ready, fmt.Sprint(balancer.Ready, 0.5))
 	for _, nonsense := range []string{"0", "-1", "NaN", "1e9", "x", ""} {
-		puts(said("weight/s-3", nonsense, 5), false)
+		puts(distributedEntry("weight/s-3", nonsense, 5), false)
 		wants(ready, fmt.Sprint(balancer.Ready, 2))
 	}
-	puts(said("limit/t1", "5", 6), true)
-	puts(said("drain/s-3", "true", 7), true)
+	puts(distributedEntry("limit/t1", "5", 6), true)
+	puts(distributedEntry("drain/s-3", "true", 7), true)
 	for _, nonsense := range []string{"-1", "NaN", "Inf", "x", ""} {
-		puts(said("limit/read it", nonsense, 8), false)
+		puts(distributedEntry("limit/read it", nonsense, 8), false)
 	}
 	if limit := o.limitOf("read it"); limit != 0 {
 		t.Errorf("a limit of %v", limit)
 	}
-	puts(said("limit/read it", "7", 9), true)
-	lower := said("limit/read it", "0", 10)
+	puts(distributedEntry("limit/read it", "7", 9), true)
+	lower := distributedEntry("limit/read it", "0", 10)
 	lower.Scope = "orders"
 	if puts(lower, true); o.limitOf("read it") != minLimit {
 		t.Errorf("of 7 and 0 the limit is %v", o.limitOf("read it"))
@@ -111,36 +111,36 @@
 
 // drainOf is what arrives when a backend is drained, or let back.
 func drainOf(id string, revision uint64, deleted bool) []distribution.Entry {
-	e := said("drain/"+id, "true", revision)
+	e := distributedEntry("drain/"+id, "true", revision)
 	e.Deleted = deleted
 	return []distribution.Entry{e}
 }
 
 // picks takes what a proxy was told, and gives what it can pick.
-func (h *hearer) heardPicks(t *testing.T, p *connection) []string {
+func (h *fakeProxy) receivePicks(t *testing.T, p *connection) []string {
 	t.Helper()
-	h.hears(t, p)
+	h.receive(t, p)
 	return h.picks(0)
 }
 
-func TestDistributedEntries(t *testing.T) {
-	begins := func(t *testing.T) (*eventLoop, *hearer, *connection) {
-		m, _ := begin(t)
+func TestDistributedEntriesReachDecisions(t *testing.T) {
+	begins := func(t *testing.T) (*eventLoop, *fakeProxy, *connection) {
+		m, _ := newIdleLoop(t)
 		m.overrides = newOverrides()
 		m.iterate(func() {
-			m.endpointsUpdated(true, 2, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
+			m.endpointsUpdated(true, 2, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
 		})
-		p, h := joins(t, m, 1, 0, false), newHearer("read it", "write")
-		if got := h.heardPicks(t, p); len(got) != 2 {
+		p, h := connectProxy(t, m, 1, 0, false), newFakeProxy("read it", "write")
+		if got := h.receivePicks(t, p); len(got) != 2 {
 			t.Fatalf("picks %v", got)
 		}
-		m.iterate(func() { m.acknowledged(p, h.tickets[len(h.tickets)-1]) })
+		m.iterate(func() { m.acknowledged(p, h.nonces[len(h.nonces)-1]) })
 		return m, h, p
 	}
-	without := func(t *testing.T, m *eventLoop, h *hearer, p *connection, id string) {
+	without := func(t *testing.T, m *eventLoop, h *fakeProxy, p *connection, id string) {
 		t.Helper()
-		later(m, 2*microsPerSecond, func() {})
-		if got := h.heardPicks(t, p); slices.Contains(got, id) {
+		advance(m, 2*microsPerSecond, func() {})
+		if got := h.receivePicks(t, p); slices.Contains(got, id) {
 			t.Errorf("picks %v", got)
 		}
 	}
@@ -149,34 +149,34 @@
 		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
 		m.iterate(func() { // whatever discovery says
-			m.endpointsUpdated(true, 3, parsed(t, "["+backendIs(0, "up")+","+backendIs(1, "up")+"]").GetArray())
+			m.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
 		})
 		without(t, m, h, p, "s-0")
 		m.iterate(func() { m.applyDistributed(drainOf("s-0", 2, true), false) })
-		later(m, 5*microsPerSecond, func() {})
-		if got := h.heardPicks(t, p); !slices.Contains(got, "s-0") {
+		advance(m, 5*microsPerSecond, func() {})
+		if got := h.receivePicks(t, p); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
 	t.Run("a drain counts for a backend that is listed later", func(t *testing.T) {
 		m, h, p := begins(t)
 		m.iterate(func() { m.applyDistributed(drainOf("s-2", 1, false), false) })
-		m.iterate(func() { m.endpointsUpdated(false, 3, parsed(t, "["+backendIs(2, "up")+"]").GetArray()) })
+		m.iterate(func() { m.endpointsUpdated(false, 3, parsed(t, "["+endpointJSON(2, "up")+"]").GetArray()) })
 		without(t, m, h, p, "s-2")
 	})
 	t.Run("a drain of one that discovery has dropped takes it out", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.iterate(func() { m.endpointsUpdated(true, 3, parsed(t, "["+backendIs(1, "up")+"]").GetArray()) })
+		m.iterate(func() { m.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(1, "up")+"]").GetArray()) })
 		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
-		later(m, m.limits.forgetAfter+2*microsPerSecond, func() {})
+		advance(m, m.limits.forgetAfter+2*microsPerSecond, func() {})
 		if m.backends.ids[0] == "s-0" {
 			t.Error("it is never forgotten")
 		}
-		m.iterate(func() { m.endpointsUpdated(false, 4, parsed(t, "["+backendIs(8, "up")+"]").GetArray()) })
-		later(m, 5*microsPerSecond, func() {})
-		next := newHearer("read it", "write")
-		if got := next.heardPicks(t, joins(t, m, 2, 1, false)); m.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
+		m.iterate(func() { m.endpointsUpdated(false, 4, parsed(t, "["+endpointJSON(8, "up")+"]").GetArray()) })
+		advance(m, 5*microsPerSecond, func() {})
+		next := newFakeProxy("read it", "write")
+		if got := next.receivePicks(t, connectProxy(t, m, 2, 1, false)); m.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
 			t.Errorf("the next that has its index is %s; picks %v", m.backends.ids[0], got)
 		}
 	})
@@ -185,8 +185,8 @@
 		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
 		m.iterate(func() { m.applyDistributed(nil, true) })
-		later(m, 5*microsPerSecond, func() {})
-		if got := h.heardPicks(t, p); !slices.Contains(got, "s-0") {
+		advance(m, 5*microsPerSecond, func() {})
+		if got := h.receivePicks(t, p); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
@@ -196,37 +196,37 @@
 		comes := func() {
 			for range 8 {
 				m.decisions.DemandReported(0, index, 80, microsPerSecond)
-				later(m, microsPerSecond, func() {})
-				h.hears(t, p)
-				m.iterate(func() { m.acknowledged(p, h.tickets[len(h.tickets)-1]) })
+				advance(m, microsPerSecond, func() {})
+				h.receive(t, p)
+				m.iterate(func() { m.acknowledged(p, h.nonces[len(h.nonces)-1]) })
 			}
 		}
 		comes()
 		m.iterate(func() {
-			m.applyDistributed([]distribution.Entry{said("limit/read it", "8", 1), said("limit/tenant-17", "1", 1)}, false)
+			m.applyDistributed([]distribution.Entry{distributedEntry("limit/read it", "8", 1), distributedEntry("limit/tenant-17", "1", 1)}, false)
 		})
 		comes()
-		if len(h.levels[0]) == 0 || h.levels[0][0] <= 0 || h.levels[0][0] > 8.1 {
-			t.Errorf("levels %v", h.levels)
+		if len(h.limits[0]) == 0 || h.limits[0][0] <= 0 || h.limits[0][0] > 8.1 {
+			t.Errorf("levels %v", h.limits)
 		}
 		m.iterate(func() { m.applyDistributed(nil, true) })
 		comes()
-		if len(h.levels[0]) > 0 && h.levels[0][0] <= 80 {
-			t.Errorf("levels once it is over: %v", h.levels)
+		if len(h.limits[0]) > 0 && h.limits[0][0] <= 80 {
+			t.Errorf("levels once it is over: %v", h.limits)
 		}
 	})
 	t.Run("a weight stands over the listed one", func(t *testing.T) {
 		m, h, p := begins(t)
-		m.iterate(func() { m.applyDistributed([]distribution.Entry{said("weight/s-0", "4", 1)}, false) })
-		later(m, 20*microsPerSecond, func() {})
-		h.hears(t, p)
+		m.iterate(func() { m.applyDistributed([]distribution.Entry{distributedEntry("weight/s-0", "4", 1)}, false) })
+		advance(m, 20*microsPerSecond, func() {})
+		h.receive(t, p)
 		if lines := h.lines[0]; lines["s-0"] <= lines["s-1"] {
 			t.Errorf("lines %v", lines)
 		}
 	})
 }
 
-func TestReadDistributed(t *testing.T) {
+func TestReadingDistributedEntries(t *testing.T) {
 	good := `{"distributed":{"pricing":{"drain":{"s-1":true},"weight":{"s-2":0.5},"limit":{"t1":120},
 		"route":{"/x":{"to": "pricing"}},"service":{"pricing":{}}},"orders":{"drain":{"s-9":true}}}}`
 	entries, ok, err := readDistributed(parsed(t, good))
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -173,7 +173,7 @@
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
 		if session != nil {
-			h.coordinator.ProxyHeardFrom(proxy, session.conn.lastHeard.Load())
+			h.coordinator.ProxyHeardFrom(proxy, session.conn.lastMessageAt.Load())
 		}
 	}
 	h.shareEvidence(now)
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// sharer is one of several controllers that share their fleet.
-type sharer struct {
+// runningMember is one of several controllers that share their fleet.
+type runningMember struct {
 	address string
-	said    *diary
+	logged  *logBuffer
 	stop    func()
 	module  *eventLoop
 }
 
-// confirmed waits until a member has it on the record that a proxy confirmed a table of its owner's.
-func (s *sharer) confirmed(t *testing.T, node int, owner string) {
+// awaitAcknowledged waits until a member has it on the record that a proxy confirmed a table of its owner's.
+func (s *runningMember) awaitAcknowledged(t *testing.T, node int, owner string) {
 	t.Helper()
 	late := time.After(patience)
 	for {
@@ -40,8 +40,8 @@
 	}
 }
 
-// shares runs as many as names are given; those that are not to run are members all the same.
-func shares(t *testing.T, known string, members int, names ...string) []*sharer {
+// runMembers runs as many as names are given; those that are not to run are members all the same.
+func runMembers(t *testing.T, known string, members int, names ...string) []*runningMember {
 	t.Helper()
 	all := map[string]string{}
 	for i := range members {
@@ -52,10 +52,10 @@
 		all[fmt.Sprint("n", i)] = l.Addr().String()
 		l.Close()
 	}
-	var running []*sharer
+	var running []*runningMember
 	for _, name := range names {
-		said := newDiary()
-		c, err := New(Identity{Name: name}, configuration("127.0.0.1:9", known), NewLogger(said))
+		logged := newLogBuffer()
+		c, err := New(Identity{Name: name}, configuration("127.0.0.1:9", known), NewLogger(logged))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,9 +65,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- c.Serve(ctx) }()
-		said.waits(t, "msg=serving", 1)
-		text, _ := said.read()
-		s := &sharer{regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said, func() {
+		logged.waitFor(t, "msg=serving", 1)
+		text, _ := logged.read()
+		s := &runningMember{regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], logged, func() {
 			cancel()
 			if err := <-ended; err != nil {
 				t.Errorf("%s ended with %v", name, err)
@@ -76,7 +76,7 @@
 		}, c.loop}
 		t.Cleanup(s.stop)
 		t.Cleanup(func() {
-			if text, _ := said.read(); t.Failed() {
+			if text, _ := logged.read(); t.Failed() {
 				t.Logf("%s said:\n%s", name, text)
 			}
 		})
@@ -85,42 +85,42 @@
 	return running
 }
 
-// joinsAt has a proxy dial a controller, and apply what it is told until a message has a mark; it answers that.
-func joinsAt(t *testing.T, address string, h *hearer, cold bool) *caller {
+// connectProxyAt has a proxy dial a controller, and apply what it is told until a message has a mark; it answers that.
+func connectProxyAt(t *testing.T, address string, h *fakeProxy, cold bool) *client {
 	t.Helper()
-	p := calls(t, address)
-	p.says(fmt.Sprintf(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":%v}`, cold))
-	for marks := len(h.tickets); len(h.tickets) == marks || h.inside; {
-		if err := h.apply(p.gets()); err != nil {
+	p := dial(t, address)
+	p.send(fmt.Sprintf(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":%v}`, cold))
+	for marks := len(h.nonces); len(h.nonces) == marks || h.inMessage; {
+		if err := h.apply(p.receive()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.says(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, h.tickets[len(h.tickets)-1]))
+	p.send(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, h.nonces[len(h.nonces)-1]))
 	return p
 }
 
-func TestSharing(t *testing.T) {
+func TestSharedOwnership(t *testing.T) {
 	var entries []string
 	for id := range 12 {
-		entries = append(entries, backendIs(id, "up"))
+		entries = append(entries, endpointJSON(id, "up"))
 	}
-	known := listing(1, true, entries...)
+	known := listJSON(1, true, entries...)
 	t.Run("a proxy that goes over is told what differs, and not the whole table again", func(t *testing.T) {
-		all := shares(t, known, 3, "n0", "n1", "n2")
+		all := runMembers(t, known, 3, "n0", "n1", "n2")
 		for _, s := range all { // each has entered, and its tables stand
-			s.said.waits(t, "msg=quorum_changed quorum=true", 1)
+			s.logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		}
-		h := newHearer("read it", "write")
-		p := joinsAt(t, all[0].address, h, true)
+		h := newFakeProxy("read it", "write")
+		p := connectProxyAt(t, all[0].address, h, true)
 		if len(h.picks(0)) != 12 {
 			t.Fatalf("has %v", h.picks(0))
 		}
 		told := 0
 		for at := 1; told == 0 && at < 6; at++ { // at first not all are vouched for yet
-			all[at%3].confirmed(t, 3, fmt.Sprint("n", (at-1)%3))
+			all[at%3].awaitAcknowledged(t, 3, fmt.Sprint("n", (at-1)%3))
 			p.Close()
-			p = joinsAt(t, all[at%3].address, h, false)
-			text, _ := all[at%3].said.read()
+			p = connectProxyAt(t, all[at%3].address, h, false)
+			text, _ := all[at%3].logged.read()
 			if told = strings.Count(text, "tables_known=true"); told > 0 && h.cost > 6 {
 				t.Errorf("%d lines for a proxy that had all of them", h.cost)
 			}
@@ -133,37 +133,37 @@
 		}
 	})
 	t.Run("at a planned end the record says so before the streams end", func(t *testing.T) {
-		all := shares(t, known, 3, "n0", "n1", "n2")
-		all[1].said.waits(t, "msg=quorum_changed quorum=true", 1)
-		p := joinsAt(t, all[1].address, newHearer("read it", "write"), true)
+		all := runMembers(t, known, 3, "n0", "n1", "n2")
+		all[1].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
+		p := connectProxyAt(t, all[1].address, newFakeProxy("read it", "write"), true)
 		all[1].stop()
-		if text, _ := all[1].said.read(); !strings.Contains(text, "msg=handover_confirmed") || !p.ends() {
-			t.Errorf("said %s", text)
+		if text, _ := all[1].logged.read(); !strings.Contains(text, "msg=handover_confirmed") || !p.isClosed() {
+			t.Errorf("logged %s", text)
 		}
 	})
 	t.Run("one that has no majority serves by itself after a lease", func(t *testing.T) {
-		alone := shares(t, known, 3, "n0")[0]
-		h := newHearer("read it", "write")
+		alone := runMembers(t, known, 3, "n0")[0]
+		h := newFakeProxy("read it", "write")
 		began := time.Now()
-		joinsAt(t, alone.address, h, true)
-		if text, _ := alone.said.read(); len(h.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
-			t.Errorf("it can pick %v; said %s", h.picks(0), text)
+		connectProxyAt(t, alone.address, h, true)
+		if text, _ := alone.logged.read(); len(h.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
+			t.Errorf("it can pick %v; logged %s", h.picks(0), text)
 		}
 		if waited := time.Since(began); waited > 3*time.Second { // the grace of these settings
 			t.Errorf("it waited for %s", waited)
 		}
 	})
 	t.Run("with tokens asked for, each order has its owner's", func(t *testing.T) {
-		all := shares(t, known, 2, "n0", "n1")
-		all[0].said.waits(t, "msg=quorum_changed quorum=true", 1)
-		p := calls(t, all[0].address)
-		p.says(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true,"fence":true}`)
-		if raw := string(p.gets()); !strings.Contains(raw, `{"msg":"push","token":`) {
+		all := runMembers(t, known, 2, "n0", "n1")
+		all[0].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
+		p := dial(t, all[0].address)
+		p.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true,"fence":true}`)
+		if raw := string(p.receive()); !strings.Contains(raw, `{"msg":"push","token":`) {
 			t.Errorf("got %q", raw)
 		}
 	})
 	t.Run("sharing that cannot be is refused with what would do", func(t *testing.T) {
-		c, err := New(Identity{Name: "n9"}, configuration("127.0.0.1:9", known), NewLogger(newDiary()))
+		c, err := New(Identity{Name: "n9"}, configuration("127.0.0.1:9", known), NewLogger(newLogBuffer()))
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/controller/push_charge_test.go
@@ -0,0 +1,74 @@
+package controller
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"wheelrill/balancer"
+)
+
+// Rule 5 holds only if what leaves is never more than what the decisions count.
+func TestPushesAreNeverMoreThanCharged(t *testing.T) {
+	wide := strings.NewReplacer(`"egressPerS":900`, `"egressPerS":1e6`, `"backlog":900`, `"backlog":1e6`,
+		`"pushDelayMax":600`, `"pushDelayMax":600000`, `"overhead":4`, `"overhead":4,"socketsMin":10`)
+	for seed := range uint64(12) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			chance := rand.New(rand.NewPCG(seed, 5))
+			var entries []string
+			for id := range 20 {
+				entries = append(entries, endpointJSON(id, "up"))
+			}
+			c, err := New(Identity{}, []byte(wide.Replace(string(configuration("127.0.0.1:9", listJSON(1, true, entries...))))),
+				NewLogger(io.Discard))
+			if err != nil {
+				t.Fatal(err)
+			}
+			m, hearers, left := c.loop, map[*connection]*fakeProxy{}, 0
+			now := m.now
+			m.clock = func() int64 { return now }
+			m.iterate(func() {})
+			for step := range 160 {
+				advance(m, microsPerSecond/4, func() {
+					for range chance.IntN(4) {
+						switch node := chance.IntN(40); chance.IntN(5) {
+						case 0, 1:
+							p := newConnection(&readerConn{Reader: strings.NewReader("")}, step, m, func(*connection) error { return nil })
+							p.kind, p.proxy, p.zone = kindProxy, node, node%2
+							m.proxyConnected(p, 1+float64(chance.IntN(20)), chance.IntN(2) == 0)
+							hearers[p] = newFakeProxy("read it", "write")
+						case 2:
+							state := []string{"up", "draining", "removed"}[chance.IntN(3)]
+							m.endpointsUpdated(false, int64(step), parsed(t, "["+endpointJSON(chance.IntN(22), state)+"]").GetArray())
+						default: // a jam for a while, then none
+							for id := range 20 {
+								m.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0, 200_000 + int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+							}
+							for other := range 40 {
+								m.demandReported(other, other%2, 30, microsPerSecond)
+							}
+						}
+					}
+				})
+				for p, h := range hearers {
+					p.lastMessageAt.Store(m.now)
+					for len(p.outbox) > 0 {
+						before := h.messages
+						if err := h.apply(<-p.outbox); err != nil || h.messages != before+1 {
+							t.Fatal(err)
+						}
+						left += 4 + h.cost
+					}
+				}
+				if counted := m.decisions.QueueDelay(); int64(left) > counted {
+					t.Fatalf("step %d: %d lines left, %d were counted", step, left, counted)
+				}
+			}
+			if left < 1000 {
+				t.Errorf("only %d lines in all", left)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/controller/retry_test.go
@@ -0,0 +1,101 @@
+package controller
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	"wheelrill/balancer"
+)
+
+func TestRetryPermissions(t *testing.T) {
+	t.Run("no class is ever permitted more than a try after proof, and one that is cut none", func(t *testing.T) {
+		// Classes that may run twice and such that may not stand side by side, in tables of the fleet and of the zone,
+		// with windows that a request outlasts: nothing here may depend on how long one is.
+		c := deployment{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []classSettings{
+			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
+			{"rare", 3000, 9000, 0.1, false, true}}}
+		m := c.newLoop(t, 8)
+		h, p := newFakeProxy(c.classNames()...), (*connection)(nil)
+		cut := 0
+		for turn := range 60 {
+			switch turn % 20 {
+			case 0: // restarted stream, or its first
+				p = connectProxy(t, m, turn+1, 0, turn%40 == 20)
+				if turn%40 == 0 {
+					h = newFakeProxy(c.classNames()...)
+				}
+			case 7:
+				m.iterate(func() { m.endpointsUpdated(false, 2, parsed(t, "["+c.endpointJSON(1, "draining", 0)+"]").GetArray()) })
+			case 14:
+				m.iterate(func() {
+					m.endpointsUpdated(false, 3, parsed(t, "["+c.endpointJSON(1, "up", m.now/1000)+"]").GetArray())
+				})
+			}
+			advance(m, microsPerSecond/2, func() {
+				p.lastMessageAt.Store(m.now)
+				for b := range 8 {
+					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
+					m.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+				}
+				for class := range 4 {
+					m.demandReported(0, class, 30, microsPerSecond/2)
+				}
+			})
+			h.receive(t, p)
+			for _, mark := range h.nonces {
+				m.iterate(func() { m.acknowledged(p, mark) })
+			}
+			h.nonces = nil
+			for class, l := range h.limits {
+				if l == nil {
+					continue
+				}
+				limited := l[0] < 1_000_000
+				if cut += map[bool]int{true: 1}[limited]; l[1] > 1 || limited && l[1] != 0 {
+					t.Fatalf("turn %d, class %d: level %g with permission %g", turn, class, l[0], l[1])
+				}
+			}
+		}
+		if cut == 0 {
+			t.Error("the story cuts nothing")
+		}
+	})
+	t.Run("a permission is written for just the classes that it is meant for", func(t *testing.T) {
+		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
+		to := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
+		here, p := newFakeProxy("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
+		to.connect(0, p, false)
+		story := rand.New(rand.NewPCG(3, 4))
+		want := make([]float64, 3)
+		to.AssignTable(0, 0, 0b011)
+		to.AssignTable(1, 0, 0b100)
+		for turn := range 300 {
+			for class := range 3 {
+				if story.IntN(3) == 0 {
+					want[class] = float64(story.IntN(2))
+					to.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.RetryPolicy(want[class]))
+				} else if turn == 0 {
+					to.SetAdmissionLimit(balancer.AllTables, 1<<class, 5, balancer.NoRetry)
+				}
+			}
+			switch story.IntN(4) {
+			case 0:
+				to.AssignTable(0, 0, 0b011) // a whole table forgets levels
+			case 1:
+				to.AssignTable(1, 0, 0b100)
+			case 2:
+				to.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
+			}
+			to.flush((*connection).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
+			here.receive(t, p)
+			for class, l := range here.limits {
+				if l == nil || l[1] != want[class] {
+					t.Fatalf("turn %d: class %d has level %v, permission %g was meant", turn, class, l, want[class])
+				}
+			}
+		}
+	})
+}
--- a/controller/server_test.go
+++ b/controller/server_bounds_test.go
@@ -41,7 +41,7 @@
 
 func TestConnectionLimit(t *testing.T) {
 	const joined, limit, flood = 8, 24, 100
-	c, err := New(Identity{}, configuration(discovers(t).address, two), NewLogger(newDiary()))
+	c, err := New(Identity{}, configuration(newFakeDiscovery(t).address, twoEndpoints), NewLogger(newLogBuffer()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,19 +62,19 @@
 	t.Cleanup(func() { stop(); parts.Wait() })
 
 	address := tcp.Addr().String()
-	var proxies []*caller
+	var proxies []*client
 	for node := range joined {
-		p := calls(t, address)
-		p.says(helloOf(node))
-		p.gets()
+		p := dial(t, address)
+		p.send(helloOf(node))
+		p.receive()
 		proxies = append(proxies, p)
 	}
-	var silent []*caller
+	var silent []*client
 	for range flood {
-		silent = append(silent, calls(t, address))
+		silent = append(silent, dial(t, address))
 	}
 	for i, s := range silent {
-		if !s.refused() {
+		if !s.isRefused() {
 			t.Fatalf("silent connection %d was not ended", i)
 		}
 	}
@@ -82,7 +82,7 @@
 		t.Errorf("%d connections were open at once, want the limit of %d to be reached and kept", most, limit)
 	}
 	for _, p := range proxies { // none of them made room
-		p.says(probe)
-		p.gets()
+		p.send(probe)
+		p.receive()
 	}
 }
--- a/controller/serving_test.go
+++ b/controller/serving_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// serves runs a controller, and ends it with the story, which must take well under 0.7 s.
-func serves(t *testing.T, discovery, known string, change func(*limits)) (address string, said *diary) {
+// serve runs a controller, and ends it with the story, which must take well under 0.7 s.
+func serve(t *testing.T, discovery, known string, change func(*limits)) (address string, logged *logBuffer) {
 	t.Helper()
-	_, address, said = runs(t, discovery, known, change)
-	return address, said
+	_, address, logged = runController(t, discovery, known, change)
+	return address, logged
 }
 
-func runs(t *testing.T, discovery, known string, change func(*limits)) (c *Controller, address string, said *diary) {
+func runController(t *testing.T, discovery, known string, change func(*limits)) (c *Controller, address string, logged *logBuffer) {
 	t.Helper()
-	return runsWith(t, configuration(discovery, known), change)
+	return runConfiguration(t, configuration(discovery, known), change)
 }
 
-func runsWith(t *testing.T, configuration []byte, change func(*limits)) (c *Controller, address string, said *diary) {
+func runConfiguration(t *testing.T, configuration []byte, change func(*limits)) (c *Controller, address string, logged *logBuffer) {
 	t.Helper()
-	said = newDiary()
-	c, err := New(Identity{}, configuration, NewLogger(said))
+	logged = newLogBuffer()
+	c, err := New(Identity{}, configuration, NewLogger(logged))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 			t.Error("did not end in time")
 		}
 	})
-	said.waits(t, "msg=serving", 1)
-	text, _ := said.read()
-	return c, regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], said
+	logged.waitFor(t, "msg=serving", 1)
+	text, _ := logged.read()
+	return c, regexp.MustCompile(`msg=serving .* listen=(\S+)`).FindStringSubmatch(text)[1], logged
 }
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	oldest := session.unacked[0]
-	unheard := l.now - max(session.conn.lastHeard.Load(), l.stalledAt)
+	unheard := l.now - max(session.conn.lastMessageAt.Load(), l.stalledAt)
 	if min(l.now-oldest.sentBy, unheard) > l.limits.silenceTimeout {
 		return true
 	}
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -14,7 +14,7 @@
 
 func TestShutdown(t *testing.T) {
 	t.Run("before it listens it does not begin", func(t *testing.T) {
-		c, err := New(Identity{}, configuration("127.0.0.1:9", two), NewLogger(io.Discard))
+		c, err := New(Identity{}, configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,18 +25,18 @@
 		}
 	})
 	t.Run("a discovery that takes no connection holds nothing up", func(t *testing.T) {
-		serves(t, deaf(t), two, func(l *limits) { l.dialTimeout = patience }) // and ends with the story
+		serve(t, newDeafAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = patience }) // and ends with the story
 	})
 	t.Run("a peer that reads nothing holds nothing up, and no order leaves that was not counted", func(t *testing.T) {
-		m, _ := begin(t)
+		m, _ := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
-		short := &shortOf{Listener: &net.TCPListener{}, conns: []net.Conn{here}, done: ctx.Done()}
+		short := &shortListener{Listener: &net.TCPListener{}, conns: []net.Conn{here}, done: ctx.Done()}
 		ended, ran := make(chan error, 1), make(chan struct{})
 		s := &server{limits: m.limits, loop: m, log: m.log}
 		go func() { defer close(ran); m.run(ctx) }()
 		go func() { ended <- s.run(ctx, short) }()
-		there.Write(framed(hello))
+		there.Write(frame(hello))
 		first := make([]byte, 1) // the order is being written, and goes no further
 		there.Read(first)
 		stop()
@@ -52,35 +52,35 @@
 		}
 	})
 	t.Run("no goroutine is left", func(t *testing.T) {
-		if left := ours(); left != "" {
+		if left := ownGoroutines(); left != "" {
 			t.Fatalf("one of an earlier story is left:\n%s", left)
 		}
 		t.Run("of one with proxies, collectors, strangers and a reload under way", func(t *testing.T) {
-			d, next := discovers(t), discovers(t)
+			d, next := newFakeDiscovery(t), newFakeDiscovery(t)
 			d.answers <- "silence"
-			c, address, _ := runs(t, d.address, two, func(l *limits) { l.watchMargin = patience })
+			c, address, _ := runController(t, d.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
 			for node := range 5 {
-				p := calls(t, address)
-				p.says(helloOf(node))
-				p.gets()
-				calls(t, address).says(agent)
-				calls(t, address)
+				p := dial(t, address)
+				p.send(helloOf(node))
+				p.receive()
+				dial(t, address).send(agent)
+				dial(t, address)
 			}
-			if ours() == "" {
+			if ownGoroutines() == "" {
 				t.Error("its goroutines cannot be told from others")
 			}
 			if err := c.Reload(configuration(next.address, "null")); err != nil {
 				t.Fatal(err)
 			}
 		})
-		if left := ours(); left != "" { // Serve has returned
+		if left := ownGoroutines(); left != "" { // Serve has returned
 			t.Errorf("left:\n%s", left)
 		}
 	})
 }
 
-// ours gives the goroutines that a controller has started, by their stacks.
-func ours() (left string) {
+// ownGoroutines gives the goroutines that a controller has started, by their stacks.
+func ownGoroutines() (left string) {
 	stacks := make([]byte, 1<<20)
 	for _, one := range strings.Split(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
 		for _, actor := range []string{"(*peer).run(", "(*peer).write(", "(*module).run(", "(*list).run(", "(*server).run("} {
@@ -93,8 +93,8 @@
 	return left
 }
 
-// deaf is an address on which connections are neither taken nor refused.
-func deaf(t *testing.T) string {
+// newDeafAddress is an address on which connections are neither taken nor refused.
+func newDeafAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/controller/spoilt_test.go
+++ b/controller/unusable_messages_test.go
@@ -24,17 +24,17 @@
 	`{"msg":"ack","node":3,"nonce":99999999999999999999}`,
 	`{"msg":"outcomes","locality":"a","endpoint":"` + strings.Repeat("x", 5000) + `","total":9,"errors":1,"rtt":41,"interval":1000}`}
 
-func TestSpoilt(t *testing.T) {
+func TestUnusableMessages(t *testing.T) {
 	t.Run("a message is taken whole or not at all, whoever sends it", func(t *testing.T) {
 		for _, text := range spoilt {
 			for _, first := range []string{hello, agent} {
-				m, said := begin(t)
+				m, logged := newIdleLoop(t)
 				m.limits.logRepeatInterval = 0
-				raw := append(append(framed(first), framed(text)...), framed(usage)...)
-				p := newConnection(&told{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
+				raw := append(append(frame(first), frame(text)...), frame(usage)...)
+				p := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
 				err := p.readMessages()
 				m.iterate(func() {})
-				came, log := len(m.inbox), said.text.String()
+				came, log := len(m.inbox), logged.text.String()
 				switch object := fastjson.Validate(text) == nil && strings.HasPrefix(text, "{"); {
 				case !object && (!errors.Is(err, errUnreadable) || came != 0):
 					t.Errorf("%.60s: the stream went on: %v", text, err)
@@ -51,29 +51,29 @@
 		for i := range 100_000 {
 			text = fmt.Appendf(text, `,"%x":0`, i)
 		}
-		address, _ := serves(t, discovers(t).address, two, nil)
-		p := calls(t, address)
-		p.says(hello)
-		p.gets()
-		p.says(string(append(text, '}')))
-		if got := string(p.gets()[lengthSize:]); got != isAlive || time.Since(began) > patience/4 {
+		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
+		p := dial(t, address)
+		p.send(hello)
+		p.receive()
+		p.send(string(append(text, '}')))
+		if got := string(p.receive()[lengthSize:]); got != isAlive || time.Since(began) > patience/4 {
 			t.Errorf("got %q after %v", got, time.Since(began))
 		}
 	})
 	t.Run("nobody joins by a hello that names two", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, nil)
-		c := calls(t, address)
-		c.says(`{"msg":"hello","node":3,"node":4,"locality":"b","w":1,"cold":true}`)
-		if texts, err := c.rest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errUnacceptable.Error()) {
+		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
+		c := dial(t, address)
+		c.send(`{"msg":"hello","node":3,"node":4,"locality":"b","w":1,"cold":true}`)
+		if texts, err := c.readRest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errUnacceptable.Error()) {
 			t.Errorf("got %q, error %v", texts, err)
 		}
-		if text, _ := said.read(); strings.Contains(text, "msg=proxy_connected") {
+		if text, _ := logged.read(); strings.Contains(text, "msg=proxy_connected") {
 			t.Error("it has joined")
 		}
 	})
 	t.Run("lengths of nothing, of the limit and of one more", func(t *testing.T) {
-		address, said := serves(t, discovers(t).address, two, func(l *limits) { l.maxFrame = 4 << 10; l.maxFirstFrame = 1 << 10; l.logRepeatInterval = 0 })
-		padded := func(text string, size int) []byte { return framed(text + strings.Repeat(" ", size-len(text))) }
+		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxFrame = 4 << 10; l.maxFirstFrame = 1 << 10; l.logRepeatInterval = 0 })
+		padded := func(text string, size int) []byte { return frame(text + strings.Repeat(" ", size-len(text))) }
 		for node, x := range []struct {
 			first, then []byte
 			stays       bool
@@ -84,22 +84,22 @@
 			{padded(helloOf(3), 1<<10+1), nil, false},
 			{[]byte{0, 0, 0, 0}, nil, false},
 		} {
-			p := calls(t, address)
+			p := dial(t, address)
 			p.Write(x.first)
 			if x.then != nil {
-				p.gets()
+				p.receive()
 				p.Write(x.then)
 			}
 			if !x.stays {
-				p.rest()
+				p.readRest()
 				if x.then != nil {
-					said.waits(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
+					logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 				}
-			} else if got := string(p.gets()[lengthSize:]); got != isAlive {
+			} else if got := string(p.receive()[lengthSize:]); got != isAlive {
 				t.Errorf("node %d got %q", node, got)
 			}
 		}
-		if text, _ := said.read(); strings.Contains(text, "msg=proxy_connected proxy=3") {
+		if text, _ := logged.read(); strings.Contains(text, "msg=proxy_connected proxy=3") {
 			t.Error("one byte more than a stranger may send was taken")
 		}
 	})
