--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -25,45 +25,45 @@
 	os.Exit(m.Run())
 }
 
-func TestTakeover(t *testing.T) {
+func TestRulesHoldWhileControllersFail(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv(asProgram, "yes")
-	for _, story := range []struct {
+	for _, c := range []struct {
 		name string
-		play rehearse.Takeover
+		play rehearse.Scenario
 	}{
-		{"members are killed", rehearse.Takeover{Sharing: true, Fenced: true}},
-		{"members freeze, are cut off and leave", rehearse.Takeover{Sharing: true, Faults: "freeze,half,leave"}},
-		{"two die at once, and no majority is left", rehearse.Takeover{Sharing: true, Fenced: true, Faults: "pair,split"}},
-		{"nothing is shared", rehearse.Takeover{}},
-		{"nothing goes wrong", rehearse.Takeover{Sharing: true, Calm: true}},
+		{"members are killed", rehearse.Scenario{Sharing: true, Fenced: true}},
+		{"members freeze, are cut off and leave", rehearse.Scenario{Sharing: true, Faults: "freeze,half,leave"}},
+		{"two die at once, and no majority is left", rehearse.Scenario{Sharing: true, Fenced: true, Faults: "pair,split"}},
+		{"nothing is shared", rehearse.Scenario{}},
+		{"nothing goes wrong", rehearse.Scenario{Sharing: true, Calm: true}},
 	} {
-		t.Run(story.name, func(t *testing.T) {
-			p := story.play
-			p.For, p.KillEvery, p.Instances, p.Relays, p.Workers, p.Seed = 6*time.Second, 2*time.Second, 3, 12, 4, 3
+		t.Run(c.name, func(t *testing.T) {
+			p := c.play
+			p.Duration, p.FaultInterval, p.Controllers, p.Proxies, p.Backends, p.Seed = 6*time.Second, 2*time.Second, 3, 12, 4, 3
 			p.Program, p.Folder = program, t.TempDir()
 			report, err := p.Run(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if report.Verdict == rehearse.Unjudged {
-				t.Skip(report.Why)
+			if report.Verdict == rehearse.VerdictInconclusive {
+				t.Skip(report.Reason)
 			}
-			if report.Verdict != rehearse.Kept || (len(report.Faults) == 0) != p.Calm || report.Served == 0 {
+			if report.Verdict != rehearse.VerdictPassed || (len(report.Faults) == 0) != p.Calm || report.ServedValue == 0 {
 				t.Errorf("got %+v", report)
 			}
 		})
 	}
 }
 
-func TestVerdict(t *testing.T) {
-	for verdict, want := range map[string]error{rehearse.Kept: nil, rehearse.Broken: exit(1), rehearse.Unjudged: exit(2)} {
-		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Breaches: []invariant.Violation{{Rule: 2, Whose: "x", Text: "twice"}}}
+func TestReportIsWrittenWithTheCodeOfItsVerdict(t *testing.T) {
+	for verdict, want := range map[rehearse.Verdict]error{rehearse.VerdictPassed: nil, rehearse.VerdictViolated: exitCode(1), rehearse.VerdictInconclusive: exitCode(2)} {
+		report := &rehearse.Report{Scenario: "takeover", Verdict: verdict, Violations: []invariant.Violation{{Rule: 2, Subject: "x", Text: "twice"}}}
 		var text bytes.Buffer
-		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+verdict) ||
+		if err := writeReport(&text, report, false); err != want || !strings.Contains(text.String(), "verdict: "+string(verdict)) ||
 			!strings.Contains(text.String(), "rule 2 at 0.0 s: x: twice") {
 			t.Errorf("%s: ended with %v, said %s", verdict, err, text.String())
 		}
@@ -75,25 +75,25 @@
 	}
 	for _, args := range [][]string{{"rehearse", "run", "nothing"}, {"rehearse", "run", "takeover", "--sharing", "some"},
 		{"rehearse", "run", "takeover", "--instances", "1"}} {
-		top := root(t.Context(), nil)
-		top.SetArgs(args)
-		var code exit
-		if err := top.Execute(); !errors.As(err, &code) || code != exitUnjudged {
+		root := newRootCommand(t.Context(), nil)
+		root.SetArgs(args)
+		var code exitCode
+		if err := root.Execute(); !errors.As(err, &code) || code != exitInconclusive {
 			t.Errorf("%v ended with %v", args, err)
 		}
 	}
 }
 
-func TestOptions(t *testing.T) {
+func TestOptionsFileIsRefusedWithItsLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "w.yaml")
 	if err := os.WriteFile(path, []byte("sharing:\n  member: {}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("LB_CONFIG", "../../deploy/sample.json")
-	if err := run(t.Context(), nil, path, nil); err == nil || !strings.Contains(err.Error(), "w.yaml:2: member: unknown field") {
+	if err := serve(t.Context(), nil, path, nil); err == nil || !strings.Contains(err.Error(), "w.yaml:2: member: unknown field") {
 		t.Errorf("got %v", err)
 	}
-	if err := run(t.Context(), nil, "../../deploy/none.yaml", nil); err == nil || !strings.Contains(err.Error(), "cannot be read") {
+	if err := serve(t.Context(), nil, "../../deploy/none.yaml", nil); err == nil || !strings.Contains(err.Error(), "cannot be read") {
 		t.Errorf("got %v", err)
 	}
 	if shipped, err := os.ReadFile("../../deploy/wheelrill.yaml"); err != nil || len(shipped) == 0 {
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/hex"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"maps"
@@ -20,33 +19,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"wheelrill/distribution"
+	"wheelrill/internal/golden"
 	"wheelrill/ownership"
 )
 
-var update = flag.Bool("update", false, "write the golden files of this package anew")
-
-// compareWithGolden compares text with a file of testdata, or writes the file where -update is given.
-func compareWithGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: is\n%s\nand was\n%s", path, got, want)
-	}
-}
-
 func goldenEntry() ownership.Entry {
 	return ownership.Entry{Member: "n0", Incarnation: 1<<63 + 5, Seq: 300, SeenToken: 4, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
 		TableChanges:  []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "a", Weight: 0.5}}}},
@@ -91,8 +67,8 @@
 		{"call, subscribe", memberRequest{Subscribe: true}},
 		{"call, change", memberRequest{Change: &p}},
 		{"answer, empty", memberResponse{}},
-		{"answer, full", memberResponse{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Mark: &mark, Refusal: refusedPermanently}},
-		{"answer, change accepted", memberResponse{Accepted: true, Mark: &mark}},
+		{"answer, full", memberResponse{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Version: &mark, Refusal: refusedPermanently}},
+		{"answer, change accepted", memberResponse{Accepted: true, Version: &mark}},
 		{"answer, change refused for now", memberResponse{Why: "not the leader", Refusal: refusedRetry}},
 		{"answer, change refused as the base moved", memberResponse{Why: "moved", Refusal: refusedBaseMoved}},
 		{"answer, change refused for good", memberResponse{Why: "no", Refusal: refusedPermanently}},
@@ -126,7 +102,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&text, "pieces of a long configuration:%s\n", sequenceLengths(t, configuration.Bytes()))
-	compareWithGolden(t, "encoded.txt", text.String())
+	golden.Compare(t, "encoded.txt", text.String())
 }
 
 // sequenceLengths is how many bytes each item of a CBOR sequence has.
@@ -160,7 +136,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		text := make([]byte, length)
 		n, _ := io.ReadFull(conn, text)
 		got <- text[:n]
@@ -173,7 +149,7 @@
 func TestConversationsAreThoseOfTheGoldenFile(t *testing.T) {
 	var text strings.Builder
 	plain := func(address string) *transport {
-		return &transport{members: map[string]string{"n0": address}, ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+		return newTransport(map[string]string{"n0": address}, nil)
 	}
 	fmt.Fprintf(&text, "raft at a member: %x\n", firstBytes(t, 17, func(address string) {
 		conn, err := (&layer{transport: plain(address)}).Dial(addressOf("n0", "n0/ABCDEFGH"), 0)
@@ -192,7 +168,7 @@
 			t.Error("nobody has answered")
 		}
 	}))
-	a := starts(t, Config{Name: "n0", Members: addresses(t, "n0", "n1")})
+	a := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0", "n1")})
 	address := a.transport.members["n0"]
 	for _, c := range []struct {
 		name, sent string
@@ -211,7 +187,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := conn.Write(body); err != nil {
 			t.Fatal(err)
 		}
@@ -226,7 +202,7 @@
 		conn.Close()
 		fmt.Fprintf(&text, "%s: %x answered %x%x %q\n", c.name, body, head, got, got)
 	}
-	compareWithGolden(t, "conversations.txt", text.String())
+	golden.Compare(t, "conversations.txt", text.String())
 }
 
 // describe writes what a member has of the record and of the configuration as text, in words and an order of its own.
@@ -270,25 +246,25 @@
 // writeVoter runs a member on a folder until there is a snapshot, and a log beyond it.
 func writeVoter(t *testing.T, folder string, configured bool) {
 	t.Helper()
-	config := Config{Name: "n0", Members: addresses(t, "n0"), Folder: folder}
+	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder}
 	if configured {
-		config.Distribution = &subscribed{}
+		config.Distribution = &fakeDistribution{}
 	}
-	m := starts(t, config)
-	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Revision: 1,
+	m := startMember(t, config)
+	m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 1, Claims: []int{3, 4}, Revision: 1,
 		TableChanges: []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 1}, {Backend: "b", Weight: 0.25}}}}})
 	if configured {
-		configures(t, m, entry("x", "1"), entry("y", "1"))
+		configure(t, m, entry("x", "1"), entry("y", "1"))
 	}
-	r, _ := m.current()
+	r := m.current().raft
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Revision: 2,
+	m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 2, Revision: 2,
 		TableChanges:  []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: "a", Weight: 0}}}},
 		Confirmations: []ownership.Confirmation{{Proxy: 3, Token: 1, Revision: 2, Tables: []int{0, 0}, WithdrawalsKnown: true}}})
 	if configured {
-		configures(t, m, entry("x", "2"), entry("z", "1"))
+		configure(t, m, entry("x", "2"), entry("z", "1"))
 	}
 	m.stop()
 }
@@ -298,7 +274,7 @@
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
 			stored := filepath.Join("testdata", "voter-"+name)
-			if *update {
+			if golden.Updating() {
 				if err := os.RemoveAll(stored); err != nil {
 					t.Fatal(err)
 				}
@@ -311,21 +287,21 @@
 			if err := os.CopyFS(folder, os.DirFS(stored)); err != nil {
 				t.Fatal(err)
 			}
-			m := starts(t, Config{Name: "n0", Members: addresses(t, "n0"), Folder: folder})
-			m.waits(t, "recorded n0 5 2") // from the log, after the snapshot
+			m := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder})
+			m.waitFor(t, "recorded n0 5 2") // from the log, after the snapshot
 			if told, _ := m.has("restored"); !told {
 				t.Error("the snapshot was not read")
 			}
 			if name == "configuration" {
-				until(t, "the configuration's last change is read", func() bool {
-					_, machine := m.current()
+				waitUntil(t, "the configuration's last change is read", func() bool {
+					machine := m.current().machine
 					state := machine.configuration.state()
 					return state != nil && state.Version.Revision == 2
 				})
 			}
-			_, machine := m.current()
-			compareWithGolden(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
-			m.puts(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
+			machine := m.current().machine
+			golden.Compare(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
+			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
 		})
 	}
 }
@@ -335,10 +311,10 @@
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join("testdata", "snapshot-"+name+".cbor")
-			if *update {
-				m := changed(t)
+			if golden.Updating() {
+				m := machineWith(t)
 				if name == "configuration" {
-					m = changed(t, entry("x", "1"), entry("y", "2"), entry("x", "3"))
+					m = machineWith(t, entry("x", "1"), entry("y", "2"), entry("x", "3"))
 				}
 				e := goldenEntry()
 				e.Seq = 1
@@ -352,12 +328,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := newReader()
+			r := newEventLog()
 			m := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfiguration(nil, nil), onUnreadable: func(err error) { t.Error(err) }}
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
 			}
-			compareWithGolden(t, "snapshot-"+name+".txt", describe(m))
+			golden.Compare(t, "snapshot-"+name+".txt", describe(m))
 			state, err := ReadConfiguration(nil)
 			if state != nil || err != nil {
 				t.Error(state, err)
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -2,53 +2,17 @@
 
 import (
 	"crypto/sha256"
-	"flag"
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"wheelrill/balancer"
+	"wheelrill/internal/golden"
 	"wheelrill/ownership"
 )
 
-// updateGolden renews the golden files. It is for whoever changes the wire on purpose; CI never sets it.
-var updateGolden = flag.Bool("update", false, "write the golden files in testdata anew")
-
-// compareGolden compares a transcript with the golden file of that name, line by line.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		gotLine, wantLine := "nothing", "nothing"
-		if i < len(gotLines) {
-			gotLine = gotLines[i]
-		}
-		if i < len(wantLines) {
-			wantLine = wantLines[i]
-		}
-		if gotLine != wantLine {
-			t.Fatalf("%s line %d:\n got %s\nwant %s", path, i+1, gotLine, wantLine)
-		}
-	}
-}
-
 // goldenOrders gives orders to tables as the decisions do, and writes down every byte that each proxy is written.
 type goldenOrders struct {
 	t      *testing.T
@@ -199,7 +163,7 @@
 		g.mark(9, false)
 		g.written(fmt.Sprint("a proxy that comes from another owner, with base ", proxy))
 	}
-	compareGolden(t, "orders.golden", g.text.String())
+	golden.Compare(t, "orders.golden", g.text.String())
 }
 
 // TestGoldenOrdersByChance holds the bytes of orders in thousands of combinations, by their hash for each seed.
@@ -249,7 +213,7 @@
 		}
 		fmt.Fprintf(&text, "seed %d: %d bytes, sha256 %x\n", seed, g.text.Len(), sha256.Sum256([]byte(g.text.String())))
 	}
-	compareGolden(t, "orders-by-chance.golden", text.String())
+	golden.Compare(t, "orders-by-chance.golden", text.String())
 }
 
 // goldenDay plays a controller through a day of trouble on a clock of its own, and writes down every byte that a proxy
@@ -323,5 +287,5 @@
 			text.WriteString(strings.Join(lines[:min(len(lines), 120)], ""))
 		}
 	}
-	compareGolden(t, "day.golden", text.String())
+	golden.Compare(t, "day.golden", text.String())
 }
--- a/controller/golden_wire_test.go
+++ b/controller/golden_wire_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"wheelrill/distribution"
+	"wheelrill/internal/golden"
 )
 
 // TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
@@ -84,7 +85,7 @@
 		c.receive()
 	}
 	stays("a proxy beyond the room", f(hello))
-	compareGolden(t, "answers.golden", text.String())
+	golden.Compare(t, "answers.golden", text.String())
 }
 
 // TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
@@ -95,7 +96,7 @@
 		errors.New("\"größer\"\n\x01")} {
 		fmt.Fprintf(&text, "%q\n", errorMessage(why))
 	}
-	compareGolden(t, "refusals.golden", text.String())
+	golden.Compare(t, "refusals.golden", text.String())
 }
 
 // TestGoldenDiscoveryRequests holds the bytes of discovery's requests, by what was answered before.
@@ -125,7 +126,7 @@
 	case <-time.After(patience):
 		t.Fatal("it stopped asking")
 	}
-	compareGolden(t, "discovery-requests.golden", text.String())
+	golden.Compare(t, "discovery-requests.golden", text.String())
 }
 
 // serveGoldenDiscovery answers the requests of one connection, writes down their bytes, and gives the answers that are left.
@@ -151,7 +152,7 @@
 // TestGoldenFolder holds the file of a subscriber's folder: one that was written before is read, and written again by the
 // same bytes.
 func TestGoldenFolder(t *testing.T) {
-	golden := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
+	stored := filepath.Join("testdata", "subscriber-folder", "configuration.cbor")
 	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4, Identity: 1 << 60}, Revision: 7},
 		Covered: distribution.SomeScopes("pricing", "orders"), Horizon: 2, Entries: []distribution.Entry{
 			{Scope: "orders", Name: "limit/read it", Value: []byte("12.5"), Revision: 3, AcceptedAt: 1_700_000_000_000_000},
@@ -169,12 +170,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *updateGolden {
-		if err := errors.Join(os.MkdirAll(filepath.Dir(golden), 0o755), os.WriteFile(golden, body, 0o644)); err != nil {
+	if golden.Updating() {
+		if err := errors.Join(os.MkdirAll(filepath.Dir(stored), 0o755), os.WriteFile(stored, body, 0o644)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(golden)
+	want, err := os.ReadFile(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
