--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -165,7 +165,7 @@
 // forgetRemovedBackends ends what is kept of backends that were removed long ago. Nothing on its way names them by their index.
 func (l *eventLoop) forgetRemovedBackends() {
 	forgotten := l.backends.sweep(l.now, l.limits.forgetAfter, func(backend int) bool {
-		gone := l.tables.forget(backend, func() bool { return l.decisions.ForgetBackend(backend) })
+		gone := l.forget(backend, func() bool { return l.decisions.ForgetBackend(backend) })
 		if gone && l.ownership != nil {
 			l.ownership.evidence.ForgetBackend(l.backends.ids[backend])
 		}
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -149,8 +149,8 @@
 		})
 	}
 	h.receive(t, p)
-	if known := len(m.backends.index); known > 20 || len(m.backends.ids) > 20 || len(m.tables.withdrawn) > 20 {
-		t.Errorf("%d known, %d indices, %d withdrawn", known, len(m.backends.ids), len(m.tables.withdrawn))
+	if known := len(m.backends.index); known > 20 || len(m.backends.ids) > 20 || len(m.withdrawn) > 20 {
+		t.Errorf("%d known, %d indices, %d withdrawn", known, len(m.backends.ids), len(m.withdrawn))
 	}
 	if !slices.Equal(h.picks(0), []string{"s-58", "s-59"}) || !slices.Equal(h.picks(1), []string{"s-58", "s-59"}) {
 		t.Errorf("picks %v", h.lines)
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -313,15 +314,19 @@
 // isClosed tells whether the controller closes the connection without another word.
 func (c *client) isClosed() bool {
 	_, err := c.in.ReadByte()
-	late, ok := err.(net.Error)
-	return err != nil && !(ok && late.Timeout())
+	return err != nil && !isTimeout(err)
 }
 
 // isRefused tells whether the controller closes the connection with no other word than an error, if it gets through.
 func (c *client) isRefused() bool {
 	text, err := io.ReadAll(c.in)
-	late, ok := err.(net.Error)
-	logged := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
+	errorOrNothing := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
 		fastjson.ValidateBytes(text[4:]) == nil && int(binary.BigEndian.Uint32(text)) == len(text)-4
-	return logged && !(ok && late.Timeout())
+	return errorOrNothing && !isTimeout(err)
+}
+
+// isTimeout tells whether an error is a deadline's.
+func isTimeout(err error) bool {
+	var network net.Error
+	return errors.As(err, &network) && network.Timeout()
 }
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -53,7 +53,7 @@
 	g.tables.flush(func(to *connection, message []byte) error {
 		fmt.Fprintf(&g.text, "proxy %d: %q\n", to.proxy, message)
 		return nil
-	}, func(proxy int, err error) {
+	}, func(proxy int, _ error) {
 		fmt.Fprintf(&g.text, "proxy %d is given up\n", proxy)
 	}, func(int, int) {})
 }
--- a/controller/load_reports_test.go
+++ b/controller/load_reports_test.go
@@ -63,7 +63,7 @@
 			h := newFakeProxy("read it", "write")
 			p := newConnection(&readerConn{Reader: bytes.NewReader(frame(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, m,
 				func(*connection) error { return nil })
-			p.readMessages()
+			_ = p.readMessages() // the end of its input
 			if m.iterate(func() {}); !m.isCurrent(p) {
 				t.Fatalf("%s: it has not joined", w)
 			}
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -159,8 +159,8 @@
 		here, there := net.Pipe()
 		go there.Write(frame(hello))
 		p := newConnection(here, 1, m, func(*connection) error { there.Close(); return nil })
-		if p.readMessages(); p.kind != kindProxy {
-			t.Errorf("it is a %v", p.kind)
+		if err := p.readMessages(); p.kind != kindProxy {
+			t.Errorf("it is a %v: %v", p.kind, err)
 		}
 	})
 	t.Run("strangers that say nothing are ended, and keep nobody out", func(t *testing.T) {
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,10 +10,9 @@
 	"testing"
 
 	"wheelrill/distribution"
+	"wheelrill/internal/golden"
 )
 
-var updateStored = flag.Bool("update-stored", false, "write the folder of a subscriber anew that the tests read")
-
 // storedFile is the file in a subscriber's folder. Its name is part of the format.
 const storedFile = "configuration.cbor"
 
@@ -67,7 +65,7 @@
 // A folder that an earlier version has written is read as what it was, and written with the same bytes.
 func TestStoredFolderOfASubscriberIsReadAndWrittenAsBefore(t *testing.T) {
 	want := storedState(t)
-	if *updateStored {
+	if golden.Updating() {
 		cache, err := openConfigurationCache(storedFolder)
 		if err != nil {
 			t.Fatal(err)
--- a/controller/unusable_messages_test.go
+++ b/controller/unusable_messages_test.go
@@ -91,7 +91,7 @@
 				p.Write(x.then)
 			}
 			if !x.stays {
-				p.readRest()
+				_, _ = p.readRest() // until the stream ends
 				if x.then != nil {
 					logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 				}
