--- a/scale/draw.go
+++ b/scale/added_time.go
@@ -20,11 +20,11 @@
 
 // How much one size plays.
 const (
-	drawRepeats  = 5
+	pickRepeats  = 5
 	indexRepeats = 20
-	drawsMost    = 20_000      // in one repeat
-	drawsLeast   = 100         // for a share of 99 in 100 to mean something
-	drawLongest  = time.Minute // that a histogram holds
+	maxPicks     = 20_000      // in one repeat
+	minPicks     = 100         // for a share of 99 in 100 to mean something
+	maxPickTime  = time.Minute // that a histogram holds
 )
 
 // Describe tells what is measured.
@@ -33,12 +33,12 @@
 		Targets: []int{99_000}, Transport: "calls",
 		About: "Time that a proxy's draw and an ordered retry add to a request by the lines of its table",
 		Metrics: []results.Metric{
-			{Name: "draw_half", Unit: "ms", About: "a draw, 50 in 100", Budget: mostAdded, Fit: true},
-			{Name: "draw_p99", Unit: "ms", About: "a draw, 99 in 100", Budget: mostAdded, Fit: true},
-			{Name: "retried_half", Unit: "ms", About: "a draw and that of a retry, 50 in 100", Budget: mostAdded, Fit: true},
-			{Name: "retried_p99", Unit: "ms", About: "a draw and that of a retry, 99 in 100", Budget: mostAdded, Fit: true},
+			{Name: "draw_half", Unit: "ms", About: "a draw, 50 in 100", Budget: maxAddedMilliseconds, Fit: true},
+			{Name: "draw_p99", Unit: "ms", About: "a draw, 99 in 100", Budget: maxAddedMilliseconds, Fit: true},
+			{Name: "retried_half", Unit: "ms", About: "a draw and that of a retry, 50 in 100", Budget: maxAddedMilliseconds, Fit: true},
+			{Name: "retried_p99", Unit: "ms", About: "a draw and that of a retry, 99 in 100", Budget: maxAddedMilliseconds, Fit: true},
 			{Name: "draw_processor", Unit: "ms", About: "processor time of a draw, 99 in 100", Fit: true},
-			{Name: "retried_processor", Unit: "ms", About: "processor time of a draw and that of a retry, 99 in 100", Budget: mostAdded, Fit: true},
+			{Name: "retried_processor", Unit: "ms", About: "processor time of a draw and that of a retry, 99 in 100", Budget: maxAddedMilliseconds, Fit: true},
 			{Name: "index", Unit: "ms", About: "processor time at each change of the table, beside requests", Fit: true},
 			{Name: "requests", Unit: "requests", About: "in each of five repeats, of which the median is taken"},
 		}}
@@ -47,19 +47,19 @@
 // Needs tells what one size takes at most.
 func (addedTime) Needs(_ int, o Options) Needs {
 	const bytes = 256 << 20
-	return Needs{Memory: bytes, Time: o.For + 2*drawLongest}
+	return Needs{Memory: bytes, Time: o.For + 2*maxPickTime}
 }
 
-// drawn is what one repeat has shown, in nanoseconds.
-type drawn struct {
+// pickTimes is what one repeat has shown, in nanoseconds.
+type pickTimes struct {
 	once, retried                   *hdrhistogram.Histogram // wall time
 	onceProcessor, retriedProcessor *hdrhistogram.Histogram // of the thread, which a busy machine lengthens less
 	requests                        int
 }
 
-func newDrawn() drawn {
-	empty := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(drawLongest), histogramDigits) }
-	return drawn{empty(), empty(), empty(), empty(), 0}
+func newPickTimes() pickTimes {
+	empty := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxPickTime), histogramDigits) }
+	return pickTimes{empty(), empty(), empty(), empty(), 0}
 }
 
 // Run plays the repeats over one table, and takes the median of their percentiles.
@@ -67,16 +67,16 @@
 	table := weightedTable(size, o.Seed)
 	index := time.Duration(0)
 	for range indexRepeats {
-		index += spent(func() { table.Index(nil) })
+		index += processorTimeOf(func() { table.Index(nil) })
 	}
 	sample.Set("index", index.Seconds()*1000/indexRepeats)
 	random := rand.New(rand.NewPCG(o.Seed, uint64(size)))
-	var all []drawn
-	for range drawRepeats {
+	var all []pickTimes
+	for range pickRepeats {
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		one, err := drawOften(table, size, random, o.For/drawRepeats)
+		one, err := measurePicks(table, size, random, o.For/pickRepeats)
 		if err != nil {
 			return sample, err
 		}
@@ -85,36 +85,36 @@
 	figures := []struct {
 		metric   string
 		quantile float64
-		of       func(drawn) *hdrhistogram.Histogram
+		of       func(pickTimes) *hdrhistogram.Histogram
 	}{
-		{"draw_half", 50, func(d drawn) *hdrhistogram.Histogram { return d.once }},
-		{"draw_p99", 99, func(d drawn) *hdrhistogram.Histogram { return d.once }},
-		{"retried_half", 50, func(d drawn) *hdrhistogram.Histogram { return d.retried }},
-		{"retried_p99", 99, func(d drawn) *hdrhistogram.Histogram { return d.retried }},
-		{"draw_processor", 99, func(d drawn) *hdrhistogram.Histogram { return d.onceProcessor }},
-		{"retried_processor", 99, func(d drawn) *hdrhistogram.Histogram { return d.retriedProcessor }},
+		{"draw_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.once }},
+		{"draw_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.once }},
+		{"retried_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.retried }},
+		{"retried_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.retried }},
+		{"draw_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.onceProcessor }},
+		{"retried_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.retriedProcessor }},
 	}
 	for _, f := range figures {
-		sample.Set(f.metric, medianOf(all, func(d drawn) float64 {
+		sample.Set(f.metric, medianOf(all, func(d pickTimes) float64 {
 			return float64(f.of(d).ValueAtQuantile(f.quantile)) / float64(time.Millisecond)
 		}))
 	}
-	sample.Set("requests", medianOf(all, func(d drawn) float64 { return float64(d.requests) }))
-	if least := slices.MinFunc(all, func(a, b drawn) int { return a.requests - b.requests }).requests; least < drawsTold {
+	sample.Set("requests", medianOf(all, func(d pickTimes) float64 { return float64(d.requests) }))
+	if least := slices.MinFunc(all, func(a, b pickTimes) int { return a.requests - b.requests }).requests; least < enoughPicks {
 		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", least)
 	}
 	return sample, nil
 }
 
-// drawsTold are enough for the slowest of a hundred to be many.
-const drawsTold = 1000
+// enoughPicks are enough for the slowest of a hundred to be many.
+const enoughPicks = 1000
 
-// drawOften draws a backend and another one for a while, and notes how long that took.
-func drawOften(table *fake.Table, lines int, random *rand.Rand, span time.Duration) (d drawn, err error) {
+// measurePicks draws a backend and another one for a while, and notes how long that took.
+func measurePicks(table *fake.Table, lines int, random *rand.Rand, span time.Duration) (d pickTimes, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	d = newDrawn()
-	for began := time.Now(); d.requests < drawsMost && (d.requests < drawsLeast || time.Since(began) < span); d.requests++ {
+	d = newPickTimes()
+	for began := time.Now(); d.requests < maxPicks && (d.requests < minPicks || time.Since(began) < span); d.requests++ {
 		number := random.Uint64()
 		from, fromProcessor := time.Now(), threadTime()
 		first, found := table.Pick("", number)
--- a/scale/change.go
+++ b/scale/change.go
@@ -25,7 +25,7 @@
 
 const (
 	discoverySlots = 4 // addresses that a controller is moved around between
-	settleWithin   = 10 * time.Second
+	settleTimeout  = 10 * time.Second
 	memberCores    = 1
 	memberSockets  = 256
 	memberLimitMB  = 192
@@ -34,18 +34,18 @@
 // Describe says what it is.
 func (changeByFile) Describe() Description {
 	d := Description{Name: "change", About: "A change as it is made today, a file for each controller and a SIGHUP, real processes on one machine",
-		Size: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{controllersToCome}, Transport: "loopback"}
+		Size: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{targetControllers}, Transport: "loopback"}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: "half" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 50 in 100, " + rate.about, Budget: 1000 * mostInForce, Fit: true},
-			results.Metric{Name: "p99" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 99 in 100, " + rate.about, Budget: 1000 * mostInForce, Fit: true},
-			results.Metric{Name: "most" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, most, " + rate.about, Budget: 1000 * mostInForce, Fit: true},
+			results.Metric{Name: "half" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 50 in 100, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "p99" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 99 in 100, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "most" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, most, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
 			results.Metric{Name: "written" + rate.suffix, Unit: "ms", About: "of that, until the last file was written and signal sent, mean, " + rate.about, Fit: true},
-			results.Metric{Name: "processor" + rate.suffix, Unit: "% of a core", About: "processor time of a controller, mean, " + rate.about, Budget: mostProcessor, Fit: true})
+			results.Metric{Name: "processor" + rate.suffix, Unit: "% of a core", About: "processor time of a controller, mean, " + rate.about, Budget: maxProcessorPercent, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
 		results.Metric{Name: "bytes_per_change", Unit: "bytes", About: "files that a change writes, in all", Fit: true},
-		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a controller, most", Budget: mostMegabytes})
+		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a controller, most", Budget: maxMegabytes})
 	return d
 }
 
@@ -56,13 +56,13 @@
 }
 
 func changeRates() []changeRate {
-	return []changeRate{{changesPerS, "", "0.42 changes a second"}, {changesPerS * timesChanges, "_x10", "4.2 changes a second"}}
+	return []changeRate{{changesPerSecond, "", "0.42 changes a second"}, {changesPerSecond * changeRateFactor, "_x10", "4.2 changes a second"}}
 }
 
 // Needs are those of the controllers.
 func (changeByFile) Needs(size int, o Options) Needs {
 	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
-		Time: startsWithin + time.Duration(len(changeRates()))*(o.For+settleWithin)}
+		Time: startTimeout + time.Duration(len(changeRates()))*(o.For+settleTimeout)}
 }
 
 // Run makes changes at each pace, and notes when each controller acted by them.
@@ -80,14 +80,14 @@
 		return s, err
 	}
 	for _, rate := range changeRates() {
-		o.say("%d controllers, %s", size, rate.about)
+		o.progressf("%d controllers, %s", size, rate.about)
 		if err := fleet.changes(ctx, rate, o, &s); err != nil {
 			return s, err
 		}
 	}
 	var memory float64
 	for _, c := range fleet.controllers {
-		usage, err := UsageOf(c.process.PID())
+		usage, err := readUsage(c.process.PID())
 		if err != nil {
 			return s, err
 		}
@@ -111,9 +111,9 @@
 
 // reloadedController is one of them.
 type reloadedController struct {
-	process *process.Controller
-	slots   []*watchedAddress // of discovery, which changes move it around between
-	acts    atomic.Int64      // the last change that it acted by
+	process       *process.Controller
+	slots         []*watchedAddress // of discovery, which changes move it around between
+	appliedChange atomic.Int64      // the last change that it acted by
 }
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
@@ -131,7 +131,7 @@
 		c := &reloadedController{}
 		f.controllers = append(f.controllers, c)
 		for range discoverySlots {
-			slot, err := watchAddress(f.discovery, func(change int64) { c.acts.Store(max(c.acts.Load(), change)) })
+			slot, err := watchAddress(f.discovery, func(change int64) { c.appliedChange.Store(max(c.appliedChange.Load(), change)) })
 			if err != nil {
 				f.close()
 				return nil, err
@@ -169,7 +169,7 @@
 func (f *reloadedFleet) write(i int, change int64) (int, error) {
 	c := f.controllers[i]
 	slot := c.slots[change%discoverySlots]
-	slot.means.Store(change)
+	slot.change.Store(change)
 	name := memberName(i)
 	draft, err := process.WriteJSON(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
 		"discovery": slot.address(), "seed": fmt.Sprintf("%x", f.seed+uint64(i)+1),
@@ -196,16 +196,16 @@
 			return err
 		}
 	}
-	if !waitFor(ctx, startsWithin, func() bool { return f.actsBy(1) }) {
-		return fmt.Errorf("not all controllers followed discovery within %s; their logs are in %s", startsWithin, f.folder)
+	if !await(ctx, startTimeout, func() bool { return f.allApplied(1) }) {
+		return fmt.Errorf("not all controllers followed discovery within %s; their logs are in %s", startTimeout, f.folder)
 	}
 	return nil
 }
 
-// actsBy tells whether all controllers act by a change, or by a later one.
-func (f *reloadedFleet) actsBy(change int64) bool {
+// allApplied tells whether all controllers act by a change, or by a later one.
+func (f *reloadedFleet) allApplied(change int64) bool {
 	for _, c := range f.controllers {
-		if c.acts.Load() < change {
+		if c.appliedChange.Load() < change {
 			return false
 		}
 	}
@@ -215,7 +215,7 @@
 // changes makes changes at a pace for a while.
 func (f *reloadedFleet) changes(ctx context.Context, rate changeRate, o Options, s *results.Sample) error {
 	random := rand.New(rand.NewPCG(f.seed, uint64(f.changed)))
-	inForce := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)
+	propagation := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)
 	var waits sync.WaitGroup
 	defer waits.Wait()
 	var mutex sync.Mutex
@@ -243,21 +243,21 @@
 		}
 		made, writing = made+1, writing+time.Since(accepted)
 		waits.Go(func() {
-			ok := waitTight(ctx, settleWithin, func() bool { return f.actsBy(change) })
+			ok := awaitClosely(ctx, settleTimeout, func() bool { return f.allApplied(change) })
 			mutex.Lock()
 			defer mutex.Unlock()
 			if !ok {
 				late++
 			}
-			inForce.RecordValue(time.Since(accepted).Microseconds())
+			propagation.RecordValue(time.Since(accepted).Microseconds())
 		})
 	}
 	waits.Wait()
 	after, seconds := f.processor(), time.Since(began).Seconds()
 	if late > 0 {
-		s.Violations = append(s.Violations, fmt.Sprintf("%d changes of %d were not in force within %s, %s", late, made, settleWithin, rate.about))
+		s.Violations = append(s.Violations, fmt.Sprintf("%d changes of %d were not in force within %s, %s", late, made, settleTimeout, rate.about))
 	}
-	milliseconds := func(quantile float64) float64 { return float64(inForce.ValueAtQuantile(quantile)) / 1000 }
+	milliseconds := func(quantile float64) float64 { return float64(propagation.ValueAtQuantile(quantile)) / 1000 }
 	s.Set("half"+rate.suffix, milliseconds(50))
 	s.Set("p99"+rate.suffix, milliseconds(99))
 	s.Set("most"+rate.suffix, milliseconds(100))
@@ -269,7 +269,7 @@
 // processor is the time that all controllers have taken.
 func (f *reloadedFleet) processor() (sum time.Duration) {
 	for _, c := range f.controllers {
-		if usage, err := UsageOf(c.process.PID()); err == nil {
+		if usage, err := readUsage(c.process.PID()); err == nil {
 			sum += usage.Processor
 		}
 	}
@@ -279,12 +279,12 @@
 // histogramDigits is the precision of percentiles.
 const histogramDigits = 3
 
-// tightLook is how often something is looked at whose time is measured.
-const tightLook = time.Millisecond
+// closePollInterval is how often something is looked at whose time is measured.
+const closePollInterval = time.Millisecond
 
-// waitTight waits as waitFor does, and looks more often.
-func waitTight(ctx context.Context, within time.Duration, holds func() bool) bool {
-	look := time.NewTicker(tightLook)
+// awaitClosely waits as waitFor does, and looks more often.
+func awaitClosely(ctx context.Context, within time.Duration, holds func() bool) bool {
+	look := time.NewTicker(closePollInterval)
 	defer look.Stop()
 	for late := time.After(within); !holds(); {
 		select {
--- a/scale/content.go
+++ b/scale/content.go
@@ -16,7 +16,7 @@
 	controllersPerGroup = 110 // of 11,000
 	commonEntries       = 20
 	valueBytes          = 48
-	mostEntriesChanged  = 3  // of one change
+	maxEntriesChanged   = 3  // of one change
 	commonChanges       = 10 // one change in so many goes to all
 	drainChanges        = 5  // one in so many sets or ends a drain, which is an entry that comes and goes
 )
@@ -28,27 +28,27 @@
 // contentShape is how much is distributed: groups of services, and entries of each.
 type contentShape struct{ groups, ofEach int }
 
-// smallContent has as many groups as so many controllers serve, and of each service one entry.
-func smallContent(controllers int) contentShape {
+// scaledContent has as many groups as so many controllers serve, and of each service one entry.
+func scaledContent(controllers int) contentShape {
 	return contentShape{groups: max(1, (controllers+controllersPerGroup-1)/controllersPerGroup), ofEach: servicesPerGroup}
 }
 
-// wholeContent is all that there will be, however many controllers there are.
-func wholeContent() contentShape { return contentShape{groups: groupsToCome, ofEach: entriesServed} }
+// fullContent is all that there will be, however many controllers there are.
+func fullContent() contentShape { return contentShape{groups: targetGroups, ofEach: entriesServed} }
 
 // content is the configuration as it was proposed, change by change: what nodes are compared with.
 type content struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	shape    contentShape
-	revision uint64                          // the newest that was accepted
-	byScope  map[string][]distribution.Entry // as voters accepted them, by revision
-	stood    map[uint64]time.Time            // when the first voter had a revision from the record
+	mutex      sync.Mutex
+	random     *rand.Rand
+	shape      contentShape
+	revision   uint64                          // the newest that was accepted
+	byScope    map[string][]distribution.Entry // as voters accepted them, by revision
+	recordedAt map[uint64]time.Time            // when the first voter had a revision from the record
 }
 
 func newContent(shape contentShape, seed uint64) *content {
 	return &content{random: rand.New(rand.NewPCG(seed, contentSeed)), shape: shape, byScope: map[string][]distribution.Entry{},
-		stood: map[uint64]time.Time{}}
+		recordedAt: map[uint64]time.Time{}}
 }
 
 const contentSeed = 7 // tells what is drawn here from what is drawn elsewhere by the same seed
@@ -85,7 +85,7 @@
 		scope, names, kind = commonScope, commonEntries, "tenant"
 	}
 	standing := c.stateAt(c.last(), distribution.SomeScopes(scope))
-	for _, i := range c.random.Perm(names)[:1+c.random.IntN(mostEntriesChanged)] {
+	for _, i := range c.random.Perm(names)[:1+c.random.IntN(maxEntriesChanged)] {
 		name := fmt.Sprintf("%s/%d", kind, i)
 		drain := c.random.IntN(drainChanges) == 0
 		if drain {
@@ -100,22 +100,22 @@
 	return entries
 }
 
-// accepted notes a change as the voters have it.
-func (c *content) accepted(change distribution.Change) {
+// noteAccepted notes a change as the voters have it.
+func (c *content) noteAccepted(change distribution.Change) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if change.Revision <= c.revision {
 		return
 	}
-	c.revision, c.stood[change.Revision] = change.Revision, time.Now()
+	c.revision, c.recordedAt[change.Revision] = change.Revision, time.Now()
 	for _, e := range change.Entries {
 		e.Revision = change.Revision
 		c.byScope[e.Scope] = append(c.byScope[e.Scope], e)
 	}
 }
 
-// answeredWithin is how long a proposer waits at most until it is told that its change stands.
-const answeredWithin = 500 * time.Millisecond
+// proposalTimeout is how long a proposer waits at most until it is told that its change stands.
+const proposalTimeout = 500 * time.Millisecond
 
 // acceptedAt is when a revision was accepted: as its leader noted it, unless it came to stand only after its proposer had
 // been told that it did not, as where the majority was lost.
@@ -123,8 +123,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	at := time.UnixMicro(noted)
-	if stood, ok := c.stood[revision]; ok && stood.Sub(at) > answeredWithin {
-		return stood
+	if recordedAt, ok := c.recordedAt[revision]; ok && recordedAt.Sub(at) > proposalTimeout {
+		return recordedAt
 	}
 	return at
 }
@@ -136,8 +136,8 @@
 	return c.revision
 }
 
-// newest is the last revision of each scope up to one.
-func (c *content) newest(revision uint64) map[string]uint64 {
+// newestByScope is the last revision of each scope up to one.
+func (c *content) newestByScope(revision uint64) map[string]uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	of := map[string]uint64{}
@@ -175,8 +175,8 @@
 	return state
 }
 
-// differs says how a node's entries differ from what they should be at its revision; empty where they do not.
-func (c *content) differs(state distribution.State, scopes distribution.Scopes) string {
+// difference says how a node's entries differ from what they should be at its revision; empty where they do not.
+func (c *content) difference(state distribution.State, scopes distribution.Scopes) string {
 	want := c.stateAt(state.Version.Revision, scopes)
 	live := 0
 	for _, e := range state.Entries {
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -93,8 +93,8 @@
 	h.mark, h.marked, h.toEach = number, true, h.toEach || everyone
 }
 
-// answers has each proxy that was reached answer the mark, until no further one is given.
-func (h *countingHost) answers() {
+// acknowledge has each proxy that was reached answer the mark, until no further one is given.
+func (h *countingHost) acknowledge() {
 	for h.marked {
 		mark, toEach, changed, reached := h.mark, h.toEach, h.changed, h.reached
 		h.marked, h.toEach, h.changed, h.reached = false, false, map[int]bool{}, map[int]bool{}
@@ -108,11 +108,11 @@
 	}
 }
 
-// passes lets time pass to the next look at waiting work, so often.
-func (h *countingHost) passes(beats int) {
-	for range beats {
-		h.now += beat
+// advance lets time pass to the next look at waiting work, so often.
+func (h *countingHost) advance(ticks int) {
+	for range ticks {
+		h.now += workTick
 		h.control.TimerFired(h.tag)
-		h.answers()
+		h.acknowledge()
 	}
 }
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	second = int64(1_000_000) // microseconds, as decisions count time
-	beat   = second / 4       // between two looks at waiting work
+	second   = int64(1_000_000) // microseconds, as decisions count time
+	workTick = second / 4       // between two looks at waiting work
 )
 
 // decisions measures what the decisions of one controller cost by the backends that it is told of, or by the proxies that
@@ -23,23 +23,23 @@
 
 // Of one that is measured, where the other figure grows.
 const (
-	usualBackends = 1000
-	usualProxies  = 100
+	defaultBackends = 1000
+	defaultProxies  = 100
 )
 
 // How much one size plays.
 const (
 	decisionRepeats = 3
 	decisionChanges = 8
-	decisionBeats   = 8
-	decisionLongest = 90 * time.Second // that one repeat may take
+	decisionTicks   = 8
+	maxDecisionTime = 90 * time.Second // that one repeat may take
 )
 
 // Describe tells what is measured.
 func (m decisions) Describe() Description {
 	d := Description{Name: "decisions-backends", Size: "backends", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
-		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", usualProxies),
+		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", defaultProxies),
 		Metrics: []results.Metric{
 			{Name: "start", Unit: "ms", About: "the whole list, to a controller that knows nothing", Fit: true},
 			{Name: "again", Unit: "ms", About: "the same whole list once more", Fit: true},
@@ -48,14 +48,14 @@
 			{Name: "report_line", Unit: "µs", About: "one line of a report", Fit: true},
 			{Name: "beat", Unit: "ms", About: "a look at waiting work, four times a second", Fit: true},
 			{Name: "look", Unit: "ms", About: "the same once reports have come, each 2 s", Fit: true},
-			{Name: "processor", Unit: "% of a core", About: "beats, looks and 75 report lines a second", Budget: mostProcessor, Fit: true},
-			{Name: "heap", Unit: "MB", About: "heap kept", Budget: mostMegabytes, Fit: true},
+			{Name: "processor", Unit: "% of a core", About: "beats, looks and 75 report lines a second", Budget: maxProcessorPercent, Fit: true},
+			{Name: "heap", Unit: "MB", About: "heap kept", Budget: maxMegabytes, Fit: true},
 			{Name: "orders", Unit: "orders", About: "lines, binds, withdrawals, levels and marks"},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
 	if m.byProxies {
 		d.Name, d.Size, d.Sizes, d.Targets = "decisions-proxies", "proxies", []int{100, 400, 1200, 2400}, []int{2400}
-		d.About = fmt.Sprintf("Processor time and heap of a controller's decisions by proxies, %d backends, without sockets", usualBackends)
+		d.About = fmt.Sprintf("Processor time and heap of a controller's decisions by proxies, %d backends, without sockets", defaultBackends)
 	}
 	return d
 }
@@ -63,14 +63,14 @@
 // Needs tells what one size takes at most.
 func (m decisions) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Time: o.For + decisionLongest}
+	return Needs{Memory: bytes, Time: o.For + maxDecisionTime}
 }
 
 // Run plays the repeats, each with a controller of its own, and takes the median.
 func (m decisions) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
-	life := decisionLife{backends: size, proxies: usualProxies, changes: decisionChanges, beats: decisionBeats}
+	life := decisionLife{backends: size, proxies: defaultProxies, changes: decisionChanges, ticks: decisionTicks}
 	if m.byProxies {
-		life.backends, life.proxies = usualBackends, size
+		life.backends, life.proxies = defaultBackends, size
 	}
 	var lives []decisionCost
 	sample.Partial, err = repeats(ctx, decisionRepeats, o.For, func() error {
@@ -95,15 +95,15 @@
 		return medianOf(lives, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
 	}
 	line := middle(time.Microsecond, func(c decisionCost) time.Duration { return c.line })
-	beats := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.beat })
+	ticks := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.workTick })
 	look := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.look })
-	perSecond := (beatsASecond-looksASecond)*beats*1000 + looksASecond*look*1000 + reportLines*line // µs
+	perSecond := (ticksPerSecond-evaluationsPerSecond)*ticks*1000 + evaluationsPerSecond*look*1000 + reportLines*line // µs
 	s.Set("start", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
 	s.Set("again", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.again }))
 	s.Set("join", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.join }))
 	s.Set("change", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.change }))
 	s.Set("report_line", line)
-	s.Set("beat", beats)
+	s.Set("beat", ticks)
 	s.Set("look", look)
 	s.Set("processor", percent*perSecond/float64(second))
 	s.Set("heap", medianOf(lives, func(c decisionCost) float64 { return float64(c.heap) / megabyte }))
@@ -113,38 +113,38 @@
 }
 
 const (
-	reportEvery  = 2 * second // of the proxies and collectors of the deployments
-	reportLines  = 75.        // a second that a controller is given at most there
-	beatsASecond = float64(second) / float64(beat)
-	looksASecond = float64(second) / float64(reportEvery)
+	reportInterval       = 2 * second // of the proxies and collectors of the deployments
+	reportLines          = 75.        // a second that a controller is given at most there
+	ticksPerSecond       = float64(second) / float64(workTick)
+	evaluationsPerSecond = float64(second) / float64(reportInterval)
 )
 
 // decisionLife is one life of a controller that is played.
 type decisionLife struct {
 	backends, proxies int
 	changes           int // of one entry each
-	beats             int // quiet ones, and as many looks at reports
+	ticks             int // quiet ones, and as many looks at reports
 }
 
 // decisionCost is the processor time that each step of a life took.
 type decisionCost struct {
-	start, again, join, change, line, beat, look time.Duration
-	heap                                         int64 // bytes kept
-	orders                                       orderCounts
+	start, again, join, change, line, workTick, look time.Duration
+	heap                                             int64 // bytes kept
+	orders                                           orderCounts
 }
 
 // play has a controller live from its first list on.
 func (l decisionLife) play() (cost decisionCost) {
 	entries := l.entries()
-	before := heapKept()
+	before := heapInUse()
 	host := newCountingHost(l.proxies)
-	cost.start = spent(func() {
+	cost.start = processorTimeOf(func() {
 		control, err := balancer.New(host, balancer.Config{
 			Seed:      1,
 			Classes:   measuredClasses(),
 			Channel:   openChannel(l.proxies),
 			Rules:     measuredLimits(),
-			Telemetry: balancer.Telemetry{ReportInterval: reportEvery},
+			Telemetry: balancer.Telemetry{ReportInterval: reportInterval},
 			Admission: balancer.AdmissionByRate,
 		})
 		if err != nil {
@@ -152,22 +152,22 @@
 		}
 		host.control = control
 		host.control.EndpointsUpdated(true, entries)
-		host.answers()
+		host.acknowledge()
 	})
-	cost.join = spent(func() {
+	cost.join = processorTimeOf(func() {
 		for proxy := range l.proxies {
 			host.control.ProxyConnected(proxy, proxy%measuredZones, 1, false)
 		}
-		host.answers()
+		host.acknowledge()
 	})
-	host.passes(settling)
+	host.advance(settlingTicks)
 	l.looks(host, &cost)
 	cost.change = l.changing(host)
-	cost.again = spent(func() {
+	cost.again = processorTimeOf(func() {
 		host.control.EndpointsUpdated(true, entries)
-		host.answers()
+		host.acknowledge()
 	})
-	cost.heap = heapKept() - before
+	cost.heap = heapInUse() - before
 	cost.orders = host.orders
 	runtime.KeepAlive(host)
 	runtime.KeepAlive(entries)
@@ -176,26 +176,26 @@
 
 // looks plays quiet beats, and then looks at reports about every backend and proxy.
 func (l decisionLife) looks(host *countingHost, cost *decisionCost) {
-	cost.beat = spent(func() { host.passes(l.beats) }) / time.Duration(l.beats)
+	cost.workTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
 	reports, looks, lines := time.Duration(0), time.Duration(0), 0
-	for range l.beats {
-		host.now += reportEvery - beat
-		reports += spent(func() { lines += l.reports(host) })
-		looks += spent(func() { host.passes(1) })
+	for range l.ticks {
+		host.now += reportInterval - workTick
+		reports += processorTimeOf(func() { lines += l.reports(host) })
+		looks += processorTimeOf(func() { host.advance(1) })
 	}
-	cost.line, cost.look = reports/time.Duration(lines), looks/time.Duration(l.beats)
+	cost.line, cost.look = reports/time.Duration(lines), looks/time.Duration(l.ticks)
 }
 
 // reports tells of good answers of all backends, and of the usual demand at all proxies.
 func (l decisionLife) reports(host *countingHost) (lines int) {
 	const tries, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
-		host.control.OutcomesReported(backend, tries, 0, mean, reportEvery, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
+		host.control.OutcomesReported(backend, tries, 0, mean, reportInterval, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1})
 	}
 	classes := len(measuredClasses())
 	for proxy := range l.proxies {
 		for class := range classes {
-			host.control.DemandReported(proxy, class, requests, reportEvery)
+			host.control.DemandReported(proxy, class, requests, reportInterval)
 		}
 	}
 	return l.backends + l.proxies*classes
@@ -208,21 +208,21 @@
 	for i := range l.changes {
 		entry := l.entry(i * l.backends / l.changes)
 		entry.State = balancer.Draining
-		sum += spent(func() {
+		sum += processorTimeOf(func() {
 			host.control.EndpointsUpdated(false, []balancer.Endpoint{entry})
-			host.answers()
+			host.acknowledge()
 		})
-		host.passes(1)
+		host.advance(1)
 		entry.State = balancer.Ready
 		host.control.EndpointsUpdated(false, []balancer.Endpoint{entry})
-		host.passes(settling)
+		host.advance(settlingTicks)
 	}
 	return sum / time.Duration(l.changes)
 }
 
-// settling is how many beats are played until what was begun is done: new backends begin with a part of their weight
+// settlingTicks is how many beats are played until what was begun is done: new backends begin with a part of their weight
 // for 5 s.
-const settling = 32
+const settlingTicks = 32
 
 func (l decisionLife) entry(backend int) balancer.Endpoint {
 	return balancer.Endpoint{Backend: backend, State: balancer.Ready, Weight: 2, Zone: backend % measuredZones}
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -14,7 +14,7 @@
 // playsTiny runs a measurement over sizes, keeps it, and reads it back as the report does.
 func playsTiny(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := Play(t.Context(), m, sizes, Options{For: span, Seed: 1, Folder: t.TempDir(), Voters: usualVoters})
+	r, err := Play(t.Context(), m, sizes, Options{For: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,8 +33,8 @@
 		}
 	}
 	for _, s := range kept[0].Samples {
-		for _, broken := range s.Violations {
-			t.Errorf("at %d: %s", s.Size, broken)
+		for _, violations := range s.Violations {
+			t.Errorf("at %d: %s", s.Size, violations)
 		}
 	}
 	return kept[0]
@@ -67,7 +67,7 @@
 func TestOrders(t *testing.T) {
 	const lineChanges, withdrawals = 3, 2 // of a drain and a return: out, back with a part of its weight, then all of it
 	for _, size := range []int{20, 200} {
-		l := decisionLife{backends: size, proxies: 2 * size, changes: 4, beats: 2}
+		l := decisionLife{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
 		orders := l.play().orders
 		if orders.lines < size || orders.lines > size+l.changes*lineChanges {
 			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.lines)
@@ -89,7 +89,7 @@
 		most, _ := s.Get("retried_p99")
 		one, _ := s.Get("draw_half")
 		requests, _ := s.Get("requests")
-		if one <= 0 || half <= one || most < half || requests < drawsLeast {
+		if one <= 0 || half <= one || most < half || requests < minPicks {
 			t.Errorf("at %d: a draw %v ms, two %v, 99 in 100 %v, requests %v", s.Size, one, half, most, requests)
 		}
 	}
--- a/scale/watched.go
+++ b/scale/discovery_listener.go
@@ -10,19 +10,19 @@
 // watchedAddress serves discovery at an address of its own, and tells when a controller connects there.
 type watchedAddress struct {
 	net.Listener
-	means   atomic.Int64 // the change that moves the controller here
-	came    func(change int64)
-	server  *http.Server
-	running sync.WaitGroup
+	change    atomic.Int64 // the change that moves the controller here
+	connected func(change int64)
+	server    *http.Server
+	running   sync.WaitGroup
 }
 
 // watchAddress begins to serve.
-func watchAddress(discovery http.Handler, came func(change int64)) (*watchedAddress, error) {
+func watchAddress(discovery http.Handler, connected func(change int64)) (*watchedAddress, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &watchedAddress{Listener: listener, came: came, server: &http.Server{Handler: discovery}}
+	w := &watchedAddress{Listener: listener, connected: connected, server: &http.Server{Handler: discovery}}
 	w.running.Go(func() { w.server.Serve(w) })
 	return w, nil
 }
@@ -31,7 +31,7 @@
 func (w *watchedAddress) Accept() (net.Conn, error) {
 	conn, err := w.Listener.Accept()
 	if err == nil {
-		w.came(w.means.Load())
+		w.connected(w.change.Load())
 	}
 	return conn, err
 }
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -9,8 +9,8 @@
 	"wheelrill/scale/results"
 )
 
-// distributed is what distribution below the record costs and how fast it is: voters, distributors and subscribers.
-type distributed struct {
+// distributionCost is what distribution below the record costs and how fast it is: voters, distributors and subscribers.
+type distributionCost struct {
 	whole bool // all entries that there will be are distributed, and not one for each service
 }
 
@@ -26,9 +26,9 @@
 const recordBytes = "voter_record_bytes_per_s"
 
 // Describe says what it is.
-func (m distributed) Describe() Description {
+func (m distributionCost) Describe() Description {
 	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", Size: "subscribers",
-		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{controllersToCome}, Transport: "memory"}
+		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{targetControllers}, Transport: "memory"}
 	if m.whole {
 		d.Name, d.Sizes, d.Targets = "distribution-whole", []int{1100}, nil
 		d.About = fmt.Sprintf("Distribution below the record with all %d entries, %d to a subscriber, hollow subscribers in one process",
@@ -36,61 +36,61 @@
 	}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Budget: mostInForce, Fit: true},
-			results.Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Budget: mostInForce, Fit: true},
-			results.Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Budget: mostInForce, Fit: true},
+			results.Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
 			results.Metric{Name: "parents_lost" + rate.suffix, Unit: "times", About: "nodes that lost or left their parent, " + rate.about})
 		for _, of := range treeRoles() {
 			d.Metrics = append(d.Metrics,
-				results.Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Budget: mostBytesPerS, Fit: true},
-				results.Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", worst, " + rate.about, Budget: mostBytesPerS, Fit: true},
-				results.Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Budget: mostProcessor},
-				results.Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Budget: mostProcessor})
+				results.Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
+				results.Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", worst, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
+				results.Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Budget: maxProcessorPercent},
+				results.Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Budget: maxProcessorPercent})
 		}
 	}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: recordBytes + rate.suffix, Unit: "bytes/s", About: "in and out for the record at a voter that follows, mean, " + rate.about, Budget: mostBytesPerS},
-			results.Metric{Name: recordBytes + "_leader" + rate.suffix, Unit: "bytes/s", About: "in and out for the record at the leader, " + rate.about, Budget: mostBytesPerS})
+			results.Metric{Name: recordBytes + rate.suffix, Unit: "bytes/s", About: "in and out for the record at a voter that follows, mean, " + rate.about, Budget: maxBytesPerSecond},
+			results.Metric{Name: recordBytes + "_leader" + rate.suffix, Unit: "bytes/s", About: "in and out for the record at the leader, " + rate.about, Budget: maxBytesPerSecond})
 	}
 	d.Metrics = append(d.Metrics,
-		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Budget: mostMegabytes},
+		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Budget: maxMegabytes},
 		results.Metric{Name: "depth", Unit: "nodes", About: "from a voter to the deepest subscriber"},
-		results.Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Budget: mostMachines},
+		results.Metric{Name: "machines", Unit: "machines", About: "voters and distributors", Budget: maxMachines},
 		results.Metric{Name: "distributors_ready", Unit: "s", About: "until all distributors have all scopes, all starting at once", Fit: true},
 		results.Metric{Name: "ready", Unit: "s", About: "until all subscribers have their configuration then, all starting at once", Fit: true})
 	return d
 }
 
 // plan is the installation at a size.
-func (m distributed) plan(size int) treePlan {
+func (m distributionCost) plan(size int) treePlan {
 	if m.whole {
-		return wholeTree(size)
+		return fullTree(size)
 	}
 	return scaledTree(size)
 }
 
 // Needs are those of all nodes in our process.
-func (m distributed) Needs(size int, o Options) Needs {
+func (m distributionCost) Needs(size int, o Options) Needs {
 	return Needs{Memory: m.plan(size).memory(o),
-		Time: startsWithin + readyWithin + time.Duration(len(changeRates()))*(o.For+settleWithin)}
+		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.For+settleTimeout)}
 }
 
 // Run makes changes at each pace, and reads what each node passed on and when it acted.
-func (m distributed) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
+func (m distributionCost) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, m.plan(size), o)
 	if err != nil {
 		return s, err
 	}
 	defer t.close()
-	late := watchTurns()
+	late := watchDelays()
 	for _, rate := range changeRates() {
-		o.say("%d subscribers, ready after %.1f s, %s", size, t.ready.Seconds(), rate.about)
+		o.progressf("%d subscribers, ready after %.1f s, %s", size, t.ready.Seconds(), rate.about)
 		if err := t.pace(ctx, rate, &s); err != nil {
 			return s, err
 		}
 	}
-	usage, err := UsageOf(os.Getpid())
+	usage, err := readUsage(os.Getpid())
 	if err != nil {
 		return s, err
 	}
@@ -99,16 +99,16 @@
 	s.Set("machines", float64(len(t.voters.voters)+len(t.distributors)))
 	s.Set("distributors_ready", t.distributorsReady.Seconds())
 	s.Set("ready", t.ready.Seconds())
-	if needless := t.needless(); needless > 0 {
-		t.inForce.breaks("%d snapshots were taken where deltas would have done", needless)
+	if needlessSnapshots := t.needlessSnapshots(); needlessSnapshots > 0 {
+		t.propagation.violate("%d snapshots were taken where deltas would have done", needlessSnapshots)
 	}
-	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
 	return s, nil
 }
 
 // pace makes changes at one pace for a while, and notes what that cost.
 func (t *tree) pace(ctx context.Context, rate changeRate, s *results.Sample) error {
-	t.inForce.reset()
+	t.propagation.reset()
 	lost := t.parentsLost()
 	before, record, spent, began := t.bytes(), t.recordBytes(), processorOfSelf(), time.Now()
 	made, err := t.change(ctx, rate.perS, began.Add(t.options.For))
@@ -120,9 +120,9 @@
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
-	s.Set("half"+rate.suffix, t.inForce.seconds(t.inForce.each, 50))
-	s.Set("p99"+rate.suffix, t.inForce.seconds(t.inForce.each, 99))
-	s.Set("most"+rate.suffix, t.inForce.seconds(t.inForce.each, 100))
+	s.Set("half"+rate.suffix, t.propagation.seconds(t.propagation.each, 50))
+	s.Set("p99"+rate.suffix, t.propagation.seconds(t.propagation.each, 99))
+	s.Set("most"+rate.suffix, t.propagation.seconds(t.propagation.each, 100))
 	s.Set("parents_lost"+rate.suffix, float64(t.parentsLost()-lost))
 	if made == 0 {
 		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.For)
@@ -210,7 +210,7 @@
 
 // processorOfSelf is the processor time that our process has taken.
 func processorOfSelf() time.Duration {
-	usage, err := UsageOf(os.Getpid())
+	usage, err := readUsage(os.Getpid())
 	if err != nil {
 		return 0
 	}
--- a/scale/faults.go
+++ b/scale/distribution_faults.go
@@ -21,18 +21,18 @@
 
 // Figures of the faults.
 const (
-	parentKillEvery = 5 * time.Second
-	leaderKillEvery = 15 * time.Second
-	downFor         = 2 * time.Second // a node that was killed
-	restartedOne    = 50              // one in so many is killed at once, as 220 of 11,000
-	healsFor        = 5 * time.Second // changes go on so long after a fault, for what was missed to be seen
+	parentKillInterval = 5 * time.Second
+	leaderKillInterval = 15 * time.Second
+	downtime           = 2 * time.Second // a node that was killed
+	restartedOneIn     = 50              // one in so many is killed at once, as 220 of 11,000
+	recoveryTime       = 5 * time.Second // changes go on so long after a fault, for what was missed to be seen
 )
 
 func treeFaults() []treeFault {
 	return []treeFault{
 		{"parents", "a parent killed every 5 s", 1, killParents},
 		{"restarts", "one node in 50 killed at once and started again", 6, restartMany},
-		{"region", "a region cut off", 1, cutRegion},
+		{"region", "a region cut off", 1, partitionRegion},
 		{"leader", "the voters' leader killed every 15 s", 1, killLeaders},
 		{"majority", "the voters' majority lost for half the time", 1, loseMajority},
 	}
@@ -44,13 +44,13 @@
 		Size: "subscribers", Sizes: []int{1100}, Transport: "memory"}
 	for _, f := range treeFaults() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Budget: mostInForce},
-			results.Metric{Name: f.name + "_p99", Unit: "s", About: f.about + ": until in force, 99 in 100", Budget: mostInForce},
-			results.Metric{Name: f.name + "_most", Unit: "s", About: f.about + ": until in force, 100 in 100", Budget: mostInForce},
-			results.Metric{Name: f.name + "_back", Unit: "s", About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Budget: mostInForce},
+			results.Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Budget: maxPropagationSeconds},
+			results.Metric{Name: f.name + "_p99", Unit: "s", About: f.about + ": until in force, 99 in 100", Budget: maxPropagationSeconds},
+			results.Metric{Name: f.name + "_most", Unit: "s", About: f.about + ": until in force, 100 in 100", Budget: maxPropagationSeconds},
+			results.Metric{Name: f.name + "_back", Unit: "s", About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Budget: maxPropagationSeconds},
 			results.Metric{Name: f.name + "_faults", Unit: "times", About: f.about + ": nodes hit"},
 			results.Metric{Name: f.name + "_snapshots", Unit: "snapshots", About: f.about + ": taken by nodes that were started anew"},
-			results.Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s", About: f.about + ": in and out at the worst node", Budget: mostBytesPerS})
+			results.Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s", About: f.about + ": in and out at the worst node", Budget: maxBytesPerSecond})
 	}
 	return d
 }
@@ -58,7 +58,7 @@
 // Needs are those of all nodes in our process.
 func (distributedFaults) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(size).memory(o),
-		Time: startsWithin + readyWithin + time.Duration(len(treeFaults()))*(o.For+healsFor+settleWithin)}
+		Time: startTimeout + readyTimeout + time.Duration(len(treeFaults()))*(o.For+recoveryTime+settleTimeout)}
 }
 
 // Run plays one fault after the other.
@@ -68,27 +68,27 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchTurns()
+	late := watchDelays()
 	for _, f := range treeFaults() {
-		o.say("%d subscribers: %s", size, f.about)
+		o.progressf("%d subscribers: %s", size, f.about)
 		if err := t.under(ctx, f, &s); err != nil {
 			return s, err
 		}
 	}
-	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
 	return s, nil
 }
 
 // under plays a fault beside changes, and notes what came of it.
 func (t *tree) under(ctx context.Context, f treeFault, s *results.Sample) error {
-	t.inForce.reset()
-	span := max(t.options.For/time.Duration(f.part), downFor)
-	starts, needless, before, began := t.starts.Load(), t.needless(), t.bytes(), time.Now()
-	t.hits.Store(0)
+	t.propagation.reset()
+	span := max(t.options.For/time.Duration(f.part), downtime)
+	starts, needlessSnapshots, before, began := t.starts.Load(), t.needlessSnapshots(), t.bytes(), time.Now()
+	t.faultHits.Store(0)
 	var playing sync.WaitGroup
 	var failed error
 	playing.Go(func() { failed = f.play(ctx, t, span) })
-	_, err := t.change(ctx, changesPerS*timesChanges, began.Add(span+min(healsFor, t.options.For)))
+	_, err := t.change(ctx, changesPerSecond*changeRateFactor, began.Add(span+min(recoveryTime, t.options.For)))
 	playing.Wait()
 	if err == nil {
 		err = failed
@@ -104,24 +104,24 @@
 	for name := range after {
 		worst = max(worst, float64(after[name]-before[name])/seconds)
 	}
-	s.Set(f.name+"_half", t.inForce.seconds(t.inForce.each, 50))
-	s.Set(f.name+"_p99", t.inForce.seconds(t.inForce.each, 99))
-	s.Set(f.name+"_most", t.inForce.seconds(t.inForce.each, 100))
-	s.Set(f.name+"_back", t.inForce.seconds(t.inForce.back, 100))
-	s.Set(f.name+"_faults", float64(t.hits.Load()))
+	s.Set(f.name+"_half", t.propagation.seconds(t.propagation.each, 50))
+	s.Set(f.name+"_p99", t.propagation.seconds(t.propagation.each, 99))
+	s.Set(f.name+"_most", t.propagation.seconds(t.propagation.each, 100))
+	s.Set(f.name+"_back", t.propagation.seconds(t.propagation.catchUp, 100))
+	s.Set(f.name+"_faults", float64(t.faultHits.Load()))
 	s.Set(f.name+"_snapshots", float64(t.starts.Load()-starts))
 	s.Set(f.name+"_bytes_per_s_worst", worst)
-	if more := t.needless() - needless; more > 0 {
-		t.inForce.breaks("%s: %d snapshots were taken where deltas would have done", f.about, more)
+	if more := t.needlessSnapshots() - needlessSnapshots; more > 0 {
+		t.propagation.violate("%s: %d snapshots were taken where deltas would have done", f.about, more)
 	}
 	return nil
 }
 
 // restart kills a node, and starts it after a while as new.
 func (t *tree) restart(ctx context.Context, s *hollowSubscriber) {
-	t.hits.Add(1)
+	t.faultHits.Add(1)
 	s.kill()
-	pauseFor(ctx, downFor)
+	pauseFor(ctx, downtime)
 	t.starts.Add(1)
 	s.start()
 }
@@ -134,7 +134,7 @@
 		if parent := t.drawParent(); parent != nil {
 			restarting.Go(func() { t.restart(ctx, parent) })
 		}
-		if err := pauseFor(ctx, min(parentKillEvery, time.Until(until))); err != nil {
+		if err := pauseFor(ctx, min(parentKillInterval, time.Until(until))); err != nil {
 			return err
 		}
 	}
@@ -155,22 +155,22 @@
 // restartMany kills one subscriber in fifty at once, and starts them again.
 func restartMany(ctx context.Context, t *tree, _ time.Duration) error {
 	var restarting sync.WaitGroup
-	for _, i := range t.faultDraws.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOne-1)/restartedOne] {
+	for _, i := range t.faultDraws.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOneIn-1)/restartedOneIn] {
 		restarting.Go(func() { t.restart(ctx, t.subscribers[i]) })
 	}
 	restarting.Wait()
 	return ctx.Err()
 }
 
-// cutRegion cuts a region without voters off for as long as the fault lasts.
-func cutRegion(ctx context.Context, t *tree, span time.Duration) error {
+// partitionRegion cuts a region without voters off for as long as the fault lasts.
+func partitionRegion(ctx context.Context, t *tree, span time.Duration) error {
 	voters := len(t.voters.voters)
 	region := voters + t.faultDraws.IntN(regions-voters)
 	t.network.cutOff(region)
 	err := pauseFor(ctx, span)
 	for _, s := range t.nodes() {
 		if s.region == region {
-			t.hits.Add(1)
+			t.faultHits.Add(1)
 			s.reachableNow()
 		}
 	}
@@ -182,16 +182,16 @@
 func killLeaders(ctx context.Context, t *tree, span time.Duration) error {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		if v := t.voters.leader(); v != nil {
-			t.hits.Add(1)
+			t.faultHits.Add(1)
 			v.kill()
-			if err := pauseFor(ctx, downFor); err != nil {
+			if err := pauseFor(ctx, downtime); err != nil {
 				return err
 			}
 			if err := v.start(); err != nil {
 				return err
 			}
 		}
-		if err := pauseFor(ctx, max(0, min(leaderKillEvery-downFor, time.Until(until)))); err != nil {
+		if err := pauseFor(ctx, max(0, min(leaderKillInterval-downtime, time.Until(until)))); err != nil {
 			return err
 		}
 	}
@@ -212,7 +212,7 @@
 	})
 	most = most[:len(most)/2+1]
 	for _, v := range most {
-		t.hits.Add(1)
+		t.faultHits.Add(1)
 		v.kill()
 	}
 	if err := pauseFor(ctx, span/2); err != nil {
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -19,7 +19,7 @@
 // Processor time is left aside where the race detector takes most of it.
 func plays(t *testing.T, m Measurement, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := Play(context.Background(), m, []int{hollowInCI}, Options{For: span, Seed: 1, Voters: usualVoters})
+	r, err := Play(context.Background(), m, []int{hollowInCI}, Options{For: span, Seed: 1, Voters: defaultVoters})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 // TestDistribution has changes be in force everywhere within the budgets.
 func TestDistribution(t *testing.T) {
 	t.Parallel()
-	r := plays(t, distributed{}, 3*time.Second)
+	r := plays(t, distributionCost{}, 3*time.Second)
 	for _, metric := range []string{"half", "most_x10", "subscriber_bytes_per_s", "parent_bytes_per_s_worst", "voter_bytes_per_s_x10"} {
 		if value, ok := r.Samples[0].Get(metric); !ok || value <= 0 {
 			t.Errorf("%s: %v", metric, value)
@@ -64,7 +64,7 @@
 	scopes := distribution.SomeScopes("a", "b")
 	c := newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1)
 	set := func(revision uint64, entries ...distribution.Entry) {
-		c.accepted(distribution.Change{Revision: revision, Entries: entries})
+		c.noteAccepted(distribution.Change{Revision: revision, Entries: entries})
 	}
 	set(1, distribution.Entry{Scope: "a", Name: "x", Value: []byte("1")}, distribution.Entry{Scope: "b", Name: "y", Value: []byte("1")})
 	set(2, distribution.Entry{Scope: "a", Name: "x", Value: []byte("2")}, distribution.Entry{Scope: "b", Name: "y", Deleted: true})
@@ -76,14 +76,14 @@
 	x2 := distribution.Entry{Scope: "a", Name: "x", Value: []byte("2"), Revision: 2}
 	for name, state := range map[string]distribution.State{"the first": at(1, x1, y1), "the second": at(2, x2),
 		"with a tombstone": at(2, x2, distribution.Entry{Scope: "b", Name: "y", Revision: 2, Deleted: true})} {
-		if text := c.differs(state, scopes); text != "" {
+		if text := c.difference(state, scopes); text != "" {
 			t.Errorf("%s: %s", name, text)
 		}
 	}
 	for name, state := range map[string]distribution.State{"a mixed revision": at(2, x2, y1), "an older entry": at(2, x1),
 		"a newer entry": at(1, x2, y1), "an entry that is missing": at(1, x1), "another value": at(1, x1,
 			distribution.Entry{Scope: "b", Name: "y", Value: []byte("7"), Revision: 1})} {
-		if text := c.differs(state, scopes); text == "" {
+		if text := c.difference(state, scopes); text == "" {
 			t.Errorf("%s was not seen", name)
 		}
 	}
@@ -91,21 +91,21 @@
 
 // TestInForceSeesOlder has a subscriber that goes back to an older revision be seen, and late changes be counted as late.
 func TestInForceSeesOlder(t *testing.T) {
-	f := newInForce(newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1))
-	s := &hollowSubscriber{name: "s", inForce: f, reachable: time.Now().Add(-time.Hour)}
+	f := newPropagation(newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1))
+	s := &hollowSubscriber{name: "s", propagation: f, reachable: time.Now().Add(-time.Hour)}
 	late := time.Now().Add(-4 * time.Second).UnixMicro()
 	s.apply(distribution.Change{Revision: 5, Entries: []distribution.Entry{{Scope: "a", Name: "x", Revision: 5, AcceptedAt: late}}}, false)
-	if len(f.broken) != 0 || f.seconds(f.each, 100) < mostInForce {
-		t.Errorf("late: %v, %v s", f.broken, f.seconds(f.each, 100))
+	if len(f.violations) != 0 || f.seconds(f.each, 100) < maxPropagationSeconds {
+		t.Errorf("late: %v, %v s", f.violations, f.seconds(f.each, 100))
 	}
 	s.apply(distribution.Change{Revision: 4}, true)
 	s.apply(distribution.Change{Revision: 5}, false)
-	if len(f.broken) != 2 {
-		t.Errorf("an older snapshot and a change taken twice: %q", f.broken)
+	if len(f.violations) != 2 {
+		t.Errorf("an older snapshot and a change taken twice: %q", f.violations)
 	}
 	s.reachable = time.Now()
 	s.apply(distribution.Change{Revision: 6, Entries: []distribution.Entry{{Scope: "a", Name: "x", Revision: 6, AcceptedAt: late}}}, false)
-	if got := f.seconds(f.back, 100); got > mostInForce || f.back.TotalCount() != 1 {
+	if got := f.seconds(f.catchUp, 100); got > maxPropagationSeconds || f.catchUp.TotalCount() != 1 {
 		t.Errorf("one that was cut off is counted from its end: %v s", got)
 	}
 }
--- a/scale/hollow.go
+++ b/scale/hollow_member.go
@@ -17,13 +17,13 @@
 
 // Terms of hollow members, as real ones have them.
 const (
-	usualLease     = 1500 * time.Millisecond // of members that share a fleet
-	voterLease     = 10 * time.Second        // of members that own no proxies: docs/distributing.md
-	renewsPerLease = 8
-	messagesSpan   = 10 * time.Second
-	messagesMost   = 30
-	messagesKept   = 4
-	memberMailbox  = 1024
+	defaultLease       = 1500 * time.Millisecond // of members that share a fleet
+	voterLease         = 10 * time.Second        // of members that own no proxies: docs/distributing.md
+	renewsPerLease     = 8
+	messageWindow      = 10 * time.Second
+	maxMessages        = 30
+	guaranteedMessages = 4
+	mailboxSize        = 1024
 )
 
 // hollowMember takes part in the record with the same code as a real controller, and has no proxies.
@@ -40,9 +40,9 @@
 
 // startHollow gives a member that takes part until the context ends. The terms follow from the lease.
 func startHollow(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
-	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), memberMailbox), done: make(chan struct{})}
+	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), mailboxSize), done: make(chan struct{})}
 	config.Terms = ownership.LeaseTerms{Duration: lease.Microseconds(), RenewInterval: lease.Microseconds() / renewsPerLease,
-		MessageWindow: messagesSpan.Microseconds(), MaxMessages: messagesMost, Members: len(config.Members), GuaranteedMessages: messagesKept}
+		MessageWindow: messageWindow.Microseconds(), MaxMessages: maxMessages, Members: len(config.Members), GuaranteedMessages: guaranteedMessages}
 	var err error
 	if m.node, err = consensus.New(config, hollowEvents{m}, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
@@ -143,22 +143,22 @@
 		}
 		return true
 	}
-	if !waitFor(ctx, startsWithin, entered) {
-		return nil, fmt.Errorf("not all of %d members were on the record within %s", size, startsWithin)
+	if !await(ctx, startTimeout, entered) {
+		return nil, fmt.Errorf("not all of %d members were on the record within %s", size, startTimeout)
 	}
 	return members, nil
 }
 
 func memberName(i int) string { return fmt.Sprint("n", i) }
 
-// lookEvery is how often something that is waited for is looked at.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is how often something that is waited for is looked at.
+const pollInterval = 20 * time.Millisecond
 
-// waitFor waits until something holds, for a while at most.
-func waitFor(ctx context.Context, within time.Duration, holds func() bool) bool {
+// await waits until something holds, for a while at most.
+func await(ctx context.Context, within time.Duration, holds func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	for !holds() {
 		select {
--- a/scale/subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -21,27 +21,27 @@
 
 // hollowSubscriber runs the code of a subscriber, and has no proxies.
 type hollowSubscriber struct {
-	name       string
-	role       role
-	region     int
-	scopes     distribution.Scopes
-	candidates []string
-	fanOut     int
-	network    *network // nil where it is reached by nobody, and dials as told
-	dial       func(ctx context.Context, peer string) (net.Conn, error)
-	inForce    *inForce
+	name        string
+	role        role
+	region      int
+	scopes      distribution.Scopes
+	candidates  []string
+	fanOut      int
+	network     *network // nil where it is reached by nobody, and dials as told
+	dial        func(ctx context.Context, peer string) (net.Conn, error)
+	propagation *propagation
 
 	mutex     sync.Mutex
-	carrier   *transport.Transport // of this life
+	node      *transport.Transport // of this life
 	stop      context.CancelFunc   // nil while it is down
 	ended     chan struct{}
 	seen      uint64    // the newest revision that it acts by
 	reachable time.Time // since when
-	before    spentBefore
+	before    earlierLives
 }
 
-// spentBefore is what earlier lives have passed over their links, and taken.
-type spentBefore struct {
+// earlierLives is what earlier lives have passed over their links, and taken.
+type earlierLives struct {
 	traffic   transport.Traffic
 	snapshots uint64
 }
@@ -54,26 +54,26 @@
 		limits = setAsideLimits()
 	}
 	limits.FanOut = s.fanOut
-	carrier := transport.New(transport.Config{
+	node := transport.New(transport.Config{
 		Node:  distribution.Config{Name: s.name, Scopes: s.scopes, Candidates: s.candidates, Limits: limits},
-		Dial:  s.dials,
+		Dial:  s.dialParent,
 		Apply: s.apply})
 	ended := make(chan struct{})
 	s.mutex.Lock()
-	s.carrier, s.stop, s.ended = carrier, stop, ended
+	s.node, s.stop, s.ended = node, stop, ended
 	s.seen, s.reachable = 0, time.Now()
 	s.mutex.Unlock()
 	if s.network != nil {
-		s.network.listen(s.name, s.region, func(conn net.Conn) { carrier.Accept(conn, nil) })
+		s.network.listen(s.name, s.region, func(conn net.Conn) { node.Accept(conn, nil) })
 	}
 	go func() {
 		defer close(ended)
-		carrier.Run(ctx)
+		node.Run(ctx)
 	}()
 }
 
-// dials connects to a possible parent.
-func (s *hollowSubscriber) dials(ctx context.Context, peer string) (net.Conn, error) {
+// dialParent connects to a possible parent.
+func (s *hollowSubscriber) dialParent(ctx context.Context, peer string) (net.Conn, error) {
 	if s.network == nil {
 		return s.dial(ctx, peer)
 	}
@@ -86,16 +86,16 @@
 		s.network.leave(s.name)
 	}
 	s.mutex.Lock()
-	stop, ended, carrier := s.stop, s.ended, s.carrier
+	stop, ended, node := s.stop, s.ended, s.node
 	s.stop = nil
 	s.mutex.Unlock()
 	if stop == nil {
 		return
 	}
-	status, _ := carrier.Status()
+	status, _ := node.Status()
 	stop()
 	<-ended
-	traffic := carrier.Traffic()
+	traffic := node.Traffic()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.before.snapshots += status.Counts.SnapshotsTaken
@@ -110,9 +110,9 @@
 	s.seen = max(seen, change.Revision)
 	s.mutex.Unlock()
 	if change.Revision < seen || !whole && change.Revision == seen {
-		s.inForce.breaks("%s went from revision %d to %d", s.name, seen, change.Revision)
+		s.propagation.violate("%s went from revision %d to %d", s.name, seen, change.Revision)
 	}
-	s.inForce.applied(change, seen, reachable)
+	s.propagation.applied(change, seen, reachable)
 }
 
 // reachableNow notes that it can be reached from now on, after a cut.
@@ -126,7 +126,7 @@
 func (s *hollowSubscriber) bytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	traffic := s.carrier.Traffic()
+	traffic := s.node.Traffic()
 	if s.stop == nil {
 		traffic = transport.Traffic{}
 	}
@@ -143,36 +143,36 @@
 // status asks the node how it is; false while it is down.
 func (s *hollowSubscriber) status() (distribution.Status, bool) {
 	s.mutex.Lock()
-	carrier, up := s.carrier, s.stop != nil
+	node, up := s.node, s.stop != nil
 	s.mutex.Unlock()
 	if !up {
 		return distribution.Status{}, false
 	}
-	return carrier.Status()
+	return node.Status()
 }
 
 // check compares the node with the content: at the revision given, or at its own where that is 0.
 func (s *hollowSubscriber) check(content *content, at uint64) {
 	s.mutex.Lock()
-	carrier, up, seen := s.carrier, s.stop != nil, s.seen
+	node, up, seen := s.node, s.stop != nil, s.seen
 	s.mutex.Unlock()
 	if !up {
 		return
 	}
-	state, ok := carrier.State()
+	state, ok := node.State()
 	if !ok || at == 0 && seen == 0 {
 		return // it has just started, and says so to those who ask
 	}
 	if at > 0 {
 		state.Version.Revision = at
 	}
-	if text := content.differs(state, s.scopes); text != "" {
-		s.inForce.breaks("%s: %s", s.name, text)
+	if text := content.difference(state, s.scopes); text != "" {
+		s.propagation.violate("%s: %s", s.name, text)
 	}
 }
 
-// lacks tells whether the node runs, and acts by less than the newest revisions of its scopes; last is that of all of them.
-func (s *hollowSubscriber) lacks(newest map[string]uint64, last uint64) bool {
+// isBehind tells whether the node runs, and acts by less than the newest revisions of its scopes; last is that of all of them.
+func (s *hollowSubscriber) isBehind(newest map[string]uint64, last uint64) bool {
 	want := last
 	if !s.scopes.All {
 		want = 0
@@ -185,11 +185,11 @@
 	return s.stop != nil && s.seen < want
 }
 
-// behind counts the nodes that act by less than what is in their scopes up to a revision.
-func behind(nodes []*hollowSubscriber, content *content, revision uint64) (n int) {
-	newest := content.newest(revision)
+// countBehind counts the nodes that act by less than what is in their scopes up to a revision.
+func countBehind(nodes []*hollowSubscriber, content *content, revision uint64) (n int) {
+	newest := content.newestByScope(revision)
 	for _, s := range nodes {
-		if s.lacks(newest, revision) {
+		if s.isBehind(newest, revision) {
 			n++
 		}
 	}
--- a/scale/tree.go
+++ b/scale/hollow_tree.go
@@ -17,22 +17,22 @@
 // Figures of the tree, by assumption.
 const (
 	regions            = 25
-	distributorsToCome = mostMachines - usualVoters // of the machines set aside, those that do not vote
-	usualVoters        = 5
-	mostFanOut         = 64 // of a distributor, whose children are of some groups each; with 16, groups find no place at 11,000
-	leastFanOut        = 8
+	targetDistributors = maxMachines - defaultVoters // of the machines set aside, those that do not vote
+	defaultVoters      = 5
+	maxFanOut          = 64 // of a distributor, whose children are of some groups each; with 16, groups find no place at 11,000
+	minFanOut          = 8
 	belowDistributors  = 10       // one controller in so many is right below a distributor, whatever the size
 	setAsidePace       = 16 << 20 // bytes a second of the snapshots from a voter or distributor, on machines set aside
-	leastDistributors  = 2
-	distributorsKnown  = 3 // that a subscriber is configured with as possible parents
-	peersKnown         = 2 // of its group
+	minDistributors    = 2
+	knownDistributors  = 3 // that a subscriber is configured with as possible parents
+	knownPeers         = 2 // of its group
 	subscriberMemory   = 120 << 10
 	treeMemory         = 256 << 20
 	entryMemory        = 192 // bytes, about, of one that is kept
-	collectedAt        = 2   // times what is in use the heap grows to
+	heapGrowth         = 2   // times what is in use the heap grows to
 	copiesAtVoter      = 3   // of all entries: as raft has them in its log, on the record and for subscribers
-	readyWithin        = 5 * time.Minute
-	checkedAtOnce      = 20 // subscribers compared with the content at a point drawn
+	readyTimeout       = 5 * time.Minute
+	checksAtOnce       = 20 // subscribers compared with the content at a point drawn
 	timeBetweenChecks  = time.Second
 	treeSeed           = 11
 	faultSeed          = 13
@@ -44,13 +44,13 @@
 	folder            string // of the voters' records
 	network           *network
 	content           *content
-	inForce           *inForce
+	propagation       *propagation
 	voters            *voterGroup
 	distributors      []*hollowSubscriber
 	subscribers       []*hollowSubscriber
 	random            *rand.Rand
 	faultDraws        *rand.Rand    // for what fails, which is drawn beside the changes
-	hits              atomic.Int64  // of the fault that is played
+	faultHits         atomic.Int64  // of the fault that is played
 	starts            atomic.Int64  // lives that have begun, which need a snapshot each
 	ready             time.Duration // of all subscribers, once the distributors were
 	distributorsReady time.Duration
@@ -66,36 +66,36 @@
 
 // scaledTree is an installation with as much of everything for a subscriber as there will be, but one entry for each service.
 func scaledTree(subscribers int) treePlan {
-	distributors := max(leastDistributors, (distributorsToCome*subscribers+controllersToCome-1)/controllersToCome)
-	fanOut := min(max(subscribers/belowDistributors/distributors, leastFanOut), mostFanOut)
-	return treePlan{subscribers, smallContent(subscribers), distributors, fanOut}
+	distributors := max(minDistributors, (targetDistributors*subscribers+targetControllers-1)/targetControllers)
+	fanOut := min(max(subscribers/belowDistributors/distributors, minFanOut), maxFanOut)
+	return treePlan{subscribers, scaledContent(subscribers), distributors, fanOut}
 }
 
-// wholeTree has all content and all distributors, whatever the number of subscribers.
-func wholeTree(subscribers int) treePlan {
-	return treePlan{subscribers, wholeContent(), distributorsToCome, mostFanOut}
+// fullTree has all content and all distributors, whatever the number of subscribers.
+func fullTree(subscribers int) treePlan {
+	return treePlan{subscribers, fullContent(), targetDistributors, maxFanOut}
 }
 
 // memory is what the installation takes before garbage is collected.
 func (p treePlan) memory(o Options) int64 {
 	nodes, holdAll := int64(p.subscribers), int64(o.Voters*copiesAtVoter+p.distributors+1) // the one that they are compared with
 	entries := nodes*int64(p.content.ofEach) + holdAll*int64(p.content.groups*p.content.ofEach)
-	return treeMemory + nodes*subscriberMemory + collectedAt*entries*entryMemory
+	return treeMemory + nodes*subscriberMemory + heapGrowth*entries*entryMemory
 }
 
 // newTree starts an installation, and waits until each node has its configuration.
 func newTree(ctx context.Context, plan treePlan, o Options) (*tree, error) {
 	t := &tree{options: o, network: newNetwork(), content: newContent(plan.content, o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
 		faultDraws: rand.New(rand.NewPCG(o.Seed, faultSeed))}
-	t.inForce = newInForce(t.content)
+	t.propagation = newPropagation(t.content)
 	var err error
 	if t.folder, err = os.MkdirTemp(o.Folder, "voters-"); err != nil {
 		return nil, err
 	}
-	if t.voters, err = newVoters(o.Voters, t.folder, t.network, t.content, t.inForce); err != nil {
+	if t.voters, err = newVoters(o.Voters, t.folder, t.network, t.content, t.propagation); err != nil {
 		return nil, err
 	}
-	t.place(plan)
+	t.placeNodes(plan)
 	if err := t.start(ctx); err != nil {
 		t.close()
 		return nil, err
@@ -103,8 +103,8 @@
 	return t, nil
 }
 
-// place makes the nodes, with their regions, scopes and possible parents.
-func (t *tree) place(plan treePlan) {
+// placeNodes makes the nodes, with their regions, scopes and possible parents.
+func (t *tree) placeNodes(plan treePlan) {
 	var voters []string
 	for _, v := range t.voters.voters {
 		voters = append(voters, v.name)
@@ -116,17 +116,17 @@
 	for i := range plan.subscribers {
 		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions, fanOut: distribution.DefaultFanOut,
 			scopes: distribution.SomeScopes(commonScope, groupScope(i%t.content.shape.groups))}
-		for _, d := range t.random.Perm(len(t.distributors))[:min(distributorsKnown, len(t.distributors))] {
+		for _, d := range t.random.Perm(len(t.distributors))[:min(knownDistributors, len(t.distributors))] {
 			s.candidates = append(s.candidates, t.distributors[d].name)
 		}
-		for range peersKnown {
+		for range knownPeers {
 			peer := i%t.content.shape.groups + t.content.shape.groups*t.random.IntN((plan.subscribers+t.content.shape.groups-1)/t.content.shape.groups)
 			s.candidates = append(s.candidates, fmt.Sprint("subscriber/", peer))
 		}
 		t.subscribers = append(t.subscribers, s)
 	}
 	for _, s := range t.nodes() {
-		s.network, s.inForce = t.network, t.inForce
+		s.network, s.propagation = t.network, t.propagation
 	}
 }
 
@@ -160,14 +160,14 @@
 		t.starts.Add(1)
 		s.start()
 	}
-	if !waitFor(ctx, readyWithin, func() bool { return waiting(nodes) == 0 }) {
-		return 0, fmt.Errorf("%d of %d nodes have no configuration after %s: %s", waiting(nodes), len(nodes), readyWithin, whoWaits(nodes))
+	if !await(ctx, readyTimeout, func() bool { return countWaiting(nodes) == 0 }) {
+		return 0, fmt.Errorf("%d of %d nodes have no configuration after %s: %s", countWaiting(nodes), len(nodes), readyTimeout, describeWaiting(nodes))
 	}
 	return time.Since(began), nil
 }
 
-// waiting counts the nodes that have no configuration yet.
-func waiting(nodes []*hollowSubscriber) (n int) {
+// countWaiting counts the nodes that have no configuration yet.
+func countWaiting(nodes []*hollowSubscriber) (n int) {
 	for _, s := range nodes {
 		s.mutex.Lock()
 		if s.seen == 0 {
@@ -178,17 +178,17 @@
 	return n
 }
 
-// namedWaiting is how many that wait are named.
-const namedWaiting = 8
+// maxNamedWaiting is how many that wait are named.
+const maxNamedWaiting = 8
 
-// whoWaits names some of the nodes that have no configuration, with what they ask for and what became of it.
-func whoWaits(nodes []*hollowSubscriber) string {
+// describeWaiting names some of the nodes that have no configuration, with what they ask for and what became of it.
+func describeWaiting(nodes []*hollowSubscriber) string {
 	var text []string
 	for _, s := range nodes {
 		s.mutex.Lock()
 		waits := s.seen == 0
 		s.mutex.Unlock()
-		if status, ok := s.status(); ok && waits && len(text) < namedWaiting {
+		if status, ok := s.status(); ok && waits && len(text) < maxNamedWaiting {
 			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
 				status.Counts.RefusedByParents, status.Counts.Dials))
 		}
@@ -259,7 +259,7 @@
 
 // checkSome compares subscribers that are drawn with the content at the revision that each of them is at.
 func (t *tree) checkSome(random *rand.Rand) {
-	for range checkedAtOnce {
+	for range checksAtOnce {
 		t.subscribers[random.IntN(len(t.subscribers))].check(t.content, 0)
 	}
 }
@@ -268,7 +268,7 @@
 // its end.
 func (t *tree) settle(ctx context.Context) error {
 	last := t.content.last()
-	waitFor(ctx, mostInForce*time.Second, func() bool { return behind(t.nodes(), t.content, last) == 0 })
+	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(t.nodes(), t.content, last) == 0 })
 	each(t.nodes(), func(s *hollowSubscriber) { s.check(t.content, last) })
 	return ctx.Err()
 }
@@ -284,8 +284,8 @@
 	return lost.Load()
 }
 
-// needless counts the snapshots that were taken beyond one for each life.
-func (t *tree) needless() int64 {
+// needlessSnapshots counts the snapshots that were taken beyond one for each life.
+func (t *tree) needlessSnapshots() int64 {
 	var taken atomic.Int64
 	each(t.nodes(), func(s *hollowSubscriber) {
 		if status, ok := s.status(); ok {
--- a/scale/voters.go
+++ b/scale/hollow_voters.go
@@ -32,7 +32,7 @@
 	before int64 // bytes that earlier lives have spent on the record
 }
 
-func newVoters(n int, folder string, network *network, content *content, inForce *inForce) (*voterGroup, error) {
+func newVoters(n int, folder string, network *network, content *content, propagation *propagation) (*voterGroup, error) {
 	addresses, err := process.FreeAddresses(n)
 	if err != nil {
 		return nil, err
@@ -40,8 +40,8 @@
 	g := &voterGroup{network: network, content: content, folder: folder, members: map[string]string{}}
 	for i := range n {
 		v := &voter{group: g}
-		v.name, v.role, v.region, v.network, v.inForce = voterName(i), roleVoter, i, network, inForce
-		v.scopes, v.fanOut = distribution.AllScopes(), mostFanOut
+		v.name, v.role, v.region, v.network, v.propagation = voterName(i), roleVoter, i, network, propagation
+		v.scopes, v.fanOut = distribution.AllScopes(), maxFanOut
 		g.voters, g.members[v.name] = append(g.voters, v), addresses[i]
 	}
 	return g, nil
@@ -64,8 +64,8 @@
 		}
 		return g.leader() != nil
 	}
-	if !waitFor(ctx, startsWithin, entered) {
-		return fmt.Errorf("the voters have no record within %s", startsWithin)
+	if !await(ctx, startTimeout, entered) {
+		return fmt.Errorf("the voters have no record within %s", startTimeout)
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 				}
 			}
 		}
-		if err := pauseFor(ctx, lookEvery); err != nil {
+		if err := pauseFor(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -117,12 +117,12 @@
 // setAsideLimits are those of a node on a machine set aside.
 func setAsideLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
-	limits.FanOut, limits.SnapshotBytesPerSecond = mostFanOut, setAsidePace
+	limits.FanOut, limits.SnapshotBytesPerSecond = maxFanOut, setAsidePace
 	return limits
 }
 
-// voterCarrier hands out the configuration of a voter.
-func voterCarrier(name string, limits distribution.Limits) *transport.Transport {
+// newVoterTransport hands out the configuration of a voter.
+func newVoterTransport(name string, limits distribution.Limits) *transport.Transport {
 	return transport.New(transport.Config{
 		Node: distribution.Config{Name: name, Voter: true, Limits: limits},
 		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
@@ -132,24 +132,24 @@
 func (v *voter) start() error {
 	limits := setAsideLimits()
 	limits.FanOut = v.fanOut
-	carrier := voterCarrier(v.name, limits)
+	node := newVoterTransport(v.name, limits)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	v.ending.Go(func() {
 		defer close(ended)
-		carrier.Run(ctx)
+		node.Run(ctx)
 	})
 	member, err := startHollow(ctx, &v.ending, consensus.Config{Name: v.name, Members: v.group.members,
-		Folder: filepath.Join(v.group.folder, v.name), Distribution: voterDistribution{carrier, v.group.content}}, voterLease)
+		Folder: filepath.Join(v.group.folder, v.name), Distribution: voterDistribution{node, v.group.content}}, voterLease)
 	if err != nil {
 		stop()
 		v.ending.Wait()
 		return err
 	}
 	v.mutex.Lock()
-	v.carrier, v.stop, v.ended, v.member = carrier, stop, ended, member
+	v.node, v.stop, v.ended, v.member = node, stop, ended, member
 	v.mutex.Unlock()
-	v.network.listen(v.name, v.region, func(conn net.Conn) { carrier.Accept(conn, nil) })
+	v.network.listen(v.name, v.region, func(conn net.Conn) { node.Accept(conn, nil) })
 	return nil
 }
 
@@ -187,12 +187,12 @@
 
 // Restored tells all of the configuration: at the founding its first change, later what a voter has from its disk.
 func (d voterDistribution) Restored(state distribution.State) {
-	d.content.accepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
+	d.content.noteAccepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
 	d.Transport.Restored(state)
 }
 
 // Accepted tells the next change.
 func (d voterDistribution) Accepted(change distribution.Change) {
-	d.content.accepted(change)
+	d.content.noteAccepted(change)
 	d.Transport.Accepted(change)
 }
--- a/scale/listed.go
+++ b/scale/listed_controller.go
@@ -59,7 +59,7 @@
 	}
 	var all []*listedController
 	for i := range count {
-		c, err := newListedController(memberName(i), listen[i], discovery, folder, mostMegabytes, o.Seed+uint64(i)+1, o)
+		c, err := newListedController(memberName(i), listen[i], discovery, folder, maxMegabytes, o.Seed+uint64(i)+1, o)
 		if err != nil {
 			return nil, err
 		}
@@ -123,8 +123,8 @@
 	}
 }
 
-// said gives the last line of an event, if there was one.
-func (c *listedController) said(event string) (logLine, bool) {
+// lastLine gives the last line of an event, if there was one.
+func (c *listedController) lastLine(event string) (logLine, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	line, ok := c.last[event]
@@ -143,7 +143,7 @@
 	over := func() bool {
 		return !c.readyAt().IsZero() || c.process.ExitedUnexpectedly()
 	}
-	waitTight(ctx, within, over)
+	awaitClosely(ctx, within, over)
 	if c.readyAt().IsZero() {
 		return fmt.Errorf("%s is not ready within %s", c.process.Name, within)
 	}
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -17,11 +17,11 @@
 
 // How much one size plays.
 const (
-	listRepeats = 3
-	listReady   = 150 * time.Second
-	listIdle    = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
-	listChanges = 10
-	mostListed  = 16 << 20 // bytes of an answer of discovery that a controller takes
+	listRepeats      = 3
+	listReadyTimeout = 150 * time.Second
+	listIdle         = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
+	listChanges      = 10
+	maxListBytes     = 16 << 20 // bytes of an answer of discovery that a controller takes
 )
 
 // Describe tells what is measured.
@@ -32,12 +32,12 @@
 		Metrics: []results.Metric{
 			{Name: "ready", Unit: "s", About: "from the process's start until it is ready", Fit: true},
 			{Name: "ready_processor", Unit: "s", About: "processor time until then", Fit: true},
-			{Name: "list_bytes", Unit: "bytes", About: "of the whole list as discovery sends it", Budget: mostListed, Fit: true},
+			{Name: "list_bytes", Unit: "bytes", About: "of the whole list as discovery sends it", Budget: maxListBytes, Fit: true},
 			{Name: "entry_bytes", Unit: "bytes", About: "of one entry in it"},
-			{Name: "idle_processor", Unit: "% of a core", About: "processor time while nothing changes", Budget: mostProcessor, Fit: true},
+			{Name: "idle_processor", Unit: "% of a core", About: "processor time while nothing changes", Budget: maxProcessorPercent, Fit: true},
 			{Name: "change_processor", Unit: "ms", About: "processor time of one change of one entry, beyond that"},
 			{Name: "change_bytes", Unit: "bytes", About: "that discovery sends for it"},
-			{Name: "memory", Unit: "MB", About: "resident memory, the most", Budget: mostMegabytes, Fit: true},
+			{Name: "memory", Unit: "MB", About: "resident memory, the most", Budget: maxMegabytes, Fit: true},
 			{Name: "known", Unit: "backends", About: "that the controller takes in"},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
@@ -46,7 +46,7 @@
 // Needs tells what one size takes at most.
 func (lists) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Processes: 1, Time: o.For + listReady}
+	return Needs{Memory: bytes, Processes: 1, Time: o.For + listReadyTimeout}
 }
 
 // listCost is what one life of a controller has shown.
@@ -107,10 +107,10 @@
 		return cost, err
 	}
 	defer c.end()
-	if err := c.waitReady(ctx, listReady); err != nil {
+	if err := c.waitReady(ctx, listReadyTimeout); err != nil {
 		return cost, err
 	}
-	usage, err := usageOf(c.process.PID())
+	usage, err := readPreciseUsage(c.process.PID())
 	if err != nil {
 		return cost, err
 	}
@@ -142,7 +142,7 @@
 	}
 	_, now = discovery.Sent()
 	cost.changeBytes = now - sent
-	usage, err = usageOf(c.process.PID())
+	usage, err = readPreciseUsage(c.process.PID())
 	cost.memory = usage.most
 	return cost, err
 }
@@ -150,13 +150,13 @@
 // spends is the processor time that the controller takes while something goes on, in seconds a second.
 func (c *listedController) spends(what func() error) (float64, error) {
 	began := time.Now()
-	before, err := usageOf(c.process.PID())
+	before, err := readPreciseUsage(c.process.PID())
 	if err != nil {
 		return 0, err
 	}
 	if err := what(); err != nil {
 		return 0, err
 	}
-	after, err := usageOf(c.process.PID())
+	after, err := readPreciseUsage(c.process.PID())
 	return (after.processor - before.processor).Seconds() / time.Since(began).Seconds(), err
 }
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -13,16 +13,16 @@
 
 // What a run may take of the machine.
 const (
-	memoryShare   = 2                // one part in so many
-	mostProcesses = 100              // at a time
-	mostTime      = 20 * time.Minute // for one size
+	memoryShare  = 2                // one part in so many
+	maxProcesses = 100              // at a time
+	maxTime      = 20 * time.Minute // for one size
 )
 
-// Refused is why a run was not begun: the machine would not bear it.
-type Refused struct{ why string }
+// RefusedError is why a run was not begun: the machine would not bear it.
+type RefusedError struct{ why string }
 
 // Error says why, and what would do.
-func (r *Refused) Error() string { return r.why }
+func (r *RefusedError) Error() string { return r.why }
 
 // thisMachine reads what the machine has.
 func thisMachine() (results.Machine, error) {
@@ -41,14 +41,14 @@
 func checkMachine(machine results.Machine, size int, needs Needs) error {
 	switch {
 	case needs.Refusal != "":
-		return &Refused{needs.Refusal}
+		return &RefusedError{needs.Refusal}
 	case needs.Memory > machine.Memory/memoryShare:
-		return &Refused{fmt.Sprintf("size %d needs about %d MB, and half of this machine's memory is %d MB; give smaller sizes", size,
+		return &RefusedError{fmt.Sprintf("size %d needs about %d MB, and half of this machine's memory is %d MB; give smaller sizes", size,
 			needs.Memory>>20, machine.Memory/memoryShare>>20)}
-	case needs.Processes > mostProcesses:
-		return &Refused{fmt.Sprintf("size %d needs %d processes, %d at most; give smaller sizes", size, needs.Processes, mostProcesses)}
-	case needs.Time > mostTime:
-		return &Refused{fmt.Sprintf("size %d takes about %s, %s at most; give a shorter --for", size, needs.Time, mostTime)}
+	case needs.Processes > maxProcesses:
+		return &RefusedError{fmt.Sprintf("size %d needs %d processes, %d at most; give smaller sizes", size, needs.Processes, maxProcesses)}
+	case needs.Time > maxTime:
+		return &RefusedError{fmt.Sprintf("size %d takes about %s, %s at most; give a shorter --for", size, needs.Time, maxTime)}
 	}
 	return nil
 }
@@ -66,37 +66,37 @@
 	return load.Load1
 }
 
-// turns watches how late this process gets its turns. Where it gets them too late nothing that was timed means anything.
-type turns struct{ lateness *process.DelayMonitor }
+// delayWatch watches how late this process gets its turns. Where it gets them too late nothing that was timed means anything.
+type delayWatch struct{ monitor *process.DelayMonitor }
 
-// tooLate is a turn's lateness, of one in a hundred, beyond which nothing is judged.
-const tooLate = 100 * time.Millisecond
+// maxSchedulingDelay is a turn's lateness, of one in a hundred, beyond which nothing is judged.
+const maxSchedulingDelay = 100 * time.Millisecond
 
-func watchTurns() turns { return turns{process.StartDelayMonitor()} }
+func watchDelays() delayWatch { return delayWatch{process.StartDelayMonitor()} }
 
 // tooBusy ends the watch, and says why nothing can be judged; empty where it can.
-func (t turns) tooBusy() string {
-	if hundredth, _ := t.lateness.Stop(); hundredth > tooLate {
-		return fmt.Sprintf("one turn in a hundred was %s late, %s at most; leave the machine more room", hundredth.Round(time.Millisecond), tooLate)
+func (t delayWatch) tooBusy() string {
+	if hundredth, _ := t.monitor.Stop(); hundredth > maxSchedulingDelay {
+		return fmt.Sprintf("one turn in a hundred was %s late, %s at most; leave the machine more room", hundredth.Round(time.Millisecond), maxSchedulingDelay)
 	}
 	return ""
 }
 
-// Usage is what a process has taken.
-type Usage struct {
+// usage is what a process has taken.
+type usage struct {
 	Processor time.Duration // since its start
 	Memory    int64         // resident bytes now
 }
 
-// UsageOf reads what a process has taken.
-func UsageOf(pid int) (Usage, error) {
+// readUsage reads what a process has taken.
+func readUsage(pid int) (usage, error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
-		return Usage{}, err
+		return usage{}, err
 	}
 	stat, err := proc.Stat()
 	if err != nil {
-		return Usage{}, err
+		return usage{}, err
 	}
-	return Usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
+	return usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
 }
--- a/scale/machine_test.go
+++ b/scale/machine_test.go
@@ -9,13 +9,13 @@
 
 func TestSizesThatTheMachineCannotBearAreRefused(t *testing.T) {
 	machine := results.Machine{Cores: 8, Memory: 8 << 30}
-	var refused *Refused
-	for _, needs := range []Needs{{Memory: 5 << 30}, {Processes: 101}, {Time: mostTime + 1}} {
+	var refused *RefusedError
+	for _, needs := range []Needs{{Memory: 5 << 30}, {Processes: 101}, {Time: maxTime + 1}} {
 		if err := checkMachine(machine, 7, needs); !errors.As(err, &refused) {
 			t.Errorf("%+v: %v", needs, err)
 		}
 	}
-	if err := checkMachine(machine, 7, Needs{Memory: 3 << 30, Processes: 100, Time: mostTime}); err != nil {
+	if err := checkMachine(machine, 7, Needs{Memory: 3 << 30, Processes: 100, Time: maxTime}); err != nil {
 		t.Error(err)
 	}
 }
--- a/scale/network.go
+++ b/scale/memory_network.go
@@ -45,7 +45,7 @@
 // dial connects a node in a region to another by its name.
 func (n *network) dial(ctx context.Context, region int, name string) (net.Conn, error) {
 	for {
-		to, healed, err := n.way(region, name)
+		to, healed, err := n.lookUp(region, name)
 		if err != nil {
 			return nil, err
 		}
@@ -56,28 +56,28 @@
 			})
 			return &memoryConn{Conn: near, of: n, from: region, to: to.region, closed: make(chan struct{})}, nil
 		}
-		if err := pauseFor(ctx, dialAgain); err != nil {
+		if err := pauseFor(ctx, redialInterval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// dialAgain is how long the first packet of a connection is waited for before it is sent again, as TCP has it.
-const dialAgain = time.Second
+// redialInterval is how long the first packet of a connection is waited for before it is sent again, as TCP has it.
+const redialInterval = time.Second
 
-// way looks a name up; healed is not nil where a cut lies between.
-func (n *network) way(region int, name string) (to endpoint, healed chan struct{}, err error) {
+// lookUp looks a name up; healed is not nil where a cut lies between.
+func (n *network) lookUp(region int, name string) (to endpoint, healed chan struct{}, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	to, ok := n.at[name]
 	if !ok {
 		return to, nil, fmt.Errorf("dial %s: connection refused", name)
 	}
-	return to, n.between(region, to.region), nil
+	return to, n.cutBetween(region, to.region), nil
 }
 
-// between gives what ends with the cut between two regions, nil where there is none.
-func (n *network) between(a, b int) chan struct{} {
+// cutBetween gives what ends with the cut between two regions, nil where there is none.
+func (n *network) cutBetween(a, b int) chan struct{} {
 	if n.healed != nil && (a == n.cut) != (b == n.cut) {
 		return n.healed
 	}
@@ -127,19 +127,19 @@
 func (c *memoryConn) Write(b []byte) (int, error) {
 	for {
 		c.of.mutex.Lock()
-		healed := c.of.between(c.from, c.to)
+		healed := c.of.cutBetween(c.from, c.to)
 		c.of.mutex.Unlock()
 		if healed == nil {
 			return c.Conn.Write(b)
 		}
-		if err := c.waits(healed); err != nil {
+		if err := c.awaitHealing(healed); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// waits for the end of a cut, the deadline or the close, whichever comes first.
-func (c *memoryConn) waits(healed <-chan struct{}) error {
+// awaitHealing for the end of a cut, the deadline or the close, whichever comes first.
+func (c *memoryConn) awaitHealing(healed <-chan struct{}) error {
 	c.mutex.Lock()
 	late := c.late
 	c.mutex.Unlock()
@@ -163,7 +163,7 @@
 func (c *memoryConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	c.of.mutex.Lock()
-	held := c.of.between(c.from, c.to) != nil
+	held := c.of.cutBetween(c.from, c.to) != nil
 	if held {
 		c.of.closing = append(c.of.closing, c.Conn)
 	}
--- /dev/null
+++ b/scale/propagation.go
@@ -0,0 +1,81 @@
+package scale
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"wheelrill/distribution"
+)
+
+// propagation notes when changes come into force at subscribers, and what must not happen on the way.
+type propagation struct {
+	content *content
+
+	mutex      sync.Mutex
+	each       *hdrhistogram.Histogram // µs from acceptance, of each change at each subscriber that was reachable all the time
+	catchUp    *hdrhistogram.Histogram // µs from being reachable again, of what a subscriber had missed
+	violations []string
+}
+
+// maxViolations is how many breaches are kept in words.
+const maxViolations = 20
+
+func newPropagation(content *content) *propagation {
+	return &propagation{content: content, each: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits),
+		catchUp: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits)}
+}
+
+// reset begins anew to measure; what was broken stays.
+func (f *propagation) reset() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.each.Reset()
+	f.catchUp.Reset()
+}
+
+// violate notes what must not happen.
+func (f *propagation) violate(format string, args ...any) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if len(f.violations) < maxViolations {
+		f.violations = append(f.violations, fmt.Sprintf(format, args...))
+	}
+}
+
+// applied notes that a subscriber acts by a change. Reachable is since when it could be reached, and whole says that the
+// change is a snapshot.
+func (f *propagation) applied(change distribution.Change, seen uint64, reachable time.Time) {
+	now := time.Now()
+	newest := time.Time{}
+	for _, e := range change.Entries {
+		if e.Revision <= seen {
+			continue
+		}
+		if at := f.content.acceptedAt(e.Revision, e.AcceptedAt); at.After(newest) {
+			newest = at
+		}
+	}
+	if newest.IsZero() {
+		return
+	}
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	took, histogram := now.Sub(newest), f.each
+	if reachable.After(newest) {
+		took, histogram = now.Sub(reachable), f.catchUp
+	}
+	histogram.RecordValue(max(took.Microseconds(), 1))
+}
+
+// seconds reads a quantile of a histogram.
+func (f *propagation) seconds(of *hdrhistogram.Histogram, quantile float64) float64 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if of.TotalCount() == 0 {
+		return 0
+	}
+	return (time.Duration(of.ValueAtQuantile(quantile)) * time.Microsecond).Seconds()
+}
--- a/scale/record.go
+++ b/scale/record.go
@@ -22,40 +22,40 @@
 
 // Figures of the installation around the members.
 const (
-	recordProxies  = 30
-	recordBackends = 12
-	memberMemory   = 64 << 20 // bytes that a real member takes, about
-	fakesMemory    = 64 << 20
-	startsWithin   = 30 * time.Second
-	costLineEvery  = 10 * time.Second // a member logs what the record costs it
+	recordProxies   = 30
+	recordBackends  = 12
+	memberMemory    = 64 << 20 // bytes that a real member takes, about
+	fakesMemory     = 64 << 20
+	startTimeout    = 30 * time.Second
+	costLogInterval = 10 * time.Second // a member logs what the record costs it
 )
 
 // recordMetrics are those of both measurements of the record.
 func recordMetrics() []results.Metric {
 	return []results.Metric{
 		{Name: "entries_per_s", Unit: "1/s", About: "entries at each member", Fit: true},
-		{Name: "follower_bytes_per_s", Unit: "bytes/s", About: "in and out at a follower, mean", Budget: mostBytesPerS, Fit: true},
-		{Name: "leader_bytes_per_s", Unit: "bytes/s", About: "in and out at the leader", Budget: mostBytesPerS, Fit: true}}
+		{Name: "follower_bytes_per_s", Unit: "bytes/s", About: "in and out at a follower, mean", Budget: maxBytesPerSecond, Fit: true},
+		{Name: "leader_bytes_per_s", Unit: "bytes/s", About: "in and out at the leader", Budget: maxBytesPerSecond, Fit: true}}
 }
 
 // Describe says what it is.
 func (recordReal) Describe() Description {
 	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
-		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, controllersToCome}, Transport: "loopback",
+		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
-			results.Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Budget: mostProcessor, Fit: true},
-			results.Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Budget: mostProcessor, Fit: true},
-			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: mostMegabytes, Fit: true})}
+			results.Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
 // Needs are those of the members and of the stand-ins in our process.
 func (recordReal) Needs(size int, o Options) Needs {
-	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startsWithin + o.For}
-	if terms := (ownership.LeaseTerms{MaxMessages: messagesMost, Members: size}); terms.OwnerQuota() < 1 {
+	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.For}
+	if terms := (ownership.LeaseTerms{MaxMessages: maxMessages, Members: size}); terms.OwnerQuota() < 1 {
 		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
-			size, messagesMost, messagesSpan)
-	} else if o.For < 2*costLineEvery {
-		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLineEvery, 2*costLineEvery)
+			size, maxMessages, messageWindow)
+	} else if o.For < 2*costLogInterval {
+		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLogInterval, 2*costLogInterval)
 	}
 	return needs
 }
@@ -66,7 +66,7 @@
 	if err != nil {
 		return results.Sample{}, err
 	}
-	spent := &spending{before: map[string]Usage{}, after: map[string]Usage{}}
+	spent := &spending{before: map[string]usage{}, after: map[string]usage{}}
 	play := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.For, FaultInterval: o.For, Controllers: size, Proxies: recordProxies,
 		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: spent.observe}
 	report, err := play.Run(ctx)
@@ -88,7 +88,7 @@
 
 // spending is what members took while a rehearsal was played.
 type spending struct {
-	before, after map[string]Usage
+	before, after map[string]usage
 	began, ended  time.Time
 	failed        error
 }
@@ -102,7 +102,7 @@
 		s.began = time.Now()
 	}
 	for _, c := range controllers {
-		usage, err := UsageOf(c.PID())
+		usage, err := readUsage(c.PID())
 		s.failed = errors.Join(s.failed, err)
 		into[c.Name] = usage
 	}
--- a/scale/recordhollow.go
+++ b/scale/record_hollow.go
@@ -14,17 +14,17 @@
 
 // What a hollow member takes, about: its connections are to every other.
 const (
-	hollowMemory     = 2 << 20
-	connectionMemory = 128 << 10
+	hollowMemberMemory = 2 << 20
+	connectionMemory   = 128 << 10
 )
 
 // Describe says what it is.
 func (r recordHollow) Describe() Description {
 	d := Description{Name: "record-hollow", About: "The record, all controllers being members, hollow ones without proxies in one process",
-		Size: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, controllersToCome}, Transport: "loopback",
+		Size: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
-			results.Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Budget: mostProcessor, Fit: true},
-			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Budget: mostMegabytes, Fit: true})}
+			results.Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Budget: maxMegabytes, Fit: true})}
 	if r.byLease {
 		d.Name, d.About = "record-lease", "The record of the voters, hollow ones without proxies in one process, by their lease"
 		d.Size, d.Sizes, d.Targets = "ms of lease", []int{1500, 3000, 4500, 6000, 9000}, []int{int(voterLease.Milliseconds())}
@@ -37,13 +37,13 @@
 	if r.byLease {
 		return o.Voters, time.Duration(size) * time.Millisecond
 	}
-	return size, usualLease
+	return size, defaultLease
 }
 
 // Needs are those of our own process.
 func (r recordHollow) Needs(size int, o Options) Needs {
 	size, _ = r.members(size, o)
-	return Needs{Memory: int64(size) * (hollowMemory + int64(size)*connectionMemory), Time: startsWithin + o.For}
+	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory), Time: startTimeout + o.For}
 }
 
 // Run has members renew their leases, and reads what passed over their connections.
@@ -61,7 +61,7 @@
 	for i, m := range members {
 		before[i].entries, before[i].bytes = m.node.Cost()
 	}
-	spentBefore, err := UsageOf(os.Getpid())
+	earlierLives, err := readUsage(os.Getpid())
 	if err != nil {
 		return s, err
 	}
@@ -74,7 +74,7 @@
 		costs[i].entries, costs[i].bytes = m.node.Cost()
 		costs[i].leads = m.node.IsLeader()
 	}
-	spent, err := UsageOf(os.Getpid())
+	spent, err := readUsage(os.Getpid())
 	if err != nil {
 		return s, err
 	}
@@ -91,7 +91,7 @@
 	s.Set("entries_per_s", entries)
 	s.Set("follower_bytes_per_s", followers)
 	s.Set("leader_bytes_per_s", leader)
-	s.Set("processor", percent*(spent.Processor-spentBefore.Processor).Seconds()/seconds/float64(size))
+	s.Set("processor", percent*(spent.Processor-earlierLives.Processor).Seconds()/seconds/float64(size))
 	s.Set("memory", float64(spent.Memory)/megabyte/float64(size))
 	if leader == 0 {
 		s.Inconclusive = "no member led at the end"
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -18,18 +18,18 @@
 
 // What there is to learn, by assumption: each service has as many backends.
 const (
-	backendsToCome  = 99_000
-	servicesToCome  = 5700
-	backendsServed  = backendsToCome / servicesToCome * servicesPerGroup
-	recoveryRepeats = 3
-	listedMemory    = 40 << 20 // bytes that a controller takes, and ...
-	backendMemory   = 6 << 10  // ... for each backend, about
+	targetBackends   = 99_000
+	targetServices   = 5700
+	backendsServed   = targetBackends / targetServices * servicesPerGroup
+	recoveryRepeats  = 3
+	controllerMemory = 40 << 20 // bytes that a controller takes, and ...
+	backendMemory    = 6 << 10  // ... for each backend, about
 )
 
 // Describe tells what is measured.
 func (r recovery) Describe() Description {
 	d := Description{Name: "recovery", Size: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
-		Targets: []int{40, 220, controllersToCome}, Transport: "loopback",
+		Targets: []int{40, 220, targetControllers}, Transport: "loopback",
 		About: fmt.Sprintf("Real controllers that restart at once on one machine, and learn %d backends from discovery: those of %d services",
 			r.backends(), servicesPerGroup),
 		Metrics: []results.Metric{
@@ -37,7 +37,7 @@
 			{Name: "ready_processor", Unit: "s", About: "processor time of a controller until it is ready, mean"},
 			{Name: "all_bytes", Unit: "bytes", About: "that discovery sends to all of them", Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one is sent, mean"},
-			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Budget: mostMegabytes},
+			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Budget: maxMegabytes},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
 	if r.whole {
@@ -49,15 +49,15 @@
 
 func (r recovery) backends() int {
 	if r.whole {
-		return backendsToCome
+		return targetBackends
 	}
 	return backendsServed
 }
 
 // Needs tells what one size takes at most.
 func (r recovery) Needs(size int, o Options) Needs {
-	return Needs{Memory: fakesMemory + int64(size)*int64(listedMemory+r.backends()*backendMemory), Processes: size,
-		Time: o.For + listReady}
+	return Needs{Memory: fakesMemory + int64(size)*int64(controllerMemory+r.backends()*backendMemory), Processes: size,
+		Time: o.For + listReadyTimeout}
 }
 
 // recoveryCost is what one restart of all has shown.
@@ -116,16 +116,16 @@
 		}
 	}
 	began := controllers[0].began
-	usages, failures := make([]processUsage, len(controllers)), make([]error, len(controllers))
-	var waiting sync.WaitGroup
+	usages, failures := make([]preciseUsage, len(controllers)), make([]error, len(controllers))
+	var countWaiting sync.WaitGroup
 	for i, c := range controllers {
-		waiting.Go(func() {
-			if failures[i] = c.waitReady(ctx, listReady); failures[i] == nil {
-				usages[i], failures[i] = usageOf(c.process.PID())
+		countWaiting.Go(func() {
+			if failures[i] = c.waitReady(ctx, listReadyTimeout); failures[i] == nil {
+				usages[i], failures[i] = readPreciseUsage(c.process.PID())
 			}
 		})
 	}
-	waiting.Wait()
+	countWaiting.Wait()
 	for i, c := range controllers {
 		if failures[i] != nil {
 			return cost, failures[i]
--- a/scale/recoverysnapshot.go
+++ b/scale/recovery_snapshot.go
@@ -20,14 +20,14 @@
 
 // What a controller has to learn, by assumption: what belongs to one group of services, or all.
 const (
-	routesToCome  = 29_000
-	tenantsToCome = 330_000
-	groupsToCome  = servicesToCome / servicesPerGroup
-	entriesOfAll  = backendsToCome + routesToCome + tenantsToCome
-	entriesServed = entriesOfAll / groupsToCome
+	targetRoutes  = 29_000
+	targetTenants = 330_000
+	targetGroups  = targetServices / servicesPerGroup
+	entriesOfAll  = targetBackends + targetRoutes + targetTenants
+	entriesServed = entriesOfAll / targetGroups
 
 	snapshotRepeats = 3
-	snapshotWithin  = 2 * time.Minute
+	snapshotTimeout = 2 * time.Minute
 )
 
 // Describe says what it is.
@@ -46,7 +46,7 @@
 
 // Needs are those of both ends.
 func (recoverySnapshot) Needs(_ int, o Options) Needs {
-	return Needs{Memory: treeMemory, Time: o.For + snapshotWithin}
+	return Needs{Memory: treeMemory, Time: o.For + snapshotTimeout}
 }
 
 // snapshotCost is what one start has shown.
@@ -70,12 +70,12 @@
 	if err != nil {
 		return s, err
 	}
-	if err := handsOut(ctx, &running, network, entries); err != nil {
+	if err := startSnapshotSource(ctx, &running, network, entries); err != nil {
 		return s, err
 	}
 	var all []snapshotCost
 	s.Partial, err = repeats(ctx, snapshotRepeats, o.For, func() error {
-		cost, err := takesSnapshot(ctx, network, size)
+		cost, err := measureSnapshot(ctx, network, size)
 		all = append(all, cost)
 		return err
 	})
@@ -90,32 +90,32 @@
 	return s, nil
 }
 
-// knowEvery is how often the voter says that its record is current, as a member of a record does.
-const knowEvery = 200 * time.Millisecond
+// currentInterval is how often the voter says that its record is current, as a member of a record does.
+const currentInterval = 200 * time.Millisecond
 
-// handsOut has a voter by itself hand out entries until the context ends.
-func handsOut(ctx context.Context, running *sync.WaitGroup, network *network, entries []distribution.Entry) error {
+// startSnapshotSource has a voter by itself hand out entries until the context ends.
+func startSnapshotSource(ctx context.Context, running *sync.WaitGroup, network *network, entries []distribution.Entry) error {
 	change, err := distribution.NewRecord().Apply(distribution.Proposal{AcceptedAt: time.Now().UnixMicro(), Entries: entries,
 		Epoch: distribution.Epoch{Number: 1, Identity: 1}})
 	if err != nil {
 		return err
 	}
 	name := voterName(0)
-	voter := voterCarrier(name, distribution.DefaultLimits())
+	voter := newVoterTransport(name, distribution.DefaultLimits())
 	network.listen(name, 0, func(conn net.Conn) { voter.Accept(conn, nil) })
 	running.Go(func() { voter.Run(ctx) })
 	voter.Accepted(change)
 	voter.Current()
 	running.Go(func() {
-		for pauseFor(ctx, knowEvery) == nil {
+		for pauseFor(ctx, currentInterval) == nil {
 			voter.Current()
 		}
 	})
 	return nil
 }
 
-// takesSnapshot has a subscriber live until it has as many entries as its scope has.
-func takesSnapshot(ctx context.Context, network *network, want int) (cost snapshotCost, err error) {
+// measureSnapshot has a subscriber live until it has as many entries as its scope has.
+func measureSnapshot(ctx context.Context, network *network, want int) (cost snapshotCost, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ended, has := make(chan struct{}), make(chan int, 1)
@@ -144,7 +144,7 @@
 		return cost, nil
 	case <-ctx.Done():
 		return cost, ctx.Err()
-	case <-time.After(snapshotWithin):
-		return cost, fmt.Errorf("a subscriber has not its configuration of %d entries after %s", want, snapshotWithin)
+	case <-time.After(snapshotTimeout):
+		return cost, fmt.Errorf("a subscriber has not its configuration of %d entries after %s", want, snapshotTimeout)
 	}
 }
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -46,11 +46,11 @@
 // TestUsageOf reads this process's own usage in both ways.
 func TestUsageOf(t *testing.T) {
 	before := processorTime()
-	usage, err := usageOf(os.Getpid())
+	usage, err := readPreciseUsage(os.Getpid())
 	if err != nil || usage.processor < before || usage.resident <= 0 || usage.most < usage.resident {
 		t.Errorf("%+v, %v; %s before", usage, err, before)
 	}
-	if _, err := usageOf(1 << 30); err == nil {
+	if _, err := readPreciseUsage(1 << 30); err == nil {
 		t.Error("a process that is not there has a usage")
 	}
 }
--- a/scale/recoverytree.go
+++ b/scale/recovery_tree.go
@@ -18,20 +18,20 @@
 const (
 	recoverySubscribers = 1100
 	restartsOfTree      = 3
-	cutAtLeast          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
+	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
 	proposeAll          = time.Minute
 )
 
 // Describe says what it is.
 func (m recoveryTree) Describe() Description {
 	return Description{Name: "recovery-subscribers", Size: "subscribers that restart at once", Sizes: []int{1, 40, 220, m.subscribers},
-		Targets: []int{40, 220, controllersToCome}, Transport: "memory",
+		Targets: []int{40, 220, targetControllers}, Transport: "memory",
 		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", m.subscribers,
 			commonEntries+servicesPerGroup),
 		Metrics: []results.Metric{
 			{Name: "ready", Unit: "s", About: "until the last has its configuration", Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
-			{Name: "worst_bytes_per_s", Unit: "bytes/s", About: "in and out at the node that passes on most meanwhile", Budget: mostBytesPerS},
+			{Name: "worst_bytes_per_s", Unit: "bytes/s", About: "in and out at the node that passes on most meanwhile", Budget: maxBytesPerSecond},
 			{Name: "processor", Unit: "ms", About: "processor time of the whole installation for each of them", Fit: true},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
@@ -40,7 +40,7 @@
 // Needs are those of all nodes in our process.
 func (m recoveryTree) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(max(size, m.subscribers)).memory(o),
-		Time: o.For + startsWithin + 2*readyWithin}
+		Time: o.For + startTimeout + 2*readyTimeout}
 }
 
 // restartCost is what one restart has shown.
@@ -56,7 +56,7 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchTurns()
+	late := watchDelays()
 	var all []restartCost
 	s.Partial, err = repeats(ctx, restartsOfTree, o.For, func() error {
 		cost, err := t.restartSome(ctx, size)
@@ -71,7 +71,7 @@
 	s.Set("worst_bytes_per_s", medianOf(all, func(c restartCost) float64 { return c.worst }))
 	s.Set("processor", medianOf(all, func(c restartCost) float64 { return c.processor.Seconds() * 1000 / float64(size) }))
 	s.Set("repeats", float64(len(all)))
-	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
 	return s, nil
 }
 
@@ -87,8 +87,8 @@
 		t.starts.Add(1)
 		s.start()
 	}
-	if !waitTight(ctx, readyWithin, func() bool { return waiting(some) == 0 }) {
-		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", waiting(some), many, readyWithin)
+	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(some) == 0 }) {
+		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", countWaiting(some), many, readyTimeout)
 	}
 	cost.ready, cost.processor = time.Since(began), processorTime()-spent
 	for name, bytes := range t.bytes() {
@@ -104,7 +104,7 @@
 func (s *hollowSubscriber) received() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.carrier.Traffic().In
+	return s.node.Traffic().In
 }
 
 // Describe says what it is.
@@ -113,7 +113,7 @@
 		Transport: "memory",
 		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", m.subscribers/regions),
 		Metrics: []results.Metric{
-			{Name: "ready", Unit: "s", About: "from the end of the cut until the last has all changes", Budget: mostInForce, Fit: true},
+			{Name: "ready", Unit: "s", About: "from the end of the cut until the last has all changes", Budget: maxPropagationSeconds, Fit: true},
 			{Name: "bytes", Unit: "bytes", About: "that one of them is sent until then, mean", Fit: true},
 			{Name: "snapshots", Unit: "snapshots", About: "that were taken, where deltas would have done"},
 		}}
@@ -121,7 +121,7 @@
 
 // Needs are those of all nodes in our process.
 func (m recoveryDelta) Needs(_ int, o Options) Needs {
-	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startsWithin + 2*readyWithin + proposeAll}
+	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + proposeAll}
 }
 
 // Run cuts a region without voters off while so many changes are made.
@@ -131,7 +131,7 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchTurns()
+	late := watchDelays()
 	region := len(t.voters.voters) + t.random.IntN(regions-len(t.voters.voters))
 	t.network.cutOff(region)
 	began := time.Now()
@@ -140,7 +140,7 @@
 			return s, err
 		}
 	}
-	if err := pauseFor(ctx, cutAtLeast-time.Since(began)); err != nil {
+	if err := pauseFor(ctx, minCutTime-time.Since(began)); err != nil {
 		return s, err
 	}
 	var behind []*hollowSubscriber
@@ -154,8 +154,8 @@
 	}
 	t.network.heal()
 	healed := time.Now()
-	if !waitTight(ctx, readyWithin, func() bool { return t.current(behind) }) {
-		return s, fmt.Errorf("a region is not current %s after the end of its cut", readyWithin)
+	if !awaitClosely(ctx, readyTimeout, func() bool { return t.current(behind) }) {
+		return s, fmt.Errorf("a region is not current %s after the end of its cut", readyTimeout)
 	}
 	ready := time.Since(healed)
 	after := 0.
@@ -165,8 +165,8 @@
 	each(behind, func(node *hollowSubscriber) { node.check(t.content, t.content.last()) })
 	s.Set("ready", ready.Seconds())
 	s.Set("bytes", (after-before)/float64(len(behind)))
-	s.Set("snapshots", float64(t.needless()))
-	s.Violations, s.Inconclusive = t.inForce.broken, late.tooBusy()
+	s.Set("snapshots", float64(t.needlessSnapshots()))
+	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
 	return s, nil
 }
 
--- a/scale/rolefleet.go
+++ b/scale/role_fleet.go
@@ -18,28 +18,28 @@
 
 // roleFleet is an installation of which three nodes are processes.
 type roleFleet struct {
-	options   Options
-	folder    string
-	discovery *fake.Discovery
-	content   *content
-	inForce   *inForce
-	addresses []string // of the voters, the real one last
-	listen    map[string]string
-	processes map[string]*listedController
-	hollow    []*hollowMember
-	dialler   *consensus.Subscriber
-	children  []*hollowSubscriber
-	running   sync.WaitGroup
-	stop      context.CancelFunc
-	ready     map[string]time.Duration
+	options     Options
+	folder      string
+	discovery   *fake.Discovery
+	content     *content
+	propagation *propagation
+	addresses   []string // of the voters, the real one last
+	listen      map[string]string
+	processes   map[string]*listedController
+	hollow      []*hollowMember
+	dialler     *consensus.Subscriber
+	children    []*hollowSubscriber
+	running     sync.WaitGroup
+	stop        context.CancelFunc
+	ready       map[string]time.Duration
 }
 
 // newRoleFleet prepares one; it starts nothing but discovery.
 func newRoleFleet(size int, folder string, o Options) (r *roleFleet, err error) {
-	shape := contentShape{groups: groupsToCome, ofEach: max(1, size/groupsToCome)}
+	shape := contentShape{groups: targetGroups, ofEach: max(1, size/targetGroups)}
 	r = &roleFleet{options: o, folder: folder, content: newContent(shape, o.Seed), listen: map[string]string{},
 		processes: map[string]*listedController{}, ready: map[string]time.Duration{}, stop: func() {}}
-	r.inForce = newInForce(r.content)
+	r.propagation = newPropagation(r.content)
 	if r.dialler, err = consensus.NewSubscriber(consensus.Credentials{}); err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	for i, role := range []string{voterRole, distributorRole, controllerRole} {
 		megabytes := setAsideMegabytes
 		if role == controllerRole {
-			megabytes = mostMegabytes
+			megabytes = maxMegabytes
 		}
 		c, err := newListedController(role, free[o.Voters+2+i], r.discovery.Address(), folder, megabytes, o.Seed+uint64(i)+1, o)
 		if err != nil {
@@ -100,10 +100,10 @@
 	switch role {
 	case voterRole:
 		return fmt.Sprintf("sharing:\n  plain: true\n  name: %s\n  lease: %s\n  folder: %s\n  members:\n%sdistribution:\n  role: voter\n  fan_out: %d\n%s",
-			voterName(len(r.addresses)-1), voterLease, filepath.Join(r.folder, "voter"), members.String(), mostFanOut, pace)
+			voterName(len(r.addresses)-1), voterLease, filepath.Join(r.folder, "voter"), members.String(), maxFanOut, pace)
 	case distributorRole:
 		return fmt.Sprintf("distribution:\n  role: subscriber\n  name: %s\n  plain: true\n  scopes: [\"*\"]\n  listen: %s\n  fan_out: %d\n%s  parents:\n%s",
-			role, r.listen[role], mostFanOut, pace, members.String())
+			role, r.listen[role], maxFanOut, pace, members.String())
 	}
 	return fmt.Sprintf("distribution:\n  role: subscriber\n  name: %s\n  plain: true\n  scopes: [%s, %s]\n  listen: %s\n  parents:\n    %s: %s\n",
 		role, commonScope, groupScope(0), r.listen[role], distributorRole, r.listen[distributorRole])
@@ -125,13 +125,13 @@
 		}
 	}
 	for i := range distributorChildren {
-		r.addChild(distributorRole, i, 1+i%(groupsToCome-1))
+		r.addChild(distributorRole, i, 1+i%(targetGroups-1))
 	}
 	for i := range controllerChildren {
 		r.addChild(controllerRole, i, 0)
 	}
-	if !waitFor(ctx, rolesReadyWithin, func() bool { return waiting(r.children) == 0 }) {
-		return fmt.Errorf("%d children have no configuration within %s: %s", waiting(r.children), rolesReadyWithin, whoWaits(r.children))
+	if !await(ctx, rolesReadyTimeout, func() bool { return countWaiting(r.children) == 0 }) {
+		return fmt.Errorf("%d children have no configuration within %s: %s", countWaiting(r.children), rolesReadyTimeout, describeWaiting(r.children))
 	}
 	return nil
 }
@@ -145,10 +145,10 @@
 	}
 	names := r.voterNames()
 	for i, name := range names[:len(names)-1] {
-		carrier := voterCarrier(consensus.Peer{Name: name, Address: r.addresses[i]}.String(), setAsideLimits())
-		r.running.Go(func() { carrier.Run(ctx) })
+		node := newVoterTransport(consensus.Peer{Name: name, Address: r.addresses[i]}.String(), setAsideLimits())
+		r.running.Go(func() { node.Run(ctx) })
 		member, err := startHollow(ctx, &r.running, consensus.Config{Name: name, Members: r.members(), Folder: filepath.Join(r.folder, name),
-			Distribution: voterDistribution{carrier, r.content}}, voterLease)
+			Distribution: voterDistribution{node, r.content}}, voterLease)
 		if err != nil {
 			return err
 		}
@@ -160,11 +160,11 @@
 				return false
 			}
 		}
-		line, ok := real.said("quorum_changed")
+		line, ok := real.lastLine("quorum_changed")
 		return ok && field(line.text, "quorum") == "true"
 	}
-	if !waitFor(ctx, startsWithin, entered) {
-		return fmt.Errorf("the voters have no record within %s", startsWithin)
+	if !await(ctx, startTimeout, entered) {
+		return fmt.Errorf("the voters have no record within %s", startTimeout)
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 		if err == nil || errors.Is(err, consensus.ErrRefused) {
 			return err
 		}
-		if err := pauseFor(ctx, lookEvery); err != nil {
+		if err := pauseFor(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -189,15 +189,15 @@
 		return err
 	}
 	has := func() bool {
-		_, ok := c.said("snapshot_applied")
+		_, ok := c.lastLine("snapshot_applied")
 		return ok || c.process.ExitedUnexpectedly()
 	}
-	if waitTight(ctx, rolesReadyWithin, has); c.process.ExitedUnexpectedly() {
+	if awaitClosely(ctx, rolesReadyTimeout, has); c.process.ExitedUnexpectedly() {
 		return fmt.Errorf("the %s has ended", role)
 	}
-	line, ok := c.said("snapshot_applied")
+	line, ok := c.lastLine("snapshot_applied")
 	if !ok {
-		return fmt.Errorf("the %s has no configuration within %s", role, rolesReadyWithin)
+		return fmt.Errorf("the %s has no configuration within %s", role, rolesReadyTimeout)
 	}
 	r.ready[role] = line.at.Sub(c.began)
 	return nil
@@ -205,7 +205,7 @@
 
 // addChild starts a hollow subscriber below a process.
 func (r *roleFleet) addChild(below string, number, group int) {
-	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", below, number), dial: r.dialler.Dial, inForce: r.inForce,
+	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", below, number), dial: r.dialler.Dial, propagation: r.propagation,
 		scopes:     distribution.SomeScopes(commonScope, groupScope(group)),
 		candidates: []string{consensus.Peer{Name: below, Address: r.listen[below]}.String()}}
 	r.children = append(r.children, s)
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -24,11 +24,11 @@
 
 // Figures of the installation around the processes.
 const (
-	distributorChildren = mostFanOut - 1 // hollow ones; the controller is one more
-	controllerChildren  = 4              // a controller sends snapshots at a pace of its own, so that more take minutes
-	setAsideMegabytes   = 4096           // that a process on a machine set aside may take
-	rolesReadyWithin    = 4 * time.Minute
-	statsLineEvery      = 10 * time.Second // a controller logs what the distribution costs it
+	distributorChildren = maxFanOut - 1 // hollow ones; the controller is one more
+	controllerChildren  = 4             // a controller sends snapshots at a pace of its own, so that more take minutes
+	setAsideMegabytes   = 4096          // that a process on a machine set aside may take
+	rolesReadyTimeout   = 4 * time.Minute
+	statsLogInterval    = 10 * time.Second // a controller logs what the distribution costs it
 	rolesSeed           = 17
 )
 
@@ -37,29 +37,29 @@
 	d := Description{Name: "roles", Size: "entries in all", Sizes: []int{5700, 50_000, 150_000, entriesOfAll}, Transport: "loopback",
 		Targets: []int{entriesOfAll},
 		About: fmt.Sprintf("A voter, a distributor with %d children and a controller with %d and %d backends, real processes, 4.2 changes a second",
-			mostFanOut, controllerChildren, backendsServed)}
+			maxFanOut, controllerChildren, backendsServed)}
 	for _, role := range []string{voterRole, distributorRole, controllerRole} {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: role + "_bytes_per_s", Unit: "bytes/s", About: "in and out at the " + role, Budget: mostBytesPerS},
-			results.Metric{Name: role + "_processor", Unit: "% of a core", About: "processor time of the " + role, Budget: mostProcessor},
-			results.Metric{Name: role + "_memory", Unit: "MB", About: "resident memory of the " + role + ", the most", Budget: mostMegabytes, Fit: true})
+			results.Metric{Name: role + "_bytes_per_s", Unit: "bytes/s", About: "in and out at the " + role, Budget: maxBytesPerSecond},
+			results.Metric{Name: role + "_processor", Unit: "% of a core", About: "processor time of the " + role, Budget: maxProcessorPercent},
+			results.Metric{Name: role + "_memory", Unit: "MB", About: "resident memory of the " + role + ", the most", Budget: maxMegabytes, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
 		results.Metric{Name: "distributor_ready", Unit: "s", About: "from the start of the distributor until it has all entries", Fit: true},
 		results.Metric{Name: "controller_ready", Unit: "s", About: "from the start of the controller until it has those of its services", Fit: true},
 		results.Metric{Name: "controller_entries", Unit: "entries", About: "of its services, and those of all"},
-		results.Metric{Name: "most", Unit: "s", About: "until in force at the last child, 100 in 100", Budget: mostInForce})
+		results.Metric{Name: "most", Unit: "s", About: "until in force at the last child, 100 in 100", Budget: maxPropagationSeconds})
 	return d
 }
 
 // Needs are those of the processes and of our own.
 func (roles) Needs(size int, o Options) Needs {
-	held := int64(o.Voters*copiesAtVoter+2) * int64(size) * entryMemory * collectedAt
-	children := int64(mostFanOut+controllerChildren) * (subscriberMemory + int64(size/groupsToCome)*entryMemory*collectedAt)
+	held := int64(o.Voters*copiesAtVoter+2) * int64(size) * entryMemory * heapGrowth
+	children := int64(maxFanOut+controllerChildren) * (subscriberMemory + int64(size/targetGroups)*entryMemory*heapGrowth)
 	needs := Needs{Memory: treeMemory + 3*memberMemory + held + children, Processes: 3,
-		Time: startsWithin + 2*rolesReadyWithin + o.For}
-	if o.For < 2*statsLineEvery {
-		needs.Refusal = fmt.Sprintf("--for %s; a controller logs its cost each %s, give %s or more", o.For, statsLineEvery, 2*statsLineEvery)
+		Time: startTimeout + 2*rolesReadyTimeout + o.For}
+	if o.For < 2*statsLogInterval {
+		needs.Refusal = fmt.Sprintf("--for %s; a controller logs its cost each %s, give %s or more", o.For, statsLogInterval, 2*statsLogInterval)
 	}
 	return needs
 }
@@ -75,31 +75,31 @@
 		return s, err
 	}
 	defer r.close()
-	late := watchTurns()
+	late := watchDelays()
 	if err := r.start(ctx); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
 	if err := r.measure(ctx, &s); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
-	s.Violations, s.Inconclusive = r.inForce.broken, late.tooBusy()
+	s.Violations, s.Inconclusive = r.propagation.violations, late.tooBusy()
 	return s, nil
 }
 
 // measure makes changes for as long as is observed, and notes what each process spent meanwhile.
 func (r *roleFleet) measure(ctx context.Context, s *results.Sample) error {
-	r.inForce.reset()
+	r.propagation.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
-	before, began := map[string]processUsage{}, time.Now()
+	before, began := map[string]preciseUsage{}, time.Now()
 	for role, c := range r.processes {
-		usage, err := usageOf(c.process.PID())
+		usage, err := readPreciseUsage(c.process.PID())
 		if err != nil {
 			return err
 		}
 		before[role] = usage
 	}
 	for time.Since(began) < r.options.For {
-		if err := pauseFor(ctx, time.Duration((0.5+random.Float64())/(changesPerS*timesChanges)*float64(time.Second))); err != nil {
+		if err := pauseFor(ctx, time.Duration((0.5+random.Float64())/(changesPerSecond*changeRateFactor)*float64(time.Second))); err != nil {
 			return err
 		}
 		if err := r.propose(ctx, r.content.draw()); err != nil {
@@ -108,7 +108,7 @@
 	}
 	seconds := time.Since(began).Seconds()
 	for _, role := range []string{voterRole, distributorRole, controllerRole} {
-		usage, err := usageOf(r.processes[role].process.PID())
+		usage, err := readPreciseUsage(r.processes[role].process.PID())
 		if err != nil {
 			return err
 		}
@@ -121,12 +121,12 @@
 		s.Set(role+"_memory", float64(usage.most)/megabyte)
 	}
 	last := r.content.last()
-	waitFor(ctx, mostInForce*time.Second, func() bool { return behind(r.children, r.content, last) == 0 })
+	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(r.children, r.content, last) == 0 })
 	each(r.children, func(child *hollowSubscriber) { child.check(r.content, last) })
 	s.Set("distributor_ready", r.ready[distributorRole].Seconds())
 	s.Set("controller_ready", r.ready[controllerRole].Seconds())
 	s.Set("controller_entries", float64(commonEntries+r.content.shape.ofEach))
-	s.Set("most", r.inForce.seconds(r.inForce.each, 100))
+	s.Set("most", r.propagation.seconds(r.propagation.each, 100))
 	return nil
 }
 
@@ -137,7 +137,7 @@
 	if role == voterRole {
 		event, keys = "record", []string{"bytes_per_s"}
 	}
-	line, ok := r.processes[role].said(event)
+	line, ok := r.processes[role].lastLine(event)
 	if !ok {
 		return 0, fmt.Errorf("the %s has not logged its cost", role)
 	}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -23,8 +23,8 @@
 	Progress func(text string) // nil for none
 }
 
-// say tells who watches.
-func (o Options) say(format string, args ...any) {
+// progressf tells who watches.
+func (o Options) progressf(format string, args ...any) {
 	if o.Progress != nil {
 		o.Progress(fmt.Sprintf(format, args...))
 	}
@@ -73,8 +73,8 @@
 		recoveryDelta{recoverySubscribers},
 		addedTime{},
 		roles{},
-		distributed{},
-		distributed{whole: true},
+		distributionCost{},
+		distributionCost{whole: true},
 		distributedFaults{},
 	}
 }
@@ -121,7 +121,7 @@
 		Metrics:   about.Metrics,
 	}
 	for _, size := range sizes {
-		options.say("%s: %d %s", about.Name, size, about.Size)
+		options.progressf("%s: %d %s", about.Name, size, about.Size)
 		limited, cancel := context.WithTimeout(ctx, 2*m.Needs(size, options).Time)
 		load := currentLoad()
 		sample, err := m.Run(limited, size, options)
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -30,15 +30,15 @@
 	return time.Duration(clock.Nano())
 }
 
-// spent is the processor time that doing something takes.
-func spent(do func()) time.Duration {
+// processorTimeOf is the processor time that doing something takes.
+func processorTimeOf(do func()) time.Duration {
 	began := processorTime()
 	do()
 	return processorTime() - began
 }
 
-// heapKept is the heap in use once garbage has been collected.
-func heapKept() int64 {
+// heapInUse is the heap in use once garbage has been collected.
+func heapInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC() // the first one may leave what finalizers hold
@@ -46,14 +46,14 @@
 	return int64(stats.HeapAlloc)
 }
 
-// processUsage is what a process has spent and holds, as /proc tells it.
-type processUsage struct {
+// preciseUsage is what a process has spent and holds, as /proc tells it.
+type preciseUsage struct {
 	processor      time.Duration
 	resident, most int64 // bytes of memory now, and the most it ever held
 }
 
-// usageOf reads what a process has spent and holds.
-func usageOf(pid int) (u processUsage, err error) {
+// readPreciseUsage reads what a process has spent and holds.
+func readPreciseUsage(pid int) (u preciseUsage, err error) {
 	var clock unix.Timespec
 	if err := unix.ClockGettime(processorClock(pid), &clock); err != nil {
 		return u, fmt.Errorf("processor time of process %d: %w", pid, err)
