--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -1,6 +1,6 @@
 // Package ownership decides which of several controllers (members) owns which proxy, what a proxy that changes its owner
-// is known to hold, and how many messages may still be written to it. It has no I/O, no clock and no goroutine: every
-// method is called by one goroutine of the caller, and times are those of the caller's monotonic clock.
+// is known to hold, and how many messages may still be written to it. It has no I/O, no clock and no goroutine: no
+// method is safe for concurrent use, and times are those of the caller's monotonic clock.
 //
 // # The record
 //
@@ -29,6 +29,14 @@
 // after its start. So a member is vouched for as well for a lease after its address refused a connection, and for a lease
 // after the entry arrived by which it closed its incarnation.
 //
+// # Membership
+//
+// NextStep decides how a member comes to belong to a record. A record is founded by the first member by name alone, and
+// only if every member was reached and none is part of one: otherwise two could stand side by side, as after a split in
+// which one side has forgotten. A member that has lost its votes comes under another ID and asks to be admitted. Where all
+// others have come as new nobody is left who could elect a leader with it, so it comes as new too, unless its part is on a
+// disk: that is not given up automatically.
+//
 // # Messages
 //
 // The limit on messages to a proxy within a window is divided beforehand, so that members need not agree on each message:
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -44,12 +44,8 @@
 // maxLeaderlessPolls is how many polls without a leader show that none will be elected: an election takes two or three.
 const maxLeaderlessPolls = 25
 
-// NextStep gives the next step of a member, by what those others said that could be reached.
-//
-// A record is founded by the first member by name alone, and only if every member was reached and none is part of one:
-// otherwise two could stand side by side, as after a split in which one side has forgotten. A member that has lost its
-// votes comes under another ID and asks to be admitted. Where all others have come as new nobody is left who could elect a
-// leader with us, so we come as new too, unless our part is on a disk: that is not given up automatically.
+// NextStep gives the next step of a member, by what those others said that could be reached. The package's comment says why
+// it is safe.
 func NextStep(own OwnStatus, names []string, others map[string]PeerStatus) Step {
 	if own.HasLeader && own.IsMember {
 		return Step{Action: Wait}
