--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// BenchmarkList tells what a list costs a controller by its entries: the whole one at the start, without proxies, and a
+// BenchmarkList tells what a list costs a controller by its entries: the full one at the start, without proxies, and a
 // change of one entry, told to a hundred.
 func BenchmarkList(b *testing.B) {
 	const proxies = 100
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
-	t.Run("an answer that waits for readiness holds nothing longer than a stranger may stay", func(t *testing.T) {
+	t.Run("an answer that waits for readiness holds nothing longer than an unidentified connection may stay", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, "null", func(l *limits) { l.identifyTimeout = 50 * time.Millisecond })
 		asks := dial(t, address)
 		asks.send(probe)
@@ -82,7 +82,7 @@
 		}
 		logged.waitFor(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
-	t.Run("a proxy's last mark and demand before its close are taken in, then it has left", func(t *testing.T) {
+	t.Run("a proxy's last acknowledgement and demand before its close are taken in, then it has left", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		p, h := dial(t, address), newFakeProxy("read it", "write")
 		p.send(hello)
@@ -188,13 +188,13 @@
 		ended := make(chan error, 1)
 		go func() { ended <- p.readMessages() }()
 		there.Write(frame(hello))
-		there.Write(frame(usage)) // it is read on: the deadline of a stranger binds no more
+		there.Write(frame(usage)) // it is read on: the deadline of an unidentified connection binds no more
 		there.Close()
 		if err := <-ended; err != io.EOF || p.kind != kindProxy {
 			t.Errorf("ended by %v as a %v", err, p.kind)
 		}
 	})
-	t.Run("a message that met a deadline while we stood still goes on where it was", func(t *testing.T) {
+	t.Run("a message that met a deadline while we stalled goes on where it was", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		m.limits.writeTimeout, m.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
@@ -230,7 +230,7 @@
 			t.Errorf("error %v, picks %v", err, h.lines)
 		}
 	})
-	t.Run("a flood of silent strangers makes room as fast as it comes", func(t *testing.T) {
+	t.Run("a flood of silent unidentified connections makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) {
 			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, patience, time.Millisecond, patience/200
@@ -257,7 +257,7 @@
 			case 0:
 				c.Write(frame(hello)[:1])
 			case 1:
-				c.Write([]byte{0, 0, 64, 0}) // the most that a stranger may announce, and nothing of it
+				c.Write([]byte{0, 0, 64, 0}) // the most that an unidentified connection may announce, and nothing of it
 			case 2:
 				c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 			}
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -183,7 +183,7 @@
 			}
 		}
 	})
-	t.Run("sixteen classes, each with its own table and level; a seventeenth is refused", func(t *testing.T) {
+	t.Run("sixteen classes, each with its own table and limit; a seventeenth is refused", func(t *testing.T) {
 		c := deployment{zones: []string{"a"}, backend: "s-", messages: 30}
 		for i := range 16 {
 			c.classes = append(c.classes, classSettings{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -32,7 +32,7 @@
 		case d.asked <- string(call.URI().QueryString()):
 		default:
 		}
-		wait := make(<-chan time.Time) // a call for the whole list is always answered by the story
+		wait := make(<-chan time.Time) // a call for the full list is always answered by the story
 		if call.QueryArgs().Has("timeout_ms") {
 			wait = time.After(time.Duration(call.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond)
 		}
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestEventLoop(t *testing.T) {
-	t.Run("a proxy that joins is given the whole table, and no more lines than the decisions count", func(t *testing.T) {
+	t.Run("a proxy that joins is given the full table, and no more entries than the decisions count", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		for node, keeps := range []bool{false, true} {
 			p, h := connectProxy(t, m, 1, node, keeps), newFakeProxy("read it", "write")
@@ -37,7 +37,7 @@
 			t.Errorf("got %+v", h)
 		}
 	})
-	t.Run("a newer stream takes the place of the old, whose end and marks say nothing", func(t *testing.T) {
+	t.Run("a newer stream takes the place of the old, whose end and acknowledgements say nothing", func(t *testing.T) {
 		m, logged := newIdleLoop(t)
 		old, h := connectProxy(t, m, 1, 0, false), newFakeProxy("read it", "write")
 		h.receive(t, old)
@@ -56,7 +56,7 @@
 			t.Errorf("did not leave: %s", text)
 		}
 	})
-	t.Run("a stream that says nothing and answers no mark is half-open, a quiet one is not", func(t *testing.T) {
+	t.Run("a stream that says nothing and acknowledges nothing is half-open, a quiet one is not", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		gone, talks, quiet := connectProxy(t, m, 1, 0, false), connectProxy(t, m, 2, 1, false), connectProxy(t, m, 3, 2, false)
 		h := newFakeProxy("read it", "write")
@@ -74,7 +74,7 @@
 			t.Errorf("gone %v, talks %v, quiet %v", m.isCurrent(gone), m.isCurrent(talks), m.isCurrent(quiet))
 		}
 	})
-	t.Run("a stream whose mark waits in the channel behind others is not half-open", func(t *testing.T) {
+	t.Run("a stream whose acknowledgement waits in the channel behind others is not half-open", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		p := connectProxy(t, m, 1, 0, false)
 		one := *m.sessions[0].unacked[0]
@@ -89,7 +89,7 @@
 			t.Error("never given up")
 		}
 	})
-	t.Run("after standing still ourselves nobody is taken for silent", func(t *testing.T) {
+	t.Run("after a stall of our own nobody is taken for silent", func(t *testing.T) {
 		m, logged := newIdleLoop(t)
 		p := connectProxy(t, m, 1, 0, false)
 		advanceAtOnce(m, 2*m.limits.silenceTimeout, func() {})
@@ -102,7 +102,7 @@
 		}
 		logged.waitFor(t, "msg=process_stalled", 1)
 	})
-	t.Run("it is found sooner where others have answered the same mark", func(t *testing.T) {
+	t.Run("it is found sooner where others have given the same acknowledgement", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		gone, here := connectProxy(t, m, 1, 0, false), connectProxy(t, m, 2, 1, false)
 		h := newFakeProxy("read it", "write")
@@ -118,7 +118,7 @@
 			t.Errorf("gone %v, here %v", m.isCurrent(gone), m.isCurrent(here))
 		}
 	})
-	t.Run("reports are given up when the mailbox is full, and the log says so", func(t *testing.T) {
+	t.Run("reports are given up when the inbox is full, and the log says so", func(t *testing.T) {
 		m, logged := newIdleLoop(t)
 		for range m.limits.inboxSize + 5 {
 			m.tryPost(func() {})
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -140,7 +140,7 @@
 	return ids
 }
 
-// receive applies what waits in a peer's mailbox.
+// receive applies what waits in a connection's outbox.
 func (h *fakeProxy) receive(t *testing.T, p *connection) {
 	t.Helper()
 	for {
@@ -250,7 +250,7 @@
 	advanceAtOnce(m, wait, what)
 }
 
-// advanceAtOnce takes a turn after a while in which we stood still.
+// advanceAtOnce takes a turn after a while in which we stalled.
 func advanceAtOnce(m *eventLoop, wait int64, what func()) {
 	now := m.now + wait
 	m.clock = func() int64 { return now }
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// FuzzStream gives a peer whatever bytes, as what is logged by a stranger, and then by a proxy.
+// FuzzStream gives a peer whatever bytes, as what is logged by an unidentified connection, and then by a proxy.
 func FuzzStream(f *testing.F) {
 	f.Add(slices.Concat(frame(hello), frame(usage), frame(probe), frame(`{"msg":"ack","node":3,"nonce":1}`)))
 	f.Add(slices.Concat(frame(agent), frame(reports), frame(usage), frame("null")))
--- a/controller/golden_wire_test.go
+++ b/controller/golden_wire_test.go
@@ -19,7 +19,7 @@
 	"wheelrill/internal/golden"
 )
 
-// TestGoldenAnswers holds all that a served controller writes to strangers and collectors until it closes, by what they say.
+// TestGoldenAnswers holds all that a served controller writes to unidentified connections and collectors until it closes, by what they say.
 func TestGoldenAnswers(t *testing.T) {
 	address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxIdentified, l.identifyTimeout = 2, 300*time.Millisecond })
 	var text strings.Builder
@@ -88,7 +88,7 @@
 	golden.Compare(t, "answers.golden", text.String())
 }
 
-// TestGoldenRefusals holds the bytes of refusals that a stranger cannot call forth by itself.
+// TestGoldenRefusals holds the bytes of refusals that an unidentified connection cannot call forth by itself.
 func TestGoldenRefusals(t *testing.T) {
 	var text strings.Builder
 	for _, why := range []error{errIdentifyTimeout, errUnacceptable, errNoRoom, errSuperseded, errNotIdentified, errUnreadable,
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -37,7 +37,7 @@
 		}
 		return of
 	}
-	t.Run("what it surely has is not written again, and levels that others left are lifted, once", func(t *testing.T) {
+	t.Run("what it surely has is not written again, and limits that others left are lifted, once", func(t *testing.T) {
 		to, h, p := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		to.AssignTable(0, 0, 0)
 		to.RequestAck(1, false)
@@ -57,7 +57,7 @@
 			t.Errorf("levels %v", h.limits)
 		}
 	})
-	t.Run("lines that differ, that it lacks, that it has too many, and those in doubt are written", func(t *testing.T) {
+	t.Run("entries that differ, that it lacks, that it has too many, and those in doubt are written", func(t *testing.T) {
 		brought := maps.Clone(ten)
 		brought["s-1"], brought["s-9"], brought["s-20"] = 0.25, 0.5, 3
 		delete(brought, "s-2")
@@ -70,7 +70,7 @@
 			t.Errorf("wrote %d lines: %+v", h.cost, h.lines)
 		}
 	})
-	t.Run("where as many differ as there are, it gets the whole table", func(t *testing.T) {
+	t.Run("where as many differ as there are, it gets the full table", func(t *testing.T) {
 		to, h, p := newKnownTable(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
 		to.AssignTable(0, 0, 0)
 		to.writes(t)
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -180,7 +180,7 @@
 			t.Errorf("the next that has its index is %s; picks %v", m.backends.ids[0], got)
 		}
 	})
-	t.Run("a whole configuration ends what it lacks", func(t *testing.T) {
+	t.Run("a full configuration ends what it lacks", func(t *testing.T) {
 		m, h, p := begins(t)
 		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
 		without(t, m, h, p, "s-0")
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -105,7 +105,7 @@
 		entries = append(entries, endpointJSON(id, "up"))
 	}
 	known := listJSON(1, true, entries...)
-	t.Run("a proxy that goes over is told what differs, and not the whole table again", func(t *testing.T) {
+	t.Run("a proxy that goes over is told what differs, and not the full table again", func(t *testing.T) {
 		all := runMembers(t, known, 3, "n0", "n1", "n2")
 		for _, s := range all { // each has entered, and its tables stand
 			s.logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
@@ -153,7 +153,7 @@
 			t.Errorf("it waited for %s", waited)
 		}
 	})
-	t.Run("with tokens asked for, each order has its owner's", func(t *testing.T) {
+	t.Run("with fencing tokens asked for, each push has its owner's", func(t *testing.T) {
 		all := runMembers(t, known, 2, "n0", "n1")
 		all[0].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		p := dial(t, all[0].address)
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -74,7 +74,7 @@
 			}
 		})
 	}
-	t.Run("the list that comes after readiness is ordered to who has joined meanwhile", func(t *testing.T) {
+	t.Run("the list that comes after readiness is pushed to who has connected meanwhile", func(t *testing.T) {
 		d := newFakeDiscovery(t)
 		address, logged := serve(t, d.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
 		p, h := dial(t, address), newFakeProxy("read it", "write")
@@ -188,7 +188,7 @@
 		d.answers <- listJSON(8, false, endpointJSON(2, "draining"))
 		until(t, p, h, "s-3", "s-4")
 	})
-	t.Run("changes are not taken for the whole list that was asked for", func(t *testing.T) {
+	t.Run("changes are not taken for the full list that was asked for", func(t *testing.T) {
 		d := newFakeDiscovery(t)
 		for range 5 {
 			d.answers <- "status 500"
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -83,7 +83,7 @@
 			}
 			switch story.IntN(4) {
 			case 0:
-				to.AssignTable(0, 0, 0b011) // a whole table forgets levels
+				to.AssignTable(0, 0, 0b011) // a full table forgets levels
 			case 1:
 				to.AssignTable(1, 0, 0b100)
 			case 2:
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -24,7 +24,7 @@
 )
 
 func TestServingConnections(t *testing.T) {
-	t.Run("a proxy joins, hears of a drain, and answers marks; a collector reports", func(t *testing.T) {
+	t.Run("a proxy joins, gets a drain, and acknowledges pushes; a collector reports", func(t *testing.T) {
 		d := newFakeDiscovery(t)
 		address, logged := serve(t, d.address, twoEndpoints, nil)
 		stranger := dial(t, address)
@@ -120,7 +120,7 @@
 			}
 		}
 	})
-	t.Run("a stranger has one deadline, whatever it says and however slowly", func(t *testing.T) {
+	t.Run("an unidentified connection has one deadline, whatever it says and however slowly", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout = 300 * time.Millisecond })
 		began, push := time.Now(), `{"msg":"push","out":["s-0"]}`
 		for what, bad := range map[string]string{"a report before it joined": string(frame(reports)),
@@ -140,7 +140,7 @@
 		}
 		logged.waitFor(t, "msg=unidentified_closed", 3)
 		if text, _ := logged.read(); strings.Count(text, "msg=unidentified_closed") > 10 {
-			t.Errorf("too much is logged of strangers: %s", text)
+			t.Errorf("too much is logged of unidentified connections: %s", text)
 		}
 		if spent := time.Since(began); spent > 2*time.Second {
 			t.Errorf("all that took %v", spent) // only those that are not done saying something wait for the deadline
@@ -153,7 +153,7 @@
 			}
 		}
 	})
-	t.Run("what arrived while we stood still is read before anybody is judged late", func(t *testing.T) {
+	t.Run("what arrived while we stalled is read before anybody is judged late", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		m.limits.identifyTimeout = time.Nanosecond
 		here, there := net.Pipe()
@@ -163,7 +163,7 @@
 			t.Errorf("it is a %v: %v", p.kind, err)
 		}
 	})
-	t.Run("strangers that say nothing are ended, and keep nobody out", func(t *testing.T) {
+	t.Run("unidentified connections that say nothing are ended, and keep nobody out", func(t *testing.T) {
 		d := newFakeDiscovery(t)
 		address, logged := serve(t, d.address, twoEndpoints, func(l *limits) { l.maxUnidentified, l.identifyTimeout = 10, 200*time.Millisecond })
 		p := dial(t, address)
@@ -182,7 +182,7 @@
 		c.receive()
 		for _, s := range silent {
 			if !s.isRefused() {
-				t.Error("a stranger stayed")
+				t.Error("an unidentified connection stayed")
 			}
 		}
 		p.send(probe)
@@ -260,7 +260,7 @@
 			}
 		}
 	})
-	t.Run("without a descriptor left the oldest stranger makes room", func(t *testing.T) {
+	t.Run("without a descriptor left the oldest unidentified connection makes room", func(t *testing.T) {
 		m, logged := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -5,7 +5,9 @@
 	"fmt"
 	"io"
 	"net"
+	"reflect"
 	"runtime"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -27,7 +29,7 @@
 	t.Run("a discovery that takes no connection holds nothing up", func(t *testing.T) {
 		serve(t, newDeafAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = patience }) // and ends with the story
 	})
-	t.Run("a peer that reads nothing holds nothing up, and no order leaves that was not counted", func(t *testing.T) {
+	t.Run("a peer that reads nothing holds nothing up, and no push leaves that was not counted", func(t *testing.T) {
 		m, _ := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
@@ -48,14 +50,14 @@
 			t.Errorf("%d more bytes came", len(more))
 		}
 		if len(s.unidentified)+len(s.identified) > 0 {
-			t.Errorf("%d strangers, %d known in the end", len(s.unidentified), len(s.identified))
+			t.Errorf("%d unidentified connections, %d known in the end", len(s.unidentified), len(s.identified))
 		}
 	})
 	t.Run("no goroutine is left", func(t *testing.T) {
 		if left := ownGoroutines(); left != "" {
 			t.Fatalf("one of an earlier story is left:\n%s", left)
 		}
-		t.Run("of one with proxies, collectors, strangers and a reload under way", func(t *testing.T) {
+		t.Run("of one with proxies, collectors, unidentified connections and a reload under way", func(t *testing.T) {
 			d, next := newFakeDiscovery(t), newFakeDiscovery(t)
 			d.answers <- "silence"
 			c, address, _ := runController(t, d.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
@@ -66,8 +68,11 @@
 				dial(t, address).send(agent)
 				dial(t, address)
 			}
-			if ownGoroutines() == "" {
-				t.Error("its goroutines cannot be told from others")
+			running := ownGoroutines()
+			for _, function := range goroutineFunctions[:5] { // nothing is distributed here
+				if !strings.Contains(running, functionName(function)+"(") {
+					t.Errorf("%s cannot be told from other goroutines", functionName(function))
+				}
 			}
 			if err := c.Reload(configuration(next.address, "null")); err != nil {
 				t.Fatal(err)
@@ -79,15 +84,22 @@
 	})
 }
 
+// goroutineFunctions are the functions that goroutines of a controller run, by type, so that a renaming takes this list along.
+var goroutineFunctions = []any{(*connection).run, (*connection).writeMessages, (*eventLoop).run, (*endpointWatcher).run, (*server).run,
+	(*distributor).run}
+
+// functionName is a function's name as stacks have it.
+func functionName(function any) string {
+	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name()
+}
+
 // ownGoroutines gives the goroutines that a controller has started, by their stacks.
 func ownGoroutines() (left string) {
 	stacks := make([]byte, 1<<20)
 	for _, one := range strings.Split(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
-		for _, actor := range []string{"(*peer).run(", "(*peer).write(", "(*module).run(", "(*list).run(", "(*server).run("} {
-			if strings.Contains(one, "wheelrill/controller."+actor) {
-				left += one + "\n\n"
-				break
-			}
+		runs := func(function any) bool { return strings.Contains(one, functionName(function)+"(") }
+		if slices.ContainsFunc(goroutineFunctions, runs) {
+			left += one + "\n\n"
 		}
 	}
 	return left
--- a/controller/tables_pushes_test.go
+++ b/controller/tables_pushes_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestPushes(t *testing.T) {
-	t.Run("a bind writes the whole table and its levels, later changes reach exactly the bound", func(t *testing.T) {
+	t.Run("an assignment writes the full table and its limits, later changes reach exactly the bound", func(t *testing.T) {
 		to := newTestTables(2)
 		one, p := connectFakeProxy(to, 0, false)
 		other, q := connectFakeProxy(to, 5, false)
@@ -73,7 +73,7 @@
 			t.Errorf("a mark for everyone: %v and %v", one.nonces, other.nonces)
 		}
 	})
-	t.Run("of a level for all and one of a table the lower stands, with the table's manner", func(t *testing.T) {
+	t.Run("of a limit for all and one of a table the lower stands, with the table's retry policy", func(t *testing.T) {
 		to := newTestTables(2)
 		one, p := connectFakeProxy(to, 0, false)
 		to.PublishEntry(4, 0, 1)
@@ -120,7 +120,7 @@
 			t.Errorf("got %+v", one)
 		}
 	})
-	t.Run("what a proxy came with shut out is let back as it is cleared, or then with the first line for it", func(t *testing.T) {
+	t.Run("what a proxy came with withdrawn is restored as it is cleared, or then with the first entry for it", func(t *testing.T) {
 		to := newTestTables(1)
 		one, p := connectFakeProxy(to, 0, true)
 		for _, b := range []string{"s-0", "s-1", "s-2", "s-3"} {
@@ -220,7 +220,7 @@
 			t.Errorf("got %+v", one)
 		}
 	})
-	t.Run("a proxy that does not take its messages is lost, the others hear on", func(t *testing.T) {
+	t.Run("a proxy that does not take its messages is dropped, the others get theirs", func(t *testing.T) {
 		to := newTestTables(1)
 		_, full := connectFakeProxy(to, 0, false)
 		one, p := connectFakeProxy(to, 1, false)
--- a/controller/unusable_messages_test.go
+++ b/controller/unusable_messages_test.go
@@ -100,7 +100,7 @@
 			}
 		}
 		if text, _ := logged.read(); strings.Contains(text, "msg=proxy_connected proxy=3") {
-			t.Error("one byte more than a stranger may send was taken")
+			t.Error("one byte more than an unidentified connection may send was taken")
 		}
 	})
 }
