--- a/controller/backend_index.go
+++ b/controller/backend_index.go
@@ -6,9 +6,9 @@
 	index     map[string]int // by id
 	ids       []string       // by index; empty where the index is free
 	names     [][]byte       // by index: the id as it stands in messages, a JSON string
-	removedAt []int64        // by index: since when the list lacks it, µs; 0 while it is listed
+	removedAt []microseconds // by index: since when the list lacks it; 0 while it is listed
 	free      []int          // indices that nobody has
-	sweptAt   int64          // when sweep last looked, µs
+	sweptAt   microseconds   // when sweep last looked
 }
 
 func newBackendIndex() *backendIndex { return &backendIndex{index: map[string]int{}} }
@@ -32,7 +32,7 @@
 }
 
 // noteListed takes in which backends a list names, and whether they are there still; a full list lacks those that it does not name.
-func (b *backendIndex) noteListed(listed map[int]bool, full bool, now int64) {
+func (b *backendIndex) noteListed(listed map[int]bool, full bool, now microseconds) {
 	for backend, since := range b.removedAt {
 		there, named := listed[backend]
 		switch {
@@ -44,9 +44,9 @@
 	}
 }
 
-// sweep forgets backends that were removed longer than keep µs ago, where forget says that everybody else can; it looks once in a
+// sweep forgets backends that were removed longer than keep ago, where forget says that everybody else can; it looks once in a
 // tenth of that time.
-func (b *backendIndex) sweep(now, keep int64, forget func(index int) bool) (forgotten int) {
+func (b *backendIndex) sweep(now, keep microseconds, forget func(index int) bool) (forgotten int) {
 	if now-b.sweptAt < keep/10 {
 		return 0
 	}
--- a/controller/clock.go
+++ b/controller/clock.go
@@ -5,27 +5,33 @@
 	"time"
 )
 
-// microsPerSecond converts seconds to the microseconds in which the decisions count.
-const microsPerSecond = 1_000_000
+// microseconds is a time as the decisions count it: Unix time, or a span.
+type microseconds = int64
+
+// microsPerSecond converts seconds to microseconds.
+const microsPerSecond microseconds = 1_000_000
+
+// inSeconds converts a span to seconds.
+func inSeconds(span microseconds) float64 { return float64(span) / float64(microsPerSecond) }
 
 // timer is one that the decisions or the coordinator of ownership set. The event loop owns it.
 type timer struct {
-	at  int64 // when it is due, µs
+	at  microseconds // when it is due
 	tag uint64
 }
 
-// newClock gives a clock of Unix time in µs. It goes on with the monotonic clock from now on, so that it never steps.
-func newClock() func() int64 {
+// newClock gives a clock of Unix time. It goes on with the monotonic clock from now on, so that it never steps.
+func newClock() func() microseconds {
 	began := time.Now()
-	return func() int64 { return began.UnixMicro() + time.Since(began).Microseconds() }
+	return func() microseconds { return began.UnixMicro() + time.Since(began).Microseconds() }
 }
 
-// Now implements balancer.Host: the clock time of this iteration, µs.
-func (l *eventLoop) Now() int64 { return l.now }
+// Now implements balancer.Host: the clock time of this iteration.
+func (l *eventLoop) Now() microseconds { return l.now }
 
-// SetTimer implements balancer.Host: TimerFired is called with the tag after wait µs, and in the next iteration at the earliest.
+// SetTimer implements balancer.Host: TimerFired is called with the tag after a wait, and in the next iteration at the earliest.
 // Timers that are due at one time fire in the order in which they were set.
-func (l *eventLoop) SetTimer(wait int64, tag uint64) {
+func (l *eventLoop) SetTimer(wait microseconds, tag uint64) {
 	added := timer{l.now + max(wait, 1), tag}
 	at, _ := slices.BinarySearchFunc(l.timers, added, func(existing, added timer) int {
 		if existing.at > added.at {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -205,7 +205,7 @@
 
 // logSettings logs what the settings give the decisions.
 func (c *Controller) logSettings(channel balancer.PushChannel, rules balancer.RuleLimits, telemetry balancer.Telemetry) {
-	seconds := func(micros int64, places int) string { return formatDecimal(float64(micros)/microsPerSecond, places) }
+	seconds := func(span microseconds, places int) string { return formatDecimal(inSeconds(span), places) }
 	c.log.Info("settings_in_force", "lines_per_s", formatDecimal(channel.LinesPerSecond, 0),
 		"backlog", formatDecimal(channel.Backlog, 0),
 		"message_overhead", formatDecimal(channel.MessageOverhead, 0),
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -71,11 +71,11 @@
 	return zone, ok
 }
 
-// intervalAt reads the time that a report covers, in µs and in seconds; none at all, or too long a one, is not usable.
-func (c *connection) intervalAt(message *fastjson.Value) (interval int64, seconds float64, ok bool) {
+// intervalAt reads the time that a report covers, in microseconds and in seconds; none at all, or too long a one, is not usable.
+func (c *connection) intervalAt(message *fastjson.Value) (interval microseconds, seconds float64, ok bool) {
 	milliseconds, ok := numberAt(message, keyInterval)
 	interval = settings.Microseconds(milliseconds)
-	return interval, float64(interval) / microsPerSecond, ok && interval > 0 && interval <= c.limits.maxReportInterval
+	return interval, inSeconds(interval), ok && interval > 0 && interval <= c.limits.maxReportInterval
 }
 
 // collectorHello takes a collector's first message.
--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -110,7 +110,7 @@
 	if entry.AcceptedAt <= 0 {
 		return 0
 	}
-	return float64(l.now-entry.AcceptedAt) / microsPerSecond
+	return inSeconds(l.now - entry.AcceptedAt)
 }
 
 // updateOverriddenEndpoints tells the decisions of backends whose overrides have changed, as if discovery did, in the order of ids.
--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -75,10 +75,10 @@
 	return formatDecimal(float64(amount)/interval.Seconds(), 0)
 }
 
-// formatAge gives an age in µs as the log has it, in seconds.
-func formatAge(age int64) string {
+// formatAge gives an age as the log has it, in seconds.
+func formatAge(age microseconds) string {
 	if age == distribution.NeverCurrent {
 		return "unknown"
 	}
-	return formatDecimal(float64(age)/microsPerSecond, 1)
+	return formatDecimal(inSeconds(age), 1)
 }
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -33,10 +33,10 @@
 	stopped chan struct{} // closed by run as it returns; nobody takes from inbox any more
 	ready   chan struct{} // closed by becomeReady; answers leave from then on
 
-	clock     func() int64 // Unix time in µs
-	now       int64        // clock time of this iteration, µs
-	stalledAt int64        // when the last pause ended in which the process had no turn, µs
-	timers    []timer      // in the order in which they are due
+	clock     func() microseconds // Unix time
+	now       microseconds        // clock time of this iteration
+	stalledAt microseconds        // when the last pause ended in which the process had no turn
+	timers    []timer             // in the order in which they are due
 }
 
 // post gives the loop an event that must not be lost; it waits while the inbox is full. Any goroutine but the loop's may call it.
@@ -117,7 +117,7 @@
 	l.now = max(l.clock(), last+1)
 	pause := l.now - last
 	if pause > l.limits.stallThreshold {
-		l.log.Warn("process_stalled", "stalled_s", formatDecimal(float64(pause)/microsPerSecond, 1))
+		l.log.Warn("process_stalled", "stalled_s", formatDecimal(inSeconds(pause), 1))
 		l.stalledAt = l.now
 	}
 }
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -22,9 +22,9 @@
 	collectorsPerZone int // at the bound, a newcomer replaces the oldest
 
 	// Backends.
-	maxBackends int   // at the bound, further ones of the list are skipped
-	maxIDBytes  int   // of a backend's id
-	forgetAfter int64 // µs that a backend is known on after the list has dropped it
+	maxBackends int          // at the bound, further ones of the list are skipped
+	maxIDBytes  int          // of a backend's id
+	forgetAfter microseconds // that a backend is known on after the list has dropped it
 
 	// Messages, either way, and queues.
 	maxFrame           int // bytes of a message, or of a part of one
@@ -40,18 +40,18 @@
 	// What load reports can say; beyond it a report is skipped.
 	maxProxyRate      float64 // requests a second that arrive at a proxy
 	maxFleetRate      float64 // the same of all proxies
-	maxResponseTime   int64   // µs
-	maxReportInterval int64   // µs that one report covers
-	maxUtilization    float64 // share of its cores that a backend has at work; it may count them in percent
-	maxQueueLength    float64 // requests that wait at a backend
+	maxResponseTime   microseconds
+	maxReportInterval microseconds // that one report covers
+	maxUtilization    float64      // share of its cores that a backend has at work; it may count them in percent
+	maxQueueLength    float64      // requests that wait at a backend
 
 	// Times of the loop.
 	tick            time.Duration // between two iterations, at least
-	stallThreshold  int64         // µs without an iteration that show that the process stalled: the decisions want several a second
+	stallThreshold  microseconds  // without an iteration that show that the process stalled: the decisions want several a second
 	readyTimeout    time.Duration // from the start on, after which answers leave without a list
 	handOverTimeout time.Duration // that the record may take to say that our proxies are given away
-	silenceTimeout  int64         // µs without a message, and an acknowledgement missing as long, that show a half-open connection
-	ackLagTimeout   int64         // the same where another proxy has given that acknowledgement
+	silenceTimeout  microseconds  // without a message, and an acknowledgement missing as long, that show a half-open connection
+	ackLagTimeout   microseconds  // the same where another proxy has given that acknowledgement
 
 	// Times of connections.
 	identifyTimeout  time.Duration // from accept on, for a connection to identify itself
@@ -144,15 +144,15 @@
 	l.maxUnidentified = max(usualUnidentified, proxies+zones) // after a restart all come at once
 }
 
-// fitPace fits the limits to the pace of the loop (a tick in µs), of pushes and of reports.
-func (l *limits) fitPace(tick int64, channel balancer.PushChannel, telemetry balancer.Telemetry) {
+// fitPace fits the limits to the pace of the loop (its tick), of pushes and of reports.
+func (l *limits) fitPace(tick microseconds, channel balancer.PushChannel, telemetry balancer.Telemetry) {
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
 	// A live proxy reports each interval. It may stall for two seconds, and the channel may be full.
 	const proxyStall = 2 * microsPerSecond
 	l.silenceTimeout = 2*channel.MaxLatency + 3*telemetry.ReportInterval + proxyStall
 	l.ackLagTimeout = channel.MaxLatency + proxyStall
 	if channel.LinesPerSecond > 0 {
-		l.ackLagTimeout += int64(channel.Backlog / channel.LinesPerSecond * microsPerSecond)
+		l.ackLagTimeout += microseconds(channel.Backlog / channel.LinesPerSecond * float64(microsPerSecond))
 	}
 }
 
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -34,7 +34,7 @@
 // of several scopes. The event loop owns it; after a restart it is filled anew by the distribution.
 type overrides struct {
 	limits  map[string]map[distribution.Key]float64        // by class, requests a second
-	drains  map[string]map[distribution.Key]int64          // by backend's id: when the entry was accepted, Unix µs
+	drains  map[string]map[distribution.Key]microseconds   // by backend's id: when the entry was accepted
 	weights map[string]map[distribution.Key]weightOverride // by backend's id
 	listed  []balancer.Endpoint                            // by backend, as discovery has it; an index that is given anew is listed anew
 }
@@ -54,7 +54,7 @@
 // clear forgets all distributed entries.
 func (o *overrides) clear() {
 	o.limits = map[string]map[distribution.Key]float64{}
-	o.drains = map[string]map[distribution.Key]int64{}
+	o.drains = map[string]map[distribution.Key]microseconds{}
 	o.weights = map[string]map[distribution.Key]weightOverride{}
 }
 
@@ -148,8 +148,8 @@
 	return newest.weight, ok
 }
 
-// drainedSince is when the first of the entries that drain a backend was accepted, Unix µs; 0 where none says.
-func (o *overrides) drainedSince(backend string) (since int64) {
+// drainedSince is when the first of the entries that drain a backend was accepted; 0 where none says.
+func (o *overrides) drainedSince(backend string) (since microseconds) {
 	for _, acceptedAt := range o.drains[backend] {
 		if acceptedAt > 0 && (since == 0 || acceptedAt < since) {
 			since = acceptedAt
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -23,8 +23,8 @@
 	// Folder is for what must outlast the process; empty: nothing does, and a restart comes as a new member.
 	Folder string
 	consensus.Credentials
-	// Lease is after how many µs without an answer of the record a member acts by itself; 0 for 1.5 s.
-	Lease int64
+	// Lease is how long without an answer of the record it takes for a member to act by itself; 0 for 1.5 s.
+	Lease ownership.Microseconds
 }
 
 // Figures that follow from no setting. A lease must fit into the time in which a drain has to reach all proxies, and an entry or two
@@ -169,7 +169,7 @@
 const coordinatorTimer = 1<<64 - 1
 
 // renew gives the coordinator its turn: it renews our lease, and puts evidence on the record.
-func (h *ownershipHost) renew(now int64) {
+func (h *ownershipHost) renew(now microseconds) {
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
 		if session != nil {
@@ -336,7 +336,7 @@
 }
 
 // shareEvidence puts on the record what our proxies met, which backends are ejected here, and what arrives at each proxy.
-func (h *ownershipHost) shareEvidence(now int64) {
+func (h *ownershipHost) shareEvidence(now microseconds) {
 	for backend, id := range h.loop.backends.ids {
 		if id != "" {
 			attempts, failed, backoff, ejected := h.loop.decisions.Ejection(backend)
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-
-	"wheelrill/balancer"
 )
 
 // session is a proxy's connection, and what it has not acknowledged. The event loop owns it.
@@ -18,9 +16,9 @@
 // pendingAck is an acknowledgement that was asked for at some clock time, from however many proxies.
 type pendingAck struct {
 	nonce           int
-	revision        uint64 // of our tables on the record then, where ownership is shared
-	sentBy          int64  // when the last push that asks for it can have left the channel, µs
-	firstAnsweredAt int64  // when the first proxy gave it, µs; 0 before
+	revision        uint64       // of our tables on the record then, where ownership is shared
+	sentBy          microseconds // when the last push that asks for it can have left the channel
+	firstAnsweredAt microseconds // when the first proxy gave it; 0 before
 }
 
 // isCurrent tells whether a connection is its proxy's, and was not replaced.
@@ -143,45 +141,3 @@
 	session.unacked = slices.Delete(session.unacked, 0, at+1)
 	l.decisions.Acknowledged(conn.proxy, nonce)
 }
-
-// outcomeReport is what the proxies of a zone met at a backend.
-type outcomeReport struct {
-	backend     string // its id
-	attempts    int
-	failed      int   // of attempts
-	meanLatency int64 // of the others, µs
-	interval    int64 // that the report covers, µs
-	load        balancer.BackendLoad
-}
-
-// outcomesReported takes in a load report of a backend.
-func (l *eventLoop) outcomesReported(report outcomeReport) {
-	backend, ok := l.backends.index[report.backend]
-	if !ok {
-		id := report.backend[:min(len(report.backend), l.limits.maxIDBytes)]
-		l.log.Info("report_for_unknown_backend", "backend", id)
-		return
-	}
-	l.decisions.OutcomesReported(balancer.OutcomeReport{
-		Backend:        backend,
-		Attempts:       report.attempts,
-		Failures:       report.failed,
-		MeanAnswerTime: report.meanLatency,
-		Span:           report.interval,
-		Load:           report.load,
-	})
-	if l.ownership != nil {
-		l.ownership.evidence.AddOutcomes(report.backend, report.attempts, report.failed, report.meanLatency, report.interval)
-	}
-}
-
-// demandReported takes in how many requests of a class arrived at a proxy over an interval in µs. It counts once the proxy is ours.
-func (l *eventLoop) demandReported(proxy, class, count int, interval int64) {
-	if proxy >= len(l.sessions) || l.sessions[proxy] == nil || l.proxy(proxy).unowned {
-		return
-	}
-	l.decisions.DemandReported(proxy, class, count, interval)
-	if l.ownership != nil {
-		l.ownership.evidence.AddDemand(proxy, class, count, interval)
-	}
-}
