--- a/cmd/wheelrill/scale_lists_test.go
+++ b/cmd/wheelrill/scale_lists_test.go
@@ -38,8 +38,8 @@
 	return all
 }
 
-// TestScaleLists has real controllers take in lists whole, with as many bytes for each entry.
-func TestScaleLists(t *testing.T) {
+// TestScaleMeasuresListsOfARealController has real controllers take in lists whole, with as many bytes for each entry.
+func TestScaleMeasuresListsOfARealController(t *testing.T) {
 	r := measured(t, "lists", "--sizes", "10,20,40,80")
 	known, bytes, ready := figures(t, r, "known"), figures(t, r, "entry_bytes"), figures(t, r, "ready_processor")
 	changes := figures(t, r, "change_bytes")
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestScaleRecovery has each of several controllers that start at once be sent the list once.
-func TestScaleRecovery(t *testing.T) {
+// TestScaleMeasuresRealControllersThatRestart has each of several controllers that start at once be sent the list once.
+func TestScaleMeasuresRealControllersThatRestart(t *testing.T) {
 	r := measured(t, "recovery", "--sizes", "1,2,3,4")
 	all, each := figures(t, r, "all_bytes"), figures(t, r, "bytes")
 	for i, s := range r.Samples {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestScaleRoles has a voter, a distributor and a controller that are processes of their own hand changes down within the
+// TestScaleMeasuresRolesAsProcesses has a voter, a distributor and a controller that are processes of their own hand changes down within the
 // budgets, and every child have what it should.
-func TestScaleRoles(t *testing.T) {
+func TestScaleMeasuresRolesAsProcesses(t *testing.T) {
 	r := measured(t, "roles", "--sizes", "570", "--for", "20s")
 	for _, text := range r.Samples[0].Violations {
 		t.Error(text)
--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -14,8 +14,8 @@
 	"wheelrill/scale/results"
 )
 
-// addedTime measures what a proxy's draw adds to a request by the lines of its table, with the code of the stand-in
-// relays: the weighted draw, and the second draw of an ordered retry, which leaves out who was tried.
+// addedTime measures what a proxy's pick adds to a request by the entries of its table, with the code of the fake
+// proxies: the weighted pick, and the second pick of an ordered retry, which leaves out the previous backend.
 type addedTime struct{}
 
 // How much one size plays.
@@ -106,10 +106,10 @@
 	return sample, nil
 }
 
-// enoughPicks are enough for the slowest of a hundred to be many.
+// enoughPicks is enough for the slowest of a hundred to be many.
 const enoughPicks = 1000
 
-// measurePicks draws a backend and another one for a while, and notes how long that took.
+// measurePicks picks a backend and another one for a while, and notes how long that took.
 func measurePicks(table *fake.Table, lines int, random *rand.Rand, span time.Duration) (d pickTimes, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -136,7 +136,7 @@
 	return d, nil
 }
 
-// weightedTable makes a table of so many lines, with weights as rough as discovery's.
+// weightedTable makes a table of so many entries, with weights as rough as discovery's.
 func weightedTable(lines int, seed uint64) *fake.Table {
 	random := rand.New(rand.NewPCG(seed, seed))
 	table := fake.NewTable()
--- a/scale/change.go
+++ b/scale/change.go
@@ -15,7 +15,6 @@
 
 	"wheelrill/fake"
 	"wheelrill/internal/process"
-	"wheelrill/rehearse"
 	"wheelrill/scale/results"
 )
 
@@ -51,8 +50,13 @@
 
 // changeRate is one pace of changes.
 type changeRate struct {
-	perS          float64
-	suffix, about string // of metrics
+	perS          float64 // mean
+	suffix, about string  // of metrics
+}
+
+// pause draws the time to the next change: half to one and a half of the mean.
+func (r changeRate) pause(random *rand.Rand) time.Duration {
+	return time.Duration((0.5 + random.Float64()) / r.perS * float64(time.Second))
 }
 
 func changeRates() []changeRate {
@@ -81,7 +85,7 @@
 	}
 	for _, rate := range changeRates() {
 		o.progressf("%d controllers, %s", size, rate.about)
-		if err := fleet.changes(ctx, rate, o, &s); err != nil {
+		if err := fleet.measureChanges(ctx, rate, o, &s); err != nil {
 			return s, err
 		}
 	}
@@ -91,7 +95,7 @@
 		if err != nil {
 			return s, err
 		}
-		memory = max(memory, float64(usage.Memory)/megabyte)
+		memory = max(memory, float64(usage.resident)/megabyte)
 	}
 	s.Set("bytes_per_change", float64(fleet.written))
 	s.Set("memory", memory)
@@ -118,8 +122,7 @@
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
 	f = &reloadedFleet{folder: folder, seed: o.Seed}
-	classes := []fake.Class{{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}}
-	f.settings = (&rehearse.Scenario{Proxies: recordProxies}).Settings(classes)
+	f.settings = proxylessSettings()
 	if f.discovery, err = fake.NewDiscovery(nil, nil); err != nil {
 		return nil, err
 	}
@@ -212,65 +215,94 @@
 	return true
 }
 
-// changes makes changes at a pace for a while.
-func (f *reloadedFleet) changes(ctx context.Context, rate changeRate, o Options, s *results.Sample) error {
-	random := rand.New(rand.NewPCG(f.seed, uint64(f.changed)))
-	propagation := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)
-	var waits sync.WaitGroup
-	defer waits.Wait()
-	var mutex sync.Mutex
-	var writing time.Duration
-	made, late := 0, 0
-	before, began := f.processor(), time.Now()
-	for time.Since(began) < o.For {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(time.Duration((0.5 + random.Float64()) / rate.perS * float64(time.Second))):
-		}
-		f.changed++
-		change, accepted := int64(f.changed), time.Now()
-		f.written = 0
-		for i, c := range f.controllers {
-			size, err := f.write(i, change)
-			if err != nil {
-				return err
-			}
-			f.written += size
-			if err := c.process.Signal(syscall.SIGHUP); err != nil {
-				return fmt.Errorf("%s: %w", c.process.Name, err)
-			}
-		}
-		made, writing = made+1, writing+time.Since(accepted)
-		waits.Go(func() {
-			ok := awaitClosely(ctx, settleTimeout, func() bool { return f.allApplied(change) })
-			mutex.Lock()
-			defer mutex.Unlock()
-			if !ok {
-				late++
-			}
-			propagation.RecordValue(time.Since(accepted).Microseconds())
-		})
+// pacedChanges is changes that are made at one pace, and what is seen of them.
+type pacedChanges struct {
+	fleet   *reloadedFleet
+	made    int
+	writing time.Duration // files and signals, in all
+
+	mutex   sync.Mutex              // of all below
+	latency *hdrhistogram.Histogram // µs until the last controller acted by a change
+	late    int                     // changes that some controller did not act by in time
+}
+
+// measureChanges makes changes at a pace for a while, and notes what was seen.
+func (f *reloadedFleet) measureChanges(ctx context.Context, rate changeRate, o Options, s *results.Sample) error {
+	p := &pacedChanges{fleet: f, latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)}
+	before := f.processor()
+	began := time.Now()
+	if err := p.make(ctx, rate, o.For); err != nil {
+		return err
 	}
-	waits.Wait()
-	after, seconds := f.processor(), time.Since(began).Seconds()
-	if late > 0 {
-		s.Violations = append(s.Violations, fmt.Sprintf("%d changes of %d were not in force within %s, %s", late, made, settleTimeout, rate.about))
+	processor := f.processor() - before
+	seconds := time.Since(began).Seconds()
+	if p.late > 0 {
+		s.Violations = append(s.Violations, fmt.Sprintf("%d changes of %d were not in force within %s, %s", p.late, p.made, settleTimeout, rate.about))
 	}
-	milliseconds := func(quantile float64) float64 { return float64(propagation.ValueAtQuantile(quantile)) / 1000 }
+	milliseconds := func(quantile float64) float64 { return float64(p.latency.ValueAtQuantile(quantile)) / 1000 }
 	s.Set("half"+rate.suffix, milliseconds(50))
 	s.Set("p99"+rate.suffix, milliseconds(99))
 	s.Set("most"+rate.suffix, milliseconds(100))
-	s.Set("written"+rate.suffix, float64(writing.Microseconds())/1000/float64(made))
-	s.Set("processor"+rate.suffix, percent*(after-before).Seconds()/seconds/float64(len(f.controllers)))
+	s.Set("written"+rate.suffix, float64(p.writing.Microseconds())/1000/float64(p.made))
+	s.Set("processor"+rate.suffix, percent*processor.Seconds()/seconds/float64(len(f.controllers)))
+	return nil
+}
+
+// make makes changes, and waits until all have been acted by or are late.
+func (p *pacedChanges) make(ctx context.Context, rate changeRate, span time.Duration) error {
+	random := rand.New(rand.NewPCG(p.fleet.seed, uint64(p.fleet.changed)))
+	var observing sync.WaitGroup
+	defer observing.Wait()
+	for began := time.Now(); time.Since(began) < span; {
+		if err := pauseFor(ctx, rate.pause(random)); err != nil {
+			return err
+		}
+		accepted := time.Now()
+		change, err := p.fleet.writeChange()
+		if err != nil {
+			return err
+		}
+		p.made++
+		p.writing += time.Since(accepted)
+		observing.Go(func() { p.observe(ctx, change, accepted) })
+	}
 	return nil
 }
 
+// observe notes when the last controller acts by a change.
+func (p *pacedChanges) observe(ctx context.Context, change int64, accepted time.Time) {
+	inTime := awaitClosely(ctx, settleTimeout, func() bool { return p.fleet.allApplied(change) })
+	took := time.Since(accepted)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if !inTime {
+		p.late++
+	}
+	_ = p.latency.RecordValue(took.Microseconds()) // settleTimeout is within its range
+}
+
+// writeChange gives each controller its file of the next change, and a signal.
+func (f *reloadedFleet) writeChange() (change int64, err error) {
+	f.changed++
+	f.written = 0
+	for i, c := range f.controllers {
+		size, err := f.write(i, int64(f.changed))
+		if err != nil {
+			return 0, err
+		}
+		f.written += size
+		if err := c.process.Signal(syscall.SIGHUP); err != nil {
+			return 0, fmt.Errorf("%s: %w", c.process.Name, err)
+		}
+	}
+	return int64(f.changed), nil
+}
+
 // processor is the time that all controllers have taken.
 func (f *reloadedFleet) processor() (sum time.Duration) {
 	for _, c := range f.controllers {
 		if usage, err := readUsage(c.process.PID()); err == nil {
-			sum += usage.Processor
+			sum += usage.processor
 		}
 	}
 	return sum
@@ -282,7 +314,7 @@
 // closePollInterval is how often something is looked at whose time is measured.
 const closePollInterval = time.Millisecond
 
-// awaitClosely waits as waitFor does, and looks more often.
+// awaitClosely waits as await does, and polls more often.
 func awaitClosely(ctx context.Context, within time.Duration, holds func() bool) bool {
 	look := time.NewTicker(closePollInterval)
 	defer look.Stop()
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -6,29 +6,29 @@
 	"wheelrill/balancer"
 )
 
-// countingHost is the Host of a controller's decisions that are measured: it counts orders, keeps only the last timer,
-// and answers marks at once. Time is what the measurement sets it to.
+// countingHost is the balancer.Host of a measured controller: it counts orders, keeps only the last timer, and has acks
+// requested answered by acknowledge. Time is what the measurement sets it to.
 type countingHost struct {
 	control *balancer.Controller
 	now     int64
 	tag     uint64 // of the last timer
 	orders  orderCounts
 
-	tables  [][]int // tables that a proxy is bound to
-	mark    int
-	marked  bool
-	toEach  bool         // the mark reaches every joined proxy
-	changed map[int]bool // tables that were changed at this clock time
-	reached map[int]bool // proxies that were told something beside their tables
+	tables       [][]int // tables that a proxy is bound to
+	pendingAck   int     // the number of the ack that is requested
+	ackRequested bool
+	toEach       bool         // the request for an ack reaches every connected proxy
+	changed      map[int]bool // tables that were changed at this clock time
+	reached      map[int]bool // proxies that were told something beside their tables
 }
 
 // orderCounts is how often each order was given.
 type orderCounts struct {
-	lines, binds, withdrawals, reminders, clears, levels, marks int
+	entries, assignments, withdrawals, syncs, clears, limits, acks int
 }
 
 func (o orderCounts) sum() int {
-	return o.lines + o.binds + o.withdrawals + o.reminders + o.clears + o.levels + o.marks
+	return o.entries + o.assignments + o.withdrawals + o.syncs + o.clears + o.limits + o.acks
 }
 
 func newCountingHost(proxies int) *countingHost {
@@ -45,19 +45,21 @@
 // Log drops the line.
 func (h *countingHost) Log(int, string) {}
 
-// PollEndpoints and Probe are nothing here: lists are handed in, and probes are off.
-func (h *countingHost) PollEndpoints()  {}
+// PollEndpoints does nothing: lists are handed in.
+func (h *countingHost) PollEndpoints() {}
+
+// CheckHealth does nothing: health checks are off.
 func (h *countingHost) CheckHealth(int) {}
 
-// PublishEntry counts a line of a table.
+// PublishEntry counts an entry of a table.
 func (h *countingHost) PublishEntry(table, _ int, _ float64) {
-	h.orders.lines++
+	h.orders.entries++
 	h.changed[table] = true
 }
 
 // AssignTable counts a table that a proxy is given.
 func (h *countingHost) AssignTable(table, proxy int, _ uint16) {
-	h.orders.binds++
+	h.orders.assignments++
 	h.reached[proxy] = true
 	if !slices.Contains(h.tables[proxy], table) {
 		h.tables[proxy] = append(h.tables[proxy], table)
@@ -67,9 +69,9 @@
 // Withdraw counts a backend that is withdrawn, or let back.
 func (h *countingHost) Withdraw(int, bool) { h.orders.withdrawals++ }
 
-// SyncWithdrawals counts a reminder.
+// SyncWithdrawals counts a proxy that is told what is withdrawn.
 func (h *countingHost) SyncWithdrawals(proxy int, _ float64, _ balancer.RetryPolicy) bool {
-	h.orders.reminders++
+	h.orders.syncs++
 	h.reached[proxy] = true
 	return true
 }
@@ -80,31 +82,36 @@
 	h.reached[proxy] = true
 }
 
-// SetAdmissionLimit counts a level.
+// SetAdmissionLimit counts a limit.
 func (h *countingHost) SetAdmissionLimit(table int, _ uint16, _ float64, _ balancer.RetryPolicy) {
-	h.orders.levels++
+	h.orders.limits++
 	h.changed[table] = true
 	h.toEach = h.toEach || table == balancer.AllTables
 }
 
 // RequestAck notes that the proxies reached at this clock time are to answer.
 func (h *countingHost) RequestAck(number int, everyone bool) {
-	h.orders.marks++
-	h.mark, h.marked, h.toEach = number, true, h.toEach || everyone
+	h.orders.acks++
+	h.pendingAck = number
+	h.ackRequested = true
+	h.toEach = h.toEach || everyone
 }
 
-// acknowledge has each proxy that was reached answer the mark, until no further one is given.
+// acknowledge has each proxy that was reached answer the request for an ack, until there is no further one.
 func (h *countingHost) acknowledge() {
-	for h.marked {
-		mark, toEach, changed, reached := h.mark, h.toEach, h.changed, h.reached
-		h.marked, h.toEach, h.changed, h.reached = false, false, map[int]bool{}, map[int]bool{}
+	for h.ackRequested {
+		ack, toEach, changed, reached := h.pendingAck, h.toEach, h.changed, h.reached
+		h.ackRequested = false
+		h.toEach = false
+		h.changed = map[int]bool{}
+		h.reached = map[int]bool{}
 		concerned := func(table int) bool { return changed[table] }
 		for proxy, tables := range h.tables {
 			if toEach || reached[proxy] || slices.ContainsFunc(tables, concerned) {
-				h.control.Acknowledged(proxy, mark)
+				h.control.Acknowledged(proxy, ack)
 			}
 		}
-		h.now++ // orders given while marks come back leave at a later clock time
+		h.now++ // orders given while acks come back leave at a later clock time
 	}
 }
 
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -12,7 +12,7 @@
 
 const (
 	second   = int64(1_000_000) // microseconds, as decisions count time
-	workTick = second / 4       // between two looks at waiting work
+	workTick = second / 4       // between two ticks, at which waiting work is looked at
 )
 
 // decisions measures what the decisions of one controller cost by the backends that it is told of, or by the proxies that
@@ -29,7 +29,6 @@
 
 // How much one size plays.
 const (
-	decisionRepeats = 3
 	decisionChanges = 8
 	decisionTicks   = 8
 	maxDecisionTime = 90 * time.Second // that one repeat may take
@@ -73,7 +72,7 @@
 		life.backends, life.proxies = defaultBackends, size
 	}
 	var lives []decisionCost
-	sample.Partial, err = repeats(ctx, decisionRepeats, o.For, func() error {
+	sample.Partial, err = repeats(ctx, o.For, func() error {
 		lives = append(lives, life.play())
 		return nil
 	})
@@ -94,17 +93,17 @@
 	middle := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
 		return medianOf(lives, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
 	}
-	line := middle(time.Microsecond, func(c decisionCost) time.Duration { return c.line })
-	ticks := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.workTick })
-	look := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.look })
-	perSecond := (ticksPerSecond-evaluationsPerSecond)*ticks*1000 + evaluationsPerSecond*look*1000 + reportLines*line // µs
+	line := middle(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
+	quiet := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
+	evaluation := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.reportsTick })
+	perSecond := (ticksPerSecond-evaluationsPerSecond)*quiet*1000 + evaluationsPerSecond*evaluation*1000 + reportLines*line // µs
 	s.Set("start", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
 	s.Set("again", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.again }))
 	s.Set("join", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.join }))
 	s.Set("change", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.change }))
 	s.Set("report_line", line)
-	s.Set("beat", ticks)
-	s.Set("look", look)
+	s.Set("beat", quiet)
+	s.Set("look", evaluation)
 	s.Set("processor", percent*perSecond/float64(second))
 	s.Set("heap", medianOf(lives, func(c decisionCost) float64 { return float64(c.heap) / megabyte }))
 	s.Set("orders", float64(lives[0].orders.sum()))
@@ -123,14 +122,20 @@
 type decisionLife struct {
 	backends, proxies int
 	changes           int // of one entry each
-	ticks             int // quiet ones, and as many looks at reports
+	ticks             int // quiet ones, and as many that evaluate reports
 }
 
 // decisionCost is the processor time that each step of a life took.
 type decisionCost struct {
-	start, again, join, change, line, workTick, look time.Duration
-	heap                                             int64 // bytes kept
-	orders                                           orderCounts
+	start       time.Duration // the full list, to a controller that knows nothing
+	again       time.Duration // the same list once more
+	join        time.Duration // all proxies connect
+	change      time.Duration // one entry of the list
+	reportLine  time.Duration // one line of a report
+	quietTick   time.Duration // without reports
+	reportsTick time.Duration // that evaluates reports
+	heap        int64         // bytes in use at the end
+	orders      orderCounts
 }
 
 // play has a controller live from its first list on.
@@ -161,7 +166,7 @@
 		host.acknowledge()
 	})
 	host.advance(settlingTicks)
-	l.looks(host, &cost)
+	l.playTicks(host, &cost)
 	cost.change = l.changing(host)
 	cost.again = processorTimeOf(func() {
 		host.control.EndpointsUpdated(true, entries)
@@ -174,16 +179,18 @@
 	return cost
 }
 
-// looks plays quiet beats, and then looks at reports about every backend and proxy.
-func (l decisionLife) looks(host *countingHost, cost *decisionCost) {
-	cost.workTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
-	reports, looks, lines := time.Duration(0), time.Duration(0), 0
+// playTicks plays quiet ticks, and then ticks that evaluate reports about every backend and proxy.
+func (l decisionLife) playTicks(host *countingHost, cost *decisionCost) {
+	cost.quietTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
+	var reports, evaluations time.Duration
+	lines := 0
 	for range l.ticks {
 		host.now += reportInterval - workTick
 		reports += processorTimeOf(func() { lines += l.reports(host) })
-		looks += processorTimeOf(func() { host.advance(1) })
+		evaluations += processorTimeOf(func() { host.advance(1) })
 	}
-	cost.line, cost.look = reports/time.Duration(lines), looks/time.Duration(l.ticks)
+	cost.reportLine = reports / time.Duration(lines)
+	cost.reportsTick = evaluations / time.Duration(l.ticks)
 }
 
 // reports tells of good answers of all backends, and of the usual demand at all proxies.
@@ -220,7 +227,7 @@
 	return sum / time.Duration(l.changes)
 }
 
-// settlingTicks is how many beats are played until what was begun is done: new backends begin with a part of their weight
+// settlingTicks is how many ticks are played until what was begun is done: new backends begin with a part of their weight
 // for 5 s.
 const settlingTicks = 32
 
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestDecisions has what orders cost grow no faster than backends and proxies do.
-func TestDecisions(t *testing.T) {
+// TestDecisionsAreMeasuredAtEachSize has what orders cost grow no faster than backends and proxies do.
+func TestDecisionsAreMeasuredAtEachSize(t *testing.T) {
 	t.Parallel()
 	grows(t, playsTiny(t, decisions{}, tiny, time.Second), "orders")
 	r := playsTiny(t, decisions{byProxies: true}, tiny[1:], time.Millisecond)
@@ -62,27 +62,27 @@
 	}
 }
 
-// TestOrders has a life give each backend one line at the start, each proxy one table, and each change a few orders,
+// TestOrdersOfALifeDoNotGrowWithItsSize has a life give each backend one line at the start, each proxy one table, and each change a few orders,
 // however many there are.
-func TestOrders(t *testing.T) {
+func TestOrdersOfALifeDoNotGrowWithItsSize(t *testing.T) {
 	const lineChanges, withdrawals = 3, 2 // of a drain and a return: out, back with a part of its weight, then all of it
 	for _, size := range []int{20, 200} {
 		l := decisionLife{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
 		orders := l.play().orders
-		if orders.lines < size || orders.lines > size+l.changes*lineChanges {
-			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.lines)
+		if orders.entries < size || orders.entries > size+l.changes*lineChanges {
+			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.entries)
 		}
-		if orders.binds != l.proxies || orders.withdrawals > l.changes*withdrawals || orders.levels != 0 {
+		if orders.assignments != l.proxies || orders.withdrawals > l.changes*withdrawals || orders.limits != 0 {
 			t.Errorf("%d proxies: %+v", l.proxies, orders)
 		}
-		if orders.marks > 1+l.changes*(lineChanges+withdrawals) {
-			t.Errorf("%d proxies: %d marks", l.proxies, orders.marks)
+		if orders.acks > 1+l.changes*(lineChanges+withdrawals) {
+			t.Errorf("%d proxies: %d marks", l.proxies, orders.acks)
 		}
 	}
 }
 
-// TestAddedTime has each request of a repeat be counted in all four ways.
-func TestAddedTime(t *testing.T) {
+// TestAddedTimeCountsEachRequestInAllFourWays has each request of a repeat be counted in all four ways.
+func TestAddedTimeCountsEachRequestInAllFourWays(t *testing.T) {
 	r := playsTiny(t, addedTime{}, tiny, 50*time.Millisecond)
 	for _, s := range r.Samples {
 		half, _ := s.Get("retried_half")
@@ -95,14 +95,14 @@
 	}
 }
 
-func TestRepeats(t *testing.T) {
+func TestRepeatsEndWithTheSpanAndSayHowMany(t *testing.T) {
 	done := 0
 	do := func() error { done++; return nil }
-	if partial, err := repeats(t.Context(), 3, time.Hour, do); partial != "" || err != nil || done != 3 {
+	if partial, err := repeats(t.Context(), time.Hour, do); partial != "" || err != nil || done != 3 {
 		t.Errorf("%d of 3: %q, %v", done, partial, err)
 	}
 	done = 0
-	if partial, err := repeats(t.Context(), 3, 0, do); partial == "" || err != nil || done != 1 {
+	if partial, err := repeats(t.Context(), 0, do); partial == "" || err != nil || done != 1 {
 		t.Errorf("%d within no time: %q, %v", done, partial, err)
 	}
 	if middle := median([]float64{9, 1, 2, 4}); middle != 3 {
--- a/scale/discovery_listener.go
+++ b/scale/discovery_listener.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	w := &watchedAddress{Listener: listener, connected: connected, server: &http.Server{Handler: discovery}}
-	w.running.Go(func() { w.server.Serve(w) })
+	w.running.Go(func() { _ = w.server.Serve(w) }) // its error is that it was closed
 	return w, nil
 }
 
@@ -40,6 +40,6 @@
 
 // close ends it with all its connections.
 func (w *watchedAddress) close() {
-	w.server.Close()
+	_ = w.server.Close() // the listener is closed, whatever it says
 	w.running.Wait()
 }
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.Set("memory", float64(usage.Memory)/megabyte/float64(len(t.nodes())+len(t.voters.voters)))
+	s.Set("memory", float64(usage.resident)/megabyte/float64(len(t.nodes())+len(t.voters.voters)))
 	s.Set("depth", float64(t.depth()))
 	s.Set("machines", float64(len(t.voters.voters)+len(t.distributors)))
 	s.Set("distributors_ready", t.distributorsReady.Seconds())
@@ -214,5 +214,5 @@
 	if err != nil {
 		return 0
 	}
-	return usage.Processor
+	return usage.processor
 }
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -121,7 +121,7 @@
 func (t *tree) restart(ctx context.Context, s *hollowSubscriber) {
 	t.faultHits.Add(1)
 	s.kill()
-	pauseFor(ctx, downtime)
+	_ = pauseFor(ctx, downtime) // it is started in any case, so that close finds it running
 	t.starts.Add(1)
 	s.start()
 }
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -37,8 +37,8 @@
 	return r
 }
 
-// TestDistribution has changes be in force everywhere within the budgets.
-func TestDistribution(t *testing.T) {
+// TestDistributionKeepsUpWithChanges has changes be in force everywhere within the budgets.
+func TestDistributionKeepsUpWithChanges(t *testing.T) {
 	t.Parallel()
 	r := plays(t, distributionCost{}, 3*time.Second)
 	for _, metric := range []string{"half", "most_x10", "subscriber_bytes_per_s", "parent_bytes_per_s_worst", "voter_bytes_per_s_x10"} {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestDistributionUnderFaults has nobody be at a wrong revision, or behind for long, while things fail.
-func TestDistributionUnderFaults(t *testing.T) {
+// TestDistributionRecoversFromEachFault has nobody be at a wrong revision, or behind for long, while things fail.
+func TestDistributionRecoversFromEachFault(t *testing.T) {
 	t.Parallel()
 	r := plays(t, distributedFaults{}, 1500*time.Millisecond)
 	for _, f := range treeFaults() {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestContentDiffers has each way in which a node can be at a wrong or a mixed revision be seen.
-func TestContentDiffers(t *testing.T) {
+// TestContentFindsEachDifference has each way in which a node can be at a wrong or a mixed revision be seen.
+func TestContentFindsEachDifference(t *testing.T) {
 	scopes := distribution.SomeScopes("a", "b")
 	c := newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1)
 	set := func(revision uint64, entries ...distribution.Entry) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestInForceSeesOlder has a subscriber that goes back to an older revision be seen, and late changes be counted as late.
-func TestInForceSeesOlder(t *testing.T) {
+// TestPropagationSeesAnOlderChange has a subscriber that goes back to an older revision be seen, and late changes be counted as late.
+func TestPropagationSeesAnOlderChange(t *testing.T) {
 	f := newPropagation(newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1))
 	s := &hollowSubscriber{name: "s", propagation: f, reachable: time.Now().Add(-time.Hour)}
 	late := time.Now().Add(-4 * time.Second).UnixMicro()
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestNetworkCut has writes, dials and closes wait for the end of a cut, within a region none.
-func TestNetworkCut(t *testing.T) {
+// TestPartitionHoldsWritesUntilItHeals has writes, dials and closes wait for the end of a cut, within a region none.
+func TestPartitionHoldsWritesUntilItHeals(t *testing.T) {
 	n := newNetwork()
 	accepted := make(chan net.Conn, 1)
 	n.listen("far", 2, func(conn net.Conn) { accepted <- conn })
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -201,7 +201,7 @@
 	each(t.nodes(), (*hollowSubscriber).kill)
 	t.voters.close()
 	t.network.serving.Wait()
-	os.RemoveAll(t.folder)
+	_ = os.RemoveAll(t.folder) // what is left of a temporary folder harms nobody
 }
 
 // each does something with all nodes, some at a time.
@@ -223,7 +223,7 @@
 	checks := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
 	check := time.Now().Add(timeBetweenChecks)
 	for {
-		pause := time.Duration((0.5 + t.random.Float64()) / perS * float64(time.Second))
+		pause := changeRate{perS: perS}.pause(t.random)
 		if left := time.Until(until); left < pause {
 			return made, pauseFor(ctx, left)
 		}
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -179,7 +179,7 @@
 	return v.before + bytes
 }
 
-// voterDistribution hands the record's changes to a carrier, and notes them for comparison.
+// voterDistribution hands the record's changes to a voter's node of the tree, and notes them for comparison.
 type voterDistribution struct {
 	*transport.Transport
 	content *content
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -25,12 +25,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var workers []*fake.Backend
+	var list []*fake.Backend
 	for i := range backends {
-		workers = append(workers, &fake.Backend{ID: fmt.Sprintf("s-%08x", i), Zone: listedZones[i%len(listedZones)], Weight: 1})
+		list = append(list, &fake.Backend{ID: fmt.Sprintf("s-%08x", i), Zone: listedZones[i%len(listedZones)], Weight: 1})
 	}
-	discovery.Publish("up", workers...)
-	return discovery, workers, nil
+	discovery.Publish(fake.StateUp, list...)
+	return discovery, list, nil
 }
 
 // listedController is a real controller's process that follows discovery and has no proxies.
@@ -51,6 +51,17 @@
 	at   time.Time // when it was read
 }
 
+// listedConfig is what a listed controller is started with.
+type listedConfig struct {
+	name      string
+	listen    string
+	discovery string // address
+	folder    string // for its configuration
+	megabytes int    // of memory that it may take
+	seed      uint64
+	program   string
+}
+
 // newListedControllers prepares controllers, each with a file of its own.
 func newListedControllers(count int, discovery, folder string, o Options) ([]*listedController, error) {
 	listen, err := process.FreeAddresses(count)
@@ -59,7 +70,15 @@
 	}
 	var all []*listedController
 	for i := range count {
-		c, err := newListedController(memberName(i), listen[i], discovery, folder, maxMegabytes, o.Seed+uint64(i)+1, o)
+		c, err := newListedController(listedConfig{
+			name:      memberName(i),
+			listen:    listen[i],
+			discovery: discovery,
+			folder:    folder,
+			megabytes: maxMegabytes,
+			seed:      o.Seed + uint64(i) + 1,
+			program:   o.Program,
+		})
 		if err != nil {
 			return nil, err
 		}
@@ -68,17 +87,29 @@
 	return all, nil
 }
 
+// lookupClass is the one class of requests of controllers without proxies.
+var lookupClass = fake.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}
+
+// proxylessSettings are those of controllers without proxies.
+func proxylessSettings() map[string]any {
+	scenario := &rehearse.Scenario{Proxies: recordProxies}
+	return scenario.Settings([]fake.Class{lookupClass})
+}
+
 // newListedController prepares one, with a file of its own.
-func newListedController(name, listen, discovery, folder string, megabytes int, seed uint64, o Options) (*listedController, error) {
-	classes := []fake.Class{{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}}
-	path, err := process.WriteJSON(folder, name+".json", map[string]any{"name": name, "listen": listen,
-		"discovery": discovery, "seed": fmt.Sprintf("%x", seed),
-		"limits":   map[string]any{"cores": memberCores, "memory_mb": megabytes, "sockets": memberSockets},
-		"settings": (&rehearse.Scenario{Proxies: recordProxies}).Settings(classes)})
+func newListedController(config listedConfig) (*listedController, error) {
+	path, err := process.WriteJSON(config.folder, config.name+".json", map[string]any{
+		"name":      config.name,
+		"listen":    config.listen,
+		"discovery": config.discovery,
+		"seed":      fmt.Sprintf("%x", config.seed),
+		"limits":    map[string]any{"cores": memberCores, "memory_mb": config.megabytes, "sockets": memberSockets},
+		"settings":  proxylessSettings(),
+	})
 	if err != nil {
 		return nil, err
 	}
-	return &listedController{process: &process.Controller{Name: name, Program: o.Program, Listen: listen,
+	return &listedController{process: &process.Controller{Name: config.name, Program: config.program, Listen: config.listen,
 		Env: []string{"LB_CONFIG=" + path}}}, nil
 }
 
@@ -93,7 +124,11 @@
 		log.Close()
 		return err
 	}
-	c.process.Log, c.began, c.ready, c.known, c.last = to, time.Now(), time.Time{}, "", map[string]logLine{} // of this life
+	c.process.Log = to
+	c.began = time.Now()
+	c.ready = time.Time{}
+	c.known = ""
+	c.last = map[string]logLine{}
 	err = c.process.Start()
 	to.Close() // the process has its own
 	if err != nil {
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -17,7 +17,6 @@
 
 // How much one size plays.
 const (
-	listRepeats      = 3
 	listReadyTimeout = 150 * time.Second
 	listIdle         = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
 	listChanges      = 10
@@ -65,14 +64,14 @@
 	if err != nil {
 		return s, err
 	}
-	discovery, workers, err := newDiscovery(size)
+	discovery, backends, err := newDiscovery(size)
 	if err != nil {
 		return s, err
 	}
 	defer discovery.Close()
 	var all []listCost
-	s.Partial, err = repeats(ctx, listRepeats, o.For, func() error {
-		cost, err := listLife(ctx, discovery, workers, folder, o)
+	s.Partial, err = repeats(ctx, o.For, func() error {
+		cost, err := listLife(ctx, discovery, backends, folder, o)
 		all = append(all, cost)
 		return err
 	})
@@ -96,7 +95,7 @@
 }
 
 // listLife starts a controller, lets it be, and changes one entry after the other.
-func listLife(ctx context.Context, discovery *fake.Discovery, workers []*fake.Backend, folder string, o Options) (cost listCost, err error) {
+func listLife(ctx context.Context, discovery *fake.Discovery, backends []*fake.Backend, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
 		return cost, err
@@ -130,7 +129,7 @@
 	cost.changing, err = c.spends(func() error {
 		for i := range listChanges {
 			state := []fake.State{fake.StateDraining, fake.StateUp}[i%2]
-			discovery.Publish(state, workers[i/2*len(workers)/listChanges])
+			discovery.Publish(state, backends[i/2*len(backends)/listChanges])
 			if err := pauseFor(ctx, span/listChanges); err != nil {
 				return err
 			}
@@ -143,7 +142,7 @@
 	_, now = discovery.Sent()
 	cost.changeBytes = now - sent
 	usage, err = readPreciseUsage(c.process.PID())
-	cost.memory = usage.most
+	cost.memory = usage.peak
 	return cost, err
 }
 
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -81,22 +81,3 @@
 	}
 	return ""
 }
-
-// usage is what a process has taken.
-type usage struct {
-	Processor time.Duration // since its start
-	Memory    int64         // resident bytes now
-}
-
-// readUsage reads what a process has taken.
-func readUsage(pid int) (usage, error) {
-	proc, err := procfs.NewProc(pid)
-	if err != nil {
-		return usage{}, err
-	}
-	stat, err := proc.Stat()
-	if err != nil {
-		return usage{}, err
-	}
-	return usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
-}
--- a/scale/median.go
+++ b/scale/median.go
@@ -8,16 +8,22 @@
 	"time"
 )
 
-// repeats does something so often, or as often as begins within a span, and once at least. It says so where it is less.
-func repeats(ctx context.Context, most int, span time.Duration, do func() error) (partial string, err error) {
-	began, done := time.Now(), 0
-	for ; done == 0 || done < most && time.Since(began) < span; done++ {
+// maxRepeats is how often a size is measured, of which the median is taken.
+const maxRepeats = 3
+
+// repeats does something maxRepeats times, or as often as begins within a span, and once at least. It says so where it is
+// less.
+func repeats(ctx context.Context, span time.Duration, do func() error) (partial string, err error) {
+	began := time.Now()
+	done := 0
+	for done == 0 || done < maxRepeats && time.Since(began) < span {
 		if err := errors.Join(ctx.Err(), do()); err != nil {
 			return "", err
 		}
+		done++
 	}
-	if done < most {
-		partial = fmt.Sprintf("%d of %d repeats began within %s", done, most, span)
+	if done < maxRepeats {
+		partial = fmt.Sprintf("%d of %d repeats began within %s", done, maxRepeats, span)
 	}
 	return partial, nil
 }
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -111,14 +111,14 @@
 	once     sync.Once
 	closed   chan struct{}
 
-	mutex sync.Mutex
-	late  time.Time // for writes; zero for none
+	mutex         sync.Mutex
+	writeDeadline time.Time // zero for none
 }
 
 // SetWriteDeadline bounds writes, also while a cut holds them.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	c.mutex.Lock()
-	c.late = t
+	c.writeDeadline = t
 	c.mutex.Unlock()
 	return c.Conn.SetWriteDeadline(t)
 }
@@ -141,11 +141,11 @@
 // awaitHealing for the end of a cut, the deadline or the close, whichever comes first.
 func (c *memoryConn) awaitHealing(healed <-chan struct{}) error {
 	c.mutex.Lock()
-	late := c.late
+	deadline := c.writeDeadline
 	c.mutex.Unlock()
 	var expired <-chan time.Time
-	if !late.IsZero() {
-		timer := time.NewTimer(time.Until(late))
+	if !deadline.IsZero() {
+		timer := time.NewTimer(time.Until(deadline))
 		defer timer.Stop()
 		expired = timer.C
 	}
@@ -169,7 +169,7 @@
 	}
 	c.of.mutex.Unlock()
 	if held {
-		return c.Conn.SetDeadline(time.Unix(1, 0)) // ends reads and writes of ours
+		return c.SetDeadline(time.Unix(1, 0)) // ends reads and writes of ours
 	}
 	return c.Conn.Close()
 }
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -67,7 +67,7 @@
 	if reachable.After(newest) {
 		took, histogram = now.Sub(reachable), f.catchUp
 	}
-	histogram.RecordValue(max(took.Microseconds(), 1))
+	_ = histogram.RecordValue(max(took.Microseconds(), 1)) // an hour is within its range, and no run lasts as long
 }
 
 // seconds reads a quantile of a histogram.
--- a/scale/record.go
+++ b/scale/record.go
@@ -17,7 +17,7 @@
 	"wheelrill/scale/results"
 )
 
-// recordReal is what the record costs real controllers, as processes with relays around them: all are members.
+// recordReal is what the record costs real controllers, as processes with fake proxies around them: all are members.
 type recordReal struct{}
 
 // Figures of the installation around the members.
@@ -48,7 +48,7 @@
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
-// Needs are those of the members and of the stand-ins in our process.
+// Needs are those of the members and of the fakes in our process.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.For}
 	if terms := (ownership.LeaseTerms{MaxMessages: maxMessages, Members: size}); terms.OwnerQuota() < 1 {
@@ -110,7 +110,7 @@
 
 // processor is the share of a core that a member took, in percent.
 func (s *spending) processor(name string) float64 {
-	return percent * (s.after[name].Processor - s.before[name].Processor).Seconds() / s.ended.Sub(s.began).Seconds()
+	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
 // sample sums members up, followers apart from the leader.
@@ -118,7 +118,7 @@
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
 	for name, cost := range members {
-		memory = max(memory, float64(s.after[name].Memory)/megabyte)
+		memory = max(memory, float64(s.after[name].resident)/megabyte)
 		entries += cost.entries / float64(len(members))
 		if cost.leads {
 			leaderBytes, leaderProcessor = cost.bytes, s.processor(name)
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -57,51 +57,60 @@
 	if err != nil {
 		return s, err
 	}
-	before, costs, began := make([]hollowCost, size), make([]hollowCost, size), time.Now()
-	for i, m := range members {
-		before[i].entries, before[i].bytes = m.node.Cost()
-	}
-	earlierLives, err := readUsage(os.Getpid())
+	before := recordCosts(members)
+	began := time.Now()
+	usageBefore, err := readUsage(os.Getpid())
 	if err != nil {
 		return s, err
 	}
-	select {
-	case <-ctx.Done():
-		return s, ctx.Err()
-	case <-time.After(o.For):
-	}
-	for i, m := range members {
-		costs[i].entries, costs[i].bytes = m.node.Cost()
-		costs[i].leads = m.node.IsLeader()
+	if err := pauseFor(ctx, o.For); err != nil {
+		return s, err
 	}
-	spent, err := readUsage(os.Getpid())
+	after := recordCosts(members)
+	usageAfter, err := readUsage(os.Getpid())
 	if err != nil {
 		return s, err
 	}
 	seconds := time.Since(began).Seconds()
+	setRecordCosts(before, after, seconds, &s)
+	s.Set("processor", percent*(usageAfter.processor-usageBefore.processor).Seconds()/seconds/float64(size))
+	s.Set("memory", float64(usageAfter.resident)/megabyte/float64(size))
+	return s, nil
+}
+
+// hollowCost is what the record has cost a member so far.
+type hollowCost struct {
+	entries uint64
+	bytes   int64
+	leads   bool
+}
+
+func recordCosts(members []*hollowMember) []hollowCost {
+	costs := make([]hollowCost, len(members))
+	for i, m := range members {
+		costs[i].entries, costs[i].bytes = m.node.Cost()
+		costs[i].leads = m.node.IsLeader()
+	}
+	return costs
+}
+
+// setRecordCosts notes what the record cost a second, the leader apart from the others.
+func setRecordCosts(before, after []hollowCost, seconds float64, s *results.Sample) {
+	size := float64(len(after))
 	var entries, followers, leader float64
-	for i, c := range costs {
-		entries += float64(c.entries-before[i].entries) / seconds / float64(size)
-		if bytes := float64(c.bytes-before[i].bytes) / seconds; c.leads {
+	for i, cost := range after {
+		entries += float64(cost.entries-before[i].entries) / seconds / size
+		bytes := float64(cost.bytes-before[i].bytes) / seconds
+		if cost.leads {
 			leader = bytes
 		} else {
-			followers += bytes / float64(size-1)
+			followers += bytes / (size - 1)
 		}
 	}
 	s.Set("entries_per_s", entries)
 	s.Set("follower_bytes_per_s", followers)
 	s.Set("leader_bytes_per_s", leader)
-	s.Set("processor", percent*(spent.Processor-earlierLives.Processor).Seconds()/seconds/float64(size))
-	s.Set("memory", float64(spent.Memory)/megabyte/float64(size))
 	if leader == 0 {
 		s.Inconclusive = "no member led at the end"
 	}
-	return s, nil
-}
-
-// hollowCost is what the record has cost a member so far.
-type hollowCost struct {
-	entries uint64
-	bytes   int64
-	leads   bool
 }
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -21,7 +21,6 @@
 	targetBackends   = 99_000
 	targetServices   = 5700
 	backendsServed   = targetBackends / targetServices * servicesPerGroup
-	recoveryRepeats  = 3
 	controllerMemory = 40 << 20 // bytes that a controller takes, and ...
 	backendMemory    = 6 << 10  // ... for each backend, about
 )
@@ -82,7 +81,7 @@
 		return s, err
 	}
 	var all []recoveryCost
-	s.Partial, err = repeats(ctx, recoveryRepeats, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.For, func() error {
 		_, before := discovery.Sent()
 		cost, err := restartAll(ctx, controllers, folder)
 		_, after := discovery.Sent()
@@ -132,7 +131,7 @@
 		}
 		cost.ready = max(cost.ready, c.readyAt().Sub(began))
 		cost.processor += usages[i].processor / time.Duration(len(controllers))
-		cost.memory = max(cost.memory, usages[i].most)
+		cost.memory = max(cost.memory, usages[i].peak)
 	}
 	return cost, nil
 }
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -26,7 +26,6 @@
 	entriesOfAll  = targetBackends + targetRoutes + targetTenants
 	entriesServed = entriesOfAll / targetGroups
 
-	snapshotRepeats = 3
 	snapshotTimeout = 2 * time.Minute
 )
 
@@ -74,7 +73,7 @@
 		return s, err
 	}
 	var all []snapshotCost
-	s.Partial, err = repeats(ctx, snapshotRepeats, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.For, func() error {
 		cost, err := measureSnapshot(ctx, network, size)
 		all = append(all, cost)
 		return err
@@ -123,7 +122,7 @@
 		Node: distribution.Config{Name: "subscriber", Scopes: distribution.SomeScopes(groupScope(0)), Candidates: []string{voterName(0)},
 			Limits: distribution.DefaultLimits()},
 		Dial: func(ctx context.Context, peer string) (net.Conn, error) { return network.dial(ctx, 0, peer) },
-		Apply: func(change distribution.Change, whole bool) {
+		Apply: func(change distribution.Change, _ bool) {
 			select {
 			case has <- len(change.Entries):
 			default:
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRecoverySnapshot has a snapshot cost as many bytes for each entry, however many there are, and no more than twice
+// TestSnapshotRecoversAScope has a snapshot cost as many bytes for each entry, however many there are, and no more than twice
 // what the entry has.
-func TestRecoverySnapshot(t *testing.T) {
+func TestSnapshotRecoversAScope(t *testing.T) {
 	t.Parallel()
 	r := playsTiny(t, recoverySnapshot{}, []int{20, 40, 80, 160}, 100*time.Millisecond)
 	grows(t, r, "bytes")
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestRecoverySubscribers has each subscriber that restarts learn its scopes alone.
-func TestRecoverySubscribers(t *testing.T) {
+// TestSubscribersRestartAtOnce has each subscriber that restarts learn its scopes alone.
+func TestSubscribersRestartAtOnce(t *testing.T) {
 	t.Parallel()
 	const entryBytes, subscribers = 200, 12 // entryBytes: by far
 	r := playsTiny(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestRecoveryDelta has a region catch up without a snapshot.
-func TestRecoveryDelta(t *testing.T) {
+// TestRegionCatchesUpWithoutSnapshots has a region catch up without a snapshot.
+func TestRegionCatchesUpWithoutSnapshots(t *testing.T) {
 	t.Parallel() // with one subscriber in each region
 	r := playsTiny(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond)
 	if snapshots, ok := r.Samples[0].Get("snapshots"); !ok || snapshots > 0 {
@@ -43,11 +43,11 @@
 	}
 }
 
-// TestUsageOf reads this process's own usage in both ways.
-func TestUsageOf(t *testing.T) {
+// TestPreciseUsageReadsAnotherProcess reads this process's own usage in both ways.
+func TestPreciseUsageReadsAnotherProcess(t *testing.T) {
 	before := processorTime()
 	usage, err := readPreciseUsage(os.Getpid())
-	if err != nil || usage.processor < before || usage.resident <= 0 || usage.most < usage.resident {
+	if err != nil || usage.processor < before || usage.resident <= 0 || usage.peak < usage.resident {
 		t.Errorf("%+v, %v; %s before", usage, err, before)
 	}
 	if _, err := readPreciseUsage(1 << 30); err == nil {
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -17,7 +17,6 @@
 // Of the installation that both are played in.
 const (
 	recoverySubscribers = 1100
-	restartsOfTree      = 3
 	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
 	proposeAll          = time.Minute
 )
@@ -58,7 +57,7 @@
 	defer t.close()
 	late := watchDelays()
 	var all []restartCost
-	s.Partial, err = repeats(ctx, restartsOfTree, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.For, func() error {
 		cost, err := t.restartSome(ctx, size)
 		all = append(all, cost)
 		return err
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -57,7 +57,15 @@
 		if role == controllerRole {
 			megabytes = maxMegabytes
 		}
-		c, err := newListedController(role, free[o.Voters+2+i], r.discovery.Address(), folder, megabytes, o.Seed+uint64(i)+1, o)
+		c, err := newListedController(listedConfig{
+			name:      role,
+			listen:    free[o.Voters+2+i],
+			discovery: r.discovery.Address(),
+			folder:    folder,
+			megabytes: megabytes,
+			seed:      o.Seed + uint64(i) + 1,
+			program:   o.Program,
+		})
 		if err != nil {
 			r.close()
 			return nil, err
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -90,6 +90,7 @@
 func (r *roleFleet) measure(ctx context.Context, s *results.Sample) error {
 	r.propagation.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
+	rate := changeRate{perS: changesPerSecond * changeRateFactor}
 	before, began := map[string]preciseUsage{}, time.Now()
 	for role, c := range r.processes {
 		usage, err := readPreciseUsage(c.process.PID())
@@ -99,7 +100,7 @@
 		before[role] = usage
 	}
 	for time.Since(began) < r.options.For {
-		if err := pauseFor(ctx, time.Duration((0.5+random.Float64())/(changesPerSecond*changeRateFactor)*float64(time.Second))); err != nil {
+		if err := pauseFor(ctx, rate.pause(random)); err != nil {
 			return err
 		}
 		if err := r.propose(ctx, r.content.draw()); err != nil {
@@ -118,7 +119,7 @@
 		}
 		s.Set(role+"_bytes_per_s", bytes)
 		s.Set(role+"_processor", percent*(usage.processor-before[role].processor).Seconds()/seconds)
-		s.Set(role+"_memory", float64(usage.most)/megabyte)
+		s.Set(role+"_memory", float64(usage.peak)/megabyte)
 	}
 	last := r.content.last()
 	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(r.children, r.content, last) == 0 })
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -1,5 +1,3 @@
-// Package scale measures what controllers spend as an installation grows: real controllers as processes beside hollow
-// ones, many to a process. Runs are kept as JSON, fitted, and made into the tables of docs/CAPACITY.md.
 package scale
 
 import (
@@ -15,12 +13,12 @@
 
 // Options are what a run may be asked for.
 type Options struct {
-	For      time.Duration // how long each size is observed
-	Seed     uint64
+	For      time.Duration     // how long each size is observed
+	Seed     uint64            // of all that is drawn
 	Voters   int               // raft voters, where the measurement has a number of its own
-	Program  string            // that is run as a controller
-	Folder   string            // for logs and configurations of the processes
-	Progress func(text string) // nil for none
+	Program  string            // path of the executable that is run as a controller
+	Folder   string            // for logs and configurations of the processes; a temporary one if empty
+	Progress func(text string) // is told what happens; nil for nobody
 }
 
 // progressf tells who watches.
@@ -32,27 +30,30 @@
 
 // Description says what a measurement is.
 type Description struct {
-	Name      string
-	About     string
-	Size      string // what a size counts
-	Sizes     []int  // that are measured unless others are asked for
-	Targets   []int  // sizes that fits are read at, as the one in two years
-	Transport string // how controllers reach each other: "loopback" or "memory"
-	Metrics   []results.Metric
+	Name      string           // that it is asked for by, and kept under
+	About     string           // in a sentence
+	Size      string           // what a size counts
+	Sizes     []int            // that are measured unless others are asked for
+	Targets   []int            // sizes that fits are read at, as the one in two years
+	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
+	Metrics   []results.Metric // of each sample
 }
 
 // Needs are what one size takes of the machine, estimated before it begins.
 type Needs struct {
-	Memory    int64 // bytes
-	Processes int   // beside our own
-	Time      time.Duration
-	Refusal   string // why the size cannot be measured whatever the machine bears; empty where it can
+	Memory    int64         // bytes
+	Processes int           // beside our own
+	Time      time.Duration // at most; twice as long, and it is given up
+	Refusal   string        // why the size cannot be measured whatever the machine bears; empty where it can
 }
 
 // Measurement observes one thing at a size.
 type Measurement interface {
+	// Describe says what it is.
 	Describe() Description
+	// Needs estimates what a size takes.
 	Needs(size int, options Options) Needs
+	// Run measures a size, until the context ends.
 	Run(ctx context.Context, size int, options Options) (results.Sample, error)
 }
 
@@ -91,8 +92,8 @@
 	return nil, fmt.Errorf("there is no measurement %q; there are %s", name, strings.Join(names, ", "))
 }
 
-// Play runs a measurement at each size, and fits what it saw. It refuses, with a Refused error, what the machine would
-// not bear, before anything starts.
+// Play runs a measurement at each size, and fits what it saw. It refuses what the machine would not bear, with a
+// *RefusedError, before anything starts.
 func Play(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
 	about := m.Describe()
 	if len(sizes) == 0 {
@@ -129,7 +130,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s at %d %s: %w", about.Name, size, about.Size, err)
 		}
-		sample.Size, sample.Load = size, load
+		sample.Size = size
+		sample.Load = load
 		run.Samples = append(run.Samples, sample)
 	}
 	run.Evaluate()
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -9,6 +9,7 @@
 	"syscall"
 	"time"
 
+	"github.com/prometheus/procfs"
 	"golang.org/x/sys/unix"
 )
 
@@ -46,10 +47,30 @@
 	return int64(stats.HeapAlloc)
 }
 
-// preciseUsage is what a process has spent and holds, as /proc tells it.
+// usage is what a process has taken, as /proc/PID/stat tells it: processor time to a hundredth of a second.
+type usage struct {
+	processor time.Duration // since its start
+	resident  int64         // resident bytes now
+}
+
+// readUsage reads what a process has taken.
+func readUsage(pid int) (usage, error) {
+	proc, err := procfs.NewProc(pid)
+	if err != nil {
+		return usage{}, err
+	}
+	stat, err := proc.Stat()
+	if err != nil {
+		return usage{}, err
+	}
+	return usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
+}
+
+// preciseUsage is what a process has taken, with processor time to the nanosecond and the most memory that it held.
 type preciseUsage struct {
-	processor      time.Duration
-	resident, most int64 // bytes of memory now, and the most it ever held
+	processor time.Duration
+	resident  int64 // bytes of memory now
+	peak      int64 // the most it ever held
 }
 
 // readPreciseUsage reads what a process has spent and holds.
@@ -63,7 +84,8 @@
 	if err != nil {
 		return u, err
 	}
-	u.resident, u.most = kilobytes(status, "VmRSS:"), kilobytes(status, "VmHWM:")
+	u.resident = kilobytes(status, "VmRSS:")
+	u.peak = kilobytes(status, "VmHWM:")
 	return u, nil
 }
 
