--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -2,88 +2,31 @@
 
 import (
 	"context"
-	"crypto/ecdsa"
-	"crypto/elliptic"
-	"crypto/rand"
-	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/big"
 	"net"
-	"os"
-	"path/filepath"
-	"sync"
 	"testing"
-	"time"
 
 	"wheelrill/consensus"
 	"wheelrill/distribution"
+	"wheelrill/internal/testcert"
 	"wheelrill/ownership"
 )
 
-// authority signs certificates for names.
-type authority struct {
-	folder string
-	key    *ecdsa.PrivateKey
-	cert   *x509.Certificate
-}
-
-func newAuthority(t *testing.T) *authority {
-	t.Helper()
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := &authority{t.TempDir(), key, &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
-		IsCA: true, NotAfter: time.Now().Add(time.Hour), BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}}
-	a.writes(t, "authority.pem", "CERTIFICATE", a.signs(t, a.cert, key))
-	return a
-}
-
-func (a *authority) signs(t *testing.T, c *x509.Certificate, key *ecdsa.PrivateKey) []byte {
-	t.Helper()
-	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return der
-}
-
-func (a *authority) writes(t *testing.T, name, kind string, der []byte) string {
+// issueCredentials makes the credentials of a name.
+func issueCredentials(t *testing.T, authority *testcert.Authority, name string) consensus.Credentials {
 	t.Helper()
-	path := filepath.Join(a.folder, name)
-	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-func (a *authority) gives(t *testing.T, name string) consensus.Credentials {
-	t.Helper()
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		t.Fatal(err)
-	}
-	der, err := x509.MarshalECPrivateKey(key)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(2), DNSNames: []string{name}, NotAfter: time.Now().Add(time.Hour),
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	return consensus.Credentials{Certificate: a.writes(t, name+".pem", "CERTIFICATE", a.signs(t, c, key)),
-		Key: a.writes(t, name+"-key.pem", "EC PRIVATE KEY", der), Authority: filepath.Join(a.folder, "authority.pem")}
+	return consensus.Credentials(authority.Issue(t, name))
 }
 
-// unheard takes what becomes of the record and does nothing with it.
-type unheard struct{}
+// ignoredEvents does nothing with what becomes of the record.
+type ignoredEvents struct{}
 
-func (unheard) EntryCommitted(ownership.Entry)     {}
-func (unheard) SnapshotRestored(*ownership.Record) {}
-func (unheard) ProposalCommitted(uint64, uint64)   {}
-func (unheard) ProposalFailed(uint64, uint64)      {}
+func (ignoredEvents) EntryCommitted(ownership.Entry)     {}
+func (ignoredEvents) SnapshotRestored(*ownership.Record) {}
+func (ignoredEvents) ProposalCommitted(uint64, uint64)   {}
+func (ignoredEvents) ProposalFailed(uint64, uint64)      {}
 
 // member is a voter: a node of the record, and the transport that hands its configuration on.
 type member struct {
@@ -94,48 +37,56 @@
 // startsMember runs a voter of a record.
 func startsMember(t *testing.T, name string, members map[string]string, credentials consensus.Credentials) *member {
 	t.Helper()
-	p := &peer{name: name, values: map[distribution.Key]string{}}
 	self := consensus.Peer{Name: name, Address: members[name]}
-	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
-		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
-		Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
-	terms := ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: len(members)}
-	node, err := consensus.New(consensus.Config{Name: name, Members: members, Credentials: credentials, Terms: terms, Distribution: p.Transport},
-		unheard{}, slog.New(slog.DiscardHandler))
+	p := newPeer(name, Config{
+		Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
+		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
+	})
+	terms := ownership.LeaseTerms{
+		Duration:      1_500_000,
+		RenewInterval: 200_000,
+		MessageWindow: 10_000_000,
+		MaxMessages:   30,
+		Members:       len(members),
+	}
+	node, err := consensus.New(consensus.Config{
+		Name:         name,
+		Members:      members,
+		Credentials:  credentials,
+		Terms:        terms,
+		Distribution: p.Transport,
+	}, ignoredEvents{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { p.Run(ctx) })
-	running.Go(func() { node.Run(ctx) })
-	p.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
-	t.Cleanup(p.stop)
+	p.run(t, func(ctx context.Context) { node.Run(ctx) })
 	return &member{p, node}
 }
 
 // startsSubscriber runs a subscriber that others can dial by the calls of the members.
 func startsSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
 	t.Helper()
-	s, err := consensus.NewSubscriber(credentials)
+	subscriber, err := consensus.NewSubscriber(credentials)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{name: name, values: map[distribution.Key]string{}}
+	var p *peer
 	serve := func(conn net.Conn, allowed func(string) bool) { p.Accept(conn, allowed) }
-	listener, err := s.Listen("127.0.0.1:0", serve, func(net.Addr, error) {})
+	listener, err := subscriber.Listen("127.0.0.1:0", serve, func(net.Addr, error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	self := consensus.Peer{Name: name, Address: listener.Address()}
-	p.Transport = New(Config{Node: distribution.Config{Name: self.String(), Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
-		Limits: quick(4)}, Dial: s.Dial, Apply: p.apply, Log: p.log, Bounds: Bounds{Tick: 10 * time.Millisecond}})
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { p.Run(ctx) })
-	running.Go(func() { listener.Run(ctx) })
-	p.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
-	t.Cleanup(p.stop)
+	p = newPeer(name, Config{
+		Node: distribution.Config{
+			Name:       self.String(),
+			Scopes:     distribution.SomeScopes("pricing"),
+			Candidates: parents,
+			Limits:     quick(4),
+		},
+		Dial: subscriber.Dial,
+	})
+	p.run(t, func(ctx context.Context) { listener.Run(ctx) })
 	return p, self.String()
 }
 
@@ -172,7 +123,7 @@
 
 // TestSubscribersFollowARecordOfThreeMembersOverTLS plays voters on a real record over TLS, and subscribers that are no members.
 func TestSubscribersFollowARecordOfThreeMembersOverTLS(t *testing.T) {
-	ours, foreign := newAuthority(t), newAuthority(t)
+	ours, foreign := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	members := freeAddresses(t, "a", "b", "c")
 	var parents []string
 	for name, address := range members {
@@ -180,15 +131,15 @@
 	}
 	var voters []*member
 	for name := range members {
-		voters = append(voters, startsMember(t, name, members, ours.gives(t, name)))
+		voters = append(voters, startsMember(t, name, members, issueCredentials(t, ours, name)))
 	}
 	last := configures(t, voters[0], "1")
 	var all []*peer
-	relay, relayName := startsSubscriber(t, "s0", ours.gives(t, "s0"), parents...)
+	relay, relayName := startsSubscriber(t, "s0", issueCredentials(t, ours, "s0"), parents...)
 	all = append(all, relay)
 	for i := 1; i < 4; i++ {
 		name := fmt.Sprint("s", i)
-		s, _ := startsSubscriber(t, name, ours.gives(t, name), relayName)
+		s, _ := startsSubscriber(t, name, issueCredentials(t, ours, name), relayName)
 		all = append(all, s)
 	}
 	everywhere := func(version distribution.Version) {
@@ -204,8 +155,8 @@
 	}
 	everywhere(last)
 	t.Run("a certificate with another name, or of another authority, gets no place", func(t *testing.T) {
-		liar, _ := startsSubscriber(t, "s1", ours.gives(t, "s9"), parents...)
-		stranger, _ := startsSubscriber(t, "s8", foreign.gives(t, "s8"), parents...)
+		liar, _ := startsSubscriber(t, "s1", issueCredentials(t, ours, "s9"), parents...)
+		stranger, _ := startsSubscriber(t, "s8", issueCredentials(t, foreign, "s8"), parents...)
 		for _, p := range []*peer{liar, stranger} {
 			until(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
 			if status := p.status(t); status.Parent != "" || status.Version.Revision > 0 {
