--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"runtime"
@@ -52,14 +53,16 @@
 
 // pickTimes is what one repeat has shown, in nanoseconds.
 type pickTimes struct {
-	once, retried                   *hdrhistogram.Histogram // wall time
-	onceProcessor, retriedProcessor *hdrhistogram.Histogram // of the thread, which a busy machine lengthens less
-	requests                        int
+	once             *hdrhistogram.Histogram // wall time of a pick
+	retried          *hdrhistogram.Histogram // and of that of a retry, together
+	onceProcessor    *hdrhistogram.Histogram // processor time of the thread, which a busy machine lengthens less
+	retriedProcessor *hdrhistogram.Histogram
+	requests         int
 }
 
 func newPickTimes() pickTimes {
 	empty := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxPickTime), histogramDigits) }
-	return pickTimes{empty(), empty(), empty(), empty(), 0}
+	return pickTimes{once: empty(), retried: empty(), onceProcessor: empty(), retriedProcessor: empty()}
 }
 
 // Run plays the repeats over one table, and takes the median of their percentiles.
@@ -109,31 +112,40 @@
 // enoughPicks is enough for the slowest of a hundred to be many.
 const enoughPicks = 1000
 
-// measurePicks picks a backend and another one for a while, and notes how long that took.
-func measurePicks(table *fake.Table, lines int, random *rand.Rand, span time.Duration) (d pickTimes, err error) {
+// measurePicks picks a backend and another one for a while, and notes how long that took. It holds its thread, whose
+// processor time is read.
+func measurePicks(table *fake.Table, entries int, random *rand.Rand, span time.Duration) (pickTimes, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	d = newPickTimes()
-	for began := time.Now(); d.requests < maxPicks && (d.requests < minPicks || time.Since(began) < span); d.requests++ {
-		number := random.Uint64()
-		from, fromProcessor := time.Now(), threadTime()
-		first, found := table.Pick("", number)
-		once, onceProcessor := time.Since(from), threadTime()-fromProcessor
-		second, other := table.Pick(first, fake.NextRandom(number))
-		retried, retriedProcessor := time.Since(from), threadTime()-fromProcessor
-		if !found || other && second == first || !other && lines > 1 {
-			return d, fmt.Errorf("drew %q, then %q of %d lines", first, second, lines)
-		}
-		for _, note := range []struct {
-			in   *hdrhistogram.Histogram
-			took time.Duration
-		}{{d.once, once}, {d.retried, retried}, {d.onceProcessor, onceProcessor}, {d.retriedProcessor, retriedProcessor}} {
-			if err := note.in.RecordValue(note.took.Nanoseconds()); err != nil {
-				return d, err
-			}
+	times := newPickTimes()
+	began := time.Now()
+	for times.requests < maxPicks && (times.requests < minPicks || time.Since(began) < span) {
+		if err := times.measureOne(table, entries, random.Uint64()); err != nil {
+			return times, err
 		}
+		times.requests++
+	}
+	return times, nil
+}
+
+// measureOne picks a backend and, as an ordered retry does, another one.
+func (t *pickTimes) measureOne(table *fake.Table, entries int, number uint64) error {
+	from := time.Now()
+	fromProcessor := threadTime()
+	first, found := table.Pick("", number)
+	once := time.Since(from)
+	onceProcessor := threadTime() - fromProcessor
+	second, foundOther := table.Pick(first, fake.NextRandom(number))
+	retried := time.Since(from)
+	retriedProcessor := threadTime() - fromProcessor
+	if !found || foundOther && second == first || !foundOther && entries > 1 {
+		return fmt.Errorf("drew %q, then %q of %d lines", first, second, entries)
 	}
-	return d, nil
+	return errors.Join(
+		t.once.RecordValue(once.Nanoseconds()),
+		t.retried.RecordValue(retried.Nanoseconds()),
+		t.onceProcessor.RecordValue(onceProcessor.Nanoseconds()),
+		t.retriedProcessor.RecordValue(retriedProcessor.Nanoseconds()))
 }
 
 // weightedTable makes a table of so many entries, with weights as rough as discovery's.
--- a/scale/change.go
+++ b/scale/change.go
@@ -36,11 +36,16 @@
 		Size: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{targetControllers}, Transport: "loopback"}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: "half" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 50 in 100, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
-			results.Metric{Name: "p99" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, 99 in 100, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
-			results.Metric{Name: "most" + rate.suffix, Unit: "ms", About: "until the last controller acts by a change, most, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
-			results.Metric{Name: "written" + rate.suffix, Unit: "ms", About: "of that, until the last file was written and signal sent, mean, " + rate.about, Fit: true},
-			results.Metric{Name: "processor" + rate.suffix, Unit: "% of a core", About: "processor time of a controller, mean, " + rate.about, Budget: maxProcessorPercent, Fit: true})
+			results.Metric{Name: "half" + rate.suffix, Unit: "ms",
+				About: "until the last controller acts by a change, 50 in 100, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "p99" + rate.suffix, Unit: "ms",
+				About: "until the last controller acts by a change, 99 in 100, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "most" + rate.suffix, Unit: "ms",
+				About: "until the last controller acts by a change, most, " + rate.about, Budget: 1000 * maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "written" + rate.suffix, Unit: "ms",
+				About: "of that, until the last file was written and signal sent, mean, " + rate.about, Fit: true},
+			results.Metric{Name: "processor" + rate.suffix, Unit: "% of a core",
+				About: "processor time of a controller, mean, " + rate.about, Budget: maxProcessorPercent, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
 		results.Metric{Name: "bytes_per_change", Unit: "bytes", About: "files that a change writes, in all", Fit: true},
--- a/scale/content.go
+++ b/scale/content.go
@@ -80,9 +80,13 @@
 
 // draw gives the entries of the next change: some of one group, or some that go to all.
 func (c *content) draw() (entries []distribution.Entry) {
-	scope, names, kind := groupScope(c.random.IntN(c.shape.groups)), c.shape.ofEach, "service"
+	scope := groupScope(c.random.IntN(c.shape.groups))
+	names := c.shape.ofEach
+	kind := "service"
 	if c.random.IntN(commonChanges) == 0 {
-		scope, names, kind = commonScope, commonEntries, "tenant"
+		scope = commonScope
+		names = commonEntries
+		kind = "tenant"
 	}
 	standing := c.stateAt(c.last(), distribution.SomeScopes(scope))
 	for _, i := range c.random.Perm(names)[:1+c.random.IntN(maxEntriesChanged)] {
@@ -93,7 +97,8 @@
 		}
 		e := c.entry(scope, name)
 		if _, live := standing[e.Key()]; drain && live {
-			e.Deleted, e.Value = true, nil
+			e.Deleted = true
+			e.Value = nil
 		}
 		entries = append(entries, e)
 	}
@@ -107,7 +112,8 @@
 	if change.Revision <= c.revision {
 		return
 	}
-	c.revision, c.recordedAt[change.Revision] = change.Revision, time.Now()
+	c.revision = change.Revision
+	c.recordedAt[change.Revision] = time.Now()
 	for _, e := range change.Entries {
 		e.Revision = change.Revision
 		c.byScope[e.Scope] = append(c.byScope[e.Scope], e)
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -36,22 +36,31 @@
 	}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: "half" + rate.suffix, Unit: "s", About: "until in force, 50 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
-			results.Metric{Name: "p99" + rate.suffix, Unit: "s", About: "until in force, 99 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
-			results.Metric{Name: "most" + rate.suffix, Unit: "s", About: "until in force, 100 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "half" + rate.suffix, Unit: "s",
+				About: "until in force, 50 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "p99" + rate.suffix, Unit: "s",
+				About: "until in force, 99 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
+			results.Metric{Name: "most" + rate.suffix, Unit: "s",
+				About: "until in force, 100 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
 			results.Metric{Name: "parents_lost" + rate.suffix, Unit: "times", About: "nodes that lost or left their parent, " + rate.about})
 		for _, of := range treeRoles() {
 			d.Metrics = append(d.Metrics,
-				results.Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", mean, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
-				results.Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s", About: "in and out at " + of.about + ", worst, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
-				results.Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Budget: maxProcessorPercent},
-				results.Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core", About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Budget: maxProcessorPercent})
+				results.Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s",
+					About: "in and out at " + of.about + ", mean, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
+				results.Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s",
+					About: "in and out at " + of.about + ", worst, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
+				results.Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core",
+					About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Budget: maxProcessorPercent},
+				results.Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core",
+					About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Budget: maxProcessorPercent})
 		}
 	}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
-			results.Metric{Name: recordBytes + rate.suffix, Unit: "bytes/s", About: "in and out for the record at a voter that follows, mean, " + rate.about, Budget: maxBytesPerSecond},
-			results.Metric{Name: recordBytes + "_leader" + rate.suffix, Unit: "bytes/s", About: "in and out for the record at the leader, " + rate.about, Budget: maxBytesPerSecond})
+			results.Metric{Name: recordBytes + rate.suffix, Unit: "bytes/s",
+				About: "in and out for the record at a voter that follows, mean, " + rate.about, Budget: maxBytesPerSecond},
+			results.Metric{Name: recordBytes + "_leader" + rate.suffix, Unit: "bytes/s",
+				About: "in and out for the record at the leader, " + rate.about, Budget: maxBytesPerSecond})
 	}
 	d.Metrics = append(d.Metrics,
 		results.Metric{Name: "memory", Unit: "MB", About: "resident memory of the process over its nodes", Budget: maxMegabytes},
@@ -83,10 +92,10 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchDelays()
+	delays := watchDelays()
 	for _, rate := range changeRates() {
 		o.progressf("%d subscribers, ready after %.1f s, %s", size, t.ready.Seconds(), rate.about)
-		if err := t.pace(ctx, rate, &s); err != nil {
+		if err := t.measurePace(ctx, rate, &s); err != nil {
 			return s, err
 		}
 	}
@@ -102,50 +111,69 @@
 	if needlessSnapshots := t.needlessSnapshots(); needlessSnapshots > 0 {
 		t.propagation.violate("%d snapshots were taken where deltas would have done", needlessSnapshots)
 	}
-	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
+	s.Violations = t.propagation.violations
+	s.Inconclusive = delays.tooBusy()
 	return s, nil
 }
 
-// pace makes changes at one pace for a while, and notes what that cost.
-func (t *tree) pace(ctx context.Context, rate changeRate, s *results.Sample) error {
+// measurePace makes changes at one pace for a while, and notes what that cost.
+func (t *tree) measurePace(ctx context.Context, rate changeRate, s *results.Sample) error {
 	t.propagation.reset()
-	lost := t.parentsLost()
-	before, record, spent, began := t.bytes(), t.recordBytes(), processorOfSelf(), time.Now()
+	parentsLost := t.parentsLost()
+	before := t.bytes()
+	recordBefore := t.recordBytes()
+	processorBefore := processorOfSelf()
+	began := time.Now()
 	made, err := t.change(ctx, rate.perS, began.Add(t.options.For))
 	if err != nil {
 		return err
 	}
-	after, took, seconds := t.bytes(), processorOfSelf()-spent, time.Since(began).Seconds()
-	t.setRecord(record, t.recordBytes(), rate, seconds, s)
+	after := t.bytes()
+	processor := processorOfSelf() - processorBefore
+	seconds := time.Since(began).Seconds()
+	t.setRecord(recordBefore, t.recordBytes(), rate, seconds, s)
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
 	s.Set("half"+rate.suffix, t.propagation.seconds(t.propagation.each, 50))
 	s.Set("p99"+rate.suffix, t.propagation.seconds(t.propagation.each, 99))
 	s.Set("most"+rate.suffix, t.propagation.seconds(t.propagation.each, 100))
-	s.Set("parents_lost"+rate.suffix, float64(t.parentsLost()-lost))
+	s.Set("parents_lost"+rate.suffix, float64(t.parentsLost()-parentsLost))
 	if made == 0 {
 		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.For)
 	}
-	all := 0.
+	passed := map[string]float64{}
 	for name := range after {
-		all += float64(after[name] - before[name])
-	}
-	byRole := t.byRole()
-	for _, of := range treeRoles() {
-		sum, worst := 0., 0.
-		for _, name := range byRole[of.name] {
-			passed := float64(after[name] - before[name])
-			sum, worst = sum+passed, max(worst, passed)
+		passed[name] = float64(after[name] - before[name])
+	}
+	t.setRoles(passed, processor.Seconds(), rate, seconds, s)
+	return nil
+}
+
+// setRoles notes what nodes of each role passed over their links, in bytes, and their part of our processor time by it.
+func (t *tree) setRoles(passed map[string]float64, processor float64, rate changeRate, seconds float64, s *results.Sample) {
+	all := 0.
+	for _, bytes := range passed {
+		all += bytes
+	}
+	nodes := t.byRole()
+	for _, role := range treeRoles() {
+		names := nodes[role.name]
+		if len(names) == 0 {
+			continue
 		}
-		if n := float64(len(byRole[of.name])); n > 0 {
-			s.Set(of.name+"_bytes_per_s"+rate.suffix, sum/n/seconds)
-			s.Set(of.name+"_bytes_per_s_worst"+rate.suffix, worst/seconds)
-			s.Set(of.name+"_processor"+rate.suffix, percent*took.Seconds()/seconds*sum/n/all)
-			s.Set(of.name+"_processor_worst"+rate.suffix, percent*took.Seconds()/seconds*worst/all)
+		sum := 0.
+		worst := 0.
+		for _, name := range names {
+			sum += passed[name]
+			worst = max(worst, passed[name])
 		}
+		mean := sum / float64(len(names))
+		s.Set(role.name+"_bytes_per_s"+rate.suffix, mean/seconds)
+		s.Set(role.name+"_bytes_per_s_worst"+rate.suffix, worst/seconds)
+		s.Set(role.name+"_processor"+rate.suffix, percent*processor/seconds*mean/all)
+		s.Set(role.name+"_processor_worst"+rate.suffix, percent*processor/seconds*worst/all)
 	}
-	return nil
 }
 
 // bytes is what each node has passed over its links so far, without what the voters have passed for the record.
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -47,10 +47,12 @@
 			results.Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Budget: maxPropagationSeconds},
 			results.Metric{Name: f.name + "_p99", Unit: "s", About: f.about + ": until in force, 99 in 100", Budget: maxPropagationSeconds},
 			results.Metric{Name: f.name + "_most", Unit: "s", About: f.about + ": until in force, 100 in 100", Budget: maxPropagationSeconds},
-			results.Metric{Name: f.name + "_back", Unit: "s", About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Budget: maxPropagationSeconds},
+			results.Metric{Name: f.name + "_back", Unit: "s",
+				About: f.about + ": until what was missed is in force, from being reachable again, 100 in 100", Budget: maxPropagationSeconds},
 			results.Metric{Name: f.name + "_faults", Unit: "times", About: f.about + ": nodes hit"},
 			results.Metric{Name: f.name + "_snapshots", Unit: "snapshots", About: f.about + ": taken by nodes that were started anew"},
-			results.Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s", About: f.about + ": in and out at the worst node", Budget: maxBytesPerSecond})
+			results.Metric{Name: f.name + "_bytes_per_s_worst", Unit: "bytes/s",
+				About: f.about + ": in and out at the worst node", Budget: maxBytesPerSecond})
 	}
 	return d
 }
@@ -68,14 +70,15 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchDelays()
+	delays := watchDelays()
 	for _, f := range treeFaults() {
 		o.progressf("%d subscribers: %s", size, f.about)
 		if err := t.under(ctx, f, &s); err != nil {
 			return s, err
 		}
 	}
-	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
+	s.Violations = t.propagation.violations
+	s.Inconclusive = delays.tooBusy()
 	return s, nil
 }
 
@@ -83,7 +86,10 @@
 func (t *tree) under(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.propagation.reset()
 	span := max(t.options.For/time.Duration(f.part), downtime)
-	starts, needlessSnapshots, before, began := t.starts.Load(), t.needlessSnapshots(), t.bytes(), time.Now()
+	starts := t.starts.Load()
+	needless := t.needlessSnapshots()
+	before := t.bytes()
+	began := time.Now()
 	t.faultHits.Store(0)
 	var playing sync.WaitGroup
 	var failed error
@@ -96,7 +102,8 @@
 	if err != nil {
 		return err
 	}
-	after, seconds := t.bytes(), time.Since(began).Seconds()
+	after := t.bytes()
+	seconds := time.Since(began).Seconds()
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
@@ -111,7 +118,7 @@
 	s.Set(f.name+"_faults", float64(t.faultHits.Load()))
 	s.Set(f.name+"_snapshots", float64(t.starts.Load()-starts))
 	s.Set(f.name+"_bytes_per_s_worst", worst)
-	if more := t.needlessSnapshots() - needlessSnapshots; more > 0 {
+	if more := t.needlessSnapshots() - needless; more > 0 {
 		t.propagation.violate("%s: %d snapshots were taken where deltas would have done", f.about, more)
 	}
 	return nil
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -110,24 +110,45 @@
 		voters = append(voters, v.name)
 	}
 	for i := range plan.distributors {
-		t.distributors = append(t.distributors, &hollowSubscriber{name: fmt.Sprint("distributor/", i), role: roleDistributor,
-			region: (len(voters) + i) % regions, scopes: distribution.AllScopes(), candidates: voters, fanOut: plan.fanOut})
+		t.distributors = append(t.distributors, &hollowSubscriber{
+			name:       fmt.Sprint("distributor/", i),
+			role:       roleDistributor,
+			region:     (len(voters) + i) % regions,
+			scopes:     distribution.AllScopes(),
+			candidates: voters,
+			fanOut:     plan.fanOut,
+		})
 	}
 	for i := range plan.subscribers {
-		s := &hollowSubscriber{name: fmt.Sprint("subscriber/", i), region: i % regions, fanOut: distribution.DefaultFanOut,
-			scopes: distribution.SomeScopes(commonScope, groupScope(i%t.content.shape.groups))}
-		for _, d := range t.random.Perm(len(t.distributors))[:min(knownDistributors, len(t.distributors))] {
-			s.candidates = append(s.candidates, t.distributors[d].name)
-		}
-		for range knownPeers {
-			peer := i%t.content.shape.groups + t.content.shape.groups*t.random.IntN((plan.subscribers+t.content.shape.groups-1)/t.content.shape.groups)
-			s.candidates = append(s.candidates, fmt.Sprint("subscriber/", peer))
-		}
-		t.subscribers = append(t.subscribers, s)
+		group := i % t.content.shape.groups
+		t.subscribers = append(t.subscribers, &hollowSubscriber{
+			name:       fmt.Sprint("subscriber/", i),
+			region:     i % regions,
+			scopes:     distribution.SomeScopes(commonScope, groupScope(group)),
+			candidates: t.drawCandidates(group, plan.subscribers),
+			fanOut:     distribution.DefaultFanOut,
+		})
 	}
 	for _, s := range t.nodes() {
-		s.network, s.propagation = t.network, t.propagation
+		s.network = t.network
+		s.propagation = t.propagation
+	}
+}
+
+// drawCandidates draws the possible parents that a subscriber is configured with: distributors, and peers of its group,
+// who are every so many-th subscriber.
+func (t *tree) drawCandidates(group, subscribers int) []string {
+	var candidates []string
+	for _, i := range t.random.Perm(len(t.distributors))[:min(knownDistributors, len(t.distributors))] {
+		candidates = append(candidates, t.distributors[i].name)
+	}
+	groups := t.content.shape.groups
+	largestGroup := (subscribers + groups - 1) / groups
+	for range knownPeers {
+		peer := group + groups*t.random.IntN(largestGroup)
+		candidates = append(candidates, fmt.Sprint("subscriber/", peer))
 	}
+	return candidates
 }
 
 // nodes are all that do not vote.
--- a/scale/record.go
+++ b/scale/record.go
@@ -43,8 +43,10 @@
 	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
-			results.Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Budget: maxProcessorPercent, Fit: true},
-			results.Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "follower_processor", Unit: "% of a core",
+				About: "processor time of a follower, mean", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "leader_processor", Unit: "% of a core",
+				About: "processor time of the leader", Budget: maxProcessorPercent, Fit: true},
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -55,7 +55,7 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchDelays()
+	delays := watchDelays()
 	var all []restartCost
 	s.Partial, err = repeats(ctx, o.For, func() error {
 		cost, err := t.restartSome(ctx, size)
@@ -70,7 +70,8 @@
 	s.Set("worst_bytes_per_s", medianOf(all, func(c restartCost) float64 { return c.worst }))
 	s.Set("processor", medianOf(all, func(c restartCost) float64 { return c.processor.Seconds() * 1000 / float64(size) }))
 	s.Set("repeats", float64(len(all)))
-	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
+	s.Violations = t.propagation.violations
+	s.Inconclusive = delays.tooBusy()
 	return s, nil
 }
 
@@ -81,7 +82,9 @@
 		some = append(some, t.subscribers[i])
 	}
 	each(some, (*hollowSubscriber).kill)
-	before, spent, began := t.bytes(), processorTime(), time.Now()
+	before := t.bytes()
+	processorBefore := processorTime()
+	began := time.Now()
 	for _, s := range some {
 		t.starts.Add(1)
 		s.start()
@@ -89,7 +92,8 @@
 	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(some) == 0 }) {
 		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", countWaiting(some), many, readyTimeout)
 	}
-	cost.ready, cost.processor = time.Since(began), processorTime()-spent
+	cost.ready = time.Since(began)
+	cost.processor = processorTime() - processorBefore
 	for name, bytes := range t.bytes() {
 		cost.worst = max(cost.worst, float64(bytes-before[name])/max(cost.ready, time.Second).Seconds())
 	}
@@ -130,7 +134,7 @@
 		return s, err
 	}
 	defer t.close()
-	late := watchDelays()
+	delays := watchDelays()
 	region := len(t.voters.voters) + t.random.IntN(regions-len(t.voters.voters))
 	t.network.cutOff(region)
 	began := time.Now()
@@ -165,7 +169,8 @@
 	s.Set("ready", ready.Seconds())
 	s.Set("bytes", (after-before)/float64(len(behind)))
 	s.Set("snapshots", float64(t.needlessSnapshots()))
-	s.Violations, s.Inconclusive = t.propagation.violations, late.tooBusy()
+	s.Violations = t.propagation.violations
+	s.Inconclusive = delays.tooBusy()
 	return s, nil
 }
 
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -42,11 +42,13 @@
 		d.Metrics = append(d.Metrics,
 			results.Metric{Name: role + "_bytes_per_s", Unit: "bytes/s", About: "in and out at the " + role, Budget: maxBytesPerSecond},
 			results.Metric{Name: role + "_processor", Unit: "% of a core", About: "processor time of the " + role, Budget: maxProcessorPercent},
-			results.Metric{Name: role + "_memory", Unit: "MB", About: "resident memory of the " + role + ", the most", Budget: maxMegabytes, Fit: true})
+			results.Metric{Name: role + "_memory", Unit: "MB",
+				About: "resident memory of the " + role + ", the most", Budget: maxMegabytes, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
 		results.Metric{Name: "distributor_ready", Unit: "s", About: "from the start of the distributor until it has all entries", Fit: true},
-		results.Metric{Name: "controller_ready", Unit: "s", About: "from the start of the controller until it has those of its services", Fit: true},
+		results.Metric{Name: "controller_ready", Unit: "s",
+			About: "from the start of the controller until it has those of its services", Fit: true},
 		results.Metric{Name: "controller_entries", Unit: "entries", About: "of its services, and those of all"},
 		results.Metric{Name: "most", Unit: "s", About: "until in force at the last child, 100 in 100", Budget: maxPropagationSeconds})
 	return d
@@ -75,14 +77,15 @@
 		return s, err
 	}
 	defer r.close()
-	late := watchDelays()
+	delays := watchDelays()
 	if err := r.start(ctx); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
 	if err := r.measure(ctx, &s); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
-	s.Violations, s.Inconclusive = r.propagation.violations, late.tooBusy()
+	s.Violations = r.propagation.violations
+	s.Inconclusive = delays.tooBusy()
 	return s, nil
 }
 
