--- a/scale/record.go
+++ b/scale/record.go
@@ -17,7 +17,7 @@
 	"wheelrill/scale/results"
 )
 
-// recordReal is what the record costs real controllers, as processes with relays around them: all are members.
+// recordReal is what the record costs real controllers, as processes with fake proxies around them: all are members.
 type recordReal struct{}
 
 // Figures of the installation around the members.
@@ -43,12 +43,14 @@
 	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
-			results.Metric{Name: "follower_processor", Unit: "% of a core", About: "processor time of a follower, mean", Budget: maxProcessorPercent, Fit: true},
-			results.Metric{Name: "leader_processor", Unit: "% of a core", About: "processor time of the leader", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "follower_processor", Unit: "% of a core",
+				About: "processor time of a follower, mean", Budget: maxProcessorPercent, Fit: true},
+			results.Metric{Name: "leader_processor", Unit: "% of a core",
+				About: "processor time of the leader", Budget: maxProcessorPercent, Fit: true},
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
-// Needs are those of the members and of the stand-ins in our process.
+// Needs are those of the members and of the fakes in our process.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.For}
 	if terms := (ownership.LeaseTerms{MaxMessages: maxMessages, Members: size}); terms.OwnerQuota() < 1 {
@@ -110,7 +112,7 @@
 
 // processor is the share of a core that a member took, in percent.
 func (s *spending) processor(name string) float64 {
-	return percent * (s.after[name].Processor - s.before[name].Processor).Seconds() / s.ended.Sub(s.began).Seconds()
+	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
 // sample sums members up, followers apart from the leader.
@@ -118,7 +120,7 @@
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
 	for name, cost := range members {
-		memory = max(memory, float64(s.after[name].Memory)/megabyte)
+		memory = max(memory, float64(s.after[name].resident)/megabyte)
 		entries += cost.entries / float64(len(members))
 		if cost.leads {
 			leaderBytes, leaderProcessor = cost.bytes, s.processor(name)
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -42,11 +42,13 @@
 		d.Metrics = append(d.Metrics,
 			results.Metric{Name: role + "_bytes_per_s", Unit: "bytes/s", About: "in and out at the " + role, Budget: maxBytesPerSecond},
 			results.Metric{Name: role + "_processor", Unit: "% of a core", About: "processor time of the " + role, Budget: maxProcessorPercent},
-			results.Metric{Name: role + "_memory", Unit: "MB", About: "resident memory of the " + role + ", the most", Budget: maxMegabytes, Fit: true})
+			results.Metric{Name: role + "_memory", Unit: "MB",
+				About: "resident memory of the " + role + ", the most", Budget: maxMegabytes, Fit: true})
 	}
 	d.Metrics = append(d.Metrics,
 		results.Metric{Name: "distributor_ready", Unit: "s", About: "from the start of the distributor until it has all entries", Fit: true},
-		results.Metric{Name: "controller_ready", Unit: "s", About: "from the start of the controller until it has those of its services", Fit: true},
+		results.Metric{Name: "controller_ready", Unit: "s",
+			About: "from the start of the controller until it has those of its services", Fit: true},
 		results.Metric{Name: "controller_entries", Unit: "entries", About: "of its services, and those of all"},
 		results.Metric{Name: "most", Unit: "s", About: "until in force at the last child, 100 in 100", Budget: maxPropagationSeconds})
 	return d
@@ -75,14 +77,15 @@
 		return s, err
 	}
 	defer r.close()
-	late := watchDelays()
+	delays := watchDelays()
 	if err := r.start(ctx); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
 	if err := r.measure(ctx, &s); err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
-	s.Violations, s.Inconclusive = r.propagation.violations, late.tooBusy()
+	s.Violations = r.propagation.violations
+	s.Inconclusive = delays.tooBusy()
 	return s, nil
 }
 
@@ -90,6 +93,7 @@
 func (r *roleFleet) measure(ctx context.Context, s *results.Sample) error {
 	r.propagation.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
+	rate := changeRate{perS: changesPerSecond * changeRateFactor}
 	before, began := map[string]preciseUsage{}, time.Now()
 	for role, c := range r.processes {
 		usage, err := readPreciseUsage(c.process.PID())
@@ -99,7 +103,7 @@
 		before[role] = usage
 	}
 	for time.Since(began) < r.options.For {
-		if err := pauseFor(ctx, time.Duration((0.5+random.Float64())/(changesPerSecond*changeRateFactor)*float64(time.Second))); err != nil {
+		if err := pauseFor(ctx, rate.pause(random)); err != nil {
 			return err
 		}
 		if err := r.propose(ctx, r.content.draw()); err != nil {
@@ -118,7 +122,7 @@
 		}
 		s.Set(role+"_bytes_per_s", bytes)
 		s.Set(role+"_processor", percent*(usage.processor-before[role].processor).Seconds()/seconds)
-		s.Set(role+"_memory", float64(usage.most)/megabyte)
+		s.Set(role+"_memory", float64(usage.peak)/megabyte)
 	}
 	last := r.content.last()
 	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(r.children, r.content, last) == 0 })
