--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -32,7 +32,7 @@
 		Args:    cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), "calm       nothing goes wrong")
-			fmt.Fprintln(c.OutOrStdout(), "takeover   controllers are killed under load, and come back as new; a worker hangs now and then")
+			fmt.Fprintln(c.OutOrStdout(), "takeover   controllers are killed under load, and come back as new; a backend hangs now and then")
 		},
 	}
 }
@@ -59,11 +59,11 @@
 	f.DurationVar(&scenario.Duration, "for", time.Minute, "how long it is played")
 	f.DurationVar(&scenario.FaultInterval, "kill-every", 6*time.Second, "time between two faults")
 	f.IntVar(&scenario.Controllers, "instances", 3, "controllers")
-	f.IntVar(&scenario.Proxies, "relays", 60, "relays")
-	f.IntVar(&scenario.Backends, "workers", 12, "workers")
+	f.IntVar(&scenario.Proxies, "relays", 60, "proxies")
+	f.IntVar(&scenario.Backends, "workers", 12, "backends")
 	f.Uint64Var(&scenario.Seed, "seed", 1, "of all that is drawn")
 	f.StringVar(&sharing, "sharing", "on", "on, or off for a baseline")
-	f.BoolVar(&scenario.Fenced, "fenced", false, "relays ask for owners' tokens, and refuse older ones")
+	f.BoolVar(&scenario.Fenced, "fenced", false, "proxies ask for owners' fencing tokens, and refuse older ones")
 	f.BoolVar(&scenario.Disk, "disk", false, "members keep the record on disk")
 	f.StringVar(&scenario.Faults, "faults", "kill", "what is drawn from, with commas: kill, leave, pair, freeze, cut, half, split, slow, reload")
 	f.BoolVar(&asJSON, "json", false, "the report as JSON")
@@ -104,14 +104,14 @@
 		}
 		return verdictError(r.Verdict)
 	}
-	fmt.Fprintf(to, "%s, seed %d, %d controllers, sharing %v, %d relays, %.0f s, faults %v\n", r.Scenario, r.Seed, r.Controllers,
+	fmt.Fprintf(to, "%s, seed %d, %d controllers, sharing %v, %d proxies, %.0f s, faults %v\n", r.Scenario, r.Seed, r.Controllers,
 		r.Sharing, r.Proxies, r.Seconds, r.Faults)
-	fmt.Fprintf(to, "effects %d, broken rules %v; longest without a line %.2f s, most messages to a relay %d\n", r.Effects,
+	fmt.Fprintf(to, "effects %d, broken rules %v; longest with an empty table %.2f s, most messages to a proxy %d\n", r.Effects,
 		r.ViolationCounts, r.LongestEmptyTable, r.MostMessages)
-	fmt.Fprintf(to, "value served in time %.4f of %d requests; lost %d, refused %d\n", r.ServedValue, r.Requests, r.Lost, r.Rejected)
-	fmt.Fprintf(to, "streams begun %d, lines in the first second of each %.1f; all lines %d in %d orders; refused as stale %d\n",
+	fmt.Fprintf(to, "value served in time %.4f of %d requests; lost %d, rejected %d\n", r.ServedValue, r.Requests, r.Lost, r.Rejected)
+	fmt.Fprintf(to, "streams begun %d, lines in the first second of each %.1f; all lines %d in %d pushes; rejected as stale %d\n",
 		r.StreamsBegun, r.LinesAtConnect, r.Lines, r.Orders, r.StaleOrdersRejected)
-	fmt.Fprintf(to, "hangs %d, left after %.2f s in the mean, %.2f s at most; tries into them %d; workers replaced %d\n", r.Hangs,
+	fmt.Fprintf(to, "hangs %d, detected after %.2f s in the mean, %.2f s at most; attempts into them %d; backends replaced %d\n", r.Hangs,
 		r.MeanHangDetection, r.MaxHangDetection, r.AttemptsIntoHang, r.BackendsReplaced)
 	for _, v := range r.Violations {
 		fmt.Fprintf(to, "rule %d at %.1f s: %s: %s\n", v.Rule, v.At.Seconds(), v.Subject, v.Text)
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -12,8 +12,8 @@
 	"wheelrill/internal/settings"
 )
 
-// needsRestart are the keys of a configuration that count from a start on, not from a reload.
-var needsRestart = []string{"name", "listen", "limits", "settings"}
+// restartKeys are the keys of a configuration that count from a start on, not from a reload.
+var restartKeys = []string{"name", "listen", "limits", "settings"}
 
 // parsedConfiguration is a configuration that was read and found usable.
 type parsedConfiguration struct {
@@ -29,7 +29,7 @@
 	zones         []string
 	telemetry     balancer.Telemetry
 	admissionMode balancer.AdmissionMode
-	needsRestart  map[string]string // text of the keys of needsRestart that are there
+	restartTexts  map[string]string // text of the keys of needsRestart that are there
 	warnings      []string          // what is odd, but can be borne
 }
 
@@ -70,11 +70,11 @@
 		cachedList:   root.Get("known"),
 		limits:       defaultLimits(),
 		classIndex:   map[string]int{},
-		needsRestart: map[string]string{},
+		restartTexts: map[string]string{},
 	}
-	for _, key := range needsRestart {
+	for _, key := range restartKeys {
 		if value := root.Get(key); value != nil {
-			p.needsRestart[key] = value.String()
+			p.restartTexts[key] = value.String()
 		}
 	}
 	return p
@@ -122,7 +122,7 @@
 	}
 	p.telemetry.HealthChecksAllowed = false
 	p.telemetry.PollingRequired = false // the list is watched here all the time
-	tick := settings.Microseconds(parsed.NumberOr("tick", 0))
+	tick := settings.FromMilliseconds(parsed.NumberOr("tick", 0))
 	p.parseClassNames(values, parsed)
 	if err := parsed.Err(); err != nil {
 		return err
--- a/controller/cache.go
+++ b/controller/configuration_cache.go
@@ -113,7 +113,7 @@
 		case <-timer.C:
 		}
 		began := time.Now()
-		if err := d.cache.update(d.carrier); err != nil {
+		if err := d.cache.update(d.transport); err != nil {
 			d.log.Warn("cache_write_failed", "error", err)
 		}
 		timer.Reset(max(cacheInterval, cachePauseFactor*time.Since(began)))
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -31,7 +31,12 @@
 
 // connection is one connection of a proxy, a collector, or of somebody who has not said who it is. It has two goroutines, which run
 // starts and awaits: the reader decodes messages into events of the loop, the writer sends what waits in outbox. Both end once the
-// connection is closed. Any goroutine may call send and close.
+// connection is closed. Any goroutine may call send and close. It goes through these states:
+//   - reading: messages are read and written, until readMessages returns (run);
+//   - draining: readDone is closed, and the writer sends what waits in outbox (endReading, awaitReady). Skipped by an identified
+//     connection that broke;
+//   - refusing: the reason is written, and what still comes is read and dropped (refuse). Only for an unidentified one that broke;
+//   - closed: closed is closed, and the socket (close). Any state may go there at once.
 type connection struct {
 	socket   net.Conn
 	limits   *limits
@@ -52,7 +57,7 @@
 	evicted       atomic.Bool  // it was asked to make room
 	lastMessageAt atomic.Int64 // the loop's clock when the last complete message came, µs
 
-	outbox      chan []byte   // messages that wait; limits.outboxSize of them, then send fails and the proxy is dropped
+	outbox      chan []byte   // messages that wait; limits.outboxSize of them, then send fails
 	readDone    chan struct{} // closed when the reader has ended: what waits in outbox is all that is still owed
 	awaitsReady bool          // what is owed may wait for readiness; set before readDone is closed
 
@@ -74,15 +79,15 @@
 	return c
 }
 
-// run serves the connection until its end, and pays first what is owed to one that is not broken: the answers to what it asked, and
-// to an unidentified one the reason why it is refused. The server has a goroutine for it.
+// run serves the connection until its end. Before it closes one whose peer has only ended its sending, it sends the answers that
+// wait; before it closes an unidentified one, the reason why. The server has a goroutine for it.
 func (c *connection) run() {
 	var writer sync.WaitGroup
 	writer.Go(c.writeMessages)
 	err := c.readMessages()
 	finished := err == io.EOF // it has said its last, and may still listen
 	if finished || c.kind == kindUnidentified {
-		c.flushOutbox(&writer, err, finished && c.kind != kindProxy)
+		c.endReading(&writer, err, finished && c.kind != kindProxy)
 	}
 	if c.kind == kindUnidentified && !finished {
 		c.refuse(err)
--- a/controller/connection_writer.go
+++ b/controller/connection_writer.go
@@ -77,10 +77,10 @@
 // deliver writes a message. When the deadline has passed, what the socket takes all the same still counts, as it may be this process
 // that stalled: after a last look in which anything was taken, the full time begins anew.
 func (c *connection) deliver(message []byte) error {
-	lastLook := false
+	finalWrite := false // past the deadline: a last look
 	for {
 		timeout := c.limits.writeTimeout
-		if lastLook {
+		if finalWrite {
 			timeout = c.limits.finalReadTimeout
 		}
 		c.writeWithin(timeout)
@@ -88,16 +88,17 @@
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, errTimeout) || lastLook && written == 0 {
+		if !errors.Is(err, errTimeout) || finalWrite && written == 0 {
 			return err
 		}
 		message = message[written:]
-		lastLook = !lastLook
+		finalWrite = !finalWrite
 	}
 }
 
-// flushOutbox lets the writer send what waits in the outbox, for as long as an unidentified connection may last.
-func (c *connection) flushOutbox(writer *sync.WaitGroup, reason error, awaitReady bool) {
+// endReading tells the writer that nothing more is read, and lets it send what waits in the outbox: for as long as an unidentified
+// connection may last, whatever this one is, and for finalReadTimeout at least.
+func (c *connection) endReading(writer *sync.WaitGroup, reason error, awaitReady bool) {
 	c.awaitsReady = awaitReady
 	close(c.readDone)
 	timeout := max(c.limits.finalReadTimeout, time.Until(c.acceptedAt.Add(c.limits.identifyTimeout)))
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -45,7 +45,7 @@
 
 // New reads a configuration, a JSON object, and makes a controller of it that logs to a logger. An error names the key that is
 // missing or unusable.
-func New(identity Identity, configuration []byte, to *slog.Logger) (*Controller, error) {
+func New(identity Identity, configuration []byte, logger *slog.Logger) (*Controller, error) {
 	parsed, err := parseConfiguration(configuration)
 	if err != nil {
 		return nil, err
@@ -62,10 +62,11 @@
 	if err := checkDiscovery(parsed.Discovery); err != nil {
 		return nil, err
 	}
-	c := &Controller{limits: parsed.limits, log: newRateLimitedLogger(to, parsed.limits), configuration: parsed}
+	c := &Controller{limits: parsed.limits, log: newRateLimitedLogger(logger, parsed.limits), configuration: parsed}
 	for _, text := range parsed.warnings {
 		c.log.Warn("setting_unusual", "text", text)
 	}
+	// The loop, the decisions and the watcher need each other, so they are joined in steps.
 	c.loop = newEventLoop(parsed, c.log)
 	if c.loop.decisions, err = parsed.newDecisions(c.loop, parsed.channel); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -115,7 +116,8 @@
 func (c *Controller) Memory() int64 { return c.limits.memory }
 
 // Reload takes a configuration that replaces the last one, in one step. What it says of discovery counts at once, and more than what
-// New's identity said; the rest of it counts from the next start on. One that cannot be used changes nothing, and the error names
+// New's identity said, so it has to be there; the rest of it counts from the next start on. Keys of the rest that differ from the last
+// configuration that was read are logged; those that it lacks are not. One that cannot be used changes nothing, and the error names
 // the key. Connections, tables and all that is known live on. It may be called by any goroutine.
 func (c *Controller) Reload(configuration []byte) error {
 	parsed, err := parseConfiguration(configuration)
@@ -131,8 +133,8 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, key := range slices.Sorted(maps.Keys(parsed.needsRestart)) {
-		if parsed.needsRestart[key] != c.configuration.needsRestart[key] {
+	for _, key := range slices.Sorted(maps.Keys(parsed.restartTexts)) {
+		if parsed.restartTexts[key] != c.configuration.restartTexts[key] {
 			c.log.Warn("reload_needs_restart", "key", key, "text", "it differs, and counts from the next start on")
 		}
 	}
@@ -149,7 +151,7 @@
 // ownership is shared, then connections are closed, then the record and the distribution end. Otherwise it returns what kept it
 // from serving.
 func (c *Controller) Serve(ctx context.Context) error {
-	if c.distributor != nil && c.distributor.carrier == nil {
+	if c.distributor != nil && c.distributor.transport == nil {
 		return errors.New("distribution: a voter is a member that shares the record, and this one does not")
 	}
 	c.mutex.Lock()
@@ -164,7 +166,7 @@
 	defer cancel()
 	connections, endConnections := c.connectionsContext(ctx)
 	defer endConnections()
-	// The record's address goes last: who finds nobody there takes it that no connection of ours is left.
+	// Close the record's address last: other members take an unreachable address as proof that our connections are closed.
 	recorded, endRecord := context.WithCancel(context.WithoutCancel(ctx))
 	defer endRecord()
 	defer time.AfterFunc(c.limits.readyTimeout, func() {
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// answerProbe answers a health check of this controller. One that has identified itself is not closed where the answer cannot leave:
-// the loop does that.
+// answerProbe answers a readiness check of this controller. Where the outbox is full, an unidentified connection ends, and the answer
+// to an identified one is lost.
 func (c *connection) answerProbe() error {
 	err := c.send(aliveMessage)
 	if c.kind == kindUnidentified {
@@ -74,7 +74,7 @@
 // intervalAt reads the time that a report covers, in microseconds and in seconds; none at all, or too long a one, is not usable.
 func (c *connection) intervalAt(message *fastjson.Value) (interval microseconds, seconds float64, ok bool) {
 	milliseconds, ok := numberAt(message, keyInterval)
-	interval = settings.Microseconds(milliseconds)
+	interval = settings.FromMilliseconds(milliseconds)
 	return interval, inSeconds(interval), ok && interval > 0 && interval <= c.limits.maxReportInterval
 }
 
@@ -145,7 +145,7 @@
 	attempts, attemptsOK := countAt(message, keyCount, c.limits.maxFleetRate, seconds)
 	failed, failedOK := countAt(message, keyFailed, c.limits.maxFleetRate, seconds)
 	latency, latencyKnown := numberAt(message, keyLatency)
-	meanLatency := settings.Microseconds(latency)
+	meanLatency := settings.FromMilliseconds(latency)
 	load, loadOK := c.decodeLoad(message.Get(keyLoad))
 	_, zoneKnown := c.zoneAt(message)
 	backend := string(message.GetStringBytes(keyBackend))
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -54,15 +54,15 @@
 // distributor is the controller's side of the distribution: what arrives waits here until the event loop takes it. JoinDistribution
 // sets its fields, and ShareOwnership a voter's transport and node, before Serve begins.
 type distributor struct {
-	loop      *eventLoop
-	log       *slog.Logger
-	limits    distribution.Limits
-	carrier   *transport.Transport // our node of the tree, and its connections
-	node      *consensus.Node      // of a voter
-	listener  *consensus.Listener  // of a subscriber that passes on
-	cache     *configurationCache  // of a subscriber with a folder
-	arrived   arrivedEntries       // what the loop has not taken
-	proposals chan proposedEntries // of a voter: the newest configuration that is to be proposed; a newer one replaces it
+	loop          *eventLoop
+	log           *slog.Logger
+	limits        distribution.Limits
+	transport     *transport.Transport // our node of the tree, and its connections
+	consensusNode *consensus.Node      // of a voter
+	listener      *consensus.Listener  // of a subscriber that passes on
+	cache         *configurationCache  // of a subscriber with a folder
+	arrived       arrivedEntries       // what the loop has not taken
+	proposals     chan proposedEntries // of a voter: the newest configuration that is to be proposed; a newer one replaces it
 }
 
 // proposedEntries are all entries that are to be on the record.
@@ -123,7 +123,7 @@
 	if config.AllScopes {
 		scopes = distribution.AllScopes()
 	}
-	d.carrier = transport.New(transport.Config{
+	d.transport = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Scopes: scopes, Candidates: config.candidates(), Limits: d.limits},
 		Dial:  subscriber.Dial,
 		Apply: d.apply,
@@ -156,25 +156,25 @@
 	}
 	if state != nil {
 		d.log.Info("cache_loaded", "revision", state.Version.Revision, "epoch", state.Version.Epoch.String(), "entries", len(state.Entries))
-		d.carrier.Restored(*state)
+		d.transport.Restored(*state)
 	}
 	return nil
 }
 
 // becomeVoter prepares a voter, as a member that shares the record.
 func (d *distributor) becomeVoter(self consensus.Peer) *transport.Transport {
-	d.carrier = transport.New(transport.Config{
+	d.transport = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
 		Dial:  func(context.Context, string) (net.Conn, error) { return nil, errNoParent },
 		Apply: d.apply,
 		Log:   d.logEvent,
 	})
-	return d.carrier
+	return d.transport
 }
 
 // accept serves one that subscribes here. Goroutines of the listener call it.
 func (d *distributor) accept(conn net.Conn, allowed func(string) bool) {
-	d.carrier.Accept(conn, allowed)
+	d.transport.Accept(conn, allowed)
 }
 
 // run carries the distribution until the context ends. Controller.Serve starts it and waits for its end; it starts the goroutines of
@@ -182,7 +182,7 @@
 func (d *distributor) run(ctx context.Context) {
 	var running sync.WaitGroup
 	carried, endCarried := context.WithCancel(context.WithoutCancel(ctx))
-	running.Go(func() { d.carrier.Run(carried) })
+	running.Go(func() { d.transport.Run(carried) })
 	running.Go(func() {
 		defer endCarried()
 		d.runCache(ctx)
--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -47,10 +47,7 @@
 // not wait for the loop.
 func (d *distributor) apply(change distribution.Change, full bool) {
 	d.arrived.add(change.Entries, full)
-	select {
-	case d.loop.inbox <- func() {}: // has it iterate
-	default: // it will, as its inbox is full
-	}
+	d.loop.wake()
 }
 
 // takeArrived gives what has arrived since it was last called.
--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -49,18 +49,18 @@
 func (d *distributor) runStatusReports(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
-	last := d.carrier.Traffic()
+	last := d.transport.Traffic()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		status, ok := d.carrier.Status()
+		status, ok := d.transport.Status()
 		if !ok {
 			return
 		}
-		now := d.carrier.Traffic()
+		now := d.transport.Traffic()
 		d.log.Info("distribution_status", "revision", status.Version.Revision, "epoch", status.Version.Epoch.String(),
 			"age_s", formatAge(status.Age), "parent", status.Parent, "depth", len(status.Path),
 			"children", len(status.Children), "entries", status.Entries,
--- a/controller/distribution_propose.go
+++ b/controller/distribution_propose.go
@@ -12,7 +12,7 @@
 
 // distributedEntries reads what a configuration wants to be distributed, at a voter; elsewhere it is left alone (not ok).
 func (c *Controller) distributedEntries(configuration []byte) (entries proposedEntries, ok bool, err error) {
-	if c.distributor == nil || c.distributor.node == nil {
+	if c.distributor == nil || c.distributor.consensusNode == nil {
 		return nil, false, nil
 	}
 	root, err := fastjson.ParseBytes(configuration)
@@ -53,7 +53,7 @@
 func (d *distributor) propose(ctx context.Context, entries proposedEntries) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	version, differing, err := d.node.Configure(ctx, entries)
+	version, differing, err := d.consensusNode.Configure(ctx, entries)
 	switch {
 	case err == nil && differing == 0:
 		d.log.Info("change_empty", "revision", version.Revision, "epoch", version.Epoch.String())
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -53,7 +53,7 @@
 	}
 	weight, _ := numberAt(server, keyWeight)       // 0 if it cannot be used
 	startedAt, _ := numberAt(server, keyStartedAt) // 0, long ago, if it cannot be used
-	return balancer.Endpoint{Backend: backend, State: state, StartedAt: settings.Microseconds(startedAt), Weight: weight,
+	return balancer.Endpoint{Backend: backend, State: state, StartedAt: settings.FromMilliseconds(startedAt), Weight: weight,
 		Zone: zone}, true
 }
 
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -10,7 +10,8 @@
 
 // eventLoop owns the controller's state and is the decisions' host. Its goroutine, which run is, is the only one that reads or
 // writes the decisions, tables, sessions, overrides, timers, backend indices and the coordinator of ownership; all others hand it
-// functions through inbox. What it takes at once happens at one clock time, and leaves as one message to each proxy concerned.
+// functions through inbox. What New sets and nobody changes, connections read as well: limits, log, zone and class indices and names,
+// clock, and the channels. What it takes at once happens at one clock time, and leaves as one message to each proxy concerned.
 // Nothing of its state outlasts the process: a restart begins with the cached list of the configuration.
 type eventLoop struct {
 	*tables
@@ -57,6 +58,14 @@
 	}
 }
 
+// wake has the loop iterate. With a full inbox it will without that. Any goroutine may call it.
+func (l *eventLoop) wake() {
+	select {
+	case l.inbox <- func() {}:
+	default:
+	}
+}
+
 // run takes events until the context ends, and then hands our proxies over where ownership is shared. Controller.Serve starts it
 // and waits for its end.
 func (l *eventLoop) run(ctx context.Context) {
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -33,7 +33,7 @@
 	maxIdleBuffer      int // bytes; a reader's buffer that grew beyond this is given back
 	inboxSize          int // events that wait for the loop; at the bound, reports are dropped and other events make their senders wait
 	eventsPerIteration int // events that the loop takes at one clock time
-	outboxSize         int // messages that wait for one connection; at the bound, a proxy is dropped
+	outboxSize         int // messages that wait for one connection; at the bound send fails: the loop drops a proxy, an unidentified connection ends, the answer to another's probe is lost
 	maxUnacked         int // acknowledgements that are missing of one proxy; at the bound, the oldest is forgotten
 	maxResponseBody    int // bytes of an answer of discovery
 
@@ -54,9 +54,11 @@
 	ackLagTimeout   microseconds  // the same where another proxy has given that acknowledgement
 
 	// Times of connections.
-	identifyTimeout  time.Duration // from accept on, for a connection to identify itself
-	minEvictAge      time.Duration // that it has for this at least, however many others come
-	finalReadTimeout time.Duration // that what had arrived at a deadline is read, and that a last message may take
+	identifyTimeout time.Duration // from accept on, for a connection to identify itself
+	minEvictAge     time.Duration // that it has for this at least, however many others come
+	// finalReadTimeout is a last look past a deadline, as it may be this process that stalled: at what had arrived of a connection, at
+	// what it takes of a message, at the listener's backlog; and what an evicted connection has for its end.
+	finalReadTimeout time.Duration
 	lingerTimeout    time.Duration // that what a refused connection still sends is read
 	writeTimeout     time.Duration // for one message to leave
 
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -33,10 +33,10 @@
 // overrides are what distributed entries say of backends, over discovery's word, and of classes. A backend or class may have entries
 // of several scopes. The event loop owns it; after a restart it is filled anew by the distribution.
 type overrides struct {
-	limits  map[string]map[distribution.Key]float64        // by class, requests a second
-	drains  map[string]map[distribution.Key]microseconds   // by backend's id: when the entry was accepted
-	weights map[string]map[distribution.Key]weightOverride // by backend's id
-	listed  []balancer.Endpoint                            // by backend, as discovery has it; an index that is given anew is listed anew
+	classLimits map[string]map[distribution.Key]float64        // by class, requests a second
+	drains      map[string]map[distribution.Key]microseconds   // by backend's id: when the entry was accepted
+	weights     map[string]map[distribution.Key]weightOverride // by backend's id
+	listed      []balancer.Endpoint                            // by backend, as discovery has it; an index that is given anew is listed anew
 }
 
 // weightOverride is a weight and the revision that set it.
@@ -53,7 +53,7 @@
 
 // clear forgets all distributed entries.
 func (o *overrides) clear() {
-	o.limits = map[string]map[distribution.Key]float64{}
+	o.classLimits = map[string]map[distribution.Key]float64{}
 	o.drains = map[string]map[distribution.Key]microseconds{}
 	o.weights = map[string]map[distribution.Key]weightOverride{}
 }
@@ -76,7 +76,7 @@
 		return subject{backend: about}, usable || entry.Deleted
 	case kindLimit:
 		limit, usable := parseLimit(string(entry.Value))
-		setOverride(o.limits, about, entry.Key(), limit, usable && !entry.Deleted)
+		setOverride(o.classLimits, about, entry.Key(), limit, usable && !entry.Deleted)
 		return subject{class: about}, usable || entry.Deleted
 	}
 	return subject{}, true
@@ -103,7 +103,8 @@
 	return weight, err == nil && weight > 0 && weight <= maxWeight
 }
 
-// parseLimit reads a limit; not ok if it is none, below 0 or infinite.
+// parseLimit reads a limit of an entry that arrived; not ok if it is none, below 0 or infinite. checkEntry, of an entry that is to be
+// distributed, looks at a JSON number instead.
 func parseLimit(text string) (limit float64, ok bool) {
 	limit, err := strconv.ParseFloat(text, 64)
 	return max(limit, minLimit), err == nil && limit >= 0 && !math.IsInf(limit, 1)
@@ -111,7 +112,7 @@
 
 // limitOf is the lowest limit that stands for a class; 0 where there is none.
 func (o *overrides) limitOf(class string) (lowest float64) {
-	for _, limit := range o.limits[class] {
+	for _, limit := range o.classLimits[class] {
 		if lowest == 0 || limit < lowest {
 			lowest = limit
 		}
@@ -127,7 +128,7 @@
 	for backend := range o.weights {
 		changed = append(changed, subject{backend: backend})
 	}
-	for class := range o.limits {
+	for class := range o.classLimits {
 		changed = append(changed, subject{class: class})
 	}
 	o.clear()
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("reset %v", changed)
 	}
 	wants(ready, fmt.Sprint(balancer.Ready, 2))
-	if len(o.drains)+len(o.weights)+len(o.limits) != 0 {
+	if len(o.drains)+len(o.weights)+len(o.classLimits) != 0 {
 		t.Errorf("left over: %+v", o)
 	}
 }
--- /dev/null
+++ b/controller/ownership_record.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"wheelrill/ownership"
+)
+
+// consensusEvents hands what becomes of the record to the event loop. Its methods are called by goroutines of the consensus node.
+type consensusEvents struct {
+	*eventLoop
+	host *ownershipHost
+}
+
+// EntryCommitted implements consensus.Events.
+func (e consensusEvents) EntryCommitted(entry ownership.Entry) {
+	e.post(func() { e.host.coordinator.EntryApplied(entry, e.now) })
+}
+
+// SnapshotRestored implements consensus.Events.
+func (e consensusEvents) SnapshotRestored(record *ownership.Record) {
+	e.post(func() { e.host.coordinator.SnapshotRestored(record, e.now) })
+}
+
+// ProposalCommitted implements consensus.Events.
+func (e consensusEvents) ProposalCommitted(incarnation, sequence uint64) {
+	e.post(func() { e.host.coordinator.ProposalCommitted(incarnation, sequence, e.now) })
+}
+
+// ProposalFailed implements consensus.Events.
+func (e consensusEvents) ProposalFailed(incarnation, sequence uint64) {
+	e.post(func() { e.host.coordinator.ProposalFailed(incarnation, sequence, e.now) })
+}
+
+// recordTableChanges puts on the record what this iteration has changed in our tables, before any of it is written.
+func (h *ownershipHost) recordTableChanges() {
+	tables := h.loop.tables
+	var changes []ownership.TableChange
+	for _, number := range slices.Sorted(maps.Keys(tables.byNumber)) {
+		table := tables.byNumber[number]
+		if len(table.changed) == 0 {
+			continue
+		}
+		change := ownership.TableChange{Table: number}
+		for _, backend := range table.changed {
+			change.Lines = append(change.Lines, h.recordLine(backend, table.weights[backend]))
+		}
+		changes = append(changes, change)
+	}
+	if len(tables.withdrawalChanges) > 0 {
+		change := ownership.TableChange{Table: ownership.WithdrawnTable}
+		for _, backend := range tables.withdrawalChanges {
+			weight := 0.0
+			if tables.withdrawn[backend] {
+				weight = 1
+			}
+			change.Lines = append(change.Lines, h.recordLine(backend, weight))
+		}
+		changes = append(changes, change)
+	}
+	if len(changes) > 0 {
+		h.coordinator.ChangeTables(changes, h.loop.now)
+	}
+}
+
+// recordLine is an entry of a table as the record has it.
+func (h *ownershipHost) recordLine(backend int, weight float64) ownership.Line {
+	return ownership.Line{Backend: string(h.loop.backendName(backend)), Weight: weight}
+}
+
+// shareEvidence puts on the record what our proxies met, which backends are ejected here, and what arrives at each proxy.
+func (h *ownershipHost) shareEvidence(now microseconds) {
+	for backend, id := range h.loop.backends.ids {
+		if id != "" {
+			attempts, failed, backoff, ejected := h.loop.decisions.Ejection(backend)
+			h.evidence.SetWithdrawn(id, ejected, attempts, failed, backoff)
+		}
+	}
+	proven, saturated := h.loop.decisions.Throughput()
+	h.evidence.SetCapacity(ownership.Capacity{Proven: proven, Saturated: saturated})
+	h.coordinator.AddEvidence(h.evidence, now)
+}
+
+// Propose implements ownership.Host: it proposes an entry for the record.
+func (h *ownershipHost) Propose(entry ownership.Entry) { h.node.Propose(entry) }
+
+// RandomID implements ownership.Host: it names a new incarnation.
+func (h *ownershipHost) RandomID() uint64 { return randomID() }
--- a/controller/server.go
+++ b/controller/server.go
@@ -39,7 +39,7 @@
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				_ = socket.Close() // it goes elsewhere
+				_ = socket.Close() // its peer dials another controller
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
@@ -91,7 +91,7 @@
 		if err != nil {
 			return
 		}
-		_ = socket.Close() // it goes elsewhere
+		_ = socket.Close() // its peer dials another controller
 	}
 }
 
@@ -127,7 +127,7 @@
 }
 
 // evict has so many more of the oldest unidentified connections make room, if they had their time to speak: each is judged by what has
-// arrived of it. Those that were evicted before are on their way out, and a flood must not come in only as fast as one goes.
+// arrived of it. Those that were evicted before do not count, as they are about to end: the more come, the more are evicted at once.
 func (s *server) evict(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -16,10 +16,10 @@
 	maxFrame    int                      // bytes of a part of a message
 	maxParts    int                      // parts of a message
 
-	byNumber     map[int]*table
-	limitsForAll []admissionLimit // by class: for every table of every connected proxy
-	withdrawn    []bool           // by backend
-	proxies      []*proxyState    // by proxy; nil if it is not connected
+	byNumber              map[int]*table
+	admissionLimitsForAll []admissionLimit // by class: for every table of every connected proxy
+	withdrawn             []bool           // by backend
+	proxies               []*proxyState    // by proxy; nil if it is not connected
 
 	// Of this clock time, until flush.
 	withdrawalChanges []int // backends that were withdrawn or restored
@@ -33,10 +33,10 @@
 
 // table is one of those that proxies can be assigned.
 type table struct {
-	weights   []float64        // by backend; 0 is no entry
-	changed   []int            // backends whose entries were set at this clock time
-	isChanged []bool           // by backend: it is among changed
-	limits    []admissionLimit // by class
+	weights         []float64        // by backend; 0 is no entry
+	changed         []int            // backends whose entries were set at this clock time
+	isChanged       []bool           // by backend: it is among changed
+	admissionLimits []admissionLimit // by class
 }
 
 // admissionLimit is how much of a class proxies admit, and how they may retry.
@@ -64,14 +64,14 @@
 	tables []int // by class: number of its table, or unbound
 
 	// What is to be written.
-	dirty             bool             // something is
-	fullDue           uint16           // classes whose tables are to be written in full
-	withdrawalChanges []int            // backends withdrawn or restored since its last message, where that concerns it
-	defaultLimit      admissionLimit   // in force where no limit was ordered and no table is ours, once it was written
-	limits            []admissionLimit // by class: as last written; a limit below 0 stands for one that nobody knows
-	backendStates     []backendState   // by backend: as last written; those beyond its end are as at first
-	cleared           bool             // withdrawals of others are lifted from the backends that its tables use
-	reconciled        bool             // backendStates agrees with all of its tables but for what changed since its last message
+	dirty                 bool             // something is
+	fullDue               uint16           // classes whose tables are to be written in full
+	withdrawalChanges     []int            // backends withdrawn or restored since its last message, where that concerns it
+	defaultAdmissionLimit admissionLimit   // in force where no limit was ordered and no table is ours, once it was written
+	admissionLimits       []admissionLimit // by class: as last written; a limit below 0 stands for one that nobody knows
+	backendStates         []backendState   // by backend: as last written; those beyond its end are as at first
+	cleared               bool             // withdrawals of others are lifted from the backends that its tables use
+	reconciled            bool             // backendStates agrees with all of its tables but for what changed since its last message
 
 	// What it came with.
 	mayHoldWithdrawals bool                   // it may have withdrawals of other controllers
@@ -85,7 +85,7 @@
 
 func newTables(classNames [][]byte, backendName func(int) []byte, maxFrame, maxParts int) *tables {
 	return &tables{classNames: classNames, backendName: backendName, maxFrame: maxFrame, maxParts: maxParts,
-		byNumber: map[int]*table{}, limitsForAll: make([]admissionLimit, len(classNames))}
+		byNumber: map[int]*table{}, admissionLimitsForAll: make([]admissionLimit, len(classNames))}
 }
 
 // connect begins what is kept of a proxy.
@@ -94,7 +94,7 @@
 		t.proxies = append(t.proxies, nil)
 	}
 	t.proxies[proxy] = &proxyState{conn: conn, mayHoldWithdrawals: mayHoldWithdrawals,
-		limits: make([]admissionLimit, len(t.classNames)), tables: slices.Repeat([]int{unbound}, len(t.classNames))}
+		admissionLimits: make([]admissionLimit, len(t.classNames)), tables: slices.Repeat([]int{unbound}, len(t.classNames))}
 	return t.proxies[proxy]
 }
 
@@ -112,7 +112,7 @@
 // table gives the table of a number, an empty one if nothing was ordered of it.
 func (t *tables) table(number int) *table {
 	if t.byNumber[number] == nil {
-		t.byNumber[number] = &table{limits: make([]admissionLimit, len(t.classNames))}
+		t.byNumber[number] = &table{admissionLimits: make([]admissionLimit, len(t.classNames))}
 	}
 	return t.byNumber[number]
 }
@@ -185,7 +185,7 @@
 	if state == nil || !slices.Contains(state.tables, unbound) {
 		return false
 	}
-	state.defaultLimit = admissionLimit{true, sanitizeNumber(limit), retry}
+	state.defaultAdmissionLimit = admissionLimit{true, sanitizeNumber(limit), retry}
 	state.dirty = true
 	for backend, withdrawn := range t.withdrawn {
 		if withdrawn {
@@ -205,9 +205,9 @@
 // SetAdmissionLimit implements balancer.Host: it sets the limit of some classes in a table, or in all. The lower of the two stands,
 // with the table's own retry policy.
 func (t *tables) SetAdmissionLimit(number int, classes uint16, limit float64, retry balancer.RetryPolicy) {
-	limits, concerned := t.limitsForAll, func(*proxyState) bool { return true }
+	limits, concerned := t.admissionLimitsForAll, func(*proxyState) bool { return true }
 	if number != balancer.AllTables {
-		limits = t.table(number).limits
+		limits = t.table(number).admissionLimits
 		concerned = func(proxy *proxyState) bool { return slices.Contains(proxy.tables, number) }
 	}
 	for class := range limits {
@@ -254,15 +254,15 @@
 // limitFor is the limit that stands for a class at a proxy: the lower one of its table's and that of all, with the table's own
 // retry policy.
 func (t *tables) limitFor(proxy *proxyState, class int) admissionLimit {
-	forAll := t.limitsForAll[class]
+	forAll := t.admissionLimitsForAll[class]
 	number := proxy.tables[class]
 	if number == unbound {
 		if forAll.set {
 			return forAll
 		}
-		return proxy.defaultLimit
+		return proxy.defaultAdmissionLimit
 	}
-	own := t.byNumber[number].limits[class]
+	own := t.byNumber[number].admissionLimits[class]
 	if !own.set {
 		return forAll
 	}
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -145,9 +145,9 @@
 	for _, entry := range delta {
 		entries = append(entries, encodeEntry([]byte(entry.Backend), entry.Weight))
 	}
-	for class := range proxy.limits {
+	for class := range proxy.admissionLimits {
 		if hasClass(due, class) {
-			proxy.limits[class] = unknownLimit // a full table would have it forget those that others left
+			proxy.admissionLimits[class] = unknownLimit // a full table would have it forget those that others left
 		}
 	}
 	return entries, true
@@ -166,13 +166,13 @@
 // writeLimits writes limits that differ from what the proxy was last written, each once for all classes that share it.
 func (t *tables) writeLimits(proxy *proxyState, w *messageWriter) {
 	changed := t.updateLimits(proxy)
-	for class, limit := range proxy.limits {
+	for class, limit := range proxy.admissionLimits {
 		if !hasClass(changed, class) {
 			continue
 		}
 		var sharing uint16
-		for other := class; other < len(proxy.limits); other++ {
-			if hasClass(changed, other) && proxy.limits[other] == limit {
+		for other := class; other < len(proxy.admissionLimits); other++ {
+			if hasClass(changed, other) && proxy.admissionLimits[other] == limit {
 				sharing |= 1 << other
 			}
 		}
@@ -185,15 +185,15 @@
 // full table has it forget its limits; where it may have those of others, the lack of one has to be written.
 func (t *tables) updateLimits(proxy *proxyState) (changed uint16) {
 	for class := range t.classNames {
-		limit, unknown := t.limitFor(proxy, class), proxy.limits[class].isUnknown()
+		limit, unknown := t.limitFor(proxy, class), proxy.admissionLimits[class].isUnknown()
 		if hasClass(proxy.fullDue, class) && !unknown {
-			proxy.limits[class] = admissionLimit{}
+			proxy.admissionLimits[class] = admissionLimit{}
 		}
-		if !limit.set && (unknown || proxy.limits[class] == unlimited) {
+		if !limit.set && (unknown || proxy.admissionLimits[class] == unlimited) {
 			limit = unlimited
 		}
-		if limit != proxy.limits[class] {
-			proxy.limits[class] = limit
+		if limit != proxy.admissionLimits[class] {
+			proxy.admissionLimits[class] = limit
 			changed |= 1 << class
 		}
 	}
--- a/controller/wire.go
+++ b/controller/wire.go
@@ -6,7 +6,7 @@
 const (
 	keyMessage = "msg"
 
-	messageProbe    = "probe"    // a health check of this controller ...
+	messageProbe    = "probe"    // a readiness check of this controller ...
 	messageAlive    = "alive"    // ... and its answer
 	messageHello    = "hello"    // a proxy connects
 	messageAgent    = "agent"    // a collector connects
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -63,7 +63,7 @@
 		Backlog:               s.positive("familyInfo.backlog"),
 		MaxLatency:            s.microseconds("familyInfo.pushDelayMax"),
 		MaxMessages:           s.countUpTo("familyInfo.messagesMost", math.MaxInt32),
-		MessageWindow:         Microseconds(s.NumberOr("familyInfo.messagesOver", 0)),
+		MessageWindow:         FromMilliseconds(s.NumberOr("familyInfo.messagesOver", 0)),
 		Proxies:               s.countUpTo("familyInfo.proxyCount", math.MaxUint16),
 		MinBackendConnections: s.countUpTo("familyInfo.socketsMin", math.MaxUint16),
 	}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -127,7 +127,7 @@
 	add("load_fields", strings.Join(s.LoadFields(), "|"))
 	add("zones", strings.Join(s.Zones(), "|"))
 	add("count_proxies", s.Count("familyInfo.proxyCount"))
-	add("tick_us", Microseconds(s.NumberOr("tick", 0)))
+	add("tick_us", FromMilliseconds(s.NumberOr("tick", 0)))
 	if s.Err() != nil {
 		return append(odd, "error: "+s.Err().Error())
 	}
@@ -201,7 +201,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, Microseconds(x), Sanitize(x))
+		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, FromMilliseconds(x), Sanitize(x))
 	}
 	golden.Compare(t, "figures.golden", text)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,8 +34,8 @@
 	warn   WarnFunc
 }
 
-// ParseLines reads settings of one path=value a line; lines without = are passed over, and of two lines with one path
-// the second counts.
+// ParseLines reads settings of one path=value a line; lines without = are passed over, and of lines with one path the
+// last counts.
 func ParseLines(text string, warn WarnFunc) *Settings {
 	s := &Settings{values: map[string]string{}, warn: warn}
 	for _, line := range strings.Split(text, "\n") {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -14,8 +14,8 @@
 	longestMicroseconds        = float64(1 << 53) // above it a float64 no longer holds every whole number
 )
 
-// Microseconds turns milliseconds into whole microseconds; what Sanitize refuses is 0.
-func Microseconds(milliseconds float64) int64 {
+// FromMilliseconds turns milliseconds into whole microseconds; what Sanitize refuses is 0.
+func FromMilliseconds(milliseconds float64) int64 {
 	rounded := math.Round(Sanitize(milliseconds) * microsecondsPerMillisecond)
 	return int64(min(rounded, longestMicroseconds))
 }
@@ -78,10 +78,10 @@
 }
 
 // microseconds reads a required time, which the wire has in milliseconds.
-func (s *Settings) microseconds(key string) int64 { return Microseconds(s.number(key)) }
+func (s *Settings) microseconds(key string) int64 { return FromMilliseconds(s.number(key)) }
 
 // positiveMicroseconds reads a required time above 0, which the wire has in milliseconds.
-func (s *Settings) positiveMicroseconds(key string) int64 { return Microseconds(s.positive(key)) }
+func (s *Settings) positiveMicroseconds(key string) int64 { return FromMilliseconds(s.positive(key)) }
 
 // has tells whether a key is there that may be left out. A key that is only spelled otherwise is rejected: the operator
 // gave it, so its default would be wrong.
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -93,7 +93,7 @@
 }
 
 // microseconds reads a time, which the wire has in milliseconds.
-func (r record) microseconds(at int) int64 { return settings.Microseconds(r.f64(at)) }
+func (r record) microseconds(at int) int64 { return settings.FromMilliseconds(r.f64(at)) }
 
 // tailOf gives the part of the tail that the field at this position names, with the size in bytes of each counted item.
 func (r record) tailOf(at, itemSize int) ([]byte, error) {
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -46,7 +46,7 @@
 // Handle plays one batch. The reply is valid until the next call; an error means that the batch was not this wire.
 func (s *Server) Handle(batch Batch) (*Reply, error) {
 	s.reply.Reset(batch.Seq)
-	s.now = settings.Microseconds(batch.Clock)
+	s.now = settings.FromMilliseconds(batch.Clock)
 	for i := range batch.Events() {
 		if err := s.handleEvent(batch.event(i)); err != nil {
 			return nil, fmt.Errorf("frame %d, event %d: %w", batch.Seq, i, err)
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -7,7 +7,7 @@
 )
 
 // Distribution says what part a controller has in the distribution of configuration: it votes on changes, or subscribes
-// to them. All but the role, FanOut and SnapshotPace are for subscribers.
+// to them. A voter has Role, FanOut and SnapshotPace alone; the rest is for subscribers.
 type Distribution struct {
 	Role        string            `yaml:"role"`        // Voter or Subscriber
 	Name        string            `yaml:"name"`        // LB_NAME where empty
@@ -17,7 +17,7 @@
 	Folder      string            `yaml:"folder"`      // for the configuration, across restarts; empty for nothing
 	Certificate string            `yaml:"certificate"` // path of a PEM file that names the subscriber
 	Key         string            `yaml:"key"`         // path of its PEM file
-	Authority   string            `yaml:"authority"`   // path of the PEM file of who signed the voters', too
+	Authority   string            `yaml:"authority"`   // path of the PEM file of the authority that signed the certificates, the voters' as well
 	Plain       bool              `yaml:"plain"`       // plain text, on loopback alone, without the three above
 	FanOut      int               `yaml:"fan_out"`     // subscribers at most; 0 for the default
 	// SnapshotPace is how many bytes a second all snapshots to subscribers take together; 0 for the default.
@@ -41,7 +41,7 @@
 	maxScopes       = 4096
 	maxScopeSize    = 256 // bytes
 	maxNameSize     = 192 // bytes
-	separator       = "@" // between a name and an address, where nodes name each other
+	separator       = "@" // between a name and an address, where nodes name each other: consensus.PeerSeparator, which is checked again there
 )
 
 func (d *Distribution) check(where locator, sharing *Sharing) error {
--- a/options/sharing.go
+++ b/options/sharing.go
@@ -13,7 +13,7 @@
 	Folder      string            `yaml:"folder"`      // for what outlasts the process; empty for nothing
 	Certificate string            `yaml:"certificate"` // path of a PEM file that names the member
 	Key         string            `yaml:"key"`         // path of its PEM file
-	Authority   string            `yaml:"authority"`   // path of the PEM file of who signed all members'
+	Authority   string            `yaml:"authority"`   // path of the PEM file of the authority that signed the members' certificates
 	Plain       bool              `yaml:"plain"`       // plain text, on loopback alone, without the three above
 	Lease       string            `yaml:"lease"`       // a duration; empty for the default
 
