--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -39,6 +39,8 @@
 	}
 }
 
+// handle answers a call. Its kind is that of the first of these fields that is set: Subscribe, Status, Change, Entry, ID. A
+// call of an unknown kind is answered like one for another member.
 func (n *Node) handle(request memberRequest, from caller, connection int) memberResponse {
 	switch {
 	case request.Subscribe:
@@ -51,7 +53,7 @@
 		return n.acceptChange(*request.Change)
 	case request.Entry != nil && from.maySpeakFor(request.Entry.Member):
 		return n.appendEntry(*request.Entry, connection)
-	case request.ID != "" && from.maySpeakFor(request.Name) && nameOf(raft.ServerID(request.ID)) == request.Name:
+	case request.ID != "" && from.maySpeakFor(request.Name) && memberName(raft.ServerID(request.ID)) == request.Name:
 		return n.admit(request.Name, request.ID)
 	}
 	return memberResponse{Why: whyNotThatMember}
@@ -87,7 +89,7 @@
 	return memberResponse{Accepted: true}
 }
 
-// stampEntry adds to an entry what the leader knows: when it arrived, and who has written nothing off the record.
+// stampEntry adds to an entry what the leader knows: when it arrived, and who has written nothing without a quorum.
 func (n *Node) stampEntry(machine *stateMachine, entry *ownership.Entry, connection int) {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -43,14 +43,14 @@
 
 func isConfigurationEntry(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
 
-// configuration is the part of the state machine that holds the distributed configuration. Every member has it, whether or
+// configuration is the part of the state machine that holds the configuration record. Every member has it, whether or
 // not anybody can subscribe there.
 type configuration struct {
 	distribution Distribution             // nil where nobody can subscribe
 	onEpoch      func(distribution.Epoch) // of each change and snapshot
 
-	mutex sync.Mutex // over voter
-	voter *distribution.Record
+	mutex  sync.Mutex // over record
+	record *distribution.Record
 }
 
 // newConfiguration makes an empty one. Distribution and onEpoch may be nil.
@@ -58,7 +58,7 @@
 	if onEpoch == nil {
 		onEpoch = func(distribution.Epoch) {}
 	}
-	return &configuration{distribution: told, onEpoch: onEpoch, voter: distribution.NewRecord()}
+	return &configuration{distribution: told, onEpoch: onEpoch, record: distribution.NewRecord()}
 }
 
 // changeResult is what became of a proposal.
@@ -84,12 +84,12 @@
 // accept makes a proposal the next change, or refuses it, and tells the distribution: of the first change as a whole.
 func (c *configuration) accept(proposal distribution.Proposal) changeResult {
 	c.mutex.Lock()
-	first := c.voter.Empty()
-	change, err := c.voter.Apply(proposal)
-	version := c.voter.Version()
+	first := c.record.Empty()
+	change, err := c.record.Apply(proposal)
+	version := c.record.Version()
 	var whole distribution.State
 	if err == nil && first {
-		whole = c.voter.State()
+		whole = c.record.State()
 	}
 	c.mutex.Unlock()
 	if err != nil {
@@ -110,22 +110,22 @@
 func (c *configuration) state() *distribution.State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.voter.Empty() {
+	if c.record.Empty() {
 		return nil
 	}
-	state := c.voter.State()
+	state := c.record.State()
 	return &state
 }
 
-// restore takes the configuration of a snapshot; nil where it had none.
+// restore replaces the configuration by that of a snapshot; nil where it had none.
 func (c *configuration) restore(state *distribution.State) {
-	voter := distribution.NewRecord()
+	record := distribution.NewRecord()
 	if state != nil {
-		voter = distribution.RestoreRecord(*state)
+		record = distribution.RestoreRecord(*state)
 		c.onEpoch(state.Version.Epoch)
 	}
 	c.mutex.Lock()
-	c.voter = voter
+	c.record = record
 	c.mutex.Unlock()
 	if state != nil && c.distribution != nil {
 		c.distribution.Restored(*state)
@@ -136,12 +136,12 @@
 func (c *configuration) view(look func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	look(c.voter)
+	look(c.record)
 }
 
 // empty tells whether nothing was ever accepted.
 func (c *configuration) empty() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.voter.Empty()
+	return c.record.Empty()
 }
--- a/consensus/configuration_test.go
+++ b/consensus/configuration_test.go
@@ -49,7 +49,7 @@
 	t.Run("what is refused changes nothing", func(t *testing.T) {
 		for _, m := range all {
 			_, _, err := m.Configure(context.Background(), []distribution.Entry{entry("x", "2"), entry("y", "2"), {Name: "z"}})
-			if !errors.Is(err, ErrRefused) {
+			if !errors.Is(err, ErrChangeRefused) {
 				t.Errorf("got %v", err)
 			}
 			_, err = m.ProposeChange(context.Background(), distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -6,13 +6,16 @@
 //
 // With Config.Folder a member keeps its ID, raft's term, vote and log in record.db (bbolt), and the last two snapshots in
 // the folder snapshots. What raft has acknowledged survives a crash. A damaged record.db makes New fail with an error that
-// names the folder; of the snapshots the newest that can be read is taken, and New fails where there are some and none can.
+// names the folder. Raft's library checks the sum of a snapshot and reads an older one where the newest fails; New fails where
+// there are some and none can be read. Entries of the log have no sum of ours.
 // Nothing is repaired or deleted. Without a folder everything is lost with the process, and the member comes back under a
-// new ID and asks to be admitted. A full disk halts the member's part in raft, and the controller goes on without the
-// record.
+// new ID and asks to be admitted. A full disk halts the member's part in raft, and the controller goes on without a
+// quorum.
 //
-// A snapshot is a CBOR sequence: the ownership record, and behind it the distributed configuration if there is any. An
-// entry of the log is a CBOR map for the ownership record, and a CBOR array for the configuration.
+// Three things are called a record: raft's replicated log, and the two states that result from it, the ownership record
+// (ownership.Record) and the configuration record (distribution.Record). A snapshot is a CBOR sequence: the ownership
+// record, and behind it the configuration record if it is not empty. An entry of the log is a CBOR map for the ownership
+// record, and a CBOR array for the configuration record.
 //
 // # Goroutines
 //
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -6,8 +6,8 @@
 var (
 	// ErrUnanswered leaves open whether the change is accepted; it may be proposed again.
 	ErrUnanswered = errors.New("consensus: no leader of the record has answered")
-	// ErrRefused says that the record refuses the change however often it is proposed.
-	ErrRefused = errors.New("consensus: the record refuses the change")
+	// ErrChangeRefused says that the configuration record refuses the change however often it is proposed.
+	ErrChangeRefused = errors.New("consensus: the record refuses the change")
 )
 
 // Why a connection between members ends early.
@@ -31,11 +31,13 @@
 // Unwrap gives the reason.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// RefusedError says that a member has answered a call, and refuses it.
-type RefusedError struct {
+// CallRefusedError says that a member has answered a call, and refuses it.
+type CallRefusedError struct {
 	// Reason is what the member has given.
 	Reason string
 }
 
 // Error has the reason.
-func (e *RefusedError) Error() string { return "consensus: the member refuses the call: " + e.Reason }
+func (e *CallRefusedError) Error() string {
+	return "consensus: the member refuses the call: " + e.Reason
+}
--- a/consensus/forward.go
+++ b/consensus/forward.go
@@ -13,7 +13,7 @@
 	ownConnection     = 0                     // the number under which the leader's own entries arrive
 )
 
-// Propose takes the entry that is to be appended to the record next. It never blocks; an entry that still waits is
+// Propose has an entry appended to the record next. It never blocks; an entry that still waits is
 // dropped, as it is of an incarnation that is over.
 func (n *Node) Propose(entry ownership.Entry) {
 	for {
--- a/consensus/currency_test.go
+++ b/consensus/freshness_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-func TestCurrencyNeedsContactOrALeadershipsOwnEntries(t *testing.T) {
-	var c currency
+func TestFreshnessNeedsContactOrALeadershipsOwnEntries(t *testing.T) {
+	var c freshness
 	for i, x := range []struct {
 		progress
 		want bool
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	carrier := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	raftTransport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:  &layer{transport: n.transport, address: addressOf(n.config.Name, store.id), closed: make(chan struct{})},
 		MaxPool: connectionPool,
 		Timeout: callTimeout,
@@ -52,9 +52,9 @@
 
 	n.mutex.Lock() // until it is there: nobody is to use the one before
 	defer n.mutex.Unlock()
-	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.haltingStore(store.stable), store.snapshots, carrier)
+	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.withHalt(store.stable), store.snapshots, raftTransport)
 	if err != nil {
-		_ = carrier.Close() // the error before it counts
+		_ = raftTransport.Close() // the error before it counts
 		store.close()
 		return fmt.Errorf("record: %w", err)
 	}
@@ -63,8 +63,8 @@
 		machine: machine,
 		id:      store.id,
 		close: func() {
-			_ = r.Shutdown().Error() // it has none
-			_ = carrier.Close()      // its connections are closed with the transport
+			_ = r.Shutdown().Error()  // it has none
+			_ = raftTransport.Close() // its connections are closed with the transport
 			store.close()
 		},
 	}
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"maps"
 	"slices"
-	"syscall"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -13,26 +11,17 @@
 	"wheelrill/ownership"
 )
 
-const (
-	pollInterval = 200 * time.Millisecond // between two looks at our membership
-	costInterval = 10 * time.Second       // between two lines that tell the record's cost
-)
+// pollInterval is the time between two looks at our membership.
+const pollInterval = 200 * time.Millisecond
 
 // membershipLoop is the state of maintainMembership, which alone uses it.
 type membershipLoop struct {
 	*Node
 	leaderlessPolls int // in a row
-	currency        currency
+	freshness       freshness
 	cost            costSample // as of the last line
 }
 
-// costSample is what the record had cost at some time.
-type costSample struct {
-	at    time.Time
-	bytes int64
-	index uint64
-}
-
 // maintainMembership has us become part of the record, and stay it, until the context ends.
 func (n *Node) maintainMembership(ctx context.Context) {
 	loop := &membershipLoop{Node: n, cost: costSample{at: time.Now(), bytes: n.transport.bytes.Load()}}
@@ -43,7 +32,7 @@
 		case <-ctx.Done():
 			return
 		case leads := <-n.current().raft.LeaderCh():
-			loop.currency.reset()
+			loop.freshness.reset()
 			n.log.Info("leading", "leads", leads, "name", n.config.Name)
 		case <-poll.C:
 			if err := loop.poll(ctx); err != nil {
@@ -66,13 +55,13 @@
 		l.reportCurrent(current)
 		return nil
 	}
-	l.currency.reset()
+	l.freshness.reset()
 	l.leaderlessPolls++
 	step := l.nextStep(ctx, current)
 	if step.Action == ownership.StartOver {
 		return l.startOver(current)
 	}
-	l.take(ctx, current, step)
+	l.perform(ctx, current, step)
 	return nil
 }
 
@@ -100,8 +89,8 @@
 	return ownership.NextStep(own, slices.Collect(maps.Keys(l.config.Members)), others)
 }
 
-// take asks to be admitted, or founds a record. What fails is taken again at the next poll.
-func (l *membershipLoop) take(ctx context.Context, current *instance, step ownership.Step) {
+// perform asks to be admitted, or founds a record. What fails is taken again at the next poll.
+func (l *membershipLoop) perform(ctx context.Context, current *instance, step ownership.Step) {
 	switch step.Action {
 	case ownership.Join:
 		response, err := l.callMember(ctx, step.JoinVia, memberRequest{Name: l.config.Name, ID: current.id})
@@ -133,77 +122,6 @@
 	return nil
 }
 
-// reportCurrent tells the distribution that the record is led and that we have all of its configuration, if that is so.
-func (l *membershipLoop) reportCurrent(current *instance) {
-	if l.config.Distribution == nil {
-		return
-	}
-	r := current.raft
-	seen := progress{
-		leads:     r.State() == raft.Leader,
-		inContact: time.Since(r.LastContact()) < l.pace.heartbeat,
-		applied:   r.AppliedIndex(),
-		committed: r.CommitIndex(),
-		last:      r.LastIndex(),
-	}
-	if l.currency.observe(seen) && !current.machine.configuration.empty() {
-		l.config.Distribution.Current()
-	}
-}
-
-// logCost tells what the record costs, once in a costInterval.
-func (l *membershipLoop) logCost(current *instance) {
-	elapsed := time.Since(l.cost.at)
-	if elapsed < costInterval {
-		return
-	}
-	now := costSample{at: time.Now(), bytes: l.transport.bytes.Load(), index: current.raft.AppliedIndex()}
-	l.log.Info("record",
-		"entries_per_s", perSecond(float64(now.index-l.cost.index), elapsed),
-		"bytes_per_s", perSecond(float64(now.bytes-l.cost.bytes), elapsed),
-		"snapshot_bytes", current.machine.snapshotBytes.Load())
-	l.cost = now
-}
-
-// perSecond is a rate, rounded to a tenth.
-func perSecond(count float64, elapsed time.Duration) float64 {
-	return float64(int(count/elapsed.Seconds()*10+0.5)) / 10
-}
-
-// probeSilentMembers finds members that do not run, for the lease tracker: those of which nothing has arrived lately, and
-// whose address refuses a connection. A connection that hangs shows nothing: the member may be cut off, or stand still.
-func (n *Node) probeSilentMembers(ctx context.Context) {
-	for _, name := range n.silentMembers() {
-		at := n.clock()
-		conn, err := n.transport.dial(ctx, name, connCalls)
-		if err == nil {
-			conn.Close()
-			continue
-		}
-		if errors.Is(err, syscall.ECONNREFUSED) {
-			n.leaderMutex.Lock()
-			n.leases.MarkGone(name, at)
-			n.leaderMutex.Unlock()
-		}
-	}
-}
-
-// silentMembers are the others of which nothing has arrived for two renewals.
-func (n *Node) silentMembers() (silent []string) {
-	machine := n.current().machine
-	n.leaderMutex.Lock()
-	defer n.leaderMutex.Unlock()
-	now := n.clock()
-	machine.withRecord(func(record *ownership.Record) {
-		for name, incarnation := range record.Members {
-			if name != n.config.Name && n.leases.SilentFor(incarnation, now, 2*n.config.Terms.RenewInterval) {
-				silent = append(silent, name)
-			}
-		}
-	})
-	return silent
-}
-
 // servers are the members of the record by their IDs; none where we are part of no record.
 func (i *instance) servers() ([]raft.Server, error) {
 	future := i.raft.GetConfiguration()
@@ -233,7 +151,7 @@
 	for _, server := range servers {
 		ids = append(ids, string(server.ID))
 	}
-	remove, admitted := ownership.Admit(ids, id, func(id string) string { return nameOf(raft.ServerID(id)) })
+	remove, admitted := ownership.Admit(ids, id, func(id string) string { return memberName(raft.ServerID(id)) })
 	for _, other := range remove {
 		if err := current.raft.RemoveServer(raft.ServerID(other), 0, applyTimeout).Error(); err != nil {
 			return memberResponse{Why: err.Error()}
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -21,7 +21,8 @@
 // maxCallBytes bounds one memberRequest or memberResponse.
 const maxCallBytes = 4 << 20
 
-// memberRequest is a call between members: one of its kinds. Numbers of keys are never changed or used again.
+// memberRequest is a call between members: of one kind, which is the field that is set; ID and Name go together. Numbers of
+// keys are never changed or used again.
 type memberRequest struct {
 	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // to be appended to the record
 	Status bool             `cbor:"2,keyasint,omitempty"` // asks for ID, HasRecord and Leader
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -131,7 +131,7 @@
 	n.log.Warn("member_refused", "peer", from.String(), "reason", why.Error())
 }
 
-// Run takes part in the record until the context ends. It hands the leadership on, and returns when all has ended.
+// Run is our part in the record until the context ends. It hands the leadership on, and returns when all has ended.
 func (n *Node) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(n.transport.acceptLoop)
@@ -164,5 +164,5 @@
 // leaderName is the leader that we know of; empty for none.
 func (n *Node) leaderName() string {
 	_, id := n.current().raft.LeaderWithID()
-	return nameOf(id)
+	return memberName(id)
 }
--- a/consensus/pace.go
+++ b/consensus/pace.go
@@ -12,7 +12,7 @@
 // Figures of the pace. A member that dies is replaced as leader within two heartbeat timeouts, about.
 const (
 	shortestHeartbeat = 400 * time.Millisecond  // for a local network, and a lease of 1.5 s
-	longestHeartbeat  = 1200 * time.Millisecond // what a leader that dies has accepted is to be with the others' subscribers within 3 s
+	longestHeartbeat  = 1200 * time.Millisecond // upper bound, so that a change accepted by a dying leader still reaches subscribers within 3 s
 	shortestCommit    = 50 * time.Millisecond
 	leaseParts        = 15 // of a lease, of which ...
 	heartbeatParts    = 4  // ... so many are the heartbeat timeout: two elections fit into a lease
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -13,7 +13,7 @@
 	"wheelrill/distribution"
 )
 
-// Configure has the record hold just the wanted entries, by one change, and tells how many entries differed; 0 if none did,
+// Configure has the configuration record hold just the wanted entries, by one change, and tells how many entries differed; 0 if none did,
 // and nothing was proposed. While nobody leads the record it tries again, until the context ends. Its errors are those of
 // ProposeChange.
 func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differ int, err error) {
@@ -24,7 +24,7 @@
 			return proposal.Base, 0, nil
 		}
 		version, err = n.ProposeChange(ctx, proposal)
-		if err == nil || errors.Is(err, ErrRefused) {
+		if err == nil || errors.Is(err, ErrChangeRefused) {
 			return version, len(proposal.Entries), err
 		}
 		if !sleep(ctx, pollInterval) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// ProposeChange has the record accept a change: once, whole, and gives the version that it makes. The error is
+// ProposeChange has the configuration record accept a change: once, whole, and gives the version that it makes. The error is
 // ErrUnanswered where it is not known whether it will be accepted, distribution.ErrVersionMismatch where the record is not at the
 // base of the proposal, and ErrRefused otherwise.
 func (n *Node) ProposeChange(ctx context.Context, proposal distribution.Proposal) (distribution.Version, error) {
@@ -46,7 +46,7 @@
 	case response.Refusal == refusedBaseMoved:
 		return distribution.Version{}, distribution.ErrVersionMismatch
 	case response.Refusal == refusedPermanently:
-		return distribution.Version{}, fmt.Errorf("%w: %s", ErrRefused, response.Why)
+		return distribution.Version{}, fmt.Errorf("%w: %s", ErrChangeRefused, response.Why)
 	}
 	return distribution.Version{}, fmt.Errorf("%w: %s", ErrUnanswered, response.Why)
 }
--- a/consensus/raft_layer.go
+++ b/consensus/raft_layer.go
@@ -73,8 +73,8 @@
 	return raft.ServerAddress(name + addressSeparator + id)
 }
 
-// nameOf is the name of the member that an ID belongs to.
-func nameOf(id raft.ServerID) string {
+// memberName is the name of the member that an ID belongs to.
+func memberName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), idSeparator)
 	return name
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -79,7 +79,8 @@
 // ErrNoEpoch says that a stored configuration is none that WriteConfiguration wrote.
 var ErrNoEpoch = errors.New("consensus: a configuration without an epoch")
 
-// ReadConfiguration reads what WriteConfiguration wrote; nil where there is nothing to read. The error is ErrNoEpoch, or
+// ReadConfiguration reads what WriteConfiguration wrote; nil where there is nothing to read: an empty body is not told from
+// one that never had a configuration. The error is ErrNoEpoch, or
 // one of the decoder.
 func ReadConfiguration(body []byte) (*distribution.State, error) {
 	if len(body) == 0 {
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -55,7 +55,7 @@
 	return &snapshot{record: body, configuration: m.configuration.state(), bytes: &m.snapshotBytes}, err
 }
 
-// Restore takes a snapshot in place of all entries before. One that is damaged changes nothing.
+// Restore replaces the state by a snapshot. One that is damaged changes nothing.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	body, err := io.ReadAll(from)
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -89,15 +89,15 @@
 
 // haltingStore is where raft keeps its term and vote, which must be written before they count. Raft panics where they
 // cannot be, as on a full disk. Instead the member takes no further part: the goroutine of raft's that writes is held until
-// the transport is closed, and the controller goes on without the record.
+// the transport is closed, and the controller goes on without a quorum.
 type haltingStore struct {
 	raft.StableStore
 	onHalt func(error)
 	ended  <-chan struct{} // of the transport
 }
 
-// haltingStore has the node halt where a store cannot be written.
-func (n *Node) haltingStore(stable raft.StableStore) haltingStore {
+// withHalt makes a store that has the node halt where it cannot be written.
+func (n *Node) withHalt(stable raft.StableStore) haltingStore {
 	if n.wrapStore != nil {
 		stable = n.wrapStore(stable)
 	}
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	if !response.Accepted {
-		return nil, &RefusedError{response.Why}
+		return nil, &CallRefusedError{response.Why}
 	}
 	return conn, conn.SetDeadline(time.Time{})
 }
--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String())
-	if refused := new(RefusedError); !errors.As(err, &refused) || refused.Reason != whyNoSubscribers {
+	if refused := new(CallRefusedError); !errors.As(err, &refused) || refused.Reason != whyNoSubscribers {
 		t.Errorf("got %v, %v", conn, err)
 	}
 }
--- a/controller/distribution_propose.go
+++ b/controller/distribution_propose.go
@@ -59,7 +59,7 @@
 		d.log.Info("change_empty", "revision", version.Revision, "epoch", version.Epoch.String())
 	case err == nil:
 		d.log.Info("change_accepted", "revision", version.Revision, "epoch", version.Epoch.String(), "entries", differing)
-	case errors.Is(err, consensus.ErrRefused):
+	case errors.Is(err, consensus.ErrChangeRefused):
 		d.log.Warn("change_refused", "error", err)
 	default:
 		d.log.Warn("change_unanswered", "error", err)
--- a/ownership/apply.go
+++ b/ownership/apply.go
@@ -1,17 +1,12 @@
 package ownership
 
-import (
-	"maps"
-	"slices"
-)
-
-// EntryApplied takes the next committed entry of the record, of whatever member.
+// EntryApplied applies the next committed entry, of whatever member.
 func (c *Coordinator) EntryApplied(e Entry, now Microseconds) {
 	c.observeStamp(e.Stamp, now)
 	moves, accepted := c.record.Apply(e)
 	if !accepted {
 		if e.Incarnation == c.incarnation && c.record.Members[c.name] != c.incarnation { // another has entered under our name
-			c.leaveRecord(now)
+			c.goWithoutQuorum(now)
 		}
 		return
 	}
@@ -26,7 +21,9 @@
 	}
 }
 
-// SnapshotRestored takes the record as a whole, in place of the entries that led to it.
+// SnapshotRestored replaces the ownership record, in place of the entries that led to it. A proxy that was ours and is
+// another member's in it is lost as by loseProxy, with two differences: the owner quota is not taken away, and it counts as
+// lost as well where the owner has our name, in another incarnation.
 func (c *Coordinator) SnapshotRestored(record *Record, now Microseconds) {
 	c.record = record
 	for proxy, owned := range record.Proxies {
@@ -37,37 +34,10 @@
 		if state != nil && state.token > 0 && owned.Incarnation != c.incarnation && owned.Token > state.token {
 			state.owned = false
 			state.token = 0
-			state.silentSince = now
+			state.unclaimedSince = now
 		}
 	}
 }
 
 // hasEntered tells whether our incarnation is on the record.
 func (c *Coordinator) hasEntered() bool { return c.record.Incarnations[c.incarnation] != nil }
-
-// reportEvidence hands on what another member has just reported.
-func (c *Coordinator) reportEvidence(e Entry) {
-	for _, observation := range e.Observations {
-		c.host.PeerObservationReported(e.Member, observation)
-	}
-	if e.Capacity != (Capacity{}) {
-		c.host.PeerCapacityReported(e.Capacity)
-	}
-}
-
-// reportStandingEvidence hands on, as we enter, what the others have withdrawn and the capacity that they have seen.
-func (c *Coordinator) reportStandingEvidence() {
-	for _, member := range slices.Sorted(maps.Keys(c.record.Capacities)) {
-		if member != c.name {
-			c.host.PeerCapacityReported(c.record.Capacities[member])
-		}
-	}
-	for _, backend := range slices.Sorted(maps.Keys(c.record.Withdrawn)) {
-		byMember := c.record.Withdrawn[backend]
-		for _, member := range slices.Sorted(maps.Keys(byMember)) {
-			if member != c.name {
-				c.host.PeerObservationReported(member, byMember[member])
-			}
-		}
-	}
-}
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -64,7 +64,7 @@
 }
 
 // allOnRecord tells whether the record has all that may have been written to a proxy since its last owner claimed it: by
-// this owner, and by every other member, as a member off the record serves whoever connects and cannot say so.
+// this owner, and by every other member, as a member without a quorum serves whoever connects and cannot record it.
 func (r *Record) allOnRecord(from Ownership, e Entry) bool {
 	last := r.Incarnations[from.Incarnation]
 	if last == nil || len(e.OnRecord) == 0 {
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -14,14 +14,14 @@
 	ProxyGranted(Grant)
 	// PeerCapacityReported gives what another member saw the fleet do.
 	PeerCapacityReported(capacity Capacity)
-	// MessagesSentByPeers takes messages away from what may be written to a proxy that was granted before: others may have
-	// written as many.
+	// MessagesSentByPeers reduces what may be written to a proxy that was granted before: other members may have written as
+	// many messages.
 	MessagesSentByPeers(proxy, messages int)
-	// ReleaseUpTo says that orders of revisions up to this one may be written to proxies.
+	// ReleaseUpTo says that messages which belong to revisions up to this one may be written to proxies.
 	ReleaseUpTo(revision uint64)
 	// PeerObservationReported gives what another member's proxies met of late, or what keeps a backend withdrawn there.
 	PeerObservationReported(member string, observation Observation)
-	// QuorumChanged says that the member goes on without the record, or is on it again.
+	// QuorumChanged says that the member goes on without a quorum, or has entered the record again.
 	QuorumChanged(withoutQuorum bool, why string)
 	// RandomID draws the id of an incarnation, which no other may have.
 	RandomID() uint64
@@ -60,7 +60,7 @@
 	leaseFrom      Microseconds // when the last committed entry had been proposed
 	lastProposedAt Microseconds // when any entry was
 	lastEnteredAt  Microseconds // when the entry that enters was last proposed
-	withoutQuorum  bool         // we go on without the record
+	withoutQuorum  bool         // no entry was committed for a lease, or we have not entered since
 	closing        bool
 	started        Microseconds
 
@@ -71,17 +71,24 @@
 	leaderClocks map[uint64]leaderClock
 }
 
-// proxyState is a proxy that is connected to us.
+// proxyState is a proxy that is connected to us. It is in one of these states:
+//
+//	                                              granted  owned   token  unclaimedSince
+//	claimed, not granted yet                      no       no      0      0
+//	ours by the record                            yes      yes     > 0    0
+//	lost to another member                        yes      no      0      > 0
+//	of a new incarnation, not active since        yes      either  0      > 0
+//	claimed again, or connected without a quorum  yes      either  0      0
 type proxyState struct {
-	granted   bool
-	grantedAt Microseconds
-	owned     bool   // by the record, in this incarnation or in the last
-	token     uint64 // of this incarnation's claim; 0 while there is none
+	granted    bool
+	windowFrom Microseconds // of the messages that it may be written: when it was granted, or the last window ended
+	owned      bool         // by the record, in this incarnation or in the last
+	token      uint64       // of this incarnation's claim; 0 while there is none
 	// staleClaims counts claims of ours that were in flight as its stream began: they were for an older stream.
 	staleClaims int
-	// silentSince is since when it has been ours by no claim, and has to be heard from before it is claimed; 0 for one that
+	// unclaimedSince is since when it has been ours by no claim, and has to be heard from before it is claimed; 0 for one that
 	// is ours, or is claimed.
-	silentSince Microseconds
+	unclaimedSince Microseconds
 
 	// What it has acknowledged, as in Confirmation.
 	revision         uint64
@@ -104,16 +111,13 @@
 		grantTimes:     map[int][]Microseconds{},
 		leaderClocks:   map[uint64]leaderClock{},
 	}
-	c.enterRecord(now)
+	c.beginIncarnation(now)
 	return c
 }
 
 // Record is the record as far as it was applied here. It may be read until the next call of the Coordinator.
 func (c *Coordinator) Record() *Record { return c.record }
 
-// WithoutQuorum tells whether we write without the record.
-func (c *Coordinator) WithoutQuorum() bool { return c.withoutQuorum }
-
 // OwnedProxies counts the connected proxies that are ours by the record.
 func (c *Coordinator) OwnedProxies() (count int) {
 	for _, state := range c.proxies {
@@ -127,16 +131,16 @@
 // Revision is that of our tables.
 func (c *Coordinator) Revision() uint64 { return c.revision }
 
-// Tick does what is due by time: it leaves the record when the lease has ended, ends quotas whose window has passed, and
+// Tick does what is due by time: it goes on without a quorum when the lease has ended, ends quotas whose window has passed, and
 // renews. It is to be called several times within LeaseTerms.RenewInterval.
 func (c *Coordinator) Tick(now Microseconds) {
 	if !c.withoutQuorum && now-c.leaseFrom >= c.terms.Duration {
-		c.leaveRecord(now)
+		c.goWithoutQuorum(now)
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		state := c.proxies[proxy]
-		if state.granted && !state.owned && now-state.grantedAt >= c.terms.MessageWindow {
-			state.grantedAt = now
+		if state.granted && !state.owned && now-state.windowFrom >= c.terms.MessageWindow {
+			state.windowFrom = now
 			c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota()) // what is left is the unowned quota
 		}
 	}
@@ -163,9 +167,9 @@
 	return c.closing && incarnation != nil && incarnation.Closed
 }
 
-// enterRecord begins an incarnation, with our tables as they stand. Connected proxies are claimed as they are heard from:
+// beginIncarnation begins an incarnation, with our tables as they stand. Connected proxies are claimed as they are heard from:
 // we may have stood still, and a claim would take back those that have gone to others since.
-func (c *Coordinator) enterRecord(now Microseconds) {
+func (c *Coordinator) beginIncarnation(now Microseconds) {
 	c.incarnation = c.host.RandomID()
 	c.seq = 0
 	c.inFlight = nil
@@ -173,13 +177,13 @@
 	for _, state := range c.proxies {
 		state.token = 0
 		state.staleClaims = 0
-		state.silentSince = now
+		state.unclaimedSince = now
 	}
 }
 
-// leaveRecord has the member go on without the record, as a new incarnation: orders that waited are released, and every
-// connected proxy is granted.
-func (c *Coordinator) leaveRecord(now Microseconds) {
+// goWithoutQuorum has the member go on by itself: messages that waited are released, and every connected proxy is granted.
+// What it writes from now on is a new incarnation's, which enters the record when it can.
+func (c *Coordinator) goWithoutQuorum(now Microseconds) {
 	c.withoutQuorum = true
 	c.host.QuorumChanged(true, "no entry of ours stands for a lease, or another entered under our name")
 	c.host.ReleaseUpTo(c.revision)
@@ -188,5 +192,5 @@
 			c.grantWithoutQuorum(proxy, now)
 		}
 	}
-	c.enterRecord(now)
+	c.beginIncarnation(now)
 }
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -94,11 +94,11 @@
 		if host.released >= edition {
 			t.Error("released before it stands")
 		}
-		if coordinator.Tick(999); coordinator.WithoutQuorum() || host.released >= edition {
+		if coordinator.Tick(999); coordinator.withoutQuorum || host.released >= edition {
 			t.Error("off the record too early")
 		}
-		if coordinator.Tick(1100); !coordinator.WithoutQuorum() || host.released != edition || !slices.Equal(host.withoutQuorum, []bool{false, true}) {
-			t.Errorf("alone %v, released %d, modes %v", coordinator.WithoutQuorum(), host.released, host.withoutQuorum)
+		if coordinator.Tick(1100); !coordinator.withoutQuorum || host.released != edition || !slices.Equal(host.withoutQuorum, []bool{false, true}) {
+			t.Errorf("alone %v, released %d, modes %v", coordinator.withoutQuorum, host.released, host.withoutQuorum)
 		}
 		if coordinator.ProxyConnected(3, 1200); host.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v", host.granted)
@@ -116,8 +116,8 @@
 		coordinator.Tick(1100)
 		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
 		e := host.commitLast(coordinator, 1200)
-		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.WithoutQuorum() {
-			t.Errorf("entered with %+v, alone %v", e, coordinator.WithoutQuorum())
+		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.withoutQuorum {
+			t.Errorf("entered with %+v, alone %v", e, coordinator.withoutQuorum)
 		}
 		coordinator.ProxyActiveAt(4, 1000) // heard before: it may be gone since
 		host.commitLast(coordinator, 1300)
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -6,26 +6,32 @@
 //
 // The members replicate a log of entries (package consensus). Record is the state that results from applying them: the
 // same at every member that has applied the same entries, as Apply depends on nothing else. A member claims a proxy by an
-// entry; each claim is given the next fencing token, and the greatest token owns the proxy.
+// entry; each claim that is committed is given the next fencing token, and owns the proxy until the next one.
 //
 // # A member
 //
 // Coordinator is one member's part: it claims the proxies that connect, puts each change of the member's tables on the
-// record before the change is written to a proxy, and goes on without the record where no entry of its own has been
-// committed for a lease. An incarnation is the time between a member's entering the record and its end, its going on
-// without the record, or its restart. Nothing of a Coordinator survives a crash: the next process enters as a new
+// record before the change is written to a proxy. Where no entry of its own has been committed for a lease it is without a
+// quorum: it goes on by itself, and serves whoever connects. An incarnation is the time between a member's entering the
+// record and its end, its loss of the quorum, or its restart. Nothing of a Coordinator survives a crash: the next process enters as a new
 // incarnation. What the record holds survives as long as a majority of the members, or the folders of package consensus.
 //
+// # Losing a proxy
+//
+// A member that sees another's claim of a proxy that it owned does not close the stream: it may be the one that the proxy
+// reads, as a claim can be late on its way. Coordinator.loseProxy takes the owner quota away, so that the member may go on
+// writing within its unowned quota; a proxy that is active later than a LeaseTerms.RenewInterval after that is claimed
+// again. A proxy that has asked for fencing tokens rejects a message whose token is older than the greatest that it has
+// seen; one with an equal token, or without one (from a member without a quorum), is accepted. The protocol has
+// no word for a rejection: the member that wrote the message is not told.
+//
 // # The leader
 //
 // LeaseTracker is what the leader of the record knows besides, by its own clock: until when each member has surely written
-// nothing off the record. A member goes off the record no sooner than a lease after it proposed the last entry whose
-// commit it was told of. Entries of a member come one after the other, the next after the last was answered. So when entry
-// n+1 arrives on the same connection, n was answered, n was proposed after the answer to n-1, and that was after n-1 had
-// arrived: counting the lease from the arrival of n-1 is never too long, however late messages are. A new leader has seen
-// nothing, and vouches for nobody.
+// nothing without a quorum. Such members are vouched for: what a proxy of theirs holds is on the record. The comment of
+// LeaseTracker.Observe shows why the time is never too long. A new leader has seen nothing, and vouches for nobody.
 //
-// A process that does not run has written nothing either, and its successor goes off the record no sooner than a lease
+// A process that does not run has written nothing either, and its successor goes on without a quorum no sooner than a lease
 // after its start. So a member is vouched for as well for a lease after its address refused a connection, and for a lease
 // after the entry arrived by which it closed its incarnation.
 //
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -5,7 +5,7 @@
 type Entry struct {
 	// Member is the name of the member that proposes it.
 	Member string `cbor:"1,keyasint"`
-	// Incarnation is drawn at random at each start of the member, and after each time off the record.
+	// Incarnation is drawn at random at each start of the member, and after each time without a quorum.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Seq counts the entries of an incarnation from 1 on. The entry with 1 enters the incarnation.
 	Seq uint64 `cbor:"3,keyasint"`
@@ -15,7 +15,8 @@
 	Closing bool `cbor:"5,keyasint,omitempty"`
 	// Claims are proxies that have connected to the member.
 	Claims []int `cbor:"6,keyasint,omitempty"`
-	// Reclaims are proxies that the member claims again on a stream that it has had all the time.
+	// Reclaims are proxies that the member claims again on a stream that it has had all the time. It was added later than
+	// the fields below: its key is the first that was free.
 	Reclaims []int `cbor:"15,keyasint,omitempty"`
 	// Revision is that of the member's tables once TableChanges are applied.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
@@ -29,7 +30,7 @@
 	Demands []Demand `cbor:"13,keyasint,omitempty"`
 	// Capacity is what the member saw its fleet do; the zero value where it has not changed.
 	Capacity Capacity `cbor:"14,keyasint,omitempty"`
-	// OnRecord is set by the leader: the incarnations that had surely written nothing off the record when this entry
+	// OnRecord is set by the leader: the incarnations that had surely written nothing without a quorum when this entry
 	// arrived. It is empty until all members have entered.
 	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
 	// Stamp is set by the leader: when the entry arrived.
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -9,7 +9,7 @@
 // backends are withdrawn here, the demand at each proxy, and the fleet's capacity. It is reported at most once a
 // reportInterval, and at once when a backend is withdrawn or restored. It is not safe for concurrent use.
 type Evidence struct {
-	interval   Microseconds // between two reports
+	interval   Microseconds // reportInterval, or less in tests
 	reportedAt Microseconds
 
 	observed      map[string]Observation // since the last report, by backend
@@ -50,7 +50,7 @@
 	window    Microseconds // that were averaged so far
 }
 
-// add takes further requests within a span of time.
+// add includes further requests within a span of time.
 func (r *rate) add(requests int, span Microseconds) {
 	r.perSecond += (float64(requests)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
 	r.window += span
@@ -218,13 +218,3 @@
 func differs(now, reported, tolerance float64) bool {
 	return now > reported*(1+tolerance) || now < reported*(1-tolerance)
 }
-
-// AddEvidence puts what is due of our evidence into the next entry.
-func (c *Coordinator) AddEvidence(evidence *Evidence, now Microseconds) {
-	report := evidence.TakeDue(now)
-	c.pending.Observations = append(c.pending.Observations, report.Observations...)
-	c.pending.Demands = append(c.pending.Demands, report.Demands...)
-	if report.Capacity != (Capacity{}) {
-		c.pending.Capacity = report.Capacity
-	}
-}
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -20,7 +20,7 @@
 func (c *Coordinator) grant(proxy int, move Move, sent int, now Microseconds) {
 	state := c.proxies[proxy]
 	state.granted = true
-	state.grantedAt = now
+	state.windowFrom = now
 	if c.forgotUnownedMessages(proxy, now) {
 		sent += c.terms.UnownedQuota() - 1
 	}
--- a/ownership/leader_clock.go
+++ b/ownership/leader_clock.go
@@ -9,7 +9,7 @@
 	receivedAt Microseconds // by ours
 }
 
-// observeStamp takes a stamp of the record.
+// observeStamp notes a stamp of an entry, or of a snapshot.
 func (c *Coordinator) observeStamp(stamp Stamp, now Microseconds) {
 	if last, known := c.leaderClocks[stamp.Leader]; known && last.stampedAt > stamp.At {
 		return
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -1,13 +1,13 @@
 package ownership
 
 // LeaseTracker is what the leader of the record knows of the members by its own clock: until when each of them has surely
-// written nothing off the record. The package's comment says why its bounds hold. It is kept over several leaderships of
+// written nothing without a quorum. The comments of Observe and MarkStopped say why. It is kept over several leaderships of
 // one process, and does not survive that. It is not safe for concurrent use.
 type LeaseTracker struct {
-	lease    Microseconds
-	members  int                      // how many there are
-	arrivals map[uint64]entryArrivals // by incarnation
-	goneAt   map[string]Microseconds  // when a member was last seen not to run
+	lease     Microseconds
+	members   int                      // how many there are
+	arrivals  map[uint64]entryArrivals // by incarnation
+	stoppedAt map[string]Microseconds  // when a member was last seen not to run
 }
 
 // entryArrivals tells when the last entries of an incarnation arrived, in a row on one connection.
@@ -25,16 +25,17 @@
 // NewLeaseTracker makes a tracker that has seen nothing.
 func NewLeaseTracker(terms LeaseTerms) *LeaseTracker {
 	return &LeaseTracker{
-		lease:    terms.Duration,
-		members:  terms.Members,
-		arrivals: map[uint64]entryArrivals{},
-		goneAt:   map[string]Microseconds{},
+		lease:     terms.Duration,
+		members:   terms.Members,
+		arrivals:  map[uint64]entryArrivals{},
+		stoppedAt: map[string]Microseconds{},
 	}
 }
 
-// MarkGone takes that a member's process did not run at some time: its address refused a connection.
-func (t *LeaseTracker) MarkGone(member string, at Microseconds) {
-	t.goneAt[member] = max(t.goneAt[member], at)
+// MarkStopped records that a member's process did not run at some time, as its address refused a connection. It has written
+// nothing, and a process that starts in its place is without a quorum a lease later at the soonest.
+func (t *LeaseTracker) MarkStopped(member string, at Microseconds) {
+	t.stoppedAt[member] = max(t.stoppedAt[member], at)
 }
 
 // SilentFor tells whether nothing has arrived from an incarnation for longer than some time, so that it is worth asking
@@ -44,7 +45,14 @@
 	return !known || now-last.arrivedAt > duration
 }
 
-// Observe takes an entry as it arrives at the leader. The number tells the connections apart on which entries arrive.
+// Observe records that an entry has arrived at the leader. The number tells the connections apart on which entries arrive.
+//
+// An arrival shows how long a lease lasts at least:
+//
+//  1. A member is without a quorum no sooner than a lease after it proposed the last entry of whose commit it was told.
+//  2. It proposes entry n+1 after the answer to n. So when n+1 arrives on the same connection, n was answered.
+//  3. It proposed n after the answer to n-1, which was after n-1 had arrived here.
+//  4. So its lease counts from the arrival of n-1 at the soonest, however late messages are.
 func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now Microseconds) {
 	last, known := t.arrivals[incarnation]
 	if !known {
@@ -66,8 +74,8 @@
 	t.arrivals[incarnation] = last
 }
 
-// OnRecord gives the incarnations that have surely written nothing off the record so far, in no order. It is empty until
-// all members have entered: one that has not may serve without the record as well.
+// OnRecord gives the incarnations that have surely written nothing without a quorum so far, in no order. It is empty until
+// all members have entered: one that has not may be serving without a quorum.
 func (t *LeaseTracker) OnRecord(record *Record, now Microseconds) (incarnations []uint64) {
 	t.forgetUnknown(record, now)
 	if len(record.Members) < t.members {
@@ -75,7 +83,7 @@
 	}
 	for id, incarnation := range record.Incarnations {
 		present := record.Members[incarnation.Member] == id
-		if t.holdsLease(id, now) || present && (t.closedLately(id, incarnation, now) || t.goneLately(id, incarnation, now)) {
+		if t.holdsLease(id, now) || present && (t.closedLately(id, incarnation, now) || t.stoppedLately(id, incarnation, now)) {
 			incarnations = append(incarnations, id)
 		}
 	}
@@ -94,11 +102,11 @@
 	return incarnation.Closed && known && now-last.arrivedAt < t.lease
 }
 
-// goneLately tells whether a member was seen not to run within a lease, after all that has arrived from it.
-func (t *LeaseTracker) goneLately(id uint64, incarnation *Incarnation, now Microseconds) bool {
-	goneAt, gone := t.goneAt[incarnation.Member]
+// stoppedLately tells whether a member was seen not to run within a lease, after all that has arrived from it.
+func (t *LeaseTracker) stoppedLately(id uint64, incarnation *Incarnation, now Microseconds) bool {
+	stoppedAt, stopped := t.stoppedAt[incarnation.Member]
 	last, known := t.arrivals[id]
-	return gone && now-goneAt < t.lease && (!known || last.arrivedAt <= goneAt)
+	return stopped && now-stoppedAt < t.lease && (!known || last.arrivedAt <= stoppedAt)
 }
 
 // forgetUnknown drops incarnations that never entered, or that the record has forgotten.
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -5,6 +5,9 @@
 	"slices"
 )
 
+// What follows is how the members of a record are chosen; package consensus alone calls it. It stands here to be tested
+// without a network.
+
 // PeerStatus is what another member has said of itself when it was asked.
 type PeerStatus struct {
 	ID        string // its name, with what was drawn for as long as it remembers its votes
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -211,7 +211,7 @@
 		w.now++
 		for _, p := range w.members {
 			if !p.up { // the leader looks
-				w.leases.MarkGone(fmt.Sprint("n", p.index), w.now)
+				w.leases.MarkStopped(fmt.Sprint("n", p.index), w.now)
 			}
 		}
 		for _, p := range w.members {
@@ -330,7 +330,7 @@
 		for _, at := range d.grantTimes[0] {
 			fmt.Fprint(h, " ", since(at))
 		}
-		fmt.Fprint(h, min(w.now-d.started, modelTerms.MessageWindow), d.closing, since(w.leases.goneAt[d.name]))
+		fmt.Fprint(h, min(w.now-d.started, modelTerms.MessageWindow), d.closing, since(w.leases.stoppedAt[d.name]))
 		if a, ok := w.leases.arrivals[d.incarnation]; ok {
 			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
 		}
--- a/ownership/proposals.go
+++ b/ownership/proposals.go
@@ -54,7 +54,7 @@
 	return c.inFlight != nil && c.inFlight.Incarnation == incarnation && c.inFlight.Seq == seq
 }
 
-// ProposalCommitted takes that a proposed entry is on the record. The lease counts from when it was proposed.
+// ProposalCommitted is told that a proposed entry is committed. The lease counts from when it was proposed.
 func (c *Coordinator) ProposalCommitted(incarnation, seq uint64, now Microseconds) {
 	if !c.isInFlight(incarnation, seq) {
 		return
@@ -63,7 +63,7 @@
 	c.inFlight = nil
 	c.seq = seq
 	c.leaseFrom = c.proposedAt
-	if now-c.leaseFrom >= c.terms.Duration { // the lease is over already; Tick leaves the record
+	if now-c.leaseFrom >= c.terms.Duration { // the lease is over already; Tick sees to that
 		c.proposePending(now)
 		return
 	}
@@ -75,7 +75,7 @@
 	c.proposePending(now)
 }
 
-// ProposalFailed takes that it is not known whether a proposed entry is on the record. It is proposed again as it is:
+// ProposalFailed is told that it is not known whether a proposed entry is committed. It is proposed again as it is:
 // Record.Apply ignores repeats.
 func (c *Coordinator) ProposalFailed(incarnation, seq uint64, _ Microseconds) {
 	if c.isInFlight(incarnation, seq) {
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// ProxyConnected takes that a proxy's stream has begun. The proxy is granted once its claim is on the record, or at once
+// ProxyConnected is told that a proxy's stream has begun. The proxy is granted once its claim is on the record, or at once
 // without a quorum. Until then the caller writes nothing to it: a later owner would not know of it.
 func (c *Coordinator) ProxyConnected(proxy int, now Microseconds) {
 	state := &proxyState{}
@@ -21,7 +21,7 @@
 	c.proposePending(now)
 }
 
-// ProxyDisconnected takes that a proxy's stream has ended. It stays ours by the record until another claims it.
+// ProxyDisconnected is told that a proxy's stream has ended. It stays ours by the record until another claims it.
 func (c *Coordinator) ProxyDisconnected(proxy int) {
 	delete(c.proxies, proxy)
 	isProxy := func(other int) bool { return other == proxy }
@@ -29,11 +29,11 @@
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, isProxy)
 }
 
-// ProxyActiveAt takes when a proxy was last heard from on its stream. If another member owns it by the record, it is with
-// us nevertheless, and is claimed again.
+// ProxyActiveAt is told when a proxy was last heard from on its stream. One that is ours by no claim is with us
+// nevertheless, and is claimed again.
 func (c *Coordinator) ProxyActiveAt(proxy int, at Microseconds) {
 	state := c.proxies[proxy]
-	if state != nil && state.silentSince > 0 && at > state.silentSince+c.terms.RenewInterval {
+	if state != nil && state.unclaimedSince > 0 && at > state.unclaimedSince+c.terms.RenewInterval {
 		c.claim(proxy, sameStream)
 	}
 }
@@ -42,7 +42,7 @@
 func (c *Coordinator) claim(proxy int, kind claimKind) {
 	state := c.proxies[proxy]
 	state.token = 0
-	state.silentSince = 0
+	state.unclaimedSince = 0
 	switch {
 	case kind == sameStream:
 		c.pending.Reclaims = append(c.pending.Reclaims, proxy)
@@ -51,7 +51,7 @@
 	}
 }
 
-// ProxyAcknowledged takes that a proxy has applied all that we wrote to it up to a revision, and which tables its classes
+// ProxyAcknowledged is told that a proxy has applied all that we wrote to it up to a revision, and which tables its classes
 // are bound to, -1 for none. If withdrawalsKnown, it holds the withdrawals that we ordered, and none of an earlier owner.
 func (c *Coordinator) ProxyAcknowledged(proxy int, revision uint64, tables []int, withdrawalsKnown bool) {
 	state := c.proxies[proxy]
@@ -87,7 +87,7 @@
 	c.pending.Confirmations = append(c.pending.Confirmations, confirmation)
 }
 
-// applyMove takes a change of owners that the record has.
+// applyMove follows a change of owners that is committed.
 func (c *Coordinator) applyMove(move Move, now Microseconds) {
 	state := c.proxies[move.Proxy]
 	if state == nil {
@@ -104,11 +104,12 @@
 	}
 }
 
-// gainProxy takes that our claim of a proxy is on the record.
+// gainProxy is told that our claim of a proxy is committed. The host is not told the token of a proxy that it was granted
+// before: its messages keep the token of the grant.
 func (c *Coordinator) gainProxy(state *proxyState, move Move, now Microseconds) {
 	state.owned = true
 	state.token = move.To.Token
-	state.silentSince = 0
+	state.unclaimedSince = 0
 	if state.granted {
 		c.addConfirmation(move.Proxy, state)
 		return
@@ -116,12 +117,12 @@
 	c.grantByRecord(move, now)
 }
 
-// loseProxy takes that another member has claimed a proxy that is connected to us. Its stream may be half-open; if it is
-// heard from it is claimed again.
+// loseProxy is told that another member has claimed a proxy that is connected to us. Its stream may be half-open; if the
+// proxy is active on it later it is claimed again. SnapshotRestored does the like for a proxy that was lost in between.
 func (c *Coordinator) loseProxy(state *proxyState, proxy int, now Microseconds) {
 	state.owned = false
 	state.token = 0
-	state.silentSince = now
+	state.unclaimedSince = now
 	if state.granted {
 		c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota())
 	}
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// applyConfirmations takes what proxies have acknowledged to the owner that they still have.
+// applyConfirmations records what proxies have acknowledged to the owner that they still have.
 func (r *Record) applyConfirmations(e Entry) {
 	for _, confirmation := range e.Confirmations {
 		owned, ok := r.Proxies[confirmation.Proxy]
--- a/ownership/tables.go
+++ b/ownership/tables.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ChangeTables takes what has changed in our tables. It gives the revision that orders belong to from now on, which may be
-// written once ReleaseUpTo names it.
+// ChangeTables records what has changed in our tables. It gives the revision that messages belong to from now on; they may
+// be written once Host.ReleaseUpTo names it.
 func (c *Coordinator) ChangeTables(changes []TableChange, now Microseconds) uint64 {
 	c.revision++
 	for _, change := range changes {
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -5,7 +5,7 @@
 
 // LeaseTerms are the figures that all members have to agree on.
 type LeaseTerms struct {
-	// Duration is the lease: without a committed entry for so long a member goes on without the record.
+	// Duration is the lease: without a committed entry for so long a member is without a quorum.
 	Duration Microseconds
 	// RenewInterval is the longest time between two entries of a member.
 	RenewInterval Microseconds
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -167,7 +167,7 @@
 			m.note("closes")
 		}
 	case 12:
-		m.leases.MarkGone(m.name, m.now)
+		m.leases.MarkStopped(m.name, m.now)
 	case 13:
 		if m.random.IntN(10) == 0 { // a snapshot takes the place of the entries
 			copied := NewRecord()
@@ -190,7 +190,7 @@
 		m.coordinator.AddEvidence(m.evidence, m.now)
 	case 23:
 		m.coordinator.Tick(m.now)
-		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.OwnedProxies(), m.coordinator.WithoutQuorum(), m.coordinator.Closed(),
+		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.OwnedProxies(), m.coordinator.withoutQuorum, m.coordinator.Closed(),
 			m.coordinator.Revision(), m.leases.SilentFor(m.coordinator.incarnation, m.now, 400))
 	}
 }
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -96,7 +96,7 @@
 		if v := g.leader(); v != nil {
 			if m := v.running(); m != nil {
 				_, err := m.node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
-				if err == nil || errors.Is(err, consensus.ErrRefused) {
+				if err == nil || errors.Is(err, consensus.ErrChangeRefused) {
 					return err
 				}
 			}
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -173,7 +173,7 @@
 func (r *roleFleet) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		_, err := r.hollow[0].node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
-		if err == nil || errors.Is(err, consensus.ErrRefused) {
+		if err == nil || errors.Is(err, consensus.ErrChangeRefused) {
 			return err
 		}
 		if err := pauseFor(ctx, pollInterval); err != nil {
