--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -21,7 +21,7 @@
 		log.Info("subscribed", "parent", event.Peer)
 	case distribution.EventParentLost:
 		log.Warn("parent_lost", "parent", event.Peer, "reason", lossReason(event.CloseReason))
-	case distribution.EventSnapshotTaken:
+	case distribution.EventSnapshotInstalled:
 		log.Info("snapshot_applied", "parent", event.Peer)
 	case distribution.EventSourceStale:
 		log.Warn("configuration_stale")
--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -49,14 +49,6 @@
 	return dropped
 }
 
-// dropTo drops the changes up to a revision.
-func (l *changeLog) dropTo(revision uint64) {
-	for len(l.changes) > 0 && l.changes[0].change.Revision <= revision {
-		l.dropOldest()
-	}
-	l.floor = max(l.floor, revision)
-}
-
 func (l *changeLog) dropOldest() {
 	l.floor = l.changes[0].change.Revision
 	l.bytes -= l.changes[0].size
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -133,7 +133,7 @@
 		if m.node.store.log.floor == m.node.Version().Revision {
 			return false
 		}
-		m.node.Compact(m.node.Version().Revision)
+		m.node.compact(m.node.Version().Revision)
 	case changeScopes:
 		m.config.Scopes = SomeScopes("a", "b")
 		if m.node.config.Scopes.Has("b") {
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -33,7 +33,7 @@
 			step.entries = step.entries[:1]
 		}
 		n.store.commit(step)
-		n.counts.ChangesTaken++
+		n.counts.ChangesApplied++
 		change := step.logged.change
 		change.Epoch = n.store.version.Epoch
 		change.Entries = step.entries
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -32,14 +32,14 @@
 
 func TestLostDeltaIsRecoveredByDeltas(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
-	snapshots := leaf.node.Status(c.now).Counts.SnapshotsTaken
+	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	c.fill(2)
 	c.follow(v, 1)
 	conn := c.only(t, leaf)
 	c.deliver(conn, 0, true)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
-	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 || counts.SnapshotsTaken != snapshots {
+	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 || counts.SnapshotsInstalled != snapshots {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -58,7 +58,7 @@
 
 func TestWrongDigestEndsInASnapshot(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
-	snapshots := leaf.node.Status(c.now).Counts.SnapshotsTaken
+	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	before := leaf.node.Version()
 	c.fill(1)
 	c.follow(v, 1)
@@ -76,7 +76,7 @@
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	counts := leaf.node.Status(c.now).Counts
-	if counts.WrongDigests != 1 || counts.SnapshotsTaken != snapshots+1 {
+	if counts.WrongDigests != 1 || counts.SnapshotsInstalled != snapshots+1 {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -92,7 +92,7 @@
 	c.settle()
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
-	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsTaken != 1 {
+	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -105,7 +105,7 @@
 	leaf.start(kept)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
-	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsTaken != 0 {
+	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 0 {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -184,7 +184,7 @@
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
 	c.pass(second/2, tick)
 	c.expectCaughtUp(t, v, leaf)
-	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsTaken != 1 {
+	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
 		t.Errorf("counts %+v", counts)
 	}
 }
@@ -219,7 +219,7 @@
 			limits := DefaultLimits()
 			limits.Tombstones = story.tombstones
 			c, v, leaf := duo(t, limits)
-			before := leaf.node.Status(c.now).Counts.SnapshotsTaken
+			before := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 			c.cut(v, leaf)
 			for i := range story.changes {
 				c.accept(set("a", fmt.Sprint("new", i), "1"), gone("a", fmt.Sprint("entry", i)))
@@ -229,7 +229,7 @@
 			c.heal(v, leaf)
 			c.pass(6*second, tick)
 			c.expectCaughtUp(t, leaf)
-			if taken := leaf.node.Status(c.now).Counts.SnapshotsTaken - before; taken != story.snapshots {
+			if taken := leaf.node.Status(c.now).Counts.SnapshotsInstalled - before; taken != story.snapshots {
 				t.Errorf("%d snapshots", taken)
 			}
 		})
@@ -260,7 +260,7 @@
 	c.heal(v, relay)
 	c.pass(4*second, tick)
 	c.expectCaughtUp(t, relay)
-	if taken := relay.node.Status(c.now).Counts.SnapshotsTaken; taken != 1 {
+	if taken := relay.node.Status(c.now).Counts.SnapshotsInstalled; taken != 1 {
 		t.Errorf("the relay took %d snapshots", taken)
 	}
 	for _, leaf := range leaves {
@@ -269,7 +269,7 @@
 	c.pass(4*second, tick)
 	c.expectCaughtUp(t, leaves...)
 	for _, leaf := range leaves {
-		if taken := leaf.node.Status(c.now).Counts.SnapshotsTaken; taken != 1 {
+		if taken := leaf.node.Status(c.now).Counts.SnapshotsInstalled; taken != 1 {
 			t.Errorf("%s took %d snapshots", leaf.config.Name, taken)
 		}
 	}
@@ -287,10 +287,10 @@
 	c.pass(3*second, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
-	if after.SnapshotsTaken != before.SnapshotsTaken || after.GapsSeen != 0 || after.WrongDigests != 0 {
+	if after.SnapshotsInstalled != before.SnapshotsInstalled || after.GapsSeen != 0 || after.WrongDigests != 0 {
 		t.Errorf("counts %+v", after)
 	}
-	if batches := after.DeltasTaken - before.DeltasTaken; batches < 20 || batches > 100 {
+	if batches := after.DeltasApplied - before.DeltasApplied; batches < 20 || batches > 100 {
 		t.Errorf("%d batches", batches)
 	}
 }
@@ -298,20 +298,20 @@
 func TestResubscribeKeepsTheOldScopesUntilTheSnapshotIsComplete(t *testing.T) {
 	c, _, leaf := duo(t, DefaultLimits())
 	leaf.node.Resubscribe(SomeScopes("b", "a"), c.now)
-	if _, found := leaf.node.Get(Key{"a", "entry0"}); !found {
+	if _, found := leaf.node.lookUp(Key{"a", "entry0"}); !found {
 		t.Error("it lost what it had")
 	}
 	c.fill(1)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
-	if _, found := leaf.node.Get(Key{"b", "entry0"}); !found {
+	if _, found := leaf.node.lookUp(Key{"b", "entry0"}); !found {
 		t.Error("it has nothing of the new scope")
 	}
 	leaf.node.Resubscribe(SomeScopes("b"), c.now)
 	c.fill(1)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
-	if _, found := leaf.node.Get(Key{"a", "entry0"}); found {
+	if _, found := leaf.node.lookUp(Key{"a", "entry0"}); found {
 		t.Error("it keeps what it no longer asks for")
 	}
 }
@@ -320,4 +320,4 @@
 func dropLog(m *member, revision uint64) { m.node.store.log.dropTo(revision) }
 
 // compactAll drops the log and the tombstones up to a revision.
-func compactAll(m *member, revision uint64) { m.node.Compact(revision) }
+func compactAll(m *member, revision uint64) { m.node.compact(revision) }
--- a/distribution/controllers_test.go
+++ b/distribution/controllers_test.go
@@ -63,7 +63,7 @@
 		}
 		want++
 		digest = digest.add(entryDigest(e))
-		if has, found := m.node.Get(key); !found || !sameEntry(has, e) {
+		if has, found := m.node.lookUp(key); !found || !sameEntry(has, e) {
 			c.fails("%s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
 		if has, found := m.mirror[key]; !found || !sameEntry(has, e) {
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -59,7 +59,7 @@
 
 func TestChangesGoDownTheTreeAtOnce(t *testing.T) {
 	c, v, first, _, leaf := tree(t, DefaultLimits())
-	snapshots := leaf.node.Status(c.now).Counts.SnapshotsTaken
+	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	for range 20 {
 		c.fill(1)
 		c.follow(v, 1)
@@ -67,13 +67,13 @@
 		c.expectCaughtUp(t, first, leaf)
 	}
 	status := leaf.node.Status(c.now)
-	if status.Counts.SnapshotsTaken != snapshots || status.Counts.GapsSeen != 0 {
+	if status.Counts.SnapshotsInstalled != snapshots || status.Counts.GapsSeen != 0 {
 		t.Errorf("counts %+v", status.Counts)
 	}
 	if want := []string{"v", "first"}; fmt.Sprint(status.Path) != fmt.Sprint(want) {
 		t.Errorf("path %v", status.Path)
 	}
-	if _, found := leaf.node.Get(Key{"b", "entry0"}); found {
+	if _, found := leaf.node.lookUp(Key{"b", "entry0"}); found {
 		t.Error("the leaf has an entry that it did not ask for")
 	}
 }
@@ -99,7 +99,7 @@
 			if status.Parent != "second" && status.Parent != "v" {
 				t.Errorf("the parent is %q", status.Parent)
 			}
-			if status.Counts.SnapshotsTaken != before.SnapshotsTaken {
+			if status.Counts.SnapshotsInstalled != before.SnapshotsInstalled {
 				t.Error("a snapshot was sent where deltas would do")
 			}
 			if status.Age > 2*oneSecond {
@@ -163,12 +163,12 @@
 	if version := v.node.Version(); version != kept.Version {
 		t.Fatalf("the voter is at %v", version)
 	}
-	snapshots := first.node.Status(c.now).Counts.SnapshotsTaken
+	snapshots := first.node.Status(c.now).Counts.SnapshotsInstalled
 	c.fill(1)
 	v.leads = true
 	c.pass(2*oneSecond, tick)
 	c.expectCaughtUp(t, v, first, second, leaf)
-	if first.node.Status(c.now).Counts.SnapshotsTaken != snapshots {
+	if first.node.Status(c.now).Counts.SnapshotsInstalled != snapshots {
 		t.Error("a snapshot was sent where deltas would do")
 	}
 }
@@ -277,7 +277,7 @@
 	c.pass(5*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
-	if after.SnapshotsTaken+after.DeltasTaken == before.SnapshotsTaken+before.DeltasTaken {
+	if after.SnapshotsInstalled+after.DeltasApplied == before.SnapshotsInstalled+before.DeltasApplied {
 		t.Error("it took nothing")
 	}
 }
@@ -339,7 +339,7 @@
 	c.expectCaughtUp(t, region...)
 	snapshots := func() (sum uint64) {
 		for _, m := range region {
-			sum += m.node.Status(c.now).Counts.SnapshotsTaken
+			sum += m.node.Status(c.now).Counts.SnapshotsInstalled
 		}
 		return sum
 	}
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -47,7 +47,7 @@
 		n.rejectConflict(upstream, now)
 	case n.isOlder(version) && !n.faults.acceptOlder:
 		n.reportOlder(upstream.peer, version)
-		n.leaveParent(CloseBetterParent, now)
+		n.leaveParent(CloseOutdatedParent, now)
 	default:
 		return true
 	}
@@ -61,7 +61,7 @@
 	n.incomingSnapshot = nil
 	n.contentInDoubt = false
 	upstream.recoveries = 0
-	n.counts.SnapshotsTaken++
-	n.host.Log(Event{Kind: EventSnapshotTaken, Peer: upstream.peer, Version: installed.version})
+	n.counts.SnapshotsInstalled++
+	n.host.Log(Event{Kind: EventSnapshotInstalled, Peer: upstream.peer, Version: installed.version})
 	n.replaceStore(installed, now)
 }
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -63,7 +63,7 @@
 	"epoch conflict"}
 
 // String names the reason, as log lines have it.
-func (r RefusalReason) String() string { return nameOf(refusalNames[:], int(r)) }
+func (r RefusalReason) String() string { return enumName(refusalNames[:], int(r)) }
 
 // Refused says that the receiver gets no place, or loses the one that it had.
 type Refused struct {
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -142,9 +142,6 @@
 // nothing newer was accepted anywhere for longer than that takes to reach it.
 func (n *Node) Current(now Microseconds) { n.noteSourceCurrent(now) }
 
-// Compact drops changes up to a revision from the log, and tombstones up to it, besides what the limits drop.
-func (n *Node) Compact(revision uint64) { n.store.compactTo(revision) }
-
 // Tick lets time pass. The host calls it some ten times a second.
 func (n *Node) Tick(now Microseconds) {
 	n.checkParent(now)
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -108,7 +108,7 @@
 // adoptParent makes an attempt the parent, and ends the others.
 func (n *Node) adoptParent(upstream *parentLink, now Microseconds) {
 	if n.parent != nil {
-		n.leaveParent(CloseBetterParent, now)
+		n.leaveParent(CloseOutdatedParent, now)
 	}
 	n.removeAttempt(upstream)
 	for _, other := range n.attempts {
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -73,7 +73,7 @@
 	}
 	n.applyBatch(batch)
 	n.store.version.Revision = m.Revision
-	n.counts.DeltasTaken++
+	n.counts.DeltasApplied++
 	upstream.recoveries = 0
 	n.sendDeltasToAll(now)
 }
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -18,8 +18,8 @@
 
 // Why Record.Apply refuses a proposal.
 var (
-	// ErrNoEpoch says that neither the record nor the proposal has an epoch.
-	ErrNoEpoch = errors.New("distribution: neither the record nor the proposal has an epoch")
+	// ErrNotFounded says that neither the record nor the proposal has an epoch.
+	ErrNotFounded = errors.New("distribution: neither the record nor the proposal has an epoch")
 	// ErrVersionMismatch says that a conditional proposal was made for another version than the record's; the proposer
 	// looks at the record anew and may propose again.
 	ErrVersionMismatch = errors.New("distribution: the record has changed since")
@@ -72,7 +72,7 @@
 		version.Epoch = p.Epoch
 	}
 	if !version.Epoch.Known() {
-		return Change{}, ErrNoEpoch
+		return Change{}, ErrNotFounded
 	}
 	entries, err := r.effectiveEntries(p.Entries)
 	if err != nil {
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -4,14 +4,14 @@
 type Counts struct {
 	// DeltasSent counts the deltas sent to children.
 	DeltasSent uint64
-	// DeltasTaken counts the deltas of a parent that were applied.
-	DeltasTaken uint64
-	// ChangesTaken counts the changes that were applied, those of the record at a voter among them.
-	ChangesTaken uint64
+	// DeltasApplied counts the deltas of a parent that were applied.
+	DeltasApplied uint64
+	// ChangesApplied counts the changes that were applied, those of the record at a voter among them.
+	ChangesApplied uint64
 	// SnapshotsSent counts complete snapshots sent to children.
 	SnapshotsSent uint64
-	// SnapshotsTaken counts the snapshots of a parent that were installed.
-	SnapshotsTaken uint64
+	// SnapshotsInstalled counts the snapshots of a parent that were installed.
+	SnapshotsInstalled uint64
 	// Refusals counts the refusals given to children.
 	Refusals uint64
 	// RefusedByParents counts the refusals got from parents.
@@ -43,14 +43,8 @@
 	Path []string
 	// Children are the names of the children in the order of their admission.
 	Children []string
-	// SnapshotsInProgress counts the snapshots under way to children.
-	SnapshotsInProgress int
 	// Entries counts those that are not deleted.
 	Entries int
-	// LogFloor is the revision after which all changes are kept for deltas.
-	LogFloor uint64
-	// Horizon is the revision after which all tombstones are kept.
-	Horizon uint64
 	// Counts are the totals since the start.
 	Counts Counts
 }
@@ -61,22 +55,14 @@
 // State is all that the node has, by scope and name, to be kept for a restart.
 func (n *Node) State() State { return n.store.state() }
 
-// Get gives an entry that is not deleted.
-func (n *Node) Get(key Key) (Entry, bool) {
-	entry, found := n.store.lookup(key)
-	return entry, found && !entry.Deleted
-}
-
 // Status tells how the node is.
 func (n *Node) Status(now Microseconds) Status {
 	status := Status{
-		Version:  n.store.version,
-		Digest:   n.store.digest,
-		Age:      n.sourceAge(now),
-		Entries:  n.store.liveEntries,
-		LogFloor: n.store.log.floor,
-		Horizon:  n.store.tombstones.horizon,
-		Counts:   n.counts,
+		Version: n.store.version,
+		Digest:  n.store.digest,
+		Age:     n.sourceAge(now),
+		Entries: n.store.liveEntries,
+		Counts:  n.counts,
 	}
 	if n.parent != nil {
 		status.Parent = n.parent.peer
@@ -84,9 +70,6 @@
 	}
 	for _, child := range n.children {
 		status.Children = append(status.Children, child.name)
-		if child.snapshot != nil {
-			status.SnapshotsInProgress++
-		}
 	}
 	return status
 }
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -201,16 +201,6 @@
 	return dropped
 }
 
-// compactTo drops changes and tombstones up to a revision.
-func (s *store) compactTo(revision uint64) {
-	revision = min(revision, s.version.Revision)
-	s.log.dropTo(revision)
-	for len(s.tombstones.queue) > 0 && s.tombstones.queue[0].revision <= revision {
-		s.dropTombstone()
-	}
-	s.tombstones.horizon = max(s.tombstones.horizon, revision)
-}
-
 // dropTombstone drops the oldest tombstone, unless its key was set again since.
 func (s *store) dropTombstone() {
 	oldest := s.tombstones.pop()
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -95,7 +95,7 @@
 		m.node.Resubscribe(m.config.Scopes, u.now)
 	case 6:
 		at := u.oneOf(u.members).node
-		at.Compact(at.Version().Revision)
+		at.compact(at.Version().Revision)
 	case 7:
 		v := u.oneOf(u.voters)
 		v.leads = !v.leads
--- a/distribution/transport/calls.go
+++ b/distribution/transport/calls.go
@@ -30,11 +30,6 @@
 // Current says that the voter has just known its record to be led by a majority.
 func (t *Transport) Current() { t.postCall(t.node.Current) }
 
-// Resubscribe changes the scopes of a subscriber.
-func (t *Transport) Resubscribe(scopes distribution.Scopes) {
-	t.postCall(func(now distribution.Microseconds) { t.node.Resubscribe(scopes, now) })
-}
-
 // Status asks the node how it is, and waits for it; false once Run has ended.
 func (t *Transport) Status() (status distribution.Status, ok bool) {
 	ok = t.postCallAndWait(func(now distribution.Microseconds) { status = t.node.Status(now) })
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -98,7 +98,7 @@
 	traffic := node.Traffic()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.before.snapshots += status.Counts.SnapshotsTaken
+	s.before.snapshots += status.Counts.SnapshotsInstalled
 	s.before.traffic.In += traffic.In
 	s.before.traffic.Out += traffic.Out
 }
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -310,7 +310,7 @@
 	var taken atomic.Int64
 	each(t.nodes(), func(s *hollowSubscriber) {
 		if status, ok := s.status(); ok {
-			taken.Add(int64(status.Counts.SnapshotsTaken))
+			taken.Add(int64(status.Counts.SnapshotsInstalled))
 		}
 		taken.Add(int64(s.earlierSnapshots()))
 	})
