--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -60,24 +60,27 @@
 	n.sendDeltas(c, now)
 }
 
-// needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is newer than this node
-// waits for it, also for a snapshot.
+// needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is ahead of this node
+// waits for it, also for a snapshot. The request violates no rule, so its epoch does not conflict with this node's.
 func (n *Node) needsSnapshot(m *Subscribe) bool {
-	own := n.store.version
-	if m.WantSnapshot || own.Epoch.Newer(m.Version.Epoch) {
+	switch {
+	case m.WantSnapshot || n.store.version.Epoch.Newer(m.Version.Epoch):
 		return true
-	}
-	if m.Version.Epoch != own.Epoch || m.Version.Revision > own.Revision {
+	case n.isAhead(m.Version):
 		return false
 	}
-	if digest, known := n.store.digestAt(m.Version.Revision, m.Scopes); known && digest != m.Digest {
-		return true
-	}
-	_, possible := n.store.deltaFrom(m.Version, m.Scopes, n.limits.BatchBytes)
-	return !possible
+	return n.contentDiffers(m) || !n.store.deltasReachBackTo(m.Version, m.Scopes, n.limits.BatchBytes)
+}
+
+// contentDiffers tells whether a child has other entries than this node had at the child's revision; false where the log
+// does not tell any more.
+func (n *Node) contentDiffers(m *Subscribe) bool {
+	digest, known := n.store.digestAt(m.Version.Revision, m.Scopes)
+	return known && digest != m.Digest
 }
 
-// refusalReason tells why a new child gets no place; zero if it gets one.
+// refusalReason tells why a new child gets no place; zero if it gets one. admitChild, which follows, asks needsSnapshot once
+// more: children that were admitted already come there without this check.
 func (n *Node) refusalReason(m *Subscribe) RefusalReason {
 	if reason := n.violatedRule(m); reason != 0 {
 		return reason
@@ -85,8 +88,8 @@
 	if len(n.children) >= n.limits.FanOut && n.evictionCandidate(m) == nil {
 		return RefusedFull
 	}
-	newer := n.store.version.Before(m.Version)
-	if !newer && n.needsSnapshot(m) && n.snapshotsPending() >= n.limits.MaxSnapshots {
+	snapshotDue := n.needsSnapshot(m) && !n.isAhead(m.Version)
+	if snapshotDue && n.snapshotsPending() >= n.limits.MaxSnapshots {
 		return RefusedBusy
 	}
 	return 0
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -146,9 +146,9 @@
 }
 
 // resetFailures forgets failures once the parent has led this node to a current configuration.
-func (n *Node) resetFailures(upstream *parentLink) {
+func (n *Node) resetFailures(parent *parentLink) {
 	n.consecutiveFailures = 0
-	if candidate := n.candidateByName(upstream.peer); candidate != nil {
+	if candidate := n.candidateByName(parent.peer); candidate != nil {
 		candidate.consecutiveFailures = 0
 	}
 }
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -29,9 +29,7 @@
 // applyBatch applies changes that were prepared, one after the other and each of them whole.
 func (n *Node) applyBatch(batch preparedBatch) {
 	for _, step := range batch.steps {
-		if n.faults.applyHalf {
-			step.entries = step.entries[:1]
-		}
+		step.entries = n.faults.appliedEntries(step.entries)
 		n.store.commit(step)
 		n.counts.ChangesApplied++
 		change := step.logged.change
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -8,20 +8,17 @@
 }
 
 // handleSnapshotPiece adds a piece to the snapshot that is being received, and installs the snapshot after the last.
-func (n *Node) handleSnapshotPiece(upstream *parentLink, m *SnapshotPiece, now Microseconds) {
-	if m.Index == 0 {
-		if !n.acceptsSnapshotOf(upstream, m.Version, now) {
-			return
-		}
-		n.incomingSnapshot = &incomingSnapshot{store: newStore(m.Version, n.config.Scopes)}
+func (n *Node) handleSnapshotPiece(parent *parentLink, m *SnapshotPiece, now Microseconds) {
+	if m.Index == 0 && !n.beginSnapshotOrLeave(parent, m.Version, now) {
+		return
 	}
 	incoming := n.incomingSnapshot
 	if incoming == nil || incoming.store.version != m.Version || incoming.nextIndex != m.Index {
-		n.handleGap(upstream, now)
+		n.handleGap(parent, now)
 		return
 	}
 	if !n.entriesValid(m.Entries, m.Version.Revision) {
-		n.rejectMalformed(upstream, now)
+		n.rejectMalformed(parent, now)
 		return
 	}
 	for _, entry := range m.Entries {
@@ -31,37 +28,38 @@
 	incoming.progressAt = now
 	switch {
 	case incoming.store.bytes > n.limits.StateBytes:
-		n.rejectTooLarge(upstream, now)
+		n.rejectTooLarge(parent, now)
 	case m.Last && incoming.store.digest != m.Digest:
-		n.handleWrongDigest(upstream, now)
+		n.handleWrongDigest(parent, now)
 	case m.Last:
-		n.installSnapshot(upstream, m, now)
+		n.installSnapshot(parent, m, now)
 	}
 }
 
-// acceptsSnapshotOf tells whether a snapshot of a version may replace what this node has: it is no older, and not of an
-// epoch founded beside. The parent is left if not.
-func (n *Node) acceptsSnapshotOf(upstream *parentLink, version Version, now Microseconds) bool {
+// beginSnapshotOrLeave begins to build up a snapshot that may replace what this node has: it is no older, and not of an
+// epoch founded beside. If it may not, the parent is left, and false returned.
+func (n *Node) beginSnapshotOrLeave(parent *parentLink, version Version, now Microseconds) bool {
 	switch {
 	case n.conflictsWith(version.Epoch) || !version.Epoch.Known():
-		n.rejectConflict(upstream, now)
-	case n.isOlder(version) && !n.faults.acceptOlder:
-		n.reportOlder(upstream.peer, version)
+		n.rejectConflict(parent, now)
+	case n.faults.refusesOlder(n.isOlder(version)):
+		n.reportOlder(parent.peer, version)
 		n.leaveParent(CloseOutdatedParent, now)
 	default:
+		n.incomingSnapshot = &incomingSnapshot{store: newStore(version, n.config.Scopes)}
 		return true
 	}
 	return false
 }
 
 // installSnapshot replaces what this node has by a snapshot that is complete and matches its digest.
-func (n *Node) installSnapshot(upstream *parentLink, m *SnapshotPiece, now Microseconds) {
+func (n *Node) installSnapshot(parent *parentLink, m *SnapshotPiece, now Microseconds) {
 	installed := n.incomingSnapshot.store
 	installed.tombstones.horizon = max(installed.tombstones.horizon, m.Horizon)
 	n.incomingSnapshot = nil
 	n.contentInDoubt = false
-	upstream.recoveries = 0
+	parent.recoveries = 0
 	n.counts.SnapshotsInstalled++
-	n.host.Log(Event{Kind: EventSnapshotInstalled, Peer: upstream.peer, Version: installed.version})
+	n.host.Log(Event{Kind: EventSnapshotInstalled, Peer: parent.peer, Version: installed.version})
 	n.replaceStore(installed, now)
 }
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -31,8 +31,10 @@
 	Scopes Scopes
 	// Candidates are possible parents, by name; the node's own is left out.
 	Candidates []string
-	// Floor is the newest version that a subscriber knows from before a restart: it takes nothing older. Whoever keeps it
-	// keeps the newer of the Floor it started with and the Version of the node.
+	// Floor is the newest version that a subscriber knows from before a restart: it accepts nothing older. It is for hosts
+	// that keep a version over a restart and not the State; one that hands the State to Restored need not set it. Whoever
+	// keeps it keeps the newer of the Floor it started with and the Version of the node. The daemon keeps the State, where
+	// it has a folder, and does not set it.
 	Floor Version
 	// Limits bound the node; none has a default here, see DefaultLimits.
 	Limits Limits
@@ -59,7 +61,7 @@
 	parent              *parentLink       // the place that this node has; nil without one
 	attempts            []*parentLink     // to get a place, or a better one; at most maxAttempts
 	incomingSnapshot    *incomingSnapshot // nil while none is being received
-	contentInDoubt      bool              // a digest was wrong; nothing but a snapshot is taken until one is installed
+	contentInDoubt      bool              // a digest was wrong; nothing but a snapshot is accepted until one is installed
 	candidates          []candidate       // configured ones first; of others at most MaxCandidates
 	nextDialAt          Microseconds
 	consecutiveFailures int // to get a place, since the source was last known to be current
@@ -69,14 +71,7 @@
 	sourceEverCurrent bool
 	loggedStale       bool // whether EventSourceStale was the last of its two events
 
-	faults faults
-}
-
-// faults are planted by tests, to show that the checks find them.
-type faults struct {
-	acceptGaps  bool // a delta that does not follow is applied
-	acceptOlder bool // what an older parent sends is applied
-	applyHalf   bool // of a change the first entry alone is applied
+	faults plantedFaults // none but in a test
 }
 
 // New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Tick.
@@ -129,12 +124,7 @@
 		n.reportOlder("", state.Version)
 		return false
 	}
-	restored := newStore(state.Version, covered)
-	for _, entry := range state.Entries {
-		restored.put(entry)
-	}
-	restored.tombstones.horizon = max(restored.tombstones.horizon, state.Horizon)
-	n.replaceStore(restored, now)
+	n.replaceStore(storeFrom(state, covered), now)
 	return true
 }
 
@@ -167,12 +157,12 @@
 
 // Connected says that a dial has succeeded.
 func (n *Node) Connected(link Link, now Microseconds) {
-	u := n.attemptByLink(link)
-	if u == nil || u.connected {
+	attempt := n.attemptByLink(link)
+	if attempt == nil || attempt.connected {
 		return
 	}
-	u.connected = true
-	n.sendSubscribe(u, now)
+	attempt.connected = true
+	n.sendSubscribe(attempt, now)
 }
 
 // DialFailed says that a dial has not succeeded; the link is gone.
@@ -199,7 +189,8 @@
 	n.parentLinkClosed(link, now)
 }
 
-// Resubscribe changes what a subscriber asks for. It keeps what it has until a snapshot of the new scopes is complete.
+// Resubscribe changes what a subscriber asks for. It keeps what it has until a snapshot of the new scopes is complete. It
+// is for hosts whose scopes change while they run; the daemon's do not.
 func (n *Node) Resubscribe(scopes Scopes, now Microseconds) {
 	if n.config.Voter || n.config.Scopes.Equal(scopes) {
 		return
@@ -208,9 +199,9 @@
 	if n.parent != nil {
 		n.sendSubscribe(n.parent, now)
 	}
-	for _, u := range n.attempts {
-		if u.connected {
-			n.sendSubscribe(u, now)
+	for _, attempt := range n.attempts {
+		if attempt.connected {
+			n.sendSubscribe(attempt, now)
 		}
 	}
 }
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// parentLink is a place that this node has at a parent, or tries to get.
+// parentLink is the link to this node's parent, or to a peer that was asked for a place. In parameters it is named parent
+// where it is that of Node.parent, attempt where it is one of Node.attempts, and place where it may be either.
 type parentLink struct {
 	link           Link
 	peer           string
@@ -42,10 +43,10 @@
 }
 
 // sendSubscribe asks for a place, or asks the parent anew for what is missing.
-func (n *Node) sendSubscribe(upstream *parentLink, now Microseconds) {
-	upstream.subscribing = true
-	upstream.subscribeSentAt = now
-	upstream.lastRequest++
+func (n *Node) sendSubscribe(place *parentLink, now Microseconds) {
+	place.subscribing = true
+	place.subscribeSentAt = now
+	place.lastRequest++
 	n.incomingSnapshot = nil
 	request := &Subscribe{
 		Name:         n.config.Name,
@@ -54,45 +55,43 @@
 		Digest:       n.store.digest,
 		WantSnapshot: !n.contentComplete(),
 		FanOut:       n.limits.FanOut,
-		Request:      upstream.lastRequest,
+		Request:      place.lastRequest,
 	}
 	if n.store.version.Before(n.config.Floor) {
 		request.Version = n.config.Floor
 		request.WantSnapshot = true
 	}
-	if n.faults.acceptOlder {
-		request.Version = Version{}
-	}
-	n.host.Send(upstream.link, request)
+	request.Version = n.faults.requestedVersion(request.Version)
+	n.host.Send(place.link, request)
 }
 
-// handleAdmitted takes a place that was granted, if it is the first or better than the one this node has.
-func (n *Node) handleAdmitted(upstream *parentLink, m *Admitted, now Microseconds) {
+// handleAdmitted accepts a place that was granted, if it is the first or better than the one this node has.
+func (n *Node) handleAdmitted(place *parentLink, m *Admitted, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
-	if m.Request != upstream.lastRequest {
+	if m.Request != place.lastRequest {
 		return // it answers an earlier request; what follows may be of other scopes
 	}
-	upstream.subscribing = false
-	upstream.receivedMessages = 1
-	upstream.unconfirmedBytes = m.Size()
+	place.subscribing = false
+	place.receivedMessages = 1
+	place.unconfirmedBytes = m.Size()
 	if n.conflictsWith(m.Version.Epoch) {
-		n.rejectConflict(upstream, now)
+		n.rejectConflict(place, now)
 		return
 	}
-	if !n.pathValid(m.Path) || n.hasChild(upstream.peer) {
-		n.declinePlace(upstream, CloseLoop, now)
+	if !n.pathValid(m.Path) || n.hasChild(place.peer) {
+		n.declinePlace(place, CloseLoop, now)
 		return
 	}
-	if upstream != n.parent {
+	if place != n.parent {
 		if n.parent != nil && !n.isBetterPlace(m, now) {
-			n.declinePlace(upstream, CloseNotChosen, now)
+			n.declinePlace(place, CloseNotChosen, now)
 			return
 		}
-		n.adoptParent(upstream, now)
+		n.adoptParent(place, now)
 	}
-	upstream.lease = m.Lease
-	n.setPath(upstream, m.Path, now)
-	n.noteSourceAge(upstream, m.Version, m.Age, now)
+	place.lease = m.Lease
+	n.setPath(place, m.Path, now)
+	n.noteSourceAge(place, m.Version, m.Age, now)
 }
 
 // isBetterPlace tells whether a place that was granted is better than the one this node has: not behind where the
@@ -106,19 +105,19 @@
 }
 
 // adoptParent makes an attempt the parent, and ends the others.
-func (n *Node) adoptParent(upstream *parentLink, now Microseconds) {
+func (n *Node) adoptParent(place *parentLink, now Microseconds) {
 	if n.parent != nil {
 		n.leaveParent(CloseOutdatedParent, now)
 	}
-	n.removeAttempt(upstream)
+	n.removeAttempt(place)
 	for _, other := range n.attempts {
 		n.host.Close(other.link, CloseNotChosen)
 	}
 	n.attempts = nil
-	n.parent = upstream
-	upstream.admittedAt = now
+	n.parent = place
+	place.admittedAt = now
 	n.consecutiveRefusals = 0
-	n.host.Log(Event{Kind: EventAdmitted, Peer: upstream.peer, Version: n.store.version})
+	n.host.Log(Event{Kind: EventAdmitted, Peer: place.peer, Version: n.store.version})
 	n.scheduleHeartbeats(now)
 }
 
@@ -128,11 +127,11 @@
 }
 
 // setPath stores the parent's path, and tells the children at the next Tick if it is another.
-func (n *Node) setPath(upstream *parentLink, path []string, now Microseconds) {
-	if slices.Equal(upstream.path, path) {
+func (n *Node) setPath(parent *parentLink, path []string, now Microseconds) {
+	if slices.Equal(parent.path, path) {
 		return
 	}
-	upstream.path = path
+	parent.path = path
 	n.learnCandidates(path, false)
 	n.scheduleHeartbeats(now)
 }
@@ -192,13 +191,13 @@
 }
 
 // rejectConflict leaves one whose epoch was founded beside this node's.
-func (n *Node) rejectConflict(upstream *parentLink, now Microseconds) {
-	n.host.Log(Event{Kind: EventEpochConflict, Peer: upstream.peer, Version: n.store.version})
-	n.avoidUntil(upstream.peer, now+n.limits.MaxRetryAfter)
-	if upstream == n.parent {
+func (n *Node) rejectConflict(place *parentLink, now Microseconds) {
+	n.host.Log(Event{Kind: EventEpochConflict, Peer: place.peer, Version: n.store.version})
+	n.avoidUntil(place.peer, now+n.limits.MaxRetryAfter)
+	if place == n.parent {
 		n.leaveParent(CloseConflict, now)
 		return
 	}
-	n.host.Close(upstream.link, CloseConflict)
-	n.attemptFailed(upstream, now)
+	n.host.Close(place.link, CloseConflict)
+	n.attemptFailed(place, now)
 }
--- a/distribution/parent_search.go
+++ b/distribution/parent_search.go
@@ -80,15 +80,15 @@
 }
 
 // declinePlace gives back a place that cannot be used or is no better, and waits before the next try.
-func (n *Node) declinePlace(upstream *parentLink, reason CloseReason, now Microseconds) {
-	if upstream == n.parent {
+func (n *Node) declinePlace(place *parentLink, reason CloseReason, now Microseconds) {
+	if place == n.parent {
 		n.leaveParent(reason, now)
 		return
 	}
-	n.host.Close(upstream.link, reason)
-	n.removeAttempt(upstream)
+	n.host.Close(place.link, reason)
+	n.removeAttempt(place)
 	again := now + n.limits.MaxRetryAfter/2 + n.jitter(n.limits.MaxRetryAfter/2)
-	n.avoidUntil(upstream.peer, again)
+	n.avoidUntil(place.peer, again)
 	n.nextDialAt = now + n.jitter(n.limits.MinBackoff)
 	if n.parent != nil {
 		n.nextDialAt = again
@@ -96,17 +96,17 @@
 }
 
 // handleRefused handles a refusal: the peer is not asked for as long as it says, and those it names are tried soon.
-func (n *Node) handleRefused(upstream *parentLink, m *Refused, now Microseconds) {
+func (n *Node) handleRefused(place *parentLink, m *Refused, now Microseconds) {
 	n.counts.RefusedByParents++
-	n.host.Log(Event{Kind: EventRefusedBy, Peer: upstream.peer, Version: n.store.version, Refusal: m.Reason})
-	n.host.Close(upstream.link, CloseRefused)
-	if upstream == n.parent {
+	n.host.Log(Event{Kind: EventRefusedBy, Peer: place.peer, Version: n.store.version, Refusal: m.Reason})
+	n.host.Close(place.link, CloseRefused)
+	if place == n.parent {
 		n.loseParent(CloseRefused, now)
 	} else {
-		n.removeAttempt(upstream)
+		n.removeAttempt(place)
 	}
 	retryAfter := min(max(m.RetryAfter, n.limits.MinBackoff), 2*n.limits.MaxRetryAfter)
-	n.avoidUntil(upstream.peer, now+retryAfter)
+	n.avoidUntil(place.peer, now+retryAfter)
 	n.learnCandidates(m.Candidates, true)
 	n.consecutiveRefusals++
 	n.nextDialAt = now + n.jitter(n.backoffDelay(1+n.consecutiveRefusals/refusalsPerBackoff))
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -8,83 +8,81 @@
 
 // receiveFromParent handles a message of a parent, or of one that was asked to be it.
 func (n *Node) receiveFromParent(link Link, m Message, now Microseconds) {
-	upstream := n.parentOrAttempt(link)
-	if upstream == nil {
+	place := n.parentOrAttempt(link)
+	if place == nil {
 		return
 	}
-	upstream.lastReceivedAt = now
-	upstream.receivedMessages++
-	upstream.unconfirmedBytes += m.Size()
+	place.lastReceivedAt = now
+	place.receivedMessages++
+	place.unconfirmedBytes += m.Size()
 	switch m := m.(type) {
 	case *Admitted:
-		n.handleAdmitted(upstream, m, now)
+		n.handleAdmitted(place, m, now)
 	case *Refused:
-		n.handleRefused(upstream, m, now)
+		n.handleRefused(place, m, now)
 	default:
-		if upstream == n.parent && !upstream.subscribing {
-			n.handleParentMessage(upstream, m, now)
+		if place == n.parent && !place.subscribing {
+			n.handleParentMessage(place, m, now)
 		}
 	}
 }
 
 // handleParentMessage handles what a parent sends to a child with a place, and renews the lease if it is time to.
-func (n *Node) handleParentMessage(upstream *parentLink, m Message, now Microseconds) {
+func (n *Node) handleParentMessage(parent *parentLink, m Message, now Microseconds) {
 	isHeartbeat := false
 	switch m := m.(type) {
 	case *Delta:
-		n.handleDelta(upstream, m, now)
+		n.handleDelta(parent, m, now)
 	case *SnapshotPiece:
-		n.handleSnapshotPiece(upstream, m, now)
+		n.handleSnapshotPiece(parent, m, now)
 	case *Heartbeat:
 		isHeartbeat = true
-		n.handleHeartbeat(upstream, m, now)
+		n.handleHeartbeat(parent, m, now)
 	}
-	hasPlace := upstream == n.parent && !upstream.subscribing // handling the message may have ended it
-	enough := upstream.unconfirmedBytes >= n.limits.Window/renewsPerWindow
+	hasPlace := parent == n.parent && !parent.subscribing // handling the message may have ended it
+	enough := parent.unconfirmedBytes >= n.limits.Window/renewsPerWindow
 	if hasPlace && (isHeartbeat || enough) {
-		n.host.Send(upstream.link, &Renew{Version: n.store.version, Received: upstream.receivedMessages})
-		upstream.unconfirmedBytes = 0
+		n.host.Send(parent.link, &Renew{Version: n.store.version, Received: parent.receivedMessages})
+		parent.unconfirmedBytes = 0
 	}
 }
 
 // handleDelta applies changes if they follow what this node has and end in the digest that they should.
-func (n *Node) handleDelta(upstream *parentLink, m *Delta, now Microseconds) {
+func (n *Node) handleDelta(parent *parentLink, m *Delta, now Microseconds) {
 	version := Version{m.Epoch, m.Revision}
 	if n.isOlder(version) || version == n.store.version {
-		n.reportOlder(upstream.peer, version)
+		n.reportOlder(parent.peer, version)
 		return
 	}
 	if !n.followsContent(m.Epoch, m.Previous) {
-		n.handleGap(upstream, now)
+		n.handleGap(parent, now)
 		return
 	}
 	if !n.deltaWellFormed(m) {
-		n.rejectMalformed(upstream, now)
+		n.rejectMalformed(parent, now)
 		return
 	}
 	batch := n.store.prepare(m.Changes)
-	if batch.digest != m.Digest && !n.faults.acceptGaps {
-		n.handleWrongDigest(upstream, now)
+	if !n.faults.acceptsDigest(batch.digest == m.Digest) {
+		n.handleWrongDigest(parent, now)
 		return
 	}
 	if batch.bytes > n.limits.StateBytes {
-		n.rejectTooLarge(upstream, now)
+		n.rejectTooLarge(parent, now)
 		return
 	}
 	n.applyBatch(batch)
 	n.store.version.Revision = m.Revision
 	n.counts.DeltasApplied++
-	upstream.recoveries = 0
+	parent.recoveries = 0
 	n.sendDeltasToAll(now)
 }
 
 // followsContent tells whether what was sent for a child at a revision applies to what this node has.
 func (n *Node) followsContent(epoch Epoch, previous uint64) bool {
-	if n.faults.acceptGaps {
-		return epoch == n.store.version.Epoch
-	}
 	sound := n.contentComplete() && n.incomingSnapshot == nil
-	return sound && n.store.version == Version{epoch, previous}
+	follows := sound && n.store.version == Version{epoch, previous}
+	return n.faults.acceptsMessage(follows, epoch == n.store.version.Epoch)
 }
 
 // deltaWellFormed tells whether the changes are in order and in this node's scopes.
@@ -114,84 +112,84 @@
 }
 
 // handleHeartbeat notes that the parent is there, and moves on past revisions with nothing in this node's scopes.
-func (n *Node) handleHeartbeat(upstream *parentLink, m *Heartbeat, now Microseconds) {
+func (n *Node) handleHeartbeat(parent *parentLink, m *Heartbeat, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if !n.pathValid(m.Path) {
 		n.leaveParent(CloseLoop, now)
 		return
 	}
-	n.setPath(upstream, m.Path, now)
+	n.setPath(parent, m.Path, now)
 	if m.Epoch.Known() {
-		n.advanceByHeartbeat(upstream, m, now)
+		n.advanceByHeartbeat(parent, m, now)
 	}
-	if upstream == n.parent && !upstream.subscribing {
-		n.noteSourceAge(upstream, m.Source, m.Age, now)
+	if parent == n.parent && !parent.subscribing {
+		n.noteSourceAge(parent, m.Source, m.Age, now)
 	}
 }
 
-// advanceByHeartbeat takes the revision of a heartbeat that follows what this node has.
-func (n *Node) advanceByHeartbeat(upstream *parentLink, m *Heartbeat, now Microseconds) {
+// advanceByHeartbeat moves on to the revision of a heartbeat that follows what this node has.
+func (n *Node) advanceByHeartbeat(parent *parentLink, m *Heartbeat, now Microseconds) {
 	version := Version{m.Epoch, m.Revision}
 	switch {
 	case n.isOlder(version):
-		n.reportOlder(upstream.peer, version)
+		n.reportOlder(parent.peer, version)
 	case !n.followsContent(m.Epoch, m.Previous):
-		n.handleGap(upstream, now)
-	case m.Digest != n.store.digest && !n.faults.acceptGaps:
-		n.handleWrongDigest(upstream, now)
+		n.handleGap(parent, now)
+	case !n.faults.acceptsDigest(n.store.digest == m.Digest):
+		n.handleWrongDigest(parent, now)
 	default:
 		n.store.version.Revision = max(n.store.version.Revision, m.Revision)
-		upstream.recoveries = 0
+		parent.recoveries = 0
 	}
 }
 
 // noteSourceAge notes how old the parent's configuration is, and whether it is behind this node's.
-func (n *Node) noteSourceAge(upstream *parentLink, source Version, age, now Microseconds) {
+func (n *Node) noteSourceAge(parent *parentLink, source Version, age, now Microseconds) {
 	behind := n.isOlder(source)
-	if behind && !upstream.behind {
-		upstream.behindSince = now
+	if behind && !parent.behind {
+		parent.behindSince = now
 	}
-	upstream.behind = behind
+	parent.behind = behind
 	own := n.store.version
 	hasAll := n.contentComplete() && own.Epoch == source.Epoch && own.Revision >= source.Revision
 	if hasAll && age != NeverCurrent {
 		n.noteSourceCurrent(now - age)
-		n.resetFailures(upstream)
+		n.resetFailures(parent)
 	}
 }
 
 // handleGap answers a message that doesn't follow what this node has: it asks for what leads on from there.
-func (n *Node) handleGap(upstream *parentLink, now Microseconds) {
+func (n *Node) handleGap(parent *parentLink, now Microseconds) {
 	n.counts.GapsSeen++
-	n.host.Log(Event{Kind: EventGap, Peer: upstream.peer, Version: n.store.version})
-	n.requestRecovery(upstream, now)
+	n.host.Log(Event{Kind: EventGap, Peer: parent.peer, Version: n.store.version})
+	n.requestRecovery(parent, now)
 }
 
 // handleWrongDigest answers changes or a snapshot that end in another digest than they should: nothing of them was
 // applied, and as nothing tells where the fault is, only a snapshot helps.
-func (n *Node) handleWrongDigest(upstream *parentLink, now Microseconds) {
+func (n *Node) handleWrongDigest(parent *parentLink, now Microseconds) {
 	n.counts.WrongDigests++
-	n.host.Log(Event{Kind: EventWrongDigest, Peer: upstream.peer, Version: n.store.version})
+	n.host.Log(Event{Kind: EventWrongDigest, Peer: parent.peer, Version: n.store.version})
 	n.contentInDoubt = true
-	n.requestRecovery(upstream, now)
+	n.requestRecovery(parent, now)
 }
 
 // requestRecovery asks the parent anew, and leaves one that was asked maxRecoveries times without success.
-func (n *Node) requestRecovery(upstream *parentLink, now Microseconds) {
-	upstream.recoveries++
-	if upstream.recoveries > maxRecoveries {
+func (n *Node) requestRecovery(parent *parentLink, now Microseconds) {
+	parent.recoveries++
+	if parent.recoveries > maxRecoveries {
 		n.leaveParent(CloseMalformed, now)
 		return
 	}
-	n.sendSubscribe(upstream, now)
+	n.sendSubscribe(parent, now)
 }
 
-func (n *Node) rejectMalformed(upstream *parentLink, now Microseconds) {
-	n.host.Log(Event{Kind: EventMalformed, Peer: upstream.peer, Version: n.store.version})
+func (n *Node) rejectMalformed(parent *parentLink, now Microseconds) {
+	n.host.Log(Event{Kind: EventMalformed, Peer: parent.peer, Version: n.store.version})
 	n.leaveParent(CloseMalformed, now)
 }
 
-func (n *Node) rejectTooLarge(upstream *parentLink, now Microseconds) {
-	n.host.Log(Event{Kind: EventTooLarge, Peer: upstream.peer, Version: n.store.version})
+func (n *Node) rejectTooLarge(parent *parentLink, now Microseconds) {
+	n.host.Log(Event{Kind: EventTooLarge, Peer: parent.peer, Version: n.store.version})
 	n.leaveParent(CloseTooLarge, now)
 }
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -10,7 +10,7 @@
 	Base Version `cbor:"2,keyasint,omitempty"`
 	// Epoch is set by the leader; it becomes that of the record if it has none yet.
 	Epoch Epoch `cbor:"3,keyasint,omitempty"`
-	// AcceptedAt is set by the leader: the wall time in microseconds at which it took the proposal.
+	// AcceptedAt is set by the leader: the wall time in microseconds at which it received the proposal.
 	AcceptedAt int64 `cbor:"4,keyasint,omitempty"`
 	// Entries have a scope, a name, and a value or Deleted.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
@@ -52,14 +52,7 @@
 func NewRecord() *Record { return &Record{newStore(Version{}, AllScopes())} }
 
 // RestoreRecord is a record as a snapshot has it.
-func RestoreRecord(state State) *Record {
-	restored := newStore(state.Version, AllScopes())
-	for _, entry := range state.Entries {
-		restored.put(entry)
-	}
-	restored.tombstones.horizon = max(restored.tombstones.horizon, state.Horizon)
-	return &Record{restored}
-}
+func RestoreRecord(state State) *Record { return &Record{storeFrom(state, AllScopes())} }
 
 // Apply makes a proposal the next revision, or refuses it whole with one of the errors above. The outcome depends on the
 // record and the proposal alone.
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -31,6 +31,16 @@
 	return s
 }
 
+// storeFrom is a store with the contents of a state, complete for the scopes given. Its log is empty.
+func storeFrom(state State, covered Scopes) *store {
+	s := newStore(state.Version, covered)
+	for _, entry := range state.Entries {
+		s.put(entry)
+	}
+	s.tombstones.horizon = max(s.tombstones.horizon, state.Horizon)
+	return s
+}
+
 func compareName(entry Entry, name string) int { return strings.Compare(entry.Name, name) }
 
 // lookup gives the entry of a key; where there is none, a tombstone and false.
@@ -163,20 +173,50 @@
 	return change, size <= maxBytes
 }
 
+// deltaSource says what a delta from some version on can be made of.
+type deltaSource uint8
+
+const (
+	noDelta          deltaSource = iota // another epoch, a revision not reached yet, or one that nothing reaches back to
+	deltaFromLog                        // the changes in the log
+	deltaFromEntries                    // one merged change of what was set since; it may turn out to be too large
+)
+
+func (s *store) deltaSourceFor(from Version) deltaSource {
+	switch {
+	case from.Epoch != s.version.Epoch || from.Revision > s.version.Revision:
+		return noDelta
+	case from.Revision >= s.log.floor:
+		return deltaFromLog
+	case from.Revision >= s.tombstones.horizon:
+		return deltaFromEntries
+	}
+	return noDelta
+}
+
+// deltasReachBackTo tells whether deltaFrom is possible. It makes no delta; of a merged change it has to learn the size.
+func (s *store) deltasReachBackTo(from Version, scopes Scopes, batchBytes int) bool {
+	switch s.deltaSourceFor(from) {
+	case deltaFromLog:
+		return true
+	case deltaFromEntries:
+		_, withinBytes := s.mergedChange(from.Revision, scopes, batchBytes)
+		return withinBytes
+	}
+	return false
+}
+
 // deltaFrom gives what leads a child from one version on, at most a batch of bytes of it; nil if there is nothing in its
 // scopes. It is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor
 // the tombstones reach any more.
 func (s *store) deltaFrom(from Version, scopes Scopes, batchBytes int) (delta *Delta, possible bool) {
-	if from.Epoch != s.version.Epoch || from.Revision > s.version.Revision {
-		return nil, false
-	}
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
-	if from.Revision >= s.log.floor {
+	switch s.deltaSourceFor(from) {
+	case noDelta:
+		return nil, false
+	case deltaFromLog:
 		delta.Changes, delta.Revision = s.log.changesAfter(from.Revision, scopes, batchBytes, s.version.Revision)
-	} else {
-		if from.Revision < s.tombstones.horizon {
-			return nil, false
-		}
+	case deltaFromEntries:
 		change, withinBytes := s.mergedChange(from.Revision, scopes, batchBytes)
 		if !withinBytes {
 			return nil, false
