--- a/distribution/event.go
+++ b/distribution/event.go
@@ -8,7 +8,7 @@
 	return names[value]
 }
 
-// CloseReason says why a node has a link closed. Zero is the end of the connection itself.
+// CloseReason says why a node has a link closed. Zero is the end of the connection itself. It does not go over the wire.
 type CloseReason uint8
 
 // Reasons to close a link.
@@ -18,7 +18,7 @@
 	CloseReplaced                              // the child subscribed anew on another link
 	CloseRefused                               // the place was refused
 	CloseTimedOut                              // dial, admission or subscription took too long
-	CloseOutdatedParent                        // a better parent was found, or the parent is older than this node
+	CloseOutdatedParent                        // the parent sent an older version, or another's source is more current
 	CloseLoop                                  // the node is among its own ancestors, or too deep
 	CloseConflict                              // the parent has an epoch of the same number founded by others
 	CloseNotCovered                            // the parent no longer covers the child's scopes
@@ -26,8 +26,8 @@
 	CloseTooLarge                              // the state would pass the bound
 )
 
-var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "stale", "loop",
-	"conflict", "not covered", "malformed", "too large"}
+var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "outdated parent",
+	"loop", "conflict", "not covered", "malformed", "too large"}
 
 // String names the reason, as log lines have it.
 func (r CloseReason) String() string { return enumName(closeNames[:], int(r)) }
@@ -57,13 +57,16 @@
 )
 
 var eventNames = [...]string{"none", "admitted", "refused by parent", "parent lost", "child admitted", "child refused",
-	"child lost", "gap", "wrong digest", "older refused", "epoch conflict", "snapshot sent", "snapshot taken", "compacted",
-	"malformed", "too large", "stale", "current"}
+	"child lost", "gap", "wrong digest", "older refused", "epoch conflict", "snapshot sent",
+	"snapshot installed", "compacted", "malformed", "too large", "source stale", "source current"}
 
 // String names the kind, as log lines have it.
 func (k EventKind) String() string { return enumName(eventNames[:], int(k)) }
 
-// Event is something for the host's log.
+// Event is something for the host's log. The controller logs it (controller/distribution_log.go): each with revision= and
+// epoch=; EventParentLost as msg=parent_lost with parent= and reason=, the text of the CloseReason or "connection closed";
+// what concerns children, and EventCompacted, as msg=distribution_tree, and refused messages as
+// msg=distribution_message_refused, with peer= and detail=, the text of the EventKind.
 type Event struct {
 	// Kind says what happened, and which of the other fields are set.
 	Kind EventKind
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -16,7 +16,7 @@
 type Limits struct {
 	// Heartbeat is the time between two heartbeats to a child.
 	Heartbeat Microseconds
-	// Lease is the time of silence after which a child loses its place, and a parent its child.
+	// Lease is how long a parent and a child each wait for the other's messages before giving it up.
 	Lease Microseconds
 	// Handshake is the time that a dial and its admission may take, and a caller until it subscribes.
 	Handshake Microseconds
--- a/distribution/transport/doc.go
+++ b/distribution/transport/doc.go
@@ -14,5 +14,12 @@
 // queue of Bounds.QueueCount and QueueBytes; at the bound its link is closed and counted in Traffic.Overflows. Of Callers
 // connections at a time the next is closed at once.
 //
+// # Timers
+//
+// Bounds.Tick, 100 ms: the node's Tick; the first comes at random within it. DialTimeout, 2 s: a dial. WriteTimeout, 5 s:
+// what is queued for a peer, or CloseTimeout, 0.5 s, once the link is to be closed. All others are the node's.
+//
+// # What survives a crash
+//
 // Nothing here survives a crash: see Transport.State for what a subscriber can store.
 package transport
