--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -29,12 +29,12 @@
 
 	lastAnswerAt        Microseconds // when an answer was last reported
 	consecutiveFailures int          // attempts since then, all without an answer
-	score               float64      // mean answer time over the median; 1 if unknown, negative if ejected
+	score               float64      // mean answer time over the median; 1 if unknown, -1 since it was to be ejected
 
 	ejected             bool
 	ejectedByPeerReport bool // on peer reports alone: reported to peers again, that would never end
 	readmitAt           Microseconds
-	backoff             Microseconds // how long the last ejection lasts
+	backoff             Microseconds // how long the last ejection lasts; 0 if there was none since it was new or restarted
 	healthCheckedAt     Microseconds
 	reducedTo           float64      // share of its listed weight that it is left with; 0 for all of it
 	weightReducedAt     Microseconds // what was met before says nothing of the new weight
@@ -137,7 +137,7 @@
 	return 1 - float64(b.failures)/float64(max(b.attempts, 1))
 }
 
-// usable tells whether a backend may have an entry, its score aside.
+// usable tells whether the list lets a backend have an entry; a removed one only until it is ejected.
 func (c *Controller) usable(backend *backendState) bool {
 	if backend.State == Removed { // where only draining must be left, it keeps its entry until its attempts fail
 		return !c.mustLeave(backend) && !backend.ejected && backend.published > 0
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -37,10 +37,10 @@
 	admission admissionState
 
 	// Endpoint list.
-	pollAt          Microseconds // when the next poll is due, where polling is required
-	pollBackoff     Microseconds
-	endpointsKnown  bool // a complete list that was not empty has come
-	warmBackendSeen bool // some listed backend was ready and warm
+	pollAt         Microseconds // when the next poll is due, where polling is required
+	pollBackoff    Microseconds
+	endpointsKnown bool // a complete list that was not empty has come
+	warmEverListed bool // some listed backend was ready and warm at some time; it stays set when that one goes
 
 	// Reports.
 	evaluatedAt Microseconds // when reports were last evaluated
@@ -89,22 +89,22 @@
 			c.sharedClasses |= 1 << i
 		}
 	}
-	host.SetTimer(tickInterval, c.seed)
+	host.SetTimer(tickInterval, c.timerTag())
 	return c, nil
 }
 
 // TimerFired is the end of a timer. With each tick, whatever waited for time or for room in the channel is looked at.
 func (c *Controller) TimerFired(tag uint64) {
-	if tag != c.seed {
+	if tag != c.timerTag() {
 		return // a timer of an earlier incarnation
 	}
 	now := c.host.Now()
-	c.host.SetTimer(tickInterval, c.seed)
+	c.host.SetTimer(tickInterval, c.timerTag())
 	c.queue.expire(now)
 	if c.telemetry.PollingRequired && now >= c.pollAt {
 		c.pollEndpoints()
 	}
-	if c.newAttempts > 0 && now-c.evaluatedAt >= c.telemetry.ReportInterval {
+	if c.evaluationDue(now) {
 		c.detectOutliers(now)
 		c.updateAdmission(now)
 		c.evaluatedAt = now
@@ -128,7 +128,7 @@
 			backend.State = Removed
 		}
 		if backend.State == Ready && !c.warmingUp(backend, now) {
-			c.warmBackendSeen = true
+			c.warmEverListed = true
 		}
 	}
 	if complete && len(endpoints) > 0 {
@@ -185,7 +185,7 @@
 	return true
 }
 
-// OutcomesReported is what our proxies met at a backend.
+// OutcomesReported is what our proxies met at a backend. Which reports count is in outlier.go.
 func (c *Controller) OutcomesReported(report OutcomeReport) {
 	if report.Backend >= len(c.backends) || report.Attempts <= 0 {
 		return
@@ -193,12 +193,9 @@
 	now := c.host.Now()
 	backend := c.backends[report.Backend]
 	c.newAttempts += report.Attempts
-	coversFrom := now
-	if c.reportsAreOld() {
-		coversFrom -= max(0, report.Span-c.telemetry.ReportInterval)
-		if coversFrom < max(backend.StartedAt, backend.enteredAt) {
-			return // of another process, or of when it was ejected
-		}
+	coversFrom, counts := c.outcomesCoverFrom(backend, report.Span, now)
+	if !counts {
+		return
 	}
 	backend.ownOutcomes = append(backend.ownOutcomes, outcomeSample{
 		receivedAt: now,
@@ -207,14 +204,14 @@
 		attempts:   report.Attempts,
 		failures:   report.Failures,
 	})
-	if report.Load.CPUUtilization >= 0 || report.Load.QueueLength >= 0 {
+	if report.Load.given() {
 		backend.load = report.Load
 	}
 	backend.noteAttempts(report.Attempts, report.Failures, now)
 }
 
 // PeerOutcomesReported is what proxies of another controller met at a backend. It counts where ours met nothing, or no
-// answer either. Backoff is that of the backend's ejection there, or 0.
+// answer either (outlier.go). Backoff is that of the backend's ejection there, or 0.
 func (c *Controller) PeerOutcomesReported(id, attempts, failures int, mean, backoff Microseconds) {
 	if id >= len(c.backends) || attempts <= 0 {
 		return
@@ -229,12 +226,11 @@
 		failures:   failures,
 	})
 	backend.sumOutcomes(now)
-	oursAnswered := backend.consecutiveFailures == 0 || failures < attempts
-	if !backend.reportedByPeersOnly && oursAnswered {
+	if !backend.peerFailuresCount(attempts, failures) {
 		return
 	}
 	backend.noteAttempts(attempts, failures, now)
-	backend.backoff = max(backend.backoff, backoff/2) // eject doubles it: for as long as there
+	backend.adoptPeerBackoff(backoff)
 	if backend.consecutiveFailures >= consecutiveFailuresToEject {
 		c.detectOutliers(now)
 	}
@@ -348,6 +344,9 @@
 	return attempts, failures, backend.backoff, backend.ejected && !backend.ejectedByPeerReport
 }
 
+// timerTag is the tag of this incarnation's timers, as each incarnation has another seed.
+func (c *Controller) timerTag() uint64 { return c.seed }
+
 // QueueDelay is how long what waits in the channel takes to leave: an ack is not answered before.
 func (c *Controller) QueueDelay() Microseconds { return c.queue.delay() }
 
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -30,7 +30,8 @@
 	DrainingSince Microseconds
 }
 
-// BackendLoad is what a backend reports of itself. A figure that it did not give is negative.
+// BackendLoad is what a backend reports of itself. A figure that it did not give is negative. The zero value, which all
+// figures at 0 are too, counts as no report.
 type BackendLoad struct {
 	// CPUUtilization is the share of its cores at work, from 0 to 1.
 	CPUUtilization float64
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -1,32 +1,45 @@
 package balancer
 
 // Outlier detection: a usable backend is ejected, so that its entries are taken out, if
-//   - dead: 5 attempts in a row had no answer;
-//   - failing: of 20 attempts or more, fewer were answered than half the median backend's share;
+//   - dead: consecutiveFailuresToEject attempts in a row had no answer. They are counted by whole report lines: one
+//     answer in a line sets the count back to 0;
+//   - failing: at least minAttemptsToEject attempts in the window, and a success rate below failingShareOfMedian of the
+//     median backend's (exactly that share is not below);
 //   - lagging although its weight is at its least: see weight.go for what lagging alone does.
 //
-// Lagging is a mean answer time of twice the median backend's and 0.40 of the latency objective, over 10 attempts, at a
-// backend that does not report itself idle.
+// Lagging is a mean answer time of laggingScore times the median backend's, and of overloadedRatio (overload.go) times the
+// latency objective, over minAttemptsToLag attempts of our own proxies, at a backend that does not report itself idle. It
+// is looked at before failing: a backend that lags and fails has its weight reduced first.
 //
-// Dead and failing count only where the median backend answers 0.8 of its attempts: what all share condemns none. And
-// no more than three quarters of the listed weight may be ejected, as a mistake must not put the load of many on a few,
-// but for backends that the list has removed.
+// Dead and failing count only where the median backend answers healthySuccessRate of its attempts: what most backends
+// have in common is no fault of one. The median is taken over the backends that answered anything within the window.
+// Where none did, it counts as 1 and the fleet as healthy: silent backends are dead then, and are ejected in the order of
+// their indices as far as maxEjectedShare allows. The others stay published.
 //
-// An ejected backend is readmitted after 10 s, doubling with each further ejection to 60 s, or with a passed health
-// check; it then starts slowly (weight.go). If all usable backends are ejected, all are published (panic mode).
+// No more than maxEjectedShare of the listed weight may be ejected, as a mistake must not put the load of many on a few,
+// but for backends that the list has removed. One that would exceed it keeps its entry, and nothing is logged. If all
+// usable backends are ejected, as when the list takes those that were left, all are published (panic mode).
 //
-// Inputs are the outcomes reported within 5 s, of our own proxies or, where these met nothing, of other controllers';
-// times are microseconds.
+// Backends are evaluated once a report interval, if our proxies reported attempts since, or at once with a report from
+// another controller that completes consecutiveFailuresToEject. An ejection's entry goes out as an ordinary change
+// (publish.go), or as a required one while the backend is warming up.
+//
+// An ejected backend is readmitted after its backoff, or with a passed health check; it then starts slowly (weight.go).
+// The backoff is baseEjectionTime, and doubles with each further ejection up to maxEjectionTime. It does not shrink again
+// with time, but only when the backend restarts or its index is forgotten.
+//
+// Inputs are the outcomes reported within scoreWindow, of our own proxies or, where these met nothing, of other
+// controllers'; times are microseconds.
 
 const (
 	consecutiveFailuresToEject = 5 // as many as proxies use
 	minAttemptsToEject         = 20
-	healthySuccessRate         = 0.8  // a share of answers that shows a backend, or the fleet, at work
+	healthySuccessRate         = 0.8  // median success rate from which the fleet is at work
 	failingShareOfMedian       = 0.5  // of the median success rate
-	maxEjectedShare            = 0.75 // of the listed weight: a cut may hide all zones but one
+	maxEjectedShare            = 0.75 // of the listed weight: a network partition may hide all zones but one
 
 	minAttemptsToLag = 10
-	laggingScore     = 2.0 // mean answer time over the median: no chance where a queue stands as well
+	laggingScore     = 2.0 // mean answer time over the median; with answers that are late as well, it is no accident
 
 	baseEjectionTime = 10 * second
 	maxEjectionTime  = 60 * second
@@ -35,9 +48,35 @@
 	healthChecksPerBackoff = 3
 )
 
+// evaluationDue tells whether reports are to be evaluated: once a report interval, and only if any attempt was reported.
+func (c *Controller) evaluationDue(now Microseconds) bool {
+	return c.newAttempts > 0 && now-c.evaluatedAt >= c.telemetry.ReportInterval
+}
+
+// outcomesCoverFrom is the time that the outcomes of a report are later than, but for one report interval, and whether
+// they count. Where reports are old, one that reaches back to before its backend's start, or before it entered, is left
+// out: it tells of another process, or of when the backend was ejected.
+func (c *Controller) outcomesCoverFrom(backend *backendState, span, now Microseconds) (from Microseconds, counts bool) {
+	if !c.reportsAreOld() {
+		return now, true
+	}
+	from = now - max(0, span-c.telemetry.ReportInterval)
+	return from, from >= max(backend.StartedAt, backend.enteredAt)
+}
+
+// peerFailuresCount tells whether what proxies of another controller met counts as attempts in a row: where ours met
+// nothing within the window, or no answer either.
+func (b *backendState) peerFailuresCount(attempts, failures int) bool {
+	oursAnswered := b.consecutiveFailures == 0 || failures < attempts
+	return b.reportedByPeersOnly || !oursAnswered
+}
+
+// adoptPeerBackoff has the next ejection last as long as that at another controller: half of it, as eject doubles it.
+func (b *backendState) adoptPeerBackoff(backoff Microseconds) { b.backoff = max(b.backoff, backoff/2) }
+
 // fleetOutcomes is what a backend is compared with.
 type fleetOutcomes struct {
-	medianSuccessRate float64 // of the backends with answers; 1 if there are none
+	medianSuccessRate float64 // of the backends with answers; 1 if there are none, which counts as healthy
 	medianAnswerTime  float64 // of the same, in microseconds; 0 if there are none
 	listedWeight      float64 // of all usable backends
 	ejectedWeight     float64 // of these
@@ -116,7 +155,8 @@
 	return late && known && !backend.load.reportsIdle(backend.meanAnswerTime)
 }
 
-// eject ejects a backend, unless too much weight would be ejected then.
+// eject ejects a backend, unless too much weight would be ejected then. It has a score of an ejected one in either case,
+// until it is scored again.
 func (c *Controller) eject(id int, now Microseconds, fleet *fleetOutcomes) {
 	backend := c.backends[id]
 	backend.score = -1
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -163,7 +163,7 @@
 func (c *Controller) backendsIdle(meanAnswerTime float64) bool {
 	reporting, idle := 0, 0
 	for _, backend := range c.backends {
-		if backend.published == 0 || backend.lastAnswerAt <= c.evaluatedAt || backend.load == (BackendLoad{}) {
+		if backend.published == 0 || backend.lastAnswerAt <= c.evaluatedAt || !backend.load.known() {
 			continue
 		}
 		reporting++
@@ -174,11 +174,16 @@
 	return 2*idle > reporting
 }
 
-// reportsIdle tells whether a backend reports that it has no queue.
+// given tells whether a report has a figure that shows a queue. Without one it does not replace what was reported before.
+func (load BackendLoad) given() bool { return load.CPUUtilization >= 0 || load.QueueLength >= 0 }
+
+// known tells whether a backend has reported its load. One whose figures were all 0 counts as if it had not.
+func (load BackendLoad) known() bool { return load != (BackendLoad{}) }
+
+// reportsIdle tells whether a backend reports that it has no queue. A service time that it did not give counts as quick.
 func (load BackendLoad) reportsIdle(meanAnswerTime float64) bool {
 	nothingWaits := load.QueueLength >= 0 && load.QueueLength < idleUtilization
 	quick := load.ServiceTime < idleServiceShare*meanAnswerTime
 	coresFree := load.CPUUtilization >= 0 && load.CPUUtilization < idleUtilization
-	reported := load != (BackendLoad{})
-	return reported && (nothingWaits && quick || coresFree)
+	return load.known() && (nothingWaits && quick || coresFree)
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,10 +1,11 @@
 package balancer
 
-// Retry: proxies may try a request once more after proof that the first attempt never ran, as nothing can take effect
-// twice then. A class that a limit cuts is not retried: a further attempt would only add to the queue. Nor is a write to
-// a shard whose writes are stopped (shard.go).
+// Retry: a proxy may try a request once more if it has proof that the first attempt never ran, as nothing can take effect
+// twice then. The proof is the proxy's: the backend refused the attempt before it was executed. Proxies do so by default,
+// before any order of ours. A class that a limit cuts is not retried: a further attempt would only add to the queue.
 //
-// Input is the limit of the class; the policy goes out with it (Host.SetAdmissionLimit).
+// Input is the limit of the class; the policy goes out with it (Host.SetAdmissionLimit). Shards whose writes are stopped
+// have a policy of their own, see fenceWrites in shard.go.
 
 // RetryPolicy is when proxies try a request again.
 type RetryPolicy uint8
@@ -14,9 +15,9 @@
 	NoRetry RetryPolicy = iota
 	// RetryIfNotExecuted is once, after proof that the first attempt never ran.
 	RetryIfNotExecuted
-	// RetryOnFailure is once, after any failure.
+	// RetryOnFailure is once, after any failure. It is never ordered; the wires have it.
 	RetryOnFailure
-	// RetryTwiceOnFailure is twice, after any failures.
+	// RetryTwiceOnFailure is twice, after any failures. It is never ordered; the wires have it.
 	RetryTwiceOnFailure
 )
 
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -3,16 +3,19 @@
 import "cmp"
 
 // Weight: a usable backend is published with its listed weight, or a share of it where it can do less:
-//   - warming up: what it can surely do at its age, in quarters, so that there are few changes. It rises from
+//   - warming up: what it can surely do at its age, in steps of a quarter, so that there are few changes. It rises from
 //     RuleLimits.ColdStartShare at its start to all of it after RuleLimits.WarmupTime;
-//   - slow start: a quarter for 5 s after it was new or readmitted, unless it was warming up then;
-//   - reduced: three quarters, nine sixteenths and so on, a quarter at least, as long as its answers lag behind
-//     (outlier.go). Fixed weights overfill slow machines first. A step back is due every 20 s.
+//   - slow start: slowStartShare for slowStartTime after it was new or readmitted, unless it was warming up then;
+//   - reduced: times weightReductionFactor with each evaluation at which its answers lag behind (outlier.go), but not
+//     below minReducedShare. Fixed weights overfill slow machines first. A step back is due every weightRaiseInterval.
 //
-// Inputs are Endpoint.StartedAt and Weight, the time since it entered (microseconds) and its score. The least share
-// counts.
+// The least of these shares counts.
 //
-// A backend that is warming up gets no entry at all while nothing else would keep an overload from it.
+// A backend that is warming up gets no entry at all while nothing but that would keep an overload from it: where proxies
+// heed no limits and there is an overload, or as long as no report was evaluated and a warm backend was ever listed, as we
+// may have started into an overload.
+//
+// Inputs are Endpoint.StartedAt and Weight, the time since it entered (microseconds) and its score.
 
 const (
 	slowStartShare = 0.25
@@ -67,11 +70,12 @@
 }
 
 // withholdWarmingUp tells whether backends that are warming up stay without an entry: where proxies heed no limits and
-// there is an overload; or, if there is a warm one, as long as no report tells whether we started into an overload.
+// there is an overload; or, once a warm one was ever listed, as long as no report tells whether we started into an
+// overload. Whether a warm one is listed still does not matter.
 func (c *Controller) withholdWarmingUp() bool {
 	unlimitedOverload := c.admission.mode == AdmissionUnsupported && c.admission.latencyRatio > overloadedRatio
 	noReportYet := c.admission.meanObjective == 0
-	return unlimitedOverload || noReportYet && c.warmBackendSeen
+	return unlimitedOverload || noReportYet && c.warmEverListed
 }
 
 // reduceWeight takes weight off a backend at which alone a queue must stand; it hurts where times differ by nature.
