--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,19 +8,22 @@
 
 // Admission: under overload (overload.go) a limit bounds what is let in, in units a second.
 //
-//   - Cut: when a queue stands nearly everywhere, what was answered meanwhile is what the fleet can do (saturated
-//     throughput). The limit is set so that the queue drains within 4 s, but never under 0.3 of that: what waits too
-//     long is dropped.
-//   - Hold: the limit then returns to 0.85 of that, less half of the queue that is still reported, without waiting for
-//     reports of the cut, which come late.
-//   - Raise: while it limits and the latency ratio is below 0.40, it is raised by 8%, or 10 to 30% if most backends have no
-//     queue, a step for each time that reports of the last one take, and not beyond 1.15 of what comes.
+//   - Lower: when a queue stands nearly everywhere, what was answered meanwhile is what the fleet can do (saturated
+//     throughput). The limit is set so that the queue drains within queueDrainTime, but not below minLimitShare of that:
+//     what waits too long is dropped.
+//   - Hold: the limit then returns to sustainableShare of that, less half of the queue that is still reported, without
+//     waiting for reports of the lowered limit, which come late.
+//   - Raise: while it limits and the latency ratio is below overloadedRatio, it is raised by raiseStep, or by fastRaiseStep
+//     and up to three times that if most backends have no queue; a step for each time that reports of the last one take,
+//     and not beyond maxHeadroom times what comes.
 //   - Ahead of reports: what the list takes of our entries takes its part of the limit at once. Without a limit the
-//     fleet is taken to be able to do 1.3 of the most that was let in without a queue (proven throughput).
+//     fleet is taken to be able to do assumedHeadroom times the most that was let in without a queue (proven throughput).
 //
-// The limit is shared out by priority: classes with the highest PriorityWeight over LatencyObjective are served first, and
-// a class that is cut is capped at its busiest proxies, so that repeats of refused requests change nothing. Each class
-// keeps 5% of its demand, so that it is still reported. A class quota bounds its class by the same means.
+// The limit is shared out by priority: classes with the highest PriorityWeight over LatencyObjective are served first. A
+// class of which less is let in than comes is limited as the AdmissionMode has it. By rate, its busiest proxies are capped,
+// so that repeats of refused requests change nothing; by share, every proxy lets in the same share of what comes to it.
+// Each class keeps minAdmittedShare of its demand, so that it is still reported. A class quota bounds its class by the same
+// means, and no further than to minAdmittedShare either.
 //
 // Throughputs are per capacity (published weight times baseline demand); times are microseconds.
 
@@ -29,9 +32,10 @@
 	maxSaturatedGrowth = 1.5
 	// sustainableShare is the share of the saturated throughput that fixed weights can spread without queues.
 	sustainableShare = 0.85
-	// minLimitShare is the share that a cut leaves: the queue is an estimate, and what waits too long is dropped.
+	// minLimitShare is the share that a lowered limit leaves: the queue is an estimate, and what waits too long is dropped.
 	minLimitShare = 0.3
-	// queueDrainTime is the time within which a queue is drained: changes keep their interval, so not faster.
+	// queueDrainTime is the time within which a queue at the backends is drained: changes keep their interval, so not
+	// faster. It has nothing to do with maxQueueTime, which bounds the queue in the channel.
 	queueDrainTime = 2 * minPublishInterval
 	// maxHeadroom is how far the limit may be ahead of what is answered now: one further ahead is none when it is needed.
 	maxHeadroom = 1.15
@@ -47,8 +51,8 @@
 	minAdmittedShare = 0.05
 	// limitTolerance is the difference below which two limits are one: reports are no finer.
 	limitTolerance = 0.05
-	// unlimitedRate is a rate that no proxy reaches, in requests a second.
-	unlimitedRate RequestsPerSecond = 1_000_000
+	// noLimit stands for no limit where one must be given, see Host.SetAdmissionLimit.
+	noLimit = 1_000_000
 	// minUnits is what a request counts at least.
 	minUnits = 1e-3
 )
@@ -67,10 +71,10 @@
 	limitShare   float64 // share of the saturated throughput that is let in; 0 until a queue was seen
 	limit        float64 // units a second
 	limiting     bool    // more comes than that
-	limitLowered bool    // a cut is to be published
+	limitLowered bool    // a lowered limit is to be published
 	latencyRatio float64 // at the last evaluation
 
-	queueDrainedAt  Microseconds // when the queue of the last cut must be gone ...
+	queueDrainedAt  Microseconds // when the queue for which the limit was last lowered must be gone ...
 	holdUntil       Microseconds // ... and when reports show it
 	overloadedSince Microseconds // when evaluations began to show a queue nearly everywhere; 0 while they do not
 	raisedAt        Microseconds // when the limit was last raised, or assumed
@@ -126,7 +130,7 @@
 		a.raiseLimit(load, idle, now)
 	}
 	a.limit = a.limitShare * a.saturatedThroughput * load.publishedCapacity
-	limiting := a.limitShare > 0 && load.offered > a.limit
+	limiting := a.exceedsLimit(load.offered)
 	if limiting != a.limiting {
 		a.limiting = limiting
 		c.logf(-1, "limit in force %v at %.1f units/s: latency ratio %.2f, %.1f offered, %.1f answered",
@@ -135,6 +139,11 @@
 	c.distributeLimit()
 }
 
+// exceedsLimit tells whether there is a limit, and more comes than it lets in.
+func (a *admissionState) exceedsLimit(offered float64) bool {
+	return a.limitShare > 0 && offered > a.limit
+}
+
 // noteProvenThroughput keeps the most that was let in without a queue. Demand of which few report proves nothing.
 func (a *admissionState) noteProvenThroughput(load loadSummary) {
 	noQueue := load.latencyRatio > 0 && load.latencyRatio < overloadedRatio
@@ -148,7 +157,8 @@
 	return max(0, load.latencyRatio-queueFreeRatio) * a.meanObjective
 }
 
-// holdLimit lets in what the fleet can do once the queue of a cut must be gone; deeper, at once, if the queue has grown.
+// holdLimit lets in what the fleet can do once the queue must be gone for which the limit was lowered; less than now, at
+// once, if that queue has grown.
 func (a *admissionState) holdLimit(load loadSummary, now Microseconds) {
 	// What is reported now is late: half of the queue that it shows may be gone.
 	queue := a.queueTime(load) / 2
@@ -166,7 +176,7 @@
 	if a.saturatedThroughput == 0 {
 		a.saturatedThroughput = throughput
 	}
-	// What was known before a cut holds no more.
+	// What was known before the limit was lowered holds no more.
 	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
 	// What came before reports showed it is in the queue as well, from half of that time on average.
 	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
@@ -181,8 +191,7 @@
 
 // mayRaise tells whether the limit holds anything back for which there is room.
 func (a *admissionState) mayRaise(load loadSummary, idle bool) bool {
-	limiting := a.limitShare > 0 && load.offered > a.limit
-	return limiting && (idle || load.latencyRatio < overloadedRatio)
+	return a.exceedsLimit(load.offered) && (idle || load.latencyRatio < overloadedRatio)
 }
 
 // raiseLimit raises the limit by a step, as far as reports cover the fleet.
@@ -199,31 +208,32 @@
 	a.limitShare = min(raised, most)
 }
 
-// limitOnCapacityLoss takes the part of the limit that the list took of the published capacity (weight): reports show a
-// queue only when it stands. Where none ever did, all that is known is what was let in without one, and an assumption. Old
-// reports take long to show that it was too low, so there it is made only where something waited already.
-func (c *Controller) limitOnCapacityLoss(now Microseconds, capacity, lost float64) {
+// limitOnCapacityLoss takes the part of the limit that the list took of the published weight: reports show a queue only
+// when it stands. Where none ever did, all that is known is what was let in without one, and an assumption. Old reports
+// take long to show that it was too low, so there it is made only where something waited already. Both weights are
+// unreduced ones.
+func (c *Controller) limitOnCapacityLoss(now Microseconds, weight, lostWeight float64) {
 	a := &c.admission
-	if a.mode == AdmissionUnsupported || lost == 0 || lost >= capacity {
+	if a.mode == AdmissionUnsupported || lostWeight == 0 || lostWeight >= weight {
 		return
 	}
 	offered := c.totalDemand()
-	possible := assumedHeadroom * a.provenThroughput * (capacity - lost) * c.baselineDemand()
+	possible := assumedHeadroom * a.provenThroughput * (weight - lostWeight) * c.baselineDemand()
 	soonCorrected := !c.reportsAreOld() || a.latencyRatio > unloadedRatio
 	switch {
 	case a.limitShare > 0:
-		a.limit *= 1 - lost/capacity
+		a.limit *= 1 - lostWeight/weight
 	case a.provenThroughput > 0 && offered > possible && soonCorrected:
 		a.saturatedThroughput = assumedHeadroom * a.provenThroughput
 		a.limitShare = 1
 		a.limit = possible
 		a.raisedAt = now
 	}
-	limiting := offered > a.limit
-	if a.limitShare > 0 && limiting != a.limiting {
+	limiting := a.exceedsLimit(offered)
+	if limiting != a.limiting {
 		a.limiting = limiting
 		c.logf(-1, "limit in force %v at %.1f units/s, ahead of reports: %.0f%% of the weight lost, %.1f offered",
-			limiting, a.limit, 100*lost/capacity, offered)
+			limiting, a.limit, 100*lostWeight/weight, offered)
 	}
 	c.distributeLimit()
 }
@@ -266,7 +276,7 @@
 		}
 		total -= rate
 	}
-	return unlimitedRate
+	return noLimit
 }
 
 // admittedRate is what the published limit of a class lets in of a proxy's rate.
@@ -297,7 +307,7 @@
 		}
 		a.publishedLimits[class] = a.targetLimits[class]
 		published = true
-		limit := cmp.Or(a.targetLimits[class], unlimitedRate)
+		limit := cmp.Or(a.targetLimits[class], noLimit)
 		c.host.SetAdmissionLimit(AllTables, 1<<class, limit, retryPolicyFor(a.targetLimits[class]))
 		a.limitsSent = true
 		c.chargeAll(1)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -46,7 +46,7 @@
 			t.Errorf("limit %.1f after draining, %.1f before", host.limits["65535 1"], low)
 		}
 		host.run(30, func() { host.reportHealthy(); host.reportDemand(8, 8) })
-		if host.limits["65535 1"] != unlimitedRate || host.retries["65535 1"] != RetryIfNotExecuted {
+		if host.limits["65535 1"] != noLimit || host.retries["65535 1"] != RetryIfNotExecuted {
 			t.Errorf("limits %v, retries %v long after", host.limits, host.retries)
 		}
 		if len(host.tables[0]) != 8 {
@@ -322,7 +322,7 @@
 			}
 			host.controller.SetClassQuota(0, 0)
 			host.run(6, func() { host.reportHealthy() })
-			if got, laid := host.limits["65535 1"]; laid && got != unlimitedRate {
+			if got, laid := host.limits["65535 1"]; laid && got != noLimit {
 				t.Errorf("%s: limit %.2f once it is over", name, got)
 			}
 		}
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -129,8 +129,8 @@
 	b.lastAnswerAt = now
 }
 
-// publishedCapacity is its published weight as if that were not reduced: late answers take no capacity away.
-func (b *backendState) publishedCapacity() float64 { return b.published / cmp.Or(b.reducedTo, 1) }
+// unreducedWeight is its published weight as if that were not reduced: late answers take no capacity away.
+func (b *backendState) unreducedWeight() float64 { return b.published / cmp.Or(b.reducedTo, 1) }
 
 // successRate is the share of its attempts that were answered; 1 if there were none.
 func (b *backendState) successRate() float64 {
--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -20,7 +20,7 @@
 		}
 		t.Run("and the limit is lifted in steps while answers stay quick", func(t *testing.T) {
 			host.run(12, func() { host.reportHealthy(0, 1, 2, 3, 4, 5, 6, 7) })
-			if host.controller.admission.limiting || host.limits["65535 1"] < unlimitedRate {
+			if host.controller.admission.limiting || host.limits["65535 1"] < noLimit {
 				t.Errorf("limiting %v at %.1f, limits %v", host.controller.admission.limiting, host.controller.admission.limit, host.limits)
 			}
 		})
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -30,7 +30,8 @@
 
 // Config is what a Controller is started with. It does not change afterwards.
 type Config struct {
-	// Seed decides all random choices, and is the tag of the controller's timers: another one for each incarnation.
+	// Seed decides all random choices, and is the tag of the controller's timers (Host.SetTimer): another one for each
+	// incarnation.
 	Seed uint64
 	// Classes are the classes of requests, from 1 to 16.
 	Classes []Class
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -30,7 +30,8 @@
 	Withdraw(backend int, withdrawn bool)
 
 	// SyncWithdrawals tells one proxy, which connected later, of all withdrawals and admission limits that stand. The limit
-	// and policy given are for classes that have none. It returns false where the Host has no way to do so.
+	// and policy given are for classes that have none: a limit that means none, as for SetAdmissionLimit, and the default
+	// policy. It returns false where the Host has no way to do so.
 	SyncWithdrawals(proxy int, limit float64, retry RetryPolicy) bool
 
 	// ClearWithdrawals lets a proxy use all that its tables have, whatever other controllers withdrew: now what they have,
@@ -38,11 +39,11 @@
 	ClearWithdrawals(proxy int)
 
 	// SetAdmissionLimit sets what proxies let in, of a set of classes at a table (or AllTables): a share or a rate, as the
-	// AdmissionMode says, with the retry policy that goes with it.
+	// AdmissionMode says, with the retry policy that goes with it. A limit of 1,000,000 means none, in either mode.
 	SetAdmissionLimit(table int, classes uint16, limit float64, retry RetryPolicy)
 
 	// RequestAck asks for an Acknowledged with this number from each proxy that the effects of this clock time reach, or
-	// from all connected ones.
+	// from all connected ones. The latter is never ordered; the wires have it.
 	RequestAck(number int, everyone bool)
 }
 
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -2,9 +2,10 @@
 
 // Overload: what load reports say of the whole fleet, once a report interval.
 //
-// The latency ratio is the mean answer time over the mean latency objective of what is let in. From 0.40 on a queue
-// stands nearly everywhere, if it does at the median backend too, most backends do not report themselves idle, and it
-// lasts longer than reports are old: what stood in queues then may be answered or given up by now.
+// The latency ratio is the mean answer time over the mean latency objective of what is let in. Above overloadedRatio a
+// queue stands nearly everywhere, if the median backend's ratio is above unloadedRatio too, most backends do not report
+// themselves idle (or are not believed, from implausiblyIdleRatio on), and it lasts longer than reports are old: what stood
+// in queues then may be answered or given up by now.
 //
 // Inputs are the outcomes of our own proxies since the last evaluation, their demand (requests a second), the baseline
 // demand of our proxies and the loads that backends report. Demand, throughput and limits are in units a second: a
@@ -12,7 +13,7 @@
 // baseline demand of our proxies, so that proxies of a lost controller bring its share.
 
 const (
-	// overloadedRatio is the latency ratio from which a queue stands nearly everywhere: its tail misses the objective.
+	// overloadedRatio is the latency ratio above which a queue stands nearly everywhere: its tail misses the objective.
 	overloadedRatio = 0.4
 	// unloadedRatio is the latency ratio below which hardly anything waits.
 	unloadedRatio = 0.3
@@ -35,6 +36,7 @@
 	admitted float64 // of these, those that the published limits let in
 	answered float64 // units a second that backends answered which keep up
 
+	// Capacity is unreduced published weight times baseline demand.
 	publishedCapacity float64 // of all backends with an entry
 	reportedCapacity  float64 // of those that keep up, as far as their proxies can have reported
 	recentCapacity    float64 // of those reported within the score window, likewise
@@ -69,16 +71,16 @@
 func (c *Controller) sumFleetOutcomes(now Microseconds, load *loadSummary) (sum fleetAnswers) {
 	baseline, reporting := c.baselineDemand(), c.reportingDemand(now)
 	for _, backend := range c.backends {
-		capacity := backend.publishedCapacity()
-		load.publishedCapacity += capacity * baseline
+		weight := backend.unreducedWeight()
+		load.publishedCapacity += weight * baseline
 		reportedOfLate := backend.attempts > 0 && !backend.reportedByPeersOnly
 		if reportedOfLate { // where reports are few, one evaluation covers only some backends
-			load.recentCapacity += capacity * reporting
+			load.recentCapacity += weight * reporting
 		}
 		answered, failures, answerTime := backend.outcomesSince(c.evaluatedAt)
 		if answered == 0 {
 			if failures > 0 {
-				load.deadCapacity += capacity * baseline
+				load.deadCapacity += weight * baseline
 			}
 			continue
 		}
@@ -90,7 +92,7 @@
 		keepsUp := backend.published > 0 && backend.score < laggingScore
 		if keepsUp {
 			sum.answers += answered
-			load.reportedCapacity += capacity * reporting
+			load.reportedCapacity += weight * reporting
 		}
 		// Failures of one that answers late are time-outs in its queue; others, like lost answers or connections that it
 		// does not take, are none.
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -152,14 +152,14 @@
 
 // publishRound publishes as much as the channel takes.
 func (c *Controller) publishRound(plan *publication) {
-	fleetCapacity := 0.
+	weightBefore := 0.
 	for _, backend := range c.backends {
-		fleetCapacity += backend.publishedCapacity()
+		weightBefore += backend.unreducedWeight()
 	}
 	entries := c.publishEntries(plan)
 	moved := c.rebalanceSubsets(plan)
 	c.publishWithdrawals(plan)
-	c.limitOnCapacityLoss(plan.now, fleetCapacity, entries.capacityLost)
+	c.limitOnCapacityLoss(plan.now, weightBefore, entries.lostWeight)
 	c.admission.limitLowered = false
 	limited := c.publishLimits()
 	if limited || moved || entries.published {
@@ -172,9 +172,9 @@
 
 // entryChanges is what became of a round's entries.
 type entryChanges struct {
-	published    bool    // some were
-	leftOver     bool    // some did not fit
-	capacityLost float64 // what the list took of the published capacity
+	published  bool    // some were
+	leftOver   bool    // some did not fit
+	lostWeight float64 // what the list took of the unreduced published weight, for limitOnCapacityLoss
 }
 
 // publishEntries publishes required changes, then others, as the channel takes them.
@@ -193,10 +193,10 @@
 				entries.leftOver = true
 				continue
 			}
-			// What our ejections take is only what our own proxies cannot reach.
-			takenByList := backend.State != Ready || c.warmingUp(backend, plan.now)
-			if takenByList {
-				entries.capacityLost += max(0, backend.published-weight) / cmp.Or(backend.reducedTo, 1)
+			// An ejection may be our own network's fault, so it does not lower the limit.
+			countsAsLost := backend.State != Ready || c.warmingUp(backend, plan.now)
+			if countsAsLost {
+				entries.lostWeight += max(0, backend.published-weight) / cmp.Or(backend.reducedTo, 1)
 			}
 			c.setPublished(backend, weight)
 			entries.published = true
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -141,7 +141,7 @@
 	shard := &c.sharding.shards[id]
 	shard.fence = 0
 	c.host.PublishEntry(id, shard.owner, 1)
-	c.host.SetAdmissionLimit(id, c.sharding.writeClasses, unlimitedRate, RetryIfNotExecuted)
+	c.host.SetAdmissionLimit(id, c.sharding.writeClasses, noLimit, RetryIfNotExecuted)
 	c.chargeAll(ownerChangeLines)
 }
 
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -168,7 +168,7 @@
 	if !anyToTell || !hasRoom || !c.queue.mayPush(proxy, round.now, true) {
 		return
 	}
-	if !c.host.SyncWithdrawals(id, unlimitedRate, RetryIfNotExecuted) {
+	if !c.host.SyncWithdrawals(id, noLimit, RetryIfNotExecuted) {
 		return
 	}
 	proxy.withdrawalsSynced = true
