--- /dev/null
+++ b/scale/controller_log.go
@@ -0,0 +1,31 @@
+package scale
+
+import "strings"
+
+// Events and keys of a controller's log that measurements read; controller and consensus write them.
+const (
+	logReady              = "ready"               // with logBackends
+	logQuorumChanged      = "quorum_changed"      // with logQuorum
+	logSnapshotApplied    = "snapshot_applied"    // a subscriber has its configuration
+	logDistributionStatus = "distribution_status" // with logInBytes, logOutBytes
+	logRecord             = "record"              // with logEntries, logBytes
+	logLeading            = "leading"             // with logLeads
+
+	logBackends = "backends"
+	logQuorum   = "quorum"
+	logInBytes  = "in_bytes_per_s"
+	logOutBytes = "out_bytes_per_s"
+	logEntries  = "entries_per_s"
+	logBytes    = "bytes_per_s"
+	logLeads    = "leads"
+)
+
+// logEvent is the event of a line.
+func logEvent(line string) string { return logField(line, "msg") }
+
+// logField gives one value of a line of key=value.
+func logField(line, key string) string {
+	_, rest, _ := strings.Cut(line, " "+key+"=")
+	value, _, _ := strings.Cut(rest, " ")
+	return value
+}
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -100,7 +100,10 @@
 // acknowledge has each proxy that was reached answer the request for an ack, until there is no further one.
 func (h *countingHost) acknowledge() {
 	for h.ackRequested {
-		ack, toEach, changed, reached := h.pendingAck, h.toEach, h.changed, h.reached
+		ack := h.pendingAck
+		toEach := h.toEach
+		changed := h.changed
+		reached := h.reached
 		h.ackRequested = false
 		h.toEach = false
 		h.changed = map[int]bool{}
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -53,7 +53,10 @@
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
 	if m.byProxies {
-		d.Name, d.Size, d.Sizes, d.Targets = "decisions-proxies", "proxies", []int{100, 400, 1200, 2400}, []int{2400}
+		d.Name = "decisions-proxies"
+		d.Size = "proxies"
+		d.Sizes = []int{100, 400, 1200, 2400}
+		d.Targets = []int{2400}
 		d.About = fmt.Sprintf("Processor time and heap of a controller's decisions by proxies, %d backends, without sockets", defaultBackends)
 	}
 	return d
@@ -69,7 +72,8 @@
 func (m decisions) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	life := decisionLife{backends: size, proxies: defaultProxies, changes: decisionChanges, ticks: decisionTicks}
 	if m.byProxies {
-		life.backends, life.proxies = defaultBackends, size
+		life.backends = defaultBackends
+		life.proxies = size
 	}
 	var lives []decisionCost
 	sample.Partial, err = repeats(ctx, o.For, func() error {
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -30,7 +30,9 @@
 	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", Size: "subscribers",
 		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{targetControllers}, Transport: "memory"}
 	if m.whole {
-		d.Name, d.Sizes, d.Targets = "distribution-whole", []int{1100}, nil
+		d.Name = "distribution-whole"
+		d.Sizes = []int{1100}
+		d.Targets = nil
 		d.About = fmt.Sprintf("Distribution below the record with all %d entries, %d to a subscriber, hollow subscribers in one process",
 			entriesOfAll, entriesServed)
 	}
@@ -199,10 +201,12 @@
 
 // setRecord notes what the record has cost, the leader apart: who passed the most.
 func (t *tree) setRecord(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
-	sum, leader := 0., 0.
+	sum := 0.
+	leader := 0.
 	for name := range after {
 		passed := float64(after[name]-before[name]) / seconds
-		sum, leader = sum+passed, max(leader, passed)
+		sum += passed
+		leader = max(leader, passed)
 	}
 	s.Set(recordBytes+rate.suffix, (sum-leader)/float64(max(len(after)-1, 1)))
 	s.Set(recordBytes+"_leader"+rate.suffix, leader)
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -60,8 +60,11 @@
 		Apply: s.apply})
 	ended := make(chan struct{})
 	s.mutex.Lock()
-	s.node, s.stop, s.ended = node, stop, ended
-	s.seen, s.reachable = 0, time.Now()
+	s.node = node
+	s.stop = stop
+	s.ended = ended
+	s.seen = 0
+	s.reachable = time.Now()
 	s.mutex.Unlock()
 	if s.network != nil {
 		s.network.listen(s.name, s.region, func(conn net.Conn) { node.Accept(conn, nil) })
@@ -86,7 +89,9 @@
 		s.network.leave(s.name)
 	}
 	s.mutex.Lock()
-	stop, ended, node := s.stop, s.ended, s.node
+	stop := s.stop
+	ended := s.ended
+	node := s.node
 	s.stop = nil
 	s.mutex.Unlock()
 	if stop == nil {
@@ -106,7 +111,8 @@
 // apply is told each change, in order.
 func (s *hollowSubscriber) apply(change distribution.Change, whole bool) {
 	s.mutex.Lock()
-	seen, reachable := s.seen, s.reachable
+	seen := s.seen
+	reachable := s.reachable
 	s.seen = max(seen, change.Revision)
 	s.mutex.Unlock()
 	if change.Revision < seen || !whole && change.Revision == seen {
@@ -143,7 +149,8 @@
 // status asks the node how it is; false while it is down.
 func (s *hollowSubscriber) status() (distribution.Status, bool) {
 	s.mutex.Lock()
-	node, up := s.node, s.stop != nil
+	node := s.node
+	up := s.stop != nil
 	s.mutex.Unlock()
 	if !up {
 		return distribution.Status{}, false
@@ -154,7 +161,9 @@
 // check compares the node with the content: at the revision given, or at its own where that is 0.
 func (s *hollowSubscriber) check(content *content, at uint64) {
 	s.mutex.Lock()
-	node, up, seen := s.node, s.stop != nil, s.seen
+	node := s.node
+	up := s.stop != nil
+	seen := s.seen
 	s.mutex.Unlock()
 	if !up {
 		return
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -78,7 +78,8 @@
 
 // memory is what the installation takes before garbage is collected.
 func (p treePlan) memory(o Options) int64 {
-	nodes, holdAll := int64(p.subscribers), int64(o.Voters*copiesAtVoter+p.distributors+1) // the one that they are compared with
+	nodes := int64(p.subscribers)
+	holdAll := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the one that they are compared with
 	entries := nodes*int64(p.content.ofEach) + holdAll*int64(p.content.groups*p.content.ofEach)
 	return treeMemory + nodes*subscriberMemory + heapGrowth*entries*entryMemory
 }
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -40,9 +40,15 @@
 	g := &voterGroup{network: network, content: content, folder: folder, members: map[string]string{}}
 	for i := range n {
 		v := &voter{group: g}
-		v.name, v.role, v.region, v.network, v.propagation = voterName(i), roleVoter, i, network, propagation
-		v.scopes, v.fanOut = distribution.AllScopes(), maxFanOut
-		g.voters, g.members[v.name] = append(g.voters, v), addresses[i]
+		v.name = voterName(i)
+		v.role = roleVoter
+		v.region = i
+		v.network = network
+		v.propagation = propagation
+		v.scopes = distribution.AllScopes()
+		v.fanOut = maxFanOut
+		g.voters = append(g.voters, v)
+		g.members[v.name] = addresses[i]
 	}
 	return g, nil
 }
@@ -117,7 +123,8 @@
 // setAsideLimits are those of a node on a machine set aside.
 func setAsideLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
-	limits.FanOut, limits.SnapshotBytesPerSecond = maxFanOut, setAsidePace
+	limits.FanOut = maxFanOut
+	limits.SnapshotBytesPerSecond = setAsidePace
 	return limits
 }
 
@@ -147,7 +154,10 @@
 		return err
 	}
 	v.mutex.Lock()
-	v.node, v.stop, v.ended, v.member = node, stop, ended, member
+	v.node = node
+	v.stop = stop
+	v.ended = ended
+	v.member = member
 	v.mutex.Unlock()
 	v.network.listen(v.name, v.region, func(conn net.Conn) { node.Accept(conn, nil) })
 	return nil
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -151,10 +151,11 @@
 func (c *listedController) read(line string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	event := field(line, "msg")
+	event := logEvent(line)
 	c.last[event] = logLine{line, time.Now()}
-	if event == "ready" {
-		c.ready, c.known = time.Now(), field(line, "backends")
+	if event == logReady {
+		c.ready = time.Now()
+		c.known = logField(line, logBackends)
 	}
 }
 
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -88,7 +88,8 @@
 func (n *network) cutOff(region int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut, n.healed = region, make(chan struct{})
+	n.cut = region
+	n.healed = make(chan struct{})
 }
 
 // heal ends the cut.
@@ -96,7 +97,8 @@
 	n.mutex.Lock()
 	closing := n.closing
 	close(n.healed)
-	n.healed, n.closing = nil, nil
+	n.healed = nil
+	n.closing = nil
 	n.mutex.Unlock()
 	for _, conn := range closing {
 		conn.Close()
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -63,9 +63,11 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	took, histogram := now.Sub(newest), f.each
+	took := now.Sub(newest)
+	histogram := f.each
 	if reachable.After(newest) {
-		took, histogram = now.Sub(reachable), f.catchUp
+		took = now.Sub(reachable)
+		histogram = f.catchUp
 	}
 	_ = histogram.RecordValue(max(took.Microseconds(), 1)) // an hour is within its range, and no run lasts as long
 }
--- a/scale/record.go
+++ b/scale/record.go
@@ -8,7 +8,6 @@
 	"os"
 	"path/filepath"
 	"strconv"
-	"strings"
 	"time"
 
 	"wheelrill/internal/process"
@@ -99,7 +98,8 @@
 func (s *spending) observe(controllers []*process.Controller, ended bool) {
 	into := s.before
 	if ended {
-		into, s.ended = s.after, time.Now()
+		into = s.after
+		s.ended = time.Now()
 	} else {
 		s.began = time.Now()
 	}
@@ -123,7 +123,8 @@
 		memory = max(memory, float64(s.after[name].resident)/megabyte)
 		entries += cost.entries / float64(len(members))
 		if cost.leads {
-			leaderBytes, leaderProcessor = cost.bytes, s.processor(name)
+			leaderBytes = cost.bytes
+			leaderProcessor = s.processor(name)
 		} else {
 			bytes += cost.bytes / followers
 			processor += s.processor(name) / followers
@@ -153,14 +154,15 @@
 	defer file.Close()
 	found := false
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		switch line := lines.Text(); {
-		case strings.Contains(line, " msg=leading "):
-			cost.leads = field(line, "leads") == "true"
-		case strings.Contains(line, " msg=record "):
+		line := lines.Text()
+		switch logEvent(line) {
+		case logLeading:
+			cost.leads = logField(line, logLeads) == "true"
+		case logRecord:
 			found = true
-			cost.entries, err = strconv.ParseFloat(field(line, "entries_per_s"), 64)
+			cost.entries, err = strconv.ParseFloat(logField(line, logEntries), 64)
 			if err == nil {
-				cost.bytes, err = strconv.ParseFloat(field(line, "bytes_per_s"), 64)
+				cost.bytes, err = strconv.ParseFloat(logField(line, logBytes), 64)
 			}
 			if err != nil {
 				return cost, fmt.Errorf("%s: %w", path, err)
@@ -172,10 +174,3 @@
 	}
 	return cost, nil
 }
-
-// field gives one value of a line of key=value.
-func field(line, key string) string {
-	_, rest, _ := strings.Cut(line, " "+key+"=")
-	value, _, _ := strings.Cut(rest, " ")
-	return value
-}
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -26,8 +26,11 @@
 			results.Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Budget: maxProcessorPercent, Fit: true},
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Budget: maxMegabytes, Fit: true})}
 	if r.byLease {
-		d.Name, d.About = "record-lease", "The record of the voters, hollow ones without proxies in one process, by their lease"
-		d.Size, d.Sizes, d.Targets = "ms of lease", []int{1500, 3000, 4500, 6000, 9000}, []int{int(voterLease.Milliseconds())}
+		d.Name = "record-lease"
+		d.About = "The record of the voters, hollow ones without proxies in one process, by their lease"
+		d.Size = "ms of lease"
+		d.Sizes = []int{1500, 3000, 4500, 6000, 9000}
+		d.Targets = []int{int(voterLease.Milliseconds())}
 	}
 	return d
 }
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -40,7 +40,8 @@
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
 	if r.whole {
-		d.Name, d.Sizes = "recovery-whole", []int{1, 2, 4, 8}
+		d.Name = "recovery-whole"
+		d.Sizes = []int{1, 2, 4, 8}
 		d.About = fmt.Sprintf("Real controllers that restart at once on one machine, and learn all %d backends from discovery", r.backends())
 	}
 	return d
@@ -115,7 +116,8 @@
 		}
 	}
 	began := controllers[0].began
-	usages, failures := make([]preciseUsage, len(controllers)), make([]error, len(controllers))
+	usages := make([]preciseUsage, len(controllers))
+	failures := make([]error, len(controllers))
 	var countWaiting sync.WaitGroup
 	for i, c := range controllers {
 		countWaiting.Go(func() {
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -60,7 +60,8 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	network, content := newNetwork(), newContent(contentShape{groups: 1, ofEach: size}, o.Seed)
+	network := newNetwork()
+	content := newContent(contentShape{groups: 1, ofEach: size}, o.Seed)
 	entries := make([]distribution.Entry, size)
 	for i := range entries {
 		entries[i] = content.entry(groupScope(0), fmt.Sprintf("service/%d", i))
@@ -117,7 +118,8 @@
 func measureSnapshot(ctx context.Context, network *network, want int) (cost snapshotCost, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	ended, has := make(chan struct{}), make(chan int, 1)
+	ended := make(chan struct{})
+	has := make(chan int, 1)
 	subscriber := transport.New(transport.Config{
 		Node: distribution.Config{Name: "subscriber", Scopes: distribution.SomeScopes(groupScope(0)), Candidates: []string{voterName(0)},
 			Limits: distribution.DefaultLimits()},
@@ -128,7 +130,8 @@
 			default:
 			}
 		}})
-	began, before := time.Now(), processorTime()
+	began := time.Now()
+	before := processorTime()
 	go func() {
 		defer close(ended)
 		subscriber.Run(ctx)
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -48,7 +48,8 @@
 		return nil, err
 	}
 	r.addresses = free[:o.Voters]
-	r.listen[distributorRole], r.listen[controllerRole] = free[o.Voters], free[o.Voters+1]
+	r.listen[distributorRole] = free[o.Voters]
+	r.listen[controllerRole] = free[o.Voters+1]
 	if r.discovery, _, err = newDiscovery(backendsServed); err != nil {
 		return nil, err
 	}
@@ -168,8 +169,8 @@
 				return false
 			}
 		}
-		line, ok := real.lastLine("quorum_changed")
-		return ok && field(line.text, "quorum") == "true"
+		line, ok := real.lastLine(logQuorumChanged)
+		return ok && logField(line.text, logQuorum) == "true"
 	}
 	if !await(ctx, startTimeout, entered) {
 		return fmt.Errorf("the voters have no record within %s", startTimeout)
@@ -197,13 +198,13 @@
 		return err
 	}
 	has := func() bool {
-		_, ok := c.lastLine("snapshot_applied")
+		_, ok := c.lastLine(logSnapshotApplied)
 		return ok || c.process.ExitedUnexpectedly()
 	}
 	if awaitClosely(ctx, rolesReadyTimeout, has); c.process.ExitedUnexpectedly() {
 		return fmt.Errorf("the %s has ended", role)
 	}
-	line, ok := c.lastLine("snapshot_applied")
+	line, ok := c.lastLine(logSnapshotApplied)
 	if !ok {
 		return fmt.Errorf("the %s has no configuration within %s", role, rolesReadyTimeout)
 	}
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -94,7 +94,8 @@
 	r.propagation.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
 	rate := changeRate{perS: changesPerSecond * changeRateFactor}
-	before, began := map[string]preciseUsage{}, time.Now()
+	before := map[string]preciseUsage{}
+	began := time.Now()
 	for role, c := range r.processes {
 		usage, err := readPreciseUsage(c.process.PID())
 		if err != nil {
@@ -137,16 +138,18 @@
 // bytesPerS is what a process last logged of what it passes: a voter on all connections of the record, on which others
 // subscribe as well, the rest on those of the distribution.
 func (r *roleFleet) bytesPerS(role string) (sum float64, err error) {
-	event, keys := "distribution_status", []string{"in_bytes_per_s", "out_bytes_per_s"}
+	event := logDistributionStatus
+	keys := []string{logInBytes, logOutBytes}
 	if role == voterRole {
-		event, keys = "record", []string{"bytes_per_s"}
+		event = logRecord
+		keys = []string{logBytes}
 	}
 	line, ok := r.processes[role].lastLine(event)
 	if !ok {
 		return 0, fmt.Errorf("the %s has not logged its cost", role)
 	}
 	for _, key := range keys {
-		value, err := strconv.ParseFloat(field(line.text, key), 64)
+		value, err := strconv.ParseFloat(logField(line.text, key), 64)
 		if err != nil {
 			return 0, fmt.Errorf("%s of msg=%s: %w", key, event, err)
 		}
