--- a/distribution/transport/calls.go
+++ b/distribution/transport/methods.go
@@ -2,21 +2,6 @@
 
 import "wheelrill/distribution"
 
-// Traffic is what passed over all links since the start.
-type Traffic struct {
-	// In is the number of bytes received, with the lengths of the messages.
-	In int64
-	// Out is the number of bytes sent, with the lengths of the messages.
-	Out int64
-	// Overflows counts the links closed because their queue was full.
-	Overflows int64
-}
-
-// Traffic gives the totals since the start. It does not wait for the event loop.
-func (t *Transport) Traffic() Traffic {
-	return Traffic{In: t.bytesIn.Load(), Out: t.bytesOut.Load(), Overflows: t.overflows.Load()}
-}
-
 // Accepted hands a voter the next change of the record.
 func (t *Transport) Accepted(change distribution.Change) {
 	t.postCall(func(now distribution.Microseconds) { t.node.Accepted(change, now) })
@@ -30,11 +15,6 @@
 // Current says that the voter has just known its record to be led by a majority.
 func (t *Transport) Current() { t.postCall(t.node.Current) }
 
-// Resubscribe changes the scopes of a subscriber.
-func (t *Transport) Resubscribe(scopes distribution.Scopes) {
-	t.postCall(func(now distribution.Microseconds) { t.node.Resubscribe(scopes, now) })
-}
-
 // Status asks the node how it is, and waits for it; false once Run has ended.
 func (t *Transport) Status() (status distribution.Status, ok bool) {
 	ok = t.postCallAndWait(func(now distribution.Microseconds) { status = t.node.Status(now) })
