--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -37,28 +37,28 @@
 }
 
 // arrive has proxies join at one clock time, each on a stream that takes all it is sent.
-func arrive(m *eventLoop, proxies int) (peers []*connection) {
-	m.iterate(func() {
+func arrive(loop *eventLoop, proxies int) (peers []*connection) {
+	loop.iterate(func() {
 		for node := range proxies {
-			p := newConnection(&readerConn{Reader: strings.NewReader("")}, node+1, m, func(*connection) error { return nil })
-			p.kind, p.proxy, p.zone = kindProxy, node, node%2
-			p.lastMessageAt.Store(m.now)
-			peers = append(peers, p)
-			m.proxyConnected(p, 0.5, true)
+			conn := newConnection(&readerConn{Reader: strings.NewReader("")}, node+1, loop, func(*connection) error { return nil })
+			conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
+			conn.lastMessageAt.Store(loop.now)
+			peers = append(peers, conn)
+			loop.proxyConnected(conn, 0.5, true)
 		}
 	})
 	return peers
 }
 
 // answers has every proxy take what it was sent and answer the last mark.
-func answers(m *eventLoop, peers []*connection) {
-	m.iterate(func() {
-		for _, p := range peers {
-			for len(p.outbox) > 0 {
-				<-p.outbox
+func answers(loop *eventLoop, peers []*connection) {
+	loop.iterate(func() {
+		for _, conn := range peers {
+			for len(conn.outbox) > 0 {
+				<-conn.outbox
 			}
-			if j := m.sessions[p.proxy]; j != nil && len(j.unacked) > 0 {
-				m.acknowledged(p, j.unacked[len(j.unacked)-1].nonce)
+			if j := loop.sessions[conn.proxy]; j != nil && len(j.unacked) > 0 {
+				loop.acknowledged(conn, j.unacked[len(j.unacked)-1].nonce)
 			}
 		}
 	})
@@ -75,44 +75,44 @@
 				b.ReportAllocs()
 				for range b.N {
 					b.StopTimer()
-					m := newFleet(b, proxies, lines)
+					loop := newFleet(b, proxies, lines)
 					b.StartTimer()
-					answers(m, arrive(m, proxies))
+					answers(loop, arrive(loop, proxies))
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(proxies), "ns/proxy")
 			})
 		}
-		m := newFleet(b, proxies, wide)
-		peers := arrive(m, proxies)
-		answers(m, peers)
-		advance(m, 5*microsPerSecond, func() {})
-		answers(m, peers)
+		loop := newFleet(b, proxies, wide)
+		peers := arrive(loop, proxies)
+		answers(loop, peers)
+		advance(loop, 5*microsPerSecond, func() {})
+		answers(loop, peers)
 		b.Run(fmt.Sprintf("report/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
-			id := m.backends.ids[0]
+			id := loop.backends.ids[0]
 			for i := range b.N {
-				m.outcomesReported(outcomeReport{id, 5, 0, 200_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
-				m.demandReported(i%proxies, i%2, 3, 2*microsPerSecond)
+				loop.outcomesReported(outcomeReport{id, 5, 0, 200_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+				loop.demandReported(i%proxies, i%2, 3, 2*microsPerSecond)
 			}
-			m.decisions.EndpointsUpdated(false, nil)
+			loop.decisions.EndpointsUpdated(false, nil)
 		})
 		b.Run(fmt.Sprintf("order/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				advanceAtOnce(m, 3*microsPerSecond, func() {
-					m.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
+				advanceAtOnce(loop, 3*microsPerSecond, func() {
+					loop.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
-				for _, p := range peers {
-					p.lastMessageAt.Store(m.now)
+				for _, conn := range peers {
+					conn.lastMessageAt.Store(loop.now)
 				}
-				answers(m, peers)
+				answers(loop, peers)
 			}
 		})
 		b.Run(fmt.Sprintf("beat/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				advanceAtOnce(m, microsPerSecond/4, func() {})
+				advanceAtOnce(loop, microsPerSecond/4, func() {})
 			}
 		})
 	}
@@ -136,21 +136,21 @@
 				t.flush(nil, nil, nil)
 			}
 		})
-		m := newFleetOf(b, proxies, backends, wide)
-		peers := arrive(m, proxies)
-		answers(m, peers)
-		advance(m, 5*microsPerSecond, func() {})
-		answers(m, peers)
+		loop := newFleetOf(b, proxies, backends, wide)
+		peers := arrive(loop, proxies)
+		answers(loop, peers)
+		advance(loop, 5*microsPerSecond, func() {})
+		answers(loop, peers)
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				advanceAtOnce(m, 3*microsPerSecond, func() {
-					m.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
+				advanceAtOnce(loop, 3*microsPerSecond, func() {
+					loop.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
-				for _, p := range peers {
-					p.lastMessageAt.Store(m.now)
+				for _, conn := range peers {
+					conn.lastMessageAt.Store(loop.now)
 				}
-				answers(m, peers)
+				answers(loop, peers)
 			}
 		})
 	}
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -18,22 +18,22 @@
 )
 
 // closeWriting closes the side on which a caller speaks: it has logged its last, and still listens.
-func (c *client) closeWriting() {
-	c.Helper()
-	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
-		c.Fatal(err)
+func (caller *client) closeWriting() {
+	caller.Helper()
+	if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		caller.Fatal(err)
 	}
 }
 
 // reset ends a caller's connection the hard way.
-func (c *client) reset() {
-	c.Conn.(*net.TCPConn).SetLinger(0)
-	c.Close()
+func (caller *client) reset() {
+	caller.Conn.(*net.TCPConn).SetLinger(0)
+	caller.Close()
 }
 
 // readRest reads until the controller has ended the connection in good order; a reset is an error.
-func (c *client) readRest() (texts []string, err error) {
-	raw, err := io.ReadAll(c.in)
+func (caller *client) readRest() (texts []string, err error) {
+	raw, err := io.ReadAll(caller.in)
 	for len(raw) >= lengthSize {
 		size := int(uint32(raw[0])<<24 | uint32(raw[1])<<16 | uint32(raw[2])<<8 | uint32(raw[3]))
 		if len(raw) < lengthSize+size {
@@ -50,15 +50,15 @@
 
 func TestClosingConnections(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		address, logged := serve(t, d.address, "null", func(l *limits) { l.identifyTimeout = patience })
+		discovery := newFakeDiscovery(t)
+		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.identifyTimeout = patience })
 		asks := dial(t, address)
 		asks.send(probe)
 		asks.closeWriting()
 		silent := dial(t, address)
 		silent.closeWriting()
 		logged.waitFor(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
-		d.answers <- twoEndpoints
+		discovery.answers <- twoEndpoints
 		if texts, err := asks.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
@@ -74,25 +74,25 @@
 	})
 	t.Run("a collector's last report before its close is taken in", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		c := dial(t, address)
-		c.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(reports, "s-0", "s-last", 1)), frame(probe)}, nil))
-		c.closeWriting()
-		if texts, err := c.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
+		caller := dial(t, address)
+		caller.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(reports, "s-0", "s-last", 1)), frame(probe)}, nil))
+		caller.closeWriting()
+		if texts, err := caller.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 		logged.waitFor(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
 	t.Run("a proxy's last acknowledgement and demand before its close are taken in, then it has left", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		p, h := dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
-		if err := h.apply(p.receive()); err != nil || len(h.nonces) != 1 {
-			t.Fatalf("error %v, marks %v", err, h.nonces)
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
+		if err := fake.apply(proxy.receive()); err != nil || len(fake.nonces) != 1 {
+			t.Fatalf("error %v, marks %v", err, fake.nonces)
 		}
-		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, h.nonces[0])
-		p.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second is one too many
-		p.closeWriting()
-		texts, err := p.readRest()
+		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, fake.nonces[0])
+		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second is one too many
+		proxy.closeWriting()
+		texts, err := proxy.readRest()
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != isAlive {
 			t.Errorf("got %q, error %v", texts, err)
 		}
@@ -103,11 +103,11 @@
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		for what, first := range map[string][]byte{"no object": frame("[]"), "a report": frame(reports),
 			"no such proxy": frame(helloOf(99)), "no length": {0, 0, 0, 0}, "too long": {0xff, 0, 0, 0}} {
-			c := dial(t, address)
-			if _, err := c.Write(append(first, bytes.Repeat([]byte("unread "), 10000)...)); err != nil {
+			caller := dial(t, address)
+			if _, err := caller.Write(append(first, bytes.Repeat([]byte("unread "), 10000)...)); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			texts, err := c.readRest()
+			texts, err := caller.readRest()
 			if err != nil || len(texts) != 1 || !strings.HasPrefix(texts[0], `{"msg":"error","reason":"`) ||
 				fastjson.Validate(texts[0]) != nil {
 				t.Errorf("%s: got %q, error %v", what, texts, err)
@@ -116,10 +116,10 @@
 	})
 	t.Run("one who is refused and goes on without end is let go all the same", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		c := dial(t, address)
-		c.Write(frame("[]"))
+		caller := dial(t, address)
+		caller.Write(frame("[]"))
 		for {
-			if _, err := c.Write(make([]byte, 64<<10)); err != nil {
+			if _, err := caller.Write(make([]byte, 64<<10)); err != nil {
 				break
 			}
 		}
@@ -129,14 +129,14 @@
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
 		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
-			p := dial(t, address)
-			p.send(helloOf(node))
-			p.receive()
-			p.Write(frame(text)[:cut])
+			proxy := dial(t, address)
+			proxy.send(helloOf(node))
+			proxy.receive()
+			proxy.Write(frame(text)[:cut])
 			if node%2 == 0 {
-				p.reset()
+				proxy.reset()
 			} else {
-				p.Close()
+				proxy.Close()
 			}
 			logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 		}
@@ -145,63 +145,63 @@
 		}
 	})
 	t.Run("a stream's end and its successor's hello may come in either order", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
 			five = append(five, endpointJSON(b, "up"))
 		}
-		address, logged := serve(t, d.address, listJSON(1, true, five...), nil)
+		address, logged := serve(t, discovery.address, listJSON(1, true, five...), nil)
 		for version, endsFirst := range []bool{false, true, false} {
-			old, p, h := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
+			old, proxy, fake := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
 			old.send(hello)
 			old.receive()
 			if endsFirst {
 				old.Close()
 				logged.waitFor(t, "msg=proxy_disconnected proxy=3", 1)
 			}
-			p.send(hello)
-			if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 5-version {
-				t.Fatalf("ends first %v: error %v, picks %v", endsFirst, err, h.picks(0))
+			proxy.send(hello)
+			if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 5-version {
+				t.Fatalf("ends first %v: error %v, picks %v", endsFirst, err, fake.picks(0))
 			}
 			if old.Close(); !endsFirst {
 				if _, err := old.in.ReadByte(); err == nil {
 					t.Error("the old stream goes on")
 				}
 			}
-			d.answers <- listJSON(2+version, false, endpointJSON(version, "draining")) // the order reaches the successor
-			for len(h.picks(0)) > 4-version {
-				if err := h.apply(p.receive()); err != nil {
+			discovery.answers <- listJSON(2+version, false, endpointJSON(version, "draining")) // the order reaches the successor
+			for len(fake.picks(0)) > 4-version {
+				if err := fake.apply(proxy.receive()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			p.Close()
+			proxy.Close()
 			logged.waitFor(t, "msg=connection_closed", 1)
 		}
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
-		m, _ := newIdleLoop(t)
-		m.limits.finalReadTimeout = patience
+		loop, _ := newIdleLoop(t)
+		loop.limits.finalReadTimeout = patience
 		here, there := net.Pipe()
 		defer there.Close()
-		p := newConnection(here, 1, m, func(*connection) error { return nil })
-		p.evict()
+		conn := newConnection(here, 1, loop, func(*connection) error { return nil })
+		conn.evict()
 		ended := make(chan error, 1)
-		go func() { ended <- p.readMessages() }()
+		go func() { ended <- conn.readMessages() }()
 		there.Write(frame(hello))
 		there.Write(frame(usage)) // it is read on: the deadline of an unidentified connection binds no more
 		there.Close()
-		if err := <-ended; err != io.EOF || p.kind != kindProxy {
-			t.Errorf("ended by %v as a %v", err, p.kind)
+		if err := <-ended; err != io.EOF || conn.kind != kindProxy {
+			t.Errorf("ended by %v as a %v", err, conn.kind)
 		}
 	})
 	t.Run("a message that met a deadline while we stalled goes on where it was", func(t *testing.T) {
-		m, _ := newIdleLoop(t)
-		m.limits.writeTimeout, m.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
+		loop, _ := newIdleLoop(t)
+		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
 		here, there := net.Pipe()
-		p := newConnection(here, 1, m, func(*connection) error { return nil })
+		conn := newConnection(here, 1, loop, func(*connection) error { return nil })
 		ended := make(chan error, 1)
 		message := bytes.Repeat([]byte("order "), 1000)
-		go func() { ended <- p.deliver(message) }()
+		go func() { ended <- conn.deliver(message) }()
 		got := make([]byte, len(message))
 		if _, err := io.ReadFull(there, got); err != nil || !bytes.Equal(got, message) {
 			t.Errorf("error %v", err)
@@ -214,20 +214,20 @@
 
 func TestLateAndManyConnections(t *testing.T) {
 	t.Run("who comes between listen and readiness is served once the list is there", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		address, logged := serve(t, d.address, "null", nil)
-		p, q, h := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
-		p.send(probe)
-		q.send(probe)
+		discovery := newFakeDiscovery(t)
+		address, logged := serve(t, discovery.address, "null", nil)
+		proxy, otherProxy, fake := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
+		proxy.send(probe)
+		otherProxy.send(probe)
 		logged.waitFor(t, "msg=proxy_connected proxy=3", 1)
-		d.answers <- twoEndpoints
-		q.receive()
-		if got := string(p.receive()[lengthSize:]); got != isAlive {
+		discovery.answers <- twoEndpoints
+		otherProxy.receive()
+		if got := string(proxy.receive()[lengthSize:]); got != isAlive {
 			t.Errorf("first it got %q", got)
 		}
-		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
-			t.Errorf("error %v, picks %v", err, h.lines)
+		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 {
+			t.Errorf("error %v, picks %v", err, fake.lines)
 		}
 	})
 	t.Run("a flood of silent unidentified connections makes room as fast as it comes", func(t *testing.T) {
@@ -240,36 +240,36 @@
 		}
 		var proxies []*client
 		for node := range 40 {
-			p := dial(t, address)
-			p.send(helloOf(node))
-			proxies = append(proxies, p)
+			proxy := dial(t, address)
+			proxy.send(helloOf(node))
+			proxies = append(proxies, proxy)
 		}
-		for _, p := range proxies {
-			p.receive()
+		for _, proxy := range proxies {
+			proxy.receive()
 		}
 	})
 	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
 		var odd []*client
 		for i := range 120 {
-			c := dial(t, address)
+			caller := dial(t, address)
 			switch i % 4 {
 			case 0:
-				c.Write(frame(hello)[:1])
+				caller.Write(frame(hello)[:1])
 			case 1:
-				c.Write([]byte{0, 0, 64, 0}) // the most that an unidentified connection may announce, and nothing of it
+				caller.Write([]byte{0, 0, 64, 0}) // the most that an unidentified connection may announce, and nothing of it
 			case 2:
-				c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
+				caller.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 			}
-			odd = append(odd, c)
+			odd = append(odd, caller)
 		}
 		for node := range 40 {
-			p := dial(t, address)
-			p.send(helloOf(node))
-			p.receive()
+			proxy := dial(t, address)
+			proxy.send(helloOf(node))
+			proxy.receive()
 		}
-		for _, c := range odd {
-			if !c.isRefused() {
+		for _, caller := range odd {
+			if !caller.isRefused() {
 				t.Error("one of them stayed")
 			}
 		}
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -43,16 +43,16 @@
 
 func TestReloadingTheConfiguration(t *testing.T) {
 	t.Run("another address is followed at once, and streams and what is known live on", func(t *testing.T) {
-		d, next := newFakeDiscovery(t), newFakeDiscovery(t)
-		d.answers <- "silence"
-		c, address, logged := runController(t, d.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
-		if query := <-d.asked; query != "since=1&timeout_ms=50" {
+		discovery, next := newFakeDiscovery(t), newFakeDiscovery(t)
+		discovery.answers <- "silence"
+		c, address, logged := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
+		if query := <-discovery.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
-		p, h := dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
-		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 {
-			t.Errorf("error %v, got %+v", err, h)
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
+		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
+			t.Errorf("error %v, got %+v", err, fake)
 		}
 		for range 3 { // several in a row are one
 			if err := c.Reload(configuration(next.address, "null")); err != nil {
@@ -60,8 +60,8 @@
 			}
 		}
 		next.answers <- listJSON(2, false, endpointJSON(5, "up"))
-		for len(h.picks(0)) != 3 {
-			if err := h.apply(p.receive()); err != nil {
+		for len(fake.picks(0)) != 3 {
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -71,8 +71,8 @@
 		logged.waitFor(t, "msg=configuration_reloaded discovery="+next.address, 3)
 	})
 	t.Run("one that cannot be used changes nothing, and says why", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		c, _, logged := runController(t, d.address, twoEndpoints, nil)
+		discovery := newFakeDiscovery(t)
+		c, _, logged := runController(t, discovery.address, twoEndpoints, nil)
 		good := string(configuration("127.0.0.1:9", "null"))
 		for change, why := range map[[2]string]string{{"{", "["}: "configuration", {`"discovery"`, `"was"`}: "discovery",
 			{"127.0.0.1:9", "nowhere"}: "discovery", {`"settings"`, `"was"`}: "settings", {good[90:], ""}: "configuration",
@@ -82,10 +82,10 @@
 				t.Errorf("%v: error %v", change, err)
 			}
 		}
-		for len(d.asked) > 0 {
-			<-d.asked
+		for len(discovery.asked) > 0 {
+			<-discovery.asked
 		}
-		if query := <-d.asked; query != "since=1&timeout_ms=50" {
+		if query := <-discovery.asked; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
 		if text, _ := logged.read(); strings.Contains(text, "msg=configuration_reloaded") {
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -30,13 +30,8 @@
 }
 
 // connection is one connection of a proxy, a collector, or of somebody who has not said who it is. It has two goroutines, which run
-// starts and awaits: the reader decodes messages into events of the loop, the writer sends what waits in outbox. Both end once the
-// connection is closed. Any goroutine may call send and close. It goes through these states:
-//   - reading: messages are read and written, until readMessages returns (run);
-//   - draining: readDone is closed, and the writer sends what waits in outbox (endReading, awaitReady). Skipped by an identified
-//     connection that broke;
-//   - refusing: the reason is written, and what still comes is read and dropped (refuse). Only for an unidentified one that broke;
-//   - closed: closed is closed, and the socket (close). Any state may go there at once.
+// starts and awaits: the reader decodes messages into events of the loop, the writer sends what waits in outbox. Any goroutine may
+// call send and close. It goes through the states of run.
 type connection struct {
 	socket   net.Conn
 	limits   *limits
@@ -79,8 +74,9 @@
 	return c
 }
 
-// run serves the connection until its end. Before it closes one whose peer has only ended its sending, it sends the answers that
-// wait; before it closes an unidentified one, the reason why. The server has a goroutine for it.
+// run serves the connection through its states; close ends any of them at once, with both goroutines. Reading: until readMessages
+// returns. Draining, from endReading on, left out by an identified one that broke: the answers that wait are sent. Refusing, only an
+// unidentified one that broke: the reason is sent, and what still comes is dropped. The server has a goroutine for it.
 func (c *connection) run() {
 	var writer sync.WaitGroup
 	writer.Go(c.writeMessages)
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -71,16 +71,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, now := made.loop, made.loop.now
-	m.clock = func() int64 { return now }
-	m.iterate(func() {})
-	return m
+	loop, now := made.loop, made.loop.now
+	loop.clock = func() int64 { return now }
+	loop.iterate(func() {})
+	return loop
 }
 
 // play has trouble come: demand that outgrows the backends, one that hangs, drains, newcomers, proxies that come and
 // go. What each proxy holds after each second is told, with every name replaced by its place in the settings.
 func (c deployment) play(t *testing.T, order []int) (account []string) {
-	m := c.newLoop(t, 12)
+	loop := c.newLoop(t, 12)
 	chance := rand.New(rand.NewPCG(1, 2))
 	peers, hearers := map[int]*connection{}, map[int]*fakeProxy{}
 	place := map[string]int{}
@@ -89,7 +89,7 @@
 	}
 	for turn := range 40 {
 		drawn := []int{chance.IntN(12), chance.IntN(12), chance.IntN(8)}
-		advance(m, microsPerSecond, func() {
+		advance(loop, microsPerSecond, func() {
 			for node := range 8 {
 				if turn == 0 || turn%9 == 0 && node == drawn[2] {
 					hearers[node] = newFakeProxy(c.classNames()...)
@@ -98,53 +98,53 @@
 		})
 		for node := range 8 {
 			if turn == 0 || turn%9 == 0 && node == drawn[2] {
-				peers[node] = connectProxy(t, m, turn+1, node, turn > 0)
+				peers[node] = connectProxy(t, loop, turn+1, node, turn > 0)
 				peers[node].zone = node % len(c.zones)
 			}
 		}
-		m.iterate(func() {
+		loop.iterate(func() {
 			for b := range 12 {
 				mean := int64(200_000 + 60_000*turn)
 				if b == 5 && turn > 4 {
-					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				} else {
-					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, mean, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, mean, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
 			}
 			for node := range 8 {
 				for at, class := range order { // the same classes in the same order, wherever they stand in the settings
-					m.demandReported(node, class, 20+10*at, microsPerSecond)
+					loop.demandReported(node, class, 20+10*at, microsPerSecond)
 				}
 			}
 			if turn%5 == 2 {
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[0], "draining", 0)+","+
-					c.endpointJSON(12+turn/5, "up", m.now/1000)+"]").GetArray())
+				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[0], "draining", 0)+","+
+					c.endpointJSON(12+turn/5, "up", loop.now/1000)+"]").GetArray())
 			}
 			if turn%5 == 4 {
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[1], "up", 0)+"]").GetArray())
+				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[1], "up", 0)+"]").GetArray())
 			}
 		})
 		for _, node := range slices.Sorted(maps.Keys(peers)) {
-			h, p := hearers[node], peers[node]
-			p.lastMessageAt.Store(m.now)
-			before := len(h.nonces)
-			h.receive(t, p)
-			for _, mark := range h.nonces[before:] {
-				m.iterate(func() { m.acknowledged(p, mark) })
+			fake, conn := hearers[node], peers[node]
+			conn.lastMessageAt.Store(loop.now)
+			before := len(fake.nonces)
+			fake.receive(t, conn)
+			for _, mark := range fake.nonces[before:] {
+				loop.iterate(func() { loop.acknowledged(conn, mark) })
 			}
 			line := fmt.Sprint(turn, " ", node)
 			for _, class := range order {
 				held := map[int]float64{}
-				for id, weight := range h.lines[class] {
+				for id, weight := range fake.lines[class] {
 					held[place[id]] = weight
 				}
 				line += fmt.Sprint(" ", held)
-				if l := h.limits[class]; l != nil {
+				if l := fake.limits[class]; l != nil {
 					line += fmt.Sprintf(" %.4g/%g", l[0], l[1])
 				}
 			}
 			shut := []int{}
-			for id := range h.withdrawn {
+			for id := range fake.withdrawn {
 				shut = append(shut, place[id])
 			}
 			slices.Sort(shut)
@@ -188,17 +188,17 @@
 		for i := range 16 {
 			c.classes = append(c.classes, classSettings{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
 		}
-		m := c.newLoop(t, 3)
-		p, h := connectProxy(t, m, 1, 0, false), newFakeProxy(c.classNames()...)
+		loop := c.newLoop(t, 3)
+		conn, fake := connectProxy(t, loop, 1, 0, false), newFakeProxy(c.classNames()...)
 		for class := range 16 {
-			m.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(1+class), balancer.RetryPolicy(class%2))
+			loop.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(1+class), balancer.RetryPolicy(class%2))
 		}
-		advance(m, 3*microsPerSecond, func() {})
-		h.receive(t, p)
+		advance(loop, 3*microsPerSecond, func() {})
+		fake.receive(t, conn)
 		for class := range 16 {
-			if len(h.picks(class)) != 3 || h.limits[class] == nil || h.limits[class][0] != float64(1+class) ||
-				h.limits[class][1] != float64(class%2) {
-				t.Errorf("class %d: picks %v, level %v", class, h.picks(class), h.limits[class])
+			if len(fake.picks(class)) != 3 || fake.limits[class] == nil || fake.limits[class][0] != float64(1+class) ||
+				fake.limits[class][1] != float64(class%2) {
+				t.Errorf("class %d: picks %v, level %v", class, fake.picks(class), fake.limits[class])
 			}
 		}
 		c.classes = append(c.classes, classSettings{"one more", 500, 3000, 1, false, false})
@@ -216,26 +216,26 @@
 		other := deployment{zones: []string{"b", "a"}, backend: "s-", messages: 4, classes: []classSettings{
 			{"write", 3000, 9000, 1, false, false}, {"other", 100, 500, 9, true, false}, {"read", 800, 2000, 3, true, false}}}
 		serve := func(c deployment, known string) (*Controller, *fakeDiscovery, *client, *fakeProxy) {
-			d := newFakeDiscovery(t)
-			made, address, _ := runConfiguration(t, c.configuration(d.address, known), nil)
-			p, h := dial(t, address), newFakeProxy(c.classNames()...)
-			p.send(`{"msg":"hello","node":0,"locality":"a","w":5,"cold":true}`)
-			if err := h.apply(p.receive()); err != nil {
+			discovery := newFakeDiscovery(t)
+			made, address, _ := runConfiguration(t, c.configuration(discovery.address, known), nil)
+			proxy, fake := dial(t, address), newFakeProxy(c.classNames()...)
+			proxy.send(`{"msg":"hello","node":0,"locality":"a","w":5,"cold":true}`)
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
-			return made, d, p, h
+			return made, discovery, proxy, fake
 		}
-		mine, d, p, h := serve(one, listJSON(1, true, one.endpointJSON(0, "up", 0), one.endpointJSON(1, "up", 0)))
-		theirs, e, q, g := serve(other, listJSON(1, true, other.endpointJSON(0, "up", 0), other.endpointJSON(2, "up", 0)))
+		mine, discovery, proxy, fake := serve(one, listJSON(1, true, one.endpointJSON(0, "up", 0), one.endpointJSON(1, "up", 0)))
+		theirs, e, otherProxy, otherFake := serve(other, listJSON(1, true, other.endpointJSON(0, "up", 0), other.endpointJSON(2, "up", 0)))
 		for round := range 2 {
 			for class := range one.classes {
-				if want := []string{"s-0", "s-1"}; !slices.Equal(h.picks(class), want) {
-					t.Errorf("round %d: picks %v", round, h.picks(class))
+				if want := []string{"s-0", "s-1"}; !slices.Equal(fake.picks(class), want) {
+					t.Errorf("round %d: picks %v", round, fake.picks(class))
 				}
 			}
 			for class := range other.classes {
-				if want := []string{"s-0", "s-2"}; !slices.Equal(g.picks(class), want) {
-					t.Errorf("round %d: the other picks %v", round, g.picks(class))
+				if want := []string{"s-0", "s-2"}; !slices.Equal(otherFake.picks(class), want) {
+					t.Errorf("round %d: the other picks %v", round, otherFake.picks(class))
 				}
 			}
 			if fmt.Sprint(mine.loop.classIndex, mine.loop.zoneIndex, theirs.loop.classIndex, theirs.loop.zoneIndex) !=
@@ -243,27 +243,27 @@
 				t.Errorf("round %d: %v %v, %v %v", round, mine.loop.classIndex, mine.loop.zoneIndex, theirs.loop.classIndex,
 					theirs.loop.zoneIndex)
 			}
-			if err := mine.Reload(other.configuration(d.address, "null")); err != nil { // counts from the next start on
+			if err := mine.Reload(other.configuration(discovery.address, "null")); err != nil { // counts from the next start on
 				t.Fatal(err)
 			}
 			if err := theirs.Reload([]byte("{")); err == nil {
 				t.Error("half a configuration was taken")
 			}
 		}
-		d.answers <- listJSON(2, false, one.endpointJSON(0, "draining", 0))
+		discovery.answers <- listJSON(2, false, one.endpointJSON(0, "draining", 0))
 		e.answers <- listJSON(2, false, other.endpointJSON(2, "draining", 0))
-		for len(h.picks(1)) > 1 {
-			if err := h.apply(p.receive()); err != nil {
+		for len(fake.picks(1)) > 1 {
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for len(g.picks(2)) > 1 {
-			if err := g.apply(q.receive()); err != nil {
+		for len(otherFake.picks(2)) > 1 {
+			if err := otherFake.apply(otherProxy.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if !slices.Equal(h.picks(0), []string{"s-1"}) || !slices.Equal(g.picks(0), []string{"s-0"}) {
-			t.Errorf("picks %v and %v", h.picks(0), g.picks(0))
+		if !slices.Equal(fake.picks(0), []string{"s-1"}) || !slices.Equal(otherFake.picks(0), []string{"s-0"}) {
+			t.Errorf("picks %v and %v", fake.picks(0), otherFake.picks(0))
 		}
 	})
 	t.Run("what cannot be read one way only is refused by its key, and a reload of it changes nothing", func(t *testing.T) {
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -25,11 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &fakeDiscovery{listener.Addr().String(), make(chan string, 16), make(chan string, 1024)}
+	discovery := &fakeDiscovery{listener.Addr().String(), make(chan string, 16), make(chan string, 1024)}
 	stop := make(chan struct{})
 	s := &fasthttp.Server{Logger: log.New(io.Discard, "", 0), Handler: func(call *fasthttp.RequestCtx) {
 		select {
-		case d.asked <- string(call.URI().QueryString()):
+		case discovery.asked <- string(call.URI().QueryString()):
 		default:
 		}
 		wait := make(<-chan time.Time) // a call for the full list is always answered by the story
@@ -37,7 +37,7 @@
 			wait = time.After(time.Duration(call.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond)
 		}
 		select {
-		case text := <-d.answers:
+		case text := <-discovery.answers:
 			switch {
 			case text == "status 500":
 				call.SetStatusCode(500)
@@ -60,73 +60,73 @@
 	done := make(chan struct{})
 	go func() { defer close(done); s.Serve(listener) }()
 	t.Cleanup(func() { close(stop); listener.Close(); <-done })
-	return d
+	return discovery
 }
 
 func TestWatchingDiscovery(t *testing.T) {
 	t.Run("while it fails what was known stays, and the watch goes on where it was", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		for _, bad := range []string{"status 500", "reset", "silence", "{", "[]", `{"version":9}`, "half" + twoEndpoints,
 			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listJSON(0, true)} {
-			d.answers <- bad
+			discovery.answers <- bad
 		}
-		address, logged := serve(t, d.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
+		address, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		for range 10 {
-			if query := <-d.asked; query != "since=1&timeout_ms=50" && query != "" {
+			if query := <-discovery.asked; query != "since=1&timeout_ms=50" && query != "" {
 				t.Errorf("asked %q", query)
 			}
 		}
-		p, h := dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
-		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 {
-			t.Errorf("error %v, got %+v", err, h)
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
+		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
+			t.Errorf("error %v, got %+v", err, fake)
 		}
-		d.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up")) // all was asked for by now
-		for len(h.picks(0)) != 3 {
-			if err := h.apply(p.receive()); err != nil {
+		discovery.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up")) // all was asked for by now
+		for len(fake.picks(0)) != 3 {
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		logged.waitFor(t, "msg=discovery_failed", 1)
 	})
 	t.Run("one that says again and again that it knows less is taken at its word, whole", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		known := listJSON(50, true, endpointJSON(0, "up"))
 		for range 6 {
-			d.answers <- listJSON(7, true, endpointJSON(1, "up"))
+			discovery.answers <- listJSON(7, true, endpointJSON(1, "up"))
 		}
-		_, logged := serve(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
+		_, logged := serve(t, discovery.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 		logged.waitFor(t, "msg=endpoint_list_updated version=7 full=true endpoints=1", 1)
 		for i := range 6 {
-			if query := <-d.asked; (query == "") != (i == 5) {
+			if query := <-discovery.asked; (query == "") != (i == 5) {
 				t.Errorf("call %d asked %q", i, query)
 			}
 		}
 	})
 	t.Run("one that will not go on from our version is asked for all it knows", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		for range 5 {
-			d.answers <- "status 500"
+			discovery.answers <- "status 500"
 		}
-		d.answers <- listJSON(3, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
-		_, logged := serve(t, d.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
+		discovery.answers <- listJSON(3, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
+		_, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 		logged.waitFor(t, "msg=endpoint_list_updated version=3 full=true endpoints=2", 1)
 		for i, want := range []string{"since=1", "since=1", "since=1", "since=1", "since=1", "", "since=3"} {
-			if query := <-d.asked; !strings.HasPrefix(query, want) || want == "" && query != "" {
+			if query := <-discovery.asked; !strings.HasPrefix(query, want) || want == "" && query != "" {
 				t.Errorf("call %d asked %q", i, query)
 			}
 		}
 	})
 	t.Run("entries that cannot be used are left out, unknown words read with care", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		odd := []string{`{"id":"","zone":"a","state":"up"}`, `{"id":"s-8","zone":"q","state":"up"}`, `7`, `{"zone":"a"}`,
 			`{"id":"` + strings.Repeat("x", 300) + `","zone":"a","state":"up"}`, endpointJSON(6, "resting"),
 			`{"id":"say \"7\"","zone":"a","state":"up","weight":"big","started_ms":-3}`}
-		address, logged := serve(t, d.address, listJSON(1, true, append(odd, endpointJSON(0, "up"))...), nil)
-		p, h := dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
-		if err := h.apply(p.receive()); err != nil || !slices.Equal(h.picks(0), []string{"s-0", `say "7"`}) {
-			t.Errorf("error %v, got %v", err, h.picks(0))
+		address, logged := serve(t, discovery.address, listJSON(1, true, append(odd, endpointJSON(0, "up"))...), nil)
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
+		if err := fake.apply(proxy.receive()); err != nil || !slices.Equal(fake.picks(0), []string{"s-0", `say "7"`}) {
+			t.Errorf("error %v, got %v", err, fake.picks(0))
 		}
 		logged.waitFor(t, `state=resting treated_as=draining`, 1)
 	})
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -123,26 +123,26 @@
 	relayAt := freeAddress(t)
 	relay := runSubscriber(t, "s1", known, DistributionConfig{Parents: members, Listen: relayAt, FanOut: 4})
 	leaf := runSubscriber(t, "s2", known, DistributionConfig{Parents: map[string]string{"s1": relayAt}})
-	p, h := dial(t, leaf.address), newFakeProxy("read it", "write")
-	p.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`)
+	proxy, fake := dial(t, leaf.address), newFakeProxy("read it", "write")
+	proxy.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`)
 	picks := func(what string, is func(ids []string) bool) {
 		t.Helper()
-		for !is(h.picks(0)) {
-			if err := h.apply(p.receive()); err != nil { // which fails after a while
-				t.Fatalf("%s: %v, picks %v", what, err, h.picks(0))
+		for !is(fake.picks(0)) {
+			if err := fake.apply(proxy.receive()); err != nil { // which fails after a while
+				t.Fatalf("%s: %v, picks %v", what, err, fake.picks(0))
 			}
-			for len(h.nonces) > 0 && !h.inMessage {
-				p.send(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, h.nonces[0]))
-				h.nonces = h.nonces[1:]
+			for len(fake.nonces) > 0 && !fake.inMessage {
+				proxy.send(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, fake.nonces[0]))
+				fake.nonces = fake.nonces[1:]
 			}
 		}
 	}
-	picks("all", func(ids []string) bool { return len(ids) == 6 && !h.inMessage })
+	picks("all", func(ids []string) bool { return len(ids) == 6 && !fake.inMessage })
 	t.Run("a drain is in force at a controller below another subscriber", func(t *testing.T) {
 		voters[1].reload(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
 		voters[1].logged.waitFor(t, "msg=change_accepted revision=1", 1)
-		picks("without the drained one", func(ids []string) bool { return !slices.Contains(ids, "s-2") && !h.inMessage })
-		if !slices.Contains(h.picks(0), "s-3") {
+		picks("without the drained one", func(ids []string) bool { return !slices.Contains(ids, "s-2") && !fake.inMessage })
+		if !slices.Contains(fake.picks(0), "s-3") {
 			t.Error("a drain of another scope counts")
 		}
 		for _, s := range []*runningController{relay, leaf, voters[0], voters[2]} {
@@ -167,12 +167,12 @@
 		voters[2].reload(t, known, `{"pricing":{"drain":{"s-4":true}}}`)
 		voters[2].logged.waitFor(t, "msg=change_accepted revision=2", 1)
 		picks("with the second change", func(ids []string) bool {
-			return !slices.Contains(ids, "s-4") && slices.Contains(ids, "s-2") && !h.inMessage
+			return !slices.Contains(ids, "s-4") && slices.Contains(ids, "s-2") && !fake.inMessage
 		})
 		voters[0].stop()
 		voters[1].stop()
 		leaf.logged.waitFor(t, "msg=configuration_stale revision=2", 1)
-		if picks := h.picks(0); len(picks) != 5 {
+		if picks := fake.picks(0); len(picks) != 5 {
 			t.Errorf("picks %v", picks)
 		}
 		if text, _ := leaf.logged.read(); strings.Count(text, "msg=snapshot_applied") != 1 {
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -35,11 +35,11 @@
 }
 
 func newFakeProxy(classes ...string) *fakeProxy {
-	h := &fakeProxy{classes: classes, withdrawn: map[string]bool{}, limits: make([][]float64, len(classes))}
+	fake := &fakeProxy{classes: classes, withdrawn: map[string]bool{}, limits: make([][]float64, len(classes))}
 	for range classes {
-		h.lines = append(h.lines, map[string]float64{})
+		fake.lines = append(fake.lines, map[string]float64{})
 	}
-	return h
+	return fake
 }
 
 type push struct {
@@ -56,13 +56,13 @@
 }
 
 // apply takes frames as they leave; an error is what a proxy would reset its stream for.
-func (h *fakeProxy) apply(raw []byte) error {
+func (fake *fakeProxy) apply(raw []byte) error {
 	for len(raw) > 0 {
 		size := int(binary.BigEndian.Uint32(raw))
 		if size > 1<<20 || len(raw) < 4+size {
 			return fmt.Errorf("a frame of %d bytes in %d", size, len(raw))
 		}
-		if err := h.part(raw[4 : 4+size]); err != nil {
+		if err := fake.part(raw[4 : 4+size]); err != nil {
 			return fmt.Errorf("%w in %.200s", err, raw[4:4+size])
 		}
 		raw = raw[4+size:]
@@ -70,69 +70,69 @@
 	return nil
 }
 
-func (h *fakeProxy) part(text []byte) error {
+func (fake *fakeProxy) part(text []byte) error {
 	var p push
 	decode := json.NewDecoder(bytes.NewReader(text))
 	decode.DisallowUnknownFields()
 	if err := decode.Decode(&p); err != nil || p.Msg != "push" || (p.Level == nil) != (p.Retry == nil) {
 		return fmt.Errorf("not a push: %w", err)
 	}
-	if !h.inMessage {
-		h.cost, h.parts = 0, 0
-		h.messages++
+	if !fake.inMessage {
+		fake.cost, fake.parts = 0, 0
+		fake.messages++
 	}
-	h.inMessage = p.More
-	if h.parts++; h.parts > 64 {
+	fake.inMessage = p.More
+	if fake.parts++; fake.parts > 64 {
 		return fmt.Errorf("too many parts")
 	}
 	meant := p.Classes
 	if meant == nil {
-		meant = h.classes
+		meant = fake.classes
 	}
 	for _, name := range meant {
-		class := slices.Index(h.classes, name)
+		class := slices.Index(fake.classes, name)
 		if class < 0 {
 			return fmt.Errorf("unknown class %q", name)
 		}
 		if p.Whole {
-			h.lines[class], h.limits[class] = map[string]float64{}, nil
+			fake.lines[class], fake.limits[class] = map[string]float64{}, nil
 		}
 		for _, l := range p.Lines {
 			id, weight := l[0].(string), l[1].(float64)
 			if weight < 0 {
 				return fmt.Errorf("a weight below 0")
 			}
-			h.lines[class][id] = weight
+			fake.lines[class][id] = weight
 			if weight == 0 {
-				delete(h.lines[class], id)
+				delete(fake.lines[class], id)
 			}
 		}
 		if p.Level != nil {
-			h.limits[class] = []float64{*p.Level, float64(*p.Retry)}
+			fake.limits[class] = []float64{*p.Level, float64(*p.Retry)}
 		}
 	}
 	for _, id := range p.Out {
-		h.withdrawn[id] = true
+		fake.withdrawn[id] = true
 	}
 	for _, id := range p.Back {
-		delete(h.withdrawn, id)
+		delete(fake.withdrawn, id)
 	}
-	h.cost += len(p.Lines) + len(p.Out) + len(p.Back)
+	fake.cost += len(p.Lines) + len(p.Out) + len(p.Back)
 	for _, one := range []bool{p.Whole, p.Level != nil, p.Ticket != nil} {
 		if one {
-			h.cost++
+			fake.cost++
 		}
 	}
 	if p.Ticket != nil {
-		h.nonces = append(h.nonces, *p.Ticket)
+		fake.nonces = append(fake.nonces, *p.Ticket)
 	}
 	return nil
 }
 
 // picks gives the backends that the proxy can pick for a class.
-func (h *fakeProxy) picks(class int) (ids []string) {
-	for id := range h.lines[class] {
-		if !h.withdrawn[id] {
+func (fake *fakeProxy) picks(class int) (ids []string) {
+	for id := range fake.lines[class] {
+		if !fake.withdrawn[id] {
 			ids = append(ids, id)
 		}
 	}
@@ -141,12 +141,12 @@
 }
 
 // receive applies what waits in a connection's outbox.
-func (h *fakeProxy) receive(t *testing.T, p *connection) {
+func (fake *fakeProxy) receive(t *testing.T, conn *connection) {
 	t.Helper()
 	for {
 		select {
-		case raw := <-p.outbox:
-			if err := h.apply(raw); err != nil {
+		case raw := <-conn.outbox:
+			if err := fake.apply(raw); err != nil {
 				t.Fatal(err)
 			}
 		default:
@@ -243,29 +243,29 @@
 }
 
 // advance takes a turn after a while, and idle ones before it, as timers bring them.
-func advance(m *eventLoop, wait int64, what func()) {
+func advance(loop *eventLoop, wait int64, what func()) {
 	for ; wait > microsPerSecond/2; wait -= microsPerSecond / 2 {
-		advanceAtOnce(m, microsPerSecond/2, func() {})
+		advanceAtOnce(loop, microsPerSecond/2, func() {})
 	}
-	advanceAtOnce(m, wait, what)
+	advanceAtOnce(loop, wait, what)
 }
 
 // advanceAtOnce takes a turn after a while in which we stalled.
-func advanceAtOnce(m *eventLoop, wait int64, what func()) {
-	now := m.now + wait
-	m.clock = func() int64 { return now }
-	m.iterate(what)
+func advanceAtOnce(loop *eventLoop, wait int64, what func()) {
+	now := loop.now + wait
+	loop.clock = func() int64 { return now }
+	loop.iterate(what)
 }
 
 // connectProxy has a proxy join on a connection that nobody reads.
-func connectProxy(t *testing.T, m *eventLoop, serial, node int, keeps bool) *connection {
+func connectProxy(t *testing.T, loop *eventLoop, serial, node int, keeps bool) *connection {
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
-	p := newConnection(here, serial, m, func(*connection) error { return nil })
-	p.kind, p.proxy, p.zone = kindProxy, node, node%2
-	p.lastMessageAt.Store(m.now)
-	m.iterate(func() { m.proxyConnected(p, 10, keeps) })
-	return p
+	conn := newConnection(here, serial, loop, func(*connection) error { return nil })
+	conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
+	conn.lastMessageAt.Store(loop.now)
+	loop.iterate(func() { loop.proxyConnected(conn, 10, keeps) })
+	return conn
 }
 
 // client is a connection to a controller, as a proxy or collector has it.
@@ -290,36 +290,36 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 }
 
-func (c *client) send(text string) {
-	c.Helper()
-	if _, err := c.Write(frame(text)); err != nil {
-		c.Fatal(err)
+func (caller *client) send(text string) {
+	caller.Helper()
+	if _, err := caller.Write(frame(text)); err != nil {
+		caller.Fatal(err)
 	}
 }
 
 // receive reads one frame, with its length.
-func (c *client) receive() []byte {
-	c.Helper()
+func (caller *client) receive() []byte {
+	caller.Helper()
 	raw := make([]byte, 4)
-	if _, err := io.ReadFull(c.in, raw); err != nil {
-		c.Fatal(err)
+	if _, err := io.ReadFull(caller.in, raw); err != nil {
+		caller.Fatal(err)
 	}
 	raw = append(raw, make([]byte, binary.BigEndian.Uint32(raw))...)
-	if _, err := io.ReadFull(c.in, raw[4:]); err != nil {
-		c.Fatal(err)
+	if _, err := io.ReadFull(caller.in, raw[4:]); err != nil {
+		caller.Fatal(err)
 	}
 	return raw
 }
 
 // isClosed tells whether the controller closes the connection without another word.
-func (c *client) isClosed() bool {
-	_, err := c.in.ReadByte()
+func (caller *client) isClosed() bool {
+	_, err := caller.in.ReadByte()
 	return err != nil && !isTimeout(err)
 }
 
 // isRefused tells whether the controller closes the connection with no other word than an error, if it gets through.
-func (c *client) isRefused() bool {
-	text, err := io.ReadAll(c.in)
+func (caller *client) isRefused() bool {
+	text, err := io.ReadAll(caller.in)
 	errorOrNothing := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
 		fastjson.ValidateBytes(text[4:]) == nil && int(binary.BigEndian.Uint32(text)) == len(text)-4
 	return errorOrNothing && !isTimeout(err)
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -25,17 +25,17 @@
 		f.Add(frame(hello)[:cut])
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m := fuzzed(t)
+		loop := fuzzed(t)
 		for _, before := range []string{"", hello, agent} {
 			var first []byte
 			if before != "" {
 				first = frame(before)
 			}
-			p := newConnection(&readerConn{Reader: bytes.NewReader(append(first, raw...))}, 1, m, func(*connection) error { return nil })
-			if err := p.readMessages(); err == nil {
+			conn := newConnection(&readerConn{Reader: bytes.NewReader(append(first, raw...))}, 1, loop, func(*connection) error { return nil })
+			if err := conn.readMessages(); err == nil {
 				t.Fatal("bytes without an end")
 			}
-			m.iterate(func() {})
+			loop.iterate(func() {})
 		}
 	})
 }
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -220,53 +220,53 @@
 // is written.
 func goldenDay(t *testing.T, c deployment) string {
 	var text strings.Builder
-	m := c.newLoop(t, 12)
+	loop := c.newLoop(t, 12)
 	chance := rand.New(rand.NewPCG(7, 2))
 	peers := map[int]*connection{}
 	hearers := map[int]*fakeProxy{}
 	for turn := range 40 {
-		advance(m, microsPerSecond, func() {})
+		advance(loop, microsPerSecond, func() {})
 		again := chance.IntN(8)
 		for node := range 8 {
 			if turn == 0 || turn%9 == 0 && node == again {
-				peers[node], hearers[node] = connectProxy(t, m, turn+1, node, turn > 0), newFakeProxy(c.classNames()...)
+				peers[node], hearers[node] = connectProxy(t, loop, turn+1, node, turn > 0), newFakeProxy(c.classNames()...)
 			}
 		}
 		changed := chance.IntN(12)
-		m.iterate(func() {
+		loop.iterate(func() {
 			for b := range 12 {
 				load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 				if b == 5 && turn > 4 {
-					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load})
+					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, load})
 				} else {
-					m.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000 + 60_000*turn), microsPerSecond, load})
+					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, int64(200_000 + 60_000*turn), microsPerSecond, load})
 				}
 			}
 			for node := range 8 {
 				for class := range c.classes {
-					m.demandReported(node, class, 20+10*class, microsPerSecond)
+					loop.demandReported(node, class, 20+10*class, microsPerSecond)
 				}
 			}
 			switch turn % 5 {
 			case 2:
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(changed, "draining", 0)+","+
-					c.endpointJSON(12+turn/5, "up", m.now/1000)+"]").GetArray())
+				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(changed, "draining", 0)+","+
+					c.endpointJSON(12+turn/5, "up", loop.now/1000)+"]").GetArray())
 			case 4:
-				m.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(changed, "up", 0)+"]").GetArray())
+				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(changed, "up", 0)+"]").GetArray())
 			}
 		})
 		for node := range 8 {
-			p := peers[node]
-			p.lastMessageAt.Store(m.now)
-			for len(p.outbox) > 0 {
-				message := <-p.outbox
+			conn := peers[node]
+			conn.lastMessageAt.Store(loop.now)
+			for len(conn.outbox) > 0 {
+				message := <-conn.outbox
 				fmt.Fprintf(&text, "%d proxy %d: %q\n", turn, node, message)
 				if err := hearers[node].apply(message); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for _, number := range hearers[node].nonces {
-				m.iterate(func() { m.acknowledged(p, number) })
+				loop.iterate(func() { loop.acknowledged(conn, number) })
 			}
 			hearers[node].nonces = nil
 		}
--- a/controller/golden_wire_test.go
+++ b/controller/golden_wire_test.go
@@ -24,25 +24,25 @@
 	address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxIdentified, l.identifyTimeout = 2, 300*time.Millisecond })
 	var text strings.Builder
 	says := func(what string, sent ...string) {
-		c := dial(t, address)
+		caller := dial(t, address)
 		for _, raw := range sent {
-			if _, err := c.Write([]byte(raw)); err != nil {
+			if _, err := caller.Write([]byte(raw)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		c.Conn.(*net.TCPConn).CloseWrite()
-		got, err := io.ReadAll(c.in)
+		caller.Conn.(*net.TCPConn).CloseWrite()
+		got, err := io.ReadAll(caller.in)
 		if err != nil && len(got) == 0 {
 			t.Fatalf("%s: %v", what, err)
 		}
 		fmt.Fprintf(&text, "%s: %q\n", what, got)
 	}
 	stays := func(what string, sent ...string) {
-		c := dial(t, address)
+		caller := dial(t, address)
 		for _, raw := range sent {
-			c.Write([]byte(raw))
+			caller.Write([]byte(raw))
 		}
-		got, err := io.ReadAll(c.in)
+		got, err := io.ReadAll(caller.in)
 		if err != nil && len(got) == 0 {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -79,10 +79,10 @@
 	stays("silence")
 	stays("half a hello and then silence", f(hello)[:20])
 	one, other := dial(t, address), dial(t, address)
-	for _, c := range []*client{one, other} {
-		c.send(agent)
-		c.send(probe)
-		c.receive()
+	for _, caller := range []*client{one, other} {
+		caller.send(agent)
+		caller.send(probe)
+		caller.receive()
 	}
 	stays("a proxy beyond the room", f(hello))
 	golden.Compare(t, "answers.golden", text.String())
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -79,21 +79,21 @@
 	for _, proxies := range []int{100, 400, 1200, 2400} {
 		for _, backends := range []int{1000, 5000, 20_000} {
 			b.Run(fmt.Sprintf("%d/%d", proxies, backends), func(b *testing.B) {
-				to := newTestTables(2)
+				tables := newTestTables(2)
 				for backend := range backends {
-					to.PublishEntry(0, backend, 1)
+					tables.PublishEntry(0, backend, 1)
 				}
 				for proxy := range proxies {
-					to.connect(proxy, nil, false)
-					to.AssignTable(0, proxy, 0)
+					tables.connect(proxy, nil, false)
+					tables.AssignTable(0, proxy, 0)
 				}
 				flush := func() {
-					to.flush(func(_ *connection, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
+					tables.flush(func(_ *connection, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
 				}
 				flush()
 				b.ResetTimer()
 				for i := range b.N {
-					to.PublishEntry(0, 7, 1+float64(i%2))
+					tables.PublishEntry(0, 7, 1+float64(i%2))
 					flush()
 				}
 			})
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -12,16 +12,16 @@
 // newKnownTable makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
 func newKnownTable(base ownership.KnownTable, brought map[string]float64) (*tables, *fakeProxy, *connection) {
 	to := newTestTables(2)
-	h, p := connectFakeProxy(to, 0, false)
-	for class := range h.lines {
-		h.lines[class] = maps.Clone(brought)
-		h.limits[class] = []float64{2, 0}
+	fake, conn := connectFakeProxy(to, 0, false)
+	for class := range fake.lines {
+		fake.lines[class] = maps.Clone(brought)
+		fake.limits[class] = []float64{2, 0}
 	}
 	for b := range 10 {
 		to.PublishEntry(0, b, 1)
 	}
 	to.proxies[0].base = []ownership.KnownTable{base, base}
-	return to, h, p
+	return to, fake, conn
 }
 
 func TestPushingAgainstKnownTables(t *testing.T) {
@@ -38,23 +38,23 @@
 		return of
 	}
 	t.Run("what it surely has is not written again, and limits that others left are lifted, once", func(t *testing.T) {
-		to, h, p := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
-		to.AssignTable(0, 0, 0)
-		to.RequestAck(1, false)
-		to.writes(t)
-		if h.receive(t, p); h.cost > 3 || !maps.Equal(h.lines[0], ten) || h.limits[0][0] < 1e9 || h.limits[1][0] < 1e9 ||
-			h.limits[0][1] != float64(balancer.RetryIfNotExecuted) {
-			t.Errorf("got %+v", h)
+		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		tables.AssignTable(0, 0, 0)
+		tables.RequestAck(1, false)
+		tables.writes(t)
+		if fake.receive(t, conn); fake.cost > 3 || !maps.Equal(fake.lines[0], ten) || fake.limits[0][0] < 1e9 || fake.limits[1][0] < 1e9 ||
+			fake.limits[0][1] != float64(balancer.RetryIfNotExecuted) {
+			t.Errorf("got %+v", fake)
 		}
-		to.PublishEntry(0, 3, 0.5)
-		to.writes(t)
-		if h.receive(t, p); h.cost != 1 || h.limits[0][0] < 1e9 {
-			t.Errorf("a later change wrote %d lines, levels %v", h.cost, h.limits)
+		tables.PublishEntry(0, 3, 0.5)
+		tables.writes(t)
+		if fake.receive(t, conn); fake.cost != 1 || fake.limits[0][0] < 1e9 {
+			t.Errorf("a later change wrote %d lines, levels %v", fake.cost, fake.limits)
 		}
-		to.SetAdmissionLimit(balancer.AllTables, 0, 7, balancer.NoRetry)
-		to.writes(t)
-		if h.receive(t, p); h.limits[0][0] != 7 || h.limits[1][0] != 7 {
-			t.Errorf("levels %v", h.limits)
+		tables.SetAdmissionLimit(balancer.AllTables, 0, 7, balancer.NoRetry)
+		tables.writes(t)
+		if fake.receive(t, conn); fake.limits[0][0] != 7 || fake.limits[1][0] != 7 {
+			t.Errorf("levels %v", fake.limits)
 		}
 	})
 	t.Run("entries that differ, that it lacks, that it has too many, and those in doubt are written", func(t *testing.T) {
@@ -63,31 +63,31 @@
 		delete(brought, "s-2")
 		known := quoted(brought)
 		delete(known, `"s-9"`) // in doubt: it may have any, or none
-		to, h, p := newKnownTable(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
-		to.AssignTable(0, 0, 0)
-		to.writes(t)
-		if h.receive(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) || h.cost != 5 {
-			t.Errorf("wrote %d lines: %+v", h.cost, h.lines)
+		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
+		tables.AssignTable(0, 0, 0)
+		tables.writes(t)
+		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || !maps.Equal(fake.lines[1], ten) || fake.cost != 5 {
+			t.Errorf("wrote %d lines: %+v", fake.cost, fake.lines)
 		}
 	})
 	t.Run("where as many differ as there are, it gets the full table", func(t *testing.T) {
-		to, h, p := newKnownTable(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
-		to.AssignTable(0, 0, 0)
-		to.writes(t)
-		if h.receive(t, p); !maps.Equal(h.lines[0], ten) || h.limits[0] != nil || to.fullTables != 1 || to.deltaTables != 0 {
-			t.Errorf("got %+v", h)
+		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
+		tables.AssignTable(0, 0, 0)
+		tables.writes(t)
+		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || fake.limits[0] != nil || tables.fullTables != 1 || tables.deltaTables != 0 {
+			t.Errorf("got %+v", fake)
 		}
 	})
 	t.Run("with classes that had other tables, what any of them may lack is written", func(t *testing.T) {
-		to, h, p := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
-		delete(h.lines[1], "s-4")
+		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		delete(fake.lines[1], "s-4")
 		less := quoted(ten)
 		delete(less, `"s-4"`)
-		to.proxies[0].base[1] = ownership.KnownTable{Lines: less}
-		to.AssignTable(0, 0, 0)
-		to.writes(t)
-		if h.receive(t, p); !maps.Equal(h.lines[0], ten) || !maps.Equal(h.lines[1], ten) {
-			t.Errorf("has %v", h.lines)
+		tables.proxies[0].base[1] = ownership.KnownTable{Lines: less}
+		tables.AssignTable(0, 0, 0)
+		tables.writes(t)
+		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || !maps.Equal(fake.lines[1], ten) {
+			t.Errorf("has %v", fake.lines)
 		}
 	})
 }
--- a/controller/load_reports_test.go
+++ b/controller/load_reports_test.go
@@ -9,16 +9,16 @@
 
 func TestLoadReports(t *testing.T) {
 	taken := func(t *testing.T, first string, texts ...string) int {
-		m, _ := newIdleLoop(t)
+		loop, _ := newIdleLoop(t)
 		raw := frame(first)
 		for _, text := range texts {
 			raw = append(raw, frame(text)...)
 		}
-		p := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
-		if err := p.readMessages(); err != io.EOF {
+		conn := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, loop, func(*connection) error { return nil })
+		if err := conn.readMessages(); err != io.EOF {
 			t.Errorf("the stream ended with %v", err)
 		}
-		return len(m.inbox) - strings.Count(first, "hello")
+		return len(loop.inbox) - strings.Count(first, "hello")
 	}
 	full := strings.Replace(reports, "41.7", `41.7,"metrics":{"util":0.5,"queue":2,"latency_ms":30}`, 1)
 	ack := `{"msg":"ack","node":3,"nonce":1,"latency":3.5}`
@@ -58,20 +58,20 @@
 		})
 	}
 	t.Run("a joining with a spoilt detail is served", func(t *testing.T) {
-		m, _ := newIdleLoop(t)
+		loop, _ := newIdleLoop(t)
 		for _, w := range []string{`"w":-1,"cold":true`, `"w":1e30,"cold":true`, `"w":"x","cold":true`, `"w":[],"cold":7`} {
-			h := newFakeProxy("read it", "write")
-			p := newConnection(&readerConn{Reader: bytes.NewReader(frame(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, m,
+			fake := newFakeProxy("read it", "write")
+			conn := newConnection(&readerConn{Reader: bytes.NewReader(frame(strings.Replace(hello, `"w":12.5,"cold":true`, w, 1)))}, 1, loop,
 				func(*connection) error { return nil })
-			_ = p.readMessages() // the end of its input
-			if m.iterate(func() {}); !m.isCurrent(p) {
+			_ = conn.readMessages() // the end of its input
+			if loop.iterate(func() {}); !loop.isCurrent(conn) {
 				t.Fatalf("%s: it has not joined", w)
 			}
-			if h.receive(t, p); len(h.picks(0)) != 2 {
-				t.Errorf("%s: picks %v", w, h.picks(0))
+			if fake.receive(t, conn); len(fake.picks(0)) != 2 {
+				t.Errorf("%s: picks %v", w, fake.picks(0))
 			}
-			m.iterate(func() { m.proxyDisconnected(p) })
-			advance(m, 5*microsPerSecond, func() {})
+			loop.iterate(func() { loop.proxyDisconnected(conn) })
+			advance(loop, 5*microsPerSecond, func() {})
 		}
 	})
 }
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -117,110 +117,110 @@
 }
 
 // picks takes what a proxy was told, and gives what it can pick.
-func (h *fakeProxy) receivePicks(t *testing.T, p *connection) []string {
+func (fake *fakeProxy) receivePicks(t *testing.T, conn *connection) []string {
 	t.Helper()
-	h.receive(t, p)
-	return h.picks(0)
+	fake.receive(t, conn)
+	return fake.picks(0)
 }
 
 func TestDistributedEntriesReachDecisions(t *testing.T) {
 	begins := func(t *testing.T) (*eventLoop, *fakeProxy, *connection) {
-		m, _ := newIdleLoop(t)
-		m.overrides = newOverrides()
-		m.iterate(func() {
-			m.endpointsUpdated(true, 2, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
+		loop, _ := newIdleLoop(t)
+		loop.overrides = newOverrides()
+		loop.iterate(func() {
+			loop.endpointsUpdated(true, 2, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
 		})
-		p, h := connectProxy(t, m, 1, 0, false), newFakeProxy("read it", "write")
-		if got := h.receivePicks(t, p); len(got) != 2 {
+		conn, fake := connectProxy(t, loop, 1, 0, false), newFakeProxy("read it", "write")
+		if got := fake.receivePicks(t, conn); len(got) != 2 {
 			t.Fatalf("picks %v", got)
 		}
-		m.iterate(func() { m.acknowledged(p, h.nonces[len(h.nonces)-1]) })
-		return m, h, p
+		loop.iterate(func() { loop.acknowledged(conn, fake.nonces[len(fake.nonces)-1]) })
+		return loop, fake, conn
 	}
-	without := func(t *testing.T, m *eventLoop, h *fakeProxy, p *connection, id string) {
+	without := func(t *testing.T, loop *eventLoop, fake *fakeProxy, conn *connection, id string) {
 		t.Helper()
-		advance(m, 2*microsPerSecond, func() {})
-		if got := h.receivePicks(t, p); slices.Contains(got, id) {
+		advance(loop, 2*microsPerSecond, func() {})
+		if got := fake.receivePicks(t, conn); slices.Contains(got, id) {
 			t.Errorf("picks %v", got)
 		}
 	}
 	t.Run("a drain takes a backend out, and its end brings it back", func(t *testing.T) {
-		m, h, p := begins(t)
-		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
-		without(t, m, h, p, "s-0")
-		m.iterate(func() { // whatever discovery says
-			m.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
+		loop, fake, conn := begins(t)
+		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
+		without(t, loop, fake, conn, "s-0")
+		loop.iterate(func() { // whatever discovery says
+			loop.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
 		})
-		without(t, m, h, p, "s-0")
-		m.iterate(func() { m.applyDistributed(drainOf("s-0", 2, true), false) })
-		advance(m, 5*microsPerSecond, func() {})
-		if got := h.receivePicks(t, p); !slices.Contains(got, "s-0") {
+		without(t, loop, fake, conn, "s-0")
+		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 2, true), false) })
+		advance(loop, 5*microsPerSecond, func() {})
+		if got := fake.receivePicks(t, conn); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
 	t.Run("a drain counts for a backend that is listed later", func(t *testing.T) {
-		m, h, p := begins(t)
-		m.iterate(func() { m.applyDistributed(drainOf("s-2", 1, false), false) })
-		m.iterate(func() { m.endpointsUpdated(false, 3, parsed(t, "["+endpointJSON(2, "up")+"]").GetArray()) })
-		without(t, m, h, p, "s-2")
+		loop, fake, conn := begins(t)
+		loop.iterate(func() { loop.applyDistributed(drainOf("s-2", 1, false), false) })
+		loop.iterate(func() { loop.endpointsUpdated(false, 3, parsed(t, "["+endpointJSON(2, "up")+"]").GetArray()) })
+		without(t, loop, fake, conn, "s-2")
 	})
 	t.Run("a drain of one that discovery has dropped takes it out", func(t *testing.T) {
-		m, h, p := begins(t)
-		m.iterate(func() { m.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(1, "up")+"]").GetArray()) })
-		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
-		without(t, m, h, p, "s-0")
-		advance(m, m.limits.forgetAfter+2*microsPerSecond, func() {})
-		if m.backends.ids[0] == "s-0" {
+		loop, fake, conn := begins(t)
+		loop.iterate(func() { loop.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(1, "up")+"]").GetArray()) })
+		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
+		without(t, loop, fake, conn, "s-0")
+		advance(loop, loop.limits.forgetAfter+2*microsPerSecond, func() {})
+		if loop.backends.ids[0] == "s-0" {
 			t.Error("it is never forgotten")
 		}
-		m.iterate(func() { m.endpointsUpdated(false, 4, parsed(t, "["+endpointJSON(8, "up")+"]").GetArray()) })
-		advance(m, 5*microsPerSecond, func() {})
+		loop.iterate(func() { loop.endpointsUpdated(false, 4, parsed(t, "["+endpointJSON(8, "up")+"]").GetArray()) })
+		advance(loop, 5*microsPerSecond, func() {})
 		next := newFakeProxy("read it", "write")
-		if got := next.receivePicks(t, connectProxy(t, m, 2, 1, false)); m.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
-			t.Errorf("the next that has its index is %s; picks %v", m.backends.ids[0], got)
+		if got := next.receivePicks(t, connectProxy(t, loop, 2, 1, false)); loop.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
+			t.Errorf("the next that has its index is %s; picks %v", loop.backends.ids[0], got)
 		}
 	})
 	t.Run("a full configuration ends what it lacks", func(t *testing.T) {
-		m, h, p := begins(t)
-		m.iterate(func() { m.applyDistributed(drainOf("s-0", 1, false), false) })
-		without(t, m, h, p, "s-0")
-		m.iterate(func() { m.applyDistributed(nil, true) })
-		advance(m, 5*microsPerSecond, func() {})
-		if got := h.receivePicks(t, p); !slices.Contains(got, "s-0") {
+		loop, fake, conn := begins(t)
+		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
+		without(t, loop, fake, conn, "s-0")
+		loop.iterate(func() { loop.applyDistributed(nil, true) })
+		advance(loop, 5*microsPerSecond, func() {})
+		if got := fake.receivePicks(t, conn); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
 	t.Run("a limit of a class is told to the proxies, and its end", func(t *testing.T) {
-		m, h, p := begins(t)
-		index := m.classIndex["read it"]
+		loop, fake, conn := begins(t)
+		index := loop.classIndex["read it"]
 		comes := func() {
 			for range 8 {
-				m.decisions.DemandReported(0, index, 80, microsPerSecond)
-				advance(m, microsPerSecond, func() {})
-				h.receive(t, p)
-				m.iterate(func() { m.acknowledged(p, h.nonces[len(h.nonces)-1]) })
+				loop.decisions.DemandReported(0, index, 80, microsPerSecond)
+				advance(loop, microsPerSecond, func() {})
+				fake.receive(t, conn)
+				loop.iterate(func() { loop.acknowledged(conn, fake.nonces[len(fake.nonces)-1]) })
 			}
 		}
 		comes()
-		m.iterate(func() {
-			m.applyDistributed([]distribution.Entry{distributedEntry("limit/read it", "8", 1), distributedEntry("limit/tenant-17", "1", 1)}, false)
+		loop.iterate(func() {
+			loop.applyDistributed([]distribution.Entry{distributedEntry("limit/read it", "8", 1), distributedEntry("limit/tenant-17", "1", 1)}, false)
 		})
 		comes()
-		if len(h.limits[0]) == 0 || h.limits[0][0] <= 0 || h.limits[0][0] > 8.1 {
-			t.Errorf("levels %v", h.limits)
+		if len(fake.limits[0]) == 0 || fake.limits[0][0] <= 0 || fake.limits[0][0] > 8.1 {
+			t.Errorf("levels %v", fake.limits)
 		}
-		m.iterate(func() { m.applyDistributed(nil, true) })
+		loop.iterate(func() { loop.applyDistributed(nil, true) })
 		comes()
-		if len(h.limits[0]) > 0 && h.limits[0][0] <= 80 {
-			t.Errorf("levels once it is over: %v", h.limits)
+		if len(fake.limits[0]) > 0 && fake.limits[0][0] <= 80 {
+			t.Errorf("levels once it is over: %v", fake.limits)
 		}
 	})
 	t.Run("a weight stands over the listed one", func(t *testing.T) {
-		m, h, p := begins(t)
-		m.iterate(func() { m.applyDistributed([]distribution.Entry{distributedEntry("weight/s-0", "4", 1)}, false) })
-		advance(m, 20*microsPerSecond, func() {})
-		h.receive(t, p)
-		if lines := h.lines[0]; lines["s-0"] <= lines["s-1"] {
+		loop, fake, conn := begins(t)
+		loop.iterate(func() { loop.applyDistributed([]distribution.Entry{distributedEntry("weight/s-0", "4", 1)}, false) })
+		advance(loop, 20*microsPerSecond, func() {})
+		fake.receive(t, conn)
+		if lines := fake.lines[0]; lines["s-0"] <= lines["s-1"] {
 			t.Errorf("lines %v", lines)
 		}
 	})
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -86,17 +86,17 @@
 }
 
 // connectProxyAt has a proxy dial a controller, and apply what it is told until a message has a mark; it answers that.
-func connectProxyAt(t *testing.T, address string, h *fakeProxy, cold bool) *client {
+func connectProxyAt(t *testing.T, address string, fake *fakeProxy, cold bool) *client {
 	t.Helper()
-	p := dial(t, address)
-	p.send(fmt.Sprintf(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":%v}`, cold))
-	for marks := len(h.nonces); len(h.nonces) == marks || h.inMessage; {
-		if err := h.apply(p.receive()); err != nil {
+	proxy := dial(t, address)
+	proxy.send(fmt.Sprintf(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":%v}`, cold))
+	for marks := len(fake.nonces); len(fake.nonces) == marks || fake.inMessage; {
+		if err := fake.apply(proxy.receive()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.send(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, h.nonces[len(h.nonces)-1]))
-	return p
+	proxy.send(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, fake.nonces[len(fake.nonces)-1]))
+	return proxy
 }
 
 func TestSharedOwnership(t *testing.T) {
@@ -110,22 +110,22 @@
 		for _, s := range all { // each has entered, and its tables stand
 			s.logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		}
-		h := newFakeProxy("read it", "write")
-		p := connectProxyAt(t, all[0].address, h, true)
-		if len(h.picks(0)) != 12 {
-			t.Fatalf("has %v", h.picks(0))
+		fake := newFakeProxy("read it", "write")
+		proxy := connectProxyAt(t, all[0].address, fake, true)
+		if len(fake.picks(0)) != 12 {
+			t.Fatalf("has %v", fake.picks(0))
 		}
 		told := 0
 		for at := 1; told == 0 && at < 6; at++ { // at first not all are vouched for yet
 			all[at%3].awaitAcknowledged(t, 3, fmt.Sprint("n", (at-1)%3))
-			p.Close()
-			p = connectProxyAt(t, all[at%3].address, h, false)
+			proxy.Close()
+			proxy = connectProxyAt(t, all[at%3].address, fake, false)
 			text, _ := all[at%3].logged.read()
-			if told = strings.Count(text, "tables_known=true"); told > 0 && h.cost > 6 {
-				t.Errorf("%d lines for a proxy that had all of them", h.cost)
+			if told = strings.Count(text, "tables_known=true"); told > 0 && fake.cost > 6 {
+				t.Errorf("%d lines for a proxy that had all of them", fake.cost)
 			}
-			if picks := h.picks(0); len(picks) != 12 || !slices.Equal(picks, h.picks(1)) {
-				t.Fatalf("it can pick %v and %v", picks, h.picks(1))
+			if picks := fake.picks(0); len(picks) != 12 || !slices.Equal(picks, fake.picks(1)) {
+				t.Fatalf("it can pick %v and %v", picks, fake.picks(1))
 			}
 		}
 		if told == 0 {
@@ -135,19 +135,19 @@
 	t.Run("at a planned end the record says so before the streams end", func(t *testing.T) {
 		all := runMembers(t, known, 3, "n0", "n1", "n2")
 		all[1].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
-		p := connectProxyAt(t, all[1].address, newFakeProxy("read it", "write"), true)
+		proxy := connectProxyAt(t, all[1].address, newFakeProxy("read it", "write"), true)
 		all[1].stop()
-		if text, _ := all[1].logged.read(); !strings.Contains(text, "msg=handover_confirmed") || !p.isClosed() {
+		if text, _ := all[1].logged.read(); !strings.Contains(text, "msg=handover_confirmed") || !proxy.isClosed() {
 			t.Errorf("logged %s", text)
 		}
 	})
 	t.Run("one that has no majority serves by itself after a lease", func(t *testing.T) {
 		alone := runMembers(t, known, 3, "n0")[0]
-		h := newFakeProxy("read it", "write")
+		fake := newFakeProxy("read it", "write")
 		began := time.Now()
-		connectProxyAt(t, alone.address, h, true)
-		if text, _ := alone.logged.read(); len(h.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
-			t.Errorf("it can pick %v; logged %s", h.picks(0), text)
+		connectProxyAt(t, alone.address, fake, true)
+		if text, _ := alone.logged.read(); len(fake.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
+			t.Errorf("it can pick %v; logged %s", fake.picks(0), text)
 		}
 		if waited := time.Since(began); waited > 3*time.Second { // the grace of these settings
 			t.Errorf("it waited for %s", waited)
@@ -156,9 +156,9 @@
 	t.Run("with fencing tokens asked for, each push has its owner's", func(t *testing.T) {
 		all := runMembers(t, known, 2, "n0", "n1")
 		all[0].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
-		p := dial(t, all[0].address)
-		p.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true,"fence":true}`)
-		if raw := string(p.receive()); !strings.Contains(raw, `{"msg":"push","token":`) {
+		proxy := dial(t, all[0].address)
+		proxy.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true,"fence":true}`)
+		if raw := string(proxy.receive()); !strings.Contains(raw, `{"msg":"push","token":`) {
 			t.Errorf("got %q", raw)
 		}
 	})
--- a/controller/push_charge_test.go
+++ b/controller/push_charge_test.go
@@ -26,43 +26,43 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m, hearers, left := c.loop, map[*connection]*fakeProxy{}, 0
-			now := m.now
-			m.clock = func() int64 { return now }
-			m.iterate(func() {})
+			loop, hearers, left := c.loop, map[*connection]*fakeProxy{}, 0
+			now := loop.now
+			loop.clock = func() int64 { return now }
+			loop.iterate(func() {})
 			for step := range 160 {
-				advance(m, microsPerSecond/4, func() {
+				advance(loop, microsPerSecond/4, func() {
 					for range chance.IntN(4) {
 						switch node := chance.IntN(40); chance.IntN(5) {
 						case 0, 1:
-							p := newConnection(&readerConn{Reader: strings.NewReader("")}, step, m, func(*connection) error { return nil })
-							p.kind, p.proxy, p.zone = kindProxy, node, node%2
-							m.proxyConnected(p, 1+float64(chance.IntN(20)), chance.IntN(2) == 0)
-							hearers[p] = newFakeProxy("read it", "write")
+							conn := newConnection(&readerConn{Reader: strings.NewReader("")}, step, loop, func(*connection) error { return nil })
+							conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
+							loop.proxyConnected(conn, 1+float64(chance.IntN(20)), chance.IntN(2) == 0)
+							hearers[conn] = newFakeProxy("read it", "write")
 						case 2:
 							state := []string{"up", "draining", "removed"}[chance.IntN(3)]
-							m.endpointsUpdated(false, int64(step), parsed(t, "["+endpointJSON(chance.IntN(22), state)+"]").GetArray())
+							loop.endpointsUpdated(false, int64(step), parsed(t, "["+endpointJSON(chance.IntN(22), state)+"]").GetArray())
 						default: // a jam for a while, then none
 							for id := range 20 {
-								m.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0, 200_000 + int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+								loop.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0, 200_000 + int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 							}
 							for other := range 40 {
-								m.demandReported(other, other%2, 30, microsPerSecond)
+								loop.demandReported(other, other%2, 30, microsPerSecond)
 							}
 						}
 					}
 				})
-				for p, h := range hearers {
-					p.lastMessageAt.Store(m.now)
-					for len(p.outbox) > 0 {
-						before := h.messages
-						if err := h.apply(<-p.outbox); err != nil || h.messages != before+1 {
+				for conn, fake := range hearers {
+					conn.lastMessageAt.Store(loop.now)
+					for len(conn.outbox) > 0 {
+						before := fake.messages
+						if err := fake.apply(<-conn.outbox); err != nil || fake.messages != before+1 {
 							t.Fatal(err)
 						}
-						left += 4 + h.cost
+						left += 4 + fake.cost
 					}
 				}
-				if counted := m.decisions.QueueDelay(); int64(left) > counted {
+				if counted := loop.decisions.QueueDelay(); int64(left) > counted {
 					t.Fatalf("step %d: %d lines left, %d were counted", step, left, counted)
 				}
 			}
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -39,11 +39,11 @@
 		{"discovery is reset, then fails, then answers", "null", []string{"reset", "status 500", "{", twoEndpoints}, false, atOnce, 2},
 	} {
 		t.Run(story.what, func(t *testing.T) {
-			d := newFakeDiscovery(t)
+			discovery := newFakeDiscovery(t)
 			for _, text := range story.answers {
-				d.answers <- text
+				discovery.answers <- text
 			}
-			address := d.address
+			address := discovery.address
 			if story.refuses {
 				address = newRefusingAddress(t)
 			}
@@ -52,37 +52,37 @@
 					l.readyTimeout = 300 * time.Millisecond
 				}
 			})
-			c, p, h := dial(t, at), dial(t, at), newFakeProxy("read it", "write")
-			c.send(probe) // it waits since before readiness
-			if got := string(c.receive()[lengthSize:]); got != isAlive {
+			caller, proxy, fake := dial(t, at), dial(t, at), newFakeProxy("read it", "write")
+			caller.send(probe) // it waits since before readiness
+			if got := string(caller.receive()[lengthSize:]); got != isAlive {
 				t.Errorf("answered %q", got)
 			}
 			logged.waitFor(t, "msg=ready", 1)
 			if text, _ := logged.read(); !strings.Contains(text, fmt.Sprintf("reason=%q", story.why)) {
 				t.Errorf("ready for another reason: %s", text)
 			}
-			p.send(hello)
+			proxy.send(hello)
 			if story.picks == 0 { // nothing is ordered, and it is served
-				p.send(probe)
-				if got := string(p.receive()[lengthSize:]); got != isAlive {
+				proxy.send(probe)
+				if got := string(proxy.receive()[lengthSize:]); got != isAlive {
 					t.Errorf("got %q", got)
 				}
 				return
 			}
-			if err := h.apply(p.receive()); err != nil || story.picks > 0 && len(h.picks(0)) != story.picks {
-				t.Errorf("error %v, picks %v", err, h.picks(0))
+			if err := fake.apply(proxy.receive()); err != nil || story.picks > 0 && len(fake.picks(0)) != story.picks {
+				t.Errorf("error %v, picks %v", err, fake.picks(0))
 			}
 		})
 	}
 	t.Run("the list that comes after readiness is pushed to who has connected meanwhile", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		address, logged := serve(t, d.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
-		p, h := dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
+		discovery := newFakeDiscovery(t)
+		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
 		logged.waitFor(t, "msg=proxy_connected", 1)
-		d.answers <- twoEndpoints
-		if err := h.apply(p.receive()); err != nil || len(h.picks(0)) != 2 || len(h.picks(1)) != 2 {
-			t.Errorf("error %v, picks %v", err, h.lines)
+		discovery.answers <- twoEndpoints
+		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 {
+			t.Errorf("error %v, picks %v", err, fake.lines)
 		}
 	})
 }
@@ -132,19 +132,19 @@
 
 func TestDiscoveryThatIsSilentOrFails(t *testing.T) {
 	// follows has a proxy joined that hears what the list says.
-	follows := func(t *testing.T, d *fakeDiscovery, known string) (*client, *fakeProxy, *logBuffer) {
-		address, logged := serve(t, d.address, known, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
-		p, h := dial(t, address), newFakeProxy("read it", "write")
-		p.send(hello)
-		if err := h.apply(p.receive()); err != nil {
+	follows := func(t *testing.T, discovery *fakeDiscovery, known string) (*client, *fakeProxy, *logBuffer) {
+		address, logged := serve(t, discovery.address, known, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
+		proxy.send(hello)
+		if err := fake.apply(proxy.receive()); err != nil {
 			t.Fatal(err)
 		}
-		return p, h, logged
+		return proxy, fake, logged
 	}
-	until := func(t *testing.T, p *client, h *fakeProxy, picks ...string) {
+	until := func(t *testing.T, proxy *client, fake *fakeProxy, picks ...string) {
 		t.Helper()
-		for !slices.Equal(h.picks(0), picks) || !slices.Equal(h.picks(1), picks) {
-			if err := h.apply(p.receive()); err != nil {
+		for !slices.Equal(fake.picks(0), picks) || !slices.Equal(fake.picks(1), picks) {
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -163,51 +163,51 @@
 		}
 	})
 	t.Run("a drain told in the very answer that dies is told by the next", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		p, h, _ := follows(t, d, twoEndpoints)
+		discovery := newFakeDiscovery(t)
+		proxy, fake, _ := follows(t, discovery, twoEndpoints)
 		drain := listJSON(2, false, endpointJSON(0, "draining"))
-		d.answers <- "half" + drain[:len(drain)-9]
-		d.answers <- "reset"
-		d.answers <- drain
-		until(t, p, h, "s-1")
+		discovery.answers <- "half" + drain[:len(drain)-9]
+		discovery.answers <- "reset"
+		discovery.answers <- drain
+		until(t, proxy, fake, "s-1")
 	})
 	t.Run("a version told twice, one skipped, and one that goes back", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
 			five = append(five, endpointJSON(b, "up"))
 		}
-		p, h, logged := follows(t, d, listJSON(1, true, five...))
-		d.answers <- listJSON(2, false, endpointJSON(0, "draining"))
-		d.answers <- listJSON(2, false, endpointJSON(0, "draining"))
-		until(t, p, h, "s-1", "s-2", "s-3", "s-4")
-		d.answers <- listJSON(7, false, endpointJSON(1, "removed"))
-		until(t, p, h, "s-2", "s-3", "s-4")
-		d.answers <- listJSON(5, false, endpointJSON(0, "up"), endpointJSON(1, "up"))
+		proxy, fake, logged := follows(t, discovery, listJSON(1, true, five...))
+		discovery.answers <- listJSON(2, false, endpointJSON(0, "draining"))
+		discovery.answers <- listJSON(2, false, endpointJSON(0, "draining"))
+		until(t, proxy, fake, "s-1", "s-2", "s-3", "s-4")
+		discovery.answers <- listJSON(7, false, endpointJSON(1, "removed"))
+		until(t, proxy, fake, "s-2", "s-3", "s-4")
+		discovery.answers <- listJSON(5, false, endpointJSON(0, "up"), endpointJSON(1, "up"))
 		logged.waitFor(t, "version 5 is older than 7", 1)
-		d.answers <- listJSON(8, false, endpointJSON(2, "draining"))
-		until(t, p, h, "s-3", "s-4")
+		discovery.answers <- listJSON(8, false, endpointJSON(2, "draining"))
+		until(t, proxy, fake, "s-3", "s-4")
 	})
 	t.Run("changes are not taken for the full list that was asked for", func(t *testing.T) {
-		d := newFakeDiscovery(t)
+		discovery := newFakeDiscovery(t)
 		for range 5 {
-			d.answers <- "status 500"
+			discovery.answers <- "status 500"
 		}
-		d.answers <- listJSON(9, false, endpointJSON(7, "up")) // what came before it is not known
-		d.answers <- listJSON(9, true, endpointJSON(1, "up"), endpointJSON(7, "up"))
-		p, h, logged := follows(t, d, twoEndpoints)
-		until(t, p, h, "s-1", "s-7")
+		discovery.answers <- listJSON(9, false, endpointJSON(7, "up")) // what came before it is not known
+		discovery.answers <- listJSON(9, true, endpointJSON(1, "up"), endpointJSON(7, "up"))
+		proxy, fake, logged := follows(t, discovery, twoEndpoints)
+		until(t, proxy, fake, "s-1", "s-7")
 		logged.waitFor(t, "changes, where all was asked for", 1)
 	})
 	t.Run("one that ends each watch at once is not asked without a breath", func(t *testing.T) {
-		d, began := newFakeDiscovery(t), time.Now()
+		discovery, began := newFakeDiscovery(t), time.Now()
 		const calls, breath = 10, 20 * time.Millisecond
 		for range calls {
-			d.answers <- listJSON(1, false)
+			discovery.answers <- listJSON(1, false)
 		}
-		serve(t, d.address, twoEndpoints, func(l *limits) { l.watchWait, l.minBackoff = patience, breath })
+		serve(t, discovery.address, twoEndpoints, func(l *limits) { l.watchWait, l.minBackoff = patience, breath })
 		for range calls {
-			<-d.asked
+			<-discovery.asked
 		}
 		if spent := time.Since(began); spent < (calls-1)*breath/2 {
 			t.Errorf("%d calls within %v", calls, spent)
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -17,39 +17,41 @@
 		c := deployment{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []classSettings{
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
-		m := c.newLoop(t, 8)
-		h, p := newFakeProxy(c.classNames()...), (*connection)(nil)
+		loop := c.newLoop(t, 8)
+		fake, conn := newFakeProxy(c.classNames()...), (*connection)(nil)
 		cut := 0
 		for turn := range 60 {
 			switch turn % 20 {
 			case 0: // restarted stream, or its first
-				p = connectProxy(t, m, turn+1, 0, turn%40 == 20)
+				conn = connectProxy(t, loop, turn+1, 0, turn%40 == 20)
 				if turn%40 == 0 {
-					h = newFakeProxy(c.classNames()...)
+					fake = newFakeProxy(c.classNames()...)
 				}
 			case 7:
-				m.iterate(func() { m.endpointsUpdated(false, 2, parsed(t, "["+c.endpointJSON(1, "draining", 0)+"]").GetArray()) })
+				loop.iterate(func() {
+					loop.endpointsUpdated(false, 2, parsed(t, "["+c.endpointJSON(1, "draining", 0)+"]").GetArray())
+				})
 			case 14:
-				m.iterate(func() {
-					m.endpointsUpdated(false, 3, parsed(t, "["+c.endpointJSON(1, "up", m.now/1000)+"]").GetArray())
+				loop.iterate(func() {
+					loop.endpointsUpdated(false, 3, parsed(t, "["+c.endpointJSON(1, "up", loop.now/1000)+"]").GetArray())
 				})
 			}
-			advance(m, microsPerSecond/2, func() {
-				p.lastMessageAt.Store(m.now)
+			advance(loop, microsPerSecond/2, func() {
+				conn.lastMessageAt.Store(loop.now)
 				for b := range 8 {
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					m.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+					loop.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
 				for class := range 4 {
-					m.demandReported(0, class, 30, microsPerSecond/2)
+					loop.demandReported(0, class, 30, microsPerSecond/2)
 				}
 			})
-			h.receive(t, p)
-			for _, mark := range h.nonces {
-				m.iterate(func() { m.acknowledged(p, mark) })
+			fake.receive(t, conn)
+			for _, mark := range fake.nonces {
+				loop.iterate(func() { loop.acknowledged(conn, mark) })
 			}
-			h.nonces = nil
-			for class, l := range h.limits {
+			fake.nonces = nil
+			for class, l := range fake.limits {
 				if l == nil {
 					continue
 				}
@@ -65,32 +67,32 @@
 	})
 	t.Run("a permission is written for just the classes that it is meant for", func(t *testing.T) {
 		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
-		to := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
-		here, p := newFakeProxy("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
-		to.connect(0, p, false)
+		tables := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
+		here, conn := newFakeProxy("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
+		tables.connect(0, conn, false)
 		story := rand.New(rand.NewPCG(3, 4))
 		want := make([]float64, 3)
-		to.AssignTable(0, 0, 0b011)
-		to.AssignTable(1, 0, 0b100)
+		tables.AssignTable(0, 0, 0b011)
+		tables.AssignTable(1, 0, 0b100)
 		for turn := range 300 {
 			for class := range 3 {
 				if story.IntN(3) == 0 {
 					want[class] = float64(story.IntN(2))
-					to.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.RetryPolicy(want[class]))
+					tables.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.RetryPolicy(want[class]))
 				} else if turn == 0 {
-					to.SetAdmissionLimit(balancer.AllTables, 1<<class, 5, balancer.NoRetry)
+					tables.SetAdmissionLimit(balancer.AllTables, 1<<class, 5, balancer.NoRetry)
 				}
 			}
 			switch story.IntN(4) {
 			case 0:
-				to.AssignTable(0, 0, 0b011) // a full table forgets levels
+				tables.AssignTable(0, 0, 0b011) // a full table forgets levels
 			case 1:
-				to.AssignTable(1, 0, 0b100)
+				tables.AssignTable(1, 0, 0b100)
 			case 2:
-				to.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
+				tables.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
 			}
-			to.flush((*connection).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
-			here.receive(t, p)
+			tables.flush((*connection).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
+			here.receive(t, conn)
 			for class, l := range here.limits {
 				if l == nil || l[1] != want[class] {
 					t.Fatalf("turn %d: class %d has level %v, permission %g was meant", turn, class, l, want[class])
--- a/controller/server_bounds_test.go
+++ b/controller/server_bounds_test.go
@@ -64,10 +64,10 @@
 	address := tcp.Addr().String()
 	var proxies []*client
 	for node := range joined {
-		p := dial(t, address)
-		p.send(helloOf(node))
-		p.receive()
-		proxies = append(proxies, p)
+		proxy := dial(t, address)
+		proxy.send(helloOf(node))
+		proxy.receive()
+		proxies = append(proxies, proxy)
 	}
 	var silent []*client
 	for range flood {
@@ -81,8 +81,8 @@
 	if most := listener.most.Load(); most != limit {
 		t.Errorf("%d connections were open at once, want the limit of %d to be reached and kept", most, limit)
 	}
-	for _, p := range proxies { // none of them made room
-		p.send(probe)
-		p.receive()
+	for _, proxy := range proxies { // none of them made room
+		proxy.send(probe)
+		proxy.receive()
 	}
 }
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -25,51 +25,51 @@
 
 func TestServingConnections(t *testing.T) {
 	t.Run("a proxy joins, gets a drain, and acknowledges pushes; a collector reports", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		address, logged := serve(t, d.address, twoEndpoints, nil)
+		discovery := newFakeDiscovery(t)
+		address, logged := serve(t, discovery.address, twoEndpoints, nil)
 		stranger := dial(t, address)
 		stranger.send(probe)
 		if got := string(stranger.receive()[4:]); got != `{"msg":"alive"}` {
 			t.Errorf("a probe is answered %q", got)
 		}
-		p, h := dial(t, address), newFakeProxy("read it", "write")
+		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
 		for _, b := range frame(hello) { // in pieces
-			p.Write([]byte{b})
+			proxy.Write([]byte{b})
 		}
-		if err := h.apply(p.receive()); err != nil || len(h.picks(1)) != 2 {
-			t.Fatalf("error %v, got %+v", err, h)
+		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(1)) != 2 {
+			t.Fatalf("error %v, got %+v", err, fake)
 		}
-		many := slices.Concat(frame(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":3.1}`, h.nonces[0])),
+		many := slices.Concat(frame(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":3.1}`, fake.nonces[0])),
 			frame(usage), frame(usage), frame(probe))
-		p.Write(many) // several in one go
-		if got := string(p.receive()[4:]); got != `{"msg":"alive"}` {
+		proxy.Write(many) // several in one go
+		if got := string(proxy.receive()[4:]); got != `{"msg":"alive"}` {
 			t.Errorf("a proxy's probe is answered %q", got)
 		}
-		c := dial(t, address)
-		c.send(agent)
-		c.send(reports)
-		c.send(usage)
-		c.send(probe)
-		c.receive()
-		d.answers <- listJSON(2, false, endpointJSON(0, "draining"), endpointJSON(4, "up"))
-		for !slices.Equal(h.picks(0), []string{"s-1", "s-4"}) {
-			if err := h.apply(p.receive()); err != nil {
+		caller := dial(t, address)
+		caller.send(agent)
+		caller.send(reports)
+		caller.send(usage)
+		caller.send(probe)
+		caller.receive()
+		discovery.answers <- listJSON(2, false, endpointJSON(0, "draining"), endpointJSON(4, "up"))
+		for !slices.Equal(fake.picks(0), []string{"s-1", "s-4"}) {
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		p.Close()
+		proxy.Close()
 		logged.waitFor(t, "msg=proxy_disconnected proxy=3", 1)
 	})
 	t.Run("nothing is answered before the list is known", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		address, logged := serve(t, d.address, "null", nil)
-		p := dial(t, address)
-		p.send(probe)
+		discovery := newFakeDiscovery(t)
+		address, logged := serve(t, discovery.address, "null", nil)
+		proxy := dial(t, address)
+		proxy.send(probe)
 		if text, _ := logged.read(); strings.Contains(text, "msg=ready") {
 			t.Error("ready without a backend")
 		}
-		d.answers <- twoEndpoints
-		p.receive()
+		discovery.answers <- twoEndpoints
+		proxy.receive()
 		logged.waitFor(t, "msg=ready", 1)
 	})
 	t.Run("odd messages are skipped, unreadable ones end the stream", func(t *testing.T) {
@@ -81,41 +81,41 @@
 			`{"msg":"demand","node":3,"route":"write","total":1e99,"interval":1}`,
 			`{"msg":"demand","node":3,"route":"write","total":1,"interval":-4}`,
 			`{"msg":"demand","node":"3","route":"write","total":1,"interval":1,"further":[{"x":null}]}`}
-		p := dial(t, address)
-		p.send(hello)
-		p.receive()
+		proxy := dial(t, address)
+		proxy.send(hello)
+		proxy.receive()
 		for _, text := range skipped {
-			p.send(text)
+			proxy.send(text)
 		}
-		p.send(probe)
-		if got := string(p.receive()[4:]); got != `{"msg":"alive"}` {
+		proxy.send(probe)
+		if got := string(proxy.receive()[4:]); got != `{"msg":"alive"}` {
 			t.Errorf("got %q", got)
 		}
-		c := dial(t, address)
-		c.send(agent)
+		caller := dial(t, address)
+		caller.send(agent)
 		for _, change := range [][2]string{{`"s-0"`, `"s-9"`}, {`"s-0"`, `8`}, {`"a"`, `"z"`}, {`9`, `-9`}, {`9`, `"9"`},
 			{`41.7`, `[]`}, {`"errors":1`, `"errors":1e9`}, {`41.7`, `41.7,"metrics":{"util":"high","queue":-1}`}, {`41.7`, `41.7,"metrics":3`}} {
-			c.send(strings.Replace(reports, change[0], change[1], 1))
+			caller.send(strings.Replace(reports, change[0], change[1], 1))
 		}
-		c.send(hello)
-		c.send(probe)
-		c.receive()
+		caller.send(hello)
+		caller.send(probe)
+		caller.receive()
 		logged.waitFor(t, "msg=message_skipped", 5)
 		for _, raw := range []string{"\x00\x00\x00\x00", "\x00\x10\x00\x01", "\xff\xff\xff\xff", string(frame("{")),
 			string(frame("[1]")), string(frame("null")), string(frame(strings.Repeat("[", 5000)))} {
-			q := dial(t, address)
-			q.send(strings.Replace(hello, "3", "7", 1))
-			q.receive()
-			q.Write([]byte(raw))
-			if !q.isClosed() {
+			otherProxy := dial(t, address)
+			otherProxy.send(strings.Replace(hello, "3", "7", 1))
+			otherProxy.receive()
+			otherProxy.Write([]byte(raw))
+			if !otherProxy.isClosed() {
 				t.Errorf("%.20q was taken", raw)
 			}
 		}
 		for _, text := range []string{strings.Replace(hello, "3", "40", 1), strings.Replace(hello, `"b"`, `"q"`, 1),
 			strings.Replace(agent, `"a"`, `7`, 1), strings.Repeat(" ", 20000) + hello} {
-			q := dial(t, address)
-			q.Write(frame(text))
-			if !q.isRefused() {
+			otherProxy := dial(t, address)
+			otherProxy.Write(frame(text))
+			if !otherProxy.isRefused() {
 				t.Errorf("%.40q was taken", text)
 			}
 		}
@@ -128,15 +128,15 @@
 			"an order": string(frame(push)), "HTTP": "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "no object": string(frame("[]")),
 			"half a hello": string(frame(hello)[:20]), "no length": "\x00\x00\x00\x00", "nothing": "",
 			"too much": "\x7f\xff\xff\xff" + strings.Repeat("x", 9000)} {
-			c := dial(t, address)
-			if c.Write([]byte(bad)); !c.isRefused() {
+			caller := dial(t, address)
+			if caller.Write([]byte(bad)); !caller.isRefused() {
 				t.Errorf("%s: it was not refused", what)
 			}
 		}
 		for size := range 40 { // each breaks off elsewhere, and that is one sort of line
-			c := dial(t, address)
-			c.Write(frame(hello)[:5+size])
-			c.Close()
+			caller := dial(t, address)
+			caller.Write(frame(hello)[:5+size])
+			caller.Close()
 		}
 		logged.waitFor(t, "msg=unidentified_closed", 3)
 		if text, _ := logged.read(); strings.Count(text, "msg=unidentified_closed") > 10 {
@@ -145,48 +145,48 @@
 		if spent := time.Since(began); spent > 2*time.Second {
 			t.Errorf("all that took %v", spent) // only those that are not done saying something wait for the deadline
 		}
-		c, trickle := dial(t, address), dial(t, address)
+		caller, trickle := dial(t, address), dial(t, address)
 		for range time.Tick(time.Millisecond) { // a probe renews nothing, nor does another byte
-			_, err := c.Write(frame(probe))
+			_, err := caller.Write(frame(probe))
 			if _, late := trickle.Write([]byte(hello)[:1]); err != nil && late != nil {
 				break
 			}
 		}
 	})
 	t.Run("what arrived while we stalled is read before anybody is judged late", func(t *testing.T) {
-		m, _ := newIdleLoop(t)
-		m.limits.identifyTimeout = time.Nanosecond
+		loop, _ := newIdleLoop(t)
+		loop.limits.identifyTimeout = time.Nanosecond
 		here, there := net.Pipe()
 		go there.Write(frame(hello))
-		p := newConnection(here, 1, m, func(*connection) error { there.Close(); return nil })
-		if err := p.readMessages(); p.kind != kindProxy {
-			t.Errorf("it is a %v: %v", p.kind, err)
+		conn := newConnection(here, 1, loop, func(*connection) error { there.Close(); return nil })
+		if err := conn.readMessages(); conn.kind != kindProxy {
+			t.Errorf("it is a %v: %v", conn.kind, err)
 		}
 	})
 	t.Run("unidentified connections that say nothing are ended, and keep nobody out", func(t *testing.T) {
-		d := newFakeDiscovery(t)
-		address, logged := serve(t, d.address, twoEndpoints, func(l *limits) { l.maxUnidentified, l.identifyTimeout = 10, 200*time.Millisecond })
-		p := dial(t, address)
-		p.send(hello)
-		p.receive()
+		discovery := newFakeDiscovery(t)
+		address, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.maxUnidentified, l.identifyTimeout = 10, 200*time.Millisecond })
+		proxy := dial(t, address)
+		proxy.send(hello)
+		proxy.receive()
 		before := runtime.NumGoroutine()
 		var silent []*client
 		for range 100 {
 			silent = append(silent, dial(t, address))
 		}
-		q, c := dial(t, address), dial(t, address)
-		q.send(strings.Replace(hello, "3", "4", 1))
-		q.receive()
-		c.send(agent)
-		c.send(probe)
-		c.receive()
+		otherProxy, caller := dial(t, address), dial(t, address)
+		otherProxy.send(strings.Replace(hello, "3", "4", 1))
+		otherProxy.receive()
+		caller.send(agent)
+		caller.send(probe)
+		caller.receive()
 		for _, s := range silent {
 			if !s.isRefused() {
 				t.Error("an unidentified connection stayed")
 			}
 		}
-		p.send(probe)
-		p.receive()
+		proxy.send(probe)
+		proxy.receive()
 		logged.waitFor(t, "msg=unidentified_closed", 1)
 		for late := time.Now().Add(patience); runtime.NumGoroutine() > before+20; runtime.Gosched() {
 			if time.Now().After(late) {
@@ -195,15 +195,15 @@
 		}
 	})
 	t.Run("a peer that reads nothing ends when a message does not leave in time", func(t *testing.T) {
-		m, logged := newIdleLoop(t)
-		m.limits.writeTimeout = 20 * time.Millisecond
-		p := connectProxy(t, m, 1, 0, false) // its first table waits already
-		p.run()
-		if text, _ := logged.read(); !strings.Contains(fmt.Sprint(p.closeReason), "write: ") {
-			t.Errorf("ended by %v: %s", p.closeReason, text)
-		}
-		m.iterate(func() {})
-		if m.isCurrent(p) {
+		loop, logged := newIdleLoop(t)
+		loop.limits.writeTimeout = 20 * time.Millisecond
+		conn := connectProxy(t, loop, 1, 0, false) // its first table waits already
+		conn.run()
+		if text, _ := logged.read(); !strings.Contains(fmt.Sprint(conn.closeReason), "write: ") {
+			t.Errorf("ended by %v: %s", conn.closeReason, text)
+		}
+		loop.iterate(func() {})
+		if loop.isCurrent(conn) {
 			t.Error("it is still joined")
 		}
 	})
@@ -215,20 +215,20 @@
 				dial(t, address)
 			}
 			for node := range 40 {
-				p := dial(t, address)
-				p.send(strings.Replace(hello, "3", fmt.Sprint(node), 1))
-				p.send(probe)
-				if old = append(old, p); round == 1 {
-					now = append(now, p)
+				proxy := dial(t, address)
+				proxy.send(strings.Replace(hello, "3", fmt.Sprint(node), 1))
+				proxy.send(probe)
+				if old = append(old, proxy); round == 1 {
+					now = append(now, proxy)
 				}
 			}
 		}
-		for _, p := range now {
-			p.receive()
+		for _, proxy := range now {
+			proxy.receive()
 		}
-		for _, p := range old[:40] {
-			for p.SetReadDeadline(time.Now().Add(patience)); ; {
-				if _, err := p.in.ReadByte(); err != nil {
+		for _, proxy := range old[:40] {
+			for proxy.SetReadDeadline(time.Now().Add(patience)); ; {
+				if _, err := proxy.in.ReadByte(); err != nil {
 					break
 				}
 			}
@@ -241,33 +241,33 @@
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxIdentified = 4 })
 		var all []*client
 		for range 3 {
-			c := dial(t, address)
-			c.send(agent)
-			c.send(probe)
-			c.receive()
-			all = append(all, c)
+			caller := dial(t, address)
+			caller.send(agent)
+			caller.send(probe)
+			caller.receive()
+			all = append(all, caller)
 		}
 		if !all[0].isClosed() {
 			t.Error("the oldest stayed")
 		}
 		for node := range 3 {
-			p := dial(t, address)
-			p.send(strings.Replace(hello, "3", fmt.Sprint(node), 1))
+			proxy := dial(t, address)
+			proxy.send(strings.Replace(hello, "3", fmt.Sprint(node), 1))
 			if node < 2 {
-				p.receive()
-			} else if !p.isRefused() {
+				proxy.receive()
+			} else if !proxy.isRefused() {
 				t.Error("one beyond the budget was taken")
 			}
 		}
 	})
 	t.Run("without a descriptor left the oldest unidentified connection makes room", func(t *testing.T) {
-		m, logged := newIdleLoop(t)
+		loop, logged := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
 		defer here.Close()
 		short := &shortListener{Listener: &net.TCPListener{}, conns: []net.Conn{there, nil, nil}, done: ctx.Done()}
 		ended := make(chan error)
-		s := &server{limits: m.limits, loop: m, log: m.log}
+		s := &server{limits: loop.limits, loop: loop, log: loop.log}
 		go func() { ended <- s.run(ctx, short) }()
 		logged.waitFor(t, "msg=accept_failed", 1)
 		logged.waitFor(t, "msg=unidentified_closed", 1)
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -30,13 +30,13 @@
 		serve(t, newDeafAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = patience }) // and ends with the story
 	})
 	t.Run("a peer that reads nothing holds nothing up, and no push leaves that was not counted", func(t *testing.T) {
-		m, _ := newIdleLoop(t)
+		loop, _ := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
 		short := &shortListener{Listener: &net.TCPListener{}, conns: []net.Conn{here}, done: ctx.Done()}
 		ended, ran := make(chan error, 1), make(chan struct{})
-		s := &server{limits: m.limits, loop: m, log: m.log}
-		go func() { defer close(ran); m.run(ctx) }()
+		s := &server{limits: loop.limits, loop: loop, log: loop.log}
+		go func() { defer close(ran); loop.run(ctx) }()
 		go func() { ended <- s.run(ctx, short) }()
 		there.Write(frame(hello))
 		first := make([]byte, 1) // the order is being written, and goes no further
@@ -58,13 +58,13 @@
 			t.Fatalf("one of an earlier story is left:\n%s", left)
 		}
 		t.Run("of one with proxies, collectors, unidentified connections and a reload under way", func(t *testing.T) {
-			d, next := newFakeDiscovery(t), newFakeDiscovery(t)
-			d.answers <- "silence"
-			c, address, _ := runController(t, d.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
+			discovery, next := newFakeDiscovery(t), newFakeDiscovery(t)
+			discovery.answers <- "silence"
+			c, address, _ := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
 			for node := range 5 {
-				p := dial(t, address)
-				p.send(helloOf(node))
-				p.receive()
+				proxy := dial(t, address)
+				proxy.send(helloOf(node))
+				proxy.receive()
 				dial(t, address).send(agent)
 				dial(t, address)
 			}
--- a/controller/unusable_messages_test.go
+++ b/controller/unusable_messages_test.go
@@ -28,13 +28,13 @@
 	t.Run("a message is taken whole or not at all, whoever sends it", func(t *testing.T) {
 		for _, text := range spoilt {
 			for _, first := range []string{hello, agent} {
-				m, logged := newIdleLoop(t)
-				m.limits.logRepeatInterval = 0
+				loop, logged := newIdleLoop(t)
+				loop.limits.logRepeatInterval = 0
 				raw := append(append(frame(first), frame(text)...), frame(usage)...)
-				p := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, m, func(*connection) error { return nil })
-				err := p.readMessages()
-				m.iterate(func() {})
-				came, log := len(m.inbox), logged.text.String()
+				conn := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, loop, func(*connection) error { return nil })
+				err := conn.readMessages()
+				loop.iterate(func() {})
+				came, log := len(loop.inbox), logged.text.String()
 				switch object := fastjson.Validate(text) == nil && strings.HasPrefix(text, "{"); {
 				case !object && (!errors.Is(err, errUnreadable) || came != 0):
 					t.Errorf("%.60s: the stream went on: %v", text, err)
@@ -52,19 +52,19 @@
 			text = fmt.Appendf(text, `,"%x":0`, i)
 		}
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		p := dial(t, address)
-		p.send(hello)
-		p.receive()
-		p.send(string(append(text, '}')))
-		if got := string(p.receive()[lengthSize:]); got != isAlive || time.Since(began) > patience/4 {
+		proxy := dial(t, address)
+		proxy.send(hello)
+		proxy.receive()
+		proxy.send(string(append(text, '}')))
+		if got := string(proxy.receive()[lengthSize:]); got != isAlive || time.Since(began) > patience/4 {
 			t.Errorf("got %q after %v", got, time.Since(began))
 		}
 	})
 	t.Run("nobody joins by a hello that names two", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		c := dial(t, address)
-		c.send(`{"msg":"hello","node":3,"node":4,"locality":"b","w":1,"cold":true}`)
-		if texts, err := c.readRest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errUnacceptable.Error()) {
+		caller := dial(t, address)
+		caller.send(`{"msg":"hello","node":3,"node":4,"locality":"b","w":1,"cold":true}`)
+		if texts, err := caller.readRest(); err != nil || len(texts) != 1 || !strings.Contains(texts[0], errUnacceptable.Error()) {
 			t.Errorf("got %q, error %v", texts, err)
 		}
 		if text, _ := logged.read(); strings.Contains(text, "msg=proxy_connected") {
@@ -84,18 +84,18 @@
 			{padded(helloOf(3), 1<<10+1), nil, false},
 			{[]byte{0, 0, 0, 0}, nil, false},
 		} {
-			p := dial(t, address)
-			p.Write(x.first)
+			proxy := dial(t, address)
+			proxy.Write(x.first)
 			if x.then != nil {
-				p.receive()
-				p.Write(x.then)
+				proxy.receive()
+				proxy.Write(x.then)
 			}
 			if !x.stays {
-				_, _ = p.readRest() // until the stream ends
+				_, _ = proxy.readRest() // until the stream ends
 				if x.then != nil {
 					logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 				}
-			} else if got := string(p.receive()[lengthSize:]); got != isAlive {
+			} else if got := string(proxy.receive()[lengthSize:]); got != isAlive {
 				t.Errorf("node %d got %q", node, got)
 			}
 		}
