--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -66,10 +66,10 @@
 	switch {
 	case m.WantSnapshot || n.store.version.Epoch.Newer(m.Version.Epoch):
 		return true
-	case n.isAhead(m.Version):
+	case n.isBehind(m.Version):
 		return false
 	}
-	return n.contentDiffers(m) || !n.store.deltasReachBackTo(m.Version, m.Scopes, n.limits.BatchBytes)
+	return n.contentDiffers(m) || !n.store.deltaPossible(m.Version, m.Scopes, n.limits.BatchBytes)
 }
 
 // contentDiffers tells whether a child has other entries than this node had at the child's revision; false where the log
@@ -88,7 +88,7 @@
 	if len(n.children) >= n.limits.FanOut && n.evictionCandidate(m) == nil {
 		return RefusedFull
 	}
-	snapshotDue := n.needsSnapshot(m) && !n.isAhead(m.Version)
+	snapshotDue := n.needsSnapshot(m) && !n.isBehind(m.Version)
 	if snapshotDue && n.snapshotsPending() >= n.limits.MaxSnapshots {
 		return RefusedBusy
 	}
--- a/distribution/deltas.go
+++ b/distribution/deltas.go
@@ -23,7 +23,7 @@
 // Nothing is queued for a child: what it has yet to get is what the log holds after the version sent to it, and if the
 // log drops that, a snapshot follows.
 func (n *Node) sendDeltas(c *child, now Microseconds) (allSent bool) {
-	for !c.awaitsSnapshot && c.snapshot == nil && !n.isAhead(c.sentVersion) && c.unconfirmedBytes < n.limits.Window {
+	for !c.awaitsSnapshot && c.snapshot == nil && !n.isBehind(c.sentVersion) && c.unconfirmedBytes < n.limits.Window {
 		delta, possible := n.store.deltaFrom(c.sentVersion, c.scopes, n.limits.BatchBytes)
 		if !possible {
 			c.awaitsSnapshot = true
@@ -40,8 +40,8 @@
 	return false
 }
 
-// isAhead tells whether a child at a version has what this node has yet to get.
-func (n *Node) isAhead(version Version) bool { return n.store.version.Before(version) }
+// isBehind tells whether this node has yet to get what a child at a version has.
+func (n *Node) isBehind(version Version) bool { return n.store.version.Before(version) }
 
 // scheduleHeartbeats has every child get a heartbeat with the next Tick.
 func (n *Node) scheduleHeartbeats(now Microseconds) {
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -20,7 +20,7 @@
 func (n *Node) snapshotsPending() int {
 	pending := 0
 	for _, child := range n.children {
-		waiting := child.awaitsSnapshot && !n.isAhead(child.sentVersion)
+		waiting := child.awaitsSnapshot && !n.isBehind(child.sentVersion)
 		if waiting || child.snapshot != nil {
 			pending++
 		}
@@ -41,7 +41,7 @@
 		if underWay >= n.limits.MaxSnapshots {
 			return
 		}
-		if !child.awaitsSnapshot || n.isAhead(child.sentVersion) {
+		if !child.awaitsSnapshot || n.isBehind(child.sentVersion) {
 			continue
 		}
 		child.awaitsSnapshot = false
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -194,8 +194,8 @@
 	return noDelta
 }
 
-// deltasReachBackTo tells whether deltaFrom is possible. It makes no delta; of a merged change it has to learn the size.
-func (s *store) deltasReachBackTo(from Version, scopes Scopes, batchBytes int) bool {
+// deltaPossible tells whether deltaFrom is possible. It makes no delta; of a merged change it has to learn the size.
+func (s *store) deltaPossible(from Version, scopes Scopes, batchBytes int) bool {
 	switch s.deltaSourceFor(from) {
 	case deltaFromLog:
 		return true
