--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -14,7 +14,7 @@
 	listed       bool         // the list has named it
 	subset       int          // which subset it is in
 	seenDraining bool         // it was draining since it was last ready
-	drainDelay   Microseconds // how long its drain had been ordered when it was listed
+	drainDelay   Microseconds // time from its drain's order to the last list that named it as draining
 
 	published float64      // its weight in our tables; 0 if it has no entry
 	withdrawn bool         // proxies were notified to keep off it, whatever tables they hold
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -56,7 +56,7 @@
 	// Publication.
 	publishedAt    Microseconds // when ordinary changes last went out; 0 if some were left over
 	changedAt      Microseconds // when any change last went to several proxies
-	remainingGrace Microseconds // what is left of the drain grace, see drainGraceLeft
+	graceAtListing Microseconds // what pending drains had of their grace as they were last listed, see computeGraceAtListing
 	queueCongested bool         // changes wait for the channel, so tables of proxies do as well
 	syncQueue      []int        // proxies that wait for tables, and then to be cleared of withdrawals
 
@@ -79,7 +79,7 @@
 		sharding:       newShardingState(config.Sharding, config.Classes),
 		admission:      newAdmissionState(config.Admission, config.Classes),
 		evaluatedAt:    host.Now(),
-		remainingGrace: config.Rules.DrainGrace,
+		graceAtListing: config.Rules.DrainGrace,
 		subsetCount:    1,
 	}
 	for i, class := range config.Classes {
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -4,8 +4,13 @@
 // unless RuleLimits.OnlyDrainingMustLeave. Such a change goes out at once (publish.go), and withdrawals follow for
 // proxies that hold tables of other controllers.
 //
-// Inputs are the listed state and Endpoint.DrainingSince (microseconds): a drain that is listed late has only what is
-// left of its grace.
+// What leaves first in a round, as far as the channel has room (pushqueue.go): required entries, subset by subset, in each
+// the largest change first; ordinary entries in the same order, up to half the capacity; entries that move between subsets;
+// withdrawals; limits. What found no room is tried again with each tick and each endpoint list, not with an ack. Nothing
+// here notices that a drain is late: invariant/drain_grace.go does, in checked runs.
+//
+// Inputs are the listed state and Endpoint.DrainingSince (microseconds): a drain that was ordered some time before it was
+// listed has less of its grace left.
 
 // noteDrain takes in that the backend is listed as not ready.
 func (b *backendState) noteDrain(now Microseconds) {
@@ -24,9 +29,9 @@
 	return backend.listed && backend.State != Ready && binds
 }
 
-// drainGraceLeft is what is left of the grace of the drain that was listed latest after its order, until all proxies
-// are notified.
-func (c *Controller) drainGraceLeft() Microseconds {
+// computeGraceAtListing is the drain grace less the longest time from a pending drain's order to the last list that named
+// it. A drain is pending until all proxies are notified. The figure does not count down with time, only with further lists.
+func (c *Controller) computeGraceAtListing() Microseconds {
 	delay := Microseconds(0)
 	for _, backend := range c.backends {
 		pending := backend.published > 0 || !backend.withdrawn
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -71,8 +71,8 @@
 				t.Errorf("ordered %d us ago: waits %v", late, waiting)
 			}
 			host.run(3, nil)
-			if host.controller.remainingGrace != settings.limits.DrainGrace {
-				t.Errorf("%d us are left of the grace once all is told", host.controller.remainingGrace)
+			if host.controller.graceAtListing != settings.limits.DrainGrace {
+				t.Errorf("%d us are left of the grace once all is told", host.controller.graceAtListing)
 			}
 			host.controller.EndpointsUpdated(false, []Endpoint{{Backend: 2, State: Ready, Weight: 2}})
 			host.run(12, func() { host.reportHealthy() })
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -20,7 +20,7 @@
 	acknowledged     int64          // push batches up to this number have come through
 	messageTimes     []Microseconds // when messages went to it, within the window that counts
 	peerMessageTimes []Microseconds // when those of other controllers did, for when it connects
-	reserveReleased  bool           // they did, so that its tables may use what is kept for urgent messages
+	reserveReleased  bool           // peers told of theirs before it connected (even of none); then only 2 are kept for urgent ones
 }
 
 // mayKeepOff tells whether the proxy may keep off a backend until its first entry, which costs it a line more.
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -9,9 +9,10 @@
 // Publication: table entries that differ from their target weight (weight.go) go out to all proxies of their tables.
 //
 // Required changes go at once: entries of backends that must be left (drain.go), lower weights of backends that are
-// warming up, the first entries of empty tables, backends for a short subset (subset.go), and a cut of the admission
-// limit (admission.go). Where they do not fit into the channel, they go in pieces. The rest goes every 2 s at most,
-// subset by subset, those that change most first, within half the capacity; what is left over goes as soon as there is
+// warming up, the first entries of empty tables, backends for a short subset (subset.go), and a lowered admission limit
+// (admission.go). Where they do not fit into the channel, they go in pieces. The rest, the ordinary changes, goes every
+// minPublishInterval at most, and besides with every round of required ones, since it shares their messages; subset by
+// subset, those that change most first, within ordinaryShare of the capacity. What is left over goes as soon as there is
 // room, but nothing that would make the tables of waiting proxies late (sync.go).
 //
 // Withdrawals follow the entries, for proxies that may hold tables of other controllers.
@@ -34,18 +35,18 @@
 
 	targetBySubset []float64 // target weight by subset
 	fairWeight     float64   // of a subset
-	messagePaid    []bool    // by subset: its proxies are sent a message anyhow
+	messagePaid    []bool    // by subset: its proxies are sent a message in any case
 
 	changesDue     bool  // some entry or limit is not as it should be
 	requiredLines  Lines // what required changes cost
 	withdrawalsDue float64
-	tablesSuffice  bool // tables notify outsiders as well as withdrawals would
+	tablesSuffice  bool // complete tables for outsiders come in time, at a cost that makes withdrawals needless
 }
 
-// publishChanges publishes what differs from the tables that stand: what is required, and ordinary changes too if it is
-// their time.
+// publishChanges publishes what differs from the tables that stand, if something is required or it is time for ordinary
+// changes. A round that begins takes both: ordinary entries and limits go along with required ones.
 func (c *Controller) publishChanges(now Microseconds, ordinary bool) {
-	c.remainingGrace = c.drainGraceLeft()
+	c.graceAtListing = c.computeGraceAtListing()
 	c.reserveForTables(now, map[int]float64{})
 	plan := c.planPublication(now)
 	goes := (ordinary || plan.requiredLines > 0) && c.mayPublish(now, plan.requiredLines)
@@ -252,7 +253,7 @@
 }
 
 // publishWithdrawals tells proxies that may hold tables of others which backends must be left, once these have no entry:
-// as long as one stands, a withdrawal would cost each assigned proxy a line too.
+// as long as one stands, a withdrawal would cost each proxy with our tables a line too.
 func (c *Controller) publishWithdrawals(plan *publication) {
 	if plan.tablesSuffice {
 		return
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -7,16 +7,18 @@
 )
 
 // Sync: a proxy that connects holds tables of another controller, or none. It gets ours, complete, as soon as there is
-// room; until then it is notified which backends are withdrawn and which limits stand, as rules bind whatever tables it
-// brought.
+// room. While it waits for them it may be notified, by a message of its own, which backends are withdrawn and which limits
+// stand, as rules bind whatever tables it brought.
 //
 // Order of tables: proxies that have waited for half the drain grace first, then those with the most baseline demand
 // where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
-// once tables would come later than three quarters of the grace.
+// once tables would come later than tablesShareOfGrace of the grace.
 //
-// A proxy is notified of withdrawals by a message of its own only if its tables would not do in time: they come as soon as
-// those of all who wait can leave within three quarters of the grace, and cost at most three times such a message. A
-// quarter of the capacity stays free for what cannot wait.
+// A proxy is sent that message only if something is withdrawn or it may hold withdrawals of others, and if the message is
+// worth its cost: its tables cost at least tableCostWorthMessage times as much, or cannot go as one of them is empty. Nor
+// is it sent while changes wait for the channel, as these go first, or where tables come soon enough: those of all who wait
+// leave within tablesShareOfGrace of the grace, and each costs at most tableCostPerMessage times the message. A proxy that
+// has waited for half the grace is sent it even then. syncReserveShare of the capacity stays free for what cannot wait.
 //
 // When all have tables, a proxy that may hold withdrawals of other controllers is cleared of them.
 //
@@ -25,9 +27,9 @@
 const (
 	// syncReserveShare is the share of the capacity that is kept free.
 	syncReserveShare = 1. / 4
-	// tableCostPerMessage is how many times a message that tells all withdrawals tables may cost, to take its place.
+	// tableCostPerMessage: tables replace the withdrawals message if they cost at most this many times as much.
 	tableCostPerMessage = 3
-	// tableCostWorthMessage is how many times such a message tables must cost for it to be worth while.
+	// tableCostWorthMessage: a withdrawals message is sent if tables cost at least this many times as much.
 	tableCostWorthMessage = 2
 )
 
@@ -97,14 +99,14 @@
 	return now-proxy.connectedAt > c.rules.DrainGrace/2
 }
 
-// countUnassigned counts the proxies that wait for tables.
-func (c *Controller) countWaitingForTables() (unassigned int) {
+// countWaitingForTables counts the proxies that wait for tables.
+func (c *Controller) countWaitingForTables() (waiting int) {
 	for _, id := range c.syncQueue {
 		if c.waitsForTables(c.proxies[id]) {
-			unassigned++
+			waiting++
 		}
 	}
-	return unassigned
+	return waiting
 }
 
 // syncProxy does what is next for one proxy, if there is room.
@@ -153,11 +155,12 @@
 }
 
 // messageWorthwhile tells whether a proxy that waits is better notified of withdrawals by a message of its own: its tables
-// cost much more, and do not come soon.
+// cost much more, and neither do they come soon, nor do changes go first.
 func (c *Controller) messageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
 	costsLittle := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
-	tablesComeSoon := c.queueCongested || c.tablesSuffice(tables.cost, round.withdrawalCost, round.waiting)
-	return costsLittle && (overdue || !tablesComeSoon)
+	tablesComeSoon := c.tablesSuffice(tables.cost, round.withdrawalCost, round.waiting)
+	mayWait := c.queueCongested || tablesComeSoon
+	return costsLittle && (overdue || !mayWait)
 }
 
 // syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to.
@@ -179,7 +182,7 @@
 // tablesSuffice tells whether proxies that wait are as well given tables as notified of withdrawals by messages of their
 // own, by the costs of both.
 func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
-	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.remainingGrace)
+	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.graceAtListing)
 	return table <= tableCostPerMessage*message && inTime
 }
 
@@ -242,7 +245,7 @@
 		}
 		queue.reservedLines += tables.cost
 		usedUp := queue.linesSentIn(queue.MaxLatency + now - proxy.connectedAt)
-		left := tablesShareOfGrace*queue.linesSentIn(c.remainingGrace) - usedUp
+		left := tablesShareOfGrace*queue.linesSentIn(c.graceAtListing) - usedUp
 		queue.maxQueuedBeforeTables = min(queue.maxQueuedBeforeTables, left)
 	}
 }
