--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,7 +1,7 @@
 package simwire
 
-// The simulator's wire names its frames by a theme of its own. This file alone maps its words to the field's terms; the
-// word of the wire stands behind each code.
+// The simulator's wire names its records by a theme of its own. This file alone maps its words to the field's terms; the
+// word of the wire stands behind each code. layout.go has the positions of fields.
 
 // eventCode is the first byte of a record that the simulator sends.
 type eventCode uint8
@@ -30,7 +30,8 @@
 // actionCode is the first byte of a record that the simulator is answered.
 type actionCode uint8
 
-// Codes of actions, with the word that the wire has for each.
+// Codes of actions, with the word that the wire has for each. Three are never sent: 66 (tell: a message to a peer), 70 (get
+// list: the list a single time) and 72 (drop lines: empties a table), as no decision asks for them.
 const (
 	actionSetTimer          actionCode = 64 // sleep
 	actionCheckHealth       actionCode = 65 // health check
@@ -69,6 +70,12 @@
 	checkBroken      = 6
 )
 
+// Words of the wire in warnings, for those who look for them in its frames.
+const (
+	wordShard             = "slice"
+	wordHealthCheckResult = "probe outcome"
+)
+
 // Names of the figures in a load report, as the settings list them.
 const (
 	loadCPU         = "cpu"     // share of the cores at work
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -50,8 +50,8 @@
 	call()
 }
 
-// instance is the id of the controller that an event is for; eventEndpointList has none.
-func (r record) instance() uint16 { return r.u16(1) }
+// instanceID is the id of the controller that an event is for; eventEndpointList has none.
+func (r record) instanceID() uint16 { return r.u16(instanceAt) }
 
 // handle takes an event to the balancer, unless it has aborted.
 func (in *instance) handle(r record) {
@@ -67,7 +67,7 @@
 		case eventShardDemandReported, eventShardOwnership, eventShardOwnerStored:
 			in.handleShardEvent(r)
 		case eventTimerFired:
-			in.balancer.TimerFired(r.u64(3))
+			in.balancer.TimerFired(r.u64(firedTagAt))
 		case eventPeerMessage:
 			in.server.warn("a peer message came, though we never send one")
 		}
@@ -79,24 +79,21 @@
 	case eventEndpointsUpdated:
 		in.endpointsUpdated(r)
 	case eventHealthCheckCompleted:
-		backend, ok := in.known(&in.backends, r.u32(3), "backend")
+		backend, ok := in.known(&in.backends, r.u32(checkedBackendAt), "backend")
 		if ok {
-			in.balancer.HealthCheckCompleted(backend, in.healthCheckResult(r.u16(7)))
+			in.balancer.HealthCheckCompleted(backend, in.healthCheckResult(r.u16(checkedResultAt)))
 		}
 	case eventOutcomesReported:
-		backend, ok := in.known(&in.backends, r.u32(4), "backend")
-		if ok && in.exists(int(r.u8(3)), in.zones, "zone") {
-			attempts := int(r.u32(8))
-			failed := min(int(r.u32(12)), attempts)
-			latency := r.microseconds(16)
-			interval := r.microseconds(24)
+		backend, ok := in.known(&in.backends, r.u32(outcomesBackendAt), "backend")
+		if ok && in.exists(int(r.u8(outcomesZoneAt)), in.zones, "zone") {
+			attempts := int(r.u32(outcomesAttemptsAt))
 			in.balancer.OutcomesReported(balancer.OutcomeReport{
 				Backend:        backend,
 				Attempts:       attempts,
-				Failures:       failed,
-				MeanAnswerTime: latency,
-				Span:           interval,
-				Load:           in.loadReport(r, 32),
+				Failures:       min(int(r.u32(outcomesFailuresAt)), attempts),
+				MeanAnswerTime: r.microseconds(outcomesMeanAt),
+				Span:           r.microseconds(outcomesSpanAt),
+				Load:           in.loadReport(r, outcomesLoadAt),
 			})
 		}
 	}
@@ -104,14 +101,14 @@
 
 func (in *instance) handleProxyEvent(r record) {
 	if r.code() == eventProxyConnected {
-		zone := int(r.u8(8))
+		zone := int(r.u8(connectedZoneAt))
 		if in.exists(zone, in.zones, "zone") {
-			proxy := in.proxies.number(uint32(r.u16(9)))
-			in.balancer.ProxyConnected(proxy, zone, r.f32(4), false)
+			proxy := in.proxies.number(uint32(r.u16(connectedProxyAt)))
+			in.balancer.ProxyConnected(proxy, zone, r.f32(connectedRateAt), false)
 		}
 		return
 	}
-	proxy, ok := in.known(&in.proxies, uint32(r.u16(3)), "proxy")
+	proxy, ok := in.known(&in.proxies, uint32(r.u16(proxyAt)), "proxy")
 	if !ok {
 		return
 	}
@@ -119,34 +116,34 @@
 	case eventProxyDisconnected:
 		in.balancer.ProxyDisconnected(proxy)
 	case eventAcknowledged:
-		in.balancer.Acknowledged(proxy, int(r.u64(5)&math.MaxUint16))
+		in.balancer.Acknowledged(proxy, int(r.u64(ackNumberAt)&math.MaxUint16))
 	case eventDemandReported:
-		class := int(r.u8(5))
+		class := int(r.u8(demandClassAt))
 		if in.exists(class, in.classes, "class") {
-			in.balancer.DemandReported(proxy, class, int(r.u32(6)), r.microseconds(14))
+			in.balancer.DemandReported(proxy, class, int(r.u32(demandCountAt)), r.microseconds(demandSpanAt))
 		}
 	}
 }
 
 func (in *instance) handleShardEvent(r record) {
-	shard := int(r.u16(3))
-	if !in.exists(shard, in.shards, "slice") {
+	shard := int(r.u16(shardAt))
+	if !in.exists(shard, in.shards, wordShard) {
 		return
 	}
 	switch r.code() {
 	case eventShardDemandReported:
-		class := int(r.u8(5))
+		class := int(r.u8(demandClassAt))
 		if in.exists(class, in.classes, "class") {
-			in.balancer.ShardDemandReported(shard, class, int(r.u32(6)), r.microseconds(14))
+			in.balancer.ShardDemandReported(shard, class, int(r.u32(demandCountAt)), r.microseconds(demandSpanAt))
 		}
 	case eventShardOwnership:
-		if assigned := r.u8(5) != 0; assigned {
+		if assigned := r.u8(shardAssignedAt) != 0; assigned {
 			in.balancer.ShardAssigned(shard)
 		} else {
 			in.balancer.ShardRevoked(shard)
 		}
 	case eventShardOwnerStored:
-		in.balancer.ShardOwnerStored(shard, in.backends.number(r.u32(5)), r.f32(9))
+		in.balancer.ShardOwnerStored(shard, in.backends.number(r.u32(shardOwnerAt)), r.f32(shardWeightAt))
 	}
 }
 
@@ -168,7 +165,7 @@
 }
 
 func (in *instance) endpointsUpdated(r record) {
-	kind := r.u8(7)
+	kind := r.u8(updateKindAt)
 	switch {
 	case kind == updateFailed:
 		in.balancer.EndpointPollFailed()
@@ -177,7 +174,7 @@
 		in.server.warn("list event of unknown kind %d", kind)
 		return
 	}
-	number := r.u32(3)
+	number := r.u32(updateListAt)
 	if number >= maxEndpointLists {
 		in.server.warn("list number %d is not known", number)
 		return
@@ -186,16 +183,16 @@
 	endpoints := make([]balancer.Endpoint, 0, len(entries)/endpointSize)
 	for ; len(entries) >= endpointSize; entries = entries[endpointSize:] {
 		entry := record{raw: entries}
-		state := in.endpointState(entry.u8(10))
-		zone := int(entry.u8(17))
+		state := in.endpointState(entry.u8(endpointStateAt))
+		zone := int(entry.u8(endpointZoneAt))
 		if !in.exists(zone, in.zones, "zone") {
 			continue
 		}
 		endpoints = append(endpoints, balancer.Endpoint{
-			Backend:   in.backends.number(entry.u32(18)),
+			Backend:   in.backends.number(entry.u32(endpointBackendAt)),
 			State:     state,
-			StartedAt: entry.microseconds(0),
-			Weight:    entry.f32(11),
+			StartedAt: entry.microseconds(endpointStartedAt),
+			Weight:    entry.f32(endpointWeightAt),
 			Zone:      zone,
 		})
 	}
@@ -231,7 +228,7 @@
 	case checkBroken:
 		return balancer.HealthCheckBroken
 	}
-	in.server.warn("probe outcome %d is not known", code)
+	in.server.warn("%s %d is not known", wordHealthCheckResult, code)
 	return balancer.HealthCheckUnknown
 }
 
@@ -240,7 +237,7 @@
 	load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 	figures := min(int(r.u8(at)), len(in.loadFields), maxLoadFigures)
 	for i := range figures {
-		x := r.f32(at + 1 + 4*i)
+		x := r.f32(at + loadFiguresAt + loadFigureSize*i)
 		switch in.loadFields[i] {
 		case loadCPU:
 			load.CPUUtilization = x
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -38,11 +38,11 @@
 		}
 		return Batch{}, fmt.Errorf("frame header: input ended after %d of %d bytes", n, batchHeaderSize)
 	}
-	length := binary.LittleEndian.Uint32(head[0:])
-	count := binary.LittleEndian.Uint32(head[12:])
+	length := binary.LittleEndian.Uint32(head[batchLengthAt:])
+	count := binary.LittleEndian.Uint32(head[batchCountAt:])
 	batch := Batch{
-		Clock: math.Float64frombits(binary.LittleEndian.Uint64(head[4:])),
-		Seq:   binary.LittleEndian.Uint32(head[16:]),
+		Clock: math.Float64frombits(binary.LittleEndian.Uint64(head[batchClockAt:])),
+		Seq:   binary.LittleEndian.Uint32(head[batchSeqAt:]),
 	}
 	if math.IsNaN(batch.Clock) || math.IsInf(batch.Clock, 0) {
 		return Batch{}, fmt.Errorf("frame %d: the clock is not a number", batch.Seq)
@@ -71,13 +71,13 @@
 	return record{b.records[i*eventSize : (i+1)*eventSize], b.tail}
 }
 
-// record is one event, or one entry of an endpoint list; fields are read by their byte position.
+// record is one event, or one entry of an endpoint list; fields are read by their byte position (layout.go).
 type record struct {
 	raw  []byte
 	tail []byte // of the whole frame
 }
 
-func (r record) code() eventCode   { return eventCode(r.raw[0]) }
+func (r record) code() eventCode   { return eventCode(r.raw[codeAt]) }
 func (r record) u8(at int) byte    { return r.raw[at] }
 func (r record) u16(at int) uint16 { return binary.LittleEndian.Uint16(r.raw[at:]) }
 func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r.raw[at:]) }
@@ -98,7 +98,7 @@
 // tailOf gives the part of the tail that the field at this position names, with the size in bytes of each counted item.
 func (r record) tailOf(at, itemSize int) ([]byte, error) {
 	from := uint64(r.u32(at))
-	size := uint64(r.u32(at+4)) * uint64(itemSize)
+	size := uint64(r.u32(at+textSizeAt)) * uint64(itemSize)
 	if from+size > uint64(len(r.tail)) {
 		return nil, fmt.Errorf("event code %d: bytes %d to %d lie outside a tail of %d bytes",
 			r.code(), from, from+size, len(r.tail))
@@ -125,25 +125,25 @@
 	from := len(p.records)
 	p.records = append(p.records, make([]byte, actionSize)...)
 	a := action(p.records[from:])
-	a[0] = byte(code)
-	a.putU16(1, instance)
+	a[codeAt] = byte(code)
+	a.putU16(instanceAt, instance)
 	return a
 }
 
 // addText appends an action whose one field is a text in the tail.
 func (p *Reply) addText(code actionCode, instance uint16, text string) {
 	a := p.add(code, instance)
-	a.putU32(3, uint32(len(p.tail)))
-	a.putU32(7, uint32(len(text)))
+	a.putU32(textAt, uint32(len(p.tail)))
+	a.putU32(textAt+textSizeAt, uint32(len(text)))
 	p.tail = append(p.tail, text...)
 }
 
 // WriteTo writes the reply's frame, and gives the number of bytes written.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	var head [replyHeaderSize]byte
-	binary.LittleEndian.PutUint32(head[0:], uint32(len(p.records)/actionSize))
-	binary.LittleEndian.PutUint32(head[4:], uint32(len(p.records)+len(p.tail)))
-	binary.LittleEndian.PutUint32(head[8:], p.seq)
+	binary.LittleEndian.PutUint32(head[replyCountAt:], uint32(len(p.records)/actionSize))
+	binary.LittleEndian.PutUint32(head[replyLengthAt:], uint32(len(p.records)+len(p.tail)))
+	binary.LittleEndian.PutUint32(head[replySeqAt:], p.seq)
 	total := int64(0)
 	for _, part := range [][]byte{head[:], p.records, p.tail} {
 		n, err := w.Write(part)
@@ -155,7 +155,7 @@
 	return total, nil
 }
 
-// action is the bytes of one action; fields are written by their byte position.
+// action is the bytes of one action; fields are written by their byte position (layout.go).
 type action []byte
 
 func (a action) putU16(at int, x uint16)  { binary.LittleEndian.PutUint16(a[at:], x) }
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -1,9 +1,9 @@
 // Package simwire serves the simulator's wire: it reads frames of events, hands each to the balancer of the instance
 // that it names, and answers with the actions that the balancer asked for.
 //
-// codes.go maps the wire's words to the field's terms, frame.go has frames and records, server.go the instances, events.go
-// what events mean, and host.go what actions are made of. Ids of the wire become small indices here, in the order in
-// which they are first met. Nothing is decided in this package.
+// codes.go maps the wire's words to the field's terms, layout.go has the positions of fields, frame.go frames and records,
+// server.go the instances, events.go what events mean, and host.go what actions are made of. Ids of the wire become small
+// indices here, in the order in which they are first met. Nothing is decided in this package.
 package simwire
 
 import (
@@ -67,12 +67,12 @@
 	case code == eventCreate:
 		return s.createInstance(r)
 	case code == eventKilled:
-		delete(s.instances, r.instance())
+		delete(s.instances, r.instanceID())
 		return nil
 	}
-	in := s.instances[r.instance()]
+	in := s.instances[r.instanceID()]
 	if in == nil {
-		s.warn("instance %d does not exist", r.instance())
+		s.warn("instance %d does not exist", r.instanceID())
 		return nil
 	}
 	in.handle(r)
@@ -80,11 +80,11 @@
 }
 
 func (s *Server) storeEndpointList(r record) error {
-	entries, err := r.tailOf(5, endpointSize)
+	entries, err := r.tailOf(listEntriesAt, endpointSize)
 	if err != nil {
 		return err
 	}
-	number := r.u32(1)
+	number := r.u32(listNumberAt)
 	if number >= maxEndpointLists {
 		s.warn("list number %d is not known", number)
 		return nil
@@ -96,15 +96,15 @@
 // createInstance starts a balancer with the settings in the frame. One whose settings cannot be used aborts, and the
 // others go on.
 func (s *Server) createInstance(r record) error {
-	text, err := r.tailOf(11, 1)
+	text, err := r.tailOf(createSettingsAt, 1)
 	if err != nil {
 		return err
 	}
-	in := &instance{server: s, id: r.instance()}
+	in := &instance{server: s, id: r.instanceID()}
 	s.instances[in.id] = in
 	read := settings.ParseLines(string(text), s.warn)
 	config := balancer.Config{
-		Seed:      r.u64(3),
+		Seed:      r.u64(createSeedAt),
 		Channel:   read.PushChannel(),
 		Rules:     read.RuleLimits(),
 		Classes:   read.Classes(),
