--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -12,9 +12,10 @@
 // is looked at before failing: a backend that lags and fails has its weight reduced first.
 //
 // Dead and failing count only where the median backend answers healthySuccessRate of its attempts: what most backends
-// have in common is no fault of one. The median is taken over the backends that answered anything within the window.
-// Where none did, it counts as 1 and the fleet as healthy: silent backends are dead then, and are ejected in the order of
-// their indices as far as maxEjectedShare allows. The others stay published.
+// have in common is no fault of one. The median is taken over the backends that answered anything within the window. So
+// silence of the whole fleet does eject: as it begins, the window still shows answers enough, and once it shows none, the
+// median counts as 1. Silent backends are ejected in the order of their indices then, as far as maxEjectedShare allows;
+// the others stay published.
 //
 // No more than maxEjectedShare of the listed weight may be ejected, as a mistake must not put the load of many on a few,
 // but for backends that the list has removed. One that would exceed it keeps its entry, and nothing is logged. If all
