--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -68,6 +68,37 @@
 	return text + fmt.Sprintf("  tail %q\n", rest)
 }
 
+// Positions in the record of a log line, and in the head of a reply.
+const (
+	logActionCode   = 67
+	textOffsetAt    = 3
+	textLengthAt    = 7
+	logTextFieldEnd = 11
+)
+
+// hexedWithoutLogTexts shows a reply as hexed does, but gives the texts of log lines apart, as they are for people: their
+// places and lengths count as 0, and the reply's length as if they were not in its tail.
+func hexedWithoutLogTexts(reply []byte) (shown string, logTexts []string) {
+	reply = bytes.Clone(reply)
+	count := int(binary.LittleEndian.Uint32(reply))
+	tail := reply[replyHeaderSize+count*actionSize:]
+	kept, removed := tail, 0
+	for i := range count {
+		action := reply[replyHeaderSize+i*actionSize:][:actionSize]
+		if action[0] != logActionCode {
+			continue
+		}
+		offset, length := binary.LittleEndian.Uint32(action[textOffsetAt:]), binary.LittleEndian.Uint32(action[textLengthAt:])
+		line := string(tail[offset:][:length])
+		logTexts = append(logTexts, line)
+		kept = bytes.Replace(kept, []byte(line), nil, 1)
+		removed += len(line)
+		clear(action[textOffsetAt:logTextFieldEnd])
+	}
+	binary.LittleEndian.PutUint32(reply[replyLengthAt:], binary.LittleEndian.Uint32(reply[replyLengthAt:])-uint32(removed))
+	return hexed(append(reply[:replyHeaderSize+count*actionSize], kept...)), logTexts
+}
+
 // simulated is a stretch of a simulator's run: batches of events by time, with every event code.
 type simulated struct {
 	batches []simulatedBatch
@@ -214,6 +245,7 @@
 func TestRepliesAreAsBefore(t *testing.T) {
 	var log strings.Builder
 	server, body, text, number := NewServer(&log), bytes.Buffer{}, "", uint32(0)
+	logged := ""
 	seen, timers := map[byte]bool{}, []timer{}
 	exchange := func(clock float64, tail []byte, records ...[]byte) {
 		t.Helper()
@@ -233,7 +265,11 @@
 		if n, err := reply.WriteTo(&out); err != nil || n != int64(out.Len()) {
 			t.Fatalf("wrote %d of %d bytes: %v", n, out.Len(), err)
 		}
-		text += fmt.Sprintf("frame %d at %v ms\n", batch.Seq, batch.Clock) + hexed(out.Bytes())
+		shown, logTexts := hexedWithoutLogTexts(out.Bytes())
+		text += fmt.Sprintf("frame %d at %v ms\n", batch.Seq, batch.Clock) + shown
+		for _, line := range logTexts {
+			logged += fmt.Sprintf("frame %d: %s\n", number, line)
+		}
 		for i := range int(binary.LittleEndian.Uint32(out.Bytes())) {
 			action := out.Bytes()[replyHeaderSize+i*actionSize:]
 			if action[0] == 64 {
@@ -270,6 +306,7 @@
 		text += what
 	}
 	golden.Compare(t, "replies.golden", text)
+	golden.Compare(t, "replies-log.golden", logged)
 }
 
 // TestActionsAreWrittenAsBefore keeps the bytes of each action, with values that tell its fields apart.
