--- a/scale/content.go
+++ b/scale/content.go
@@ -25,8 +25,11 @@
 
 func groupScope(group int) string { return fmt.Sprintf("group/%03d", group) }
 
-// contentShape is how much is distributed: groups of services, and entries of each.
-type contentShape struct{ groups, ofEach int }
+// contentShape is how much is distributed.
+type contentShape struct {
+	groups int // of services
+	ofEach int // entries of each group
+}
 
 // scaledContent has as many groups as so many controllers serve, and of each service one entry.
 func scaledContent(controllers int) contentShape {
@@ -38,9 +41,10 @@
 
 // content is the configuration as it was proposed, change by change: what nodes are compared with.
 type content struct {
-	mutex      sync.Mutex
-	random     *rand.Rand
-	shape      contentShape
+	random *rand.Rand // of whoever draws changes, one at a time
+	shape  contentShape
+
+	mutex      sync.Mutex                      // of all below
 	revision   uint64                          // the newest that was accepted
 	byScope    map[string][]distribution.Entry // as voters accepted them, by revision
 	recordedAt map[uint64]time.Time            // when the first voter had a revision from the record
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -19,24 +19,25 @@
 	roleVoter
 )
 
-// hollowSubscriber runs the code of a subscriber, and has no proxies.
+// hollowSubscriber runs the code of a subscriber, and has no proxies. It lives from start to kill, and may live again as
+// new. Its methods may be called at once.
 type hollowSubscriber struct {
 	name        string
 	role        role
 	region      int
 	scopes      distribution.Scopes
-	candidates  []string
-	fanOut      int
+	candidates  []string // possible parents, to begin with
+	fanOut      int      // children at most
 	network     *network // nil where it is reached by nobody, and dials as told
 	dial        func(ctx context.Context, peer string) (net.Conn, error)
-	propagation *propagation
+	propagation *propagation // is told what it acts by
 
-	mutex     sync.Mutex
+	mutex     sync.Mutex           // of all below
 	node      *transport.Transport // of this life
 	stop      context.CancelFunc   // nil while it is down
-	ended     chan struct{}
-	seen      uint64    // the newest revision that it acts by
-	reachable time.Time // since when
+	ended     chan struct{}        // closed with the goroutine of this life
+	seen      uint64               // the newest revision that it acts by
+	reachable time.Time            // since when
 	before    earlierLives
 }
 
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -14,13 +14,13 @@
 type propagation struct {
 	content *content
 
-	mutex      sync.Mutex
+	mutex      sync.Mutex              // of all below
 	each       *hdrhistogram.Histogram // µs from acceptance, of each change at each subscriber that was reachable all the time
 	catchUp    *hdrhistogram.Histogram // µs from being reachable again, of what a subscriber had missed
 	violations []string
 }
 
-// maxViolations is how many breaches are kept in words.
+// maxViolations is how many violations are kept.
 const maxViolations = 20
 
 func newPropagation(content *content) *propagation {
@@ -28,7 +28,7 @@
 		catchUp: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits)}
 }
 
-// reset begins anew to measure; what was broken stays.
+// reset begins anew to measure; violations stay.
 func (f *propagation) reset() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// applied notes that a subscriber acts by a change. Reachable is since when it could be reached, and whole says that the
-// change is a snapshot.
+// applied notes that a subscriber, which acted by a revision before, acts by a change. Reachable is since when it could be
+// reached: what it missed before counts from then on.
 func (f *propagation) applied(change distribution.Change, seen uint64, reachable time.Time) {
 	now := time.Now()
 	newest := time.Time{}
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -16,22 +16,23 @@
 	"wheelrill/internal/process"
 )
 
-// roleFleet is an installation of which three nodes are processes.
+// roleFleet is an installation of which three nodes are processes: a voter, a distributor and a controller. One goroutine
+// uses it.
 type roleFleet struct {
 	options     Options
-	folder      string
+	folder      string // of logs, options files and voters' records
 	discovery   *fake.Discovery
 	content     *content
 	propagation *propagation
-	addresses   []string // of the voters, the real one last
-	listen      map[string]string
-	processes   map[string]*listedController
-	hollow      []*hollowMember
-	dialler     *consensus.Subscriber
-	children    []*hollowSubscriber
-	running     sync.WaitGroup
+	addresses   []string                     // of the voters, the real one last
+	listen      map[string]string            // for children, by role
+	processes   map[string]*listedController // by role
+	hollow      []*hollowMember              // the other voters
+	dialler     *consensus.Subscriber        // of the children
+	children    []*hollowSubscriber          // of the distributor and the controller
+	running     sync.WaitGroup               // goroutines of the hollow voters, which stop ends
 	stop        context.CancelFunc
-	ready       map[string]time.Duration
+	ready       map[string]time.Duration // from a process's start until it had its configuration, by role
 }
 
 // newRoleFleet prepares one; it starts nothing but discovery.
