--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -47,10 +47,7 @@
 // not wait for the loop.
 func (d *distributor) apply(change distribution.Change, full bool) {
 	d.arrived.add(change.Entries, full)
-	select {
-	case d.loop.inbox <- func() {}: // has it iterate
-	default: // it will, as its inbox is full
-	}
+	d.loop.wake()
 }
 
 // takeArrived gives what has arrived since it was last called.
@@ -110,7 +107,7 @@
 	if entry.AcceptedAt <= 0 {
 		return 0
 	}
-	return float64(l.now-entry.AcceptedAt) / microsPerSecond
+	return inSeconds(l.now - entry.AcceptedAt)
 }
 
 // updateOverriddenEndpoints tells the decisions of backends whose overrides have changed, as if discovery did, in the order of ids.
--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -21,7 +21,7 @@
 		log.Info("subscribed", "parent", event.Peer)
 	case distribution.EventParentLost:
 		log.Warn("parent_lost", "parent", event.Peer, "reason", lossReason(event.CloseReason))
-	case distribution.EventSnapshotTaken:
+	case distribution.EventSnapshotInstalled:
 		log.Info("snapshot_applied", "parent", event.Peer)
 	case distribution.EventSourceStale:
 		log.Warn("configuration_stale")
@@ -49,18 +49,18 @@
 func (d *distributor) runStatusReports(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
-	last := d.carrier.Traffic()
+	last := d.transport.Traffic()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		status, ok := d.carrier.Status()
+		status, ok := d.transport.Status()
 		if !ok {
 			return
 		}
-		now := d.carrier.Traffic()
+		now := d.transport.Traffic()
 		d.log.Info("distribution_status", "revision", status.Version.Revision, "epoch", status.Version.Epoch.String(),
 			"age_s", formatAge(status.Age), "parent", status.Parent, "depth", len(status.Path),
 			"children", len(status.Children), "entries", status.Entries,
@@ -75,10 +75,10 @@
 	return formatDecimal(float64(amount)/interval.Seconds(), 0)
 }
 
-// formatAge gives an age in µs as the log has it, in seconds.
-func formatAge(age int64) string {
+// formatAge gives an age as the log has it, in seconds.
+func formatAge(age microseconds) string {
 	if age == distribution.NeverCurrent {
 		return "unknown"
 	}
-	return formatDecimal(float64(age)/microsPerSecond, 1)
+	return formatDecimal(inSeconds(age), 1)
 }
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -10,7 +10,8 @@
 
 // eventLoop owns the controller's state and is the decisions' host. Its goroutine, which run is, is the only one that reads or
 // writes the decisions, tables, sessions, overrides, timers, backend indices and the coordinator of ownership; all others hand it
-// functions through inbox. What it takes at once happens at one clock time, and leaves as one message to each proxy concerned.
+// functions through inbox. What New sets and nobody changes, connections read as well: limits, log, zone and class indices and names,
+// clock, and the channels. What it takes at once happens at one clock time, and leaves as one message to each proxy concerned.
 // Nothing of its state outlasts the process: a restart begins with the cached list of the configuration.
 type eventLoop struct {
 	*tables
@@ -33,10 +34,10 @@
 	stopped chan struct{} // closed by run as it returns; nobody takes from inbox any more
 	ready   chan struct{} // closed by becomeReady; answers leave from then on
 
-	clock     func() int64 // Unix time in µs
-	now       int64        // clock time of this iteration, µs
-	stalledAt int64        // when the last pause ended in which the process had no turn, µs
-	timers    []timer      // in the order in which they are due
+	clock     func() microseconds // Unix time
+	now       microseconds        // clock time of this iteration
+	stalledAt microseconds        // when the last pause ended in which the process had no turn
+	timers    []timer             // in the order in which they are due
 }
 
 // post gives the loop an event that must not be lost; it waits while the inbox is full. Any goroutine but the loop's may call it.
@@ -57,6 +58,14 @@
 	}
 }
 
+// wake has the loop iterate. With a full inbox it will without that. Any goroutine may call it.
+func (l *eventLoop) wake() {
+	select {
+	case l.inbox <- func() {}:
+	default:
+	}
+}
+
 // run takes events until the context ends, and then hands our proxies over where ownership is shared. Controller.Serve starts it
 // and waits for its end.
 func (l *eventLoop) run(ctx context.Context) {
@@ -117,7 +126,7 @@
 	l.now = max(l.clock(), last+1)
 	pause := l.now - last
 	if pause > l.limits.stallThreshold {
-		l.log.Warn("process_stalled", "stalled_s", formatDecimal(float64(pause)/microsPerSecond, 1))
+		l.log.Warn("process_stalled", "stalled_s", formatDecimal(inSeconds(pause), 1))
 		l.stalledAt = l.now
 	}
 }
