--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -15,8 +15,8 @@
 //	drain.go      which backends must be left, and how much time is left for it
 //	shard.go      which backend owns a shard, and when writes to it must stop
 //
-// State without rules is in backend.go, proxy.go and demand.go, settings in config.go, and what events carry in
-// events.go. docs/design.md says why the rules are what they are.
+// State, and what a report or a listing does to it, is in backend.go, proxy.go and demand.go, settings in config.go, and
+// what events carry in events.go. docs/design.md says why the rules are what they are.
 //
 // A Controller has no locks, goroutines, clock or random source of its own: its caller makes one call at a time, the
 // time is Host.Now, timers are Host.SetTimer, and random choices come from the seed. The same calls at the same times
