--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -1,16 +1,14 @@
 package balancer
 
-// Drain: proxies must have left a draining backend within RuleLimits.DrainGrace of the order, and a removed one too,
-// unless RuleLimits.OnlyDrainingMustLeave. Such a change goes out at once (publish.go), and withdrawals follow for
-// proxies that hold tables of other controllers.
+// Drain: proxies must have left a draining backend within RuleLimits.DrainGrace, and a removed one too, unless
+// RuleLimits.OnlyDrainingMustLeave. Such a change is required; publish.go has when it goes, and in which order, with
+// withdrawals for proxies that may hold tables of other controllers.
 //
-// What leaves first in a round, as far as the channel has room (pushqueue.go): required entries, subset by subset, in each
-// the largest change first; ordinary entries in the same order, up to half the capacity; entries that move between subsets;
-// withdrawals; limits. What found no room is tried again with each tick and each endpoint list, not with an ack. Nothing
-// here notices that a drain is late: invariant/drain_grace.go does, in checked runs.
+// The grace counts from the order of the drain where the list has that time (Endpoint.DrainingSince), else from the list
+// that names it. Nothing here notices that a drain is late. In checked runs invariant/drain_grace.go does, but there the
+// grace counts from when discovery told of the drain, or from when the proxy connected, if that was later.
 //
-// Inputs are the listed state and Endpoint.DrainingSince (microseconds): a drain that was ordered some time before it was
-// listed has less of its grace left.
+// Inputs are the listed state and Endpoint.DrainingSince (microseconds).
 
 // noteDrain takes in that the backend is listed as not ready.
 func (b *backendState) noteDrain(now Microseconds) {
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -6,21 +6,40 @@
 	"slices"
 )
 
-// Publication: table entries that differ from their target weight (weight.go) go out to all proxies of their tables.
+// Publication: table entries that differ from their target weight (weight.go) go out to all proxies of their tables, in
+// rounds.
 //
-// Required changes go at once: entries of backends that must be left (drain.go), lower weights of backends that are
-// warming up, the first entries of empty tables, backends for a short subset (subset.go), and a lowered admission limit
-// (admission.go). Where they do not fit into the channel, they go in pieces. The rest, the ordinary changes, goes every
-// minPublishInterval at most, and besides with every round of required ones, since it shares their messages; subset by
-// subset, those that change most first, within ordinaryShare of the capacity. What is left over goes as soon as there is
-// room, but nothing that would make the tables of waiting proxies late (sync.go).
+// Required changes are entries of backends that must be left (drain.go), their withdrawals, lower weights of backends that
+// are warming up, the first entries of empty tables, backends for a short subset (subset.go), and a lowered admission limit
+// (admission.go). All others are ordinary.
 //
-// Withdrawals follow the entries, for proxies that may hold tables of other controllers.
+// A round is due with each endpoint list and each tick where something is required, and with a tick once
+// minPublishInterval has passed since the last round that published anything, or some of its entries were left over. It is
+// not tried again with an ack. A round that is due starts (mayPublish) only if
+//   - enough time has passed since any change of an earlier clock time went to several proxies, where the settings limit
+//     messages: the drain grace that was left at listing (computeGraceAtListing), less the way and a tick, over
+//     publicationsPerGrace, or the message window over its messages if that is shorter;
+//   - no more than drainedShare of the push queue's capacity is waiting, or all that is required fits into it;
+//   - each proxy with our tables may be sent one more message (mayPush).
+//
+// Then go, in this order, as far as the push queue has capacity (pushqueue.go):
+//  1. required entries, subset by subset, the one that changes most first, and in it the largest change first;
+//  2. ordinary entries in the same order, since they share these messages, up to ordinaryShare of the capacity, and none
+//     that would make the tables of waiting proxies late (sync.go);
+//  3. entries of backends that move to a short subset;
+//  4. withdrawals, for proxies that may use backends which our tables do not give them;
+//  5. limits that have changed, whatever capacity is left.
+//
+// What is left over goes with a later round, so that changes which do not fit go in pieces.
 //
 // Inputs are weights, and the costs of what goes out, in lines (pushqueue.go).
 
-// minPublishInterval is the time between two rounds of ordinary changes.
-const minPublishInterval = 2 * second
+const (
+	// minPublishInterval is the time between two rounds of ordinary changes.
+	minPublishInterval = 2 * second
+	// publicationsPerGrace is how many rounds of required changes the drain grace bears.
+	publicationsPerGrace = 2
+)
 
 // publication is what a round of changes rests on. It lives for one call of publishChanges.
 type publication struct {
@@ -60,6 +79,22 @@
 	c.syncProxies(now)
 }
 
+// mayPublish tells whether a round of changes may start now, with so many lines that are required, by the conditions in
+// the header of this file.
+func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
+	queue := &c.queue
+	interval := min((c.graceAtListing-queue.MaxLatency-tickInterval)/publicationsPerGrace,
+		queue.MessageWindow/int64(max(queue.MaxMessages, 1)))
+	tooSoon := queue.MaxMessages > 0 && now > c.changedAt && now-c.changedAt < interval
+	fits := required > 0 && queue.queuedLines+required <= queue.capacity()
+	if tooSoon || !queue.drained() && !fits {
+		return false
+	}
+	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
+		return proxy.hasOurTables && !queue.mayPush(proxy, now, required > 0)
+	})
+}
+
 // planPublication sums up what is to be published, and what that costs.
 func (c *Controller) planPublication(now Microseconds) *publication {
 	plan := &publication{now: now, overhead: c.queue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -9,18 +9,17 @@
 //     same however short the drain grace is. A change that is held back here, not in the channel, is decided anew on later
 //     reports, and shares messages with others.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of it, so that required ones never wait behind more.
-//   - A round of changes begins when no more than drainedShare of it is waiting, or when all that is required fits.
+//   - When a round of changes may start, and in which order it goes, is in publish.go.
 //   - Of the messages that a proxy may be sent within the window, ordinary ones use half, or all but reservedMessages at a
 //     proxy for which other controllers told of theirs (proxyState.reserveReleased).
 //
 // Inputs are PushChannel, the drain grace (microseconds) and the costs of what is to be pushed (lines).
 
 const (
-	maxQueueTime         = 2 * minPublishInterval // that what may wait takes to leave
-	ordinaryShare        = 1. / 2                 // of the capacity
-	drainedShare         = 1. / 8                 // of the capacity
-	reservedMessages     = 2                      // of a proxy's messages, kept for urgent ones, see reserveReleased
-	publicationsPerGrace = 2                      // how many rounds of required changes the drain grace bears
+	maxQueueTime     = 2 * minPublishInterval // that what may wait takes to leave
+	ordinaryShare    = 1. / 2                 // of the capacity
+	drainedShare     = 1. / 8                 // of the capacity
+	reservedMessages = 2                      // of a proxy's messages, kept for urgent ones, see reserveReleased
 
 	// An ack that has not come within maxAckDelay and this many times the nominal sending time will not come.
 	ackTimeoutFactor = 4
@@ -184,21 +183,3 @@
 	}
 	return sent < allowed
 }
-
-// mayPublish tells whether a round of changes may go to all proxies with our tables now, with so many lines that are
-// required.
-// Rounds wait for each other as long as the grace bears it, and required changes that do not fit as one piece for a
-// drained channel.
-func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
-	queue := &c.queue
-	interval := min((c.graceAtListing-queue.MaxLatency-tickInterval)/publicationsPerGrace,
-		queue.MessageWindow/int64(max(queue.MaxMessages, 1)))
-	tooSoon := queue.MaxMessages > 0 && now > c.changedAt && now-c.changedAt < interval
-	fits := required > 0 && queue.queuedLines+required <= queue.capacity()
-	if tooSoon || !queue.drained() && !fits {
-		return false
-	}
-	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
-		return proxy.hasOurTables && !queue.mayPush(proxy, now, required > 0)
-	})
-}
