--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -1,21 +1,23 @@
 package balancer
 
-// Outlier detection: a usable backend is ejected, so that its entries are taken out, if
-//   - dead: consecutiveFailuresToEject attempts in a row had no answer. They are counted by whole report lines: one
-//     answer in a line sets the count back to 0;
+// Outlier detection: a usable backend is ejected, so that its entries are taken out, if it is dead, failing or lagging. An
+// attempt fails if it timed out, was refused or was answered with an error; the others are its answers.
+//   - dead: consecutiveFailuresToEject attempts in a row failed. They are counted by whole report lines: one answer in a
+//     line sets the count back to 0;
 //   - failing: at least minAttemptsToEject attempts in the window, and a success rate below failingShareOfMedian of the
 //     median backend's (exactly that share is not below);
 //   - lagging although its weight is at its least: see weight.go for what lagging alone does.
 //
 // Lagging is a mean answer time of laggingScore times the median backend's, and of overloadedRatio (overload.go) times the
 // latency objective, over minAttemptsToLag attempts of our own proxies, at a backend that does not report itself idle. It
-// is looked at before failing: a backend that lags and fails has its weight reduced first.
+// is looked at before failing: a backend that lags and fails has its weight reduced first. Lagging compares with the
+// median, so a fleet that slows as one has no lagging backend.
 //
 // Dead and failing count only where the median backend answers healthySuccessRate of its attempts: what most backends
-// have in common is no fault of one. The median is taken over the backends that answered anything within the window. So
-// silence of the whole fleet does eject: as it begins, the window still shows answers enough, and once it shows none, the
-// median counts as 1. Silent backends are ejected in the order of their indices then, as far as maxEjectedShare allows;
-// the others stay published.
+// have in common is no fault of one. The median is taken over the backends that answered anything within the window. When
+// all fall silent at once, the window still holds earlier answers, so the fleet looks healthy and dead backends are ejected
+// up to maxEjectedShare, in the order of their indices; the others stay published. Once the window holds no answer at all,
+// the median counts as 1, and the same follows.
 //
 // No more than maxEjectedShare of the listed weight may be ejected, as a mistake must not put the load of many on a few,
 // but for backends that the list has removed. One that would exceed it keeps its entry, and nothing is logged. If all
@@ -112,7 +114,7 @@
 	return backend.meanAnswerTime / f.medianAnswerTime
 }
 
-// dead tells whether a backend answers nothing while others do.
+// dead tells whether the last attempts at a backend all failed while the fleet is at work.
 func (f *fleetOutcomes) dead(backend *backendState) bool {
 	return f.healthy() && backend.consecutiveFailures >= consecutiveFailuresToEject
 }
@@ -190,7 +192,7 @@
 	c.updatePanicMode()
 }
 
-// updatePanicMode publishes ejected backends while there is nothing else.
+// updatePanicMode has ejected backends published as long as every usable backend is ejected.
 func (c *Controller) updatePanicMode() {
 	usable, ejected := 0, 0
 	for _, backend := range c.backends {
