--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -19,11 +19,14 @@
 //   - Ahead of reports: what the list takes of our entries takes its part of the limit at once. Without a limit the
 //     fleet is taken to be able to do assumedHeadroom times the most that was let in without a queue (proven throughput).
 //
-// The limit is shared out by priority: classes with the highest PriorityWeight over LatencyObjective are served first. A
-// class of which less is let in than comes is limited as the AdmissionMode has it. By rate, its busiest proxies are capped,
-// so that repeats of refused requests change nothing; by share, every proxy lets in the same share of what comes to it.
-// Each class keeps minAdmittedShare of its demand, so that it is still reported. A class quota bounds its class by the same
-// means, and no further than to minAdmittedShare either.
+// The limit is shared out by priority: classes with the highest PriorityWeight over LatencyObjective are served first, the
+// last in that order is shed first. A class of which less is let in than comes is limited as the AdmissionMode has it:
+//   - by rate, no proxy lets in more than one rate, the same for all. Only proxies that more comes to are limited, and
+//     repeats of refused requests there do not raise what is let in;
+//   - by share, every proxy lets in the same share of what comes to it.
+//
+// Each class keeps minAdmittedShare of its demand, so that answers are still reported: without any, no evaluation would
+// raise the limit again. A class quota bounds its class by the same means, and no further than to minAdmittedShare either.
 //
 // Throughputs are per capacity (published weight times baseline demand); times are microseconds.
 
@@ -170,7 +173,8 @@
 
 // lowerLimit takes what was answered for what the fleet can do, and leaves room for the queue to drain.
 func (a *admissionState) lowerLimit(load loadSummary, now, reportLag Microseconds) {
-	// As a queue stands, hardly more than was let in; what was answered was, even where demand is still thin.
+	// Throughput cannot exceed what was let in, plus a little. Answered requests were surely let in, even where little of
+	// the demand is reported yet.
 	mostAdmitted := max(load.admitted, load.answered)
 	throughput := min(load.answered/load.reportedCapacity, maxHeadroom*mostAdmitted/load.publishedCapacity)
 	if a.saturatedThroughput == 0 {
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -2,18 +2,21 @@
 
 import "cmp"
 
-// Weight: a usable backend is published with its listed weight, or a share of it where it can do less:
-//   - warming up: what it can surely do at its age, in steps of a quarter, so that there are few changes. It rises from
-//     RuleLimits.ColdStartShare at its start to all of it after RuleLimits.WarmupTime;
-//   - slow start: slowStartShare for slowStartTime after it was new or readmitted, unless it was warming up then;
+// Weight: a usable backend is published with its listed weight, or with a share of it where it can do less. The least of
+// these shares counts:
+//   - warming up: from its start until RuleLimits.WarmupTime later, the share that it can surely carry at its age. That
+//     rises from RuleLimits.ColdStartShare to all of it, in steps of a quarter, so that there are few changes;
+//   - slow start: slowStartShare for slowStartTime after it was new or readmitted, if it was warm then. One that was still
+//     warming up then has no slow start;
 //   - reduced: times weightReductionFactor with each evaluation at which its answers lag behind (outlier.go), but not
 //     below minReducedShare. Fixed weights overfill slow machines first. A step back is due every weightRaiseInterval.
 //
-// The least of these shares counts.
+// Weights are relative: a backend is sent its weight's part of the sum in its table. A small weight protects nothing where
+// a backend is nearly alone there.
 //
-// A backend that is warming up gets no entry at all while nothing but that would keep an overload from it: where proxies
-// heed no limits and there is an overload, or as long as no report was evaluated and a warm backend was ever listed, as we
-// may have started into an overload.
+// Hence a backend that is warming up gets no entry at all in two cases, in which nothing else would keep an overload from
+// it. The first is an overload where proxies heed no limits. The second is a controller that has not evaluated any report
+// although a warm backend was ever listed: it may have started into an overload, and can set no limit yet.
 //
 // Inputs are Endpoint.StartedAt and Weight, the time since it entered (microseconds) and its score.
 
@@ -78,7 +81,8 @@
 	return unlimitedOverload || noReportYet && c.warmEverListed
 }
 
-// reduceWeight takes weight off a backend at which alone a queue must stand; it hurts where times differ by nature.
+// reduceWeight takes weight off a lagging backend, as if it were the only one with a queue; that is wrong where backends
+// differ in speed by nature.
 func (c *Controller) reduceWeight(id int, now Microseconds) {
 	backend := c.backends[id]
 	if backend.reducedTo == 0 {
