--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -14,11 +14,14 @@
 // where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
 // once tables would come later than tablesShareOfGrace of the grace.
 //
-// A proxy is sent that message only if something is withdrawn or it may hold withdrawals of others, and if the message is
-// worth its cost: its tables cost at least tableCostWorthMessage times as much, or cannot go as one of them is empty. Nor
-// is it sent while changes wait for the channel, as these go first, or where tables come soon enough: those of all who wait
-// leave within tablesShareOfGrace of the grace, and each costs at most tableCostPerMessage times the message. A proxy that
-// has waited for half the grace is sent it even then. syncReserveShare of the capacity stays free for what cannot wait.
+// A proxy whose tables cannot go yet is sent that message, once, only if
+//   - one of its tables is empty, so that they cannot go, or they cost at least tableCostWorthMessage times the message;
+//   - it has waited for half the grace; or no changes wait for the channel, as these go first, and tables do not come soon
+//     enough. They do if those of all who wait leave within tablesShareOfGrace of the grace that was left at listing, and
+//     each costs at most tableCostPerMessage times the message;
+//   - something is withdrawn, or it may hold withdrawals of others;
+//   - the push queue has capacity for the message and syncReserveShare more, which stays free for what cannot wait;
+//   - it may be sent one more message (mayPush), and the Host has a way to (Host.SyncWithdrawals).
 //
 // When all have tables, a proxy that may hold withdrawals of other controllers is cleared of them.
 //
@@ -163,7 +166,8 @@
 	return costsLittle && (overdue || !mayWait)
 }
 
-// syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to.
+// syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to. The limit that
+// it passes is for classes without one, see Host.SyncWithdrawals.
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
 	anyToTell := proxy.mayHoldForeign || round.withdrawals > 0
