--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -5,7 +5,7 @@
 // withdrawals for proxies that may hold tables of other controllers.
 //
 // The grace counts from the order of the drain where the list has that time (Endpoint.DrainingSince), else from the list
-// that names it. Nothing here notices that a drain is late. In checked runs invariant/drain_grace.go does, but there the
+// that names it. Nothing here notices that a drain is late. In recorded runs invariant/drain_grace.go does, but there the
 // grace counts from when discovery told of the drain, or from when the proxy connected, if that was later.
 //
 // Inputs are the listed state and Endpoint.DrainingSince (microseconds).
