--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -111,6 +111,8 @@
 		c.newAttempts = 0
 	}
 	c.readmitDue(now)
+	c.raiseWeightsDue(now)
+	c.updatePanicMode()
 	ordinary := c.admission.limitLowered || now-c.publishedAt >= minPublishInterval
 	c.publishChanges(now, ordinary)
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -176,7 +176,7 @@
 	c.logf(id, "ejected: %d of %d attempts failed, %d s", backend.failures, backend.attempts, backend.backoff/second)
 }
 
-// readmitDue readmits backends after their backoff, checks the health of others, and gives back reduced weights.
+// readmitDue readmits backends after their backoff, and checks the health of other ejected ones, as a pass readmits them.
 func (c *Controller) readmitDue(now Microseconds) {
 	for id, backend := range c.backends {
 		checkDue := now-backend.healthCheckedAt >= backend.backoff/healthChecksPerBackoff
@@ -187,9 +187,7 @@
 			backend.healthCheckedAt = now
 			c.host.CheckHealth(id)
 		}
-		backend.raiseWeightIfDue(now)
 	}
-	c.updatePanicMode()
 }
 
 // updatePanicMode has ejected backends published as long as every usable backend is ejected.
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,8 +10,9 @@
 //
 // One subset, with one table for all, is best where it can be had. There are more where
 //   - proxies outnumber the connections that the smallest backend takes: as many subsets as that asks for;
-//   - the tables of all proxies, connected to one controller, would not leave the channel within the drain grace: as
-//     many as make them fit, and if connections ask for subsets as well, as many as leave half of that time for drains.
+//   - the tables of all proxies, connected to one controller, would not leave the channel within tablesShareOfGrace of the
+//     drain grace: as many as make them fit, and if connections ask for subsets as well, as many as leave half of that
+//     time for drains.
 //
 // A subset that falls short of its share of the weight is given backends of the heaviest one, as its proxies would
 // overfill the few that are left. That counts as required (publish.go).
@@ -25,9 +26,8 @@
 	maxProxiesPerConnection = 1.6
 	// minSubsetSize is how many backends a subset has at least.
 	minSubsetSize = 5
-	// tablesShareOfGrace is the share of the drain grace within which all tables must leave the channel.
-	tablesShareOfGrace = 3. / 4
-	// tableShareWithSubsets is the share of that which tables may take where connections ask for subsets as well.
+	// tableShareWithSubsets is the share of tablesShareOfGrace (sync.go) that tables may take where connections ask for
+	// subsets as well.
 	tableShareWithSubsets = 1. / 2
 	// shortSubsetShare is the share of its fair weight below which a subset is given backends of the heaviest ...
 	shortSubsetShare = 0.5
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -28,6 +28,8 @@
 // Inputs are costs in lines (pushqueue.go), the drain grace and waiting times (microseconds).
 
 const (
+	// tablesShareOfGrace is the share of the drain grace within which the tables of all who wait must leave the channel.
+	tablesShareOfGrace = 3. / 4
 	// syncReserveShare is the share of the capacity that is kept free.
 	syncReserveShare = 1. / 4
 	// tableCostPerMessage: tables replace the withdrawals message if they cost at most this many times as much.
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -93,6 +93,13 @@
 	backend.raiseWeightAt = now + weightRaiseInterval
 }
 
+// raiseWeightsDue gives back steps of reduced weights.
+func (c *Controller) raiseWeightsDue(now Microseconds) {
+	for _, backend := range c.backends {
+		backend.raiseWeightIfDue(now)
+	}
+}
+
 // raiseWeightIfDue gives back a step of a reduced weight.
 func (b *backendState) raiseWeightIfDue(now Microseconds) {
 	if b.reducedTo == 0 || now < b.raiseWeightAt {
