--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -9,8 +9,8 @@
 // Admission: under overload (overload.go) a limit bounds what is let in, in units a second.
 //
 //   - Lower: when a queue stands nearly everywhere, what was answered meanwhile is what the fleet can do (saturated
-//     throughput). The limit is set so that the queue drains within queueDrainTime, but not below minLimitShare of that:
-//     what waits too long is dropped.
+//     throughput). The limit is set so that the backends' queues are cleared within backendQueueClearTime, but not below
+//     minLimitShare of that: what waits too long is dropped.
 //   - Hold: the limit then returns to sustainableShare of that, less half of the queue that is still reported, without
 //     waiting for reports of the lowered limit, which come late.
 //   - Raise: while it limits and the latency ratio is below overloadedRatio, it is raised by raiseStep, or by fastRaiseStep
@@ -37,9 +37,9 @@
 	sustainableShare = 0.85
 	// minLimitShare is the share that a lowered limit leaves: the queue is an estimate, and what waits too long is dropped.
 	minLimitShare = 0.3
-	// queueDrainTime is the time within which a queue at the backends is drained: changes keep their interval, so not
-	// faster. It has nothing to do with maxQueueTime, which bounds the queue in the channel.
-	queueDrainTime = 2 * minPublishInterval
+	// backendQueueClearTime is the time within which a queue at the backends is cleared: changes keep their interval, so not
+	// faster. It has nothing to do with maxQueueTime, which bounds the push queue.
+	backendQueueClearTime = 2 * minPublishInterval
 	// maxHeadroom is how far the limit may be ahead of what is answered now: one further ahead is none when it is needed.
 	maxHeadroom = 1.15
 	// raiseStep is the step of a limit while the latency ratio is below overloadedRatio.
@@ -77,10 +77,10 @@
 	limitLowered bool    // a lowered limit is to be published
 	latencyRatio float64 // at the last evaluation
 
-	queueDrainedAt  Microseconds // when the queue for which the limit was last lowered must be gone ...
-	holdUntil       Microseconds // ... and when reports show it
-	overloadedSince Microseconds // when evaluations began to show a queue nearly everywhere; 0 while they do not
-	raisedAt        Microseconds // when the limit was last raised, or assumed
+	backendQueueClearAt Microseconds // when the queue for which the limit was last lowered must be gone ...
+	holdUntil           Microseconds // ... and when reports show it
+	overloadedSince     Microseconds // when evaluations began to show a queue nearly everywhere; 0 while they do not
+	raisedAt            Microseconds // when the limit was last raised, or assumed
 
 	// By class.
 	targetLimits     []float64           // limits that are to be published: a share or a rate; 0 for none
@@ -122,7 +122,7 @@
 	}
 	idle := load.latencyRatio < implausiblyIdleRatio && c.backendsIdle(load.latencyRatio*a.meanObjective)
 	overloaded := c.queueOutlastsReports(load, idle, now)
-	reportLag := c.telemetry.ReportInterval + c.queue.MaxLatency + answerTimeAllowance
+	reportLag := c.telemetry.ReportInterval + c.pushQueue.MaxLatency + answerTimeAllowance
 	raiseDue := now-a.raisedAt >= reportLag // steps on steps that are not yet reported would overshoot
 	switch {
 	case now < a.holdUntil:
@@ -155,8 +155,8 @@
 	}
 }
 
-// queueTime is how long a new request waits, in microseconds.
-func (a *admissionState) queueTime(load loadSummary) float64 {
+// backendQueueTime is how long a new request waits at a backend, in microseconds.
+func (a *admissionState) backendQueueTime(load loadSummary) float64 {
 	return max(0, load.latencyRatio-queueFreeRatio) * a.meanObjective
 }
 
@@ -164,14 +164,14 @@
 // once, if that queue has grown.
 func (a *admissionState) holdLimit(load loadSummary, now Microseconds) {
 	// What is reported now is late: half of the queue that it shows may be gone.
-	queue := a.queueTime(load) / 2
-	share := max(minLimitShare, sustainableShare-queue/float64(queueDrainTime))
-	if now >= a.queueDrainedAt || share < a.limitShare {
+	queue := a.backendQueueTime(load) / 2
+	share := max(minLimitShare, sustainableShare-queue/float64(backendQueueClearTime))
+	if now >= a.backendQueueClearAt || share < a.limitShare {
 		a.limitShare = share
 	}
 }
 
-// lowerLimit takes what was answered for what the fleet can do, and leaves room for the queue to drain.
+// lowerLimit takes what was answered for what the fleet can do, and leaves room for the backends' queues to be cleared.
 func (a *admissionState) lowerLimit(load loadSummary, now, reportLag Microseconds) {
 	// Throughput cannot exceed what was let in, plus a little. Answered requests were surely let in, even where little of
 	// the demand is reported yet.
@@ -184,11 +184,11 @@
 	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
 	// What came before reports showed it is in the queue as well, from half of that time on average.
 	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
-	queue := a.queueTime(load)
+	queue := a.backendQueueTime(load)
 	queue += max(0, load.admitted/answering-1) * float64(reportLag/2)
-	a.limitShare = max(minLimitShare, sustainableShare-queue/float64(queueDrainTime))
-	a.queueDrainedAt = now + queueDrainTime
-	a.holdUntil = now + queueDrainTime + reportLag
+	a.limitShare = max(minLimitShare, sustainableShare-queue/float64(backendQueueClearTime))
+	a.backendQueueClearAt = now + backendQueueClearTime
+	a.holdUntil = now + backendQueueClearTime + reportLag
 	a.overloadedSince = 0
 	a.limitLowered = true
 }
@@ -247,7 +247,7 @@
 func (c *Controller) distributeLimit() {
 	a := &c.admission
 	connected := c.connectedCount()
-	ourShare := max(connected, 1) / max(connected, float64(c.queue.Proxies), 1)
+	ourShare := max(connected, 1) / max(connected, float64(c.pushQueue.Proxies), 1)
 	left := orUnlimited(a.limit)
 	for _, class := range a.priorityOrder {
 		rates, total := c.classDemand(class)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -97,8 +97,8 @@
 			reportOverload(host)()
 			host.controller.TimerFired(host.timerTag)
 		}
-		if len(host.controller.syncQueue) == 0 || host.limits["65535 1"] == 0 || host.controller.queue.queuedLines > 3300 {
-			t.Errorf("%d wait, limits %v, %.0f lines", len(host.controller.syncQueue), host.limits, host.controller.queue.queuedLines)
+		if len(host.controller.syncQueue) == 0 || host.limits["65535 1"] == 0 || host.controller.pushQueue.queuedLines > 3300 {
+			t.Errorf("%d wait, limits %v, %.0f lines", len(host.controller.syncQueue), host.limits, host.controller.pushQueue.queuedLines)
 		}
 	})
 	t.Run("proxies that just connected are not counted as unanswered", func(t *testing.T) {
@@ -272,7 +272,7 @@
 		host := startController(t, defaultSettings(), 8, 3)
 		host.run(2, reportOverload(host))
 		host.run(9, func() { host.reportHealthy() })
-		lag, least, widest, steps := host.controller.telemetry.ReportInterval+host.controller.queue.MaxLatency+second, int64(1<<60), 0., 0
+		lag, least, widest, steps := host.controller.telemetry.ReportInterval+host.controller.pushQueue.MaxLatency+second, int64(1<<60), 0., 0
 		part, at := host.controller.admission.limitShare, int64(0)
 		host.run(12, func() {
 			host.reportHealthy()
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -32,7 +32,7 @@
 
 	backends  []*backendState // by index; nothing is listed of those that the list has not named
 	proxies   []*proxyState   // by index
-	queue     pushQueue
+	pushQueue pushQueue
 	sharding  shardingState
 	admission admissionState
 
@@ -75,7 +75,7 @@
 		rules:          config.Rules,
 		telemetry:      config.Telemetry,
 		classes:        config.Classes,
-		queue:          pushQueue{PushChannel: config.Channel},
+		pushQueue:      pushQueue{PushChannel: config.Channel},
 		sharding:       newShardingState(config.Sharding, config.Classes),
 		admission:      newAdmissionState(config.Admission, config.Classes),
 		evaluatedAt:    host.Now(),
@@ -100,7 +100,7 @@
 	}
 	now := c.host.Now()
 	c.host.SetTimer(tickInterval, c.timerTag())
-	c.queue.expire(now)
+	c.pushQueue.expire(now)
 	if c.telemetry.PollingRequired && now >= c.pollAt {
 		c.pollEndpoints()
 	}
@@ -291,7 +291,7 @@
 // Acknowledged is a proxy's answer to Host.RequestAck: that message has come through, with all that left before it.
 func (c *Controller) Acknowledged(id, number int) {
 	proxy := c.proxies[id]
-	proxy.acknowledged = c.queue.acknowledge(number, proxy)
+	proxy.acknowledged = c.pushQueue.acknowledge(number, proxy)
 	c.syncProxies(c.host.Now())
 }
 
@@ -350,7 +350,7 @@
 func (c *Controller) timerTag() uint64 { return c.seed }
 
 // QueueDelay is how long what waits in the channel takes to leave: an ack is not answered before.
-func (c *Controller) QueueDelay() Microseconds { return c.queue.delay() }
+func (c *Controller) QueueDelay() Microseconds { return c.pushQueue.delay() }
 
 // randomFraction is a random number from 0 to 1, decided by the seed and by how many were drawn before.
 func (c *Controller) randomFraction() float64 {
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -108,8 +108,8 @@
 		for p := range 30 {
 			host.controller.ProxyConnected(p, 0, 10, false)
 		}
-		if host.updateEndpoints(0, 35, Removed, 0); host.controller.queue.queuedLines > 900 {
-			t.Errorf("%.0f lines wait", host.controller.queue.queuedLines)
+		if host.updateEndpoints(0, 35, Removed, 0); host.controller.pushQueue.queuedLines > 900 {
+			t.Errorf("%.0f lines wait", host.controller.pushQueue.queuedLines)
 		}
 		if host.run(12, nil); len(host.tables[0]) != 5 || !host.withdrawn[34] {
 			t.Errorf("table %v, out %v", host.tables[0], host.withdrawn)
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -256,9 +256,9 @@
 		host.now += tickInterval
 		host.timers = nil
 		host.controller.TimerFired(host.timerTag)
-		most = max(most, host.controller.queue.queuedLines)
-		for room := 900. / 4; room > 0 && len(host.controller.queue.batches) > 0; {
-			batch := host.controller.queue.batches[0]
+		most = max(most, host.controller.pushQueue.queuedLines)
+		for room := 900. / 4; room > 0 && len(host.controller.pushQueue.batches) > 0; {
+			batch := host.controller.pushQueue.batches[0]
 			if _, known := host.unsentLines[batch.number]; !known {
 				host.unsentLines[batch.number] = batch.lines
 			}
@@ -268,7 +268,7 @@
 				break
 			}
 			for _, p := range slices.Collect(maps.Keys(batch.linesTo)) { // whoever they were
-				host.controller.queue.acknowledge(int(batch.number&0xffff), p)
+				host.controller.pushQueue.acknowledge(int(batch.number&0xffff), p)
 			}
 			host.controller.syncProxies(host.now)
 		}
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -122,11 +122,11 @@
 		host.run(5, func() { host.reportHealthy(1, 2); host.reportOutcomes(1, 10, 10, 0) })
 		host.expectWeight(1, 0, "once the span has passed")
 		host.controller.MessagesSentByPeers(0, 8)
-		if host.controller.queue.mayPush(host.controller.proxies[0], host.now, true) {
+		if host.controller.pushQueue.mayPush(host.controller.proxies[0], host.now, true) {
 			t.Error("all are spent, and one may go")
 		}
 		host.run(11, func() { host.reportHealthy(2) })
-		if !host.controller.queue.mayPush(host.controller.proxies[0], host.now, true) {
+		if !host.controller.pushQueue.mayPush(host.controller.proxies[0], host.now, true) {
 			t.Error("they count beyond the span")
 		}
 	})
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -19,7 +19,7 @@
 //   - enough time has passed since any change of an earlier clock time went to several proxies, where the settings limit
 //     messages: the drain grace that was left at listing (computeGraceAtListing), less the way and a tick, over
 //     publicationsPerGrace, or the message window over its messages if that is shorter;
-//   - no more than drainedShare of the push queue's capacity is waiting, or all that is required fits into it;
+//   - no more than nearlyEmptyShare of the push queue's capacity is waiting, or all that is required fits into it;
 //   - each proxy with our tables may be sent one more message (mayPush).
 //
 // Then go, in this order, as far as the push queue has capacity (pushqueue.go):
@@ -69,8 +69,8 @@
 	c.reserveForTables(now, map[int]float64{})
 	plan := c.planPublication(now)
 	goes := (ordinary || plan.requiredLines > 0) && c.mayPublish(now, plan.requiredLines)
-	ordinaryWaits := ordinary && plan.changesDue && !c.queue.drained()
-	requiredWaits := plan.requiredLines > 0 && c.queue.queuedLines+plan.requiredLines > c.queue.capacity()
+	ordinaryWaits := ordinary && plan.changesDue && !c.pushQueue.nearlyEmpty()
+	requiredWaits := plan.requiredLines > 0 && c.pushQueue.queuedLines+plan.requiredLines > c.pushQueue.capacity()
 	c.queueCongested = !goes && (ordinaryWaits || requiredWaits)
 	if goes {
 		c.publishRound(plan)
@@ -82,12 +82,12 @@
 // mayPublish tells whether a round of changes may start now, with so many lines that are required, by the conditions in
 // the header of this file.
 func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
-	queue := &c.queue
+	queue := &c.pushQueue
 	interval := min((c.graceAtListing-queue.MaxLatency-tickInterval)/publicationsPerGrace,
 		queue.MessageWindow/int64(max(queue.MaxMessages, 1)))
 	tooSoon := queue.MaxMessages > 0 && now > c.changedAt && now-c.changedAt < interval
 	fits := required > 0 && queue.queuedLines+required <= queue.capacity()
-	if tooSoon || !queue.drained() && !fits {
+	if tooSoon || !queue.nearlyEmpty() && !fits {
 		return false
 	}
 	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
@@ -97,7 +97,7 @@
 
 // planPublication sums up what is to be published, and what that costs.
 func (c *Controller) planPublication(now Microseconds) *publication {
-	plan := &publication{now: now, overhead: c.queue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
+	plan := &publication{now: now, overhead: c.pushQueue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
 	plan.tablesEmpty = !slices.ContainsFunc(c.backends, func(backend *backendState) bool { return backend.published > 0 })
 	plan.targetBySubset, plan.fairWeight = c.subsetTargetWeights(now)
 	plan.changesDue = slices.ContainsFunc(c.admission.priorityOrder, c.admission.limitChanged)
@@ -224,8 +224,8 @@
 				continue
 			}
 			cost := plan.entryCost(backend)
-			delaysTables := !required && c.queue.wouldDelayTables(cost)
-			if delaysTables || !c.queue.hasCapacity(cost, required) {
+			delaysTables := !required && c.pushQueue.wouldDelayTables(cost)
+			if delaysTables || !c.pushQueue.hasCapacity(cost, required) {
 				entries.leftOver = true
 				continue
 			}
@@ -296,7 +296,7 @@
 	message := plan.overhead + float64(len(c.classes)) // for the first withdrawal of the round
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
-		if withdrawn == backend.withdrawn || !c.queue.hasCapacity(plan.outsiders*(1+message), true) {
+		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.outsiders*(1+message), true) {
 			continue
 		}
 		message = 0
--- a/balancer/publish_test.go
+++ b/balancer/publish_test.go
@@ -22,7 +22,7 @@
 		host.controller.EndpointsUpdated(false, more)
 		most := 0.
 		for turn := range 40 {
-			most = max(most, host.controller.queue.queuedLines)
+			most = max(most, host.controller.pushQueue.queuedLines)
 			if host.run(0.25, nil); turn == 4 && (host.tables[0][79] == 0 || host.tables[0][20] > 0) {
 				t.Errorf("first in the table: %v", host.tables[0])
 			}
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -18,7 +18,7 @@
 const (
 	maxQueueTime     = 2 * minPublishInterval // that what may wait takes to leave
 	ordinaryShare    = 1. / 2                 // of the capacity
-	drainedShare     = 1. / 8                 // of the capacity
+	nearlyEmptyShare = 1. / 8                 // of the capacity
 	reservedMessages = 2                      // of a proxy's messages, kept for urgent ones, see reserveReleased
 
 	// An ack that has not come within maxAckDelay and this many times the nominal sending time will not come.
@@ -54,20 +54,20 @@
 	batch := c.currentBatch(now)
 	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
 		proxy.messageTimes = append(proxy.messageTimes, now)
-		message := c.queue.messageOverhead()
+		message := c.pushQueue.messageOverhead()
 		if !proxy.hasOurTables { // it knows no limits yet
-			message += c.tableLimitLines() - c.queue.LimitLines
+			message += c.tableLimitLines() - c.pushQueue.LimitLines
 		}
 		lines += message
 	}
 	batch.linesTo[proxy] += lines
 	batch.lines += lines
-	c.queue.queuedLines += lines
+	c.pushQueue.queuedLines += lines
 }
 
 // currentBatch is the batch of this clock time. It is valid until the next one is begun.
 func (c *Controller) currentBatch(now Microseconds) *pushBatch {
-	queue := &c.queue
+	queue := &c.pushQueue
 	if n := len(queue.batches); n == 0 || queue.batches[n-1].sentAt != now {
 		queue.lastNumber++
 		batch := pushBatch{number: queue.lastNumber, sentAt: now, linesTo: map[*proxyState]Lines{}}
@@ -156,8 +156,8 @@
 	return q.queuedLines == 0 || queued <= q.capacity()*ordinaryShare || required && queued <= q.capacity()
 }
 
-// drained tells whether so little waits that a round of changes may begin.
-func (q *pushQueue) drained() bool { return q.queuedLines <= q.capacity()*drainedShare }
+// nearlyEmpty tells whether so little waits that a round of changes may begin.
+func (q *pushQueue) nearlyEmpty() bool { return q.queuedLines <= q.capacity()*nearlyEmptyShare }
 
 // wouldDelayTables tells whether, with so many lines before them, tables would come too late to proxies that wait.
 func (q *pushQueue) wouldDelayTables(cost Lines) bool {
--- a/balancer/pushqueue_test.go
+++ b/balancer/pushqueue_test.go
@@ -8,7 +8,7 @@
 		// 62 lines more waited than the channel may hold.
 		host := startController(t, defaultSettings(), 100, 8)
 		host.run(5, nil)
-		if len(host.controller.queue.batches) > 0 {
+		if len(host.controller.pushQueue.batches) > 0 {
 			t.Fatal("something waits before the story begins")
 		}
 		host.now++
@@ -20,11 +20,11 @@
 		for p := range 8 {
 			host.controller.Acknowledged(p, host.ackRequest)
 		}
-		if got := host.controller.queue.queuedLines; got < 99 {
+		if got := host.controller.pushQueue.queuedLines; got < 99 {
 			t.Errorf("%.0f lines are counted, while a table of 99 waits", got)
 		}
 		host.controller.Acknowledged(8, host.ackRequest)
-		if got := host.controller.queue.queuedLines; got != 0 {
+		if got := host.controller.pushQueue.queuedLines; got != 0 {
 			t.Errorf("%.0f lines are counted in the end", got)
 		}
 	})
@@ -34,13 +34,13 @@
 		host.updateEndpoints(0, 9, Draining, 0)
 		host.controller.ProxyDisconnected(0)
 		host.controller.ProxyDisconnected(1)
-		billed := host.controller.queue.queuedLines
-		if host.controller.TimerFired(host.timerTag); billed < 2*9 || host.controller.queue.queuedLines < billed {
-			t.Errorf("%.0f lines were billed, %.0f are counted", billed, host.controller.queue.queuedLines)
+		billed := host.controller.pushQueue.queuedLines
+		if host.controller.TimerFired(host.timerTag); billed < 2*9 || host.controller.pushQueue.queuedLines < billed {
+			t.Errorf("%.0f lines were billed, %.0f are counted", billed, host.controller.pushQueue.queuedLines)
 		}
 		host.run(4, nil)
-		if host.controller.queue.queuedLines != 0 || len(host.controller.queue.batches) > 0 {
-			t.Errorf("%.0f lines stay counted for good", host.controller.queue.queuedLines)
+		if host.controller.pushQueue.queuedLines != 0 || len(host.controller.pushQueue.batches) > 0 {
+			t.Errorf("%.0f lines stay counted for good", host.controller.pushQueue.queuedLines)
 		}
 	})
 }
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -98,7 +98,7 @@
 		if owner == noOwner && shard.fence == fencePending {
 			owner = shard.owner
 		}
-		if shard.fence > 0 || owner == noOwner || !c.mayPublish(now, c.queue.Backlog*shardReserveShare) {
+		if shard.fence > 0 || owner == noOwner || !c.mayPublish(now, c.pushQueue.Backlog*shardReserveShare) {
 			continue
 		}
 		c.changeOwner(id, owner)
@@ -132,7 +132,7 @@
 		c.host.PublishEntry(id, former, 0)
 	}
 	c.chargeAll(ownerChangeLines)
-	shard.fence = c.queue.lastNumber
+	shard.fence = c.pushQueue.lastNumber
 	shard.settledAt = 0
 }
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -37,24 +37,24 @@
 
 // chooseSubsetCount decides how many subsets there are, and puts the proxies that came before the list into them.
 func (c *Controller) chooseSubsetCount(backends int) {
-	proxies := float64(c.queue.Proxies)
+	proxies := float64(c.pushQueue.Proxies)
 	subsets, tableShare := 1., 1.
-	if connections := c.queue.MinBackendConnections; connections > 0 {
+	if connections := c.pushQueue.MinBackendConnections; connections > 0 {
 		perConnection := proxies / float64(connections)
 		if perConnection > maxProxiesPerConnection {
 			subsets = math.Ceil(perConnection)
 			tableShare = tableShareWithSubsets
 		}
 	}
-	overhead := c.queue.messageOverhead()
-	sendable := tablesShareOfGrace * c.queue.linesSentIn(c.rules.DrainGrace)
+	overhead := c.pushQueue.messageOverhead()
+	sendable := tablesShareOfGrace * c.pushQueue.linesSentIn(c.rules.DrainGrace)
 	allTables := proxies * (overhead + float64(backends)/subsets)
 	if !c.sharding.enabled() && allTables > sendable {
 		tableSize := tableShare*sendable/proxies - overhead
 		subsets = math.Ceil(float64(backends) / max(1, tableSize))
 	}
 	// A subset without a proxy would serve nobody.
-	c.subsetCount = max(1, min(int(subsets), backends/minSubsetSize, c.queue.Proxies))
+	c.subsetCount = max(1, min(int(subsets), backends/minSubsetSize, c.pushQueue.Proxies))
 
 	for id, proxy := range c.proxies {
 		proxy.subset = id % c.subsetCount
@@ -140,8 +140,8 @@
 		settled := backend.published > 0 && c.targetWeight(backend, plan.now) == backend.published
 		return backend.subset == from && settled && !c.warmingUp(backend, plan.now)
 	})
-	cost := (plan.proxiesBySubset[from] + plan.proxiesBySubset[to]) * (c.queue.messageOverhead() + 1)
-	if id < 0 || plan.targetBySubset[from] <= plan.fairWeight || !c.queue.hasCapacity(cost, true) {
+	cost := (plan.proxiesBySubset[from] + plan.proxiesBySubset[to]) * (c.pushQueue.messageOverhead() + 1)
+	if id < 0 || plan.targetBySubset[from] <= plan.fairWeight || !c.pushQueue.hasCapacity(cost, true) {
 		return false
 	}
 	backend := c.backends[id]
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -146,9 +146,9 @@
 		}
 		all := 0.
 		for p := range c.channel.Proxies { // what it costs to give each its table
-			all += host.controller.queue.messageOverhead() + float64(len(host.tables[p%host.controller.subsetCount]))
+			all += host.controller.pushQueue.messageOverhead() + float64(len(host.tables[p%host.controller.subsetCount]))
 		}
-		if within := tablesShareOfGrace * host.controller.queue.linesSentIn(c.grace); host.controller.subsetCount < min(200/minSubsetSize, c.channel.Proxies) && all > within {
+		if within := tablesShareOfGrace * host.controller.pushQueue.linesSentIn(c.grace); host.controller.subsetCount < min(200/minSubsetSize, c.channel.Proxies) && all > within {
 			t.Errorf("%s: %.0f lines to all proxies, %.0f leave in time", c.what, all, within)
 		}
 	}
@@ -158,10 +158,10 @@
 	t.Run("a drain costs the proxies of its own subset, and leaves all within the grace", func(t *testing.T) {
 		host := startController(t, wholeFleet(), 200, 400)
 		host.drainQueue(12)
-		before := host.controller.queue.queuedLines
+		before := host.controller.pushQueue.queuedLines
 		host.updateEndpoints(0, 1, Draining, 0)
-		if host.run(0.25, nil); host.controller.backends[0].published > 0 || host.controller.queue.queuedLines-before > 20*6 {
-			t.Errorf("line %.1f, %.0f lines for one drain", host.controller.backends[0].published, host.controller.queue.queuedLines-before)
+		if host.run(0.25, nil); host.controller.backends[0].published > 0 || host.controller.pushQueue.queuedLines-before > 20*6 {
+			t.Errorf("line %.1f, %.0f lines for one drain", host.controller.backends[0].published, host.controller.pushQueue.queuedLines-before)
 		}
 		host.updateEndpoints(1, 61, Draining, 0)
 		if most := host.drainQueue(20); most > 900*4 {
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -53,7 +53,7 @@
 func (c *Controller) enqueueForSync(id int) {
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
 	place := len(c.syncQueue)
-	mayTakeLong := c.queue.capacity() < c.queue.Backlog
+	mayTakeLong := c.pushQueue.capacity() < c.pushQueue.Backlog
 	if mayTakeLong {
 		place, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
 			// In falling order of baseline demand; behind those with the same.
@@ -68,10 +68,10 @@
 	if len(c.syncQueue) == 0 {
 		return
 	}
-	round := &syncRound{now: now, reserve: c.queue.capacity() * syncReserveShare, tableSizes: map[int]float64{}}
+	round := &syncRound{now: now, reserve: c.pushQueue.capacity() * syncReserveShare, tableSizes: map[int]float64{}}
 	round.withdrawals, round.withdrawalCost = c.withdrawalCost()
-	anyTable := c.queue.hasCapacity(c.queue.messageOverhead(), false)
-	anyMessage := c.queue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	anyTable := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
+	anyMessage := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
 	if !anyTable && !anyMessage {
 		return // thousands may wait, and this is looked at with each ack
 	}
@@ -135,19 +135,19 @@
 // tablesMayGo tells whether a proxy's tables, or as much as they cost, may go to it now. Changes that wait for the
 // channel go first, unless its tables would be late.
 func (c *Controller) tablesMayGo(proxy *proxyState, tables fullTables, now Microseconds) bool {
-	wouldBeLate := !proxy.hasOurTables && c.queue.wouldDelayTables(0)
+	wouldBeLate := !proxy.hasOurTables && c.pushQueue.wouldDelayTables(0)
 	itsTurn := !c.queueCongested || wouldBeLate
 	return proxy.connected && !tables.anyEmpty && itsTurn &&
-		c.queue.hasCapacity(tables.cost, false) && c.queue.mayPush(proxy, now, false)
+		c.pushQueue.hasCapacity(tables.cost, false) && c.pushQueue.mayPush(proxy, now, false)
 }
 
 // assignTables gives a proxy its tables.
 func (c *Controller) assignTables(id int, tables fullTables) {
 	proxy := c.proxies[id]
 	proxy.hasOurTables = true
-	c.queue.reservedLines -= tables.cost
+	c.pushQueue.reservedLines -= tables.cost
 	withdrawalLines := min(proxy.heldWithdrawals, tables.entries)
-	c.charge(proxy, 1+tables.cost-c.queue.messageOverhead()+withdrawalLines)
+	c.charge(proxy, 1+tables.cost-c.pushQueue.messageOverhead()+withdrawalLines)
 	c.eachTable(proxy.subset, proxy.zone, func(table int, classes uint16) {
 		c.host.AssignTable(table, id, classes)
 	})
@@ -156,7 +156,7 @@
 // mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
 func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
 	due := proxy.mayHoldForeign && !proxy.withdrawalsCleared
-	return due && round.waiting == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
+	return due && round.waiting == 0 && c.pushQueue.hasCapacity(tables.entries+round.reserve, false)
 }
 
 // messageWorthwhile tells whether a proxy that waits is better notified of withdrawals by a message of its own: its tables
@@ -173,8 +173,8 @@
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
 	anyToTell := proxy.mayHoldForeign || round.withdrawals > 0
-	hasRoom := c.queue.hasCapacity(round.withdrawalCost+round.reserve, true)
-	if !anyToTell || !hasRoom || !c.queue.mayPush(proxy, round.now, true) {
+	hasRoom := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	if !anyToTell || !hasRoom || !c.pushQueue.mayPush(proxy, round.now, true) {
 		return
 	}
 	if !c.host.SyncWithdrawals(id, noLimit, RetryIfNotExecuted) {
@@ -188,7 +188,7 @@
 // tablesSuffice tells whether proxies that wait are as well given tables as notified of withdrawals by messages of their
 // own, by the costs of both.
 func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
-	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.graceAtListing)
+	inTime := table*float64(waiting) <= tablesShareOfGrace*c.pushQueue.linesSentIn(c.graceAtListing)
 	return table <= tableCostPerMessage*message && inTime
 }
 
@@ -199,7 +199,7 @@
 			withdrawals++
 		}
 	}
-	return withdrawals, c.queue.messageOverhead() + withdrawals + float64(len(c.classes))
+	return withdrawals, c.pushQueue.messageOverhead() + withdrawals + float64(len(c.classes))
 }
 
 // fullTables is what a proxy's tables amount to.
@@ -211,7 +211,7 @@
 
 // fullTablesOf sums up a proxy's tables. Sizes keeps the entries of each table.
 func (c *Controller) fullTablesOf(proxy *proxyState, sizes map[int]float64) (tables fullTables) {
-	tables.cost = c.queue.messageOverhead() + c.tableLimitLines()
+	tables.cost = c.pushQueue.messageOverhead() + c.tableLimitLines()
 	c.eachTable(proxy.subset, proxy.zone, func(table int, _ uint16) {
 		size, known := sizes[table]
 		if !known {
@@ -229,15 +229,15 @@
 // tableLimitLines is how many lines of limits go along with complete tables, as these make a proxy forget them.
 func (c *Controller) tableLimitLines() Lines {
 	if !c.admission.limitsSent {
-		return max(c.queue.LimitLines, 0)
+		return max(c.pushQueue.LimitLines, 0)
 	}
-	return max(c.queue.LimitLines, float64(len(c.classes)))
+	return max(c.pushQueue.LimitLines, float64(len(c.classes)))
 }
 
 // reserveForTables sums what the tables of proxies that wait cost, and how much may wait in the channel for the first of
 // them to have its tables in time: a withdrawal may name no backend that had gone before we began, tables do.
 func (c *Controller) reserveForTables(now Microseconds, sizes map[int]float64) {
-	queue := &c.queue
+	queue := &c.pushQueue
 	queue.reservedLines = 0
 	queue.maxQueuedBeforeTables = math.Inf(1)
 	for _, id := range c.syncQueue {
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -12,7 +12,7 @@
 		for _, keeps := range []bool{false, true} {
 			host := startController(t, defaultSettings(), 5, 0)
 			host.controller.ProxyConnected(0, 0, 10, keeps)
-			bind := host.controller.queue.queuedLines
+			bind := host.controller.pushQueue.queuedLines
 			host.controller.Acknowledged(0, host.ackRequest)
 			host.now += 3 * second
 			host.updateEndpoints(5, 7, Ready, 0) // new ones enter, and one is dropped
@@ -20,11 +20,11 @@
 			host.run(2.2, nil)
 			host.controller.ProxyDisconnected(0)
 			host.controller.ProxyConnected(1, 0, 10, keeps)
-			before := host.controller.queue.queuedLines
+			before := host.controller.pushQueue.queuedLines
 			host.now += 3 * second
 			host.updateEndpoints(7, 8, Ready, 0)
 			host.controller.publishChanges(host.now, true)
-			cost[keeps] = []float64{bind, host.controller.queue.queuedLines - before}
+			cost[keeps] = []float64{bind, host.controller.pushQueue.queuedLines - before}
 		}
 		if cost[true][0] != cost[false][0]+5 || cost[true][1] != cost[false][1]+1 {
 			t.Errorf("lines counted: %v", cost)
@@ -70,8 +70,8 @@
 				t.Errorf("proxy %d in the end: %+v", p+1, proxy)
 			}
 		}
-		if host.controller.queue.queuedLines > 900 || len(host.controller.syncQueue) > 0 {
-			t.Errorf("%.0f lines, %d waiting", host.controller.queue.queuedLines, len(host.controller.syncQueue))
+		if host.controller.pushQueue.queuedLines > 900 || len(host.controller.syncQueue) > 0 {
+			t.Errorf("%.0f lines, %d waiting", host.controller.pushQueue.queuedLines, len(host.controller.syncQueue))
 		}
 	})
 }
