--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -258,8 +258,9 @@
 }
 
 // ProxyConnected takes a proxy in, with the rate that comes to it on ordinary days, in requests a second. It uses stale
-// tables until it gets ours, as soon as there is room; mayHoldForeign says that it may hold withdrawals of others.
-func (c *Controller) ProxyConnected(id, zone int, baseline RequestsPerSecond, mayHoldForeign bool) {
+// tables until it gets ours, as soon as there is room; mayHoldForeignWithdrawals says that it may hold withdrawals of other
+// controllers.
+func (c *Controller) ProxyConnected(id, zone int, baseline RequestsPerSecond, mayHoldForeignWithdrawals bool) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxyState{})
 	}
@@ -267,16 +268,16 @@
 	before := c.proxies[id]
 	classCount := len(c.classes)
 	c.proxies[id] = &proxyState{
-		connected:       true,
-		connectedAt:     now,
-		zone:            zone,
-		subset:          id % c.subsetCount,
-		baselineRate:    max(baseline, 1),
-		demand:          slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
-		hasOurTables:    c.sharding.enabled(),                                                 // it reads owners from the store
-		mayHoldForeign:  mayHoldForeign,
-		messageTimes:    before.peerMessageTimes,
-		reserveReleased: before.peerMessageTimes != nil,
+		connected:                 true,
+		connectedAt:               now,
+		zone:                      zone,
+		subset:                    id % c.subsetCount,
+		baselineRate:              max(baseline, 1),
+		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
+		hasOurTables:              c.sharding.enabled(),
+		mayHoldForeignWithdrawals: mayHoldForeignWithdrawals,
+		messageTimes:              before.peerMessageTimes,
+		peersReportedMessages:     before.peerMessageTimes != nil,
 	}
 	c.sharding.repeatFences()
 	c.enqueueForSync(id)
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -9,18 +9,18 @@
 	baselineRate   float64   // requests a second that come to it on ordinary days, 1 at least
 	demand         []float64 // requests a second that come to it now, by class
 
-	hasOurTables bool // its tables are ours
+	hasOurTables bool // its tables are ours; always with shards, where it has no tables and reads owners from the store
 
 	// Withdrawals of other controllers that it may hold, see sync.go.
-	mayHoldForeign     bool
-	withdrawalsSynced  bool    // it was notified of ours before it had our tables
-	withdrawalsCleared bool    // it uses a backend again with that backend's first entry, which costs a line more
-	heldWithdrawals    float64 // how many of ours it holds since then: the same
+	mayHoldForeignWithdrawals bool
+	withdrawalsSynced         bool    // it was notified of ours before it had our tables
+	withdrawalsCleared        bool    // it uses a backend again with that backend's first entry, which costs a line more
+	heldWithdrawals           float64 // how many of ours it holds since then: the same
 
-	acknowledged     int64          // push batches up to this number have come through
-	messageTimes     []Microseconds // when messages went to it, within the window that counts
-	peerMessageTimes []Microseconds // when those of other controllers did, for when it connects
-	reserveReleased  bool           // peers told of theirs before it connected (even of none); then only 2 are kept for urgent ones
+	acknowledged          int64          // push batches up to this number have come through
+	messageTimes          []Microseconds // when messages went to it, within the window that counts
+	peerMessageTimes      []Microseconds // when those of other controllers did, for when it connects
+	peersReportedMessages bool           // peers told of theirs before it connected (even of none), see messagesForRequired
 }
 
 // mayKeepOff tells whether the proxy may keep off a backend until its first entry, which costs it a line more.
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -47,10 +47,10 @@
 	overhead    Lines // of a message
 	tablesEmpty bool  // no backend has an entry
 
-	connected       float64   // proxies
-	outsiders       float64   // connected proxies that hear of withdrawals: with other tables than ours, or with shards
-	proxiesBySubset []float64 // proxies with our tables
-	keepOffBySubset []float64 // of these, those for which a backend's first entry costs a line more
+	connected          float64   // proxies
+	hearingWithdrawals float64   // connected proxies that hear of withdrawals, see hearsWithdrawals
+	proxiesBySubset    []float64 // proxies with our tables
+	keepOffBySubset    []float64 // of these, those for which a backend's first entry costs a line more
 
 	targetBySubset []float64 // target weight by subset
 	fairWeight     float64   // of a subset
@@ -59,7 +59,7 @@
 	changesDue     bool  // some entry or limit is not as it should be
 	requiredLines  Lines // what required changes cost
 	withdrawalsDue float64
-	tablesSuffice  bool // complete tables for outsiders come in time, at a cost that makes withdrawals needless
+	tablesSuffice  bool // complete tables for those hearing withdrawals come in time, at a cost that makes withdrawals needless
 }
 
 // publishChanges publishes what differs from the tables that stand, if something is required or it is time for ordinary
@@ -105,10 +105,10 @@
 	c.sumRequired(plan)
 	tableCost := plan.overhead + float64(len(c.backends)/c.subsetCount)
 	withdrawalCost := plan.overhead + plan.withdrawalsDue
-	plan.tablesSuffice = plan.outsiders > 0 && !c.sharding.enabled() &&
-		c.tablesSuffice(tableCost, withdrawalCost, int(plan.outsiders))
+	plan.tablesSuffice = plan.hearingWithdrawals > 0 && !c.sharding.enabled() &&
+		c.tablesSuffice(tableCost, withdrawalCost, int(plan.hearingWithdrawals))
 	if plan.withdrawalsDue > 0 && !plan.tablesSuffice {
-		plan.requiredLines += plan.withdrawalsDue + plan.outsiders*withdrawalCost
+		plan.requiredLines += plan.withdrawalsDue + plan.hearingWithdrawals*withdrawalCost
 	}
 	if c.admission.limitLowered { // all that is let in meanwhile adds to a queue
 		plan.requiredLines += (plan.overhead + 1) * plan.connected
@@ -130,7 +130,7 @@
 		if proxy.connected {
 			plan.connected++
 			if c.hearsWithdrawals(proxy) {
-				plan.outsiders++
+				plan.hearingWithdrawals++
 			}
 		}
 	}
@@ -296,7 +296,7 @@
 	message := plan.overhead + float64(len(c.classes)) // for the first withdrawal of the round
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
-		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.outsiders*(1+message), true) {
+		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.hearingWithdrawals*(1+message), true) {
 			continue
 		}
 		message = 0
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -10,16 +10,17 @@
 //     reports, and shares messages with others.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of it, so that required ones never wait behind more.
 //   - When a round of changes may start, and in which order it goes, is in publish.go.
-//   - Of the messages that a proxy may be sent within the window, ordinary ones use half, or all but reservedMessages at a
-//     proxy for which other controllers told of theirs (proxyState.reserveReleased).
+//   - Of the messages that a proxy may be sent within the window, ordinary ones use half, or all but messagesForRequired at
+//     a proxy for which other controllers told of theirs (proxyState.peersReportedMessages); the rest is kept for required
+//     ones. Messages of withdrawals alone (sync.go) count as required, here and in the capacity.
 //
 // Inputs are PushChannel, the drain grace (microseconds) and the costs of what is to be pushed (lines).
 
 const (
-	maxQueueTime     = 2 * minPublishInterval // that what may wait takes to leave
-	ordinaryShare    = 1. / 2                 // of the capacity
-	nearlyEmptyShare = 1. / 8                 // of the capacity
-	reservedMessages = 2                      // of a proxy's messages, kept for urgent ones, see reserveReleased
+	maxQueueTime        = 2 * minPublishInterval // that what may wait takes to leave
+	ordinaryShare       = 1. / 2                 // of the capacity
+	nearlyEmptyShare    = 1. / 8                 // of the capacity
+	messagesForRequired = 2                      // of a proxy's messages, kept for required ones, see peersReportedMessages
 
 	// An ack that has not come within maxAckDelay and this many times the nominal sending time will not come.
 	ackTimeoutFactor = 4
@@ -165,7 +166,7 @@
 }
 
 // mayPush tells whether a proxy may be sent one more message.
-func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, urgent bool) bool {
+func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, required bool) bool {
 	proxy.messageTimes = slices.DeleteFunc(proxy.messageTimes, func(at Microseconds) bool {
 		return at <= now-q.MessageWindow-q.MaxLatency
 	})
@@ -175,10 +176,10 @@
 		return true
 	}
 	allowed := q.MaxMessages / 2
-	if proxy.reserveReleased {
-		allowed = max(allowed, q.MaxMessages-reservedMessages)
+	if proxy.peersReportedMessages {
+		allowed = max(allowed, q.MaxMessages-messagesForRequired)
 	}
-	if urgent {
+	if required {
 		allowed = max(allowed, q.MaxMessages)
 	}
 	return sent < allowed
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -86,7 +86,7 @@
 	}
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(id int) bool {
 		proxy := c.proxies[id]
-		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeign
+		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeignWithdrawals
 		return !proxy.connected || complete
 	})
 	if round.served > 0 && round.waiting == round.served {
@@ -155,7 +155,7 @@
 
 // mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
 func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
-	due := proxy.mayHoldForeign && !proxy.withdrawalsCleared
+	due := proxy.mayHoldForeignWithdrawals && !proxy.withdrawalsCleared
 	return due && round.waiting == 0 && c.pushQueue.hasCapacity(tables.entries+round.reserve, false)
 }
 
@@ -172,7 +172,7 @@
 // it passes is for classes without one, see Host.SyncWithdrawals.
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
-	anyToTell := proxy.mayHoldForeign || round.withdrawals > 0
+	anyToTell := proxy.mayHoldForeignWithdrawals || round.withdrawals > 0
 	hasRoom := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
 	if !anyToTell || !hasRoom || !c.pushQueue.mayPush(proxy, round.now, true) {
 		return
