--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -53,7 +53,7 @@
 	updateFailed = 3 // failed: a poll came to nothing, and no list goes with it
 )
 
-// Conditions of a backend in an endpoint list.
+// States of a backend in an endpoint list; warnings call them conditions.
 const (
 	backendRemoved  = 0
 	backendReady    = 1
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -53,100 +53,130 @@
 // instanceID is the id of the controller that an event is for; eventEndpointList has none.
 func (r record) instanceID() uint16 { return r.u16(instanceAt) }
 
+// eventHandlers is what each event of an instance does; the others concern the server (handleEvent).
+var eventHandlers = map[eventCode]func(*instance, record){
+	eventEndpointsUpdated:     (*instance).endpointsUpdated,
+	eventTimerFired:           (*instance).timerFired,
+	eventHealthCheckCompleted: (*instance).healthCheckCompleted,
+	eventPeerMessage:          (*instance).peerMessage,
+	eventProxyConnected:       (*instance).proxyConnected,
+	eventProxyDisconnected:    (*instance).proxyDisconnected,
+	eventAcknowledged:         (*instance).acknowledged,
+	eventOutcomesReported:     (*instance).outcomesReported,
+	eventDemandReported:       (*instance).demandReported,
+	eventShardDemandReported:  (*instance).shardDemandReported,
+	eventShardOwnership:       (*instance).shardOwnership,
+	eventShardOwnerStored:     (*instance).shardOwnerStored,
+}
+
 // handle takes an event to the balancer, unless it has aborted.
 func (in *instance) handle(r record) {
-	if in.balancer == nil {
+	handler := eventHandlers[r.code()]
+	if in.balancer == nil || handler == nil {
 		return
 	}
-	in.abortOnPanic(func() {
-		switch r.code() {
-		case eventEndpointsUpdated, eventHealthCheckCompleted, eventOutcomesReported:
-			in.handleBackendEvent(r)
-		case eventProxyConnected, eventProxyDisconnected, eventAcknowledged, eventDemandReported:
-			in.handleProxyEvent(r)
-		case eventShardDemandReported, eventShardOwnership, eventShardOwnerStored:
-			in.handleShardEvent(r)
-		case eventTimerFired:
-			in.balancer.TimerFired(r.u64(firedTagAt))
-		case eventPeerMessage:
-			in.server.warn("a peer message came, though we never send one")
-		}
+	in.abortOnPanic(func() { handler(in, r) })
+}
+
+func (in *instance) timerFired(r record) { in.balancer.TimerFired(r.u64(firedTagAt)) }
+
+func (in *instance) peerMessage(record) {
+	in.server.warn("a peer message came, though we never send one")
+}
+
+func (in *instance) healthCheckCompleted(r record) {
+	if backend, ok := in.known(&in.backends, r.u32(checkedBackendAt), "backend"); ok {
+		in.balancer.HealthCheckCompleted(backend, in.healthCheckResult(r.u16(checkedResultAt)))
+	}
+}
+
+func (in *instance) outcomesReported(r record) {
+	backend, ok := in.known(&in.backends, r.u32(outcomesBackendAt), "backend")
+	if !ok || !in.exists(int(r.u8(outcomesZoneAt)), in.zones, "zone") {
+		return
+	}
+	attempts := int(r.u32(outcomesAttemptsAt))
+	in.balancer.OutcomesReported(balancer.OutcomeReport{
+		Backend:        backend,
+		Attempts:       attempts,
+		Failures:       min(int(r.u32(outcomesFailuresAt)), attempts),
+		MeanAnswerTime: r.microseconds(outcomesMeanAt),
+		Span:           r.microseconds(outcomesSpanAt),
+		Load:           in.loadReport(r, outcomesLoadAt),
 	})
 }
 
-func (in *instance) handleBackendEvent(r record) {
-	switch r.code() {
-	case eventEndpointsUpdated:
-		in.endpointsUpdated(r)
-	case eventHealthCheckCompleted:
-		backend, ok := in.known(&in.backends, r.u32(checkedBackendAt), "backend")
-		if ok {
-			in.balancer.HealthCheckCompleted(backend, in.healthCheckResult(r.u16(checkedResultAt)))
-		}
-	case eventOutcomesReported:
-		backend, ok := in.known(&in.backends, r.u32(outcomesBackendAt), "backend")
-		if ok && in.exists(int(r.u8(outcomesZoneAt)), in.zones, "zone") {
-			attempts := int(r.u32(outcomesAttemptsAt))
-			in.balancer.OutcomesReported(balancer.OutcomeReport{
-				Backend:        backend,
-				Attempts:       attempts,
-				Failures:       min(int(r.u32(outcomesFailuresAt)), attempts),
-				MeanAnswerTime: r.microseconds(outcomesMeanAt),
-				Span:           r.microseconds(outcomesSpanAt),
-				Load:           in.loadReport(r, outcomesLoadAt),
-			})
-		}
+func (in *instance) proxyConnected(r record) {
+	zone := int(r.u8(connectedZoneAt))
+	if in.exists(zone, in.zones, "zone") {
+		proxy := in.proxies.number(uint32(r.u16(connectedProxyAt)))
+		in.balancer.ProxyConnected(proxy, zone, r.f32(connectedRateAt), false)
 	}
 }
 
-func (in *instance) handleProxyEvent(r record) {
-	if r.code() == eventProxyConnected {
-		zone := int(r.u8(connectedZoneAt))
-		if in.exists(zone, in.zones, "zone") {
-			proxy := in.proxies.number(uint32(r.u16(connectedProxyAt)))
-			in.balancer.ProxyConnected(proxy, zone, r.f32(connectedRateAt), false)
-		}
+func (in *instance) proxyDisconnected(r record) {
+	if proxy, ok := in.knownProxy(r); ok {
+		in.balancer.ProxyDisconnected(proxy)
+	}
+}
+
+func (in *instance) acknowledged(r record) {
+	if proxy, ok := in.knownProxy(r); ok {
+		in.balancer.Acknowledged(proxy, int(r.u64(ackNumberAt)&math.MaxUint16))
+	}
+}
+
+func (in *instance) demandReported(r record) {
+	proxy, ok := in.knownProxy(r)
+	if !ok {
 		return
 	}
-	proxy, ok := in.known(&in.proxies, uint32(r.u16(proxyAt)), "proxy")
+	class := int(r.u8(demandClassAt))
+	if in.exists(class, in.classes, "class") {
+		in.balancer.DemandReported(proxy, class, int(r.u32(demandCountAt)), r.microseconds(demandSpanAt))
+	}
+}
+
+func (in *instance) shardDemandReported(r record) {
+	shard, ok := in.existingShard(r)
 	if !ok {
 		return
 	}
-	switch r.code() {
-	case eventProxyDisconnected:
-		in.balancer.ProxyDisconnected(proxy)
-	case eventAcknowledged:
-		in.balancer.Acknowledged(proxy, int(r.u64(ackNumberAt)&math.MaxUint16))
-	case eventDemandReported:
-		class := int(r.u8(demandClassAt))
-		if in.exists(class, in.classes, "class") {
-			in.balancer.DemandReported(proxy, class, int(r.u32(demandCountAt)), r.microseconds(demandSpanAt))
-		}
+	class := int(r.u8(demandClassAt))
+	if in.exists(class, in.classes, "class") {
+		in.balancer.ShardDemandReported(shard, class, int(r.u32(demandCountAt)), r.microseconds(demandSpanAt))
 	}
 }
 
-func (in *instance) handleShardEvent(r record) {
-	shard := int(r.u16(shardAt))
-	if !in.exists(shard, in.shards, wordShard) {
+func (in *instance) shardOwnership(r record) {
+	shard, ok := in.existingShard(r)
+	if !ok {
 		return
 	}
-	switch r.code() {
-	case eventShardDemandReported:
-		class := int(r.u8(demandClassAt))
-		if in.exists(class, in.classes, "class") {
-			in.balancer.ShardDemandReported(shard, class, int(r.u32(demandCountAt)), r.microseconds(demandSpanAt))
-		}
-	case eventShardOwnership:
-		if assigned := r.u8(shardAssignedAt) != 0; assigned {
-			in.balancer.ShardAssigned(shard)
-		} else {
-			in.balancer.ShardRevoked(shard)
-		}
-	case eventShardOwnerStored:
+	if assigned := r.u8(shardAssignedAt) != 0; assigned {
+		in.balancer.ShardAssigned(shard)
+	} else {
+		in.balancer.ShardRevoked(shard)
+	}
+}
+
+func (in *instance) shardOwnerStored(r record) {
+	if shard, ok := in.existingShard(r); ok {
 		in.balancer.ShardOwnerStored(shard, in.backends.number(r.u32(shardOwnerAt)), r.f32(shardWeightAt))
 	}
 }
 
+// knownProxy gives the number of the proxy that an event names, with a warning where it never connected.
+func (in *instance) knownProxy(r record) (int, bool) {
+	return in.known(&in.proxies, uint32(r.u16(proxyAt)), "proxy")
+}
+
+// existingShard gives the shard that an event names, with a warning where there is no such shard.
+func (in *instance) existingShard(r record) (int, bool) {
+	shard := int(r.u16(shardAt))
+	return shard, in.exists(shard, in.shards, wordShard)
+}
+
 // exists tells whether a number is below a count, with a warning where it is not.
 func (in *instance) exists(number, count int, what string) bool {
 	if number >= count {
@@ -199,16 +229,16 @@
 	in.balancer.EndpointsUpdated(kind != updateDelta, endpoints)
 }
 
-// endpointState reads a backend's condition; one that is not known counts as draining, which sends nothing new there.
-func (in *instance) endpointState(condition byte) balancer.EndpointState {
-	switch condition {
+// endpointState reads a backend's state; one that is not known counts as draining, which sends nothing new there.
+func (in *instance) endpointState(code byte) balancer.EndpointState {
+	switch code {
 	case backendRemoved:
 		return balancer.Removed
 	case backendReady:
 		return balancer.Ready
 	case backendDraining:
 	default:
-		in.server.warn("backend condition %d is not known", condition)
+		in.server.warn("backend condition %d is not known", code)
 	}
 	return balancer.Draining
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -52,7 +52,8 @@
 	a.putU16(assignClassesAt, classes)
 }
 
-// Withdraw has all connected proxies use a backend no more, whatever their tables hold, or use it again.
+// Withdraw has proxies use a backend no more, whatever their tables hold, or use it again. The wire reaches further than
+// balancer.Host asks: it tells all connected proxies, not only those that may hold tables of other controllers.
 func (in *instance) Withdraw(backend int, withdrawn bool) {
 	a := in.act(actionWithdraw)
 	a.putU32(withdrawBackendAt, in.backends.ids[backend])
