--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -30,14 +30,14 @@
 	server := simwire.NewServer(log)
 	var body bytes.Buffer
 	for {
-		batch, err := simwire.ReadBatch(reader, &body)
+		frame, err := simwire.ReadFrame(reader, &body)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		reply, err := server.Handle(batch)
+		reply, err := server.Handle(frame)
 		if err != nil {
 			return err
 		}
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -11,64 +11,64 @@
 	"wheelrill/internal/settings"
 )
 
-// Sizes of what a frame consists of, in bytes.
+// Sizes of what frames and replies consist of, in bytes.
 const (
-	batchHeaderSize = 20
+	frameHeaderSize = 20
 	replyHeaderSize = 12
 	eventSize       = 56
 	actionSize      = 24
 	endpointSize    = 22
 )
 
-// Batch is one frame of events. Its bytes stay valid until the next read into the same buffer.
-type Batch struct {
+// Frame is the events that the simulator sends at once. Its bytes stay valid until the next read into the same buffer.
+type Frame struct {
 	Clock   float64 // simulated time in milliseconds
-	Seq     uint32  // the frame's number, which its reply repeats
+	Number  uint32  // the frame's number, which its reply repeats
 	records []byte
 	tail    []byte
 }
 
-// ReadBatch reads one frame by way of a buffer that the caller keeps. It returns io.EOF where the input ends between
+// ReadFrame reads one frame by way of a buffer that the caller keeps. It returns io.EOF where the input ends between
 // frames, and another error where it ends or is wrong within one.
-func ReadBatch(r io.Reader, body *bytes.Buffer) (Batch, error) {
-	var head [batchHeaderSize]byte
+func ReadFrame(r io.Reader, body *bytes.Buffer) (Frame, error) {
+	var head [frameHeaderSize]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if err == io.EOF {
-			return Batch{}, io.EOF
+			return Frame{}, io.EOF
 		}
-		return Batch{}, fmt.Errorf("frame header: input ended after %d of %d bytes", n, batchHeaderSize)
+		return Frame{}, fmt.Errorf("frame header: input ended after %d of %d bytes", n, frameHeaderSize)
 	}
-	length := binary.LittleEndian.Uint32(head[batchLengthAt:])
-	count := binary.LittleEndian.Uint32(head[batchCountAt:])
-	batch := Batch{
-		Clock: math.Float64frombits(binary.LittleEndian.Uint64(head[batchClockAt:])),
-		Seq:   binary.LittleEndian.Uint32(head[batchSeqAt:]),
+	length := binary.LittleEndian.Uint32(head[frameLengthAt:])
+	count := binary.LittleEndian.Uint32(head[frameCountAt:])
+	frame := Frame{
+		Clock:  math.Float64frombits(binary.LittleEndian.Uint64(head[frameClockAt:])),
+		Number: binary.LittleEndian.Uint32(head[frameNumberAt:]),
 	}
-	if math.IsNaN(batch.Clock) || math.IsInf(batch.Clock, 0) {
-		return Batch{}, fmt.Errorf("frame %d: the clock is not a number", batch.Seq)
+	if math.IsNaN(frame.Clock) || math.IsInf(frame.Clock, 0) {
+		return Frame{}, fmt.Errorf("frame %d: the clock is not a number", frame.Number)
 	}
 	if uint64(count)*eventSize > uint64(length) {
-		return Batch{}, fmt.Errorf("frame %d: %d records do not fit in %d bytes", batch.Seq, count, length)
+		return Frame{}, fmt.Errorf("frame %d: %d records do not fit in %d bytes", frame.Number, count, length)
 	}
 	body.Reset()
 	// The buffer grows with what arrives, so that a wrong length costs no memory.
 	if n, err := io.CopyN(body, r, int64(length)); err != nil {
 		if errors.Is(err, io.EOF) {
-			return Batch{}, fmt.Errorf("frame %d: input ended after %d of %d bytes", batch.Seq, n, length)
+			return Frame{}, fmt.Errorf("frame %d: input ended after %d of %d bytes", frame.Number, n, length)
 		}
-		return Batch{}, fmt.Errorf("frame %d: %w", batch.Seq, err)
+		return Frame{}, fmt.Errorf("frame %d: %w", frame.Number, err)
 	}
 	all := body.Bytes()
-	batch.records = all[:count*eventSize]
-	batch.tail = all[count*eventSize:]
-	return batch, nil
+	frame.records = all[:count*eventSize]
+	frame.tail = all[count*eventSize:]
+	return frame, nil
 }
 
-// Events is the number of the batch's events.
-func (b Batch) Events() int { return len(b.records) / eventSize }
+// Events is the number of the frame's events.
+func (f Frame) Events() int { return len(f.records) / eventSize }
 
-func (b Batch) event(i int) record {
-	return record{b.records[i*eventSize : (i+1)*eventSize], b.tail}
+func (f Frame) event(i int) record {
+	return record{f.records[i*eventSize : (i+1)*eventSize], f.tail}
 }
 
 // record is one event, or one entry of an endpoint list; fields are read by their byte position (layout.go).
@@ -106,16 +106,16 @@
 	return r.tail[from : from+size], nil
 }
 
-// Reply collects the actions that answer one batch.
+// Reply collects the actions that answer one frame.
 type Reply struct {
-	seq     uint32
+	number  uint32
 	records []byte
 	tail    []byte
 }
 
-// Reset empties the reply, and gives it the number of the batch that it answers.
-func (p *Reply) Reset(seq uint32) {
-	p.seq = seq
+// Reset empties the reply, and gives it the number of the frame that it answers.
+func (p *Reply) Reset(number uint32) {
+	p.number = number
 	p.records = p.records[:0]
 	p.tail = p.tail[:0]
 }
@@ -138,12 +138,12 @@
 	p.tail = append(p.tail, text...)
 }
 
-// WriteTo writes the reply's frame, and gives the number of bytes written.
+// WriteTo writes the reply, and gives the number of bytes written.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	var head [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(head[replyCountAt:], uint32(len(p.records)/actionSize))
 	binary.LittleEndian.PutUint32(head[replyLengthAt:], uint32(len(p.records)+len(p.tail)))
-	binary.LittleEndian.PutUint32(head[replySeqAt:], p.seq)
+	binary.LittleEndian.PutUint32(head[replyNumberAt:], p.number)
 	total := int64(0)
 	for _, part := range [][]byte{head[:], p.records, p.tail} {
 		n, err := w.Write(part)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -99,19 +99,19 @@
 	return hexed(append(reply[:replyHeaderSize+count*actionSize], kept...)), logTexts
 }
 
-// simulated is a stretch of a simulator's run: batches of events by time, with every event code.
+// simulated is a stretch of a simulator's run: frames of events by time, with every event code.
 type simulated struct {
-	batches []simulatedBatch
+	frames []simulatedFrame
 }
 
-type simulatedBatch struct {
+type simulatedFrame struct {
 	clock   float64
 	tail    []byte
 	records [][]byte
 }
 
 func (s *simulated) at(clock float64, tail []byte, records ...[]byte) {
-	s.batches = append(s.batches, simulatedBatch{clock, tail, records})
+	s.frames = append(s.frames, simulatedFrame{clock, tail, records})
 }
 
 // timer is a sleep that an instance asked for.
@@ -250,14 +250,14 @@
 	exchange := func(clock float64, tail []byte, records ...[]byte) {
 		t.Helper()
 		number++
-		batch, err := ReadBatch(bytes.NewReader(framed(clock, number, tail, records...)), &body)
+		frame, err := ReadFrame(bytes.NewReader(framed(clock, number, tail, records...)), &body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range records {
 			seen[r[0]] = true
 		}
-		reply, err := server.Handle(batch)
+		reply, err := server.Handle(frame)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -266,7 +266,7 @@
 			t.Fatalf("wrote %d of %d bytes: %v", n, out.Len(), err)
 		}
 		shown, logTexts := hexedWithoutLogTexts(out.Bytes())
-		text += fmt.Sprintf("frame %d at %v ms\n", batch.Seq, batch.Clock) + shown
+		text += fmt.Sprintf("frame %d at %v ms\n", frame.Number, frame.Clock) + shown
 		for _, line := range logTexts {
 			logged += fmt.Sprintf("frame %d: %s\n", number, line)
 		}
@@ -278,17 +278,17 @@
 			}
 		}
 	}
-	for _, batch := range script().batches {
+	for _, frame := range script().frames {
 		for {
 			slices.SortStableFunc(timers, func(a, b timer) int { return cmp.Compare(a.due, b.due) })
-			if len(timers) == 0 || timers[0].due > batch.clock {
+			if len(timers) == 0 || timers[0].due > frame.clock {
 				break
 			}
 			next := timers[0]
 			timers = timers[1:]
 			exchange(next.due, nil, message(2, field{1, next.instance}, field{3, next.tag}))
 		}
-		exchange(batch.clock, batch.tail, batch.records...)
+		exchange(frame.clock, frame.tail, frame.records...)
 	}
 	for code := range byte(15) {
 		if !seen[code] {
@@ -367,14 +367,14 @@
 		{"empty", nil}, {"cut in the head", good[:7]}, {"cut in the records", good[:40]}, {"cut in the tail", good[:len(good)-1]},
 		{"a length that never comes", altered(0, uint32(1<<31))}, {"more records than bytes", altered(12, uint32(1<<30))},
 		{"a clock that is not a number", altered(4, math.NaN())}, {"a clock without end", altered(4, math.Inf(1))},
-		{"settings outside the tail", altered(batchHeaderSize+15, uint32(5000))},
+		{"settings outside the tail", altered(frameHeaderSize+15, uint32(5000))},
 		{"a list outside the tail", framed(5, 3, nil, message(14, field{9, uint32(1)}))},
 	} {
 		server, body, in, err := NewServer(io.Discard), bytes.Buffer{}, bytes.NewReader(input.raw), error(nil)
 		for err == nil {
-			var batch Batch
-			if batch, err = ReadBatch(in, &body); err == nil {
-				_, err = server.Handle(batch)
+			var frame Frame
+			if frame, err = ReadFrame(in, &body); err == nil {
+				_, err = server.Handle(frame)
 			}
 		}
 		text += fmt.Sprintf("%s: %v\n", input.name, err)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -6,11 +6,9 @@
 	"wheelrill/balancer"
 )
 
-const microsecondsPerMillisecond = 1000
-
 // The methods of balancer.Host: each appends one action to the reply in hand.
 
-// Now is the simulated time of the batch in hand, in µs.
+// Now is the simulated time of the frame in hand, in µs.
 func (in *instance) Now() int64 { return in.server.now }
 
 // SetTimer asks for eventTimerFired with the tag once the wait, in µs, is over.
--- a/internal/simwire/layout.go
+++ b/internal/simwire/layout.go
@@ -4,19 +4,23 @@
 // little endian, times are milliseconds as f64, and a text or a list is two u32: where it begins in the frame's tail, and
 // its size.
 
+// microsecondsPerMillisecond is a millisecond of the wire in the balancer's unit. Times that come are converted by
+// settings.FromMilliseconds, which also rounds and refuses what cannot be a time.
+const microsecondsPerMillisecond = 1000
+
 // Header of a frame of events.
 const (
-	batchLengthAt = 0  // u32, bytes of what follows the header
-	batchClockAt  = 4  // f64, milliseconds
-	batchCountAt  = 12 // u32, events
-	batchSeqAt    = 16 // u32
+	frameLengthAt = 0  // u32, bytes of what follows the header
+	frameClockAt  = 4  // f64, milliseconds
+	frameCountAt  = 12 // u32, events
+	frameNumberAt = 16 // u32
 )
 
 // Header of a reply.
 const (
 	replyCountAt  = 0 // u32, actions
 	replyLengthAt = 4 // u32, bytes of what follows the header
-	replySeqAt    = 8 // u32
+	replyNumberAt = 8 // u32
 )
 
 // textSizeAt is where a text or a list has its size, from its own position on.
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -19,13 +19,13 @@
 	maxWarnings      = 200 // different ones; beyond them the input is not this wire
 )
 
-// Server hosts the instances that a simulator drives. Not safe for concurrent use: one batch is handled at a time.
+// Server hosts the instances that a simulator drives. Not safe for concurrent use: one frame is handled at a time.
 type Server struct {
 	log           io.Writer
 	warned        map[string]bool
 	instances     map[uint16]*instance
 	endpointLists [maxEndpointLists][]byte // as they came, by number
-	now           int64                    // simulated time of the batch in hand, µs
+	now           int64                    // simulated time of the frame in hand, µs
 	reply         Reply
 }
 
@@ -43,13 +43,13 @@
 	fmt.Fprintln(s.log, "simadapter:", line) // a failing log is no reason to stop
 }
 
-// Handle plays one batch. The reply is valid until the next call; an error means that the batch was not this wire.
-func (s *Server) Handle(batch Batch) (*Reply, error) {
-	s.reply.Reset(batch.Seq)
-	s.now = settings.FromMilliseconds(batch.Clock)
-	for i := range batch.Events() {
-		if err := s.handleEvent(batch.event(i)); err != nil {
-			return nil, fmt.Errorf("frame %d, event %d: %w", batch.Seq, i, err)
+// Handle plays one frame. The reply is valid until the next call; an error means that the frame was not this wire.
+func (s *Server) Handle(frame Frame) (*Reply, error) {
+	s.reply.Reset(frame.Number)
+	s.now = settings.FromMilliseconds(frame.Clock)
+	for i := range frame.Events() {
+		if err := s.handleEvent(frame.event(i)); err != nil {
+			return nil, fmt.Errorf("frame %d, event %d: %w", frame.Number, i, err)
 		}
 	}
 	return &s.reply, nil
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// frame builds a batch from records, each given as code and the bytes after it.
+// frame builds the bytes of a frame from records, each given as code and the bytes after it.
 func frame(tail []byte, records ...[]byte) []byte {
 	var out []byte
 	for _, r := range records {
 		out = append(out, append(r, make([]byte, eventSize-len(r))...)...)
 	}
-	head := make([]byte, batchHeaderSize)
+	head := make([]byte, frameHeaderSize)
 	binary.LittleEndian.PutUint32(head, uint32(len(out)+len(tail)))
 	binary.LittleEndian.PutUint64(head[4:], math.Float64bits(247))
 	binary.LittleEndian.PutUint32(head[12:], uint32(len(records)))
@@ -55,13 +55,13 @@
 	server, body := NewServer(&log), bytes.Buffer{}
 	in := bytes.NewReader(bytes.Join(frames, nil))
 	for {
-		batch, err := ReadBatch(in, &body)
+		frame, err := ReadFrame(in, &body)
 		if err == io.EOF {
 			return codes, tails, log.String(), nil
 		} else if err != nil {
 			return codes, tails, log.String(), err
 		}
-		reply, err := server.Handle(batch)
+		reply, err := server.Handle(frame)
 		if err != nil {
 			return codes, tails, log.String(), err
 		}
@@ -145,16 +145,16 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		server, body, in := NewServer(io.Discard), bytes.Buffer{}, bytes.NewReader(raw)
 		for {
-			batch, err := ReadBatch(in, &body)
+			frame, err := ReadFrame(in, &body)
 			if err != nil {
 				return
 			}
-			reply, err := server.Handle(batch)
+			reply, err := server.Handle(frame)
 			if err != nil {
 				return
 			}
-			if reply.seq != batch.Seq || len(reply.records)%actionSize != 0 {
-				t.Fatal("not a reply to its batch")
+			if reply.number != frame.Number || len(reply.records)%actionSize != 0 {
+				t.Fatal("not a reply to its frame")
 			}
 			if bytes.Contains(reply.tail, []byte("runtime error")) {
 				t.Fatalf("the module panicked: %s", reply.tail)
