--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -89,16 +89,16 @@
 	replaced := func(t *testing.T, groups int) *fakeHost {
 		host := startController(t, settings, 200, 48)
 		for look := range 8 { // each hears of the next group of backends
-			host.drainQueue(1)
+			host.playChannel(1)
 			for b := look % groups; b < 200; b += groups {
 				host.reportOutcomes(b, 10, 0, 250_000)
 			}
 			host.reportDemand(20, 20)
-			host.drainQueue(1)
+			host.playChannel(1)
 		}
 		host.updateEndpoints(0, 120, Draining, 0)
 		host.updateEndpoints(200, 260, Ready, host.now)
-		host.drainQueue(1)
+		host.playChannel(1)
 		return host
 	}
 	t.Run("two evaluations that cover the fleet prove its throughput, and a release is limited by it", func(t *testing.T) {
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -250,8 +250,8 @@
 	return settings
 }
 
-// drainQueue plays a channel of 900 lines a second for some seconds, and gives the most lines that waited meanwhile.
-func (host *fakeHost) drainQueue(seconds float64) (most float64) {
+// playChannel plays a channel of 900 lines a second for some seconds, and gives the most lines that waited meanwhile.
+func (host *fakeHost) playChannel(seconds float64) (most float64) {
 	for range int(seconds * 4) {
 		host.now += tickInterval
 		host.timers = nil
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -95,7 +95,7 @@
 				all = append(all, Endpoint{Backend: b, State: Ready, Weight: 2, Zone: b % 2})
 			}
 			host.controller.EndpointsUpdated(true, all)
-			host.drainQueue(10)
+			host.playChannel(10)
 			of := make([]int, host.controller.subsetCount)
 			for _, p := range host.controller.proxies {
 				of[p.subset] += count(p.hasOurTables)
@@ -157,14 +157,14 @@
 func TestSubsetsOfAWholeFleet(t *testing.T) {
 	t.Run("a drain costs the proxies of its own subset, and leaves all within the grace", func(t *testing.T) {
 		host := startController(t, wholeFleet(), 200, 400)
-		host.drainQueue(12)
+		host.playChannel(12)
 		before := host.controller.pushQueue.queuedLines
 		host.updateEndpoints(0, 1, Draining, 0)
 		if host.run(0.25, nil); host.controller.backends[0].published > 0 || host.controller.pushQueue.queuedLines-before > 20*6 {
 			t.Errorf("line %.1f, %.0f lines for one drain", host.controller.backends[0].published, host.controller.pushQueue.queuedLines-before)
 		}
 		host.updateEndpoints(1, 61, Draining, 0)
-		if most := host.drainQueue(20); most > 900*4 {
+		if most := host.playChannel(20); most > 900*4 {
 			t.Errorf("%.0f lines waited", most)
 		}
 		for b := range 61 {
@@ -175,7 +175,7 @@
 	})
 	t.Run("many short subsets are given backends in pieces", func(t *testing.T) {
 		host := startController(t, wholeFleet(), 200, 2000)
-		host.drainQueue(40)
+		host.playChannel(40)
 		var gone []int
 		for b := range host.controller.backends {
 			if host.controller.backends[b].subset < 8 && len(gone) < 76 {
@@ -185,7 +185,7 @@
 		for _, b := range gone {
 			host.controller.backends[b].State = Draining
 		}
-		if most := host.drainQueue(80); most > 900*4 {
+		if most := host.playChannel(80); most > 900*4 {
 			t.Errorf("%.0f lines waited", most)
 		}
 		weights, fair := host.controller.subsetTargetWeights(host.now)
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -84,7 +84,7 @@
 		for p := range 2000 {
 			host.controller.ProxyConnected(p, p%2, busy(p), true)
 		}
-		if most := host.drainQueue(8); most > 900*4 {
+		if most := host.playChannel(8); most > 900*4 {
 			t.Errorf("%.0f lines waited", most)
 		}
 		least, bound := 2., 0
@@ -100,7 +100,7 @@
 		if bound < 300 || higher > 0 {
 			t.Errorf("%d assigned, %d of the busiest were not, the quietest has %.2f", bound, higher, least)
 		}
-		if host.drainQueue(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].hasOurTables {
+		if host.playChannel(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].hasOurTables {
 			t.Errorf("%d wait in the end", len(host.controller.syncQueue))
 		}
 	})
@@ -115,7 +115,7 @@
 		late := map[int]int64{}
 		plays := func(seconds float64) {
 			for range int(4 * seconds) {
-				host.drainQueue(0.25)
+				host.playChannel(0.25)
 				for p, proxy := range host.controller.proxies {
 					if _, known := late[p]; proxy.hasOurTables && !known { // it leaves behind all that waits now
 						late[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
@@ -158,15 +158,15 @@
 		for p := range 48 {
 			host.controller.ProxyConnected(p, p%2, busy(p), false)
 		}
-		host.drainQueue(13)
+		host.playChannel(13)
 		host.updateEndpoints(0, 60, Draining, 0)
-		host.drainQueue(1)
+		host.playChannel(1)
 		for p := 48; p < 240; p++ {
 			host.controller.ProxyConnected(p, p%2, busy(p), true)
 		}
 		late := 0
 		for range 4 * 30 {
-			host.drainQueue(0.25)
+			host.playChannel(0.25)
 			for _, proxy := range host.controller.proxies {
 				late += count(!proxy.hasOurTables && host.now+host.controller.QueueDelay()+settings.channel.MaxLatency-proxy.connectedAt > settings.limits.DrainGrace)
 			}
@@ -183,7 +183,7 @@
 		for p := range 1500 {
 			host.controller.ProxyConnected(p, p%2, busy(p), true)
 		}
-		host.drainQueue(10)
+		host.playChannel(10)
 		bound, told := 0, 0
 		for _, p := range host.controller.proxies {
 			bound, told = bound+count(p.hasOurTables), told+count(p.withdrawalsSynced)
