--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -32,7 +32,7 @@
 
 	backends  []*backendState // by index; nothing is listed of those that the list has not named
 	proxies   []*proxyState   // by index
-	queue     pushQueue
+	pushQueue pushQueue
 	sharding  shardingState
 	admission admissionState
 
@@ -75,7 +75,7 @@
 		rules:          config.Rules,
 		telemetry:      config.Telemetry,
 		classes:        config.Classes,
-		queue:          pushQueue{PushChannel: config.Channel},
+		pushQueue:      pushQueue{PushChannel: config.Channel},
 		sharding:       newShardingState(config.Sharding, config.Classes),
 		admission:      newAdmissionState(config.Admission, config.Classes),
 		evaluatedAt:    host.Now(),
@@ -100,7 +100,7 @@
 	}
 	now := c.host.Now()
 	c.host.SetTimer(tickInterval, c.timerTag())
-	c.queue.expire(now)
+	c.pushQueue.expire(now)
 	if c.telemetry.PollingRequired && now >= c.pollAt {
 		c.pollEndpoints()
 	}
@@ -111,6 +111,8 @@
 		c.newAttempts = 0
 	}
 	c.readmitDue(now)
+	c.raiseWeightsDue(now)
+	c.updatePanicMode()
 	ordinary := c.admission.limitLowered || now-c.publishedAt >= minPublishInterval
 	c.publishChanges(now, ordinary)
 }
@@ -256,8 +258,9 @@
 }
 
 // ProxyConnected takes a proxy in, with the rate that comes to it on ordinary days, in requests a second. It uses stale
-// tables until it gets ours, as soon as there is room; mayHoldForeign says that it may hold withdrawals of others.
-func (c *Controller) ProxyConnected(id, zone int, baseline RequestsPerSecond, mayHoldForeign bool) {
+// tables until it gets ours, as soon as there is room; mayHoldForeignWithdrawals says that it may hold withdrawals of other
+// controllers.
+func (c *Controller) ProxyConnected(id, zone int, baseline RequestsPerSecond, mayHoldForeignWithdrawals bool) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxyState{})
 	}
@@ -265,16 +268,16 @@
 	before := c.proxies[id]
 	classCount := len(c.classes)
 	c.proxies[id] = &proxyState{
-		connected:       true,
-		connectedAt:     now,
-		zone:            zone,
-		subset:          id % c.subsetCount,
-		baselineRate:    max(baseline, 1),
-		demand:          slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
-		hasOurTables:    c.sharding.enabled(),                                                 // it reads owners from the store
-		mayHoldForeign:  mayHoldForeign,
-		messageTimes:    before.peerMessageTimes,
-		reserveReleased: before.peerMessageTimes != nil,
+		connected:                 true,
+		connectedAt:               now,
+		zone:                      zone,
+		subset:                    id % c.subsetCount,
+		baselineRate:              max(baseline, 1),
+		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
+		hasOurTables:              c.sharding.enabled(),
+		mayHoldForeignWithdrawals: mayHoldForeignWithdrawals,
+		messageTimes:              before.peerMessageTimes,
+		peersReportedMessages:     before.peerMessageTimes != nil,
 	}
 	c.sharding.repeatFences()
 	c.enqueueForSync(id)
@@ -289,7 +292,7 @@
 // Acknowledged is a proxy's answer to Host.RequestAck: that message has come through, with all that left before it.
 func (c *Controller) Acknowledged(id, number int) {
 	proxy := c.proxies[id]
-	proxy.acknowledged = c.queue.acknowledge(number, proxy)
+	proxy.acknowledged = c.pushQueue.acknowledge(number, proxy)
 	c.syncProxies(c.host.Now())
 }
 
@@ -348,7 +351,7 @@
 func (c *Controller) timerTag() uint64 { return c.seed }
 
 // QueueDelay is how long what waits in the channel takes to leave: an ack is not answered before.
-func (c *Controller) QueueDelay() Microseconds { return c.queue.delay() }
+func (c *Controller) QueueDelay() Microseconds { return c.pushQueue.delay() }
 
 // randomFraction is a random number from 0 to 1, decided by the seed and by how many were drawn before.
 func (c *Controller) randomFraction() float64 {
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -6,21 +6,40 @@
 	"slices"
 )
 
-// Publication: table entries that differ from their target weight (weight.go) go out to all proxies of their tables.
+// Publication: table entries that differ from their target weight (weight.go) go out to all proxies of their tables, in
+// rounds.
 //
-// Required changes go at once: entries of backends that must be left (drain.go), lower weights of backends that are
-// warming up, the first entries of empty tables, backends for a short subset (subset.go), and a lowered admission limit
-// (admission.go). Where they do not fit into the channel, they go in pieces. The rest, the ordinary changes, goes every
-// minPublishInterval at most, and besides with every round of required ones, since it shares their messages; subset by
-// subset, those that change most first, within ordinaryShare of the capacity. What is left over goes as soon as there is
-// room, but nothing that would make the tables of waiting proxies late (sync.go).
+// Required changes are entries of backends that must be left (drain.go), their withdrawals, lower weights of backends that
+// are warming up, the first entries of empty tables, backends for a short subset (subset.go), and a lowered admission limit
+// (admission.go). All others are ordinary.
 //
-// Withdrawals follow the entries, for proxies that may hold tables of other controllers.
+// A round is due with each endpoint list and each tick where something is required, and with a tick once
+// minPublishInterval has passed since the last round that published anything, or some of its entries were left over. It is
+// not tried again with an ack. A round that is due starts (mayPublish) only if
+//   - enough time has passed since any change of an earlier clock time went to several proxies, where the settings limit
+//     messages: the drain grace that was left at listing (computeGraceAtListing), less the way and a tick, over
+//     publicationsPerGrace, or the message window over its messages if that is shorter;
+//   - no more than nearlyEmptyShare of the push queue's capacity is waiting, or all that is required fits into it;
+//   - each proxy with our tables may be sent one more message (mayPush).
+//
+// Then go, in this order, as far as the push queue has capacity (pushqueue.go):
+//  1. required entries, subset by subset, the one that changes most first, and in it the largest change first;
+//  2. ordinary entries in the same order, since they share these messages, up to ordinaryShare of the capacity, and none
+//     that would make the tables of waiting proxies late (sync.go);
+//  3. entries of backends that move to a short subset;
+//  4. withdrawals, for proxies that may use backends which our tables do not give them;
+//  5. limits that have changed, whatever capacity is left.
+//
+// What is left over goes with a later round, so that changes which do not fit go in pieces.
 //
 // Inputs are weights, and the costs of what goes out, in lines (pushqueue.go).
 
-// minPublishInterval is the time between two rounds of ordinary changes.
-const minPublishInterval = 2 * second
+const (
+	// minPublishInterval is the time between two rounds of ordinary changes.
+	minPublishInterval = 2 * second
+	// publicationsPerGrace is how many rounds of required changes the drain grace bears.
+	publicationsPerGrace = 2
+)
 
 // publication is what a round of changes rests on. It lives for one call of publishChanges.
 type publication struct {
@@ -28,10 +47,10 @@
 	overhead    Lines // of a message
 	tablesEmpty bool  // no backend has an entry
 
-	connected       float64   // proxies
-	outsiders       float64   // connected proxies that hear of withdrawals: with other tables than ours, or with shards
-	proxiesBySubset []float64 // proxies with our tables
-	keepOffBySubset []float64 // of these, those for which a backend's first entry costs a line more
+	connected          float64   // proxies
+	hearingWithdrawals float64   // connected proxies that hear of withdrawals, see hearsWithdrawals
+	proxiesBySubset    []float64 // proxies with our tables
+	keepOffBySubset    []float64 // of these, those for which a backend's first entry costs a line more
 
 	targetBySubset []float64 // target weight by subset
 	fairWeight     float64   // of a subset
@@ -40,7 +59,7 @@
 	changesDue     bool  // some entry or limit is not as it should be
 	requiredLines  Lines // what required changes cost
 	withdrawalsDue float64
-	tablesSuffice  bool // complete tables for outsiders come in time, at a cost that makes withdrawals needless
+	tablesSuffice  bool // complete tables for those hearing withdrawals come in time, at a cost that makes withdrawals needless
 }
 
 // publishChanges publishes what differs from the tables that stand, if something is required or it is time for ordinary
@@ -50,8 +69,8 @@
 	c.reserveForTables(now, map[int]float64{})
 	plan := c.planPublication(now)
 	goes := (ordinary || plan.requiredLines > 0) && c.mayPublish(now, plan.requiredLines)
-	ordinaryWaits := ordinary && plan.changesDue && !c.queue.drained()
-	requiredWaits := plan.requiredLines > 0 && c.queue.queuedLines+plan.requiredLines > c.queue.capacity()
+	ordinaryWaits := ordinary && plan.changesDue && !c.pushQueue.nearlyEmpty()
+	requiredWaits := plan.requiredLines > 0 && c.pushQueue.queuedLines+plan.requiredLines > c.pushQueue.capacity()
 	c.queueCongested = !goes && (ordinaryWaits || requiredWaits)
 	if goes {
 		c.publishRound(plan)
@@ -60,9 +79,25 @@
 	c.syncProxies(now)
 }
 
+// mayPublish tells whether a round of changes may start now, with so many lines that are required, by the conditions in
+// the header of this file.
+func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
+	queue := &c.pushQueue
+	interval := min((c.graceAtListing-queue.MaxLatency-tickInterval)/publicationsPerGrace,
+		queue.MessageWindow/int64(max(queue.MaxMessages, 1)))
+	tooSoon := queue.MaxMessages > 0 && now > c.changedAt && now-c.changedAt < interval
+	fits := required > 0 && queue.queuedLines+required <= queue.capacity()
+	if tooSoon || !queue.nearlyEmpty() && !fits {
+		return false
+	}
+	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
+		return proxy.hasOurTables && !queue.mayPush(proxy, now, required > 0)
+	})
+}
+
 // planPublication sums up what is to be published, and what that costs.
 func (c *Controller) planPublication(now Microseconds) *publication {
-	plan := &publication{now: now, overhead: c.queue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
+	plan := &publication{now: now, overhead: c.pushQueue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
 	plan.tablesEmpty = !slices.ContainsFunc(c.backends, func(backend *backendState) bool { return backend.published > 0 })
 	plan.targetBySubset, plan.fairWeight = c.subsetTargetWeights(now)
 	plan.changesDue = slices.ContainsFunc(c.admission.priorityOrder, c.admission.limitChanged)
@@ -70,10 +105,10 @@
 	c.sumRequired(plan)
 	tableCost := plan.overhead + float64(len(c.backends)/c.subsetCount)
 	withdrawalCost := plan.overhead + plan.withdrawalsDue
-	plan.tablesSuffice = plan.outsiders > 0 && !c.sharding.enabled() &&
-		c.tablesSuffice(tableCost, withdrawalCost, int(plan.outsiders))
+	plan.tablesSuffice = plan.hearingWithdrawals > 0 && !c.sharding.enabled() &&
+		c.tablesSuffice(tableCost, withdrawalCost, int(plan.hearingWithdrawals))
 	if plan.withdrawalsDue > 0 && !plan.tablesSuffice {
-		plan.requiredLines += plan.withdrawalsDue + plan.outsiders*withdrawalCost
+		plan.requiredLines += plan.withdrawalsDue + plan.hearingWithdrawals*withdrawalCost
 	}
 	if c.admission.limitLowered { // all that is let in meanwhile adds to a queue
 		plan.requiredLines += (plan.overhead + 1) * plan.connected
@@ -95,7 +130,7 @@
 		if proxy.connected {
 			plan.connected++
 			if c.hearsWithdrawals(proxy) {
-				plan.outsiders++
+				plan.hearingWithdrawals++
 			}
 		}
 	}
@@ -189,8 +224,8 @@
 				continue
 			}
 			cost := plan.entryCost(backend)
-			delaysTables := !required && c.queue.wouldDelayTables(cost)
-			if delaysTables || !c.queue.hasCapacity(cost, required) {
+			delaysTables := !required && c.pushQueue.wouldDelayTables(cost)
+			if delaysTables || !c.pushQueue.hasCapacity(cost, required) {
 				entries.leftOver = true
 				continue
 			}
@@ -261,7 +296,7 @@
 	message := plan.overhead + float64(len(c.classes)) // for the first withdrawal of the round
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
-		if withdrawn == backend.withdrawn || !c.queue.hasCapacity(plan.outsiders*(1+message), true) {
+		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.hearingWithdrawals*(1+message), true) {
 			continue
 		}
 		message = 0
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -9,18 +9,18 @@
 //     same however short the drain grace is. A change that is held back here, not in the channel, is decided anew on later
 //     reports, and shares messages with others.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of it, so that required ones never wait behind more.
-//   - A round of changes begins when no more than drainedShare of it is waiting, or when all that is required fits.
-//   - Of the messages that a proxy may be sent within the window, ordinary ones use half, or all but reservedMessages at a
-//     proxy for which other controllers told of theirs (proxyState.reserveReleased).
+//   - When a round of changes may start, and in which order it goes, is in publish.go.
+//   - Of the messages that a proxy may be sent within the window, ordinary ones use half, or all but messagesForRequired at
+//     a proxy for which other controllers told of theirs (proxyState.peersReportedMessages); the rest is kept for required
+//     ones. Messages of withdrawals alone (sync.go) count as required, here and in the capacity.
 //
 // Inputs are PushChannel, the drain grace (microseconds) and the costs of what is to be pushed (lines).
 
 const (
-	maxQueueTime         = 2 * minPublishInterval // that what may wait takes to leave
-	ordinaryShare        = 1. / 2                 // of the capacity
-	drainedShare         = 1. / 8                 // of the capacity
-	reservedMessages     = 2                      // of a proxy's messages, kept for urgent ones, see reserveReleased
-	publicationsPerGrace = 2                      // how many rounds of required changes the drain grace bears
+	maxQueueTime        = 2 * minPublishInterval // that what may wait takes to leave
+	ordinaryShare       = 1. / 2                 // of the capacity
+	nearlyEmptyShare    = 1. / 8                 // of the capacity
+	messagesForRequired = 2                      // of a proxy's messages, kept for required ones, see peersReportedMessages
 
 	// An ack that has not come within maxAckDelay and this many times the nominal sending time will not come.
 	ackTimeoutFactor = 4
@@ -55,20 +55,20 @@
 	batch := c.currentBatch(now)
 	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
 		proxy.messageTimes = append(proxy.messageTimes, now)
-		message := c.queue.messageOverhead()
+		message := c.pushQueue.messageOverhead()
 		if !proxy.hasOurTables { // it knows no limits yet
-			message += c.tableLimitLines() - c.queue.LimitLines
+			message += c.tableLimitLines() - c.pushQueue.LimitLines
 		}
 		lines += message
 	}
 	batch.linesTo[proxy] += lines
 	batch.lines += lines
-	c.queue.queuedLines += lines
+	c.pushQueue.queuedLines += lines
 }
 
 // currentBatch is the batch of this clock time. It is valid until the next one is begun.
 func (c *Controller) currentBatch(now Microseconds) *pushBatch {
-	queue := &c.queue
+	queue := &c.pushQueue
 	if n := len(queue.batches); n == 0 || queue.batches[n-1].sentAt != now {
 		queue.lastNumber++
 		batch := pushBatch{number: queue.lastNumber, sentAt: now, linesTo: map[*proxyState]Lines{}}
@@ -157,8 +157,8 @@
 	return q.queuedLines == 0 || queued <= q.capacity()*ordinaryShare || required && queued <= q.capacity()
 }
 
-// drained tells whether so little waits that a round of changes may begin.
-func (q *pushQueue) drained() bool { return q.queuedLines <= q.capacity()*drainedShare }
+// nearlyEmpty tells whether so little waits that a round of changes may begin.
+func (q *pushQueue) nearlyEmpty() bool { return q.queuedLines <= q.capacity()*nearlyEmptyShare }
 
 // wouldDelayTables tells whether, with so many lines before them, tables would come too late to proxies that wait.
 func (q *pushQueue) wouldDelayTables(cost Lines) bool {
@@ -166,7 +166,7 @@
 }
 
 // mayPush tells whether a proxy may be sent one more message.
-func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, urgent bool) bool {
+func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, required bool) bool {
 	proxy.messageTimes = slices.DeleteFunc(proxy.messageTimes, func(at Microseconds) bool {
 		return at <= now-q.MessageWindow-q.MaxLatency
 	})
@@ -176,29 +176,11 @@
 		return true
 	}
 	allowed := q.MaxMessages / 2
-	if proxy.reserveReleased {
-		allowed = max(allowed, q.MaxMessages-reservedMessages)
+	if proxy.peersReportedMessages {
+		allowed = max(allowed, q.MaxMessages-messagesForRequired)
 	}
-	if urgent {
+	if required {
 		allowed = max(allowed, q.MaxMessages)
 	}
 	return sent < allowed
 }
-
-// mayPublish tells whether a round of changes may go to all proxies with our tables now, with so many lines that are
-// required.
-// Rounds wait for each other as long as the grace bears it, and required changes that do not fit as one piece for a
-// drained channel.
-func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
-	queue := &c.queue
-	interval := min((c.graceAtListing-queue.MaxLatency-tickInterval)/publicationsPerGrace,
-		queue.MessageWindow/int64(max(queue.MaxMessages, 1)))
-	tooSoon := queue.MaxMessages > 0 && now > c.changedAt && now-c.changedAt < interval
-	fits := required > 0 && queue.queuedLines+required <= queue.capacity()
-	if tooSoon || !queue.drained() && !fits {
-		return false
-	}
-	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
-		return proxy.hasOurTables && !queue.mayPush(proxy, now, required > 0)
-	})
-}
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -14,17 +14,22 @@
 // where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
 // once tables would come later than tablesShareOfGrace of the grace.
 //
-// A proxy is sent that message only if something is withdrawn or it may hold withdrawals of others, and if the message is
-// worth its cost: its tables cost at least tableCostWorthMessage times as much, or cannot go as one of them is empty. Nor
-// is it sent while changes wait for the channel, as these go first, or where tables come soon enough: those of all who wait
-// leave within tablesShareOfGrace of the grace, and each costs at most tableCostPerMessage times the message. A proxy that
-// has waited for half the grace is sent it even then. syncReserveShare of the capacity stays free for what cannot wait.
+// A proxy whose tables cannot go yet is sent that message, once, only if
+//   - one of its tables is empty, so that they cannot go, or they cost at least tableCostWorthMessage times the message;
+//   - it has waited for half the grace; or no changes wait for the channel, as these go first, and tables do not come soon
+//     enough. They do if those of all who wait leave within tablesShareOfGrace of the grace that was left at listing, and
+//     each costs at most tableCostPerMessage times the message;
+//   - something is withdrawn, or it may hold withdrawals of others;
+//   - the push queue has capacity for the message and syncReserveShare more, which stays free for what cannot wait;
+//   - it may be sent one more message (mayPush), and the Host has a way to (Host.SyncWithdrawals).
 //
 // When all have tables, a proxy that may hold withdrawals of other controllers is cleared of them.
 //
 // Inputs are costs in lines (pushqueue.go), the drain grace and waiting times (microseconds).
 
 const (
+	// tablesShareOfGrace is the share of the drain grace within which the tables of all who wait must leave the channel.
+	tablesShareOfGrace = 3. / 4
 	// syncReserveShare is the share of the capacity that is kept free.
 	syncReserveShare = 1. / 4
 	// tableCostPerMessage: tables replace the withdrawals message if they cost at most this many times as much.
@@ -48,7 +53,7 @@
 func (c *Controller) enqueueForSync(id int) {
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
 	place := len(c.syncQueue)
-	mayTakeLong := c.queue.capacity() < c.queue.Backlog
+	mayTakeLong := c.pushQueue.capacity() < c.pushQueue.Backlog
 	if mayTakeLong {
 		place, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
 			// In falling order of baseline demand; behind those with the same.
@@ -63,10 +68,10 @@
 	if len(c.syncQueue) == 0 {
 		return
 	}
-	round := &syncRound{now: now, reserve: c.queue.capacity() * syncReserveShare, tableSizes: map[int]float64{}}
+	round := &syncRound{now: now, reserve: c.pushQueue.capacity() * syncReserveShare, tableSizes: map[int]float64{}}
 	round.withdrawals, round.withdrawalCost = c.withdrawalCost()
-	anyTable := c.queue.hasCapacity(c.queue.messageOverhead(), false)
-	anyMessage := c.queue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	anyTable := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
+	anyMessage := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
 	if !anyTable && !anyMessage {
 		return // thousands may wait, and this is looked at with each ack
 	}
@@ -81,7 +86,7 @@
 	}
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(id int) bool {
 		proxy := c.proxies[id]
-		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeign
+		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeignWithdrawals
 		return !proxy.connected || complete
 	})
 	if round.served > 0 && round.waiting == round.served {
@@ -130,19 +135,19 @@
 // tablesMayGo tells whether a proxy's tables, or as much as they cost, may go to it now. Changes that wait for the
 // channel go first, unless its tables would be late.
 func (c *Controller) tablesMayGo(proxy *proxyState, tables fullTables, now Microseconds) bool {
-	wouldBeLate := !proxy.hasOurTables && c.queue.wouldDelayTables(0)
+	wouldBeLate := !proxy.hasOurTables && c.pushQueue.wouldDelayTables(0)
 	itsTurn := !c.queueCongested || wouldBeLate
 	return proxy.connected && !tables.anyEmpty && itsTurn &&
-		c.queue.hasCapacity(tables.cost, false) && c.queue.mayPush(proxy, now, false)
+		c.pushQueue.hasCapacity(tables.cost, false) && c.pushQueue.mayPush(proxy, now, false)
 }
 
 // assignTables gives a proxy its tables.
 func (c *Controller) assignTables(id int, tables fullTables) {
 	proxy := c.proxies[id]
 	proxy.hasOurTables = true
-	c.queue.reservedLines -= tables.cost
+	c.pushQueue.reservedLines -= tables.cost
 	withdrawalLines := min(proxy.heldWithdrawals, tables.entries)
-	c.charge(proxy, 1+tables.cost-c.queue.messageOverhead()+withdrawalLines)
+	c.charge(proxy, 1+tables.cost-c.pushQueue.messageOverhead()+withdrawalLines)
 	c.eachTable(proxy.subset, proxy.zone, func(table int, classes uint16) {
 		c.host.AssignTable(table, id, classes)
 	})
@@ -150,8 +155,8 @@
 
 // mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
 func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
-	due := proxy.mayHoldForeign && !proxy.withdrawalsCleared
-	return due && round.waiting == 0 && c.queue.hasCapacity(tables.entries+round.reserve, false)
+	due := proxy.mayHoldForeignWithdrawals && !proxy.withdrawalsCleared
+	return due && round.waiting == 0 && c.pushQueue.hasCapacity(tables.entries+round.reserve, false)
 }
 
 // messageWorthwhile tells whether a proxy that waits is better notified of withdrawals by a message of its own: its tables
@@ -163,12 +168,13 @@
 	return costsLittle && (overdue || !mayWait)
 }
 
-// syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to.
+// syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to. The limit that
+// it passes is for classes without one, see Host.SyncWithdrawals.
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
-	anyToTell := proxy.mayHoldForeign || round.withdrawals > 0
-	hasRoom := c.queue.hasCapacity(round.withdrawalCost+round.reserve, true)
-	if !anyToTell || !hasRoom || !c.queue.mayPush(proxy, round.now, true) {
+	anyToTell := proxy.mayHoldForeignWithdrawals || round.withdrawals > 0
+	hasRoom := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	if !anyToTell || !hasRoom || !c.pushQueue.mayPush(proxy, round.now, true) {
 		return
 	}
 	if !c.host.SyncWithdrawals(id, noLimit, RetryIfNotExecuted) {
@@ -182,7 +188,7 @@
 // tablesSuffice tells whether proxies that wait are as well given tables as notified of withdrawals by messages of their
 // own, by the costs of both.
 func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
-	inTime := table*float64(waiting) <= tablesShareOfGrace*c.queue.linesSentIn(c.graceAtListing)
+	inTime := table*float64(waiting) <= tablesShareOfGrace*c.pushQueue.linesSentIn(c.graceAtListing)
 	return table <= tableCostPerMessage*message && inTime
 }
 
@@ -193,7 +199,7 @@
 			withdrawals++
 		}
 	}
-	return withdrawals, c.queue.messageOverhead() + withdrawals + float64(len(c.classes))
+	return withdrawals, c.pushQueue.messageOverhead() + withdrawals + float64(len(c.classes))
 }
 
 // fullTables is what a proxy's tables amount to.
@@ -205,7 +211,7 @@
 
 // fullTablesOf sums up a proxy's tables. Sizes keeps the entries of each table.
 func (c *Controller) fullTablesOf(proxy *proxyState, sizes map[int]float64) (tables fullTables) {
-	tables.cost = c.queue.messageOverhead() + c.tableLimitLines()
+	tables.cost = c.pushQueue.messageOverhead() + c.tableLimitLines()
 	c.eachTable(proxy.subset, proxy.zone, func(table int, _ uint16) {
 		size, known := sizes[table]
 		if !known {
@@ -223,15 +229,15 @@
 // tableLimitLines is how many lines of limits go along with complete tables, as these make a proxy forget them.
 func (c *Controller) tableLimitLines() Lines {
 	if !c.admission.limitsSent {
-		return max(c.queue.LimitLines, 0)
+		return max(c.pushQueue.LimitLines, 0)
 	}
-	return max(c.queue.LimitLines, float64(len(c.classes)))
+	return max(c.pushQueue.LimitLines, float64(len(c.classes)))
 }
 
 // reserveForTables sums what the tables of proxies that wait cost, and how much may wait in the channel for the first of
 // them to have its tables in time: a withdrawal may name no backend that had gone before we began, tables do.
 func (c *Controller) reserveForTables(now Microseconds, sizes map[int]float64) {
-	queue := &c.queue
+	queue := &c.pushQueue
 	queue.reservedLines = 0
 	queue.maxQueuedBeforeTables = math.Inf(1)
 	for _, id := range c.syncQueue {
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -12,7 +12,7 @@
 		for _, keeps := range []bool{false, true} {
 			host := startController(t, defaultSettings(), 5, 0)
 			host.controller.ProxyConnected(0, 0, 10, keeps)
-			bind := host.controller.queue.queuedLines
+			bind := host.controller.pushQueue.queuedLines
 			host.controller.Acknowledged(0, host.ackRequest)
 			host.now += 3 * second
 			host.updateEndpoints(5, 7, Ready, 0) // new ones enter, and one is dropped
@@ -20,11 +20,11 @@
 			host.run(2.2, nil)
 			host.controller.ProxyDisconnected(0)
 			host.controller.ProxyConnected(1, 0, 10, keeps)
-			before := host.controller.queue.queuedLines
+			before := host.controller.pushQueue.queuedLines
 			host.now += 3 * second
 			host.updateEndpoints(7, 8, Ready, 0)
 			host.controller.publishChanges(host.now, true)
-			cost[keeps] = []float64{bind, host.controller.queue.queuedLines - before}
+			cost[keeps] = []float64{bind, host.controller.pushQueue.queuedLines - before}
 		}
 		if cost[true][0] != cost[false][0]+5 || cost[true][1] != cost[false][1]+1 {
 			t.Errorf("lines counted: %v", cost)
@@ -70,8 +70,8 @@
 				t.Errorf("proxy %d in the end: %+v", p+1, proxy)
 			}
 		}
-		if host.controller.queue.queuedLines > 900 || len(host.controller.syncQueue) > 0 {
-			t.Errorf("%.0f lines, %d waiting", host.controller.queue.queuedLines, len(host.controller.syncQueue))
+		if host.controller.pushQueue.queuedLines > 900 || len(host.controller.syncQueue) > 0 {
+			t.Errorf("%.0f lines, %d waiting", host.controller.pushQueue.queuedLines, len(host.controller.syncQueue))
 		}
 	})
 }
@@ -84,7 +84,7 @@
 		for p := range 2000 {
 			host.controller.ProxyConnected(p, p%2, busy(p), true)
 		}
-		if most := host.drainQueue(8); most > 900*4 {
+		if most := host.playChannel(8); most > 900*4 {
 			t.Errorf("%.0f lines waited", most)
 		}
 		least, bound := 2., 0
@@ -100,7 +100,7 @@
 		if bound < 300 || higher > 0 {
 			t.Errorf("%d assigned, %d of the busiest were not, the quietest has %.2f", bound, higher, least)
 		}
-		if host.drainQueue(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].hasOurTables {
+		if host.playChannel(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].hasOurTables {
 			t.Errorf("%d wait in the end", len(host.controller.syncQueue))
 		}
 	})
@@ -115,7 +115,7 @@
 		late := map[int]int64{}
 		plays := func(seconds float64) {
 			for range int(4 * seconds) {
-				host.drainQueue(0.25)
+				host.playChannel(0.25)
 				for p, proxy := range host.controller.proxies {
 					if _, known := late[p]; proxy.hasOurTables && !known { // it leaves behind all that waits now
 						late[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
@@ -158,15 +158,15 @@
 		for p := range 48 {
 			host.controller.ProxyConnected(p, p%2, busy(p), false)
 		}
-		host.drainQueue(13)
+		host.playChannel(13)
 		host.updateEndpoints(0, 60, Draining, 0)
-		host.drainQueue(1)
+		host.playChannel(1)
 		for p := 48; p < 240; p++ {
 			host.controller.ProxyConnected(p, p%2, busy(p), true)
 		}
 		late := 0
 		for range 4 * 30 {
-			host.drainQueue(0.25)
+			host.playChannel(0.25)
 			for _, proxy := range host.controller.proxies {
 				late += count(!proxy.hasOurTables && host.now+host.controller.QueueDelay()+settings.channel.MaxLatency-proxy.connectedAt > settings.limits.DrainGrace)
 			}
@@ -183,7 +183,7 @@
 		for p := range 1500 {
 			host.controller.ProxyConnected(p, p%2, busy(p), true)
 		}
-		host.drainQueue(10)
+		host.playChannel(10)
 		bound, told := 0, 0
 		for _, p := range host.controller.proxies {
 			bound, told = bound+count(p.hasOurTables), told+count(p.withdrawalsSynced)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -6,11 +6,9 @@
 	"wheelrill/balancer"
 )
 
-const microsecondsPerMillisecond = 1000
-
 // The methods of balancer.Host: each appends one action to the reply in hand.
 
-// Now is the simulated time of the batch in hand, in µs.
+// Now is the simulated time of the frame in hand, in µs.
 func (in *instance) Now() int64 { return in.server.now }
 
 // SetTimer asks for eventTimerFired with the tag once the wait, in µs, is over.
@@ -52,7 +50,8 @@
 	a.putU16(assignClassesAt, classes)
 }
 
-// Withdraw has all connected proxies use a backend no more, whatever their tables hold, or use it again.
+// Withdraw has proxies use a backend no more, whatever their tables hold, or use it again. The wire reaches further than
+// balancer.Host asks: it tells all connected proxies, not only those that may hold tables of other controllers.
 func (in *instance) Withdraw(backend int, withdrawn bool) {
 	a := in.act(actionWithdraw)
 	a.putU32(withdrawBackendAt, in.backends.ids[backend])
