--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -41,7 +41,7 @@
 func (g *goldenOrders) join(proxy int, keeps bool) {
 	g.tables.connect(proxy, &connection{proxy: proxy}, keeps)
 }
-func (g *goldenOrders) token(proxy int, token uint64) { g.tables.proxies[proxy].token = token }
+func (g *goldenOrders) token(proxy int, token uint64) { g.tables.proxies[proxy].grantToken = token }
 func (g *goldenOrders) brought(proxy int, lines ...ownership.KnownTable) {
 	g.tables.proxies[proxy].base = lines
 }
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -93,7 +93,7 @@
 		state.mayHoldWithdrawals, pending.mayHoldWithdrawals = false, false
 	}
 	if state.wantsToken {
-		state.token = grant.Token
+		state.grantToken = grant.Token
 	}
 	h.loop.log.Info("proxy_granted", "proxy", grant.Proxy, "token", grant.Token, "tables_known", grant.Base != nil,
 		"withdrawals_known", grant.NoWithdrawals, "messages_sent", grant.SentMessages)
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -19,7 +19,7 @@
 	byNumber              map[int]*table
 	admissionLimitsForAll []admissionLimit // by class: for every table of every connected proxy
 	withdrawn             []bool           // by backend
-	proxies               []*proxyState    // by proxy; nil if it is not connected
+	proxies               []*pushState     // by proxy; nil if it is not connected
 
 	// Of this clock time, until flush.
 	withdrawalChanges []int // backends that were withdrawn or restored
@@ -58,8 +58,8 @@
 // unbound stands for the table of a class that is not ours: the proxy goes on with the one that it has.
 const unbound = -1
 
-// proxyState is what a connected proxy is to have, and what it was written.
-type proxyState struct {
+// pushState is what a connected proxy is to have, and what it was written.
+type pushState struct {
 	conn   *connection
 	tables []int // by class: number of its table, or unbound
 
@@ -80,7 +80,7 @@
 	// Where ownership is shared.
 	unowned    bool   // another controller may own it still: nothing may be written to it
 	wantsToken bool   // it asked for fencing tokens, and refuses what comes with an older one than it has seen
-	token      uint64 // our fencing token for it; 0 for none
+	grantToken uint64 // of the claim by which it was granted; it stays so without a quorum, and after it was claimed again; 0 for none
 }
 
 func newTables(classNames [][]byte, backendName func(int) []byte, maxFrame, maxParts int) *tables {
@@ -89,11 +89,11 @@
 }
 
 // connect begins what is kept of a proxy.
-func (t *tables) connect(proxy int, conn *connection, mayHoldWithdrawals bool) *proxyState {
+func (t *tables) connect(proxy int, conn *connection, mayHoldWithdrawals bool) *pushState {
 	for len(t.proxies) <= proxy {
 		t.proxies = append(t.proxies, nil)
 	}
-	t.proxies[proxy] = &proxyState{conn: conn, mayHoldWithdrawals: mayHoldWithdrawals,
+	t.proxies[proxy] = &pushState{conn: conn, mayHoldWithdrawals: mayHoldWithdrawals,
 		admissionLimits: make([]admissionLimit, len(t.classNames)), tables: slices.Repeat([]int{unbound}, len(t.classNames))}
 	return t.proxies[proxy]
 }
@@ -102,7 +102,7 @@
 func (t *tables) disconnect(proxy int) { t.proxies[proxy] = nil }
 
 // proxy gives what is kept of a proxy; nil if it is not connected.
-func (t *tables) proxy(proxy int) *proxyState {
+func (t *tables) proxy(proxy int) *pushState {
 	if proxy < 0 || proxy >= len(t.proxies) {
 		return nil
 	}
@@ -141,7 +141,7 @@
 	if !table.isChanged[backend] {
 		table.isChanged[backend], table.changed = true, append(table.changed, backend)
 	}
-	t.markDirty(func(proxy *proxyState) bool { return slices.Contains(proxy.tables, number) })
+	t.markDirty(func(proxy *pushState) bool { return slices.Contains(proxy.tables, number) })
 }
 
 // AssignTable implements balancer.Host: a proxy gets a full table for some classes, and later what changes in it.
@@ -168,7 +168,7 @@
 	}
 	t.withdrawn[backend] = withdrawn
 	t.withdrawalChanges = append(t.withdrawalChanges, backend)
-	t.markDirty(func(proxy *proxyState) bool {
+	t.markDirty(func(proxy *pushState) bool {
 		// A table that is not ours may have it.
 		concerned := slices.Contains(proxy.tables, unbound) || t.uses(proxy, backend)
 		if concerned {
@@ -205,10 +205,10 @@
 // SetAdmissionLimit implements balancer.Host: it sets the limit of some classes in a table, or in all. The lower of the two stands,
 // with the table's own retry policy.
 func (t *tables) SetAdmissionLimit(number int, classes uint16, limit float64, retry balancer.RetryPolicy) {
-	limits, concerned := t.admissionLimitsForAll, func(*proxyState) bool { return true }
+	limits, concerned := t.admissionLimitsForAll, func(*pushState) bool { return true }
 	if number != balancer.AllTables {
 		limits = t.table(number).admissionLimits
-		concerned = func(proxy *proxyState) bool { return slices.Contains(proxy.tables, number) }
+		concerned = func(proxy *pushState) bool { return slices.Contains(proxy.tables, number) }
 	}
 	for class := range limits {
 		if hasClass(t.classSet(classes), class) {
@@ -225,7 +225,7 @@
 }
 
 // markDirty has the proxies concerned be written a message.
-func (t *tables) markDirty(concerned func(*proxyState) bool) {
+func (t *tables) markDirty(concerned func(*pushState) bool) {
 	for _, proxy := range t.proxies {
 		if proxy != nil && concerned(proxy) {
 			proxy.dirty = true
@@ -234,7 +234,7 @@
 }
 
 // uses tells whether a proxy's tables, as far as they are ours, have an entry for a backend.
-func (t *tables) uses(proxy *proxyState, backend int) bool {
+func (t *tables) uses(proxy *pushState, backend int) bool {
 	for _, number := range proxy.tables {
 		if number != unbound && t.weight(number, backend) > 0 {
 			return true
@@ -253,7 +253,7 @@
 
 // limitFor is the limit that stands for a class at a proxy: the lower one of its table's and that of all, with the table's own
 // retry policy.
-func (t *tables) limitFor(proxy *proxyState, class int) admissionLimit {
+func (t *tables) limitFor(proxy *pushState, class int) admissionLimit {
 	forAll := t.admissionLimitsForAll[class]
 	number := proxy.tables[class]
 	if number == unbound {
@@ -295,7 +295,7 @@
 }
 
 // initialState is the state of a backend of which the proxy was told nothing.
-func (p *proxyState) initialState() backendState {
+func (p *pushState) initialState() backendState {
 	if p.mayHoldWithdrawals {
 		return backendUnknown
 	}
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -32,7 +32,7 @@
 }
 
 // isDue tells whether a proxy is to be written a message.
-func (t *tables) isDue(proxy *proxyState) bool {
+func (t *tables) isDue(proxy *pushState) bool {
 	return proxy.dirty || t.ackRequested && t.ackFromAll
 }
 
@@ -50,8 +50,8 @@
 
 // encodeFor encodes what a proxy is to be written, and notes it as written: tables first, then limits, then withdrawals, and the
 // acknowledgement that is asked for last.
-func (t *tables) encodeFor(proxy *proxyState) ([]byte, error) {
-	w := &messageWriter{classNames: t.classNames, maxFrame: t.maxFrame, maxParts: t.maxParts, token: proxy.token}
+func (t *tables) encodeFor(proxy *pushState) ([]byte, error) {
+	w := &messageWriter{classNames: t.classNames, maxFrame: t.maxFrame, maxParts: t.maxParts, token: proxy.grantToken}
 	t.writeTables(proxy, w)
 	t.writeLimits(proxy, w)
 	t.writeWithdrawals(proxy, w)
@@ -67,7 +67,7 @@
 
 // writeTables writes the tables of a proxy in the order of its classes, each once for all classes that have it: in full, or what
 // differs from what the proxy brought, where it is due, and what has changed for the other classes.
-func (t *tables) writeTables(proxy *proxyState, w *messageWriter) {
+func (t *tables) writeTables(proxy *pushState, w *messageWriter) {
 	for class, number := range proxy.tables {
 		if number == unbound || slices.Contains(proxy.tables[:class], number) {
 			continue // not ours, or written with a class before
@@ -84,7 +84,7 @@
 }
 
 // classesOf gives the classes that have a table: those for which it is due in full, and those that have it already.
-func (p *proxyState) classesOf(number int) (due, upToDate uint16) {
+func (p *pushState) classesOf(number int) (due, upToDate uint16) {
 	for class, other := range p.tables {
 		switch {
 		case other != number:
@@ -98,7 +98,7 @@
 }
 
 // writeDueTable writes a table for classes that lack it.
-func (t *tables) writeDueTable(proxy *proxyState, table *table, due uint16, w *messageWriter) {
+func (t *tables) writeDueTable(proxy *pushState, table *table, due uint16, w *messageWriter) {
 	if delta, ok := t.encodeDelta(proxy, table, due); ok {
 		w.writeTableChange(due, delta)
 		t.deltaTables++
@@ -128,7 +128,7 @@
 
 // encodeDelta encodes the entries of a table that a proxy lacks, or may lack, by what it surely has; not ok where that is unknown or
 // takes no less than the full table.
-func (t *tables) encodeDelta(proxy *proxyState, table *table, due uint16) (entries [][]byte, ok bool) {
+func (t *tables) encodeDelta(proxy *pushState, table *table, due uint16) (entries [][]byte, ok bool) {
 	if proxy.base == nil {
 		return nil, false
 	}
@@ -164,7 +164,7 @@
 var unlimited = admissionLimit{true, math.MaxFloat32, balancer.RetryIfNotExecuted}
 
 // writeLimits writes limits that differ from what the proxy was last written, each once for all classes that share it.
-func (t *tables) writeLimits(proxy *proxyState, w *messageWriter) {
+func (t *tables) writeLimits(proxy *pushState, w *messageWriter) {
 	changed := t.updateLimits(proxy)
 	for class, limit := range proxy.admissionLimits {
 		if !hasClass(changed, class) {
@@ -183,7 +183,7 @@
 
 // updateLimits notes the limits that a proxy is to have as written, and gives the classes whose limits differ from what it has. A
 // full table has it forget its limits; where it may have those of others, the lack of one has to be written.
-func (t *tables) updateLimits(proxy *proxyState) (changed uint16) {
+func (t *tables) updateLimits(proxy *pushState) (changed uint16) {
 	for class := range t.classNames {
 		limit, unknown := t.limitFor(proxy, class), proxy.admissionLimits[class].isUnknown()
 		if hasClass(proxy.fullDue, class) && !unknown {
@@ -203,7 +203,7 @@
 // writeWithdrawals writes which backends are withdrawn, and which are restored. A proxy keeps withdrawals of other controllers, and
 // of our process before this one, while the decisions count on a cleared proxy to keep only ours: so whatever its tables use and it
 // may keep withdrawn is restored then, or with the first entry for it.
-func (t *tables) writeWithdrawals(proxy *proxyState, w *messageWriter) {
+func (t *tables) writeWithdrawals(proxy *pushState, w *messageWriter) {
 	var withdrawn, restored [][]byte
 	for _, backend := range t.uncertainBackends(proxy) {
 		// A table that is not ours may have a backend whose withdrawal has changed.
@@ -232,7 +232,7 @@
 }
 
 // stateOf gives the state of a backend at a proxy, as last written, for it to be changed.
-func (p *proxyState) stateOf(backend int) *backendState {
+func (p *pushState) stateOf(backend int) *backendState {
 	for len(p.backendStates) <= backend {
 		p.backendStates = append(p.backendStates, p.initialState())
 	}
@@ -241,7 +241,7 @@
 
 // uncertainBackends are those that a proxy may keep in another state than it should, in order: all that are known, until its tables
 // were gone through once, and then those whose entries or withdrawals changed since its last message.
-func (t *tables) uncertainBackends(proxy *proxyState) (backends []int) {
+func (t *tables) uncertainBackends(proxy *pushState) (backends []int) {
 	if proxy.reconciled {
 		backends = slices.Clone(proxy.withdrawalChanges)
 		for class, number := range proxy.tables {
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -6,7 +6,8 @@
 )
 
 // Host is what a Coordinator acts through. Its methods are called within the calls of the Coordinator, on the same
-// goroutine, and must not call back.
+// goroutine, and must not call back, with one exception: ReleaseUpTo may call ProxyDisconnected, for a proxy to which a
+// message could not be sent.
 type Host interface {
 	// Propose proposes an entry for the record. ProposalCommitted or ProposalFailed is to follow, once.
 	Propose(Entry)
@@ -17,7 +18,8 @@
 	// MessagesSentByPeers reduces what may be written to a proxy that was granted before: other members may have written as
 	// many messages.
 	MessagesSentByPeers(proxy, messages int)
-	// ReleaseUpTo says that messages which belong to revisions up to this one may be written to proxies.
+	// ReleaseUpTo says that messages which belong to revisions up to this one may be written to proxies. It may call
+	// ProxyDisconnected.
 	ReleaseUpTo(revision uint64)
 	// PeerObservationReported gives what another member's proxies met of late, or what keeps a backend withdrawn there.
 	PeerObservationReported(member string, observation Observation)
@@ -66,24 +68,24 @@
 
 	revision     uint64                     // of our tables
 	tables       map[int]map[string]float64 // weights by table and backend
-	proxies      map[int]*proxyState        // that are connected to us
+	proxies      map[int]*claimState        // that are connected to us
 	grantTimes   map[int][]Microseconds     // when proxies were granted to us, within the window
 	leaderClocks map[uint64]leaderClock
 }
 
-// proxyState is a proxy that is connected to us. It is in one of these states:
+// claimState is how far a proxy that is connected to us is ours. It is in one of these states:
 //
-//	                                              granted  owned   token  unclaimedSince
-//	claimed, not granted yet                      no       no      0      0
-//	ours by the record                            yes      yes     > 0    0
-//	lost to another member                        yes      no      0      > 0
-//	of a new incarnation, not active since        yes      either  0      > 0
-//	claimed again, or connected without a quorum  yes      either  0      0
-type proxyState struct {
+//	                                              granted  owned   claimToken  unclaimedSince
+//	claimed, not granted yet                      no       no      0           0
+//	ours by the record                            yes      yes     > 0         0
+//	lost to another member                        yes      no      0           > 0
+//	of a new incarnation, not active since        yes      either  0           > 0
+//	claimed again, or connected without a quorum  yes      either  0           0
+type claimState struct {
 	granted    bool
 	windowFrom Microseconds // of the messages that it may be written: when it was granted, or the last window ended
 	owned      bool         // by the record, in this incarnation or in the last
-	token      uint64       // of this incarnation's claim; 0 while there is none
+	claimToken uint64       // of this incarnation's claim; 0 while there is none. Messages have the token of the grant
 	// staleClaims counts claims of ours that were in flight as its stream began: they were for an older stream.
 	staleClaims int
 	// unclaimedSince is since when it has been ours by no claim, and has to be heard from before it is claimed; 0 for one that
@@ -91,9 +93,9 @@
 	unclaimedSince Microseconds
 
 	// What it has acknowledged, as in Confirmation.
-	revision         uint64
-	tables           []int
-	withdrawalsKnown bool
+	acknowledgedRevision uint64
+	acknowledgedTables   []int
+	withdrawalsKnown     bool
 }
 
 // New makes the Coordinator of a member that has just started.
@@ -107,7 +109,7 @@
 		leaseFrom:      now,
 		lastProposedAt: now - terms.RenewInterval,
 		tables:         map[int]map[string]float64{},
-		proxies:        map[int]*proxyState{},
+		proxies:        map[int]*claimState{},
 		grantTimes:     map[int][]Microseconds{},
 		leaderClocks:   map[uint64]leaderClock{},
 	}
@@ -121,7 +123,7 @@
 // OwnedProxies counts the connected proxies that are ours by the record.
 func (c *Coordinator) OwnedProxies() (count int) {
 	for _, state := range c.proxies {
-		if state.token > 0 {
+		if state.claimToken > 0 {
 			count++
 		}
 	}
@@ -175,7 +177,7 @@
 	c.inFlight = nil
 	c.pending = Entry{SeenToken: c.record.Token, Revision: c.revision, TableChanges: c.completeTables()}
 	for _, state := range c.proxies {
-		state.token = 0
+		state.claimToken = 0
 		state.staleClaims = 0
 		state.unclaimedSince = now
 	}
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -22,8 +22,10 @@
 // reads, as a claim can be late on its way. Coordinator.loseProxy takes the owner quota away, so that the member may go on
 // writing within its unowned quota; a proxy that is active later than a LeaseTerms.RenewInterval after that is claimed
 // again. A proxy that has asked for fencing tokens rejects a message whose token is older than the greatest that it has
-// seen; one with an equal token, or without one (from a member without a quorum), is accepted. The protocol has
-// no word for a rejection: the member that wrote the message is not told.
+// seen; one with an equal token, or without one, is accepted. A member writes without a token to a proxy that it granted
+// without a quorum. A proxy that was granted before goes on with the token of its grant, also while the member has no
+// quorum, and after it was claimed again. The protocol has no word for a rejection: the member that wrote the message is
+// not told.
 //
 // # The leader
 //
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -31,7 +31,7 @@
 	}
 	c.host.ProxyGranted(Grant{
 		Proxy:         proxy,
-		Token:         state.token,
+		Token:         state.claimToken,
 		Base:          move.Base,
 		NoWithdrawals: move.NoWithdrawals,
 		Demand:        move.Demand,
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -5,7 +5,7 @@
 // ProxyConnected is told that a proxy's stream has begun. The proxy is granted once its claim is on the record, or at once
 // without a quorum. Until then the caller writes nothing to it: a later owner would not know of it.
 func (c *Coordinator) ProxyConnected(proxy int, now Microseconds) {
-	state := &proxyState{}
+	state := &claimState{}
 	if c.inFlight != nil {
 		for _, claims := range [][]int{c.inFlight.Claims, c.inFlight.Reclaims} {
 			if slices.Contains(claims, proxy) {
@@ -29,8 +29,8 @@
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, isProxy)
 }
 
-// ProxyActiveAt is told when a proxy was last heard from on its stream. One that is ours by no claim is with us
-// nevertheless, and is claimed again.
+// ProxyActiveAt is told when a proxy was last heard from on its stream. A connected proxy without a claim of ours is
+// claimed again once it is heard from.
 func (c *Coordinator) ProxyActiveAt(proxy int, at Microseconds) {
 	state := c.proxies[proxy]
 	if state != nil && state.unclaimedSince > 0 && at > state.unclaimedSince+c.terms.RenewInterval {
@@ -41,7 +41,7 @@
 // claim puts a claim of a connected proxy into the next entry.
 func (c *Coordinator) claim(proxy int, kind claimKind) {
 	state := c.proxies[proxy]
-	state.token = 0
+	state.claimToken = 0
 	state.unclaimedSince = 0
 	switch {
 	case kind == sameStream:
@@ -55,28 +55,28 @@
 // are bound to, -1 for none. If withdrawalsKnown, it holds the withdrawals that we ordered, and none of an earlier owner.
 func (c *Coordinator) ProxyAcknowledged(proxy int, revision uint64, tables []int, withdrawalsKnown bool) {
 	state := c.proxies[proxy]
-	if state == nil || revision < state.revision || slices.Contains(tables, -1) {
+	if state == nil || revision < state.acknowledgedRevision || slices.Contains(tables, -1) {
 		return
 	}
-	if state.revision == revision && state.withdrawalsKnown == withdrawalsKnown && slices.Equal(state.tables, tables) {
+	if state.acknowledgedRevision == revision && state.withdrawalsKnown == withdrawalsKnown && slices.Equal(state.acknowledgedTables, tables) {
 		return
 	}
-	state.revision = revision
-	state.tables = slices.Clone(tables)
+	state.acknowledgedRevision = revision
+	state.acknowledgedTables = slices.Clone(tables)
 	state.withdrawalsKnown = withdrawalsKnown
 	c.addConfirmation(proxy, state)
 }
 
 // addConfirmation puts what a proxy of ours has acknowledged into the next entry.
-func (c *Coordinator) addConfirmation(proxy int, state *proxyState) {
-	if state.token == 0 || state.revision == 0 {
+func (c *Coordinator) addConfirmation(proxy int, state *claimState) {
+	if state.claimToken == 0 || state.acknowledgedRevision == 0 {
 		return
 	}
 	confirmation := Confirmation{
 		Proxy:            proxy,
-		Token:            state.token,
-		Revision:         state.revision,
-		Tables:           state.tables,
+		Token:            state.claimToken,
+		Revision:         state.acknowledgedRevision,
+		Tables:           state.acknowledgedTables,
 		WithdrawalsKnown: state.withdrawalsKnown,
 	}
 	sameProxy := func(other Confirmation) bool { return other.Proxy == proxy }
@@ -99,16 +99,16 @@
 		state.staleClaims--
 	case ours:
 		c.gainProxy(state, move, now)
-	case state.owned && move.To.Token > state.token && move.To.Owner != c.name:
+	case state.owned && move.To.Token > state.claimToken && move.To.Owner != c.name:
 		c.loseProxy(state, move.Proxy, now)
 	}
 }
 
 // gainProxy is told that our claim of a proxy is committed. The host is not told the token of a proxy that it was granted
 // before: its messages keep the token of the grant.
-func (c *Coordinator) gainProxy(state *proxyState, move Move, now Microseconds) {
+func (c *Coordinator) gainProxy(state *claimState, move Move, now Microseconds) {
 	state.owned = true
-	state.token = move.To.Token
+	state.claimToken = move.To.Token
 	state.unclaimedSince = 0
 	if state.granted {
 		c.addConfirmation(move.Proxy, state)
@@ -117,11 +117,12 @@
 	c.grantByRecord(move, now)
 }
 
-// loseProxy is told that another member has claimed a proxy that is connected to us. Its stream may be half-open; if the
-// proxy is active on it later it is claimed again. SnapshotRestored does the like for a proxy that was lost in between.
-func (c *Coordinator) loseProxy(state *proxyState, proxy int, now Microseconds) {
+// loseProxy gives up a proxy that another member has claimed: it is connected to us still, but not ours. Its stream may be
+// half-open; if the proxy is active on it later it is claimed again. SnapshotRestored does the like for a proxy that was
+// lost in between.
+func (c *Coordinator) loseProxy(state *claimState, proxy int, now Microseconds) {
 	state.owned = false
-	state.token = 0
+	state.claimToken = 0
 	state.unclaimedSince = now
 	if state.granted {
 		c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota())
