--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -14,7 +14,7 @@
 // Restored and Accepted are called one at a time on raft's goroutine, Current on the Node's, Accept on one for each
 // connection. They may block, but must not wait for a call of the Node.
 type Distribution interface {
-	// Restored gives the whole configuration.
+	// Restored gives the whole distributed configuration.
 	Restored(state distribution.State)
 	// Accepted gives the next change.
 	Accepted(change distribution.Change)
@@ -43,9 +43,9 @@
 
 func isConfigurationEntry(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
 
-// configuration is the part of the state machine that holds the configuration record. Every member has it, whether or
-// not anybody can subscribe there.
-type configuration struct {
+// configurationRecord is the part of the state machine that holds the configuration record: the distributed configuration,
+// which is neither the operator's nor raft's own. Every member has it, whether or not anybody can subscribe there.
+type configurationRecord struct {
 	distribution Distribution             // nil where nobody can subscribe
 	onEpoch      func(distribution.Epoch) // of each change and snapshot
 
@@ -53,12 +53,12 @@
 	record *distribution.Record
 }
 
-// newConfiguration makes an empty one. Distribution and onEpoch may be nil.
-func newConfiguration(told Distribution, onEpoch func(distribution.Epoch)) *configuration {
+// newConfigurationRecord makes an empty one. Distribution and onEpoch may be nil.
+func newConfigurationRecord(told Distribution, onEpoch func(distribution.Epoch)) *configurationRecord {
 	if onEpoch == nil {
 		onEpoch = func(distribution.Epoch) {}
 	}
-	return &configuration{distribution: told, onEpoch: onEpoch, record: distribution.NewRecord()}
+	return &configurationRecord{distribution: told, onEpoch: onEpoch, record: distribution.NewRecord()}
 }
 
 // changeResult is what became of a proposal.
@@ -68,7 +68,7 @@
 }
 
 // apply applies an entry of the log, whole or not at all. One that cannot be read changes nothing, at every member alike.
-func (c *configuration) apply(data []byte, onUnreadable func(error)) changeResult {
+func (c *configurationRecord) apply(data []byte, onUnreadable func(error)) changeResult {
 	var entry configurationEntry
 	err := cbor.Unmarshal(data, &entry)
 	if err == nil && entry.Kind != kindProposal {
@@ -82,7 +82,7 @@
 }
 
 // accept makes a proposal the next change, or refuses it, and tells the distribution: of the first change as a whole.
-func (c *configuration) accept(proposal distribution.Proposal) changeResult {
+func (c *configurationRecord) accept(proposal distribution.Proposal) changeResult {
 	c.mutex.Lock()
 	first := c.record.Empty()
 	change, err := c.record.Apply(proposal)
@@ -106,8 +106,8 @@
 	return changeResult{version: version}
 }
 
-// state is the configuration for a snapshot; nil where there is none.
-func (c *configuration) state() *distribution.State {
+// state is the record's content for a snapshot; nil where it is empty.
+func (c *configurationRecord) state() *distribution.State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.record.Empty() {
@@ -117,8 +117,8 @@
 	return &state
 }
 
-// restore replaces the configuration by that of a snapshot; nil where it had none.
-func (c *configuration) restore(state *distribution.State) {
+// restore replaces the record's content by that of a snapshot; nil where it had none.
+func (c *configurationRecord) restore(state *distribution.State) {
 	record := distribution.NewRecord()
 	if state != nil {
 		record = distribution.RestoreRecord(*state)
@@ -132,15 +132,15 @@
 	}
 }
 
-// view calls a function with the configuration, under the lock.
-func (c *configuration) view(look func(*distribution.Record)) {
+// view calls a function with the record, under the lock.
+func (c *configurationRecord) view(look func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	look(c.record)
 }
 
 // empty tells whether nothing was ever accepted.
-func (c *configuration) empty() bool {
+func (c *configurationRecord) empty() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.record.Empty()
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -15,7 +15,8 @@
 // Three things are called a record: raft's replicated log, and the two states that result from it, the ownership record
 // (ownership.Record) and the configuration record (distribution.Record). A snapshot is a CBOR sequence: the ownership
 // record, and behind it the configuration record if it is not empty. An entry of the log is a CBOR map for the ownership
-// record, and a CBOR array for the configuration record.
+// record, and a CBOR array for the configuration record. The configuration record holds the distributed configuration; what
+// an operator sets for a member is its Config, and raft's list of voters is raft.Configuration.
 //
 // # Goroutines
 //
@@ -27,6 +28,7 @@
 // # Locks
 //
 // Node.mutex is over the present raft instance, Node.leaderMutex over what the member sees as leader, stateMachine.mutex
-// over the record, configuration.mutex over the configuration, transport.mutex over the open connections. Where two are
-// held they are taken in this order; Node.mutex is held while a raft instance starts and restores its snapshot.
+// over the ownership record, configurationRecord.mutex over the configuration record, transport.mutex over the open
+// connections. Where two are held they are taken in this order; Node.mutex is held while a raft instance starts and
+// restores its snapshot.
 package consensus
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -17,7 +17,7 @@
 	errUnknownMember = errors.New("consensus: no address of that member is known")
 )
 
-// ConfigError says which key of a configuration cannot be used, why, and what would do.
+// ConfigError says which key of a Config cannot be used, why, and what would do.
 type ConfigError struct {
 	// Key is that of the options, such as members or folder.
 	Key string
--- a/consensus/freshness.go
+++ b/consensus/freshness.go
@@ -40,7 +40,7 @@
 // reset is called when the leadership changes.
 func (f *freshness) reset() { f.ledFrom = 0 }
 
-// reportCurrent tells the distribution that the record is led and that we have all of its configuration, if that is so.
+// reportCurrent tells the distribution that the record is led and that we have all of its configuration record, if that is so.
 func (l *membershipLoop) reportCurrent(current *instance) {
 	if l.config.Distribution == nil {
 		return
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -329,7 +329,7 @@
 				t.Fatal(err)
 			}
 			r := newEventLog()
-			m := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfiguration(nil, nil), onUnreadable: func(err error) { t.Error(err) }}
+			m := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfigurationRecord(nil, nil), onUnreadable: func(err error) { t.Error(err) }}
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
 			}
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -256,7 +256,7 @@
 // machineWith is a state machine that some entries were put into.
 func machineWith(t *testing.T, entries ...distribution.Entry) *stateMachine {
 	t.Helper()
-	m := &stateMachine{events: newEventLog(), record: ownership.NewRecord(), configuration: newConfiguration(nil, nil)}
+	m := &stateMachine{events: newEventLog(), record: ownership.NewRecord(), configuration: newConfigurationRecord(nil, nil)}
 	m.onUnreadable = func(err error) { t.Error(err) }
 	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}})
 	for _, e := range entries {
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -75,7 +75,7 @@
 	return &stateMachine{
 		events:        n.events,
 		record:        ownership.NewRecord(),
-		configuration: newConfiguration(n.config.Distribution, n.noteEpoch),
+		configuration: newConfigurationRecord(n.config.Distribution, n.noteEpoch),
 		onUnreadable:  func(err error) { n.log.Error("entry_unreadable", "error", err.Error()) },
 	}
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -68,11 +68,11 @@
 	leaderMutex sync.Mutex
 	leases      *ownership.LeaseTracker
 	stamp       uint64             // tells our clock from others'
-	epoch       distribution.Epoch // the greatest that a configuration had
+	epoch       distribution.Epoch // the greatest that a configuration record had
 }
 
-// New checks a configuration, opens the folder, and listens at our address; connections are taken by Run. Its errors are
-// ConfigErrors where a key of the configuration is to blame.
+// New checks a Config, opens the folder, and listens at our address; connections are taken by Run. Its errors are
+// ConfigErrors where a key of the Config is to blame.
 func New(config Config, events Events, log *slog.Logger) (*Node, error) {
 	return newNode(config, events, log, nil)
 }
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -13,9 +13,9 @@
 	"wheelrill/distribution"
 )
 
-// Configure has the configuration record hold just the wanted entries, by one change, and tells how many entries differed; 0 if none did,
-// and nothing was proposed. While nobody leads the record it tries again, until the context ends. Its errors are those of
-// ProposeChange.
+// Configure has the configuration record hold just the wanted entries, by one change, and tells how many entries differed;
+// 0 if none did, and nothing was proposed. While nobody leads the record it tries again, until the context ends. Its errors
+// are those of ProposeChange.
 func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differ int, err error) {
 	for {
 		var proposal distribution.Proposal
@@ -35,7 +35,7 @@
 
 // ProposeChange has the configuration record accept a change: once, whole, and gives the version that it makes. The error is
 // ErrUnanswered where it is not known whether it will be accepted, distribution.ErrVersionMismatch where the record is not at the
-// base of the proposal, and ErrRefused otherwise.
+// base of the proposal, and ErrChangeRefused otherwise.
 func (n *Node) ProposeChange(ctx context.Context, proposal distribution.Proposal) (distribution.Version, error) {
 	response, err := n.proposeAtLeader(ctx, proposal)
 	switch {
@@ -95,7 +95,7 @@
 // whyRefused is an error as it is given on the wire, where reasons have no package before them.
 func whyRefused(err error) string { return strings.TrimPrefix(err.Error(), "distribution: ") }
 
-// nextEpoch is the epoch that a configuration gets which has none yet: newer than all that this process has seen.
+// nextEpoch is the epoch that a configuration record gets which has none yet: newer than all that this process has seen.
 func (n *Node) nextEpoch() distribution.Epoch {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -11,11 +11,11 @@
 	"wheelrill/distribution"
 )
 
-// snapshot is the encoded record, and behind it the configuration if there is any.
+// snapshot is the encoded ownership record, and behind it the configuration record if there is any.
 type snapshot struct {
-	record        []byte
-	configuration *distribution.State
-	bytes         *atomic.Int64 // is set to how many were written
+	record        []byte              // the ownership record
+	configuration *distribution.State // of the configuration record; nil while it is empty
+	bytes         *atomic.Int64       // is set to how many were written
 }
 
 // Persist writes it to a sink.
@@ -54,11 +54,11 @@
 	return n, err
 }
 
-// entriesPerPiece is how many entries of a configuration are encoded at a time.
+// entriesPerPiece is how many entries of a distributed configuration are encoded at a time.
 const entriesPerPiece = 1024
 
-// WriteConfiguration writes a configuration as a CBOR sequence: first what it is without its entries, then these in arrays
-// of at most entriesPerPiece.
+// WriteConfiguration writes a distributed configuration as a CBOR sequence: first what it is without its entries, then
+// these in arrays of at most entriesPerPiece.
 func WriteConfiguration(to io.Writer, state *distribution.State) error {
 	encoder := cbor.NewEncoder(to)
 	head := *state
@@ -76,12 +76,11 @@
 	return nil
 }
 
-// ErrNoEpoch says that a stored configuration is none that WriteConfiguration wrote.
+// ErrNoEpoch says that a stored distributed configuration is none that WriteConfiguration wrote.
 var ErrNoEpoch = errors.New("consensus: a configuration without an epoch")
 
 // ReadConfiguration reads what WriteConfiguration wrote; nil where there is nothing to read: an empty body is not told from
-// one that never had a configuration. The error is ErrNoEpoch, or
-// one of the decoder.
+// one that never had a configuration. The error is ErrNoEpoch, or one of the decoder.
 func ReadConfiguration(body []byte) (*distribution.State, error) {
 	if len(body) == 0 {
 		return nil, nil
--- a/consensus/snapshot_test.go
+++ b/consensus/snapshot_test.go
@@ -15,14 +15,14 @@
 )
 
 func TestSnapshotIsRestoredWholeOrNotAtAll(t *testing.T) {
-	m, r := &stateMachine{events: newEventLog(), record: ownership.NewRecord(), configuration: newConfiguration(nil, nil)}, newEventLog()
+	m, r := &stateMachine{events: newEventLog(), record: ownership.NewRecord(), configuration: newConfigurationRecord(nil, nil)}, newEventLog()
 	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}, Revision: 1,
 		TableChanges: []ownership.TableChange{{Table: 2, Lines: []ownership.Line{{Backend: "s", Weight: 0.5}}}}})
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfiguration(nil, nil)}
+	other := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfigurationRecord(nil, nil)}
 	if err := other.Restore(io.NopCloser(bytes.NewReader(persisted(t, s)))); err != nil {
 		t.Fatal(err)
 	}
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -11,21 +11,21 @@
 	"wheelrill/ownership"
 )
 
-// stateMachine is what raft applies its log to: the ownership record, which it hands on entry by entry, and the distributed
-// configuration. Raft calls Apply, Snapshot and Restore one at a time.
+// stateMachine is what raft applies its log to: the ownership record, which it hands on entry by entry, and the
+// configuration record. Raft calls Apply, Snapshot and Restore one at a time.
 type stateMachine struct {
 	events       Events
 	onUnreadable func(err error)
 
-	mutex  sync.Mutex // over record
+	mutex  sync.Mutex // over record; configuration has a lock of its own
 	record *ownership.Record
 
-	configuration *configuration
+	configuration *configurationRecord
 	snapshotBytes atomic.Int64 // of the last snapshot
 }
 
 // Apply applies one entry. One that cannot be read changes nothing, at every member alike. The result is a changeResult
-// for a change of the configuration, and nil otherwise.
+// for a change of the distributed configuration, and nil otherwise.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	if isConfigurationEntry(entry.Data) {
 		return m.configuration.apply(entry.Data, m.onUnreadable)
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -75,7 +75,8 @@
 	return memberResponse{Accepted: true}
 }
 
-// Listener takes the connections of subscribers at a subscriber that passes the configuration on. It serves nothing else.
+// Listener takes the connections of subscribers at a subscriber that passes the distributed configuration on. It serves
+// nothing else.
 type Listener struct {
 	transport *transport
 }
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -191,7 +191,7 @@
 	return conn, nil
 }
 
-// withServerName is a configuration for calling somebody whose certificate has to be for a name.
+// withServerName is a TLS configuration for calling somebody whose certificate has to be for a name.
 func withServerName(secure *tls.Config, name string) *tls.Config {
 	named := secure.Clone()
 	named.ServerName = name
--- a/ownership/apply.go
+++ b/ownership/apply.go
@@ -23,8 +23,8 @@
 
 // SnapshotRestored replaces the ownership record, in place of the entries that led to it. A proxy that was ours and is
 // another member's in it is lost as by loseProxy, with two differences: the owner quota is not taken away, and it counts as
-// lost as well where the owner has our name, in another incarnation. Both are unchanged from before;
-// whether the first should be is in docs/ROADMAP.md.
+// lost as well where the owner has our name, in another incarnation. So it is today; whether the owner quota should stay is
+// in docs/ROADMAP.md.
 func (c *Coordinator) SnapshotRestored(record *Record, now Microseconds) {
 	c.record = record
 	for proxy, owned := range record.Proxies {
