--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -14,6 +14,8 @@
 // clock, and the channels. What it takes at once happens at one clock time, and leaves as one message to each proxy concerned.
 // Nothing of its state outlasts the process: a restart begins with the cached list of the configuration.
 type eventLoop struct {
+	// tables is embedded so that the loop is the decisions' host: PublishEntry, AssignTable, Withdraw and the other orders are its
+	// methods. So connect, disconnect, proxy, flush and forget, called on the loop, are those of tables.
 	*tables
 	limits    *limits
 	log       *slog.Logger
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -56,7 +56,7 @@
 	}
 	loop.ownership = host
 	host.coordinator = ownership.New(host, config.Name, terms, loop.now)
-	host.renew(loop.now)
+	host.coordinatorTick(loop.now)
 	return nil
 }
 
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -30,11 +30,12 @@
 	mayHoldWithdrawals bool
 }
 
-// coordinatorTimer is the tag of the coordinator's timer; the decisions have none of it.
+// coordinatorTimer is the tag of the coordinator's timer; no timer of the decisions has this tag.
 const coordinatorTimer = 1<<64 - 1
 
-// renew gives the coordinator its turn: it renews our lease, and puts evidence on the record.
-func (h *ownershipHost) renew(now microseconds) {
+// coordinatorTick gives the coordinator its turn: it renews our lease, says which proxies were heard from since, puts evidence on
+// the record, and sets the timer for the next turn.
+func (h *ownershipHost) coordinatorTick(now microseconds) {
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
 		if session != nil {
@@ -45,8 +46,9 @@
 	h.loop.SetTimer(h.terms.RenewInterval/2, coordinatorTimer)
 }
 
-// handOver gives our proxies away at a planned end: no push is made any more, and the record says so before any of their connections
-// ends, if it answers within limits.handOverTimeout. Meanwhile writers send what waits in outboxes.
+// handOver gives our proxies away at a planned end: the loop iterates no more, so no push is made, and the record says so before any
+// of their connections ends, if it answers within limits.handOverTimeout. Meanwhile ReleaseUpTo still hands queued messages that the
+// record releases to their connections, and writers send what waits in outboxes.
 func (h *ownershipHost) handOver() {
 	loop := h.loop
 	loop.now = max(loop.clock(), loop.now+1)
--- a/controller/ownership_record.go
+++ b/controller/ownership_record.go
@@ -7,30 +7,31 @@
 	"wheelrill/ownership"
 )
 
-// consensusEvents hands what becomes of the record to the event loop. Its methods are called by goroutines of the consensus node.
+// consensusEvents hands what becomes of the record to the event loop. Its methods are called by goroutines of the consensus node, so
+// they only post: what they post runs on the loop's goroutine, and reads loop.now there, as the clock time at which it is taken.
 type consensusEvents struct {
-	*eventLoop
+	loop *eventLoop
 	host *ownershipHost
 }
 
 // EntryCommitted implements consensus.Events.
 func (e consensusEvents) EntryCommitted(entry ownership.Entry) {
-	e.post(func() { e.host.coordinator.EntryApplied(entry, e.now) })
+	e.loop.post(func() { e.host.coordinator.EntryApplied(entry, e.loop.now) })
 }
 
 // SnapshotRestored implements consensus.Events.
 func (e consensusEvents) SnapshotRestored(record *ownership.Record) {
-	e.post(func() { e.host.coordinator.SnapshotRestored(record, e.now) })
+	e.loop.post(func() { e.host.coordinator.SnapshotRestored(record, e.loop.now) })
 }
 
 // ProposalCommitted implements consensus.Events.
 func (e consensusEvents) ProposalCommitted(incarnation, sequence uint64) {
-	e.post(func() { e.host.coordinator.ProposalCommitted(incarnation, sequence, e.now) })
+	e.loop.post(func() { e.host.coordinator.ProposalCommitted(incarnation, sequence, e.loop.now) })
 }
 
 // ProposalFailed implements consensus.Events.
 func (e consensusEvents) ProposalFailed(incarnation, sequence uint64) {
-	e.post(func() { e.host.coordinator.ProposalFailed(incarnation, sequence, e.now) })
+	e.loop.post(func() { e.host.coordinator.ProposalFailed(incarnation, sequence, e.loop.now) })
 }
 
 // recordTableChanges puts on the record what this iteration has changed in our tables, before any of it is written.
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -56,7 +56,7 @@
 		due := l.timers[0]
 		l.timers = l.timers[1:]
 		if due.tag == coordinatorTimer {
-			l.ownership.renew(l.now)
+			l.ownership.coordinatorTick(l.now)
 			continue
 		}
 		l.decisions.TimerFired(due.tag)
