--- a/controller/limits.go
+++ b/controller/limits.go
@@ -7,72 +7,130 @@
 )
 
 // limits are the sizes, counts and times of everything around the decisions. New fills them; nobody changes them after that, so any
-// goroutine may read them.
+// goroutine may read them. Limits of other parts stand with them: of the distributed configuration in distribution/limits.go
+// (distribution.Limits), of its connections in distribution/transport/config.go (transport.Bounds), of the shared record in the
+// constants of package consensus, beside what uses them (pace.go has its times), and of leases in ownership.go.
 type limits struct {
 	// What the process is given, and who exists.
-	cores   int
-	memory  int64 // bytes; 0 if nobody said
-	sockets int   // descriptors
-	proxies int   // proxies that exist
+
+	// cores is how many the process has, at least 1.
+	cores int
+	// memory is bytes; 0 if nobody said.
+	memory int64
+	// sockets is how many descriptors the process may have open.
+	sockets int
+	// proxies is how many proxies exist.
+	proxies int
 
 	// Connections.
-	maxConnections    int // in all; at the bound, the oldest unidentified ones are evicted, and others wait in the backlog
-	maxUnidentified   int // of those that have not identified themselves; at the bound, the oldest are evicted
-	maxIdentified     int // of the others; at the bound, a newcomer is refused
-	collectorsPerZone int // at the bound, a newcomer replaces the oldest
+
+	// maxConnections bounds all connections; at the bound, the oldest unidentified ones are evicted, and others wait in the
+	// listener's backlog.
+	maxConnections int
+	// maxUnidentified bounds those that have not identified themselves; at the bound, the oldest are evicted.
+	maxUnidentified int
+	// maxIdentified bounds the others; at the bound, a newcomer is refused.
+	maxIdentified int
+	// collectorsPerZone bounds the collectors of a zone; at the bound, a newcomer replaces the oldest.
+	collectorsPerZone int
 
 	// Backends.
-	maxBackends int          // at the bound, further ones of the list are skipped
-	maxIDBytes  int          // of a backend's id
-	forgetAfter microseconds // that a backend is known on after the list has dropped it
+
+	// maxBackends bounds the list; further ones are skipped.
+	maxBackends int
+	// maxIDBytes bounds a backend's id.
+	maxIDBytes int
+	// forgetAfter is for how long a backend is known on after the list has dropped it.
+	forgetAfter microseconds
 
 	// Messages, either way, and queues.
-	maxFrame           int // bytes of a message, or of a part of one
-	maxFirstFrame      int // bytes of a message of an unidentified connection
-	maxParts           int // of a message to a proxy
-	maxIdleBuffer      int // bytes; a reader's buffer that grew beyond this is given back
-	inboxSize          int // events that wait for the loop; at the bound, reports are dropped and other events make their senders wait
-	eventsPerIteration int // events that the loop takes at one clock time
-	outboxSize         int // messages that wait for one connection; at the bound send fails: the loop drops a proxy, an unidentified connection ends, the answer to another's probe is lost
-	maxUnacked         int // acknowledgements that are missing of one proxy; at the bound, the oldest is forgotten
-	maxResponseBody    int // bytes of an answer of discovery
+
+	// maxFrame bounds the bytes of a message, or of a part of one.
+	maxFrame int
+	// maxFirstFrame bounds the bytes of a message of an unidentified connection.
+	maxFirstFrame int
+	// maxParts bounds the parts of a message to a proxy.
+	maxParts int
+	// maxIdleBuffer is bytes; a reader's buffer that grew beyond this is given back.
+	maxIdleBuffer int
+	// inboxSize bounds the events that wait for the loop; at the bound, reports are dropped, and other events make their senders
+	// wait.
+	inboxSize int
+	// eventsPerIteration bounds the events that the loop takes at one clock time.
+	eventsPerIteration int
+	// outboxSize bounds the messages that wait for one connection. At the bound send fails: the loop drops a proxy, an unidentified
+	// connection ends, the answer to another's probe is lost.
+	outboxSize int
+	// maxUnacked bounds the acknowledgements that are missing of one proxy; at the bound, the oldest is forgotten.
+	maxUnacked int
+	// maxResponseBody bounds the bytes of an answer of discovery.
+	maxResponseBody int
 
 	// What load reports can say; beyond it a report is skipped.
-	maxProxyRate      float64 // requests a second that arrive at a proxy
-	maxFleetRate      float64 // the same of all proxies
-	maxResponseTime   microseconds
-	maxReportInterval microseconds // that one report covers
-	maxUtilization    float64      // share of its cores that a backend has at work; it may count them in percent
-	maxQueueLength    float64      // requests that wait at a backend
+
+	// maxProxyRate is requests a second that arrive at one proxy.
+	maxProxyRate float64
+	// maxFleetRate is requests a second that arrive at all proxies.
+	maxFleetRate float64
+	// maxResponseTime is the longest response time.
+	maxResponseTime microseconds
+	// maxReportInterval is the longest time that one report covers.
+	maxReportInterval microseconds
+	// maxUtilization is the share of its cores that a backend has at work; it may count them in percent.
+	maxUtilization float64
+	// maxQueueLength is requests that wait at a backend.
+	maxQueueLength float64
 
 	// Times of the loop.
-	tick            time.Duration // between two iterations, at least
-	stallThreshold  microseconds  // without an iteration that show that the process stalled: the decisions want several a second
-	readyTimeout    time.Duration // from the start on, after which answers leave without a list
-	handOverTimeout time.Duration // that the record may take to say that our proxies are given away
-	silenceTimeout  microseconds  // without a message, and an acknowledgement missing as long, that show a half-open connection
-	ackLagTimeout   microseconds  // the same where another proxy has given that acknowledgement
+
+	// tick is the least time between two iterations.
+	tick time.Duration
+	// stallThreshold is the time without an iteration that shows that the process stalled: the decisions want several a second.
+	stallThreshold microseconds
+	// readyTimeout is the time from the start on after which answers leave without a list.
+	readyTimeout time.Duration
+	// handOverTimeout is the time that the record may take to say that our proxies are given away.
+	handOverTimeout time.Duration
+	// silenceTimeout is the time without a message, and with an acknowledgement missing as long, that shows a half-open connection.
+	silenceTimeout microseconds
+	// ackLagTimeout is the same where another proxy has given that acknowledgement.
+	ackLagTimeout microseconds
 
 	// Times of connections.
-	identifyTimeout time.Duration // from accept on, for a connection to identify itself
-	minEvictAge     time.Duration // that it has for this at least, however many others come
+
+	// identifyTimeout is the time from accept on for a connection to identify itself.
+	identifyTimeout time.Duration
+	// minEvictAge is the time that it has for this at least, however many others come.
+	minEvictAge time.Duration
 	// finalReadTimeout is a last look past a deadline, as it may be this process that stalled: at what had arrived of a connection, at
 	// what it takes of a message, at the listener's backlog; and what an evicted connection has for its end.
 	finalReadTimeout time.Duration
-	lingerTimeout    time.Duration // that what a refused connection still sends is read
-	writeTimeout     time.Duration // for one message to leave
+	// lingerTimeout is for how long what a refused connection still sends is read.
+	lingerTimeout time.Duration
+	// writeTimeout is the time for one message to leave.
+	writeTimeout time.Duration
 
 	// Times of discovery.
-	dialTimeout       time.Duration
-	watchWait         time.Duration // that discovery may wait for a change
-	watchMargin       time.Duration // beyond that before the call has failed
-	minBackoff        time.Duration // after a failed call; it doubles ...
-	maxBackoff        time.Duration // ... up to this
-	maxUselessAnswers int           // in a row, before the full list is asked for, and taken even if it is older
+
+	// dialTimeout is the time for a connection to discovery to be made, and for a request to be written to it.
+	dialTimeout time.Duration
+	// watchWait is the time that discovery may wait for a change before it answers.
+	watchWait time.Duration
+	// watchMargin is the time beyond watchWait after which the call has failed.
+	watchMargin time.Duration
+	// minBackoff is the wait after a failed call, or a watch that ended at once, before jitter; further failures double it.
+	minBackoff time.Duration
+	// maxBackoff bounds that wait.
+	maxBackoff time.Duration
+	// maxUselessAnswers is how many in a row it takes for the full list to be asked for, and to be taken even if it is older.
+	maxUselessAnswers int
 
 	// The log.
-	logRepeatInterval time.Duration // between two lines of a kind that is rate limited
-	maxLogKinds       int           // kinds of lines that are counted apart
+
+	// logRepeatInterval is the time between two lines of a kind that is rate limited.
+	logRepeatInterval time.Duration
+	// maxLogKinds bounds the kinds of lines that are counted apart.
+	maxLogKinds int
 }
 
 // defaultLimits are those that do not depend on what the process is given.
