--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"os"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -12,12 +13,6 @@
 	"wheelrill/rehearse"
 )
 
-// Names of scenarios.
-const (
-	scenarioCalm     = "calm"
-	scenarioTakeover = "takeover"
-)
-
 func newRehearseCommand(ctx context.Context) *cobra.Command {
 	command := &cobra.Command{Use: "rehearse", Short: "Play scenarios against real controllers on this machine"}
 	command.AddCommand(newRehearseListCommand(), newRehearseRunCommand(ctx))
@@ -31,8 +26,9 @@
 		Example: "  wheelrill rehearse list",
 		Args:    cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
-			fmt.Fprintln(c.OutOrStdout(), "calm       nothing goes wrong")
-			fmt.Fprintln(c.OutOrStdout(), "takeover   controllers are killed under load, and come back as new; a backend hangs now and then")
+			for _, s := range rehearse.Scenarios() {
+				fmt.Fprintf(c.OutOrStdout(), "%-10s %s\n", s.Name, s.About)
+			}
 		},
 	}
 }
@@ -65,7 +61,7 @@
 	f.StringVar(&sharing, "sharing", "on", "on, or off for a baseline")
 	f.BoolVar(&scenario.Fenced, "fenced", false, "proxies ask for owners' fencing tokens, and refuse older ones")
 	f.BoolVar(&scenario.Disk, "disk", false, "members keep the record on disk")
-	f.StringVar(&scenario.Faults, "faults", "kill", "what is drawn from, with commas: kill, leave, pair, freeze, cut, half, split, slow, reload")
+	f.StringVar(&scenario.Faults, "faults", "kill", "what is drawn from, with commas: "+strings.Join(rehearse.FaultNames(), ", "))
 	f.BoolVar(&asJSON, "json", false, "the report as JSON")
 	f.StringVar(&scenario.Folder, "report", "", "folder for logs and configurations")
 	return command
@@ -74,9 +70,9 @@
 // rehearseScenario plays a scenario by its name with this very program as the controllers.
 func rehearseScenario(ctx context.Context, scenario *rehearse.Scenario, name, sharing string) (*rehearse.Report, error) {
 	switch name {
-	case scenarioCalm:
+	case rehearse.ScenarioCalm:
 		scenario.Calm = true
-	case scenarioTakeover:
+	case rehearse.ScenarioTakeover:
 	default:
 		return nil, fmt.Errorf("there is no scenario %q; wheelrill rehearse list names them", name)
 	}
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// MessageOverhead is how many lines a message takes beside its own in a push channel.
+const MessageOverhead = 4
+
 // pushChannel is the way from one controller to all proxies: so many lines a second, one message after the other.
 type pushChannel struct {
 	fleet          *Fleet
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -16,7 +16,6 @@
 	silenceTimeout  = 3 * time.Second        // without a byte a stream is given up
 	applyTimePerRow = 100 * time.Microsecond // for each line of an order
 	connectWindow   = time.Second            // in which orders count as those of a beginning stream
-	messageOverhead = 4                      // lines that a message costs beside its own
 	minRedialDelay  = 20                     // ms
 	redialJitter    = 130                    // ms
 	ackLatency      = 1                      // ms, as acknowledgements have it
@@ -120,7 +119,7 @@
 
 // awaitDelivery waits as long as an order takes through the controller's push channel and to be applied.
 func (p *Proxy) awaitDelivery(ctx context.Context, controller, lines int) {
-	wait := p.fleet.channels[controller].enter(p.number, lines+messageOverhead) + time.Duration(lines)*applyTimePerRow
+	wait := p.fleet.channels[controller].enter(p.number, lines+MessageOverhead) + time.Duration(lines)*applyTimePerRow
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
--- a/internal/process/delay.go
+++ b/internal/process/delay.go
@@ -15,6 +15,12 @@
 
 const sampleInterval = 10 * time.Millisecond
 
+// MaxDelay is what the 99th percentile may be. Beyond it nothing that was timed means anything.
+const MaxDelay = 100 * time.Millisecond
+
+// TooBusy tells whether the machine was too busy, by the 99th percentile of the delays.
+func TooBusy(p99 time.Duration) bool { return p99 > MaxDelay }
+
 // StartDelayMonitor begins to measure, in a goroutine that Stop ends.
 func StartDelayMonitor() *DelayMonitor {
 	m := &DelayMonitor{stop: make(chan struct{}), done: make(chan struct{})}
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -11,21 +11,56 @@
 	"wheelrill/fake"
 )
 
-// Kinds of faults, as --faults names them.
-const (
-	faultKill   = "kill"   // SIGKILL
-	faultLeave  = "leave"  // SIGTERM
-	faultPair   = "pair"   // two are killed within one election
-	faultFreeze = "freeze" // SIGSTOP for a while
-	faultCut    = "cut"    // a member is partitioned from the others
-	faultHalf   = "half"   // what a member sends to the others is lost, and so what they answer
-	faultSplit  = "split"  // all are partitioned from each other, and no majority is left
-	faultSlow   = "slow"   // a member's links are slow
-	faultReload = "reload" // SIGHUP while it may be electing
-)
+// faultKind is one kind of fault that a scenario injects.
+type faultKind struct {
+	name         string // as --faults has it
+	needsLinks   bool   // members reach each other by way of links
+	stopsProcess bool   // a controller's process ends or stands still
+	inject       func(r *run, t faultTargets)
+}
+
+// faultTargets are the controllers that a fault is drawn for, by their indices.
+type faultTargets struct {
+	first int
+	next  int // the one after it among those that are up
+	up    int // how many are up
+}
+
+// faultKinds are all there are, in the order in which they are named.
+var faultKinds = []faultKind{
+	{name: "kill", stopsProcess: true, inject: (*run).injectKill},
+	{name: "leave", stopsProcess: true, inject: (*run).injectLeave},
+	{name: "pair", stopsProcess: true, inject: (*run).injectPair},
+	{name: "freeze", stopsProcess: true, inject: (*run).injectFreeze},
+	{name: "cut", needsLinks: true, inject: (*run).injectCut},
+	{name: "half", needsLinks: true, inject: (*run).injectHalf},
+	{name: "split", needsLinks: true, inject: (*run).injectSplit},
+	{name: "slow", needsLinks: true, inject: (*run).injectSlow},
+	{name: "reload", stopsProcess: true, inject: (*run).injectReload},
+}
 
-// linkFaults are those of links between members.
-var linkFaults = []string{faultCut, faultHalf, faultSplit, faultSlow}
+// defaultFault is what is drawn where nothing is named.
+const defaultFault = "kill"
+
+// FaultNames are the names of the kinds of faults.
+func FaultNames() []string {
+	var names []string
+	for _, kind := range faultKinds {
+		names = append(names, kind.name)
+	}
+	return names
+}
+
+func findFaultKind(name string) (faultKind, error) {
+	for _, kind := range faultKinds {
+		if kind.name == name {
+			return kind, nil
+		}
+	}
+	names := FaultNames()
+	last := len(names) - 1
+	return faultKind{}, fmt.Errorf("fault %q; there are %s and %s", name, strings.Join(names[:last], ", "), names[last])
+}
 
 // How long faults last, and how long a controller that died stays away.
 const (
@@ -37,14 +72,18 @@
 	shortOneIn    = 4 // downtimes, that are short
 )
 
-func (r *run) faultKinds() []string { return strings.Split(cmp.Or(r.Faults, faultKill), ",") }
+// faultNames are those that the scenario draws from.
+func (r *run) faultNames() []string { return strings.Split(cmp.Or(r.Faults, defaultFault), ",") }
 
 // drawsLinkFaults tells whether links between members are needed.
 func (r *run) drawsLinkFaults() bool {
-	return slices.ContainsFunc(r.faultKinds(), func(kind string) bool { return slices.Contains(linkFaults, kind) })
+	return slices.ContainsFunc(r.faultNames(), func(name string) bool {
+		kind, err := findFaultKind(name)
+		return err == nil && kind.needsLinks
+	})
 }
 
-// injectFault has the next of the faults that are drawn from befall a controller that is up. One is left to serve.
+// injectFault injects the next of the faults that are drawn from into a controller that is up. One is left to serve.
 func (r *run) injectFault() error {
 	var up []int
 	for i, c := range r.controllers {
@@ -55,52 +94,61 @@
 	if len(up) < 2 {
 		return nil
 	}
-	kinds := r.faultKinds()
-	kind := kinds[r.random.IntN(len(kinds))]
+	names := r.faultNames()
+	name := names[r.random.IntN(len(names))]
 	drawn := r.random.IntN(len(up))
-	target := up[drawn]
-	other := up[(drawn+1)%len(up)]
-	r.faultCounts[kind]++
-	r.log("%s %s", kind, r.controllers[target].Name)
-	switch kind {
-	case faultKill:
-		r.stopController(target, syscall.SIGKILL)
-	case faultLeave:
-		r.stopController(target, syscall.SIGTERM)
-	case faultPair:
-		r.stopController(target, syscall.SIGKILL)
-		if len(up) > 2 {
-			r.stopController(other, syscall.SIGKILL)
-		}
-	case faultFreeze:
-		r.freezeController(target)
-	case faultReload:
-		_ = r.controllers[target].Signal(syscall.SIGHUP) // an error means that it has ended, which the loop finds
-		r.stopController(other, syscall.SIGKILL)
-	default:
-		return r.injectLinkFault(kind, target)
+	targets := faultTargets{first: up[drawn], next: up[(drawn+1)%len(up)], up: len(up)}
+	r.faultCounts[name]++
+	r.log("%s %s", name, r.controllers[targets.first].Name)
+	kind, err := findFaultKind(name)
+	if err != nil {
+		return err
 	}
+	kind.inject(r, targets)
 	return nil
 }
 
-// injectLinkFault has a fault befall the links of a member, or all of them.
-func (r *run) injectLinkFault(kind string, target int) error {
-	touchesTarget := func(pair memberPair) bool { return pair.from == target || pair.to == target }
-	fromTarget := func(pair memberPair) bool { return pair.from == target }
-	every := func(memberPair) bool { return true }
-	switch kind {
-	case faultCut:
-		r.faultLinks(fake.Partition, touchesTarget)
-	case faultHalf:
-		r.faultLinks(fake.Fault{DropOutgoing: true}, fromTarget)
-	case faultSplit:
-		r.faultLinks(fake.Partition, every)
-	case faultSlow:
-		r.faultLinks(fake.Fault{Delay: linkDelay}, touchesTarget)
-	default:
-		return fmt.Errorf("fault %q; there are kill, leave, pair, freeze, cut, half, split, slow and reload", kind)
+// injectKill ends a controller by SIGKILL.
+func (r *run) injectKill(t faultTargets) { r.stopController(t.first, syscall.SIGKILL) }
+
+// injectLeave ends a controller by SIGTERM.
+func (r *run) injectLeave(t faultTargets) { r.stopController(t.first, syscall.SIGTERM) }
+
+// injectPair kills two controllers within one election, if a third is up.
+func (r *run) injectPair(t faultTargets) {
+	r.stopController(t.first, syscall.SIGKILL)
+	if t.up > 2 {
+		r.stopController(t.next, syscall.SIGKILL)
 	}
-	return nil
+}
+
+// injectFreeze has a controller stand still, by SIGSTOP.
+func (r *run) injectFreeze(t faultTargets) { r.freezeController(t.first) }
+
+// injectReload has a controller read its configuration, by SIGHUP, while another one is killed, so that it may be electing.
+func (r *run) injectReload(t faultTargets) {
+	_ = r.controllers[t.first].Signal(syscall.SIGHUP) // an error means that it has ended, which the loop finds
+	r.stopController(t.next, syscall.SIGKILL)
+}
+
+// injectCut partitions a member from all others, both ways.
+func (r *run) injectCut(t faultTargets) {
+	r.faultLinks(fake.Partition, func(pair memberPair) bool { return pair.from == t.first || pair.to == t.first })
+}
+
+// injectHalf drops what a member sends on the connections that it dials; what others send by theirs comes through.
+func (r *run) injectHalf(t faultTargets) {
+	r.faultLinks(fake.Fault{DropOutgoing: true}, func(pair memberPair) bool { return pair.from == t.first })
+}
+
+// injectSplit partitions every member from every other, so that no majority is left.
+func (r *run) injectSplit(faultTargets) {
+	r.faultLinks(fake.Partition, func(memberPair) bool { return true })
+}
+
+// injectSlow delays what goes over a member's links.
+func (r *run) injectSlow(t faultTargets) {
+	r.faultLinks(fake.Fault{Delay: linkDelay}, func(pair memberPair) bool { return pair.from == t.first || pair.to == t.first })
 }
 
 // faultLinks puts a fault on some of the links between members for a while.
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheelrill/fake"
+	"wheelrill/internal/process"
 	"wheelrill/invariant"
 )
 
@@ -59,9 +60,6 @@
 	VerdictInconclusive Verdict = "could not be judged"
 )
 
-// maxSchedulingDelay is what the 99th percentile may be; beyond it nothing measured means anything.
-const maxSchedulingDelay = 100 * time.Millisecond
-
 // summarize takes into the report what the fleet counted while it was played.
 func (r *run) summarize(v invariant.Verdict, before, after fake.Counts) {
 	report := r.report
@@ -94,9 +92,9 @@
 	report.SchedulingDelayMax = milliseconds(delayMax)
 	tookOver := report.StreamsBegun > 0 || !r.stoppedAny() // what is only between controllers moves no proxy
 	switch {
-	case delayP99 > maxSchedulingDelay:
+	case process.TooBusy(delayP99):
 		report.Verdict = VerdictInconclusive
-		report.Reason = fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", maxSchedulingDelay)
+		report.Reason = fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", process.MaxDelay)
 	case len(v.Violations) > 0:
 		report.Verdict = VerdictViolated
 	case report.Effects == 0 || !tookOver:
@@ -111,8 +109,8 @@
 
 // stoppedAny tells whether any controller's process was stopped.
 func (r *run) stoppedAny() bool {
-	for _, kind := range []string{faultKill, faultLeave, faultPair, faultFreeze, faultReload} {
-		if r.faultCounts[kind] > 0 {
+	for _, kind := range faultKinds {
+		if kind.stopsProcess && r.faultCounts[kind.name] > 0 {
 			return true
 		}
 	}
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -35,7 +35,13 @@
 	Observe func(controllers []*process.Controller, ended bool)
 }
 
-// Figures of the installation.
+// What a proxy may be sent: MaxMessages within MessageWindow.
+const (
+	MaxMessages   = 30
+	MessageWindow = 10 * time.Second
+)
+
+// Figures of the deployment.
 const (
 	coresPerBackend = 4
 	serviceTime     = 20 * time.Millisecond
@@ -47,14 +53,10 @@
 	socketAllowance  = 300 * time.Millisecond // that real sockets get beyond the grace
 	schedulingMargin = 500 * time.Millisecond // that a busy machine adds to what is measured
 
-	maxMessages   = 30 // to one proxy within messageWindow
-	messageWindow = 10 * time.Second
-
 	minLinesPerSecond      = 900 // of a controller's push channel
 	minBacklog             = 900 // lines
 	linesPerSecondPerProxy = 6
 	backlogPerProxy        = 12
-	messageOverhead        = 4 // lines
 	pushDelay              = 660 * time.Millisecond
 	tick                   = 4 * time.Millisecond
 
@@ -68,11 +70,31 @@
 	{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 3, Writes: true, Rate: 1},
 }
 
+// Names of scenarios.
+const (
+	ScenarioCalm     = "calm"     // Calm is set
+	ScenarioTakeover = "takeover" // Calm is not
+)
+
+// ScenarioDescription says what a scenario is.
+type ScenarioDescription struct {
+	Name  string // by which it is asked for
+	About string // in a sentence
+}
+
+// Scenarios are all there are.
+func Scenarios() []ScenarioDescription {
+	return []ScenarioDescription{
+		{ScenarioCalm, "nothing goes wrong"},
+		{ScenarioTakeover, "controllers are killed under load, and come back as new; a backend hangs now and then"},
+	}
+}
+
 func (s *Scenario) name() string {
 	if s.Calm {
-		return "calm"
+		return ScenarioCalm
 	}
-	return "takeover"
+	return ScenarioTakeover
 }
 
 // pushChannel is what a controller's way to its proxies carries. One line to all proxies with the overhead of its message
@@ -105,11 +127,11 @@
 			"admission":    "per_second",
 			"backlog":      backlog,
 			"egressPerS":   linesPerSecond,
-			"overhead":     messageOverhead,
+			"overhead":     fake.MessageOverhead,
 			"pushDelayMax": pushDelay.Milliseconds(),
 			"reportEvery":  reportInterval.Milliseconds(),
-			"messagesMost": maxMessages,
-			"messagesOver": messageWindow.Milliseconds(),
+			"messagesMost": MaxMessages,
+			"messagesOver": MessageWindow.Milliseconds(),
 			"proxyCount":   s.Proxies,
 			"partitionsN":  0,
 			"classWrites":  writes,
@@ -159,7 +181,7 @@
 // makeFolder makes the folder for logs and configurations.
 func (s *Scenario) makeFolder() (string, error) {
 	if s.Folder == "" {
-		return os.MkdirTemp("", "takeover-")
+		return os.MkdirTemp("", ScenarioTakeover+"-")
 	}
 	return s.Folder, os.MkdirAll(s.Folder, 0o755)
 }
@@ -184,8 +206,8 @@
 	return invariant.Limits{
 		MaxEmptyTable:  drainGrace + socketAllowance,
 		DrainGrace:     drainGrace + socketAllowance,
-		MaxMessages:    maxMessages,
-		MessageWindow:  messageWindow,
+		MaxMessages:    MaxMessages,
+		MessageWindow:  MessageWindow,
 		LinesPerSecond: float64(linesPerSecond),
 		Backlog:        float64(backlog),
 		Margin:         schedulingMargin,
--- a/scale/change.go
+++ b/scale/change.go
@@ -312,25 +312,3 @@
 	}
 	return sum
 }
-
-// histogramDigits is the precision of percentiles.
-const histogramDigits = 3
-
-// closePollInterval is how often something is looked at whose time is measured.
-const closePollInterval = time.Millisecond
-
-// awaitClosely waits as await does, and polls more often.
-func awaitClosely(ctx context.Context, within time.Duration, holds func() bool) bool {
-	look := time.NewTicker(closePollInterval)
-	defer look.Stop()
-	for late := time.After(within); !holds(); {
-		select {
-		case <-ctx.Done():
-			return false
-		case <-late:
-			return false
-		case <-look.C:
-		}
-	}
-	return true
-}
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -124,14 +124,14 @@
 	parentsLost := t.parentsLost()
 	before := t.bytes()
 	recordBefore := t.recordBytes()
-	processorBefore := processorOfSelf()
+	processorBefore := processorTime()
 	began := time.Now()
 	made, err := t.change(ctx, rate.perS, began.Add(t.options.For))
 	if err != nil {
 		return err
 	}
 	after := t.bytes()
-	processor := processorOfSelf() - processorBefore
+	processor := processorTime() - processorBefore
 	seconds := time.Since(began).Seconds()
 	t.setRecord(recordBefore, t.recordBytes(), rate, seconds, s)
 	if err := t.settle(ctx); err != nil {
@@ -239,12 +239,3 @@
 	}
 	return most
 }
-
-// processorOfSelf is the processor time that our process has taken.
-func processorOfSelf() time.Duration {
-	usage, err := readUsage(os.Getpid())
-	if err != nil {
-		return 0
-	}
-	return usage.processor
-}
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -13,6 +13,7 @@
 	"wheelrill/consensus"
 	"wheelrill/internal/process"
 	"wheelrill/ownership"
+	"wheelrill/rehearse"
 )
 
 // Terms of hollow members, as real ones have them.
@@ -20,8 +21,6 @@
 	defaultLease       = 1500 * time.Millisecond // of members that share a fleet
 	voterLease         = 10 * time.Second        // of members that own no proxies: docs/distributing.md
 	renewsPerLease     = 8
-	messageWindow      = 10 * time.Second
-	maxMessages        = 30
 	guaranteedMessages = 4
 	mailboxSize        = 1024
 )
@@ -42,7 +41,7 @@
 func startHollow(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
 	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), mailboxSize), done: make(chan struct{})}
 	config.Terms = ownership.LeaseTerms{Duration: lease.Microseconds(), RenewInterval: lease.Microseconds() / renewsPerLease,
-		MessageWindow: messageWindow.Microseconds(), MaxMessages: maxMessages, Members: len(config.Members), GuaranteedMessages: guaranteedMessages}
+		MessageWindow: rehearse.MessageWindow.Microseconds(), MaxMessages: rehearse.MaxMessages, Members: len(config.Members), GuaranteedMessages: guaranteedMessages}
 	var err error
 	if m.node, err = consensus.New(config, hollowEvents{m}, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
@@ -150,22 +149,3 @@
 }
 
 func memberName(i int) string { return fmt.Sprint("n", i) }
-
-// pollInterval is how often something that is waited for is looked at.
-const pollInterval = 20 * time.Millisecond
-
-// await waits until something holds, for a while at most.
-func await(ctx context.Context, within time.Duration, holds func() bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, within)
-	defer cancel()
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
-	for !holds() {
-		select {
-		case <-ctx.Done():
-			return holds()
-		case <-look.C:
-		}
-	}
-	return true
-}
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -270,15 +270,6 @@
 	}
 }
 
-func pauseFor(ctx context.Context, pause time.Duration) error {
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-time.After(pause):
-		return nil
-	}
-}
-
 // checkSome compares subscribers that are drawn with the content at the revision that each of them is at.
 func (t *tree) checkSome(random *rand.Rand) {
 	for range checksAtOnce {
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -37,7 +37,7 @@
 	return results.Machine{Cores: runtime.NumCPU(), Memory: int64(*memory.MemTotalBytes)}, nil
 }
 
-// checkMachine gives a Refused error where a size cannot be measured, or needs more than a run may take.
+// checkMachine gives a *RefusedError where a size cannot be measured, or needs more than a run may take.
 func checkMachine(machine results.Machine, size int, needs Needs) error {
 	switch {
 	case needs.Refusal != "":
@@ -69,15 +69,13 @@
 // delayWatch watches how late this process gets its turns. Where it gets them too late nothing that was timed means anything.
 type delayWatch struct{ monitor *process.DelayMonitor }
 
-// maxSchedulingDelay is a turn's lateness, of one in a hundred, beyond which nothing is judged.
-const maxSchedulingDelay = 100 * time.Millisecond
-
 func watchDelays() delayWatch { return delayWatch{process.StartDelayMonitor()} }
 
 // tooBusy ends the watch, and says why nothing can be judged; empty where it can.
-func (t delayWatch) tooBusy() string {
-	if hundredth, _ := t.monitor.Stop(); hundredth > maxSchedulingDelay {
-		return fmt.Sprintf("one turn in a hundred was %s late, %s at most; leave the machine more room", hundredth.Round(time.Millisecond), maxSchedulingDelay)
+func (w delayWatch) tooBusy() string {
+	p99, _ := w.monitor.Stop()
+	if !process.TooBusy(p99) {
+		return ""
 	}
-	return ""
+	return fmt.Sprintf("one turn in a hundred was %s late, %s at most; leave the machine more room", p99.Round(time.Millisecond), process.MaxDelay)
 }
--- a/scale/median.go
+++ b/scale/median.go
@@ -28,6 +28,9 @@
 	return partial, nil
 }
 
+// histogramDigits is the precision of percentiles.
+const histogramDigits = 3
+
 // median is the middle value, or the mean of the two in the middle; 0 of none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
--- a/scale/record.go
+++ b/scale/record.go
@@ -52,9 +52,9 @@
 // Needs are those of the members and of the fakes in our process.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.For}
-	if terms := (ownership.LeaseTerms{MaxMessages: maxMessages, Members: size}); terms.OwnerQuota() < 1 {
+	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
 		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
-			size, maxMessages, messageWindow)
+			size, rehearse.MaxMessages, rehearse.MessageWindow)
 	} else if o.For < 2*costLogInterval {
 		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLogInterval, 2*costLogInterval)
 	}
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -118,15 +118,15 @@
 	began := controllers[0].began
 	usages := make([]preciseUsage, len(controllers))
 	failures := make([]error, len(controllers))
-	var countWaiting sync.WaitGroup
+	var waiting sync.WaitGroup
 	for i, c := range controllers {
-		countWaiting.Go(func() {
+		waiting.Go(func() {
 			if failures[i] = c.waitReady(ctx, listReadyTimeout); failures[i] == nil {
 				usages[i], failures[i] = readPreciseUsage(c.process.PID())
 			}
 		})
 	}
-	countWaiting.Wait()
+	waiting.Wait()
 	for i, c := range controllers {
 		if failures[i] != nil {
 			return cost, failures[i]
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -47,7 +47,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// usage is what a process has taken, as /proc/PID/stat tells it: processor time to a hundredth of a second.
+// usage is what a process has taken, as /proc/PID/stat tells it: processor time to a hundredth of a second, which is
+// enough over the seconds that a size is observed. What is shorter takes preciseUsage.
 type usage struct {
 	processor time.Duration // since its start
 	resident  int64         // resident bytes now
@@ -66,7 +67,8 @@
 	return usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
 }
 
-// preciseUsage is what a process has taken, with processor time to the nanosecond and the most memory that it held.
+// preciseUsage is what a process has taken, with processor time to the nanosecond and the most memory that it held: for
+// starts, single changes, and wherever the peak of memory counts.
 type preciseUsage struct {
 	processor time.Duration
 	resident  int64 // bytes of memory now
@@ -84,8 +86,8 @@
 	if err != nil {
 		return u, err
 	}
-	u.resident = kilobytes(status, "VmRSS:")
-	u.peak = kilobytes(status, "VmHWM:")
+	u.resident = statusBytes(status, "VmRSS:")
+	u.peak = statusBytes(status, "VmHWM:")
 	return u, nil
 }
 
@@ -95,8 +97,8 @@
 	return int32(^pid)<<3 | scheduled
 }
 
-// kilobytes finds a line of /proc/PID/status, and gives its figure in bytes; 0 if it is not there.
-func kilobytes(status []byte, key string) int64 {
+// statusBytes finds a line of /proc/PID/status, and gives its figure in bytes; 0 if it is not there.
+func statusBytes(status []byte, key string) int64 {
 	_, rest, _ := bytes.Cut(status, []byte("\n"+key))
 	fields := bytes.Fields(rest)
 	if len(fields) == 0 {
