--- a/fake/fleet.go
+++ b/fake/fleet.go
@@ -167,17 +167,6 @@
 	return using
 }
 
-func (p *Proxy) uses(backend string) bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for _, table := range p.tables {
-		if table.Has(backend) {
-			return true
-		}
-	}
-	return false
-}
-
 // ConnectedProxies is how many proxies have a stream to some controller, and to this one.
 func (f *Fleet) ConnectedProxies(controller int) (toAny, toThis int) {
 	for _, p := range f.proxies {
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -84,6 +84,18 @@
 	p.fleet.checker.ProxyConnected(p.number, reachable, empty, p.fleet.Clock())
 }
 
+// uses tells whether it has an entry for a backend in some table, and may use it.
+func (p *Proxy) uses(backend string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, table := range p.tables {
+		if table.Has(backend) {
+			return true
+		}
+	}
+	return false
+}
+
 // order is all parts of one order.
 type order struct {
 	parts []orderPart
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -6,7 +6,6 @@
 	"math/rand/v2"
 	"os"
 	"runtime"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,30 +13,6 @@
 	"wheelrill/distribution"
 )
 
-// Figures of the tree, by assumption.
-const (
-	regions            = 25
-	targetDistributors = maxMachines - defaultVoters // of the machines set aside, those that do not vote
-	defaultVoters      = 5
-	maxFanOut          = 64 // of a distributor, whose children are of some groups each; with 16, groups find no place at 11,000
-	minFanOut          = 8
-	belowDistributors  = 10       // one controller in so many is right below a distributor, whatever the size
-	setAsidePace       = 16 << 20 // bytes a second of the snapshots from a voter or distributor, on machines set aside
-	minDistributors    = 2
-	knownDistributors  = 3 // that a subscriber is configured with as possible parents
-	knownPeers         = 2 // of its group
-	subscriberMemory   = 120 << 10
-	treeMemory         = 256 << 20
-	entryMemory        = 192 // bytes, about, of one that is kept
-	heapGrowth         = 2   // times what is in use the heap grows to
-	copiesAtVoter      = 3   // of all entries: as raft has them in its log, on the record and for subscribers
-	readyTimeout       = 5 * time.Minute
-	checksAtOnce       = 20 // subscribers compared with the content at a point drawn
-	timeBetweenChecks  = time.Second
-	treeSeed           = 11
-	faultSeed          = 13
-)
-
 // tree is a whole installation in one process: voters, distributors that have all scopes, and subscribers.
 type tree struct {
 	options           Options
@@ -56,34 +31,6 @@
 	distributorsReady time.Duration
 }
 
-// treePlan is the size of an installation.
-type treePlan struct {
-	subscribers  int
-	content      contentShape
-	distributors int
-	fanOut       int // places at each distributor
-}
-
-// scaledTree is an installation with as much of everything for a subscriber as there will be, but one entry for each service.
-func scaledTree(subscribers int) treePlan {
-	distributors := max(minDistributors, (targetDistributors*subscribers+targetControllers-1)/targetControllers)
-	fanOut := min(max(subscribers/belowDistributors/distributors, minFanOut), maxFanOut)
-	return treePlan{subscribers, scaledContent(subscribers), distributors, fanOut}
-}
-
-// fullTree has all content and all distributors, whatever the number of subscribers.
-func fullTree(subscribers int) treePlan {
-	return treePlan{subscribers, fullContent(), targetDistributors, maxFanOut}
-}
-
-// memory is what the installation takes before garbage is collected.
-func (p treePlan) memory(o Options) int64 {
-	nodes := int64(p.subscribers)
-	holdAll := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the one that they are compared with
-	entries := nodes*int64(p.content.ofEach) + holdAll*int64(p.content.groups*p.content.ofEach)
-	return treeMemory + nodes*subscriberMemory + heapGrowth*entries*entryMemory
-}
-
 // newTree starts an installation, and waits until each node has its configuration.
 func newTree(ctx context.Context, plan treePlan, o Options) (*tree, error) {
 	t := &tree{options: o, network: newNetwork(), content: newContent(plan.content, o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
@@ -188,36 +135,6 @@
 	return time.Since(began), nil
 }
 
-// countWaiting counts the nodes that have no configuration yet.
-func countWaiting(nodes []*hollowSubscriber) (n int) {
-	for _, s := range nodes {
-		s.mutex.Lock()
-		if s.seen == 0 {
-			n++
-		}
-		s.mutex.Unlock()
-	}
-	return n
-}
-
-// maxNamedWaiting is how many that wait are named.
-const maxNamedWaiting = 8
-
-// describeWaiting names some of the nodes that have no configuration, with what they ask for and what became of it.
-func describeWaiting(nodes []*hollowSubscriber) string {
-	var text []string
-	for _, s := range nodes {
-		s.mutex.Lock()
-		waits := s.seen == 0
-		s.mutex.Unlock()
-		if status, ok := s.status(); ok && waits && len(text) < maxNamedWaiting {
-			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
-				status.Counts.RefusedByParents, status.Counts.Dials))
-		}
-	}
-	return strings.Join(text, "; ")
-}
-
 // close ends all.
 func (t *tree) close() {
 	each(t.nodes(), (*hollowSubscriber).kill)
@@ -269,42 +186,3 @@
 		}
 	}
 }
-
-// checkSome compares subscribers that are drawn with the content at the revision that each of them is at.
-func (t *tree) checkSome(random *rand.Rand) {
-	for range checksAtOnce {
-		t.subscribers[random.IntN(len(t.subscribers))].check(t.content, 0)
-	}
-}
-
-// settle gives the last changes the time in which they have to be in force, and compares all nodes with the content at
-// its end.
-func (t *tree) settle(ctx context.Context) error {
-	last := t.content.last()
-	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(t.nodes(), t.content, last) == 0 })
-	each(t.nodes(), func(s *hollowSubscriber) { s.check(t.content, last) })
-	return ctx.Err()
-}
-
-// parentsLost counts how often nodes that run have lost or left a parent.
-func (t *tree) parentsLost() int64 {
-	var lost atomic.Int64
-	each(t.nodes(), func(s *hollowSubscriber) {
-		if status, ok := s.status(); ok {
-			lost.Add(int64(status.Counts.ParentsLost))
-		}
-	})
-	return lost.Load()
-}
-
-// needlessSnapshots counts the snapshots that were taken beyond one for each life.
-func (t *tree) needlessSnapshots() int64 {
-	var taken atomic.Int64
-	each(t.nodes(), func(s *hollowSubscriber) {
-		if status, ok := s.status(); ok {
-			taken.Add(int64(status.Counts.SnapshotsInstalled))
-		}
-		taken.Add(int64(s.earlierSnapshots()))
-	})
-	return max(0, taken.Load()-t.starts.Load())
-}
--- /dev/null
+++ b/scale/tree_checks.go
@@ -0,0 +1,79 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"sync/atomic"
+	"time"
+)
+
+// countWaiting counts the nodes that have no configuration yet.
+func countWaiting(nodes []*hollowSubscriber) (n int) {
+	for _, s := range nodes {
+		s.mutex.Lock()
+		if s.seen == 0 {
+			n++
+		}
+		s.mutex.Unlock()
+	}
+	return n
+}
+
+// maxNamedWaiting is how many that wait are named.
+const maxNamedWaiting = 8
+
+// describeWaiting names some of the nodes that have no configuration, with what they ask for and what became of it.
+func describeWaiting(nodes []*hollowSubscriber) string {
+	var text []string
+	for _, s := range nodes {
+		s.mutex.Lock()
+		waits := s.seen == 0
+		s.mutex.Unlock()
+		if status, ok := s.status(); ok && waits && len(text) < maxNamedWaiting {
+			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
+				status.Counts.RefusedByParents, status.Counts.Dials))
+		}
+	}
+	return strings.Join(text, "; ")
+}
+
+// checkSome compares subscribers that are drawn with the content at the revision that each of them is at.
+func (t *tree) checkSome(random *rand.Rand) {
+	for range checksAtOnce {
+		t.subscribers[random.IntN(len(t.subscribers))].check(t.content, 0)
+	}
+}
+
+// settle gives the last changes the time in which they have to be in force, and compares all nodes with the content at
+// its end.
+func (t *tree) settle(ctx context.Context) error {
+	last := t.content.last()
+	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(t.nodes(), t.content, last) == 0 })
+	each(t.nodes(), func(s *hollowSubscriber) { s.check(t.content, last) })
+	return ctx.Err()
+}
+
+// parentsLost counts how often nodes that run have lost or left a parent.
+func (t *tree) parentsLost() int64 {
+	var lost atomic.Int64
+	each(t.nodes(), func(s *hollowSubscriber) {
+		if status, ok := s.status(); ok {
+			lost.Add(int64(status.Counts.ParentsLost))
+		}
+	})
+	return lost.Load()
+}
+
+// needlessSnapshots counts the snapshots that were taken beyond one for each life.
+func (t *tree) needlessSnapshots() int64 {
+	var taken atomic.Int64
+	each(t.nodes(), func(s *hollowSubscriber) {
+		if status, ok := s.status(); ok {
+			taken.Add(int64(status.Counts.SnapshotsInstalled))
+		}
+		taken.Add(int64(s.earlierSnapshots()))
+	})
+	return max(0, taken.Load()-t.starts.Load())
+}
