--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -106,7 +106,7 @@
 		r.ViolationCounts, r.LongestEmptyTable, r.MostMessages)
 	fmt.Fprintf(to, "value served in time %.4f of %d requests; lost %d, rejected %d\n", r.ServedValue, r.Requests, r.Lost, r.Rejected)
 	fmt.Fprintf(to, "streams begun %d, lines in the first second of each %.1f; all lines %d in %d pushes; rejected as stale %d\n",
-		r.StreamsBegun, r.LinesAtConnect, r.Lines, r.Orders, r.StaleOrdersRejected)
+		r.StreamsBegun, r.LinesAtConnect, r.Lines, r.Pushes, r.StalePushesRejected)
 	fmt.Fprintf(to, "hangs %d, detected after %.2f s in the mean, %.2f s at most; attempts into them %d; backends replaced %d\n", r.Hangs,
 		r.MeanHangDetection, r.MaxHangDetection, r.AttemptsIntoHang, r.BackendsReplaced)
 	for _, v := range r.Violations {
--- a/fake/counts.go
+++ b/fake/counts.go
@@ -15,10 +15,10 @@
 	AttemptsIntoHang int // sent to one that hung
 
 	Streams             int // that were begun
-	Orders              int // applied
+	Pushes              int // applied
 	Lines               int // in them
 	LinesAtConnect      int // of them within a second of a stream's beginning
-	StaleOrdersRejected int // of an older owner
+	StalePushesRejected int // of an older owner
 }
 
 func (c *Counts) add(o Counts) {
@@ -32,8 +32,8 @@
 	c.Attempts += o.Attempts
 	c.AttemptsIntoHang += o.AttemptsIntoHang
 	c.Streams += o.Streams
-	c.Orders += o.Orders
+	c.Pushes += o.Pushes
 	c.Lines += o.Lines
 	c.LinesAtConnect += o.LinesAtConnect
-	c.StaleOrdersRejected += o.StaleOrdersRejected
+	c.StalePushesRejected += o.StalePushesRejected
 }
--- a/fake/fake_test.go
+++ b/fake/fake_test.go
@@ -215,7 +215,7 @@
 		c.send(`{"msg":"push","token":4,"back":["w-01"],"ticket":9}`)
 		c.receiveKind("ack")
 		awaitUsers("w-01", 0)
-		eventually(t, "counted", func() bool { return fleet.Counts().StaleOrdersRejected == 1 })
+		eventually(t, "counted", func() bool { return fleet.Counts().StalePushesRejected == 1 })
 	})
 	t.Run("requests are sent where the tables say, reports and demand are told", func(t *testing.T) {
 		eventually(t, "served", func() bool { return fleet.Counts().Served > 20 })
@@ -242,7 +242,7 @@
 		refused := fleet.Counts().Rejected
 		eventually(t, "refused", func() bool { return fleet.Counts().Rejected > refused+50 })
 	})
-	t.Run("what cannot be used ends the stream, and the relay dials again with what it has", func(t *testing.T) {
+	t.Run("what cannot be used ends the stream, and the proxy dials again with what it has", func(t *testing.T) {
 		c.send(`{"msg":"push","lines":[["nobody",1]]}`)
 		c2 := acceptProxy(t, l)
 		awaitUsers("w-02", 1)
--- a/fake/protocol.go
+++ b/fake/protocol.go
@@ -13,8 +13,8 @@
 	msgAgent    = "agent"    // a collector's first message
 	msgProbe    = "probe"    // asks for any answer
 	msgAlive    = "alive"    // that answer
-	msgPush     = "push"     // a part of an order
-	msgAck      = "ack"      // an order with a nonce is applied
+	msgPush     = "push"     // a part of a push
+	msgAck      = "ack"      // a push with a nonce is applied
 	msgDemand   = "demand"   // requests that came to a proxy
 	msgOutcomes = "outcomes" // what proxies met at a backend
 )
@@ -40,7 +40,7 @@
 	Fence bool    `json:"fence,omitempty"` // it asks for owners' tokens
 }
 
-// ack tells that an order with a nonce is applied.
+// ack tells that a push with a nonce is applied.
 type ack struct {
 	Msg     string  `json:"msg"`
 	Proxy   int     `json:"node"`
@@ -69,8 +69,8 @@
 	Interval float64 `json:"interval"` // ms
 }
 
-// orderPart is one message of an order. An order may come in several, all of which but the last have More.
-type orderPart struct {
+// pushPart is one message of a push. A push may come in several, all of which but the last have More.
+type pushPart struct {
 	Msg       string   `json:"msg"`
 	Token     uint64   `json:"token"`   // the owner's; 0 for none
 	Classes   []string `json:"classes"` // that it is for; none for all
@@ -84,14 +84,14 @@
 	More      bool     `json:"more"`
 }
 
-// Retry policies that an order may have.
+// Retry policies that a push may have.
 const (
-	retryIfNotExecuted = 1 // after proof that nothing ran; also where no order says otherwise
+	retryIfNotExecuted = 1 // after proof that nothing ran; also where no push says otherwise
 	retryOnFailure     = 2 // and more: after any failure, where a second run does no harm
 )
 
 // lines is what the part costs in a push channel.
-func (p orderPart) lines() int {
+func (p pushPart) lines() int {
 	n := len(p.Entries) + len(p.Withdrawn) + len(p.Restored)
 	if p.Full {
 		n++
@@ -110,7 +110,7 @@
 	maxFrameSize    = 1 << 20 // bytes
 )
 
-var errUnusable = errors.New("fake: an order that cannot be used")
+var errUnusable = errors.New("fake: a push that cannot be used")
 
 // frame encodes a message as it goes onto a stream.
 func frame(message any) []byte {
--- a/fake/protocol_test.go
+++ b/fake/protocol_test.go
@@ -42,7 +42,7 @@
 		}
 	})
 	t.Run("an order is read by its keys", func(t *testing.T) {
-		var p orderPart
+		var p pushPart
 		text := `{"msg":"push","token":5,"classes":["read"],"whole":true,"lines":[["w-00",1]],"level":2.5,"retry":2,"out":["w-01"],` +
 			`"back":["w-02"],"ticket":9,"more":true}`
 		if err := json.Unmarshal([]byte(text), &p); err != nil {
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -23,12 +23,12 @@
 	fleet  *Fleet
 	number int
 	zone   string
-	fenced bool       // it asks for tokens, and rejects orders with an older one than it has seen
+	fenced bool       // it asks for tokens, and rejects pushes with an older one than it has seen
 	random *rand.Rand // of run alone
 
 	mutex      sync.Mutex // of all below
 	controller int        // that its stream is to; -1 for none
-	cold       bool       // it has had no order
+	cold       bool       // it has had no push
 	tables     []*Table   // by class
 	limits     []admissionLimit
 	withdrawn  map[string]bool // backends by id
@@ -73,7 +73,7 @@
 	p.noteReachable(false)
 }
 
-// noteReachable tells the checker that orders reach the proxy from now on, or do not. The proxy is locked.
+// noteReachable tells the checker that pushes reach the proxy from now on, or do not. The proxy is locked.
 func (p *Proxy) noteReachable(reachable bool) {
 	var empty []string
 	for i, class := range p.fleet.classes {
@@ -96,24 +96,24 @@
 	return false
 }
 
-// order is all parts of one order.
-type order struct {
-	parts []orderPart
+// push is all parts of one push.
+type push struct {
+	parts []pushPart
 	lines int
 }
 
-func (o *order) add(part orderPart) {
+func (o *push) add(part pushPart) {
 	o.parts = append(o.parts, part)
 	o.lines += part.lines()
 }
 
-// apply takes in a whole order, or none of it. An error means that it cannot be used.
-func (p *Proxy) apply(o order, controller int, connecting bool) error {
+// apply takes in a whole push, or none of it. An error means that it cannot be used.
+func (p *Proxy) apply(o push, controller int, connecting bool) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	token := o.parts[0].Token
 	if p.fenced && token > 0 && token < p.token {
-		p.counts.StaleOrdersRejected++
+		p.counts.StalePushesRejected++
 		return nil
 	}
 	for _, part := range o.parts {
@@ -129,13 +129,13 @@
 	}
 	p.token = max(p.token, token)
 	p.cold = false
-	p.counts.Orders++
+	p.counts.Pushes++
 	p.counts.Lines += o.lines
 	if connecting {
 		p.counts.LinesAtConnect += o.lines
 	}
 	now := p.fleet.Clock()
-	p.fleet.checker.OrderApplied(fmt.Sprint("controller ", controller), p.number, token, now)
+	p.fleet.checker.PushApplied(fmt.Sprint("controller ", controller), p.number, token, now)
 	for i, class := range p.fleet.classes {
 		p.fleet.checker.TableChanged(p.number, class.Name, !p.tables[i].Empty(), now)
 	}
@@ -143,7 +143,7 @@
 }
 
 // usable tells whether all classes, backends and weights of a part are ones that can be.
-func (p *Proxy) usable(part orderPart) bool {
+func (p *Proxy) usable(part pushPart) bool {
 	for _, name := range part.Classes {
 		if !slices.ContainsFunc(p.fleet.classes, func(c Class) bool { return c.Name == name }) {
 			return false
@@ -160,7 +160,7 @@
 }
 
 // applyPart takes in a usable part. The proxy is locked.
-func (p *Proxy) applyPart(part orderPart) {
+func (p *Proxy) applyPart(part pushPart) {
 	for i, class := range p.fleet.classes {
 		if part.Classes != nil && !slices.Contains(part.Classes, class.Name) {
 			continue
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -25,7 +25,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.fleet.Clock()
-	c.fleet.checker.OrderQueued(fmt.Sprintf("controller %d, life %d", c.controller, c.incarnation), proxy, lines, now)
+	c.fleet.checker.PushQueued(fmt.Sprintf("controller %d, incarnation %d", c.controller, c.incarnation), proxy, lines, now)
 	if c.linesPerSecond <= 0 {
 		return 0
 	}
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	dialTimeout     = 300 * time.Millisecond
-	probeInterval   = time.Second
-	silenceTimeout  = 3 * time.Second        // without a byte a stream is given up
-	applyTimePerRow = 100 * time.Microsecond // for each line of an order
-	connectWindow   = time.Second            // in which orders count as those of a beginning stream
-	minRedialDelay  = 20                     // ms
-	redialJitter    = 130                    // ms
-	ackLatency      = 1                      // ms, as acknowledgements have it
+	dialTimeout      = 300 * time.Millisecond
+	probeInterval    = time.Second
+	silenceTimeout   = 3 * time.Second        // without a byte a stream is given up
+	applyTimePerLine = 100 * time.Microsecond // for each line of a push
+	connectWindow    = time.Second            // in which pushes count as those of a beginning stream
+	minRedialDelay   = 20                     // ms
+	redialJitter     = 130                    // ms
+	ackLatency       = 1                      // ms, as acknowledgements have it
 )
 
 // run keeps a stream to some controller until the context ends: after each break to the next one, after a moment.
@@ -56,7 +56,7 @@
 	defer reporting.Wait()
 	defer stopReporting()
 	defer conn.Close()
-	p.readOrders(ctx, conn, controller, began)
+	p.readPushes(ctx, conn, controller, began)
 }
 
 func (p *Proxy) hello() hello {
@@ -69,9 +69,9 @@
 	return hello{Msg: msgHello, Proxy: p.number, Zone: p.zone, Rate: rate, Cold: p.cold, Fence: p.fenced}
 }
 
-// readOrders applies and acknowledges orders until one cannot be read or used. The proxy counts as connected from the
+// readPushes applies and acknowledges pushes until one cannot be read or used. The proxy counts as connected from the
 // first message of the controller on, which shows that it is there.
-func (p *Proxy) readOrders(ctx context.Context, conn net.Conn, controller int, began time.Time) {
+func (p *Proxy) readPushes(ctx context.Context, conn net.Conn, controller int, began time.Time) {
 	reader := bufio.NewReader(conn)
 	connected := false
 	defer func() {
@@ -79,7 +79,7 @@
 			p.disconnected()
 		}
 	}()
-	var pending order
+	var pending push
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
 			return
@@ -92,7 +92,7 @@
 			connected = true
 			p.connected(controller)
 		}
-		var part orderPart
+		var part pushPart
 		if err := json.Unmarshal(body, &part); err != nil {
 			return
 		}
@@ -113,13 +113,13 @@
 			return
 		}
 		p.acknowledge(conn, pending)
-		pending = order{}
+		pending = push{}
 	}
 }
 
-// awaitDelivery waits as long as an order takes through the controller's push channel and to be applied.
+// awaitDelivery waits as long as a push takes through the controller's push channel and to be applied.
 func (p *Proxy) awaitDelivery(ctx context.Context, controller, lines int) {
-	wait := p.fleet.channels[controller].enter(p.number, lines+MessageOverhead) + time.Duration(lines)*applyTimePerRow
+	wait := p.fleet.channels[controller].enter(p.number, lines+MessageOverhead) + time.Duration(lines)*applyTimePerLine
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -127,7 +127,7 @@
 }
 
 // acknowledge answers each part that asks for it. A failed write shows as the next read fails.
-func (p *Proxy) acknowledge(conn net.Conn, o order) {
+func (p *Proxy) acknowledge(conn net.Conn, o push) {
 	for _, part := range o.parts {
 		if part.Nonce != nil {
 			_, _ = conn.Write(frame(ack{Msg: msgAck, Proxy: p.number, Nonce: *part.Nonce, Latency: ackLatency}))
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -23,7 +23,7 @@
 	RuleDrainGrace      Rule = 3 // a backend that drains or is gone is left within the grace
 	RuleColdStart       Rule = 4 // a cold backend is not overloaded
 	RulePushBudget      Rule = 5 // messages and lines to proxies stay within what they take
-	RuleOwnerOrder      Rule = 6 // no order of an owner that is over is applied
+	RuleOwnerOrder      Rule = 6 // no push of an owner that is over is applied
 )
 
 // Limits are the figures that a run is checked by.
@@ -114,9 +114,9 @@
 	return p
 }
 
-func proxyName(id int) string { return fmt.Sprint("relay ", id) }
+func proxyName(id int) string { return fmt.Sprint("proxy ", id) }
 
-// ProxyConnected notes that orders of some controller reach a proxy from now on, or do not. Empty are the classes that it
+// ProxyConnected notes that pushes of some controller reach a proxy from now on, or do not. Empty are the classes that it
 // has no entry for.
 func (c *Checker) ProxyConnected(id int, connected bool, empty []string, at time.Duration) {
 	c.mutex.Lock()
--- a/invariant/checker_test.go
+++ b/invariant/checker_test.go
@@ -25,11 +25,11 @@
 		end    time.Duration
 		broken []Rule
 	}{
-		{"a relay that lacks a line for just as long as it may", func(c *Checker) {
+		{"a proxy that lacks an entry for just as long as it may", func(c *Checker) {
 			c.ProxyConnected(1, true, []string{"c"}, 0)
 			c.TableChanged(1, "c", true, limits.MaxEmptyTable)
 		}, 9000 * ms, nil},
-		{"a relay that lacks one for longer", func(c *Checker) {
+		{"a proxy that lacks one for longer", func(c *Checker) {
 			c.ProxyConnected(1, true, []string{"c"}, 0)
 			c.TableChanged(1, "c", true, limits.MaxEmptyTable+ms)
 		}, 9000 * ms, []Rule{1}},
@@ -61,7 +61,7 @@
 			c.EndpointListed("w", false, false, 0)
 			c.AttemptSent("w", 1, limits.DrainGrace+ms)
 		}, 0, []Rule{3}},
-		{"it is tried by a relay that came later, within the grace from then on", func(c *Checker) {
+		{"it is tried by a proxy that came later, within the grace from then on", func(c *Checker) {
 			c.EndpointListed("w", false, false, 0)
 			c.ProxyConnected(1, true, nil, 500*ms)
 			c.AttemptSent("w", 1, 500*ms+limits.DrainGrace)
@@ -71,7 +71,7 @@
 			c.ProxyConnected(1, true, nil, 500*ms)
 			c.AttemptSent("w", 1, 501*ms+limits.DrainGrace)
 		}, 0, []Rule{3}},
-		{"it is tried by a relay that nobody can tell anything", func(c *Checker) {
+		{"it is tried by a proxy that nobody can tell anything", func(c *Checker) {
 			c.EndpointListed("w", false, false, 0)
 			c.ProxyConnected(1, true, nil, 0)
 			c.ProxyConnected(1, false, nil, 100*ms)
@@ -91,23 +91,23 @@
 		{"a cold worker falls over, and is counted once", func(c *Checker) { c.ColdBackendOverloaded("w", 0); c.ColdBackendOverloaded("w", ms) }, 0, []Rule{4}},
 		{"as many messages as may be, from all controllers together", func(c *Checker) {
 			for i := range 6 {
-				c.OrderQueued(fmt.Sprint(i%2), 1, 1, time.Duration(i/3)*1001*ms)
+				c.PushQueued(fmt.Sprint(i%2), 1, 1, time.Duration(i/3)*1001*ms)
 			}
 		}, 0, nil},
 		{"one message more", func(c *Checker) {
 			for i := range 4 {
-				c.OrderQueued(fmt.Sprint(i%2), 1, 1, time.Duration(i)*300*ms)
+				c.PushQueued(fmt.Sprint(i%2), 1, 1, time.Duration(i)*300*ms)
 			}
 		}, 0, []Rule{5}},
-		{"lines up to the backlog", func(c *Checker) { c.OrderQueued("a", 1, 50, 0); c.OrderQueued("a", 2, 10, 100*ms) }, 0, nil},
-		{"a line beyond it", func(c *Checker) { c.OrderQueued("a", 1, 50, 0); c.OrderQueued("a", 2, 11, 100*ms) }, 0, []Rule{5}},
-		{"two controllers have a channel each", func(c *Checker) { c.OrderQueued("a", 1, 50, 0); c.OrderQueued("b", 2, 50, 0) }, 0, nil},
+		{"lines up to the backlog", func(c *Checker) { c.PushQueued("a", 1, 50, 0); c.PushQueued("a", 2, 10, 100*ms) }, 0, nil},
+		{"a line beyond it", func(c *Checker) { c.PushQueued("a", 1, 50, 0); c.PushQueued("a", 2, 11, 100*ms) }, 0, []Rule{5}},
+		{"two controllers have a channel each", func(c *Checker) { c.PushQueued("a", 1, 50, 0); c.PushQueued("b", 2, 50, 0) }, 0, nil},
 		{"an order of an older owner", func(c *Checker) {
-			c.OrderApplied("a", 1, 4, 0)
-			c.OrderApplied("b", 1, 7, ms)
-			c.OrderApplied("a", 1, 4, 2*ms)
+			c.PushApplied("a", 1, 4, 0)
+			c.PushApplied("b", 1, 7, ms)
+			c.PushApplied("a", 1, 4, 2*ms)
 		}, 0, []Rule{6}},
-		{"orders without tokens are of no owner", func(c *Checker) { c.OrderApplied("a", 1, 4, 0); c.OrderApplied("b", 1, 0, ms) }, 0, nil},
+		{"orders without tokens are of no owner", func(c *Checker) { c.PushApplied("a", 1, 4, 0); c.PushApplied("b", 1, 0, ms) }, 0, nil},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			c := ready()
--- a/invariant/empty_table.go
+++ b/invariant/empty_table.go
@@ -32,7 +32,7 @@
 		return
 	}
 	p.emptyReported[class] = true
-	c.violate(RuleEmptyTable, at, proxyName(id), "no line for %s since %s", class, since.Round(time.Millisecond))
+	c.violate(RuleEmptyTable, at, proxyName(id), "no entry for %s since %s", class, since.Round(time.Millisecond))
 }
 
 func (c *Checker) anyReadyAndWarm() bool {
--- a/invariant/push_budget.go
+++ b/invariant/push_budget.go
@@ -14,9 +14,9 @@
 	lines float64
 }
 
-// OrderQueued notes that an order of some lines for a proxy enters a controller's push channel. The controller is named
+// PushQueued notes that a push of some lines for a proxy enters a controller's push channel. The controller is named
 // by its process: another process has a channel of its own.
-func (c *Checker) OrderQueued(controller string, proxyID int, lines int, at time.Duration) {
+func (c *Checker) PushQueued(controller string, proxyID int, lines int, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.limits.MaxMessages > 0 {
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -36,8 +36,8 @@
 	StreamsBegun        int     `json:"streams_begun"`                         // of proxies to controllers
 	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean
 	Lines               int     `json:"lines"`                                 // in all orders
-	Orders              int     `json:"orders"`                                // that proxies applied
-	StaleOrdersRejected int     `json:"orders_refused_as_of_an_older_owner"`   // by their tokens
+	Pushes              int     `json:"orders"`                                // that proxies applied
+	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // by their tokens
 
 	Hangs             int     `json:"hangs"`                           // of backends
 	BackendsReplaced  int     `json:"workers_replaced"`                // that drained, and came back as new
@@ -76,8 +76,8 @@
 	report.StreamsBegun = after.Streams - before.Streams
 	report.LinesAtConnect = float64(after.LinesAtConnect-before.LinesAtConnect) / float64(max(report.StreamsBegun, 1))
 	report.Lines = after.Lines - before.Lines
-	report.Orders = after.Orders - before.Orders
-	report.StaleOrdersRejected = after.StaleOrdersRejected - before.StaleOrdersRejected
+	report.Pushes = after.Pushes - before.Pushes
+	report.StalePushesRejected = after.StalePushesRejected - before.StalePushesRejected
 	report.AttemptsIntoHang = after.AttemptsIntoHang - before.AttemptsIntoHang
 	for _, d := range r.hangDetections {
 		report.MeanHangDetection += d.Seconds() / float64(len(r.hangDetections))
@@ -99,7 +99,7 @@
 		report.Verdict = VerdictViolated
 	case report.Effects == 0 || !tookOver:
 		report.Verdict = VerdictInconclusive
-		report.Reason = "no relay was taken over, or nothing took effect; play it for longer"
+		report.Reason = "no proxy was taken over, or nothing took effect; play it for longer"
 	default:
 		report.Verdict = VerdictPassed
 	}
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -151,7 +151,7 @@
 // Run plays it. An error means that it could not be played at all; the report's verdict says how it went.
 func (s *Scenario) Run(ctx context.Context) (*Report, error) {
 	if s.Controllers < 1 || s.Proxies < 1 || s.Sharing && s.Controllers < minMembers {
-		return nil, fmt.Errorf("instances %d, relays %d: one of each at least, two instances where they share", s.Controllers, s.Proxies)
+		return nil, fmt.Errorf("controllers %d, proxies %d: one of each at least, two controllers where they share", s.Controllers, s.Proxies)
 	}
 	folder, err := s.makeFolder()
 	if err != nil {
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -42,7 +42,7 @@
 	}
 	r.fleet.Start()
 	if !await(ctx, readyTimeout, r.allProxiesReady) {
-		return fmt.Errorf("the relays have no tables within %s; the controllers' logs are in %s", readyTimeout, r.folder)
+		return fmt.Errorf("the proxies have no tables within %s; the controllers' logs are in %s", readyTimeout, r.folder)
 	}
 	return nil
 }
--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -139,7 +139,7 @@
 	retried := time.Since(from)
 	retriedProcessor := threadTime() - fromProcessor
 	if !found || foundOther && second == first || !foundOther && entries > 1 {
-		return fmt.Errorf("drew %q, then %q of %d lines", first, second, entries)
+		return fmt.Errorf("drew %q, then %q of %d entries", first, second, entries)
 	}
 	return errors.Join(
 		t.once.RecordValue(once.Nanoseconds()),
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -70,32 +70,32 @@
 
 // Run plays the repeats, each with a controller of its own, and takes the median.
 func (m decisions) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
-	life := decisionLife{backends: size, proxies: defaultProxies, changes: decisionChanges, ticks: decisionTicks}
+	run := decisionRun{backends: size, proxies: defaultProxies, changes: decisionChanges, ticks: decisionTicks}
 	if m.byProxies {
-		life.backends = defaultBackends
-		life.proxies = size
+		run.backends = defaultBackends
+		run.proxies = size
 	}
-	var lives []decisionCost
+	var runs []decisionCost
 	sample.Partial, err = repeats(ctx, o.For, func() error {
-		lives = append(lives, life.play())
+		runs = append(runs, run.play())
 		return nil
 	})
 	if err != nil {
 		return sample, err
 	}
-	for _, other := range lives {
-		if other.orders != lives[0].orders {
-			sample.Violations = append(sample.Violations, fmt.Sprintf("orders differ between repeats: %+v and %+v", lives[0].orders, other.orders))
+	for _, other := range runs {
+		if other.orders != runs[0].orders {
+			sample.Violations = append(sample.Violations, fmt.Sprintf("orders differ between repeats: %+v and %+v", runs[0].orders, other.orders))
 		}
 	}
-	sample.Values = decisionValues(lives).Values
+	sample.Values = decisionValues(runs).Values
 	return sample, nil
 }
 
-// decisionValues are the medians of several lives.
-func decisionValues(lives []decisionCost) (s results.Sample) {
+// decisionValues are the medians of several runs.
+func decisionValues(runs []decisionCost) (s results.Sample) {
 	middle := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
-		return medianOf(lives, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
+		return medianOf(runs, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
 	}
 	line := middle(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
 	quiet := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
@@ -109,9 +109,9 @@
 	s.Set("beat", quiet)
 	s.Set("look", evaluation)
 	s.Set("processor", percent*perSecond/float64(second))
-	s.Set("heap", medianOf(lives, func(c decisionCost) float64 { return float64(c.heap) / megabyte }))
-	s.Set("orders", float64(lives[0].orders.sum()))
-	s.Set("repeats", float64(len(lives)))
+	s.Set("heap", medianOf(runs, func(c decisionCost) float64 { return float64(c.heap) / megabyte }))
+	s.Set("orders", float64(runs[0].orders.sum()))
+	s.Set("repeats", float64(len(runs)))
 	return s
 }
 
@@ -122,14 +122,14 @@
 	evaluationsPerSecond = float64(second) / float64(reportInterval)
 )
 
-// decisionLife is one life of a controller that is played.
-type decisionLife struct {
+// decisionRun is one run of a controller, from its first list on.
+type decisionRun struct {
 	backends, proxies int
 	changes           int // of one entry each
 	ticks             int // quiet ones, and as many that evaluate reports
 }
 
-// decisionCost is the processor time that each step of a life took.
+// decisionCost is the processor time that each step of a run took.
 type decisionCost struct {
 	start       time.Duration // the full list, to a controller that knows nothing
 	again       time.Duration // the same list once more
@@ -143,7 +143,7 @@
 }
 
 // play has a controller live from its first list on.
-func (l decisionLife) play() (cost decisionCost) {
+func (l decisionRun) play() (cost decisionCost) {
 	entries := l.entries()
 	before := heapInUse()
 	host := newCountingHost(l.proxies)
@@ -184,7 +184,7 @@
 }
 
 // playTicks plays quiet ticks, and then ticks that evaluate reports about every backend and proxy.
-func (l decisionLife) playTicks(host *countingHost, cost *decisionCost) {
+func (l decisionRun) playTicks(host *countingHost, cost *decisionCost) {
 	cost.quietTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
 	var reports, evaluations time.Duration
 	lines := 0
@@ -198,7 +198,7 @@
 }
 
 // reports tells of good answers of all backends, and of the usual demand at all proxies.
-func (l decisionLife) reports(host *countingHost) (lines int) {
+func (l decisionRun) reports(host *countingHost) (lines int) {
 	const tries, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
 		host.control.OutcomesReported(balancer.OutcomeReport{
@@ -220,7 +220,7 @@
 
 // changing has one backend after the other drain, as the list says, and come back. It gives what a drain takes until
 // all proxies have answered.
-func (l decisionLife) changing(host *countingHost) time.Duration {
+func (l decisionRun) changing(host *countingHost) time.Duration {
 	sum := time.Duration(0)
 	for i := range l.changes {
 		entry := l.entry(i * l.backends / l.changes)
@@ -241,18 +241,18 @@
 // for 5 s.
 const settlingTicks = 32
 
-func (l decisionLife) entry(backend int) balancer.Endpoint {
+func (l decisionRun) entry(backend int) balancer.Endpoint {
 	return balancer.Endpoint{Backend: backend, State: balancer.Ready, Weight: 2, Zone: backend % measuredZones}
 }
 
-func (l decisionLife) entries() (all []balancer.Endpoint) {
+func (l decisionRun) entries() (all []balancer.Endpoint) {
 	for backend := range l.backends {
 		all = append(all, l.entry(backend))
 	}
 	return all
 }
 
-// Of the installation that is measured: as the shipped sample configuration has it.
+// Of the deployment that is measured: as the shipped sample configuration has it.
 const measuredZones = 2
 
 func measuredClasses() []balancer.Class {
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -62,12 +62,12 @@
 	}
 }
 
-// TestOrdersOfALifeDoNotGrowWithItsSize has a life give each backend one line at the start, each proxy one table, and each change a few orders,
+// TestOrdersOfARunDoNotGrowWithItsSize has a run give each backend one line at the start, each proxy one table, and each change a few orders,
 // however many there are.
-func TestOrdersOfALifeDoNotGrowWithItsSize(t *testing.T) {
+func TestOrdersOfARunDoNotGrowWithItsSize(t *testing.T) {
 	const lineChanges, withdrawals = 3, 2 // of a drain and a return: out, back with a part of its weight, then all of it
 	for _, size := range []int{20, 200} {
-		l := decisionLife{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
+		l := decisionRun{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
 		orders := l.play().orders
 		if orders.entries < size || orders.entries > size+l.changes*lineChanges {
 			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.entries)
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -73,7 +73,7 @@
 	return d
 }
 
-// plan is the installation at a size.
+// plan is the deployment at a size.
 func (m distributionCost) plan(size int) treePlan {
 	if m.whole {
 		return fullTree(size)
--- a/scale/doc.go
+++ b/scale/doc.go
@@ -1,4 +1,4 @@
-// Package scale measures what controllers spend as an installation grows: real controllers as processes beside hollow
+// Package scale measures what controllers spend as a deployment grows: real controllers as processes beside hollow
 // ones, many to a process, which run the same code without proxies. Package scale/results keeps, fits and shows what was
 // seen.
 //
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -19,8 +19,8 @@
 	roleVoter
 )
 
-// hollowSubscriber runs the code of a subscriber, and has no proxies. It lives from start to kill, and may live again as
-// new. Its methods may be called at once.
+// hollowSubscriber runs the code of a subscriber, and has no proxies. It runs from start to kill, and may be started again
+// as new. Its methods may be called at once.
 type hollowSubscriber struct {
 	name        string
 	role        role
@@ -33,21 +33,21 @@
 	propagation *propagation // is told what it acts by
 
 	mutex     sync.Mutex           // of all below
-	node      *transport.Transport // of this life
+	node      *transport.Transport // of this incarnation
 	stop      context.CancelFunc   // nil while it is down
-	ended     chan struct{}        // closed with the goroutine of this life
+	ended     chan struct{}        // closed with the goroutine of this incarnation
 	seen      uint64               // the newest revision that it acts by
 	reachable time.Time            // since when
-	before    earlierLives
+	before    earlierIncarnations
 }
 
-// earlierLives is what earlier lives have passed over their links, and taken.
-type earlierLives struct {
+// earlierIncarnations is what earlier incarnations have passed over their links, and taken.
+type earlierIncarnations struct {
 	traffic   transport.Traffic
 	snapshots uint64
 }
 
-// start begins a life.
+// start starts a new incarnation.
 func (s *hollowSubscriber) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	limits := distribution.DefaultLimits()
@@ -84,7 +84,7 @@
 	return s.network.dial(ctx, s.region, peer)
 }
 
-// kill ends a life as the end of a process would: all connections are closed, and nothing is kept.
+// kill ends it as the end of a process would: all connections are closed, and nothing is kept.
 func (s *hollowSubscriber) kill() {
 	if s.network != nil {
 		s.network.leave(s.name)
@@ -129,7 +129,7 @@
 	s.reachable = time.Now()
 }
 
-// bytes is what has passed over its links, in all lives.
+// bytes is what has passed over its links, in all incarnations.
 func (s *hollowSubscriber) bytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,7 +140,7 @@
 	return s.before.traffic.In + s.before.traffic.Out + traffic.In + traffic.Out
 }
 
-// earlierSnapshots counts those that its earlier lives have taken.
+// earlierSnapshots counts those that its earlier incarnations have taken.
 func (s *hollowSubscriber) earlierSnapshots() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -13,7 +13,7 @@
 	"wheelrill/distribution"
 )
 
-// tree is a whole installation in one process: voters, distributors that have all scopes, and subscribers.
+// tree is a whole deployment in one process: voters, distributors that have all scopes, and subscribers.
 type tree struct {
 	options           Options
 	folder            string // of the voters' records
@@ -26,12 +26,12 @@
 	random            *rand.Rand
 	faultDraws        *rand.Rand    // for what fails, which is drawn beside the changes
 	faultHits         atomic.Int64  // of the fault that is played
-	starts            atomic.Int64  // lives that have begun, which need a snapshot each
+	starts            atomic.Int64  // incarnations that have begun, which need a snapshot each
 	ready             time.Duration // of all subscribers, once the distributors were
 	distributorsReady time.Duration
 }
 
-// newTree starts an installation, and waits until each node has its configuration.
+// newTree starts a deployment, and waits until each node has its configuration.
 func newTree(ctx context.Context, plan treePlan, o Options) (*tree, error) {
 	t := &tree{options: o, network: newNetwork(), content: newContent(plan.content, o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
 		faultDraws: rand.New(rand.NewPCG(o.Seed, faultSeed))}
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -23,13 +23,13 @@
 	content *content
 }
 
-// voter is one of them. What it has on disk outlasts its lives.
+// voter is one of them. What it has on disk outlasts a kill.
 type voter struct {
 	hollowSubscriber
 	group  *voterGroup
-	member *hollowMember // of this life
+	member *hollowMember // of this incarnation
 	ending sync.WaitGroup
-	before int64 // bytes that earlier lives have spent on the record
+	before int64 // bytes that earlier incarnations have spent on the record
 }
 
 func newVoters(n int, folder string, network *network, content *content, propagation *propagation) (*voterGroup, error) {
@@ -135,7 +135,7 @@
 		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
 }
 
-// start begins a life of a voter, with the log and the votes that it had.
+// start starts a voter, with the log and the votes that it had.
 func (v *voter) start() error {
 	limits := setAsideLimits()
 	limits.FanOut = v.fanOut
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// kill ends a life as the end of a process would. What is on disk stays.
+// kill ends it as the end of a process would. What is on disk stays.
 func (v *voter) kill() {
 	member := v.running()
 	if member == nil {
@@ -177,7 +177,7 @@
 	v.before += bytes
 }
 
-// recordBytes is what the record has cost, in all lives.
+// recordBytes is what the record has cost, in all incarnations.
 func (v *voter) recordBytes() int64 {
 	member := v.running()
 	v.mutex.Lock()
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -48,7 +48,7 @@
 	return Needs{Memory: bytes, Processes: 1, Time: o.For + listReadyTimeout}
 }
 
-// listCost is what one life of a controller has shown.
+// listCost is what one run of a controller has shown.
 type listCost struct {
 	ready, readyProcessor  time.Duration
 	idle, changing         float64 // seconds of processor time a second, while nothing and while entries change
@@ -71,7 +71,7 @@
 	defer discovery.Close()
 	var all []listCost
 	s.Partial, err = repeats(ctx, o.For, func() error {
-		cost, err := listLife(ctx, discovery, backends, folder, o)
+		cost, err := measureList(ctx, discovery, backends, folder, o)
 		all = append(all, cost)
 		return err
 	})
@@ -94,8 +94,8 @@
 	return s, nil
 }
 
-// listLife starts a controller, lets it be, and changes one entry after the other.
-func listLife(ctx context.Context, discovery *fake.Discovery, backends []*fake.Backend, folder string, o Options) (cost listCost, err error) {
+// measureList starts a controller, lets it be, and changes one entry after the other.
+func measureList(ctx context.Context, discovery *fake.Discovery, backends []*fake.Backend, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
 		return cost, err
--- a/scale/record.go
+++ b/scale/record.go
@@ -19,7 +19,7 @@
 // recordReal is what the record costs real controllers, as processes with fake proxies around them: all are members.
 type recordReal struct{}
 
-// Figures of the installation around the members.
+// Figures of the deployment around the members.
 const (
 	recordProxies   = 30
 	recordBackends  = 12
@@ -39,7 +39,7 @@
 
 // Describe says what it is.
 func (recordReal) Describe() Description {
-	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
+	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 proxies in all", Size: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			results.Metric{Name: "follower_processor", Unit: "% of a core",
@@ -61,7 +61,7 @@
 	return needs
 }
 
-// Run plays a calm installation, and reads what each member logged of the record and spent.
+// Run plays a calm scenario, and reads what each member logged of the record and spent.
 func (recordReal) Run(ctx context.Context, size int, o Options) (results.Sample, error) {
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -8,13 +8,13 @@
 	"wheelrill/scale/results"
 )
 
-// recoveryTree measures subscribers that restart at once, in an installation that runs.
+// recoveryTree measures subscribers that restart at once, in a deployment that runs.
 type recoveryTree struct{ subscribers int }
 
 // recoveryDelta measures a region that was cut off, by the changes that it missed.
 type recoveryDelta struct{ subscribers int }
 
-// Of the installation that both are played in.
+// Of the deployment that both are played in.
 const (
 	recoverySubscribers = 1100
 	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
@@ -103,7 +103,7 @@
 	return cost, nil
 }
 
-// received is what it was sent in this life.
+// received is what it was sent in this incarnation.
 func (s *hollowSubscriber) received() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -16,7 +16,7 @@
 	"wheelrill/internal/process"
 )
 
-// roleFleet is an installation of which three nodes are processes: a voter, a distributor and a controller. One goroutine
+// roleFleet is a deployment of which three nodes are processes: a voter, a distributor and a controller. One goroutine
 // uses it.
 type roleFleet struct {
 	options     Options
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -22,7 +22,7 @@
 	controllerRole  = "controller"
 )
 
-// Figures of the installation around the processes.
+// Figures of the deployment around the processes.
 const (
 	distributorChildren = maxFanOut - 1 // hollow ones; the controller is one more
 	controllerChildren  = 4             // a controller sends snapshots at a pace of its own, so that more take minutes
--- a/scale/tree_checks.go
+++ b/scale/tree_checks.go
@@ -66,7 +66,7 @@
 	return lost.Load()
 }
 
-// needlessSnapshots counts the snapshots that were taken beyond one for each life.
+// needlessSnapshots counts the snapshots that were taken beyond one for each incarnation.
 func (t *tree) needlessSnapshots() int64 {
 	var taken atomic.Int64
 	each(t.nodes(), func(s *hollowSubscriber) {
--- a/scale/tree_plan.go
+++ b/scale/tree_plan.go
@@ -26,7 +26,7 @@
 	faultSeed          = 13
 )
 
-// treePlan is the size of an installation.
+// treePlan is the size of a deployment.
 type treePlan struct {
 	subscribers  int
 	content      contentShape
@@ -34,7 +34,7 @@
 	fanOut       int // places at each distributor
 }
 
-// scaledTree is an installation with as much of everything for a subscriber as there will be, but one entry for each service.
+// scaledTree is a deployment with as much of everything for a subscriber as there will be, but one entry for each service.
 func scaledTree(subscribers int) treePlan {
 	distributors := max(minDistributors, (targetDistributors*subscribers+targetControllers-1)/targetControllers)
 	fanOut := min(max(subscribers/belowDistributors/distributors, minFanOut), maxFanOut)
@@ -46,7 +46,7 @@
 	return treePlan{subscribers, fullContent(), targetDistributors, maxFanOut}
 }
 
-// memory is what the installation takes before garbage is collected.
+// memory is what the deployment takes before garbage is collected.
 func (p treePlan) memory(o Options) int64 {
 	nodes := int64(p.subscribers)
 	holdAll := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the one that they are compared with
