--- a/cmd/wheelrill/main.go
+++ b/cmd/wheelrill/main.go
@@ -21,7 +21,7 @@
 const (
 	exitFailed       exitCode = 1 // a controller has logged why
 	exitViolated     exitCode = 1 // a rule or a budget did not hold
-	exitInconclusive exitCode = 2 // it could not be judged, or was refused
+	exitInconclusive exitCode = 2 // it could not be judged, as where a controller ended by itself, or was refused
 )
 
 // Error is for those who ask.
--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -89,6 +89,7 @@
 	return nil
 }
 
+// distributionConfig carries the section on. A new key of it has to be added here, too.
 func distributionConfig(d *options.Distribution) controller.DistributionConfig {
 	return controller.DistributionConfig{
 		Voter:        d.Role == options.Voter,
@@ -104,6 +105,7 @@
 	}
 }
 
+// ownershipConfig carries the section on. A new key of it has to be added here, too.
 func ownershipConfig(s *options.Sharing) controller.OwnershipConfig {
 	return controller.OwnershipConfig{
 		Name:        s.Name,
--- a/fake/backend.go
+++ b/fake/backend.go
@@ -29,7 +29,7 @@
 	OutcomeTimedOut          // it may run yet
 )
 
-// Backend has cores that take a time for each request, and a queue before them. Its methods may be called at once.
+// Backend has cores that take a time for each request, and a queue before them. Safe for concurrent use.
 type Backend struct {
 	ID          string        // its name on the wire
 	Zone        string        // by name
@@ -59,7 +59,7 @@
 	// coldQueuePerCore is how many requests for each core may wait at a cold backend before it is overloaded.
 	coldQueuePerCore = 8
 	refuseTime       = time.Millisecond
-	failFastShare    = 4 // of the service time, that a failure takes
+	failFastShare    = 4 // a failure takes one part in so many of the service time
 )
 
 // SetMode has the backend behave so from now on.
--- a/fake/collector.go
+++ b/fake/collector.go
@@ -99,7 +99,7 @@
 	for _, id := range slices.Sorted(maps.Keys(outcomes)) {
 		counts := outcomes[id]
 		report := outcomeReport{Msg: msgOutcomes, Zone: c.zone, Backend: id, Total: counts.attempts, Errors: counts.failed,
-			Interval: milliseconds(c.fleet.reportInterval)}
+			Interval: wholeMilliseconds(c.fleet.reportInterval)}
 		if succeeded := counts.attempts - counts.failed; succeeded > 0 {
 			report.Latency = float64(counts.took.Microseconds()) / 1000 / float64(succeeded)
 		}
@@ -108,5 +108,5 @@
 	return out
 }
 
-// milliseconds gives whole ones.
-func milliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
+// wholeMilliseconds gives whole ones.
+func wholeMilliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -11,7 +11,7 @@
 	"wheelrill/invariant"
 )
 
-// Discovery tells controllers of backends, over HTTP with long polls. Its methods may be called at once.
+// Discovery tells controllers of backends, over HTTP with long polls. Safe for concurrent use.
 type Discovery struct {
 	server  *http.Server
 	address string
--- a/fake/faulty_link.go
+++ b/fake/faulty_link.go
@@ -19,8 +19,8 @@
 // Partition is the fault of a link through which nothing comes, either way.
 var Partition = Fault{DropOutgoing: true, DropIncoming: true}
 
-// FaultyLink is a way to an address with faults on it: callers dial the link in place of the address. Its methods may be
-// called at once.
+// FaultyLink is a way to an address with faults on it: callers dial the link in place of the address. Safe for
+// concurrent use.
 type FaultyLink struct {
 	to       string
 	listener net.Listener
--- a/fake/fleet.go
+++ b/fake/fleet.go
@@ -23,7 +23,7 @@
 	Seed           uint64        // of all that is drawn
 }
 
-// Fleet is all that is around controllers. Its methods may be called at once, but for Start and Close.
+// Fleet is all that is around controllers. Safe for concurrent use, but for Start and Close.
 type Fleet struct {
 	Discovery *Discovery // tells controllers of the backends
 	Backends  []*Backend // in the order of their names
--- a/internal/process/files.go
+++ b/internal/process/config.go
@@ -37,8 +37,8 @@
 	return addresses, nil
 }
 
-// WriteJSON writes a value as a file in a folder, readable by its owner alone, and gives the path.
-func WriteJSON(folder, name string, value any) (string, error) {
+// WriteConfig writes a value as a file in a folder, readable by its owner alone, and gives the path.
+func WriteConfig(folder, name string, value any) (string, error) {
 	body, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
 		return "", err
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -1,8 +1,9 @@
 // Package invariant checks a recorded run against the five rules of the operators, and the order of owners: which proxy was
 // told what when, which backend was sent what, what took effect. It knows nothing of how controllers decide.
 //
-// A Checker is told what happens and judges at once; each rule stands in a file of its own. Times are on one clock that
-// begins at 0.
+// A Checker is told what happens and judges most rules at once, each in a file of its own. Rule 1 is judged when a gap
+// ends, or by Verdict; rule 4 where a backend is overloaded, which fake.Backend tells. Times are on one clock that begins
+// at 0.
 package invariant
 
 import (
@@ -48,7 +49,7 @@
 // maxViolations is how many violations a verdict has with their texts; more are only counted.
 const maxViolations = 100
 
-// Checker is told what happens in a run. All methods may be called at once.
+// Checker is told what happens in a run. Safe for concurrent use.
 type Checker struct {
 	limits Limits
 
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -61,7 +61,8 @@
 	return where.refuse("distribution.role", "%q; give voter or subscriber", d.Role)
 }
 
-// checkVoter refuses what a voter has from sharing already.
+// checkVoter refuses what a voter has from sharing already. A new key of subscribers belongs into its table: one that is
+// left out would be accepted at a voter, and do nothing.
 func (d *Distribution) checkVoter(where locator, sharing *Sharing) error {
 	if sharing == nil {
 		return where.refuse("distribution.role", "a voter is a member that shares the record; add the section sharing, or subscribe")
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -69,7 +69,7 @@
 	linkDelay     = 300 * time.Millisecond
 	maxDowntime   = 8 * time.Second
 	shortDowntime = time.Second
-	shortOneIn    = 4 // downtimes, that are short
+	shortOneIn    = 4 // one downtime in so many is short
 )
 
 // faultNames are those that the scenario draws from.
@@ -141,7 +141,7 @@
 	r.faultLinks(fake.Fault{DropOutgoing: true}, func(pair memberPair) bool { return pair.from == t.first })
 }
 
-// injectSplit partitions every member from every other, so that no majority is left.
+// injectSplit partitions every member from every other, both ways, so that no majority is left.
 func (r *run) injectSplit(faultTargets) {
 	r.faultLinks(fake.Partition, func(memberPair) bool { return true })
 }
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -13,7 +13,7 @@
 	"wheelrill/internal/process"
 )
 
-// Times between what happens in a run, beside faults.
+// Times between hangs and between replacements of backends.
 const (
 	hangInterval    = 18 * time.Second
 	replaceInterval = 13 * time.Second
@@ -85,7 +85,7 @@
 	r.timers = append(r.timers, timer{time.Now().Add(wait), call})
 }
 
-// schedule is when the next of each trouble comes.
+// schedule is when the next controller fault, the next hang and the next replacement of a backend are due.
 type schedule struct {
 	fault, hang, replace time.Time
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// play has troubles come until the time is over, and gives the report.
+// play injects faults, hangs and replacements by the schedule until the duration is over, and gives the report.
 func (r *run) play(ctx context.Context) (*Report, error) {
 	monitor := process.StartDelayMonitor()
 	before := r.fleet.Counts()
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -12,8 +12,8 @@
 	"wheelrill/invariant"
 )
 
-// Scenario has faults befall controllers under load, again and again; those that died come back as new. Load is of two
-// classes, one of which must not run twice; a backend hangs now and then.
+// Scenario injects faults into controllers under load, one after the other; those that died are started again. Load is of
+// two classes of requests, one of which must not take effect twice; now and then a backend hangs or is replaced.
 type Scenario struct {
 	Duration      time.Duration // that is played
 	FaultInterval time.Duration // between two faults
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -85,7 +85,7 @@
 // newController writes what a controller is started with.
 func (r *run) newController(i int, listen, members []string) (*process.Controller, error) {
 	name := controllerName(i)
-	config, err := process.WriteJSON(r.folder, name+".json", map[string]any{
+	config, err := process.WriteConfig(r.folder, name+".json", map[string]any{
 		"name":      name,
 		"listen":    listen[i],
 		"discovery": r.fleet.Discovery.Address(),
--- a/scale/change.go
+++ b/scale/change.go
@@ -164,7 +164,7 @@
 	slot := c.slots[change%discoverySlots]
 	slot.change.Store(change)
 	name := memberName(i)
-	draft, err := process.WriteJSON(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
+	draft, err := process.WriteConfig(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
 		"discovery": slot.address(), "seed": fmt.Sprintf("%x", f.seed+uint64(i)+1),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": memberLimitMB, "sockets": memberSockets},
 		"settings": f.settings})
--- a/scale/content.go
+++ b/scale/content.go
@@ -16,7 +16,7 @@
 	controllersPerGroup = 110 // of 11,000
 	commonEntries       = 20
 	valueBytes          = 48
-	maxEntriesChanged   = 3  // of one change
+	maxEntriesChanged   = 3  // entries that one change has at most
 	commonChanges       = 10 // one change in so many goes to all
 	drainChanges        = 5  // one in so many sets or ends a drain, which is an entry that comes and goes
 )
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -20,7 +20,7 @@
 )
 
 // hollowSubscriber runs the code of a subscriber, and has no proxies. It runs from start to kill, and may be started again
-// as new. Its methods may be called at once.
+// as new. Safe for concurrent use.
 type hollowSubscriber struct {
 	name        string
 	role        role
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -98,7 +98,7 @@
 
 // newListedController prepares one, with a file of its own.
 func newListedController(config listedConfig) (*listedController, error) {
-	path, err := process.WriteJSON(config.folder, config.name+".json", map[string]any{
+	path, err := process.WriteConfig(config.folder, config.name+".json", map[string]any{
 		"name":      config.name,
 		"listen":    config.listen,
 		"discovery": config.discovery,
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -29,53 +29,53 @@
 }
 
 // reset begins anew to measure; violations stay.
-func (f *propagation) reset() {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.each.Reset()
-	f.catchUp.Reset()
+func (p *propagation) reset() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.each.Reset()
+	p.catchUp.Reset()
 }
 
 // violate notes what must not happen.
-func (f *propagation) violate(format string, args ...any) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if len(f.violations) < maxViolations {
-		f.violations = append(f.violations, fmt.Sprintf(format, args...))
+func (p *propagation) violate(format string, args ...any) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.violations) < maxViolations {
+		p.violations = append(p.violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // applied notes that a subscriber, which acted by a revision before, acts by a change. Reachable is since when it could be
 // reached: what it missed before counts from then on.
-func (f *propagation) applied(change distribution.Change, seen uint64, reachable time.Time) {
+func (p *propagation) applied(change distribution.Change, seen uint64, reachable time.Time) {
 	now := time.Now()
 	newest := time.Time{}
 	for _, e := range change.Entries {
 		if e.Revision <= seen {
 			continue
 		}
-		if at := f.content.acceptedAt(e.Revision, e.AcceptedAt); at.After(newest) {
+		if at := p.content.acceptedAt(e.Revision, e.AcceptedAt); at.After(newest) {
 			newest = at
 		}
 	}
 	if newest.IsZero() {
 		return
 	}
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	took := now.Sub(newest)
-	histogram := f.each
+	histogram := p.each
 	if reachable.After(newest) {
 		took = now.Sub(reachable)
-		histogram = f.catchUp
+		histogram = p.catchUp
 	}
 	_ = histogram.RecordValue(max(took.Microseconds(), 1)) // an hour is within its range, and no run lasts as long
 }
 
 // seconds reads a quantile of a histogram.
-func (f *propagation) seconds(of *hdrhistogram.Histogram, quantile float64) float64 {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+func (p *propagation) seconds(of *hdrhistogram.Histogram, quantile float64) float64 {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if of.TotalCount() == 0 {
 		return 0
 	}
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -41,9 +41,9 @@
 
 // Metric is one figure of a sample.
 type Metric struct {
-	Name   string  `json:"name"`             // in a run
-	Unit   string  `json:"unit"`             // for tables
-	About  string  `json:"about"`            // for tables
+	Name   string  `json:"name"`             // by which samples and fits refer to it
+	Unit   string  `json:"unit"`             // of its values, as tables show it
+	About  string  `json:"about"`            // what it is, as tables show it
 	Budget float64 `json:"budget,omitempty"` // what it may be at most; 0 for no budget
 	Fit    bool    `json:"fit,omitempty"`    // it is fitted over the sizes
 }
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -30,10 +30,10 @@
 
 // Description says what a measurement is.
 type Description struct {
-	Name      string           // that it is asked for by, and kept under
-	About     string           // in a sentence
+	Name      string           // of the measurement, also of the file of its runs
+	About     string           // what is measured, in a sentence
 	Size      string           // what a size counts
-	Sizes     []int            // that are measured unless others are asked for
+	Sizes     []int            // default sizes
 	Targets   []int            // sizes that fits are read at, as the one in two years
 	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
 	Metrics   []results.Metric // of each sample
@@ -43,7 +43,7 @@
 type Needs struct {
 	Memory    int64         // bytes
 	Processes int           // beside our own
-	Time      time.Duration // at most; twice as long, and it is given up
+	Time      time.Duration // estimate; a size that takes twice as long is ended
 	Refusal   string        // why the size cannot be measured whatever the machine bears; empty where it can
 }
 
