--- a/fake/fleet.go
+++ b/fake/fleet.go
@@ -23,7 +23,7 @@
 	Seed           uint64        // of all that is drawn
 }
 
-// Fleet is all that is around controllers. Its methods may be called at once, but for Start and Close.
+// Fleet is all that is around controllers. Safe for concurrent use, but for Start and Close.
 type Fleet struct {
 	Discovery *Discovery // tells controllers of the backends
 	Backends  []*Backend // in the order of their names
@@ -167,17 +167,6 @@
 	return using
 }
 
-func (p *Proxy) uses(backend string) bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for _, table := range p.tables {
-		if table.Has(backend) {
-			return true
-		}
-	}
-	return false
-}
-
 // ConnectedProxies is how many proxies have a stream to some controller, and to this one.
 func (f *Fleet) ConnectedProxies(controller int) (toAny, toThis int) {
 	for _, p := range f.proxies {
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// MessageOverhead is how many lines a message takes beside its own in a push channel.
+const MessageOverhead = 4
+
 // pushChannel is the way from one controller to all proxies: so many lines a second, one message after the other.
 type pushChannel struct {
 	fleet          *Fleet
@@ -22,7 +25,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.fleet.Clock()
-	c.fleet.checker.OrderQueued(fmt.Sprintf("controller %d, life %d", c.controller, c.incarnation), proxy, lines, now)
+	c.fleet.checker.PushQueued(fmt.Sprintf("controller %d, incarnation %d", c.controller, c.incarnation), proxy, lines, now)
 	if c.linesPerSecond <= 0 {
 		return 0
 	}
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -1,8 +1,9 @@
 // Package invariant checks a recorded run against the five rules of the operators, and the order of owners: which proxy was
 // told what when, which backend was sent what, what took effect. It knows nothing of how controllers decide.
 //
-// A Checker is told what happens and judges at once; each rule stands in a file of its own. Times are on one clock that
-// begins at 0.
+// A Checker is told what happens and judges most rules at once, each in a file of its own. Rule 1 is judged when a gap
+// ends, or by Verdict; rule 4 where a backend is overloaded, which fake.Backend tells. Times are on one clock that begins
+// at 0.
 package invariant
 
 import (
@@ -23,7 +24,7 @@
 	RuleDrainGrace      Rule = 3 // a backend that drains or is gone is left within the grace
 	RuleColdStart       Rule = 4 // a cold backend is not overloaded
 	RulePushBudget      Rule = 5 // messages and lines to proxies stay within what they take
-	RuleOwnerOrder      Rule = 6 // no order of an owner that is over is applied
+	RuleOwnerOrder      Rule = 6 // no push of an owner that is over is applied
 )
 
 // Limits are the figures that a run is checked by.
@@ -48,7 +49,7 @@
 // maxViolations is how many violations a verdict has with their texts; more are only counted.
 const maxViolations = 100
 
-// Checker is told what happens in a run. All methods may be called at once.
+// Checker is told what happens in a run. Safe for concurrent use.
 type Checker struct {
 	limits Limits
 
@@ -114,9 +115,9 @@
 	return p
 }
 
-func proxyName(id int) string { return fmt.Sprint("relay ", id) }
+func proxyName(id int) string { return fmt.Sprint("proxy ", id) }
 
-// ProxyConnected notes that orders of some controller reach a proxy from now on, or do not. Empty are the classes that it
+// ProxyConnected notes that pushes of some controller reach a proxy from now on, or do not. Empty are the classes that it
 // has no entry for.
 func (c *Checker) ProxyConnected(id int, connected bool, empty []string, at time.Duration) {
 	c.mutex.Lock()
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheelrill/fake"
+	"wheelrill/internal/process"
 	"wheelrill/invariant"
 )
 
@@ -35,8 +36,8 @@
 	StreamsBegun        int     `json:"streams_begun"`                         // of proxies to controllers
 	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean
 	Lines               int     `json:"lines"`                                 // in all orders
-	Orders              int     `json:"orders"`                                // that proxies applied
-	StaleOrdersRejected int     `json:"orders_refused_as_of_an_older_owner"`   // by their tokens
+	Pushes              int     `json:"orders"`                                // that proxies applied
+	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // by their tokens
 
 	Hangs             int     `json:"hangs"`                           // of backends
 	BackendsReplaced  int     `json:"workers_replaced"`                // that drained, and came back as new
@@ -59,9 +60,6 @@
 	VerdictInconclusive Verdict = "could not be judged"
 )
 
-// maxSchedulingDelay is what the 99th percentile may be; beyond it nothing measured means anything.
-const maxSchedulingDelay = 100 * time.Millisecond
-
 // summarize takes into the report what the fleet counted while it was played.
 func (r *run) summarize(v invariant.Verdict, before, after fake.Counts) {
 	report := r.report
@@ -78,8 +76,8 @@
 	report.StreamsBegun = after.Streams - before.Streams
 	report.LinesAtConnect = float64(after.LinesAtConnect-before.LinesAtConnect) / float64(max(report.StreamsBegun, 1))
 	report.Lines = after.Lines - before.Lines
-	report.Orders = after.Orders - before.Orders
-	report.StaleOrdersRejected = after.StaleOrdersRejected - before.StaleOrdersRejected
+	report.Pushes = after.Pushes - before.Pushes
+	report.StalePushesRejected = after.StalePushesRejected - before.StalePushesRejected
 	report.AttemptsIntoHang = after.AttemptsIntoHang - before.AttemptsIntoHang
 	for _, d := range r.hangDetections {
 		report.MeanHangDetection += d.Seconds() / float64(len(r.hangDetections))
@@ -94,14 +92,14 @@
 	report.SchedulingDelayMax = milliseconds(delayMax)
 	tookOver := report.StreamsBegun > 0 || !r.stoppedAny() // what is only between controllers moves no proxy
 	switch {
-	case delayP99 > maxSchedulingDelay:
+	case process.TooBusy(delayP99):
 		report.Verdict = VerdictInconclusive
-		report.Reason = fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", maxSchedulingDelay)
+		report.Reason = fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", process.MaxDelay)
 	case len(v.Violations) > 0:
 		report.Verdict = VerdictViolated
 	case report.Effects == 0 || !tookOver:
 		report.Verdict = VerdictInconclusive
-		report.Reason = "no relay was taken over, or nothing took effect; play it for longer"
+		report.Reason = "no proxy was taken over, or nothing took effect; play it for longer"
 	default:
 		report.Verdict = VerdictPassed
 	}
@@ -111,8 +109,8 @@
 
 // stoppedAny tells whether any controller's process was stopped.
 func (r *run) stoppedAny() bool {
-	for _, kind := range []string{faultKill, faultLeave, faultPair, faultFreeze, faultReload} {
-		if r.faultCounts[kind] > 0 {
+	for _, kind := range faultKinds {
+		if kind.stopsProcess && r.faultCounts[kind.name] > 0 {
 			return true
 		}
 	}
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -42,7 +42,7 @@
 	}
 	r.fleet.Start()
 	if !await(ctx, readyTimeout, r.allProxiesReady) {
-		return fmt.Errorf("the relays have no tables within %s; the controllers' logs are in %s", readyTimeout, r.folder)
+		return fmt.Errorf("the proxies have no tables within %s; the controllers' logs are in %s", readyTimeout, r.folder)
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 // newController writes what a controller is started with.
 func (r *run) newController(i int, listen, members []string) (*process.Controller, error) {
 	name := controllerName(i)
-	config, err := process.WriteJSON(r.folder, name+".json", map[string]any{
+	config, err := process.WriteConfig(r.folder, name+".json", map[string]any{
 		"name":      name,
 		"listen":    listen[i],
 		"discovery": r.fleet.Discovery.Address(),
--- a/scale/change.go
+++ b/scale/change.go
@@ -53,21 +53,6 @@
 	return d
 }
 
-// changeRate is one pace of changes.
-type changeRate struct {
-	perS          float64 // mean
-	suffix, about string  // of metrics
-}
-
-// pause draws the time to the next change: half to one and a half of the mean.
-func (r changeRate) pause(random *rand.Rand) time.Duration {
-	return time.Duration((0.5 + random.Float64()) / r.perS * float64(time.Second))
-}
-
-func changeRates() []changeRate {
-	return []changeRate{{changesPerSecond, "", "0.42 changes a second"}, {changesPerSecond * changeRateFactor, "_x10", "4.2 changes a second"}}
-}
-
 // Needs are those of the controllers.
 func (changeByFile) Needs(size int, o Options) Needs {
 	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
@@ -179,7 +164,7 @@
 	slot := c.slots[change%discoverySlots]
 	slot.change.Store(change)
 	name := memberName(i)
-	draft, err := process.WriteJSON(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
+	draft, err := process.WriteConfig(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
 		"discovery": slot.address(), "seed": fmt.Sprintf("%x", f.seed+uint64(i)+1),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": memberLimitMB, "sockets": memberSockets},
 		"settings": f.settings})
@@ -312,25 +297,3 @@
 	}
 	return sum
 }
-
-// histogramDigits is the precision of percentiles.
-const histogramDigits = 3
-
-// closePollInterval is how often something is looked at whose time is measured.
-const closePollInterval = time.Millisecond
-
-// awaitClosely waits as await does, and polls more often.
-func awaitClosely(ctx context.Context, within time.Duration, holds func() bool) bool {
-	look := time.NewTicker(closePollInterval)
-	defer look.Stop()
-	for late := time.After(within); !holds(); {
-		select {
-		case <-ctx.Done():
-			return false
-		case <-late:
-			return false
-		case <-look.C:
-		}
-	}
-	return true
-}
--- a/scale/record.go
+++ b/scale/record.go
@@ -19,7 +19,7 @@
 // recordReal is what the record costs real controllers, as processes with fake proxies around them: all are members.
 type recordReal struct{}
 
-// Figures of the installation around the members.
+// Figures of the deployment around the members.
 const (
 	recordProxies   = 30
 	recordBackends  = 12
@@ -39,7 +39,7 @@
 
 // Describe says what it is.
 func (recordReal) Describe() Description {
-	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 relays in all", Size: "members",
+	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 proxies in all", Size: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			results.Metric{Name: "follower_processor", Unit: "% of a core",
@@ -52,16 +52,16 @@
 // Needs are those of the members and of the fakes in our process.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.For}
-	if terms := (ownership.LeaseTerms{MaxMessages: maxMessages, Members: size}); terms.OwnerQuota() < 1 {
+	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
 		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
-			size, maxMessages, messageWindow)
+			size, rehearse.MaxMessages, rehearse.MessageWindow)
 	} else if o.For < 2*costLogInterval {
 		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLogInterval, 2*costLogInterval)
 	}
 	return needs
 }
 
-// Run plays a calm installation, and reads what each member logged of the record and spent.
+// Run plays a calm scenario, and reads what each member logged of the record and spent.
 func (recordReal) Run(ctx context.Context, size int, o Options) (results.Sample, error) {
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
