--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the simulator drive the controllers' decisions over standard input and output.
+// Command simadapter lets the simulator drive the controllers' decisions over standard input and output.
 package main
 
 import (
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -19,7 +19,7 @@
 	"github.com/valyala/fastjson"
 
 	"wheelrill/balancer"
-	"wheelrill/internal/start"
+	"wheelrill/internal/settings"
 )
 
 // Place says where a controller stands. An empty field is taken from the configuration.
@@ -104,8 +104,8 @@
 	if key := duplicateKey(root); key != "" {
 		return nil, fmt.Errorf("configuration: %s stands there twice", key)
 	}
-	settings := root.Get("settings")
-	if settings == nil || settings.Type() != fastjson.TypeObject {
+	values := root.Get("settings")
+	if values == nil || values.Type() != fastjson.TypeObject {
 		return nil, errors.New("configuration: settings is missing")
 	}
 	text := func(key string) string { return string(root.GetStringBytes(key)) }
@@ -124,7 +124,7 @@
 		}
 	}
 	p.limits.give(given[0], given[1], given[2])
-	facts := start.Nested(settings, func(format string, args ...any) {
+	facts := settings.Nested(values, func(format string, args ...any) {
 		p.complain = append(p.complain, fmt.Sprintf(format, args...))
 	})
 	p.channel, p.rules, p.classes = facts.Channel(), facts.Limits(), facts.Classes()
@@ -140,9 +140,9 @@
 		p.complain = append(p.complain, "probes are left off: no page describes them on sockets yet")
 	}
 	p.sight.MayProbe, p.sight.MustAsk = false, false // the list is followed here without being asked for
-	tick := start.Micros(facts.Maybe("tick", 0))
+	tick := settings.Micros(facts.Maybe("tick", 0))
 	for i := range p.classes {
-		name := settings.Get("profiles", strconv.Itoa(i), "name")
+		name := values.Get("profiles", strconv.Itoa(i), "name")
 		if name == nil || name.Type() != fastjson.TypeString {
 			facts.Fail(fmt.Sprintf("profiles.%d.name", i), "is missing")
 			break
--- a/controller/messages.go
+++ b/controller/messages.go
@@ -4,7 +4,7 @@
 	"github.com/valyala/fastjson"
 
 	"wheelrill/balancer"
-	"wheelrill/internal/start"
+	"wheelrill/internal/settings"
 )
 
 // take acts on a message by its kind and by whom it comes from.
@@ -57,7 +57,7 @@
 	if err != nil {
 		return 0, false
 	}
-	return x, x >= 0 && start.Sane(x) == x
+	return x, x >= 0 && settings.Sane(x) == x
 }
 
 // eitherAt reads a figure that goes by one of two names; one that is not there is negative. One that is there and not
@@ -82,7 +82,7 @@
 // spanAt reads the time that a report covers, in seconds; no time at all, or too long a one, is not usable.
 func (p *peer) spanAt(m *fastjson.Value) (int64, float64, bool) {
 	x, ok := figureAt(m, "interval")
-	span := start.Micros(x)
+	span := settings.Micros(x)
 	return span, float64(span) / second, ok && span > 0 && span <= p.limits.span
 }
 
@@ -177,7 +177,7 @@
 	tries, ok := countAt(m, "total", p.limits.fleetRate, seconds)
 	failed, counted := countAt(m, "errors", p.limits.fleetRate, seconds)
 	rtt, answered := figureAt(m, "rtt")
-	mean := start.Micros(rtt)
+	mean := settings.Micros(rtt)
 	said, spoilt := m.Get("metrics"), false
 	if said != nil && said.Type() != fastjson.TypeObject {
 		spoilt = true
--- a/controller/module.go
+++ b/controller/module.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 
 	"wheelrill/balancer"
-	"wheelrill/internal/start"
+	"wheelrill/internal/settings"
 )
 
 // module is the actor around the decisions: it hands them what happens, one thing after the other, and is their Host.
@@ -293,7 +293,7 @@
 	}
 	weight, _ := figureAt(server, "weight")
 	began, _ := figureAt(server, "started_ms")
-	return balancer.Entry{Backend: backend, Condition: condition, Started: start.Micros(began), Weight: weight,
+	return balancer.Entry{Backend: backend, Condition: condition, Started: settings.Micros(began), Weight: weight,
 		Zone: zone}, true
 }
 
--- a/internal/start/facts.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package start reads the settings that a controller starts with into the types of the decisions, whether they
+// Package settings reads the settings that a controller starts with into the types of the decisions, whether they
 // come as lines of path=value or as nested JSON. It decides nothing.
-package start
+package settings
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"wheelrill/balancer"
 )
 
-// Facts are settings by their paths. The first key that is missing or unusable is kept.
-type Facts struct {
+// Settings are settings by their paths. The first key that is missing or unusable is kept.
+type Settings struct {
 	pairs map[string]string
 	lists map[string][]string
 	err   error
@@ -24,8 +24,8 @@
 }
 
 // Lines reads settings of one path=value a line; what is odd but usable is told to odd.
-func Lines(text string, odd func(string, ...any)) *Facts {
-	f := &Facts{pairs: map[string]string{}, odd: odd}
+func Lines(text string, odd func(string, ...any)) *Settings {
+	f := &Settings{pairs: map[string]string{}, odd: odd}
 	for _, line := range strings.Split(text, "\n") {
 		if key, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
 			f.pairs[key] = value
@@ -35,13 +35,13 @@
 }
 
 // Nested reads settings from an object, flattened to the paths that Lines reads; lists keep their texts.
-func Nested(settings *fastjson.Value, odd func(string, ...any)) *Facts {
-	f := &Facts{pairs: map[string]string{}, lists: map[string][]string{}, odd: odd}
+func Nested(settings *fastjson.Value, odd func(string, ...any)) *Settings {
+	f := &Settings{pairs: map[string]string{}, lists: map[string][]string{}, odd: odd}
 	f.flatten("", settings)
 	return f
 }
 
-func (f *Facts) flatten(path string, v *fastjson.Value) {
+func (f *Settings) flatten(path string, v *fastjson.Value) {
 	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -69,14 +69,14 @@
 }
 
 // Fail notes that a key cannot be used; the first one stays.
-func (f *Facts) Fail(key, why string) {
+func (f *Settings) Fail(key, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("setting %s %s", key, why)
 	}
 }
 
 // Err names the first key that was missing or unusable among those read so far.
-func (f *Facts) Err() error { return f.err }
+func (f *Settings) Err() error { return f.err }
 
 // Micros turns milliseconds into whole microseconds; what is not a usable figure is 0.
 func Micros(ms float64) int64 {
@@ -93,7 +93,7 @@
 }
 
 // number reads a figure that the module cannot do without.
-func (f *Facts) number(key string) float64 {
+func (f *Settings) number(key string) float64 {
 	text, ok := f.pairs[key]
 	if !ok {
 		f.Fail(key, "is missing")
@@ -108,7 +108,7 @@
 }
 
 // Count reads a figure that sizes something here.
-func (f *Facts) Count(key string) int {
+func (f *Settings) Count(key string) int {
 	x := f.number(key)
 	if x > math.MaxUint16 {
 		f.Fail(key, "is out of all bounds")
@@ -118,7 +118,7 @@
 }
 
 // Maybe reads a figure whose absence means the given one.
-func (f *Facts) Maybe(key string, absent float64) float64 {
+func (f *Settings) Maybe(key string, absent float64) float64 {
 	if !f.has(key) {
 		return absent
 	}
@@ -127,7 +127,7 @@
 
 // has tells whether a key is there that may be absent. One that is only written otherwise is refused: its absence would
 // be taken for a wish.
-func (f *Facts) has(key string) bool {
+func (f *Settings) has(key string) bool {
 	if _, ok := f.pairs[key]; ok {
 		return true
 	}
@@ -143,10 +143,10 @@
 	return strings.NewReplacer("_", "", "-", "").Replace(strings.ToLower(key))
 }
 
-func (f *Facts) Span(key string) int64 { return Micros(f.number(key)) }
+func (f *Settings) Span(key string) int64 { return Micros(f.number(key)) }
 
 // some reads a figure that cannot be 0.
-func (f *Facts) some(key string) float64 {
+func (f *Settings) some(key string) float64 {
 	x := f.number(key)
 	if x == 0 {
 		f.Fail(key, "is 0")
@@ -155,7 +155,7 @@
 }
 
 // truth reads a yes or no; another word, or none, is the careful one.
-func (f *Facts) truth(key string, careful bool) bool {
+func (f *Settings) truth(key string, careful bool) bool {
 	f.has(key)
 	switch text, ok := f.pairs[key]; {
 	case text == "true":
@@ -169,7 +169,7 @@
 }
 
 // List reads a list of plain words.
-func (f *Facts) List(key string) []string {
+func (f *Settings) List(key string) []string {
 	f.has(key)
 	if words, ok := f.lists[key]; ok {
 		return words
@@ -181,7 +181,7 @@
 }
 
 // word finds a word of the wire among ours; another word, or none, is the careful one.
-func word[T any](f *Facts, key string, careful T, known map[string]T) T {
+func word[T any](f *Settings, key string, careful T, known map[string]T) T {
 	text, ok := f.pairs[key]
 	if value, there := known[text]; there {
 		return value
@@ -192,7 +192,7 @@
 	return careful
 }
 
-func (f *Facts) Classes() []balancer.Class {
+func (f *Settings) Classes() []balancer.Class {
 	const writesKey, ownKey = "familyInfo.classWrites", "familyInfo.staysLocal"
 	writes, own := f.List(writesKey), f.List(ownKey)
 	at := func(list []string, i int, absent bool) bool {
@@ -225,7 +225,7 @@
 	return classes
 }
 
-func (f *Facts) Channel() balancer.Channel {
+func (f *Settings) Channel() balancer.Channel {
 	return balancer.Channel{
 		LinesPerS:    f.some("familyInfo.egressPerS"),
 		Head:         f.number("familyInfo.overhead"),
@@ -238,7 +238,7 @@
 	}
 }
 
-func (f *Facts) Limits() balancer.Limits {
+func (f *Settings) Limits() balancer.Limits {
 	return balancer.Limits{
 		Grace:             Micros(f.some("rules.stopSendingWithin")),
 		ColdShare:         f.number("rules.coldShare"),
@@ -247,7 +247,7 @@
 	}
 }
 
-func (f *Facts) Partition() balancer.Partition {
+func (f *Settings) Partition() balancer.Partition {
 	p := balancer.Partition{Count: int(min(f.Maybe("familyInfo.partitionsN", 0), math.MaxUint16))}
 	if p.Count > 0 {
 		p.SingleOwner = f.truth("familyInfo.singleWriter", true)
@@ -257,7 +257,7 @@
 	return p
 }
 
-func (f *Facts) Sight() balancer.Sight {
+func (f *Settings) Sight() balancer.Sight {
 	s := balancer.Sight{
 		ReportEvery: Micros(f.some("familyInfo.reportEvery")),
 		LinesPerS:   f.Maybe("familyInfo.ingestRate", 0),
@@ -273,13 +273,13 @@
 	return s
 }
 
-func (f *Facts) Admission() balancer.Admission {
+func (f *Settings) Admission() balancer.Admission {
 	return word(f, "familyInfo.admission", balancer.AdmitNone, map[string]balancer.Admission{
 		"silent": balancer.AdmitNone, "fraction": balancer.AdmitShare, "per_second": balancer.AdmitRate})
 }
 
 // LoadFields gives the positions of the figures we read in a load report.
-func (f *Facts) LoadFields() []string {
+func (f *Settings) LoadFields() []string {
 	if f.pairs["reporting.how"] == "silent" {
 		return nil
 	}
@@ -287,7 +287,7 @@
 }
 
 // Zones reads the names of the zones.
-func (f *Facts) Zones() []string {
+func (f *Settings) Zones() []string {
 	zones := f.List("azs")
 	if len(zones) == 0 {
 		f.Fail("azs", "is missing")
--- a/internal/simwire/door.go
+++ b/internal/simwire/server.go
@@ -7,7 +7,7 @@
 	"math"
 
 	"wheelrill/balancer"
-	"wheelrill/internal/start"
+	"wheelrill/internal/settings"
 )
 
 const (
@@ -41,14 +41,14 @@
 	const most = 200 // different complaints; beyond these the wire is not ours
 	if !d.said[line] && len(d.said) < most {
 		d.said[line] = true
-		fmt.Fprintln(d.complaints, "benchlink:", line)
+		fmt.Fprintln(d.complaints, "simadapter:", line)
 	}
 }
 
 // Handle plays one batch and gives the reply to it.
 func (d *Door) Handle(batch Batch) (*Reply, error) {
 	d.reply.Reset(batch.Seq)
-	d.clock = start.Micros(batch.Clock)
+	d.clock = settings.Micros(batch.Clock)
 	for i := range batch.Events() {
 		if err := d.take(batch.event(i)); err != nil {
 			return nil, fmt.Errorf("frame %d, event %d: %w", batch.Seq, i, err)
@@ -102,7 +102,7 @@
 func (d *Door) create(id uint16, seed uint64, text string) {
 	in := &instance{door: d, id: id}
 	d.instances[id] = in
-	f := start.Lines(text, d.odd)
+	f := settings.Lines(text, d.odd)
 	channel, limits, classes := f.Channel(), f.Limits(), f.Classes()
 	channel.Levels = float64(len(classes)) // this wire repeats the levels of all tables with each message
 	partition, sight, admission := f.Partition(), f.Sight(), f.Admission()
@@ -185,15 +185,15 @@
 		if b, ok := in.known(&in.backends, r.u32(4), "backend"); ok && in.in(int(r.u8(3)), in.zones, "zone") {
 			tries := int(r.u32(8))
 			failed := min(int(r.u32(12)), tries)
-			in.control.Heard(b, tries, failed, start.Micros(r.f64(16)), start.Micros(r.f64(24)), in.load(r, 32))
+			in.control.Heard(b, tries, failed, settings.Micros(r.f64(16)), settings.Micros(r.f64(24)), in.load(r, 32))
 		}
 	case evArrivals:
 		if p, ok := in.known(&in.proxies, uint32(r.u16(3)), "proxy"); ok && in.in(int(r.u8(5)), in.classes, "class") {
-			in.control.Came(p, int(r.u8(5)), int(r.u32(6)), start.Micros(r.f64(14)))
+			in.control.Came(p, int(r.u8(5)), int(r.u32(6)), settings.Micros(r.f64(14)))
 		}
 	case evPressure:
 		if in.in(int(r.u16(3)), in.slices, "slice") && in.in(int(r.u8(5)), in.classes, "class") {
-			in.control.SliceCame(int(r.u16(3)), int(r.u8(5)), int(r.u32(6)), start.Micros(r.f64(14)))
+			in.control.SliceCame(int(r.u16(3)), int(r.u8(5)), int(r.u32(6)), settings.Micros(r.f64(14)))
 		}
 	case evTenure:
 		if in.in(int(r.u16(3)), in.slices, "slice") {
@@ -258,7 +258,7 @@
 			continue
 		}
 		entries = append(entries, balancer.Entry{
-			Backend: in.backends.number(e.u32(18)), Condition: condition, Started: start.Micros(e.f64(0)),
+			Backend: in.backends.number(e.u32(18)), Condition: condition, Started: settings.Micros(e.f64(0)),
 			Weight: e.f32(11), Zone: int(e.u8(17)),
 		})
 	}
