--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -7,22 +7,26 @@
 )
 
 const (
-	// tickInterval is how often what waits for time, or for room in the channel, is looked at again.
+	// tickInterval is the time between ticks. Each tick checks the changes that wait for time to
+	// pass, or for capacity in the push channel.
 	tickInterval = second / 4
 	// minPollBackoff is the shortest pause between two polls of the endpoint list.
 	minPollBackoff = second / 2
-	// pollsInInterval is how many polls fit into the longest interval allowed, so that a failed one may be repeated.
+	// pollsInInterval is how many polls fit into the longest allowed poll interval, so that a
+	// failed poll can be repeated within it.
 	pollsInInterval = 4
-	// never is a time that does not come.
+	// never is later than any time that Host.Now returns.
 	never Microseconds = 1 << 62
 )
 
-// Controller decides for the proxies that are connected to it. Its methods are the events that it handles; one may be
-// called at a time. It belongs to its caller, and ends when that drops it.
+// Controller makes the decisions for the proxies that are connected to it. Its methods are the
+// events that it handles; only one may be called at a time. It holds no resources, so a caller that
+// no longer needs it drops it.
 //
-// Reports about a backend that was never listed are ignored. Other indices must be known: of a proxy, one that
-// ProxyConnected or MessagesSentByPeers was given; of a class or shard, one below their number. An event about an unknown
-// one panics, as that is a caller's error.
+// Reports about a backend that was never listed are ignored. Other indices must be known: the index
+// of a proxy must have been passed to ProxyConnected or MessagesSentByPeers before, and the index
+// of a class or shard must be below the number of classes or shards. An event with an unknown index
+// is an error of the caller, and panics.
 type Controller struct {
 	host      Host
 	seed      uint64
@@ -30,41 +34,41 @@
 	telemetry Telemetry
 	classes   []Class
 
-	backends  []*backendState // by index; nothing is listed of those that the list has not named
+	backends  []*backendState // by index; an entry that no endpoint list has named yet has listed unset
 	proxies   []*proxyState   // by index
 	pushQueue pushQueue
 	sharding  shardingState
 	admission admissionState
 
 	// Endpoint list.
-	pollAt         Microseconds // when the next poll is due, where polling is required
+	pollAt         Microseconds // time of the next poll, if polling is required
 	pollBackoff    Microseconds
-	endpointsKnown bool // a complete list that was not empty has come
-	warmEverListed bool // some listed backend was ready and warm at some time; it stays set when that one goes
+	endpointsKnown bool // a complete list with at least one endpoint has been received
+	warmEverListed bool // some listed backend was once ready and warm, even if it is no longer listed
 
 	// Reports.
-	evaluatedAt Microseconds // when reports were last evaluated
-	newAttempts int          // attempts reported since then
-	reportSpan  float64      // what a report line covers of late, in microseconds
-	panicMode   bool         // every usable backend is ejected, so all are published
+	evaluatedAt Microseconds // time of the last evaluation of reports
+	newAttempts int          // attempts reported since that evaluation
+	reportSpan  float64      // smoothed time that a report line covers, in microseconds
+	panicMode   bool         // all usable backends are ejected, so all of them are published
 
-	// Tables: one a subset for the shared classes, then one a zone for the zone-local ones.
+	// Tables: one per subset for the shared classes, then one per zone for the zone-local classes.
 	subsetCount      int
 	sharedClasses    uint16
 	zoneLocalClasses uint16
 
 	// Publication.
-	publishedAt    Microseconds // when ordinary changes last went out; 0 if some were left over
-	changedAt      Microseconds // when any change last went to several proxies
-	graceAtListing Microseconds // what pending drains had of their grace as they were last listed, see computeGraceAtListing
-	queueCongested bool         // changes wait for the channel, so tables of proxies do as well
-	syncQueue      []int        // proxies that wait for tables, and then to be cleared of withdrawals
+	publishedAt    Microseconds // time of the last round that published a change; 0 if it left some entries over
+	changedAt      Microseconds // time at which any change was last sent to several proxies
+	graceAtListing Microseconds // drain grace that pending drains had left when last listed, see computeGraceAtListing
+	queueCongested bool         // changes wait for the push channel, so tables for proxies wait as well
+	syncQueue      []int        // proxies that wait for tables, and then for withdrawals to be cleared
 
 	randomDraws uint64
 }
 
-// New makes a controller that knows nothing yet: until reports come, no backend is ejected. It returns ErrClassCount or
-// ErrShardCount where the figures cannot be used.
+// New returns a controller without any state: it ejects no backend until reports arrive. It returns
+// ErrClassCount or ErrShardCount if the number of classes or shards in the Config is out of range.
 func New(host Host, config Config) (*Controller, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -93,10 +97,11 @@
 	return c, nil
 }
 
-// TimerFired is the end of a timer. With each tick, whatever waited for time or for room in the channel is looked at.
+// TimerFired handles the end of a timer. Each tick checks the changes that wait for time to pass,
+// or for capacity in the push channel.
 func (c *Controller) TimerFired(tag uint64) {
 	if tag != c.timerTag() {
-		return // a timer of an earlier incarnation
+		return // timer of an earlier incarnation
 	}
 	now := c.host.Now()
 	c.host.SetTimer(tickInterval, c.timerTag())
@@ -117,7 +122,7 @@
 	c.publishChanges(now, ordinary)
 }
 
-// EndpointsUpdated takes in the endpoint list: all of it, or what changed.
+// EndpointsUpdated handles an endpoint list: a complete one, or only the endpoints that changed.
 func (c *Controller) EndpointsUpdated(complete bool, endpoints []Endpoint) {
 	now := c.host.Now()
 	c.pollBackoff = 0
@@ -139,10 +144,11 @@
 	c.publishChanges(now, false)
 }
 
-// updateBackends takes in listed states, and tells which backends they name. A new one goes to the lightest subset.
+// updateBackends stores listed states, and returns which backends the list names, by index. A new
+// backend is added to the lightest subset.
 func (c *Controller) updateBackends(endpoints []Endpoint, now Microseconds) (named []bool) {
 	named = make([]bool, len(c.backends))
-	var weights *subsetWeights // summed up once, for the first new backend, as that goes over all
+	var weights *subsetWeights // computed at the first new backend only, since that visits all backends
 	for _, endpoint := range endpoints {
 		for len(c.backends) <= endpoint.Backend {
 			c.backends = append(c.backends, &backendState{})
@@ -163,21 +169,23 @@
 	return named
 }
 
-// EndpointPollFailed has the list polled again after a while, spread by chance so that controllers do not ask together.
+// EndpointPollFailed schedules the next poll of the endpoint list after a backoff. The backoff is
+// randomized so that controllers do not poll at the same time.
 func (c *Controller) EndpointPollFailed() {
 	spread := 0.5 + c.randomFraction()
 	c.pollAt = c.host.Now() + int64(float64(c.pollBackoff)*spread)
 }
 
-// pollEndpoints asks for the list. An answer, or a failure, always comes.
+// pollEndpoints requests the endpoint list. The Host always answers, with a list or with a failure.
 func (c *Controller) pollEndpoints() {
 	c.host.PollEndpoints()
 	c.pollBackoff = max(minPollBackoff, min(2*c.pollBackoff, c.telemetry.MaxPollInterval/pollsInInterval))
 	c.pollAt = never
 }
 
-// ForgetBackend ends what is kept of a backend that is removed and has no entry left, so that its index may mean
-// another, and tells whether it did. The backend must have been listed once.
+// ForgetBackend deletes the state of a backend that is removed and has no entry left, so that its
+// index can be reused for another backend. It reports whether the state was deleted. The backend
+// must have been listed before.
 func (c *Controller) ForgetBackend(id int) bool {
 	backend := c.backends[id]
 	if backend.State != Removed || backend.published != 0 {
@@ -187,7 +195,8 @@
 	return true
 }
 
-// OutcomesReported is what our proxies met at a backend. Which reports count is in outlier.go.
+// OutcomesReported handles the outcomes of attempts that this controller's proxies made at a
+// backend. outlier.go states which reports count.
 func (c *Controller) OutcomesReported(report OutcomeReport) {
 	if report.Backend >= len(c.backends) || report.Attempts <= 0 {
 		return
@@ -212,8 +221,10 @@
 	backend.noteAttempts(report.Attempts, report.Failures, now)
 }
 
-// PeerOutcomesReported is what proxies of another controller met at a backend. It counts where ours met nothing, or no
-// answer either (outlier.go). Backoff is that of the backend's ejection there, or 0.
+// PeerOutcomesReported handles the outcomes of attempts that proxies of another controller made at
+// a backend. They count if this controller's proxies reported no attempts there, or no answered
+// attempt either (outlier.go). The backoff is that of the other controller's ejection of the
+// backend, or 0 if the backend is not ejected there.
 func (c *Controller) PeerOutcomesReported(id, attempts, failures int, mean, backoff Microseconds) {
 	if id >= len(c.backends) || attempts <= 0 {
 		return
@@ -238,15 +249,16 @@
 	}
 }
 
-// HealthCheckCompleted is how a health check ended. A pass may show little more than that the process runs.
+// HealthCheckCompleted handles the result of a health check. A passed check may show little more
+// than that the backend's process runs.
 func (c *Controller) HealthCheckCompleted(id int, result HealthCheckResult) {
 	if id < len(c.backends) && result == HealthCheckPassed && c.backends[id].ejected {
 		c.readmit(id, c.host.Now(), true)
 	}
 }
 
-// DemandReported is how many requests of a class came to a proxy within a span, refused ones and repeats by clients
-// among them.
+// DemandReported handles a count of the requests of a class that reached a proxy within a span of
+// time, including refused requests and retries by clients.
 func (c *Controller) DemandReported(id, class, count int, span Microseconds) {
 	proxy := c.proxies[id]
 	if !proxy.connected || span <= 0 {
@@ -257,15 +269,16 @@
 	c.noteReportSpan(span)
 }
 
-// ProxyConnected takes a proxy in, with the rate that comes to it on ordinary days, in requests a second. It uses stale
-// tables until it gets ours, as soon as there is room; mayHoldForeignWithdrawals says that it may hold withdrawals of other
-// controllers.
+// ProxyConnected handles a new connection of a proxy, with the baseline rate of requests per second
+// that reaches the proxy on ordinary days. The proxy uses stale tables until this controller sends
+// its own, as soon as there is capacity. mayHoldForeignWithdrawals states that the proxy may hold
+// withdrawals of other controllers.
 func (c *Controller) ProxyConnected(id, zone int, baseline RequestsPerSecond, mayHoldForeignWithdrawals bool) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxyState{})
 	}
 	now := c.host.Now()
-	before := c.proxies[id]
+	previous := c.proxies[id]
 	classCount := len(c.classes)
 	c.proxies[id] = &proxyState{
 		connected:                 true,
@@ -274,36 +287,39 @@
 		subset:                    id % c.subsetCount,
 		baselineRate:              max(baseline, 1),
 		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
-		hasOurTables:              c.sharding.enabled(),
+		tablesAssigned:            c.sharding.enabled(),
 		mayHoldForeignWithdrawals: mayHoldForeignWithdrawals,
-		messageTimes:              before.peerMessageTimes,
-		peersReportedMessages:     before.peerMessageTimes != nil,
+		messageTimes:              previous.peerMessageTimes,
+		peersReportedMessages:     previous.peerMessageTimes != nil,
 	}
 	c.sharding.repeatFences()
 	c.enqueueForSync(id)
 	c.syncProxies(now)
 }
 
-// ProxyDisconnected is the end of a proxy's connection: it goes on with what it holds, and can be sent nothing more.
+// ProxyDisconnected handles the end of a proxy's connection. The proxy continues with the tables
+// and limits that it holds, and cannot be sent further messages.
 func (c *Controller) ProxyDisconnected(id int) {
 	c.proxies[id] = &proxyState{disconnectedAt: c.host.Now()}
 }
 
-// Acknowledged is a proxy's answer to Host.RequestAck: that message has come through, with all that left before it.
+// Acknowledged handles a proxy's answer to Host.RequestAck: the proxy has received that message,
+// and all messages sent before it.
 func (c *Controller) Acknowledged(id, number int) {
 	proxy := c.proxies[id]
 	proxy.acknowledged = c.pushQueue.acknowledge(number, proxy)
 	c.syncProxies(c.host.Now())
 }
 
-// MessagesSentByPeers counts messages that other controllers have sent to a proxy within the message window, or will
-// have. They count for a proxy that is connected, or for the one that connects next.
+// MessagesSentByPeers handles the number of messages that other controllers have sent to a proxy
+// within the message window, or are going to send. The messages count for the current connection of
+// the proxy, or for its next one if it is not connected.
 func (c *Controller) MessagesSentByPeers(id, messages int) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxyState{})
 	}
 	proxy := c.proxies[id]
-	at := c.host.Now() - 1 // not of this clock time: a message of our own would share that one
+	at := c.host.Now() - 1 // at the current time, a message of this controller would be taken to share them
 	times := slices.Repeat([]Microseconds{at}, messages)
 	if proxy.connected {
 		proxy.messageTimes = append(times, proxy.messageTimes...)
@@ -312,29 +328,33 @@
 	}
 }
 
-// SeedDemand takes what another controller counted at a proxy that connected to us, in requests a second by class.
+// SeedDemand sets the demand of a proxy that connected to this controller to the rates that another
+// controller measured, in requests per second by class.
 func (c *Controller) SeedDemand(id int, rates []RequestsPerSecond) { copy(c.proxies[id].demand, rates) }
 
-// SeedThroughput takes another controller's Throughput, in place of what we have not seen ourselves.
+// SeedThroughput uses another controller's Throughput for each of the two figures that this
+// controller has not measured itself.
 func (c *Controller) SeedThroughput(proven, saturated float64) {
 	c.admission.seedThroughput(proven, saturated)
 }
 
-// Throughput is what the fleet was seen to do for each unit of weight and of baseline demand, in units a second (see
-// admission.go): without a queue, and with one; 0 if that is not known.
+// Throughput returns the measured throughput of the fleet per unit of weight and of baseline
+// demand, in units per second (see admission.go): without a queue at the backends, and with one. A
+// figure is 0 if it is unknown.
 func (c *Controller) Throughput() (proven, saturated float64) {
 	return c.admission.provenThroughput, c.admission.saturatedThroughput
 }
 
-// SetClassQuota takes how many requests of a class the whole fleet may be sent in a second, at all controllers; 0 is any
-// number.
+// SetClassQuota limits how many requests of a class the whole fleet may be sent per second, by all
+// controllers together; 0 means unlimited.
 func (c *Controller) SetClassQuota(class int, quota RequestsPerSecond) {
 	c.admission.quota[class] = quota
 	c.distributeLimit()
 }
 
-// Ejection tells whether a backend is ejected by what our own proxies met, on which attempts as far as they are known,
-// and for how long.
+// Ejection reports whether a backend is ejected because of outcomes at this controller's own
+// proxies, with the attempts and failures behind that as far as they are known, and the length of
+// the ejection.
 func (c *Controller) Ejection(id int) (attempts, failures int, backoff Microseconds, ejected bool) {
 	if id >= len(c.backends) {
 		return 0, 0, 0, false
@@ -347,21 +367,24 @@
 	return attempts, failures, backend.backoff, backend.ejected && !backend.ejectedByPeerReport
 }
 
-// timerTag is the tag of this incarnation's timers, as each incarnation has another seed.
+// timerTag returns the tag of the timers of this incarnation, which is unique since each
+// incarnation has its own seed.
 func (c *Controller) timerTag() uint64 { return c.seed }
 
-// QueueDelay is how long what waits in the channel takes to leave: an ack is not answered before.
+// QueueDelay returns the time until all queued lines have left the push channel. No ack for them
+// can arrive before that.
 func (c *Controller) QueueDelay() Microseconds { return c.pushQueue.delay() }
 
-// randomFraction is a random number from 0 to 1, decided by the seed and by how many were drawn before.
+// randomFraction returns a random number from 0 to 1, determined by the seed and the number of
+// earlier draws.
 func (c *Controller) randomFraction() float64 {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprint(hash, c.seed, " ", c.randomDraws) // a hash takes everything
+	_, _ = fmt.Fprint(hash, c.seed, " ", c.randomDraws) // writing to a hash never fails
 	c.randomDraws++
 	return float64(hash.Sum64()>>11) / (1 << 53)
 }
 
-// logf records a decision about a backend, or about none (-1).
+// logf records a decision about a backend; -1 stands for a decision about no single backend.
 func (c *Controller) logf(backend int, format string, args ...any) {
 	c.host.Log(backend, fmt.Sprintf(format, args...))
 }
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -41,7 +41,7 @@
 		rates = append(rates, rate)
 	}
 	for _, shard := range c.sharding.shards {
-		if !shard.assignedToUs {
+		if !shard.assigned {
 			continue
 		}
 		for i := range rates {
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -1,16 +1,20 @@
 package balancer
 
-// Drain: proxies must have left a draining backend within RuleLimits.DrainGrace, and a removed one too, unless
-// RuleLimits.OnlyDrainingMustLeave. Such a change is required; publish.go has when it goes, and in which order, with
-// withdrawals for proxies that may hold tables of other controllers.
+// Drain: proxies must stop using a draining backend within RuleLimits.DrainGrace. The same holds for
+// a removed backend, unless RuleLimits.OnlyDrainingMustLeave is set and the backend has not been
+// draining since it was last ready. Such a change is required; publish.go states when it is
+// published and in which order, with withdrawals for proxies that may hold tables of other
+// controllers.
 //
-// The grace counts from the order of the drain where the list has that time (Endpoint.DrainingSince), else from the list
-// that names it. Nothing here notices that a drain is late. In recorded runs invariant/drain_grace.go does, but there the
-// grace counts from when discovery told of the drain, or from when the proxy connected, if that was later.
+// The grace starts when the drain was ordered if the list has that time (Endpoint.DrainingSince),
+// otherwise with the list that reports the drain. This package does not detect late drains. In
+// recorded runs invariant/drain_grace.go does, but there the grace starts when discovery reported
+// the drain, or when the proxy connected, if that was later.
 //
 // Inputs are the listed state and Endpoint.DrainingSince (microseconds).
 
-// noteDrain takes in that the backend is listed as not ready.
+// noteDrain records, for a backend that is listed as not ready, whether it drains and how late the
+// list reports that.
 func (b *backendState) noteDrain(now Microseconds) {
 	if b.State != Draining {
 		return
@@ -21,14 +25,15 @@
 	}
 }
 
-// mustLeave tells whether proxies must leave a backend.
+// mustLeave reports whether proxies must stop using a backend.
 func (c *Controller) mustLeave(backend *backendState) bool {
-	binds := backend.seenDraining || !c.rules.OnlyDrainingMustLeave
-	return backend.listed && backend.State != Ready && binds
+	stateRequiresIt := backend.seenDraining || !c.rules.OnlyDrainingMustLeave
+	return backend.listed && backend.State != Ready && stateRequiresIt
 }
 
-// computeGraceAtListing is the drain grace less the longest time from a pending drain's order to the last list that named
-// it. A drain is pending until all proxies are notified. The figure does not count down with time, only with further lists.
+// computeGraceAtListing returns the drain grace less the longest time from the order of a pending
+// drain to the last list that named the backend as draining. A drain is pending until all proxies
+// are notified. The result does not decrease as time passes, only with further lists.
 func (c *Controller) computeGraceAtListing() Microseconds {
 	delay := Microseconds(0)
 	for _, backend := range c.backends {
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -109,7 +109,7 @@
 		host.controller.ProxyDisconnected(0)
 		host.controller.MessagesSentByPeers(0, 4)
 		host.controller.ProxyConnected(0, 0, 10, false)
-		if !host.controller.proxies[0].hasOurTables {
+		if !host.controller.proxies[0].tablesAssigned {
 			t.Fatal("not bound, though four messages are left")
 		}
 		host.run(4, func() { host.reportHealthy(2); host.reportOutcomes(2, 10, 10, 0) })
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -1,32 +1,40 @@
 package balancer
 
-// proxyState is all that is known of one proxy.
+// proxyState holds the state of one proxy.
 type proxyState struct {
 	connected      bool
 	connectedAt    Microseconds
-	disconnectedAt Microseconds // 0 if it never was, or is connected again
+	disconnectedAt Microseconds // 0 if the proxy has never disconnected, or is connected again
 	zone, subset   int
-	baselineRate   float64   // requests a second that come to it on ordinary days, 1 at least
-	demand         []float64 // requests a second that come to it now, by class
+	baselineRate   float64   // requests per second that reach the proxy on ordinary days, at least 1
+	demand         []float64 // requests per second that reach the proxy now, by class
 
-	hasOurTables bool // its tables are ours; always with shards, where it has no tables and reads owners from the store
+	// tablesAssigned is set once this controller has assigned its tables to the proxy. With sharding
+	// it is always set: such a proxy has no tables, and reads owners from the store of shards.
+	tablesAssigned bool
 
-	// Withdrawals of other controllers that it may hold, see sync.go.
-	mayHoldForeignWithdrawals bool
-	withdrawalsSynced         bool    // it was notified of ours before it had our tables
-	withdrawalsCleared        bool    // it uses a backend again with that backend's first entry, which costs a line more
-	heldWithdrawals           float64 // how many of ours it holds since then: the same
+	// Withdrawals that the proxy may hold, see sync.go.
+	mayHoldForeignWithdrawals bool    // withdrawals of other controllers
+	withdrawalsSynced         bool    // withdrawals of this controller were sent before its tables
+	withdrawalsCleared        bool    // each backend's first entry lifts its withdrawal, which costs one more line
+	heldWithdrawals           float64 // number sent by this controller before its tables; costs the same line each
 
-	acknowledged          int64          // push batches up to this number have come through
-	messageTimes          []Microseconds // when messages went to it, within the window that counts
-	peerMessageTimes      []Microseconds // when those of other controllers did, for when it connects
-	peersReportedMessages bool           // peers told of theirs before it connected (even of none), see messagesForRequired
+	acknowledged     int64          // the proxy has received all push batches up to this number
+	messageTimes     []Microseconds // times of messages to the proxy, within the message window
+	peerMessageTimes []Microseconds // times of other controllers' messages, used when the proxy connects
+
+	// peersReportedMessages is set if other controllers reported, before the proxy connected, how
+	// many messages they have sent to it, even if that number was 0; see messagesForRequired.
+	peersReportedMessages bool
 }
 
-// mayKeepOff tells whether the proxy may keep off a backend until its first entry, which costs it a line more.
-func (p *proxyState) mayKeepOff() bool { return p.withdrawalsCleared || p.heldWithdrawals > 0 }
+// firstEntryLiftsWithdrawal reports whether the proxy may avoid a backend until the backend's first
+// entry, which then costs one more line.
+func (p *proxyState) firstEntryLiftsWithdrawal() bool {
+	return p.withdrawalsCleared || p.heldWithdrawals > 0
+}
 
-// connectedCount is how many proxies are connected.
+// connectedCount returns the number of connected proxies.
 func (c *Controller) connectedCount() float64 {
 	connected := 0
 	for _, proxy := range c.proxies {
@@ -37,7 +45,8 @@
 	return float64(connected)
 }
 
-// baselineDemand is what comes to our proxies on ordinary days, in requests a second.
+// baselineDemand returns the requests per second that reach the proxies of this controller on
+// ordinary days.
 func (c *Controller) baselineDemand() RequestsPerSecond {
 	total := 0.
 	for _, proxy := range c.proxies {
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -6,81 +6,93 @@
 	"slices"
 )
 
-// Publication: table entries that differ from their target weight (weight.go) go out to all proxies of their tables, in
-// rounds.
+// Publication: table entries that differ from their target weight (weight.go) are sent to all proxies
+// of their tables, in rounds.
 //
-// Required changes are entries of backends that must be left (drain.go), their withdrawals, lower weights of backends that
-// are warming up, the first entries of empty tables, backends for a short subset (subset.go), and a lowered admission limit
-// (admission.go). All others are ordinary.
+// Required changes are the entries of backends that proxies must stop using (drain.go), withdrawals
+// of these backends, lower weights of backends that are warming up, the first entries of empty
+// tables, backends for a short subset (subset.go), and a lowered admission limit (admission.go). All
+// other changes are ordinary.
 //
-// A round is due with each endpoint list and each tick where something is required, and with a tick once
-// minPublishInterval has passed since the last round that published anything, or some of its entries were left over. It is
-// not tried again with an ack. A round that is due starts (mayPublish) only if
-//   - enough time has passed since any change of an earlier clock time went to several proxies, where the settings limit
-//     messages: the drain grace that was left at listing (computeGraceAtListing), less the way and a tick, over
-//     publicationsPerGrace, or the message window over its messages if that is shorter;
-//   - no more than nearlyEmptyShare of the push queue's capacity is waiting, or all that is required fits into it;
-//   - each proxy with our tables may be sent one more message (mayPush).
+// A round is due with each endpoint list and each tick if a required change is pending. It is also
+// due with a tick once minPublishInterval has passed since the last round that published anything,
+// or if that round left some of its entries over. An ack does not trigger a round. A round that is
+// due starts (mayPublish) only if
+//   - enough time has passed since any change of an earlier clock time was sent to several proxies,
+//     if the settings limit messages. The time is the drain grace that was left at listing
+//     (computeGraceAtListing), less PushChannel.MaxLatency and a tick, divided by
+//     publicationsPerGrace, or the message window divided by its messages if that is shorter;
+//   - no more than nearlyEmptyShare of the push queue's capacity is queued, or all required changes
+//     fit into it;
+//   - each proxy with assigned tables may be sent one more message (mayPush).
 //
-// Then go, in this order, as far as the push queue has capacity (pushqueue.go):
-//  1. required entries, subset by subset, the one that changes most first, and in it the largest change first;
-//  2. ordinary entries in the same order, since they share these messages, up to ordinaryShare of the capacity, and none
-//     that would make the tables of waiting proxies late (sync.go);
+// The round then sends, in this order and as far as the push queue has capacity (pushqueue.go):
+//  1. required entries, subset by subset: first the subset that changes most, and within it the
+//     largest change first;
+//  2. ordinary entries in the same order, since they share these messages, up to ordinaryShare of
+//     the capacity, and none that would make the tables of waiting proxies late (sync.go);
 //  3. entries of backends that move to a short subset;
-//  4. withdrawals, for proxies that may use backends which our tables do not give them;
+//  4. withdrawals, for proxies that may use backends which the tables of this controller do not
+//     give them;
 //  5. limits that have changed, whatever capacity is left.
 //
-// What is left over goes with a later round, so that changes which do not fit go in pieces.
+// Changes left over are sent in a later round, so that a set of changes that does not fit is sent in
+// pieces.
 //
-// Inputs are weights, and the costs of what goes out, in lines (pushqueue.go).
+// Inputs are weights, and the costs of the changes, in lines (pushqueue.go).
 
 const (
 	// minPublishInterval is the time between two rounds of ordinary changes.
 	minPublishInterval = 2 * second
-	// publicationsPerGrace is how many rounds of required changes the drain grace bears.
+	// publicationsPerGrace is the number of rounds of required changes that fit into the drain
+	// grace.
 	publicationsPerGrace = 2
 )
 
-// publication is what a round of changes rests on. It lives for one call of publishChanges.
+// publication holds the figures that a round of changes is planned with. It is valid for one call
+// of publishChanges.
 type publication struct {
 	now         Microseconds
-	overhead    Lines // of a message
+	overhead    Lines // cost of a message, without its changes
 	tablesEmpty bool  // no backend has an entry
 
-	connected          float64   // proxies
-	hearingWithdrawals float64   // connected proxies that hear of withdrawals, see hearsWithdrawals
-	proxiesBySubset    []float64 // proxies with our tables
-	keepOffBySubset    []float64 // of these, those for which a backend's first entry costs a line more
+	connected              float64   // connected proxies
+	withdrawalReceivers    float64   // connected proxies that withdrawals are sent to, see receivesWithdrawals
+	proxiesBySubset        []float64 // proxies with assigned tables
+	liftingProxiesBySubset []float64 // of these, proxies with firstEntryLiftsWithdrawal: a first entry costs one more line
 
-	targetBySubset []float64 // target weight by subset
-	fairWeight     float64   // of a subset
-	messagePaid    []bool    // by subset: its proxies are sent a message in any case
+	targetBySubset []float64 // target weight of each subset
+	fairWeight     float64   // mean target weight of a subset
+	messagePaid    []bool    // by subset: another change already pays for the messages to its proxies
 
-	changesDue     bool  // some entry or limit is not as it should be
-	requiredLines  Lines // what required changes cost
-	withdrawalsDue float64
-	tablesSuffice  bool // complete tables for those hearing withdrawals come in time, at a cost that makes withdrawals needless
+	changesDue     bool    // some entry or limit differs from its target
+	requiredLines  Lines   // cost of all required changes
+	withdrawalsDue float64 // backends to be withdrawn or restored
+	// Complete tables for all withdrawal receivers arrive in time and cost so little that
+	// withdrawals are not sent, see the method of this name.
+	tablesReplaceWithdrawals bool
 }
 
-// publishChanges publishes what differs from the tables that stand, if something is required or it is time for ordinary
-// changes. A round that begins takes both: ordinary entries and limits go along with required ones.
+// publishChanges publishes the differences from the published tables and limits, if a change is
+// required or the time for ordinary changes has come. A round that starts sends both: ordinary
+// entries and limits accompany the required ones.
 func (c *Controller) publishChanges(now Microseconds, ordinary bool) {
 	c.graceAtListing = c.computeGraceAtListing()
 	c.reserveForTables(now, map[int]float64{})
 	plan := c.planPublication(now)
-	goes := (ordinary || plan.requiredLines > 0) && c.mayPublish(now, plan.requiredLines)
+	roundStarts := (ordinary || plan.requiredLines > 0) && c.mayPublish(now, plan.requiredLines)
 	ordinaryWaits := ordinary && plan.changesDue && !c.pushQueue.nearlyEmpty()
 	requiredWaits := plan.requiredLines > 0 && c.pushQueue.queuedLines+plan.requiredLines > c.pushQueue.capacity()
-	c.queueCongested = !goes && (ordinaryWaits || requiredWaits)
-	if goes {
+	c.queueCongested = !roundStarts && (ordinaryWaits || requiredWaits)
+	if roundStarts {
 		c.publishRound(plan)
 	}
 	c.reconcileShards(now)
 	c.syncProxies(now)
 }
 
-// mayPublish tells whether a round of changes may start now, with so many lines that are required, by the conditions in
-// the header of this file.
+// mayPublish reports whether a round of changes may start now, with the given cost of required
+// changes, by the conditions in the header of this file.
 func (c *Controller) mayPublish(now Microseconds, required Lines) bool {
 	queue := &c.pushQueue
 	interval := min((c.graceAtListing-queue.MaxLatency-tickInterval)/publicationsPerGrace,
@@ -91,11 +103,11 @@
 		return false
 	}
 	return !slices.ContainsFunc(c.proxies, func(proxy *proxyState) bool {
-		return proxy.hasOurTables && !queue.mayPush(proxy, now, required > 0)
+		return proxy.tablesAssigned && !queue.mayPush(proxy, now, required > 0)
 	})
 }
 
-// planPublication sums up what is to be published, and what that costs.
+// planPublication sums the changes to be published, and their costs.
 func (c *Controller) planPublication(now Microseconds) *publication {
 	plan := &publication{now: now, overhead: c.pushQueue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
 	plan.tablesEmpty = !slices.ContainsFunc(c.backends, func(backend *backendState) bool { return backend.published > 0 })
@@ -105,44 +117,45 @@
 	c.sumRequired(plan)
 	tableCost := plan.overhead + float64(len(c.backends)/c.subsetCount)
 	withdrawalCost := plan.overhead + plan.withdrawalsDue
-	plan.tablesSuffice = plan.hearingWithdrawals > 0 && !c.sharding.enabled() &&
-		c.tablesSuffice(tableCost, withdrawalCost, int(plan.hearingWithdrawals))
-	if plan.withdrawalsDue > 0 && !plan.tablesSuffice {
-		plan.requiredLines += plan.withdrawalsDue + plan.hearingWithdrawals*withdrawalCost
+	plan.tablesReplaceWithdrawals = plan.withdrawalReceivers > 0 && !c.sharding.enabled() &&
+		c.tablesReplaceWithdrawals(tableCost, withdrawalCost, int(plan.withdrawalReceivers))
+	if plan.withdrawalsDue > 0 && !plan.tablesReplaceWithdrawals {
+		plan.requiredLines += plan.withdrawalsDue + plan.withdrawalReceivers*withdrawalCost
 	}
-	if c.admission.limitLowered { // all that is let in meanwhile adds to a queue
+	if c.admission.limitLowered { // all requests admitted until the limit arrives add to a queue
 		plan.requiredLines += (plan.overhead + 1) * plan.connected
 	}
 	return plan
 }
 
-// countProxies counts the proxies that changes go to.
+// countProxies counts the proxies that changes are sent to.
 func (c *Controller) countProxies(plan *publication) {
 	plan.proxiesBySubset = make([]float64, c.subsetCount)
-	plan.keepOffBySubset = make([]float64, c.subsetCount)
+	plan.liftingProxiesBySubset = make([]float64, c.subsetCount)
 	for _, proxy := range c.proxies {
-		if proxy.hasOurTables {
+		if proxy.tablesAssigned {
 			plan.proxiesBySubset[proxy.subset]++
-			if proxy.mayKeepOff() {
-				plan.keepOffBySubset[proxy.subset]++
+			if proxy.firstEntryLiftsWithdrawal() {
+				plan.liftingProxiesBySubset[proxy.subset]++
 			}
 		}
 		if proxy.connected {
 			plan.connected++
-			if c.hearsWithdrawals(proxy) {
-				plan.hearingWithdrawals++
+			if c.receivesWithdrawals(proxy) {
+				plan.withdrawalReceivers++
 			}
 		}
 	}
 }
 
-// hearsWithdrawals tells whether a proxy may use backends that our tables do not give it: those of another controller's
-// tables, or owners that it reads from the store of shards.
-func (c *Controller) hearsWithdrawals(proxy *proxyState) bool {
-	return !proxy.hasOurTables || c.sharding.enabled()
+// receivesWithdrawals reports whether a proxy may use backends that the tables of this controller
+// do not give it: backends from another controller's tables, or owners that it reads from the store
+// of shards.
+func (c *Controller) receivesWithdrawals(proxy *proxyState) bool {
+	return !proxy.tablesAssigned || c.sharding.enabled()
 }
 
-// sumRequired sums the costs of required changes of entries.
+// sumRequired sums the costs of required entry changes, and counts the withdrawals that are due.
 func (c *Controller) sumRequired(plan *publication) {
 	for subset, weight := range plan.targetBySubset {
 		if weight < shortSubsetShare*plan.fairWeight {
@@ -166,27 +179,27 @@
 	}
 }
 
-// changeRequired tells whether a rule needs a backend's entry to change to a weight.
+// changeRequired reports whether the change of a backend's entry to a weight is a required change.
 func (c *Controller) changeRequired(plan *publication, backend *backendState, weight float64) bool {
 	lowers := weight < backend.published && (c.warmingUp(backend, plan.now) || c.mustLeave(backend))
 	fillsEmptyTable := weight > 0 && plan.tablesEmpty
 	return lowers || fillsEmptyTable
 }
 
-// entryCost is what a change of a backend's entry costs: it goes to the proxies of its subset, each in one message with
-// all else that goes to it now.
+// entryCost returns the cost of a change of a backend's entry. The change is sent to the proxies of
+// the backend's subset, to each in one message with all other changes of this round.
 func (plan *publication) entryCost(backend *backendState) Lines {
 	cost := plan.proxiesBySubset[backend.subset]
 	if !plan.messagePaid[backend.subset] {
 		cost *= 1 + plan.overhead
 	}
 	if backend.published == 0 {
-		cost += plan.keepOffBySubset[backend.subset]
+		cost += plan.liftingProxiesBySubset[backend.subset]
 	}
 	return cost
 }
 
-// publishRound publishes as much as the channel takes.
+// publishRound publishes as many changes as the push queue has capacity for.
 func (c *Controller) publishRound(plan *publication) {
 	weightBefore := 0.
 	for _, backend := range c.backends {
@@ -200,20 +213,21 @@
 	limited := c.publishLimits()
 	if limited || moved || entries.published {
 		c.publishedAt = plan.now
-		if entries.leftOver { // the rest goes as soon as there is room
+		if entries.leftOver { // send the rest as soon as there is capacity
 			c.publishedAt = 0
 		}
 	}
 }
 
-// entryChanges is what became of a round's entries.
+// entryChanges summarizes the entry changes of a round.
 type entryChanges struct {
-	published  bool    // some were
-	leftOver   bool    // some did not fit
-	lostWeight float64 // what the list took of the unreduced published weight, for limitOnCapacityLoss
+	published  bool    // some entries were published
+	leftOver   bool    // some entries did not fit
+	lostWeight float64 // published weight, unreduced, that endpoint lists took away, for limitOnCapacityLoss
 }
 
-// publishEntries publishes required changes, then others, as the channel takes them.
+// publishEntries publishes required entry changes, then ordinary ones, as far as the push queue has
+// capacity.
 func (c *Controller) publishEntries(plan *publication) (entries entryChanges) {
 	order := c.orderChanges(plan)
 	clear(plan.messagePaid)
@@ -229,7 +243,8 @@
 				entries.leftOver = true
 				continue
 			}
-			// An ejection may be our own network's fault, so it does not lower the limit.
+			// An ejection may be caused by a fault of this controller's own network, so it does not
+			// lower the limit.
 			countsAsLost := backend.State != Ready || c.warmingUp(backend, plan.now)
 			if countsAsLost {
 				entries.lostWeight += max(0, backend.published-weight) / cmp.Or(backend.reducedTo, 1)
@@ -243,8 +258,9 @@
 	return entries
 }
 
-// orderChanges is the backends whose entries are to change: subset by subset, as these share messages, where most
-// changes first.
+// orderChanges returns the backends whose entries are to change. Backends of a subset follow each
+// other, since their changes share messages; the subset that changes most comes first, and within
+// it the largest change.
 func (c *Controller) orderChanges(plan *publication) (order []*backendState) {
 	difference := func(backend *backendState) float64 {
 		return math.Abs(c.targetWeight(backend, plan.now) - backend.published)
@@ -263,50 +279,55 @@
 	return order
 }
 
-// setPublished publishes a backend's weight in its tables. Where there are shards, the owner of a shard is its table.
+// setPublished publishes a backend's weight in its tables. With sharding it only records the
+// weight, as a table then holds nothing but the owner of a shard.
 func (c *Controller) setPublished(backend *backendState, weight float64) {
-	entering := backend.published == 0
+	isFirstEntry := backend.published == 0
 	backend.published = weight
 	if c.sharding.enabled() {
 		return
 	}
 	for table := range c.zoneTable(backend.Zone) + 1 {
 		if c.inTable(backend, table) {
-			c.publishEntry(backend, table, weight, entering)
+			c.publishEntry(backend, table, weight, isFirstEntry)
 		}
 	}
 }
 
-// publishEntry publishes a backend's entry in one table.
-func (c *Controller) publishEntry(backend *backendState, table int, weight float64, entering bool) {
-	uses := func(proxy *proxyState) bool {
-		return proxy.hasOurTables && (table == proxy.subset || table == c.zoneTable(proxy.zone))
+// publishEntry publishes a backend's entry in one table, and charges each proxy that uses the
+// table.
+func (c *Controller) publishEntry(backend *backendState, table int, weight float64, isFirstEntry bool) {
+	usesTable := func(proxy *proxyState) bool {
+		return proxy.tablesAssigned && (table == proxy.subset || table == c.zoneTable(proxy.zone))
 	}
 	c.host.PublishEntry(table, backend.Backend, weight)
-	c.chargeEach(1, uses)
-	c.chargeEach(1, func(proxy *proxyState) bool { return entering && proxy.mayKeepOff() && uses(proxy) })
+	c.chargeEach(1, usesTable)
+	c.chargeEach(1, func(proxy *proxyState) bool {
+		return isFirstEntry && proxy.firstEntryLiftsWithdrawal() && usesTable(proxy)
+	})
 }
 
-// publishWithdrawals tells proxies that may hold tables of others which backends must be left, once these have no entry:
-// as long as one stands, a withdrawal would cost each proxy with our tables a line too.
+// publishWithdrawals withdraws backends that proxies must stop using, or restores them, at proxies
+// that may hold tables of other controllers. A backend is withdrawn only once it has no entry:
+// before that, the withdrawal would cost each proxy with assigned tables a line too.
 func (c *Controller) publishWithdrawals(plan *publication) {
-	if plan.tablesSuffice {
+	if plan.tablesReplaceWithdrawals {
 		return
 	}
-	message := plan.overhead + float64(len(c.classes)) // for the first withdrawal of the round
+	messageCost := plan.overhead + float64(len(c.classes)) // paid by the first withdrawal of the round
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
-		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.hearingWithdrawals*(1+message), true) {
+		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.withdrawalReceivers*(1+messageCost), true) {
 			continue
 		}
-		message = 0
+		messageCost = 0
 		backend.withdrawn = withdrawn
 		c.host.Withdraw(id, withdrawn)
 		for _, proxy := range c.proxies {
-			if proxy.connected && !proxy.hasOurTables {
+			if proxy.connected && !proxy.tablesAssigned {
 				proxy.heldWithdrawals++
 			}
 		}
-		c.chargeEach(1, c.hearsWithdrawals)
+		c.chargeEach(1, c.receivesWithdrawals)
 	}
 }
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -2,61 +2,69 @@
 
 import "slices"
 
-// Push queue: what waits in the channel to the proxies, in lines. Lines count as waiting until an ack of theirs, or of
-// a later batch, comes back, so that the account holds when the channel is slow; it is too high by what is on its way.
+// Push queue: an account of the lines that wait in the push channel to the proxies. A line counts as
+// queued until an ack for its batch, or for a later one, comes back, so that the account also holds
+// when the channel is slow. It is too high by the lines that have left the channel and whose ack is
+// still on its way.
 //
-//   - Required changes may fill the capacity: what the backlog bears, but no more than leaves in maxQueueTime. It is the
-//     same however short the drain grace is. A change that is held back here, not in the channel, is decided anew on later
-//     reports, and shares messages with others.
-//   - Ordinary changes, and complete tables, may fill ordinaryShare of it, so that required ones never wait behind more.
-//   - When a round of changes may start, and in which order it goes, is in publish.go.
-//   - Of the messages that a proxy may be sent within the window, ordinary ones use half, or all but messagesForRequired at
-//     a proxy for which other controllers told of theirs (proxyState.peersReportedMessages); the rest is kept for required
-//     ones. Messages of withdrawals alone (sync.go) count as required, here and in the capacity.
+//   - Required changes may fill the capacity: as many lines as the backlog takes, but no more than
+//     leave within maxQueueTime. The capacity is the same however short the drain grace is. A change
+//     that is held back here, not in the channel, is decided again on later reports, and shares
+//     messages with other changes.
+//   - Ordinary changes, and complete tables, may fill ordinaryShare of the capacity, so that
+//     required changes never wait behind more than that.
+//   - publish.go states when a round of changes may start, and in which order it is sent.
+//   - Of the messages that a proxy may be sent within the message window, ordinary messages use
+//     half. At a proxy for which other controllers reported the messages that they sent
+//     (proxyState.peersReportedMessages), ordinary messages use all except messagesForRequired. The
+//     rest is kept for required messages. Messages that hold only withdrawals (sync.go) count as
+//     required, here and in the capacity.
 //
-// Inputs are PushChannel, the drain grace (microseconds) and the costs of what is to be pushed (lines).
+// Inputs are PushChannel, the drain grace (microseconds) and the costs of the pushes (lines).
 
 const (
-	maxQueueTime        = 2 * minPublishInterval // that what may wait takes to leave
+	maxQueueTime        = 2 * minPublishInterval // within which a full queue leaves the channel
 	ordinaryShare       = 1. / 2                 // of the capacity
 	nearlyEmptyShare    = 1. / 8                 // of the capacity
-	messagesForRequired = 2                      // of a proxy's messages, kept for required ones, see peersReportedMessages
+	messagesForRequired = 2                      // messages per proxy, see peersReportedMessages
 
-	// An ack that has not come within maxAckDelay and this many times the nominal sending time will not come.
+	// A batch times out if its ack has not arrived within the sum of PushChannel.MaxLatency,
+	// maxAckDelay and ackTimeoutFactor times the nominal sending time of the queue.
 	ackTimeoutFactor = 4
-	maxAckDelay      = 2 * second // beside PushChannel.MaxLatency
+	maxAckDelay      = 2 * second
 
-	batchNumberMask = 0xffff // of a batch's number, this much goes to the proxies
+	batchNumberMask = 0xffff // the part of a batch number that is sent to proxies
 )
 
-// pushQueue is the account of the channel.
+// pushQueue is the account of the push channel.
 type pushQueue struct {
 	PushChannel
-	batches     []pushBatch // without an ack of theirs or of a later one, the oldest first
+	batches     []pushBatch // batches without an ack for them or for a later one, oldest first
 	queuedLines Lines       // sum over batches
-	lastNumber  int64       // of the last batch
+	lastNumber  int64       // number of the last batch
 
-	// What is kept for the tables of proxies that wait for them, see reserveForTables.
-	reservedLines         Lines // what these tables cost
-	maxQueuedBeforeTables Lines // how many lines may wait, these tables among them, for the first of them to be in time
+	// Capacity kept for the tables of waiting proxies, see reserveForTables.
+	reservedLines         Lines // cost of these tables
+	maxQueuedBeforeTables Lines // most queued lines, including these tables, with which no table is late
 }
 
-// pushBatch is what goes to proxies at one clock time.
+// pushBatch holds the lines sent to proxies at one clock time.
 type pushBatch struct {
 	number  int64
 	sentAt  Microseconds
-	lines   Lines                 // sum over unacknowledged
-	linesTo map[*proxyState]Lines // what went to each proxy that has not answered: tables cost many times an entry
+	lines   Lines                 // sum over linesTo
+	linesTo map[*proxyState]Lines // by proxy without an ack yet; complete tables cost many times an entry
 }
 
-// charge counts lines to a proxy, and with the first ones at this clock time its message, and the request for an ack.
+// charge adds lines for a proxy to the current batch. With the first lines at this clock time it
+// also adds the overhead of the message and of its ack request.
 func (c *Controller) charge(proxy *proxyState, lines Lines) {
 	now := c.host.Now()
 	batch := c.currentBatch(now)
 	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
 		proxy.messageTimes = append(proxy.messageTimes, now)
 		message := c.pushQueue.messageOverhead()
-		if !proxy.hasOurTables { // it knows no limits yet
+		if !proxy.tablesAssigned { // the proxy has no limits yet, so the message carries all of them
 			message += c.tableLimitLines() - c.pushQueue.LimitLines
 		}
 		lines += message
@@ -66,7 +74,8 @@
 	c.pushQueue.queuedLines += lines
 }
 
-// currentBatch is the batch of this clock time. It is valid until the next one is begun.
+// currentBatch returns the batch of this clock time, and starts it if there is none. The pointer is
+// valid until the next batch starts.
 func (c *Controller) currentBatch(now Microseconds) *pushBatch {
 	queue := &c.pushQueue
 	if n := len(queue.batches); n == 0 || queue.batches[n-1].sentAt != now {
@@ -78,24 +87,24 @@
 	return &queue.batches[len(queue.batches)-1]
 }
 
-// chargeEach counts lines to each connected proxy concerned.
-func (c *Controller) chargeEach(lines Lines, concerned func(proxy *proxyState) bool) {
+// chargeEach adds lines for each connected proxy that a change affects.
+func (c *Controller) chargeEach(lines Lines, affected func(proxy *proxyState) bool) {
 	c.changedAt = c.host.Now()
 	for _, proxy := range c.proxies {
-		if proxy.connected && concerned(proxy) {
+		if proxy.connected && affected(proxy) {
 			c.charge(proxy, lines)
 		}
 	}
 }
 
-// chargeAll counts lines to each connected proxy.
+// chargeAll adds lines for each connected proxy.
 func (c *Controller) chargeAll(lines Lines) {
 	c.chargeEach(lines, func(*proxyState) bool { return true })
 }
 
-// acknowledge takes a proxy's answer, and returns the number of the batch that it answers.
-func (q *pushQueue) acknowledge(answered int, proxy *proxyState) (number int64) {
-	number = q.lastNumber - (q.lastNumber-int64(answered))&batchNumberMask
+// acknowledge handles a proxy's ack, and returns the full number of the acknowledged batch.
+func (q *pushQueue) acknowledge(ackNumber int, proxy *proxyState) (number int64) {
+	number = q.lastNumber - (q.lastNumber-int64(ackNumber))&batchNumberMask
 	for i := range q.batches {
 		batch := &q.batches[i]
 		if batch.number != number {
@@ -103,17 +112,17 @@
 		}
 		batch.lines -= batch.linesTo[proxy]
 		delete(batch.linesTo, proxy)
-		left := i // all before it have left the channel
+		sentBatches := i // all earlier batches have left the channel
 		if len(batch.linesTo) == 0 {
-			left++
+			sentBatches++
 		}
-		q.discard(left)
+		q.discard(sentBatches)
 		break
 	}
 	return number
 }
 
-// expire discards batches whose acks will not come.
+// expire discards batches that have timed out without an ack.
 func (q *pushQueue) expire(now Microseconds) {
 	for len(q.batches) > 0 {
 		sendingTime := ackTimeoutFactor * q.queuedLines / max(q.LinesPerSecond, 1) * float64(second)
@@ -125,7 +134,7 @@
 	}
 }
 
-// discard takes the first batches out.
+// discard removes the oldest batches.
 func (q *pushQueue) discard(count int) {
 	q.batches = q.batches[count:]
 	q.queuedLines = 0
@@ -134,38 +143,40 @@
 	}
 }
 
-// messageOverhead is what each message costs beside what it is for: its own, the request for an ack, and limits where
-// they always go along.
+// messageOverhead returns the cost of each message without its changes: its own overhead, the ack
+// request, and limits if they accompany every message.
 func (q *pushQueue) messageOverhead() Lines { return q.MessageOverhead + 1 + q.LimitLines }
 
-// capacity is how many lines may wait.
+// capacity returns how many lines may be queued.
 func (q *pushQueue) capacity() Lines { return min(q.Backlog, q.linesSentIn(maxQueueTime)) }
 
-// linesSentIn is how many lines leave the channel within a time.
+// linesSentIn returns how many lines leave the channel within a time.
 func (q *pushQueue) linesSentIn(time Microseconds) Lines {
 	return max(q.LinesPerSecond, 1) * float64(time) / float64(second)
 }
 
-// delay is how long what waits takes to leave.
+// delay returns the time that the queued lines take to leave the channel.
 func (q *pushQueue) delay() Microseconds {
 	return int64(q.queuedLines / max(q.LinesPerSecond, 1) * float64(second))
 }
 
-// hasCapacity tells whether so many lines may go now.
+// hasCapacity reports whether a change of this cost may be queued now. Any change may if nothing is
+// queued.
 func (q *pushQueue) hasCapacity(cost Lines, required bool) bool {
 	queued := q.queuedLines + cost
 	return q.queuedLines == 0 || queued <= q.capacity()*ordinaryShare || required && queued <= q.capacity()
 }
 
-// nearlyEmpty tells whether so little waits that a round of changes may begin.
+// nearlyEmpty reports whether few enough lines are queued for a round of changes to start.
 func (q *pushQueue) nearlyEmpty() bool { return q.queuedLines <= q.capacity()*nearlyEmptyShare }
 
-// wouldDelayTables tells whether, with so many lines before them, tables would come too late to proxies that wait.
+// wouldDelayTables reports whether lines of this cost, queued before the tables of waiting proxies,
+// would make one of these tables late.
 func (q *pushQueue) wouldDelayTables(cost Lines) bool {
 	return q.reservedLines > 0 && q.queuedLines+cost+q.reservedLines > q.maxQueuedBeforeTables
 }
 
-// mayPush tells whether a proxy may be sent one more message.
+// mayPush reports whether a proxy may be sent one more message.
 func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, required bool) bool {
 	proxy.messageTimes = slices.DeleteFunc(proxy.messageTimes, func(at Microseconds) bool {
 		return at <= now-q.MessageWindow-q.MaxLatency
--- a/balancer/pushqueue_test.go
+++ b/balancer/pushqueue_test.go
@@ -14,7 +14,7 @@
 		host.now++
 		host.updateEndpoints(0, 1, Draining, 0) // a few lines for each of eight, and a table for a ninth
 		host.controller.ProxyConnected(8, 0, 10, false)
-		if !host.controller.proxies[8].hasOurTables {
+		if !host.controller.proxies[8].tablesAssigned {
 			t.Fatal("the ninth was not bound at the same time")
 		}
 		for p := range 8 {
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -1,39 +1,45 @@
 package balancer
 
-// Shards: keys may fall into shards, and each shard in our charge has one backend as its owner, which is the only entry
-// of its table. An owner stays until it cannot serve: backends would lose what they know of their keys. Its successor is
-// the backend with the least to do for its weight.
+// Shards: keys may be divided into shards. Each shard assigned to this controller has one backend as
+// its owner, which is the only entry of the shard's table. An owner stays until it cannot serve the
+// shard, since a change of owner discards what the backend holds for the shard's keys. Its successor
+// is the backend with the least load relative to its weight.
 //
-// Where a shard has a single owner, writes to it are stopped (fenced) as it moves, until each proxy has acknowledged
-// that, or was lost for as long as it goes on writing, and the writes that it had sent are settled. Reads go on at the
-// new owner where proxies heed limits.
+// If a shard has a single owner, writes to the shard are stopped (fenced) while it moves. They
+// continue once each proxy has acknowledged the fence, or has been disconnected for as long as it
+// goes on writing (Sharding.WriteLease), and the writes that proxies sent before have settled
+// (Sharding.SettleTime). Reads continue at the new owner if proxies support limits.
 //
-// Inputs are target weights (weight.go), demand by shard (requests a second), acks, and Sharding.WriteLease and SettleTime
-// (microseconds).
+// Inputs are target weights (weight.go), demand by shard (requests per second), acks, and
+// Sharding.WriteLease and SettleTime (microseconds).
 
 const (
-	// fencePending is the fence of a shard whose writes must stop, or must be stopped again.
+	// fencePending is the fence of a shard whose writes are to be stopped, or to be stopped again.
 	fencePending = -1
-	// ownerChangeLines is what an owner's change costs each proxy, in lines.
+	// ownerChangeLines is the cost of a change of owner for each proxy, in lines.
 	ownerChangeLines Lines = 2
-	// shardReserveShare is the share of the backlog that must be free for an owner to change.
+	// shardReserveShare is the share of the backlog that must be free for an owner to change,
+	// unless the push queue is nearly empty (mayPublish).
 	shardReserveShare = 1. / 4
-	noOwner           = -1
+	// noOwner stands for no backend.
+	noOwner = -1
 )
 
-// shardingState is what we hold of the shards in our charge.
+// shardingState holds the state of all shards.
 type shardingState struct {
 	Sharding
 	shards       []shardState
 	writeClasses uint16
 }
 
+// shardState holds the state of one shard, which is zero unless the shard is assigned to this
+// controller.
 type shardState struct {
-	assignedToUs bool         // to us
-	owner        int          // a backend, or noOwner
-	demand       []float64    // requests a second, by class
-	fence        int64        // number of the push batch that stopped writes; 0 if they go on, or fencePending
-	settledAt    Microseconds // when the former owner has no writes in hand; 0 while some proxy may still send it one
+	assigned  bool         // to this controller
+	owner     int          // index of a backend, or noOwner
+	demand    []float64    // requests per second, by class
+	fence     int64        // number of the push batch that stopped writes; 0 if writes are allowed, or fencePending
+	settledAt Microseconds // when the former owner's writes have settled; 0 while a proxy may still send it one
 }
 
 func newShardingState(config Sharding, classes []Class) shardingState {
@@ -48,7 +54,8 @@
 
 func (s *shardingState) enabled() bool { return len(s.shards) > 0 }
 
-// repeatFences has a proxy that connected notified which writes are stopped: it reads only owners from the store.
+// repeatFences fences all fenced shards again after a proxy has connected: the proxy reads only
+// owners from the store, and has to be notified of the fences.
 func (s *shardingState) repeatFences() {
 	for id := range s.shards {
 		if s.shards[id].fence > 0 {
@@ -57,37 +64,41 @@
 	}
 }
 
-// ShardAssigned gives a shard into our charge.
+// ShardAssigned assigns a shard to this controller.
 func (c *Controller) ShardAssigned(id int) {
-	c.sharding.shards[id] = shardState{assignedToUs: true, owner: noOwner, demand: make([]float64, len(c.classes))}
-	// Whoever had it may have been moving it, and a former owner have writes in hand; not if we all just started.
+	c.sharding.shards[id] = shardState{assigned: true, owner: noOwner, demand: make([]float64, len(c.classes))}
+	// Another controller may have been moving the shard, so that a former owner may still have
+	// writes in progress. This controller assumes the opposite if it has evaluated no reports yet:
+	// then all controllers have just started.
 	justStarted := c.admission.meanObjective <= 0
 	if c.sharding.SingleOwner && !justStarted {
 		c.sharding.shards[id].fence = fencePending
 	}
 }
 
-// ShardRevoked takes a shard out of our charge.
+// ShardRevoked takes a shard away from this controller.
 func (c *Controller) ShardRevoked(id int) { c.sharding.shards[id] = shardState{} }
 
-// ShardOwnerStored is an owner of a shard that the store of shards names; proxies read that within moments.
+// ShardOwnerStored handles an owner of a shard that was read from the store of shards. Proxies read
+// the same owner from there within moments.
 func (c *Controller) ShardOwnerStored(id, backend int, weight float64) {
 	shard := &c.sharding.shards[id]
-	if shard.assignedToUs && weight > 0 {
+	if shard.assigned && weight > 0 {
 		shard.owner = backend
 		c.reconcileShards(c.host.Now())
 	}
 }
 
-// ShardDemandReported is how many requests of a class came to a shard within a span.
+// ShardDemandReported handles a count of the requests of a class for a shard within a span of time.
 func (c *Controller) ShardDemandReported(id, class, count int, span Microseconds) {
 	shard := &c.sharding.shards[id]
-	if shard.assignedToUs && span > 0 {
+	if shard.assigned && span > 0 {
 		c.updateRate(&shard.demand[class], count, span)
 	}
 }
 
-// reconcileShards lets writes go on where a move has settled, and gives shards owners that can serve them.
+// reconcileShards lifts the fences of shards whose move has settled, and moves shards to backends
+// that can serve them.
 func (c *Controller) reconcileShards(now Microseconds) {
 	for id := range c.sharding.shards {
 		shard := &c.sharding.shards[id]
@@ -105,7 +116,8 @@
 	}
 }
 
-// changeOwner gives a shard to a backend, with writes stopped if two must not have it.
+// changeOwner moves a shard to a backend. It stops writes to the shard if no two backends may be
+// sent them.
 func (c *Controller) changeOwner(id, owner int) {
 	shard := &c.sharding.shards[id]
 	former := shard.owner
@@ -121,8 +133,8 @@
 	c.chargeAll(ownerChangeLines)
 }
 
-// fenceWrites stops writes to a shard until its move has settled. Where proxies heed no limits it is left without an
-// owner, so that reads stop too.
+// fenceWrites stops writes to a shard until its move has settled. If proxies do not support limits,
+// it removes the owner's entry, which stops reads too.
 func (c *Controller) fenceWrites(id, former int) {
 	shard := &c.sharding.shards[id]
 	if c.admission.mode != AdmissionUnsupported {
@@ -136,7 +148,7 @@
 	shard.settledAt = 0
 }
 
-// liftFence lets writes to a shard go on at its owner.
+// liftFence allows writes to a shard at its owner again.
 func (c *Controller) liftFence(id int) {
 	shard := &c.sharding.shards[id]
 	shard.fence = 0
@@ -145,12 +157,13 @@
 	c.chargeAll(ownerChangeLines)
 }
 
-// migrationSettled tells whether no write can be in hand at the former owner of a shard whose writes are stopped.
+// migrationSettled reports whether the former owner of a fenced shard can have no writes in
+// progress.
 func (c *Controller) migrationSettled(shard *shardState, now Microseconds) bool {
 	for _, proxy := range c.proxies {
-		notTold := proxy.connected && proxy.acknowledged < shard.fence
-		lostLately := proxy.disconnectedAt > 0 && now-proxy.disconnectedAt < c.sharding.WriteLease
-		if notTold || lostLately {
+		unacknowledged := proxy.connected && proxy.acknowledged < shard.fence
+		recentlyLost := proxy.disconnectedAt > 0 && now-proxy.disconnectedAt < c.sharding.WriteLease
+		if unacknowledged || recentlyLost {
 			shard.settledAt = 0
 			return false
 		}
@@ -161,9 +174,10 @@
 	return now >= shard.settledAt
 }
 
-// chooseOwner is the backend that a shard should go to, or noOwner where it may stay or nobody can serve it.
+// chooseOwner returns the backend that a shard should move to. It returns noOwner if the shard may
+// stay, or if no backend can serve it.
 func (c *Controller) chooseOwner(shard *shardState, now Microseconds) int {
-	if !shard.assignedToUs {
+	if !shard.assigned {
 		return noOwner
 	}
 	hasOwner := shard.owner >= 0 && shard.owner < len(c.backends)
@@ -171,22 +185,22 @@
 		return noOwner
 	}
 	load := c.ownerLoads()
-	best, least := noOwner, 0.
+	best, leastLoad := noOwner, 0.
 	for id, backend := range c.backends {
 		weight := c.targetWeight(backend, now)
-		if weight > 0 && (best == noOwner || load[id]/weight < least) {
-			best, least = id, load[id]/weight
+		if weight > 0 && (best == noOwner || load[id]/weight < leastLoad) {
+			best, leastLoad = id, load[id]/weight
 		}
 	}
 	return best
 }
 
-// ownerLoads is what each backend has to do for the shards that it owns: a unit a shard, and their demand in units a
-// second.
+// ownerLoads returns the load of each backend from the shards that it owns: one unit per shard,
+// plus the shards' demand in units per second.
 func (c *Controller) ownerLoads() []float64 {
 	load := make([]float64, len(c.backends))
 	for _, shard := range c.sharding.shards {
-		if !shard.assignedToUs || shard.owner < 0 || shard.owner >= len(load) {
+		if !shard.assigned || shard.owner < 0 || shard.owner >= len(load) {
 			continue
 		}
 		load[shard.owner]++
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -5,44 +5,50 @@
 	"slices"
 )
 
-// Subsets: the backends may be parted into subsets, each with a table and a part of the proxies. A proxy is in the
-// subset of its index, a new backend in the one with the least weight.
+// Subsets: the backends may be divided into subsets, each with a table and a part of the proxies. A
+// proxy is in the subset given by its index modulo the number of subsets, a new backend in the
+// subset with the least weight.
 //
-// One subset, with one table for all, is best where it can be had. There are more where
-//   - proxies outnumber the connections that the smallest backend takes: as many subsets as that asks for;
-//   - the tables of all proxies, connected to one controller, would not leave the channel within tablesShareOfGrace of the
-//     drain grace: as many as make them fit, and if connections ask for subsets as well, as many as leave half of that
-//     time for drains.
+// One subset, with one table for all proxies, is best where it is possible. There are more subsets if
+//   - proxies outnumber the connections that the smallest backend accepts: as many subsets as that
+//     requires;
+//   - the tables of all proxies, connected to one controller, would not leave the channel within
+//     tablesShareOfGrace of the drain grace: as many subsets as make them fit, or, if connections
+//     require subsets as well, as many as leave half of that time for drains.
 //
-// A subset that falls short of its share of the weight is given backends of the heaviest one, as its proxies would
-// overfill the few that are left. That counts as required (publish.go).
+// A subset that falls short of its share of the weight is given backends of the heaviest subset,
+// since its proxies would overload the few backends left in it. That counts as required (publish.go).
 //
-// Inputs are PushChannel.Proxies, MinBackendConnections and LinesPerSecond (lines), RuleLimits.DrainGrace
-// (microseconds) and listed weights. The number of subsets is decided once, with the first complete list.
+// Inputs are PushChannel.Proxies, MinBackendConnections and LinesPerSecond (lines),
+// RuleLimits.DrainGrace (microseconds) and listed weights. The number of subsets is decided once,
+// with the first complete list that is not empty.
 
 const (
-	// maxProxiesPerConnection is how many proxies there may be for each connection of the smallest backend without
-	// subsets: up to there many are quiet.
+	// maxProxiesPerConnection is the most proxies per connection of the smallest backend without
+	// subsets: up to this ratio, many of the proxies are quiet.
 	maxProxiesPerConnection = 1.6
-	// minSubsetSize is how many backends a subset has at least.
+	// minSubsetSize is the least number of backends per subset.
 	minSubsetSize = 5
-	// tableShareWithSubsets is the share of tablesShareOfGrace (sync.go) that tables may take where connections ask for
-	// subsets as well.
+	// tableShareWithSubsets is the share of tablesShareOfGrace (sync.go) that tables may take if
+	// connections require subsets as well.
 	tableShareWithSubsets = 1. / 2
-	// shortSubsetShare is the share of its fair weight below which a subset is given backends of the heaviest ...
+	// shortSubsetShare is the share of its fair weight below which a subset is short and given
+	// backends of the heaviest subset, until it has restoredSubsetShare.
 	shortSubsetShare = 0.5
-	// ... until it has restoredSubsetShare.
+	// restoredSubsetShare is the share of its fair weight at which a short subset is given no
+	// further backends.
 	restoredSubsetShare = 0.8
 )
 
-// chooseSubsetCount decides how many subsets there are, and puts the proxies that came before the list into them.
+// chooseSubsetCount decides the number of subsets, and assigns the proxies that connected before
+// the list to them.
 func (c *Controller) chooseSubsetCount(backends int) {
 	proxies := float64(c.pushQueue.Proxies)
 	subsets, tableShare := 1., 1.
 	if connections := c.pushQueue.MinBackendConnections; connections > 0 {
-		perConnection := proxies / float64(connections)
-		if perConnection > maxProxiesPerConnection {
-			subsets = math.Ceil(perConnection)
+		proxiesPerConnection := proxies / float64(connections)
+		if proxiesPerConnection > maxProxiesPerConnection {
+			subsets = math.Ceil(proxiesPerConnection)
 			tableShare = tableShareWithSubsets
 		}
 	}
@@ -53,7 +59,7 @@
 		tableSize := tableShare*sendable/proxies - overhead
 		subsets = math.Ceil(float64(backends) / max(1, tableSize))
 	}
-	// A subset without a proxy would serve nobody.
+	// The backends of a subset without a proxy would receive no requests.
 	c.subsetCount = max(1, min(int(subsets), backends/minSubsetSize, c.pushQueue.Proxies))
 
 	for id, proxy := range c.proxies {
@@ -61,12 +67,14 @@
 	}
 }
 
-// subsetWeights is the listed weight of the ready backends by subset, in all and by zone. A nil one counts nothing.
+// subsetWeights holds the listed weight of the ready backends by subset, in total and by zone.
+// Methods on a nil pointer that change it do nothing.
 type subsetWeights struct {
 	all    []float64
 	byZone map[int][]float64
 }
 
+// listedSubsetWeights sums the listed weights of the ready backends.
 func (c *Controller) listedSubsetWeights() *subsetWeights {
 	weights := &subsetWeights{all: make([]float64, c.subsetCount), byZone: map[int][]float64{}}
 	for _, backend := range c.backends {
@@ -75,10 +83,11 @@
 	return weights
 }
 
-func (w *subsetWeights) add(backend *backendState)    { w.change(backend, backend.Weight) }
-func (w *subsetWeights) remove(backend *backendState) { w.change(backend, -backend.Weight) }
+func (w *subsetWeights) add(backend *backendState)    { w.adjust(backend, backend.Weight) }
+func (w *subsetWeights) remove(backend *backendState) { w.adjust(backend, -backend.Weight) }
 
-func (w *subsetWeights) change(backend *backendState, weight float64) {
+// adjust adds a weight for a backend if the backend is listed and ready.
+func (w *subsetWeights) adjust(backend *backendState, weight float64) {
 	if w == nil || !backend.listed || backend.State != Ready {
 		return
 	}
@@ -89,25 +98,28 @@
 	w.byZone[backend.Zone][backend.subset] += weight
 }
 
-// lightest is the subset with the least weight, that of a zone counted twice, so that a lost zone takes as much of each.
+// lightest returns the subset with the least weight. The weight in the zone counts twice, so that
+// the loss of a zone takes about the same weight from each subset.
 func (w *subsetWeights) lightest(zone int) int {
 	lightest := 0
 	for subset := range w.all {
-		if w.countingTwice(zone, subset) < w.countingTwice(zone, lightest) {
+		if w.weightWithZone(zone, subset) < w.weightWithZone(zone, lightest) {
 			lightest = subset
 		}
 	}
 	return lightest
 }
 
-func (w *subsetWeights) countingTwice(zone, subset int) float64 {
+// weightWithZone returns the weight of a subset, in which the weight in the zone counts twice.
+func (w *subsetWeights) weightWithZone(zone, subset int) float64 {
 	if inZone := w.byZone[zone]; inZone != nil {
 		return w.all[subset] + inZone[subset]
 	}
 	return w.all[subset]
 }
 
-// subsetTargetWeights is the weight that each subset may carry now, and a fair share of it.
+// subsetTargetWeights returns the sum of target weights by subset, and its mean, the fair weight of
+// a subset.
 func (c *Controller) subsetTargetWeights(now Microseconds) (weights []float64, fair float64) {
 	weights = make([]float64, c.subsetCount)
 	for _, backend := range c.backends {
@@ -118,8 +130,8 @@
 	return weights, fair
 }
 
-// rebalanceSubsets gives short subsets backends of the heaviest one, as far as there is capacity. It tells whether it
-// moved any.
+// rebalanceSubsets moves backends from the heaviest subset to short ones, as far as there is
+// capacity. It reports whether it moved any.
 func (c *Controller) rebalanceSubsets(plan *publication) (moved bool) {
 	for to := range plan.targetBySubset {
 		if plan.targetBySubset[to] >= shortSubsetShare*plan.fairWeight {
@@ -132,8 +144,9 @@
 	return moved
 }
 
-// moveToSubset moves one backend of the heaviest subset, and tells whether it could. Never one that is warming up, or
-// has a change due: it would be new to twice as many proxies.
+// moveToSubset moves one backend of the heaviest subset, and reports whether it did. It never moves
+// a backend that is warming up, or whose entry is due to change: such a backend would be new to
+// twice as many proxies.
 func (c *Controller) moveToSubset(to int, plan *publication) bool {
 	from := slices.Index(plan.targetBySubset, slices.Max(plan.targetBySubset))
 	id := slices.IndexFunc(c.backends, func(backend *backendState) bool {
@@ -154,20 +167,21 @@
 	return true
 }
 
-// eachTable calls do with each table that a proxy of a subset and zone uses, and with the classes that use it there.
-func (c *Controller) eachTable(subset, zone int, do func(table int, classes uint16)) {
+// eachTable calls visit with each table that a proxy of a subset and zone uses, and with the
+// classes that use the table.
+func (c *Controller) eachTable(subset, zone int, visit func(table int, classes uint16)) {
 	if c.sharedClasses != 0 {
-		do(subset, c.sharedClasses)
+		visit(subset, c.sharedClasses)
 	}
 	if c.zoneLocalClasses != 0 {
-		do(c.zoneTable(zone), c.zoneLocalClasses)
+		visit(c.zoneTable(zone), c.zoneLocalClasses)
 	}
 }
 
-// zoneTable is the table of a zone, for the classes that must stay in it.
+// zoneTable returns the table of a zone, which zone-local classes use.
 func (c *Controller) zoneTable(zone int) int { return c.subsetCount + zone }
 
-// inTable tells whether a table is one that a backend belongs into: its subset's, or its zone's.
+// inTable reports whether a backend belongs to a table: the table of its subset or of its zone.
 func (c *Controller) inTable(backend *backendState, table int) bool {
 	if table >= c.subsetCount {
 		return c.zoneLocalClasses != 0 && table == c.zoneTable(backend.Zone)
@@ -175,7 +189,7 @@
 	return c.sharedClasses != 0 && table == backend.subset
 }
 
-// tableSize counts the entries of a table.
+// tableSize returns the number of entries of a table.
 func (c *Controller) tableSize(table int) (entries int) {
 	for _, backend := range c.backends {
 		if backend.published > 0 && c.inTable(backend, table) {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -98,7 +98,7 @@
 			host.playChannel(10)
 			of := make([]int, host.controller.subsetCount)
 			for _, p := range host.controller.proxies {
-				of[p.subset] += count(p.hasOurTables)
+				of[p.subset] += count(p.tablesAssigned)
 			}
 			if slices.Min(of) < 90/len(of) || len(of) < 2 {
 				t.Errorf("%s: proxies by part: %v", what, of)
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -6,74 +6,85 @@
 	"slices"
 )
 
-// Sync: a proxy that connects holds tables of another controller, or none. It gets ours, complete, as soon as there is
-// room. While it waits for them it may be notified, by a message of its own, which backends are withdrawn and which limits
-// stand, as rules bind whatever tables it brought.
+// Sync: a proxy that connects holds tables of another controller, or none. This controller sends it
+// complete tables as soon as there is capacity. While the proxy waits for them, a separate
+// withdrawals message may notify it of the withdrawals and limits in force, since the rules apply
+// whatever tables the proxy holds.
 //
-// Order of tables: proxies that have waited for half the drain grace first, then those with the most baseline demand
-// where the channel may need long for all, then the first to come. Changes that wait for the channel go first, but not
-// once tables would come later than tablesShareOfGrace of the grace.
+// Order of tables: first the proxies that have waited for half the drain grace; then, if the channel
+// may need long for all tables, the proxies with the most baseline demand; then the proxies that
+// connected first. Changes that wait for the channel are sent before tables, unless tables would
+// then arrive later than tablesShareOfGrace of the grace.
 //
-// A proxy whose tables cannot go yet is sent that message, once, only if
-//   - one of its tables is empty, so that they cannot go, or they cost at least tableCostWorthMessage times the message;
-//   - it has waited for half the grace; or no changes wait for the channel, as these go first, and tables do not come soon
-//     enough. They do if those of all who wait leave within tablesShareOfGrace of the grace that was left at listing, and
+// A proxy whose tables cannot be sent yet gets a withdrawals message, once, only if
+//   - one of its tables is empty, so that they cannot be sent, or they cost at least
+//     tableCostWorthMessage times the message;
+//   - it has waited for half the grace; or no changes wait for the channel, since these are sent
+//     first, and tables do not arrive soon enough. Tables arrive soon enough if the tables of all
+//     waiting proxies leave within tablesShareOfGrace of the grace that was left at listing, and
 //     each costs at most tableCostPerMessage times the message;
-//   - something is withdrawn, or it may hold withdrawals of others;
-//   - the push queue has capacity for the message and syncReserveShare more, which stays free for what cannot wait;
-//   - it may be sent one more message (mayPush), and the Host has a way to (Host.SyncWithdrawals).
+//   - a backend is withdrawn, or the proxy may hold withdrawals of other controllers;
+//   - the push queue has capacity for the message and syncReserveShare more, which stays free for
+//     changes that cannot wait;
+//   - the proxy may be sent one more message (mayPush), and the Host supports the message
+//     (Host.SyncWithdrawals).
 //
-// When all have tables, a proxy that may hold withdrawals of other controllers is cleared of them.
+// When all proxies have tables, the withdrawals of other controllers are cleared at each proxy that
+// may hold any.
 //
 // Inputs are costs in lines (pushqueue.go), the drain grace and waiting times (microseconds).
 
 const (
-	// tablesShareOfGrace is the share of the drain grace within which the tables of all who wait must leave the channel.
+	// tablesShareOfGrace is the share of the drain grace within which the tables of all waiting
+	// proxies must leave the channel.
 	tablesShareOfGrace = 3. / 4
-	// syncReserveShare is the share of the capacity that is kept free.
+	// syncReserveShare is the share of the push queue's capacity that is kept free.
 	syncReserveShare = 1. / 4
-	// tableCostPerMessage: tables replace the withdrawals message if they cost at most this many times as much.
+	// tableCostPerMessage is the most that tables may cost, as a multiple of the withdrawals
+	// message, to be sent instead of it.
 	tableCostPerMessage = 3
-	// tableCostWorthMessage: a withdrawals message is sent if tables cost at least this many times as much.
+	// tableCostWorthMessage is the least that tables must cost, as a multiple of the withdrawals
+	// message, for the message to be sent.
 	tableCostWorthMessage = 2
 )
 
-// syncRound is one pass over the proxies that wait. It lives for one call of syncProxies.
+// syncRound is one pass over the waiting proxies. It is valid for one call of syncProxies.
 type syncRound struct {
 	now            Microseconds
-	withdrawals    float64         // how many stand
-	withdrawalCost Lines           // of a message that tells them all
-	reserve        Lines           // kept free
-	waiting        int             // connected proxies that waited for tables as it began
-	served         int             // of these, those that got them
-	tableSizes     map[int]float64 // entries by table, as far as counted
+	withdrawals    float64         // number of withdrawals in force
+	withdrawalCost Lines           // of a message with all of them
+	reserve        Lines           // kept free in the push queue
+	waiting        int             // connected proxies without assigned tables at the start of the pass
+	assigned       int             // of these, proxies that were assigned tables in this pass
+	tableSizes     map[int]float64 // entries by table, for the tables counted so far
 }
 
-// enqueueForSync has a proxy wait for its tables.
+// enqueueForSync adds a proxy to the proxies that wait for tables, at its position in the order.
 func (c *Controller) enqueueForSync(id int) {
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
-	place := len(c.syncQueue)
+	position := len(c.syncQueue)
 	mayTakeLong := c.pushQueue.capacity() < c.pushQueue.Backlog
 	if mayTakeLong {
-		place, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
-			// In falling order of baseline demand; behind those with the same.
+		position, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
+			// In decreasing order of baseline demand, behind proxies with the same demand.
 			return cmp.Or(cmp.Compare(rate, c.proxies[other].baselineRate), -1)
 		})
 	}
-	c.syncQueue = slices.Insert(c.syncQueue, place, id)
+	c.syncQueue = slices.Insert(c.syncQueue, position, id)
 }
 
-// syncProxies gives proxies that wait their tables, tells them of withdrawals, or clears them of others'.
+// syncProxies sends waiting proxies their tables or a withdrawals message, or clears the
+// withdrawals of other controllers.
 func (c *Controller) syncProxies(now Microseconds) {
 	if len(c.syncQueue) == 0 {
 		return
 	}
 	round := &syncRound{now: now, reserve: c.pushQueue.capacity() * syncReserveShare, tableSizes: map[int]float64{}}
 	round.withdrawals, round.withdrawalCost = c.withdrawalCost()
-	anyTable := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
-	anyMessage := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
-	if !anyTable && !anyMessage {
-		return // thousands may wait, and this is looked at with each ack
+	tableFits := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
+	messageFits := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	if !tableFits && !messageFits {
+		return // thousands of proxies may wait, and this function runs with each ack
 	}
 	round.waiting = c.countWaitingForTables()
 	c.reserveForTables(now, round.tableSizes)
@@ -86,20 +97,20 @@
 	}
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(id int) bool {
 		proxy := c.proxies[id]
-		complete := proxy.hasOurTables && proxy.withdrawalsCleared == proxy.mayHoldForeignWithdrawals
+		complete := proxy.tablesAssigned && proxy.withdrawalsCleared == proxy.mayHoldForeignWithdrawals
 		return !proxy.connected || complete
 	})
-	if round.served > 0 && round.waiting == round.served {
-		c.syncProxies(now) // what is to be cleared may go along
+	if round.assigned > 0 && round.waiting == round.assigned {
+		c.syncProxies(now) // withdrawals can be cleared in the same messages
 	}
 }
 
-// waitsForTables tells whether a proxy is to get our tables.
+// waitsForTables reports whether a proxy waits for the tables of this controller.
 func (c *Controller) waitsForTables(proxy *proxyState) bool {
-	return proxy.connected && !proxy.hasOurTables
+	return proxy.connected && !proxy.tablesAssigned
 }
 
-// overdue tells whether a proxy has waited for half the drain grace.
+// overdue reports whether more than half the drain grace has passed since a proxy connected.
 func (c *Controller) overdue(proxy *proxyState, now Microseconds) bool {
 	return now-proxy.connectedAt > c.rules.DrainGrace/2
 }
@@ -114,37 +125,38 @@
 	return waiting
 }
 
-// syncProxy does what is next for one proxy, if there is room.
+// syncProxy takes the next step of the sync of one proxy, if there is capacity for it.
 func (c *Controller) syncProxy(id int, round *syncRound, overdue bool) {
 	proxy := c.proxies[id]
 	tables := c.fullTablesOf(proxy, round.tableSizes)
-	mayGo := c.tablesMayGo(proxy, tables, round.now)
+	tablesSendable := c.tablesSendable(proxy, tables, round.now)
 	switch {
-	case mayGo && !proxy.hasOurTables:
+	case tablesSendable && !proxy.tablesAssigned:
 		c.assignTables(id, tables)
-		round.served++
-	case mayGo && c.mayClearWithdrawals(proxy, tables, round):
+		round.assigned++
+	case tablesSendable && c.mayClearWithdrawals(proxy, tables, round):
 		proxy.withdrawalsCleared = true
 		c.charge(proxy, tables.entries)
 		c.host.ClearWithdrawals(id)
-	case !proxy.hasOurTables && !proxy.withdrawalsSynced && c.messageWorthwhile(tables, round, overdue):
+	case !proxy.tablesAssigned && !proxy.withdrawalsSynced && c.withdrawalMessageWorthwhile(tables, round, overdue):
 		c.syncWithdrawals(id, round)
 	}
 }
 
-// tablesMayGo tells whether a proxy's tables, or as much as they cost, may go to it now. Changes that wait for the
-// channel go first, unless its tables would be late.
-func (c *Controller) tablesMayGo(proxy *proxyState, tables fullTables, now Microseconds) bool {
-	wouldBeLate := !proxy.hasOurTables && c.pushQueue.wouldDelayTables(0)
+// tablesSendable reports whether a proxy's tables, or a clearing of withdrawals, which counts as
+// much here, may be sent to it now. Changes that wait for the channel are sent first, unless the
+// proxy's tables would be late.
+func (c *Controller) tablesSendable(proxy *proxyState, tables fullTables, now Microseconds) bool {
+	wouldBeLate := !proxy.tablesAssigned && c.pushQueue.wouldDelayTables(0)
 	itsTurn := !c.queueCongested || wouldBeLate
 	return proxy.connected && !tables.anyEmpty && itsTurn &&
 		c.pushQueue.hasCapacity(tables.cost, false) && c.pushQueue.mayPush(proxy, now, false)
 }
 
-// assignTables gives a proxy its tables.
+// assignTables sends a proxy its tables.
 func (c *Controller) assignTables(id int, tables fullTables) {
 	proxy := c.proxies[id]
-	proxy.hasOurTables = true
+	proxy.tablesAssigned = true
 	c.pushQueue.reservedLines -= tables.cost
 	withdrawalLines := min(proxy.heldWithdrawals, tables.entries)
 	c.charge(proxy, 1+tables.cost-c.pushQueue.messageOverhead()+withdrawalLines)
@@ -153,28 +165,30 @@
 	})
 }
 
-// mayClearWithdrawals tells whether a proxy is to be cleared of withdrawals of other controllers now.
+// mayClearWithdrawals reports whether the withdrawals of other controllers are to be cleared at a
+// proxy now.
 func (c *Controller) mayClearWithdrawals(proxy *proxyState, tables fullTables, round *syncRound) bool {
 	due := proxy.mayHoldForeignWithdrawals && !proxy.withdrawalsCleared
 	return due && round.waiting == 0 && c.pushQueue.hasCapacity(tables.entries+round.reserve, false)
 }
 
-// messageWorthwhile tells whether a proxy that waits is better notified of withdrawals by a message of its own: its tables
-// cost much more, and neither do they come soon, nor do changes go first.
-func (c *Controller) messageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
-	costsLittle := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
-	tablesComeSoon := c.tablesSuffice(tables.cost, round.withdrawalCost, round.waiting)
+// withdrawalMessageWorthwhile reports whether a waiting proxy is to be notified of withdrawals by a
+// message of its own: its tables cost much more or cannot be sent, and either the proxy has waited
+// for long, or its tables do not arrive soon and no changes wait for the channel.
+func (c *Controller) withdrawalMessageWorthwhile(tables fullTables, round *syncRound, overdue bool) bool {
+	messageCheaper := tables.anyEmpty || tableCostWorthMessage*round.withdrawalCost <= tables.cost
+	tablesComeSoon := c.tablesReplaceWithdrawals(tables.cost, round.withdrawalCost, round.waiting)
 	mayWait := c.queueCongested || tablesComeSoon
-	return costsLittle && (overdue || !mayWait)
+	return messageCheaper && (overdue || !mayWait)
 }
 
-// syncWithdrawals tells a proxy of all withdrawals and limits, if there is room and the host has a way to. The limit that
-// it passes is for classes without one, see Host.SyncWithdrawals.
+// syncWithdrawals sends a proxy all withdrawals and limits, if there is capacity and the Host
+// supports the message. The limit passed is for classes without a limit, see Host.SyncWithdrawals.
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
-	anyToTell := proxy.mayHoldForeignWithdrawals || round.withdrawals > 0
+	anyWithdrawals := proxy.mayHoldForeignWithdrawals || round.withdrawals > 0
 	hasRoom := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
-	if !anyToTell || !hasRoom || !c.pushQueue.mayPush(proxy, round.now, true) {
+	if !anyWithdrawals || !hasRoom || !c.pushQueue.mayPush(proxy, round.now, true) {
 		return
 	}
 	if !c.host.SyncWithdrawals(id, noLimit, RetryIfNotExecuted) {
@@ -185,14 +199,15 @@
 	c.charge(proxy, round.withdrawals+float64(len(c.classes)))
 }
 
-// tablesSuffice tells whether proxies that wait are as well given tables as notified of withdrawals by messages of their
-// own, by the costs of both.
-func (c *Controller) tablesSuffice(table, message Lines, waiting int) bool {
+// tablesReplaceWithdrawals reports whether waiting proxies need no withdrawals messages, as their
+// tables cost little more than such messages and leave the channel in time.
+func (c *Controller) tablesReplaceWithdrawals(table, message Lines, waiting int) bool {
 	inTime := table*float64(waiting) <= tablesShareOfGrace*c.pushQueue.linesSentIn(c.graceAtListing)
 	return table <= tableCostPerMessage*message && inTime
 }
 
-// withdrawalCost is how many withdrawals stand, and what a message costs that tells one proxy of all of them.
+// withdrawalCost returns the number of withdrawals in force, and the cost of a message to one proxy
+// with all of them.
 func (c *Controller) withdrawalCost() (withdrawals float64, message Lines) {
 	for _, backend := range c.backends {
 		if backend.withdrawn {
@@ -202,14 +217,15 @@
 	return withdrawals, c.pushQueue.messageOverhead() + withdrawals + float64(len(c.classes))
 }
 
-// fullTables is what a proxy's tables amount to.
+// fullTables summarizes the complete tables of a proxy.
 type fullTables struct {
 	entries  float64
-	cost     Lines // with their message and limits
-	anyEmpty bool  // one of them has no entry
+	cost     Lines // including their message and limits
+	anyEmpty bool  // one of the tables has no entry
 }
 
-// fullTablesOf sums up a proxy's tables. Sizes keeps the entries of each table.
+// fullTablesOf sums the sizes and costs of a proxy's tables. The sizes map caches the number of
+// entries of each table.
 func (c *Controller) fullTablesOf(proxy *proxyState, sizes map[int]float64) (tables fullTables) {
 	tables.cost = c.pushQueue.messageOverhead() + c.tableLimitLines()
 	c.eachTable(proxy.subset, proxy.zone, func(table int, _ uint16) {
@@ -226,7 +242,8 @@
 	return tables
 }
 
-// tableLimitLines is how many lines of limits go along with complete tables, as these make a proxy forget them.
+// tableLimitLines returns how many lines of limits accompany complete tables: a proxy discards its
+// limits when it receives them.
 func (c *Controller) tableLimitLines() Lines {
 	if !c.admission.limitsSent {
 		return max(c.pushQueue.LimitLines, 0)
@@ -234,8 +251,10 @@
 	return max(c.pushQueue.LimitLines, float64(len(c.classes)))
 }
 
-// reserveForTables sums what the tables of proxies that wait cost, and how much may wait in the channel for the first of
-// them to have its tables in time: a withdrawal may name no backend that had gone before we began, tables do.
+// reserveForTables sums the costs of the tables of waiting proxies, and computes how many lines may
+// be queued for the most urgent of these proxies to have its tables in time. Withdrawals cannot
+// replace these tables: a withdrawal may be unable to name a backend that was removed before this
+// controller started, whereas complete tables leave it out.
 func (c *Controller) reserveForTables(now Microseconds, sizes map[int]float64) {
 	queue := &c.pushQueue
 	queue.reservedLines = 0
@@ -250,8 +269,8 @@
 			continue
 		}
 		queue.reservedLines += tables.cost
-		usedUp := queue.linesSentIn(queue.MaxLatency + now - proxy.connectedAt)
-		left := tablesShareOfGrace*queue.linesSentIn(c.graceAtListing) - usedUp
-		queue.maxQueuedBeforeTables = min(queue.maxQueuedBeforeTables, left)
+		sentSinceConnect := queue.linesSentIn(queue.MaxLatency + now - proxy.connectedAt)
+		remaining := tablesShareOfGrace*queue.linesSentIn(c.graceAtListing) - sentSinceConnect
+		queue.maxQueuedBeforeTables = min(queue.maxQueuedBeforeTables, remaining)
 	}
 }
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -66,7 +66,7 @@
 		}
 		host.run(6, nil)
 		for p := range 28 {
-			if proxy := host.controller.proxies[p+1]; !proxy.hasOurTables || !proxy.withdrawalsCleared {
+			if proxy := host.controller.proxies[p+1]; !proxy.tablesAssigned || !proxy.withdrawalsCleared {
 				t.Errorf("proxy %d in the end: %+v", p+1, proxy)
 			}
 		}
@@ -89,18 +89,18 @@
 		}
 		least, bound := 2., 0
 		for p := range 2000 {
-			if host.controller.proxies[p].hasOurTables {
+			if host.controller.proxies[p].tablesAssigned {
 				bound, least = bound+1, min(least, busy(p))
 			}
 		}
 		higher := 0 // the first second's worth went to whoever was there
 		for p := range 2000 {
-			higher += count(!host.controller.proxies[p].hasOurTables && busy(p) > 1.15)
+			higher += count(!host.controller.proxies[p].tablesAssigned && busy(p) > 1.15)
 		}
 		if bound < 300 || higher > 0 {
 			t.Errorf("%d assigned, %d of the busiest were not, the quietest has %.2f", bound, higher, least)
 		}
-		if host.playChannel(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].hasOurTables {
+		if host.playChannel(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].tablesAssigned {
 			t.Errorf("%d wait in the end", len(host.controller.syncQueue))
 		}
 	})
@@ -117,7 +117,7 @@
 			for range int(4 * seconds) {
 				host.playChannel(0.25)
 				for p, proxy := range host.controller.proxies {
-					if _, known := late[p]; proxy.hasOurTables && !known { // it leaves behind all that waits now
+					if _, known := late[p]; proxy.tablesAssigned && !known { // it leaves behind all that waits now
 						late[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
 					}
 				}
@@ -168,7 +168,7 @@
 		for range 4 * 30 {
 			host.playChannel(0.25)
 			for _, proxy := range host.controller.proxies {
-				late += count(!proxy.hasOurTables && host.now+host.controller.QueueDelay()+settings.channel.MaxLatency-proxy.connectedAt > settings.limits.DrainGrace)
+				late += count(!proxy.tablesAssigned && host.now+host.controller.QueueDelay()+settings.channel.MaxLatency-proxy.connectedAt > settings.limits.DrainGrace)
 			}
 		}
 		if late > 0 {
@@ -186,7 +186,7 @@
 		host.playChannel(10)
 		bound, told := 0, 0
 		for _, p := range host.controller.proxies {
-			bound, told = bound+count(p.hasOurTables), told+count(p.withdrawalsSynced)
+			bound, told = bound+count(p.tablesAssigned), told+count(p.withdrawalsSynced)
 		}
 		if bound < 400 || told > 0 {
 			t.Errorf("%d assigned, %d told", bound, told)
