--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -84,21 +84,21 @@
 	// Found on a day on which six in ten backends were replaced within 7 s (santiago-enlace, join+mass, --nodes 30, seed 1):
 	// at 75 report lines a second each look heard of 40% of the weight, so that what the fleet can do was never known, no
 	// cap came when the list took 60% of it, and a cold backend got 4.2 times what it could do as the warm ones jammed.
-	settings := wholeFleet()
+	settings := wholeFleetSettings()
 	settings.channel.Backlog, settings.channel.Proxies, settings.channel.MinBackendConnections, settings.limits.DrainGrace = 5300, 240, 63, 7300_000
 	replaced := func(t *testing.T, groups int) *fakeHost {
 		host := startController(t, settings, 200, 48)
 		for look := range 8 { // each hears of the next group of backends
-			host.playChannel(1)
+			host.runChannel(1)
 			for b := look % groups; b < 200; b += groups {
 				host.reportOutcomes(b, 10, 0, 250_000)
 			}
 			host.reportDemand(20, 20)
-			host.playChannel(1)
+			host.runChannel(1)
 		}
 		host.updateEndpoints(0, 120, Draining, 0)
 		host.updateEndpoints(200, 260, Ready, host.now)
-		host.playChannel(1)
+		host.runChannel(1)
 		return host
 	}
 	t.Run("two evaluations that cover the fleet prove its throughput, and a release is limited by it", func(t *testing.T) {
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -319,7 +319,8 @@
 		c.proxies = append(c.proxies, &proxyState{})
 	}
 	proxy := c.proxies[id]
-	at := c.host.Now() - 1 // at the current time, a message of this controller would be taken to share them
+	// At the current time, charge would take a message of this controller for one of these.
+	at := c.host.Now() - 1
 	times := slices.Repeat([]Microseconds{at}, messages)
 	if proxy.connected {
 		proxy.messageTimes = append(times, proxy.messageTimes...)
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fakeHost keeps what the controller asks for, and lets time pass.
+// fakeHost records the effects that a controller orders, and advances the clock.
 type fakeHost struct {
 	*testing.T
 	controller   *Controller
@@ -23,8 +23,8 @@
 	ackRequest   int
 	polls        int
 	healthChecks []int
-	script       []string
-	unsentLines  map[int64]float64 // lines of each batch that are still in the channel that drainQueue plays
+	effects      []string
+	unsentLines  map[int64]float64 // by batch number: lines that have not left the channel of runChannel
 }
 
 func (host *fakeHost) Now() int64      { return host.now }
@@ -42,28 +42,28 @@
 	if weight == 0 {
 		delete(host.tables[table], b)
 	}
-	host.note("entry %d %d %.3f", table, b, weight)
+	host.record("entry %d %d %.3f", table, b, weight)
 }
 func (host *fakeHost) AssignTable(table, p int, classes uint16) {
 	if len(host.tables[table]) == 0 {
 		host.Errorf("proxy %d assigned the empty table %d", p, table)
 	}
 	host.assigned[fmt.Sprint(p, table, classes)] = true
-	host.note("assign %d %d %d", table, p, classes)
+	host.record("assign %d %d %d", table, p, classes)
 }
-func (host *fakeHost) Withdraw(b int, out bool) {
-	host.withdrawn[b] = out
-	host.note("withdraw %d %v", b, out)
+func (host *fakeHost) Withdraw(b int, withdrawn bool) {
+	host.withdrawn[b] = withdrawn
+	host.record("withdraw %d %v", b, withdrawn)
 }
 func (host *fakeHost) SyncWithdrawals(p int, _ float64, _ RetryPolicy) bool {
-	host.note("sync %d", p)
+	host.record("sync %d", p)
 	return true
 }
-func (host *fakeHost) ClearWithdrawals(p int) { host.note("clear %d", p) }
-func (host *fakeHost) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
+func (host *fakeHost) ClearWithdrawals(p int) { host.record("clear %d", p) }
+func (host *fakeHost) SetAdmissionLimit(table int, classes uint16, limit float64, retry RetryPolicy) {
 	key := fmt.Sprint(table, classes)
-	host.limits[key], host.retries[key] = allowance, tries
-	host.note("limit %s %.2f %d", key, allowance, tries)
+	host.limits[key], host.retries[key] = limit, retry
+	host.record("limit %s %.2f %d", key, limit, retry)
 }
 func (host *fakeHost) RequestAck(number int, _ bool) {
 	host.ackRequest = number
@@ -71,8 +71,8 @@
 		host.messages = append(host.messages, host.now)
 	}
 }
-func (host *fakeHost) note(format string, args ...any) {
-	host.script = append(host.script, fmt.Sprint(host.now, " ")+fmt.Sprintf(format, args...))
+func (host *fakeHost) record(format string, args ...any) {
+	host.effects = append(host.effects, fmt.Sprint(host.now, " ")+fmt.Sprintf(format, args...))
 }
 
 func twoClasses() []Class {
@@ -82,7 +82,7 @@
 	}
 }
 
-// testSettings is what a test may change before it starts a controller.
+// testSettings holds the settings that a test may change before it starts a controller.
 type testSettings struct {
 	classes   []Class
 	channel   PushChannel
@@ -103,18 +103,20 @@
 	}
 }
 
-// startController starts a controller with this many ready backends, in zones by turns, and proxies.
+// startController starts a controller with a number of ready backends, alternating between two
+// zones, and of connected proxies.
 func startController(t *testing.T, settings testSettings, backends, proxies int) *fakeHost {
 	t.Helper()
 	host := &fakeHost{T: t, now: 100 * second, tables: map[int]map[int]float64{}, withdrawn: map[int]bool{},
-		assigned: map[string]bool{}, limits: map[string]float64{}, retries: map[string]RetryPolicy{}, unsentLines: map[int64]float64{}}
+		assigned: map[string]bool{}, limits: map[string]float64{}, retries: map[string]RetryPolicy{},
+		unsentLines: map[int64]float64{}}
 	host.controller = newController(t, host, settings)
-	var all []Endpoint
+	var endpoints []Endpoint
 	for b := range backends {
-		all = append(all, Endpoint{Backend: b, State: Ready, Weight: 2, Zone: b % 2})
+		endpoints = append(endpoints, Endpoint{Backend: b, State: Ready, Weight: 2, Zone: b % 2})
 	}
 	if backends > 0 {
-		host.controller.EndpointsUpdated(true, all)
+		host.controller.EndpointsUpdated(true, endpoints)
 	}
 	for p := range proxies {
 		host.controller.ProxyConnected(p, p%2, 10, false)
@@ -123,7 +125,7 @@
 	return host
 }
 
-// newController makes a controller that must be possible.
+// newController returns a new controller, or fails the test.
 func newController(t *testing.T, host Host, settings testSettings) *Controller {
 	t.Helper()
 	c, err := New(host, Config{
@@ -141,7 +143,8 @@
 	return c
 }
 
-// run lets time pass in seconds; every second each is called, if given, and all proxies answer acks.
+// run advances the clock by a number of seconds. Every second it calls each, unless that is nil. At
+// each step all connected proxies answer the last ack request.
 func (host *fakeHost) run(seconds float64, each func()) {
 	end := host.now + int64(seconds*float64(second))
 	next := host.now + second
@@ -169,21 +172,23 @@
 	}
 }
 
-// reportOutcomes reports one backend's attempts of the last second.
-func (host *fakeHost) reportOutcomes(b, tries, failed int, mean int64) {
-	host.controller.OutcomesReported(OutcomeReport{Backend: b, Attempts: tries, Failures: failed, MeanAnswerTime: mean, Span: second, Load: noLoad})
+// reportOutcomes reports the outcomes of one backend over the last second.
+func (host *fakeHost) reportOutcomes(b, attempts, failures int, meanAnswerTime int64) {
+	host.controller.OutcomesReported(OutcomeReport{Backend: b, Attempts: attempts, Failures: failures,
+		MeanAnswerTime: meanAnswerTime, Span: second, Load: noLoad})
 }
 
-// updateEndpoints lists backends from one number to another, in one go.
-func (host *fakeHost) updateEndpoints(from, to int, condition EndpointState, started int64) {
-	var all []Endpoint
+// updateEndpoints lists the backends with indices in [from, to) in one list.
+func (host *fakeHost) updateEndpoints(from, to int, state EndpointState, started int64) {
+	var endpoints []Endpoint
 	for b := from; b < to; b++ {
-		all = append(all, Endpoint{Backend: b, State: condition, Weight: 2, Zone: b % 2, StartedAt: started})
+		endpoints = append(endpoints, Endpoint{Backend: b, State: state, Weight: 2, Zone: b % 2, StartedAt: started})
 	}
-	host.controller.EndpointsUpdated(false, all)
+	host.controller.EndpointsUpdated(false, endpoints)
 }
 
-// reportHealthy reports good answers of all backends but the given ones, and the usual demand at each proxy.
+// reportHealthy reports quick answers of all backends, without the given ones, and ordinary demand
+// at each proxy.
 func (host *fakeHost) reportHealthy(except ...int) {
 	for b := range host.controller.backends {
 		if !slices.Contains(except, b) {
@@ -193,7 +198,7 @@
 	host.reportDemand(20, 20)
 }
 
-// reportDemand reports demand of the last second at each proxy, by class.
+// reportDemand reports demand over the last second at each proxy, by class.
 func (host *fakeHost) reportDemand(perClass ...int) {
 	for p := range host.controller.proxies {
 		for class, n := range perClass {
@@ -202,7 +207,8 @@
 	}
 }
 
-// reportDemandOver reports demand in lines that cover so long, as where these wait for their turn.
+// reportDemandOver reports demand in lines that cover the given span, as is the case if report
+// lines are delayed.
 func (host *fakeHost) reportDemandOver(span int64) {
 	for p := range host.controller.proxies {
 		for class := range 2 {
@@ -211,7 +217,7 @@
 	}
 }
 
-// expectWeight checks a backend's weight in the first table.
+// expectWeight checks a backend's weight in table 0.
 func (host *fakeHost) expectWeight(b int, want float64, when string) {
 	host.Helper()
 	if got := host.tables[0][b]; got < want-0.001 || got > want+0.001 {
@@ -222,7 +228,7 @@
 // noLoad is the load of a backend that reports none.
 var noLoad = BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 
-// reportOverload reports answers that are late everywhere, and more demand.
+// reportOverload returns a function that reports late answers at all backends, and raised demand.
 func reportOverload(host *fakeHost) func() {
 	return func() {
 		for b := range host.controller.backends {
@@ -232,7 +238,7 @@
 	}
 }
 
-// count is 1 for a condition that holds, and 0 for one that does not.
+// count returns 1 if a condition holds, and 0 otherwise.
 func count(holds bool) int {
 	if holds {
 		return 1
@@ -240,23 +246,24 @@
 	return 0
 }
 
-// wholeFleet is the settings of one day of the whole fleet: a channel of 900 lines a second for two thousand proxies.
-func wholeFleet() testSettings {
+// wholeFleetSettings returns settings with 2184 proxies and a channel of 900 lines per second.
+func wholeFleetSettings() testSettings {
 	settings := defaultSettings()
-	settings.channel = PushChannel{LinesPerSecond: 900, MessageOverhead: 4, Backlog: 48100, MaxLatency: 807_500, MaxMessages: 30,
-		MessageWindow: 10 * second, Proxies: 2184, MinBackendConnections: 83}
+	settings.channel = PushChannel{LinesPerSecond: 900, MessageOverhead: 4, Backlog: 48100, MaxLatency: 807_500,
+		MaxMessages: 30, MessageWindow: 10 * second, Proxies: 2184, MinBackendConnections: 83}
 	settings.limits.DrainGrace = 55 * second
 	settings.telemetry.ReportInterval = 2 * second
 	return settings
 }
 
-// playChannel plays a channel of 900 lines a second for some seconds, and gives the most lines that waited meanwhile.
-func (host *fakeHost) playChannel(seconds float64) (most float64) {
+// runChannel advances the clock by a number of seconds, with a channel that sends 900 lines per
+// second. It returns the most lines that were queued.
+func (host *fakeHost) runChannel(seconds float64) (maxQueued float64) {
 	for range int(seconds * 4) {
 		host.now += tickInterval
 		host.timers = nil
 		host.controller.TimerFired(host.timerTag)
-		most = max(most, host.controller.pushQueue.queuedLines)
+		maxQueued = max(maxQueued, host.controller.pushQueue.queuedLines)
 		for room := 900. / 4; room > 0 && len(host.controller.pushQueue.batches) > 0; {
 			batch := host.controller.pushQueue.batches[0]
 			if _, known := host.unsentLines[batch.number]; !known {
@@ -267,11 +274,12 @@
 			if host.unsentLines[batch.number] -= take; host.unsentLines[batch.number] > 0 {
 				break
 			}
-			for _, p := range slices.Collect(maps.Keys(batch.linesTo)) { // whoever they were
+			// Proxies that have disconnected since then acknowledge too.
+			for _, p := range slices.Collect(maps.Keys(batch.linesTo)) {
 				host.controller.pushQueue.acknowledge(int(batch.number&0xffff), p)
 			}
 			host.controller.syncProxies(host.now)
 		}
 	}
-	return most
+	return maxQueued
 }
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -56,7 +56,7 @@
 	overhead    Lines // cost of a message, without its changes
 	tablesEmpty bool  // no backend has an entry
 
-	connected              float64   // connected proxies
+	connected              float64   // number of connected proxies
 	withdrawalReceivers    float64   // connected proxies that withdrawals are sent to, see receivesWithdrawals
 	proxiesBySubset        []float64 // proxies with assigned tables
 	liftingProxiesBySubset []float64 // of these, proxies with firstEntryLiftsWithdrawal: a first entry costs one more line
@@ -307,9 +307,9 @@
 	})
 }
 
-// publishWithdrawals withdraws backends that proxies must stop using, or restores them, at proxies
-// that may hold tables of other controllers. A backend is withdrawn only once it has no entry:
-// before that, the withdrawal would cost each proxy with assigned tables a line too.
+// publishWithdrawals withdraws backends that proxies must stop using, or restores them, at the
+// proxies with receivesWithdrawals. A backend is withdrawn only once it has no entry: before that,
+// the withdrawal would cost each proxy with assigned tables a line too.
 func (c *Controller) publishWithdrawals(plan *publication) {
 	if plan.tablesReplaceWithdrawals {
 		return
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -26,7 +26,7 @@
 	maxQueueTime        = 2 * minPublishInterval // within which a full queue leaves the channel
 	ordinaryShare       = 1. / 2                 // of the capacity
 	nearlyEmptyShare    = 1. / 8                 // of the capacity
-	messagesForRequired = 2                      // messages per proxy, see peersReportedMessages
+	messagesForRequired = 2                      // kept per proxy and message window, see peersReportedMessages
 
 	// A batch times out if its ack has not arrived within the sum of PushChannel.MaxLatency,
 	// maxAckDelay and ackTimeoutFactor times the nominal sending time of the queue.
--- a/balancer/pushqueue_test.go
+++ b/balancer/pushqueue_test.go
@@ -2,45 +2,47 @@
 
 import "testing"
 
-func TestPushQueueCountsWhatWaits(t *testing.T) {
+func TestPushQueueAccounting(t *testing.T) {
 	t.Run("an ack of a short message discards nothing of a long one in the same batch", func(t *testing.T) {
-		// Found on a day of mass joins (kigali-pricing, join+mass, --nodes 30, seed 11): the mean of both was taken off, and
-		// 62 lines more waited than the channel may hold.
+		// When many proxies joined at once (kigali-pricing, join+mass, --nodes 30, seed 11), an ack
+		// discarded the mean of both messages, and 62 lines more than the channel may hold were queued.
 		host := startController(t, defaultSettings(), 100, 8)
 		host.run(5, nil)
 		if len(host.controller.pushQueue.batches) > 0 {
-			t.Fatal("something waits before the story begins")
+			t.Fatalf("%d batches are queued before the test begins, want none", len(host.controller.pushQueue.batches))
 		}
 		host.now++
-		host.updateEndpoints(0, 1, Draining, 0) // a few lines for each of eight, and a table for a ninth
+		// A batch with a few lines for each of eight proxies, and complete tables for a ninth.
+		host.updateEndpoints(0, 1, Draining, 0)
 		host.controller.ProxyConnected(8, 0, 10, false)
 		if !host.controller.proxies[8].tablesAssigned {
-			t.Fatal("the ninth was not bound at the same time")
+			t.Fatal("proxy 8 was not assigned tables at the time of the drain")
 		}
 		for p := range 8 {
 			host.controller.Acknowledged(p, host.ackRequest)
 		}
 		if got := host.controller.pushQueue.queuedLines; got < 99 {
-			t.Errorf("%.0f lines are counted, while a table of 99 waits", got)
+			t.Errorf("%.0f lines are counted as queued while a table of 99 lines is, want at least 99", got)
 		}
 		host.controller.Acknowledged(8, host.ackRequest)
 		if got := host.controller.pushQueue.queuedLines; got != 0 {
-			t.Errorf("%.0f lines are counted in the end", got)
+			t.Errorf("%.0f lines are counted as queued after all acks, want 0", got)
 		}
 	})
-	t.Run("what went to a proxy that disconnected stays counted until it can have left the channel", func(t *testing.T) {
+	t.Run("lines to a proxy that disconnected stay counted until they can have left the channel", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 30, 2)
 		host.run(3, nil)
 		host.updateEndpoints(0, 9, Draining, 0)
 		host.controller.ProxyDisconnected(0)
 		host.controller.ProxyDisconnected(1)
-		billed := host.controller.pushQueue.queuedLines
-		if host.controller.TimerFired(host.timerTag); billed < 2*9 || host.controller.pushQueue.queuedLines < billed {
-			t.Errorf("%.0f lines were billed, %.0f are counted", billed, host.controller.pushQueue.queuedLines)
+		charged := host.controller.pushQueue.queuedLines
+		if host.controller.TimerFired(host.timerTag); charged < 2*9 || host.controller.pushQueue.queuedLines < charged {
+			t.Errorf("%.0f lines were charged, want at least 18; %.0f are counted after a tick, want no fewer",
+				charged, host.controller.pushQueue.queuedLines)
 		}
 		host.run(4, nil)
 		if host.controller.pushQueue.queuedLines != 0 || len(host.controller.pushQueue.batches) > 0 {
-			t.Errorf("%.0f lines stay counted for good", host.controller.pushQueue.queuedLines)
+			t.Errorf("%.0f lines are still counted after 4 s, want 0", host.controller.pushQueue.queuedLines)
 		}
 	})
 }
--- a/balancer/shard_test.go
+++ b/balancer/shard_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestShardsMove(t *testing.T) {
-	start := func(t *testing.T, single bool, admit AdmissionMode) *fakeHost {
+func TestShardMigration(t *testing.T) {
+	start := func(t *testing.T, singleOwner bool, mode AdmissionMode) *fakeHost {
 		settings := defaultSettings()
-		settings.sharding = Sharding{Count: 4, SingleOwner: single, WriteLease: 2500_000, SettleTime: 2 * second}
-		settings.mode = admit
+		settings.sharding = Sharding{Count: 4, SingleOwner: singleOwner, WriteLease: 2500_000, SettleTime: 2 * second}
+		settings.mode = mode
 		host := startController(t, settings, 4, 0)
 		for id := range 4 {
 			host.controller.ShardAssigned(id)
@@ -21,73 +21,75 @@
 		host.run(1, nil)
 		return host
 	}
-	gone := []Endpoint{{Backend: 3, State: Removed, Zone: 1}}
+	removal := []Endpoint{{Backend: 3, State: Removed, Zone: 1}}
 	t.Run("a shard whose owner is removed moves to the least loaded backend", func(t *testing.T) {
 		host := start(t, false, AdmissionByShare)
-		host.controller.EndpointsUpdated(false, gone)
+		host.controller.EndpointsUpdated(false, removal)
 		if host.tables[3][0] != 1 || host.tables[3][3] != 0 || len(host.tables[1]) > 0 {
-			t.Errorf("tables %v", host.tables)
+			t.Errorf("tables are %v, want shard 3 at backend 0 only, and no entry for shard 1", host.tables)
 		}
 	})
-	t.Run("a single owner gets writes only after those of the former one are settled everywhere", func(t *testing.T) {
+	t.Run("a new single owner gets writes only after all writes at the former owner have settled", func(t *testing.T) {
 		host := start(t, true, AdmissionByShare)
-		host.controller.EndpointsUpdated(false, gone)
+		host.controller.EndpointsUpdated(false, removal)
 		if host.limits["3 2"] != 0 || host.retries["3 2"] != NoRetry || host.tables[3][0] != 1 {
-			t.Fatalf("limits %v, tables %v", host.limits, host.tables)
+			t.Fatalf("limits are %v, retry policies %v, tables %v; want shard 3 at backend 0, without writes or retries",
+				host.limits, host.retries, host.tables)
 		}
-		host.controller.ProxyDisconnected(1) // it goes on writing for a while
+		host.controller.ProxyDisconnected(1) // the proxy goes on writing for a while
 		host.run(2, nil)
-		host.controller.ProxyConnected(1, 1, 10, false) // and is told again when it is back
+		host.controller.ProxyConnected(1, 1, 10, false) // and is notified of the fence again
 		host.run(1.5, nil)
 		if host.limits["3 2"] != 0 {
-			t.Error("writes go on though the lost proxy's may be in hand")
+			t.Error("writes to shard 3 are allowed while writes of the disconnected proxy may be in progress")
 		}
 		host.run(2, nil)
 		if host.limits["3 2"] < 1 {
-			t.Error("writes are still held")
+			t.Error("writes to the shard are still stopped after its move has settled")
 		}
 	})
-	t.Run("a shard that comes from another controller is fenced, as it may have been moving", func(t *testing.T) {
-		// Found by a hunt: it had moved the slice just before a cut took it away, and the level was reset.
+	t.Run("a shard taken over from another controller is fenced, since it may have been moving", func(t *testing.T) {
+		// The former controller had moved the shard just before a partition took it away, and the new
+		// one lifted the limit that stopped writes.
 		host := start(t, true, AdmissionByShare)
 		host.run(5, func() { host.reportHealthy() })
 		host.controller.ShardAssigned(2)
 		host.controller.ShardOwnerStored(2, 1, 1)
 		host.run(1, nil)
-		if l, ok := host.limits["2 2"]; !ok || l != 0 {
-			t.Errorf("limits %v", host.limits)
+		if limit, ok := host.limits["2 2"]; !ok || limit != 0 {
+			t.Errorf("limits are %v, want 0 for writes to shard 2", host.limits)
 		}
 		host.run(3, nil)
 		if host.limits["2 2"] < 1 {
-			t.Error("writes are still held")
+			t.Error("writes to the shard are still stopped after its move has settled")
 		}
 	})
 	t.Run("fences are repeated once, however many proxies connect", func(t *testing.T) {
-		// Found by a hunt: every joining proxy had every hold told again to all, and the channel overflowed.
+		// Each proxy that connected had every fence sent to all proxies again, and the channel overflowed.
 		host := start(t, true, AdmissionByShare)
-		host.controller.EndpointsUpdated(false, gone)
-		before := len(host.script)
+		host.controller.EndpointsUpdated(false, removal)
+		before := len(host.effects)
 		for p := 2; p < 12; p++ {
 			host.controller.ProxyConnected(p, 0, 10, false)
 		}
 		host.run(1, nil)
-		told := 0
-		for _, line := range host.script[before:] {
-			told += count(strings.HasSuffix(line, "limit 3 2 0.00 0"))
+		fences := 0
+		for _, line := range host.effects[before:] {
+			fences += count(strings.HasSuffix(line, "limit 3 2 0.00 0"))
 		}
-		if told != 1 {
-			t.Errorf("the hold was told %d times", told)
+		if fences != 1 {
+			t.Errorf("the fence of shard 3 was sent %d times, want 1", fences)
 		}
 	})
 	t.Run("where limits are not supported, the new owner is published last", func(t *testing.T) {
 		host := start(t, true, AdmissionUnsupported)
-		host.controller.EndpointsUpdated(false, gone)
+		host.controller.EndpointsUpdated(false, removal)
 		if len(host.tables[3]) > 0 {
-			t.Fatalf("table %v", host.tables[3])
+			t.Fatalf("the table of shard 3 is %v before the move has settled, want no entry", host.tables[3])
 		}
 		host.run(3, nil)
 		if host.tables[3][0] != 1 {
-			t.Errorf("table %v", host.tables[3])
+			t.Errorf("the table of shard 3 is %v after the move has settled, want backend 0", host.tables[3])
 		}
 	})
 }
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -7,27 +7,28 @@
 )
 
 func TestProxiesThatConnectGetTables(t *testing.T) {
-	t.Run("a proxy that may hold foreign withdrawals costs a line more for each backend's first entry", func(t *testing.T) {
-		cost := map[bool][]float64{}
-		for _, keeps := range []bool{false, true} {
+	t.Run("a first entry costs one more line at a proxy with withdrawals of other controllers", func(t *testing.T) {
+		lines := map[bool][]float64{}
+		for _, mayHold := range []bool{false, true} {
 			host := startController(t, defaultSettings(), 5, 0)
-			host.controller.ProxyConnected(0, 0, 10, keeps)
-			bind := host.controller.pushQueue.queuedLines
+			host.controller.ProxyConnected(0, 0, 10, mayHold)
+			tableLines := host.controller.pushQueue.queuedLines
 			host.controller.Acknowledged(0, host.ackRequest)
 			host.now += 3 * second
-			host.updateEndpoints(5, 7, Ready, 0) // new ones enter, and one is dropped
+			host.updateEndpoints(5, 7, Ready, 0) // two backends are added, and one is removed below
 			host.controller.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Removed, Weight: 2}})
 			host.run(2.2, nil)
 			host.controller.ProxyDisconnected(0)
-			host.controller.ProxyConnected(1, 0, 10, keeps)
-			before := host.controller.pushQueue.queuedLines
+			host.controller.ProxyConnected(1, 0, 10, mayHold)
+			queuedBefore := host.controller.pushQueue.queuedLines
 			host.now += 3 * second
 			host.updateEndpoints(7, 8, Ready, 0)
 			host.controller.publishChanges(host.now, true)
-			cost[keeps] = []float64{bind, host.controller.pushQueue.queuedLines - before}
+			lines[mayHold] = []float64{tableLines, host.controller.pushQueue.queuedLines - queuedBefore}
 		}
-		if cost[true][0] != cost[false][0]+5 || cost[true][1] != cost[false][1]+1 {
-			t.Errorf("lines counted: %v", cost)
+		if lines[true][0] != lines[false][0]+5 || lines[true][1] != lines[false][1]+1 {
+			t.Errorf("lines for tables and for a new backend are %v, want 5 and 1 more with withdrawals of other controllers",
+				lines)
 		}
 	})
 	t.Run("complete tables wait while half the capacity is in use, and until acks come back", func(t *testing.T) {
@@ -35,20 +36,21 @@
 		for p := range 28 {
 			host.controller.ProxyConnected(p, 0, 10, false)
 		}
-		n := len(host.assigned)
-		if n == 0 || float64(n)*35 > 450 {
-			t.Errorf("%d assigned at once", n)
+		assignedAtOnce := len(host.assigned)
+		if assignedAtOnce == 0 || float64(assignedAtOnce)*35 > 450 {
+			t.Errorf("%d proxies were assigned tables at once, want some that cost at most 450 lines", assignedAtOnce)
 		}
 		host.now += second
-		if host.controller.TimerFired(host.timerTag); len(host.assigned) != n {
-			t.Errorf("%d more were assigned though no ack came back", len(host.assigned)-n)
+		if host.controller.TimerFired(host.timerTag); len(host.assigned) != assignedAtOnce {
+			t.Errorf("%d more proxies were assigned tables without any ack, want 0", len(host.assigned)-assignedAtOnce)
 		}
 		if host.run(3, nil); len(host.assigned) != 28 {
-			t.Errorf("%d assigned in the end", len(host.assigned))
+			t.Errorf("%d proxies are assigned tables in the end, want 28", len(host.assigned))
 		}
 	})
-	t.Run("equal proxies get tables in the order in which they connected, and are told of withdrawals meanwhile", func(t *testing.T) {
-		// Found on a day of reloads: the last numbers were bound last at each controller, and kept a gone backend.
+	t.Run("equal proxies get tables in order of connection, and withdrawals while they wait", func(t *testing.T) {
+		// While controllers reloaded, the proxies with the highest indices got tables last at each
+		// controller, and went on using a removed backend.
 		host := startController(t, defaultSettings(), 30, 0)
 		host.controller.ProxyConnected(0, 0, 10, false)
 		host.controller.Acknowledged(0, host.ackRequest)
@@ -59,137 +61,151 @@
 		}
 		for turn := range 28 {
 			p := 28 - turn
-			bound, told := host.assigned[fmt.Sprint(p, 0, 3)], slices.Contains(host.script, fmt.Sprintf("%d sync %d", host.now, p))
-			if bound != (turn < len(host.assigned)-1) || told == bound || len(host.assigned) < 8 {
-				t.Errorf("proxy %d: assigned %v, told %v, %d bound", p, bound, told, len(host.assigned))
+			assigned := host.assigned[fmt.Sprint(p, 0, 3)]
+			notified := slices.Contains(host.effects, fmt.Sprintf("%d sync %d", host.now, p))
+			if assigned != (turn < len(host.assigned)-1) || notified == assigned || len(host.assigned) < 8 {
+				t.Errorf("proxy %d, number %d to connect: tables assigned %v, withdrawals sent %v, want either; %d have tables",
+					p, turn+1, assigned, notified, len(host.assigned))
 			}
 		}
 		host.run(6, nil)
 		for p := range 28 {
 			if proxy := host.controller.proxies[p+1]; !proxy.tablesAssigned || !proxy.withdrawalsCleared {
-				t.Errorf("proxy %d in the end: %+v", p+1, proxy)
+				t.Errorf("proxy %d has no tables, or its withdrawals are not cleared, in the end: %+v", p+1, proxy)
 			}
 		}
 		if host.controller.pushQueue.queuedLines > 900 || len(host.controller.syncQueue) > 0 {
-			t.Errorf("%.0f lines, %d waiting", host.controller.pushQueue.queuedLines, len(host.controller.syncQueue))
+			t.Errorf("%.0f lines are queued, want at most 900; %d proxies wait, want 0",
+				host.controller.pushQueue.queuedLines, len(host.controller.syncQueue))
 		}
 	})
 }
 
 func TestWholeFleetConnectsToOneController(t *testing.T) {
-	busy := func(p int) float64 { return 0.3 + float64(p*7919%1000)/1000 } // spread over the numbers
-	t.Run("when all connect to one, the busiest get tables first and nothing waits long behind others", func(t *testing.T) {
-		// Found on a day on which four of five controllers died: 36,000 lines waited, 40 s of the channel.
-		host := startController(t, wholeFleet(), 200, 0)
+	// Baseline rates that are spread over the indices of the proxies.
+	baseline := func(p int) float64 { return 0.3 + float64(p*7919%1000)/1000 }
+	t.Run("if all proxies connect to one controller, the busiest get tables first", func(t *testing.T) {
+		// When four of five controllers failed, 36,000 lines were queued, which take the channel 40 s.
+		host := startController(t, wholeFleetSettings(), 200, 0)
 		for p := range 2000 {
-			host.controller.ProxyConnected(p, p%2, busy(p), true)
+			host.controller.ProxyConnected(p, p%2, baseline(p), true)
 		}
-		if most := host.playChannel(8); most > 900*4 {
-			t.Errorf("%.0f lines waited", most)
+		if maxQueued := host.runChannel(8); maxQueued > 900*4 {
+			t.Errorf("%.0f lines were queued, want at most 3600", maxQueued)
 		}
-		least, bound := 2., 0
+		lowestServed, served := 2., 0
 		for p := range 2000 {
 			if host.controller.proxies[p].tablesAssigned {
-				bound, least = bound+1, min(least, busy(p))
+				served, lowestServed = served+1, min(lowestServed, baseline(p))
 			}
 		}
-		higher := 0 // the first second's worth went to whoever was there
+		// The tables of the first second are sent to the proxies that have connected first.
+		busiestWaiting := 0
 		for p := range 2000 {
-			higher += count(!host.controller.proxies[p].tablesAssigned && busy(p) > 1.15)
+			busiestWaiting += count(!host.controller.proxies[p].tablesAssigned && baseline(p) > 1.15)
 		}
-		if bound < 300 || higher > 0 {
-			t.Errorf("%d assigned, %d of the busiest were not, the quietest has %.2f", bound, higher, least)
+		if served < 300 || busiestWaiting > 0 {
+			t.Errorf("%d proxies have tables, want at least 300; %d of the busiest have none, want 0; lowest rate served %.2f",
+				served, busiestWaiting, lowestServed)
 		}
-		if host.playChannel(40); len(host.controller.syncQueue) > 0 && !host.controller.proxies[host.controller.syncQueue[0]].tablesAssigned {
-			t.Errorf("%d wait in the end", len(host.controller.syncQueue))
+		host.runChannel(40)
+		if queue := host.controller.syncQueue; len(queue) > 0 && !host.controller.proxies[queue[0]].tablesAssigned {
+			t.Errorf("proxy %d has no tables in the end, and %d proxies wait", queue[0], len(queue))
 		}
 	})
-	t.Run("a proxy that waits gets its tables within the grace, whatever else there is to publish", func(t *testing.T) {
-		// Found on a day of restarts (santiago-enlace, roll+mass, seed 3): a proxy brought a table that named a backend
-		// which had gone before the new controller began. No withdrawal named it, new lines for others went first, and the
-		// table that would have taken it out came after 8 s, with 7.4 of grace.
-		settings := wholeFleet()
+	t.Run("a waiting proxy gets its tables within the drain grace, whatever else is to be published", func(t *testing.T) {
+		// During restarts (santiago-enlace, roll+mass, seed 3) a proxy held a table with a backend that
+		// was removed before the new controller started. No withdrawal named the backend, entries for
+		// other proxies were sent first, and the table without the backend arrived after 8 s, with a
+		// grace of 7.4 s.
+		settings := wholeFleetSettings()
 		settings.channel.Backlog, settings.channel.Proxies, settings.limits.DrainGrace = 5300, 240, 7400_000
 		host := startController(t, settings, 160, 0)
 		host.updateEndpoints(0, 60, Removed, 0)
-		late := map[int]int64{}
-		plays := func(seconds float64) {
+		tableDelays := map[int]int64{}
+		runChannel := func(seconds float64) {
 			for range int(4 * seconds) {
-				host.playChannel(0.25)
+				host.runChannel(0.25)
 				for p, proxy := range host.controller.proxies {
-					if _, known := late[p]; proxy.tablesAssigned && !known { // it leaves behind all that waits now
-						late[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
+					// The tables arrive after all lines that are queued now.
+					if _, known := tableDelays[p]; proxy.tablesAssigned && !known {
+						tableDelays[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
 					}
 				}
 			}
 		}
-		comes := func(from, to int) {
+		connect := func(from, to int) {
 			for p := from; p < to; p++ {
-				host.controller.ProxyConnected(p, p%2, busy(p), true)
+				host.controller.ProxyConnected(p, p%2, baseline(p), true)
 			}
 		}
-		comes(0, 35)
-		plays(1.5)
-		host.updateEndpoints(160, 260, Ready, 0) // a hundred new ones are a line each to all of these
-		comes(35, 50)
-		plays(0.5)
-		comes(50, 75)
-		plays(12)
+		connect(0, 35)
+		runChannel(1.5)
+		host.updateEndpoints(160, 260, Ready, 0) // 100 new backends cost each of these proxies 100 lines
+		connect(35, 50)
+		runChannel(0.5)
+		connect(50, 75)
+		runChannel(12)
 		for p := range 75 {
-			if after, bound := late[p]; !bound || after > settings.limits.DrainGrace {
-				t.Errorf("proxy %d: assigned %v, its table came after %.2f s", p, bound, float64(after)/float64(second))
+			if delay, assigned := tableDelays[p]; !assigned || delay > settings.limits.DrainGrace {
+				t.Errorf("proxy %d: assigned tables %v, after %.2f s, want within 7.4 s",
+					p, assigned, float64(delay)/float64(second))
 			}
 		}
-		n := 0
+		entries := 0
 		for _, table := range host.tables {
-			n += len(table)
+			entries += len(table)
 		}
-		if n != 200 {
-			t.Errorf("%d of 200 backends have a line in the end", n)
+		if entries != 200 {
+			t.Errorf("%d backends have an entry in the end, want 200", entries)
 		}
 	})
-	t.Run("a small fleet that connects to one in a release gets its tables within the grace", func(t *testing.T) {
-		// Found on days on which four of five controllers are killed in a release (santiago-enlace, herd+mass, --nodes 30, seed
-		// 11): three parts of 67 backends are 17,000 lines for 240 proxies, 21 s of the channel with 8.3 s of grace.
-		settings := wholeFleet()
+	t.Run("a small fleet that connects to one controller gets its tables within the grace", func(t *testing.T) {
+		// When four of five controllers were killed during a release (santiago-enlace, herd+mass,
+		// --nodes 30, seed 11), three subsets of 67 backends cost 17,000 lines for 240 proxies. These
+		// take the channel 21 s, with a grace of 8.3 s.
+		settings := wholeFleetSettings()
 		settings.channel.LinesPerSecond, settings.channel.Backlog, settings.channel.MaxLatency = 800, 5300, 890_000
 		settings.channel.Proxies, settings.channel.MinBackendConnections, settings.limits.DrainGrace = 240, 85, 8300_000
 		host := startController(t, settings, 200, 0)
 		for p := range 48 {
-			host.controller.ProxyConnected(p, p%2, busy(p), false)
+			host.controller.ProxyConnected(p, p%2, baseline(p), false)
 		}
-		host.playChannel(13)
+		host.runChannel(13)
 		host.updateEndpoints(0, 60, Draining, 0)
-		host.playChannel(1)
+		host.runChannel(1)
 		for p := 48; p < 240; p++ {
-			host.controller.ProxyConnected(p, p%2, busy(p), true)
+			host.controller.ProxyConnected(p, p%2, baseline(p), true)
 		}
-		late := 0
+		lateCount := 0
 		for range 4 * 30 {
-			host.playChannel(0.25)
+			host.runChannel(0.25)
 			for _, proxy := range host.controller.proxies {
-				late += count(!proxy.tablesAssigned && host.now+host.controller.QueueDelay()+settings.channel.MaxLatency-proxy.connectedAt > settings.limits.DrainGrace)
+				earliest := host.now + host.controller.QueueDelay() + settings.channel.MaxLatency
+				late := earliest-proxy.connectedAt > settings.limits.DrainGrace
+				lateCount += count(!proxy.tablesAssigned && late)
 			}
 		}
-		if late > 0 {
-			t.Errorf("%d looks at proxies that were late", late)
+		if lateCount > 0 {
+			t.Errorf("in %d checks of a proxy its tables were late, want 0", lateCount)
 		}
 	})
-	t.Run("proxies that wait are not told of a hundred withdrawals one by one instead", func(t *testing.T) {
-		// Found on the same day: messages of a hundred lines, for tables of ten, took all of the channel for good.
-		host := startController(t, wholeFleet(), 200, 0)
+	t.Run("waiting proxies do not get messages with 100 withdrawals each instead of tables", func(t *testing.T) {
+		// When four of five controllers failed, withdrawals messages of 100 lines, sent to proxies whose
+		// tables have 10, kept the channel full from then on.
+		host := startController(t, wholeFleetSettings(), 200, 0)
 		host.updateEndpoints(0, 100, Removed, 0)
 		host.run(3, nil)
 		for p := range 1500 {
-			host.controller.ProxyConnected(p, p%2, busy(p), true)
+			host.controller.ProxyConnected(p, p%2, baseline(p), true)
 		}
-		host.playChannel(10)
-		bound, told := 0, 0
+		host.runChannel(10)
+		assigned, notified := 0, 0
 		for _, p := range host.controller.proxies {
-			bound, told = bound+count(p.tablesAssigned), told+count(p.withdrawalsSynced)
+			assigned, notified = assigned+count(p.tablesAssigned), notified+count(p.withdrawalsSynced)
 		}
-		if bound < 400 || told > 0 {
-			t.Errorf("%d assigned, %d told", bound, told)
+		if assigned < 400 || notified > 0 {
+			t.Errorf("%d proxies have tables, want at least 400; %d got a withdrawals message, want 0", assigned, notified)
 		}
 	})
 }
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// transcript is the host, and the driver, of one case.
+// transcriptHost is the host of one case, and makes its calls.
 type transcriptHost struct {
 	*rand.Rand
-	controller *Controller
-	testCase   transcriptCase
-	settings   testSettings
-	now        int64
-	lines      []string
-	timers     []transcriptTimer
-	requests   []int // numbers of acknowledgements asked for and not yet given, with their times in due
-	due        []int64
-	joined     []bool
-	listed     []Endpoint
-	known      int // backends that the controller was told of
-	mood       int // how the fleet does just now
-	few        int // backends below this number are those that differ
+	controller    *Controller
+	testCase      transcriptCase
+	settings      testSettings
+	now           int64
+	lines         []string
+	timers        []transcriptTimer
+	requestedAcks []int // numbers of acks requested and not yet given; their times are in ackTimes
+	ackTimes      []int64
+	connected     []bool
+	endpoints     []Endpoint
+	listedCount   int // backends below this index have been listed
+	condition     int // condition of the fleet, see reportAll
+	affected      int // backends below this index are those that some conditions affect
 }
 
 type transcriptTimer struct {
@@ -50,88 +50,94 @@
 func (host *transcriptHost) AssignTable(table, proxy int, classes uint16) {
 	host.record("bind %d %d %d", table, proxy, classes)
 }
-func (host *transcriptHost) Withdraw(backend int, out bool) {
-	host.record("withdraw %d %v", backend, out)
+func (host *transcriptHost) Withdraw(backend int, withdrawn bool) {
+	host.record("withdraw %d %v", backend, withdrawn)
 }
-func (host *transcriptHost) SyncWithdrawals(proxy int, allowance float64, tries RetryPolicy) bool {
-	host.record("sync %d %v %d", proxy, allowance, tries)
-	return !host.testCase.mute
+func (host *transcriptHost) SyncWithdrawals(proxy int, limit float64, retry RetryPolicy) bool {
+	host.record("sync %d %v %d", proxy, limit, retry)
+	return !host.testCase.noSyncMessage
 }
 func (host *transcriptHost) ClearWithdrawals(proxy int) { host.record("clear %d", proxy) }
-func (host *transcriptHost) SetAdmissionLimit(table int, classes uint16, allowance float64, tries RetryPolicy) {
-	host.record("limit %d %d %v %d", table, classes, allowance, tries)
+func (host *transcriptHost) SetAdmissionLimit(table int, classes uint16, limit float64, retry RetryPolicy) {
+	host.record("limit %d %d %v %d", table, classes, limit, retry)
 }
-func (host *transcriptHost) RequestAck(number int, everyone bool) {
-	host.record("request %d %v", number, everyone)
-	host.requests, host.due = append(host.requests, number), append(host.due, host.now+300_000+host.Int64N(900_000))
+func (host *transcriptHost) RequestAck(number int, allConnected bool) {
+	host.record("request %d %v", number, allConnected)
+	host.requestedAcks = append(host.requestedAcks, number)
+	host.ackTimes = append(host.ackTimes, host.now+300_000+host.Int64N(900_000))
 }
 
-// list tells of endpoints.
-func (host *transcriptHost) list(full bool, entries []Endpoint) {
+// updateEndpoints records and makes a call of EndpointsUpdated.
+func (host *transcriptHost) updateEndpoints(complete bool, entries []Endpoint) {
 	var text strings.Builder
 	for _, e := range entries {
 		fmt.Fprintf(&text, " [%d %d %d %v %d %d]", e.Backend, e.State, e.StartedAt, e.Weight, e.Zone, e.DrainingSince)
-		host.known = max(host.known, e.Backend+1)
+		host.listedCount = max(host.listedCount, e.Backend+1)
 	}
-	host.record("> endpoints %v%s", full, text.String())
-	host.controller.EndpointsUpdated(full, entries)
+	host.record("> endpoints %v%s", complete, text.String())
+	host.controller.EndpointsUpdated(complete, entries)
 }
 
 func (host *transcriptHost) connect(proxy int) {
-	usual, keeps := float64(1+host.IntN(40)), host.IntN(2) == 0
-	host.record("> connect %d %d %v %v", proxy, proxy%2, usual, keeps)
-	host.joined[proxy] = true
-	host.controller.ProxyConnected(proxy, proxy%2, usual, keeps)
+	baseline, mayHold := float64(1+host.IntN(40)), host.IntN(2) == 0
+	host.record("> connect %d %d %v %v", proxy, proxy%2, baseline, mayHold)
+	host.connected[proxy] = true
+	host.controller.ProxyConnected(proxy, proxy%2, baseline, mayHold)
 }
 
 func (host *transcriptHost) disconnect(proxy int) {
 	host.record("> disconnect %d", proxy)
-	host.joined[proxy] = false
+	host.connected[proxy] = false
 	host.controller.ProxyDisconnected(proxy)
 }
 
-// outcomes reports what was met at each backend, and what came to each proxy, as the mood has it.
-func (host *transcriptHost) outcomes() {
-	span := max(host.testCase.span, host.settings.telemetry.ReportInterval)
-	for i := range host.listed {
-		tries, failed, mean := host.IntN(14), 0, 150_000+host.Int64N(120_000)
-		differs := i < host.few
+// reportAll reports outcomes at each backend, and demand at each proxy and shard, according to the
+// condition of the fleet.
+func (host *transcriptHost) reportAll() {
+	span := max(host.testCase.reportSpan, host.settings.telemetry.ReportInterval)
+	for i := range host.endpoints {
+		attempts, failures, mean := host.IntN(14), 0, 150_000+host.Int64N(120_000)
+		isAffected := i < host.affected
 		switch {
-		case host.mood == 1: // a jam
-			failed, mean = tries/10, 700_000+host.Int64N(500_000)
-		case host.mood == 2 && differs: // some are dead
-			failed, mean = tries, 0
-		case host.mood == 3 && differs: // some are slow
-			failed, mean = tries/4, 1200_000+host.Int64N(800_000)
-		case host.mood == 4 && differs: // some fail fast
-			failed = tries * 3 / 4
-		case host.mood == 5: // thin news
-			tries = host.IntN(2)
-		case host.mood == 6: // everything fails
-			failed, mean = tries, 0
-		case host.mood == 8: // late answers of backends that have little to do
+		case host.condition == 1: // overload
+			failures, mean = attempts/10, 700_000+host.Int64N(500_000)
+		case host.condition == 2 && isAffected: // some backends are dead
+			failures, mean = attempts, 0
+		case host.condition == 3 && isAffected: // some backends are slow
+			failures, mean = attempts/4, 1200_000+host.Int64N(800_000)
+		case host.condition == 4 && isAffected: // some backends fail fast
+			failures = attempts * 3 / 4
+		case host.condition == 5: // few attempts
+			attempts = host.IntN(2)
+		case host.condition == 6: // all attempts fail
+			failures, mean = attempts, 0
+		case host.condition == 8: // late answers of lightly loaded backends
 			mean = 450_000 + host.Int64N(300_000)
-		case host.mood == 7: // nearly nothing waits, and more comes
+		case host.condition == 7: // short queues and high demand
 			mean = 300_000 + host.Int64N(200_000)
 		}
 		load := BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 		if host.testCase.loads {
-			load = BackendLoad{CPUUtilization: host.Float64(), QueueLength: 2 * host.Float64(), ServiceTime: float64(mean) * host.Float64()}
-			if host.mood == 8 {
-				load = BackendLoad{CPUUtilization: 0.7 + 0.2*host.Float64(), QueueLength: host.Float64(), ServiceTime: float64(mean) * (0.6 + 0.1*host.Float64())}
+			load = BackendLoad{CPUUtilization: host.Float64(), QueueLength: 2 * host.Float64(),
+				ServiceTime: float64(mean) * host.Float64()}
+			if host.condition == 8 {
+				load = BackendLoad{CPUUtilization: 0.7 + 0.2*host.Float64(), QueueLength: host.Float64(),
+					ServiceTime: float64(mean) * (0.6 + 0.1*host.Float64())}
 			}
 		}
-		host.record("> outcomes %d %d %d %d %d [%v %v %v]", i, tries, failed, mean, span, load.CPUUtilization, load.QueueLength, load.ServiceTime)
-		host.controller.OutcomesReported(OutcomeReport{Backend: i, Attempts: tries, Failures: failed, MeanAnswerTime: mean, Span: span, Load: load})
+		host.record("> outcomes %d %d %d %d %d [%v %v %v]", i, attempts, failures, mean, span,
+			load.CPUUtilization, load.QueueLength, load.ServiceTime)
+		host.controller.OutcomesReported(OutcomeReport{Backend: i, Attempts: attempts, Failures: failures,
+			MeanAnswerTime: mean, Span: span, Load: load})
 	}
-	for proxy, joined := range host.joined {
+	for proxy, isConnected := range host.connected {
 		for class := range host.settings.classes {
 			n := host.IntN(30)
-			if host.mood == 1 || host.mood == 7 {
+			if host.condition == 1 || host.condition == 7 {
 				n *= 3
 			}
 			n = n * int(span/second)
-			if joined && host.IntN(8) > 0 {
+			if isConnected && host.IntN(8) > 0 {
 				host.record("> demand %d %d %d %d", proxy, class, n, span)
 				host.controller.DemandReported(proxy, class, n, span)
 			}
@@ -144,16 +150,17 @@
 	}
 }
 
-// change is one change of the list by chance.
-func (host *transcriptHost) change() {
+// changeRandomEndpoints makes random changes to the endpoint list.
+func (host *transcriptHost) changeRandomEndpoints() {
 	var entries []Endpoint
 	for range 1 + host.IntN(3) {
-		i := host.IntN(len(host.listed))
-		if host.IntN(12) == 0 && len(host.listed) < host.testCase.backends+6 { // one more
-			i = len(host.listed)
-			host.listed = append(host.listed, Endpoint{Backend: i, Weight: float64(1 + host.IntN(4)), Zone: i % 3 % 2, StartedAt: host.now})
+		i := host.IntN(len(host.endpoints))
+		if host.IntN(12) == 0 && len(host.endpoints) < host.testCase.backends+6 { // add a backend
+			i = len(host.endpoints)
+			host.endpoints = append(host.endpoints,
+				Endpoint{Backend: i, Weight: float64(1 + host.IntN(4)), Zone: i % 3 % 2, StartedAt: host.now})
 		}
-		e := &host.listed[i]
+		e := &host.endpoints[i]
 		switch host.IntN(6) {
 		case 0:
 			e.State = Removed
@@ -171,50 +178,51 @@
 		}
 		entries = append(entries, *e)
 	}
-	if host.IntN(10) == 0 { // a complete list, that may leave some out
+	if host.IntN(10) == 0 { // a complete list that may omit some backends
 		entries = nil
-		for _, e := range host.listed {
+		for _, e := range host.endpoints {
 			if host.IntN(15) > 0 && e.State != Removed {
 				entries = append(entries, e)
 			}
 		}
-		host.list(true, entries)
+		host.updateEndpoints(true, entries)
 		return
 	}
-	host.list(false, entries)
+	host.updateEndpoints(false, entries)
 }
 
-// leaveOnly drains all but those below a number.
-func (host *transcriptHost) leaveOnly(below int) {
-	for i := range host.listed {
-		if host.listed[i].State = Ready; i >= below {
-			host.listed[i].State = Draining
+// drainAllBut lists the backends below an index as ready, and all others as draining.
+func (host *transcriptHost) drainAllBut(below int) {
+	for i := range host.endpoints {
+		if host.endpoints[i].State = Ready; i >= below {
+			host.endpoints[i].State = Draining
 		}
 	}
-	host.list(false, slices.Clone(host.listed))
+	host.updateEndpoints(false, slices.Clone(host.endpoints))
 }
 
-// shuffle is any other call by chance.
-func (host *transcriptHost) shuffle() {
-	proxy, backend, class := host.IntN(host.testCase.proxies), host.IntN(len(host.listed)), host.IntN(len(host.settings.classes))
+// makeRandomCall makes a random call of one of the other methods.
+func (host *transcriptHost) makeRandomCall() {
+	proxy, backend := host.IntN(host.testCase.proxies), host.IntN(len(host.endpoints))
+	class := host.IntN(len(host.settings.classes))
 	switch host.IntN(16) {
 	case 0, 1, 2:
-		if host.joined[proxy] {
+		if host.connected[proxy] {
 			host.disconnect(proxy)
 		} else {
 			host.connect(proxy)
 		}
 	case 3:
-		for i := range host.joined { // many at once
-			if !host.joined[i] || host.IntN(3) == 0 {
+		for i := range host.connected { // many proxies at once
+			if !host.connected[i] || host.IntN(3) == 0 {
 				host.connect(i)
 			}
 		}
 	case 4, 5:
-		tries := host.IntN(9)
-		failed, mean, wait := tries-tries*host.IntN(2), host.Int64N(900_000), host.Int64N(40*second)
-		host.record("> peer outcomes %d %d %d %d %d", backend, tries, failed, mean, wait)
-		host.controller.PeerOutcomesReported(backend, tries, failed, mean, wait)
+		attempts := host.IntN(9)
+		failures, mean, backoff := attempts-attempts*host.IntN(2), host.Int64N(900_000), host.Int64N(40*second)
+		host.record("> peer outcomes %d %d %d %d %d", backend, attempts, failures, mean, backoff)
+		host.controller.PeerOutcomesReported(backend, attempts, failures, mean, backoff)
 	case 6:
 		messages := host.IntN(5)
 		host.record("> spent %d %d", proxy, messages)
@@ -224,26 +232,26 @@
 		for i := range rates {
 			rates[i] = 30 * host.Float64()
 		}
-		if host.joined[proxy] {
+		if host.connected[proxy] {
 			host.record("> demands %d %v", proxy, rates)
 			host.controller.SeedDemand(proxy, rates)
 		}
 	case 8:
-		proven, able := host.Float64()/2, host.Float64()/2
-		host.record("> capacity %v %v", proven, able)
-		host.controller.SeedThroughput(proven, able)
+		proven, saturated := host.Float64()/2, host.Float64()/2
+		host.record("> capacity %v %v", proven, saturated)
+		host.controller.SeedThroughput(proven, saturated)
 	case 9:
 		quota := float64(host.IntN(2)) * 200 * host.Float64()
 		host.record("> quota %d %v", class, quota)
 		host.controller.SetClassQuota(class, quota)
 	case 10, 11:
-		if backend >= host.known {
+		if backend >= host.listedCount {
 			return
 		}
 		forgotten := host.controller.ForgetBackend(backend)
 		host.record("> forget %d = %v", backend, forgotten)
 		if forgotten {
-			host.listed[backend].State, host.listed[backend].StartedAt = Removed, 0
+			host.endpoints[backend].State, host.endpoints[backend].StartedAt = Removed, 0
 		}
 	case 12:
 		outcome := HealthCheckResult(host.IntN(7))
@@ -256,15 +264,16 @@
 		host.record("> stray timer")
 		host.controller.TimerFired(99)
 	case 15:
-		host.slice()
+		host.makeRandomShardCall()
 	}
 }
 
-func (host *transcriptHost) slice() {
+// makeRandomShardCall makes a random call about a shard.
+func (host *transcriptHost) makeRandomShardCall() {
 	if host.settings.sharding.Count == 0 {
 		return
 	}
-	switch id, backend := host.IntN(host.settings.sharding.Count), host.IntN(len(host.listed)); host.IntN(4) {
+	switch id, backend := host.IntN(host.settings.sharding.Count), host.IntN(len(host.endpoints)); host.IntN(4) {
 	case 0:
 		host.record("> slice taken %d", id)
 		host.controller.ShardRevoked(id)
@@ -279,18 +288,18 @@
 	}
 }
 
-// returned keeps what the controller says of itself.
-func (host *transcriptHost) returned() {
-	for i := range len(host.listed) + 1 {
-		tries, failed, wait, away := host.controller.Ejection(i)
-		host.record("= ejected %d %d %d %d %v", i, tries, failed, wait, away)
+// recordReturnValues records the values that the controller's query methods return.
+func (host *transcriptHost) recordReturnValues() {
+	for i := range len(host.endpoints) + 1 {
+		attempts, failures, backoff, ejected := host.controller.Ejection(i)
+		host.record("= ejected %d %d %d %d %v", i, attempts, failures, backoff, ejected)
 	}
-	proven, able := host.controller.Throughput()
-	host.record("= capacity %v %v", proven, able)
+	proven, saturated := host.controller.Throughput()
+	host.record("= capacity %v %v", proven, saturated)
 	host.record("= delay %d", host.controller.QueueDelay())
 }
 
-// step lets a moment pass.
+// step advances the clock by 40 to 60 ms, and makes the calls that are due.
 func (host *transcriptHost) step(i int) {
 	host.now += 40_000 + host.Int64N(20_000)
 	for _, timer := range slices.Clone(host.timers) {
@@ -301,34 +310,34 @@
 		}
 	}
 	host.now += host.Int64N(3)
-	for len(host.due) > 0 && host.due[0] <= host.now {
-		number := host.requests[0]
-		host.requests, host.due = host.requests[1:], host.due[1:]
-		for proxy, joined := range host.joined {
-			if joined && host.IntN(25) > 0 {
+	for len(host.ackTimes) > 0 && host.ackTimes[0] <= host.now {
+		number := host.requestedAcks[0]
+		host.requestedAcks, host.ackTimes = host.requestedAcks[1:], host.ackTimes[1:]
+		for proxy, isConnected := range host.connected {
+			if isConnected && host.IntN(25) > 0 {
 				host.record("> acknowledged %d %d", proxy, number)
 				host.controller.Acknowledged(proxy, number)
 			}
 		}
 	}
-	every := int(max(host.testCase.span/4, host.settings.telemetry.ReportInterval) / second * 20)
+	every := int(max(host.testCase.reportSpan/4, host.settings.telemetry.ReportInterval) / second * 20)
 	if i%every == every-1 {
-		host.outcomes()
+		host.reportAll()
 	}
 	if i%400 == 399 {
-		host.mood, host.few = host.IntN(9), 1+host.IntN(max(1, host.testCase.backends/3))
-		host.record("mood %d %d", host.mood, host.few)
+		host.condition, host.affected = host.IntN(9), 1+host.IntN(max(1, host.testCase.backends/3))
+		host.record("mood %d %d", host.condition, host.affected)
 	}
-	if host.mood == 2 && i%400 == 200 && host.testCase.backends < 10 {
-		host.leaveOnly(host.few)
+	if host.condition == 2 && i%400 == 200 && host.testCase.backends < 10 {
+		host.drainAllBut(host.affected)
 	}
 	if host.IntN(70) == 0 {
-		host.change()
+		host.changeRandomEndpoints()
 	}
 	if host.IntN(30) == 0 {
-		host.shuffle()
+		host.makeRandomCall()
 	}
 	if i%200 == 150 {
-		host.returned()
+		host.recordReturnValues()
 	}
 }
