--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -5,10 +5,10 @@
 // from events to effects are split into one file each:
 //
 //	outlier.go    which backends are ejected, and when they are readmitted
-//	weight.go     the share of its listed weight that a backend gets: warm-up, slow start, lagging answers
+//	weight.go     share of its listed weight for a backend: warm-up, slow start, lagging
 //	subset.go     the number of subsets, and the subset of each backend
 //	publish.go    which table entries are published, and when
-//	sync.go       when proxies that connect get complete tables, and which messages they get until then
+//	sync.go       when proxies that connect get complete tables, and messages until then
 //	pushqueue.go  how much may be sent without queueing for too long
 //	overload.go   the summary of load reports over the whole fleet
 //	admission.go  the limit on admitted requests under overload, and its division among classes
@@ -21,8 +21,8 @@
 // reasons for the rules.
 //
 // A Controller has no locks, goroutines, clock or random source of its own: its caller makes one
-// call at a time, the time is Host.Now, timers are Host.SetTimer, and random choices derive from the
-// seed. The same calls at the same times give the same effects in the same order. No state is
+// call at a time, the time is Host.Now, timers are Host.SetTimer, and random choices derive from
+// the seed. The same calls at the same times give the same effects in the same order. No state is
 // stored: a controller that restarts begins with empty state.
 //
 // Backends, proxies, classes, zones and shards are identified by small indices that the caller
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -1,8 +1,8 @@
 package balancer
 
-// Drain: proxies must stop using a draining backend within RuleLimits.DrainGrace. The same holds for
-// a removed backend, unless RuleLimits.OnlyDrainingMustLeave is set and the backend has not been
-// draining since it was last ready. Such a change is required; publish.go states when it is
+// Drain: proxies must stop using a draining backend within RuleLimits.DrainGrace. The same holds
+// for a removed backend, unless RuleLimits.OnlyDrainingMustLeave is set and the backend has not
+// been draining since it was last ready. Such a change is required; publish.go states when it is
 // published and in which order, with withdrawals for proxies that may hold tables of other
 // controllers.
 //
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Publication: table entries that differ from their target weight (weight.go) are sent to all proxies
-// of their tables, in rounds.
+// Publication: table entries that differ from their target weight (weight.go) are sent to all
+// proxies of their tables, in rounds.
 //
 // Required changes are the entries of backends that proxies must stop using (drain.go), withdrawals
 // of these backends, lower weights of backends that are warming up, the first entries of empty
-// tables, backends for a short subset (subset.go), and a lowered admission limit (admission.go). All
-// other changes are ordinary.
+// tables, backends for a short subset (subset.go), and a lowered admission limit (admission.go).
+// All other changes are ordinary.
 //
 // A round is due with each endpoint list and each tick if a required change is pending. It is also
 // due with a tick once minPublishInterval has passed since the last round that published anything,
@@ -36,8 +36,8 @@
 //     give them;
 //  5. limits that have changed, whatever capacity is left.
 //
-// Changes left over are sent in a later round, so that a set of changes that does not fit is sent in
-// pieces.
+// Changes left over are sent in a later round, so that a set of changes that does not fit is sent
+// in pieces.
 //
 // Inputs are weights, and the costs of the changes, in lines (pushqueue.go).
 
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Push queue: an account of the lines that wait in the push channel to the proxies. A line counts as
-// queued until an ack for its batch, or for a later one, comes back, so that the account also holds
-// when the channel is slow. It is too high by the lines that have left the channel and whose ack is
-// still on its way.
+// Push queue: an account of the lines that wait in the push channel to the proxies. A line counts
+// as queued until an ack for its batch, or for a later one, comes back, so that the account also
+// holds when the channel is slow. It is too high by the lines that have left the channel and whose
+// ack is still on its way.
 //
 //   - Required changes may fill the capacity: as many lines as the backlog takes, but no more than
-//     leave within maxQueueTime. The capacity is the same however short the drain grace is. A change
-//     that is held back here, not in the channel, is decided again on later reports, and shares
-//     messages with other changes.
+//     leave within maxQueueTime. The capacity is the same however short the drain grace is. A
+//     change that is held back here, not in the channel, is decided again on later reports, and
+//     shares messages with other changes.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of the capacity, so that
 //     required changes never wait behind more than that.
 //   - publish.go states when a round of changes may start, and in which order it is sent.
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -1,9 +1,9 @@
 package balancer
 
-// Shards: keys may be divided into shards. Each shard assigned to this controller has one backend as
-// its owner, which is the only entry of the shard's table. An owner stays until it cannot serve the
-// shard, since a change of owner discards what the backend holds for the shard's keys. Its successor
-// is the backend with the least load relative to its weight.
+// Shards: keys may be divided into shards. Each shard assigned to this controller has one backend
+// as its owner, which is the only entry of the shard's table. An owner stays until it cannot serve
+// the shard, since a change of owner discards what the backend holds for the shard's keys. Its
+// successor is the backend with the least load relative to its weight.
 //
 // If a shard has a single owner, writes to the shard are stopped (fenced) while it moves. They
 // continue once each proxy has acknowledged the fence, or has been disconnected for as long as it
@@ -68,8 +68,8 @@
 func (c *Controller) ShardAssigned(id int) {
 	c.sharding.shards[id] = shardState{assigned: true, owner: noOwner, demand: make([]float64, len(c.classes))}
 	// Another controller may have been moving the shard, so that a former owner may still have
-	// writes in progress. This controller assumes the opposite if it has evaluated no reports yet:
-	// then all controllers have just started.
+	// writes in progress. A controller that has evaluated no reports yet assumes instead that all
+	// controllers have just started, and that no shard is moving.
 	justStarted := c.admission.meanObjective <= 0
 	if c.sharding.SingleOwner && !justStarted {
 		c.sharding.shards[id].fence = fencePending
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -9,7 +9,8 @@
 // proxy is in the subset given by its index modulo the number of subsets, a new backend in the
 // subset with the least weight.
 //
-// One subset, with one table for all proxies, is best where it is possible. There are more subsets if
+// One subset, with one table for all proxies, is best where it is possible. There are more subsets
+// if
 //   - proxies outnumber the connections that the smallest backend accepts: as many subsets as that
 //     requires;
 //   - the tables of all proxies, connected to one controller, would not leave the channel within
@@ -17,7 +18,8 @@
 //     require subsets as well, as many as leave half of that time for drains.
 //
 // A subset that falls short of its share of the weight is given backends of the heaviest subset,
-// since its proxies would overload the few backends left in it. That counts as required (publish.go).
+// since its proxies would overload the few backends left in it. That counts as required
+// (publish.go).
 //
 // Inputs are PushChannel.Proxies, MinBackendConnections and LinesPerSecond (lines),
 // RuleLimits.DrainGrace (microseconds) and listed weights. The number of subsets is decided once,
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -11,10 +11,10 @@
 // withdrawals message may notify it of the withdrawals and limits in force, since the rules apply
 // whatever tables the proxy holds.
 //
-// Order of tables: first the proxies that have waited for half the drain grace; then, if the channel
-// may need long for all tables, the proxies with the most baseline demand; then the proxies that
-// connected first. Changes that wait for the channel are sent before tables, unless tables would
-// then arrive later than tablesShareOfGrace of the grace.
+// Order of tables: first the proxies that have waited for half the drain grace; then, if the
+// channel may need long for all tables, the proxies with the most baseline demand; then the proxies
+// that connected first. Changes that wait for the channel are sent before tables, unless tables
+// would then arrive later than tablesShareOfGrace of the grace.
 //
 // A proxy whose tables cannot be sent yet gets a withdrawals message, once, only if
 //   - one of its tables is empty, so that they cannot be sent, or they cost at least
--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -15,12 +15,12 @@
 )
 
 // The transcript test makes seeded sequences of calls, of all exported methods and under many
-// settings. It records each call, each effect ordered from the host with its time, and each returned
-// value. Golden files hold the first lines of each case, and a hash of each further chunk of lines.
-// Log texts are excluded.
+// settings. It records each call, each effect ordered from the host with its time, and each
+// returned value. Golden files hold the first lines of each case, and a hash of each further chunk
+// of lines. Log texts are excluded.
 //
 //	go test -run TestTranscript -update                        rewrites the golden files; never in CI
-//	go test -run TestTranscript -write-transcripts=DIRECTORY   writes complete transcripts, to compare them line by line
+//	go test -run TestTranscript -write-transcripts=DIRECTORY   writes full transcripts, for line-by-line diffs
 
 var writeTranscripts = flag.String("write-transcripts", "", "write complete transcripts into this `directory`")
 
