--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,89 +6,117 @@
 	"slices"
 )
 
-// Admission: under overload (overload.go) a limit bounds what is let in, in units a second.
+// Admission: under overload (overload.go) an admission limit bounds the demand that proxies admit,
+// in units per second.
 //
-//   - Lower: when a queue stands nearly everywhere, what was answered meanwhile is what the fleet can do (saturated
-//     throughput). The limit is set so that the backends' queues are cleared within backendQueueClearTime, but not below
-//     minLimitShare of that: what waits too long is dropped.
-//   - Hold: the limit then returns to sustainableShare of that, less half of the queue that is still reported, without
-//     waiting for reports of the lowered limit, which come late.
-//   - Raise: while it limits and the latency ratio is below overloadedRatio, it is raised by raiseStep, or by fastRaiseStep
-//     and up to three times that if most backends have no queue; a step for each time that reports of the last one take,
-//     and not beyond maxHeadroom times what comes.
-//   - Ahead of reports: what the list takes of our entries takes its part of the limit at once. Without a limit the
-//     fleet is taken to be able to do assumedHeadroom times the most that was let in without a queue (proven throughput).
+//   - Lower: when queues stand at nearly all backends, the throughput answered during that time is
+//     taken as what the fleet can do (saturated throughput). The limit is set so that the queues at
+//     the backends are cleared within backendQueueClearTime, but not below minLimitShare of the
+//     saturated throughput: requests that wait too long are dropped.
+//   - Hold: the limit then returns to sustainableShare of the saturated throughput, less half of
+//     the queue that is still reported, without waiting for reports of the lowered limit, which
+//     come late.
+//   - Raise: while the limit holds back demand and the latency ratio is below overloadedRatio (or
+//     most backends report themselves idle and are believed, see overload.go), the limit is raised
+//     by raiseStep. If most backends have no queue, the step is from one to three times
+//     fastRaiseStep. The next step follows once reports can show the effect of the last one. A
+//     limit is not raised beyond maxHeadroom times the offered demand.
+//   - Ahead of reports: when the endpoint list takes away published weight, the limit falls at once
+//     by the same share. Without a limit, the fleet is assumed to be capable of assumedHeadroom
+//     times the highest demand that was admitted without a queue (proven throughput).
 //
-// The limit is shared out by priority: classes with the highest PriorityWeight over LatencyObjective are served first, the
-// last in that order is shed first. A class of which less is let in than comes is limited as the AdmissionMode has it:
-//   - by rate, no proxy lets in more than one rate, the same for all. Only proxies that more comes to are limited, and
-//     repeats of refused requests there do not raise what is let in;
-//   - by share, every proxy lets in the same share of what comes to it.
+// The limit is divided by priority: classes with the highest PriorityWeight over LatencyObjective
+// are served first, and the last class in that order is shed first. If a class is admitted less
+// than its demand, it is limited as the AdmissionMode specifies:
+//   - by rate: no proxy admits more than a rate that is the same for all proxies. Only proxies with
+//     more demand than that are limited, and repeats of refused requests at these proxies do not
+//     raise the admitted demand;
+//   - by share: every proxy admits the same share of its demand.
 //
-// Each class keeps minAdmittedShare of its demand, so that answers are still reported: without any, no evaluation would
-// raise the limit again. A class quota bounds its class by the same means, and no further than to minAdmittedShare either.
+// Each class keeps minAdmittedShare of its demand, so that answers are still reported: without any
+// answers, no evaluation would raise the limit again. A class quota limits its class by the same
+// means, and also leaves it at least minAdmittedShare of its demand.
 //
-// Throughputs are per capacity (published weight times baseline demand); times are microseconds.
+// Throughputs are in units per second, per capacity (published weight times baseline demand). Times
+// are in microseconds.
 
 const (
-	// maxSaturatedGrowth bounds the saturated throughput by what was answered until one evaluation.
+	// maxSaturatedGrowth bounds the saturated throughput to this multiple of the throughput
+	// answered in the latest evaluation.
 	maxSaturatedGrowth = 1.5
-	// sustainableShare is the share of the saturated throughput that fixed weights can spread without queues.
+	// sustainableShare is the share of the saturated throughput that fixed weights can spread over
+	// the backends without queues.
 	sustainableShare = 0.85
-	// minLimitShare is the share that a lowered limit leaves: the queue is an estimate, and what waits too long is dropped.
+	// minLimitShare is the lowest share of the saturated throughput that a lowered limit leaves:
+	// the queue is only an estimate, and requests that wait too long are dropped.
 	minLimitShare = 0.3
-	// backendQueueClearTime is the time within which a queue at the backends is cleared: changes keep their interval, so not
-	// faster. It has nothing to do with maxQueueTime, which bounds the push queue.
+	// backendQueueClearTime is the time within which a queue at the backends is cleared. It is not
+	// shorter because changes keep their interval (minPublishInterval). It is unrelated to
+	// maxQueueTime, which bounds the push queue.
 	backendQueueClearTime = 2 * minPublishInterval
-	// maxHeadroom is how far the limit may be ahead of what is answered now: one further ahead is none when it is needed.
+	// maxHeadroom bounds a raised limit to this multiple of the current demand: a limit further
+	// above the demand would not take effect when it is needed. Measured throughput is bounded to
+	// the same multiple of the admitted demand.
 	maxHeadroom = 1.15
-	// raiseStep is the step of a limit while the latency ratio is below overloadedRatio.
+	// raiseStep is the relative step by which a limit is raised while the latency ratio is below
+	// overloadedRatio.
 	raiseStep = 0.08
-	// fastRaiseStep is the step while most backends have no queue, and three times that when none has.
+	// fastRaiseStep is the relative step while most backends have no queue. The step grows to three
+	// times this as the latency ratio falls to queueFreeRatio, where no backend has a queue.
 	fastRaiseStep = 0.1
-	// answerTimeAllowance is the time from a request to its answer that reports of a limit take beside their own.
+	// answerTimeAllowance is the time from a request to its answer. Reports show the effect of a
+	// limit later by this time than by the delay of the reports alone.
 	answerTimeAllowance = second
-	// assumedHeadroom times what was let in without a queue is taken to be possible, until a queue was seen.
+	// assumedHeadroom is the multiple of the throughput proven without a queue that the fleet is
+	// assumed to be capable of, until a queue was seen.
 	assumedHeadroom = 1.3
-	// minAdmittedShare is the share of its demand that each class keeps.
+	// minAdmittedShare is the share of its demand that each class keeps under any limit.
 	minAdmittedShare = 0.05
-	// limitTolerance is the difference below which two limits are one: reports are no finer.
+	// limitTolerance is the relative difference below which two limits count as equal: reports are
+	// no more precise.
 	limitTolerance = 0.05
-	// noLimit stands for no limit where one must be given, see Host.SetAdmissionLimit.
+	// noLimit is the value that means no limit where a limit must be given, see
+	// Host.SetAdmissionLimit.
 	noLimit = 1_000_000
-	// minUnits is what a request counts at least.
+	// minUnits is the lowest number of units that a request counts.
 	minUnits = 1e-3
 )
 
-// admissionState is what is known of the fleet's throughput, and the limit.
+// admissionState holds what is known about the fleet's throughput, and the resulting limit.
 type admissionState struct {
 	mode            AdmissionMode
-	priorityOrder   []int     // classes, the first to be let in first
+	priorityOrder   []int     // class indices, in the order in which classes are admitted
 	unitsPerRequest []float64 // by class
 	longestDeadline float64   // microseconds
-	meanObjective   float64   // latency objective of the mean request let in, microseconds; 0 before the first evaluation
+	// meanObjective is the mean latency objective of the admitted requests, in microseconds; 0
+	// before the first evaluation.
+	meanObjective float64
 
-	provenThroughput    float64 // most units a second let in without a queue, per published capacity; 0 if unknown
-	saturatedThroughput float64 // units a second answered with a queue, per reported capacity; 0 if unknown
+	// provenThroughput is the highest number of units per second that was admitted without a queue,
+	// per published capacity; 0 if unknown.
+	provenThroughput float64
+	// saturatedThroughput is the number of units per second that was answered with a queue, per
+	// reported capacity; 0 if unknown.
+	saturatedThroughput float64
 
-	limitShare   float64 // share of the saturated throughput that is let in; 0 until a queue was seen
-	limit        float64 // units a second
-	limiting     bool    // more comes than that
-	limitLowered bool    // a lowered limit is to be published
+	limitShare   float64 // limit as a share of the saturated throughput; 0 until a limit is needed
+	limit        float64 // units per second
+	limiting     bool    // whether the offered demand exceeds the limit
+	limitLowered bool    // whether a lowered limit has yet to be published
 	latencyRatio float64 // at the last evaluation
 
-	backendQueueClearAt Microseconds // when the queue for which the limit was last lowered must be gone ...
-	holdUntil           Microseconds // ... and when reports show it
-	overloadedSince     Microseconds // when evaluations began to show a queue nearly everywhere; 0 while they do not
-	raisedAt            Microseconds // when the limit was last raised, or assumed
+	backendQueueClearAt Microseconds // deadline for clearing the queue that the limit was last lowered for
+	holdUntil           Microseconds // when reports show that this queue is cleared
+	overloadedSince     Microseconds // when evaluations began to show queues nearly everywhere; 0 while they do not
+	raisedAt            Microseconds // when the limit was last raised, or set by an assumption
 
 	// By class.
-	targetLimits     []float64           // limits that are to be published: a share or a rate; 0 for none
-	publishedLimits  []float64           // limits that are
-	limitsSent       bool                // one ever was
-	quota            []RequestsPerSecond // that the whole fleet may be sent; 0 for any number
+	targetLimits     []float64           // limits to be published: a share or a rate; 0 means no limit
+	publishedLimits  []float64           // limits that were last published
+	limitsSent       bool                // whether a limit was ever published
+	quota            []RequestsPerSecond // requests that the whole fleet may be sent; 0 means any number
 	countedRequests  []float64           // requests since the last evaluation
-	demandCorrection []float64           // what was counted over the sum of the proxies' rates
+	demandCorrection []float64           // counted requests over the sum of the proxies' rates
 }
 
 func newAdmissionState(mode AdmissionMode, classes []Class) admissionState {
@@ -111,19 +139,20 @@
 	return a
 }
 
-// updateAdmission evaluates the reports since the last evaluation, and decides how much is let in.
+// updateAdmission evaluates the reports since the last evaluation, and updates the limit
+// accordingly.
 func (c *Controller) updateAdmission(now Microseconds) {
 	a := &c.admission
 	load := c.summarizeLoad(now)
 	a.latencyRatio = load.latencyRatio
-	a.noteProvenThroughput(load)
+	a.updateProvenThroughput(load)
 	if load.latencyRatio == 0 || load.reportedCapacity == 0 || a.mode == AdmissionUnsupported {
 		return
 	}
 	idle := load.latencyRatio < implausiblyIdleRatio && c.backendsIdle(load.latencyRatio*a.meanObjective)
 	overloaded := c.queueOutlastsReports(load, idle, now)
 	reportLag := c.telemetry.ReportInterval + c.pushQueue.MaxLatency + answerTimeAllowance
-	raiseDue := now-a.raisedAt >= reportLag // steps on steps that are not yet reported would overshoot
+	raiseDue := now-a.raisedAt >= reportLag // further steps before the last one is reported would overshoot
 	switch {
 	case now < a.holdUntil:
 		a.holdLimit(load, now)
@@ -142,28 +171,29 @@
 	c.distributeLimit()
 }
 
-// exceedsLimit tells whether there is a limit, and more comes than it lets in.
+// exceedsLimit reports whether there is a limit and the offered demand exceeds it.
 func (a *admissionState) exceedsLimit(offered float64) bool {
 	return a.limitShare > 0 && offered > a.limit
 }
 
-// noteProvenThroughput keeps the most that was let in without a queue. Demand of which few report proves nothing.
-func (a *admissionState) noteProvenThroughput(load loadSummary) {
+// updateProvenThroughput records the highest demand that was admitted without a queue. Demand
+// proves nothing unless more than half of the published capacity has recent reports.
+func (a *admissionState) updateProvenThroughput(load loadSummary) {
 	noQueue := load.latencyRatio > 0 && load.latencyRatio < overloadedRatio
 	if noQueue && load.recentCapacity > load.publishedCapacity/2 {
 		a.provenThroughput = max(a.provenThroughput, load.admitted/load.publishedCapacity)
 	}
 }
 
-// backendQueueTime is how long a new request waits at a backend, in microseconds.
+// backendQueueTime estimates how long a new request waits at a backend, in microseconds.
 func (a *admissionState) backendQueueTime(load loadSummary) float64 {
 	return max(0, load.latencyRatio-queueFreeRatio) * a.meanObjective
 }
 
-// holdLimit lets in what the fleet can do once the queue must be gone for which the limit was lowered; less than now, at
-// once, if that queue has grown.
+// holdLimit sets the limit to what the fleet can sustain once the queue for which the limit was
+// lowered must be cleared. If that queue has grown, it lowers the limit further at once.
 func (a *admissionState) holdLimit(load loadSummary, now Microseconds) {
-	// What is reported now is late: half of the queue that it shows may be gone.
+	// Reports are late: half of the queue that they show may already be cleared.
 	queue := a.backendQueueTime(load) / 2
 	share := max(minLimitShare, sustainableShare-queue/float64(backendQueueClearTime))
 	if now >= a.backendQueueClearAt || share < a.limitShare {
@@ -171,18 +201,20 @@
 	}
 }
 
-// lowerLimit takes what was answered for what the fleet can do, and leaves room for the backends' queues to be cleared.
+// lowerLimit takes the answered throughput as what the fleet can do, and sets the limit below it so
+// that the queues at the backends are cleared.
 func (a *admissionState) lowerLimit(load loadSummary, now, reportLag Microseconds) {
-	// Throughput cannot exceed what was let in, plus a little. Answered requests were surely let in, even where little of
-	// the demand is reported yet.
+	// The throughput cannot exceed the admitted demand by more than a little. Answered requests
+	// were certainly admitted, even if only little of the demand has been reported so far.
 	mostAdmitted := max(load.admitted, load.answered)
 	throughput := min(load.answered/load.reportedCapacity, maxHeadroom*mostAdmitted/load.publishedCapacity)
 	if a.saturatedThroughput == 0 {
 		a.saturatedThroughput = throughput
 	}
-	// What was known before the limit was lowered holds no more.
+	// The throughput known from before this overload no longer holds in full.
 	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
-	// What came before reports showed it is in the queue as well, from half of that time on average.
+	// Excess demand that was admitted before reports showed the queue has joined it, for half of
+	// the report lag on average.
 	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
 	queue := a.backendQueueTime(load)
 	queue += max(0, load.admitted/answering-1) * float64(reportLag/2)
@@ -193,12 +225,12 @@
 	a.limitLowered = true
 }
 
-// mayRaise tells whether the limit holds anything back for which there is room.
+// mayRaise reports whether the limit holds back demand that there is room for.
 func (a *admissionState) mayRaise(load loadSummary, idle bool) bool {
 	return a.exceedsLimit(load.offered) && (idle || load.latencyRatio < overloadedRatio)
 }
 
-// raiseLimit raises the limit by a step, as far as reports cover the fleet.
+// raiseLimit raises the limit by a step, scaled by the share of the capacity that reports cover.
 func (a *admissionState) raiseLimit(load loadSummary, idle bool, now Microseconds) {
 	step := raiseStep
 	mostWithoutQueue := load.medianRatio < unloadedRatio && load.latencyRatio < overloadedRatio
@@ -208,29 +240,30 @@
 	}
 	a.raisedAt = now
 	raised := a.limitShare * (1 + step*load.reportedCapacity/load.publishedCapacity)
-	most := maxHeadroom * load.offered / (a.saturatedThroughput * load.publishedCapacity)
-	a.limitShare = min(raised, most)
+	maxShare := maxHeadroom * load.offered / (a.saturatedThroughput * load.publishedCapacity)
+	a.limitShare = min(raised, maxShare)
 }
 
-// limitOnCapacityLoss takes the part of the limit that the list took of the published weight: reports show a queue only
-// when it stands. Where none ever did, all that is known is what was let in without one, and an assumption. Old reports
-// take long to show that it was too low, so there it is made only where something waited already. Both weights are
-// unreduced ones.
+// limitOnCapacityLoss lowers the limit by the share of the published weight that the endpoint list
+// took away, because reports show a queue only once it stands. If no queue was ever seen, only the
+// demand admitted without a queue is known, and the limit rests on an assumption. Where reports are
+// old, they take long to show that such a limit is too low, so it is set only if some requests
+// already waited. Both weights are unreduced weights.
 func (c *Controller) limitOnCapacityLoss(now Microseconds, weight, lostWeight float64) {
 	a := &c.admission
 	if a.mode == AdmissionUnsupported || lostWeight == 0 || lostWeight >= weight {
 		return
 	}
 	offered := c.totalDemand()
-	possible := assumedHeadroom * a.provenThroughput * (weight - lostWeight) * c.baselineDemand()
+	assumedThroughput := assumedHeadroom * a.provenThroughput * (weight - lostWeight) * c.baselineDemand()
 	soonCorrected := !c.reportsAreOld() || a.latencyRatio > unloadedRatio
 	switch {
 	case a.limitShare > 0:
 		a.limit *= 1 - lostWeight/weight
-	case a.provenThroughput > 0 && offered > possible && soonCorrected:
+	case a.provenThroughput > 0 && offered > assumedThroughput && soonCorrected:
 		a.saturatedThroughput = assumedHeadroom * a.provenThroughput
 		a.limitShare = 1
-		a.limit = possible
+		a.limit = assumedThroughput
 		a.raisedAt = now
 	}
 	limiting := a.exceedsLimit(offered)
@@ -242,18 +275,18 @@
 	c.distributeLimit()
 }
 
-// distributeLimit shares the limit out by priority. A quota is that of the whole fleet: of it we have what our proxies
-// are of all.
+// distributeLimit divides the limit among the classes by priority. A quota applies to the whole
+// fleet: this controller's part of it is the share of all proxies that are connected to it.
 func (c *Controller) distributeLimit() {
 	a := &c.admission
 	connected := c.connectedCount()
-	ourShare := max(connected, 1) / max(connected, float64(c.pushQueue.Proxies), 1)
-	left := orUnlimited(a.limit)
+	proxyShare := max(connected, 1) / max(connected, float64(c.pushQueue.Proxies), 1)
+	remaining := orUnlimited(a.limit)
 	for _, class := range a.priorityOrder {
 		rates, total := c.classDemand(class)
-		most := min(left/a.unitsPerRequest[class], orUnlimited(a.quota[class])*ourShare)
-		admitted := min(total, max(most, minAdmittedShare*total))
-		left -= admitted * a.unitsPerRequest[class]
+		allowed := min(remaining/a.unitsPerRequest[class], orUnlimited(a.quota[class])*proxyShare)
+		admitted := min(total, max(allowed, minAdmittedShare*total))
+		remaining -= admitted * a.unitsPerRequest[class]
 		a.targetLimits[class] = 0
 		if admitted >= total {
 			continue
@@ -267,23 +300,24 @@
 	}
 }
 
-// orUnlimited is a limit, or infinity for 0.
+// orUnlimited returns a limit, or infinity if it is 0.
 func orUnlimited(limit float64) float64 { return cmp.Or(limit, math.Inf(1)) }
 
-// maxMinFairRate caps rates so that they add up to a total below theirs. It sorts them.
+// maxMinFairRate returns the cap for rates with which they add up to total, or noLimit if their sum
+// is below total. It sorts rates.
 func maxMinFairRate(rates []float64, total float64) float64 {
 	slices.Sort(rates)
 	for i, rate := range rates {
-		left := float64(len(rates) - i)
-		if rate*left >= total {
-			return total / left
+		remaining := float64(len(rates) - i)
+		if rate*remaining >= total {
+			return total / remaining
 		}
 		total -= rate
 	}
 	return noLimit
 }
 
-// admittedRate is what the published limit of a class lets in of a proxy's rate.
+// admittedRate returns the part of a proxy's rate that the published limit of a class admits.
 func (a *admissionState) admittedRate(class int, rate RequestsPerSecond) RequestsPerSecond {
 	limit := a.publishedLimits[class]
 	switch {
@@ -296,13 +330,15 @@
 	}
 }
 
-// limitChanged tells whether the limit of a class is to be published anew.
+// limitChanged reports whether the limit of a class differs enough from the published one to be
+// published again.
 func (a *admissionState) limitChanged(class int) bool {
 	difference := math.Abs(a.targetLimits[class] - a.publishedLimits[class])
 	return difference > 0 && difference >= limitTolerance*a.publishedLimits[class]
 }
 
-// publishLimits publishes limits that have changed, with their retry policy, and tells whether there were any.
+// publishLimits publishes limits that have changed, with their retry policies, and reports whether
+// there were any.
 func (c *Controller) publishLimits() (published bool) {
 	a := &c.admission
 	for class := range c.classes {
@@ -319,7 +355,8 @@
 	return published
 }
 
-// seedThroughput takes what another controller saw, in place of what we have not seen ourselves.
+// seedThroughput adopts the throughput that another controller has seen, where this controller has
+// not yet seen any.
 func (a *admissionState) seedThroughput(proven, saturated float64) {
 	a.provenThroughput = cmp.Or(a.provenThroughput, max(proven, 0))
 	a.saturatedThroughput = cmp.Or(a.saturatedThroughput, max(saturated, 0))
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -5,60 +5,64 @@
 	"slices"
 )
 
-// scoreWindow is how far back reports count for a backend's score.
+// scoreWindow is the age up to which reports count towards a backend's score.
 const scoreWindow = 5 * second
 
-// backendState is all that is known of one backend.
+// backendState holds everything that the controller knows about one backend.
 type backendState struct {
-	Endpoint                  // as it was listed last
-	listed       bool         // the list has named it
-	subset       int          // which subset it is in
-	seenDraining bool         // it was draining since it was last ready
-	drainDelay   Microseconds // time from its drain's order to the last list that named it as draining
-
-	published float64      // its weight in our tables; 0 if it has no entry
-	withdrawn bool         // proxies were notified to keep off it, whatever tables they hold
-	enteredAt Microseconds // when it was new or readmitted; 0 if it was on the first list
-
-	ownOutcomes         []outcomeSample // what our proxies met within the score window
-	peerOutcomes        []outcomeSample // what those of other controllers met; counts while ours met nothing
-	reportedByPeersOnly bool            // so it does
+	Endpoint                  // latest list entry; its State is Removed once a complete list omits the backend
+	listed       bool         // whether an endpoint list has named the backend
+	subset       int          // index of its subset
+	seenDraining bool         // whether it was listed as draining since it was last ready
+	drainDelay   Microseconds // time from the drain order to the last list that named it as draining
+
+	published float64      // weight in this controller's tables; 0 if it has no entry
+	withdrawn bool         // whether proxies were notified not to use it, whatever tables they hold
+	enteredAt Microseconds // when it last became new or was readmitted; 0 if it was on the first list
+
+	ownOutcomes         []outcomeSample // reported by this controller's proxies within the score window
+	peerOutcomes        []outcomeSample // reported by other controllers; counts only while ownOutcomes is empty
+	reportedByPeersOnly bool            // whether peerOutcomes counts
 	attempts, failures  int             // sums over the samples that count
-	meanAnswerTime      float64         // of their answered attempts, in microseconds; 0 if there are none
-	load                BackendLoad     // as it reported last
+	meanAnswerTime      float64         // mean over the answered attempts, in microseconds; 0 if there are none
+	load                BackendLoad     // last load that it reported
 
-	lastAnswerAt        Microseconds // when an answer was last reported
-	consecutiveFailures int          // attempts since then, all without an answer
-	score               float64      // mean answer time over the median; 1 if unknown, -1 since it was to be ejected
+	lastAnswerAt        Microseconds // when an answer was last reported, or outcomes were reset
+	consecutiveFailures int          // attempts since lastAnswerAt, none of them answered
+	score               float64      // mean answer time over the median; 1 if unknown, -1 once an ejection was due
 
-	ejected             bool
-	ejectedByPeerReport bool // on peer reports alone: reported to peers again, that would never end
+	ejected bool
+	// ejectedByPeerReport is set if the ejection rests on peer reports alone. It is then not
+	// reported back to peers: controllers would otherwise prolong each other's ejections forever.
+	ejectedByPeerReport bool
 	readmitAt           Microseconds
-	backoff             Microseconds // how long the last ejection lasts; 0 if there was none since it was new or restarted
+	backoff             Microseconds // duration of the last ejection; 0 if there was none since it was new or restarted
 	healthCheckedAt     Microseconds
-	reducedTo           float64      // share of its listed weight that it is left with; 0 for all of it
-	weightReducedAt     Microseconds // what was met before says nothing of the new weight
-	raiseWeightAt       Microseconds // when the next step up is due
+	reducedShare        float64      // remaining share of the listed weight; 0 if the weight is not reduced
+	weightReducedAt     Microseconds // outcomes from before this time do not reflect the reduced weight
+	raiseWeightAt       Microseconds // when the next step of raising the weight is due
 }
 
 // outcomeSample is one report line about a backend.
 type outcomeSample struct {
 	receivedAt Microseconds
-	coversFrom Microseconds // what it tells of is later than this, but for one report interval
+	coversFrom Microseconds // start of the covered time, plus up to one report interval (reportCoverage)
 	answerTime Microseconds // sum over the answered attempts
 	attempts   int
 	failures   int
 }
 
-// updateEndpoint takes in a listed state. Entering says that the fleet is known already, so that a new backend enters
-// it; loadDependent that the listed weights fall with load.
-func (b *backendState) updateEndpoint(endpoint Endpoint, now Microseconds, entering, loadDependent bool) {
+// updateEndpoint applies an entry of the endpoint list. fleetKnown is set if a complete list came
+// before, so that a new backend joins a known fleet; loadDependent is set if listed weights fall
+// with load.
+func (b *backendState) updateEndpoint(endpoint Endpoint, now Microseconds, fleetKnown, loadDependent bool) {
 	restarted := b.listed && endpoint.StartedAt > b.StartedAt
-	// One that kept its entry while a wrong list had dropped it is neither new nor cold.
+	// A backend that kept its entry while a wrong list had dropped it is neither new nor cold.
 	keptEntry := b.State == Ready || b.published > 0
 	isNew := !b.listed || restarted || !keptEntry
 	if endpoint.State == Removed || loadDependent {
-		// Weight stands for size, not for the load of the moment; the entry of a removed one may stand on.
+		// The weight stands for the size of the backend, not for its current load. A removed
+		// backend keeps its weight because it may also keep its entry.
 		endpoint.Weight = max(endpoint.Weight, b.Weight)
 	}
 	b.Endpoint = endpoint
@@ -72,25 +76,25 @@
 	}
 	b.seenDraining = false
 	b.drainDelay = 0
-	if restarted { // another process: what was reported of the old one says nothing
+	if restarted { // reports about the old process do not apply to the new one
 		b.ejected = false
 		b.backoff = 0
-		b.reducedTo = 0
+		b.reducedShare = 0
 	}
 	if isNew {
 		b.enteredAt = 0
-		if entering {
+		if fleetKnown {
 			b.enteredAt = now
 		}
 		b.resetOutcomes(now)
 	}
 }
 
-// sumOutcomes drops samples older than the score window, and sums those that count.
+// sumOutcomes drops samples older than the score window, and sums up the samples that count.
 func (b *backendState) sumOutcomes(now Microseconds) {
-	outdated := func(sample outcomeSample) bool { return sample.receivedAt <= now-scoreWindow }
-	b.ownOutcomes = slices.DeleteFunc(b.ownOutcomes, outdated)
-	b.peerOutcomes = slices.DeleteFunc(b.peerOutcomes, outdated)
+	expired := func(sample outcomeSample) bool { return sample.receivedAt <= now-scoreWindow }
+	b.ownOutcomes = slices.DeleteFunc(b.ownOutcomes, expired)
+	b.peerOutcomes = slices.DeleteFunc(b.peerOutcomes, expired)
 	counting := b.ownOutcomes
 	b.reportedByPeersOnly = len(b.ownOutcomes) == 0 && len(b.peerOutcomes) > 0
 	if b.reportedByPeersOnly {
@@ -112,8 +116,9 @@
 	}
 }
 
-// noteAttempts counts attempts without an answer since the last one with an answer.
-func (b *backendState) noteAttempts(attempts, failures int, now Microseconds) {
+// updateConsecutiveFailures adds the attempts of a report to the count of consecutive failures, or
+// resets the count if the report contains an answer.
+func (b *backendState) updateConsecutiveFailures(attempts, failures int, now Microseconds) {
 	b.consecutiveFailures += attempts
 	if failures < attempts {
 		b.lastAnswerAt = now
@@ -121,7 +126,7 @@
 	}
 }
 
-// resetOutcomes forgets what was met so far.
+// resetOutcomes discards all outcomes reported so far.
 func (b *backendState) resetOutcomes(now Microseconds) {
 	b.ownOutcomes = nil
 	b.peerOutcomes = nil
@@ -129,26 +134,29 @@
 	b.lastAnswerAt = now
 }
 
-// unreducedWeight is its published weight as if that were not reduced: late answers take no capacity away.
-func (b *backendState) unreducedWeight() float64 { return b.published / cmp.Or(b.reducedTo, 1) }
+// unreducedWeight returns the published weight as if it were not reduced: late answers do not
+// diminish a backend's capacity.
+func (b *backendState) unreducedWeight() float64 { return b.published / cmp.Or(b.reducedShare, 1) }
 
-// successRate is the share of its attempts that were answered; 1 if there were none.
+// successRate returns the share of attempts that were answered; 1 if there were no attempts.
 func (b *backendState) successRate() float64 {
 	return 1 - float64(b.failures)/float64(max(b.attempts, 1))
 }
 
-// usable tells whether the list lets a backend have an entry; a removed one only until it is ejected.
+// usable reports whether the endpoint list allows a backend to have an entry. A removed backend
+// stays usable only while it may be used further, has an entry and is not ejected.
 func (c *Controller) usable(backend *backendState) bool {
-	if backend.State == Removed { // where only draining must be left, it keeps its entry until its attempts fail
+	if backend.State == Removed { // with OnlyDrainingMustLeave, it keeps its entry until its attempts fail
 		return !c.mustLeave(backend) && !backend.ejected && backend.published > 0
 	}
 	return backend.listed && backend.State == Ready
 }
 
-// median sorts values and returns the upper one of the middle, or another where there are none.
-func median(values []float64, none float64) float64 {
+// median sorts values and returns the middle one (the upper one if their number is even), or
+// fallback if there are none.
+func median(values []float64, fallback float64) float64 {
 	if len(values) == 0 {
-		return none
+		return fallback
 	}
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -7,43 +7,46 @@
 
 // Units of the package.
 type (
-	// Microseconds is a time since the Host's epoch, or a duration.
+	// Microseconds is a point in time, counted from the Host's epoch, or a duration.
 	Microseconds = int64
 	// RequestsPerSecond is a rate of requests.
 	RequestsPerSecond = float64
-	// Lines is a cost of a push: each table entry is one, and each message some for its overhead.
+	// Lines is the cost of a push: one line for each table entry, and some lines of overhead for
+	// each message.
 	Lines = float64
 )
 
 const second Microseconds = 1_000_000
 
-// maxClasses is how many classes fit into the sets of Host.AssignTable.
+// maxClasses is the number of classes that fit into the class sets of Host.AssignTable.
 const maxClasses = 16
 
-// Errors of New.
+// Errors that New returns.
 var (
-	// ErrClassCount refuses a Config with no classes, or with more than 16.
+	// ErrClassCount rejects a Config with no classes, or with more than 16.
 	ErrClassCount = errors.New("balancer: number of classes is outside 1 to 16")
-	// ErrShardCount refuses a Config with a negative number of shards.
+	// ErrShardCount rejects a Config with a negative number of shards.
 	ErrShardCount = errors.New("balancer: number of shards is negative")
 )
 
-// Config is what a Controller is started with. It does not change afterwards.
+// Config holds the settings of a Controller. They do not change while it runs.
 type Config struct {
-	// Seed decides all random choices, and is the tag of the controller's timers (Host.SetTimer): another one for each
-	// incarnation.
+	// Seed determines all random choices, and is the tag of the controller's timers
+	// (Host.SetTimer). Each incarnation needs a different seed, so that it ignores the timers of
+	// earlier ones.
 	Seed uint64
-	// Classes are the classes of requests, from 1 to 16.
+	// Classes lists the classes of requests, from 1 to 16.
 	Classes []Class
-	// Channel is the way to the proxies.
+	// Channel describes the push channel to the proxies.
 	Channel PushChannel
-	// Rules are the figures that the rules must keep to.
+	// Rules holds the limits that the balancing rules must respect.
 	Rules RuleLimits
-	// Sharding says how keys fall into shards; the zero value is none.
+	// Sharding describes how keys are divided into shards. The zero value means that there are no
+	// shards.
 	Sharding Sharding
-	// Telemetry is what can be observed, and how often.
+	// Telemetry describes which observations the controller gets, and how often.
 	Telemetry Telemetry
-	// Admission is what an admission limit means to the proxies.
+	// Admission is the way in which proxies interpret an admission limit.
 	Admission AdmissionMode
 }
 
@@ -57,91 +60,99 @@
 	return nil
 }
 
-// Class is one class of requests.
+// Class describes one class of requests.
 type Class struct {
-	// LatencyObjective is the answer time that is aimed at.
+	// LatencyObjective is the target for the answer time.
 	LatencyObjective Microseconds
-	// Deadline is when a client gives up.
+	// Deadline is the time after which a client gives up on a request.
 	Deadline Microseconds
-	// PriorityWeight is what a request is worth: under overload, classes are let in by this over their latency objective.
+	// PriorityWeight is the value of a request. Under overload, classes are admitted in descending
+	// order of PriorityWeight divided by LatencyObjective.
 	PriorityWeight float64
-	// Writes says that requests change something, so that a shard's writes can be stopped by class.
+	// Writes marks a class whose requests modify data, so that the writes to a shard can be stopped
+	// by class.
 	Writes bool
-	// ZoneLocal says that requests must stay in their zone.
+	// ZoneLocal marks a class whose requests must stay in their zone.
 	ZoneLocal bool
 }
 
-// AdmissionMode is what an admission limit means to the proxies.
+// AdmissionMode is the way in which proxies interpret an admission limit.
 type AdmissionMode uint8
 
 const (
-	// AdmissionUnsupported proxies heed no limits.
+	// AdmissionUnsupported means that proxies ignore admission limits.
 	AdmissionUnsupported AdmissionMode = iota
-	// AdmissionByShare proxies let in a share, from 0 to 1, of what comes.
+	// AdmissionByShare means that a limit is the share of the arriving requests, from 0 to 1, that
+	// a proxy admits.
 	AdmissionByShare
-	// AdmissionByRate proxies let in a number of requests a second.
+	// AdmissionByRate means that a limit is the number of requests that a proxy admits per second.
 	AdmissionByRate
 )
 
-// PushChannel is the way from a controller to its proxies. Its unit is a line: a table entry, or a part of a message
-// that takes as long to send.
+// PushChannel describes the channel from a controller to its proxies. Its unit is a line: a table
+// entry, or a part of a message that takes as long to send.
 type PushChannel struct {
-	// LinesPerSecond is how many lines leave in a second.
+	// LinesPerSecond is the number of lines that the channel sends per second.
 	LinesPerSecond float64
-	// MessageOverhead is what each message costs beside its entries, in lines.
+	// MessageOverhead is the cost of each message in addition to its entries, in lines.
 	MessageOverhead Lines
-	// LimitLines is the lines of admission limits that go along with every message, whatever it is for.
+	// LimitLines is the cost of the admission limits that accompany every message, whatever its
+	// purpose, in lines.
 	LimitLines Lines
-	// Backlog is how many lines may wait.
+	// Backlog is the number of lines that may wait in the channel.
 	Backlog Lines
-	// MaxLatency is the longest time from the channel's end to a proxy.
+	// MaxLatency is the longest time that a message takes from the end of the channel to a proxy.
 	MaxLatency Microseconds
-	// MaxMessages is how many messages a proxy may be sent within MessageWindow; 0 for any number.
+	// MaxMessages is the number of messages that a proxy may be sent within MessageWindow; 0 means
+	// no limit.
 	MaxMessages int
-	// MessageWindow is the time over which MaxMessages counts.
+	// MessageWindow is the length of the period to which MaxMessages applies.
 	MessageWindow Microseconds
-	// Proxies is how many exist, at all controllers; 0 if nobody says.
+	// Proxies is the number of proxies at all controllers together; 0 means that it is unknown.
 	Proxies int
-	// MinBackendConnections is how many connections the smallest backend takes; 0 if nobody says.
+	// MinBackendConnections is the number of connections that the smallest backend accepts; 0 means
+	// that it is unknown.
 	MinBackendConnections int
 }
 
-// RuleLimits are the figures that the rules must keep to.
+// RuleLimits holds the limits that the balancing rules must respect.
 type RuleLimits struct {
-	// DrainGrace is the time within which proxies must have left a draining backend.
+	// DrainGrace is the time within which proxies must stop using a draining backend.
 	DrainGrace Microseconds
-	// ColdStartShare is the share of its weight that a backend can carry as it starts.
+	// ColdStartShare is the share of its weight that a backend can carry when it starts.
 	ColdStartShare float64
-	// WarmupTime is how long after its start a backend can carry all of its weight.
+	// WarmupTime is the time from the start of a backend until it can carry all of its weight.
 	WarmupTime Microseconds
-	// OnlyDrainingMustLeave says that backends which the list drops, without a drain, may be used further.
+	// OnlyDrainingMustLeave allows proxies to keep using backends that the endpoint list drops
+	// without a drain.
 	OnlyDrainingMustLeave bool
 }
 
-// Sharding says how keys fall into shards.
+// Sharding describes how keys are divided into shards.
 type Sharding struct {
-	// Count is how many shards there are; 0 for none.
+	// Count is the number of shards; 0 means that there are none.
 	Count int
-	// SingleOwner says that no two backends may be sent writes of one shard.
+	// SingleOwner requires that no two backends are sent writes of the same shard.
 	SingleOwner bool
-	// WriteLease is how long a proxy goes on writing after it lost its controller.
+	// WriteLease is how long a proxy continues to write after it has lost its controller.
 	WriteLease Microseconds
-	// SettleTime is the time within which a write is concluded.
+	// SettleTime is the time within which a write completes.
 	SettleTime Microseconds
 }
 
-// Telemetry is what a controller can observe, and how often.
+// Telemetry describes which observations a controller gets, and how often.
 type Telemetry struct {
 	// ReportInterval is the time that an ordinary report covers.
 	ReportInterval Microseconds
-	// ReportLinesPerSecond is how many report lines a controller is given at most in a second; 0 if nobody says.
+	// ReportLinesPerSecond is the highest number of report lines that a controller receives per
+	// second; 0 means that it is unknown.
 	ReportLinesPerSecond float64
-	// HealthChecksAllowed says that Host.CheckHealth may be called.
+	// HealthChecksAllowed permits calls of Host.CheckHealth.
 	HealthChecksAllowed bool
-	// PollingRequired says that the endpoint list comes only after Host.PollEndpoints.
+	// PollingRequired means that the endpoint list arrives only in answer to Host.PollEndpoints.
 	PollingRequired bool
-	// LoadDependentWeights says that listed weights fall with the load of the moment.
+	// LoadDependentWeights means that listed weights fall as the current load of a backend rises.
 	LoadDependentWeights bool
-	// MaxPollInterval is the longest time allowed between two polls, where polling is required.
+	// MaxPollInterval is the longest time allowed between two polls if PollingRequired is set.
 	MaxPollInterval Microseconds
 }
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -110,8 +110,8 @@
 		c.evaluatedAt = now
 		c.newAttempts = 0
 	}
-	c.readmitDue(now)
-	c.raiseWeightsDue(now)
+	c.readmitDueBackends(now)
+	c.raiseDueWeights(now)
 	c.updatePanicMode()
 	ordinary := c.admission.limitLowered || now-c.publishedAt >= minPublishInterval
 	c.publishChanges(now, ordinary)
@@ -195,7 +195,7 @@
 	now := c.host.Now()
 	backend := c.backends[report.Backend]
 	c.newAttempts += report.Attempts
-	coversFrom, counts := c.outcomesCoverFrom(backend, report.Span, now)
+	coversFrom, counts := c.reportCoverage(backend, report.Span, now)
 	if !counts {
 		return
 	}
@@ -206,10 +206,10 @@
 		attempts:   report.Attempts,
 		failures:   report.Failures,
 	})
-	if report.Load.given() {
+	if report.Load.hasQueueFigures() {
 		backend.load = report.Load
 	}
-	backend.noteAttempts(report.Attempts, report.Failures, now)
+	backend.updateConsecutiveFailures(report.Attempts, report.Failures, now)
 }
 
 // PeerOutcomesReported is what proxies of another controller met at a backend. It counts where ours met nothing, or no
@@ -228,10 +228,10 @@
 		failures:   failures,
 	})
 	backend.sumOutcomes(now)
-	if !backend.peerFailuresCount(attempts, failures) {
+	if !backend.countsPeerFailures(attempts, failures) {
 		return
 	}
-	backend.noteAttempts(attempts, failures, now)
+	backend.updateConsecutiveFailures(attempts, failures, now)
 	backend.adoptPeerBackoff(backoff)
 	if backend.consecutiveFailures >= consecutiveFailuresToEject {
 		c.detectOutliers(now)
@@ -254,7 +254,7 @@
 	}
 	c.updateRate(&proxy.demand[class], count, span)
 	c.admission.countedRequests[class] += float64(count)
-	c.noteReportSpan(span)
+	c.updateReportSpan(span)
 }
 
 // ProxyConnected takes a proxy in, with the rate that comes to it on ordinary days, in requests a second. It uses stale
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -1,34 +1,40 @@
 package balancer
 
-// Demand: how many requests a second come to each proxy, refused requests and repeats by clients among them.
+// Demand: the requests per second that arrive at each proxy, including refused requests and repeats
+// by clients.
 //
-// Inputs are counts with the time that each covers (microseconds), a line a proxy and class. A rate stands until its
-// proxy's next line, and over hundreds of small proxies, with no line in most intervals, the sum of rates lies too high:
-// it is corrected to what was counted at all of them together.
+// Inputs are request counts, one report line per proxy and class, each with the time that it covers
+// (microseconds). A rate remains valid until the next line from its proxy. With hundreds of small
+// proxies, which have no line in most intervals, the sum of the rates is too high: it is corrected
+// to the number of requests counted at all proxies together.
 
 const (
-	// minDemandCorrection bounds the correction: rates stand too high by less than this.
+	// minDemandCorrection is the lowest correction factor: the sum of the rates is not too high by
+	// more than that.
 	minDemandCorrection = 0.5
-	// reportSpanSmoothing is how many report lines the mean of their spans goes over.
+	// reportSpanSmoothing is the number of report lines over which the mean of their spans is
+	// smoothed.
 	reportSpanSmoothing = 64
 )
 
-// updateRate weighs a count with the time that it covers, as a proxy that gets little has no line in most intervals.
+// updateRate moves a rate towards a count, weighted by the time that the count covers, because a
+// proxy with little demand has no line in most intervals.
 func (c *Controller) updateRate(rate *float64, count int, span Microseconds) {
 	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.telemetry.ReportInterval+span)
 }
 
-// noteReportSpan follows how long report lines cover of late: what they describe is as old.
-func (c *Controller) noteReportSpan(span Microseconds) {
+// updateReportSpan updates the mean time that recent report lines cover. The events that a line
+// describes are as old as that.
+func (c *Controller) updateReportSpan(span Microseconds) {
 	c.reportSpan += (float64(span) - c.reportSpan) / reportSpanSmoothing
 }
 
-// reportsAreOld tells whether report lines cover more than the longest deadline: the requests that they describe are
-// all over.
+// reportsAreOld reports whether report lines cover more than the longest deadline, so that all
+// requests that they describe have ended.
 func (c *Controller) reportsAreOld() bool { return c.reportSpan > c.admission.longestDeadline }
 
-// classDemand is what comes to each connected proxy, and in all, in requests a second. That of our shards is spread
-// evenly over the proxies.
+// classDemand returns the demand of a class at each connected proxy, and its total, in requests per
+// second. The demand of the shards assigned to this controller is spread evenly over the proxies.
 func (c *Controller) classDemand(class int) (rates []float64, total RequestsPerSecond) {
 	for _, proxy := range c.proxies {
 		if !proxy.connected {
@@ -54,7 +60,7 @@
 	return rates, total
 }
 
-// totalDemand is what comes to all classes, in units a second.
+// totalDemand returns the demand of all classes together, in units per second.
 func (c *Controller) totalDemand() (units float64) {
 	for class := range c.classes {
 		_, total := c.classDemand(class)
@@ -63,7 +69,8 @@
 	return units
 }
 
-// correctDemand moves the correction of a class half way to what was counted since the last evaluation, seconds ago.
+// correctDemand moves the correction factor of a class half way to the one that the requests
+// counted since the last evaluation imply. That evaluation was the given number of seconds ago.
 func (a *admissionState) correctDemand(class int, total RequestsPerSecond, seconds float64) {
 	if a.countedRequests[class] <= 0 || total <= 0 {
 		return
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,8 +1,8 @@
 package balancer
 
-// This file holds what events carry.
+// This file defines the data that events carry.
 
-// EndpointState is what the endpoint list says of a backend.
+// EndpointState is the state of a backend in the endpoint list.
 type EndpointState uint8
 
 const (
@@ -10,69 +10,74 @@
 	Removed EndpointState = iota
 	// Ready backends may be sent requests.
 	Ready
-	// Draining backends must be left within RuleLimits.DrainGrace.
+	// Draining backends must no longer be used once RuleLimits.DrainGrace has passed.
 	Draining
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	// Backend is its index.
+	// Backend is the index of the backend.
 	Backend int
-	// State is what the list says of it.
+	// State is the listed state of the backend.
 	State EndpointState
-	// StartedAt is when its process started; 0 for a distant past.
+	// StartedAt is the time at which the backend's process started; 0 means long ago.
 	StartedAt Microseconds
-	// Weight is its listed weight. A weight of 0 or less counts as 1.
+	// Weight is the listed weight of the backend. A weight of 0 or less counts as 1.
 	Weight float64
-	// Zone is the index of its zone.
+	// Zone is the index of the backend's zone.
 	Zone int
-	// DrainingSince is when its drain was ordered, as its grace runs from then on; 0 if that is now.
+	// DrainingSince is the time at which the drain was ordered, from which its grace counts. 0
+	// means that the grace counts from the arrival of this list.
 	DrainingSince Microseconds
 }
 
-// BackendLoad is what a backend reports of itself. A figure that it did not give is negative. The zero value, which all
-// figures at 0 are too, counts as no report.
+// BackendLoad is the load that a backend reports about itself. A figure that the backend did not
+// give is negative. The zero value, in which all figures are 0, counts as no report.
 type BackendLoad struct {
-	// CPUUtilization is the share of its cores at work, from 0 to 1.
+	// CPUUtilization is the share of the backend's cores that are busy, from 0 to 1.
 	CPUUtilization float64
-	// QueueLength is how many requests it has accepted and not yet begun.
+	// QueueLength is the number of requests that the backend has accepted but not yet begun.
 	QueueLength float64
-	// ServiceTime is its recent service time without waiting, in microseconds.
+	// ServiceTime is the backend's recent service time, excluding time spent waiting, in
+	// microseconds.
 	ServiceTime float64
 }
 
-// OutcomeReport is what proxies met at a backend within a span of time.
+// OutcomeReport sums up the attempts of proxies at one backend within a span of time.
 type OutcomeReport struct {
-	// Backend is its index.
+	// Backend is the index of the backend.
 	Backend int
-	// Attempts is how many attempts ended there.
+	// Attempts is the number of attempts that ended at the backend.
 	Attempts int
-	// Failures is how many of these failed: timed out, were refused, or answered with an error.
+	// Failures is the number of these attempts that timed out, were refused, or were answered with
+	// an error.
 	Failures int
-	// MeanAnswerTime is the mean over the others; any value if there are none.
+	// MeanAnswerTime is the mean answer time of the other attempts. If all attempts failed, its
+	// value is ignored.
 	MeanAnswerTime Microseconds
-	// Span is the time that the report covers; it ended a moment ago.
+	// Span is the length of the time that the report covers. That time ended just before the report
+	// was made.
 	Span Microseconds
-	// Load is what the backend reported of itself with its answers.
+	// Load is the load that the backend reported along with its answers.
 	Load BackendLoad
 }
 
-// HealthCheckResult is how a health check ended.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult uint8
 
 const (
-	// HealthCheckUnknown is a result that the Host does not know.
+	// HealthCheckUnknown is a result that the Host does not recognize.
 	HealthCheckUnknown HealthCheckResult = iota
-	// HealthCheckPassed is an answer that says that all is well.
+	// HealthCheckPassed means that the backend answered and reported itself healthy.
 	HealthCheckPassed
-	// HealthCheckFailed is an answer that says that it is not.
+	// HealthCheckFailed means that the backend answered and reported itself unhealthy.
 	HealthCheckFailed
-	// HealthCheckRefused is a connection that was refused.
+	// HealthCheckRefused means that the connection was refused.
 	HealthCheckRefused
-	// HealthCheckTimedOut is no answer in time.
+	// HealthCheckTimedOut means that no answer arrived in time.
 	HealthCheckTimedOut
-	// HealthCheckUnreachable is a backend to which there is no way.
+	// HealthCheckUnreachable means that there is no route to the backend.
 	HealthCheckUnreachable
-	// HealthCheckBroken is a connection that broke before the answer.
+	// HealthCheckBroken means that the connection broke before the answer arrived.
 	HealthCheckBroken
 )
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -1,65 +1,77 @@
 package balancer
 
-// Outlier detection: a usable backend is ejected, so that its entries are taken out, if it is dead, failing or lagging. An
-// attempt fails if it timed out, was refused or was answered with an error; the others are its answers.
-//   - dead: consecutiveFailuresToEject attempts in a row failed. They are counted by whole report lines: one answer in a
-//     line sets the count back to 0;
-//   - failing: at least minAttemptsToEject attempts in the window, and a success rate below failingShareOfMedian of the
-//     median backend's (exactly that share is not below);
-//   - lagging although its weight is at its least: see weight.go for what lagging alone does.
+// Outlier detection: a usable backend is ejected, so that its entries are removed, if it is dead,
+// failing or lagging. An attempt fails if it timed out, was refused or was answered with an error;
+// all other attempts are answered.
+//   - dead: consecutiveFailuresToEject attempts in a row failed. They are counted by whole report
+//     lines: one answer in a line resets the count to 0;
+//   - failing: at least minAttemptsToEject attempts in the window, and a success rate below
+//     failingShareOfMedian of the median backend's (a rate of exactly that share is not below it);
+//   - lagging while its weight is already at the minimum: weight.go describes the effect of lagging
+//     alone.
 //
-// Lagging is a mean answer time of laggingScore times the median backend's, and of overloadedRatio (overload.go) times the
-// latency objective, over minAttemptsToLag attempts of our own proxies, at a backend that does not report itself idle. It
-// is looked at before failing: a backend that lags and fails has its weight reduced first. Lagging compares with the
-// median, so a fleet that slows as one has no lagging backend.
+// A backend is lagging if its mean answer time is at least laggingScore times the median backend's
+// and at least overloadedRatio (overload.go) times the latency objective, over at least
+// minAttemptsToLag attempts of this controller's own proxies, and the backend does not report
+// itself idle. Lagging is checked before failing: a backend that lags and fails has its weight
+// reduced first. Lagging compares with the median, so a fleet that slows down as a whole has no
+// lagging backend.
 //
-// Dead and failing count only where the median backend answers healthySuccessRate of its attempts: what most backends
-// have in common is no fault of one. The median is taken over the backends that answered anything within the window. When
-// all fall silent at once, the window still holds earlier answers, so the fleet looks healthy and dead backends are ejected
-// up to maxEjectedShare, in the order of their indices; the others stay published. Once the window holds no answer at all,
-// the median counts as 1, and the same follows.
+// A backend is dead or failing only if the median backend answers at least healthySuccessRate of
+// its attempts: failures that most backends have in common are not the fault of one backend. The
+// median is taken over the backends that answered any attempt within the window. When all backends
+// stop answering at once, the window still holds earlier answers, so the fleet looks healthy, and
+// dead backends are ejected up to maxEjectedShare, in the order of their indices; the others stay
+// published. Once the window holds no answer at all, the median counts as 1, with the same effect.
 //
-// No more than maxEjectedShare of the listed weight may be ejected, as a mistake must not put the load of many on a few,
-// but for backends that the list has removed. One that would exceed it keeps its entry, and nothing is logged. If all
-// usable backends are ejected, as when the list takes those that were left, all are published (panic mode).
+// No more than maxEjectedShare of the listed weight may be ejected, so that a mistake does not put
+// the load of many backends on a few. Backends that the list has removed are exempt from this
+// bound. A backend that would exceed the bound keeps its entry, and nothing is logged. If all
+// usable backends are ejected, for example because the list removes all others, all are published
+// (panic mode).
 //
-// Backends are evaluated once a report interval, if our proxies reported attempts since, or at once with a report from
-// another controller that completes consecutiveFailuresToEject. An ejection's entry goes out as an ordinary change
-// (publish.go), or as a required one while the backend is warming up.
+// Backends are evaluated once per report interval, if this controller's proxies reported attempts
+// since the last evaluation, or at once on a report from another controller that completes
+// consecutiveFailuresToEject. The change to the entry of an ejected backend is published as an
+// ordinary change (publish.go), or as a required one while the backend is warming up.
 //
-// An ejected backend is readmitted after its backoff, or with a passed health check; it then starts slowly (weight.go).
-// The backoff is baseEjectionTime, and doubles with each further ejection up to maxEjectionTime. It does not shrink again
-// with time, but only when the backend restarts or its index is forgotten.
+// An ejected backend is readmitted after its backoff, or when it passes a health check; it then has
+// a slow start (weight.go). The backoff is baseEjectionTime, and doubles with each further ejection
+// up to maxEjectionTime. It does not shrink over time. It is reset only when the backend restarts
+// or its index is forgotten.
 //
-// Inputs are the outcomes reported within scoreWindow, of our own proxies or, where these met nothing, of other
-// controllers'; times are microseconds.
+// Inputs are the outcomes reported within scoreWindow, of this controller's own proxies or, if
+// these reported none, of other controllers' proxies. Times are in microseconds.
 
 const (
-	consecutiveFailuresToEject = 5 // as many as proxies use
+	consecutiveFailuresToEject = 5 // the same threshold as in proxies
 	minAttemptsToEject         = 20
-	healthySuccessRate         = 0.8  // median success rate from which the fleet is at work
+	healthySuccessRate         = 0.8  // median success rate from which the fleet counts as healthy
 	failingShareOfMedian       = 0.5  // of the median success rate
 	maxEjectedShare            = 0.75 // of the listed weight: a network partition may hide all zones but one
 
 	minAttemptsToLag = 10
-	laggingScore     = 2.0 // mean answer time over the median; with answers that are late as well, it is no accident
+	laggingScore     = 2.0 // mean answer time over the median; if answers are late as well, this is no coincidence
 
 	baseEjectionTime = 10 * second
 	maxEjectionTime  = 60 * second
-	// healthChecksPerBackoff is how many health checks fit into one backoff: a shallow one shows only that the process
-	// runs, so the longer the backoff, the rarer they are.
+	// healthChecksPerBackoff is the number of health checks in one backoff. A shallow check shows
+	// only that the process runs, so checks are rarer the longer the backoff is.
 	healthChecksPerBackoff = 3
 )
 
-// evaluationDue tells whether reports are to be evaluated: once a report interval, and only if any attempt was reported.
+// evaluationDue reports whether reports are to be evaluated: once per report interval, and only if
+// any attempts were reported since the last evaluation.
 func (c *Controller) evaluationDue(now Microseconds) bool {
 	return c.newAttempts > 0 && now-c.evaluatedAt >= c.telemetry.ReportInterval
 }
 
-// outcomesCoverFrom is the time that the outcomes of a report are later than, but for one report interval, and whether
-// they count. Where reports are old, one that reaches back to before its backend's start, or before it entered, is left
-// out: it tells of another process, or of when the backend was ejected.
-func (c *Controller) outcomesCoverFrom(backend *backendState, span, now Microseconds) (from Microseconds, counts bool) {
+// reportCoverage returns the start of the time that a report covers, plus up to one report
+// interval, and whether its outcomes count. If reports are not old, the start is taken to be now
+// and the outcomes count. If they are, a report that reaches back to before its backend's start, or
+// before its backend entered, does not count: it describes another process, or the time in which
+// the backend was ejected.
+func (c *Controller) reportCoverage(backend *backendState, span, now Microseconds) (from Microseconds, counts bool) {
 	if !c.reportsAreOld() {
 		return now, true
 	}
@@ -67,25 +79,28 @@
 	return from, from >= max(backend.StartedAt, backend.enteredAt)
 }
 
-// peerFailuresCount tells whether what proxies of another controller met counts as attempts in a row: where ours met
-// nothing within the window, or no answer either.
-func (b *backendState) peerFailuresCount(attempts, failures int) bool {
-	oursAnswered := b.consecutiveFailures == 0 || failures < attempts
-	return b.reportedByPeersOnly || !oursAnswered
+// countsPeerFailures reports whether attempts reported by another controller count as consecutive
+// attempts: if this controller's proxies had no attempts within the window, or if neither the
+// peer's report nor this controller's latest report contains an answer.
+func (b *backendState) countsPeerFailures(attempts, failures int) bool {
+	anyAnswered := b.consecutiveFailures == 0 || failures < attempts
+	return b.reportedByPeersOnly || !anyAnswered
 }
 
-// adoptPeerBackoff has the next ejection last as long as that at another controller: half of it, as eject doubles it.
+// adoptPeerBackoff makes the next ejection last as long as the ejection at another controller. It
+// sets half of that backoff, because eject doubles it.
 func (b *backendState) adoptPeerBackoff(backoff Microseconds) { b.backoff = max(b.backoff, backoff/2) }
 
-// fleetOutcomes is what a backend is compared with.
+// fleetOutcomes holds the figures that a backend is compared with.
 type fleetOutcomes struct {
 	medianSuccessRate float64 // of the backends with answers; 1 if there are none, which counts as healthy
-	medianAnswerTime  float64 // of the same, in microseconds; 0 if there are none
+	medianAnswerTime  float64 // of the backends with answers, in microseconds; 0 if there are none
 	listedWeight      float64 // of all usable backends
-	ejectedWeight     float64 // of these
+	ejectedWeight     float64 // of the usable backends that are ejected
 }
 
-// detectOutliers scores every backend, and ejects outliers or reduces their weight.
+// detectOutliers scores every usable backend that is not ejected, and ejects outliers or reduces
+// their weight.
 func (c *Controller) detectOutliers(now Microseconds) {
 	fleet := c.fleetOutcomes(now)
 	for id, backend := range c.backends {
@@ -94,11 +109,11 @@
 		}
 		backend.score = fleet.score(backend)
 		lagging := c.lagging(backend)
-		atLeastWeight := backend.reducedTo > 0 && backend.reducedTo <= minReducedShare
+		atMinimumWeight := backend.reducedShare > 0 && backend.reducedShare <= minReducedShare
 		switch {
-		case fleet.dead(backend), lagging && atLeastWeight:
+		case fleet.dead(backend), lagging && atMinimumWeight:
 			c.eject(id, now, &fleet)
-		case lagging: // it answers, but late: it has a queue, and others fare far better
+		case lagging: // it answers late because of a queue, while other backends are far faster
 			c.reduceWeight(id, now)
 		case fleet.failing(backend):
 			c.eject(id, now, &fleet)
@@ -106,7 +121,7 @@
 	}
 }
 
-// score is a backend's mean answer time over the median, or 1 if either is unknown.
+// score returns a backend's mean answer time over the median, or 1 if either is unknown.
 func (f *fleetOutcomes) score(backend *backendState) float64 {
 	if backend.meanAnswerTime <= 0 || f.medianAnswerTime <= 0 {
 		return 1
@@ -114,21 +129,21 @@
 	return backend.meanAnswerTime / f.medianAnswerTime
 }
 
-// dead tells whether the last attempts at a backend all failed while the fleet is at work.
+// dead reports whether the latest attempts at a backend all failed while the fleet is healthy.
 func (f *fleetOutcomes) dead(backend *backendState) bool {
 	return f.healthy() && backend.consecutiveFailures >= consecutiveFailuresToEject
 }
 
-// failing tells whether a backend answers far less than others.
+// failing reports whether a backend answers a far smaller share of its attempts than others.
 func (f *fleetOutcomes) failing(backend *backendState) bool {
 	known := backend.attempts >= minAttemptsToEject
 	return known && f.healthy() && backend.successRate() < f.medianSuccessRate*failingShareOfMedian
 }
 
-// healthy tells whether the fleet is at work, so that failures are a backend's own.
+// healthy reports whether the fleet answers, so that failures are the fault of single backends.
 func (f *fleetOutcomes) healthy() bool { return f.medianSuccessRate >= healthySuccessRate }
 
-// fleetOutcomes sums the outcomes of every backend, and compares them.
+// fleetOutcomes sums the outcomes of every backend, and returns the figures to compare them with.
 func (c *Controller) fleetOutcomes(now Microseconds) (fleet fleetOutcomes) {
 	var successRates, answerTimes []float64
 	for _, backend := range c.backends {
@@ -151,15 +166,16 @@
 	return fleet
 }
 
-// lagging tells whether answers of a scored backend are so late that a queue must stand there, by our own reports.
+// lagging reports whether a scored backend, by this controller's own reports, answers so late that
+// it must have a queue.
 func (c *Controller) lagging(backend *backendState) bool {
 	late := backend.meanAnswerTime >= overloadedRatio*c.admission.meanObjective && backend.score >= laggingScore
 	known := backend.attempts >= minAttemptsToLag && !backend.reportedByPeersOnly
 	return late && known && !backend.load.reportsIdle(backend.meanAnswerTime)
 }
 
-// eject ejects a backend, unless too much weight would be ejected then. It has a score of an ejected one in either case,
-// until it is scored again.
+// eject ejects a backend, unless too much weight would then be ejected. In either case its score is
+// -1 until it is scored again.
 func (c *Controller) eject(id int, now Microseconds, fleet *fleetOutcomes) {
 	backend := c.backends[id]
 	backend.score = -1
@@ -176,8 +192,9 @@
 	c.logf(id, "ejected: %d of %d attempts failed, %d s", backend.failures, backend.attempts, backend.backoff/second)
 }
 
-// readmitDue readmits backends after their backoff, and checks the health of other ejected ones, as a pass readmits them.
-func (c *Controller) readmitDue(now Microseconds) {
+// readmitDueBackends readmits backends after their backoff, and starts health checks of other
+// ejected backends, which are readmitted when they pass.
+func (c *Controller) readmitDueBackends(now Microseconds) {
 	for id, backend := range c.backends {
 		checkDue := now-backend.healthCheckedAt >= backend.backoff/healthChecksPerBackoff
 		switch {
@@ -190,7 +207,8 @@
 	}
 }
 
-// updatePanicMode has ejected backends published as long as every usable backend is ejected.
+// updatePanicMode sets panic mode, in which ejected backends are published, if every usable backend
+// is ejected, and clears it otherwise.
 func (c *Controller) updatePanicMode() {
 	usable, ejected := 0, 0
 	for _, backend := range c.backends {
@@ -209,7 +227,7 @@
 	}
 }
 
-// readmit lets an ejected backend back, with its outcomes forgotten.
+// readmit ends the ejection of a backend and discards its outcomes.
 func (c *Controller) readmit(id int, now Microseconds, healthChecked bool) {
 	backend := c.backends[id]
 	backend.ejected = false
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -1,49 +1,62 @@
 package balancer
 
-// Overload: what load reports say of the whole fleet, once a report interval.
+// Overload: the load of the whole fleet as load reports show it, evaluated once per report
+// interval.
 //
-// The latency ratio is the mean answer time over the mean latency objective of what is let in. Above overloadedRatio a
-// queue stands nearly everywhere, if the median backend's ratio is above unloadedRatio too, most backends do not report
-// themselves idle (or are not believed, from implausiblyIdleRatio on), and it lasts longer than reports are old: what stood
-// in queues then may be answered or given up by now.
+// The latency ratio is the mean answer time over the mean latency objective of the admitted
+// requests. A latency ratio above overloadedRatio means that queues stand at nearly all backends,
+// if all of the following hold:
+//   - the median backend's latency ratio is above unloadedRatio;
+//   - most backends do not report themselves idle, or they are not believed because the latency
+//     ratio is at least implausiblyIdleRatio;
+//   - the overload lasts longer than the age of the reports, where these are old: the requests in
+//     the queues that they show may have been answered or given up since.
 //
-// Inputs are the outcomes of our own proxies since the last evaluation, their demand (requests a second), the baseline
-// demand of our proxies and the loads that backends report. Demand, throughput and limits are in units a second: a
-// request counts its latency objective in seconds, as nothing tells its work. Capacity is published weight times the
-// baseline demand of our proxies, so that proxies of a lost controller bring its share.
+// Inputs are the outcomes of this controller's own proxies since the last evaluation, their demand
+// (requests per second), their baseline demand, and the loads that backends report. Demand,
+// throughput and limits are in units per second: a request counts its latency objective in seconds,
+// because nothing reports how much work it takes. Capacity is published weight times the baseline
+// demand of this controller's proxies, so that the proxies of a lost controller bring its share of
+// the capacity.
 
 const (
-	// overloadedRatio is the latency ratio above which a queue stands nearly everywhere: its tail misses the objective.
+	// overloadedRatio is the latency ratio above which queues stand at nearly all backends: the
+	// tail of the answer times misses the objective.
 	overloadedRatio = 0.4
-	// unloadedRatio is the latency ratio below which hardly anything waits.
+	// unloadedRatio is the latency ratio below which hardly any requests wait.
 	unloadedRatio = 0.3
-	// queueFreeRatio is about the latency ratio without any queue: objectives leave room.
+	// queueFreeRatio is the approximate latency ratio without any queue: objectives leave headroom
+	// above the service time.
 	queueFreeRatio = 0.2
-	// implausiblyIdleRatio is the latency ratio at which backends that report themselves idle are not believed.
+	// implausiblyIdleRatio is the latency ratio from which backends that report themselves idle are
+	// not believed.
 	implausiblyIdleRatio = 0.6
-	// idleUtilization is the share of busy cores, or the number of waiting requests, below which a backend has no queue.
+	// idleUtilization is the share of busy cores, or the number of waiting requests, below which a
+	// backend has no queue.
 	idleUtilization = 0.8
-	// idleServiceShare is the share of the answer time that the service of a backend without a queue takes at most.
+	// idleServiceShare is the highest share of the answer time that the service time takes at a
+	// backend without a queue.
 	idleServiceShare = 0.67
 )
 
-// loadSummary is what the reports since the last evaluation say.
+// loadSummary sums up the reports since the last evaluation.
 type loadSummary struct {
-	latencyRatio float64 // of all answers; 0 if there are none
-	medianRatio  float64 // of the median backend
+	latencyRatio float64 // over all answers; 0 if there are none
+	medianRatio  float64 // latency ratio of the median backend
 
-	offered  float64 // units a second that come
-	admitted float64 // of these, those that the published limits let in
-	answered float64 // units a second that backends answered which keep up
+	offered  float64 // demand in units per second
+	admitted float64 // part of the offered demand that the published limits admit
+	answered float64 // units per second answered by backends that keep up
 
 	// Capacity is unreduced published weight times baseline demand.
 	publishedCapacity float64 // of all backends with an entry
-	reportedCapacity  float64 // of those that keep up, as far as their proxies can have reported
-	recentCapacity    float64 // of those reported within the score window, likewise
-	deadCapacity      float64 // of those that answered nothing
+	reportedCapacity  float64 // of backends that keep up, as far as their proxies can have reported
+	recentCapacity    float64 // of backends with own reports within the score window, likewise
+	deadCapacity      float64 // of backends that answered no attempt
 }
 
-// summarizeLoad sums up the reports since the last evaluation, and follows the mean latency objective.
+// summarizeLoad sums up the reports since the last evaluation, and updates the mean latency
+// objective.
 func (c *Controller) summarizeLoad(now Microseconds) (load loadSummary) {
 	a := &c.admission
 	outcomes := c.sumFleetOutcomes(now, &load)
@@ -54,27 +67,29 @@
 	a.meanObjective = load.admitted / requests * float64(second)
 	load.latencyRatio = outcomes.answerTime / float64(outcomes.attempts) / a.meanObjective
 	load.medianRatio = median(outcomes.meanAnswerTimes, 0) / a.meanObjective
-	// Reports that a stall of ours held back come together, and are counted over the whole time.
+	// Reports delayed by a stall of this controller arrive together, so answers are divided by the
+	// whole time since the last evaluation.
 	load.answered = float64(outcomes.answers) / float64(now-c.evaluatedAt) * a.meanObjective
 	return load
 }
 
-// fleetAnswers sums outcomes since the last evaluation over all backends.
-type fleetAnswers struct {
-	attempts        int     // answered, or timed out in a queue
-	answers         int     // of backends that keep up, and failures that are none of a queue
+// outcomeTotals holds the sums of the outcomes since the last evaluation over all backends.
+type outcomeTotals struct {
+	attempts        int     // attempts that were answered or timed out in a queue
+	answers         int     // answers of backends that keep up, and failures without a queue
 	answerTime      float64 // of attempts, in microseconds
 	meanAnswerTimes []float64
 }
 
-// sumFleetOutcomes sums outcomes since the last evaluation, and the capacities that they are of.
-func (c *Controller) sumFleetOutcomes(now Microseconds, load *loadSummary) (sum fleetAnswers) {
+// sumFleetOutcomes sums the outcomes since the last evaluation, and the capacities of the backends
+// that reported them.
+func (c *Controller) sumFleetOutcomes(now Microseconds, load *loadSummary) (sum outcomeTotals) {
 	baseline, reporting := c.baselineDemand(), c.reportingDemand(now)
 	for _, backend := range c.backends {
 		weight := backend.unreducedWeight()
 		load.publishedCapacity += weight * baseline
-		reportedOfLate := backend.attempts > 0 && !backend.reportedByPeersOnly
-		if reportedOfLate { // where reports are few, one evaluation covers only some backends
+		reportedRecently := backend.attempts > 0 && !backend.reportedByPeersOnly
+		if reportedRecently { // with few reports, one evaluation covers only some backends
 			load.recentCapacity += weight * reporting
 		}
 		answered, failures, answerTime := backend.outcomesSince(c.evaluatedAt)
@@ -88,14 +103,15 @@
 		sum.meanAnswerTimes = append(sum.meanAnswerTimes, mean)
 		sum.attempts += answered
 		sum.answerTime += answerTime
-		// One that lags far behind the median says how slow things are, but not what a weight can do.
+		// The answers of a backend that lags far behind the median show how slow the fleet is, but
+		// not the throughput that a weight allows.
 		keepsUp := backend.published > 0 && backend.score < laggingScore
 		if keepsUp {
 			sum.answers += answered
 			load.reportedCapacity += weight * reporting
 		}
-		// Failures of one that answers late are time-outs in its queue; others, like lost answers or connections that it
-		// does not take, are none.
+		// Failures at a backend that answers late are time-outs in its queue. Other failures, such
+		// as lost answers or refused connections, are not caused by a queue.
 		late := mean > overloadedRatio*c.admission.meanObjective
 		if late {
 			sum.attempts += failures
@@ -107,8 +123,8 @@
 	return sum
 }
 
-// reportingDemand is the baseline demand of our proxies as far as they can have reported since the last evaluation: of
-// those that just connected reports are still to come.
+// reportingDemand returns the baseline demand of this controller's proxies as far as they can have
+// reported since the last evaluation: proxies that have just connected have yet to report.
 func (c *Controller) reportingDemand(now Microseconds) RequestsPerSecond {
 	total := 0.
 	for _, proxy := range c.proxies {
@@ -118,7 +134,7 @@
 	return total
 }
 
-// outcomesSince sums the outcomes of our own proxies that were reported after a time.
+// outcomesSince sums the outcomes that this controller's own proxies reported after a time.
 func (b *backendState) outcomesSince(since Microseconds) (answered, failures int, answerTime float64) {
 	for _, sample := range b.ownOutcomes {
 		if sample.receivedAt > since {
@@ -130,7 +146,8 @@
 	return answered, failures, answerTime
 }
 
-// sumDemand sums what comes and what is let in, and returns the latter in requests a second.
+// sumDemand sums the offered and the admitted demand, and returns the admitted demand in requests
+// per second.
 func (c *Controller) sumDemand(now Microseconds, load *loadSummary) (requests RequestsPerSecond) {
 	a := &c.admission
 	for class := range c.classes {
@@ -146,7 +163,8 @@
 	return requests
 }
 
-// queueOutlastsReports tells whether a queue stands nearly everywhere, and has for longer than reports are old.
+// queueOutlastsReports reports whether queues stand at nearly all backends, and have done so for
+// longer than reports are old.
 func (c *Controller) queueOutlastsReports(load loadSummary, idle bool, now Microseconds) bool {
 	a := &c.admission
 	queueStands := load.latencyRatio > overloadedRatio && load.medianRatio > unloadedRatio && !idle
@@ -160,8 +178,8 @@
 	return !c.reportsAreOld() || float64(now-a.overloadedSince) >= c.reportSpan
 }
 
-// backendsIdle tells whether most backends that reported their load since the last evaluation have no queue: then it is the
-// proxies that stand still.
+// backendsIdle reports whether most of the backends that reported their load since the last
+// evaluation have no queue. Late answers are then due to stalled proxies.
 func (c *Controller) backendsIdle(meanAnswerTime float64) bool {
 	reporting, idle := 0, 0
 	for _, backend := range c.backends {
@@ -176,13 +194,18 @@
 	return 2*idle > reporting
 }
 
-// given tells whether a report has a figure that shows a queue. Without one it does not replace what was reported before.
-func (load BackendLoad) given() bool { return load.CPUUtilization >= 0 || load.QueueLength >= 0 }
+// hasQueueFigures reports whether a load report has a figure that shows a queue. A report without
+// one does not replace the previous load.
+func (load BackendLoad) hasQueueFigures() bool {
+	return load.CPUUtilization >= 0 || load.QueueLength >= 0
+}
 
-// known tells whether a backend has reported its load. One whose figures were all 0 counts as if it had not.
+// known reports whether a backend has reported its load. A load whose figures are all 0 counts as
+// not reported.
 func (load BackendLoad) known() bool { return load != (BackendLoad{}) }
 
-// reportsIdle tells whether a backend reports that it has no queue. A service time that it did not give counts as quick.
+// reportsIdle reports whether a backend reports that it has no queue. A missing service time counts
+// as short.
 func (load BackendLoad) reportsIdle(meanAnswerTime float64) bool {
 	nothingWaits := load.QueueLength >= 0 && load.QueueLength < idleUtilization
 	quick := load.ServiceTime < idleServiceShare*meanAnswerTime
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -232,7 +232,7 @@
 			// An ejection may be our own network's fault, so it does not lower the limit.
 			countsAsLost := backend.State != Ready || c.warmingUp(backend, plan.now)
 			if countsAsLost {
-				entries.lostWeight += max(0, backend.published-weight) / cmp.Or(backend.reducedTo, 1)
+				entries.lostWeight += max(0, backend.published-weight) / cmp.Or(backend.reducedShare, 1)
 			}
 			c.setPublished(backend, weight)
 			entries.published = true
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,28 +1,34 @@
 package balancer
 
-// Retry: a proxy may try a request once more if it has proof that the first attempt never ran, as nothing can take effect
-// twice then. It is the proxy that has the proof: the backend refused the attempt before it was executed. Proxies do so by
-// default, before any order of ours. A class that a limit cuts is not retried: a further attempt would only add to the
-// queue. A controller sees no request and checks no key; in recorded runs invariant/duplicate_effect.go does.
+// Retry: a proxy may retry a request once if it has proof that the first attempt never ran, because
+// then nothing can take effect twice. The proof is available only to the proxy: the backend refused
+// the attempt before executing it. Proxies apply this policy by default, before they receive any
+// policy from a controller. Requests of a class that is cut by a limit are not retried: a further
+// attempt would only add to the queue. A controller sees no requests and checks no idempotency
+// keys; invariant/duplicate_effect.go does so in recorded runs.
 //
-// Input is the limit of the class; the policy goes out with it (Host.SetAdmissionLimit). Shards whose writes are stopped
-// have a policy of their own, see fenceWrites in shard.go.
+// The input is the limit of the class. The policy is sent along with the limit
+// (Host.SetAdmissionLimit). Shards whose writes are stopped have a policy of their own, see
+// fenceWrites in shard.go.
 
-// RetryPolicy is when proxies try a request again. Whether there is proof that an attempt never ran, the proxy decides.
+// RetryPolicy determines when proxies retry a request. The proxy decides whether there is proof
+// that an attempt never ran.
 type RetryPolicy uint8
 
 const (
-	// NoRetry is never.
+	// NoRetry forbids retries.
 	NoRetry RetryPolicy = iota
-	// RetryIfNotExecuted is once, after proof that the first attempt never ran.
+	// RetryIfNotExecuted allows one retry, after proof that the first attempt never ran.
 	RetryIfNotExecuted
-	// RetryOnFailure is once, after any failure. It is never ordered; the wires have it.
+	// RetryOnFailure allows one retry, after any failure. Controllers never order it, but the wire
+	// formats contain it.
 	RetryOnFailure
-	// RetryTwiceOnFailure is twice, after any failures. It is never ordered; the wires have it.
+	// RetryTwiceOnFailure allows two retries, after any failures. Controllers never order it, but
+	// the wire formats contain it.
 	RetryTwiceOnFailure
 )
 
-// retryPolicyFor is the policy that goes with a limit; 0 is none.
+// retryPolicyFor returns the policy that goes with a limit, where 0 means no limit.
 func retryPolicyFor(limit float64) RetryPolicy {
 	if limit > 0 {
 		return NoRetry
