--- a/balancer/config_test.go
+++ b/balancer/config_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-func TestNewRefusesFiguresThatCannotBeUsed(t *testing.T) {
-	for name, of := range map[string]struct {
+func TestNewRejectsInvalidConfig(t *testing.T) {
+	for name, testCase := range map[string]struct {
 		change func(config *Config)
 		want   error
 	}{
@@ -18,17 +18,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			config := Config{Classes: make([]Class, 1)}
-			of.change(&config)
+			testCase.change(&config)
 			host := &transcriptHost{}
-			control, err := New(host, config)
-			if !errors.Is(err, of.want) {
-				t.Errorf("got error %v, want %v", err, of.want)
+			controller, err := New(host, config)
+			if !errors.Is(err, testCase.want) {
+				t.Errorf("got error %v, want %v", err, testCase.want)
 			}
-			if made := control != nil; made != (of.want == nil) {
-				t.Errorf("a controller was made: %v", made)
+			if created := controller != nil; created != (testCase.want == nil) {
+				t.Errorf("controller created: %v, want %v", created, !created)
 			}
-			if timers := len(host.timers); (timers > 0) != (of.want == nil) {
-				t.Errorf("%d timers were set", timers)
+			if timers := len(host.timers); (timers > 0) != (testCase.want == nil) {
+				t.Errorf("%d timers were set; want some only if New succeeds", timers)
 			}
 		})
 	}
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -9,8 +9,8 @@
 // to the number of requests counted at all proxies together.
 
 const (
-	// minDemandCorrection is the lowest correction factor: the sum of the rates is not too high by
-	// more than that.
+	// minDemandCorrection is the lowest correction factor. The error of the sum of the rates is
+	// smaller than that.
 	minDemandCorrection = 0.5
 	// reportSpanSmoothing is the number of report lines over which the mean of their spans is
 	// smoothed.
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -11,7 +11,7 @@
 //     alone.
 //
 // A backend is lagging if its mean answer time is at least laggingScore times the median backend's
-// and at least overloadedRatio (overload.go) times the latency objective, over at least
+// and at least overloadedRatio (overload.go) times the mean latency objective, over at least
 // minAttemptsToLag attempts of this controller's own proxies, and the backend does not report
 // itself idle. Lagging is checked before failing: a backend that lags and fails has its weight
 // reduced first. Lagging compares with the median, so a fleet that slows down as a whole has no
@@ -140,7 +140,8 @@
 	return known && f.healthy() && backend.successRate() < f.medianSuccessRate*failingShareOfMedian
 }
 
-// healthy reports whether the fleet answers, so that failures are the fault of single backends.
+// healthy reports whether the median backend answers enough attempts, so that failures are the
+// fault of single backends.
 func (f *fleetOutcomes) healthy() bool { return f.medianSuccessRate >= healthySuccessRate }
 
 // fleetOutcomes sums the outcomes of every backend, and returns the figures to compare them with.
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -52,7 +52,7 @@
 	publishedCapacity float64 // of all backends with an entry
 	reportedCapacity  float64 // of backends that keep up, as far as their proxies can have reported
 	recentCapacity    float64 // of backends with own reports within the score window, likewise
-	deadCapacity      float64 // of backends that answered no attempt
+	deadCapacity      float64 // of backends whose attempts all failed
 }
 
 // summarizeLoad sums up the reports since the last evaluation, and updates the mean latency
@@ -76,7 +76,7 @@
 // outcomeTotals holds the sums of the outcomes since the last evaluation over all backends.
 type outcomeTotals struct {
 	attempts        int     // attempts that were answered or timed out in a queue
-	answers         int     // answers of backends that keep up, and failures without a queue
+	answers         int     // answers of backends that keep up, and failures not caused by a queue
 	answerTime      float64 // of attempts, in microseconds
 	meanAnswerTimes []float64
 }
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -3,43 +3,43 @@
 import "testing"
 
 func TestPeerReports(t *testing.T) {
-	t.Run("peer outcomes count by the same rules while ours met nothing", func(t *testing.T) {
+	t.Run("peer outcomes count by the same rules while this controller has no own outcomes", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.run(4, func() { host.reportHealthy(2) })
 		host.controller.PeerOutcomesReported(2, 6, 6, 0, 0)
 		host.run(3, func() { host.reportHealthy(2) })
-		host.expectWeight(2, 0, "after others' six failures")
+		host.expectWeight(2, 0, "after six failures reported by a peer")
 	})
-	t.Run("recent outcomes of our own count before them, both ways", func(t *testing.T) {
+	t.Run("recent own outcomes take precedence over peer outcomes, good or bad", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.run(8, func() { host.reportHealthy(); host.controller.PeerOutcomesReported(2, 6, 6, 0, 0) })
-		host.expectWeight(2, 2, "while our own attempts are answered")
+		host.expectWeight(2, 2, "while own attempts are answered")
 		host = startController(t, defaultSettings(), 4, 2)
 		host.run(8, func() {
 			host.reportHealthy(2)
 			host.reportOutcomes(2, 10, 10, 0)
 			host.controller.PeerOutcomesReported(2, 50, 0, 40_000, 0)
 		})
-		host.expectWeight(2, 0, "while our own attempts fail")
+		host.expectWeight(2, 0, "while own attempts fail")
 	})
-	t.Run("consecutive failures are counted with those of peers, if our last attempts failed too", func(t *testing.T) {
+	t.Run("consecutive failures include those of peers if the last own attempts failed too", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.run(3, func() { host.reportHealthy() })
 		host.reportOutcomes(2, 2, 2, 0)
 		host.controller.PeerOutcomesReported(2, 2, 2, 0, 0)
-		host.controller.PeerOutcomesReported(2, 9, 0, 40_000, 0) // others' answers are no answers to ours
+		host.controller.PeerOutcomesReported(2, 9, 0, 40_000, 0) // answers at peers do not reset the count
 		host.run(3, func() { host.reportHealthy(2) })
 		host.expectWeight(2, 2, "after four in all")
 		host.controller.PeerOutcomesReported(2, 1, 1, 0, 0)
 		host.run(3, func() { host.reportHealthy(2) })
 		host.expectWeight(2, 0, "after five in all")
 	})
-	t.Run("they reduce no weight, show no overload, and eject none where most fail at peers too", func(t *testing.T) {
+	t.Run("peer outcomes reduce no weight, show no overload, and eject nothing if most backends fail", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.run(8, func() { host.reportHealthy(2); host.controller.PeerOutcomesReported(2, 50, 0, 3_000_000, 0) })
-		host.expectWeight(2, 2, "slow as others see it")
+		host.expectWeight(2, 2, "reported as slow by a peer")
 		if host.controller.admission.latencyRatio > overloadedRatio {
-			t.Errorf("latency ratio %.2f", host.controller.admission.latencyRatio)
+			t.Errorf("latency ratio %.2f, want no overload", host.controller.admission.latencyRatio)
 		}
 		host = startController(t, defaultSettings(), 4, 2)
 		host.run(8, func() {
@@ -48,23 +48,25 @@
 			}
 			host.controller.PeerOutcomesReported(2, 50, 30, 40_000, 0)
 		})
-		host.expectWeight(2, 2, "where all fail alike")
+		host.expectWeight(2, 2, "while all backends fail alike")
 	})
-	t.Run("an ejection is reported to peers if our own proxies showed it, not if peers did", func(t *testing.T) {
+	t.Run("an ejection is reported to peers if it rests on own outcomes, not on peer outcomes", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.run(6, func() {
 			host.reportHealthy(1, 2)
 			host.reportOutcomes(1, 10, 10, 0)
 			host.controller.PeerOutcomesReported(2, 6, 6, 0, 0)
 		})
-		if tries, failed, _, away := host.controller.Ejection(1); !away || tries == 0 || failed != tries {
-			t.Errorf("our own: %d of %d, %v", failed, tries, away)
+		if attempts, failures, _, ejected := host.controller.Ejection(1); !ejected || attempts == 0 || failures != attempts {
+			t.Errorf("own outcomes: %d of %d attempts failed, reported %v; want a reported ejection",
+				failures, attempts, ejected)
 		}
-		if _, _, _, away := host.controller.Ejection(2); away || !host.controller.backends[2].ejected {
-			t.Errorf("that of others: told on %v, ejected %v", away, host.controller.backends[2].ejected)
+		if _, _, _, reported := host.controller.Ejection(2); reported || !host.controller.backends[2].ejected {
+			t.Errorf("peer outcomes: reported %v, ejected %v; want an ejection that is not reported",
+				reported, host.controller.backends[2].ejected)
 		}
 	})
-	t.Run("a backend ejected by peer outcomes stays ejected for as long as there", func(t *testing.T) {
+	t.Run("a backend ejected by peer outcomes stays ejected for as long as at the peer", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.run(4, func() { host.reportHealthy(2) })
 		host.controller.PeerOutcomesReported(2, 6, 6, 0, 40*second)
@@ -73,18 +75,19 @@
 		host.run(6, func() { host.reportHealthy(2) })
 		host.expectWeight(2, 0.5, "44 s later")
 	})
-	t.Run("the throughput that peers saw stands until we have seen it ourselves", func(t *testing.T) {
+	t.Run("the throughput seen by peers applies until this controller has seen its own", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
 		host.controller.SeedThroughput(3, 0)
-		if proven, able := host.controller.Throughput(); proven != 3 || able != 0 {
-			t.Errorf("proven %g, able %g", proven, able)
+		if proven, saturated := host.controller.Throughput(); proven != 3 || saturated != 0 {
+			t.Errorf("proven throughput %g, saturated throughput %g; want 3 and 0", proven, saturated)
 		}
 		host.controller.SeedThroughput(9, 2)
-		if proven, able := host.controller.Throughput(); proven != 3 || able != 2 {
-			t.Errorf("proven %g, able %g: our own must stand", proven, able)
+		if proven, saturated := host.controller.Throughput(); proven != 3 || saturated != 2 {
+			t.Errorf("proven throughput %g, saturated throughput %g; want 3 and 2: known values stay",
+				proven, saturated)
 		}
 	})
-	t.Run("a release is limited ahead of reports by the throughput that a peer had proven", func(t *testing.T) {
+	t.Run("a release is limited ahead of reports by the proven throughput of a peer", func(t *testing.T) {
 		for _, known := range []bool{true, false} {
 			host := startController(t, defaultSettings(), 4, 2)
 			if known {
@@ -93,15 +96,16 @@
 			for p := range 2 {
 				host.controller.SeedDemand(p, []float64{10, 10})
 			}
-			host.controller.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Draining, Weight: 2}, {Backend: 1, State: Draining, Weight: 2, Zone: 1},
-				{Backend: 2, State: Draining, Weight: 2}})
+			host.controller.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Draining, Weight: 2},
+				{Backend: 1, State: Draining, Weight: 2, Zone: 1}, {Backend: 2, State: Draining, Weight: 2}})
 			host.run(1, nil)
 			if host.controller.admission.limiting != known {
-				t.Errorf("known %v: limiting %v at %.1f", known, host.controller.admission.limiting, host.controller.admission.limit)
+				t.Errorf("throughput known %v: limiting %v at %.1f units/s, want a limit only if it is known",
+					known, host.controller.admission.limiting, host.controller.admission.limit)
 			}
 		}
 	})
-	t.Run("messages of peers count: a proxy that connects gets its tables all the same, and then waits", func(t *testing.T) {
+	t.Run("messages of peers count: a connecting proxy still gets its tables, and then waits", func(t *testing.T) {
 		settings := defaultSettings()
 		settings.channel.MaxMessages, settings.channel.MessageWindow = 8, 10*second
 		host := startController(t, settings, 4, 1)
@@ -110,24 +114,24 @@
 		host.controller.MessagesSentByPeers(0, 4)
 		host.controller.ProxyConnected(0, 0, 10, false)
 		if !host.controller.proxies[0].hasOurTables {
-			t.Fatal("not bound, though four messages are left")
+			t.Fatal("proxy 0 was not assigned its tables, although four messages remain")
 		}
 		host.run(4, func() { host.reportHealthy(2); host.reportOutcomes(2, 10, 10, 0) })
-		host.expectWeight(2, 0, "by the last message that is left for it")
+		host.expectWeight(2, 0, "with the last message that ordinary changes may use")
 		host.run(3, func() { host.reportHealthy(1, 2); host.reportOutcomes(1, 10, 10, 0) })
-		host.expectWeight(1, 2, "as two are kept for what is urgent")
+		host.expectWeight(1, 2, "as two messages are kept for required changes")
 		host.updateEndpoints(3, 4, Draining, 0)
 		host.run(1, nil)
-		host.expectWeight(3, 0, "which a drain is")
+		host.expectWeight(3, 0, "as a drain is a required change")
 		host.run(5, func() { host.reportHealthy(1, 2); host.reportOutcomes(1, 10, 10, 0) })
-		host.expectWeight(1, 0, "once the span has passed")
+		host.expectWeight(1, 0, "once the message window has passed")
 		host.controller.MessagesSentByPeers(0, 8)
 		if host.controller.pushQueue.mayPush(host.controller.proxies[0], host.now, true) {
-			t.Error("all are spent, and one may go")
+			t.Error("a message may be sent although the window allows no more")
 		}
 		host.run(11, func() { host.reportHealthy(2) })
 		if !host.controller.pushQueue.mayPush(host.controller.proxies[0], host.now, true) {
-			t.Error("they count beyond the span")
+			t.Error("messages of peers still count after the message window")
 		}
 	})
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,11 +1,11 @@
 package balancer
 
 // Retry: a proxy may retry a request once if it has proof that the first attempt never ran, because
-// then nothing can take effect twice. The proof is available only to the proxy: the backend refused
-// the attempt before executing it. Proxies apply this policy by default, before they receive any
-// policy from a controller. Requests of a class that is cut by a limit are not retried: a further
-// attempt would only add to the queue. A controller sees no requests and checks no idempotency
-// keys; invariant/duplicate_effect.go does so in recorded runs.
+// then nothing can take effect twice. Only the proxy has that proof: it knows that the backend
+// refused the attempt before executing it. Proxies apply this policy by default, before they
+// receive any policy from a controller. Requests of a class that is cut by a limit are not retried:
+// a further attempt would only add to the queue. A controller sees no requests and checks no
+// idempotency keys; invariant/duplicate_effect.go does so in recorded runs.
 //
 // The input is the limit of the class. The policy is sent along with the limit
 // (Host.SetAdmissionLimit). Shards whose writes are stopped have a policy of their own, see
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -13,8 +13,8 @@
 //     answers lag behind (outlier.go), but not below minReducedShare. With fixed weights, slow
 //     machines are the first to be overfilled. A step back is due every weightRaiseInterval.
 //
-// Weights are relative: a backend receives its weight over the sum of the weights in its table. A
-// small weight does not protect a backend that is nearly alone in its table.
+// Weights are relative: a backend receives the share of requests that its weight has in the sum of
+// the weights in its table. A small weight does not protect a backend that is nearly alone there.
 //
 // For that reason a backend that is warming up gets no entry at all in two cases, in which nothing
 // else would keep an overload away from it. The first case is an overload where proxies ignore
@@ -100,7 +100,7 @@
 	backend.raiseWeightAt = now + weightRaiseInterval
 }
 
-// raiseDueWeights raises those reduced weights by a step for which a step is due.
+// raiseDueWeights raises every reduced weight whose next step is due.
 func (c *Controller) raiseDueWeights(now Microseconds) {
 	for _, backend := range c.backends {
 		backend.raiseWeightIfDue(now)
