--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -95,7 +95,7 @@
 	defer n.leaderMutex.Unlock()
 	now := n.clock()
 	n.leases.Observe(entry.Incarnation, entry.Seq, connection, now)
-	machine.withRecord(func(record *ownership.Record) { entry.OnRecord = n.leases.OnRecord(record, now) })
+	machine.withRecord(func(record *ownership.Record) { entry.FullyRecorded = n.leases.FullyRecorded(record, now) })
 	entry.Stamp = ownership.Stamp{Leader: n.stamp, At: now}
 }
 
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -212,7 +212,7 @@
 	m.withRecord(func(record *ownership.Record) {
 		say("last token %d", record.Token)
 		for _, member := range slices.Sorted(maps.Keys(record.Members)) {
-			say("member %s is %d, was %v", member, record.Members[member], record.Past[member])
+			say("member %s is %d, was %v", member, record.Members[member], record.PastIncarnations[member])
 		}
 		for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 			incarnation := record.Incarnations[id]
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -67,10 +67,10 @@
 // this owner, and by every other member, as a member without a quorum serves whoever connects and cannot record it.
 func (r *Record) allOnRecord(from Ownership, e Entry) bool {
 	last := r.Incarnations[from.Incarnation]
-	if last == nil || len(e.OnRecord) == 0 {
+	if last == nil || len(e.FullyRecorded) == 0 {
 		return false
 	}
-	onRecord := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.OnRecord, id) }
+	onRecord := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.FullyRecorded, id) }
 	if !onRecord(from.Incarnation) && !last.Closed {
 		return false
 	}
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -41,7 +41,7 @@
 // commitLast puts the last proposal on the record, stamped, and answers it.
 func (host *fakeHost) commitLast(coordinator *Coordinator, now int64, recorded ...uint64) Entry {
 	e := host.proposed[len(host.proposed)-1]
-	e.OnRecord, e.Stamp = recorded, Stamp{7, now}
+	e.FullyRecorded, e.Stamp = recorded, Stamp{7, now}
 	coordinator.EntryApplied(e, now)
 	coordinator.ProposalCommitted(e.Incarnation, e.Seq, now)
 	return e
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -30,9 +30,9 @@
 	Demands []Demand `cbor:"13,keyasint,omitempty"`
 	// Capacity is what the member saw its fleet do; the zero value where it has not changed.
 	Capacity Capacity `cbor:"14,keyasint,omitempty"`
-	// OnRecord is set by the leader: the incarnations that had surely written nothing without a quorum when this entry
+	// FullyRecorded is set by the leader: the incarnations that had surely written nothing without a quorum when this entry
 	// arrived. It is empty until all members have entered.
-	OnRecord []uint64 `cbor:"11,keyasint,omitempty"`
+	FullyRecorded []uint64 `cbor:"11,keyasint,omitempty"`
 	// Stamp is set by the leader: when the entry arrived.
 	Stamp Stamp `cbor:"12,keyasint,omitempty"`
 }
--- a/ownership/golden_test.go
+++ b/ownership/golden_test.go
@@ -32,10 +32,10 @@
 			{Backend: "a", Attempts: 5, Failed: 4, MeanLatency: 3000, Window: 2000, Withdrawn: true, Backoff: 700},
 			{Backend: "b", Attempts: 70_000, Failed: 0, MeanLatency: 1, Window: 1_000_000},
 		},
-		Demands:  []Demand{{Proxy: 5, Rates: []float64{1.5, 0, 1e9}}, {Proxy: 6}},
-		Capacity: Capacity{Proven: 2.25, Saturated: 3},
-		OnRecord: []uint64{77, 1<<63 + 5},
-		Stamp:    Stamp{Leader: 1<<63 + 9, At: 123_456_789},
+		Demands:       []Demand{{Proxy: 5, Rates: []float64{1.5, 0, 1e9}}, {Proxy: 6}},
+		Capacity:      Capacity{Proven: 2.25, Saturated: 3},
+		FullyRecorded: []uint64{77, 1<<63 + 5},
+		Stamp:         Stamp{Leader: 1<<63 + 9, At: 123_456_789},
 	}
 }
 
@@ -59,7 +59,7 @@
 		Observations: []Observation{{Backend: "z", Attempts: 9, Failed: 8, MeanLatency: 100, Window: 1000, Withdrawn: true, Backoff: 5_000_000}},
 		Demands:      []Demand{{Proxy: 3, Rates: []float64{10, 2.5}}},
 		Capacity:     Capacity{Proven: 2, Saturated: 3}})
-	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 2, Claims: []int{5}, OnRecord: []uint64{11, 21}, Stamp: Stamp{9, 300},
+	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 2, Claims: []int{5}, FullyRecorded: []uint64{11, 21}, Stamp: Stamp{9, 300},
 		Observations: []Observation{{Backend: "z", Attempts: 3, Failed: 3, Withdrawn: true, Backoff: 1_000_000}}})
 	record.Apply(Entry{Member: "n2", Incarnation: 31, Seq: 1, Closing: true, Stamp: Stamp{9, 400}})
 	return record
@@ -71,7 +71,7 @@
 	say := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
 	say("last token %d", record.Token)
 	for _, member := range slices.Sorted(maps.Keys(record.Members)) {
-		say("member %s is %d, was %v", member, record.Members[member], record.Past[member])
+		say("member %s is %d, was %v", member, record.Members[member], record.PastIncarnations[member])
 	}
 	for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 		incarnation := record.Incarnations[id]
@@ -172,7 +172,7 @@
 	if want := describeRecord(fullRecord()); text != want {
 		t.Errorf("read\n%s\nnot\n%s", text, want)
 	}
-	moves, accepted := record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 3, Claims: []int{3, 4, 5, 6}, OnRecord: []uint64{11, 21, 31}, Stamp: Stamp{9, 500}})
+	moves, accepted := record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 3, Claims: []int{3, 4, 5, 6}, FullyRecorded: []uint64{11, 21, 31}, Stamp: Stamp{9, 500}})
 	text += fmt.Sprintf("the next entry counts: %v\n", accepted)
 	for _, move := range moves {
 		text += describeMove(move) + "\n"
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -74,9 +74,9 @@
 	t.arrivals[incarnation] = last
 }
 
-// OnRecord gives the incarnations that have surely written nothing without a quorum so far, in no order. It is empty until
+// FullyRecorded gives the incarnations that have surely written nothing without a quorum so far, in no order. It is empty until
 // all members have entered: one that has not may be serving without a quorum.
-func (t *LeaseTracker) OnRecord(record *Record, now Microseconds) (incarnations []uint64) {
+func (t *LeaseTracker) FullyRecorded(record *Record, now Microseconds) (incarnations []uint64) {
 	t.forgetUnknown(record, now)
 	if len(record.Members) < t.members {
 		return nil
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -166,7 +166,7 @@
 				e := p.out[0]
 				p.out, moved = p.out[1:], true
 				w.leases.Observe(e.Incarnation, e.Seq, p.conn, w.now)
-				e.OnRecord, e.Stamp = w.leases.OnRecord(w.record, w.now), Stamp{1, w.now}
+				e.FullyRecorded, e.Stamp = w.leases.FullyRecorded(w.record, w.now), Stamp{1, w.now}
 				w.log = append(w.log, e)
 				w.record.Apply(e)
 				if p.deaf { // and is repeated, over a connection anew
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -23,8 +23,8 @@
 	Demands map[int][]float64 `cbor:"6,keyasint"`
 	// Capacities are by member, as last reported.
 	Capacities map[string]Capacity `cbor:"7,keyasint"`
-	// Past has the last incarnations of each member that are over, at most maxPastIncarnations.
-	Past map[string][]uint64 `cbor:"8,keyasint"`
+	// PastIncarnations has the last incarnations of each member that are over, at most maxPastIncarnations.
+	PastIncarnations map[string][]uint64 `cbor:"8,keyasint"`
 }
 
 // Incarnation is a member between its entering the record and its end.
@@ -85,13 +85,13 @@
 // NewRecord makes an empty record.
 func NewRecord() *Record {
 	return &Record{
-		Members:      map[string]uint64{},
-		Incarnations: map[uint64]*Incarnation{},
-		Proxies:      map[int]Ownership{},
-		Withdrawn:    map[string]map[string]Observation{},
-		Demands:      map[int][]float64{},
-		Capacities:   map[string]Capacity{},
-		Past:         map[string][]uint64{},
+		Members:          map[string]uint64{},
+		Incarnations:     map[uint64]*Incarnation{},
+		Proxies:          map[int]Ownership{},
+		Withdrawn:        map[string]map[string]Observation{},
+		Demands:          map[int][]float64{},
+		Capacities:       map[string]Capacity{},
+		PastIncarnations: map[string][]uint64{},
 	}
 }
 
@@ -127,13 +127,13 @@
 // mayEnter tells whether an entry begins an incarnation. A late repeat of one must not bring back an incarnation that is
 // over.
 func (r *Record) mayEnter(e Entry) bool {
-	return e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.Past[e.Member], e.Incarnation)
+	return e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.PastIncarnations[e.Member], e.Incarnation)
 }
 
 func (r *Record) enter(e Entry) {
 	if last, ok := r.Members[e.Member]; ok {
-		past := append(r.Past[e.Member], last)
-		r.Past[e.Member] = slices.Clone(past[max(0, len(past)-maxPastIncarnations):])
+		past := append(r.PastIncarnations[e.Member], last)
+		r.PastIncarnations[e.Member] = slices.Clone(past[max(0, len(past)-maxPastIncarnations):])
 	}
 	r.Members[e.Member] = e.Incarnation
 	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
--- a/ownership/record_test.go
+++ b/ownership/record_test.go
@@ -12,7 +12,7 @@
 			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 1}, {"c", 1}}}}})
 		record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Revision: 2, TableChanges: []TableChange{{0, []Line{{"a", 0.5}, {"b", 0}}}},
 			Confirmations: []Confirmation{{3, 1, 1, []int{0}, true}}})
-		moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}})
+		moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, FullyRecorded: []uint64{1}})
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Uncertain["a"] || !base[0].Uncertain["b"] || base[0].Uncertain["c"] || base[0].Lines["c"] != 1 {
 			t.Errorf("base %+v", base)
@@ -29,7 +29,7 @@
 			record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Revision: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
 			record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Revision: story.set, TableChanges: []TableChange{{WithdrawnTable, []Line{{"a", story.shut}}}},
 				Confirmations: []Confirmation{{3, 1, story.heard, []int{0}, story.sure}}})
-			if moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, OnRecord: []uint64{1}}); moves[0].NoWithdrawals != story.clean ||
+			if moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, FullyRecorded: []uint64{1}}); moves[0].NoWithdrawals != story.clean ||
 				!moves[0].Known {
 				t.Errorf("%+v: %+v", story, moves[0])
 			}
@@ -47,7 +47,7 @@
 		if n := len(record.Incarnations[1].Tables[0].Lines); n > maxRemovedLines+1 {
 			t.Errorf("%d lines are remembered", n)
 		}
-		moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3, 4}, OnRecord: []uint64{1}})
+		moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3, 4}, FullyRecorded: []uint64{1}})
 		if moves[0].Known || !moves[1].Known {
 			t.Errorf("moves %+v", moves)
 		}
@@ -81,8 +81,8 @@
 		for incarnation := uint64(3); incarnation < 99; incarnation++ {
 			record.Apply(Entry{Member: "n0", Incarnation: incarnation, Seq: 1})
 		}
-		if len(record.Past["n0"]) != maxPastIncarnations {
-			t.Errorf("%d incarnations are kept", len(record.Past["n0"]))
+		if len(record.PastIncarnations["n0"]) != maxPastIncarnations {
+			t.Errorf("%d incarnations are kept", len(record.PastIncarnations["n0"]))
 		}
 	})
 }
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -79,14 +79,14 @@
 }
 
 func describeEntry(e Entry) string {
-	slices.Sort(e.OnRecord)
+	slices.Sort(e.FullyRecorded)
 	var tables strings.Builder
 	for _, change := range e.TableChanges {
 		fmt.Fprintf(&tables, " %d%v", change.Table, change.Lines)
 	}
 	return fmt.Sprintf("%s/%d/%d floor %d closing %v claims %v again %v edition %d tables%s confirmed %v seen %v demand %v capacity %v vouched %v stamp %v",
 		e.Member, e.Incarnation, e.Seq, e.SeenToken, e.Closing, e.Claims, e.Reclaims, e.Revision, tables.String(), e.Confirmations, e.Observations,
-		e.Demands, e.Capacity, e.OnRecord, e.Stamp)
+		e.Demands, e.Capacity, e.FullyRecorded, e.Stamp)
 }
 
 // start begins a process of a member, which has forgotten what the one before it knew.
@@ -108,7 +108,7 @@
 	e := m.proposed[0]
 	m.proposed = m.proposed[1:]
 	m.leases.Observe(e.Incarnation, e.Seq, m.connection, m.now)
-	e.OnRecord, e.Stamp = m.leases.OnRecord(m.record, m.now), Stamp{7, m.now}
+	e.FullyRecorded, e.Stamp = m.leases.FullyRecorded(m.record, m.now), Stamp{7, m.now}
 	moves, accepted := m.record.Apply(e)
 	m.note("puts on the record, counts %v: %s", accepted, describeEntry(e))
 	for _, move := range moves {
--- a/ownership/wire_test.go
+++ b/ownership/wire_test.go
@@ -15,7 +15,7 @@
 		TableChanges:  []TableChange{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
 		Confirmations: []Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, WithdrawalsKnown: true}},
 		Observations:  []Observation{seen}, Demands: []Demand{{Proxy: 5, Rates: []float64{1.5, 0}}}, Capacity: Capacity{Proven: 2, Saturated: 3},
-		OnRecord: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
+		FullyRecorded: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
 	record := NewRecord()
 	record.Token = 7
 	record.Members["n1"] = 77
@@ -25,7 +25,7 @@
 	record.Withdrawn["a"] = map[string]Observation{"n1": seen}
 	record.Demands[5] = []float64{1.5}
 	record.Capacities["n1"] = Capacity{Proven: 2, Saturated: 3}
-	record.Past["n1"] = []uint64{76}
+	record.PastIncarnations["n1"] = []uint64{76}
 	for _, c := range []struct {
 		name  string
 		value any
