--- a/ownership/apply.go
+++ b/ownership/apply.go
@@ -1,11 +1,12 @@
 package ownership
 
-// EntryApplied applies the next committed entry, of whatever member.
+// EntryApplied applies the next committed entry, which any member may have proposed.
 func (c *Coordinator) EntryApplied(e Entry, now Microseconds) {
 	c.observeStamp(e.Stamp, now)
 	moves, accepted := c.record.Apply(e)
 	if !accepted {
-		if e.Incarnation == c.incarnation && c.record.Members[c.name] != c.incarnation { // another has entered under our name
+		// Another process has entered under this member's name.
+		if e.Incarnation == c.incarnation && c.record.Members[c.name] != c.incarnation {
 			c.goWithoutQuorum(now)
 		}
 		return
@@ -15,16 +16,17 @@
 	}
 	switch {
 	case e.Incarnation == c.incarnation && e.Seq == 1:
-		c.reportStandingEvidence()
-	case e.Member != c.name && c.hasEntered(): // what was reported before we entered is old
+		c.reportRecordedEvidence()
+	case e.Member != c.name && c.hasEntered(): // reports from before the entering are outdated
 		c.reportEvidence(e)
 	}
 }
 
-// SnapshotRestored replaces the ownership record, in place of the entries that led to it. A proxy that was ours and is
-// another member's in it is lost as by loseProxy, with two differences: the owner quota is not taken away, and it counts as
-// lost as well where the owner has our name, in another incarnation. So it is today; whether the owner quota should stay is
-// in docs/ROADMAP.md.
+// SnapshotRestored replaces the record, instead of applying the entries that led to it. A proxy
+// that this incarnation owned and that the new record assigns to another incarnation is lost as by
+// loseProxy, with two differences: the owner quota is not taken away, and the proxy also counts as
+// lost if its new owner has this member's name, in another incarnation. This is the current
+// behavior; docs/ROADMAP.md discusses whether the owner quota should stay.
 func (c *Coordinator) SnapshotRestored(record *Record, now Microseconds) {
 	c.record = record
 	for proxy, owned := range record.Proxies {
@@ -32,7 +34,8 @@
 			c.observeStamp(stamp, now)
 		}
 		state := c.proxies[proxy]
-		if state != nil && state.claimToken > 0 && owned.Incarnation != c.incarnation && owned.Token > state.claimToken {
+		if state != nil && state.claimToken > 0 &&
+			owned.Incarnation != c.incarnation && owned.Token > state.claimToken {
 			state.owned = false
 			state.claimToken = 0
 			state.unclaimedSince = now
@@ -40,5 +43,5 @@
 	}
 }
 
-// hasEntered tells whether our incarnation is on the record.
+// hasEntered reports whether this member's present incarnation is on the record.
 func (c *Coordinator) hasEntered() bool { return c.record.Incarnations[c.incarnation] != nil }
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// KnownTable is what a proxy is known to hold of the table of one class.
+// KnownTable is the known content of a proxy's table for one class.
 type KnownTable struct {
-	// Lines are weights by backend.
+	// Lines are the known weights by backend.
 	Lines map[string]float64
-	// Uncertain are backends of which it may hold any weight, or none.
+	// Uncertain are the backends for which the proxy may hold any weight, or no line.
 	Uncertain map[string]bool
 }
 
@@ -14,21 +14,27 @@
 type Move struct {
 	// Proxy is the number of the proxy.
 	Proxy int
-	// From is the ownership before; its Owner is empty where nobody had claimed the proxy.
+	// From is the ownership before the claim; its Owner is empty if no member had claimed the
+	// proxy.
 	From Ownership
-	// To is the ownership now.
+	// To is the ownership after the claim.
 	To Ownership
-	// Known is false where the last owner, or anybody since, may have written what the record does not have.
+	// Known reports whether the record determines what the proxy holds. It is false if the last
+	// owner, or any member since, may have written something that is not on the record. It is also
+	// false if the proxy has acknowledged nothing to the last owner, or only a revision that is too
+	// old.
 	Known bool
-	// Base is what the proxy holds, by class; nil unless Known.
+	// Base is the content of the proxy's tables, by class; nil unless Known.
 	Base []KnownTable
-	// NoWithdrawals: it is known besides that the proxy holds no withdrawal.
+	// NoWithdrawals reports whether the proxy is also known to hold no withdrawal.
 	NoWithdrawals bool
-	// Demand is requests a second that clients send to it, by class, as last reported; nil if nobody has.
+	// Demand is the last reported rate of client requests to the proxy, in requests per second, by
+	// class; nil if no member has reported it.
 	Demand []float64
 }
 
-// claimKind tells a claim for a new stream from one for a stream that its member has had all the time.
+// claimKind distinguishes a claim for a new stream from a claim for a stream that the member has
+// had all the time.
 type claimKind bool
 
 const (
@@ -36,7 +42,8 @@
 	sameStream claimKind = true
 )
 
-// maxStampedMoves is how many moves of a proxy are remembered: one more than are counted by any rule.
+// maxStampedMoves is the number of moves that are remembered for a proxy: one more than any rule
+// counts.
 const maxStampedMoves = maxMovesWithReserve + 1
 
 // claim moves a proxy to the member of an entry, under the next fencing token.
@@ -49,41 +56,45 @@
 		To:     Ownership{Owner: e.Member, Incarnation: e.Incarnation, Token: r.Token, Moves: from.Moves},
 		Demand: r.Demands[proxy],
 	}
-	stays := kind == sameStream && from.Owner == e.Member
-	if from.Owner != "" && !stays {
+	sameOwnerAndStream := kind == sameStream && from.Owner == e.Member
+	if from.Owner != "" && !sameOwnerAndStream {
 		moves := append(slices.Clone(from.Moves), e.Stamp)
 		move.To.Moves = moves[max(0, len(moves)-maxStampedMoves):]
 	}
-	if r.allOnRecord(from, e) {
-		last := r.Incarnations[from.Incarnation]
-		move.Base, move.Known = last.knownTables(from)
-		move.NoWithdrawals = move.Known && from.WithdrawalsKnown && last.hasNoWithdrawals(from.Revision)
+	if r.allWritesRecorded(from, e) {
+		lastIncarnation := r.Incarnations[from.Incarnation]
+		move.Base, move.Known = lastIncarnation.knownTables(from)
+		move.NoWithdrawals = move.Known && from.WithdrawalsKnown && lastIncarnation.hasNoWithdrawals(from.Revision)
 	}
 	r.Proxies[proxy] = move.To
 	return move
 }
 
-// allOnRecord tells whether the record has all that may have been written to a proxy since its last owner claimed it: by
-// this owner, and by every other member, as a member without a quorum serves whoever connects and cannot record it.
-func (r *Record) allOnRecord(from Ownership, e Entry) bool {
-	last := r.Incarnations[from.Incarnation]
-	if last == nil || len(e.FullyRecorded) == 0 {
+// allWritesRecorded reports whether the record has everything that may have been written to a proxy
+// since its last owner claimed it, by this owner or by any other member. The other members count
+// because a member without quorum serves every proxy that connects and cannot record what it
+// writes.
+func (r *Record) allWritesRecorded(from Ownership, e Entry) bool {
+	lastIncarnation := r.Incarnations[from.Incarnation]
+	if lastIncarnation == nil || len(e.FullyRecorded) == 0 {
 		return false
 	}
-	onRecord := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.FullyRecorded, id) }
-	if !onRecord(from.Incarnation) && !last.Closed {
+	fullyRecorded := func(id uint64) bool { return id == e.Incarnation || slices.Contains(e.FullyRecorded, id) }
+	if !fullyRecorded(from.Incarnation) && !lastIncarnation.Closed {
 		return false
 	}
 	for _, id := range r.Members {
-		if !onRecord(id) {
+		if !fullyRecorded(id) {
 			return false
 		}
 	}
 	return true
 }
 
-// knownTables is what a proxy holds of an incarnation's tables, by class; false where it has acknowledged nothing, or too
-// long ago. A line that was set after what it acknowledged may have been written to it or not.
+// knownTables returns the content of a proxy's tables, by class, as far as it follows from an
+// incarnation's tables. It is not known if the proxy has acknowledged nothing, or too long ago. A
+// line that was set after the acknowledged revision is uncertain: it may have been written to the
+// proxy or not.
 func (i *Incarnation) knownTables(owned Ownership) (byClass []KnownTable, known bool) {
 	if owned.Revision == 0 || len(owned.Tables) == 0 {
 		return nil, false
@@ -98,7 +109,7 @@
 	return byClass, true
 }
 
-// knownAt is the table as somebody has it who acknowledged a revision.
+// knownAt returns the content of the table at a proxy that has acknowledged a revision.
 func (t *Table) knownAt(revision uint64) KnownTable {
 	known := KnownTable{Lines: map[string]float64{}, Uncertain: map[string]bool{}}
 	for backend, line := range t.Lines {
@@ -111,7 +122,8 @@
 	return known
 }
 
-// hasNoWithdrawals tells whether a proxy that acknowledged a revision holds no withdrawal of the incarnation's.
+// hasNoWithdrawals reports whether a proxy that has acknowledged a revision holds no withdrawal by
+// this incarnation.
 func (i *Incarnation) hasNoWithdrawals(revision uint64) bool {
 	table := i.Tables[WithdrawnTable]
 	if table == nil {
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -5,108 +5,117 @@
 	"slices"
 )
 
-// Host is what a Coordinator acts through. Its methods are called within the calls of the Coordinator, on the same
-// goroutine, and must not call back, with one exception: ReleaseUpTo may call ProxyDisconnected, for a proxy to which a
-// message could not be sent.
+// Host is the interface through which a Coordinator acts. Its methods are called during the calls
+// of the Coordinator, on the same goroutine, and must not call back, with one exception:
+// ReleaseUpTo may call ProxyDisconnected for a proxy to which a message could not be sent.
 type Host interface {
-	// Propose proposes an entry for the record. ProposalCommitted or ProposalFailed is to follow, once.
+	// Propose proposes an entry for the record. One call of ProposalCommitted or ProposalFailed has
+	// to follow.
 	Propose(Entry)
-	// ProxyGranted says that a proxy which connected may be written to from now on.
+	// ProxyGranted permits writing to a connected proxy from now on.
 	ProxyGranted(Grant)
-	// PeerCapacityReported gives what another member saw the fleet do.
+	// PeerCapacityReported passes on the fleet capacity that another member has observed.
 	PeerCapacityReported(capacity Capacity)
-	// MessagesSentByPeers reduces what may be written to a proxy that was granted before: other members may have written as
-	// many messages.
+	// MessagesSentByPeers reduces the number of messages that may still be written to a granted
+	// proxy: other members may have written as many as given.
 	MessagesSentByPeers(proxy, messages int)
-	// ReleaseUpTo says that messages which belong to revisions up to this one may be written to proxies. It may call
-	// ProxyDisconnected.
+	// ReleaseUpTo permits writing the messages that belong to revisions up to the given one. It may
+	// call ProxyDisconnected.
 	ReleaseUpTo(revision uint64)
-	// PeerObservationReported gives what another member's proxies met of late, or what keeps a backend withdrawn there.
+	// PeerObservationReported passes on what another member's proxies recently observed at a
+	// backend, or the observation for which that member has withdrawn the backend.
 	PeerObservationReported(member string, observation Observation)
-	// QuorumChanged says that the member goes on without a quorum, or has entered the record again.
-	QuorumChanged(withoutQuorum bool, why string)
-	// RandomID draws the id of an incarnation, which no other may have.
+	// QuorumChanged reports that the member continues without quorum, or that it has entered the
+	// record.
+	QuorumChanged(withoutQuorum bool, reason string)
+	// RandomID draws the ID of an incarnation, which no other incarnation may have.
 	RandomID() uint64
 }
 
-// Grant is the leave to write to a proxy that has connected, and what is known of it.
+// Grant is the permission to write to a connected proxy, with what is known about the proxy.
 type Grant struct {
 	// Proxy is the number of the proxy.
 	Proxy int
-	// Token is the fencing token of the claim; 0 without a quorum.
+	// Token is the fencing token of the claim; 0 without quorum.
 	Token uint64
-	// Base is what the proxy holds of each class's table; nil where that is not known, so that complete tables are due.
+	// Base is the content of the proxy's table for each class; nil if it is not known, so that
+	// complete tables have to be written.
 	Base []KnownTable
-	// NoWithdrawals: it is known besides that the proxy holds no withdrawal.
+	// NoWithdrawals reports whether the proxy is also known to hold no withdrawal.
 	NoWithdrawals bool
-	// Demand is requests a second by class, as its last owner reported them; nil if none did.
+	// Demand is the last reported rate of client requests to the proxy, in requests per second, by
+	// class; nil if no member has reported it.
 	Demand []float64
-	// SentMessages is how many of the messages that one owner may write within the window count as written already.
+	// SentMessages is the number of messages that count as already written, out of those that one
+	// owner may write within the window.
 	SentMessages int
 }
 
-// Coordinator is one member's part in the record: it claims the proxies that connect to the member, puts changes of its
-// tables on the record before they are written, and says what may be written to whom. It is not safe for concurrent use.
+// Coordinator is one member's part in the record. It claims the proxies that connect to the member,
+// puts changes of the member's tables on the record before they are written, and decides which
+// messages may be written to which proxy. It is not safe for concurrent use.
 type Coordinator struct {
 	host   Host
 	terms  LeaseTerms
 	name   string
-	record *Record // as far as entries were applied here
+	record *Record // after the entries applied so far
 
-	// The incarnation and its entries.
+	// State of the present incarnation and of its entries.
 	incarnation    uint64
-	seq            uint64       // of the last entry that was committed; 0 before the incarnation has entered
-	inFlight       *Entry       // proposed and not answered yet; nil for none
-	proposedAt     Microseconds // when inFlight was first proposed
-	pending        Entry        // what gathers for the entry after it
-	leaseFrom      Microseconds // when the last committed entry had been proposed
-	lastProposedAt Microseconds // when any entry was
-	lastEnteredAt  Microseconds // when the entry that enters was last proposed
-	withoutQuorum  bool         // no entry was committed for a lease, or we have not entered since
+	seq            uint64       // of the last committed entry; 0 before the incarnation has entered
+	inFlight       *Entry       // proposed and not answered yet; nil if there is none
+	proposedAt     Microseconds // time at which inFlight was first proposed
+	pending        Entry        // collects the content of the entry after inFlight
+	leaseStart     Microseconds // time at which the last committed entry was proposed
+	lastProposedAt Microseconds // time at which the last entry was first proposed
+	lastEnteredAt  Microseconds // time at which an incarnation's first entry was last proposed
+	withoutQuorum  bool         // the quorum was lost, and the record was not entered since
 	closing        bool
-	started        Microseconds
+	startedAt      Microseconds
 
-	revision     uint64                     // of our tables
+	revision     uint64                     // of this member's tables
 	tables       map[int]map[string]float64 // weights by table and backend
-	proxies      map[int]*claimState        // that are connected to us
-	grantTimes   map[int][]Microseconds     // when proxies were granted to us, within the window
+	proxies      map[int]*claimState        // connected to this member
+	grantTimes   map[int][]Microseconds     // times of the grants within the window, by proxy
 	leaderClocks map[uint64]leaderClock
 }
 
-// claimState is how far a proxy that is connected to us is ours. It is in one of these states:
+// claimState holds the state of this member's claim of a connected proxy. It is in one of these
+// states:
 //
 //	                                              granted  owned   claimToken  unclaimedSince
 //	claimed, not granted yet                      no       no      0           0
-//	ours by the record                            yes      yes     > 0         0
+//	owned on the record                           yes      yes     > 0         0
 //	lost to another member                        yes      no      0           > 0
 //	of a new incarnation, not active since        yes      either  0           > 0
-//	claimed again, or connected without a quorum  yes      either  0           0
+//	claimed again, or connected without quorum    yes      either  0           0
 type claimState struct {
-	granted    bool
-	windowFrom Microseconds // of the messages that it may be written: when it was granted, or the last window ended
-	owned      bool         // by the record, in this incarnation or in the last
-	claimToken uint64       // of this incarnation's claim; 0 while there is none. Messages have the token of the grant
-	// staleClaims counts claims of ours that were in flight as its stream began: they were for an older stream.
+	granted     bool
+	windowStart Microseconds // of the message window: time of the grant, or end of the last window
+	owned       bool         // on the record, by this incarnation or the last one
+	claimToken  uint64       // of this incarnation's claim; 0 for none. Messages have the grant's token
+	// staleClaims counts the claims by this member that were in flight when the proxy's stream
+	// began: they were for an older stream.
 	staleClaims int
-	// unclaimedSince is since when it has been ours by no claim, and has to be heard from before it is claimed; 0 for one that
-	// is ours, or is claimed.
+	// unclaimedSince is the time since which this member has no claim of the proxy: the proxy has
+	// to be active after it before it is claimed again. It is 0 if the proxy is owned or claimed.
 	unclaimedSince Microseconds
 
-	// What it has acknowledged, as in Confirmation.
+	// Last acknowledgement by the proxy, as in Confirmation.
 	acknowledgedRevision uint64
 	acknowledgedTables   []int
 	withdrawalsKnown     bool
 }
 
-// New makes the Coordinator of a member that has just started.
+// New returns the Coordinator of a member that has just started.
 func New(host Host, name string, terms LeaseTerms, now Microseconds) *Coordinator {
 	c := &Coordinator{
 		host:           host,
 		terms:          terms,
 		name:           name,
 		record:         NewRecord(),
-		started:        now,
-		leaseFrom:      now,
+		startedAt:      now,
+		leaseStart:     now,
 		lastProposedAt: now - terms.RenewInterval,
 		tables:         map[int]map[string]float64{},
 		proxies:        map[int]*claimState{},
@@ -117,10 +126,11 @@
 	return c
 }
 
-// Record is the record as far as it was applied here. It may be read until the next call of the Coordinator.
+// Record returns the record after the entries applied so far. It may be read until the next call of
+// the Coordinator.
 func (c *Coordinator) Record() *Record { return c.record }
 
-// OwnedProxies counts the connected proxies that are ours by the record.
+// OwnedProxies returns the number of connected proxies that this member owns on the record.
 func (c *Coordinator) OwnedProxies() (count int) {
 	for _, state := range c.proxies {
 		if state.claimToken > 0 {
@@ -130,20 +140,22 @@
 	return count
 }
 
-// Revision is that of our tables.
+// Revision returns the revision of this member's tables.
 func (c *Coordinator) Revision() uint64 { return c.revision }
 
-// Tick does what is due by time: it goes on without a quorum when the lease has ended, ends quotas whose window has passed, and
-// renews. It is to be called several times within LeaseTerms.RenewInterval.
+// Tick does the work that is due by time: it continues without quorum if the lease has ended,
+// starts the next message window of proxies that the member does not own, forgets grants from
+// before the window, and proposes an entry if one is due, at the latest to renew the lease. It has
+// to be called several times within LeaseTerms.RenewInterval.
 func (c *Coordinator) Tick(now Microseconds) {
-	if !c.withoutQuorum && now-c.leaseFrom >= c.terms.Duration {
+	if !c.withoutQuorum && now-c.leaseStart >= c.terms.Duration {
 		c.goWithoutQuorum(now)
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(c.proxies)) {
 		state := c.proxies[proxy]
-		if state.granted && !state.owned && now-state.windowFrom >= c.terms.MessageWindow {
-			state.windowFrom = now
-			c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota()) // what is left is the unowned quota
+		if state.granted && !state.owned && now-state.windowStart >= c.terms.MessageWindow {
+			state.windowStart = now
+			c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota()) // the unowned quota remains
 		}
 	}
 	for proxy, times := range c.grantTimes {
@@ -154,7 +166,7 @@
 	c.proposePending(now)
 }
 
-// Close gives all proxies away at a planned end: the caller writes to none from now on.
+// Close gives up all proxies at a planned end: from now on the caller must not write to any proxy.
 func (c *Coordinator) Close(now Microseconds) {
 	c.closing = true
 	c.pending.Closing = true
@@ -163,14 +175,15 @@
 	c.proposePending(now)
 }
 
-// Closed tells whether our end is on the record.
+// Closed reports whether the planned end of this member is on the record.
 func (c *Coordinator) Closed() bool {
 	incarnation := c.record.Incarnations[c.incarnation]
 	return c.closing && incarnation != nil && incarnation.Closed
 }
 
-// beginIncarnation begins an incarnation, with our tables as they stand. Connected proxies are claimed as they are heard from:
-// we may have stood still, and a claim would take back those that have gone to others since.
+// beginIncarnation begins an incarnation with the present tables. A connected proxy is claimed
+// again only once it is active: this process may have been suspended, and a claim would take back a
+// proxy that has moved to another member since.
 func (c *Coordinator) beginIncarnation(now Microseconds) {
 	c.incarnation = c.host.RandomID()
 	c.seq = 0
@@ -183,8 +196,9 @@
 	}
 }
 
-// goWithoutQuorum has the member go on by itself: messages that waited are released, and every connected proxy is granted.
-// What it writes from now on is a new incarnation's, which enters the record when it can.
+// goWithoutQuorum makes the member continue without the record: it releases the messages that wait
+// for a commit, and grants every connected proxy that is not granted yet. Further writes belong to
+// a new incarnation, which enters the record as soon as it can.
 func (c *Coordinator) goWithoutQuorum(now Microseconds) {
 	c.withoutQuorum = true
 	c.host.QuorumChanged(true, "no entry of ours stands for a lease, or another entered under our name")
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -16,7 +16,7 @@
 	released      uint64
 	peerReports   []string
 	withoutQuorum []bool
-	drawn         uint64
+	lastRandomID  uint64
 }
 
 func newFakeHost() *fakeHost { return &fakeHost{granted: map[int]string{}, sentByPeers: map[int]int{}} }
@@ -27,32 +27,32 @@
 }
 func (host *fakeHost) MessagesSentByPeers(proxy, messages int) { host.sentByPeers[proxy] += messages }
 func (host *fakeHost) ReleaseUpTo(revision uint64)             { host.released = revision }
-func (host *fakeHost) PeerObservationReported(member string, s Observation) {
-	host.peerReports = append(host.peerReports, member+" "+s.Backend)
+func (host *fakeHost) PeerObservationReported(member string, observation Observation) {
+	host.peerReports = append(host.peerReports, member+" "+observation.Backend)
 }
-func (host *fakeHost) PeerCapacityReported(f Capacity) {
-	host.peerReports = append(host.peerReports, fmt.Sprint(f))
+func (host *fakeHost) PeerCapacityReported(capacity Capacity) {
+	host.peerReports = append(host.peerReports, fmt.Sprint(capacity))
 }
 func (host *fakeHost) QuorumChanged(withoutQuorum bool, _ string) {
 	host.withoutQuorum = append(host.withoutQuorum, withoutQuorum)
 }
-func (host *fakeHost) RandomID() uint64 { host.drawn++; return host.drawn * 1000 }
+func (host *fakeHost) RandomID() uint64 { host.lastRandomID++; return host.lastRandomID * 1000 }
 
 // commitLast puts the last proposal on the record, stamped, and answers it.
-func (host *fakeHost) commitLast(coordinator *Coordinator, now int64, recorded ...uint64) Entry {
+func (host *fakeHost) commitLast(coordinator *Coordinator, now int64, fullyRecorded ...uint64) Entry {
 	e := host.proposed[len(host.proposed)-1]
-	e.FullyRecorded, e.Stamp = recorded, Stamp{7, now}
+	e.FullyRecorded, e.Stamp = fullyRecorded, Stamp{7, now}
 	coordinator.EntryApplied(e, now)
 	coordinator.ProposalCommitted(e.Incarnation, e.Seq, now)
 	return e
 }
 
 // startOnRecord has a coordinator enter the record, beside two other members.
-func startOnRecord(t *testing.T) (*fakeHost, *Coordinator) {
+func newCoordinatorOnRecord(t *testing.T) (*fakeHost, *Coordinator) {
 	t.Helper()
 	host := newFakeHost()
 	coordinator := New(host, "n0", terms, 0)
-	coordinator.started = -terms.MessageWindow // long ago
+	coordinator.startedAt = -terms.MessageWindow // long ago
 	coordinator.Tick(0)
 	host.commitLast(coordinator, 0)
 	for i, name := range []string{"n1", "n2"} {
@@ -63,7 +63,7 @@
 
 func TestCoordinatorClaimsGrantsAndReleases(t *testing.T) {
 	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
+		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1, Stamp: Stamp{7, 10},
 			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
 		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1, Stamp: Stamp{7, 20},
@@ -73,31 +73,31 @@
 			t.Fatalf("granted %v before its claim stands", host.granted)
 		}
 		host.commitLast(coordinator, 40, 1, 2, 1000)
-		if h := coordinator.record.Proxies[5]; host.granted[5] != "2 true 0" || h.Owner != "n0" || coordinator.OwnedProxies() != 1 {
-			t.Errorf("granted %v, on the record %+v", host.granted, h)
+		if owned := coordinator.record.Proxies[5]; host.granted[5] != "2 true 0" || owned.Owner != "n0" || coordinator.OwnedProxies() != 1 {
+			t.Errorf("granted %v, on the record %+v", host.granted, owned)
 		}
 	})
 	t.Run("where anybody may have written off the record, what it holds is not known", func(t *testing.T) {
-		for _, recorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
-			host, coordinator := startOnRecord(t)
+		for _, fullyRecorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
+			host, coordinator := newCoordinatorOnRecord(t)
 			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
 			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1, Confirmations: []Confirmation{{5, 1, 1, []int{0}, true}}}, 20)
 			coordinator.ProxyConnected(5, 30)
-			if host.commitLast(coordinator, 40, recorded...); host.granted[5] != "2 false 0" {
-				t.Errorf("recorded %v: granted %v", recorded, host.granted)
+			if host.commitLast(coordinator, 40, fullyRecorded...); host.granted[5] != "2 false 0" {
+				t.Errorf("recorded %v: granted %v", fullyRecorded, host.granted)
 			}
 		}
 	})
 	t.Run("orders wait for the record, and for no longer than a lease", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
-		edition := coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}}}}, 100)
-		if host.released >= edition {
+		host, coordinator := newCoordinatorOnRecord(t)
+		revision := coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}}}}, 100)
+		if host.released >= revision {
 			t.Error("released before it stands")
 		}
-		if coordinator.Tick(999); coordinator.withoutQuorum || host.released >= edition {
+		if coordinator.Tick(999); coordinator.withoutQuorum || host.released >= revision {
 			t.Error("off the record too early")
 		}
-		if coordinator.Tick(1100); !coordinator.withoutQuorum || host.released != edition || !slices.Equal(host.withoutQuorum, []bool{false, true}) {
+		if coordinator.Tick(1100); !coordinator.withoutQuorum || host.released != revision || !slices.Equal(host.withoutQuorum, []bool{false, true}) {
 			t.Errorf("alone %v, released %d, modes %v", coordinator.withoutQuorum, host.released, host.withoutQuorum)
 		}
 		if coordinator.ProxyConnected(3, 1200); host.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
@@ -109,24 +109,24 @@
 		}
 	})
 	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old incarnation counts", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
+		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.ProxyConnected(4, 50)
 		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
-		old := host.proposed[len(host.proposed)-1]
+		oldEntry := host.proposed[len(host.proposed)-1]
 		coordinator.Tick(1100)
 		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
 		e := host.commitLast(coordinator, 1200)
-		if e.Seq != 1 || e.Incarnation == old.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.withoutQuorum {
+		if e.Seq != 1 || e.Incarnation == oldEntry.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.withoutQuorum {
 			t.Errorf("entered with %+v, alone %v", e, coordinator.withoutQuorum)
 		}
 		coordinator.ProxyActiveAt(4, 1000) // heard before: it may be gone since
 		host.commitLast(coordinator, 1300)
 		coordinator.ProxyActiveAt(4, 1350)
 		host.commitLast(coordinator, 1400) // what was under way
-		if again := host.commitLast(coordinator, 1410); !slices.Equal(again.Reclaims, []int{4}) || coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
-			t.Errorf("claimed with %+v, owns %d, moves %v", again, coordinator.OwnedProxies(), coordinator.record.Proxies[4].Moves)
+		if reclaiming := host.commitLast(coordinator, 1410); !slices.Equal(reclaiming.Reclaims, []int{4}) || coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
+			t.Errorf("claimed with %+v, owns %d, moves %v", reclaiming, coordinator.OwnedProxies(), coordinator.record.Proxies[4].Moves)
 		}
-		if _, taken := coordinator.record.Apply(old); taken {
+		if _, accepted := coordinator.record.Apply(oldEntry); accepted {
 			t.Error("an entry of the incarnation that is over was taken in")
 		}
 		if incarnation := coordinator.record.Incarnations[e.Incarnation]; incarnation.Tables[0].Lines["a"].Weight != 0 || incarnation.Tables[0].Lines["b"].Weight != 1 {
@@ -134,7 +134,7 @@
 		}
 	})
 	t.Run("a claim that was under way for an older stream does not grant the newer", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
+		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.ProxyConnected(4, 50)
 		coordinator.ProxyDisconnected(4)
 		coordinator.ProxyConnected(4, 60)
@@ -146,7 +146,7 @@
 		}
 	})
 	t.Run("of a proxy that comes and goes between owners no more messages are spent than the limit", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
+		host, coordinator := newCoordinatorOnRecord(t)
 		for i, name := range []string{"n1", "n2", "n1"} {
 			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
 		}
@@ -163,8 +163,8 @@
 		if host.commitLast(coordinator, 240); host.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
 			t.Errorf("granted %v after %d moves", host.granted, maxMovesWithReserve+4)
 		}
-		if most := terms.Members*(terms.UnownedQuota()+1) + (previousOwnersCounted+1)*terms.OwnerQuota(); most > terms.MaxMessages {
-			t.Errorf("%d messages by all together", most)
+		if total := terms.Members*(terms.UnownedQuota()+1) + (previousOwnersCounted+1)*terms.OwnerQuota(); total > terms.MaxMessages {
+			t.Errorf("%d messages by all together", total)
 		}
 	})
 	t.Run("how old a move is counts by one leader's clock, also for who has just started", func(t *testing.T) {
@@ -174,7 +174,7 @@
 		for i, name := range []string{"n1", "n2", "n1", "n2"} {
 			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Claims: []int{5}, Stamp: Stamp{7, int64(i)}}, 0)
 		}
-		coordinator.started = -terms.MessageWindow
+		coordinator.startedAt = -terms.MessageWindow
 		coordinator.ProxyConnected(5, 0)
 		e := host.proposed[0]
 		e.Stamp = Stamp{7, 11_000}
@@ -192,18 +192,18 @@
 		coordinator.Tick(0)
 		coordinator.Tick(terms.Duration)
 		coordinator.ProxyConnected(5, terms.Duration)
-		if left := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[5] != fmt.Sprint("0 false ", left-terms.GuaranteedMessages) {
-			t.Errorf("granted %v of %d", host.granted, left)
+		if quota := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[5] != fmt.Sprint("0 false ", quota-terms.GuaranteedMessages) {
+			t.Errorf("granted %v of %d", host.granted, quota)
 		}
 		coordinator.ProxyConnected(6, 2*terms.MessageWindow)
 		coordinator.ProxyDisconnected(6)
 		coordinator.ProxyConnected(6, 2*terms.MessageWindow+5)
-		if left := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[6] != fmt.Sprint("0 false ", left-terms.GuaranteedMessages) {
-			t.Errorf("granted %v of %d", host.granted, left)
+		if quota := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[6] != fmt.Sprint("0 false ", quota-terms.GuaranteedMessages) {
+			t.Errorf("granted %v of %d", host.granted, quota)
 		}
 	})
 	t.Run("one that is heard although another claimed it is claimed again, one that is silent is not", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
+		host, coordinator := newCoordinatorOnRecord(t)
 		for _, proxy := range []int{4, 5} {
 			coordinator.ProxyConnected(proxy, 50)
 		}
@@ -223,7 +223,7 @@
 		}
 	})
 	t.Run("one whose entries are not taken in, as another entered under its name, goes off the record", func(t *testing.T) {
-		host, coordinator := startOnRecord(t)
+		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.EntryApplied(Entry{Member: "n0", Incarnation: 77, Seq: 1}, 50)
 		coordinator.Tick(terms.RenewInterval)
 		if host.commitLast(coordinator, terms.RenewInterval); !slices.Contains(host.withoutQuorum, true) || coordinator.incarnation == 1000 {
--- a/ownership/delta_test.go
+++ b/ownership/delta_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDeltaHasWhatDiffersOrIsUncertain(t *testing.T) {
+func TestDeltaIncludesDifferingAndUncertainLines(t *testing.T) {
 	all := func(int) bool { return true }
 	wanted := map[string]float64{"a": 1, "b": 1, "c": 1, "d": 2}
 	for _, c := range []struct {
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -1,59 +1,64 @@
 package ownership
 
-// Entry is what one member appends to the record at once. A member has one entry in flight at a time. Its encoding is on
-// the wire and on disk: numbers of keys are never changed or used again.
+// Entry is what one member appends to the record in one step. A member has one entry in flight at a
+// time. The encoding is used on the wire and on disk: key numbers are never changed or reused.
 type Entry struct {
-	// Member is the name of the member that proposes it.
+	// Member is the name of the member that proposes the entry.
 	Member string `cbor:"1,keyasint"`
-	// Incarnation is drawn at random at each start of the member, and after each time without a quorum.
+	// Incarnation is drawn at random at each start of the member and at each loss of its quorum.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Seq counts the entries of an incarnation from 1 on. The entry with 1 enters the incarnation.
+	// Seq counts the entries of an incarnation from 1. The entry with Seq 1 enters the incarnation
+	// into the record.
 	Seq uint64 `cbor:"3,keyasint"`
-	// SeenToken is the greatest fencing token that the member has seen, in the entry that enters.
+	// SeenToken is the greatest fencing token that the member has seen; only the entry with Seq 1
+	// has it.
 	SeenToken uint64 `cbor:"4,keyasint,omitempty"`
-	// Closing ends the incarnation: it writes nothing to any proxy any more.
+	// Closing ends the incarnation, which writes nothing to any proxy from then on.
 	Closing bool `cbor:"5,keyasint,omitempty"`
-	// Claims are proxies that have connected to the member.
+	// Claims are the proxies that have connected to the member.
 	Claims []int `cbor:"6,keyasint,omitempty"`
-	// Reclaims are proxies that the member claims again on a stream that it has had all the time. It was added later than
-	// the fields below: its key is the first that was free.
+	// Reclaims are the proxies that the member claims again on a stream that it has had all the
+	// time. This field was added after the fields below: its key is the first that was free.
 	Reclaims []int `cbor:"15,keyasint,omitempty"`
-	// Revision is that of the member's tables once TableChanges are applied.
+	// Revision is the revision of the member's tables after TableChanges.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
-	// TableChanges are changes of the member's tables; all lines of all tables in the entry that enters.
+	// TableChanges are the changes of the member's tables; in the entry with Seq 1, all lines of
+	// all tables.
 	TableChanges []TableChange `cbor:"8,keyasint,omitempty"`
-	// Confirmations say what proxies have acknowledged.
+	// Confirmations are the acknowledgements by proxies since the last entry.
 	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
-	// Observations are what the member's proxies met at backends since its last report.
+	// Observations are what the member's proxies observed at backends since its last report.
 	Observations []Observation `cbor:"10,keyasint,omitempty"`
-	// Demands are the proxies whose demand has changed.
+	// Demands are the demands of the proxies whose demand has changed.
 	Demands []Demand `cbor:"13,keyasint,omitempty"`
-	// Capacity is what the member saw its fleet do; the zero value where it has not changed.
+	// Capacity is the fleet capacity that the member has observed; the zero value if it has not
+	// changed.
 	Capacity Capacity `cbor:"14,keyasint,omitempty"`
-	// FullyRecorded is set by the leader: the incarnations that had surely written nothing without a quorum when this entry
-	// arrived. It is empty until all members have entered.
+	// FullyRecorded is set by the leader: the incarnations that had certainly written nothing
+	// without quorum when this entry arrived. It is empty until all members have entered.
 	FullyRecorded []uint64 `cbor:"11,keyasint,omitempty"`
-	// Stamp is set by the leader: when the entry arrived.
+	// Stamp is set by the leader: the time at which the entry arrived.
 	Stamp Stamp `cbor:"12,keyasint,omitempty"`
 }
 
-// Stamp is a time on the clock of one leader. It can be compared with stamps of the same leader alone.
+// Stamp is a time on the clock of one leader. It can be compared only with stamps of the same
+// leader.
 type Stamp struct {
 	// Leader is a random number that a process draws for its clock.
 	Leader uint64 `cbor:"1,keyasint"`
-	// At is since that process started.
+	// At is the time since that process started.
 	At Microseconds `cbor:"2,keyasint"`
 }
 
-// WithdrawnTable is the number under which a member records what it has withdrawn: a weight of 1 withdraws a backend, 0
-// restores it.
+// WithdrawnTable is the table number under which a member records its withdrawals: a weight of 1
+// withdraws a backend, a weight of 0 restores it.
 const WithdrawnTable = -1
 
 // TableChange is a change of one table of a member.
 type TableChange struct {
 	// Table is the number of the table, or WithdrawnTable.
 	Table int `cbor:"1,keyasint"`
-	// Lines are those that are set; a weight of 0 removes one.
+	// Lines are the lines that are set; a weight of 0 removes a line.
 	Lines []Line `cbor:"2,keyasint"`
 }
 
@@ -61,39 +66,43 @@
 type Line struct {
 	// Backend is its id.
 	Backend string `cbor:"1,keyasint"`
-	// Weight is its weight; 0 stands for no line.
+	// Weight is the weight of the backend; 0 means that the table has no line for it.
 	Weight float64 `cbor:"2,keyasint"`
 }
 
-// Confirmation says that a proxy has applied all that its owner wrote to it up to a revision.
+// Confirmation records that a proxy has applied everything that its owner wrote to it up to a
+// revision.
 type Confirmation struct {
 	// Proxy is the number of the proxy.
 	Proxy int `cbor:"1,keyasint"`
-	// Token is that of the claim by which it is owned; with any other the confirmation is ignored.
+	// Token is the fencing token of the claim by which the proxy is owned; a confirmation with
+	// another token is ignored.
 	Token uint64 `cbor:"2,keyasint"`
-	// Revision is that of the owner's tables.
+	// Revision is the revision of the owner's tables.
 	Revision uint64 `cbor:"3,keyasint"`
-	// Tables are the numbers of the tables that its classes are bound to, by class.
+	// Tables are the numbers of the tables to which the proxy's classes are bound, by class.
 	Tables []int `cbor:"4,keyasint"`
-	// WithdrawalsKnown: it holds the withdrawals that its owner ordered, and none of an earlier owner.
+	// WithdrawalsKnown reports whether the proxy holds the withdrawals that its owner ordered, and
+	// none by an earlier owner.
 	WithdrawalsKnown bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Observation is what a member's proxies met at a backend within a span of time.
+// Observation is what a member's proxies observed at a backend within a span of time.
 type Observation struct {
 	// Backend is its id.
 	Backend string `cbor:"1,keyasint"`
-	// Attempts counts the requests that were sent to it.
+	// Attempts counts the requests that were sent to the backend.
 	Attempts int `cbor:"2,keyasint"`
-	// Failed counts those of them that failed.
+	// Failed counts the attempts that failed.
 	Failed int `cbor:"3,keyasint"`
-	// MeanLatency is that of the others.
+	// MeanLatency is the mean latency of the attempts that did not fail.
 	MeanLatency Microseconds `cbor:"4,keyasint"`
-	// Window is the span that was observed.
+	// Window is the observed span.
 	Window Microseconds `cbor:"5,keyasint"`
-	// Withdrawn: the member has withdrawn the backend, for the attempts given here.
+	// Withdrawn reports whether the member has withdrawn the backend, because of the attempts given
+	// here.
 	Withdrawn bool `cbor:"6,keyasint,omitempty"`
-	// Backoff is for how long it is withdrawn.
+	// Backoff is the time for which the backend is withdrawn.
 	Backoff Microseconds `cbor:"7,keyasint,omitempty"`
 }
 
@@ -101,12 +110,13 @@
 type Demand struct {
 	// Proxy is the number of the proxy.
 	Proxy int `cbor:"1,keyasint"`
-	// Rates are requests a second, by class.
+	// Rates are requests per second, by class.
 	Rates []float64 `cbor:"2,keyasint"`
 }
 
-// Capacity is the throughput that a fleet was seen to reach, in requests a second for each unit of weight and of ordinary
-// traffic, so that it holds for another member's proxies as well. 0 is not known.
+// Capacity is the throughput that a fleet was observed to reach, in requests per second for each
+// unit of weight and of ordinary traffic, so that it also applies to another member's proxies. 0
+// means that it is not known.
 type Capacity struct {
 	// Proven is the throughput without a queue.
 	Proven float64 `cbor:"1,keyasint"`
--- a/ownership/every_order_test.go
+++ b/ownership/every_order_test.go
@@ -11,13 +11,13 @@
 
 // step is one event: what happens, and to which member.
 type step struct {
-	kind eventKind
-	who  int
+	kind   eventKind
+	member int
 }
 
 // path reads steps from words like x0 t0 d1.
-func path(words string) (steps []step) {
-	for _, word := range strings.Fields(words) {
+func parseSteps(text string) (steps []step) {
+	for _, word := range strings.Fields(text) {
 		steps = append(steps, step{eventKind(word[0]), int(word[1] - '0')})
 	}
 	return steps
@@ -25,7 +25,7 @@
 
 // explore plays every order of events up to a depth, after those given first. It gives the shortest breach, or "" if
 // there is none, and how many states there are.
-func explore(first string, depth int, plant func(*world)) (breach string, states int) {
+func explore(prefix string, depth int, injectFault func(*modelState)) (violation string, states int) {
 	var steps []step
 	for _, kind := range "dockqszlxhf" {
 		for i := range modelTerms.Members {
@@ -33,55 +33,55 @@
 		}
 	}
 	steps = append(steps, step{eventTick, 0})
-	play := func(path []step) (*world, bool) {
-		w := begin()
-		plant(w)
-		for _, s := range path {
-			if !w.event(s.kind, w.members[s.who]) {
-				return w, false
+	run := func(sequence []step) (*modelState, bool) {
+		state := newModelState()
+		injectFault(state)
+		for _, s := range sequence {
+			if !state.playEvent(s.kind, state.members[s.member]) {
+				return state, false
 			}
-			plant(w)
+			injectFault(state)
 		}
-		return w, true
+		return state, true
 	}
-	seen, level := map[uint64]bool{}, [][]step{path(first)}
+	seen, frontier := map[uint64]bool{}, [][]step{parseSteps(prefix)}
 	for range depth {
 		var next [][]step
-		for _, path := range level {
+		for _, sequence := range frontier {
 			for _, s := range steps {
-				further := append(slices.Clone(path), s)
-				w, ok := play(further)
-				if !ok {
+				extended := append(slices.Clone(sequence), s)
+				state, possible := run(extended)
+				if !possible {
 					continue
 				}
-				if w.broken != "" {
+				if state.violation != "" {
 					var words []string
-					for _, s := range further {
-						words = append(words, fmt.Sprintf("%c%d", s.kind, s.who))
+					for _, s := range extended {
+						words = append(words, fmt.Sprintf("%c%d", s.kind, s.member))
 					}
-					return strings.Join(words, " ") + ": " + w.broken, len(seen)
+					return strings.Join(words, " ") + ": " + state.violation, len(seen)
 				}
-				if key := w.key(); !seen[key] {
+				if key := state.hash(); !seen[key] {
 					seen[key] = true
-					next = append(next, further)
+					next = append(next, extended)
 				}
 			}
 		}
-		level = next
+		frontier = next
 	}
 	return "", len(seen)
 }
 
-func TestEveryOrderOfEventsKeepsTheRules(t *testing.T) {
+func TestEveryOrderOfEventsKeepsTheInvariants(t *testing.T) {
 	depth := 4
-	if given, err := strconv.Atoi(os.Getenv("SHARE_DEPTH")); err == nil {
-		depth = given // 6 takes a minute
+	if parsed, err := strconv.Atoi(os.Getenv("SHARE_DEPTH")); err == nil {
+		depth = parsed // 6 takes a minute
 	}
-	sound := func(*world) {}
+	noFault := func(*modelState) {}
 	for _, c := range []struct {
-		name, first string
-		members     int
-		depth       int
+		name, prefix string
+		members      int
+		depth        int
 	}{
 		{"two members", "", 2, depth},
 		{"two members, one of them about to go off the record", "x0 t0 t0", 2, depth - 1},
@@ -90,46 +90,46 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			modelTerms.Members, modelTerms.MaxMessages = c.members, 8*c.members
-			breach, states := explore(c.first, c.depth, sound)
-			if breach != "" {
-				t.Errorf("after %s", breach)
+			violation, states := explore(c.prefix, c.depth, noFault)
+			if violation != "" {
+				t.Errorf("after %s", violation)
 			}
 			t.Logf("depth %d, %d states", c.depth, states)
 		})
 	}
 	modelTerms.Members, modelTerms.MaxMessages = 2, 16
 	for _, fault := range []struct {
-		name, first, finds string
-		depth              int
-		plant              func(*world)
+		name, prefix, wantViolation string
+		depth                       int
+		inject                      func(*modelState)
 	}{
 		{"a lease tracker that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.leases.lease = 1 << 40 }},
-		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(w *world) {
-			for _, record := range []*Record{w.record, w.members[0].coordinator.record, w.members[1].coordinator.record} {
-				h := record.Proxies[0]
-				h.Moves = nil
-				record.Proxies[0] = h
+			func(state *modelState) { state.leases.lease = 1 << 40 }},
+		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(state *modelState) {
+			for _, record := range []*Record{state.record, state.members[0].coordinator.record, state.members[1].coordinator.record} {
+				owned := record.Proxies[0]
+				owned.Moves = nil
+				record.Proxies[0] = owned
 			}
-			for _, p := range w.members {
-				clear(p.coordinator.grantTimes)
-				p.coordinator.started = -modelTerms.MessageWindow
+			for _, member := range state.members {
+				clear(member.coordinator.grantTimes)
+				member.coordinator.startedAt = -modelTerms.MessageWindow
 			}
 		}},
 		{"a closed incarnation that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
-			func(w *world) {
-				for id, incarnation := range w.record.Incarnations {
+			func(state *modelState) {
+				for id, incarnation := range state.record.Incarnations {
 					if incarnation.Closed {
-						w.leases.arrivals[id] = entryArrivals{arrivedAt: w.now, leaseFrom: w.now}
+						state.leases.arrivals[id] = entryArrivals{arrivedAt: state.now, earliestLeaseStart: state.now}
 					}
 				}
 			}},
 		{"orders that leave before they stand on the record", "l0 t0", "the proxy has a 1, the base says 0", 3,
-			func(w *world) { w.members[0].ReleaseUpTo(1 << 60) }},
+			func(state *modelState) { state.members[0].ReleaseUpTo(1 << 60) }},
 	} {
 		t.Run("it finds "+fault.name, func(t *testing.T) {
-			if breach, _ := explore(fault.first, fault.depth, fault.plant); !strings.Contains(breach, fault.finds) {
-				t.Errorf("found %q", breach)
+			if violation, _ := explore(fault.prefix, fault.depth, fault.inject); !strings.Contains(violation, fault.wantViolation) {
+				t.Errorf("found %q", violation)
 			}
 		})
 	}
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -5,58 +5,59 @@
 	"slices"
 )
 
-// Evidence gathers what a member's proxies met, for the other members: outcomes by backend since the last report, which
-// backends are withdrawn here, the demand at each proxy, and the fleet's capacity. It is reported at most once a
-// reportInterval, and at once when a backend is withdrawn or restored. It is not safe for concurrent use.
+// Evidence collects what a member's proxies observed, for the other members: outcomes by backend
+// since the last report, the backends that this member has withdrawn, the demand at each proxy, and
+// the fleet's capacity. It is reported at most once in a reportInterval, and at once when a backend
+// is withdrawn or restored. It is not safe for concurrent use.
 type Evidence struct {
 	interval   Microseconds // reportInterval, or less in tests
 	reportedAt Microseconds
 
 	observed      map[string]Observation // since the last report, by backend
-	withdrawn     map[string]Observation // backends that are withdrawn here
-	lastWithdrawn map[string]Observation // those of the last report
+	withdrawn     map[string]Observation // by this member, with the reason, by backend
+	lastWithdrawn map[string]Observation // withdrawn as of the last report
 
 	demand        map[int][]rate    // by proxy and class
-	changedDemand map[int]bool      // proxies whose demand differs from the last report
-	lastDemand    map[int][]float64 // of the last report
+	changedDemand map[int]bool      // proxies whose demand differs from the last reported
+	lastDemand    map[int][]float64 // as last reported
 
 	capacity     Capacity
-	lastCapacity Capacity // of the last report
+	lastCapacity Capacity // as last reported
 }
 
-// Report is what is due for the other members; empty if nothing is.
+// Report holds what is due for the other members; it is empty if nothing is due.
 type Report struct {
-	// Observations are by backend, in the order of their ids.
+	// Observations are sorted by backend ID.
 	Observations []Observation
-	// Demands are in the order of the proxies, at most maxDemands; the rest is due next.
+	// Demands are sorted by proxy, at most maxDemands; further ones are due with the next report.
 	Demands []Demand
-	// Capacity is the zero value where it has not changed.
+	// Capacity is the zero value if it has not changed.
 	Capacity Capacity
 }
 
-// When something is reported, and how much of it.
+// Limits on what is reported, and when.
 const (
 	maxDemands        = 64  // proxies in a report
-	demandTolerance   = 0.2 // a change of demand by less is not reported
-	capacityTolerance = 0.1 // a change of capacity by less is not reported
+	demandTolerance   = 0.2 // a relative change of demand by less is not reported
+	capacityTolerance = 0.1 // a relative change of capacity by less is not reported
 
-	demandWindow   = Microseconds(5_000_000) // over which demand is averaged
-	reportInterval = Microseconds(1_000_000) // between two reports
+	demandWindow   = Microseconds(5_000_000) // span over which demand is averaged
+	reportInterval = Microseconds(1_000_000) // between two reports, unless withdrawals change
 )
 
-// rate is an average of requests a second.
+// rate is an average of requests per second.
 type rate struct {
 	perSecond float64
-	window    Microseconds // that were averaged so far
+	window    Microseconds // span that was averaged so far
 }
 
-// add includes further requests within a span of time.
+// add includes further requests, which arrived within a span of time.
 func (r *rate) add(requests int, span Microseconds) {
 	r.perSecond += (float64(requests)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
 	r.window += span
 }
 
-// NewEvidence makes an empty one.
+// NewEvidence returns an Evidence without observations.
 func NewEvidence() *Evidence {
 	return &Evidence{
 		interval:      reportInterval,
@@ -69,14 +70,15 @@
 	}
 }
 
-// AddOutcomes adds what our proxies met at a backend within a window: attempts, how many of them failed, and the mean
-// latency of the others.
+// AddOutcomes adds what this member's proxies observed at a backend within a window: the attempts,
+// how many of them failed, and the mean latency of the attempts that did not fail.
 func (v *Evidence) AddOutcomes(backend string, attempts, failed int, meanLatency, window Microseconds) {
 	observation := v.observed[backend]
-	before := int64(observation.Attempts - observation.Failed)
+	succeededBefore := int64(observation.Attempts - observation.Failed)
 	succeeded := int64(attempts - failed)
-	if before+succeeded > 0 {
-		observation.MeanLatency = (observation.MeanLatency*before + meanLatency*succeeded) / (before + succeeded)
+	if succeededBefore+succeeded > 0 {
+		observation.MeanLatency = (observation.MeanLatency*succeededBefore + meanLatency*succeeded) /
+			(succeededBefore + succeeded)
 	}
 	observation.Backend = backend
 	observation.Attempts += attempts
@@ -85,13 +87,14 @@
 	v.observed[backend] = observation
 }
 
-// SetWithdrawn notes whether a backend is withdrawn here, for so many attempts of which so many failed, and for how long.
+// SetWithdrawn records whether this member has withdrawn a backend, because of how many attempts
+// and failures, and for how long. A backend that is already withdrawn keeps its first reason.
 func (v *Evidence) SetWithdrawn(backend string, withdrawn bool, attempts, failed int, backoff Microseconds) {
 	if !withdrawn {
 		delete(v.withdrawn, backend)
 		return
 	}
-	if _, already := v.withdrawn[backend]; already {
+	if _, alreadyWithdrawn := v.withdrawn[backend]; alreadyWithdrawn {
 		return
 	}
 	v.withdrawn[backend] = Observation{
@@ -103,7 +106,7 @@
 	}
 }
 
-// ForgetBackend drops all of a backend that is gone.
+// ForgetBackend drops all observations of a backend that was removed.
 func (v *Evidence) ForgetBackend(backend string) {
 	delete(v.observed, backend)
 	delete(v.withdrawn, backend)
@@ -121,23 +124,23 @@
 	}
 	v.demand[proxy] = rates
 	rates[class].add(requests, span)
-	last := v.lastDemand[proxy]
-	if class >= len(last) || differs(rates[class].perSecond, last[class], demandTolerance) {
+	lastReported := v.lastDemand[proxy]
+	if class >= len(lastReported) || differs(rates[class].perSecond, lastReported[class], demandTolerance) {
 		v.changedDemand[proxy] = true
 	}
 }
 
-// ForgetProxy drops all of a proxy that is gone.
+// ForgetProxy drops the demand of a proxy that is gone.
 func (v *Evidence) ForgetProxy(proxy int) {
 	delete(v.demand, proxy)
 	delete(v.changedDemand, proxy)
 	delete(v.lastDemand, proxy)
 }
 
-// SetCapacity notes what the fleet was seen to reach.
+// SetCapacity records the capacity that the fleet was observed to reach.
 func (v *Evidence) SetCapacity(capacity Capacity) { v.capacity = capacity }
 
-// TakeDue gives what is to be reported now, and counts it as reported.
+// TakeDue returns the report that is due now, and counts it as reported.
 func (v *Evidence) TakeDue(now Microseconds) Report {
 	if !v.withdrawalsChanged() && now-v.reportedAt < v.interval {
 		return Report{}
@@ -150,7 +153,7 @@
 	}
 }
 
-// withdrawalsChanged tells whether a backend was withdrawn or restored since the last report.
+// withdrawalsChanged reports whether a backend was withdrawn or restored since the last report.
 func (v *Evidence) withdrawalsChanged() bool {
 	if len(v.withdrawn) != len(v.lastWithdrawn) {
 		return true
@@ -163,21 +166,23 @@
 	return false
 }
 
-// takeObservations gives what was observed since the last report. A backend that was withdrawn since is reported with the
-// reason instead, one that is still withdrawn not at all, and one that was restored with whatever was observed.
+// takeObservations returns the observations since the last report. A backend that was withdrawn
+// since then is reported with the reason for the withdrawal instead. A backend that is still
+// withdrawn is not reported. A backend that was restored is reported with its observations, even if
+// there are none.
 func (v *Evidence) takeObservations() (observations []Observation) {
 	for backend := range v.lastWithdrawn {
-		if _, still := v.withdrawn[backend]; !still {
+		if _, stillWithdrawn := v.withdrawn[backend]; !stillWithdrawn {
 			observation := v.observed[backend]
 			observation.Backend = backend
 			v.observed[backend] = observation
 		}
 	}
-	for backend, reason := range v.withdrawn {
+	for backend, withdrawal := range v.withdrawn {
 		if _, reported := v.lastWithdrawn[backend]; reported {
 			delete(v.observed, backend)
 		} else {
-			v.observed[backend] = reason
+			v.observed[backend] = withdrawal
 		}
 	}
 	for _, backend := range slices.Sorted(maps.Keys(v.observed)) {
@@ -188,7 +193,7 @@
 	return observations
 }
 
-// takeDemands gives the demand of proxies for which it has changed.
+// takeDemands returns the demands of proxies whose demand has changed, at most maxDemands.
 func (v *Evidence) takeDemands() (demands []Demand) {
 	changed := slices.Sorted(maps.Keys(v.changedDemand))
 	for _, proxy := range changed[:min(len(changed), maxDemands)] {
@@ -203,7 +208,7 @@
 	return demands
 }
 
-// takeCapacity gives the capacity if it has changed.
+// takeCapacity returns the capacity if it has changed, and otherwise the zero value.
 func (v *Evidence) takeCapacity() Capacity {
 	provenDiffers := differs(v.capacity.Proven, v.lastCapacity.Proven, capacityTolerance)
 	saturatedDiffers := differs(v.capacity.Saturated, v.lastCapacity.Saturated, capacityTolerance)
@@ -214,7 +219,8 @@
 	return v.capacity
 }
 
-// differs tells whether a value is outside a tolerance, a part of 1, around what was reported.
-func differs(now, reported, tolerance float64) bool {
-	return now > reported*(1+tolerance) || now < reported*(1-tolerance)
+// differs reports whether a value is outside a tolerance around the reported value. The tolerance
+// is a fraction of the reported value.
+func differs(current, reported, tolerance float64) bool {
+	return current > reported*(1+tolerance) || current < reported*(1-tolerance)
 }
--- a/ownership/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-func TestEvidenceReportsWhatChanged(t *testing.T) {
+func TestEvidenceReportsChanges(t *testing.T) {
 	t.Run("what was met is summed until it is told, once in a span", func(t *testing.T) {
 		evidence := NewEvidence()
 		evidence.TakeDue(5_000_000)
 		evidence.AddOutcomes("b", 10, 0, 100, 1000)
 		evidence.AddOutcomes("b", 10, 5, 400, 2000)
-		if seen := evidence.TakeDue(5_500_000).Observations; seen != nil {
-			t.Errorf("told early: %+v", seen)
+		if observations := evidence.TakeDue(5_500_000).Observations; observations != nil {
+			t.Errorf("told early: %+v", observations)
 		}
-		seen := evidence.TakeDue(6_000_000).Observations
-		if want := []Observation{{Backend: "b", Attempts: 20, Failed: 5, MeanLatency: 200, Window: 2000}}; !slices.Equal(seen, want) {
-			t.Errorf("told %+v", seen)
+		observations := evidence.TakeDue(6_000_000).Observations
+		if want := []Observation{{Backend: "b", Attempts: 20, Failed: 5, MeanLatency: 200, Window: 2000}}; !slices.Equal(observations, want) {
+			t.Errorf("told %+v", observations)
 		}
-		if seen := evidence.TakeDue(7_000_000).Observations; seen != nil {
-			t.Errorf("told twice: %+v", seen)
+		if observations := evidence.TakeDue(7_000_000).Observations; observations != nil {
+			t.Errorf("told twice: %+v", observations)
 		}
 	})
 	t.Run("a withdrawal is told at once, not again while it stands, and taken back at once", func(t *testing.T) {
@@ -28,17 +28,17 @@
 		evidence.TakeDue(5_000_000)
 		evidence.AddOutcomes("a", 9, 9, 0, 1000)
 		evidence.SetWithdrawn("a", true, 9, 9, 10)
-		if seen := evidence.TakeDue(5_000_001).Observations; len(seen) != 1 || !seen[0].Withdrawn || seen[0].Failed != 9 || seen[0].Backoff != 10 {
-			t.Errorf("told %+v", seen)
+		if observations := evidence.TakeDue(5_000_001).Observations; len(observations) != 1 || !observations[0].Withdrawn || observations[0].Failed != 9 || observations[0].Backoff != 10 {
+			t.Errorf("told %+v", observations)
 		}
 		evidence.AddOutcomes("a", 1, 1, 0, 1000)
 		evidence.SetWithdrawn("a", true, 1, 1, 10)
-		if seen := evidence.TakeDue(6_500_000).Observations; seen != nil {
-			t.Errorf("told again: %+v", seen)
+		if observations := evidence.TakeDue(6_500_000).Observations; observations != nil {
+			t.Errorf("told again: %+v", observations)
 		}
 		evidence.SetWithdrawn("a", false, 0, 0, 0)
-		if seen := evidence.TakeDue(6_500_001).Observations; len(seen) != 1 || seen[0].Withdrawn {
-			t.Errorf("not taken back: %+v", seen)
+		if observations := evidence.TakeDue(6_500_001).Observations; len(observations) != 1 || observations[0].Withdrawn {
+			t.Errorf("not taken back: %+v", observations)
 		}
 	})
 	t.Run("demand is told when it has changed, so many proxies at a time", func(t *testing.T) {
@@ -46,38 +46,38 @@
 		for proxy := range 100 {
 			evidence.AddDemand(proxy, 1, 20, 2_000_000)
 		}
-		came := evidence.TakeDue(1_000_000).Demands
-		rest := evidence.TakeDue(2_000_000).Demands
-		if len(came) != maxDemands || len(rest) != 100-maxDemands || fmt.Sprint(came[0]) != "{0 [0 10]}" {
-			t.Errorf("told %d and %d, the first %v", len(came), len(rest), came[0])
+		first := evidence.TakeDue(1_000_000).Demands
+		remaining := evidence.TakeDue(2_000_000).Demands
+		if len(first) != maxDemands || len(remaining) != 100-maxDemands || fmt.Sprint(first[0]) != "{0 [0 10]}" {
+			t.Errorf("told %d and %d, the first %v", len(first), len(remaining), first[0])
 		}
 		evidence.AddDemand(7, 1, 21, 2_000_000)
-		if same := evidence.TakeDue(3_000_000).Demands; same != nil {
-			t.Errorf("told %v for a little more", same)
+		if demands := evidence.TakeDue(3_000_000).Demands; demands != nil {
+			t.Errorf("told %v for a little more", demands)
 		}
 		for range 5 {
 			evidence.AddDemand(7, 1, 90, 2_000_000)
 		}
-		if more := evidence.TakeDue(4_000_000).Demands; len(more) != 1 || more[0].Proxy != 7 || more[0].Rates[1] < 20 {
-			t.Errorf("told %v", more)
+		if demands := evidence.TakeDue(4_000_000).Demands; len(demands) != 1 || demands[0].Proxy != 7 || demands[0].Rates[1] < 20 {
+			t.Errorf("told %v", demands)
 		}
 		evidence.ForgetProxy(7)
 		evidence.AddDemand(7, 0, 1, 0) // no time at all
-		if gone := evidence.TakeDue(5_000_000).Demands; gone != nil || len(evidence.demand) != 99 {
-			t.Errorf("told %v, %d are kept", gone, len(evidence.demand))
+		if demands := evidence.TakeDue(5_000_000).Demands; demands != nil || len(evidence.demand) != 99 {
+			t.Errorf("told %v, %d are kept", demands, len(evidence.demand))
 		}
 	})
 	t.Run("what the fleet can do is told when it has changed", func(t *testing.T) {
 		evidence := NewEvidence()
-		var told []Capacity
+		var reported []Capacity
 		for i, proven := range []float64{0, 2, 2.1, 3, 3} {
 			evidence.SetCapacity(Capacity{Proven: proven})
-			if fit := evidence.TakeDue(int64(i+1) * 1_000_000).Capacity; fit != (Capacity{}) {
-				told = append(told, fit)
+			if capacity := evidence.TakeDue(int64(i+1) * 1_000_000).Capacity; capacity != (Capacity{}) {
+				reported = append(reported, capacity)
 			}
 		}
-		if !slices.Equal(told, []Capacity{{2, 0}, {3, 0}}) {
-			t.Errorf("told %v", told)
+		if !slices.Equal(reported, []Capacity{{2, 0}, {3, 0}}) {
+			t.Errorf("told %v", reported)
 		}
 	})
 	t.Run("one that comes learns what others saw the fleet do, and what came to a proxy", func(t *testing.T) {
--- a/ownership/exchange_evidence.go
+++ b/ownership/exchange_evidence.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// AddEvidence puts what is due of our evidence into the next entry.
+// AddEvidence adds what is due of this member's evidence to the next entry.
 func (c *Coordinator) AddEvidence(evidence *Evidence, now Microseconds) {
 	report := evidence.TakeDue(now)
 	c.pending.Observations = append(c.pending.Observations, report.Observations...)
@@ -15,7 +15,8 @@
 	}
 }
 
-// reportEvidence hands on what another member has just reported.
+// reportEvidence passes on to the host the observations and the capacity that another member has
+// just reported.
 func (c *Coordinator) reportEvidence(e Entry) {
 	for _, observation := range e.Observations {
 		c.host.PeerObservationReported(e.Member, observation)
@@ -25,8 +26,9 @@
 	}
 }
 
-// reportStandingEvidence hands on, as we enter, what the others have withdrawn and the capacity that they have seen.
-func (c *Coordinator) reportStandingEvidence() {
+// reportRecordedEvidence passes on to the host, as this member enters the record, the withdrawals
+// and the capacities that other members have on the record.
+func (c *Coordinator) reportRecordedEvidence() {
 	for _, member := range slices.Sorted(maps.Keys(c.record.Capacities)) {
 		if member != c.name {
 			c.host.PeerCapacityReported(c.record.Capacities[member])
--- a/ownership/golden_test.go
+++ b/ownership/golden_test.go
@@ -68,49 +68,49 @@
 // describeRecord writes a record as text, in an order of its own and in words of its own.
 func describeRecord(record *Record) string {
 	var text strings.Builder
-	say := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
-	say("last token %d", record.Token)
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	writeLine("last token %d", record.Token)
 	for _, member := range slices.Sorted(maps.Keys(record.Members)) {
-		say("member %s is %d, was %v", member, record.Members[member], record.PastIncarnations[member])
+		writeLine("member %s is %d, was %v", member, record.Members[member], record.PastIncarnations[member])
 	}
 	for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 		incarnation := record.Incarnations[id]
-		say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed, incarnation.Revision)
+		writeLine("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed, incarnation.Revision)
 		for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 			table := incarnation.Tables[number]
-			say("  table %d, known from %d on", number, table.CompactedAt)
+			writeLine("  table %d, known from %d on", number, table.CompactedAt)
 			for _, backend := range slices.Sorted(maps.Keys(table.Lines)) {
-				say("    %s %g set by %d", backend, table.Lines[backend].Weight, table.Lines[backend].Revision)
+				writeLine("    %s %g set by %d", backend, table.Lines[backend].Weight, table.Lines[backend].Revision)
 			}
 		}
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(record.Proxies)) {
 		owned := record.Proxies[proxy]
-		say("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v", proxy, owned.Owner, owned.Incarnation, owned.Token,
+		writeLine("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v", proxy, owned.Owner, owned.Incarnation, owned.Token,
 			owned.Revision, owned.Tables, owned.WithdrawalsKnown)
 		for _, move := range owned.Moves {
-			say("  moved at %d by the clock of %d", move.At, move.Leader)
+			writeLine("  moved at %d by the clock of %d", move.At, move.Leader)
 		}
 	}
 	for _, backend := range slices.Sorted(maps.Keys(record.Withdrawn)) {
 		for _, member := range slices.Sorted(maps.Keys(record.Withdrawn[backend])) {
-			seen := record.Withdrawn[backend][member]
-			say("backend %s is withdrawn at %s: %s, %d of %d failed, mean %d, over %d, for %d, %v", backend, member, seen.Backend, seen.Failed,
-				seen.Attempts, seen.MeanLatency, seen.Window, seen.Backoff, seen.Withdrawn)
+			observation := record.Withdrawn[backend][member]
+			writeLine("backend %s is withdrawn at %s: %s, %d of %d failed, mean %d, over %d, for %d, %v", backend, member, observation.Backend, observation.Failed,
+				observation.Attempts, observation.MeanLatency, observation.Window, observation.Backoff, observation.Withdrawn)
 		}
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(record.Demands)) {
-		say("proxy %d gets %v requests a second", proxy, record.Demands[proxy])
+		writeLine("proxy %d gets %v requests a second", proxy, record.Demands[proxy])
 	}
 	for _, member := range slices.Sorted(maps.Keys(record.Capacities)) {
-		say("capacity seen by %s: %g without a queue, %g with one", member, record.Capacities[member].Proven, record.Capacities[member].Saturated)
+		writeLine("capacity seen by %s: %g without a queue, %g with one", member, record.Capacities[member].Proven, record.Capacities[member].Saturated)
 	}
 	return text.String()
 }
 
 // What members write to each other and keep on disk, byte by byte, beside the cases of TestEncodedBytes: with every field set,
 // and with none.
-func TestEncodedBytesAreThoseOfTheGoldenFile(t *testing.T) {
+func TestEncodedBytesMatchGoldenFile(t *testing.T) {
 	full := fullEntry()
 	var text strings.Builder
 	for _, c := range []struct {
@@ -149,7 +149,7 @@
 }
 
 // A snapshot of the record as an earlier version wrote it is read as what it was, and claims on it come out the same.
-func TestStoredRecordIsRead(t *testing.T) {
+func TestStoredRecordIsDecoded(t *testing.T) {
 	path := filepath.Join("testdata", "record.cbor")
 	if golden.Updating() {
 		body, err := cbor.Marshal(fullRecord())
@@ -187,12 +187,12 @@
 
 func describeBase(base []KnownTable) string {
 	var classes []string
-	for _, has := range base {
+	for _, known := range base {
 		var parts []string
-		for _, backend := range slices.Sorted(maps.Keys(has.Lines)) {
-			parts = append(parts, fmt.Sprintf("%s=%g", backend, has.Lines[backend]))
+		for _, backend := range slices.Sorted(maps.Keys(known.Lines)) {
+			parts = append(parts, fmt.Sprintf("%s=%g", backend, known.Lines[backend]))
 		}
-		for _, backend := range slices.Sorted(maps.Keys(has.Uncertain)) {
+		for _, backend := range slices.Sorted(maps.Keys(known.Uncertain)) {
 			parts = append(parts, backend+"?")
 		}
 		classes = append(classes, "["+strings.Join(parts, " ")+"]")
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -2,32 +2,34 @@
 
 import "slices"
 
-// grantByRecord grants a proxy whose claim is on the record. Where more owners than quotas are set aside for had it within
-// the window, the owner quota counts as used.
+// grantByRecord grants a proxy whose claim is on the record. If the proxy has moved within the
+// window more often than previousOwnersCounted, for which quotas are reserved, the owner quota
+// counts as used.
 func (c *Coordinator) grantByRecord(move Move, now Microseconds) {
-	sent := 0
+	sentMessages := 0
 	if c.recentMoves(move.To.Moves, now) > previousOwnersCounted {
-		sent = c.terms.OwnerQuota()
+		sentMessages = c.terms.OwnerQuota()
 	}
-	c.grant(move.Proxy, move, sent, now)
+	c.grant(move.Proxy, move, sentMessages, now)
 }
 
-// grantWithoutQuorum grants a proxy of which nothing is known: it has no more than what every member may write.
+// grantWithoutQuorum grants a proxy of which nothing is known: the member may write only the
+// unowned quota, which every member has.
 func (c *Coordinator) grantWithoutQuorum(proxy int, now Microseconds) {
 	c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 }
 
-func (c *Coordinator) grant(proxy int, move Move, sent int, now Microseconds) {
+func (c *Coordinator) grant(proxy int, move Move, sentMessages int, now Microseconds) {
 	state := c.proxies[proxy]
 	state.granted = true
-	state.windowFrom = now
+	state.windowStart = now
 	if c.forgotUnownedMessages(proxy, now) {
-		sent += c.terms.UnownedQuota() - 1
+		sentMessages += c.terms.UnownedQuota() - 1
 	}
 	c.grantTimes[proxy] = append(c.grantTimes[proxy], now)
 	if c.recentMoves(move.To.Moves, now) <= maxMovesWithReserve {
-		most := c.terms.UnownedQuota() + c.terms.OwnerQuota() - c.terms.GuaranteedMessages
-		sent = max(0, min(sent, most))
+		maxSent := c.terms.UnownedQuota() + c.terms.OwnerQuota() - c.terms.GuaranteedMessages
+		sentMessages = max(0, min(sentMessages, maxSent))
 	}
 	c.host.ProxyGranted(Grant{
 		Proxy:         proxy,
@@ -35,20 +37,21 @@
 		Base:          move.Base,
 		NoWithdrawals: move.NoWithdrawals,
 		Demand:        move.Demand,
-		SentMessages:  sent,
+		SentMessages:  sentMessages,
 	})
 }
 
-// forgotUnownedMessages tells whether we may have written to a proxy within the window and do not know of it: we have
-// started since, or have had the proxy before. It drops the grants that are older.
+// forgotUnownedMessages reports whether this member may have written messages to a proxy within the
+// window that it does not know of: it has started within the window, or it was granted the proxy
+// before within the window. It drops the times of older grants.
 func (c *Coordinator) forgotUnownedMessages(proxy int, now Microseconds) bool {
-	over := func(at Microseconds) bool { return now-at >= c.terms.MessageWindow }
-	recent := slices.DeleteFunc(c.grantTimes[proxy], over)
-	c.grantTimes[proxy] = recent
-	return len(recent) > 0 || !over(c.started)
+	windowPassed := func(at Microseconds) bool { return now-at >= c.terms.MessageWindow }
+	recentGrants := slices.DeleteFunc(c.grantTimes[proxy], windowPassed)
+	c.grantTimes[proxy] = recentGrants
+	return len(recentGrants) > 0 || !windowPassed(c.startedAt)
 }
 
-// recentMoves counts the moves within the window.
+// recentMoves counts the moves within the message window.
 func (c *Coordinator) recentMoves(moves []Stamp, now Microseconds) (count int) {
 	for _, stamp := range moves {
 		if c.stampAge(stamp, now) < c.terms.MessageWindow {
--- a/ownership/leader_clock.go
+++ b/ownership/leader_clock.go
@@ -1,17 +1,19 @@
 package ownership
 
-// maxLeaderClocks is how many leaders' clocks are known at a time. Of a forgotten one no recent stamp can be left.
+// maxLeaderClocks is the number of leaders' clocks that are remembered. No recent stamp can be left
+// of a clock that was forgotten.
 const maxLeaderClocks = 64
 
-// leaderClock relates a leader's clock to ours: the greatest stamp of it that was received, and when.
+// leaderClock relates a leader's clock to the local clock: the greatest stamp that was received
+// from the leader, and the time at which it was received.
 type leaderClock struct {
 	stampedAt  Microseconds // by the leader's clock
-	receivedAt Microseconds // by ours
+	receivedAt Microseconds // by the local clock
 }
 
-// observeStamp notes a stamp of an entry, or of a snapshot.
+// observeStamp records the stamp of an entry or of a move in a snapshot.
 func (c *Coordinator) observeStamp(stamp Stamp, now Microseconds) {
-	if last, known := c.leaderClocks[stamp.Leader]; known && last.stampedAt > stamp.At {
+	if clock, known := c.leaderClocks[stamp.Leader]; known && clock.stampedAt > stamp.At {
 		return
 	}
 	c.leaderClocks[stamp.Leader] = leaderClock{stampedAt: stamp.At, receivedAt: now}
@@ -27,11 +29,12 @@
 	delete(c.leaderClocks, oldest)
 }
 
-// stampAge is how long ago a stamp was given at least. One of an unknown leader counts as older than the window.
+// stampAge returns a lower bound of the time since a stamp was given. A stamp by an unknown leader
+// counts as older than the message window.
 func (c *Coordinator) stampAge(stamp Stamp, now Microseconds) Microseconds {
-	last, known := c.leaderClocks[stamp.Leader]
+	clock, known := c.leaderClocks[stamp.Leader]
 	if !known {
 		return c.terms.MessageWindow
 	}
-	return now - last.receivedAt + last.stampedAt - stamp.At
+	return now - clock.receivedAt + clock.stampedAt - stamp.At
 }
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// What follows is how the members of a record are chosen; package consensus alone calls it. It stands here to be tested
-// without a network.
+// This file decides which members form a record. Only package consensus calls it; it is part of
+// this package so that it can be tested without a network.
 
-// PeerStatus is what another member has said of itself when it was asked.
+// PeerStatus is the answer of another member to a status request.
 type PeerStatus struct {
-	ID        string // its name, with what was drawn for as long as it remembers its votes
-	HasRecord bool   // it is part of a record
-	Leader    string // the name of the leader that it knows; empty for none
+	ID        string // its name and a random part, which it keeps as long as it remembers its votes
+	HasRecord bool   // the peer is part of a record
+	Leader    string // name of the leader that the peer knows; empty if it knows none
 }
 
-// OwnStatus is what a member knows of itself.
+// OwnStatus is what a member knows about itself.
 type OwnStatus struct {
-	Name            string // among the members
+	Name            string // the member's name
 	ID              string // as in PeerStatus
-	HasRecord       bool   // it is part of a record, as a member or not
-	IsMember        bool   // the record has it as a member, under this ID
+	HasRecord       bool   // the member has a part of a record, as an admitted member or not
+	IsMember        bool   // the record lists this ID as a member
 	HasLeader       bool   // the record has a leader
-	Durable         bool   // its part of the record outlasts the process
-	LeaderlessPolls int    // polls in a row without a leader
+	Durable         bool   // the member's part of the record survives a restart of the process
+	LeaderlessPolls int    // consecutive polls without a leader
 }
 
-// Step is what a member does next to belong to a record.
+// Step is the next action of a member towards being part of a record.
 type Step struct {
 	Action  Action            // what to do
-	JoinVia string            // the name of the member to ask, for Join
-	IDs     map[string]string // of all members by name, for Bootstrap
+	JoinVia string            // for Join: name of the member to ask
+	IDs     map[string]string // for Bootstrap: IDs of all members, by name
 }
 
 // Action is a kind of Step.
@@ -39,26 +39,28 @@
 // Kinds of steps.
 const (
 	Wait      Action = iota // do nothing for now
-	Join                    // ask a member to be admitted under our ID
+	Join                    // ask another member to be admitted under the own ID
 	Bootstrap               // found a record of all members
-	StartOver               // drop what we have, and come as new
+	StartOver               // drop the own part of the record, and return as a new member
 )
 
-// maxLeaderlessPolls is how many polls without a leader show that none will be elected: an election takes two or three.
+// maxLeaderlessPolls is the number of consecutive polls without a leader after which no election is
+// expected to succeed: an election takes two or three polls.
 const maxLeaderlessPolls = 25
 
-// NextStep gives the next step of a member, by what those others said that could be reached. The package's comment says why
-// it is safe.
+// NextStep returns the next step of a member, given its own status, the names of all members, and
+// the status of the other members that could be reached. The package comment explains why this is
+// safe.
 func NextStep(own OwnStatus, names []string, others map[string]PeerStatus) Step {
 	if own.HasLeader && own.IsMember {
 		return Step{Action: Wait}
 	}
-	via := memberWithRecord(own, others)
+	joinVia := memberWithRecord(own, others)
 	allReached := len(others) == len(names)-1
 	switch {
-	case via != "" && !own.IsMember:
-		return Step{Action: Join, JoinVia: via}
-	case via != "" || !allReached:
+	case joinVia != "" && !own.IsMember:
+		return Step{Action: Join, JoinVia: joinVia}
+	case joinVia != "" || !allReached:
 		return Step{Action: Wait}
 	case own.HasRecord && !own.Durable && own.LeaderlessPolls >= maxLeaderlessPolls:
 		return Step{Action: StartOver}
@@ -68,21 +70,22 @@
 	return Step{Action: Wait}
 }
 
-// memberWithRecord is whom to ask to be admitted: the leader that others know, or else one that is part of a record; empty
-// if none is. A leader of our own name was an earlier process of ours.
-func memberWithRecord(own OwnStatus, others map[string]PeerStatus) (via string) {
+// memberWithRecord returns the name of the member to ask for admission: the leader that other
+// members know, or else a member that is part of a record; empty if there is neither. A leader with
+// this member's name was an earlier process of this member.
+func memberWithRecord(own OwnStatus, others map[string]PeerStatus) (joinVia string) {
 	for _, name := range slices.Sorted(maps.Keys(others)) {
 		peer := others[name]
 		if !peer.HasRecord || name == own.Name {
 			continue
 		}
 		if peer.Leader != "" && peer.Leader != own.Name {
-			via = peer.Leader
-		} else if via == "" {
-			via = name
+			joinVia = peer.Leader
+		} else if joinVia == "" {
+			joinVia = name
 		}
 	}
-	return via
+	return joinVia
 }
 
 func allIDs(own OwnStatus, others map[string]PeerStatus) map[string]string {
@@ -93,8 +96,9 @@
 	return ids
 }
 
-// Admit tells which of a record's IDs have to be removed, in their order, before another is admitted under a name, and
-// whether that one is a member already. An ID that has forgotten its votes must not count beside the new one.
+// Admit returns the IDs of a record, sorted, that have to be removed before another ID is admitted
+// under the same name, and reports whether that ID is a member already. An ID whose votes are lost
+// must not count as a member together with the new ID.
 func Admit(ids []string, id string, nameOf func(id string) string) (remove []string, admitted bool) {
 	for _, other := range ids {
 		switch {
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -20,7 +20,7 @@
 	eventDial        eventKind = 'd' // the proxy dials the member
 	eventOrder       eventKind = 'o' // the member changes its table
 	eventAcknowledge eventKind = 'c' // the proxy acknowledges all that it was told
-	eventCut         eventKind = 'x' // the member is cut off the record
+	eventCutOff      eventKind = 'x' // the member is cut off the record
 	eventLoseAnswers eventKind = 'l' // its entries arrive, their answers do not
 	eventHeal        eventKind = 'h' // it is connected again
 	eventKill        eventKind = 'k' // its process ends
@@ -31,318 +31,321 @@
 )
 
 // world is one state of the model.
-type world struct {
-	now     int64
-	log     []Entry
-	leases  *LeaseTracker
-	record  *Record // the leader's
-	members []*player
-	stream  int // whose stream the proxy has
-	serial  int
-	lines   map[string]float64 // that the proxy really has
-	token   uint64             // the greatest that it has seen
-	written []int64            // messages to it, by time
-	broken  string
-	drawn   uint64
+type modelState struct {
+	now          int64
+	log          []Entry
+	leases       *LeaseTracker
+	record       *Record // the leader's
+	members      []*modelMember
+	streamMember int // whose stream the proxy has
+	streamSerial int
+	proxyLines   map[string]float64 // that the proxy really has
+	proxyToken   uint64             // the greatest that it has seen
+	messageTimes []int64            // messages to it, by time
+	violation    string
+	lastRandomID uint64
 }
 
 // player is a member's process, and the model of what carries its orders.
-type player struct {
-	w           *world
-	index       int
-	coordinator *Coordinator
-	up, cut     bool // cut: from the record
-	deaf        bool // its entries come through, their answers do not
-	conn        int
-	read        int // of the log
-	out         []Entry
-	joined      int // serial of the proxy's stream that it knows
-	granted     int
-	token       uint64
-	line        float64
-	edition     uint64   // of the last order
-	wrote       int      // serial of the stream on which it has written
-	wait        []uint64 // orders that wait for their release
-	sent        []int64
+type modelMember struct {
+	state             *modelState
+	index             int
+	coordinator       *Coordinator
+	running, cutOff   bool // cut: from the record
+	answersLost       bool // its entries come through, their answers do not
+	connection        int
+	applied           int // of the log
+	proposals         []Entry
+	knownStream       int // serial of the proxy's stream that it knows
+	grantedStream     int
+	token             uint64
+	weight            float64
+	lastRevision      uint64   // of the last order
+	lastWrittenStream int      // serial of the stream on which it has written
+	unreleased        []uint64 // orders that wait for their release
+	countedMessages   []int64
 }
 
-func (p *player) Propose(e Entry) { p.out = append(p.out, e) }
+func (member *modelMember) Propose(e Entry) { member.proposals = append(member.proposals, e) }
 
-func (p *player) RandomID() uint64 { p.w.drawn++; return p.w.drawn }
+func (member *modelMember) RandomID() uint64 {
+	member.state.lastRandomID++
+	return member.state.lastRandomID
+}
 
-func (p *player) PeerObservationReported(string, Observation) {}
+func (member *modelMember) PeerObservationReported(string, Observation) {}
 
-func (p *player) QuorumChanged(bool, string) {}
+func (member *modelMember) QuorumChanged(bool, string) {}
 
-func (p *player) PeerCapacityReported(Capacity) {}
+func (member *modelMember) PeerCapacityReported(Capacity) {}
 
-func (p *player) ProxyGranted(grant Grant) {
-	p.granted, p.token, p.sent = p.joined, grant.Token, nil
-	p.MessagesSentByPeers(0, grant.SentMessages)
-	if p.w.stream != p.index || p.w.serial != p.joined {
+func (member *modelMember) ProxyGranted(grant Grant) {
+	member.grantedStream, member.token, member.countedMessages = member.knownStream, grant.Token, nil
+	member.MessagesSentByPeers(0, grant.SentMessages)
+	if member.state.streamMember != member.index || member.state.streamSerial != member.knownStream {
 		return // the stream is gone already
 	}
-	for _, b := range grant.Base {
-		for id, weight := range p.w.lines {
-			if !b.Uncertain[id] && b.Lines[id] != weight {
-				p.w.fails("the proxy has %s %g, the base says %g", id, weight, b.Lines[id])
+	for _, known := range grant.Base {
+		for backend, weight := range member.state.proxyLines {
+			if !known.Uncertain[backend] && known.Lines[backend] != weight {
+				member.state.recordViolation("the proxy has %s %g, the base says %g", backend, weight, known.Lines[backend])
 			}
 		}
-		for id, weight := range b.Lines {
-			if !b.Uncertain[id] && p.w.lines[id] != weight {
-				p.w.fails("the base has %s %g, the proxy %g", id, weight, p.w.lines[id])
+		for backend, weight := range known.Lines {
+			if !known.Uncertain[backend] && member.state.proxyLines[backend] != weight {
+				member.state.recordViolation("the base has %s %g, the proxy %g", backend, weight, member.state.proxyLines[backend])
 			}
 		}
 	}
-	if p.may() {
-		p.leaves(func() { p.w.lines = p.table() })
+	if member.spendMessage() {
+		member.deliver(func() { member.state.proxyLines = member.table() })
 	}
 }
 
-func (p *player) MessagesSentByPeers(_, messages int) {
+func (member *modelMember) MessagesSentByPeers(_, messages int) {
 	for range messages {
-		p.sent = append(p.sent, p.w.now)
+		member.countedMessages = append(member.countedMessages, member.state.now)
 	}
 }
 
-func (p *player) ReleaseUpTo(edition uint64) {
-	for len(p.wait) > 0 && p.wait[0] <= edition {
-		p.wait = p.wait[1:]
-		if p.granted == p.joined {
-			p.leaves(func() { p.w.lines = p.table() })
+func (member *modelMember) ReleaseUpTo(revision uint64) {
+	for len(member.unreleased) > 0 && member.unreleased[0] <= revision {
+		member.unreleased = member.unreleased[1:]
+		if member.grantedStream == member.knownStream {
+			member.deliver(func() { member.state.proxyLines = member.table() })
 		}
 	}
 }
 
 // table is the one line that the member has as far as it was released, besides one that never changes.
-func (p *player) table() map[string]float64 {
-	has := map[string]float64{"b": 1}
-	if p.line > 0 {
-		has["a"] = p.line
+func (member *modelMember) table() map[string]float64 {
+	lines := map[string]float64{"b": 1}
+	if member.weight > 0 {
+		lines["a"] = member.weight
 	}
-	return has
+	return lines
 }
 
 // may tells whether the member may order one more message to the proxy, and counts it.
-func (p *player) may() bool {
-	p.sent = slices.DeleteFunc(p.sent, func(at int64) bool { return at <= p.w.now-modelTerms.MessageWindow })
-	if len(p.sent) >= modelTerms.UnownedQuota()+modelTerms.OwnerQuota() {
+func (member *modelMember) spendMessage() bool {
+	member.countedMessages = slices.DeleteFunc(member.countedMessages, func(at int64) bool { return at <= member.state.now-modelTerms.MessageWindow })
+	if len(member.countedMessages) >= modelTerms.UnownedQuota()+modelTerms.OwnerQuota() {
 		return false
 	}
-	p.sent = append(p.sent, p.w.now)
+	member.countedMessages = append(member.countedMessages, member.state.now)
 	return true
 }
 
 // leaves has a message leave; it comes to the proxy if this is its stream.
-func (p *player) leaves(what func()) {
-	w := p.w
-	if w.stream != p.index || w.serial != p.joined || p.token > 0 && p.token < w.token {
+func (member *modelMember) deliver(apply func()) {
+	state := member.state
+	if state.streamMember != member.index || state.streamSerial != member.knownStream || member.token > 0 && member.token < state.proxyToken {
 		return
 	}
-	w.token, p.wrote = max(w.token, p.token), w.serial
-	w.written = slices.DeleteFunc(w.written, func(at int64) bool { return at <= w.now-modelTerms.MessageWindow })
-	if w.written = append(w.written, w.now); len(w.written) > modelTerms.MaxMessages {
-		w.fails("%d messages within the span", len(w.written))
+	state.proxyToken, member.lastWrittenStream = max(state.proxyToken, member.token), state.streamSerial
+	state.messageTimes = slices.DeleteFunc(state.messageTimes, func(at int64) bool { return at <= state.now-modelTerms.MessageWindow })
+	if state.messageTimes = append(state.messageTimes, state.now); len(state.messageTimes) > modelTerms.MaxMessages {
+		state.recordViolation("%d messages within the span", len(state.messageTimes))
 	}
-	what()
+	apply()
 }
 
-func (w *world) fails(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+func (state *modelState) recordViolation(format string, args ...any) {
+	if state.violation == "" {
+		state.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 // settle lets everything on its way arrive, but for what is cut.
-func (w *world) settle() {
-	repeated := map[*player]bool{}
-	for moved := true; moved; {
-		moved = false
-		for _, p := range w.members {
-			if !p.up || p.cut {
+func (state *modelState) deliverAll() {
+	resent := map[*modelMember]bool{}
+	for progressed := true; progressed; {
+		progressed = false
+		for _, member := range state.members {
+			if !member.running || member.cutOff {
 				continue
 			}
-			for len(p.out) > 0 && !repeated[p] {
-				e := p.out[0]
-				p.out, moved = p.out[1:], true
-				w.leases.Observe(e.Incarnation, e.Seq, p.conn, w.now)
-				e.FullyRecorded, e.Stamp = w.leases.FullyRecorded(w.record, w.now), Stamp{1, w.now}
-				w.log = append(w.log, e)
-				w.record.Apply(e)
-				if p.deaf { // and is repeated, over a connection anew
-					p.conn++
-					p.out, repeated[p] = append(p.out, e), true
+			for len(member.proposals) > 0 && !resent[member] {
+				entry := member.proposals[0]
+				member.proposals, progressed = member.proposals[1:], true
+				state.leases.Observe(entry.Incarnation, entry.Seq, member.connection, state.now)
+				entry.FullyRecorded, entry.Stamp = state.leases.FullyRecorded(state.record, state.now), Stamp{1, state.now}
+				state.log = append(state.log, entry)
+				state.record.Apply(entry)
+				if member.answersLost { // and is repeated, over a connection anew
+					member.connection++
+					member.proposals, resent[member] = append(member.proposals, entry), true
 					break
 				}
-				p.coordinator.ProposalCommitted(e.Incarnation, e.Seq, w.now)
+				member.coordinator.ProposalCommitted(entry.Incarnation, entry.Seq, state.now)
 			}
-			for ; p.read < len(w.log); p.read++ {
-				p.coordinator.EntryApplied(w.log[p.read], w.now)
-				moved = true
+			for ; member.applied < len(state.log); member.applied++ {
+				member.coordinator.EntryApplied(state.log[member.applied], state.now)
+				progressed = true
 			}
 		}
 	}
 }
 
-func (w *world) start(p *player) {
-	p.up, p.cut, p.deaf, p.read, p.out, p.wait, p.sent, p.granted = true, false, false, 0, nil, nil, nil, 0
-	p.conn, p.line, p.edition, p.token, p.joined, p.wrote = p.conn+1, 0, 0, 0, 0, 0
-	p.coordinator = New(p, fmt.Sprint("n", p.index), modelTerms, w.now)
-	p.coordinator.ChangeTables([]TableChange{{0, []Line{{"b", 1}}}}, w.now)
+func (state *modelState) start(member *modelMember) {
+	member.running, member.cutOff, member.answersLost, member.applied, member.proposals, member.unreleased, member.countedMessages, member.grantedStream = true, false, false, 0, nil, nil, nil, 0
+	member.connection, member.weight, member.lastRevision, member.token, member.knownStream, member.lastWrittenStream = member.connection+1, 0, 0, 0, 0, 0
+	member.coordinator = New(member, fmt.Sprint("n", member.index), modelTerms, state.now)
+	member.coordinator.ChangeTables([]TableChange{{0, []Line{{"b", 1}}}}, state.now)
 }
 
-func (w *world) dial(p *player) {
-	if last := w.members[w.stream]; last.up && last.joined == w.serial {
-		last.coordinator.ProxyDisconnected(0)
-		last.granted = -1
+func (state *modelState) dial(member *modelMember) {
+	if previous := state.members[state.streamMember]; previous.running && previous.knownStream == state.streamSerial {
+		previous.coordinator.ProxyDisconnected(0)
+		previous.grantedStream = -1
 	}
-	w.serial++
-	w.stream = p.index
-	if p.up {
-		p.joined = w.serial
-		p.coordinator.ProxyConnected(0, w.now)
+	state.streamSerial++
+	state.streamMember = member.index
+	if member.running {
+		member.knownStream = state.streamSerial
+		member.coordinator.ProxyConnected(0, state.now)
 	}
 }
 
 // event plays one event; false where it can do nothing.
-func (w *world) event(kind eventKind, p *player) bool {
+func (state *modelState) playEvent(kind eventKind, member *modelMember) bool {
 	switch kind {
 	case eventTick:
-		w.now++
-		for _, p := range w.members {
-			if !p.up { // the leader looks
-				w.leases.MarkStopped(fmt.Sprint("n", p.index), w.now)
+		state.now++
+		for _, member := range state.members {
+			if !member.running { // the leader looks
+				state.leases.MarkStopped(fmt.Sprint("n", member.index), state.now)
 			}
 		}
-		for _, p := range w.members {
-			if p.up {
-				p.coordinator.Tick(w.now)
+		for _, member := range state.members {
+			if member.running {
+				member.coordinator.Tick(state.now)
 			}
-			if p.up && w.stream == p.index && w.serial == p.joined {
-				p.coordinator.ProxyActiveAt(0, w.now)
+			if member.running && state.streamMember == member.index && state.streamSerial == member.knownStream {
+				member.coordinator.ProxyActiveAt(0, state.now)
 			}
 		}
 	case eventDial:
-		if !p.up {
+		if !member.running {
 			return false
 		}
-		w.dial(p)
+		state.dial(member)
 	case eventOrder:
-		if !p.up || p.granted == p.joined && !p.may() {
+		if !member.running || member.grantedStream == member.knownStream && !member.spendMessage() {
 			return false
 		}
-		p.line = 1 - p.line
-		p.wait = append(p.wait, 1<<62)
-		p.edition = p.coordinator.Revision() + 1
-		p.wait[len(p.wait)-1] = p.edition
-		p.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", p.line}}}}, w.now)
+		member.weight = 1 - member.weight
+		member.unreleased = append(member.unreleased, 1<<62)
+		member.lastRevision = member.coordinator.Revision() + 1
+		member.unreleased[len(member.unreleased)-1] = member.lastRevision
+		member.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", member.weight}}}}, state.now)
 	case eventAcknowledge:
-		if p.index != w.stream || !p.up || p.granted != p.joined || len(p.wait) > 0 || p.wrote != w.serial {
+		if member.index != state.streamMember || !member.running || member.grantedStream != member.knownStream || len(member.unreleased) > 0 || member.lastWrittenStream != state.streamSerial {
 			return false
 		}
-		p.coordinator.ProxyAcknowledged(0, p.coordinator.Revision(), []int{0}, true)
-	case eventCut:
-		if !p.up || p.cut {
+		member.coordinator.ProxyAcknowledged(0, member.coordinator.Revision(), []int{0}, true)
+	case eventCutOff:
+		if !member.running || member.cutOff {
 			return false
 		}
-		p.cut = true
+		member.cutOff = true
 	case eventLoseAnswers:
-		if !p.up || p.deaf || p.cut {
+		if !member.running || member.answersLost || member.cutOff {
 			return false
 		}
-		p.deaf = true
+		member.answersLost = true
 	case eventHeal:
-		if !p.up || !p.cut && !p.deaf {
+		if !member.running || !member.cutOff && !member.answersLost {
 			return false
 		}
-		p.cut, p.deaf, p.conn = false, false, p.conn+1
+		member.cutOff, member.answersLost, member.connection = false, false, member.connection+1
 	case eventKill:
-		if !p.up {
+		if !member.running {
 			return false
 		}
-		p.up = false
+		member.running = false
 	case eventClose:
-		if !p.up || p.cut || p.deaf {
+		if !member.running || member.cutOff || member.answersLost {
 			return false
 		}
-		p.coordinator.Close(w.now)
-		w.settle()
-		p.up = false
+		member.coordinator.Close(state.now)
+		state.deliverAll()
+		member.running = false
 	case eventStart:
-		if p.up {
+		if member.running {
 			return false
 		}
-		w.start(p)
+		state.start(member)
 	case eventStartCutOff:
-		if p.up {
+		if member.running {
 			return false
 		}
-		w.start(p)
-		p.cut = true
+		state.start(member)
+		member.cutOff = true
 	case eventFlood:
-		if !p.up || p.granted != p.joined {
+		if !member.running || member.grantedStream != member.knownStream {
 			return false
 		}
-		for p.may() {
-			p.leaves(func() {})
+		for member.spendMessage() {
+			member.deliver(func() {})
 		}
 	}
-	w.settle()
+	state.deliverAll()
 	return true
 }
 
-func begin() *world {
-	w := &world{now: 100, leases: NewLeaseTracker(modelTerms), record: NewRecord(), lines: map[string]float64{}}
+func newModelState() *modelState {
+	state := &modelState{now: 100, leases: NewLeaseTracker(modelTerms), record: NewRecord(), proxyLines: map[string]float64{}}
 	for i := range modelTerms.Members {
-		w.members = append(w.members, &player{w: w, index: i})
-		w.start(w.members[i])
+		state.members = append(state.members, &modelMember{state: state, index: i})
+		state.start(state.members[i])
 	}
-	w.settle()
+	state.deliverAll()
 	for range 3 {
-		w.event(eventTick, nil)
+		state.playEvent(eventTick, nil)
 	}
-	w.dial(w.members[0])
-	w.settle()
-	w.event(eventAcknowledge, w.members[0])
-	w.event(eventTick, nil)
-	w.written = nil
-	return w
+	state.dial(state.members[0])
+	state.deliverAll()
+	state.playEvent(eventAcknowledge, state.members[0])
+	state.playEvent(eventTick, nil)
+	state.messageTimes = nil
+	return state
 }
 
 // key tells states apart, whenever they came about.
-func (w *world) key() uint64 {
+func (state *modelState) hash() uint64 {
 	h := fnv.New64a()
-	since := func(at int64) int64 { return max(w.now-at, -99) }
-	fmt.Fprint(h, w.stream, w.lines, w.token, w.serial-w.members[w.stream].joined)
-	for _, at := range w.written {
-		fmt.Fprint(h, " ", since(at))
+	age := func(at int64) int64 { return max(state.now-at, -99) }
+	fmt.Fprint(h, state.streamMember, state.proxyLines, state.proxyToken, state.streamSerial-state.members[state.streamMember].knownStream)
+	for _, at := range state.messageTimes {
+		fmt.Fprint(h, " ", age(at))
 	}
-	for _, p := range w.members {
-		d := p.coordinator
-		fmt.Fprint(h, "|", p.up, p.cut, p.deaf, p.joined == w.serial, p.granted == p.joined, p.wrote == w.serial, p.line, p.wait, len(w.log)-p.read, len(p.out),
-			d.withoutQuorum, since(d.leaseFrom), since(d.lastProposedAt), len(d.pending.Claims), len(d.pending.TableChanges), len(d.pending.Confirmations), d.inFlight != nil, d.tables)
-		for _, at := range p.sent {
-			fmt.Fprint(h, " ", since(at))
+	for _, member := range state.members {
+		coordinator := member.coordinator
+		fmt.Fprint(h, "|", member.running, member.cutOff, member.answersLost, member.knownStream == state.streamSerial, member.grantedStream == member.knownStream, member.lastWrittenStream == state.streamSerial, member.weight, member.unreleased, len(state.log)-member.applied, len(member.proposals),
+			coordinator.withoutQuorum, age(coordinator.leaseStart), age(coordinator.lastProposedAt), len(coordinator.pending.Claims), len(coordinator.pending.TableChanges), len(coordinator.pending.Confirmations), coordinator.inFlight != nil, coordinator.tables)
+		for _, at := range member.countedMessages {
+			fmt.Fprint(h, " ", age(at))
 		}
-		if c := d.proxies[0]; c != nil {
-			fmt.Fprint(h, *c)
+		if claim := coordinator.proxies[0]; claim != nil {
+			fmt.Fprint(h, *claim)
 		}
-		for _, at := range d.grantTimes[0] {
-			fmt.Fprint(h, " ", since(at))
+		for _, at := range coordinator.grantTimes[0] {
+			fmt.Fprint(h, " ", age(at))
 		}
-		fmt.Fprint(h, min(w.now-d.started, modelTerms.MessageWindow), d.closing, since(w.leases.stoppedAt[d.name]))
-		if a, ok := w.leases.arrivals[d.incarnation]; ok {
-			fmt.Fprint(h, since(a.arrivedAt), since(a.previousAt), since(a.leaseFrom))
+		fmt.Fprint(h, min(state.now-coordinator.startedAt, modelTerms.MessageWindow), coordinator.closing, age(state.leases.stoppedAt[coordinator.name]))
+		if arrivals, ok := state.leases.arrivals[coordinator.incarnation]; ok {
+			fmt.Fprint(h, age(arrivals.arrivedAt), age(arrivals.previousAt), age(arrivals.earliestLeaseStart))
 		}
 	}
-	hold := w.record.Proxies[0]
-	for _, move := range hold.Moves {
-		fmt.Fprint(h, " ", since(move.At))
+	owned := state.record.Proxies[0]
+	for _, move := range owned.Moves {
+		fmt.Fprint(h, " ", age(move.At))
 	}
-	fmt.Fprint(h, hold.Owner, hold.Revision, w.record.Members[hold.Owner] == hold.Incarnation)
-	if incarnation := w.record.Incarnations[hold.Incarnation]; incarnation != nil && incarnation.Tables[0] != nil {
-		for _, id := range slices.Sorted(maps.Keys(incarnation.Tables[0].Lines)) {
-			fmt.Fprint(h, id, incarnation.Tables[0].Lines[id])
+	fmt.Fprint(h, owned.Owner, owned.Revision, state.record.Members[owned.Owner] == owned.Incarnation)
+	if incarnation := state.record.Incarnations[owned.Incarnation]; incarnation != nil && incarnation.Tables[0] != nil {
+		for _, backend := range slices.Sorted(maps.Keys(incarnation.Tables[0].Lines)) {
+			fmt.Fprint(h, backend, incarnation.Tables[0].Lines[backend])
 		}
 	}
 	return h.Sum64()
--- a/ownership/proposals.go
+++ b/ownership/proposals.go
@@ -1,6 +1,6 @@
 package ownership
 
-// proposePending proposes what has gathered, if it is due and no other entry is in flight.
+// proposePending proposes the pending entry if it is due and no other entry is in flight.
 func (c *Coordinator) proposePending(now Microseconds) {
 	if c.inFlight != nil || !c.entryDue(now) {
 		return
@@ -26,35 +26,41 @@
 	c.host.Propose(entry)
 }
 
-// entryDue tells whether an entry is to be proposed now: at once for what somebody waits for, soon for acknowledgements,
-// and otherwise to renew the lease.
+// entryDue reports whether an entry is to be proposed now: at once to enter the record or for
+// urgent content, after half a LeaseTerms.RenewInterval for acknowledgements, and otherwise after a
+// LeaseTerms.RenewInterval to renew the lease.
 func (c *Coordinator) entryDue(now Microseconds) bool {
 	if c.seq == 0 || c.pending.urgent() {
 		return true
 	}
-	since := now - c.lastProposedAt
-	if len(c.pending.Confirmations) > 0 && since >= c.terms.RenewInterval/2 {
+	sinceLastProposal := now - c.lastProposedAt
+	if len(c.pending.Confirmations) > 0 && sinceLastProposal >= c.terms.RenewInterval/2 {
 		return true
 	}
-	return since >= c.terms.RenewInterval
+	return sinceLastProposal >= c.terms.RenewInterval
 }
 
-// urgent tells whether a proxy or an order waits for the entry.
+// urgent reports whether a claim, a table change or the planned end of the member waits for the
+// entry.
 func (e *Entry) urgent() bool {
 	return len(e.Claims) > 0 || len(e.Reclaims) > 0 || len(e.TableChanges) > 0 || e.Closing
 }
 
-// enteredRecently holds back another entering: two processes of one name would enter by turns as fast as they can.
+// enteredRecently reports whether the member proposed to enter the record less than
+// LeaseTerms.RenewInterval ago. It then has to wait: two processes of one name would otherwise
+// enter in turns as fast as they can.
 func (c *Coordinator) enteredRecently(now Microseconds) bool {
 	return c.lastEnteredAt > 0 && now-c.lastEnteredAt < c.terms.RenewInterval
 }
 
-// isInFlight tells whether an answer is for the entry in flight, not for one of an earlier incarnation.
+// isInFlight reports whether an answer is for the entry in flight, and not for an entry of an
+// earlier incarnation.
 func (c *Coordinator) isInFlight(incarnation, seq uint64) bool {
 	return c.inFlight != nil && c.inFlight.Incarnation == incarnation && c.inFlight.Seq == seq
 }
 
-// ProposalCommitted is told that a proposed entry is committed. The lease counts from when it was proposed.
+// ProposalCommitted handles the commit of a proposed entry. The lease counts from the time at which
+// the entry was proposed.
 func (c *Coordinator) ProposalCommitted(incarnation, seq uint64, now Microseconds) {
 	if !c.isInFlight(incarnation, seq) {
 		return
@@ -62,8 +68,8 @@
 	revision := c.inFlight.Revision
 	c.inFlight = nil
 	c.seq = seq
-	c.leaseFrom = c.proposedAt
-	if now-c.leaseFrom >= c.terms.Duration { // the lease is over already; Tick sees to that
+	c.leaseStart = c.proposedAt
+	if now-c.leaseStart >= c.terms.Duration { // the lease has already ended; Tick handles it
 		c.proposePending(now)
 		return
 	}
@@ -75,8 +81,8 @@
 	c.proposePending(now)
 }
 
-// ProposalFailed is told that it is not known whether a proposed entry is committed. It is proposed again as it is:
-// Record.Apply ignores repeats.
+// ProposalFailed handles a proposal of which it is not known whether it is committed. The entry is
+// proposed again unchanged: Record.Apply ignores repeated entries.
 func (c *Coordinator) ProposalFailed(incarnation, seq uint64, _ Microseconds) {
 	if c.isInFlight(incarnation, seq) {
 		c.host.Propose(*c.inFlight)
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// ProxyConnected is told that a proxy's stream has begun. The proxy is granted once its claim is on the record, or at once
-// without a quorum. Until then the caller writes nothing to it: a later owner would not know of it.
+// ProxyConnected handles the start of a proxy's stream. The proxy is granted once its claim is on
+// the record, or at once without quorum. Until then the caller must not write to the proxy: the
+// record would not show a later owner what was written.
 func (c *Coordinator) ProxyConnected(proxy int, now Microseconds) {
 	state := &claimState{}
 	if c.inFlight != nil {
@@ -21,7 +22,8 @@
 	c.proposePending(now)
 }
 
-// ProxyDisconnected is told that a proxy's stream has ended. It stays ours by the record until another claims it.
+// ProxyDisconnected handles the end of a proxy's stream. This member stays the owner on the record
+// until another member claims the proxy.
 func (c *Coordinator) ProxyDisconnected(proxy int) {
 	delete(c.proxies, proxy)
 	isProxy := func(other int) bool { return other == proxy }
@@ -29,8 +31,9 @@
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, isProxy)
 }
 
-// ProxyActiveAt is told when a proxy was last heard from on its stream. A connected proxy without a claim of ours is
-// claimed again once it is heard from.
+// ProxyActiveAt handles the time at which a proxy was last active on its stream. A connected proxy
+// that this member lost or has not claimed since its incarnation began is claimed again if it was
+// active more than LeaseTerms.RenewInterval after that.
 func (c *Coordinator) ProxyActiveAt(proxy int, at Microseconds) {
 	state := c.proxies[proxy]
 	if state != nil && state.unclaimedSince > 0 && at > state.unclaimedSince+c.terms.RenewInterval {
@@ -38,7 +41,7 @@
 	}
 }
 
-// claim puts a claim of a connected proxy into the next entry.
+// claim adds a claim of a connected proxy to the next entry.
 func (c *Coordinator) claim(proxy int, kind claimKind) {
 	state := c.proxies[proxy]
 	state.claimToken = 0
@@ -51,14 +54,17 @@
 	}
 }
 
-// ProxyAcknowledged is told that a proxy has applied all that we wrote to it up to a revision, and which tables its classes
-// are bound to, -1 for none. If withdrawalsKnown, it holds the withdrawals that we ordered, and none of an earlier owner.
+// ProxyAcknowledged records that a proxy has applied everything that this member wrote to it up to
+// a revision, and to which tables its classes are bound, -1 for none. An acknowledgement with a
+// class that is bound to no table is ignored. If withdrawalsKnown is set, the proxy holds the
+// withdrawals that this member ordered, and none by an earlier owner.
 func (c *Coordinator) ProxyAcknowledged(proxy int, revision uint64, tables []int, withdrawalsKnown bool) {
 	state := c.proxies[proxy]
 	if state == nil || revision < state.acknowledgedRevision || slices.Contains(tables, -1) {
 		return
 	}
-	if state.acknowledgedRevision == revision && state.withdrawalsKnown == withdrawalsKnown && slices.Equal(state.acknowledgedTables, tables) {
+	if state.acknowledgedRevision == revision && state.withdrawalsKnown == withdrawalsKnown &&
+		slices.Equal(state.acknowledgedTables, tables) {
 		return
 	}
 	state.acknowledgedRevision = revision
@@ -67,7 +73,7 @@
 	c.addConfirmation(proxy, state)
 }
 
-// addConfirmation puts what a proxy of ours has acknowledged into the next entry.
+// addConfirmation adds what an owned proxy has acknowledged to the next entry.
 func (c *Coordinator) addConfirmation(proxy int, state *claimState) {
 	if state.claimToken == 0 || state.acknowledgedRevision == 0 {
 		return
@@ -80,32 +86,32 @@
 		WithdrawalsKnown: state.withdrawalsKnown,
 	}
 	sameProxy := func(other Confirmation) bool { return other.Proxy == proxy }
-	if at := slices.IndexFunc(c.pending.Confirmations, sameProxy); at >= 0 {
-		c.pending.Confirmations[at] = confirmation
+	if index := slices.IndexFunc(c.pending.Confirmations, sameProxy); index >= 0 {
+		c.pending.Confirmations[index] = confirmation
 		return
 	}
 	c.pending.Confirmations = append(c.pending.Confirmations, confirmation)
 }
 
-// applyMove follows a change of owners that is committed.
+// applyMove updates the state of a connected proxy after a committed change of its owner.
 func (c *Coordinator) applyMove(move Move, now Microseconds) {
 	state := c.proxies[move.Proxy]
 	if state == nil {
 		return
 	}
-	ours := move.To.Incarnation == c.incarnation
+	ownClaim := move.To.Incarnation == c.incarnation
 	switch {
-	case ours && state.staleClaims > 0:
+	case ownClaim && state.staleClaims > 0:
 		state.staleClaims--
-	case ours:
+	case ownClaim:
 		c.gainProxy(state, move, now)
 	case state.owned && move.To.Token > state.claimToken && move.To.Owner != c.name:
 		c.loseProxy(state, move.Proxy, now)
 	}
 }
 
-// gainProxy is told that our claim of a proxy is committed. The host is not told the token of a proxy that it was granted
-// before: its messages keep the token of the grant.
+// gainProxy handles the commit of this member's claim of a proxy. If the proxy was granted before,
+// the host does not get the new token: messages keep the token of the grant.
 func (c *Coordinator) gainProxy(state *claimState, move Move, now Microseconds) {
 	state.owned = true
 	state.claimToken = move.To.Token
@@ -117,9 +123,10 @@
 	c.grantByRecord(move, now)
 }
 
-// loseProxy gives up a proxy that another member has claimed: it is connected to us still, but not ours. Its stream may be
-// half-open; if the proxy is active on it later it is claimed again. SnapshotRestored does the like for a proxy that was
-// lost in between.
+// loseProxy gives up a proxy that another member has claimed: the proxy is still connected to this
+// member, which does not own it any more. The stream may be half-open; if the proxy is active on it
+// later, the proxy is claimed again. SnapshotRestored handles a proxy that was lost in entries that
+// a snapshot replaced.
 func (c *Coordinator) loseProxy(state *claimState, proxy int, now Microseconds) {
 	state.owned = false
 	state.claimToken = 0
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -6,44 +6,47 @@
 	"slices"
 )
 
-// Record is the replicated state: what every member concludes from the same entries. It is encoded into snapshots. A
-// Record is not safe for concurrent use.
+// Record is the replicated state, which every member derives from the same entries. It is encoded
+// into snapshots. A Record is not safe for concurrent use.
 type Record struct {
-	// Token is the greatest fencing token that was given.
+	// Token is the greatest fencing token that was issued, or that an entering member had seen.
 	Token uint64 `cbor:"1,keyasint"`
-	// Members has the present incarnation of each member by its name.
+	// Members holds the present incarnation of each member, by name.
 	Members map[string]uint64 `cbor:"2,keyasint"`
-	// Incarnations are the present ones, and those before that still own a proxy.
+	// Incarnations holds the present incarnations, and the earlier ones that still own a proxy.
 	Incarnations map[uint64]*Incarnation `cbor:"3,keyasint"`
-	// Proxies has the owner of each proxy by its number.
+	// Proxies holds the ownership of each proxy, by the number of the proxy.
 	Proxies map[int]Ownership `cbor:"4,keyasint"`
-	// Withdrawn has why a backend is withdrawn, by backend and by member.
+	// Withdrawn holds the reasons for which backends are withdrawn, by backend and by member.
 	Withdrawn map[string]map[string]Observation `cbor:"5,keyasint"`
-	// Demands are requests a second, by proxy and class, as last reported.
+	// Demands are the last reported requests per second, by proxy and class.
 	Demands map[int][]float64 `cbor:"6,keyasint"`
-	// Capacities are by member, as last reported.
+	// Capacities are the last reported capacities, by member.
 	Capacities map[string]Capacity `cbor:"7,keyasint"`
-	// PastIncarnations has the last incarnations of each member that are over, at most maxPastIncarnations.
+	// PastIncarnations holds the last incarnations of each member that are over, at most
+	// maxPastIncarnations.
 	PastIncarnations map[string][]uint64 `cbor:"8,keyasint"`
 }
 
-// Incarnation is a member between its entering the record and its end.
+// Incarnation is the state of a member from the time at which it enters the record to its end.
 type Incarnation struct {
-	// Member is its name.
+	// Member is the name of the member.
 	Member string `cbor:"1,keyasint"`
-	// Seq is that of its last entry.
+	// Seq is the number of the incarnation's last entry.
 	Seq uint64 `cbor:"2,keyasint"`
-	// Closed: it has given all proxies away, and its entries do not count any more.
+	// Closed reports whether the incarnation has given up all proxies; its further entries are
+	// ignored.
 	Closed bool `cbor:"3,keyasint"`
-	// Revision is that of its tables.
+	// Revision is the revision of the incarnation's tables.
 	Revision uint64 `cbor:"4,keyasint"`
-	// Tables are by number, with WithdrawnTable among them.
+	// Tables are the member's tables by number, including WithdrawnTable.
 	Tables map[int]*Table `cbor:"5,keyasint"`
 }
 
 // Table is one of a member's tables.
 type Table struct {
-	// Lines are by backend. One that was removed stays with a weight of 0 for a while.
+	// Lines are the lines by backend. A removed line stays with a weight of 0 until it is
+	// compacted.
 	Lines map[string]VersionedWeight `cbor:"1,keyasint"`
 	// CompactedAt is the revision before which removed lines are not known any more.
 	CompactedAt uint64 `cbor:"2,keyasint"`
@@ -51,25 +54,26 @@
 
 // VersionedWeight is a line of a table with the revision that set it.
 type VersionedWeight struct {
-	// Weight is 0 for a line that was removed.
+	// Weight is the weight of the backend; 0 for a removed line.
 	Weight float64 `cbor:"1,keyasint"`
-	// Revision is that of the member's tables.
+	// Revision is the revision of the member's tables that set the line.
 	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// Ownership says who owns a proxy, and what the proxy has acknowledged to this owner.
+// Ownership holds the owner of a proxy, and what the proxy has acknowledged to this owner.
 type Ownership struct {
-	// Owner is the name of a member; empty for a proxy that nobody has claimed.
+	// Owner is the name of the owning member; empty if no member has claimed the proxy.
 	Owner string `cbor:"1,keyasint"`
-	// Incarnation is the owner's when it claimed the proxy.
+	// Incarnation is the incarnation of the owner that claimed the proxy.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Token is the fencing token of the claim.
 	Token uint64 `cbor:"3,keyasint"`
-	// Revision of the owner's tables that the proxy has acknowledged; 0 for nothing yet.
+	// Revision is the revision of the owner's tables that the proxy has acknowledged; 0 for none.
 	Revision uint64 `cbor:"4,keyasint"`
-	// Tables are the numbers of the tables that its classes are bound to, by class.
+	// Tables are the numbers of the tables to which the proxy's classes are bound, by class.
 	Tables []int `cbor:"5,keyasint"`
-	// Moves are the last times at which it was taken over from another owner.
+	// Moves are the times of the last moves: of claims when the proxy already had an owner, except
+	// claims by this owner for the same stream.
 	Moves []Stamp `cbor:"6,keyasint"`
 	// WithdrawalsKnown is as in Confirmation.
 	WithdrawalsKnown bool `cbor:"7,keyasint,omitempty"`
@@ -77,12 +81,12 @@
 
 // Bounds on what the record remembers.
 const (
-	maxRemovedLines             = 256 // removed lines of a table, beyond which ...
-	removedLinesAfterCompaction = 128 // ... only so many are left
-	maxPastIncarnations         = 16  // of a member
+	maxRemovedLines             = 256 // removed lines of a table beyond which it is compacted
+	removedLinesAfterCompaction = 128 // removed lines that a compaction leaves in a table
+	maxPastIncarnations         = 16  // past incarnations that are remembered for each member
 )
 
-// NewRecord makes an empty record.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{
 		Members:          map[string]uint64{},
@@ -95,8 +99,9 @@
 	}
 }
 
-// Apply applies the next entry and gives the changes of owners that follow. An entry is not accepted, and changes nothing,
-// if it was applied before, if it leaves one out, or if its incarnation is over.
+// Apply applies the next entry and returns the resulting changes of owners. An entry is not
+// accepted, and changes nothing, if it was applied before, if an entry before it is missing, or if
+// its incarnation is over.
 func (r *Record) Apply(e Entry) (moves []Move, accepted bool) {
 	if r.mayEnter(e) {
 		r.enter(e)
@@ -124,23 +129,24 @@
 	return moves, true
 }
 
-// mayEnter tells whether an entry begins an incarnation. A late repeat of one must not bring back an incarnation that is
-// over.
+// mayEnter reports whether an entry begins an incarnation. A late repeat of an incarnation's first
+// entry must not bring back an incarnation that is over.
 func (r *Record) mayEnter(e Entry) bool {
-	return e.Seq == 1 && r.Incarnations[e.Incarnation] == nil && !slices.Contains(r.PastIncarnations[e.Member], e.Incarnation)
+	return e.Seq == 1 && r.Incarnations[e.Incarnation] == nil &&
+		!slices.Contains(r.PastIncarnations[e.Member], e.Incarnation)
 }
 
 func (r *Record) enter(e Entry) {
-	if last, ok := r.Members[e.Member]; ok {
-		past := append(r.PastIncarnations[e.Member], last)
+	if previousIncarnation, ok := r.Members[e.Member]; ok {
+		past := append(r.PastIncarnations[e.Member], previousIncarnation)
 		r.PastIncarnations[e.Member] = slices.Clone(past[max(0, len(past)-maxPastIncarnations):])
 	}
 	r.Members[e.Member] = e.Incarnation
 	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
-	r.clearWithdrawn(e.Member) // it has forgotten what it withdrew
+	r.clearWithdrawn(e.Member) // the new incarnation does not know the withdrawals of the last one
 }
 
-// accepts tells whether an entry is the next one of its member's present incarnation.
+// accepts reports whether an entry is the next one of its member's present incarnation.
 func (r *Record) accepts(e Entry) bool {
 	incarnation := r.Incarnations[e.Incarnation]
 	if incarnation == nil || incarnation.Closed || r.Members[e.Member] != e.Incarnation {
@@ -157,7 +163,7 @@
 			table = &Table{Lines: map[string]VersionedWeight{}}
 			i.Tables[change.Table] = table
 		}
-		if e.Seq == 1 { // complete tables: what was removed from them before is not known
+		if e.Seq == 1 { // complete tables: earlier removals of lines are not known
 			table.CompactedAt = e.Revision
 		}
 		for _, line := range change.Lines {
@@ -167,7 +173,7 @@
 	}
 }
 
-// compactRemovals drops the oldest of the removed lines where there are many.
+// compactRemovals drops the oldest removed lines if there are more than maxRemovedLines.
 func (t *Table) compactRemovals() {
 	var removed []string
 	for backend, line := range t.Lines {
@@ -187,11 +193,12 @@
 	}
 }
 
-// applyConfirmations records what proxies have acknowledged to the owner that they still have.
+// applyConfirmations records what proxies have acknowledged to their present owner.
 func (r *Record) applyConfirmations(e Entry) {
 	for _, confirmation := range e.Confirmations {
 		owned, ok := r.Proxies[confirmation.Proxy]
-		if !ok || owned.Token != confirmation.Token || owned.Incarnation != e.Incarnation || confirmation.Revision < owned.Revision {
+		if !ok || owned.Token != confirmation.Token || owned.Incarnation != e.Incarnation ||
+			confirmation.Revision < owned.Revision {
 			continue
 		}
 		owned.Revision = confirmation.Revision
@@ -213,7 +220,7 @@
 	}
 }
 
-// setWithdrawn records that a member has withdrawn a backend, or has not.
+// setWithdrawn records whether a member has withdrawn a backend.
 func (r *Record) setWithdrawn(member string, observation Observation) {
 	backend := observation.Backend
 	if observation.Withdrawn {
@@ -235,7 +242,7 @@
 	}
 }
 
-// dropUnusedIncarnations forgets incarnations that are over and own nothing.
+// dropUnusedIncarnations drops incarnations that are over and own no proxy.
 func (r *Record) dropUnusedIncarnations() {
 	used := map[uint64]bool{}
 	for _, id := range r.Members {
--- a/ownership/record_test.go
+++ b/ownership/record_test.go
@@ -19,19 +19,19 @@
 		}
 	})
 	t.Run("what a proxy shuts out is known once it confirmed what was withdrawn, if nothing of others is left", func(t *testing.T) {
-		for _, story := range []struct {
-			sure       bool
-			shut       float64
-			set, heard uint64
-			clean      bool
+		for _, c := range []struct {
+			withdrawalsKnown                     bool
+			withdrawnWeight                      float64
+			tablesRevision, acknowledgedRevision uint64
+			noWithdrawals                        bool
 		}{{true, 0, 2, 2, true}, {true, 1, 2, 2, false}, {true, 0, 3, 2, false}, {false, 0, 2, 2, false}} {
 			record := NewRecord()
 			record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}, Revision: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}})
-			record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Revision: story.set, TableChanges: []TableChange{{WithdrawnTable, []Line{{"a", story.shut}}}},
-				Confirmations: []Confirmation{{3, 1, story.heard, []int{0}, story.sure}}})
-			if moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, FullyRecorded: []uint64{1}}); moves[0].NoWithdrawals != story.clean ||
+			record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Revision: c.tablesRevision, TableChanges: []TableChange{{WithdrawnTable, []Line{{"a", c.withdrawnWeight}}}},
+				Confirmations: []Confirmation{{3, 1, c.acknowledgedRevision, []int{0}, c.withdrawalsKnown}}})
+			if moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3}, FullyRecorded: []uint64{1}}); moves[0].NoWithdrawals != c.noWithdrawals ||
 				!moves[0].Known {
-				t.Errorf("%+v: %+v", story, moves[0])
+				t.Errorf("%+v: %+v", c, moves[0])
 			}
 		}
 	})
@@ -56,11 +56,11 @@
 		record := NewRecord()
 		first := Entry{Member: "n0", Incarnation: 1, Seq: 1, Claims: []int{3}}
 		record.Apply(first)
-		if _, taken := record.Apply(first); taken || record.Token != 1 {
+		if _, accepted := record.Apply(first); accepted || record.Token != 1 {
 			t.Errorf("taken twice, token %d", record.Token)
 		}
 		record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 2, Closing: true})
-		if _, taken := record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 3, Claims: []int{4}}); taken {
+		if _, accepted := record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 3, Claims: []int{4}}); accepted {
 			t.Error("a closed incarnation went on")
 		}
 		record.Apply(Entry{Member: "n0", Incarnation: 2, Seq: 1, SeenToken: 40})
@@ -75,7 +75,7 @@
 		record := NewRecord()
 		record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1})
 		record.Apply(Entry{Member: "n0", Incarnation: 2, Seq: 1})
-		if _, taken := record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1}); taken || record.Members["n0"] != 2 || record.Incarnations[1] != nil {
+		if _, accepted := record.Apply(Entry{Member: "n0", Incarnation: 1, Seq: 1}); accepted || record.Members["n0"] != 2 || record.Incarnations[1] != nil {
 			t.Errorf("the incarnation is %d of %v", record.Members["n0"], record.Incarnations)
 		}
 		for incarnation := uint64(3); incarnation < 99; incarnation++ {
--- a/ownership/tables.go
+++ b/ownership/tables.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// ChangeTables records what has changed in our tables. It gives the revision that messages belong to from now on; they may
-// be written once Host.ReleaseUpTo names it.
+// ChangeTables records changes of this member's tables and returns their new revision. Messages
+// that are created from now on belong to this revision, and may be written once Host.ReleaseUpTo
+// names it.
 func (c *Coordinator) ChangeTables(changes []TableChange, now Microseconds) uint64 {
 	c.revision++
 	for _, change := range changes {
 		c.applyTableChange(change)
 	}
-	if c.pending.Revision > 0 && len(c.pending.TableChanges) > 0 { // what was not proposed yet becomes one revision with this
+	// Changes that are not proposed yet become one revision with these.
+	if c.pending.Revision > 0 && len(c.pending.TableChanges) > 0 {
 		c.pending.TableChanges = append(c.pending.TableChanges, changes...)
 	} else {
 		c.pending.TableChanges = changes
@@ -41,7 +43,7 @@
 	}
 }
 
-// completeTables is all lines of our tables.
+// completeTables returns all lines of this member's tables.
 func (c *Coordinator) completeTables() (changes []TableChange) {
 	for _, number := range slices.Sorted(maps.Keys(c.tables)) {
 		change := TableChange{Table: number}
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -14,14 +14,14 @@
 // transcript is three members at work on one record by a seeded sequence of calls; it writes down all that their hosts
 // are asked and all that is put on the record.
 type transcript struct {
-	random  *rand.Rand
-	now     int64
-	text    strings.Builder
-	log     []Entry
-	record  *Record // the leader's
-	leases  *LeaseTracker
-	members []*transcriptMember
-	drawn   uint64
+	random       *rand.Rand
+	now          int64
+	text         strings.Builder
+	log          []Entry
+	record       *Record // the leader's
+	leases       *LeaseTracker
+	members      []*transcriptMember
+	lastRandomID uint64
 }
 
 // transcriptMember is one of them, with the network between it and the leader.
@@ -33,7 +33,7 @@
 	proposed    []Entry
 	applied     int // entries of the log
 	connection  int
-	joined      map[int]bool
+	connected   map[int]bool
 	released    uint64
 }
 
@@ -61,21 +61,23 @@
 	m.note("has %d messages less for proxy %d", messages, proxy)
 }
 
-func (m *transcriptMember) ReleaseUpTo(edition uint64) {
-	m.released = edition
-	m.note("lets edition %d leave", edition)
+func (m *transcriptMember) ReleaseUpTo(revision uint64) {
+	m.released = revision
+	m.note("lets edition %d leave", revision)
 }
 
-func (m *transcriptMember) PeerObservationReported(member string, seen Observation) {
-	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", seen.Backend, member, seen.Failed, seen.Attempts, seen.MeanLatency,
-		seen.Window, seen.Backoff, seen.Withdrawn)
+func (m *transcriptMember) PeerObservationReported(member string, observation Observation) {
+	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", observation.Backend, member, observation.Failed, observation.Attempts, observation.MeanLatency,
+		observation.Window, observation.Backoff, observation.Withdrawn)
 }
 
-func (m *transcriptMember) QuorumChanged(alone bool, why string) { m.note("alone %v: %s", alone, why) }
+func (m *transcriptMember) QuorumChanged(withoutQuorum bool, reason string) {
+	m.note("alone %v: %s", withoutQuorum, reason)
+}
 
 func (m *transcriptMember) RandomID() uint64 {
-	m.drawn++
-	return m.drawn * 1000
+	m.lastRandomID++
+	return m.lastRandomID * 1000
 }
 
 func describeEntry(e Entry) string {
@@ -92,7 +94,7 @@
 // start begins a process of a member, which has forgotten what the one before it knew.
 func (m *transcriptMember) start() {
 	m.connection++
-	m.proposed, m.applied, m.joined, m.released = nil, 0, map[int]bool{}, 0
+	m.proposed, m.applied, m.connected, m.released = nil, 0, map[int]bool{}, 0
 	m.evidence = NewEvidence()
 	m.evidence.interval = 500
 	m.note("starts")
@@ -129,20 +131,20 @@
 	backend := string(rune('a' + m.random.IntN(5)))
 	switch m.random.IntN(24) {
 	case 0, 1:
-		if m.joined[proxy] {
+		if m.connected[proxy] {
 			m.coordinator.ProxyDisconnected(proxy)
 			m.evidence.ForgetProxy(proxy)
 		}
-		m.joined[proxy] = !m.joined[proxy]
-		if m.joined[proxy] {
+		m.connected[proxy] = !m.connected[proxy]
+		if m.connected[proxy] {
 			m.coordinator.ProxyConnected(proxy, m.now)
 		}
 	case 2:
 		weight := float64(m.random.IntN(3)) / 2
-		edition := m.coordinator.ChangeTables([]TableChange{{m.random.IntN(3) - 1, []Line{{backend, weight}}}}, m.now)
-		m.note("edition %d", edition)
+		revision := m.coordinator.ChangeTables([]TableChange{{m.random.IntN(3) - 1, []Line{{backend, weight}}}}, m.now)
+		m.note("edition %d", revision)
 	case 3, 4:
-		if m.joined[proxy] {
+		if m.connected[proxy] {
 			tables := []int{m.random.IntN(3) - 1, 0}
 			m.coordinator.ProxyAcknowledged(proxy, m.released, tables, m.random.IntN(2) == 0)
 		}
@@ -170,12 +172,12 @@
 		m.leases.MarkStopped(m.name, m.now)
 	case 13:
 		if m.random.IntN(10) == 0 { // a snapshot takes the place of the entries
-			copied := NewRecord()
+			restored := NewRecord()
 			for _, e := range m.log {
-				copied.Apply(e)
+				restored.Apply(e)
 			}
 			m.applied = len(m.log)
-			m.coordinator.SnapshotRestored(copied, m.now)
+			m.coordinator.SnapshotRestored(restored, m.now)
 			m.note("takes a snapshot")
 		}
 	case 14:
@@ -196,7 +198,7 @@
 }
 
 // play plays one sequence of calls and gives all that came of it.
-func play(seed uint64, steps int) string {
+func runTranscript(seed uint64, steps int) string {
 	s := &transcript{random: rand.New(rand.NewPCG(seed, 35)), now: 1000, record: NewRecord(), leases: NewLeaseTracker(transcriptTerms)}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		m := &transcriptMember{transcript: s, name: name}
@@ -212,11 +214,11 @@
 
 // The same calls lead to the same requests to the hosts and to the same record as when the golden files were made: one
 // sequence word by word, others by their sums.
-func TestSameCallsSameTranscript(t *testing.T) {
-	golden.Compare(t, "transcript.txt", play(1, 500))
+func TestSameCallsGiveSameTranscript(t *testing.T) {
+	golden.Compare(t, "transcript.txt", runTranscript(1, 500))
 	var sums strings.Builder
 	for seed := range uint64(40) {
-		text := play(seed, 5000)
+		text := runTranscript(seed, 5000)
 		fmt.Fprintf(&sums, "seed %d: %d lines, %x\n", seed, strings.Count(text, "\n"), sha256.Sum256([]byte(text)))
 	}
 	golden.Compare(t, "transcripts.txt", sums.String())
--- a/ownership/wire_test.go
+++ b/ownership/wire_test.go
@@ -10,11 +10,11 @@
 // TestEncodedBytes pins what members send each other and keep on disk: a member of the last release reads the entries of
 // this one, and a folder outlasts both, so no renaming and no new field may change these bytes.
 func TestEncodedBytes(t *testing.T) {
-	seen := Observation{Backend: "a", Attempts: 5, Failed: 4, MeanLatency: 3000, Window: 2000, Withdrawn: true, Backoff: 700}
+	observation := Observation{Backend: "a", Attempts: 5, Failed: 4, MeanLatency: 3000, Window: 2000, Withdrawn: true, Backoff: 700}
 	entry := Entry{Member: "n1", Incarnation: 77, Seq: 1, SeenToken: 3, Closing: true, Claims: []int{5}, Reclaims: []int{6}, Revision: 9,
 		TableChanges:  []TableChange{{Table: 2, Lines: []Line{{Backend: "a", Weight: 0.5}}}},
 		Confirmations: []Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, WithdrawalsKnown: true}},
-		Observations:  []Observation{seen}, Demands: []Demand{{Proxy: 5, Rates: []float64{1.5, 0}}}, Capacity: Capacity{Proven: 2, Saturated: 3},
+		Observations:  []Observation{observation}, Demands: []Demand{{Proxy: 5, Rates: []float64{1.5, 0}}}, Capacity: Capacity{Proven: 2, Saturated: 3},
 		FullyRecorded: []uint64{77, 78}, Stamp: Stamp{Leader: 9, At: 1234}}
 	record := NewRecord()
 	record.Token = 7
@@ -22,7 +22,7 @@
 	record.Incarnations[77] = &Incarnation{Member: "n1", Seq: 2, Closed: true, Revision: 9,
 		Tables: map[int]*Table{2: {Lines: map[string]VersionedWeight{"a": {Weight: 0.5, Revision: 9}}, CompactedAt: 1}}}
 	record.Proxies[5] = Ownership{Owner: "n1", Incarnation: 77, Token: 7, Revision: 9, Tables: []int{2}, Moves: []Stamp{{Leader: 9, At: 1}}, WithdrawalsKnown: true}
-	record.Withdrawn["a"] = map[string]Observation{"n1": seen}
+	record.Withdrawn["a"] = map[string]Observation{"n1": observation}
 	record.Demands[5] = []float64{1.5}
 	record.Capacities["n1"] = Capacity{Proven: 2, Saturated: 3}
 	record.PastIncarnations["n1"] = []uint64{76}
