--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -93,7 +93,9 @@
 	granted     bool
 	windowStart Microseconds // of the message window: time of the grant, or end of the last window
 	owned       bool         // on the record, by this incarnation or the last one
-	claimToken  uint64       // of this incarnation's claim; 0 for none. Messages have the grant's token
+	// claimToken is the fencing token of this incarnation's claim; 0 for none. Messages carry the
+	// token of the grant instead.
+	claimToken uint64
 	// staleClaims counts the claims by this member that were in flight when the proxy's stream
 	// began: they were for an older stream.
 	staleClaims int
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-var terms = LeaseTerms{Duration: 1000, RenewInterval: 100, MessageWindow: 10_000, MaxMessages: 36, Members: 3, GuaranteedMessages: 4}
+var terms = LeaseTerms{Duration: 1000, RenewInterval: 100, MessageWindow: 10_000, MaxMessages: 36, Members: 3,
+	GuaranteedMessages: 4}
 
-// fakeHost notes what a coordinator asks for.
+// fakeHost records the calls of a Coordinator.
 type fakeHost struct {
 	proposed      []Entry
 	granted       map[int]string
@@ -38,7 +39,7 @@
 }
 func (host *fakeHost) RandomID() uint64 { host.lastRandomID++; return host.lastRandomID * 1000 }
 
-// commitLast puts the last proposal on the record, stamped, and answers it.
+// commitLast commits the last proposal, with a stamp, and answers it.
 func (host *fakeHost) commitLast(coordinator *Coordinator, now int64, fullyRecorded ...uint64) Entry {
 	e := host.proposed[len(host.proposed)-1]
 	e.FullyRecorded, e.Stamp = fullyRecorded, Stamp{7, now}
@@ -47,12 +48,13 @@
 	return e
 }
 
-// startOnRecord has a coordinator enter the record, beside two other members.
+// newCoordinatorOnRecord returns a Coordinator that has entered the record, as have two other
+// members.
 func newCoordinatorOnRecord(t *testing.T) (*fakeHost, *Coordinator) {
 	t.Helper()
 	host := newFakeHost()
 	coordinator := New(host, "n0", terms, 0)
-	coordinator.startedAt = -terms.MessageWindow // long ago
+	coordinator.startedAt = -terms.MessageWindow // before the message window
 	coordinator.Tick(0)
 	host.commitLast(coordinator, 0)
 	for i, name := range []string{"n1", "n2"} {
@@ -62,53 +64,59 @@
 }
 
 func TestCoordinatorClaimsGrantsAndReleases(t *testing.T) {
-	t.Run("a proxy is granted once its claim stands, with what the last owner told it", func(t *testing.T) {
+	t.Run("a proxy is granted when its claim is committed, with the base from its last owner", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
-		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1, Stamp: Stamp{7, 10},
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1,
+			Stamp:        Stamp{7, 10},
 			TableChanges: []TableChange{{0, []Line{{"a", 1}, {"b", 2}}}}}, 10)
 		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1, Stamp: Stamp{7, 20},
 			Confirmations: []Confirmation{{5, 1, 1, []int{0, 0}, true}}}, 20)
 		coordinator.ProxyConnected(5, 30)
 		if len(host.granted) > 0 {
-			t.Fatalf("granted %v before its claim stands", host.granted)
+			t.Fatalf("granted %v before the claim was committed", host.granted)
 		}
 		host.commitLast(coordinator, 40, 1, 2, 1000)
-		if owned := coordinator.record.Proxies[5]; host.granted[5] != "2 true 0" || owned.Owner != "n0" || coordinator.OwnedProxies() != 1 {
-			t.Errorf("granted %v, on the record %+v", host.granted, owned)
+		if owned := coordinator.record.Proxies[5]; host.granted[5] != "2 true 0" || owned.Owner != "n0" ||
+			coordinator.OwnedProxies() != 1 {
+			t.Errorf("granted %v, ownership on the record %+v", host.granted, owned)
 		}
 	})
-	t.Run("where anybody may have written off the record, what it holds is not known", func(t *testing.T) {
+	t.Run("the base is unknown if a member may have written without quorum", func(t *testing.T) {
 		for _, fullyRecorded := range [][]uint64{{1, 1000}, {2, 1000}, nil} {
 			host, coordinator := newCoordinatorOnRecord(t)
-			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1, TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
-			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1, Confirmations: []Confirmation{{5, 1, 1, []int{0}, true}}}, 20)
+			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}, Revision: 1,
+				TableChanges: []TableChange{{0, []Line{{"a", 1}}}}}, 10)
+			coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Revision: 1,
+				Confirmations: []Confirmation{{5, 1, 1, []int{0}, true}}}, 20)
 			coordinator.ProxyConnected(5, 30)
 			if host.commitLast(coordinator, 40, fullyRecorded...); host.granted[5] != "2 false 0" {
-				t.Errorf("recorded %v: granted %v", fullyRecorded, host.granted)
+				t.Errorf("fully recorded %v: granted %v, want no known base", fullyRecorded, host.granted)
 			}
 		}
 	})
-	t.Run("orders wait for the record, and for no longer than a lease", func(t *testing.T) {
+	t.Run("table changes wait for their commit, but no longer than a lease", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
 		revision := coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}}}}, 100)
 		if host.released >= revision {
-			t.Error("released before it stands")
+			t.Error("revision released before it was committed")
 		}
 		if coordinator.Tick(999); coordinator.withoutQuorum || host.released >= revision {
-			t.Error("off the record too early")
+			t.Error("without quorum or released before the lease ended")
 		}
-		if coordinator.Tick(1100); !coordinator.withoutQuorum || host.released != revision || !slices.Equal(host.withoutQuorum, []bool{false, true}) {
-			t.Errorf("alone %v, released %d, modes %v", coordinator.withoutQuorum, host.released, host.withoutQuorum)
+		if coordinator.Tick(1100); !coordinator.withoutQuorum || host.released != revision ||
+			!slices.Equal(host.withoutQuorum, []bool{false, true}) {
+			t.Errorf("without quorum %v, released revision %d, quorum changes %v", coordinator.withoutQuorum,
+				host.released, host.withoutQuorum)
 		}
 		if coordinator.ProxyConnected(3, 1200); host.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v", host.granted)
 		}
-		coordinator.Tick(1200 + terms.MessageWindow) // it has of that proxy no more than every member has
+		coordinator.Tick(1200 + terms.MessageWindow) // in the next window, only the unowned quota remains
 		if host.sentByPeers[3] != terms.OwnerQuota() {
-			t.Errorf("spent %v", host.sentByPeers)
+			t.Errorf("messages counted as sent by peers: %v", host.sentByPeers)
 		}
 	})
-	t.Run("back on the record it enters anew, with its tables and claims; nothing of the old incarnation counts", func(t *testing.T) {
+	t.Run("after a loss of the quorum a new incarnation enters and reclaims active proxies", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.ProxyConnected(4, 50)
 		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, 60)
@@ -116,63 +124,73 @@
 		coordinator.Tick(1100)
 		coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 0}}}}, 1150)
 		e := host.commitLast(coordinator, 1200)
-		if e.Seq != 1 || e.Incarnation == oldEntry.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 || len(e.TableChanges) != 1 || coordinator.withoutQuorum {
-			t.Errorf("entered with %+v, alone %v", e, coordinator.withoutQuorum)
+		if e.Seq != 1 || e.Incarnation == oldEntry.Incarnation || len(e.Claims)+len(e.Reclaims) > 0 ||
+			len(e.TableChanges) != 1 || coordinator.withoutQuorum {
+			t.Errorf("entered with %+v, without quorum %v", e, coordinator.withoutQuorum)
 		}
-		coordinator.ProxyActiveAt(4, 1000) // heard before: it may be gone since
+		coordinator.ProxyActiveAt(4, 1000) // activity from before the new incarnation does not count
 		host.commitLast(coordinator, 1300)
 		coordinator.ProxyActiveAt(4, 1350)
-		host.commitLast(coordinator, 1400) // what was under way
-		if reclaiming := host.commitLast(coordinator, 1410); !slices.Equal(reclaiming.Reclaims, []int{4}) || coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
-			t.Errorf("claimed with %+v, owns %d, moves %v", reclaiming, coordinator.OwnedProxies(), coordinator.record.Proxies[4].Moves)
+		host.commitLast(coordinator, 1400) // the entry that was in flight
+		if reclaiming := host.commitLast(coordinator, 1410); !slices.Equal(reclaiming.Reclaims, []int{4}) ||
+			coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
+			t.Errorf("reclaimed with %+v, owns %d proxies, moves %v", reclaiming, coordinator.OwnedProxies(),
+				coordinator.record.Proxies[4].Moves)
 		}
 		if _, accepted := coordinator.record.Apply(oldEntry); accepted {
-			t.Error("an entry of the incarnation that is over was taken in")
+			t.Error("an entry of an incarnation that is over was accepted")
 		}
-		if incarnation := coordinator.record.Incarnations[e.Incarnation]; incarnation.Tables[0].Lines["a"].Weight != 0 || incarnation.Tables[0].Lines["b"].Weight != 1 {
-			t.Errorf("on the record %+v", incarnation.Tables[0])
+		incarnation := coordinator.record.Incarnations[e.Incarnation]
+		if incarnation.Tables[0].Lines["a"].Weight != 0 || incarnation.Tables[0].Lines["b"].Weight != 1 {
+			t.Errorf("table on the record: %+v", incarnation.Tables[0])
 		}
 	})
-	t.Run("a claim that was under way for an older stream does not grant the newer", func(t *testing.T) {
+	t.Run("a claim in flight for an older stream does not grant a newer stream", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.ProxyConnected(4, 50)
 		coordinator.ProxyDisconnected(4)
 		coordinator.ProxyConnected(4, 60)
 		if host.commitLast(coordinator, 70, 1, 2, 1000); len(host.granted) > 0 {
-			t.Errorf("granted %v by the older claim", host.granted)
+			t.Errorf("granted %v by the claim for the older stream", host.granted)
 		}
 		if host.commitLast(coordinator, 80, 1, 2, 1000); host.granted[4] != "2 false 0" {
 			t.Errorf("granted %v", host.granted)
 		}
 	})
-	t.Run("of a proxy that comes and goes between owners no more messages are spent than the limit", func(t *testing.T) {
+	t.Run("a proxy that moves often between owners gets no more messages than the limit", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
 		for i, name := range []string{"n1", "n2", "n1"} {
-			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2), Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
+			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i%2 + 1), Seq: uint64(2 + i/2),
+				Claims: []int{5}, Stamp: Stamp{7, int64(100 + i)}}, 100)
 		}
 		coordinator.ProxyConnected(5, 200)
 		if host.commitLast(coordinator, 210); host.granted[5] != fmt.Sprint("4 false ", terms.OwnerQuota()) {
-			t.Errorf("granted %v with three others' shares standing", host.granted)
+			t.Errorf("granted %v after three moves within the window, want the owner quota counted as sent",
+				host.granted)
 		}
-		for i := range maxMovesWithReserve { // and so on: beyond some it has none of its own
+		for i := range maxMovesWithReserve { // beyond these moves, an owner has no GuaranteedMessages
 			coordinator.ProxyDisconnected(5)
-			coordinator.EntryApplied(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1), Seq: coordinator.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
+			coordinator.EntryApplied(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1),
+				Seq: coordinator.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
 				Stamp: Stamp{7, 220 + int64(i)}}, 220)
 		}
 		coordinator.ProxyConnected(5, 230)
-		if host.commitLast(coordinator, 240); host.granted[5] != fmt.Sprint("9 false ", terms.OwnerQuota()+terms.UnownedQuota()-1) {
+		if host.commitLast(coordinator, 240); host.granted[5] != fmt.Sprint("9 false ",
+			terms.OwnerQuota()+terms.UnownedQuota()-1) {
 			t.Errorf("granted %v after %d moves", host.granted, maxMovesWithReserve+4)
 		}
-		if total := terms.Members*(terms.UnownedQuota()+1) + (previousOwnersCounted+1)*terms.OwnerQuota(); total > terms.MaxMessages {
-			t.Errorf("%d messages by all together", total)
+		if total := terms.Members*(terms.UnownedQuota()+1) +
+			(previousOwnersCounted+1)*terms.OwnerQuota(); total > terms.MaxMessages {
+			t.Errorf("all quotas together are %d messages, want at most %d", total, terms.MaxMessages)
 		}
 	})
-	t.Run("how old a move is counts by one leader's clock, also for who has just started", func(t *testing.T) {
+	t.Run("the age of a move is measured by its leader's clock, also just after a start", func(t *testing.T) {
 		host := newFakeHost()
 		coordinator := New(host, "n0", terms, 0)
 		coordinator.Tick(0)
 		for i, name := range []string{"n1", "n2", "n1", "n2"} {
-			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Claims: []int{5}, Stamp: Stamp{7, int64(i)}}, 0)
+			coordinator.EntryApplied(Entry{Member: name, Incarnation: uint64(i + 1), Seq: 1, Claims: []int{5},
+				Stamp: Stamp{7, int64(i)}}, 0)
 		}
 		coordinator.startedAt = -terms.MessageWindow
 		coordinator.ProxyConnected(5, 0)
@@ -183,26 +201,28 @@
 		e = host.proposed[1]
 		e.Stamp = Stamp{7, 11_001}
 		if coordinator.EntryApplied(e, 2); host.granted[5] != "5 false 0" {
-			t.Errorf("granted %v: the others' shares are long over", host.granted)
+			t.Errorf("granted %v, though the quotas of the other owners have left the window", host.granted)
 		}
 	})
-	t.Run("one that has just started, or has the proxy back, has few messages left of those that need no claim", func(t *testing.T) {
+	t.Run("after a start or a repeated grant only the guaranteed messages are left", func(t *testing.T) {
 		host := newFakeHost()
 		coordinator := New(host, "n0", terms, 0)
 		coordinator.Tick(0)
 		coordinator.Tick(terms.Duration)
 		coordinator.ProxyConnected(5, terms.Duration)
-		if quota := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[5] != fmt.Sprint("0 false ", quota-terms.GuaranteedMessages) {
-			t.Errorf("granted %v of %d", host.granted, quota)
+		if quota := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[5] != fmt.Sprint("0 false ",
+			quota-terms.GuaranteedMessages) {
+			t.Errorf("granted %v out of a quota of %d", host.granted, quota)
 		}
 		coordinator.ProxyConnected(6, 2*terms.MessageWindow)
 		coordinator.ProxyDisconnected(6)
 		coordinator.ProxyConnected(6, 2*terms.MessageWindow+5)
-		if quota := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[6] != fmt.Sprint("0 false ", quota-terms.GuaranteedMessages) {
-			t.Errorf("granted %v of %d", host.granted, quota)
+		if quota := terms.UnownedQuota() + terms.OwnerQuota(); host.granted[6] != fmt.Sprint("0 false ",
+			quota-terms.GuaranteedMessages) {
+			t.Errorf("granted %v out of a quota of %d", host.granted, quota)
 		}
 	})
-	t.Run("one that is heard although another claimed it is claimed again, one that is silent is not", func(t *testing.T) {
+	t.Run("a proxy that another member has claimed is claimed again only if it is active", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
 		for _, proxy := range []int{4, 5} {
 			coordinator.ProxyConnected(proxy, 50)
@@ -210,45 +230,55 @@
 		for range 2 {
 			host.commitLast(coordinator, 60)
 		}
-		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5}, Stamp: Stamp{7, 70}}, 70)
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{4, 5},
+			Stamp: Stamp{7, 70}}, 70)
 		if coordinator.OwnedProxies() != 0 || host.sentByPeers[4] != terms.OwnerQuota() {
-			t.Errorf("owns %d, spent %v", coordinator.OwnedProxies(), host.sentByPeers)
+			t.Errorf("owns %d proxies, messages counted as sent by peers: %v", coordinator.OwnedProxies(),
+				host.sentByPeers)
 		}
-		coordinator.ProxyActiveAt(4, 60) // what was heard before says nothing
+		coordinator.ProxyActiveAt(4, 60) // activity from before the loss does not count
 		coordinator.ProxyActiveAt(5, 300)
 		coordinator.Tick(300)
 		host.commitLast(coordinator, 310)
-		if host.commitLast(coordinator, 320); coordinator.record.Proxies[5].Owner != "n0" || coordinator.record.Proxies[4].Owner != "n1" {
-			t.Errorf("on the record %+v", coordinator.record.Proxies)
+		if host.commitLast(coordinator, 320); coordinator.record.Proxies[5].Owner != "n0" ||
+			coordinator.record.Proxies[4].Owner != "n1" {
+			t.Errorf("ownership on the record: %+v", coordinator.record.Proxies)
 		}
 	})
-	t.Run("one whose entries are not taken in, as another entered under its name, goes off the record", func(t *testing.T) {
+	t.Run("a member under whose name another process has entered continues without quorum", func(t *testing.T) {
 		host, coordinator := newCoordinatorOnRecord(t)
 		coordinator.EntryApplied(Entry{Member: "n0", Incarnation: 77, Seq: 1}, 50)
 		coordinator.Tick(terms.RenewInterval)
-		if host.commitLast(coordinator, terms.RenewInterval); !slices.Contains(host.withoutQuorum, true) || coordinator.incarnation == 1000 {
-			t.Errorf("modes %v, incarnation %d", host.withoutQuorum, coordinator.incarnation)
+		if host.commitLast(coordinator, terms.RenewInterval); !slices.Contains(host.withoutQuorum, true) ||
+			coordinator.incarnation == 1000 {
+			t.Errorf("quorum changes %v, incarnation %d", host.withoutQuorum, coordinator.incarnation)
 		}
 	})
-	t.Run("a withdrawal stands until its member takes it back, or enters anew", func(t *testing.T) {
+	t.Run("a withdrawal stays on the record until its member restores the backend or enters again", func(t *testing.T) {
 		host := newFakeHost()
 		coordinator := New(host, "n0", terms, 0)
 		coordinator.Tick(0)
 		for member, incarnation := range map[string]uint64{"n1": 1, "n2": 2} {
 			coordinator.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 1}, 0)
-			coordinator.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 2, Observations: []Observation{{Backend: "a", Attempts: 5, Failed: 5, Withdrawn: true}}}, 10)
+			coordinator.EntryApplied(Entry{Member: member, Incarnation: incarnation, Seq: 2,
+				Observations: []Observation{{Backend: "a", Attempts: 5, Failed: 5, Withdrawn: true}}}, 10)
 		}
-		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3, Observations: []Observation{{Backend: "a", Attempts: 5}}}, 20)
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 3,
+			Observations: []Observation{{Backend: "a", Attempts: 5}}}, 20)
 		if len(coordinator.record.Withdrawn["a"]) != 1 || len(host.peerReports) > 0 {
-			t.Errorf("withdrawn %v, learned %v before we came", coordinator.record.Withdrawn, host.peerReports)
+			t.Errorf("withdrawn %v, passed on %v before this member entered", coordinator.record.Withdrawn,
+				host.peerReports)
 		}
 		if host.commitLast(coordinator, 30); !slices.Equal(host.peerReports, []string{"n2 a"}) {
-			t.Errorf("learned %v", host.peerReports)
+			t.Errorf("passed on %v", host.peerReports)
 		}
-		if coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 4, Observations: []Observation{{Backend: "b"}}}, 35); !slices.Equal(host.peerReports, []string{"n2 a", "n1 b"}) {
-			t.Errorf("learned %v", host.peerReports)
+		if coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 4,
+			Observations: []Observation{{Backend: "b"}}}, 35); !slices.Equal(host.peerReports,
+			[]string{"n2 a", "n1 b"}) {
+			t.Errorf("passed on %v", host.peerReports)
 		}
-		if coordinator.EntryApplied(Entry{Member: "n2", Incarnation: 5, Seq: 1}, 40); len(coordinator.record.Withdrawn) != 0 {
+		if coordinator.EntryApplied(Entry{Member: "n2", Incarnation: 5, Seq: 1},
+			40); len(coordinator.record.Withdrawn) != 0 {
 			t.Errorf("withdrawn %v", coordinator.record.Withdrawn)
 		}
 	})
--- a/ownership/every_order_test.go
+++ b/ownership/every_order_test.go
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// step is one event: what happens, and to which member.
+// step is an event at a member.
 type step struct {
 	kind   eventKind
 	member int
 }
 
-// path reads steps from words like x0 t0 d1.
+// parseSteps parses steps from words such as x0 t0 d1: the letter of an eventKind and the index of
+// the member.
 func parseSteps(text string) (steps []step) {
 	for _, word := range strings.Fields(text) {
 		steps = append(steps, step{eventKind(word[0]), int(word[1] - '0')})
@@ -23,8 +24,9 @@
 	return steps
 }
 
-// explore plays every order of events up to a depth, after those given first. It gives the shortest breach, or "" if
-// there is none, and how many states there are.
+// explore plays every order of events up to a depth, after the events of a prefix, and calls
+// injectFault at the start and after each event. It returns the shortest sequence that leads to a
+// violation, with the violation, or "" if there is none, and the number of distinct states.
 func explore(prefix string, depth int, injectFault func(*modelState)) (violation string, states int) {
 	var steps []step
 	for _, kind := range "dockqszlxhf" {
@@ -72,10 +74,13 @@
 	return "", len(seen)
 }
 
+// TestEveryOrderOfEventsKeepsTheInvariants guards against rare orders of events after which a proxy
+// holds other lines than its base, or gets more than MaxMessages within the message window. The
+// second half injects faults and checks that explore detects them.
 func TestEveryOrderOfEventsKeepsTheInvariants(t *testing.T) {
 	depth := 4
 	if parsed, err := strconv.Atoi(os.Getenv("SHARE_DEPTH")); err == nil {
-		depth = parsed // 6 takes a minute
+		depth = parsed // a depth of 6 takes a minute
 	}
 	noFault := func(*modelState) {}
 	for _, c := range []struct {
@@ -84,7 +89,7 @@
 		depth        int
 	}{
 		{"two members", "", 2, depth},
-		{"two members, one of them about to go off the record", "x0 t0 t0", 2, depth - 1},
+		{"two members, one about to lose the quorum", "x0 t0 t0", 2, depth - 1},
 		{"two members, a proxy that moves back and forth", "f0 d1 f1", 2, depth - 1},
 		{"three members", "", 3, depth - 1},
 	} {
@@ -92,7 +97,7 @@
 			modelTerms.Members, modelTerms.MaxMessages = c.members, 8*c.members
 			violation, states := explore(c.prefix, c.depth, noFault)
 			if violation != "" {
-				t.Errorf("after %s", violation)
+				t.Errorf("violation after the events %s", violation)
 			}
 			t.Logf("depth %d, %d states", c.depth, states)
 		})
@@ -103,20 +108,23 @@
 		depth                       int
 		inject                      func(*modelState)
 	}{
-		{"a lease tracker that vouches for everybody", "x0 t0 t0", "the proxy has a 1, the base says 0", 3,
+		{"a lease tracker that reports every member as fully recorded", "x0 t0 t0",
+			"the proxy holds backend a with weight 1, but its base gives 0", 3,
 			func(state *modelState) { state.leases.lease = 1 << 40 }},
-		{"a record that forgets who had a proxy before", "f0 d1 f1 d0 f0 d1 f1 d0 f0", "17 messages within the span", 3, func(state *modelState) {
-			for _, record := range []*Record{state.record, state.members[0].coordinator.record, state.members[1].coordinator.record} {
-				owned := record.Proxies[0]
-				owned.Moves = nil
-				record.Proxies[0] = owned
-			}
-			for _, member := range state.members {
-				clear(member.coordinator.grantTimes)
-				member.coordinator.startedAt = -modelTerms.MessageWindow
-			}
-		}},
-		{"a closed incarnation that is vouched for for ever", "q0 z0 t0 t0 t0", "the base says", 3,
+		{"a record that forgets the moves of a proxy", "f0 d1 f1 d0 f0 d1 f1 d0 f0",
+			"17 messages within the message window", 3, func(state *modelState) {
+				for _, record := range []*Record{state.record, state.members[0].coordinator.record,
+					state.members[1].coordinator.record} {
+					owned := record.Proxies[0]
+					owned.Moves = nil
+					record.Proxies[0] = owned
+				}
+				for _, member := range state.members {
+					clear(member.coordinator.grantTimes)
+					member.coordinator.startedAt = -modelTerms.MessageWindow
+				}
+			}},
+		{"a closed incarnation that stays fully recorded without end", "q0 z0 t0 t0 t0", "but its base gives", 3,
 			func(state *modelState) {
 				for id, incarnation := range state.record.Incarnations {
 					if incarnation.Closed {
@@ -124,12 +132,14 @@
 					}
 				}
 			}},
-		{"orders that leave before they stand on the record", "l0 t0", "the proxy has a 1, the base says 0", 3,
+		{"table changes that are released before they are committed", "l0 t0",
+			"the proxy holds backend a with weight 1, but its base gives 0", 3,
 			func(state *modelState) { state.members[0].ReleaseUpTo(1 << 60) }},
 	} {
-		t.Run("it finds "+fault.name, func(t *testing.T) {
-			if violation, _ := explore(fault.prefix, fault.depth, fault.inject); !strings.Contains(violation, fault.wantViolation) {
-				t.Errorf("found %q", violation)
+		t.Run("detects "+fault.name, func(t *testing.T) {
+			if violation, _ := explore(fault.prefix, fault.depth, fault.inject); !strings.Contains(violation,
+				fault.wantViolation) {
+				t.Errorf("found %q, want a violation with %q", violation, fault.wantViolation)
 			}
 		})
 	}
--- a/ownership/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -7,41 +7,44 @@
 )
 
 func TestEvidenceReportsChanges(t *testing.T) {
-	t.Run("what was met is summed until it is told, once in a span", func(t *testing.T) {
+	t.Run("outcomes are summed until they are reported, once per interval", func(t *testing.T) {
 		evidence := NewEvidence()
 		evidence.TakeDue(5_000_000)
 		evidence.AddOutcomes("b", 10, 0, 100, 1000)
 		evidence.AddOutcomes("b", 10, 5, 400, 2000)
 		if observations := evidence.TakeDue(5_500_000).Observations; observations != nil {
-			t.Errorf("told early: %+v", observations)
+			t.Errorf("reported before the interval has passed: %+v", observations)
 		}
 		observations := evidence.TakeDue(6_000_000).Observations
-		if want := []Observation{{Backend: "b", Attempts: 20, Failed: 5, MeanLatency: 200, Window: 2000}}; !slices.Equal(observations, want) {
-			t.Errorf("told %+v", observations)
+		if want := []Observation{{Backend: "b", Attempts: 20, Failed: 5, MeanLatency: 200,
+			Window: 2000}}; !slices.Equal(observations, want) {
+			t.Errorf("reported %+v", observations)
 		}
 		if observations := evidence.TakeDue(7_000_000).Observations; observations != nil {
-			t.Errorf("told twice: %+v", observations)
+			t.Errorf("reported twice: %+v", observations)
 		}
 	})
-	t.Run("a withdrawal is told at once, not again while it stands, and taken back at once", func(t *testing.T) {
+	t.Run("a withdrawal is reported at once and only once, a restore at once", func(t *testing.T) {
 		evidence := NewEvidence()
 		evidence.TakeDue(5_000_000)
 		evidence.AddOutcomes("a", 9, 9, 0, 1000)
 		evidence.SetWithdrawn("a", true, 9, 9, 10)
-		if observations := evidence.TakeDue(5_000_001).Observations; len(observations) != 1 || !observations[0].Withdrawn || observations[0].Failed != 9 || observations[0].Backoff != 10 {
-			t.Errorf("told %+v", observations)
+		if observations := evidence.TakeDue(5_000_001).Observations; len(observations) != 1 ||
+			!observations[0].Withdrawn || observations[0].Failed != 9 || observations[0].Backoff != 10 {
+			t.Errorf("reported %+v", observations)
 		}
 		evidence.AddOutcomes("a", 1, 1, 0, 1000)
 		evidence.SetWithdrawn("a", true, 1, 1, 10)
 		if observations := evidence.TakeDue(6_500_000).Observations; observations != nil {
-			t.Errorf("told again: %+v", observations)
+			t.Errorf("reported again: %+v", observations)
 		}
 		evidence.SetWithdrawn("a", false, 0, 0, 0)
-		if observations := evidence.TakeDue(6_500_001).Observations; len(observations) != 1 || observations[0].Withdrawn {
-			t.Errorf("not taken back: %+v", observations)
+		if observations := evidence.TakeDue(6_500_001).Observations; len(observations) != 1 ||
+			observations[0].Withdrawn {
+			t.Errorf("restored backend not reported: %+v", observations)
 		}
 	})
-	t.Run("demand is told when it has changed, so many proxies at a time", func(t *testing.T) {
+	t.Run("changed demands are reported, at most maxDemands at a time", func(t *testing.T) {
 		evidence := NewEvidence()
 		for proxy := range 100 {
 			evidence.AddDemand(proxy, 1, 20, 2_000_000)
@@ -49,25 +52,26 @@
 		first := evidence.TakeDue(1_000_000).Demands
 		remaining := evidence.TakeDue(2_000_000).Demands
 		if len(first) != maxDemands || len(remaining) != 100-maxDemands || fmt.Sprint(first[0]) != "{0 [0 10]}" {
-			t.Errorf("told %d and %d, the first %v", len(first), len(remaining), first[0])
+			t.Errorf("reported %d and %d demands, the first %v", len(first), len(remaining), first[0])
 		}
 		evidence.AddDemand(7, 1, 21, 2_000_000)
 		if demands := evidence.TakeDue(3_000_000).Demands; demands != nil {
-			t.Errorf("told %v for a little more", demands)
+			t.Errorf("reported %v for a change within the tolerance", demands)
 		}
 		for range 5 {
 			evidence.AddDemand(7, 1, 90, 2_000_000)
 		}
-		if demands := evidence.TakeDue(4_000_000).Demands; len(demands) != 1 || demands[0].Proxy != 7 || demands[0].Rates[1] < 20 {
-			t.Errorf("told %v", demands)
+		if demands := evidence.TakeDue(4_000_000).Demands; len(demands) != 1 || demands[0].Proxy != 7 ||
+			demands[0].Rates[1] < 20 {
+			t.Errorf("reported %v", demands)
 		}
 		evidence.ForgetProxy(7)
-		evidence.AddDemand(7, 0, 1, 0) // no time at all
+		evidence.AddDemand(7, 0, 1, 0) // an empty span is ignored
 		if demands := evidence.TakeDue(5_000_000).Demands; demands != nil || len(evidence.demand) != 99 {
-			t.Errorf("told %v, %d are kept", demands, len(evidence.demand))
+			t.Errorf("reported %v, demands of %d proxies are remembered", demands, len(evidence.demand))
 		}
 	})
-	t.Run("what the fleet can do is told when it has changed", func(t *testing.T) {
+	t.Run("a changed capacity is reported", func(t *testing.T) {
 		evidence := NewEvidence()
 		var reported []Capacity
 		for i, proven := range []float64{0, 2, 2.1, 3, 3} {
@@ -77,19 +81,21 @@
 			}
 		}
 		if !slices.Equal(reported, []Capacity{{2, 0}, {3, 0}}) {
-			t.Errorf("told %v", reported)
+			t.Errorf("reported %v", reported)
 		}
 	})
-	t.Run("one that comes learns what others saw the fleet do, and what came to a proxy", func(t *testing.T) {
+	t.Run("an entering member gets the recorded capacities, and a claim the recorded demand", func(t *testing.T) {
 		host := newFakeHost()
 		coordinator := New(host, "n0", terms, 0)
 		coordinator.Tick(0)
-		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1}, Demands: []Demand{{5, []float64{4, 0}}}}, 0)
+		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1},
+			Demands: []Demand{{5, []float64{4, 0}}}}, 0)
 		if host.commitLast(coordinator, 10); !slices.Equal(host.peerReports, []string{"{2 1}"}) {
-			t.Errorf("learned %v", host.peerReports)
+			t.Errorf("passed on %v", host.peerReports)
 		}
-		if moves, _ := coordinator.record.Apply(Entry{Member: "n1", Incarnation: 1, Seq: 2, Claims: []int{5}}); !slices.Equal(moves[0].Demand, []float64{4, 0}) {
-			t.Errorf("moved %+v", moves)
+		if moves, _ := coordinator.record.Apply(Entry{Member: "n1", Incarnation: 1, Seq: 2,
+			Claims: []int{5}}); !slices.Equal(moves[0].Demand, []float64{4, 0}) {
+			t.Errorf("moves %+v", moves)
 		}
 	})
 }
--- a/ownership/golden_test.go
+++ b/ownership/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fullEntry has every field set.
+// fullEntry returns an entry in which every field is set.
 func fullEntry() Entry {
 	return Entry{
 		Member: "n1", Incarnation: 1<<63 + 5, Seq: 70_000, SeenToken: 300, Closing: true,
@@ -39,7 +39,7 @@
 	}
 }
 
-// fullRecord has every field set, and more than one of most things.
+// fullRecord returns a record in which every field is set, most with several elements.
 func fullRecord() *Record {
 	record := NewRecord()
 	record.Apply(Entry{Member: "n0", Incarnation: 10, Seq: 1, Stamp: Stamp{9, 50}})
@@ -51,21 +51,25 @@
 		}})
 	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 1, SeenToken: 40, Stamp: Stamp{9, 150}})
 	record.Apply(Entry{Member: "n0", Incarnation: 11, Seq: 2, Revision: 2, Stamp: Stamp{9, 200},
-		TableChanges: []TableChange{{Table: 0, Lines: []Line{{"a", 0}, {"d", 3}}}, {Table: WithdrawnTable, Lines: []Line{{"z", 0}}}},
+		TableChanges: []TableChange{{Table: 0, Lines: []Line{{"a", 0}, {"d", 3}}},
+			{Table: WithdrawnTable, Lines: []Line{{"z", 0}}}},
 		Confirmations: []Confirmation{
 			{Proxy: 3, Token: 1, Revision: 1, Tables: []int{0, 2}, WithdrawalsKnown: true},
 			{Proxy: 4, Token: 2, Revision: 2, Tables: []int{0, 0}, WithdrawalsKnown: true},
 		},
-		Observations: []Observation{{Backend: "z", Attempts: 9, Failed: 8, MeanLatency: 100, Window: 1000, Withdrawn: true, Backoff: 5_000_000}},
-		Demands:      []Demand{{Proxy: 3, Rates: []float64{10, 2.5}}},
-		Capacity:     Capacity{Proven: 2, Saturated: 3}})
-	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 2, Claims: []int{5}, FullyRecorded: []uint64{11, 21}, Stamp: Stamp{9, 300},
+		Observations: []Observation{{Backend: "z", Attempts: 9, Failed: 8, MeanLatency: 100, Window: 1000,
+			Withdrawn: true, Backoff: 5_000_000}},
+		Demands:  []Demand{{Proxy: 3, Rates: []float64{10, 2.5}}},
+		Capacity: Capacity{Proven: 2, Saturated: 3}})
+	record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 2, Claims: []int{5}, FullyRecorded: []uint64{11, 21},
+		Stamp:        Stamp{9, 300},
 		Observations: []Observation{{Backend: "z", Attempts: 3, Failed: 3, Withdrawn: true, Backoff: 1_000_000}}})
 	record.Apply(Entry{Member: "n2", Incarnation: 31, Seq: 1, Closing: true, Stamp: Stamp{9, 400}})
 	return record
 }
 
-// describeRecord writes a record as text, in an order of its own and in words of its own.
+// describeRecord returns a record as text for the golden files, in a fixed order and independent of
+// the names of types and fields.
 func describeRecord(record *Record) string {
 	var text strings.Builder
 	writeLine := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
@@ -75,7 +79,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 		incarnation := record.Incarnations[id]
-		writeLine("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed, incarnation.Revision)
+		writeLine("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq,
+			incarnation.Closed, incarnation.Revision)
 		for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 			table := incarnation.Tables[number]
 			writeLine("  table %d, known from %d on", number, table.CompactedAt)
@@ -86,8 +91,8 @@
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(record.Proxies)) {
 		owned := record.Proxies[proxy]
-		writeLine("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v", proxy, owned.Owner, owned.Incarnation, owned.Token,
-			owned.Revision, owned.Tables, owned.WithdrawalsKnown)
+		writeLine("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v", proxy, owned.Owner,
+			owned.Incarnation, owned.Token, owned.Revision, owned.Tables, owned.WithdrawalsKnown)
 		for _, move := range owned.Moves {
 			writeLine("  moved at %d by the clock of %d", move.At, move.Leader)
 		}
@@ -95,21 +100,23 @@
 	for _, backend := range slices.Sorted(maps.Keys(record.Withdrawn)) {
 		for _, member := range slices.Sorted(maps.Keys(record.Withdrawn[backend])) {
 			observation := record.Withdrawn[backend][member]
-			writeLine("backend %s is withdrawn at %s: %s, %d of %d failed, mean %d, over %d, for %d, %v", backend, member, observation.Backend, observation.Failed,
-				observation.Attempts, observation.MeanLatency, observation.Window, observation.Backoff, observation.Withdrawn)
+			writeLine("backend %s is withdrawn at %s: %s, %d of %d failed, mean %d, over %d, for %d, %v", backend,
+				member, observation.Backend, observation.Failed, observation.Attempts, observation.MeanLatency,
+				observation.Window, observation.Backoff, observation.Withdrawn)
 		}
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(record.Demands)) {
 		writeLine("proxy %d gets %v requests a second", proxy, record.Demands[proxy])
 	}
 	for _, member := range slices.Sorted(maps.Keys(record.Capacities)) {
-		writeLine("capacity seen by %s: %g without a queue, %g with one", member, record.Capacities[member].Proven, record.Capacities[member].Saturated)
+		writeLine("capacity seen by %s: %g without a queue, %g with one", member, record.Capacities[member].Proven,
+			record.Capacities[member].Saturated)
 	}
 	return text.String()
 }
 
-// What members write to each other and keep on disk, byte by byte, beside the cases of TestEncodedBytes: with every field set,
-// and with none.
+// TestEncodedBytesMatchGoldenFile pins the bytes that members send to each other and store on disk,
+// in addition to the cases of TestEncodedBytes: with every field set, and with none.
 func TestEncodedBytesMatchGoldenFile(t *testing.T) {
 	full := fullEntry()
 	var text strings.Builder
@@ -148,7 +155,8 @@
 	golden.Compare(t, "encoded.txt", text.String())
 }
 
-// A snapshot of the record as an earlier version wrote it is read as what it was, and claims on it come out the same.
+// TestStoredRecordIsDecoded checks that a snapshot that an earlier version wrote is decoded into
+// the same record, and that claims on this record have the same results.
 func TestStoredRecordIsDecoded(t *testing.T) {
 	path := filepath.Join("testdata", "record.cbor")
 	if golden.Updating() {
@@ -170,9 +178,10 @@
 	}
 	text := describeRecord(record)
 	if want := describeRecord(fullRecord()); text != want {
-		t.Errorf("read\n%s\nnot\n%s", text, want)
+		t.Errorf("decoded\n%s\nwant\n%s", text, want)
 	}
-	moves, accepted := record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 3, Claims: []int{3, 4, 5, 6}, FullyRecorded: []uint64{11, 21, 31}, Stamp: Stamp{9, 500}})
+	moves, accepted := record.Apply(Entry{Member: "n1", Incarnation: 21, Seq: 3, Claims: []int{3, 4, 5, 6},
+		FullyRecorded: []uint64{11, 21, 31}, Stamp: Stamp{9, 500}})
 	text += fmt.Sprintf("the next entry counts: %v\n", accepted)
 	for _, move := range moves {
 		text += describeMove(move) + "\n"
@@ -181,8 +190,9 @@
 }
 
 func describeMove(move Move) string {
-	return fmt.Sprintf("proxy %d goes from %s to %s by token %d: known %v, clean %v, gets %v, has %s", move.Proxy, move.From.Owner, move.To.Owner,
-		move.To.Token, move.Known, move.NoWithdrawals, move.Demand, describeBase(move.Base))
+	return fmt.Sprintf("proxy %d goes from %s to %s by token %d: known %v, clean %v, gets %v, has %s", move.Proxy,
+		move.From.Owner, move.To.Owner, move.To.Token, move.Known,
+		move.NoWithdrawals, move.Demand, describeBase(move.Base))
 }
 
 func describeBase(base []KnownTable) string {
--- a/ownership/membership_test.go
+++ b/ownership/membership_test.go
@@ -27,28 +27,44 @@
 		action  Action
 		joinVia string
 	}{
-		{"all are new and there: the first founds", OwnStatus{Name: "a"}, newPeers("b", "c"), Bootstrap, ""},
-		{"... and nobody else", OwnStatus{Name: "b"}, newPeers("a", "c"), Wait, ""},
-		{"one is not there: nobody founds", OwnStatus{Name: "a"}, newPeers("b"), Wait, ""},
-		{"one has a record: it is asked, not founded anew", OwnStatus{Name: "a"}, withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true}), Join, "c"},
-		{"its leader is asked before it", OwnStatus{Name: "a"}, withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true, Leader: "b"}), Join, "b"},
-		{"a leader that would be us, in an incarnation before, cannot be asked", OwnStatus{Name: "a"}, withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true, Leader: "a"}), Join, "c"},
-		{"we are in, and it is led", OwnStatus{Name: "a", HasRecord: true, IsMember: true, HasLeader: true}, newPeers("b", "c"), Wait, ""},
-		{"we are in, and others are as well: they elect", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99},
+		{"all members are new and reached: the first by name founds a record", OwnStatus{Name: "a"},
+			newPeers("b", "c"), Bootstrap, ""},
+		{"all members are new and reached: the second waits", OwnStatus{Name: "b"}, newPeers("a", "c"), Wait, ""},
+		{"a member is not reached: the first waits", OwnStatus{Name: "a"}, newPeers("b"), Wait, ""},
+		{"a peer is part of a record: it is asked, and no record is founded", OwnStatus{Name: "a"},
+			withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true}), Join, "c"},
+		{"a peer knows a leader: the leader is asked", OwnStatus{Name: "a"},
+			withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true, Leader: "b"}), Join, "b"},
+		{"the known leader has the own name, from an earlier process: the peer is asked", OwnStatus{Name: "a"},
+			withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true, Leader: "a"}), Join, "c"},
+		{"a member of a record with a leader waits",
+			OwnStatus{Name: "a", HasRecord: true, IsMember: true, HasLeader: true}, newPeers("b", "c"), Wait, ""},
+		{"members of a record without a leader wait for an election",
+			OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99},
 			withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true}), Wait, ""},
-		{"we were put out for another incarnation of ours: we ask to be let in", OwnStatus{Name: "a", HasRecord: true}, withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true}), Join, "c"},
-		{"all others are new, for a moment", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: maxLeaderlessPolls - 1}, newPeers("b", "c"), Wait, ""},
-		{"all others are new, for good", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: maxLeaderlessPolls}, newPeers("b", "c"), StartOver, ""},
-		{"... but ours is on a disk", OwnStatus{Name: "a", HasRecord: true, IsMember: true, Durable: true, LeaderlessPolls: 99}, newPeers("b", "c"), Wait, ""},
-		{"... but one cannot be reached, and may remember", OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99}, newPeers("b"), Wait, ""},
+		{"a member that was removed for another ID of its name asks to be admitted",
+			OwnStatus{Name: "a", HasRecord: true}, withPeer(newPeers("b"), "c", PeerStatus{HasRecord: true}), Join,
+			"c"},
+		{"all others are new, for fewer polls than maxLeaderlessPolls",
+			OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: maxLeaderlessPolls - 1},
+			newPeers("b", "c"), Wait, ""},
+		{"all others are new, for maxLeaderlessPolls",
+			OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: maxLeaderlessPolls},
+			newPeers("b", "c"), StartOver, ""},
+		{"all others are new, but the own part of the record is on a disk",
+			OwnStatus{Name: "a", HasRecord: true, IsMember: true, Durable: true, LeaderlessPolls: 99},
+			newPeers("b", "c"), Wait, ""},
+		{"all peers that were reached are new, but one was not reached and may have its votes",
+			OwnStatus{Name: "a", HasRecord: true, IsMember: true, LeaderlessPolls: 99}, newPeers("b"), Wait, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			step := NextStep(c.own, names, c.others)
 			if step.Action != c.action || step.JoinVia != c.joinVia {
-				t.Errorf("got %+v", step)
+				t.Errorf("got %+v, want action %d via %q", step, c.action, c.joinVia)
 			}
-			if foundingMembers := slices.Sorted(maps.Keys(step.IDs)); step.Action == Bootstrap && !slices.Equal(foundingMembers, names) {
-				t.Errorf("founded with %v", step.IDs)
+			if foundingMembers := slices.Sorted(maps.Keys(step.IDs)); step.Action == Bootstrap &&
+				!slices.Equal(foundingMembers, names) {
+				t.Errorf("founded with %v, want all of %v", step.IDs, names)
 			}
 		})
 	}
@@ -68,7 +84,7 @@
 		{[]string{"cc/1"}, nil, false},
 	} {
 		if remove, admitted := Admit(c.ids, "c/2", nameOf); !slices.Equal(remove, c.remove) || admitted != c.admitted {
-			t.Errorf("%v: removes %v, admitted %v", c.ids, remove, admitted)
+			t.Errorf("IDs %v: removes %v, admitted %v, want %v, %v", c.ids, remove, admitted, c.remove, c.admitted)
 		}
 	}
 }
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -7,63 +7,65 @@
 	"slices"
 )
 
-// The check plays every order of events up to a depth: members at work on one record, one proxy that dials about, kills,
-// cuts and lost answers. Real coordinators, record and lease tracker; the log, the network and the proxy are the model's.
+// This file models members that share one record, and one proxy that connects to any of them, with
+// killed processes, cut connections and lost answers. explore plays every order of these events up
+// to a depth. Coordinators, record and lease tracker are the real ones; the log, the network and
+// the proxy are modelled.
 
 var modelTerms = LeaseTerms{Duration: 3, RenewInterval: 1, MessageWindow: 5, MaxMessages: 16, Members: 2}
 
-// eventKind is a letter, by which orders of events are written.
+// eventKind is the letter by which an event is written.
 type eventKind byte
 
 const (
 	eventTick        eventKind = 't' // a unit of time passes
-	eventDial        eventKind = 'd' // the proxy dials the member
+	eventDial        eventKind = 'd' // the proxy connects to the member
 	eventOrder       eventKind = 'o' // the member changes its table
-	eventAcknowledge eventKind = 'c' // the proxy acknowledges all that it was told
-	eventCutOff      eventKind = 'x' // the member is cut off the record
-	eventLoseAnswers eventKind = 'l' // its entries arrive, their answers do not
-	eventHeal        eventKind = 'h' // it is connected again
-	eventKill        eventKind = 'k' // its process ends
-	eventClose       eventKind = 'q' // it ends as planned
-	eventStart       eventKind = 's' // its process starts
-	eventStartCutOff eventKind = 'z' // it starts, and reaches no record
-	eventFlood       eventKind = 'f' // it writes as much as it may
+	eventAcknowledge eventKind = 'c' // the proxy acknowledges everything that was written to it
+	eventCutOff      eventKind = 'x' // the member is cut off from the record
+	eventLoseAnswers eventKind = 'l' // the entries of the member arrive, the answers are lost
+	eventHeal        eventKind = 'h' // the connection between the member and the record works again
+	eventKill        eventKind = 'k' // the member's process is killed
+	eventClose       eventKind = 'q' // the member's process ends as planned
+	eventStart       eventKind = 's' // the member's process starts
+	eventStartCutOff eventKind = 'z' // the member's process starts, cut off from the record
+	eventFlood       eventKind = 'f' // the member writes as many messages as it may
 )
 
-// world is one state of the model.
+// modelState is a state of the model.
 type modelState struct {
 	now          int64
 	log          []Entry
 	leases       *LeaseTracker
 	record       *Record // the leader's
 	members      []*modelMember
-	streamMember int // whose stream the proxy has
-	streamSerial int
-	proxyLines   map[string]float64 // that the proxy really has
-	proxyToken   uint64             // the greatest that it has seen
-	messageTimes []int64            // messages to it, by time
-	violation    string
+	streamMember int                // index of the member to which the proxy is connected
+	streamSerial int                // number of the proxy's stream
+	proxyLines   map[string]float64 // held by the proxy
+	proxyToken   uint64             // greatest fencing token that the proxy has seen
+	messageTimes []int64            // times of the messages to the proxy
+	violation    string             // first violation; empty without one
 	lastRandomID uint64
 }
 
-// player is a member's process, and the model of what carries its orders.
+// modelMember is a member's process, with its connections to the record and to the proxy.
 type modelMember struct {
 	state             *modelState
 	index             int
 	coordinator       *Coordinator
-	running, cutOff   bool // cut: from the record
-	answersLost       bool // its entries come through, their answers do not
-	connection        int
-	applied           int // of the log
-	proposals         []Entry
-	knownStream       int // serial of the proxy's stream that it knows
-	grantedStream     int
-	token             uint64
-	weight            float64
-	lastRevision      uint64   // of the last order
-	lastWrittenStream int      // serial of the stream on which it has written
-	unreleased        []uint64 // orders that wait for their release
-	countedMessages   []int64
+	running, cutOff   bool     // cutOff: from the record
+	answersLost       bool     // the entries arrive, the answers are lost
+	connection        int      // number of the connection to the leader
+	applied           int      // number of entries of the log
+	proposals         []Entry  // not delivered yet
+	knownStream       int      // serial of the last stream that began at this member
+	grantedStream     int      // serial of the granted stream
+	token             uint64   // of the grant
+	weight            float64  // of backend a; 0 for no line
+	lastRevision      uint64   // of the last table change
+	lastWrittenStream int      // serial of the last stream on which the member wrote
+	unreleased        []uint64 // revisions that wait for their release
+	countedMessages   []int64  // times of the messages that count against the quota
 }
 
 func (member *modelMember) Propose(e Entry) { member.proposals = append(member.proposals, e) }
@@ -83,17 +85,19 @@
 	member.grantedStream, member.token, member.countedMessages = member.knownStream, grant.Token, nil
 	member.MessagesSentByPeers(0, grant.SentMessages)
 	if member.state.streamMember != member.index || member.state.streamSerial != member.knownStream {
-		return // the stream is gone already
+		return // the stream has already ended
 	}
 	for _, known := range grant.Base {
 		for backend, weight := range member.state.proxyLines {
 			if !known.Uncertain[backend] && known.Lines[backend] != weight {
-				member.state.recordViolation("the proxy has %s %g, the base says %g", backend, weight, known.Lines[backend])
+				member.state.recordViolation("the proxy holds backend %s with weight %g, but its base gives %g",
+					backend, weight, known.Lines[backend])
 			}
 		}
 		for backend, weight := range known.Lines {
 			if !known.Uncertain[backend] && member.state.proxyLines[backend] != weight {
-				member.state.recordViolation("the base has %s %g, the proxy %g", backend, weight, member.state.proxyLines[backend])
+				member.state.recordViolation("the base has backend %s with weight %g, but the proxy holds %g",
+					backend, weight, member.state.proxyLines[backend])
 			}
 		}
 	}
@@ -117,7 +121,7 @@
 	}
 }
 
-// table is the one line that the member has as far as it was released, besides one that never changes.
+// table returns the member's table: one line that changes, and one that never changes.
 func (member *modelMember) table() map[string]float64 {
 	lines := map[string]float64{"b": 1}
 	if member.weight > 0 {
@@ -126,9 +130,10 @@
 	return lines
 }
 
-// may tells whether the member may order one more message to the proxy, and counts it.
+// spendMessage reports whether the member may write one more message to the proxy, and counts it.
 func (member *modelMember) spendMessage() bool {
-	member.countedMessages = slices.DeleteFunc(member.countedMessages, func(at int64) bool { return at <= member.state.now-modelTerms.MessageWindow })
+	member.countedMessages = slices.DeleteFunc(member.countedMessages,
+		func(at int64) bool { return at <= member.state.now-modelTerms.MessageWindow })
 	if len(member.countedMessages) >= modelTerms.UnownedQuota()+modelTerms.OwnerQuota() {
 		return false
 	}
@@ -136,16 +141,19 @@
 	return true
 }
 
-// leaves has a message leave; it comes to the proxy if this is its stream.
+// deliver writes a message to the proxy. The proxy applies the message if it arrives on the proxy's
+// present stream and has no older token than the proxy has seen.
 func (member *modelMember) deliver(apply func()) {
 	state := member.state
-	if state.streamMember != member.index || state.streamSerial != member.knownStream || member.token > 0 && member.token < state.proxyToken {
+	if state.streamMember != member.index || state.streamSerial != member.knownStream ||
+		member.token > 0 && member.token < state.proxyToken {
 		return
 	}
 	state.proxyToken, member.lastWrittenStream = max(state.proxyToken, member.token), state.streamSerial
-	state.messageTimes = slices.DeleteFunc(state.messageTimes, func(at int64) bool { return at <= state.now-modelTerms.MessageWindow })
+	state.messageTimes = slices.DeleteFunc(state.messageTimes,
+		func(at int64) bool { return at <= state.now-modelTerms.MessageWindow })
 	if state.messageTimes = append(state.messageTimes, state.now); len(state.messageTimes) > modelTerms.MaxMessages {
-		state.recordViolation("%d messages within the span", len(state.messageTimes))
+		state.recordViolation("%d messages within the message window", len(state.messageTimes))
 	}
 	apply()
 }
@@ -156,7 +164,7 @@
 	}
 }
 
-// settle lets everything on its way arrive, but for what is cut.
+// deliverAll delivers all entries and answers, except to and from members that are cut off.
 func (state *modelState) deliverAll() {
 	resent := map[*modelMember]bool{}
 	for progressed := true; progressed; {
@@ -169,10 +177,11 @@
 				entry := member.proposals[0]
 				member.proposals, progressed = member.proposals[1:], true
 				state.leases.Observe(entry.Incarnation, entry.Seq, member.connection, state.now)
-				entry.FullyRecorded, entry.Stamp = state.leases.FullyRecorded(state.record, state.now), Stamp{1, state.now}
+				entry.FullyRecorded, entry.Stamp = state.leases.FullyRecorded(state.record, state.now),
+					Stamp{1, state.now}
 				state.log = append(state.log, entry)
 				state.record.Apply(entry)
-				if member.answersLost { // and is repeated, over a connection anew
+				if member.answersLost { // the entry is repeated on a new connection
 					member.connection++
 					member.proposals, resent[member] = append(member.proposals, entry), true
 					break
@@ -188,8 +197,10 @@
 }
 
 func (state *modelState) start(member *modelMember) {
-	member.running, member.cutOff, member.answersLost, member.applied, member.proposals, member.unreleased, member.countedMessages, member.grantedStream = true, false, false, 0, nil, nil, nil, 0
-	member.connection, member.weight, member.lastRevision, member.token, member.knownStream, member.lastWrittenStream = member.connection+1, 0, 0, 0, 0, 0
+	member.running, member.cutOff, member.answersLost, member.applied = true, false, false, 0
+	member.proposals, member.unreleased, member.countedMessages = nil, nil, nil
+	member.connection, member.weight, member.lastRevision, member.token = member.connection+1, 0, 0, 0
+	member.knownStream, member.grantedStream, member.lastWrittenStream = 0, 0, 0
 	member.coordinator = New(member, fmt.Sprint("n", member.index), modelTerms, state.now)
 	member.coordinator.ChangeTables([]TableChange{{0, []Line{{"b", 1}}}}, state.now)
 }
@@ -207,13 +218,13 @@
 	}
 }
 
-// event plays one event; false where it can do nothing.
+// playEvent plays an event at a member, and reports whether the event is possible in this state.
 func (state *modelState) playEvent(kind eventKind, member *modelMember) bool {
 	switch kind {
 	case eventTick:
 		state.now++
 		for _, member := range state.members {
-			if !member.running { // the leader looks
+			if !member.running { // the leader finds that the process is not running
 				state.leases.MarkStopped(fmt.Sprint("n", member.index), state.now)
 			}
 		}
@@ -240,7 +251,8 @@
 		member.unreleased[len(member.unreleased)-1] = member.lastRevision
 		member.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", member.weight}}}}, state.now)
 	case eventAcknowledge:
-		if member.index != state.streamMember || !member.running || member.grantedStream != member.knownStream || len(member.unreleased) > 0 || member.lastWrittenStream != state.streamSerial {
+		if member.index != state.streamMember || !member.running || member.grantedStream != member.knownStream ||
+			len(member.unreleased) > 0 || member.lastWrittenStream != state.streamSerial {
 			return false
 		}
 		member.coordinator.ProxyAcknowledged(0, member.coordinator.Revision(), []int{0}, true)
@@ -295,7 +307,8 @@
 }
 
 func newModelState() *modelState {
-	state := &modelState{now: 100, leases: NewLeaseTracker(modelTerms), record: NewRecord(), proxyLines: map[string]float64{}}
+	state := &modelState{now: 100, leases: NewLeaseTracker(modelTerms), record: NewRecord(),
+		proxyLines: map[string]float64{}}
 	for i := range modelTerms.Members {
 		state.members = append(state.members, &modelMember{state: state, index: i})
 		state.start(state.members[i])
@@ -312,18 +325,25 @@
 	return state
 }
 
-// key tells states apart, whenever they came about.
+// hash returns a hash of the state in which times are relative to the present time, so that equal
+// states at different times have equal hashes.
 func (state *modelState) hash() uint64 {
 	h := fnv.New64a()
 	age := func(at int64) int64 { return max(state.now-at, -99) }
-	fmt.Fprint(h, state.streamMember, state.proxyLines, state.proxyToken, state.streamSerial-state.members[state.streamMember].knownStream)
+	fmt.Fprint(h, state.streamMember, state.proxyLines, state.proxyToken,
+		state.streamSerial-state.members[state.streamMember].knownStream)
 	for _, at := range state.messageTimes {
 		fmt.Fprint(h, " ", age(at))
 	}
 	for _, member := range state.members {
 		coordinator := member.coordinator
-		fmt.Fprint(h, "|", member.running, member.cutOff, member.answersLost, member.knownStream == state.streamSerial, member.grantedStream == member.knownStream, member.lastWrittenStream == state.streamSerial, member.weight, member.unreleased, len(state.log)-member.applied, len(member.proposals),
-			coordinator.withoutQuorum, age(coordinator.leaseStart), age(coordinator.lastProposedAt), len(coordinator.pending.Claims), len(coordinator.pending.TableChanges), len(coordinator.pending.Confirmations), coordinator.inFlight != nil, coordinator.tables)
+		fmt.Fprint(h, "|", member.running, member.cutOff, member.answersLost,
+			member.knownStream == state.streamSerial, member.grantedStream == member.knownStream,
+			member.lastWrittenStream == state.streamSerial, member.weight, member.unreleased,
+			len(state.log)-member.applied, len(member.proposals),
+			coordinator.withoutQuorum, age(coordinator.leaseStart), age(coordinator.lastProposedAt),
+			len(coordinator.pending.Claims), len(coordinator.pending.TableChanges),
+			len(coordinator.pending.Confirmations), coordinator.inFlight != nil, coordinator.tables)
 		for _, at := range member.countedMessages {
 			fmt.Fprint(h, " ", age(at))
 		}
@@ -333,7 +353,8 @@
 		for _, at := range coordinator.grantTimes[0] {
 			fmt.Fprint(h, " ", age(at))
 		}
-		fmt.Fprint(h, min(state.now-coordinator.startedAt, modelTerms.MessageWindow), coordinator.closing, age(state.leases.stoppedAt[coordinator.name]))
+		fmt.Fprint(h, min(state.now-coordinator.startedAt, modelTerms.MessageWindow), coordinator.closing,
+			age(state.leases.stoppedAt[coordinator.name]))
 		if arrivals, ok := state.leases.arrivals[coordinator.incarnation]; ok {
 			fmt.Fprint(h, age(arrivals.arrivedAt), age(arrivals.previousAt), age(arrivals.earliestLeaseStart))
 		}
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -11,8 +11,8 @@
 	"wheelrill/internal/golden"
 )
 
-// transcript is three members at work on one record by a seeded sequence of calls; it writes down all that their hosts
-// are asked and all that is put on the record.
+// transcript runs three members on one record by a seeded random sequence of calls. Its text has
+// all calls of their hosts and all entries that are put on the record.
 type transcript struct {
 	random       *rand.Rand
 	now          int64
@@ -24,20 +24,21 @@
 	lastRandomID uint64
 }
 
-// transcriptMember is one of them, with the network between it and the leader.
+// transcriptMember is a member, with the network between it and the leader.
 type transcriptMember struct {
 	*transcript
 	name        string
 	coordinator *Coordinator
 	evidence    *Evidence
 	proposed    []Entry
-	applied     int // entries of the log
+	applied     int // number of entries of the log
 	connection  int
 	connected   map[int]bool
 	released    uint64
 }
 
-var transcriptTerms = LeaseTerms{Duration: 1500, RenewInterval: 200, MessageWindow: 4000, MaxMessages: 30, Members: 3, GuaranteedMessages: 4}
+var transcriptTerms = LeaseTerms{Duration: 1500, RenewInterval: 200, MessageWindow: 4000, MaxMessages: 30, Members: 3,
+	GuaranteedMessages: 4}
 
 func (m *transcriptMember) note(format string, args ...any) {
 	fmt.Fprintf(&m.text, "%d %s: %s\n", m.now, m.name, fmt.Sprintf(format, args...))
@@ -67,8 +68,9 @@
 }
 
 func (m *transcriptMember) PeerObservationReported(member string, observation Observation) {
-	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", observation.Backend, member, observation.Failed, observation.Attempts, observation.MeanLatency,
-		observation.Window, observation.Backoff, observation.Withdrawn)
+	m.note("hears of %s from %s: %d of %d failed, mean %d, over %d, for %d, withdrawn %v", observation.Backend,
+		member, observation.Failed, observation.Attempts, observation.MeanLatency, observation.Window,
+		observation.Backoff, observation.Withdrawn)
 }
 
 func (m *transcriptMember) QuorumChanged(withoutQuorum bool, reason string) {
@@ -86,12 +88,13 @@
 	for _, change := range e.TableChanges {
 		fmt.Fprintf(&tables, " %d%v", change.Table, change.Lines)
 	}
-	return fmt.Sprintf("%s/%d/%d floor %d closing %v claims %v again %v edition %d tables%s confirmed %v seen %v demand %v capacity %v vouched %v stamp %v",
-		e.Member, e.Incarnation, e.Seq, e.SeenToken, e.Closing, e.Claims, e.Reclaims, e.Revision, tables.String(), e.Confirmations, e.Observations,
-		e.Demands, e.Capacity, e.FullyRecorded, e.Stamp)
+	return fmt.Sprintf("%s/%d/%d floor %d closing %v claims %v again %v edition %d tables%s confirmed %v seen %v"+
+		" demand %v capacity %v vouched %v stamp %v",
+		e.Member, e.Incarnation, e.Seq, e.SeenToken, e.Closing, e.Claims, e.Reclaims, e.Revision, tables.String(),
+		e.Confirmations, e.Observations, e.Demands, e.Capacity, e.FullyRecorded, e.Stamp)
 }
 
-// start begins a process of a member, which has forgotten what the one before it knew.
+// start starts a process of the member, without the state of its previous process.
 func (m *transcriptMember) start() {
 	m.connection++
 	m.proposed, m.applied, m.connected, m.released = nil, 0, map[int]bool{}, 0
@@ -102,7 +105,7 @@
 	m.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, m.now)
 }
 
-// deliver puts the oldest proposal on the record; its answer may be lost.
+// deliver puts the oldest proposal on the record; the answer is lost unless answered is set.
 func (m *transcriptMember) deliver(answered bool) {
 	if len(m.proposed) == 0 {
 		return
@@ -125,7 +128,7 @@
 	m.coordinator.ProposalFailed(e.Incarnation, e.Seq, m.now)
 }
 
-// step is one call, drawn at random.
+// step makes one call, drawn at random.
 func (m *transcriptMember) step() {
 	proxy := m.random.IntN(4)
 	backend := string(rune('a' + m.random.IntN(5)))
@@ -153,7 +156,8 @@
 	case 6:
 		m.evidence.AddOutcomes(backend, 1+m.random.IntN(9), m.random.IntN(2), int64(m.random.IntN(5000)), 300)
 	case 7:
-		m.evidence.SetWithdrawn(backend, m.random.IntN(2) == 0, m.random.IntN(9), m.random.IntN(9), int64(m.random.IntN(900)))
+		m.evidence.SetWithdrawn(backend, m.random.IntN(2) == 0, m.random.IntN(9), m.random.IntN(9),
+			int64(m.random.IntN(900)))
 	case 8:
 		m.evidence.AddDemand(proxy, m.random.IntN(2), m.random.IntN(40), 200_000)
 		m.evidence.SetCapacity(Capacity{Proven: float64(m.random.IntN(4)), Saturated: float64(m.random.IntN(4))})
@@ -171,7 +175,7 @@
 	case 12:
 		m.leases.MarkStopped(m.name, m.now)
 	case 13:
-		if m.random.IntN(10) == 0 { // a snapshot takes the place of the entries
+		if m.random.IntN(10) == 0 { // restore a snapshot instead of applying the entries
 			restored := NewRecord()
 			for _, e := range m.log {
 				restored.Apply(e)
@@ -192,14 +196,16 @@
 		m.coordinator.AddEvidence(m.evidence, m.now)
 	case 23:
 		m.coordinator.Tick(m.now)
-		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.OwnedProxies(), m.coordinator.withoutQuorum, m.coordinator.Closed(),
+		m.note("owns %d, alone %v, closed %v, edition %d, silent %v", m.coordinator.OwnedProxies(),
+			m.coordinator.withoutQuorum, m.coordinator.Closed(),
 			m.coordinator.Revision(), m.leases.SilentFor(m.coordinator.incarnation, m.now, 400))
 	}
 }
 
-// play plays one sequence of calls and gives all that came of it.
+// runTranscript runs one sequence of calls, and returns its transcript and the resulting record.
 func runTranscript(seed uint64, steps int) string {
-	s := &transcript{random: rand.New(rand.NewPCG(seed, 35)), now: 1000, record: NewRecord(), leases: NewLeaseTracker(transcriptTerms)}
+	s := &transcript{random: rand.New(rand.NewPCG(seed, 35)), now: 1000, record: NewRecord(),
+		leases: NewLeaseTracker(transcriptTerms)}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		m := &transcriptMember{transcript: s, name: name}
 		s.members = append(s.members, m)
@@ -212,8 +218,9 @@
 	return s.text.String() + describeRecord(s.record)
 }
 
-// The same calls lead to the same requests to the hosts and to the same record as when the golden files were made: one
-// sequence word by word, others by their sums.
+// TestSameCallsGiveSameTranscript guards against changes of behavior: the same calls lead to the
+// same calls of the hosts and to the same record as in the golden files. One sequence is compared
+// in full, the others by their checksums.
 func TestSameCallsGiveSameTranscript(t *testing.T) {
 	golden.Compare(t, "transcript.txt", runTranscript(1, 500))
 	var sums strings.Builder
