--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -9,8 +9,8 @@
 // of the Coordinator, on the same goroutine, and must not call back, with one exception:
 // ReleaseUpTo may call ProxyDisconnected for a proxy to which a message could not be sent.
 type Host interface {
-	// Propose proposes an entry for the record. One call of ProposalCommitted or ProposalFailed has
-	// to follow.
+	// Propose proposes an entry for the record. Exactly one call of ProposalCommitted or
+	// ProposalFailed has to follow.
 	Propose(Entry)
 	// ProxyGranted permits writing to a connected proxy from now on.
 	ProxyGranted(Grant)
--- a/ownership/delta.go
+++ b/ownership/delta.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Delta returns the lines that change what a proxy holds into a wanted table, for the classes that
-// are to share this table. They include every line that is uncertain or that one of the classes
-// lacks. The delta is worthwhile if it takes no more lines than the complete table with its header.
-// The limits of all classes count as lines of the delta: they have to be written with it, because
-// only a complete table makes a proxy drop the limits that another owner left.
+// Delta returns the lines that turn the known tables of a proxy into a wanted table, for the
+// classes that are to share this table. The lines include every line that is uncertain or that one
+// of the classes lacks. The delta is worthwhile if it takes no more lines than the complete table
+// with its header. The limits of all classes count as lines of the delta: they have to be written
+// with it, because only a complete table makes a proxy drop the limits that another owner left.
 func Delta(base []KnownTable, shares func(class int) bool, wanted map[string]float64) (lines []Line, worthwhile bool) {
 	if base == nil {
 		return nil, false
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -14,7 +14,7 @@
 	reportedAt Microseconds
 
 	observed      map[string]Observation // since the last report, by backend
-	withdrawn     map[string]Observation // by this member, with the reason, by backend
+	withdrawn     map[string]Observation // reasons of this member's withdrawals, by backend
 	lastWithdrawn map[string]Observation // withdrawn as of the last report
 
 	demand        map[int][]rate    // by proxy and class
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -13,8 +13,8 @@
 	c.grant(move.Proxy, move, sentMessages, now)
 }
 
-// grantWithoutQuorum grants a proxy of which nothing is known: the member may write only the
-// unowned quota, which every member has.
+// grantWithoutQuorum grants a proxy whose content and previous owners are not known: the member may
+// write only the unowned quota, which every member has.
 func (c *Coordinator) grantWithoutQuorum(proxy int, now Microseconds) {
 	c.grant(proxy, Move{}, c.terms.OwnerQuota(), now)
 }
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -72,8 +72,8 @@
 	Revision uint64 `cbor:"4,keyasint"`
 	// Tables are the numbers of the tables to which the proxy's classes are bound, by class.
 	Tables []int `cbor:"5,keyasint"`
-	// Moves are the times of the last moves: of claims when the proxy already had an owner, except
-	// claims by this owner for the same stream.
+	// Moves are the times of the last claims that moved the proxy: claims of a proxy that had an
+	// owner, except those by the same owner for the same stream.
 	Moves []Stamp `cbor:"6,keyasint"`
 	// WithdrawalsKnown is as in Confirmation.
 	WithdrawalsKnown bool `cbor:"7,keyasint,omitempty"`
