--- a/consensus/configuration_test.go
+++ b/consensus/configuration_test.go
@@ -48,7 +48,7 @@
 	}
 	t.Run("what is refused changes nothing", func(t *testing.T) {
 		for _, m := range all {
-			_, _, err := m.Configure(context.Background(), []distribution.Entry{entry("x", "2"), entry("y", "2"), {Name: "z"}})
+			_, _, err := m.ReplaceConfiguration(context.Background(), []distribution.Entry{entry("x", "2"), entry("y", "2"), {Name: "z"}})
 			if !errors.Is(err, ErrChangeRefused) {
 				t.Errorf("got %v", err)
 			}
@@ -107,7 +107,7 @@
 	a := startMember(t, Config{Name: "a", Members: freeAddresses(t, "a", "b", "c"), Distribution: &fakeDistribution{}})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if _, _, err := a.Configure(ctx, []distribution.Entry{entry("x", "1")}); !errors.Is(err, ErrUnanswered) {
+	if _, _, err := a.ReplaceConfiguration(ctx, []distribution.Entry{entry("x", "1")}); !errors.Is(err, ErrUnanswered) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Why ProposeChange and Configure fail, beside distribution.ErrVersionMismatch.
+// Reasons for which ProposeChange and ReplaceConfiguration fail, in addition to distribution.ErrVersionMismatch.
 var (
 	// ErrUnanswered leaves open whether the change is accepted; it may be proposed again.
 	ErrUnanswered = errors.New("consensus: no leader of the record has answered")
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -246,7 +246,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	mark, differ, err := m.Configure(ctx, wanted)
+	mark, differ, err := m.ReplaceConfiguration(ctx, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -13,10 +13,11 @@
 	"wheelrill/distribution"
 )
 
-// Configure has the configuration record hold just the wanted entries, by one change, and tells how many entries differed;
-// 0 if none did, and nothing was proposed. While nobody leads the record it tries again, until the context ends. Its errors
-// are those of ProposeChange.
-func (n *Node) Configure(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differ int, err error) {
+// ReplaceConfiguration makes the configuration record hold exactly the wanted entries, by one change. It returns the
+// version after the change and the number of entries that differed; if none differed it proposes nothing and returns 0.
+// While the outcome is unknown or the record has changed since the proposal was made, it tries again every pollInterval
+// until the context ends. Its errors are those of ProposeChange.
+func (n *Node) ReplaceConfiguration(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differing int, err error) {
 	for {
 		var proposal distribution.Proposal
 		n.current().machine.configuration.view(func(voter *distribution.Record) { proposal = voter.Difference(wanted) })
--- a/controller/distribution_propose.go
+++ b/controller/distribution_propose.go
@@ -53,7 +53,7 @@
 func (d *distributor) propose(ctx context.Context, entries proposedEntries) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	version, differing, err := d.consensusNode.Configure(ctx, entries)
+	version, differing, err := d.consensusNode.ReplaceConfiguration(ctx, entries)
 	switch {
 	case err == nil && differing == 0:
 		d.log.Info("change_empty", "revision", version.Revision, "epoch", version.Epoch.String())
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	version, _, err := m.node.Configure(ctx, wanted)
+	version, _, err := m.node.ReplaceConfiguration(ctx, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
