--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -12,11 +12,12 @@
 	"wheelrill/ownership"
 )
 
-// applyTimeout is how long raft may take to accept an entry, or a change of the members, into its queue.
+// applyTimeout bounds the time that raft takes to queue an entry, or a change of its list of
+// members.
 const applyTimeout = 500 * time.Millisecond
 
-// serve answers one connection's calls, one after the other, until it ends. Who is no member may subscribe, and do nothing
-// else.
+// serve answers the calls on one connection in sequence, until the connection ends. A caller that
+// is not a member may only subscribe, and has to send its call within callTimeout.
 func (n *Node) serve(conn net.Conn, from caller, connection int) {
 	if len(from.members) == 0 {
 		conn.SetReadDeadline(time.Now().Add(callTimeout))
@@ -39,29 +40,31 @@
 	}
 }
 
-// handle answers a call. Its kind is that of the first of these fields that is set: Subscribe, Status, Change, Entry, ID. A
-// call of an unknown kind is answered like one for another member.
+// handle answers a call. The kind of the call is the first of these fields that is set: Subscribe,
+// Status, Change, Entry, ID. A call of an unknown kind gets the same refusal as a call made in the
+// name of another member.
 func (n *Node) handle(request memberRequest, from caller, connection int) memberResponse {
 	switch {
 	case request.Subscribe:
 		return subscribeResponse(n.config.Distribution != nil)
 	case len(from.members) == 0:
-		return memberResponse{Why: whyNotMember}
+		return memberResponse{Reason: reasonNotMember}
 	case request.Status:
 		return n.status()
 	case request.Change != nil:
 		return n.acceptChange(*request.Change)
-	case request.Entry != nil && from.maySpeakFor(request.Entry.Member):
+	case request.Entry != nil && from.mayActAs(request.Entry.Member):
 		return n.appendEntry(*request.Entry, connection)
-	case request.ID != "" && from.maySpeakFor(request.Name) && memberName(raft.ServerID(request.ID)) == request.Name:
+	case request.ID != "" && from.mayActAs(request.Name) && memberName(raft.ServerID(request.ID)) == request.Name:
 		return n.admit(request.Name, request.ID)
 	}
-	return memberResponse{Why: whyNotThatMember}
+	return memberResponse{Reason: reasonOtherMember}
 }
 
-// maySpeakFor tells whether a caller may make a member's calls.
-func (c caller) maySpeakFor(member string) bool { return slices.Contains(c.members, member) }
+// mayActAs reports whether the caller may make calls in the name of a member.
+func (c caller) mayActAs(member string) bool { return slices.Contains(c.members, member) }
 
+// status returns this member's answer to a status call.
 func (n *Node) status() memberResponse {
 	current := n.current()
 	response := memberResponse{ID: current.id, Leader: n.leaderName()}
@@ -71,35 +74,36 @@
 	return response
 }
 
-// appendEntry appends an entry to the record, if we lead, and waits until it is committed. The number tells the
-// connections apart on which entries arrive.
+// appendEntry appends an entry to the record if this member is the leader, and waits until the
+// entry is committed. The connection number identifies the connection on which the entry arrived.
 func (n *Node) appendEntry(entry ownership.Entry, connection int) memberResponse {
 	current := n.current()
 	if current.raft.State() != raft.Leader {
-		return memberResponse{Why: whyNotLeader}
+		return memberResponse{Reason: reasonNotLeader}
 	}
 	n.stampEntry(current.machine, &entry, connection)
 	body, err := cbor.Marshal(entry)
 	if err != nil {
-		return memberResponse{Why: err.Error()}
+		return memberResponse{Reason: err.Error()}
 	}
 	if err := current.raft.Apply(body, applyTimeout).Error(); err != nil {
-		return memberResponse{Why: err.Error()}
+		return memberResponse{Reason: err.Error()}
 	}
 	return memberResponse{Accepted: true}
 }
 
-// stampEntry adds to an entry what the leader knows: when it arrived, and who has written nothing without a quorum.
+// stampEntry sets the fields of an entry that only the leader knows: Stamp, the time at which the
+// entry arrived, and OnRecord, the incarnations that have surely written nothing without a quorum.
 func (n *Node) stampEntry(machine *stateMachine, entry *ownership.Entry, connection int) {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
 	now := n.clock()
 	n.leases.Observe(entry.Incarnation, entry.Seq, connection, now)
 	machine.withRecord(func(record *ownership.Record) { entry.OnRecord = n.leases.OnRecord(record, now) })
-	entry.Stamp = ownership.Stamp{Leader: n.stamp, At: now}
+	entry.Stamp = ownership.Stamp{Leader: n.clockID, At: now}
 }
 
-// callMember makes one call on a connection of its own.
+// callMember makes one call to a member, on a new connection that it closes afterwards.
 func (n *Node) callMember(ctx context.Context, name string, request memberRequest) (memberResponse, error) {
 	conn, err := n.transport.dial(ctx, name, connCalls)
 	if err != nil {
--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -10,18 +10,21 @@
 	"wheelrill/distribution"
 )
 
-// Distribution is told the distributed configuration as the record has it, in order, and serves those who subscribe to it.
-// Restored and Accepted are called one at a time on raft's goroutine, Current on the Node's, Accept on one for each
-// connection. They may block, but must not wait for a call of the Node.
+// Distribution receives the states and changes of the configuration record in order, and serves the
+// subscribers of the distributed configuration. Restored and Accepted are called one at a time on
+// raft's goroutine, Current on a goroutine of the Node, and Accept on one goroutine for each
+// connection. The methods may block, but must not wait for a call to the Node.
 type Distribution interface {
-	// Restored gives the whole distributed configuration.
+	// Restored passes the whole distributed configuration, which replaces all earlier states and
+	// changes.
 	Restored(state distribution.State)
-	// Accepted gives the next change.
+	// Accepted passes the next change.
 	Accepted(change distribution.Change)
-	// Current says that a majority was just known to be led, and that we have all that it has accepted.
+	// Current reports that the record has a leader with a majority, as of this call, and that this
+	// member has every change that was committed more than a heartbeat ago.
 	Current()
-	// Accept serves the connection of a subscriber until it ends, and closes it. It may subscribe under the names that are
-	// allowed.
+	// Accept serves the connection of a subscriber until the connection ends, and closes it. The
+	// subscriber may subscribe only under names for which allowed returns true.
 	Accept(conn net.Conn, allowed func(name string) bool)
 }
 
@@ -30,49 +33,55 @@
 
 const kindProposal entryKind = 1
 
-// configurationEntry is an entry of raft's log that changes the distributed configuration. It is encoded as an array, by
-// which it is told from entries of the ownership record, which are maps.
+// configurationEntry is an entry of raft's log that changes the distributed configuration. It is
+// encoded as a CBOR array, which distinguishes it from entries of the ownership record, which are
+// CBOR maps.
 type configurationEntry struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     entryKind
 	Proposal distribution.Proposal
 }
 
-// cborArray is CBOR's major type of arrays, the upper three bits of a first byte.
+// cborArray is the major type of a CBOR array, which is in the upper three bits of the first byte.
 const cborArray = 4
 
+// isConfigurationEntry reports whether an entry of raft's log encodes a configurationEntry.
 func isConfigurationEntry(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
 
-// configurationRecord is the part of the state machine that holds the configuration record: the distributed configuration,
-// which is neither the operator's nor raft's own. Every member has it, whether or not anybody can subscribe there.
+// configurationRecord is the part of the state machine that holds the configuration record, which
+// is the distributed configuration. This is neither the Config that the operator sets nor raft's
+// list of voters. Every member holds the record, whether or not it serves subscribers.
 type configurationRecord struct {
-	distribution Distribution             // nil where nobody can subscribe
-	onEpoch      func(distribution.Epoch) // of each change and snapshot
+	distribution Distribution             // nil if this member serves no subscribers
+	onEpoch      func(distribution.Epoch) // called for each accepted change and restored snapshot
 
-	mutex  sync.Mutex // over record
+	mutex  sync.Mutex // protects record
 	record *distribution.Record
 }
 
-// newConfigurationRecord makes an empty one. Distribution and onEpoch may be nil.
-func newConfigurationRecord(told Distribution, onEpoch func(distribution.Epoch)) *configurationRecord {
+// newConfigurationRecord returns an empty record that reports its changes to receiver. Both
+// parameters may be nil.
+func newConfigurationRecord(receiver Distribution, onEpoch func(distribution.Epoch)) *configurationRecord {
 	if onEpoch == nil {
 		onEpoch = func(distribution.Epoch) {}
 	}
-	return &configurationRecord{distribution: told, onEpoch: onEpoch, record: distribution.NewRecord()}
+	return &configurationRecord{distribution: receiver, onEpoch: onEpoch, record: distribution.NewRecord()}
 }
 
-// changeResult is what became of a proposal.
+// changeResult is the outcome of applying a proposal.
 type changeResult struct {
-	version distribution.Version
-	err     error // one of distribution's, or that the entry cannot be read
+	version distribution.Version // of the record after the change
+	err     error                // an error of distribution.Record.Apply, or of decoding the entry
 }
 
-// apply applies an entry of the log, whole or not at all. One that cannot be read changes nothing, at every member alike.
+// apply applies an entry of the log completely or not at all. An entry that cannot be decoded
+// changes nothing; every member treats it the same way.
 func (c *configurationRecord) apply(data []byte, onUnreadable func(error)) changeResult {
 	var entry configurationEntry
 	err := cbor.Unmarshal(data, &entry)
 	if err == nil && entry.Kind != kindProposal {
-		err = fmt.Errorf("consensus: an entry of the unknown kind %d", entry.Kind)
+		err = fmt.Errorf("consensus: a configuration entry has the unknown kind %d; the only known kind is %d",
+			entry.Kind, kindProposal)
 	}
 	if err != nil {
 		onUnreadable(err)
@@ -81,15 +90,16 @@
 	return c.accept(entry.Proposal)
 }
 
-// accept makes a proposal the next change, or refuses it, and tells the distribution: of the first change as a whole.
+// accept makes a proposal the next change, or refuses it. It passes the first change of a record to
+// the distribution as a whole state, and each later one as a change.
 func (c *configurationRecord) accept(proposal distribution.Proposal) changeResult {
 	c.mutex.Lock()
 	first := c.record.Empty()
 	change, err := c.record.Apply(proposal)
 	version := c.record.Version()
-	var whole distribution.State
+	var firstState distribution.State
 	if err == nil && first {
-		whole = c.record.State()
+		firstState = c.record.State()
 	}
 	c.mutex.Unlock()
 	if err != nil {
@@ -99,14 +109,14 @@
 	switch {
 	case c.distribution == nil:
 	case first:
-		c.distribution.Restored(whole)
+		c.distribution.Restored(firstState)
 	default:
 		c.distribution.Accepted(change)
 	}
 	return changeResult{version: version}
 }
 
-// state is the record's content for a snapshot; nil where it is empty.
+// state returns the content of the record for a snapshot; nil if the record is empty.
 func (c *configurationRecord) state() *distribution.State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -117,7 +127,8 @@
 	return &state
 }
 
-// restore replaces the record's content by that of a snapshot; nil where it had none.
+// restore replaces the content of the record by that of a snapshot; state is nil if the snapshot
+// holds no configuration.
 func (c *configurationRecord) restore(state *distribution.State) {
 	record := distribution.NewRecord()
 	if state != nil {
@@ -132,14 +143,14 @@
 	}
 }
 
-// view calls a function with the record, under the lock.
-func (c *configurationRecord) view(look func(*distribution.Record)) {
+// view calls read with the record while it holds the lock.
+func (c *configurationRecord) view(read func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	look(c.record)
+	read(c.record)
 }
 
-// empty tells whether nothing was ever accepted.
+// empty reports whether the record has not accepted any change yet.
 func (c *configurationRecord) empty() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/consensus/cost.go
+++ b/consensus/cost.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// costInterval is the time between two lines that tell the record's cost.
+// costInterval is the time between two log lines about the load that the record causes.
 const costInterval = 10 * time.Second
 
-// costSample is what the record had cost at some time.
+// costSample holds the counters of the record's load at one time.
 type costSample struct {
 	at    time.Time
-	bytes int64
-	index uint64
+	bytes int64  // sent and received so far
+	index uint64 // of the last entry that was applied
 }
 
-// logCost tells what the record costs, once in a costInterval.
+// logCost logs the record's entries and bytes per second and its snapshot size, once per
+// costInterval.
 func (l *membershipLoop) logCost(current *instance) {
 	elapsed := time.Since(l.cost.at)
 	if elapsed < costInterval {
@@ -26,7 +27,7 @@
 	l.cost = now
 }
 
-// perSecond is a rate, rounded to a tenth.
+// perSecond returns count per second of elapsed, rounded to a tenth.
 func perSecond(count float64, elapsed time.Duration) float64 {
 	return float64(int(count/elapsed.Seconds()*10+0.5)) / 10
 }
--- a/consensus/credentials.go
+++ b/consensus/credentials.go
@@ -8,36 +8,36 @@
 	"os"
 )
 
-// Credentials are the files that a member shows to others and checks others by. Where all are empty it speaks plain text,
-// which is for loopback alone.
+// Credentials are the files by which a member authenticates itself and verifies the certificates of
+// others. If all paths are empty, connections are plain text, which is allowed on loopback only.
 type Credentials struct {
-	// Certificate is the path of our certificate, in PEM.
+	// Certificate is the path of this member's certificate, in PEM.
 	Certificate string
-	// Key is the path of its key, in PEM.
+	// Key is the path of the certificate's private key, in PEM.
 	Key string
-	// Authority is the path of the certificate that signs those of all members, in PEM.
+	// Authority is the path of the certificate, in PEM, that signs the certificates of all members.
 	Authority string
 }
 
-// tlsConfig reads them; nil for plain text.
+// tlsConfig reads the files. It returns nil for plain text.
 func (c Credentials) tlsConfig() (*tls.Config, error) {
 	if c == (Credentials{}) {
 		return nil, nil
 	}
-	own, err := tls.LoadX509KeyPair(c.Certificate, c.Key)
+	certificate, err := tls.LoadX509KeyPair(c.Certificate, c.Key)
 	if err != nil {
 		return nil, &ConfigError{"certificate and key", err}
 	}
-	text, err := os.ReadFile(c.Authority)
+	authority, err := os.ReadFile(c.Authority)
 	if err != nil {
 		return nil, &ConfigError{"authority", err}
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return nil, &ConfigError{"authority", fmt.Errorf("no certificate in %s", c.Authority)}
+	if !pool.AppendCertsFromPEM(authority) {
+		return nil, &ConfigError{"authority", fmt.Errorf("%s contains no PEM certificate", c.Authority)}
 	}
 	return &tls.Config{
-		Certificates: []tls.Certificate{own},
+		Certificates: []tls.Certificate{certificate},
 		RootCAs:      pool,
 		ClientCAs:    pool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
@@ -45,14 +45,15 @@
 	}, nil
 }
 
-// requireLoopback refuses an address to which plain text may not be spoken.
+// requireLoopback returns an error for an address (host:port) on which plain text is not allowed.
 func requireLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%s is not on loopback, and plain text is for loopback alone; give certificate, key and authority", address)
+		return fmt.Errorf("%s is not on loopback, and plain text is allowed on loopback only; "+
+			"set certificate, key and authority", address)
 	}
 	return nil
 }
--- a/consensus/credentials_test.go
+++ b/consensus/credentials_test.go
@@ -19,11 +19,11 @@
 	b.waitFor(t, "recorded a 1 1")
 
 	asks := func(given Credentials, to string, c memberRequest) (memberResponse, error) {
-		secure, err := given.tlsConfig()
+		tlsConfig, err := given.tlsConfig()
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := newTransport(at, secure)
+		l := newTransport(at, tlsConfig)
 		conn, err := l.dial(context.Background(), to, connCalls)
 		if err != nil {
 			return memberResponse{}, err
@@ -42,7 +42,7 @@
 	t.Run("a member may not speak for another", func(t *testing.T) {
 		leader := a.status().Leader
 		got, err := asks(issueCredentials(t, ours, "b"), leader, memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}})
-		if err != nil || got.Accepted || got.Why == "" {
+		if err != nil || got.Accepted || got.Reason == "" {
 			t.Errorf("got %+v, %v", got, err)
 		}
 		if got, err := asks(issueCredentials(t, ours, "b"), leader, memberRequest{Name: "a", ID: "a/x"}); err != nil || got.Accepted {
@@ -50,8 +50,8 @@
 		}
 	})
 	t.Run("a connection for an id that is over is not taken for ours", func(t *testing.T) {
-		secure, _ := issueCredentials(t, ours, "b").tlsConfig()
-		l := &layer{transport: newTransport(at, secure)}
+		tlsConfig, _ := issueCredentials(t, ours, "b").tlsConfig()
+		l := &streamLayer{transport: newTransport(at, tlsConfig)}
 		conn, err := l.Dial(addressOf("a", "a/older"), 0)
 		if err != nil {
 			t.Fatal(err)
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -2,42 +2,46 @@
 
 import "errors"
 
-// Reasons for which ProposeChange and ReplaceConfiguration fail, in addition to distribution.ErrVersionMismatch.
+// Reasons for which ProposeChange and ReplaceConfiguration fail, in addition to
+// distribution.ErrVersionMismatch.
 var (
-	// ErrUnanswered leaves open whether the change is accepted; it may be proposed again.
-	ErrUnanswered = errors.New("consensus: no leader of the record has answered")
-	// ErrChangeRefused says that the configuration record refuses the change however often it is proposed.
+	// ErrUnanswered means that it is unknown whether the change is or will be accepted; it may be
+	// proposed again.
+	ErrUnanswered = errors.New("consensus: no leader of the record has confirmed the change")
+	// ErrChangeRefused means that the configuration record refuses the change, and would refuse it
+	// again.
 	ErrChangeRefused = errors.New("consensus: the record refuses the change")
 )
 
-// Why a connection between members ends early.
+// Reasons for which a connection between members is refused.
 var (
-	errNotMember     = errors.New("consensus: the caller's certificate names no member")
-	errOtherID       = errors.New("consensus: the caller means another ID")
-	errUnknownMember = errors.New("consensus: no address of that member is known")
+	errNotMember     = errors.New("consensus: the caller's certificate is not valid for the name of any member")
+	errWrongID       = errors.New("consensus: the connection is for an ID that this member does not have now")
+	errUnknownMember = errors.New("consensus: no address is configured for that member")
 )
 
-// ConfigError says which key of a Config cannot be used, why, and what would do.
+// ConfigError names the key of a Config whose value cannot be used. Its reason says why, and how to
+// correct it.
 type ConfigError struct {
-	// Key is that of the options, such as members or folder.
+	// Key is the key in the options, such as members or folder.
 	Key string
-	// Err is the reason.
+	// Err is the reason for which the value is refused.
 	Err error
 }
 
-// Error has the key before the reason.
+// Error returns the key, followed by the reason.
 func (e *ConfigError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap gives the reason.
+// Unwrap returns the reason.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// CallRefusedError says that a member has answered a call, and refuses it.
+// CallRefusedError means that a member answered a call by refusing it.
 type CallRefusedError struct {
-	// Reason is what the member has given.
+	// Reason is the text from the member's answer.
 	Reason string
 }
 
-// Error has the reason.
+// Error returns a message that ends with the member's reason.
 func (e *CallRefusedError) Error() string {
 	return "consensus: the member refuses the call: " + e.Reason
 }
--- a/consensus/forward.go
+++ b/consensus/forward.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	forwardRetryPause = 50 * time.Millisecond // before it is said that an entry was not accepted
-	ownConnection     = 0                     // the number under which the leader's own entries arrive
+	forwardRetryPause = 50 * time.Millisecond // between a failed attempt and ProposalFailed
+	localConnection   = 0                     // the connection number of the leader's own entries
 )
 
-// Propose has an entry appended to the record next. It never blocks; an entry that still waits is
-// dropped, as it is of an incarnation that is over.
+// Propose queues an entry, which is appended to the record next. It never blocks. It drops an entry
+// that is still queued, as that belongs to an incarnation that has ended.
 func (n *Node) Propose(entry ownership.Entry) {
 	for {
 		select {
@@ -29,7 +29,7 @@
 	}
 }
 
-// forwardProposals brings proposed entries to the leader, until the context ends.
+// forwardProposals sends proposed entries to the leader, one at a time, until the context ends.
 func (n *Node) forwardProposals(ctx context.Context) {
 	leader := leaderConn{transport: n.transport}
 	defer leader.close()
@@ -51,29 +51,32 @@
 	}
 }
 
-// appendAtLeader has the leader append an entry; it is false where it is not known whether it is committed.
+// appendAtLeader makes the leader append an entry, and reports whether it is committed. If the
+// result is false, the entry may be committed or not.
 func (n *Node) appendAtLeader(ctx context.Context, conn *leaderConn, entry ownership.Entry) (committed bool) {
 	switch leader := n.leaderName(); leader {
 	case "":
 		return false
 	case n.config.Name:
 		conn.close()
-		return n.appendEntry(entry, ownConnection).Accepted
+		return n.appendEntry(entry, localConnection).Accepted
 	default:
 		response, err := conn.call(ctx, leader, memberRequest{Entry: &entry})
 		return err == nil && response.Accepted
 	}
 }
 
-// leaderConn is the connection to the leader, which is kept for as long as it works and the leader stays: the lease tracker
-// counts entries on one connection alone. It is forwardProposals' own.
+// leaderConn is the connection to the leader. It stays open until it fails or another member
+// becomes leader, because the lease tracker can count a lease only from successive entries on the
+// same connection. Only forwardProposals uses it.
 type leaderConn struct {
 	transport *transport
-	name      string // of the leader that it is to
+	name      string // of the leader to which conn is open
 	conn      net.Conn
 }
 
-// call makes one call, and dials if it has to.
+// call makes one call to the leader. It dials if there is no connection, or the connection is to
+// another member.
 func (l *leaderConn) call(ctx context.Context, leader string, request memberRequest) (memberResponse, error) {
 	if l.conn == nil || l.name != leader {
 		l.close()
@@ -98,7 +101,7 @@
 	l.conn = nil
 }
 
-// sleep waits; it is false if the context has ended first.
+// sleep waits for the pause. It returns false if the context ends first.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/consensus/freshness.go
+++ b/consensus/freshness.go
@@ -6,52 +6,58 @@
 	"github.com/hashicorp/raft"
 )
 
-// progress is how far a member's part in raft is.
+// progress is the state of a member's raft instance, as far as freshness depends on it.
 type progress struct {
-	leads     bool
-	inContact bool   // with a leader, where we do not lead: within a heartbeat timeout
-	applied   uint64 // index of the last entry that was applied here
-	committed uint64 // index of the last entry that is known to be committed
-	last      uint64 // index of the last entry in the log
+	isLeader  bool
+	inContact bool   // a follower received a message from the leader within a heartbeat timeout
+	applied   uint64 // index of the last entry that this member has applied
+	committed uint64 // index of the last entry that this member knows to be committed
+	lastIndex uint64 // index of the last entry in the log
 }
 
-// freshness reports whether this member has every change that was committed more than a heartbeat ago.
+// freshness determines whether this member has every change that was committed more than a
+// heartbeat ago.
 type freshness struct {
-	ledFrom uint64 // our last index as we were first seen to lead; 0 while we do not
+	// leadershipIndex is lastIndex when observe first saw this member as leader; 0 while another
+	// member leads.
+	leadershipIndex uint64
 }
 
-// observe tells whether the member is fresh, by its progress. It is to be called again and again while the leadership
-// lasts, and reset when that changes. A follower is fresh if it is in contact with a leader and has applied what it knows
-// to be committed; a leader is once it has applied all that its log had when it began to lead.
+// observe reports whether the member is fresh at the given progress. It has to be called repeatedly
+// during a leadership, and reset has to be called when the leadership changes. A follower is fresh
+// if it is in contact with a leader and has applied every entry that it knows to be committed. A
+// leader is fresh once it has applied every entry that its log contained when it became leader.
 func (f *freshness) observe(seen progress) (fresh bool) {
 	if seen.applied < seen.committed {
 		return false
 	}
-	if !seen.leads {
-		f.ledFrom = 0
+	if !seen.isLeader {
+		f.leadershipIndex = 0
 		return seen.inContact
 	}
-	if f.ledFrom == 0 {
-		f.ledFrom = max(seen.last, 1) // what stands up to there may have been accepted by the leader before us
+	if f.leadershipIndex == 0 {
+		// The previous leader may have committed entries up to this index.
+		f.leadershipIndex = max(seen.lastIndex, 1)
 	}
-	return seen.applied >= f.ledFrom
+	return seen.applied >= f.leadershipIndex
 }
 
-// reset is called when the leadership changes.
-func (f *freshness) reset() { f.ledFrom = 0 }
+// reset discards the state of the last leadership. It has to be called when the leadership changes.
+func (f *freshness) reset() { f.leadershipIndex = 0 }
 
-// reportCurrent tells the distribution that the record is led and that we have all of its configuration record, if that is so.
+// reportCurrent calls Distribution.Current if this member is fresh and its configuration record is
+// not empty.
 func (l *membershipLoop) reportCurrent(current *instance) {
 	if l.config.Distribution == nil {
 		return
 	}
 	r := current.raft
 	seen := progress{
-		leads:     r.State() == raft.Leader,
-		inContact: time.Since(r.LastContact()) < l.pace.heartbeat,
+		isLeader:  r.State() == raft.Leader,
+		inContact: time.Since(r.LastContact()) < l.timings.heartbeat,
 		applied:   r.AppliedIndex(),
 		committed: r.CommitIndex(),
-		last:      r.LastIndex(),
+		lastIndex: r.LastIndex(),
 	}
 	if l.freshness.observe(seen) && !current.machine.configuration.empty() {
 		l.config.Distribution.Current()
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -29,12 +29,12 @@
 		Confirmations: []ownership.Confirmation{{Proxy: 5, Token: 4, Revision: 8, Tables: []int{2, 2}, WithdrawalsKnown: true}}}
 }
 
-func goldenMark() distribution.Version {
+func goldenVersion() distribution.Version {
 	return distribution.Version{Epoch: distribution.Epoch{Number: 1_700_000_000, Identity: 1<<63 + 7}, Revision: 12}
 }
 
 func goldenProposal() distribution.Proposal {
-	return distribution.Proposal{Conditional: true, Base: goldenMark(), Epoch: goldenMark().Epoch, AcceptedAt: 1_700_000_000_000_000,
+	return distribution.Proposal{Conditional: true, Base: goldenVersion(), Epoch: goldenVersion().Epoch, AcceptedAt: 1_700_000_000_000_000,
 		Entries: []distribution.Entry{
 			{Scope: "pricing", Name: "limit", Value: []byte("30")},
 			{Scope: "pricing", Name: "old", Deleted: true},
@@ -42,7 +42,7 @@
 }
 
 func goldenConfiguration() *distribution.State {
-	state := &distribution.State{Version: goldenMark(), Horizon: 3}
+	state := &distribution.State{Version: goldenVersion(), Horizon: 3}
 	for i := range 3 {
 		state.Entries = append(state.Entries, distribution.Entry{Scope: "pricing", Name: fmt.Sprint("n", i), Value: []byte("1"),
 			Revision: uint64(10 + i), AcceptedAt: 1_700_000_000_000_000})
@@ -53,7 +53,7 @@
 // What members put on a connection and into the log, byte by byte, beside the cases of TestEncodedCalls: with every field set
 // and with none.
 func TestEncodedBytesAreThoseOfTheGoldenFile(t *testing.T) {
-	e, p, mark := goldenEntry(), goldenProposal(), goldenMark()
+	e, p, mark := goldenEntry(), goldenProposal(), goldenVersion()
 	var text strings.Builder
 	for _, c := range []struct {
 		name  string
@@ -67,11 +67,11 @@
 		{"call, subscribe", memberRequest{Subscribe: true}},
 		{"call, change", memberRequest{Change: &p}},
 		{"answer, empty", memberResponse{}},
-		{"answer, full", memberResponse{Accepted: true, Why: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Version: &mark, Refusal: refusedPermanently}},
+		{"answer, full", memberResponse{Accepted: true, Reason: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Version: &mark, Refusal: refusedPermanently}},
 		{"answer, change accepted", memberResponse{Accepted: true, Version: &mark}},
-		{"answer, change refused for now", memberResponse{Why: "not the leader", Refusal: refusedRetry}},
-		{"answer, change refused as the base moved", memberResponse{Why: "moved", Refusal: refusedBaseMoved}},
-		{"answer, change refused for good", memberResponse{Why: "no", Refusal: refusedPermanently}},
+		{"answer, change refused for now", memberResponse{Reason: "not the leader", Refusal: refusedRetry}},
+		{"answer, change refused as the base moved", memberResponse{Reason: "moved", Refusal: refusedVersionMismatch}},
+		{"answer, change refused for good", memberResponse{Reason: "no", Refusal: refusedPermanently}},
 		{"log entry, record", e},
 		{"log entry, configuration", configurationEntry{Kind: kindProposal, Proposal: p}},
 		{"log entry, configuration, empty", configurationEntry{}},
@@ -94,7 +94,7 @@
 	}
 	fmt.Fprintf(&text, "configuration: %x\n", configuration.Bytes())
 	many := goldenConfiguration()
-	for len(many.Entries) < 2*entriesPerPiece+1 {
+	for len(many.Entries) < 2*entriesPerChunk+1 {
 		many.Entries = append(many.Entries, distribution.Entry{Scope: "s", Name: fmt.Sprint(len(many.Entries)), Revision: 12})
 	}
 	configuration.Reset()
@@ -152,7 +152,7 @@
 		return newTransport(map[string]string{"n0": address}, nil)
 	}
 	fmt.Fprintf(&text, "raft at a member: %x\n", firstBytes(t, 17, func(address string) {
-		conn, err := (&layer{transport: plain(address)}).Dial(addressOf("n0", "n0/ABCDEFGH"), 0)
+		conn, err := (&streamLayer{transport: plain(address)}).Dial(addressOf("n0", "n0/ABCDEFGH"), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -104,7 +104,7 @@
 	return of
 }
 
-func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 func startMember(t testing.TB, config Config) *runningMember {
 	t.Helper()
@@ -116,7 +116,7 @@
 	t.Helper()
 	r := newEventLog()
 	config.Terms = testTerms
-	n, err := newNode(config, r, quietLog(), wrapStore)
+	n, err := newNode(config, r, discardLogger(), wrapStore)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -12,16 +12,16 @@
 	"wheelrill/ownership"
 )
 
-// Sizes and times of a member's part in raft, beside its pace.
+// Sizes and times of a raft instance that do not depend on the lease, unlike raftTimings.
 const (
-	snapshotThreshold = 4096            // entries since the last snapshot
-	snapshotInterval  = 5 * time.Second // between two looks whether a snapshot is due
-	trailingLogs      = 1024            // entries that are kept beyond a snapshot, for members that lag a little
-	maxAppendEntries  = 32              // in one message of raft's: each may be a change of the greatest size
+	snapshotThreshold = 4096            // entries after a snapshot until the next is due
+	snapshotInterval  = 5 * time.Second // between two checks whether a snapshot is due
+	trailingLogs      = 1024            // entries kept after a snapshot for members that lag a bit
+	maxAppendEntries  = 32              // in one raft message; each may have the maximum size
 	connectionPool    = 2               // connections that raft keeps to each member
 )
 
-// instance is one part in raft under one ID. A member that comes as new has another.
+// instance is a raft instance under one ID. A member that starts over gets a new instance.
 type instance struct {
 	raft    *raft.Raft
 	machine *stateMachine
@@ -29,42 +29,49 @@
 	close   func() // ends raft's goroutines, then closes the storage
 }
 
-// current is the present instance.
+// current returns the present raft instance.
 func (n *Node) current() *instance {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.instance
 }
 
-// openInstance begins a raft instance: from the folder, or as new.
+// openInstance starts a raft instance from the data in the folder, or from an empty state under a
+// new ID.
 func (n *Node) openInstance() error {
 	store, err := openStorage(n.config.Folder, n.config.Name+"/"+rand.Text()[:8], n.raftLogger())
 	if err != nil {
 		return err
 	}
 	raftTransport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream:  &layer{transport: n.transport, address: addressOf(n.config.Name, store.id), closed: make(chan struct{})},
+		Stream: &streamLayer{
+			transport: n.transport,
+			address:   addressOf(n.config.Name, store.id),
+			closed:    make(chan struct{}),
+		},
 		MaxPool: connectionPool,
 		Timeout: callTimeout,
 		Logger:  n.raftLogger(),
 	})
 	machine := n.newStateMachine()
 
-	n.mutex.Lock() // until it is there: nobody is to use the one before
+	// Locked until the new instance is in place, so that no other goroutine uses the previous one.
+	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.withHalt(store.stable), store.snapshots, raftTransport)
+	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.newHaltingStore(store.stable),
+		store.snapshots, raftTransport)
 	if err != nil {
-		_ = raftTransport.Close() // the error before it counts
+		_ = raftTransport.Close() // the error of NewRaft is returned instead
 		store.close()
-		return fmt.Errorf("record: %w", err)
+		return fmt.Errorf("consensus: start raft: %w", err)
 	}
 	n.instance = &instance{
 		raft:    r,
 		machine: machine,
 		id:      store.id,
 		close: func() {
-			_ = r.Shutdown().Error()  // it has none
-			_ = raftTransport.Close() // its connections are closed with the transport
+			_ = r.Shutdown().Error()  // always nil
+			_ = raftTransport.Close() // transport.close closes the connections
 			store.close()
 		},
 	}
@@ -84,10 +91,10 @@
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(id)
 	config.Logger = n.raftLogger()
-	config.HeartbeatTimeout = n.pace.heartbeat
-	config.ElectionTimeout = n.pace.heartbeat
-	config.LeaderLeaseTimeout = n.pace.leaderLease
-	config.CommitTimeout = n.pace.commit
+	config.HeartbeatTimeout = n.timings.heartbeat
+	config.ElectionTimeout = n.timings.heartbeat
+	config.LeaderLeaseTimeout = n.timings.leaderLease
+	config.CommitTimeout = n.timings.commit
 	config.MaxAppendEntries = maxAppendEntries
 	config.SnapshotThreshold = snapshotThreshold
 	config.SnapshotInterval = snapshotInterval
@@ -95,15 +102,20 @@
 	return config
 }
 
-// raftLogger hands raft's own errors on to our log.
+// raftLogger returns a logger that passes the errors which raft logs to the Node's log.
 func (n *Node) raftLogger() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Error, Output: raftLogWriter{n.log}, DisableTime: true})
+	return hclog.New(&hclog.LoggerOptions{
+		Name:        "raft",
+		Level:       hclog.Error,
+		Output:      raftLogWriter{n.log},
+		DisableTime: true,
+	})
 }
 
 // raftLogWriter logs each line that is written to it.
-type raftLogWriter struct{ to *slog.Logger }
+type raftLogWriter struct{ log *slog.Logger }
 
 func (w raftLogWriter) Write(line []byte) (int, error) {
-	w.to.Warn("raft", "text", string(line[:max(0, len(line)-1)]))
+	w.log.Warn("raft", "text", string(line[:max(0, len(line)-1)]))
 	return len(line), nil
 }
--- a/consensus/liveness.go
+++ b/consensus/liveness.go
@@ -8,11 +8,13 @@
 	"wheelrill/ownership"
 )
 
-// probeSilentMembers finds members that do not run, for the lease tracker: those of which nothing has arrived lately, and
-// whose address refuses a connection. A connection that hangs shows nothing: the member may be cut off, or stand still.
+// probeSilentMembers finds members whose process does not run, and marks them in the lease tracker:
+// members that have sent no entry lately and whose address refuses a connection. A connection
+// attempt that times out proves nothing: the member may be cut off by the network, or its process
+// may be stalled.
 func (n *Node) probeSilentMembers(ctx context.Context) {
 	for _, name := range n.silentMembers() {
-		at := n.clock()
+		probedAt := n.clock()
 		conn, err := n.transport.dial(ctx, name, connCalls)
 		if err == nil {
 			conn.Close()
@@ -20,13 +22,13 @@
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			n.leaderMutex.Lock()
-			n.leases.MarkStopped(name, at)
+			n.leases.MarkStopped(name, probedAt)
 			n.leaderMutex.Unlock()
 		}
 	}
 }
 
-// silentMembers are the others of which nothing has arrived for two renewals.
+// silentMembers returns the other members from which no entry has arrived for two renew intervals.
 func (n *Node) silentMembers() (silent []string) {
 	machine := n.current().machine
 	n.leaderMutex.Lock()
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -11,18 +11,18 @@
 	"wheelrill/ownership"
 )
 
-// pollInterval is the time between two looks at our membership.
+// pollInterval is the time between two polls of this member's membership.
 const pollInterval = 200 * time.Millisecond
 
-// membershipLoop is the state of maintainMembership, which alone uses it.
+// membershipLoop is the state of maintainMembership. No other goroutine uses it.
 type membershipLoop struct {
 	*Node
-	leaderlessPolls int // in a row
+	leaderlessPolls int // successive polls without a leader, or without membership in the record
 	freshness       freshness
-	cost            costSample // as of the last line
+	cost            costSample // as of the last log line
 }
 
-// maintainMembership has us become part of the record, and stay it, until the context ends.
+// maintainMembership makes this member part of the record, and keeps it so, until the context ends.
 func (n *Node) maintainMembership(ctx context.Context) {
 	loop := &membershipLoop{Node: n, cost: costSample{at: time.Now(), bytes: n.transport.bytes.Load()}}
 	poll := time.NewTicker(pollInterval)
@@ -43,7 +43,7 @@
 	}
 }
 
-// poll looks at our membership once. An error ends our part in the record.
+// poll checks this member's membership once. An error ends this member's part in the record.
 func (l *membershipLoop) poll(ctx context.Context) error {
 	current := l.current()
 	l.logCost(current)
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// nextStep asks the others, and gives what we do to be part of a record.
+// nextStep requests the status of all other members, and returns the next step towards being part
+// of a record.
 func (l *membershipLoop) nextStep(ctx context.Context, current *instance) ownership.Step {
 	others := map[string]ownership.PeerStatus{}
 	for name := range l.config.Members {
@@ -89,13 +90,14 @@
 	return ownership.NextStep(own, slices.Collect(maps.Keys(l.config.Members)), others)
 }
 
-// perform asks to be admitted, or founds a record. What fails is taken again at the next poll.
+// perform asks another member for admission, or bootstraps a record. A step that fails is repeated
+// at the next poll.
 func (l *membershipLoop) perform(ctx context.Context, current *instance, step ownership.Step) {
 	switch step.Action {
 	case ownership.Join:
 		response, err := l.callMember(ctx, step.JoinVia, memberRequest{Name: l.config.Name, ID: current.id})
 		if err == nil && !response.Accepted {
-			l.log.Debug("join", "at", step.JoinVia, "reason", response.Why)
+			l.log.Debug("join", "at", step.JoinVia, "reason", response.Reason)
 		}
 	case ownership.Bootstrap:
 		var servers []raft.Server
@@ -109,9 +111,10 @@
 	}
 }
 
-// startOver drops what we have of the record, and comes as new.
+// startOver drops this member's record, and opens an empty raft instance under a new ID.
 func (l *membershipLoop) startOver(current *instance) error {
-	l.log.Warn("record_restarted", "text", "all others have come as new; so do we")
+	l.log.Warn("record_restarted", "text", "all other members are reachable and belong to no record; "+
+		"this member drops its record and starts under a new ID")
 	current.close()
 	if err := l.openInstance(); err != nil {
 		return err
@@ -122,7 +125,8 @@
 	return nil
 }
 
-// servers are the members of the record by their IDs; none where we are part of no record.
+// servers returns the members of the record with their IDs; the list is empty if this instance is
+// part of no record.
 func (i *instance) servers() ([]raft.Server, error) {
 	future := i.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -131,37 +135,38 @@
 	return future.Configuration().Servers, nil
 }
 
-// isMember tells whether the record has us as a member.
+// isMember reports whether the record has this instance's ID as a member.
 func (i *instance) isMember() bool {
 	servers, err := i.servers()
 	return err == nil && slices.ContainsFunc(servers, func(server raft.Server) bool { return string(server.ID) == i.id })
 }
 
-// admit has a member take part under a new ID: it has forgotten its votes, or never had any. Its old ID is removed first.
+// admit adds a member to the record under a new ID, because the member has lost its votes or never
+// had any. It first removes the member's old IDs.
 func (n *Node) admit(name, id string) memberResponse {
 	current := n.current()
 	if current.raft.State() != raft.Leader {
-		return memberResponse{Why: whyNotLeader}
+		return memberResponse{Reason: reasonNotLeader}
 	}
 	servers, err := current.servers()
 	if err != nil {
-		return memberResponse{Why: err.Error()}
+		return memberResponse{Reason: err.Error()}
 	}
 	var ids []string
 	for _, server := range servers {
 		ids = append(ids, string(server.ID))
 	}
-	remove, admitted := ownership.Admit(ids, id, func(id string) string { return memberName(raft.ServerID(id)) })
-	for _, other := range remove {
-		if err := current.raft.RemoveServer(raft.ServerID(other), 0, applyTimeout).Error(); err != nil {
-			return memberResponse{Why: err.Error()}
+	oldIDs, alreadyMember := ownership.Admit(ids, id, func(id string) string { return memberName(raft.ServerID(id)) })
+	for _, oldID := range oldIDs {
+		if err := current.raft.RemoveServer(raft.ServerID(oldID), 0, applyTimeout).Error(); err != nil {
+			return memberResponse{Reason: err.Error()}
 		}
 	}
-	if admitted {
+	if alreadyMember {
 		return memberResponse{Accepted: true}
 	}
 	if err := current.raft.AddVoter(raft.ServerID(id), addressOf(name, id), 0, applyTimeout).Error(); err != nil {
-		return memberResponse{Why: err.Error()}
+		return memberResponse{Reason: err.Error()}
 	}
 	n.log.Info("member_joined", "name", name, "id", id)
 	return memberResponse{Accepted: true}
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -10,65 +10,70 @@
 	"wheelrill/ownership"
 )
 
-// connPurpose is what a connection is for: its first byte.
+// connPurpose is the purpose of a connection, which is the first byte that the caller sends on it.
 type connPurpose byte
 
 const (
-	connRaft  connPurpose = 'r' // raft's own messages follow the ID that is meant: a process that has forgotten its votes has another
-	connCalls connPurpose = 'c' // a sequence of memberRequest and memberResponse
+	// connRaft is for raft's own messages. Before them the caller sends the ID of the member that
+	// it calls, because a process that has lost its votes has a new ID.
+	connRaft connPurpose = 'r'
+	// connCalls is for calls: a sequence of memberRequest and memberResponse follows.
+	connCalls connPurpose = 'c'
 )
 
-// maxCallBytes bounds one memberRequest or memberResponse.
+// maxCallBytes is the maximum size of one encoded memberRequest or memberResponse.
 const maxCallBytes = 4 << 20
 
-// memberRequest is a call between members: of one kind, which is the field that is set; ID and Name go together. Numbers of
-// keys are never changed or used again.
+// memberRequest is a call to a member. The field that is set gives the kind of the call; ID and
+// Name are set together. Key numbers must never be changed or reused.
 type memberRequest struct {
-	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // to be appended to the record
-	Status bool             `cbor:"2,keyasint,omitempty"` // asks for ID, HasRecord and Leader
-	Name   string           `cbor:"3,keyasint,omitempty"` // with ID: this member asks to be admitted under that ID
-	ID     string           `cbor:"4,keyasint,omitempty"`
-	// Subscribe: the messages of package distribution follow the response, both ways, until the connection ends.
+	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // the entry to append to the record
+	Status bool             `cbor:"2,keyasint,omitempty"` // requests ID, HasRecord and Leader
+	// Name and ID ask for the admission of the member Name under ID.
+	Name string `cbor:"3,keyasint,omitempty"`
+	ID   string `cbor:"4,keyasint,omitempty"`
+	// Subscribe requests a subscription: after the response, messages of package distribution
+	// follow in both directions until the connection ends.
 	Subscribe bool                   `cbor:"5,keyasint,omitempty"`
-	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // to be accepted by the record
+	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // the change to accept
 }
 
-// memberResponse answers a memberRequest.
+// memberResponse is the answer to a memberRequest.
 type memberResponse struct {
 	Accepted  bool   `cbor:"1,keyasint,omitempty"`
-	Why       string `cbor:"2,keyasint,omitempty"` // it was not accepted
+	Reason    string `cbor:"2,keyasint,omitempty"` // why the call is not accepted
 	ID        string `cbor:"3,keyasint,omitempty"`
-	HasRecord bool   `cbor:"4,keyasint,omitempty"` // it is part of a record
-	Leader    string `cbor:"5,keyasint,omitempty"` // name of the leader that it knows
+	HasRecord bool   `cbor:"4,keyasint,omitempty"` // the member is part of a record
+	Leader    string `cbor:"5,keyasint,omitempty"` // name of the leader; empty if unknown
 
-	Version *distribution.Version `cbor:"6,keyasint,omitempty"` // of an accepted change
-	Refusal refusal               `cbor:"7,keyasint,omitempty"` // of a change
+	Version *distribution.Version `cbor:"6,keyasint,omitempty"` // version after an accepted change
+	Refusal refusal               `cbor:"7,keyasint,omitempty"` // class of Reason for a change; else 0
 }
 
-// refusal says why a change was not accepted.
+// refusal is the class of reasons for which a change is not accepted.
 type refusal uint8
 
 const (
-	refusedRetry       refusal = iota + 1 // not the leader, or it is not known whether it will be accepted yet
-	refusedBaseMoved                      // the record is not at the base of the proposal
-	refusedPermanently                    // the record refuses it however often it comes
+	refusedRetry           refusal = iota + 1 // not the leader, or the outcome is unknown
+	refusedVersionMismatch                    // the record is not at the base of the proposal
+	refusedPermanently                        // the record would refuse the change again
 )
 
-// Reasons on the wire for what is not accepted.
+// Reasons on the wire for refusing a call.
 const (
-	whyNotLeader     = "not the leader"
-	whyNotMember     = "its certificate names no member"
-	whyNotThatMember = "it may not speak for that member"
-	whyNoSubscribers = "nobody can subscribe here"
+	reasonNotLeader     = "not the leader"
+	reasonNotMember     = "its certificate names no member"
+	reasonOtherMember   = "it may not speak for that member"
+	reasonNoSubscribers = "nobody can subscribe here"
 )
 
-// send writes one message with its length before it.
+// send writes one message, preceded by its length.
 func send(to io.Writer, message any) error { return frame.Write(to, message) }
 
-// receive reads one message.
+// receive reads one message of at most maxCallBytes.
 func receive(from io.Reader, into any) error { return frame.Read(from, maxCallBytes, into) }
 
-// roundTrip makes one call on a connection, within callTimeout.
+// roundTrip sends a call on a connection and reads the response, within callTimeout.
 func roundTrip(conn net.Conn, request memberRequest) (response memberResponse, err error) {
 	conn.SetDeadline(time.Now().Add(callTimeout))
 	if err := send(conn, request); err != nil {
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -17,76 +17,84 @@
 	"wheelrill/ownership"
 )
 
-// Events is told what becomes of the record, the entries in their order. Its methods are called on several goroutines, and
-// may block, but must not wait for a call of the Node.
+// Events receives the changes of the ownership record, with the entries in their order, and the
+// outcomes of proposals. Its methods are called on several goroutines. They may block, but must not
+// wait for a call to the Node.
 type Events interface {
-	// EntryCommitted gives the next entry of the record, of whatever member.
+	// EntryCommitted passes the next entry of the record, which may be from any member.
 	EntryCommitted(ownership.Entry)
-	// SnapshotRestored gives the record as a whole, in place of all entries before. The receiver owns it.
+	// SnapshotRestored passes the whole record, which replaces all earlier entries. The receiver
+	// owns the record.
 	SnapshotRestored(*ownership.Record)
-	// ProposalCommitted says that an entry which was given to Propose is on the record.
+	// ProposalCommitted reports that an entry passed to Propose is on the record.
 	ProposalCommitted(incarnation, seq uint64)
-	// ProposalFailed says that it is not known whether such an entry is on the record. It may be proposed again.
+	// ProposalFailed reports that it is unknown whether an entry passed to Propose is on the
+	// record. The entry may be proposed again.
 	ProposalFailed(incarnation, seq uint64)
 }
 
-// Config is what a member is started with.
+// Config holds the settings of a member.
 type Config struct {
-	// Name is ours among Members.
+	// Name is the name of this member. It has to be among Members.
 	Name string
-	// Members has the address (host:port) of each member by its name, our own among them.
+	// Members has the address (host:port) of each member by name, including this member.
 	Members map[string]string
-	// Folder is for what must outlast the process; empty keeps everything in memory.
+	// Folder holds the data that must survive the process; if empty, all data is in memory.
 	Folder string
 	Credentials
-	// Terms are the same at all members.
+	// Terms have to be the same at all members.
 	Terms ownership.LeaseTerms
-	// Distribution is told the distributed configuration, and serves its subscribers; nil where nobody can subscribe.
+	// Distribution receives the distributed configuration, and serves its subscribers; nil if this
+	// member serves no subscribers.
 	Distribution Distribution
 }
 
-// Node is a member's part in the record. Its methods may be called at the same time.
+// Node is a member of the record. Its methods are safe for concurrent use.
 type Node struct {
 	config    Config
 	events    Events
 	log       *slog.Logger
 	transport *transport
-	clock     func() ownership.Microseconds // since New
-	pace      pace
+	clock     func() ownership.Microseconds // time since New
+	timings   raftTimings
 
-	// proposals holds the entry that is to be forwarded next, and no other: a member has one entry in flight.
+	// proposals holds at most the one entry to forward next, as a member has only one entry in
+	// flight.
 	proposals chan ownership.Entry
 
-	mutex    sync.Mutex // over instance
+	mutex    sync.Mutex // protects instance
 	instance *instance
 
-	halted    atomic.Bool                             // votes cannot be written any more
-	wrapStore func(raft.StableStore) raft.StableStore // for tests of disks; nil for none
+	halted    atomic.Bool                             // a write of raft's term or vote has failed
+	wrapStore func(raft.StableStore) raft.StableStore // injects write errors in tests; else nil
 
-	// leaderMutex is over the fields below: what this process knows as leader, over several leaderships, as it rests on our
-	// clock alone. It does not survive the process.
+	// leaderMutex protects the fields below. They hold the knowledge that this process gained as
+	// leader, over several leaderships, as it depends only on this process's clock. It does not
+	// survive the process.
 	leaderMutex sync.Mutex
 	leases      *ownership.LeaseTracker
-	stamp       uint64             // tells our clock from others'
-	epoch       distribution.Epoch // the greatest that a configuration record had
+	clockID     uint64             // identifies this process's clock in stamps
+	newestEpoch distribution.Epoch // the newest of all configuration records of this process
 }
 
-// New checks a Config, opens the folder, and listens at our address; connections are taken by Run. Its errors are
-// ConfigErrors where a key of the Config is to blame.
+// New checks a Config, opens the folder, and listens on this member's address; Run accepts the
+// connections. If a key of the Config causes an error, the error is a ConfigError.
 func New(config Config, events Events, log *slog.Logger) (*Node, error) {
 	return newNode(config, events, log, nil)
 }
 
-func newNode(config Config, events Events, log *slog.Logger, wrapStore func(raft.StableStore) raft.StableStore) (*Node, error) {
+// newNode is New with a wrapper around the store for raft's term and vote, which tests use.
+func newNode(config Config, events Events, log *slog.Logger,
+	wrapStore func(raft.StableStore) raft.StableStore) (*Node, error) {
 	address, ok := config.Members[config.Name]
 	if !ok {
 		return nil, &ConfigError{"members", fmt.Errorf("%q is not among them; add it with its address", config.Name)}
 	}
-	secure, err := config.tlsConfig()
+	tlsConfig, err := config.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
-	if secure == nil {
+	if tlsConfig == nil {
 		for name, address := range config.Members {
 			if err := requireLoopback(address); err != nil {
 				return nil, &ConfigError{"members", fmt.Errorf("%s: %w", name, err)}
@@ -104,12 +112,12 @@
 		log:       log,
 		wrapStore: wrapStore,
 		proposals: make(chan ownership.Entry, 1),
-		stamp:     randomID(),
+		clockID:   randomID(),
 		leases:    ownership.NewLeaseTracker(config.Terms),
-		pace:      paceFor(time.Duration(config.Terms.Duration) * time.Microsecond),
+		timings:   timingsFor(time.Duration(config.Terms.Duration) * time.Microsecond),
 		clock:     func() ownership.Microseconds { return time.Since(started).Microseconds() },
 	}
-	n.transport = newTransport(config.Members, secure)
+	n.transport = newTransport(config.Members, tlsConfig)
 	n.transport.listener = listener
 	n.transport.id = n.ID
 	n.transport.serve = n.serve
@@ -122,16 +130,18 @@
 	return n, nil
 }
 
-// logRefused logs a caller that was not let in, but for what happens in ordinary operation: a member that has restarted is
-// called under its old ID, and calls end.
-func (n *Node) logRefused(from net.Addr, why error) {
-	if errors.Is(why, errOtherID) || errors.Is(why, net.ErrClosed) || errors.Is(why, io.EOF) {
+// logRefused logs that a connection was refused, except for errors of ordinary operation: other
+// members call a restarted member under its old ID, and connections get closed.
+func (n *Node) logRefused(from net.Addr, reason error) {
+	if errors.Is(reason, errWrongID) || errors.Is(reason, net.ErrClosed) || errors.Is(reason, io.EOF) {
 		return
 	}
-	n.log.Warn("member_refused", "peer", from.String(), "reason", why.Error())
+	n.log.Warn("member_refused", "peer", from.String(), "reason", reason.Error())
 }
 
-// Run is our part in the record until the context ends. It hands the leadership on, and returns when all has ended.
+// Run takes part in the record until the context ends. If this member is then the leader, it
+// transfers the leadership. Run returns when all goroutines of the Node have returned and all
+// connections are closed.
 func (n *Node) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(n.transport.acceptLoop)
@@ -139,9 +149,9 @@
 	loops.Go(func() { n.maintainMembership(ctx) })
 	<-ctx.Done()
 	if n.halted.Load() {
-		n.transport.close() // first, as it frees the goroutine that haltingStore holds
+		n.transport.close() // before raft, as this releases the goroutine that haltingStore blocks
 	} else if r := n.current().raft; r.State() == raft.Leader {
-		_ = r.LeadershipTransfer().Error() // where it fails the others elect one, a little later
+		_ = r.LeadershipTransfer().Error() // if it fails, the others elect a leader a little later
 	}
 	n.current().close()
 	n.transport.close()
@@ -149,19 +159,20 @@
 	n.transport.handlers.Wait()
 }
 
-// ID is our name, with what is drawn for as long as our votes are remembered.
+// ID returns the raft ID of this member: its name and a random part, which stays the same as long
+// as the member's votes are stored.
 func (n *Node) ID() string { return n.current().id }
 
-// Cost is what the record has cost this process so far: the entries that were applied, and the bytes that were sent and
-// received.
+// Cost returns the load that the record has caused in this process so far: the number of entries
+// applied (raft's applied index), and the number of bytes sent and received.
 func (n *Node) Cost() (entries uint64, bytes int64) {
 	return n.current().raft.AppliedIndex(), n.transport.bytes.Load()
 }
 
-// IsLeader tells whether this member leads the record now.
+// IsLeader reports whether this member is the leader of the record now.
 func (n *Node) IsLeader() bool { return n.current().raft.State() == raft.Leader }
 
-// leaderName is the leader that we know of; empty for none.
+// leaderName returns the name of the leader that raft knows; empty if it knows none.
 func (n *Node) leaderName() string {
 	_, id := n.current().raft.LeaderWithID()
 	return memberName(id)
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -55,7 +55,7 @@
 		at, folder := freeAddresses(t, "a"), t.TempDir()
 		a := startMember(t, Config{Name: "a", Members: at, Folder: folder})
 		a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-		if _, err := New(Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder, Terms: testTerms}, newEventLog(), quietLog()); err == nil {
+		if _, err := New(Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder, Terms: testTerms}, newEventLog(), discardLogger()); err == nil {
 			t.Error("two processes on one folder")
 		}
 		id := a.ID()
@@ -74,12 +74,12 @@
 
 func TestNewRefusesWhatCannotBeUsed(t *testing.T) {
 	for why, config := range map[string]Config{
-		"is not among them":  {Name: "z", Members: map[string]string{"a": "127.0.0.1:1"}},
-		"for loopback alone": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0", "b": "192.0.2.1:7"}},
+		"is not among them":        {Name: "z", Members: map[string]string{"a": "127.0.0.1:1"}},
+		"allowed on loopback only": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0", "b": "192.0.2.1:7"}},
 		"certificate and key": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0"},
 			Credentials: Credentials{Certificate: "none.pem", Key: "none.pem", Authority: "none.pem"}},
 	} {
-		if _, err := New(config, newEventLog(), quietLog()); err == nil || !strings.Contains(err.Error(), why) {
+		if _, err := New(config, newEventLog(), discardLogger()); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("got %v, not %q", err, why)
 		}
 	}
@@ -87,7 +87,7 @@
 	if err := os.WriteFile(folder, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder}, newEventLog(), quietLog()); err == nil ||
+	if _, err := New(Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder}, newEventLog(), discardLogger()); err == nil ||
 		!strings.Contains(err.Error(), "folder") {
 		t.Errorf("got %v", err)
 	}
--- a/consensus/pace.go
+++ b/consensus/pace.go
@@ -2,31 +2,36 @@
 
 import "time"
 
-// pace is how often the members of a record hear of each other.
-type pace struct {
+// raftTimings are the timeouts of raft that follow from the lease.
+type raftTimings struct {
 	heartbeat   time.Duration // raft's heartbeat and election timeouts
-	leaderLease time.Duration // without a majority for so long a leader steps down
-	commit      time.Duration // until followers are told what is committed where no further entry tells them
+	leaderLease time.Duration // a leader that reaches no majority for this time steps down
+	commit      time.Duration // until the leader sends its commit index without a further entry
 }
 
-// Figures of the pace. A member that dies is replaced as leader within two heartbeat timeouts, about.
+// Bounds of the timings, and their ratios to the lease. A leader whose process ends is replaced
+// within about two heartbeat timeouts.
 const (
-	shortestHeartbeat = 400 * time.Millisecond  // for a local network, and a lease of 1.5 s
-	longestHeartbeat  = 1200 * time.Millisecond // upper bound, so that a change accepted by a dying leader still reaches subscribers within 3 s
-	shortestCommit    = 50 * time.Millisecond
-	leaseParts        = 15 // of a lease, of which ...
-	heartbeatParts    = 4  // ... so many are the heartbeat timeout: two elections fit into a lease
-	leaderLeaseParts  = 4  // the leader's lease is all but one of these parts of the heartbeat timeout
-	commitParts       = 30 // of a lease
+	minHeartbeat = 400 * time.Millisecond // suits a local network and a lease of 1.5 s
+	// maxHeartbeat is low enough that a change reaches subscribers within 3 s even if the leader's
+	// process ends just after the leader accepted it.
+	maxHeartbeat = 1200 * time.Millisecond
+
+	minCommitTimeout    = 50 * time.Millisecond
+	leaseDivisor        = 15 // heartbeat timeout = lease / leaseDivisor * heartbeatMultiplier,
+	heartbeatMultiplier = 4  // so that two elections fit into a lease
+	leaderLeaseDivisor  = 4  // leader lease = heartbeat timeout less this fraction, so 3/4
+	commitDivisor       = 30 // commit timeout = lease / commitDivisor
 )
 
-// paceFor gives the pace that a lease allows. A longer lease has members hear of each other less often, in proportion, but for the
-// heartbeat, which has a bound; a shorter one does not have them hear of each other more often.
-func paceFor(lease time.Duration) pace {
-	heartbeat := min(max(shortestHeartbeat, lease/leaseParts*heartbeatParts), longestHeartbeat)
-	return pace{
+// timingsFor returns the timings for a lease. With a longer lease the timings increase in
+// proportion, the heartbeat timeout up to maxHeartbeat. With a shorter lease they do not decrease
+// below minHeartbeat and minCommitTimeout.
+func timingsFor(lease time.Duration) raftTimings {
+	heartbeat := min(max(minHeartbeat, lease/leaseDivisor*heartbeatMultiplier), maxHeartbeat)
+	return raftTimings{
 		heartbeat:   heartbeat,
-		leaderLease: heartbeat - heartbeat/leaderLeaseParts,
-		commit:      max(shortestCommit, lease/commitParts),
+		leaderLease: heartbeat - heartbeat/leaderLeaseDivisor,
+		commit:      max(minCommitTimeout, lease/commitDivisor),
 	}
 }
--- a/consensus/pace_test.go
+++ b/consensus/pace_test.go
@@ -10,8 +10,8 @@
 // A longer lease slows the pace in proportion, and raft takes each.
 func TestPaceFollowsTheLease(t *testing.T) {
 	const usualLease = 1500 * time.Millisecond
-	usual := pace{400 * time.Millisecond, 300 * time.Millisecond, 50 * time.Millisecond}
-	for lease, want := range map[time.Duration]pace{
+	usual := raftTimings{400 * time.Millisecond, 300 * time.Millisecond, 50 * time.Millisecond}
+	for lease, want := range map[time.Duration]raftTimings{
 		0:                      usual,
 		500 * time.Millisecond: usual,
 		usualLease:             usual,
@@ -19,7 +19,7 @@
 		time.Hour:              {1200 * time.Millisecond, 900 * time.Millisecond, 2 * time.Minute},
 		6 * time.Second:        {1200 * time.Millisecond, 900 * time.Millisecond, 200 * time.Millisecond},
 	} {
-		got := paceFor(lease)
+		got := timingsFor(lease)
 		if got != want {
 			t.Errorf("lease of %s: %+v, not %+v", lease, got, want)
 		}
--- a/consensus/peer.go
+++ b/consensus/peer.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// Peer is a node of the distribution as others know it. Nodes name each other by both fields, so that a subscriber can dial
-// a node that another has told it of.
+// Peer is the identity of a node of the distribution. Messages between nodes contain both fields,
+// so that a subscriber can dial a node that it knows only from the messages of another node.
 type Peer struct {
-	// Name is that of its certificate.
+	// Name is the name in the node's certificate.
 	Name string
-	// Address is host:port, or empty for a node that nobody dials.
+	// Address is host:port, or empty for a node that does not accept connections.
 	Address string
 }
 
-// PeerSeparator stands between name and address; no name has it.
+// PeerSeparator separates the name from the address in a Peer's string. Names must not contain it.
 const PeerSeparator = "@"
 
-// String is the peer as it is named in messages.
+// String returns the form in which messages contain the peer.
 func (p Peer) String() string {
 	if p.Address == "" {
 		return p.Name
@@ -22,13 +22,14 @@
 	return p.Name + PeerSeparator + p.Address
 }
 
-// ParsePeer reads a peer as it is named in messages.
+// ParsePeer parses the form in which messages contain a peer.
 func ParsePeer(text string) Peer {
 	name, address, _ := strings.Cut(text, PeerSeparator)
 	return Peer{name, address}
 }
 
-// maySubscribeAs tells whether a caller may subscribe under a name, which may be a Peer's string.
+// maySubscribeAs reports whether the caller may subscribe under a name, which may be the string of
+// a Peer.
 func (c caller) maySubscribeAs(name string) bool {
 	return c.hasName == nil || c.hasName(ParsePeer(name).Name)
 }
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -13,14 +13,16 @@
 	"wheelrill/distribution"
 )
 
-// ReplaceConfiguration makes the configuration record hold exactly the wanted entries, by one change. It returns the
-// version after the change and the number of entries that differed; if none differed it proposes nothing and returns 0.
-// While the outcome is unknown or the record has changed since the proposal was made, it tries again every pollInterval
-// until the context ends. Its errors are those of ProposeChange.
-func (n *Node) ReplaceConfiguration(ctx context.Context, wanted []distribution.Entry) (version distribution.Version, differing int, err error) {
+// ReplaceConfiguration makes the configuration record hold exactly the wanted entries, by one
+// change. It returns the version after the change and the number of entries that differed; if none
+// differed it proposes nothing and returns 0. While the outcome is unknown or the record has
+// changed since the proposal was made, it tries again every pollInterval until the context ends.
+// Its errors are those of ProposeChange.
+func (n *Node) ReplaceConfiguration(ctx context.Context, wanted []distribution.Entry) (
+	version distribution.Version, differing int, err error) {
 	for {
 		var proposal distribution.Proposal
-		n.current().machine.configuration.view(func(voter *distribution.Record) { proposal = voter.Difference(wanted) })
+		n.current().machine.configuration.view(func(record *distribution.Record) { proposal = record.Difference(wanted) })
 		if len(proposal.Entries) == 0 {
 			return proposal.Base, 0, nil
 		}
@@ -34,9 +36,10 @@
 	}
 }
 
-// ProposeChange has the configuration record accept a change: once, whole, and gives the version that it makes. The error is
-// ErrUnanswered where it is not known whether it will be accepted, distribution.ErrVersionMismatch where the record is not at the
-// base of the proposal, and ErrChangeRefused otherwise.
+// ProposeChange proposes a change to the configuration record, which accepts it completely and
+// once, or not at all. It returns the version after the change. The error is ErrUnanswered if it is
+// unknown whether the change will be accepted, distribution.ErrVersionMismatch if the record is not
+// at the base version of the proposal, and ErrChangeRefused otherwise.
 func (n *Node) ProposeChange(ctx context.Context, proposal distribution.Proposal) (distribution.Version, error) {
 	response, err := n.proposeAtLeader(ctx, proposal)
 	switch {
@@ -44,14 +47,16 @@
 		return distribution.Version{}, err
 	case response.Accepted && response.Version != nil:
 		return *response.Version, nil
-	case response.Refusal == refusedBaseMoved:
+	case response.Refusal == refusedVersionMismatch:
 		return distribution.Version{}, distribution.ErrVersionMismatch
 	case response.Refusal == refusedPermanently:
-		return distribution.Version{}, fmt.Errorf("%w: %s", ErrChangeRefused, response.Why)
+		return distribution.Version{}, fmt.Errorf("%w: %s", ErrChangeRefused, response.Reason)
 	}
-	return distribution.Version{}, fmt.Errorf("%w: %s", ErrUnanswered, response.Why)
+	return distribution.Version{}, fmt.Errorf("%w: %s", ErrUnanswered, response.Reason)
 }
 
+// proposeAtLeader passes a proposal to the leader, which may be this member, and returns the
+// leader's response.
 func (n *Node) proposeAtLeader(ctx context.Context, proposal distribution.Proposal) (memberResponse, error) {
 	switch leader := n.leaderName(); leader {
 	case "":
@@ -67,47 +72,50 @@
 	}
 }
 
-// acceptChange appends a change to the record, if we lead, and waits until it is committed.
+// acceptChange appends a change to the record if this member is the leader, and waits until it is
+// committed and applied.
 func (n *Node) acceptChange(proposal distribution.Proposal) memberResponse {
 	r := n.current().raft
 	if r.State() != raft.Leader {
-		return memberResponse{Why: whyNotLeader, Refusal: refusedRetry}
+		return memberResponse{Reason: reasonNotLeader, Refusal: refusedRetry}
 	}
 	proposal.Epoch = n.nextEpoch()
 	proposal.AcceptedAt = time.Now().UnixMicro()
 	body, err := cbor.Marshal(configurationEntry{Kind: kindProposal, Proposal: proposal})
 	if err != nil {
-		return memberResponse{Why: err.Error(), Refusal: refusedPermanently}
+		return memberResponse{Reason: err.Error(), Refusal: refusedPermanently}
 	}
 	future := r.Apply(body, applyTimeout)
 	if err := future.Error(); err != nil {
-		return memberResponse{Why: err.Error(), Refusal: refusedRetry}
+		return memberResponse{Reason: err.Error(), Refusal: refusedRetry}
 	}
 	result, _ := future.Response().(changeResult)
 	switch {
 	case errors.Is(result.err, distribution.ErrVersionMismatch):
-		return memberResponse{Why: whyRefused(result.err), Refusal: refusedBaseMoved}
+		return memberResponse{Reason: refusalReason(result.err), Refusal: refusedVersionMismatch}
 	case result.err != nil:
-		return memberResponse{Why: whyRefused(result.err), Refusal: refusedPermanently}
+		return memberResponse{Reason: refusalReason(result.err), Refusal: refusedPermanently}
 	}
 	return memberResponse{Accepted: true, Version: &result.version}
 }
 
-// whyRefused is an error as it is given on the wire, where reasons have no package before them.
-func whyRefused(err error) string { return strings.TrimPrefix(err.Error(), "distribution: ") }
+// refusalReason returns the text of an error without the prefix of package distribution, as reasons
+// on the wire have it.
+func refusalReason(err error) string { return strings.TrimPrefix(err.Error(), "distribution: ") }
 
-// nextEpoch is the epoch that a configuration record gets which has none yet: newer than all that this process has seen.
+// nextEpoch returns the epoch for a configuration record that has none yet. It is newer than every
+// epoch that this process has seen.
 func (n *Node) nextEpoch() distribution.Epoch {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
-	return distribution.NextEpoch(n.epoch, uint64(time.Now().Unix()), randomID())
+	return distribution.NextEpoch(n.newestEpoch, uint64(time.Now().Unix()), randomID())
 }
 
-// noteEpoch remembers the greatest epoch, over several records.
+// noteEpoch updates newestEpoch, which covers all records that this process has held.
 func (n *Node) noteEpoch(epoch distribution.Epoch) {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
-	if epoch.Newer(n.epoch) {
-		n.epoch = epoch
+	if epoch.Newer(n.newestEpoch) {
+		n.newestEpoch = epoch
 	}
 }
--- a/consensus/raft_layer.go
+++ b/consensus/raft_layer.go
@@ -9,21 +9,22 @@
 	"github.com/hashicorp/raft"
 )
 
-// Separators in what raft knows members by. IDs and addresses are stored, so these are never changed.
+// Separators in the IDs and addresses by which raft identifies members. Raft stores both, so these
+// must never change.
 const (
-	idSeparator      = "/" // in an ID, between a member's name and what was drawn
-	addressSeparator = "#" // in an address, between a member's name and the ID that is meant
+	idSeparator      = "/" // in an ID, between the member's name and the random part
+	addressSeparator = "#" // in an address, between the member's name and its ID
 )
 
-// layer is the transport as one raft instance sees it.
-type layer struct {
+// streamLayer is the raft.StreamLayer of one raft instance, on top of the transport.
+type streamLayer struct {
 	*transport
 	address raft.ServerAddress
-	closed  chan struct{} // is closed by Close
+	closed  chan struct{} // closed by Close
 }
 
-// Accept waits for a connection that means us.
-func (l *layer) Accept() (net.Conn, error) {
+// Accept waits for a raft connection to the ID of this member.
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.raftConns:
 		return conn, nil
@@ -34,23 +35,24 @@
 	}
 }
 
-// Close ends this instance's part; the transport goes on.
-func (l *layer) Close() error {
+// Close makes Accept return. The transport stays open.
+func (l *streamLayer) Close() error {
 	close(l.closed)
 	return nil
 }
 
-// Addr is our address as raft writes it: a name and the ID that is meant.
-func (l *layer) Addr() net.Addr { return memberAddr(l.address) }
+// Addr returns the address of this instance in the form that raft stores: the member's name and ID.
+func (l *streamLayer) Addr() net.Addr { return memberAddr(l.address) }
 
-// memberAddr is a net.Addr of a member.
+// memberAddr implements net.Addr for a member.
 type memberAddr raft.ServerAddress
 
 func (a memberAddr) Network() string { return "member" }
 func (a memberAddr) String() string  { return string(a) }
 
-// Dial connects to raft at a member, and says which ID is meant. The timeout is the transport's own.
-func (l *layer) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
+// Dial opens a raft connection to a member, and sends the ID under which it expects the member. It
+// uses dialTimeout instead of the timeout that raft passes.
+func (l *streamLayer) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	name, id, ok := strings.Cut(string(address), addressSeparator)
 	if !ok {
 		return nil, errUnknownMember
@@ -68,12 +70,12 @@
 	return conn, nil
 }
 
-// addressOf is how raft writes a member of some ID.
+// addressOf returns the raft address of the member with a name and an ID.
 func addressOf(name, id string) raft.ServerAddress {
 	return raft.ServerAddress(name + addressSeparator + id)
 }
 
-// memberName is the name of the member that an ID belongs to.
+// memberName returns the name of the member to which an ID belongs.
 func memberName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), idSeparator)
 	return name
--- a/consensus/random.go
+++ b/consensus/random.go
@@ -5,9 +5,9 @@
 	"encoding/binary"
 )
 
-// randomID is a random number other than 0.
+// randomID returns a random odd number, so never 0.
 func randomID() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails
+	_, _ = rand.Read(b[:]) // never returns an error
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -11,18 +11,19 @@
 	"wheelrill/distribution"
 )
 
-// snapshot is the encoded ownership record, and behind it the configuration record if there is any.
+// snapshot holds the content of a snapshot: the encoded ownership record, and the configuration
+// record if there is one.
 type snapshot struct {
-	record        []byte              // the ownership record
-	configuration *distribution.State // of the configuration record; nil while it is empty
-	bytes         *atomic.Int64       // is set to how many were written
+	record        []byte              // the encoded ownership record
+	configuration *distribution.State // the configuration record; nil if it is empty
+	bytes         *atomic.Int64       // Persist stores the number of bytes written here
 }
 
-// Persist writes it to a sink.
+// Persist writes the snapshot to a sink.
 func (s *snapshot) Persist(to raft.SnapshotSink) error {
 	counted := &countingWriter{to: to}
 	if err := s.write(counted); err != nil {
-		_ = to.Cancel() // the error before it counts
+		_ = to.Cancel() // the error of the write is returned instead
 		return err
 	}
 	s.bytes.Store(counted.bytes)
@@ -39,10 +40,10 @@
 	return WriteConfiguration(to, s.configuration)
 }
 
-// Release does nothing: a snapshot holds copies alone.
+// Release does nothing, as a snapshot holds only copies.
 func (s *snapshot) Release() {}
 
-// countingWriter counts the bytes that are written through it.
+// countingWriter passes writes on, and counts their bytes.
 type countingWriter struct {
 	to    io.Writer
 	bytes int64
@@ -54,11 +55,12 @@
 	return n, err
 }
 
-// entriesPerPiece is how many entries of a distributed configuration are encoded at a time.
-const entriesPerPiece = 1024
+// entriesPerChunk is the maximum number of entries of a distributed configuration that are encoded
+// as one array.
+const entriesPerChunk = 1024
 
-// WriteConfiguration writes a distributed configuration as a CBOR sequence: first what it is without its entries, then
-// these in arrays of at most entriesPerPiece.
+// WriteConfiguration writes a distributed configuration as a CBOR sequence: first the State without
+// its entries, then the entries in arrays of at most entriesPerChunk.
 func WriteConfiguration(to io.Writer, state *distribution.State) error {
 	encoder := cbor.NewEncoder(to)
 	head := *state
@@ -66,21 +68,23 @@
 	if err := encoder.Encode(head); err != nil {
 		return err
 	}
-	for left := state.Entries; len(left) > 0; {
-		piece := left[:min(entriesPerPiece, len(left))]
-		if err := encoder.Encode(piece); err != nil {
+	for remaining := state.Entries; len(remaining) > 0; {
+		chunk := remaining[:min(entriesPerChunk, len(remaining))]
+		if err := encoder.Encode(chunk); err != nil {
 			return err
 		}
-		left = left[len(piece):]
+		remaining = remaining[len(chunk):]
 	}
 	return nil
 }
 
-// ErrNoEpoch says that a stored distributed configuration is none that WriteConfiguration wrote.
-var ErrNoEpoch = errors.New("consensus: a configuration without an epoch")
+// ErrNoEpoch means that the decoded body has no epoch, so that it cannot be a stored distributed
+// configuration.
+var ErrNoEpoch = errors.New("consensus: the stored configuration has no epoch")
 
-// ReadConfiguration reads what WriteConfiguration wrote; nil where there is nothing to read: an empty body is not told from
-// one that never had a configuration. The error is ErrNoEpoch, or one of the decoder.
+// ReadConfiguration decodes the output of WriteConfiguration. It returns nil for an empty body,
+// which is also the body of a snapshot without a configuration. The error is ErrNoEpoch, or an
+// error of the decoder.
 func ReadConfiguration(body []byte) (*distribution.State, error) {
 	if len(body) == 0 {
 		return nil, nil
@@ -88,9 +92,9 @@
 	state := &distribution.State{}
 	rest, err := cbor.UnmarshalFirst(body, state)
 	for err == nil && len(rest) > 0 {
-		var piece []distribution.Entry
-		rest, err = cbor.UnmarshalFirst(rest, &piece)
-		state.Entries = append(state.Entries, piece...)
+		var chunk []distribution.Entry
+		rest, err = cbor.UnmarshalFirst(rest, &chunk)
+		state.Entries = append(state.Entries, chunk...)
 	}
 	if err == nil && !state.Version.Epoch.Known() {
 		err = ErrNoEpoch
--- a/consensus/snapshot_test.go
+++ b/consensus/snapshot_test.go
@@ -55,7 +55,7 @@
 
 func TestSnapshotWithConfiguration(t *testing.T) {
 	var entries []distribution.Entry
-	for i := range 2*entriesPerPiece + 1 {
+	for i := range 2*entriesPerChunk + 1 {
 		entries = append(entries, entry(fmt.Sprintf("n%05d", i), "1"))
 	}
 	m := machineWith(t, entries...)
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -11,43 +11,45 @@
 	"wheelrill/ownership"
 )
 
-// stateMachine is what raft applies its log to: the ownership record, which it hands on entry by entry, and the
-// configuration record. Raft calls Apply, Snapshot and Restore one at a time.
+// stateMachine is the raft.FSM to which raft applies its log. It holds the ownership record, whose
+// entries it passes on to Events one by one, and the configuration record. Raft calls Apply,
+// Snapshot and Restore one at a time.
 type stateMachine struct {
 	events       Events
 	onUnreadable func(err error)
 
-	mutex  sync.Mutex // over record; configuration has a lock of its own
+	mutex  sync.Mutex // protects record; configuration has its own lock
 	record *ownership.Record
 
 	configuration *configurationRecord
-	snapshotBytes atomic.Int64 // of the last snapshot
+	snapshotBytes atomic.Int64 // size of the last snapshot written or restored
 }
 
-// Apply applies one entry. One that cannot be read changes nothing, at every member alike. The result is a changeResult
-// for a change of the distributed configuration, and nil otherwise.
+// Apply applies one entry of the log. An entry that cannot be decoded changes nothing; every member
+// treats it the same way. The result is a changeResult for a change of the distributed
+// configuration, and nil otherwise.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	if isConfigurationEntry(entry.Data) {
 		return m.configuration.apply(entry.Data, m.onUnreadable)
 	}
-	var e ownership.Entry
-	if err := cbor.Unmarshal(entry.Data, &e); err != nil {
+	var ownershipEntry ownership.Entry
+	if err := cbor.Unmarshal(entry.Data, &ownershipEntry); err != nil {
 		m.onUnreadable(err)
 		return nil
 	}
-	m.withRecord(func(record *ownership.Record) { record.Apply(e) })
-	m.events.EntryCommitted(e)
+	m.withRecord(func(record *ownership.Record) { record.Apply(ownershipEntry) })
+	m.events.EntryCommitted(ownershipEntry)
 	return nil
 }
 
-// withRecord calls a function with the record, under the lock.
+// withRecord calls use with the ownership record while it holds the lock.
 func (m *stateMachine) withRecord(use func(*ownership.Record)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	use(m.record)
 }
 
-// Snapshot gives the state as it is now; it is written later.
+// Snapshot returns a copy of the present state, which raft writes later.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -55,7 +57,7 @@
 	return &snapshot{record: body, configuration: m.configuration.state(), bytes: &m.snapshotBytes}, err
 }
 
-// Restore replaces the state by a snapshot. One that is damaged changes nothing.
+// Restore replaces the state by a snapshot. A damaged snapshot changes nothing.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	body, err := io.ReadAll(from)
@@ -66,7 +68,7 @@
 	if _, err := cbor.UnmarshalFirst(body, record); err != nil {
 		return err
 	}
-	copied := ownership.NewRecord() // the receiver of the event owns it
+	copied := ownership.NewRecord() // for Events, whose receiver owns the record that it gets
 	rest, err := cbor.UnmarshalFirst(body, copied)
 	if err != nil {
 		return err
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -14,35 +14,44 @@
 	"go.etcd.io/bbolt"
 )
 
-// Names and sizes of what is on disk. Names are never changed: folders outlast releases.
+// Names, sizes and permissions of the data on disk. The names must never change, because folders
+// outlive releases.
 const (
 	storeFile         = "record.db"
 	idKey             = "id"
 	retainedSnapshots = 2
-	folderMode        = os.FileMode(0o700) // others could vote in our name
-	lockTimeout       = time.Second        // until a second process on the same folder is told so
+	folderMode        = os.FileMode(0o700) // others could vote in the name of this member
+	lockTimeout       = time.Second        // until opening a folder that is in use fails
 )
 
-// storage is what a raft instance reads and writes: memory, or a folder.
+// storage holds the stores of a raft instance, in memory or in a folder.
 type storage struct {
-	id        string // under which the votes in it were given
+	id        string // the raft ID to which the stored votes belong
 	log       raft.LogStore
 	stable    raft.StableStore
 	snapshots raft.SnapshotStore
 	close     func()
 }
 
-// openStorage opens a folder, or memory for an empty one. The new ID is taken unless the folder has one.
+// openStorage opens the storage in a folder, or in memory if folder is empty. newID becomes the ID
+// of the storage unless the folder has one already.
 func openStorage(folder, newID string, logger hclog.Logger) (*storage, error) {
 	if folder == "" {
 		memory := raft.NewInmemStore()
-		return &storage{id: newID, log: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore(), close: func() {}}, nil
+		return &storage{
+			id:        newID,
+			log:       memory,
+			stable:    memory,
+			snapshots: raft.NewInmemSnapshotStore(),
+			close:     func() {},
+		}, nil
 	}
 	store, err := openFolder(folder)
 	if err != nil {
 		return nil, &ConfigError{"folder", err}
 	}
-	closeStore := func() { _ = store.Close() } // what raft was told to be written is written
+	// An error of Close loses nothing: each write that raft saw succeed is on disk already.
+	closeStore := func() { _ = store.Close() }
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(folder, retainedSnapshots, logger)
 	if err != nil {
 		closeStore()
@@ -56,7 +65,7 @@
 	return &storage{id: id, log: store, stable: store, snapshots: snapshots, close: closeStore}, nil
 }
 
-// loadID is the ID that a store has, or the new one, which it has from then on.
+// loadID returns the ID in a store. If there is none, it stores and returns newID.
 func loadID(store raft.StableStore, newID string) (string, error) {
 	if id, err := store.Get([]byte(idKey)); err == nil && len(id) > 0 {
 		return string(id), nil
@@ -64,17 +73,19 @@
 	return newID, store.Set([]byte(idKey), []byte(newID))
 }
 
-// openFolder opens the store in a folder. A damaged file is an error that says what would do: the library underneath
-// panics on some, and reads beyond the end of others.
+// openFolder opens the store in a folder. For a damaged file it returns an error that says how to
+// recover. It has to recover from panics and memory faults, as bbolt panics on some damaged files
+// and reads beyond the end of others.
 func openFolder(folder string) (store *raftboltdb.BoltStore, err error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, fmt.Errorf("%w; give one that can be written", err)
+		return nil, fmt.Errorf("%w; set a folder that can be written", err)
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if why := recover(); why != nil {
+		if cause := recover(); cause != nil {
 			store = nil
-			err = fmt.Errorf("%s: damaged: %v; move it away, and the member comes as new", folder, why)
+			err = fmt.Errorf("%s: damaged: %v; move the folder away, and the member joins under a new ID",
+				folder, cause)
 		}
 	}()
 	store, err = raftboltdb.New(raftboltdb.Options{
@@ -82,43 +93,50 @@
 		BoltOptions: &bbolt.Options{Timeout: lockTimeout},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w; it may be in use, or damaged: move it away, and the member comes as new", folder, err)
+		return nil, fmt.Errorf("%s: %w; the folder may be in use, or damaged: if damaged, move it away, "+
+			"and the member joins under a new ID", folder, err)
 	}
 	return store, nil
 }
 
-// haltingStore is where raft keeps its term and vote, which must be written before they count. Raft panics where they
-// cannot be, as on a full disk. Instead the member takes no further part: the goroutine of raft's that writes is held until
-// the transport is closed, and the controller goes on without a quorum.
+// haltingStore stores raft's term and vote, which must be on disk before they take effect. Raft
+// panics if a write fails, for example on a full disk. Instead of the panic, this store halts the
+// member's part in the record: it blocks the raft goroutine that writes until the transport is
+// closed, and the controller continues without a quorum.
 type haltingStore struct {
 	raft.StableStore
 	onHalt func(error)
-	ended  <-chan struct{} // of the transport
+	ended  <-chan struct{} // closed when the transport is closed
 }
 
-// withHalt makes a store that has the node halt where it cannot be written.
-func (n *Node) withHalt(stable raft.StableStore) haltingStore {
+// newHaltingStore wraps a store so that a write error halts the Node.
+func (n *Node) newHaltingStore(stable raft.StableStore) haltingStore {
 	if n.wrapStore != nil {
 		stable = n.wrapStore(stable)
 	}
 	return haltingStore{StableStore: stable, onHalt: n.halt, ended: n.transport.ended}
 }
 
+// halt records that this member takes no further part in the record, because of a write error.
 func (n *Node) halt(err error) {
-	n.log.Error("record_halted", "error", err.Error(), "text", "votes cannot be kept, so we take no further part; mend the disk and restart")
+	n.log.Error("record_halted", "error", err.Error(), "text", "raft's term and vote cannot be stored, "+
+		"so this member takes no further part in the record; repair the disk and restart")
 	n.halted.Store(true)
 }
 
-// Set writes bytes, or holds the caller.
-func (s haltingStore) Set(key, value []byte) error { return s.hold(s.StableStore.Set(key, value)) }
+// Set writes bytes. If that fails, it blocks the caller.
+func (s haltingStore) Set(key, value []byte) error {
+	return s.haltOnError(s.StableStore.Set(key, value))
+}
 
-// SetUint64 writes a number, or holds the caller.
+// SetUint64 writes a number. If that fails, it blocks the caller.
 func (s haltingStore) SetUint64(key []byte, value uint64) error {
-	return s.hold(s.StableStore.SetUint64(key, value))
+	return s.haltOnError(s.StableStore.SetUint64(key, value))
 }
 
-// hold ends the goroutine after an error, once the transport is closed.
-func (s haltingStore) hold(err error) error {
+// haltOnError halts the Node after a write error, and blocks until the transport is closed; it then
+// ends the goroutine without returning to raft.
+func (s haltingStore) haltOnError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/consensus/storage_test.go
+++ b/consensus/storage_test.go
@@ -89,7 +89,7 @@
 			if err := os.WriteFile(path, spoil(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: testTerms}, newEventLog(), quietLog())
+			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: testTerms}, newEventLog(), discardLogger())
 			if err == nil {
 				n.current().close()
 				n.transport.close()
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder, Terms: testTerms}
-	if _, err := New(config, newEventLog(), quietLog()); err == nil || !strings.Contains(err.Error(), "snapshots") {
+	if _, err := New(config, newEventLog(), discardLogger()); err == nil || !strings.Contains(err.Error(), "snapshots") {
 		t.Errorf("got %v", err)
 	}
 	if text, err := os.ReadFile(paths[0]); err != nil || !bytes.Equal(text, damaged) {
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -8,33 +8,35 @@
 	"time"
 )
 
-// Subscriber makes and takes connections for subscriptions to the distributed configuration, by the calls and credentials
-// of the members, without being one. Its methods may be called at the same time.
+// Subscriber opens and accepts connections for subscriptions to the distributed configuration. It
+// uses the same calls and kind of credentials as the members, but is not a member. Its methods are
+// safe for concurrent use.
 type Subscriber struct {
-	secure *tls.Config // nil for plain text
+	tlsConfig *tls.Config // nil for plain text
 }
 
-// NewSubscriber reads the credentials; where they are empty, plain text is spoken on loopback alone.
+// NewSubscriber reads the credentials. If they are empty, connections are plain text, on loopback
+// only.
 func NewSubscriber(credentials Credentials) (*Subscriber, error) {
-	secure, err := credentials.tlsConfig()
-	return &Subscriber{secure}, err
+	tlsConfig, err := credentials.tlsConfig()
+	return &Subscriber{tlsConfig}, err
 }
 
-// Dial connects to a peer, given as Peer.String has it, and makes the call to subscribe. The error is a RefusedError where
-// the peer refuses it.
+// Dial connects to a peer, given in the form of Peer.String, and makes the call to subscribe. If
+// the peer refuses the call, the error is a CallRefusedError.
 func (s *Subscriber) Dial(ctx context.Context, peer string) (net.Conn, error) {
-	to := ParsePeer(peer)
-	if s.secure == nil {
-		if err := requireLoopback(to.Address); err != nil {
+	target := ParsePeer(peer)
+	if s.tlsConfig == nil {
+		if err := requireLoopback(target.Address); err != nil {
 			return nil, err
 		}
 	}
-	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", to.Address)
+	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", target.Address)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
-	conn, err := s.subscribe(ctx, raw, to.Name)
+	conn, err := s.subscribe(ctx, raw, target.Name)
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
@@ -45,10 +47,11 @@
 	return conn, nil
 }
 
-// subscribe makes the call over a connection.
+// subscribe performs the TLS handshake and the call to subscribe on a connection. It returns the
+// connection to use from then on.
 func (s *Subscriber) subscribe(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
-	if s.secure != nil {
-		secured := tls.Client(conn, withServerName(s.secure, name))
+	if s.tlsConfig != nil {
+		secured := tls.Client(conn, withServerName(s.tlsConfig, name))
 		if err := secured.HandshakeContext(ctx); err != nil {
 			return nil, err
 		}
@@ -62,31 +65,33 @@
 		return nil, err
 	}
 	if !response.Accepted {
-		return nil, &CallRefusedError{response.Why}
+		return nil, &CallRefusedError{response.Reason}
 	}
 	return conn, conn.SetDeadline(time.Time{})
 }
 
-// subscribeResponse answers the call to subscribe.
+// subscribeResponse returns the answer to a call to subscribe.
 func subscribeResponse(accepted bool) memberResponse {
 	if !accepted {
-		return memberResponse{Why: whyNoSubscribers}
+		return memberResponse{Reason: reasonNoSubscribers}
 	}
 	return memberResponse{Accepted: true}
 }
 
-// Listener takes the connections of subscribers at a subscriber that passes the distributed configuration on. It serves
-// nothing else.
+// Listener accepts the connections of subscribers, for a subscriber that passes the distributed
+// configuration on. It refuses all other connections and calls.
 type Listener struct {
 	transport *transport
 }
 
-// Listen listens at an address. Serve gets each connection after its call, with the names under which the caller may
-// subscribe; it returns when the connection has ended. OnRefused is told of callers that were not let in. Both are called
-// on a goroutine for each connection. The error is a ConfigError.
+// Listen listens on an address. It passes each connection on which a call to subscribe was accepted
+// to serve, with a function that reports whether the caller may subscribe under a name; serve has
+// to return when the connection has ended. It passes the address of each refused caller and the
+// reason to onRefused. Both functions are called on one goroutine for each connection. The error is
+// a ConfigError.
 func (s *Subscriber) Listen(address string, serve func(conn net.Conn, allowed func(name string) bool),
-	onRefused func(from net.Addr, why error)) (*Listener, error) {
-	if s.secure == nil {
+	onRefused func(from net.Addr, reason error)) (*Listener, error) {
+	if s.tlsConfig == nil {
 		if err := requireLoopback(address); err != nil {
 			return nil, &ConfigError{"listen", err}
 		}
@@ -95,7 +100,7 @@
 	if err != nil {
 		return nil, &ConfigError{"listen", err}
 	}
-	t := newTransport(nil, s.secure)
+	t := newTransport(nil, s.tlsConfig)
 	t.listener = listener
 	t.allowSubscribers = true
 	t.onRefused = onRefused
@@ -107,7 +112,8 @@
 	return &Listener{t}, nil
 }
 
-// acceptSubscription answers the first call of a connection; it is true if that was to subscribe.
+// acceptSubscription answers the first call on a connection, and reports whether it was a call to
+// subscribe.
 func acceptSubscription(conn net.Conn) bool {
 	conn.SetDeadline(time.Now().Add(callTimeout))
 	var request memberRequest
@@ -121,10 +127,10 @@
 	return request.Subscribe
 }
 
-// Address is where it listens, host:port.
+// Address returns the address on which the Listener listens, as host:port.
 func (l *Listener) Address() string { return l.transport.listener.Addr().String() }
 
-// Run takes connections until the context ends, and returns when all of them are closed.
+// Run accepts connections until the context ends, and returns when all of them are closed.
 func (l *Listener) Run(ctx context.Context) {
 	var accepting sync.WaitGroup
 	accepting.Go(l.transport.acceptLoop)
--- a/consensus/subscription_test.go
+++ b/consensus/subscription_test.go
@@ -26,11 +26,11 @@
 	}}
 	a := startMember(t, Config{Name: "a", Members: at, Credentials: issueCredentials(t, ours, "a"), Distribution: told})
 	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	secure, err := issueCredentials(t, ours, "s17").tlsConfig()
+	tlsConfig, err := issueCredentials(t, ours, "s17").tlsConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
-	as := newTransport(at, secure)
+	as := newTransport(at, tlsConfig)
 	for name, c := range map[string]memberRequest{
 		"propose":       {Entry: &ownership.Entry{Member: "a", Incarnation: 9, Seq: 1}},
 		"propose as it": {Entry: &ownership.Entry{Member: "s17", Incarnation: 9, Seq: 1}},
@@ -45,13 +45,13 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			if got, err := roundTrip(conn, c); err != nil || got.Why != whyNotMember || got.Accepted || got.ID != "" {
+			if got, err := roundTrip(conn, c); err != nil || got.Reason != reasonNotMember || got.Accepted || got.ID != "" {
 				t.Errorf("got %+v, %v", got, err)
 			}
 		})
 	}
 	t.Run("it may not speak raft", func(t *testing.T) {
-		conn, err := (&layer{transport: as}).Dial(addressOf("a", a.ID()), 0)
+		conn, err := (&streamLayer{transport: as}).Dial(addressOf("a", a.ID()), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	conn, err := s.Dial(context.Background(), Peer{"a", at["a"]}.String())
-	if refused := new(CallRefusedError); !errors.As(err, &refused) || refused.Reason != whyNoSubscribers {
+	if refused := new(CallRefusedError); !errors.As(err, &refused) || refused.Reason != reasonNoSubscribers {
 		t.Errorf("got %v, %v", conn, err)
 	}
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	t.Run("nothing else is served", func(t *testing.T) {
-		as := newTransport(map[string]string{"s1": l.Address()}, other.secure)
+		as := newTransport(map[string]string{"s1": l.Address()}, other.tlsConfig)
 		conn, err := as.dial(context.Background(), "s1", connCalls)
 		if err != nil {
 			t.Fatal(err)
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -15,47 +15,50 @@
 )
 
 const (
-	dialTimeout      = 500 * time.Millisecond // for a connection to be made, and for a caller to say who it is
-	callTimeout      = time.Second            // for a call and its answer
+	dialTimeout      = 500 * time.Millisecond // to open a connection and identify its caller
+	callTimeout      = time.Second            // for a call and its response
 	acceptRetryPause = 10 * time.Millisecond  // after an error of the listener
 )
 
-// transport is a member's end of the connections between members: raft's own, and calls.
+// transport opens and accepts the connections between members, both raft connections and
+// connections for calls.
 type transport struct {
-	members map[string]string // addresses by name
-	secure  *tls.Config       // nil for plain text
+	members   map[string]string // addresses by member name
+	tlsConfig *tls.Config       // nil for plain text
 
-	// What is done with connections; set before acceptLoop.
+	// How acceptLoop treats connections. These fields are set before it starts.
 	listener         net.Listener
-	id               func() string // ours, which raft's connections have to mean
+	id               func() string // returns this member's ID, which raft connections have to name
 	serve            func(conn net.Conn, from caller, connection int)
-	onRefused        func(from net.Addr, why error)
-	allowSubscribers bool // who is no member may call as well, to subscribe
+	onRefused        func(from net.Addr, reason error)
+	allowSubscribers bool // accept callers that are not members, which may only subscribe
 
-	// raftConns has no buffer: a connection waits in its goroutine until raft accepts it, or the transport is closed.
+	// raftConns has no buffer: a connection waits in its goroutine until raft accepts it, or the
+	// transport is closed.
 	raftConns chan net.Conn
-	ended     chan struct{} // is closed by close
+	ended     chan struct{} // closed by close
 	endOnce   sync.Once
-	handlers  sync.WaitGroup // goroutines of connections that were accepted
+	handlers  sync.WaitGroup // goroutines of accepted connections
 
-	mutex     sync.Mutex        // over conns and connCount
-	conns     map[net.Conn]bool // open ones, which close closes
-	connCount int               // of calls, so far: each has a number
+	mutex     sync.Mutex        // protects conns and connCount
+	conns     map[net.Conn]bool // open connections, which close closes
+	connCount int               // connections for calls accepted so far; gives each its number
 
 	bytes atomic.Int64 // sent and received
 }
 
-func newTransport(members map[string]string, secure *tls.Config) *transport {
+func newTransport(members map[string]string, tlsConfig *tls.Config) *transport {
 	return &transport{
 		members:   members,
-		secure:    secure,
+		tlsConfig: tlsConfig,
 		raftConns: make(chan net.Conn),
 		ended:     make(chan struct{}),
 		conns:     map[net.Conn]bool{},
 	}
 }
 
-// acceptLoop takes connections until the transport is closed, and serves each on a goroutine of its own.
+// acceptLoop accepts connections until the transport is closed, and serves each on its own
+// goroutine.
 func (t *transport) acceptLoop() {
 	for {
 		conn, err := t.listener.Accept()
@@ -63,7 +66,7 @@
 			if t.isClosedAfter(acceptRetryPause) || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // no file descriptor was left, say
+			continue // a temporary error, for example no free file descriptor
 		}
 		t.handlers.Go(func() {
 			tracked := t.track(conn)
@@ -75,7 +78,8 @@
 	}
 }
 
-// isClosedAfter waits for some time, or until the transport is closed, and tells whether it is.
+// isClosedAfter waits for the pause or until the transport is closed, and reports whether the
+// transport is closed.
 func (t *transport) isClosedAfter(pause time.Duration) bool {
 	select {
 	case <-t.ended:
@@ -85,7 +89,8 @@
 	}
 }
 
-// accept checks who calls, and serves the connection or hands it on to raft. An error says why the caller is refused.
+// accept identifies the caller, and serves the connection or passes it to raft. The error is the
+// reason for which the caller is refused.
 func (t *transport) accept(conn net.Conn) error {
 	conn.SetDeadline(time.Now().Add(dialTimeout))
 	conn, from, err := t.identify(conn)
@@ -97,7 +102,7 @@
 	}
 	purpose := make([]byte, 1)
 	if _, err := io.ReadFull(conn, purpose); err != nil {
-		return fmt.Errorf("its first byte: %w", err)
+		return fmt.Errorf("read the first byte, the purpose of the connection: %w", err)
 	}
 	switch connPurpose(purpose[0]) {
 	case connCalls:
@@ -108,20 +113,21 @@
 	case connRaft:
 		return t.acceptRaft(conn, from)
 	}
-	return fmt.Errorf("it is for %q", purpose)
+	return fmt.Errorf("the connection has the unknown purpose %q; %q and %q are known", purpose, connRaft, connCalls)
 }
 
-// acceptRaft hands a connection on to raft, if it means us.
+// acceptRaft passes a connection to raft if the caller is a member and the connection is for this
+// member's ID.
 func (t *transport) acceptRaft(conn net.Conn, from caller) error {
 	if len(from.members) == 0 {
 		return errNotMember
 	}
-	var meant string
-	if err := receive(conn, &meant); err != nil {
+	var targetID string
+	if err := receive(conn, &targetID); err != nil {
 		return err
 	}
-	if meant != t.id() {
-		return errOtherID
+	if targetID != t.id() {
+		return errWrongID
 	}
 	conn.SetDeadline(time.Time{})
 	select {
@@ -132,7 +138,7 @@
 	}
 }
 
-// nextConnection is the number of a connection for calls, from 1 on.
+// nextConnection returns the number of a new connection for calls. Numbers start at 1.
 func (t *transport) nextConnection() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -140,21 +146,23 @@
 	return t.connCount
 }
 
-// caller is who has made a connection.
+// caller is the authenticated identity of the process that opened a connection.
 type caller struct {
-	members []string // as whom it may speak
-	// hasName tells whether its certificate is for a name; nil for plain text, where it may have any.
+	members []string // members in whose name it may make calls; empty if it is not a member
+	// hasName reports whether the caller's certificate is valid for a name; nil for plain text,
+	// where any name is allowed.
 	hasName func(name string) bool
 }
 
-// identify finds out who calls, and gives the connection as it is to be used.
+// identify authenticates the caller, by a TLS handshake unless connections are plain text. It
+// returns the connection to use from then on.
 func (t *transport) identify(conn net.Conn) (net.Conn, caller, error) {
-	if t.secure == nil {
+	if t.tlsConfig == nil {
 		return conn, caller{members: slices.Collect(maps.Keys(t.members))}, nil
 	}
-	secured := tls.Server(conn, t.secure)
+	secured := tls.Server(conn, t.tlsConfig)
 	if err := secured.Handshake(); err != nil {
-		return nil, caller{}, fmt.Errorf("handshake: %w", err)
+		return nil, caller{}, fmt.Errorf("TLS handshake: %w", err)
 	}
 	leaf := secured.ConnectionState().PeerCertificates[0]
 	from := caller{hasName: func(name string) bool { return leaf.VerifyHostname(name) == nil }}
@@ -166,7 +174,7 @@
 	return secured, from, nil
 }
 
-// dial connects to a member by its name, for one purpose, within dialTimeout.
+// dial opens a connection to the member of a name, for one purpose, within dialTimeout.
 func (t *transport) dial(ctx context.Context, name string, purpose connPurpose) (net.Conn, error) {
 	address, ok := t.members[name]
 	if !ok {
@@ -180,8 +188,8 @@
 	}
 	conn := t.track(raw)
 	conn.SetDeadline(time.Now().Add(dialTimeout))
-	if t.secure != nil {
-		conn = tls.Client(conn, withServerName(t.secure, name))
+	if t.tlsConfig != nil {
+		conn = tls.Client(conn, withServerName(t.tlsConfig, name))
 	}
 	if _, err := conn.Write([]byte{byte(purpose)}); err != nil {
 		conn.Close()
@@ -191,14 +199,15 @@
 	return conn, nil
 }
 
-// withServerName is a TLS configuration for calling somebody whose certificate has to be for a name.
-func withServerName(secure *tls.Config, name string) *tls.Config {
-	named := secure.Clone()
+// withServerName returns a TLS configuration for connecting to a server whose certificate has to be
+// valid for a name.
+func withServerName(tlsConfig *tls.Config, name string) *tls.Config {
+	named := tlsConfig.Clone()
 	named.ServerName = name
 	return named
 }
 
-// close ends the transport with all its connections. It may be called again.
+// close closes the listener and all connections. Further calls have no effect.
 func (t *transport) close() {
 	t.endOnce.Do(func() {
 		close(t.ended)
@@ -211,7 +220,8 @@
 	})
 }
 
-// track has a connection counted, and closed with the transport.
+// track returns a connection whose bytes are counted, and which is closed when the transport is
+// closed.
 func (t *transport) track(conn net.Conn) net.Conn {
 	t.mutex.Lock()
 	t.conns[conn] = true
@@ -224,7 +234,8 @@
 	return trackedConn{conn, t}
 }
 
-// trackedConn counts the bytes that pass over a connection, and forgets it when it is closed.
+// trackedConn counts the bytes that pass over a connection. Close removes the connection from the
+// transport.
 type trackedConn struct {
 	net.Conn
 	transport *transport
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -21,12 +21,12 @@
 			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
 		{"a call that asks who it is", memberRequest{Status: true}, "a102f5"},
 		{"a call to join", memberRequest{Name: "a", ID: "a/1"}, "a20361610463612f31"},
-		{"an answer", memberResponse{Accepted: true, Why: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
+		{"an answer", memberResponse{Accepted: true, Reason: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
 		{"a call to subscribe", memberRequest{Subscribe: true}, "a105f5"},
 		{"a call that brings a change", memberRequest{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
 			"a106a10581a201617302616e"},
 		{"an answer to a change", memberResponse{Accepted: true, Version: &distribution.Version{Revision: 3}}, "a201f506a10203"},
-		{"a refusal of a change", memberResponse{Why: "b", Refusal: refusedBaseMoved}, "a20261620702"},
+		{"a refusal of a change", memberResponse{Reason: "b", Refusal: refusedVersionMismatch}, "a20261620702"},
 		{"an entry of the log that changes the configuration", configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{AcceptedAt: 5}},
 			"8201a10405"},
 	} {
@@ -53,7 +53,7 @@
 		{distribution.ErrTooLarge, "it is over the bound on a change"},
 		{distribution.ErrFull, "the configuration would be over its bound"},
 	} {
-		if got := whyRefused(c.err); got != c.want {
+		if got := refusalReason(c.err); got != c.want {
 			t.Errorf("%v is given as %q, and was given as %q", c.err, got, c.want)
 		}
 	}
