--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -11,37 +11,42 @@
 	"wheelrill/ownership"
 )
 
-// BenchmarkCatchUp has a member come as new to a record that went on without it for an hour: 16 entries a second from two
-// others, who own 400 proxies between them.
+// BenchmarkCatchUp measures how long a member without stored data takes to catch up with a record
+// to which two other members appended entries for an hour: 16 entries per second in total, from two
+// members that own 400 proxies together.
 func BenchmarkCatchUp(b *testing.B) {
-	const hour, proxies = 16 * 3600, 400
-	at := freeAddresses(b, "a", "b", "c")
-	a, other, c := startMember(b, Config{Name: "a", Members: at}), startMember(b, Config{Name: "b", Members: at}), startMember(b, Config{Name: "c", Members: at})
-	a.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	other.commit(b, ownership.Entry{Member: "b", Incarnation: 2, Seq: 1})
-	c.commit(b, ownership.Entry{Member: "c", Incarnation: 3, Seq: 1})
-	c.stop()
-	lead := a
-	if r := other.current().raft; r.State() == raft.Leader {
-		lead = other
+	const entries, proxies = 16 * 3600, 400 // an hour at 16 entries per second
+	addresses := freeAddresses(b, "a", "b", "c")
+	memberA := startMember(b, Config{Name: "a", Members: addresses})
+	memberB := startMember(b, Config{Name: "b", Members: addresses})
+	memberC := startMember(b, Config{Name: "c", Members: addresses})
+	memberA.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
+	memberB.commit(b, ownership.Entry{Member: "b", Incarnation: 2, Seq: 1})
+	memberC.commit(b, ownership.Entry{Member: "c", Incarnation: 3, Seq: 1})
+	memberC.stop()
+	leader := memberA
+	if r := memberB.current().raft; r.State() == raft.Leader {
+		leader = memberB
 	}
-	for lead.status().Leader == "c" || lead.status().Leader == "" {
+	for leader.status().Leader == "c" || leader.status().Leader == "" {
 		time.Sleep(pollInterval)
-		if r := other.current().raft; r.State() == raft.Leader {
-			lead = other
+		if r := memberB.current().raft; r.State() == raft.Leader {
+			leader = memberB
 		}
 	}
-	r, m := lead.current().raft, lead.current().machine
+	r, machine := leader.current().raft, leader.current().machine
 	var last raft.ApplyFuture
-	began := time.Now()
-	for n := range hour {
-		e := ownership.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2), Revision: uint64(n),
-			Confirmations: []ownership.Confirmation{{Proxy: n % proxies, Token: uint64(n%proxies + 1), Revision: uint64(n), Tables: []int{0, 0}}}}
+	start := time.Now()
+	for n := range entries {
+		e := ownership.Entry{Member: []string{"a", "b"}[n%2], Incarnation: uint64(n%2 + 1), Seq: uint64(n/2 + 2),
+			Revision: uint64(n), Confirmations: []ownership.Confirmation{{Proxy: n % proxies,
+				Token: uint64(n%proxies + 1), Revision: uint64(n), Tables: []int{0, 0}}}}
 		if n < proxies {
 			e.Claims = []int{n}
 		}
 		if n%40 == 0 {
-			e.TableChanges = []ownership.TableChange{{Table: 0, Lines: []ownership.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
+			e.TableChanges = []ownership.TableChange{{Table: 0,
+				Lines: []ownership.Line{{Backend: fmt.Sprint("s-", n%200), Weight: 1}}}}
 		}
 		body, err := cbor.Marshal(e)
 		if err != nil {
@@ -56,23 +61,28 @@
 	if err := last.Error(); err != nil {
 		b.Fatal(err)
 	}
-	b.Logf("%d entries taken in by two in %s", hour, time.Since(began).Round(time.Millisecond))
-	for _, way := range []struct{ name, told string }{{"log", fmt.Sprintf("recorded b 2 %d", hour/2+1)}, {"snapshot", "restored"}} {
-		if way.told == "restored" {
-			a.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: hour/2 + 2}) // behind the last change of members
+	b.Logf("%d entries committed by two members in %s", entries, time.Since(start).Round(time.Millisecond))
+	for _, source := range []struct{ name, lastEvent string }{
+		{"log", fmt.Sprintf("entry committed b 2 %d", entries/2+1)},
+		{"snapshot", "snapshot restored"},
+	} {
+		if source.name == "snapshot" {
+			// Raft takes a snapshot only after it has applied an entry behind the last change of
+			// members.
+			memberA.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: entries/2 + 2})
 			if err := r.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot {
 				b.Fatal(err)
 			}
 		}
-		b.Run(way.name, func(b *testing.B) {
+		b.Run(source.name, func(b *testing.B) {
 			for range b.N {
-				back := startMember(b, Config{Name: "c", Members: at})
-				back.waitFor(b, way.told)
+				restarted := startMember(b, Config{Name: "c", Members: addresses})
+				restarted.waitFor(b, source.lastEvent)
 				b.StopTimer()
-				back.stop()
+				restarted.stop()
 				b.StartTimer()
 			}
-			b.ReportMetric(float64(m.snapshotBytes.Load()), "snapshot-bytes")
+			b.ReportMetric(float64(machine.snapshotBytes.Load()), "snapshot-bytes")
 		})
 	}
 }
--- a/consensus/configuration_test.go
+++ b/consensus/configuration_test.go
@@ -13,106 +13,115 @@
 	"wheelrill/ownership"
 )
 
-func TestChangesOfTheConfigurationAreAcceptedOnceEverywhere(t *testing.T) {
-	at := freeAddresses(t, "a", "b", "c")
-	var all []*runningMember
-	var told []*fakeDistribution
+// A change that a member proposes has to reach every member once, whether or not that member leads.
+// The configuration has to survive the loss of one member's data, and a record that is bootstrapped
+// again needs a newer epoch, as versions of an older epoch rank before all versions of the last one.
+func TestConfigurationChangeIsAppliedOnceAtEveryMember(t *testing.T) {
+	addresses := freeAddresses(t, "a", "b", "c")
+	var members []*runningMember
+	var receivers []*fakeDistribution
 	for _, name := range []string{"a", "b", "c"} {
-		told = append(told, &fakeDistribution{})
-		all = append(all, startMember(t, Config{Name: name, Members: at, Distribution: told[len(told)-1]}))
+		receiver := &fakeDistribution{}
+		receivers = append(receivers, receiver)
+		members = append(members, startMember(t, Config{Name: name, Members: addresses, Distribution: receiver}))
 	}
-	everywhere := func(mark distribution.Version) {
+	waitForVersion := func(version distribution.Version) {
 		t.Helper()
 		digests := map[distribution.Digest]bool{}
-		for i, s := range told {
-			waitUntil(t, fmt.Sprint(i, " has ", mark), func() bool {
-				digest, has := s.digestAt(mark)
-				digests[digest] = has || digests[digest]
-				return has
+		for i, receiver := range receivers {
+			waitUntil(t, fmt.Sprintf("member %d has version %v", i, version), func() bool {
+				digest, reached := receiver.digestAt(version)
+				digests[digest] = reached || digests[digest]
+				return reached
 			})
 		}
 		if delete(digests, distribution.Digest{}); len(digests) != 1 {
-			t.Errorf("they differ: %v", digests)
+			t.Errorf("members have different digests at version %v: %v", version, digests)
 		}
 	}
 	var last distribution.Version
-	for i, m := range all { // the leader among them, and others
-		mark, differ := configure(t, m, entry("x", fmt.Sprint(i)), entry("y", "1"))
-		if everywhere(mark); mark.Revision != uint64(i+1) || differ != 2-min(i, 1) {
-			t.Errorf("%d: at %v, %d differ", i, mark, differ)
+	for i, m := range members { // the leader and the followers
+		version, differing := configure(t, m, entry("x", fmt.Sprint(i)), entry("y", "1"))
+		if waitForVersion(version); version.Revision != uint64(i+1) || differing != 2-min(i, 1) {
+			t.Errorf("change %d: got version %v with %d differing entries, want revision %d with %d",
+				i, version, differing, i+1, 2-min(i, 1))
 		}
-		last = mark
+		last = version
 	}
-	if mark, differ := configure(t, all[0], entry("x", "2"), entry("y", "1")); mark != last || differ != 0 {
-		t.Errorf("the same again is at %v, %d differ", mark, differ)
+	version, differing := configure(t, members[0], entry("x", "2"), entry("y", "1"))
+	if version != last || differing != 0 {
+		t.Errorf("the same entries again: got version %v with %d differing entries, want %v with 0", version, differing, last)
 	}
-	t.Run("what is refused changes nothing", func(t *testing.T) {
-		for _, m := range all {
-			_, _, err := m.ReplaceConfiguration(context.Background(), []distribution.Entry{entry("x", "2"), entry("y", "2"), {Name: "z"}})
+	t.Run("a refused change leaves the record unchanged", func(t *testing.T) {
+		for _, m := range members {
+			wanted := []distribution.Entry{entry("x", "2"), entry("y", "2"), {Name: "z"}}
+			_, _, err := m.ReplaceConfiguration(context.Background(), wanted)
 			if !errors.Is(err, ErrChangeRefused) {
-				t.Errorf("got %v", err)
+				t.Errorf("an entry without a scope: got error %v, want ErrChangeRefused", err)
 			}
-			_, err = m.ProposeChange(context.Background(), distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
+			_, err = m.ProposeChange(context.Background(),
+				distribution.Proposal{Conditional: true, Entries: []distribution.Entry{entry("x", "3")}})
 			if !errors.Is(err, distribution.ErrVersionMismatch) {
-				t.Errorf("on an older base: %v", err)
+				t.Errorf("a proposal on an older base: got error %v, want ErrVersionMismatch", err)
 			}
 		}
-		everywhere(last)
+		waitForVersion(last)
 	})
-	t.Run("a record that is led is current", func(t *testing.T) {
-		for i, s := range told {
-			waitUntil(t, fmt.Sprint(i, " is current"), func() bool {
-				s.mutex.Lock()
-				defer s.mutex.Unlock()
-				return s.currentCalls > 0
+	t.Run("every member of a record with a leader is current", func(t *testing.T) {
+		for i, receiver := range receivers {
+			waitUntil(t, fmt.Sprintf("member %d is current", i), func() bool {
+				receiver.mutex.Lock()
+				defer receiver.mutex.Unlock()
+				return receiver.currentCalls > 0
 			})
 		}
 	})
-	t.Run("one that lost all gets it again, and the configuration outlasts its leaders", func(t *testing.T) {
-		all[2].stop()
-		told[2] = &fakeDistribution{}
-		all[2] = startMember(t, Config{Name: "c", Members: at, Distribution: told[2]})
-		everywhere(last)
-		mark, _ := configure(t, all[2], entry("y", "1"))
-		everywhere(mark)
-		if mark.Epoch != last.Epoch || mark.Revision != last.Revision+1 {
-			t.Errorf("from %v to %v", last, mark)
+	t.Run("a member that lost its data gets the configuration again, and the epoch stays", func(t *testing.T) {
+		members[2].stop()
+		receivers[2] = &fakeDistribution{}
+		members[2] = startMember(t, Config{Name: "c", Members: addresses, Distribution: receivers[2]})
+		waitForVersion(last)
+		version, _ := configure(t, members[2], entry("y", "1"))
+		waitForVersion(version)
+		if version.Epoch != last.Epoch || version.Revision != last.Revision+1 {
+			t.Errorf("got version %v after %v, want the next revision of the same epoch", version, last)
 		}
-		last = mark
+		last = version
 	})
-	t.Run("a record that is founded anew has a newer epoch, and nothing before its first change", func(t *testing.T) {
-		for _, m := range all {
+	t.Run("a record that is bootstrapped again has a newer epoch, and is empty before a change", func(t *testing.T) {
+		for _, m := range members {
 			m.stop()
 		}
 		for i, name := range []string{"a", "b", "c"} {
-			told[i] = &fakeDistribution{}
-			all[i] = startMember(t, Config{Name: name, Members: at, Distribution: told[i]})
-			all[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than any clock says
+			receivers[i] = &fakeDistribution{}
+			members[i] = startMember(t, Config{Name: name, Members: addresses, Distribution: receivers[i]})
+			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than the Unix time of any clock
 		}
-		all[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-		for _, s := range told {
-			if s.snapshots+s.changes+s.currentCalls > 0 {
-				t.Errorf("told of %+v", s)
+		members[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
+		for i, receiver := range receivers {
+			if receiver.snapshots+receiver.changes+receiver.currentCalls > 0 {
+				t.Errorf("the distribution of member %d was called before the first change: %+v", i, receiver)
 			}
 		}
-		mark, _ := configure(t, all[1], entry("x", "1"))
-		everywhere(mark)
-		if !mark.Epoch.Newer(last.Epoch) || mark.Epoch.Number != 1<<40+1 || mark.Revision != 1 {
-			t.Errorf("from %v to %v", last, mark)
+		version, _ := configure(t, members[1], entry("x", "1"))
+		waitForVersion(version)
+		if !version.Epoch.Newer(last.Epoch) || version.Epoch.Number != 1<<40+1 || version.Revision != 1 {
+			t.Errorf("got version %v after %v, want revision 1 of epoch number %d", version, last, 1<<40+1)
 		}
 	})
 }
 
-func TestConfigureWithoutLeaderIsUnanswered(t *testing.T) {
+func TestReplaceConfigurationWithoutLeaderIsUnanswered(t *testing.T) {
 	a := startMember(t, Config{Name: "a", Members: freeAddresses(t, "a", "b", "c"), Distribution: &fakeDistribution{}})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if _, _, err := a.ReplaceConfiguration(ctx, []distribution.Entry{entry("x", "1")}); !errors.Is(err, ErrUnanswered) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrUnanswered", err)
 	}
 }
 
-// On disk the configuration comes back from the snapshot and what followed it.
+// With a folder, a restarted member restores the configuration from the snapshot and the log
+// entries after it.
 func TestConfigurationOnDiskSurvivesARestart(t *testing.T) {
 	config := Config{Name: "a", Members: freeAddresses(t, "a"), Folder: t.TempDir(), Distribution: &fakeDistribution{}}
 	a := startMember(t, config)
@@ -121,28 +130,32 @@
 	if err := r.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	mark, _ := configure(t, a, entry("x", "2"))
+	version, _ := configure(t, a, entry("x", "2"))
 	a.stop()
-	told := &fakeDistribution{}
-	config.Distribution = told
+	receiver := &fakeDistribution{}
+	config.Distribution = receiver
 	startMember(t, config)
-	waitUntil(t, "it has all", func() bool { _, has := told.digestAt(mark); return has })
-	if told.snapshots != 1 || told.changes != 1 {
-		t.Errorf("%d states and %d changes", told.snapshots, told.changes)
+	waitUntil(t, fmt.Sprintf("the restarted member has version %v", version), func() bool {
+		_, reached := receiver.digestAt(version)
+		return reached
+	})
+	if receiver.snapshots != 1 || receiver.changes != 1 {
+		t.Errorf("got %d states and %d changes, want 1 and 1", receiver.snapshots, receiver.changes)
 	}
 }
 
-// What cannot be read changes nothing, at every member alike.
+// An entry that cannot be decoded must not change the state machine, as members would otherwise
+// diverge.
 func TestUnreadableEntryChangesNothing(t *testing.T) {
 	m := machineWith(t, entry("x", "1"))
-	var failed []string
-	m.onUnreadable = func(err error) { failed = append(failed, err.Error()) }
+	var unreadable []string
+	m.onUnreadable = func(err error) { unreadable = append(unreadable, err.Error()) }
 	for _, data := range [][]byte{{0x82, 0x01}, {0x82, 0x09, 0xa0}, {0x80}} {
 		if result := m.Apply(&raft.Log{Data: data}); result.(changeResult).err == nil {
-			t.Errorf("%x was taken", data)
+			t.Errorf("entry %x was applied, want an error", data)
 		}
 	}
-	if len(failed) != 3 || len(m.configuration.state().Entries) != 1 {
-		t.Errorf("told %q, has %+v", failed, m.configuration.state())
+	if len(unreadable) != 3 || len(m.configuration.state().Entries) != 1 {
+		t.Errorf("got errors %q and state %+v, want 3 errors and 1 entry", unreadable, m.configuration.state())
 	}
 }
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -50,10 +50,10 @@
 	return state
 }
 
-// What members put on a connection and into the log, byte by byte, beside the cases of TestEncodedCalls: with every field set
-// and with none.
-func TestEncodedBytesAreThoseOfTheGoldenFile(t *testing.T) {
-	e, p, mark := goldenEntry(), goldenProposal(), goldenVersion()
+// The encoding of calls, responses, log entries and snapshots must not change. In addition to the
+// cases of TestEncodedCalls, the golden file has each message with every field set and with none.
+func TestEncodedBytesMatchTheGoldenFile(t *testing.T) {
+	e, p, version := goldenEntry(), goldenProposal(), goldenVersion()
 	var text strings.Builder
 	for _, c := range []struct {
 		name  string
@@ -67,8 +67,9 @@
 		{"call, subscribe", memberRequest{Subscribe: true}},
 		{"call, change", memberRequest{Change: &p}},
 		{"answer, empty", memberResponse{}},
-		{"answer, full", memberResponse{Accepted: true, Reason: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1", Version: &mark, Refusal: refusedPermanently}},
-		{"answer, change accepted", memberResponse{Accepted: true, Version: &mark}},
+		{"answer, full", memberResponse{Accepted: true, Reason: "why", ID: "n0/ABCDEFGH", HasRecord: true, Leader: "n1",
+			Version: &version, Refusal: refusedPermanently}},
+		{"answer, change accepted", memberResponse{Accepted: true, Version: &version}},
 		{"answer, change refused for now", memberResponse{Reason: "not the leader", Refusal: refusedRetry}},
 		{"answer, change refused as the base moved", memberResponse{Reason: "moved", Refusal: refusedVersionMismatch}},
 		{"answer, change refused for good", memberResponse{Reason: "no", Refusal: refusedPermanently}},
@@ -105,7 +106,7 @@
 	golden.Compare(t, "encoded.txt", text.String())
 }
 
-// sequenceLengths is how many bytes each item of a CBOR sequence has.
+// sequenceLengths returns the number of bytes of each item of a CBOR sequence.
 func sequenceLengths(t *testing.T, sequence []byte) (text string) {
 	t.Helper()
 	for len(sequence) > 0 {
@@ -120,8 +121,9 @@
 	return text
 }
 
-// firstBytes is what somebody writes on a connection to us, up to a length.
-func firstBytes(t *testing.T, length int, dials func(address string)) []byte {
+// firstBytes returns the first bytes, at most length, that dial writes on its connection to a
+// listener.
+func firstBytes(t *testing.T, length int, dial func(address string)) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,12 +143,13 @@
 		n, _ := io.ReadFull(conn, text)
 		got <- text[:n]
 	}()
-	dials(l.Addr().String())
+	dial(l.Addr().String())
 	return <-got
 }
 
-// What stands at the beginning of each kind of connection, and what an old member answers: as bytes on the stream.
-func TestConversationsAreThoseOfTheGoldenFile(t *testing.T) {
+// The bytes at the beginning of each kind of connection, and those of a member's responses to
+// calls, must not change, as members of other releases send and expect them.
+func TestConversationsMatchTheGoldenFile(t *testing.T) {
 	var text strings.Builder
 	plain := func(address string) *transport {
 		return newTransport(map[string]string{"n0": address}, nil)
@@ -165,7 +168,7 @@
 		}
 		if conn, err := s.Dial(context.Background(), "n0@"+address); err == nil {
 			conn.Close()
-			t.Error("nobody has answered")
+			t.Error("Dial succeeded without a response to its call, want an error")
 		}
 	}))
 	a := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0", "n1")})
@@ -179,7 +182,8 @@
 		{"an entry where nobody leads", "a101a501626e3002010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
 		{"a change where nobody leads", "a106a10405"},
 	} {
-		body, err := hex.DecodeString(fmt.Sprintf("%02x%08x", 'c', len(c.sent)/2) + c.sent) // for calls, then a frame
+		// The purpose byte for calls, then a frame.
+		body, err := hex.DecodeString(fmt.Sprintf("%02x%08x", 'c', len(c.sent)/2) + c.sent)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -205,45 +209,47 @@
 	golden.Compare(t, "conversations.txt", text.String())
 }
 
-// describe writes what a member has of the record and of the configuration as text, in words and an order of its own.
+// describe returns the content of a member's ownership record and configuration record as text. The
+// golden files contain this text.
 func describe(m *stateMachine) string {
 	var text strings.Builder
-	say := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	printLine := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
 	m.withRecord(func(record *ownership.Record) {
-		say("last token %d", record.Token)
+		printLine("last token %d", record.Token)
 		for _, member := range slices.Sorted(maps.Keys(record.Members)) {
-			say("member %s is %d, was %v", member, record.Members[member], record.Past[member])
+			printLine("member %s is %d, was %v", member, record.Members[member], record.Past[member])
 		}
 		for _, id := range slices.Sorted(maps.Keys(record.Incarnations)) {
 			incarnation := record.Incarnations[id]
-			say("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member, incarnation.Seq, incarnation.Closed,
-				incarnation.Revision)
+			printLine("process %d of %s: last entry %d, closed %v, edition %d", id, incarnation.Member,
+				incarnation.Seq, incarnation.Closed, incarnation.Revision)
 			for _, number := range slices.Sorted(maps.Keys(incarnation.Tables)) {
 				for _, backend := range slices.Sorted(maps.Keys(incarnation.Tables[number].Lines)) {
 					line := incarnation.Tables[number].Lines[backend]
-					say("  table %d: %s %g set by %d", number, backend, line.Weight, line.Revision)
+					printLine("  table %d: %s %g set by %d", number, backend, line.Weight, line.Revision)
 				}
 			}
 		}
 		for _, proxy := range slices.Sorted(maps.Keys(record.Proxies)) {
 			owned := record.Proxies[proxy]
-			say("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v, %d moves", proxy, owned.Owner, owned.Incarnation,
-				owned.Token, owned.Revision, owned.Tables, owned.WithdrawalsKnown, len(owned.Moves))
+			printLine("proxy %d: of %s as %d, token %d, confirmed %d of tables %v, sure %v, %d moves", proxy,
+				owned.Owner, owned.Incarnation, owned.Token, owned.Revision, owned.Tables, owned.WithdrawalsKnown, len(owned.Moves))
 		}
 	})
 	state := m.configuration.state()
 	if state == nil {
-		say("no configuration")
+		printLine("no configuration")
 		return text.String()
 	}
-	say("configuration at revision %d of %d-%d, horizon %d", state.Version.Revision, state.Version.Epoch.Number, state.Version.Epoch.Identity, state.Horizon)
+	printLine("configuration at revision %d of %d-%d, horizon %d", state.Version.Revision,
+		state.Version.Epoch.Number, state.Version.Epoch.Identity, state.Horizon)
 	for _, e := range state.Entries {
-		say("  %s %s = %q since %d at %d, deleted %v", e.Scope, e.Name, e.Value, e.Revision, e.AcceptedAt, e.Deleted)
+		printLine("  %s %s = %q since %d at %d, deleted %v", e.Scope, e.Name, e.Value, e.Revision, e.AcceptedAt, e.Deleted)
 	}
 	return text.String()
 }
 
-// writeVoter runs a member on a folder until there is a snapshot, and a log beyond it.
+// writeVoter runs a member on a folder until the folder has a snapshot, and log entries after it.
 func writeVoter(t *testing.T, folder string, configured bool) {
 	t.Helper()
 	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder}
@@ -269,7 +275,8 @@
 	m.stop()
 }
 
-// A voter's folder as an earlier version wrote it, with a snapshot and a log beyond it, is read as what it was.
+// A voter has to read a folder that an earlier release wrote, with a snapshot and log entries after
+// it.
 func TestStoredFolderIsRead(t *testing.T) {
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
@@ -288,12 +295,12 @@
 				t.Fatal(err)
 			}
 			m := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder})
-			m.waitFor(t, "recorded n0 5 2") // from the log, after the snapshot
-			if told, _ := m.has("restored"); !told {
-				t.Error("the snapshot was not read")
+			m.waitFor(t, "entry committed n0 5 2") // from the log, after the snapshot
+			if restored, _ := m.has("snapshot restored"); !restored {
+				t.Error("the member did not restore the snapshot")
 			}
 			if name == "configuration" {
-				waitUntil(t, "the configuration's last change is read", func() bool {
+				waitUntil(t, "the last change of the configuration is applied", func() bool {
 					machine := m.current().machine
 					state := machine.configuration.state()
 					return state != nil && state.Version.Revision == 2
@@ -301,12 +308,14 @@
 			}
 			machine := m.current().machine
 			golden.Compare(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
-			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}}) // and goes on
+			// The member can append entries to the record that it read.
+			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}})
 		})
 	}
 }
 
-// A snapshot's body, with and without a configuration, is read as what it was.
+// A member has to read the body of a snapshot that an earlier release wrote, with and without a
+// configuration.
 func TestStoredSnapshotIsRead(t *testing.T) {
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
@@ -328,18 +337,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := newEventLog()
-			m := &stateMachine{events: r, record: ownership.NewRecord(), configuration: newConfigurationRecord(nil, nil), onUnreadable: func(err error) { t.Error(err) }}
+			m := &stateMachine{
+				events:        newEventLog(),
+				record:        ownership.NewRecord(),
+				configuration: newConfigurationRecord(nil, nil),
+				onUnreadable:  func(err error) { t.Error(err) },
+			}
 			if err := m.Restore(io.NopCloser(bytes.NewReader(body))); err != nil {
 				t.Fatal(err)
 			}
 			golden.Compare(t, "snapshot-"+name+".txt", describe(m))
 			state, err := ReadConfiguration(nil)
 			if state != nil || err != nil {
-				t.Error(state, err)
+				t.Errorf("an empty body: got state %+v, error %v; want neither", state, err)
 			}
 			if _, err := ReadConfiguration([]byte{0xa0}); err == nil || errors.Is(err, io.EOF) {
-				t.Errorf("a configuration without an epoch: %v", err)
+				t.Errorf("a configuration without an epoch: got error %v, want one other than io.EOF", err)
 			}
 		})
 	}
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -22,86 +22,92 @@
 
 const testTimeout = 30 * time.Second
 
-var testTerms = ownership.LeaseTerms{Duration: 1_500_000, RenewInterval: 200_000, MessageWindow: 10_000_000, MaxMessages: 30, Members: 3}
+var testTerms = ownership.LeaseTerms{
+	Duration: 1_500_000, RenewInterval: 200_000,
+	MessageWindow: 10_000_000, MaxMessages: 30, Members: 3,
+}
 
-// eventLog notes what a member is told, and lets stories wait for it.
+// eventLog records the events of a member as texts, and lets tests wait for them.
 type eventLog struct {
 	mutex   sync.Mutex
-	changed chan struct{}
+	changed chan struct{} // closed and replaced at each event
 	events  []string
 }
 
 func newEventLog() *eventLog { return &eventLog{changed: make(chan struct{})} }
 
-func (r *eventLog) note(what string) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.events = append(r.events, what)
-	close(r.changed)
-	r.changed = make(chan struct{})
+func (l *eventLog) add(event string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.events = append(l.events, event)
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-func (r *eventLog) EntryCommitted(e ownership.Entry) {
-	r.note(fmt.Sprintf("recorded %s %d %d", e.Member, e.Incarnation, e.Seq))
+func (l *eventLog) EntryCommitted(e ownership.Entry) {
+	l.add(fmt.Sprintf("entry committed %s %d %d", e.Member, e.Incarnation, e.Seq))
 }
 
-func (r *eventLog) SnapshotRestored(*ownership.Record) { r.note("restored") }
+func (l *eventLog) SnapshotRestored(*ownership.Record) { l.add("snapshot restored") }
 
-func (r *eventLog) ProposalCommitted(incarnation, seq uint64) {
-	r.note(fmt.Sprintf("answered %d %d", incarnation, seq))
+func (l *eventLog) ProposalCommitted(incarnation, seq uint64) {
+	l.add(fmt.Sprintf("proposal committed %d %d", incarnation, seq))
 }
 
-func (r *eventLog) ProposalFailed(incarnation, seq uint64) {
-	r.note(fmt.Sprintf("failed %d %d", incarnation, seq))
+func (l *eventLog) ProposalFailed(incarnation, seq uint64) {
+	l.add(fmt.Sprintf("proposal failed %d %d", incarnation, seq))
 }
 
-func (r *eventLog) has(what string) (bool, chan struct{}) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for _, said := range r.events {
-		if strings.HasPrefix(said, what) {
-			return true, r.changed
+// has reports whether an event begins with prefix. It returns the channel that is closed at the
+// next event.
+func (l *eventLog) has(prefix string) (bool, chan struct{}) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for _, event := range l.events {
+		if strings.HasPrefix(event, prefix) {
+			return true, l.changed
 		}
 	}
-	return false, r.changed
+	return false, l.changed
 }
 
-func (r *eventLog) waitFor(t testing.TB, what string) {
+// waitFor waits for an event that begins with prefix.
+func (l *eventLog) waitFor(t testing.TB, prefix string) {
 	t.Helper()
-	late := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
-		has, more := r.has(what)
-		if has {
+		found, changed := l.has(prefix)
+		if found {
 			return
 		}
 		select {
-		case <-more:
-		case <-late:
-			t.Fatalf("never told %q, but %q", what, r.events)
+		case <-changed:
+		case <-timeout:
+			t.Fatalf("no event %q within %s; events are %q", prefix, testTimeout, l.events)
 		}
 	}
 }
 
-// runningMember is one that runs.
+// runningMember is a Node whose Run is active until stop is called.
 type runningMember struct {
 	*Node
 	*eventLog
 	stop func()
 }
 
-// freeAddresses are free ones on loopback.
+// freeAddresses returns a free loopback address for each name.
 func freeAddresses(t testing.TB, names ...string) map[string]string {
 	t.Helper()
-	of := map[string]string{}
+	addresses := map[string]string{}
 	for _, name := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		of[name] = l.Addr().String()
+		addresses[name] = l.Addr().String()
 		defer l.Close()
 	}
-	return of
+	return addresses
 }
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
@@ -111,56 +117,60 @@
 	return startMemberOn(t, config, nil)
 }
 
-// startMemberOn runs one on a disk that is spoilt by the story.
-func startMemberOn(t testing.TB, config Config, wrapStore func(raft.StableStore) raft.StableStore) *runningMember {
+// startMemberOn starts a member whose store for raft's term and vote is wrapped, to inject write
+// errors.
+func startMemberOn(t testing.TB, config Config,
+	wrapStore func(raft.StableStore) raft.StableStore) *runningMember {
 	t.Helper()
-	r := newEventLog()
+	events := newEventLog()
 	config.Terms = testTerms
-	n, err := newNode(config, r, discardLogger(), wrapStore)
+	n, err := newNode(config, events, discardLogger(), wrapStore)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { n.Run(ctx) })
-	m := &runningMember{n, r, sync.OnceFunc(func() { cancel(); running.Wait() })}
+	m := &runningMember{n, events, sync.OnceFunc(func() { cancel(); running.Wait() })}
 	t.Cleanup(m.stop)
 	return m
 }
 
-// commit proposes an entry until it stands.
+// commit proposes an entry until it is committed.
 func (m *runningMember) commit(t testing.TB, e ownership.Entry) {
 	t.Helper()
-	late := time.After(testTimeout)
-	answered, failed := fmt.Sprintf("answered %d %d", e.Incarnation, e.Seq), fmt.Sprintf("failed %d %d", e.Incarnation, e.Seq)
-	for tried := 1; ; tried++ {
+	timeout := time.After(testTimeout)
+	committedEvent := fmt.Sprintf("proposal committed %d %d", e.Incarnation, e.Seq)
+	failedEvent := fmt.Sprintf("proposal failed %d %d", e.Incarnation, e.Seq)
+	for attempts := 1; ; attempts++ {
 		m.Propose(e)
-		for m.count(failed) < tried {
-			stands, more := m.has(answered)
-			if stands {
+		for m.count(failedEvent) < attempts {
+			committed, changed := m.has(committedEvent)
+			if committed {
 				return
 			}
 			select {
-			case <-more:
-			case <-late:
-				t.Fatalf("never stands: %+v", e)
+			case <-changed:
+			case <-timeout:
+				t.Fatalf("entry %+v not committed within %s, after %d attempts", e, testTimeout, attempts)
 			}
 		}
 	}
 }
 
-func (r *eventLog) count(what string) (times int) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for _, said := range r.events {
-		if said == what {
+// count returns how often an event has occurred.
+func (l *eventLog) count(event string) (times int) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for _, other := range l.events {
+		if other == event {
 			times++
 		}
 	}
 	return times
 }
 
-// memorySink takes a snapshot.
+// memorySink is a raft.SnapshotSink in memory.
 type memorySink struct{ bytes.Buffer }
 
 func (s *memorySink) ID() string { return "snapshot" }
@@ -169,16 +179,18 @@
 
 func (s *memorySink) Close() error { return nil }
 
+// persisted returns the bytes that a snapshot writes.
 func persisted(t testing.TB, s raft.FSMSnapshot) []byte {
 	t.Helper()
-	var to memorySink
-	if err := s.Persist(&to); err != nil {
+	var sink memorySink
+	if err := s.Persist(&sink); err != nil {
 		t.Fatal(err)
 	}
-	return to.Bytes()
+	return sink.Bytes()
 }
 
-// fakeDistribution stands for the node of the distribution at a voter: it keeps what it is told.
+// fakeDistribution is a Distribution that stores the states and changes passed to it, and counts
+// its calls.
 type fakeDistribution struct {
 	mutex        sync.Mutex
 	state        *distribution.Record
@@ -188,50 +200,51 @@
 	onAccept     func(conn net.Conn, allowed func(string) bool)
 }
 
-func (s *fakeDistribution) Restored(state distribution.State) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.state = distribution.RestoreRecord(state)
-	s.snapshots++
+func (d *fakeDistribution) Restored(state distribution.State) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.state = distribution.RestoreRecord(state)
+	d.snapshots++
 }
 
-func (s *fakeDistribution) Accepted(change distribution.Change) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (d *fakeDistribution) Accepted(change distribution.Change) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	p := distribution.Proposal{AcceptedAt: change.AcceptedAt, Entries: change.Entries}
-	if again, err := s.state.Apply(p); err != nil || again.Revision != change.Revision {
-		panic(fmt.Sprint("told out of order: ", change, again, err))
+	if applied, err := d.state.Apply(p); err != nil || applied.Revision != change.Revision {
+		panic(fmt.Sprintf("change %+v does not follow the state: got %+v, %v", change, applied, err))
 	}
-	s.changes++
+	d.changes++
 }
 
-func (s *fakeDistribution) Current() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.currentCalls++
+func (d *fakeDistribution) Current() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.currentCalls++
 }
 
-func (s *fakeDistribution) Accept(conn net.Conn, allowed func(string) bool) {
-	s.onAccept(conn, allowed)
+func (d *fakeDistribution) Accept(conn net.Conn, allowed func(string) bool) {
+	d.onAccept(conn, allowed)
 }
 
-// digestAt tells whether all that was told amounts to a mark, and with which digest.
-func (s *fakeDistribution) digestAt(mark distribution.Version) (distribution.Digest, bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.state == nil || s.state.Version() != mark {
+// digestAt reports whether the stored state has exactly the given version, and returns its digest.
+func (d *fakeDistribution) digestAt(version distribution.Version) (distribution.Digest, bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.state == nil || d.state.Version() != version {
 		return distribution.Digest{}, false
 	}
-	return s.state.Digest(), true
+	return d.state.Digest(), true
 }
 
-func waitUntil(t testing.TB, what string, is func() bool) {
+// waitUntil polls a condition until it is true. The text describes the condition.
+func waitUntil(t testing.TB, text string, condition func() bool) {
 	t.Helper()
-	late := time.After(testTimeout)
-	for !is() {
+	timeout := time.After(testTimeout)
+	for !condition() {
 		select {
-		case <-late:
-			t.Fatalf("it never came to this: %s", what)
+		case <-timeout:
+			t.Fatalf("condition not met within %s: %s", testTimeout, text)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -241,22 +254,27 @@
 	return distribution.Entry{Scope: "pricing", Name: name, Value: []byte(value)}
 }
 
-// configure has a member's record hold just some entries.
+// configure replaces the distributed configuration by the wanted entries, through a member.
 func configure(t testing.TB, m *runningMember, wanted ...distribution.Entry) (distribution.Version, int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	mark, differ, err := m.ReplaceConfiguration(ctx, wanted)
+	version, differing, err := m.ReplaceConfiguration(ctx, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return mark, differ
+	return version, differing
 }
 
-// machineWith is a state machine that some entries were put into.
+// machineWith returns a state machine to which one ownership entry and the given configuration
+// entries are applied.
 func machineWith(t *testing.T, entries ...distribution.Entry) *stateMachine {
 	t.Helper()
-	m := &stateMachine{events: newEventLog(), record: ownership.NewRecord(), configuration: newConfigurationRecord(nil, nil)}
+	m := &stateMachine{
+		events:        newEventLog(),
+		record:        ownership.NewRecord(),
+		configuration: newConfigurationRecord(nil, nil),
+	}
 	m.onUnreadable = func(err error) { t.Error(err) }
 	m.record.Apply(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1, Claims: []int{4}})
 	for _, e := range entries {
@@ -272,6 +290,7 @@
 	return m
 }
 
+// snapshotOf returns the bytes of a snapshot of a state machine.
 func snapshotOf(t *testing.T, m *stateMachine) []byte {
 	t.Helper()
 	s, err := m.Snapshot()
@@ -281,7 +300,7 @@
 	return persisted(t, s)
 }
 
-// issueCredentials makes the credentials of a name.
+// issueCredentials returns credentials with a certificate that is valid for a name.
 func issueCredentials(t testing.TB, authority *testcert.Authority, name string) Credentials {
 	t.Helper()
 	return Credentials(authority.Issue(t, name))
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -10,85 +10,90 @@
 	"wheelrill/ownership"
 )
 
-func TestMembersFoundKeepAndRefoundOneRecord(t *testing.T) {
+// Members must always share one record: they bootstrap it once, a member that lost its data joins
+// it under a new ID, and only after the majority lost its data do they bootstrap another.
+func TestMembersBootstrapAndKeepOneRecord(t *testing.T) {
 	names := []string{"a", "b", "c"}
-	t.Run("three found one record, each puts on it, and all have the same", func(t *testing.T) {
-		at, story := freeAddresses(t, names...), t
-		var all []*runningMember
+	t.Run("three members bootstrap one record, and each gets the entries of all", func(t *testing.T) {
+		addresses, parent := freeAddresses(t, names...), t
+		var members []*runningMember
 		for _, name := range names {
-			all = append(all, startMember(t, Config{Name: name, Members: at}))
+			members = append(members, startMember(t, Config{Name: name, Members: addresses}))
 		}
-		for i, m := range all {
+		for i, m := range members {
 			m.commit(t, ownership.Entry{Member: names[i], Incarnation: uint64(i + 1), Seq: 1})
 		}
-		for _, m := range all {
+		for _, m := range members {
 			for i, name := range names {
-				m.waitFor(t, fmt.Sprintf("recorded %s %d 1", name, i+1))
+				m.waitFor(t, fmt.Sprintf("entry committed %s %d 1", name, i+1))
 			}
 		}
-		t.Run("one that lost all comes under a new id, catches up, and its old one is gone", func(t *testing.T) {
-			old := all[2].ID()
-			all[2].stop()
-			all[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 2})
-			back := startMember(story, Config{Name: "c", Members: at})
-			back.commit(t, ownership.Entry{Member: "c", Incarnation: 30, Seq: 1})
-			back.waitFor(t, "recorded a 1 2")
-			r := back.current().raft
+		t.Run("a member that lost its data joins under a new ID, and its old ID is removed", func(t *testing.T) {
+			oldID := members[2].ID()
+			members[2].stop()
+			members[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 2})
+			restarted := startMember(parent, Config{Name: "c", Members: addresses})
+			restarted.commit(t, ownership.Entry{Member: "c", Incarnation: 30, Seq: 1})
+			restarted.waitFor(t, "entry committed a 1 2")
+			r := restarted.current().raft
 			f := r.GetConfiguration()
-			if f.Error() != nil || back.ID() == old || len(f.Configuration().Servers) != 3 ||
-				strings.Contains(fmt.Sprint(f.Configuration()), old) {
-				t.Errorf("members %v, it was %s", f.Configuration(), old)
+			if f.Error() != nil || restarted.ID() == oldID || len(f.Configuration().Servers) != 3 ||
+				strings.Contains(fmt.Sprint(f.Configuration()), oldID) {
+				t.Errorf("members are %v with the new ID %s, want 3 members without the old ID %s",
+					f.Configuration(), restarted.ID(), oldID)
 			}
-			all[2] = back
+			members[2] = restarted
 		})
-		t.Run("when two have lost all the third comes as new as well, and a record is founded again", func(t *testing.T) {
-			all[0].stop()
-			all[1].stop()
-			a, b := startMember(story, Config{Name: "a", Members: at}), startMember(story, Config{Name: "b", Members: at})
-			all[2].waitFor(t, "restored")
+		t.Run("after two members lost their data the third drops its record, and they bootstrap another", func(t *testing.T) {
+			members[0].stop()
+			members[1].stop()
+			a := startMember(parent, Config{Name: "a", Members: addresses})
+			b := startMember(parent, Config{Name: "b", Members: addresses})
+			members[2].waitFor(t, "snapshot restored")
 			a.commit(t, ownership.Entry{Member: "a", Incarnation: 50, Seq: 1})
 			b.commit(t, ownership.Entry{Member: "b", Incarnation: 51, Seq: 1})
-			all[2].waitFor(t, "recorded a 50 1")
+			members[2].waitFor(t, "entry committed a 50 1")
 		})
 	})
-	t.Run("on disk a member goes on as the one it was, and nobody else may use its folder", func(t *testing.T) {
-		at, folder := freeAddresses(t, "a"), t.TempDir()
-		a := startMember(t, Config{Name: "a", Members: at, Folder: folder})
+	t.Run("a restarted member with a folder keeps its ID, and no second process may use the folder", func(t *testing.T) {
+		addresses, folder := freeAddresses(t, "a"), t.TempDir()
+		a := startMember(t, Config{Name: "a", Members: addresses, Folder: folder})
 		a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-		if _, err := New(Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder, Terms: testTerms}, newEventLog(), discardLogger()); err == nil {
-			t.Error("two processes on one folder")
+		second := Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder, Terms: testTerms}
+		if _, err := New(second, newEventLog(), discardLogger()); err == nil {
+			t.Error("a second Node opened a folder that is in use, want an error")
 		}
 		id := a.ID()
 		a.stop()
-		a = startMember(t, Config{Name: "a", Members: at, Folder: folder})
-		if a.waitFor(t, "recorded a 1 1"); a.ID() != id {
-			t.Errorf("it is %s, and was %s", a.ID(), id)
+		a = startMember(t, Config{Name: "a", Members: addresses, Folder: folder})
+		if a.waitFor(t, "entry committed a 1 1"); a.ID() != id {
+			t.Errorf("got ID %s after the restart, want %s", a.ID(), id)
 		}
 	})
-	t.Run("alone of three nothing stands, and each try is told", func(t *testing.T) {
+	t.Run("without a majority no entry is committed, and each failed proposal is reported", func(t *testing.T) {
 		a := startMember(t, Config{Name: "a", Members: freeAddresses(t, names...)})
 		a.Propose(ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-		a.waitFor(t, "failed 1 1")
+		a.waitFor(t, "proposal failed 1 1")
 	})
 }
 
-func TestNewRefusesWhatCannotBeUsed(t *testing.T) {
-	for why, config := range map[string]Config{
+func TestNewRefusesUnusableConfig(t *testing.T) {
+	for want, config := range map[string]Config{
 		"is not among them":        {Name: "z", Members: map[string]string{"a": "127.0.0.1:1"}},
 		"allowed on loopback only": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0", "b": "192.0.2.1:7"}},
 		"certificate and key": {Name: "a", Members: map[string]string{"a": "127.0.0.1:0"},
 			Credentials: Credentials{Certificate: "none.pem", Key: "none.pem", Authority: "none.pem"}},
 	} {
-		if _, err := New(config, newEventLog(), discardLogger()); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("got %v, not %q", err, why)
+		if _, err := New(config, newEventLog(), discardLogger()); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
-	folder := filepath.Join(t.TempDir(), "file")
-	if err := os.WriteFile(folder, nil, 0o600); err != nil {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Config{Name: "a", Members: freeAddresses(t, "a"), Folder: folder}, newEventLog(), discardLogger()); err == nil ||
-		!strings.Contains(err.Error(), "folder") {
-		t.Errorf("got %v", err)
+	config := Config{Name: "a", Members: freeAddresses(t, "a"), Folder: file}
+	if _, err := New(config, newEventLog(), discardLogger()); err == nil || !strings.Contains(err.Error(), "folder") {
+		t.Errorf("a file as the folder: got error %v, want one that contains %q", err, "folder")
 	}
 }
--- a/consensus/pace_test.go
+++ b/consensus/pace_test.go
@@ -7,30 +7,32 @@
 	"github.com/hashicorp/raft"
 )
 
-// A longer lease slows the pace in proportion, and raft takes each.
-func TestPaceFollowsTheLease(t *testing.T) {
-	const usualLease = 1500 * time.Millisecond
-	usual := raftTimings{400 * time.Millisecond, 300 * time.Millisecond, 50 * time.Millisecond}
+// The timings increase in proportion to the lease within their bounds, and raft accepts them for
+// every lease.
+func TestRaftTimingsFollowTheLease(t *testing.T) {
+	const defaultLease = 1500 * time.Millisecond
+	defaultTimings := raftTimings{400 * time.Millisecond, 300 * time.Millisecond, 50 * time.Millisecond}
 	for lease, want := range map[time.Duration]raftTimings{
-		0:                      usual,
-		500 * time.Millisecond: usual,
-		usualLease:             usual,
+		0:                      defaultTimings,
+		500 * time.Millisecond: defaultTimings,
+		defaultLease:           defaultTimings,
 		3 * time.Second:        {800 * time.Millisecond, 600 * time.Millisecond, 100 * time.Millisecond},
 		time.Hour:              {1200 * time.Millisecond, 900 * time.Millisecond, 2 * time.Minute},
 		6 * time.Second:        {1200 * time.Millisecond, 900 * time.Millisecond, 200 * time.Millisecond},
 	} {
 		got := timingsFor(lease)
 		if got != want {
-			t.Errorf("lease of %s: %+v, not %+v", lease, got, want)
+			t.Errorf("lease of %s: got %+v, want %+v", lease, got, want)
 		}
-		if lease >= usualLease && 2*got.heartbeat > lease {
-			t.Errorf("lease of %s: no room for two elections of %s", lease, got.heartbeat)
+		if lease >= defaultLease && 2*got.heartbeat > lease {
+			t.Errorf("lease of %s: two elections of %s do not fit into it", lease, got.heartbeat)
 		}
-		c := raft.DefaultConfig()
-		c.LocalID = "n0"
-		c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = got.heartbeat, got.heartbeat, got.leaderLease, got.commit
-		if err := raft.ValidateConfig(c); err != nil {
-			t.Errorf("lease of %s: %v", lease, err)
+		config := raft.DefaultConfig()
+		config.LocalID = "n0"
+		config.HeartbeatTimeout, config.ElectionTimeout = got.heartbeat, got.heartbeat
+		config.LeaderLeaseTimeout, config.CommitTimeout = got.leaderLease, got.commit
+		if err := raft.ValidateConfig(config); err != nil {
+			t.Errorf("lease of %s: raft refuses the timings %+v: %v", lease, got, err)
 		}
 	}
 }
--- a/consensus/storage_test.go
+++ b/consensus/storage_test.go
@@ -15,7 +15,7 @@
 	"wheelrill/ownership"
 )
 
-// fullDisk is a disk that takes nothing from some moment on.
+// fullDisk is a store whose writes fail while isFull is set.
 type fullDisk struct {
 	raft.StableStore
 	isFull *atomic.Bool
@@ -35,18 +35,19 @@
 	return f.StableStore.Set(key, value)
 }
 
-// A disk that is full when a vote has to be kept ends the part in the record, not the process.
-func TestFullDiskEndsThePartInTheRecord(t *testing.T) {
-	at, isFull := freeAddresses(t, "a", "b", "c"), &atomic.Bool{}
-	fill := func(store raft.StableStore) raft.StableStore { return fullDisk{store, isFull} }
-	a := startMemberOn(t, Config{Name: "a", Members: at, Folder: t.TempDir()}, fill)
+// Raft panics if it cannot store a vote. A disk that is full when a member has to store its vote
+// must halt only the member's part in the record, not the process.
+func TestFullDiskHaltsTheMember(t *testing.T) {
+	addresses, isFull := freeAddresses(t, "a", "b", "c"), &atomic.Bool{}
+	wrap := func(store raft.StableStore) raft.StableStore { return fullDisk{store, isFull} }
+	a := startMemberOn(t, Config{Name: "a", Members: addresses, Folder: t.TempDir()}, wrap)
 	others := map[string]*runningMember{
-		"b": startMember(t, Config{Name: "b", Members: at}),
-		"c": startMember(t, Config{Name: "c", Members: at}),
+		"b": startMember(t, Config{Name: "b", Members: addresses}),
+		"c": startMember(t, Config{Name: "c", Members: addresses}),
 	}
 	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
-	began := time.Now()
-	waitUntil(t, "somebody else leads", func() bool {
+	start := time.Now()
+	waitUntil(t, "another member than a leads", func() bool {
 		if r := a.current().raft; r.State() == raft.Leader {
 			r.LeadershipTransfer().Error()
 		}
@@ -54,54 +55,58 @@
 	})
 	isFull.Store(true)
 	others[a.status().Leader].stop()
-	waitUntil(t, "the next election has it vote, or stand itself", a.halted.Load)
-	if took := time.Since(began); took > testTimeout {
-		t.Errorf("both took %s, want at most %s together", took, testTimeout)
+	// In the next election a votes or is a candidate, and has to store its vote in both cases.
+	waitUntil(t, "a is halted after the next election", a.halted.Load)
+	if elapsed := time.Since(start); elapsed > testTimeout {
+		t.Errorf("the leadership transfer and the halt took %s, want at most %s together", elapsed, testTimeout)
 	}
 	a.Propose(ownership.Entry{Member: "a", Incarnation: 1, Seq: 3})
-	a.waitFor(t, "failed 1 3") // and so goes on without the record
+	a.waitFor(t, "proposal failed 1 3") // the controller continues without the record
 	a.stop()
 }
 
 func TestDamagedFolderIsRefused(t *testing.T) {
-	at := freeAddresses(t, "a")
-	fresh := func(t *testing.T) string {
+	addresses := freeAddresses(t, "a")
+	newFolder := func(t *testing.T) string {
 		folder := t.TempDir()
-		a := startMember(t, Config{Name: "a", Members: at, Folder: folder})
+		a := startMember(t, Config{Name: "a", Members: addresses, Folder: folder})
 		for seq := uint64(1); seq < 40; seq++ {
 			a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: seq})
 		}
 		a.stop()
 		return folder
 	}
-	for name, spoil := range map[string]func(text []byte) []byte{
-		"is cut off":                      func(text []byte) []byte { return text[:len(text)/3] },
-		"is something else":               func([]byte) []byte { return bytes.Repeat([]byte("no record "), 2000) },
-		"has its first pages overwritten": func(text []byte) []byte { return append(make([]byte, 8192), text[8192:]...) },
+	for name, damage := range map[string]func(content []byte) []byte{
+		"is truncated":      func(content []byte) []byte { return content[:len(content)/3] },
+		"has other content": func([]byte) []byte { return bytes.Repeat([]byte("no record "), 2000) },
+		"has its first pages overwritten": func(content []byte) []byte {
+			return append(make([]byte, 8192), content[8192:]...)
+		},
 	} {
-		t.Run("a record that "+name+" is refused, with the folder named", func(t *testing.T) {
-			folder := fresh(t)
+		t.Run("a record.db that "+name+" is refused with an error that names the folder", func(t *testing.T) {
+			folder := newFolder(t)
 			path := filepath.Join(folder, "record.db")
-			text, err := os.ReadFile(path)
+			content, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, spoil(text), 0o600); err != nil {
+			if err := os.WriteFile(path, damage(content), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			n, err := New(Config{Name: "a", Members: at, Folder: folder, Terms: testTerms}, newEventLog(), discardLogger())
+			config := Config{Name: "a", Members: addresses, Folder: folder, Terms: testTerms}
+			n, err := New(config, newEventLog(), discardLogger())
 			if err == nil {
 				n.current().close()
 				n.transport.close()
 			}
 			if err == nil || !strings.Contains(err.Error(), folder) {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want one that contains %q", err, folder)
 			}
 		})
 	}
 }
 
-// Where no snapshot can be read New fails, and nothing on the disk is changed.
+// If no snapshot can be read, New has to fail without changing the data on disk.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "voter-record"))); err != nil {
@@ -109,7 +114,7 @@
 	}
 	paths, err := filepath.Glob(filepath.Join(folder, "snapshots", "*", "state.bin"))
 	if err != nil || len(paths) != 1 {
-		t.Fatalf("snapshots %v, %v", paths, err)
+		t.Fatalf("found snapshots %v, error %v; want one", paths, err)
 	}
 	damaged := []byte("no snapshot")
 	if err := os.WriteFile(paths[0], damaged, 0o600); err != nil {
@@ -117,9 +122,9 @@
 	}
 	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder, Terms: testTerms}
 	if _, err := New(config, newEventLog(), discardLogger()); err == nil || !strings.Contains(err.Error(), "snapshots") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that contains %q", err, "snapshots")
 	}
-	if text, err := os.ReadFile(paths[0]); err != nil || !bytes.Equal(text, damaged) {
-		t.Errorf("the snapshot is %q now, %v", text, err)
+	if content, err := os.ReadFile(paths[0]); err != nil || !bytes.Equal(content, damaged) {
+		t.Errorf("New changed the snapshot: got %q, error %v, want %q", content, err, damaged)
 	}
 }
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -10,24 +10,29 @@
 	"wheelrill/ownership"
 )
 
-// TestEncodedCalls pins the calls between members: one of the last release is to understand one of this.
+// The encoding of calls must not change: during an upgrade, a member of the previous release has to
+// understand the calls of a member of this one.
 func TestEncodedCalls(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
 		want  string
 	}{
-		{"a call that brings an entry", memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 1, Seq: 2}},
+		{"a call to append an entry", memberRequest{Entry: &ownership.Entry{Member: "a", Incarnation: 1, Seq: 2}},
 			"a101a501616102010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
-		{"a call that asks who it is", memberRequest{Status: true}, "a102f5"},
+		{"a call for the status", memberRequest{Status: true}, "a102f5"},
 		{"a call to join", memberRequest{Name: "a", ID: "a/1"}, "a20361610463612f31"},
-		{"an answer", memberResponse{Accepted: true, Reason: "b", ID: "a/1", HasRecord: true, Leader: "a"}, "a501f50261620363612f3104f5056161"},
+		{"a response", memberResponse{Accepted: true, Reason: "b", ID: "a/1", HasRecord: true, Leader: "a"},
+			"a501f50261620363612f3104f5056161"},
 		{"a call to subscribe", memberRequest{Subscribe: true}, "a105f5"},
-		{"a call that brings a change", memberRequest{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
+		{"a call to change the configuration",
+			memberRequest{Change: &distribution.Proposal{Entries: []distribution.Entry{{Scope: "s", Name: "n"}}}},
 			"a106a10581a201617302616e"},
-		{"an answer to a change", memberResponse{Accepted: true, Version: &distribution.Version{Revision: 3}}, "a201f506a10203"},
+		{"a response to a change", memberResponse{Accepted: true, Version: &distribution.Version{Revision: 3}},
+			"a201f506a10203"},
 		{"a refusal of a change", memberResponse{Reason: "b", Refusal: refusedVersionMismatch}, "a20261620702"},
-		{"an entry of the log that changes the configuration", configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{AcceptedAt: 5}},
+		{"a log entry that changes the configuration",
+			configurationEntry{Kind: kindProposal, Proposal: distribution.Proposal{AcceptedAt: 5}},
 			"8201a10405"},
 	} {
 		body, err := cbor.Marshal(c.value)
@@ -35,12 +40,12 @@
 			t.Fatal(err)
 		}
 		if got := hex.EncodeToString(body); got != c.want {
-			t.Errorf("%s is encoded as %s, and was %s", c.name, got, c.want)
+			t.Errorf("%s: got encoding %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// The reasons for which a change is refused are given on the wire as they always were.
+// The reasons on the wire for refused changes must not change between releases.
 func TestReasonsOfRefusedChangesOnTheWire(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -54,7 +59,7 @@
 		{distribution.ErrFull, "the configuration would be over its bound"},
 	} {
 		if got := refusalReason(c.err); got != c.want {
-			t.Errorf("%v is given as %q, and was given as %q", c.err, got, c.want)
+			t.Errorf("error %v: got reason %q, want %q", c.err, got, c.want)
 		}
 	}
 }
