--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -100,7 +100,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				advanceAtOnce(loop, 3*microsPerSecond, func() {
+				advanceStalled(loop, 3*microsPerSecond, func() {
 					loop.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, conn := range peers {
@@ -112,7 +112,7 @@
 		b.Run(fmt.Sprintf("beat/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				advanceAtOnce(loop, microsPerSecond/4, func() {})
+				advanceStalled(loop, microsPerSecond/4, func() {})
 			}
 		})
 	}
@@ -144,7 +144,7 @@
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
-				advanceAtOnce(loop, 3*microsPerSecond, func() {
+				advanceStalled(loop, 3*microsPerSecond, func() {
 					loop.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
 				for _, conn := range peers {
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -44,14 +44,14 @@
 	return texts, err
 }
 
-const isAlive = `{"msg":"alive"}`
+const aliveReply = `{"msg":"alive"}`
 
 func helloOf(node int) string { return strings.Replace(hello, "3", fmt.Sprint(node), 1) }
 
 func TestClosingConnections(t *testing.T) {
 	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
-		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.identifyTimeout = patience })
+		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.identifyTimeout = testTimeout })
 		asks := dial(t, address)
 		asks.send(probe)
 		asks.closeWriting()
@@ -59,7 +59,7 @@
 		silent.closeWriting()
 		logged.waitFor(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
 		discovery.answers <- twoEndpoints
-		if texts, err := asks.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
+		if texts, err := asks.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
@@ -75,9 +75,9 @@
 	t.Run("a collector's last report before its close is taken in", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		caller := dial(t, address)
-		caller.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(reports, "s-0", "s-last", 1)), frame(probe)}, nil))
+		caller.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(outcomesReport, "s-0", "s-last", 1)), frame(probe)}, nil))
 		caller.closeWriting()
-		if texts, err := caller.readRest(); err != nil || len(texts) != 1 || texts[0] != isAlive {
+		if texts, err := caller.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 		logged.waitFor(t, "msg=report_for_unknown_backend backend=s-last", 1)
@@ -93,7 +93,7 @@
 		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second is one too many
 		proxy.closeWriting()
 		texts, err := proxy.readRest()
-		if err != nil || len(texts) == 0 || texts[len(texts)-1] != isAlive {
+		if err != nil || len(texts) == 0 || texts[len(texts)-1] != aliveReply {
 			t.Errorf("got %q, error %v", texts, err)
 		}
 		logged.waitFor(t, "msg=ack_unknown proxy=3", 1)
@@ -101,7 +101,7 @@
 	})
 	t.Run("a refusal reaches its reader though bytes wait unread, and its end is no reset", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		for what, first := range map[string][]byte{"no object": frame("[]"), "a report": frame(reports),
+		for what, first := range map[string][]byte{"no object": frame("[]"), "a report": frame(outcomesReport),
 			"no such proxy": frame(helloOf(99)), "no length": {0, 0, 0, 0}, "too long": {0xff, 0, 0, 0}} {
 			caller := dial(t, address)
 			if _, err := caller.Write(append(first, bytes.Repeat([]byte("unread "), 10000)...)); err != nil {
@@ -127,7 +127,7 @@
 	})
 	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
-		text := strings.Replace(usage, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
+		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			proxy := dial(t, address)
 			proxy.send(helloOf(node))
@@ -180,7 +180,7 @@
 	})
 	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		loop.limits.finalReadTimeout = patience
+		loop.limits.finalReadTimeout = testTimeout
 		here, there := net.Pipe()
 		defer there.Close()
 		conn := newConnection(here, 1, loop, func(*connection) error { return nil })
@@ -188,7 +188,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- conn.readMessages() }()
 		there.Write(frame(hello))
-		there.Write(frame(usage)) // it is read on: the deadline of an unidentified connection binds no more
+		there.Write(frame(demandReport)) // it is read on: the deadline of an unidentified connection binds no more
 		there.Close()
 		if err := <-ended; err != io.EOF || conn.kind != kindProxy {
 			t.Errorf("ended by %v as a %v", err, conn.kind)
@@ -196,7 +196,7 @@
 	})
 	t.Run("a message that met a deadline while we stalled goes on where it was", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, patience // the deadline has passed before the first byte
+		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, testTimeout // the deadline has passed before the first byte
 		here, there := net.Pipe()
 		conn := newConnection(here, 1, loop, func(*connection) error { return nil })
 		ended := make(chan error, 1)
@@ -223,7 +223,7 @@
 		logged.waitFor(t, "msg=proxy_connected proxy=3", 1)
 		discovery.answers <- twoEndpoints
 		otherProxy.receive()
-		if got := string(proxy.receive()[lengthSize:]); got != isAlive {
+		if got := string(proxy.receive()[lengthSize:]); got != aliveReply {
 			t.Errorf("first it got %q", got)
 		}
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 {
@@ -233,7 +233,7 @@
 	t.Run("a flood of silent unidentified connections makes room as fast as it comes", func(t *testing.T) {
 		// One after the other would take 200 times the last look, which is all the patience there is.
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) {
-			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, patience, time.Millisecond, patience/200
+			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, testTimeout, time.Millisecond, testTimeout/200
 		})
 		for range 200 {
 			dial(t, address)
@@ -295,13 +295,13 @@
 					if i == 20 {
 						stop()
 					}
-					conn, err := net.DialTimeout("tcp", address, patience)
+					conn, err := net.DialTimeout("tcp", address, testTimeout)
 					if err != nil {
 						return // refused: it goes elsewhere
 					}
 					defer conn.Close()
 					conn.Write(frame(helloOf(i)))
-					conn.SetReadDeadline(time.Now().Add(patience))
+					conn.SetReadDeadline(time.Now().Add(testTimeout))
 					if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
 						t.Error("one was left open")
 					}
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -45,8 +45,8 @@
 	t.Run("another address is followed at once, and streams and what is known live on", func(t *testing.T) {
 		discovery, next := newFakeDiscovery(t), newFakeDiscovery(t)
 		discovery.answers <- "silence"
-		c, address, logged := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
-		if query := <-discovery.asked; query != "since=1&timeout_ms=50" {
+		c, address, logged := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = testTimeout })
+		if query := <-discovery.queries; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
@@ -65,7 +65,7 @@
 				t.Fatal(err)
 			}
 		}
-		if query := <-next.asked; query != "since=1&timeout_ms=50" {
+		if query := <-next.queries; query != "since=1&timeout_ms=50" {
 			t.Errorf("the new one was asked %q", query)
 		}
 		logged.waitFor(t, "msg=configuration_reloaded discovery="+next.address, 3)
@@ -82,10 +82,10 @@
 				t.Errorf("%v: error %v", change, err)
 			}
 		}
-		for len(discovery.asked) > 0 {
-			<-discovery.asked
+		for len(discovery.queries) > 0 {
+			<-discovery.queries
 		}
-		if query := <-discovery.asked; query != "since=1&timeout_ms=50" {
+		if query := <-discovery.queries; query != "since=1&timeout_ms=50" {
 			t.Errorf("asked %q", query)
 		}
 		if text, _ := logged.read(); strings.Contains(text, "msg=configuration_reloaded") {
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -41,13 +41,13 @@
 	sequence int                     // in the order in which connections were accepted
 
 	// Of the reader. What it sets before register, and before it posts the connection to the loop, others may read afterwards.
-	body          *bytes.Buffer // the message being read
-	kind          connectionKind
-	wantsToken    bool // it asked for fencing tokens with its pushes
-	zone          int
-	proxy         int
-	acceptedAt    time.Time
-	finalReadDone bool // its deadline has passed, and what had arrived by then is being read
+	body             *bytes.Buffer // the message being read
+	kind             connectionKind
+	wantsToken       bool // it asked for fencing tokens with its pushes
+	zone             int
+	proxy            int
+	acceptedAt       time.Time
+	finalReadStarted bool // its deadline has passed, and what had arrived by then is being read
 
 	evicted       atomic.Bool  // it was asked to make room
 	lastMessageAt atomic.Int64 // the loop's clock when the last complete message came, µs
@@ -140,8 +140,8 @@
 // stalled.
 func (c *connection) Read(buffer []byte) (int, error) {
 	n, err := c.socket.Read(buffer)
-	if n == 0 && errors.Is(err, errTimeout) && !c.finalReadDone {
-		c.finalReadDone = true
+	if n == 0 && errors.Is(err, errTimeout) && !c.finalReadStarted {
+		c.finalReadStarted = true
 		c.readUntil(time.Now().Add(c.limits.finalReadTimeout))
 		return c.socket.Read(buffer)
 	}
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -21,9 +21,9 @@
 	case messageProbe:
 		return c.answerProbe()
 	case messageHello:
-		return c.proxyHello(message)
+		return c.handleProxyHello(message)
 	case messageAgent:
-		return c.collectorHello(message)
+		return c.handleCollectorHello(message)
 	default:
 		return c.dispatchIdentified(kind, message)
 	}
@@ -36,11 +36,11 @@
 		c.skipMessage("not expected before it has identified itself")
 		return errNotIdentified
 	case kind == messageDemand:
-		c.demand(message)
+		c.handleDemand(message)
 	case kind == messageAck && c.kind == kindProxy:
-		c.ack(message)
+		c.handleAck(message)
 	case kind == messageOutcomes && c.kind == kindCollector:
-		c.outcomes(message)
+		c.handleOutcomes(message)
 	default:
 		c.skipMessage("not expected of a " + c.kind.String())
 	}
@@ -78,8 +78,8 @@
 	return interval, inSeconds(interval), ok && interval > 0 && interval <= c.limits.maxReportInterval
 }
 
-// collectorHello takes a collector's first message.
-func (c *connection) collectorHello(message *fastjson.Value) error {
+// handleCollectorHello takes a collector's first message.
+func (c *connection) handleCollectorHello(message *fastjson.Value) error {
 	if c.kind != kindUnidentified {
 		c.skipMessage("it has said who it is")
 		return nil
@@ -92,8 +92,8 @@
 	return c.identifyAs(kindCollector, -1, zone)
 }
 
-// proxyHello takes a proxy's first message.
-func (c *connection) proxyHello(message *fastjson.Value) error {
+// handleProxyHello takes a proxy's first message.
+func (c *connection) handleProxyHello(message *fastjson.Value) error {
 	if c.kind != kindUnidentified {
 		c.skipMessage("it has said who it is") // ending a connected proxy's stream would not count as its leaving
 		return nil
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// ack takes a proxy's acknowledgement.
-func (c *connection) ack(message *fastjson.Value) {
+// handleAck takes a proxy's acknowledgement.
+func (c *connection) handleAck(message *fastjson.Value) {
 	nonce, ok := indexAt(message, keyNonce, 1<<16)
 	proxy, named := indexAt(message, keyProxy, c.limits.proxies)
 	if !ok || named && proxy != c.proxy {
@@ -128,8 +128,8 @@
 	c.loop.post(func() { c.loop.acknowledged(c, nonce) })
 }
 
-// outcomes takes a load report of a backend, whole or not at all.
-func (c *connection) outcomes(message *fastjson.Value) {
+// handleOutcomes takes a load report of a backend, whole or not at all.
+func (c *connection) handleOutcomes(message *fastjson.Value) {
 	report, ok := c.decodeOutcomes(message)
 	if !ok {
 		c.skipMessage("outcomes without usable figures")
@@ -170,8 +170,8 @@
 	return load, !invalid
 }
 
-// demand takes a load report of a proxy; it may come over the proxy's connection or any collector's.
-func (c *connection) demand(message *fastjson.Value) {
+// handleDemand takes a load report of a proxy; it may come over the proxy's connection or any collector's.
+func (c *connection) handleDemand(message *fastjson.Value) {
 	proxy, proxyKnown := indexAt(message, keyProxy, c.limits.proxies)
 	class, classKnown := c.loop.classIndex[string(message.GetStringBytes(keyClass))]
 	interval, seconds, intervalOK := c.intervalAt(message)
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -15,31 +15,31 @@
 
 // deployment is a deployment as its settings tell of it.
 type deployment struct {
-	classes  []classSettings
-	zones    []string
-	backend  string // what the names of its backends begin with
-	messages int
+	classes     []classSettings
+	zones       []string
+	backend     string // what the names of its backends begin with
+	maxMessages int
 }
 
 type classSettings struct {
-	name             string
-	target, deadline float64
-	worth            float64
-	writes, own      bool
+	name               string
+	target, deadline   float64
+	worth              float64
+	writes, staysLocal bool
 }
 
 func (c deployment) configuration(discovery, known string) []byte {
 	var profiles, writes, own []any
 	for _, p := range c.classes {
 		profiles = append(profiles, map[string]any{"name": p.name, "target": p.target, "deadline": p.deadline, "worth": p.worth})
-		writes, own = append(writes, p.writes), append(own, p.own)
+		writes, own = append(writes, p.writes), append(own, p.staysLocal)
 	}
 	text, err := json.Marshal(map[string]any{"name": "n", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f",
 		"known": json.RawMessage(known), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 200},
 		"settings": map[string]any{"azs": c.zones, "tick": 1, "weights": "rough", "membershipMode": "automatic",
 			"familyInfo": map[string]any{"admission": "per_second", "backlog": 900, "egressPerS": 900, "overhead": 4,
 				"pushDelayMax": 600, "reportEvery": 1000, "proxyCount": 40, "classWrites": writes, "staysLocal": own,
-				"messagesMost": c.messages, "messagesOver": 10000},
+				"messagesMost": c.maxMessages, "messagesOver": 10000},
 			"profiles": profiles, "reporting": map[string]any{"how": "silent", "fields": []any{}},
 			"rules": map[string]any{"coldShare": 0.2, "rampTime": 17000, "stopSendingWithin": 3000}}})
 	if err != nil {
@@ -77,9 +77,9 @@
 	return loop
 }
 
-// play has trouble come: demand that outgrows the backends, one that hangs, drains, newcomers, proxies that come and
+// simulate has trouble come: demand that outgrows the backends, one that hangs, drains, newcomers, proxies that come and
 // go. What each proxy holds after each second is told, with every name replaced by its place in the settings.
-func (c deployment) play(t *testing.T, order []int) (account []string) {
+func (c deployment) simulate(t *testing.T, order []int) (account []string) {
 	loop := c.newLoop(t, 12)
 	chance := rand.New(rand.NewPCG(1, 2))
 	peers, hearers := map[int]*connection{}, map[int]*fakeProxy{}
@@ -158,8 +158,8 @@
 	t.Run("other names and another order of classes give the same decisions", func(t *testing.T) {
 		classes := []classSettings{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
 			{"audit", 3000, 9000, 0.5, false, true}}
-		one := deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: 30}
-		want := one.play(t, []int{0, 1, 2})
+		one := deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: 30}
+		want := one.simulate(t, []int{0, 1, 2})
 		limited := 0
 		for _, line := range want {
 			limited += strings.Count(line, "/0")
@@ -168,14 +168,14 @@
 			t.Fatalf("the story orders no tables, or cuts nothing: %s", want[len(want)-1])
 		}
 		for what, order := range map[string][]int{"turned round": {2, 1, 0}, "rotated": {1, 2, 0}, "as they were": {0, 1, 2}} {
-			other := deployment{zones: []string{`north "1"`, "süd"}, backend: "worker/", messages: 30,
+			other := deployment{zones: []string{`north "1"`, "süd"}, backend: "worker/", maxMessages: 30,
 				classes: make([]classSettings, len(classes))}
 			for i, at := range order {
 				p := classes[i]
 				p.name = []string{"größer", "a b", "x"}[i]
 				other.classes[at] = p
 			}
-			got := other.play(t, order)
+			got := other.simulate(t, order)
 			for i := range want {
 				if got[i] != want[i] {
 					t.Fatalf("%s: line %d of %d\n got %s\nwant %s", what, i, len(want), got[i], want[i])
@@ -184,7 +184,7 @@
 		}
 	})
 	t.Run("sixteen classes, each with its own table and limit; a seventeenth is refused", func(t *testing.T) {
-		c := deployment{zones: []string{"a"}, backend: "s-", messages: 30}
+		c := deployment{zones: []string{"a"}, backend: "s-", maxMessages: 30}
 		for i := range 16 {
 			c.classes = append(c.classes, classSettings{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
 		}
@@ -211,9 +211,9 @@
 
 func TestControllersOfOneProcessAreApart(t *testing.T) {
 	t.Run("two in one process see nothing of each other, before and after a reload of either", func(t *testing.T) {
-		one := deployment{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []classSettings{
+		one := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
 			{"read", 1500, 4000, 1, false, false}, {"write", 800, 2000, 3, true, false}}}
-		other := deployment{zones: []string{"b", "a"}, backend: "s-", messages: 4, classes: []classSettings{
+		other := deployment{zones: []string{"b", "a"}, backend: "s-", maxMessages: 4, classes: []classSettings{
 			{"write", 3000, 9000, 1, false, false}, {"other", 100, 500, 9, true, false}, {"read", 800, 2000, 3, true, false}}}
 		serve := func(c deployment, known string) (*Controller, *fakeDiscovery, *client, *fakeProxy) {
 			discovery := newFakeDiscovery(t)
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -25,18 +25,18 @@
 	wakeups     chan struct{}                                             // one wish to call at once; further ones are the same wish
 
 	// Of run's goroutine, and of loadCached before it begins.
-	client         *fasthttp.HostClient
-	version        int64 // of the list that is known
-	hasVersion     bool  // a list is known
-	staleAnswers   int   // in a row, with an older version than ours
-	uselessAnswers int   // in a row
+	client          *fasthttp.HostClient
+	version         int64 // of the list that is known
+	hasVersion      bool  // a list is known
+	staleAnswers    int   // in a row, with an older version than ours
+	unusableAnswers int   // in a row
 
-	mutex         sync.Mutex // guards what follows
-	address       string     // where the list is to be followed
-	relocationDue *relocation
-	conn          net.Conn // to discovery, for a call to be cancelled
-	cancelDial    func()   // cancels the last dial
-	stopped       bool     // no call is of interest any more
+	mutex             sync.Mutex // guards what follows
+	address           string     // where the list is to be followed
+	pendingRelocation *relocation
+	conn              net.Conn // to discovery, for a call to be cancelled
+	cancelDial        func()   // cancels the last dial
+	stopped           bool     // no call is of interest any more
 }
 
 // relocation asks that the list be followed at another address, before the next call.
@@ -129,7 +129,7 @@
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	uri := "http://" + w.client.Addr + discoveryPath
-	incremental := w.hasVersion && w.uselessAnswers < w.limits.maxUselessAnswers
+	incremental := w.hasVersion && w.unusableAnswers < w.limits.maxUnusableAnswers
 	if incremental {
 		uri += fmt.Sprintf("?%s=%d&%s=%d", paramSince, w.version, paramTimeout, w.limits.watchWait.Milliseconds())
 	}
@@ -137,10 +137,10 @@
 	if err := w.client.DoTimeout(request, response, w.limits.watchWait+w.limits.watchMargin); err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
-	if w.hasMoved(w.client.Addr) {
-		return errMoved
+	if w.addressChanged(w.client.Addr) {
+		return errAddressChanged
 	}
-	w.uselessAnswers++ // until it proves to be of use
+	w.unusableAnswers++ // until it proves to be of use
 	answer, err := decodeAnswer(response)
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 	}
 	full := answer.GetBool(keyFullList)
 	older := w.hasVersion && int64(version) < w.version
-	if older && (w.staleAnswers < w.limits.maxUselessAnswers || !full) {
+	if older && (w.staleAnswers < w.limits.maxUnusableAnswers || !full) {
 		w.staleAnswers++
 		return fmt.Errorf("version %.0f is older than %d", version, w.version)
 	}
@@ -191,14 +191,14 @@
 		w.onEndpoints(full, int64(version), endpoints)
 	}
 	w.version, w.hasVersion = int64(version), true
-	w.staleAnswers, w.uselessAnswers = 0, 0
+	w.staleAnswers, w.unusableAnswers = 0, 0
 	return nil
 }
 
 // follow has the list be followed at an address from the next call on. A call that is under way elsewhere is cancelled.
 func (w *endpointWatcher) follow(address string, cached *fastjson.Value) {
 	w.mutex.Lock()
-	w.relocationDue = &relocation{address, cached}
+	w.pendingRelocation = &relocation{address, cached}
 	if address != w.address {
 		w.abortCall()
 	}
@@ -211,8 +211,8 @@
 // is known.
 func (w *endpointWatcher) relocate() bool {
 	w.mutex.Lock()
-	next := w.relocationDue
-	w.relocationDue = nil
+	next := w.pendingRelocation
+	w.pendingRelocation = nil
 	w.mutex.Unlock()
 	if next == nil {
 		return false
@@ -220,14 +220,14 @@
 	if next.address != w.client.Addr {
 		w.client.CloseIdleConnections()
 		w.client = w.newClient(next.address)
-		w.staleAnswers, w.uselessAnswers = 0, 0
+		w.staleAnswers, w.unusableAnswers = 0, 0
 	}
 	w.loadCached(next.cached)
 	return true
 }
 
-// hasMoved tells whether what an address answers is of no interest any more.
-func (w *endpointWatcher) hasMoved(from string) bool {
+// addressChanged tells whether what an address answers is of no interest any more.
+func (w *endpointWatcher) addressChanged(from string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.address != from
@@ -242,14 +242,14 @@
 	obsolete := w.stopped || address != w.address
 	w.mutex.Unlock()
 	if obsolete {
-		return nil, errMoved
+		return nil, errAddressChanged
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.conn = conn
 	if err == nil && (w.stopped || address != w.address) {
-		err = errors.Join(errMoved, conn.Close())
+		err = errors.Join(errAddressChanged, conn.Close())
 	}
 	return conn, err
 }
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -17,7 +17,7 @@
 type fakeDiscovery struct {
 	address string
 	answers chan string
-	asked   chan string // the query of each call
+	queries chan string // the query of each call
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -29,7 +29,7 @@
 	stop := make(chan struct{})
 	s := &fasthttp.Server{Logger: log.New(io.Discard, "", 0), Handler: func(call *fasthttp.RequestCtx) {
 		select {
-		case discovery.asked <- string(call.URI().QueryString()):
+		case discovery.queries <- string(call.URI().QueryString()):
 		default:
 		}
 		wait := make(<-chan time.Time) // a call for the full list is always answered by the story
@@ -72,7 +72,7 @@
 		}
 		address, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		for range 10 {
-			if query := <-discovery.asked; query != "since=1&timeout_ms=50" && query != "" {
+			if query := <-discovery.queries; query != "since=1&timeout_ms=50" && query != "" {
 				t.Errorf("asked %q", query)
 			}
 		}
@@ -98,7 +98,7 @@
 		_, logged := serve(t, discovery.address, known, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 		logged.waitFor(t, "msg=endpoint_list_updated version=7 full=true endpoints=1", 1)
 		for i := range 6 {
-			if query := <-discovery.asked; (query == "") != (i == 5) {
+			if query := <-discovery.queries; (query == "") != (i == 5) {
 				t.Errorf("call %d asked %q", i, query)
 			}
 		}
@@ -112,7 +112,7 @@
 		_, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 		logged.waitFor(t, "msg=endpoint_list_updated version=3 full=true endpoints=2", 1)
 		for i, want := range []string{"since=1", "since=1", "since=1", "since=1", "since=1", "", "since=3"} {
-			if query := <-discovery.asked; !strings.HasPrefix(query, want) || want == "" && query != "" {
+			if query := <-discovery.queries; !strings.HasPrefix(query, want) || want == "" && query != "" {
 				t.Errorf("call %d asked %q", i, query)
 			}
 		}
--- a/controller/errors.go
+++ b/controller/errors.go
@@ -29,8 +29,8 @@
 
 // Why a call of discovery failed.
 var (
-	errMalformedList = errors.New("not a list")
-	errMoved         = errors.New("it is followed elsewhere by now")
+	errMalformedList  = errors.New("not a list")
+	errAddressChanged = errors.New("it is followed elsewhere by now")
 )
 
 // errTimeout is what a connection's reads and writes give once their deadline has passed.
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -92,7 +92,7 @@
 	t.Run("after a stall of our own nobody is taken for silent", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		conn := connectProxy(t, loop, 1, 0, false)
-		advanceAtOnce(loop, 2*loop.limits.silenceTimeout, func() {})
+		advanceStalled(loop, 2*loop.limits.silenceTimeout, func() {})
 		if !loop.isCurrent(conn) {
 			t.Error("given up before it could be heard")
 		}
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -18,8 +18,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// patience bounds what a story waits for; nothing waits for it to pass.
-const patience = 20 * time.Second
+// testTimeout bounds what a story waits for; nothing waits for it to pass.
+const testTimeout = 20 * time.Second
 
 // fakeProxy is a proxy as the protocol's page describes it: it applies messages, and counts what the channel counts.
 type fakeProxy struct {
@@ -62,7 +62,7 @@
 		if size > 1<<20 || len(raw) < 4+size {
 			return fmt.Errorf("a frame of %d bytes in %d", size, len(raw))
 		}
-		if err := fake.part(raw[4 : 4+size]); err != nil {
+		if err := fake.applyPart(raw[4 : 4+size]); err != nil {
 			return fmt.Errorf("%w in %.200s", err, raw[4:4+size])
 		}
 		raw = raw[4+size:]
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (fake *fakeProxy) part(text []byte) error {
+func (fake *fakeProxy) applyPart(text []byte) error {
 	var p push
 	decode := json.NewDecoder(bytes.NewReader(text))
 	decode.DisallowUnknownFields()
@@ -180,7 +180,7 @@
 // waitFor until a line holds some text as often as asked.
 func (d *logBuffer) waitFor(t *testing.T, some string, times int) {
 	t.Helper()
-	late := time.After(patience)
+	late := time.After(testTimeout)
 	for {
 		text, more := d.read()
 		if strings.Count(text, some) >= times {
@@ -245,13 +245,13 @@
 // advance takes a turn after a while, and idle ones before it, as timers bring them.
 func advance(loop *eventLoop, wait int64, what func()) {
 	for ; wait > microsPerSecond/2; wait -= microsPerSecond / 2 {
-		advanceAtOnce(loop, microsPerSecond/2, func() {})
+		advanceStalled(loop, microsPerSecond/2, func() {})
 	}
-	advanceAtOnce(loop, wait, what)
+	advanceStalled(loop, wait, what)
 }
 
-// advanceAtOnce takes a turn after a while in which we stalled.
-func advanceAtOnce(loop *eventLoop, wait int64, what func()) {
+// advanceStalled takes a turn after a while in which we stalled.
+func advanceStalled(loop *eventLoop, wait int64, what func()) {
 	now := loop.now + wait
 	loop.clock = func() int64 { return now }
 	loop.iterate(what)
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -12,10 +12,10 @@
 
 // FuzzStream gives a peer whatever bytes, as what is logged by an unidentified connection, and then by a proxy.
 func FuzzStream(f *testing.F) {
-	f.Add(slices.Concat(frame(hello), frame(usage), frame(probe), frame(`{"msg":"ack","node":3,"nonce":1}`)))
-	f.Add(slices.Concat(frame(agent), frame(reports), frame(usage), frame("null")))
+	f.Add(slices.Concat(frame(hello), frame(demandReport), frame(probe), frame(`{"msg":"ack","node":3,"nonce":1}`)))
+	f.Add(slices.Concat(frame(agent), frame(outcomesReport), frame(demandReport), frame("null")))
 	f.Add([]byte("\x00\x10\x00\x00{"))
-	for _, text := range spoilt {
+	for _, text := range unusableMessages {
 		f.Add(append(frame(text), frame(probe)...))
 	}
 	for _, size := range []int{0, 16 << 10, 16<<10 + 1, 1 << 20, 1<<20 + 1} {
@@ -25,7 +25,7 @@
 		f.Add(frame(hello)[:cut])
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		loop := fuzzed(t)
+		loop := newFuzzLoop(t)
 		for _, before := range []string{"", hello, agent} {
 			var first []byte
 			if before != "" {
@@ -54,7 +54,7 @@
 
 func (c *readerConn) Close() error { return nil }
 
-func fuzzed(t *testing.T) *eventLoop {
+func newFuzzLoop(t *testing.T) *eventLoop {
 	c, err := New(Identity{}, configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -280,7 +280,7 @@
 		{"audit", 3000, 9000, 0.5, false, true}}
 	var text strings.Builder
 	for _, messages := range []int{0, 4, 30} {
-		day := goldenDay(t, deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", messages: messages})
+		day := goldenDay(t, deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: messages})
 		lines := strings.SplitAfter(day, "\n")
 		fmt.Fprintf(&text, "# %d messages at most: %d messages, sha256 %x\n", messages, len(lines)-1, sha256.Sum256([]byte(day)))
 		if messages == 30 {
--- a/controller/golden_wire_test.go
+++ b/controller/golden_wire_test.go
@@ -53,17 +53,17 @@
 	says("a probe", f(probe))
 	says("two probes", f(probe)+f(probe))
 	says("a collector that probes", f(agent)+f(probe))
-	says("a collector that reports and probes", f(agent)+f(reports)+f(usage)+f(probe))
+	says("a collector that reports and probes", f(agent)+f(outcomesReport)+f(demandReport)+f(probe))
 	says("a collector that says nonsense and probes", f(agent)+f(`{"msg":"lease"}`)+f(hello)+f(agent)+f(probe))
-	says("a report before it joined", f(reports))
-	says("usage before it joined", f(usage))
+	says("a report before it joined", f(outcomesReport))
+	says("usage before it joined", f(demandReport))
 	says("an acknowledgement before it joined", f(`{"msg":"ack","node":3,"nonce":1}`))
 	says("an order", f(`{"msg":"push","out":["s-0"]}`))
 	says("no kind", f(`{}`))
 	prober := dial(t, address) // the answer is waited for, as a refusal does not wait for answers
 	prober.send(probe)
 	fmt.Fprintf(&text, "a probe, then a report: %q", prober.receive())
-	prober.send(reports)
+	prober.send(outcomesReport)
 	refused, _ := io.ReadAll(prober.in)
 	fmt.Fprintf(&text, " %q\n", refused)
 	says("a key twice", f(`{"msg":"probe","msg":"probe"}`))
@@ -123,7 +123,7 @@
 	runController(t, listener.Addr().String(), "null", func(l *limits) { l.minBackoff, l.maxBackoff = 1, 1 })
 	select {
 	case <-seen:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it stopped asking")
 	}
 	golden.Compare(t, "discovery-requests.golden", text.String())
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -122,8 +122,8 @@
 	minBackoff time.Duration
 	// maxBackoff bounds that wait.
 	maxBackoff time.Duration
-	// maxUselessAnswers is how many in a row it takes for the full list to be asked for, and to be taken even if it is older.
-	maxUselessAnswers int
+	// maxUnusableAnswers is how many in a row it takes for the full list to be asked for, and to be taken even if it is older.
+	maxUnusableAnswers int
 
 	// The log.
 
@@ -168,12 +168,12 @@
 		lingerTimeout:    200 * time.Millisecond,
 		writeTimeout:     10 * time.Second,
 
-		dialTimeout:       500 * time.Millisecond,
-		watchWait:         2 * time.Second,
-		watchMargin:       time.Second,
-		minBackoff:        50 * time.Millisecond,
-		maxBackoff:        time.Second,
-		maxUselessAnswers: 5,
+		dialTimeout:        500 * time.Millisecond,
+		watchWait:          2 * time.Second,
+		watchMargin:        time.Second,
+		minBackoff:         50 * time.Millisecond,
+		maxBackoff:         time.Second,
+		maxUnusableAnswers: 5,
 
 		logRepeatInterval: 10 * time.Second,
 		maxLogKinds:       1024,
--- a/controller/load_reports_test.go
+++ b/controller/load_reports_test.go
@@ -20,7 +20,7 @@
 		}
 		return len(loop.inbox) - strings.Count(first, "hello")
 	}
-	full := strings.Replace(reports, "41.7", `41.7,"metrics":{"util":0.5,"queue":2,"latency_ms":30}`, 1)
+	full := strings.Replace(outcomesReport, "41.7", `41.7,"metrics":{"util":0.5,"queue":2,"latency_ms":30}`, 1)
 	ack := `{"msg":"ack","node":3,"nonce":1,"latency":3.5}`
 	for what, x := range map[string]struct {
 		first, good string
@@ -32,7 +32,7 @@
 			`41.7`, `-41.7`, `41.7`, `8001`, `"rtt":41.7`, `"was":1`, `41.7`, `[41.7]`, `1000.0`, `0`, `1000.0`, `1e9`, `"interval"`, `"was"`,
 			`"s-0"`, `7`, `"a"`, `"z"`, `"locality"`, `"was"`, `0.5`, `"much"`, `0.5`, `-0.5`, `0.5`, `1e6`, `{"util`, `[],"was":{"util`,
 			`"queue":2`, `"queue":{}`, `:30}`, `:9e9}`}, []string{`"util"`, `"inflight":"x","util"`}},
-		"demand": {hello, usage, []string{`"node":3`, `"node":4`, `"node":3`, `"node":"3"`, `"node":3`, `"was":3`, `"node":3`, `"node":40`,
+		"demand": {hello, demandReport, []string{`"node":3`, `"node":4`, `"node":3`, `"node":"3"`, `"node":3`, `"was":3`, `"node":3`, `"node":40`,
 			`"total":9`, `"total":"9"`, `"total":9`, `"total":-1`, `"total":9`, `"total":5000`, `"total":9`, `"was":9`, `"write"`, `"lost"`,
 			`"write"`, `0`, `"route"`, `"was"`, `1000.0`, `-1`, `1000.0`, `1e9`, `1000.0`, `true`}, []string{`"errors":0`, `"errors":[]`}},
 		"marks": {hello, ack, []string{`"nonce":1`, `"nonce":-1`, `"nonce":1`, `"nonce":65536`, `"nonce":1`, `"nonce":1.5`, `"nonce":1`,
--- a/controller/log.go
+++ b/controller/log.go
@@ -86,7 +86,7 @@
 	if !limited {
 		return h.Handler.Handle(ctx, record)
 	}
-	suppressed, write := h.repeats.count(record.Message+" "+valueOf(record, key), h.limits)
+	suppressed, write := h.repeats.count(record.Message+" "+attrText(record, key), h.limits)
 	if !write {
 		return nil
 	}
@@ -126,9 +126,9 @@
 	return suppressed, true
 }
 
-// valueOf gives the value of a record's key as text. Of an error it is the root cause, as what wraps it may hold numbers that
+// attrText gives the value of a record's key as text. Of an error it is the root cause, as what wraps it may hold numbers that
 // differ each time.
-func valueOf(record slog.Record, key string) (text string) {
+func attrText(record slog.Record, key string) (text string) {
 	record.Attrs(func(attr slog.Attr) bool {
 		if attr.Key != key {
 			return true
--- a/controller/log_test.go
+++ b/controller/log_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// logTo gives a rate-limited logger and what it writes.
-func logTo(limits *limits) (*slog.Logger, *logBuffer) {
+// newTestLogger gives a rate-limited logger and what it writes.
+func newTestLogger(limits *limits) (*slog.Logger, *logBuffer) {
 	written := newLogBuffer()
 	return newRateLimitedLogger(NewLogger(written), limits), written
 }
 
 func TestLoggerWritesTimeLevelEventAndKeys(t *testing.T) {
-	log, written := logTo(defaultLimits())
+	log, written := newTestLogger(defaultLimits())
 	log.Info("ready", "backends", 2, "reason", "the list is known")
 	log.Warn("proxy_dropped", "proxy", 3, "error", errSilent)
 	text, _ := written.read()
@@ -39,7 +39,7 @@
 	t.Run("a rate-limited event is written once in the interval, and then says how many were left out", func(t *testing.T) {
 		limits := defaultLimits()
 		limits.logRepeatInterval = time.Hour
-		log, written := logTo(limits)
+		log, written := newTestLogger(limits)
 		for range 5 {
 			log.Warn("report_dropped", "inbox_size", 1)
 		}
@@ -50,7 +50,7 @@
 		}
 	})
 	t.Run("other events are never left out", func(t *testing.T) {
-		log, written := logTo(defaultLimits())
+		log, written := newTestLogger(defaultLimits())
 		for range 5 {
 			log.Warn("proxy_dropped", "proxy", 3)
 		}
@@ -59,7 +59,7 @@
 		}
 	})
 	t.Run("values of the event's key count apart, errors by their root cause", func(t *testing.T) {
-		log, written := logTo(defaultLimits())
+		log, written := newTestLogger(defaultLimits())
 		for proxy := range 3 {
 			log.Info("proxy_connected", "zone", "a", "proxy", proxy)
 			log.Info("proxy_connected", "zone", "b", "proxy", proxy)
@@ -73,7 +73,7 @@
 	t.Run("kinds beyond the bound count as one", func(t *testing.T) {
 		limits := defaultLimits()
 		limits.maxLogKinds = 2
-		log, written := logTo(limits)
+		log, written := newTestLogger(limits)
 		for proxy := range 100 {
 			log.Info("proxy_connected", "proxy", proxy)
 		}
@@ -82,7 +82,7 @@
 		}
 	})
 	t.Run("a derived logger counts together with the one it comes from", func(t *testing.T) {
-		log, written := logTo(defaultLimits())
+		log, written := newTestLogger(defaultLimits())
 		log.Warn("accept_failed")
 		log.With("name", "n0").Warn("accept_failed")
 		log.WithGroup("server").Warn("accept_failed")
@@ -95,8 +95,8 @@
 // logCall finds the event of a log line in the source.
 var logCall = regexp.MustCompile(`[lL]og\.(?:Debug|Info|Warn|Error|Log)\((?:context\.Background\(\), level, )?"([^"]+)"`)
 
-// TestEventsAreOnThePageForStaff has docs/oncall.md name each event that the controller logs, and events be in snake_case.
-func TestEventsAreOnThePageForStaff(t *testing.T) {
+// TestOnCallPageNamesEveryLogEvent has docs/oncall.md name each event that the controller logs, and events be in snake_case.
+func TestOnCallPageNamesEveryLogEvent(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "oncall.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -22,7 +22,7 @@
 // awaitAcknowledged waits until a member has it on the record that a proxy confirmed a table of its owner's.
 func (s *runningMember) awaitAcknowledged(t *testing.T, node int, owner string) {
 	t.Helper()
-	late := time.After(patience)
+	late := time.After(testTimeout)
 	for {
 		stands := make(chan bool, 1)
 		s.module.post(func() {
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -48,13 +48,13 @@
 				address = newRefusingAddress(t)
 			}
 			at, logged := serve(t, address, story.known, func(l *limits) {
-				if l.readyTimeout = patience; story.why == waited {
+				if l.readyTimeout = testTimeout; story.why == waited {
 					l.readyTimeout = 300 * time.Millisecond
 				}
 			})
 			caller, proxy, fake := dial(t, at), dial(t, at), newFakeProxy("read it", "write")
 			caller.send(probe) // it waits since before readiness
-			if got := string(caller.receive()[lengthSize:]); got != isAlive {
+			if got := string(caller.receive()[lengthSize:]); got != aliveReply {
 				t.Errorf("answered %q", got)
 			}
 			logged.waitFor(t, "msg=ready", 1)
@@ -64,7 +64,7 @@
 			proxy.send(hello)
 			if story.picks == 0 { // nothing is ordered, and it is served
 				proxy.send(probe)
-				if got := string(proxy.receive()[lengthSize:]); got != isAlive {
+				if got := string(proxy.receive()[lengthSize:]); got != aliveReply {
 					t.Errorf("got %q", got)
 				}
 				return
@@ -158,7 +158,7 @@
 		l.client.Dial = func(string) (net.Conn, error) {
 			return &scriptedConn{text: answer, then: func() { l.follow("127.0.0.1:2", nil) }}, nil
 		}
-		if err := l.poll(); !errors.Is(err, errMoved) || taken != 0 || l.hasVersion {
+		if err := l.poll(); !errors.Is(err, errAddressChanged) || taken != 0 || l.hasVersion {
 			t.Errorf("error %v, taken %d times, version %d", err, taken, l.version)
 		}
 	})
@@ -205,9 +205,9 @@
 		for range calls {
 			discovery.answers <- listJSON(1, false)
 		}
-		serve(t, discovery.address, twoEndpoints, func(l *limits) { l.watchWait, l.minBackoff = patience, breath })
+		serve(t, discovery.address, twoEndpoints, func(l *limits) { l.watchWait, l.minBackoff = testTimeout, breath })
 		for range calls {
-			<-discovery.asked
+			<-discovery.queries
 		}
 		if spent := time.Since(began); spent < (calls-1)*breath/2 {
 			t.Errorf("%d calls within %v", calls, spent)
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -14,7 +14,7 @@
 	t.Run("no class is ever permitted more than a try after proof, and one that is cut none", func(t *testing.T) {
 		// Classes that may run twice and such that may not stand side by side, in tables of the fleet and of the zone,
 		// with windows that a request outlasts: nothing here may depend on how long one is.
-		c := deployment{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []classSettings{
+		c := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
 		loop := c.newLoop(t, 8)
--- a/controller/server.go
+++ b/controller/server.go
@@ -150,7 +150,7 @@
 	defer s.mutex.Unlock()
 	ofSame := 1 // connections of the same proxy, or of collectors of the same zone
 	for _, other := range slices.Backward(slices.Clone(s.identified)) {
-		if !c.isSameParty(other) {
+		if !c.inSameGroup(other) {
 			continue
 		}
 		ofSame++
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// isSameParty tells whether another connection is of the same proxy, or of a collector of the same zone.
-func (c *connection) isSameParty(other *connection) bool {
+// inSameGroup tells whether another connection is of the same proxy, or of a collector of the same zone.
+func (c *connection) inSameGroup(other *connection) bool {
 	if other.kind != c.kind || other.proxy != c.proxy {
 		return false
 	}
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -16,11 +16,11 @@
 var twoEndpoints = listJSON(1, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
 
 const (
-	hello   = `{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`
-	agent   = `{"msg":"agent","locality":"a"}`
-	probe   = `{"msg":"probe"}`
-	reports = `{"msg":"outcomes","locality":"a","endpoint":"s-0","total":9,"errors":1,"rtt":41.7,"interval":1000.0}`
-	usage   = `{"msg":"demand","node":3,"route":"write","total":9,"errors":0,"interval":1000.0}`
+	hello          = `{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`
+	agent          = `{"msg":"agent","locality":"a"}`
+	probe          = `{"msg":"probe"}`
+	outcomesReport = `{"msg":"outcomes","locality":"a","endpoint":"s-0","total":9,"errors":1,"rtt":41.7,"interval":1000.0}`
+	demandReport   = `{"msg":"demand","node":3,"route":"write","total":9,"errors":0,"interval":1000.0}`
 )
 
 func TestServingConnections(t *testing.T) {
@@ -40,15 +40,15 @@
 			t.Fatalf("error %v, got %+v", err, fake)
 		}
 		many := slices.Concat(frame(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":3.1}`, fake.nonces[0])),
-			frame(usage), frame(usage), frame(probe))
+			frame(demandReport), frame(demandReport), frame(probe))
 		proxy.Write(many) // several in one go
 		if got := string(proxy.receive()[4:]); got != `{"msg":"alive"}` {
 			t.Errorf("a proxy's probe is answered %q", got)
 		}
 		caller := dial(t, address)
 		caller.send(agent)
-		caller.send(reports)
-		caller.send(usage)
+		caller.send(outcomesReport)
+		caller.send(demandReport)
 		caller.send(probe)
 		caller.receive()
 		discovery.answers <- listJSON(2, false, endpointJSON(0, "draining"), endpointJSON(4, "up"))
@@ -76,7 +76,7 @@
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		skipped := []string{`{}`, `{"msg":7}`, `{"msg":"lease"}`, `{"msg":"ack"}`, `{"msg":"ack","node":4,"nonce":1}`,
 			`{"msg":"ack","node":3,"nonce":-1}`, `{"msg":"ack","node":3,"nonce":1e300}`, `{"msg":"ack","nonce":0.5}`,
-			`{"msg":"demand","node":9,"route":"write","total":1,"interval":1}`, hello, agent, reports,
+			`{"msg":"demand","node":9,"route":"write","total":1,"interval":1}`, hello, agent, outcomesReport,
 			`{"msg":"demand","node":3,"route":"lost","total":1,"interval":1}`, strings.Replace(hello, "3", "4", 1),
 			`{"msg":"demand","node":3,"route":"write","total":1e99,"interval":1}`,
 			`{"msg":"demand","node":3,"route":"write","total":1,"interval":-4}`,
@@ -95,7 +95,7 @@
 		caller.send(agent)
 		for _, change := range [][2]string{{`"s-0"`, `"s-9"`}, {`"s-0"`, `8`}, {`"a"`, `"z"`}, {`9`, `-9`}, {`9`, `"9"`},
 			{`41.7`, `[]`}, {`"errors":1`, `"errors":1e9`}, {`41.7`, `41.7,"metrics":{"util":"high","queue":-1}`}, {`41.7`, `41.7,"metrics":3`}} {
-			caller.send(strings.Replace(reports, change[0], change[1], 1))
+			caller.send(strings.Replace(outcomesReport, change[0], change[1], 1))
 		}
 		caller.send(hello)
 		caller.send(probe)
@@ -123,8 +123,8 @@
 	t.Run("an unidentified connection has one deadline, whatever it says and however slowly", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout = 300 * time.Millisecond })
 		began, push := time.Now(), `{"msg":"push","out":["s-0"]}`
-		for what, bad := range map[string]string{"a report before it joined": string(frame(reports)),
-			"usage before it joined": string(frame(usage)), "a mark": string(frame(`{"msg":"ack","node":3,"nonce":1}`)),
+		for what, bad := range map[string]string{"a report before it joined": string(frame(outcomesReport)),
+			"usage before it joined": string(frame(demandReport)), "a mark": string(frame(`{"msg":"ack","node":3,"nonce":1}`)),
 			"an order": string(frame(push)), "HTTP": "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "no object": string(frame("[]")),
 			"half a hello": string(frame(hello)[:20]), "no length": "\x00\x00\x00\x00", "nothing": "",
 			"too much": "\x7f\xff\xff\xff" + strings.Repeat("x", 9000)} {
@@ -188,7 +188,7 @@
 		proxy.send(probe)
 		proxy.receive()
 		logged.waitFor(t, "msg=unidentified_closed", 1)
-		for late := time.Now().Add(patience); runtime.NumGoroutine() > before+20; runtime.Gosched() {
+		for late := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+20; runtime.Gosched() {
 			if time.Now().After(late) {
 				t.Fatalf("%d goroutines before, %d after", before, runtime.NumGoroutine())
 			}
@@ -227,7 +227,7 @@
 			proxy.receive()
 		}
 		for _, proxy := range old[:40] {
-			for proxy.SetReadDeadline(time.Now().Add(patience)); ; {
+			for proxy.SetReadDeadline(time.Now().Add(testTimeout)); ; {
 				if _, err := proxy.in.ReadByte(); err != nil {
 					break
 				}
@@ -265,7 +265,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
 		defer here.Close()
-		short := &shortListener{Listener: &net.TCPListener{}, conns: []net.Conn{there, nil, nil}, done: ctx.Done()}
+		short := &scriptedListener{Listener: &net.TCPListener{}, conns: []net.Conn{there, nil, nil}, done: ctx.Done()}
 		ended := make(chan error)
 		s := &server{limits: loop.limits, loop: loop, log: loop.log}
 		go func() { ended <- s.run(ctx, short) }()
@@ -292,16 +292,16 @@
 	})
 }
 
-// shortListener is a listener that hands out connections, or for nil an error, and then waits.
-type shortListener struct {
+// scriptedListener is a listener that hands out connections, or for nil an error, and then waits.
+type scriptedListener struct {
 	net.Listener
 	conns []net.Conn
 	done  <-chan struct{}
 }
 
-func (s *shortListener) Close() error { return nil }
+func (s *scriptedListener) Close() error { return nil }
 
-func (s *shortListener) Accept() (net.Conn, error) {
+func (s *scriptedListener) Accept() (net.Conn, error) {
 	if len(s.conns) == 0 {
 		<-s.done
 		return nil, net.ErrClosed
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -27,13 +27,13 @@
 		}
 	})
 	t.Run("a discovery that takes no connection holds nothing up", func(t *testing.T) {
-		serve(t, newDeafAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = patience }) // and ends with the story
+		serve(t, newUnresponsiveAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = testTimeout }) // and ends with the story
 	})
 	t.Run("a peer that reads nothing holds nothing up, and no push leaves that was not counted", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
 		here, there := net.Pipe()
-		short := &shortListener{Listener: &net.TCPListener{}, conns: []net.Conn{here}, done: ctx.Done()}
+		short := &scriptedListener{Listener: &net.TCPListener{}, conns: []net.Conn{here}, done: ctx.Done()}
 		ended, ran := make(chan error, 1), make(chan struct{})
 		s := &server{limits: loop.limits, loop: loop, log: loop.log}
 		go func() { defer close(ran); loop.run(ctx) }()
@@ -54,13 +54,13 @@
 		}
 	})
 	t.Run("no goroutine is left", func(t *testing.T) {
-		if left := ownGoroutines(); left != "" {
+		if left := controllerGoroutines(); left != "" {
 			t.Fatalf("one of an earlier story is left:\n%s", left)
 		}
 		t.Run("of one with proxies, collectors, unidentified connections and a reload under way", func(t *testing.T) {
 			discovery, next := newFakeDiscovery(t), newFakeDiscovery(t)
 			discovery.answers <- "silence"
-			c, address, _ := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
+			c, address, _ := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = testTimeout })
 			for node := range 5 {
 				proxy := dial(t, address)
 				proxy.send(helloOf(node))
@@ -68,7 +68,7 @@
 				dial(t, address).send(agent)
 				dial(t, address)
 			}
-			running := ownGoroutines()
+			running := controllerGoroutines()
 			for _, function := range goroutineFunctions[:5] { // nothing is distributed here
 				if !strings.Contains(running, functionName(function)+"(") {
 					t.Errorf("%s cannot be told from other goroutines", functionName(function))
@@ -78,7 +78,7 @@
 				t.Fatal(err)
 			}
 		})
-		if left := ownGoroutines(); left != "" { // Serve has returned
+		if left := controllerGoroutines(); left != "" { // Serve has returned
 			t.Errorf("left:\n%s", left)
 		}
 	})
@@ -93,8 +93,8 @@
 	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name()
 }
 
-// ownGoroutines gives the goroutines that a controller has started, by their stacks.
-func ownGoroutines() (left string) {
+// controllerGoroutines gives the goroutines that a controller has started, by their stacks.
+func controllerGoroutines() (left string) {
 	stacks := make([]byte, 1<<20)
 	for _, one := range strings.Split(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
 		runs := func(function any) bool { return strings.Contains(one, functionName(function)+"(") }
@@ -105,8 +105,8 @@
 	return left
 }
 
-// newDeafAddress is an address on which connections are neither taken nor refused.
-func newDeafAddress(t *testing.T) string {
+// newUnresponsiveAddress is an address on which connections are neither taken nor refused.
+func newUnresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/controller/unusable_messages_test.go
+++ b/controller/unusable_messages_test.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// spoilt are messages that are none, or cannot be read one way only.
-var spoilt = []string{`[]`, `7`, `"hello"`, `null`, `true`, ``, `{`, `{"msg":}`, `{"msg":"demand"`, "\xff\xfe", `{}`,
+// unusableMessages are messages that are none, or cannot be read one way only.
+var unusableMessages = []string{`[]`, `7`, `"hello"`, `null`, `true`, ``, `{`, `{"msg":}`, `{"msg":"demand"`, "\xff\xfe", `{}`,
 
 	`{"msg":"hello","node":3,"node":4,"locality":"b","w":1,"cold":true}`,
 	`{"msg":"demand","node":3,"route":"write","total":9,"total":900,"errors":0,"interval":1000}`,
@@ -26,11 +26,11 @@
 
 func TestUnusableMessages(t *testing.T) {
 	t.Run("a message is taken whole or not at all, whoever sends it", func(t *testing.T) {
-		for _, text := range spoilt {
+		for _, text := range unusableMessages {
 			for _, first := range []string{hello, agent} {
 				loop, logged := newIdleLoop(t)
 				loop.limits.logRepeatInterval = 0
-				raw := append(append(frame(first), frame(text)...), frame(usage)...)
+				raw := append(append(frame(first), frame(text)...), frame(demandReport)...)
 				conn := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, loop, func(*connection) error { return nil })
 				err := conn.readMessages()
 				loop.iterate(func() {})
@@ -56,7 +56,7 @@
 		proxy.send(hello)
 		proxy.receive()
 		proxy.send(string(append(text, '}')))
-		if got := string(proxy.receive()[lengthSize:]); got != isAlive || time.Since(began) > patience/4 {
+		if got := string(proxy.receive()[lengthSize:]); got != aliveReply || time.Since(began) > testTimeout/4 {
 			t.Errorf("got %q after %v", got, time.Since(began))
 		}
 	})
@@ -95,7 +95,7 @@
 				if x.then != nil {
 					logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 				}
-			} else if got := string(proxy.receive()[lengthSize:]); got != isAlive {
+			} else if got := string(proxy.receive()[lengthSize:]); got != aliveReply {
 				t.Errorf("node %d got %q", node, got)
 			}
 		}
