--- a/controller/connection.go
+++ b/controller/connection.go
@@ -15,53 +15,56 @@
 	"github.com/valyala/fastjson"
 )
 
-// connectionKind is what a connection has identified itself as.
+// connectionKind is the role as which a connection has identified itself.
 type connectionKind uint8
 
 const (
-	kindUnidentified connectionKind = iota // it has not said who it is
+	kindUnidentified connectionKind = iota // not identified yet
 	kindCollector
 	kindProxy
 )
 
-// String gives the kind as the log has it.
+// String returns the kind as it is logged.
 func (k connectionKind) String() string {
 	return [...]string{"unidentified", "collector", "proxy"}[k]
 }
 
-// connection is one connection of a proxy, a collector, or of somebody who has not said who it is. It has two goroutines, which run
-// starts and awaits: the reader decodes messages into events of the loop, the writer sends what waits in outbox. Any goroutine may
-// call send and close. It goes through the states of run.
+// connection is a connection from a proxy, from a collector, or from a peer that has not identified
+// itself yet. It has two goroutines: run itself is the reader, which decodes messages into events
+// of the loop, and run starts the writer, which sends the messages in outbox, and waits for its
+// end. Any goroutine may call send and close. The documentation of run describes the states of a
+// connection.
 type connection struct {
 	socket   net.Conn
 	limits   *limits
 	loop     *eventLoop
 	log      *slog.Logger
-	register func(*connection) error // called once it has identified itself; refuses one that is too many
-	sequence int                     // in the order in which connections were accepted
+	register func(*connection) error // called when the connection identifies itself; an error refuses it
+	sequence int                     // position in the order in which connections were accepted
 
-	// Of the reader. What it sets before register, and before it posts the connection to the loop, others may read afterwards.
+	// Owned by the reader. Other goroutines may read a field that the reader sets before it calls
+	// register or posts the connection to the loop.
 	body             *bytes.Buffer // the message being read
 	kind             connectionKind
-	wantsToken       bool // it asked for fencing tokens with its pushes
+	wantsToken       bool // the proxy asked for fencing tokens in its pushes
 	zone             int
 	proxy            int
 	acceptedAt       time.Time
-	finalReadStarted bool // its deadline has passed, and what had arrived by then is being read
+	finalReadStarted bool // the read deadline has passed, and the final read is under way or done
 
-	evicted       atomic.Bool  // it was asked to make room
-	lastMessageAt atomic.Int64 // the loop's clock when the last complete message came, µs
+	evicted       atomic.Bool  // evict was called
+	lastMessageAt atomic.Int64 // clock time of the last complete message, µs
 
-	outbox      chan []byte   // messages that wait; limits.outboxSize of them, then send fails
-	readDone    chan struct{} // closed when the reader has ended: what waits in outbox is all that is still owed
-	awaitsReady bool          // what is owed may wait for readiness; set before readDone is closed
+	outbox      chan []byte   // queued messages; send fails when limits.outboxSize messages wait
+	readDone    chan struct{} // closed when the reader has ended; outbox gets no answers after that
+	awaitsReady bool          // the messages in outbox may wait for readiness; set before readDone is closed
 
 	closed      chan struct{} // closed by close
 	closeOnce   sync.Once
 	closeReason error // set before closed is closed
 }
 
-// newConnection prepares a connection that was accepted; run serves it.
+// newConnection returns a connection for an accepted socket; run serves it.
 func newConnection(socket net.Conn, sequence int, loop *eventLoop, register func(*connection) error) *connection {
 	c := &connection{
 		socket: socket, sequence: sequence, limits: loop.limits, loop: loop, log: loop.log, register: register,
@@ -70,18 +73,25 @@
 		readDone: make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
-	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout)) // the one deadline until it has identified itself
+	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout)) // the only deadline until it has identified itself
 	return c
 }
 
-// run serves the connection through its states; close ends any of them at once, with both goroutines. Reading: until readMessages
-// returns. Draining, from endReading on, left out by an identified one that broke: the answers that wait are sent. Refusing, only an
-// unidentified one that broke: the reason is sent, and what still comes is dropped. The server has a goroutine for it.
+// run serves the connection; the server calls it in a goroutine. close ends every state at once,
+// together with both goroutines. The states are:
+//
+// Reading: lasts until readMessages returns.
+//
+// Draining: begins with endReading; the queued answers are sent. An identified connection whose
+// reading failed skips this state.
+//
+// Refusing: only for an unidentified connection whose reading failed; the reason is sent, and
+// further input is discarded.
 func (c *connection) run() {
 	var writer sync.WaitGroup
 	writer.Go(c.writeMessages)
 	err := c.readMessages()
-	finished := err == io.EOF // it has said its last, and may still listen
+	finished := err == io.EOF // the peer has closed its sending side, and may still read
 	if finished || c.kind == kindUnidentified {
 		c.endReading(&writer, err, finished && c.kind != kindProxy)
 	}
@@ -95,27 +105,29 @@
 	}
 }
 
-// close closes the connection; the first reason stays.
+// close closes the connection. The reason of the first call is kept.
 func (c *connection) close(reason error) {
 	c.closeOnce.Do(func() {
 		c.closeReason = reason
 		close(c.closed)
-		_ = c.socket.Close() // nothing is to be done for one that cannot be closed
+		_ = c.socket.Close() // a failed close needs no handling
 	})
 }
 
-// evict has an unidentified connection judged by what has arrived of it.
+// evict ends an unidentified connection, unless a message that identifies it has already arrived:
+// it moves the read deadline to the past, so that only the final read remains.
 func (c *connection) evict() {
 	c.evicted.Store(true)
 	c.readUntil(c.acceptedAt)
 	select {
-	case <-c.readDone: // nobody reads any more, and an answer may wait for readiness
+	case <-c.readDone: // the reader has ended, and an answer may wait for readiness
 		time.AfterFunc(c.limits.finalReadTimeout, func() { c.close(errIdentifyTimeout) })
 	default:
 	}
 }
 
-// identifyAs takes an unidentified connection for what it says that it is. From then on it has no deadline.
+// identifyAs registers an unidentified connection as a proxy or a collector, and removes its read
+// deadline. If it is refused, the connection stays unidentified.
 func (c *connection) identifyAs(kind connectionKind, proxy, zone int) error {
 	c.kind, c.proxy, c.zone = kind, proxy, zone
 	if err := c.register(c); err != nil {
@@ -126,18 +138,20 @@
 	return nil
 }
 
-// readUntil sets the deadline of reads; none for the zero time.
+// readUntil sets the read deadline; the zero time removes it.
 func (c *connection) readUntil(deadline time.Time) {
-	_ = c.socket.SetReadDeadline(deadline) // fails only on a closed connection, which the next read tells
+	// SetReadDeadline fails only on a closed connection, and then the next read fails too.
+	_ = c.socket.SetReadDeadline(deadline)
 }
 
 // writeWithin sets the deadline of the next write.
 func (c *connection) writeWithin(timeout time.Duration) {
-	_ = c.socket.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, which the next write tells
+	// SetWriteDeadline fails only on a closed connection, and then the next write fails too.
+	_ = c.socket.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// Read reads from the socket. When the deadline has passed, what arrived by then is still read: it may be this process that
-// stalled.
+// Read reads from the socket. After the deadline it reads once more, with limits.finalReadTimeout,
+// as this process itself may have stalled while bytes arrived in time.
 func (c *connection) Read(buffer []byte) (int, error) {
 	n, err := c.socket.Read(buffer)
 	if n == 0 && errors.Is(err, errTimeout) && !c.finalReadStarted {
@@ -148,8 +162,9 @@
 	return n, err
 }
 
-// readMessages decodes messages until the connection ends, and says why it ended. What is no JSON object cannot be read, and a
-// stream that goes on with such counts as ended already; a message that merely makes no sense is skipped.
+// readMessages reads and dispatches messages until the connection ends, and returns the reason;
+// io.EOF is a regular end. A message that is not a JSON object ends the connection. A JSON object
+// that makes no sense is skipped.
 func (c *connection) readMessages() error {
 	in, parser := bufio.NewReader(c), &fastjson.Parser{}
 	c.body = &bytes.Buffer{}
@@ -171,7 +186,7 @@
 	}
 }
 
-// readNext reads one message into body.
+// readNext reads one message into body, up to the size that the connection's kind allows.
 func (c *connection) readNext(in io.Reader) error {
 	maxSize := c.limits.maxFrame
 	if c.kind == kindUnidentified {
--- a/controller/connection_writer.go
+++ b/controller/connection_writer.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// send puts a message into the outbox. It never waits: a peer whose outbox is full does not take what it is sent.
+// send puts a message into the outbox. It never blocks: a full outbox means that the peer does not
+// read its messages, and returns errOutboxFull.
 func (c *connection) send(message []byte) error {
 	select {
 	case <-c.closed:
@@ -23,8 +24,9 @@
 	}
 }
 
-// writeMessages is the writer: it sends what waits, until the connection is closed or, when the reader has ended, the outbox is
-// empty. Nothing leaves before the loop is ready, the answer to a probe among it.
+// writeMessages is the writer. It sends the messages in the outbox until the connection is closed
+// or, once the reader has ended, until the outbox is empty. It sends nothing before the loop is
+// ready, not even the answer to a probe.
 func (c *connection) writeMessages() {
 	if !c.awaitReady() {
 		return
@@ -37,7 +39,8 @@
 	}
 }
 
-// awaitReady waits until messages may leave; false if none will.
+// awaitReady waits until the loop is ready, so that messages may be sent. It returns false if the
+// connection ends without sending any.
 func (c *connection) awaitReady() bool {
 	select {
 	case <-c.loop.ready:
@@ -57,7 +60,7 @@
 	}
 }
 
-// nextMessage waits for a message; nil if there will be none.
+// nextMessage waits for the next message in the outbox. It returns nil after the last message.
 func (c *connection) nextMessage() []byte {
 	select {
 	case <-c.closed:
@@ -74,10 +77,12 @@
 	}
 }
 
-// deliver writes a message. When the deadline has passed, what the socket takes all the same still counts, as it may be this process
-// that stalled: after a last look in which anything was taken, the full time begins anew.
+// deliver writes a message. As this process itself may have stalled past the write deadline, a
+// timeout is followed by a short final write with limits.finalReadTimeout. If the socket accepts
+// any bytes in the final write, the full limits.writeTimeout starts again; otherwise the write has
+// failed.
 func (c *connection) deliver(message []byte) error {
-	finalWrite := false // past the deadline: a last look
+	finalWrite := false // the deadline has passed, and this is the short write after it
 	for {
 		timeout := c.limits.writeTimeout
 		if finalWrite {
@@ -96,8 +101,10 @@
 	}
 }
 
-// endReading tells the writer that nothing more is read, and lets it send what waits in the outbox: for as long as an unidentified
-// connection may last, whatever this one is, and for finalReadTimeout at least.
+// endReading tells the writer that the reader has ended, and waits until the writer has sent the
+// messages in the outbox. Any connection, also an identified one, is closed when
+// limits.identifyTimeout after its accept has passed, but has at least limits.finalReadTimeout. An
+// evicted connection has only limits.finalReadTimeout.
 func (c *connection) endReading(writer *sync.WaitGroup, reason error, awaitReady bool) {
 	c.awaitsReady = awaitReady
 	close(c.readDone)
@@ -109,8 +116,9 @@
 	writer.Wait()
 }
 
-// refuse tells an unidentified connection why it is closed, and then reads on for a moment: a close with bytes unread is a reset,
-// and a reset can overtake the reason.
+// refuse sends an unidentified connection the reason for its end, and then reads and discards input
+// for a short time: closing a socket that has unread bytes resets the connection, and the reset can
+// reach the peer before the reason does.
 func (c *connection) refuse(reason error) {
 	linger := c.limits.lingerTimeout
 	if c.evicted.Load() {
@@ -120,8 +128,8 @@
 	if _, err := c.socket.Write(errorMessage(reason)); err != nil {
 		return
 	}
-	if half, ok := c.socket.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if halfCloser, ok := c.socket.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
 		c.readUntil(time.Now().Add(linger))
-		_, _ = io.CopyN(io.Discard, c.socket, int64(c.limits.maxFrame)) // what it still says is of no interest
+		_, _ = io.CopyN(io.Discard, c.socket, int64(c.limits.maxFrame)) // input after the refusal is ignored
 	}
 }
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -7,11 +7,11 @@
 	"wheelrill/internal/settings"
 )
 
-// dispatch acts on a message by its kind and by whom it comes from. An error ends the connection; messages that merely make no
-// sense are skipped.
+// dispatch handles a message according to its kind and the kind of the connection. An error ends
+// the connection. Messages that are merely invalid are skipped.
 func (c *connection) dispatch(message *fastjson.Value) error {
-	if duplicateKey(message) != "" { // which of the two counts is anybody's guess
-		c.skipMessage("a key stands there twice")
+	if duplicateKey(message) != "" { // it is ambiguous which of the two values applies
+		c.skipMessage("duplicate key")
 		if c.kind == kindUnidentified {
 			return errUnacceptable
 		}
@@ -29,11 +29,12 @@
 	}
 }
 
-// dispatchIdentified acts on a message that only an identified connection sends, and not each of them.
+// dispatchIdentified handles a message of a kind that requires an identified connection, most of
+// them one of a certain kind.
 func (c *connection) dispatchIdentified(kind string, message *fastjson.Value) error {
 	switch {
 	case c.kind == kindUnidentified:
-		c.skipMessage("not expected before it has identified itself")
+		c.skipMessage("not allowed before the connection has identified itself")
 		return errNotIdentified
 	case kind == messageDemand:
 		c.handleDemand(message)
@@ -42,13 +43,13 @@
 	case kind == messageOutcomes && c.kind == kindCollector:
 		c.handleOutcomes(message)
 	default:
-		c.skipMessage("not expected of a " + c.kind.String())
+		c.skipMessage("not allowed from a " + c.kind.String())
 	}
 	return nil
 }
 
-// answerProbe answers a readiness check of this controller. Where the outbox is full, an unidentified connection ends, and the answer
-// to an identified one is lost.
+// answerProbe answers a readiness check of this controller. If the outbox is full, an unidentified
+// connection ends; an identified connection stays, and gets no answer.
 func (c *connection) answerProbe() error {
 	err := c.send(aliveMessage)
 	if c.kind == kindUnidentified {
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// skipMessage logs a message that is passed over, with the beginning of its text.
+// skipMessage logs that a message is skipped, with the beginning of its text. Reasons are constant
+// texts, as these log lines are rate limited by reason.
 func (c *connection) skipMessage(reason string) {
 	const maxShown = 160 // bytes
 	text := c.body.Bytes()
@@ -65,23 +67,24 @@
 		"message", string(text[:min(len(text), maxShown)]))
 }
 
-// zoneAt reads the index of the sender's zone.
+// zoneAt reads the sender's zone, and returns its index.
 func (c *connection) zoneAt(message *fastjson.Value) (zone int, ok bool) {
 	zone, ok = c.loop.zoneIndex[string(message.GetStringBytes(keyZone))]
 	return zone, ok
 }
 
-// intervalAt reads the time that a report covers, in microseconds and in seconds; none at all, or too long a one, is not usable.
+// intervalAt reads the interval that a report covers, and returns it in microseconds and in
+// seconds. It is not ok if it is missing, 0, or above limits.maxReportInterval.
 func (c *connection) intervalAt(message *fastjson.Value) (interval microseconds, seconds float64, ok bool) {
 	milliseconds, ok := numberAt(message, keyInterval)
 	interval = settings.FromMilliseconds(milliseconds)
 	return interval, inSeconds(interval), ok && interval > 0 && interval <= c.limits.maxReportInterval
 }
 
-// handleCollectorHello takes a collector's first message.
+// handleCollectorHello handles the message with which a collector identifies itself.
 func (c *connection) handleCollectorHello(message *fastjson.Value) error {
 	if c.kind != kindUnidentified {
-		c.skipMessage("it has said who it is")
+		c.skipMessage("the connection has already identified itself")
 		return nil
 	}
 	zone, ok := c.zoneAt(message)
@@ -92,10 +95,12 @@
 	return c.identifyAs(kindCollector, -1, zone)
 }
 
-// handleProxyHello takes a proxy's first message.
+// handleProxyHello handles the message with which a proxy identifies itself.
 func (c *connection) handleProxyHello(message *fastjson.Value) error {
 	if c.kind != kindUnidentified {
-		c.skipMessage("it has said who it is") // ending a connected proxy's stream would not count as its leaving
+		// A second hello is skipped: ending the stream of a connected proxy would not count as its
+		// leaving.
+		c.skipMessage("the connection has already identified itself")
 		return nil
 	}
 	proxy, proxyKnown := indexAt(message, keyProxy, c.limits.proxies)
@@ -106,9 +111,9 @@
 	}
 	requestsPerSecond, ok := numberAt(message, keyRate)
 	if !ok || requestsPerSecond > c.limits.maxProxyRate {
-		requestsPerSecond = 0 // not known: it is served all the same
+		requestsPerSecond = 0 // unknown; the proxy is served nevertheless
 	}
-	mayHoldWithdrawals := !message.GetBool(keyCold) // if nothing is said it may
+	mayHoldWithdrawals := !message.GetBool(keyCold) // true if the key is missing
 	c.wantsToken = message.GetBool(keyFence)
 	if err := c.identifyAs(kindProxy, proxy, zone); err != nil {
 		return err
@@ -117,29 +122,30 @@
 	return nil
 }
 
-// handleAck takes a proxy's acknowledgement.
+// handleAck handles a proxy's acknowledgement.
 func (c *connection) handleAck(message *fastjson.Value) {
 	nonce, ok := indexAt(message, keyNonce, 1<<16)
-	proxy, named := indexAt(message, keyProxy, c.limits.proxies)
-	if !ok || named && proxy != c.proxy {
-		c.skipMessage("no usable acknowledgement")
+	proxy, hasProxy := indexAt(message, keyProxy, c.limits.proxies)
+	if !ok || hasProxy && proxy != c.proxy {
+		c.skipMessage("acknowledgement with an invalid nonce, or of another proxy")
 		return
 	}
 	c.loop.post(func() { c.loop.acknowledged(c, nonce) })
 }
 
-// handleOutcomes takes a load report of a backend, whole or not at all.
+// handleOutcomes handles a load report about a backend. A report with any invalid field is skipped
+// as a whole.
 func (c *connection) handleOutcomes(message *fastjson.Value) {
 	report, ok := c.decodeOutcomes(message)
 	if !ok {
-		c.skipMessage("outcomes without usable figures")
+		c.skipMessage("outcomes with a missing or invalid field")
 		return
 	}
 	c.loop.tryPost(func() { c.loop.outcomesReported(report) })
 }
 
-// decodeOutcomes reads a load report of a backend. Fields that nobody reads are not looked at, but for those that show whether the
-// others can be right: its zone and its interval.
+// decodeOutcomes reads a load report about a backend. It ignores unused fields. It checks the zone
+// and the interval nevertheless, as they show whether the other fields can be right.
 func (c *connection) decodeOutcomes(message *fastjson.Value) (report outcomeReport, ok bool) {
 	interval, seconds, intervalOK := c.intervalAt(message)
 	attempts, attemptsOK := countAt(message, keyCount, c.limits.maxFleetRate, seconds)
@@ -151,14 +157,16 @@
 	backend := string(message.GetStringBytes(keyBackend))
 
 	countsOK := attemptsOK && failedOK && failed <= attempts
-	latencyOK := failed >= attempts || latencyKnown && meanLatency <= c.limits.maxResponseTime // none is needed where all failed
+	// The latency is not needed if all attempts failed.
+	latencyOK := failed >= attempts || latencyKnown && meanLatency <= c.limits.maxResponseTime
 	if !countsOK || !latencyOK || !intervalOK || !loadOK || !zoneKnown || backend == "" {
 		return outcomeReport{}, false
 	}
 	return outcomeReport{backend, attempts, failed, meanLatency, interval, load}, true
 }
 
-// decodeLoad reads what a backend reports of itself, which may be missing in part or whole; not ok if any of it makes no sense.
+// decodeLoad reads the load figures that a backend reports about itself. Any or all of them may be
+// missing. It is not ok if any of them is invalid.
 func (c *connection) decodeLoad(metrics *fastjson.Value) (load balancer.BackendLoad, ok bool) {
 	invalid := metrics != nil && metrics.Type() != fastjson.TypeObject
 	maxServiceTime := float64(c.limits.maxResponseTime) / 1000 // ms
@@ -170,15 +178,16 @@
 	return load, !invalid
 }
 
-// handleDemand takes a load report of a proxy; it may come over the proxy's connection or any collector's.
+// handleDemand handles a load report about a proxy. It may arrive on the proxy's connection or on
+// that of any collector.
 func (c *connection) handleDemand(message *fastjson.Value) {
 	proxy, proxyKnown := indexAt(message, keyProxy, c.limits.proxies)
 	class, classKnown := c.loop.classIndex[string(message.GetStringBytes(keyClass))]
 	interval, seconds, intervalOK := c.intervalAt(message)
 	count, countOK := countAt(message, keyCount, c.limits.maxProxyRate, seconds)
-	anothers := c.kind == kindProxy && proxy != c.proxy
-	if !proxyKnown || !classKnown || !intervalOK || !countOK || anothers {
-		c.skipMessage("demand without usable figures")
+	otherProxy := c.kind == kindProxy && proxy != c.proxy
+	if !proxyKnown || !classKnown || !intervalOK || !countOK || otherProxy {
+		c.skipMessage("demand with a missing or invalid field, or of another proxy")
 		return
 	}
 	c.loop.tryPost(func() { c.loop.demandReported(proxy, class, count, interval) })
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -14,35 +14,37 @@
 	"github.com/valyala/fastjson"
 )
 
-// endpointWatcher follows discovery's list of endpoints: one watch after the other, without a pause while they succeed. What is
-// known stays while calls fail, and when another address takes over. Its goroutine is run's; any other may call wake, follow and
-// cancelCall.
+// endpointWatcher follows discovery's endpoint list by consecutive watches, without a pause while
+// they succeed. The known list is kept while calls fail and when the discovery address changes. The
+// goroutine of run owns the watcher; other goroutines may call wake, follow and cancelCall.
 type endpointWatcher struct {
-	limits      *limits
-	log         *slog.Logger
-	onEndpoints func(full bool, version int64, servers []*fastjson.Value) // called with each answer that says something
-	onAnswer    func()                                                    // called once discovery itself has given an answer of use
-	wakeups     chan struct{}                                             // one wish to call at once; further ones are the same wish
+	limits *limits
+	log    *slog.Logger
+	// onEndpoints is called with each accepted full list, and with accepted changes unless they are
+	// empty.
+	onEndpoints func(full bool, version int64, servers []*fastjson.Value)
+	onAnswer    func()        // called once, at the first accepted answer of discovery
+	wakeups     chan struct{} // buffers one request to call without delay
 
-	// Of run's goroutine, and of loadCached before it begins.
+	// Owned by the goroutine of run, and by loadCached before run begins.
 	client          *fasthttp.HostClient
-	version         int64 // of the list that is known
-	hasVersion      bool  // a list is known
-	staleAnswers    int   // in a row, with an older version than ours
-	unusableAnswers int   // in a row
+	version         int64 // version of the known list
+	hasVersion      bool  // whether a list is known
+	staleAnswers    int   // consecutive answers with an older version than the known one
+	unusableAnswers int   // consecutive answers that were not accepted
 
-	mutex             sync.Mutex // guards what follows
-	address           string     // where the list is to be followed
+	mutex             sync.Mutex // guards the fields below
+	address           string     // address of discovery, which the next call uses
 	pendingRelocation *relocation
-	conn              net.Conn // to discovery, for a call to be cancelled
-	cancelDial        func()   // cancels the last dial
-	stopped           bool     // no call is of interest any more
+	conn              net.Conn // connection to discovery, kept to cancel a call
+	cancelDial        func()   // cancels the latest dial
+	stopped           bool     // the watcher has ended, and starts no further call
 }
 
-// relocation asks that the list be followed at another address, before the next call.
+// relocation is a request to use another discovery address from the next call on.
 type relocation struct {
 	address string
-	cached  *fastjson.Value // a list that helps where none is known yet; nil for none
+	cached  *fastjson.Value // list to use if none is known yet; nil for none
 }
 
 func newEndpointWatcher(address string, limits *limits, log *slog.Logger, onEndpoints func(bool, int64, []*fastjson.Value),
@@ -53,7 +55,8 @@
 	return w
 }
 
-// newClient makes a client of one connection. Retries are run's to pace, and each call must come in time or be known to have failed.
+// newClient returns a client with a single connection. It does not retry, as run controls the pace
+// of retries, and its timeouts ensure that each call succeeds or fails in bounded time.
 func (w *endpointWatcher) newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -67,7 +70,7 @@
 	}
 }
 
-// loadCached takes in the list of a configuration where none is known yet.
+// loadCached uses the endpoint list of a configuration if no list is known yet.
 func (w *endpointWatcher) loadCached(cached *fastjson.Value) {
 	if cached == nil || w.hasVersion {
 		return
@@ -77,7 +80,8 @@
 	}
 }
 
-// run follows the list until the context ends. Controller.Serve starts it and waits for its end.
+// run follows the endpoint list until the context ends. Controller.Serve starts it and waits for
+// its end.
 func (w *endpointWatcher) run(ctx context.Context) {
 	defer func() { w.client.CloseIdleConnections() }()
 	defer context.AfterFunc(ctx, w.cancelCall)()
@@ -88,7 +92,9 @@
 		err := w.poll()
 		endedAtOnce := w.version == version && time.Since(began) < w.limits.watchWait/2
 		switch {
-		case err == nil && endedAtOnce: // it ends watches at once, and would have us ask without a breath
+		case err == nil && endedAtOnce:
+			// Discovery ends watches early. Without a pause, calls would follow each other in a
+			// tight loop.
 			backoff = w.limits.minBackoff
 		case err == nil || w.relocate():
 			backoff = w.limits.minBackoff
@@ -105,7 +111,8 @@
 	}
 }
 
-// pause waits for half a backoff to all of it, by chance, unless it is woken.
+// pause waits for a random time between half of the backoff and all of it. wake and the end of the
+// context cut it short.
 func (w *endpointWatcher) pause(ctx context.Context, backoff time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -114,7 +121,7 @@
 	}
 }
 
-// wake cuts a pause short.
+// wake cuts the current or the next pause short.
 func (w *endpointWatcher) wake() {
 	select {
 	case w.wakeups <- struct{}{}:
@@ -122,8 +129,8 @@
 	}
 }
 
-// poll makes one call: a watch from the version that is known, or for the full list where none is known, or where watches have been
-// of no use again and again.
+// poll makes one call: a watch that starts at the known version, or a request for the full list if
+// no list is known or if limits.maxUnusableAnswers answers in a row were not accepted.
 func (w *endpointWatcher) poll() error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -135,18 +142,18 @@
 	}
 	request.SetRequestURI(uri)
 	if err := w.client.DoTimeout(request, response, w.limits.watchWait+w.limits.watchMargin); err != nil {
-		return fmt.Errorf("call: %w", err)
+		return fmt.Errorf("request: %w", err)
 	}
 	if w.addressChanged(w.client.Addr) {
 		return errAddressChanged
 	}
-	w.unusableAnswers++ // until it proves to be of use
+	w.unusableAnswers++ // accept resets it
 	answer, err := decodeAnswer(response)
 	if err != nil {
 		return err
 	}
 	if !incremental && !answer.GetBool(keyFullList) {
-		return fmt.Errorf("%w: changes, where all was asked for", errMalformedList)
+		return fmt.Errorf("%w: got only changes, but the full list was requested", errMalformedList)
 	}
 	if err := w.accept(answer); err != nil {
 		return err
@@ -155,37 +162,38 @@
 	return nil
 }
 
-// decodeAnswer reads an answer, which must be JSON without ambiguous keys.
+// decodeAnswer parses a response, which must be JSON without duplicate keys.
 func decodeAnswer(response *fasthttp.Response) (*fastjson.Value, error) {
 	if code := response.StatusCode(); code != fasthttp.StatusOK {
-		return nil, fmt.Errorf("status %d", code)
+		return nil, fmt.Errorf("unexpected HTTP status %d, want %d", code, fasthttp.StatusOK)
 	}
 	answer, err := fastjson.ParseBytes(response.Body())
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
 	if key := duplicateKey(answer); key != "" {
-		return nil, fmt.Errorf("%w: %s stands there twice", errMalformedList, key)
+		return nil, fmt.Errorf("%w: duplicate key %s", errMalformedList, key)
 	}
 	return answer, nil
 }
 
-// accept takes in an answer unless it is older than what is known: that may come from a copy of discovery that lags. Where answers
-// are older again and again, a full list is taken all the same.
+// accept applies an answer, and rejects one that is older than the known list, as it may come from
+// a lagging replica of discovery. After limits.maxUnusableAnswers older answers in a row, it
+// accepts a full list even if that is older.
 func (w *endpointWatcher) accept(answer *fastjson.Value) error {
 	version, ok := numberAt(answer, keyVersion)
 	servers := answer.Get(keyEndpoints)
 	if !ok || servers == nil || servers.Type() != fastjson.TypeArray {
-		return errMalformedList
+		return fmt.Errorf("%w: %s or %s is missing or invalid", errMalformedList, keyVersion, keyEndpoints)
 	}
 	full := answer.GetBool(keyFullList)
 	older := w.hasVersion && int64(version) < w.version
 	if older && (w.staleAnswers < w.limits.maxUnusableAnswers || !full) {
 		w.staleAnswers++
-		return fmt.Errorf("version %.0f is older than %d", version, w.version)
+		return fmt.Errorf("list version %.0f is older than the known version %d", version, w.version)
 	}
 	if !w.hasVersion && !full {
-		return fmt.Errorf("%w: changes to nothing", errMalformedList)
+		return fmt.Errorf("%w: got only changes, but no full list is known", errMalformedList)
 	}
 	if endpoints := servers.GetArray(); full || len(endpoints) > 0 {
 		w.onEndpoints(full, int64(version), endpoints)
@@ -195,7 +203,8 @@
 	return nil
 }
 
-// follow has the list be followed at an address from the next call on. A call that is under way elsewhere is cancelled.
+// follow changes the discovery address from the next call on. It cancels a running call to another
+// address, and cuts a pause short.
 func (w *endpointWatcher) follow(address string, cached *fastjson.Value) {
 	w.mutex.Lock()
 	w.pendingRelocation = &relocation{address, cached}
@@ -207,8 +216,8 @@
 	w.wake()
 }
 
-// relocate goes over to another address, if that is asked for, and tells whether it was. The next call goes on from the version that
-// is known.
+// relocate applies a pending relocation, and reports whether there was one. The next call continues
+// from the known version.
 func (w *endpointWatcher) relocate() bool {
 	w.mutex.Lock()
 	next := w.pendingRelocation
@@ -226,14 +235,15 @@
 	return true
 }
 
-// addressChanged tells whether what an address answers is of no interest any more.
+// addressChanged reports whether the discovery address is no longer the given one, so that an
+// answer from it has to be ignored.
 func (w *endpointWatcher) addressChanged(from string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.address != from
 }
 
-// dial connects to discovery, in a way that follow and cancelCall can cancel.
+// dial connects to discovery. follow and cancelCall can cancel it.
 func (w *endpointWatcher) dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), w.limits.dialTimeout)
 	defer cancel()
@@ -254,7 +264,7 @@
 	return conn, err
 }
 
-// cancelCall ends the call that is under way, at whatever step it is, and all that follow.
+// cancelCall cancels the running call in any of its steps, and makes all later calls fail.
 func (w *endpointWatcher) cancelCall() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -262,10 +272,10 @@
 	w.abortCall()
 }
 
-// abortCall ends the call that is under way. The mutex is held.
+// abortCall cancels the running call. The caller holds the mutex.
 func (w *endpointWatcher) abortCall() {
 	w.cancelDial()
 	if w.conn != nil {
-		_ = w.conn.Close() // the call fails, which is all that is wanted
+		_ = w.conn.Close() // the call fails, whatever the result of Close
 	}
 }
--- a/controller/encode.go
+++ b/controller/encode.go
@@ -1,46 +1,48 @@
 package controller
 
 import (
+	"fmt"
 	"math"
 	"strconv"
 )
 
-// messageWriter writes one message to a proxy: parts one after the other, each but the last with keyMore. A part is for one set of
-// classes.
+// messageWriter encodes one message to a proxy as a sequence of parts. Every part except the last
+// has keyMore. A part applies to one set of classes.
 type messageWriter struct {
 	classNames [][]byte // as JSON strings
-	maxFrame   int      // bytes of a part, without its length
+	maxFrame   int      // maximum bytes of a part, without its length prefix
 	maxParts   int
-	token      uint64 // of the proxy's owner, for a proxy that asked for it; 0 for none
+	token      uint64 // fencing token of the proxy's owner, if the proxy asked for it; 0 for none
 
 	raw         []byte
-	partStart   int // where the open part begins in raw
-	parts       int
-	partClasses uint16 // bit set of the classes that the open part is for; 0 for none in particular
-	hasLimit    bool   // the open part has a limit
+	partStart   int    // offset of the open part in raw
+	parts       int    // number of parts, including the open one
+	partClasses uint16 // bit set of the classes that the open part applies to; 0 if it names none
+	hasLimit    bool   // the open part has an admission limit
 }
 
-// partTail is the longest that can follow an item of an array up to the end of its part.
+// partTail is the maximum number of bytes between the last item of an array and the end of its
+// part.
 const partTail = len(`],"` + keyMore + `":true}`)
 
-// maxFieldBytes is more than any of the fields takes that are not arrays.
+// maxFieldBytes is an upper bound for the size of a field that is not an array.
 const maxFieldBytes = 64
 
-// openPart opens a part for a set of classes, if the open one is not for the same.
+// openPart opens a part for a set of classes, unless the open part is for the same set.
 func (w *messageWriter) openPart(classes uint16) {
 	if w.parts == 0 || w.partClasses != classes {
 		w.nextPart(classes)
 	}
 }
 
-// openAnyPart opens a part if none is open.
+// openAnyPart opens a part without classes if no part is open.
 func (w *messageWriter) openAnyPart() {
 	if w.parts == 0 {
 		w.nextPart(0)
 	}
 }
 
-// nextPart closes the open part and begins another for a set of classes.
+// nextPart closes the open part and begins another one for a set of classes.
 func (w *messageWriter) nextPart(classes uint16) {
 	if w.parts > 0 {
 		w.raw = append(w.raw, `,"`+keyMore+`":true}`...)
@@ -66,7 +68,7 @@
 	w.raw = append(w.raw, `":`...)
 }
 
-// writeClasses names the classes that the open part is for.
+// writeClasses writes the names of the classes that the open part applies to.
 func (w *messageWriter) writeClasses(classes uint16) {
 	w.openField(keyClasses)
 	separator := byte('[')
@@ -80,7 +82,8 @@
 	w.raw = append(w.raw, ']')
 }
 
-// writeArray writes a field that is an array of items; where the part would become too long, the array goes on in a further one.
+// writeArray writes a field that is an array of items. When the part would exceed maxFrame, the
+// array continues in another part.
 func (w *messageWriter) writeArray(key string, items [][]byte) {
 	w.openField(key)
 	w.raw = append(w.raw, '[')
@@ -98,19 +101,19 @@
 	w.raw = append(w.raw, ']')
 }
 
-// hasRoomFor tells whether some more bytes, and the end of the part, go into the open part.
+// hasRoomFor reports whether size more bytes and the end of the part fit into the open part.
 func (w *messageWriter) hasRoomFor(size int) bool {
 	return len(w.raw)-w.partStart+size+partTail <= w.maxFrame+lengthSize
 }
 
-// ensureRoom opens a further part when a field would not go into this one.
+// ensureRoom opens another part if a field of maxFieldBytes would not fit into the open one.
 func (w *messageWriter) ensureRoom() {
 	if !w.hasRoomFor(maxFieldBytes) {
 		w.nextPart(w.partClasses)
 	}
 }
 
-// writeFullTable writes the complete table of some classes.
+// writeFullTable writes a complete table, which replaces the table of each of the classes.
 func (w *messageWriter) writeFullTable(classes uint16, entries [][]byte) {
 	w.openPart(classes)
 	w.openField(keyFull)
@@ -118,13 +121,13 @@
 	w.writeArray(keyEntries, entries)
 }
 
-// writeTableChange writes changed entries of the table of some classes.
+// writeTableChange writes the changed entries of a table that the classes use.
 func (w *messageWriter) writeTableChange(classes uint16, entries [][]byte) {
 	w.openPart(classes)
 	w.writeArray(keyEntries, entries)
 }
 
-// writeLimit writes the admission limit of some classes; a part has one at most.
+// writeLimit writes the admission limit of a set of classes. A part holds at most one limit.
 func (w *messageWriter) writeLimit(classes uint16, limit admissionLimit) {
 	w.openPart(classes)
 	if w.hasLimit {
@@ -138,7 +141,7 @@
 	w.hasLimit = true
 }
 
-// writeBackends writes which backends are withdrawn (keyWithdraw), or restored (keyRestore).
+// writeBackends writes the names of withdrawn (keyWithdraw) or restored (keyRestore) backends.
 func (w *messageWriter) writeBackends(key string, names [][]byte) {
 	if len(names) == 0 {
 		return
@@ -148,7 +151,7 @@
 	w.writeArray(key, names)
 }
 
-// writeAckRequest asks for an acknowledgement.
+// writeAckRequest writes a request to acknowledge the message with a nonce.
 func (w *messageWriter) writeAckRequest(nonce int) {
 	w.openAnyPart()
 	w.ensureRoom()
@@ -156,18 +159,19 @@
 	w.raw = strconv.AppendInt(w.raw, int64(nonce), 10)
 }
 
-// finish closes the last part and gives the message; errTooManyParts if it is too long for one.
+// finish closes the last part and returns the message, or errTooManyParts if it has more than
+// maxParts parts.
 func (w *messageWriter) finish() ([]byte, error) {
 	w.openAnyPart()
 	if w.parts > w.maxParts {
-		return nil, errTooManyParts
+		return nil, fmt.Errorf("%w: %d parts, at most %d", errTooManyParts, w.parts, w.maxParts)
 	}
 	w.raw = append(w.raw, '}')
 	putFrameLength(w.raw, w.partStart)
 	return w.raw, nil
 }
 
-// encodeEntry encodes a table's entry: a backend, by its name as a JSON string, with its weight.
+// encodeEntry encodes a table entry: a backend's name, given as a JSON string, and its weight.
 func encodeEntry(name []byte, weight float64) []byte {
 	entry := make([]byte, 0, len(name)+16)
 	entry = append(entry, '[')
@@ -177,12 +181,13 @@
 	return append(entry, ']')
 }
 
-// appendNumber writes a number that every reader can use.
+// appendNumber appends a number, replaced or bounded by sanitizeNumber.
 func appendNumber(to []byte, number float64) []byte {
 	return strconv.AppendFloat(to, sanitizeNumber(number), 'g', -1, 64)
 }
 
-// sanitizeNumber makes a number never negative, infinite, or no number.
+// sanitizeNumber replaces a negative number or NaN by 0, and bounds a number by math.MaxFloat32, so
+// that every JSON reader accepts the result.
 func sanitizeNumber(number float64) float64 {
 	if math.IsNaN(number) || number < 0 {
 		return 0
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -7,10 +7,11 @@
 	"wheelrill/internal/settings"
 )
 
-// endpointsUpdated takes in discovery's list: all endpoints (full), or those that changed.
+// endpointsUpdated applies a discovery list, which holds all endpoints (full) or only the changed
+// ones.
 func (l *eventLoop) endpointsUpdated(full bool, version int64, servers []*fastjson.Value) {
 	endpoints := make([]balancer.Endpoint, 0, len(servers))
-	listed := map[int]bool{} // by backend that is named: whether it is there still
+	listed := map[int]bool{} // by backend index: false if the endpoint is removed
 	for _, server := range servers {
 		if endpoint, ok := l.decodeEndpoint(server); ok {
 			endpoints = l.withOverrides(endpoints, endpoint)
@@ -28,7 +29,8 @@
 	}
 }
 
-// withOverrides adds an endpoint to a list, with what distributed configuration says of its backend.
+// withOverrides appends an endpoint to a list, with the overrides that distributed configuration
+// has for its backend.
 func (l *eventLoop) withOverrides(to []balancer.Endpoint, endpoint balancer.Endpoint) []balancer.Endpoint {
 	if l.overrides == nil {
 		return append(to, endpoint)
@@ -37,27 +39,30 @@
 	return l.overrides.merged(to, l.backends.ids[endpoint.Backend], endpoint)
 }
 
-// decodeEndpoint reads an endpoint of the list, and gives its backend an index. One that cannot be used is skipped.
+// decodeEndpoint reads an endpoint of a list, and assigns its backend an index. It logs and skips
+// an invalid endpoint.
 func (l *eventLoop) decodeEndpoint(server *fastjson.Value) (endpoint balancer.Endpoint, ok bool) {
 	id := server.GetStringBytes(keyID)
 	zone, known := l.zoneIndex[string(server.GetStringBytes(keyListZone))]
 	if len(id) == 0 || len(id) > l.limits.maxIDBytes || !known {
-		l.log.Warn("endpoint_skipped", "backend", string(id[:min(len(id), l.limits.maxIDBytes)]), "reason", "no usable id or zone")
+		l.log.Warn("endpoint_skipped", "backend", string(id[:min(len(id), l.limits.maxIDBytes)]),
+			"reason", "id missing or too long, or unknown zone")
 		return endpoint, false
 	}
 	state := l.decodeState(string(id), string(server.GetStringBytes(keyState)))
 	backend, ok := l.backends.assign(string(id), server.Get(keyID).MarshalTo(nil), l.limits.maxBackends)
 	if !ok {
-		l.log.Warn("endpoint_skipped", "backend", string(id), "reason", "too many backends")
+		l.log.Warn("endpoint_skipped", "backend", string(id), "reason", "the maximum number of backends is reached")
 		return endpoint, false
 	}
-	weight, _ := numberAt(server, keyWeight)       // 0 if it cannot be used
-	startedAt, _ := numberAt(server, keyStartedAt) // 0, long ago, if it cannot be used
+	weight, _ := numberAt(server, keyWeight)       // 0 if invalid
+	startedAt, _ := numberAt(server, keyStartedAt) // 0, which means long ago, if invalid
 	return balancer.Endpoint{Backend: backend, State: state, StartedAt: settings.FromMilliseconds(startedAt), Weight: weight,
 		Zone: zone}, true
 }
 
-// decodeState reads the state of an endpoint; an unknown one is taken for draining, which is the careful reading.
+// decodeState reads the state of an endpoint. It treats an unknown state as draining, which is the
+// safe choice: the backend gets no new requests.
 func (l *eventLoop) decodeState(id, state string) balancer.EndpointState {
 	switch state {
 	case stateReady:
--- a/controller/errors.go
+++ b/controller/errors.go
@@ -6,37 +6,52 @@
 	"os"
 )
 
-// Why a connection is refused. The texts stand in the reason of the error message that its peer gets, so they are part of the wire.
+// Reasons for refusing a connection. The peer receives the text as the reason of an error message,
+// so these texts are part of the wire protocol and must not change.
 var (
-	errUnreadable      = errors.New("cannot be read")
+	// errUnreadable: a frame length is invalid, or a frame is not a JSON object.
+	errUnreadable = errors.New("cannot be read")
+	// errIdentifyTimeout: the connection did not identify itself within limits.identifyTimeout, or
+	// before its eviction.
 	errIdentifyTimeout = errors.New("it never said who it is")
-	errUnacceptable    = errors.New("it cannot be taken")
-	errNoRoom          = errors.New("no socket is left for it")
-	errSuperseded      = errors.New("a newer connection came before it spoke")
-	errNotIdentified   = errors.New("it must say first who it is")
+	// errUnacceptable: before identification, a message has a duplicate key, or an unknown proxy or
+	// zone.
+	errUnacceptable = errors.New("it cannot be taken")
+	// errNoRoom: limits.maxIdentified connections exist already.
+	errNoRoom = errors.New("no socket is left for it")
+	// errSuperseded: the proxy has already identified itself on a newer connection.
+	errSuperseded = errors.New("a newer connection came before it spoke")
+	// errNotIdentified: a message other than a probe, hello or agent arrived before identification.
+	errNotIdentified = errors.New("it must say first who it is")
 )
 
-// Why a connection is closed that was not refused.
+// Reasons for closing a connection.
 var (
+	// errOutboxFull: limits.outboxSize messages wait. An unidentified connection receives this text
+	// as the reason of an error message, so it is part of the wire protocol too.
 	errOutboxFull = errors.New("too many messages wait for it")
-	errClosed     = errors.New("it has ended")
-	errReplaced   = errors.New("a newer connection took its place")
-	errSilent     = errors.New("it is silent and leaves pushes unacknowledged")
+	// errClosed: send was called after close.
+	errClosed = errors.New("the connection is closed")
+	// errReplaced: the proxy, or a further collector of the zone, has a newer connection.
+	errReplaced = errors.New("replaced by a newer connection")
+	// errSilent: the connection is probably half-open.
+	errSilent = errors.New("no message, and a push unacknowledged, for longer than the timeout")
 )
 
-// Why a message to a proxy cannot be written.
-var errTooManyParts = errors.New("more parts than one message may have")
+// errTooManyParts means that a message to a proxy needs more parts than limits.maxParts.
+var errTooManyParts = errors.New("message to a proxy exceeds the maximum number of parts")
 
-// Why a call of discovery failed.
+// Reasons why a call to discovery failed.
 var (
-	errMalformedList  = errors.New("not a list")
-	errAddressChanged = errors.New("it is followed elsewhere by now")
+	errMalformedList  = errors.New("invalid endpoint list")
+	errAddressChanged = errors.New("the discovery address has changed")
 )
 
-// errTimeout is what a connection's reads and writes give once their deadline has passed.
+// errTimeout is the error of a connection's reads and writes after their deadline.
 var errTimeout = os.ErrDeadlineExceeded
 
-// reasonOf is what went wrong, without addresses: they say nothing to the peer.
+// reasonOf returns the text of an error. It omits the addresses of a network error, as they are of
+// no use to the peer.
 func reasonOf(err error) string {
 	var operation *net.OpError
 	if errors.As(err, &operation) {
--- a/controller/frame.go
+++ b/controller/frame.go
@@ -8,11 +8,12 @@
 	"strconv"
 )
 
-// lengthSize is how many bytes of length stand before each message, most significant byte first.
+// lengthSize is the size in bytes of the length prefix of a frame, which is big-endian.
 const lengthSize = 4
 
-// readFrame reads one message of at most maxSize bytes into a buffer. io.EOF means that the stream ended between messages. The
-// buffer grows with what arrives, so that a length that is only claimed costs no memory.
+// readFrame reads one message of at most maxSize bytes into a buffer. It returns io.EOF if the
+// stream ends between messages. The buffer grows only as bytes arrive, so a peer cannot make it
+// allocate memory by announcing a large length.
 func readFrame(in io.Reader, body *bytes.Buffer, maxSize int) error {
 	var length [lengthSize]byte
 	if n, err := io.ReadFull(in, length[:]); err != nil {
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// appendMessageStart begins a message: room for its length, an opening brace, and its kind.
+// appendMessageStart appends the start of a message: space for its length, an opening brace, and
+// its kind.
 func appendMessageStart(to []byte, kind string) []byte {
 	to = append(to, make([]byte, lengthSize)...)
 	to = append(to, `{"`+keyMessage+`":"`...)
@@ -40,12 +42,12 @@
 	return append(to, '"')
 }
 
-// putFrameLength writes the length of the message that begins at start, once it is complete.
+// putFrameLength writes the length prefix of the complete message that begins at start.
 func putFrameLength(raw []byte, start int) {
 	binary.BigEndian.PutUint32(raw[start:], uint32(len(raw)-start-lengthSize))
 }
 
-// errorMessage is the last message to a connection that is refused.
+// errorMessage returns the last message to a refused connection, which holds the reason.
 func errorMessage(reason error) []byte {
 	raw := appendMessageStart(nil, messageError)
 	raw = append(raw, `,"`+keyReason+`":`...)
--- a/controller/json.go
+++ b/controller/json.go
@@ -6,7 +6,8 @@
 	"wheelrill/internal/settings"
 )
 
-// numberAt reads a number; one that is missing, not a number, infinite or below 0 is not usable.
+// numberAt reads the number of a key. It is not ok if the value is missing, not a number, infinite
+// or negative.
 func numberAt(object *fastjson.Value, key string) (number float64, ok bool) {
 	value := object.Get(key)
 	if value == nil {
@@ -19,8 +20,9 @@
 	return number, number >= 0 && settings.Sanitize(number) == number
 }
 
-// numberAtEither reads a number of at most limit that goes by one of two keys; -1 if neither is there. It sets invalid if one is
-// there and is not usable.
+// numberAtEither reads a number of at most limit from one of two alternative keys. It returns -1 if
+// neither key has a valid number, and sets invalid if a key before the first valid number has an
+// invalid value.
 func numberAtEither(object *fastjson.Value, key, otherKey string, limit float64, invalid *bool) float64 {
 	for _, key := range []string{key, otherKey} {
 		if number, ok := numberAt(object, key); ok && number <= limit {
@@ -33,18 +35,20 @@
 	return -1
 }
 
-// indexAt reads a whole number below a bound.
+// indexAt reads an integer from 0 up to, but not including, a bound.
 func indexAt(object *fastjson.Value, key string, below int) (index int, ok bool) {
 	number, ok := numberAt(object, key)
 	return int(number), ok && number < float64(below) && number == float64(int(number))
 }
 
-// countAt reads a count of requests, of which perSecond can come; parts of one do not exist.
+// countAt reads a number of requests: an integer up to the number that arrives at a rate of
+// perSecond in the given seconds, or in one second if they are fewer.
 func countAt(object *fastjson.Value, key string, perSecond, seconds float64) (count int, ok bool) {
 	return indexAt(object, key, int(perSecond*max(seconds, 1))+1)
 }
 
-// duplicateKey gives the path of a key that stands in an object twice, or in an object within it; empty if there is none.
+// duplicateKey returns the path of the first key that occurs twice in the same object, at any
+// depth; it is empty if there is none.
 func duplicateKey(value *fastjson.Value) (path string) {
 	switch value.Type() {
 	case fastjson.TypeArray:
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -6,134 +6,157 @@
 	"wheelrill/balancer"
 )
 
-// limits are the sizes, counts and times of everything around the decisions. New fills them; nobody changes them after that, so any
-// goroutine may read them. Limits of other parts stand with them: of the distributed configuration in distribution/limits.go
-// (distribution.Limits), of its connections in distribution/transport/config.go (transport.Bounds), of the shared record in the
-// constants of package consensus, beside what uses them (pace.go has its times), and of leases in ownership.go.
+// limits holds the sizes, counts and timeouts of the controller, apart from those of the balancing
+// decisions. New sets them. They are read-only afterwards, so any goroutine may read them.
+//
+// Other parts define their own limits: the distributed configuration in distribution/limits.go
+// (distribution.Limits), its connections in distribution/transport/config.go (transport.Bounds),
+// the shared record in constants of package consensus next to the code that uses them (its times
+// are in pace.go), and leases in ownership.go.
 type limits struct {
-	// What the process is given, and who exists.
+	// Resources of the process and size of the fleet.
 
-	// cores is how many the process has, at least 1.
+	// cores is the number of CPU cores of the process, at least 1.
 	cores int
-	// memory is bytes; 0 if nobody said.
+	// memory is the memory of the process in bytes; 0 if not configured.
 	memory int64
-	// sockets is how many descriptors the process may have open.
+	// sockets is the number of file descriptors that the process may have open.
 	sockets int
-	// proxies is how many proxies exist.
+	// proxies is the number of proxies in the fleet.
 	proxies int
 
 	// Connections.
 
-	// maxConnections bounds all connections; at the bound, the oldest unidentified ones are evicted, and others wait in the
-	// listener's backlog.
+	// maxConnections bounds the total number of connections. At the bound, the oldest unidentified
+	// connections are evicted and new ones wait in the listener's backlog.
 	maxConnections int
-	// maxUnidentified bounds those that have not identified themselves; at the bound, the oldest are evicted.
+	// maxUnidentified bounds the connections that have not identified themselves; at the bound, the
+	// oldest are evicted.
 	maxUnidentified int
-	// maxIdentified bounds the others; at the bound, a newcomer is refused.
+	// maxIdentified bounds the identified connections; at the bound, a connection that identifies
+	// itself is refused.
 	maxIdentified int
-	// collectorsPerZone bounds the collectors of a zone; at the bound, a newcomer replaces the oldest.
+	// collectorsPerZone bounds the collector connections of a zone; at the bound, a new one
+	// replaces the oldest.
 	collectorsPerZone int
 
 	// Backends.
 
-	// maxBackends bounds the list; further ones are skipped.
+	// maxBackends bounds the number of known backends; endpoints beyond it are skipped.
 	maxBackends int
-	// maxIDBytes bounds a backend's id.
+	// maxIDBytes bounds the length of a backend's id.
 	maxIDBytes int
-	// forgetAfter is for how long a backend is known on after the list has dropped it.
+	// forgetAfter is how long a backend's state is kept after the endpoint list has dropped it.
 	forgetAfter microseconds
 
-	// Messages, either way, and queues.
+	// Messages in both directions, and queues.
 
-	// maxFrame bounds the bytes of a message, or of a part of one.
+	// maxFrame bounds the bytes of a frame, which holds a message or one part of a message to a
+	// proxy.
 	maxFrame int
-	// maxFirstFrame bounds the bytes of a message of an unidentified connection.
+	// maxFirstFrame bounds the bytes of a message that an unidentified connection sends.
 	maxFirstFrame int
 	// maxParts bounds the parts of a message to a proxy.
 	maxParts int
-	// maxIdleBuffer is bytes; a reader's buffer that grew beyond this is given back.
+	// maxIdleBuffer is the size in bytes above which a reader releases its buffer after a message.
 	maxIdleBuffer int
-	// inboxSize bounds the events that wait for the loop; at the bound, reports are dropped, and other events make their senders
-	// wait.
+	// inboxSize bounds the events queued for the event loop. At the bound, load reports are
+	// dropped, and posting any other event blocks.
 	inboxSize int
-	// eventsPerIteration bounds the events that the loop takes at one clock time.
+	// eventsPerIteration bounds the events that the loop handles in one iteration, at one clock
+	// time.
 	eventsPerIteration int
-	// outboxSize bounds the messages that wait for one connection. At the bound send fails: the loop drops a proxy, an unidentified
-	// connection ends, the answer to another's probe is lost.
+	// outboxSize bounds the messages queued for one connection. At the bound, send fails: the loop
+	// drops a proxy that it was pushing to, an unidentified connection ends, and an identified
+	// connection gets no answer to its probe.
 	outboxSize int
-	// maxUnacked bounds the acknowledgements that are missing of one proxy; at the bound, the oldest is forgotten.
+	// maxUnacked bounds the outstanding acknowledgements of one proxy; at the bound, the oldest is
+	// forgotten.
 	maxUnacked int
-	// maxResponseBody bounds the bytes of an answer of discovery.
+	// maxResponseBody bounds the bytes of a discovery response.
 	maxResponseBody int
 
-	// What load reports can say; beyond it a report is skipped.
+	// Largest plausible values in load reports; a report with a larger one is skipped.
 
-	// maxProxyRate is requests a second that arrive at one proxy.
+	// maxProxyRate is the rate of requests that arrive at one proxy, per second.
 	maxProxyRate float64
-	// maxFleetRate is requests a second that arrive at all proxies.
+	// maxFleetRate is the rate of requests that arrive at all proxies together, per second.
 	maxFleetRate float64
 	// maxResponseTime is the longest response time.
 	maxResponseTime microseconds
-	// maxReportInterval is the longest time that one report covers.
+	// maxReportInterval is the longest interval that one report covers.
 	maxReportInterval microseconds
-	// maxUtilization is the share of its cores that a backend has at work; it may count them in percent.
+	// maxUtilization is a backend's CPU utilization: a share of its cores, or a percentage.
 	maxUtilization float64
-	// maxQueueLength is requests that wait at a backend.
+	// maxQueueLength is the number of requests queued at a backend.
 	maxQueueLength float64
 
-	// Times of the loop.
+	// Times of the event loop.
 
-	// tick is the least time between two iterations.
+	// tick is the minimum time between two iterations that events trigger.
 	tick time.Duration
-	// stallThreshold is the time without an iteration that shows that the process stalled: the decisions want several a second.
+	// stallThreshold is the time between two iterations above which the process counts as stalled:
+	// the decisions set timers that cause several iterations a second.
 	stallThreshold microseconds
-	// readyTimeout is the time from the start on after which answers leave without a list.
+	// readyTimeout is the time after the start at which the controller becomes ready even without
+	// an endpoint list.
 	readyTimeout time.Duration
-	// handOverTimeout is the time that the record may take to say that our proxies are given away.
+	// handOverTimeout bounds the wait at shutdown until the shared record confirms that this
+	// controller's proxies are released.
 	handOverTimeout time.Duration
-	// silenceTimeout is the time without a message, and with an acknowledgement missing as long, that shows a half-open connection.
+	// silenceTimeout is the time without a message, and with an acknowledgement outstanding for as
+	// long, after which a connection counts as half-open.
 	silenceTimeout microseconds
-	// ackLagTimeout is the same where another proxy has given that acknowledgement.
+	// ackLagTimeout replaces silenceTimeout where another proxy has already sent the outstanding
+	// acknowledgement, and counts from that time on.
 	ackLagTimeout microseconds
 
 	// Times of connections.
 
-	// identifyTimeout is the time from accept on for a connection to identify itself.
+	// identifyTimeout is the time after accept within which a connection has to identify itself.
 	identifyTimeout time.Duration
-	// minEvictAge is the time that it has for this at least, however many others come.
+	// minEvictAge is the age below which an unidentified connection is never evicted, however many
+	// others arrive.
 	minEvictAge time.Duration
-	// finalReadTimeout is a last look past a deadline, as it may be this process that stalled: at what had arrived of a connection, at
-	// what it takes of a message, at the listener's backlog; and what an evicted connection has for its end.
+	// finalReadTimeout is the extra time granted after a deadline, as this process itself may have
+	// stalled past it: for one more read from a connection, for one more write to it, and for
+	// draining the listener's backlog. It is also the time in which an evicted connection has to
+	// finish.
 	finalReadTimeout time.Duration
-	// lingerTimeout is for how long what a refused connection still sends is read.
+	// lingerTimeout is how long input from a refused connection is read and discarded.
 	lingerTimeout time.Duration
-	// writeTimeout is the time for one message to leave.
+	// writeTimeout bounds the write of one message; connection.deliver extends it where this
+	// process may have stalled.
 	writeTimeout time.Duration
 
 	// Times of discovery.
 
-	// dialTimeout is the time for a connection to discovery to be made, and for a request to be written to it.
+	// dialTimeout bounds connecting to discovery, and writing a request to it.
 	dialTimeout time.Duration
-	// watchWait is the time that discovery may wait for a change before it answers.
+	// watchWait is how long discovery may wait for a change before it answers a watch.
 	watchWait time.Duration
-	// watchMargin is the time beyond watchWait after which the call has failed.
+	// watchMargin is the additional time after watchWait at which a call counts as failed.
 	watchMargin time.Duration
-	// minBackoff is the wait after a failed call, or a watch that ended at once, before jitter; further failures double it.
+	// minBackoff is the wait, before jitter, after a failed call or after a watch that ended early
+	// without a change; each further failure doubles it.
 	minBackoff time.Duration
-	// maxBackoff bounds that wait.
+	// maxBackoff bounds the doubled wait, before jitter.
 	maxBackoff time.Duration
-	// maxUnusableAnswers is how many in a row it takes for the full list to be asked for, and to be taken even if it is older.
+	// maxUnusableAnswers is the number of consecutive unusable answers after which the watcher
+	// requests the full list, and of consecutive stale ones after which it accepts a full list that
+	// is older than the known one.
 	maxUnusableAnswers int
 
 	// The log.
 
-	// logRepeatInterval is the time between two lines of a kind that is rate limited.
+	// logRepeatInterval is the minimum time between two lines of the same rate-limited kind.
 	logRepeatInterval time.Duration
-	// maxLogKinds bounds the kinds of lines that are counted apart.
+	// maxLogKinds bounds the kinds of lines that are counted separately.
 	maxLogKinds int
 }
 
-// defaultLimits are those that do not depend on what the process is given.
+// defaultLimits returns the limits that do not depend on the settings or the resources of the
+// process.
 func defaultLimits() *limits {
 	return &limits{
 		cores: 1,
@@ -159,7 +182,7 @@
 		maxQueueLength: 1e6,
 
 		stallThreshold:  microsPerSecond,
-		readyTimeout:    5 * time.Second, // of the ten seconds that the platform waits for a process that restarts
+		readyTimeout:    5 * time.Second, // the platform waits ten seconds for a restarted process
 		handOverTimeout: 400 * time.Millisecond,
 
 		identifyTimeout:  1500 * time.Millisecond,
@@ -180,34 +203,40 @@
 	}
 }
 
-// fitResources fits the limits to the cores, megabytes and descriptors that the process has; 0 stands for as many as are usual.
+// fitResources sets the limits that follow from the CPU cores, megabytes of memory and file
+// descriptors of the process. 0 means not configured: the defaults are 1 core, an unknown amount of
+// memory and defaultSockets descriptors.
 func (l *limits) fitResources(cores, memoryMB, sockets float64) {
-	const usualSockets, maxSockets = 1024, 1 << 20
+	const defaultSockets, maxSockets = 1024, 1 << 20
 	l.cores = max(1, int(cores))
 	l.memory = int64(memoryMB) << 20
-	l.sockets = usualSockets
+	l.sockets = defaultSockets
 	if sockets > 0 {
 		l.sockets = int(min(sockets, maxSockets))
 	}
 }
 
-// fitFleet fits the limits to the proxies and zones that exist, after fitResources.
+// fitFleet sets the limits that follow from the number of proxies and zones. It needs the result of
+// fitResources.
 func (l *limits) fitFleet(proxies, zones int) {
-	const reservedSockets = 24        // of the runtime, the standard streams, the listener and discovery
-	const reservedForUnidentified = 8 // connections in any case: each is unidentified at first
-	const usualUnidentified = 256
+	const reservedSockets = 24        // for the runtime, the standard streams, the listener and discovery
+	const reservedForUnidentified = 8 // always available, as every connection starts unidentified
+	const minUnidentified = 256
 	l.proxies = proxies
 	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
-	// Proxies twice over, as a new connection may come before the old one is seen to end.
-	wanted := 2*proxies + (l.collectorsPerZone+1)*zones
-	l.maxIdentified = min(wanted, l.maxConnections-reservedForUnidentified)
-	l.maxUnidentified = max(usualUnidentified, proxies+zones) // after a restart all come at once
+	// Two connections per proxy, as a proxy may reconnect before the end of its old connection is
+	// detected.
+	expected := 2*proxies + (l.collectorsPerZone+1)*zones
+	l.maxIdentified = min(expected, l.maxConnections-reservedForUnidentified)
+	l.maxUnidentified = max(minUnidentified, proxies+zones) // all reconnect at once after a restart
 }
 
-// fitPace fits the limits to the pace of the loop (its tick), of pushes and of reports.
+// fitPace sets the times that follow from the loop's tick, the push channel and the report
+// interval.
 func (l *limits) fitPace(tick microseconds, channel balancer.PushChannel, telemetry balancer.Telemetry) {
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
-	// A live proxy reports each interval. It may stall for two seconds, and the channel may be full.
+	// A running proxy reports once per interval. The timeouts allow for a proxy that stalls for two
+	// seconds and for a full push channel.
 	const proxyStall = 2 * microsPerSecond
 	l.silenceTimeout = 2*channel.MaxLatency + 3*telemetry.ReportInterval + proxyStall
 	l.ackLagTimeout = channel.MaxLatency + proxyStall
@@ -216,12 +245,13 @@
 	}
 }
 
-// fitReports fits what load reports can say to the proxies, the pace of reports and the classes, after fitFleet.
+// fitReports sets the bounds on load reports from the number of proxies, the report interval and
+// the classes. It needs the result of fitFleet.
 func (l *limits) fitReports(telemetry balancer.Telemetry, classes []balancer.Class) {
-	const minReportInterval = 60 * microsPerSecond // where reports wait for their turn, one covers many intervals
+	const minReportInterval = 60 * microsPerSecond // a delayed report covers many report intervals
 	l.maxFleetRate = l.maxProxyRate * float64(max(l.proxies, 1))
 	l.maxReportInterval = max(minReportInterval, 30*telemetry.ReportInterval)
 	for _, class := range classes {
-		l.maxResponseTime = max(l.maxResponseTime, 2*class.Deadline) // a proxy gives a request up at its deadline
+		l.maxResponseTime = max(l.maxResponseTime, 2*class.Deadline) // a proxy abandons a request at its deadline
 	}
 }
--- a/controller/log.go
+++ b/controller/log.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// timeFormat is how log lines give the time of day, in UTC.
+// timeFormat is the format of the time of day, in UTC, in log lines.
 const timeFormat = "15:04:05.000000"
 
-// NewLogger makes a logger that writes lines of key=value text: time (of day, in UTC), level, msg (the event), and the event's
-// keys. It may be used by several goroutines at once.
+// NewLogger returns a logger that writes lines of key=value text: time (the time of day, in UTC),
+// level, msg (the event), and the keys of the event. It is safe for concurrent use.
 func NewLogger(to io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(to, &slog.HandlerOptions{ReplaceAttr: formatTime}))
 }
 
-// formatTime replaces the time of a record by its time of day.
+// formatTime replaces the timestamp of a record by its time of day in UTC.
 func formatTime(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.TimeKey {
 		return slog.String(attr.Key, attr.Value.Time().UTC().Format(timeFormat))
@@ -27,8 +27,9 @@
 	return attr
 }
 
-// rateLimitedEvents are those that a peer could cause at will, with the key whose values are counted apart: one line of an
-// event and a value is written in limits.logRepeatInterval. Where the key is empty, all lines of the event count together.
+// rateLimitedEvents maps each event that a peer can trigger arbitrarily often to the key that
+// distinguishes its lines. At most one line per event and value of this key is written per
+// limits.logRepeatInterval. If the key is empty, all lines of the event are counted together.
 var rateLimitedEvents = map[string]string{
 	"accept_failed":                "",
 	"ack_unknown":                  "",
@@ -52,30 +53,33 @@
 	"unidentified_closed":          "error",
 }
 
-// suppressedKey is the key of how many lines of the same kind were left out since the last one.
+// suppressedKey is the key of the number of lines of the same kind that were suppressed since the
+// last written one.
 const suppressedKey = "suppressed"
 
-// rateLimitHandler passes records on to another handler, but leaves out rate-limited events that repeat too soon. It may be used
-// by several goroutines at once.
+// rateLimitHandler is a slog.Handler that forwards records to another handler, and suppresses
+// rate-limited events that repeat too soon. It is safe for concurrent use.
 type rateLimitHandler struct {
 	slog.Handler
-	limits  *limits       // logRepeatInterval, maxLogKinds
+	limits  *limits       // uses logRepeatInterval and maxLogKinds
 	repeats *repeatCounts // shared with the handlers derived from this one
 }
 
-// repeatCounts counts the lines of each kind; a kind is an event with the value of its key.
+// repeatCounts counts the suppressed lines by kind. A kind is an event together with the value of
+// its key.
 type repeatCounts struct {
-	mutex  sync.Mutex // guards byKind and what it points to
+	mutex  sync.Mutex // guards byKind and the counts that it points to
 	byKind map[string]*repeatCount
 }
 
-// repeatCount is what is known of one kind of line.
+// repeatCount is the state of one kind of line.
 type repeatCount struct {
 	lastWritten time.Time
-	suppressed  int // lines left out since then
+	suppressed  int // number of lines suppressed since lastWritten
 }
 
-// newRateLimitedLogger gives a logger that writes through another, with its repeats left out.
+// newRateLimitedLogger returns a logger that writes through another one, and suppresses repeated
+// rate-limited events.
 func newRateLimitedLogger(to *slog.Logger, limits *limits) *slog.Logger {
 	return slog.New(&rateLimitHandler{to.Handler(), limits, &repeatCounts{byKind: map[string]*repeatCount{}}})
 }
@@ -105,8 +109,9 @@
 	return &rateLimitHandler{h.Handler.WithGroup(name), h.limits, h.repeats}
 }
 
-// count takes in a line of a kind. It tells whether the line is to be written, and how many were left out before it. Kinds beyond
-// limits.maxLogKinds count as one, so that peers cannot have the table grow.
+// count registers a line of a kind. It reports whether the line has to be written, and returns the
+// number of lines suppressed before it. Kinds beyond limits.maxLogKinds are counted together as one
+// kind, so that peers cannot make the map grow without bound.
 func (r *repeatCounts) count(kind string, limits *limits) (suppressed int, write bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -116,18 +121,18 @@
 	if r.byKind[kind] == nil {
 		r.byKind[kind] = &repeatCount{}
 	}
-	known := r.byKind[kind]
-	if time.Since(known.lastWritten) < limits.logRepeatInterval {
-		known.suppressed++
+	repeat := r.byKind[kind]
+	if time.Since(repeat.lastWritten) < limits.logRepeatInterval {
+		repeat.suppressed++
 		return 0, false
 	}
-	suppressed = known.suppressed
-	*known = repeatCount{lastWritten: time.Now()}
+	suppressed = repeat.suppressed
+	*repeat = repeatCount{lastWritten: time.Now()}
 	return suppressed, true
 }
 
-// attrText gives the value of a record's key as text. Of an error it is the root cause, as what wraps it may hold numbers that
-// differ each time.
+// attrText returns the value of a record's key as text. For an error it returns the text of the
+// root cause, as the wrapping errors may contain numbers that differ each time.
 func attrText(record slog.Record, key string) (text string) {
 	record.Attrs(func(attr slog.Attr) bool {
 		if attr.Key != key {
@@ -143,7 +148,7 @@
 	return text
 }
 
-// rootCause is the text of the innermost error that an error wraps.
+// rootCause returns the text of the innermost wrapped error.
 func rootCause(err error) string {
 	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
 		err = inner
@@ -151,5 +156,5 @@
 	return err.Error()
 }
 
-// formatDecimal gives a number with a fixed count of decimal places.
+// formatDecimal formats a number with a fixed number of decimal places.
 func formatDecimal(x float64, places int) string { return strconv.FormatFloat(x, 'f', places, 64) }
--- a/controller/random.go
+++ b/controller/random.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// randomID is a number that no other process has.
+// randomID returns a random 64-bit number, which serves as an identifier that no other process has.
 func randomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -15,66 +15,73 @@
 )
 
 func TestReadinessAtStart(t *testing.T) {
-	const atOnce, answered, waited = "the list is known", "discovery has answered", "nothing is known, and discovery keeps silent"
-	for _, story := range []struct {
-		what, known string
+	const listKnown, discoveryAnswered = "the list is known", "discovery has answered"
+	const timedOut = "nothing is known, and discovery keeps silent"
+	for _, test := range []struct {
+		name, known string // known is the list in the configuration
 		answers     []string
-		refuses     bool
-		why         string
-		picks       int // backends in the table that a proxy gets
+		refuses     bool   // discovery refuses connections
+		reason      string // why the controller becomes ready
+		picks       int    // backends in the table that a proxy gets; -1 for any number
 	}{
-		{"discovery answers, known is there", twoEndpoints, []string{listJSON(2, true, endpointJSON(0, "up"))}, false, atOnce, -1},
-		{"discovery is silent, known is there", twoEndpoints, []string{"silence"}, false, atOnce, 2},
-		{"discovery refuses, known is there", twoEndpoints, nil, true, atOnce, 2},
-		{"discovery answers an older version, known is there", listJSON(9, true, endpointJSON(0, "up")), []string{twoEndpoints}, false, atOnce, 1},
-		{"discovery answers, known is missing", "null", []string{twoEndpoints}, false, atOnce, 2},
-		{"discovery answers, known is unusable", `{"version":3}`, []string{twoEndpoints}, false, atOnce, 2},
-		{"discovery answers, known is no object", `7`, []string{twoEndpoints}, false, atOnce, 2},
-		{"discovery answers an empty list", "null", []string{listJSON(4, true)}, false, answered, 0},
-		{"discovery answers an empty list, known is empty", listJSON(0, true), []string{listJSON(4, true)}, false, answered, 0},
-		{"discovery is silent, known is missing", "null", []string{"silence"}, false, waited, 0},
-		{"discovery refuses, known is missing", "null", nil, true, waited, 0},
-		{"discovery answers changes to nothing", "null", slices.Repeat([]string{listJSON(3, false, endpointJSON(0, "up"))}, 16), false, waited, 0},
-		{"discovery is cut in mid-body, then answers", "null", []string{"half" + twoEndpoints, twoEndpoints}, false, atOnce, 2},
-		{"discovery is reset, then fails, then answers", "null", []string{"reset", "status 500", "{", twoEndpoints}, false, atOnce, 2},
+		{"discovery answers, a list is configured", twoEndpoints,
+			[]string{listJSON(2, true, endpointJSON(0, "up"))}, false, listKnown, -1},
+		{"discovery is silent, a list is configured", twoEndpoints, []string{"silence"}, false, listKnown, 2},
+		{"discovery refuses, a list is configured", twoEndpoints, nil, true, listKnown, 2},
+		{"discovery answers an older version than the configured list", listJSON(9, true, endpointJSON(0, "up")),
+			[]string{twoEndpoints}, false, listKnown, 1},
+		{"discovery answers, no list is configured", "null", []string{twoEndpoints}, false, listKnown, 2},
+		{"discovery answers, the configured list is invalid", `{"version":3}`, []string{twoEndpoints}, false, listKnown, 2},
+		{"discovery answers, the configured list is not an object", `7`, []string{twoEndpoints}, false, listKnown, 2},
+		{"discovery answers an empty list", "null", []string{listJSON(4, true)}, false, discoveryAnswered, 0},
+		{"discovery answers an empty list, the configured list is empty", listJSON(0, true),
+			[]string{listJSON(4, true)}, false, discoveryAnswered, 0},
+		{"discovery is silent, no list is configured", "null", []string{"silence"}, false, timedOut, 0},
+		{"discovery refuses, no list is configured", "null", nil, true, timedOut, 0},
+		{"discovery answers changes without a full list", "null",
+			slices.Repeat([]string{listJSON(3, false, endpointJSON(0, "up"))}, 16), false, timedOut, 0},
+		{"a discovery response is cut off, then discovery answers", "null",
+			[]string{"half" + twoEndpoints, twoEndpoints}, false, listKnown, 2},
+		{"discovery resets, fails, then answers", "null",
+			[]string{"reset", "status 500", "{", twoEndpoints}, false, listKnown, 2},
 	} {
-		t.Run(story.what, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			discovery := newFakeDiscovery(t)
-			for _, text := range story.answers {
+			for _, text := range test.answers {
 				discovery.answers <- text
 			}
 			address := discovery.address
-			if story.refuses {
+			if test.refuses {
 				address = newRefusingAddress(t)
 			}
-			at, logged := serve(t, address, story.known, func(l *limits) {
-				if l.readyTimeout = testTimeout; story.why == waited {
+			controllerAddress, logged := serve(t, address, test.known, func(l *limits) {
+				if l.readyTimeout = testTimeout; test.reason == timedOut {
 					l.readyTimeout = 300 * time.Millisecond
 				}
 			})
-			caller, proxy, fake := dial(t, at), dial(t, at), newFakeProxy("read it", "write")
-			caller.send(probe) // it waits since before readiness
+			caller, proxy, fake := dial(t, controllerAddress), dial(t, controllerAddress), newFakeProxy("read it", "write")
+			caller.send(probe) // before readiness; the answer waits for it
 			if got := string(caller.receive()[lengthSize:]); got != aliveReply {
-				t.Errorf("answered %q", got)
+				t.Errorf("probe answered with %q, want %q", got, aliveReply)
 			}
 			logged.waitFor(t, "msg=ready", 1)
-			if text, _ := logged.read(); !strings.Contains(text, fmt.Sprintf("reason=%q", story.why)) {
-				t.Errorf("ready for another reason: %s", text)
+			if text, _ := logged.read(); !strings.Contains(text, fmt.Sprintf("reason=%q", test.reason)) {
+				t.Errorf("ready for another reason than %q: %s", test.reason, text)
 			}
 			proxy.send(hello)
-			if story.picks == 0 { // nothing is ordered, and it is served
+			if test.picks == 0 { // no table is pushed, but the proxy is served
 				proxy.send(probe)
 				if got := string(proxy.receive()[lengthSize:]); got != aliveReply {
-					t.Errorf("got %q", got)
+					t.Errorf("probe answered with %q, want %q", got, aliveReply)
 				}
 				return
 			}
-			if err := fake.apply(proxy.receive()); err != nil || story.picks > 0 && len(fake.picks(0)) != story.picks {
-				t.Errorf("error %v, picks %v", err, fake.picks(0))
+			if err := fake.apply(proxy.receive()); err != nil || test.picks > 0 && len(fake.picks(0)) != test.picks {
+				t.Errorf("error %v, picks %v, want %d", err, fake.picks(0), test.picks)
 			}
 		})
 	}
-	t.Run("the list that comes after readiness is pushed to who has connected meanwhile", func(t *testing.T) {
+	t.Run("the list that comes after readiness is pushed to a proxy that has connected before", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
@@ -87,7 +94,7 @@
 	})
 }
 
-// newRefusingAddress is an address at which nobody listens.
+// newRefusingAddress returns an address that refuses connections, as its listener is closed.
 func newRefusingAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,7 +105,8 @@
 	return listener.Addr().String()
 }
 
-// scriptedConn is a connection that gives a whole text, and in that instant has something else happen.
+// scriptedConn is a connection whose input is a text. It calls then as soon as the whole text is
+// read.
 type scriptedConn struct {
 	net.Conn
 	text string
@@ -131,8 +139,8 @@
 func (h *scriptedConn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
 func TestDiscoveryThatIsSilentOrFails(t *testing.T) {
-	// follows has a proxy joined that hears what the list says.
-	follows := func(t *testing.T, discovery *fakeDiscovery, known string) (*client, *fakeProxy, *logBuffer) {
+	// connect serves a controller, and connects a proxy that has applied its first push.
+	connect := func(t *testing.T, discovery *fakeDiscovery, known string) (*client, *fakeProxy, *logBuffer) {
 		address, logged := serve(t, discovery.address, known, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
 		proxy.send(hello)
@@ -141,7 +149,7 @@
 		}
 		return proxy, fake, logged
 	}
-	until := func(t *testing.T, proxy *client, fake *fakeProxy, picks ...string) {
+	receiveUntil := func(t *testing.T, proxy *client, fake *fakeProxy, picks ...string) {
 		t.Helper()
 		for !slices.Equal(fake.picks(0), picks) || !slices.Equal(fake.picks(1), picks) {
 			if err := fake.apply(proxy.receive()); err != nil {
@@ -149,68 +157,68 @@
 			}
 		}
 	}
-	t.Run("an answer of the former address does not overrule the newer one", func(t *testing.T) {
-		taken := 0
-		l := newEndpointWatcher("127.0.0.1:1", defaultLimits(), slog.New(slog.DiscardHandler),
-			func(bool, int64, []*fastjson.Value) { taken++ }, func() { taken++ })
+	t.Run("an answer of the former address is ignored", func(t *testing.T) {
+		accepted := 0
+		watcher := newEndpointWatcher("127.0.0.1:1", defaultLimits(), slog.New(slog.DiscardHandler),
+			func(bool, int64, []*fastjson.Value) { accepted++ }, func() { accepted++ })
 		body := listJSON(50, true, endpointJSON(0, "up"))
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		l.client.Dial = func(string) (net.Conn, error) {
-			return &scriptedConn{text: answer, then: func() { l.follow("127.0.0.1:2", nil) }}, nil
+		watcher.client.Dial = func(string) (net.Conn, error) {
+			return &scriptedConn{text: answer, then: func() { watcher.follow("127.0.0.1:2", nil) }}, nil
 		}
-		if err := l.poll(); !errors.Is(err, errAddressChanged) || taken != 0 || l.hasVersion {
-			t.Errorf("error %v, taken %d times, version %d", err, taken, l.version)
+		if err := watcher.poll(); !errors.Is(err, errAddressChanged) || accepted != 0 || watcher.hasVersion {
+			t.Errorf("error %v, %d callbacks, version %d, want errAddressChanged and no list", err, accepted, watcher.version)
 		}
 	})
-	t.Run("a drain told in the very answer that dies is told by the next", func(t *testing.T) {
+	t.Run("a drain told in the very answer that dies is received with a later answer", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
-		proxy, fake, _ := follows(t, discovery, twoEndpoints)
+		proxy, fake, _ := connect(t, discovery, twoEndpoints)
 		drain := listJSON(2, false, endpointJSON(0, "draining"))
 		discovery.answers <- "half" + drain[:len(drain)-9]
 		discovery.answers <- "reset"
 		discovery.answers <- drain
-		until(t, proxy, fake, "s-1")
+		receiveUntil(t, proxy, fake, "s-1")
 	})
-	t.Run("a version told twice, one skipped, and one that goes back", func(t *testing.T) {
+	t.Run("a version told twice, a skipped one and an older one", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
 			five = append(five, endpointJSON(b, "up"))
 		}
-		proxy, fake, logged := follows(t, discovery, listJSON(1, true, five...))
+		proxy, fake, logged := connect(t, discovery, listJSON(1, true, five...))
 		discovery.answers <- listJSON(2, false, endpointJSON(0, "draining"))
 		discovery.answers <- listJSON(2, false, endpointJSON(0, "draining"))
-		until(t, proxy, fake, "s-1", "s-2", "s-3", "s-4")
+		receiveUntil(t, proxy, fake, "s-1", "s-2", "s-3", "s-4")
 		discovery.answers <- listJSON(7, false, endpointJSON(1, "removed"))
-		until(t, proxy, fake, "s-2", "s-3", "s-4")
+		receiveUntil(t, proxy, fake, "s-2", "s-3", "s-4")
 		discovery.answers <- listJSON(5, false, endpointJSON(0, "up"), endpointJSON(1, "up"))
-		logged.waitFor(t, "version 5 is older than 7", 1)
+		logged.waitFor(t, "list version 5 is older than the known version 7", 1)
 		discovery.answers <- listJSON(8, false, endpointJSON(2, "draining"))
-		until(t, proxy, fake, "s-3", "s-4")
+		receiveUntil(t, proxy, fake, "s-3", "s-4")
 	})
-	t.Run("changes are not taken for the full list that was asked for", func(t *testing.T) {
+	t.Run("changes are not taken in place of a requested full list", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		for range 5 {
 			discovery.answers <- "status 500"
 		}
-		discovery.answers <- listJSON(9, false, endpointJSON(7, "up")) // what came before it is not known
+		discovery.answers <- listJSON(9, false, endpointJSON(7, "up")) // the state before these changes is unknown
 		discovery.answers <- listJSON(9, true, endpointJSON(1, "up"), endpointJSON(7, "up"))
-		proxy, fake, logged := follows(t, discovery, twoEndpoints)
-		until(t, proxy, fake, "s-1", "s-7")
-		logged.waitFor(t, "changes, where all was asked for", 1)
+		proxy, fake, logged := connect(t, discovery, twoEndpoints)
+		receiveUntil(t, proxy, fake, "s-1", "s-7")
+		logged.waitFor(t, "got only changes, but the full list was requested", 1)
 	})
-	t.Run("one that ends each watch at once is not asked without a breath", func(t *testing.T) {
+	t.Run("one that ends each watch at once is called with pauses", func(t *testing.T) {
 		discovery, began := newFakeDiscovery(t), time.Now()
-		const calls, breath = 10, 20 * time.Millisecond
+		const calls, minBackoff = 10, 20 * time.Millisecond
 		for range calls {
 			discovery.answers <- listJSON(1, false)
 		}
-		serve(t, discovery.address, twoEndpoints, func(l *limits) { l.watchWait, l.minBackoff = testTimeout, breath })
+		serve(t, discovery.address, twoEndpoints, func(l *limits) { l.watchWait, l.minBackoff = testTimeout, minBackoff })
 		for range calls {
 			<-discovery.queries
 		}
-		if spent := time.Since(began); spent < (calls-1)*breath/2 {
-			t.Errorf("%d calls within %v", calls, spent)
+		if spent := time.Since(began); spent < (calls-1)*minBackoff/2 {
+			t.Errorf("%d calls within %v, want at least %v", calls, spent, (calls-1)*minBackoff/2)
 		}
 	})
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -2,17 +2,19 @@
 
 import "wheelrill/balancer"
 
-// outcomeReport is what the proxies of a zone met at a backend.
+// outcomeReport is a load report: the outcomes of the attempts that the proxies of a zone made at a
+// backend.
 type outcomeReport struct {
-	backend     string // its id
+	backend     string // id of the backend
 	attempts    int
-	failed      int          // of attempts
-	meanLatency microseconds // of the others
-	interval    microseconds // that the report covers
+	failed      int          // number of failed attempts
+	meanLatency microseconds // of the successful attempts
+	interval    microseconds // time that the report covers
 	load        balancer.BackendLoad
 }
 
-// outcomesReported takes in a load report of a backend.
+// outcomesReported passes a load report about a backend to the decisions. It drops a report about
+// an unknown backend.
 func (l *eventLoop) outcomesReported(report outcomeReport) {
 	backend, ok := l.backends.index[report.backend]
 	if !ok {
@@ -33,7 +35,9 @@
 	}
 }
 
-// demandReported takes in how many requests of a class arrived at a proxy over an interval. It counts once the proxy is ours.
+// demandReported passes a load report about a proxy to the decisions: the number of requests of a
+// class that arrived at the proxy in an interval. It drops the report unless the proxy is connected
+// and this controller owns it.
 func (l *eventLoop) demandReported(proxy, class, count int, interval microseconds) {
 	if proxy >= len(l.sessions) || l.sessions[proxy] == nil || l.proxy(proxy).unowned {
 		return
--- a/controller/server.go
+++ b/controller/server.go
@@ -12,23 +12,26 @@
 	"time"
 )
 
-// server accepts connections and keeps them within the bounds of limits. Those that have not identified themselves have a bound of
-// their own, at which the oldest make room once each has had a moment to speak, so that whoever speaks gets in. Controller.Serve
-// runs it; it has a goroutine for each connection, and awaits them all.
+// server accepts connections and keeps their number within limits. Unidentified connections have a
+// separate bound, at which the oldest ones are evicted. A connection is evicted only after
+// limits.minEvictAge, so that a peer that identifies itself promptly is always accepted.
+// Controller.Serve runs the server, which has one goroutine per connection and waits for all of
+// them at its end.
 type server struct {
 	limits *limits
 	loop   *eventLoop
 	log    *slog.Logger
 
-	accepted int            // connections so far; of run's goroutine
+	accepted int            // number of connections accepted so far; owned by run's goroutine
 	running  sync.WaitGroup // goroutines of connections
 
-	mutex        sync.Mutex    // guards what follows
-	unidentified []*connection // the oldest first
-	identified   []*connection // the oldest first
+	mutex        sync.Mutex    // guards the fields below
+	unidentified []*connection // oldest first
+	identified   []*connection // oldest identification first
 }
 
-// run accepts until the context ends, and closes every connection then. An error is what kept it from accepting.
+// run accepts connections until the context ends, and then closes all of them. It returns an error
+// if the listener fails before.
 func (s *server) run(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { interrupt(listener) })
 	defer stop()
@@ -39,12 +42,12 @@
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				_ = socket.Close() // its peer dials another controller
+				_ = socket.Close() // the peer will dial another controller
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err)
-		case err != nil: // the caller has gone again, or no descriptor is left
+		case err != nil: // the peer has disconnected again, or the process is out of file descriptors
 			s.log.Warn("accept_failed", "error", err)
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				s.evict(1)
@@ -57,7 +60,7 @@
 	return nil
 }
 
-// serve starts serving a connection.
+// serve starts a goroutine that serves an accepted socket.
 func (s *server) serve(socket net.Conn) {
 	s.accepted++
 	c := newConnection(socket, s.accepted, s.loop, s.identify)
@@ -70,18 +73,20 @@
 	})
 }
 
-// interrupt ends a wait for a connection, and leaves the listener open where it can.
+// interrupt ends a blocked Accept. It leaves a TCP listener open, so that drainBacklog can use it,
+// and closes any other.
 func interrupt(listener net.Listener) {
 	if tcp, ok := listener.(*net.TCPListener); ok && tcp.SetDeadline(time.Now()) == nil {
 		return
 	}
-	_ = listener.Close() // the wait ends, which is all that is wanted
+	_ = listener.Close() // the error does not matter, as Accept returns in any case
 }
 
-// drainBacklog closes the listener and, for a moment before, what waits in its backlog: not every kernel ends that with the listener,
-// and whoever waits on it would wait for good.
+// drainBacklog accepts and closes the connections in the listener's backlog, for
+// limits.finalReadTimeout, and then closes the listener. Some kernels don't close the backlog with
+// the listener, and its peers would wait forever.
 func (s *server) drainBacklog(listener net.Listener) {
-	defer func() { _ = listener.Close() }() // it is of no use any more
+	defer func() { _ = listener.Close() }() // the result does not matter, as the listener is not used again
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok || tcp.SetDeadline(time.Now().Add(s.limits.finalReadTimeout)) != nil {
 		return
@@ -91,11 +96,11 @@
 		if err != nil {
 			return
 		}
-		_ = socket.Close() // its peer dials another controller
+		_ = socket.Close() // the peer will dial another controller
 	}
 }
 
-// pause waits for a tick.
+// pause waits for limits.tick, or until the context ends.
 func (s *server) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -103,8 +108,8 @@
 	}
 }
 
-// waitForRoom waits until one more connection fits; false if the context ends before. Who comes meanwhile waits in the listener's
-// backlog.
+// waitForRoom waits until one more connection fits into the limits; it returns false if the context
+// ends before. New connections wait in the listener's backlog during that time.
 func (s *server) waitForRoom(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		excess := s.excess()
@@ -117,7 +122,7 @@
 	return false
 }
 
-// excess is how many connections have to go for one more to fit.
+// excess returns how many connections have to end before one more fits into the limits.
 func (s *server) excess() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -126,8 +131,9 @@
 	return max(overAll, overUnidentified) + 1
 }
 
-// evict has so many more of the oldest unidentified connections make room, if they had their time to speak: each is judged by what has
-// arrived of it. Those that were evicted before do not count, as they are about to end: the more come, the more are evicted at once.
+// evict evicts the given number of unidentified connections, the oldest first, as far as they are
+// older than limits.minEvictAge. Connections that are already evicted and about to end do not count
+// towards the number, so a faster flood of connections evicts more of them at once.
 func (s *server) evict(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -142,22 +148,23 @@
 	}
 }
 
-// identify moves a connection to the identified ones. A proxy's newer connection takes the place of the older, and a collector too
-// many of a zone that of the oldest, as they may be half-open; beyond the bound the newcomer is refused. Goroutines of connections
-// call it.
+// identify moves a connection from the unidentified to the identified ones. A newer connection of a
+// proxy replaces the older one, and a collector beyond limits.collectorsPerZone replaces the oldest
+// of its zone, as the replaced connection may be half-open. At limits.maxIdentified, the new
+// connection is refused. Connections call it in their own goroutines.
 func (s *server) identify(c *connection) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	ofSame := 1 // connections of the same proxy, or of collectors of the same zone
+	groupSize := 1 // connections of the same proxy, or of collectors of the same zone
 	for _, other := range slices.Backward(slices.Clone(s.identified)) {
 		if !c.inSameGroup(other) {
 			continue
 		}
-		ofSame++
+		groupSize++
 		if c.kind == kindProxy && other.sequence > c.sequence {
-			return errSuperseded // its hello was under way for longer than the next connection took
+			return errSuperseded // its hello arrived after that of a newer connection
 		}
-		if c.kind == kindProxy || ofSame > s.limits.collectorsPerZone {
+		if c.kind == kindProxy || groupSize > s.limits.collectorsPerZone {
 			s.identified = without(s.identified, other)
 			other.close(errReplaced)
 		}
@@ -169,7 +176,8 @@
 	return nil
 }
 
-// inSameGroup tells whether another connection is of the same proxy, or of a collector of the same zone.
+// inSameGroup reports whether both connections are from the same proxy, or both from collectors of
+// the same zone.
 func (c *connection) inSameGroup(other *connection) bool {
 	if other.kind != c.kind || other.proxy != c.proxy {
 		return false
@@ -177,7 +185,7 @@
 	return c.kind != kindCollector || other.zone == c.zone
 }
 
-// remove forgets a connection that has ended.
+// remove drops a connection that has ended, and logs its end.
 func (s *server) remove(c *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -190,7 +198,8 @@
 		"zone", s.loop.zoneName(c.zone), "error", c.closeReason)
 }
 
-// without gives connections but one, in a new array, so that who goes over the old one is not disturbed.
+// without returns the connections except one, in a new array, so that a caller can still iterate
+// over the old array.
 func without(connections []*connection, removed *connection) []*connection {
 	for i, c := range connections {
 		if c == removed {
@@ -200,7 +209,7 @@
 	return connections
 }
 
-// closeAll closes every connection, and waits for their goroutines.
+// closeAll closes all connections, and waits for their goroutines.
 func (s *server) closeAll() {
 	s.mutex.Lock()
 	for _, c := range slices.Concat(s.unidentified, s.identified) {
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -5,32 +5,35 @@
 	"time"
 )
 
-// microseconds is a time as the decisions count it: Unix time, or a span.
+// microseconds is a Unix time or a duration, in the unit that package balancer uses.
 type microseconds = int64
 
 // microsPerSecond converts seconds to microseconds.
 const microsPerSecond microseconds = 1_000_000
 
-// inSeconds converts a span to seconds.
+// inSeconds converts a duration to seconds.
 func inSeconds(span microseconds) float64 { return float64(span) / float64(microsPerSecond) }
 
-// timer is one that the decisions or the coordinator of ownership set. The event loop owns it.
+// timer is a pending timer of the decisions or of the ownership coordinator. The event loop owns
+// it.
 type timer struct {
 	at  microseconds // when it is due
 	tag uint64
 }
 
-// newClock gives a clock of Unix time. It goes on with the monotonic clock from now on, so that it never steps.
+// newClock returns a clock of Unix time. It advances with the monotonic clock from the time of this
+// call on, so changes of the system time do not affect it.
 func newClock() func() microseconds {
 	began := time.Now()
 	return func() microseconds { return began.UnixMicro() + time.Since(began).Microseconds() }
 }
 
-// Now implements balancer.Host: the clock time of this iteration.
+// Now implements balancer.Host. It returns the clock time of the current iteration.
 func (l *eventLoop) Now() microseconds { return l.now }
 
-// SetTimer implements balancer.Host: TimerFired is called with the tag after a wait, and in the next iteration at the earliest.
-// Timers that are due at one time fire in the order in which they were set.
+// SetTimer implements balancer.Host: after the wait, and in the next iteration at the earliest, the
+// loop calls TimerFired with the tag. Timers that are due at the same time fire in the order in
+// which they were set.
 func (l *eventLoop) SetTimer(wait microseconds, tag uint64) {
 	added := timer{l.now + max(wait, 1), tag}
 	at, _ := slices.BinarySearchFunc(l.timers, added, func(existing, added timer) int {
@@ -42,15 +45,16 @@
 	l.timers = slices.Insert(l.timers, at, added)
 }
 
-// untilNextTimer is how long the loop may wait for an event.
+// untilNextTimer returns how long the loop may wait for an event: the time until the next timer is
+// due.
 func (l *eventLoop) untilNextTimer() time.Duration {
 	if len(l.timers) == 0 {
-		return l.limits.logRepeatInterval // any time will do
+		return l.limits.logRepeatInterval // no timer is set, so any duration is correct
 	}
 	return max(time.Duration(l.timers[0].at-l.clock())*time.Microsecond, 0)
 }
 
-// fireTimers fires the timers that are due.
+// fireTimers fires all timers that are due.
 func (l *eventLoop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		due := l.timers[0]
--- a/controller/wire.go
+++ b/controller/wire.go
@@ -1,74 +1,75 @@
 package controller
 
-// The words of the protocol with proxies, collectors and discovery, each with the field's term for it. No other file spells them.
+// Names in the protocol with proxies, collectors and discovery. They are defined in this file only;
+// the Go identifiers use the usual terms.
 
-// Kinds of messages, under keyMessage.
+// Kinds of messages: the values of keyMessage.
 const (
 	keyMessage = "msg"
 
-	messageProbe    = "probe"    // a readiness check of this controller ...
-	messageAlive    = "alive"    // ... and its answer
-	messageHello    = "hello"    // a proxy connects
-	messageAgent    = "agent"    // a collector connects
-	messageAck      = "ack"      // a proxy acknowledges all pushes up to one
-	messageOutcomes = "outcomes" // a load report: what the proxies of a zone met at a backend
-	messageDemand   = "demand"   // a load report: what arrived at a proxy
-	messagePush     = "push"     // our message to a proxy
-	messageError    = "error"    // our last message to a connection that we refuse
+	messageProbe    = "probe"    // readiness check of this controller
+	messageAlive    = "alive"    // answer to a probe
+	messageHello    = "hello"    // a proxy identifies itself
+	messageAgent    = "agent"    // a collector identifies itself
+	messageAck      = "ack"      // a proxy acknowledges a push and all pushes before it
+	messageOutcomes = "outcomes" // load report: outcomes of the attempts of a zone's proxies at a backend
+	messageDemand   = "demand"   // load report: requests that arrived at a proxy
+	messagePush     = "push"     // a message of the controller to a proxy
+	messageError    = "error"    // the last message to a connection that the controller refuses
 )
 
 // Keys of messages that proxies and collectors send.
 const (
 	keyZone     = "locality" // name of the sender's zone
 	keyProxy    = "node"     // number of the proxy
-	keyRate     = "w"        // requests a second that arrive at the proxy, roughly
-	keyCold     = "cold"     // true: the proxy holds no table that was ordered
-	keyFence    = "fence"    // true: the proxy wants the owner's fencing token with each push
-	keyNonce    = "nonce"    // of the last push that is acknowledged
+	keyRate     = "w"        // approximate rate of requests that arrive at the proxy, per second
+	keyCold     = "cold"     // true: the proxy holds no table from an earlier push
+	keyFence    = "fence"    // true: each push to the proxy includes its owner's fencing token
+	keyNonce    = "nonce"    // nonce of the last push that is acknowledged
 	keyBackend  = "endpoint" // id of the backend
 	keyClass    = "route"    // name of the class
-	keyCount    = "total"    // attempts, or requests
-	keyFailed   = "errors"   // failed ones of them
-	keyLatency  = "rtt"      // mean latency of the others, ms
-	keyInterval = "interval" // time that the report covers, ms
-	keyLoad     = "metrics"  // what the backend reports of itself
+	keyCount    = "total"    // number of attempts (outcomes) or requests (demand)
+	keyFailed   = "errors"   // number of failed attempts
+	keyLatency  = "rtt"      // mean latency of the successful attempts, ms
+	keyInterval = "interval" // interval that the report covers, ms
+	keyLoad     = "metrics"  // load figures that the backend reports about itself
 
-	// Of what a backend reports, each goes by one of two names.
-	keyUtilization, keyCPU    = "util", "cpu"          // share of its cores at work
-	keyQueue, keyWaiting      = "queue", "waiting"     // requests that wait
+	// Load figures of a backend. Each has two alternative keys.
+	keyUtilization, keyCPU    = "util", "cpu"          // CPU utilization, as a share of the backend's cores
+	keyQueue, keyWaiting      = "queue", "waiting"     // queued requests
 	keyServiceTime, keyMeanMS = "latency_ms", "avg_ms" // recent service time, ms
 )
 
 // Keys of pushes.
 const (
 	keyToken    = "token"   // fencing token of the proxy's owner
-	keyClasses  = "classes" // names of the classes whose tables are meant; all if it is missing
-	keyFull     = "whole"   // true: the entries make up the table, and limits are forgotten
-	keyEntries  = "lines"   // backends with weights; 0 takes an entry out
+	keyClasses  = "classes" // names of the classes that the push applies to; all if missing
+	keyFull     = "whole"   // true: the entries replace the table, and the admission limit is removed
+	keyEntries  = "lines"   // backends with weights; a weight of 0 removes the entry
 	keyLimit    = "level"   // admission limit
-	keyRetry    = "retry"   // retry policy, with each limit
-	keyWithdraw = "out"     // backends that the proxy is not to use
-	keyRestore  = "back"    // backends that it may use again
-	keyAck      = "ticket"  // nonce that is to be acknowledged
-	keyMore     = "more"    // true: a further part of this message follows
+	keyRetry    = "retry"   // retry policy; present with each admission limit
+	keyWithdraw = "out"     // withdrawn backends: the proxy must not use them
+	keyRestore  = "back"    // restored backends: the proxy may use them again
+	keyAck      = "ticket"  // nonce that the proxy has to acknowledge
+	keyMore     = "more"    // true: another part of this message follows
 
-	keyReason = "reason" // of an error
+	keyReason = "reason" // text of an error message
 )
 
-// Discovery: its path, the parameters of a watch, and the keys and words of its answers.
+// Discovery: the request path, the parameters of a watch, and the keys and values of a response.
 const (
 	discoveryPath = "/api/targets"
-	paramSince    = "since"      // version after which changes are wanted
-	paramTimeout  = "timeout_ms" // how long the watch may wait for one
+	paramSince    = "since"      // list version after which changes are requested
+	paramTimeout  = "timeout_ms" // how long the watch may wait for a change, ms
 
 	keyVersion   = "version"
-	keyFullList  = "full"    // true: all endpoints; false: those that changed
-	keyEndpoints = "servers" // the endpoints
+	keyFullList  = "full"    // true: all endpoints; false: changed endpoints only
+	keyEndpoints = "servers" // array of endpoints
 	keyID        = "id"
 	keyListZone  = "zone"
 	keyState     = "state"
 	keyWeight    = "weight"
-	keyStartedAt = "started_ms" // Unix time; 0: long ago
+	keyStartedAt = "started_ms" // start time of the backend, Unix time in ms; 0: long ago
 
 	stateReady    = "up"
 	stateDraining = "draining"
