--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// closeWriting closes the side on which a caller speaks: it has logged its last, and still listens.
+// closeWriting closes the sending side of a connection. The caller can still read.
 func (caller *client) closeWriting() {
 	caller.Helper()
 	if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil {
@@ -25,13 +25,13 @@
 	}
 }
 
-// reset ends a caller's connection the hard way.
+// reset closes the connection with a TCP reset.
 func (caller *client) reset() {
 	caller.Conn.(*net.TCPConn).SetLinger(0)
 	caller.Close()
 }
 
-// readRest reads until the controller has ended the connection in good order; a reset is an error.
+// readRest reads messages until the controller closes the connection. A reset is an error.
 func (caller *client) readRest() (texts []string, err error) {
 	raw, err := io.ReadAll(caller.in)
 	for len(raw) >= lengthSize {
@@ -49,30 +49,30 @@
 func helloOf(node int) string { return strings.Replace(hello, "3", fmt.Sprint(node), 1) }
 
 func TestClosingConnections(t *testing.T) {
-	t.Run("who asks and closes its side at once is answered, though not before readiness", func(t *testing.T) {
+	t.Run("who asks and closes its side at once is answered, but not before readiness", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.identifyTimeout = testTimeout })
-		asks := dial(t, address)
-		asks.send(probe)
-		asks.closeWriting()
+		prober := dial(t, address)
+		prober.send(probe)
+		prober.closeWriting()
 		silent := dial(t, address)
 		silent.closeWriting()
-		logged.waitFor(t, "msg=unidentified_closed", 1) // the one that asked nothing: the other's end has been seen as well, or will be
+		logged.waitFor(t, "msg=unidentified_closed", 1) // of the silent connection, which has no answer to wait for
 		discovery.answers <- twoEndpoints
-		if texts, err := asks.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
+		if texts, err := prober.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
-	t.Run("an answer that waits for readiness holds nothing longer than an unidentified connection may stay", func(t *testing.T) {
+	t.Run("an answer that waits for readiness does not extend the identification timeout", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, "null", func(l *limits) { l.identifyTimeout = 50 * time.Millisecond })
-		asks := dial(t, address)
-		asks.send(probe)
-		asks.closeWriting()
-		if texts, err := asks.readRest(); err != nil || len(texts) != 0 {
+		prober := dial(t, address)
+		prober.send(probe)
+		prober.closeWriting()
+		if texts, err := prober.readRest(); err != nil || len(texts) != 0 {
 			t.Errorf("answered %q, error %v", texts, err)
 		}
 	})
-	t.Run("a collector's last report before its close is taken in", func(t *testing.T) {
+	t.Run("a collector's last report before its half-close is processed", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		caller := dial(t, address)
 		caller.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(outcomesReport, "s-0", "s-last", 1)), frame(probe)}, nil))
@@ -82,15 +82,15 @@
 		}
 		logged.waitFor(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
-	t.Run("a proxy's last acknowledgement and demand before its close are taken in, then it has left", func(t *testing.T) {
+	t.Run("a proxy's last acknowledgement before its half-close is processed", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
 		proxy.send(hello)
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.nonces) != 1 {
-			t.Fatalf("error %v, marks %v", err, fake.nonces)
+			t.Fatalf("error %v, nonces %v, want one nonce", err, fake.nonces)
 		}
 		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, fake.nonces[0])
-		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second is one too many
+		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second acknowledgement is unknown
 		proxy.closeWriting()
 		texts, err := proxy.readRest()
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != aliveReply {
@@ -99,22 +99,23 @@
 		logged.waitFor(t, "msg=ack_unknown proxy=3", 1)
 		logged.waitFor(t, "msg=proxy_disconnected proxy=3 error=EOF", 1)
 	})
-	t.Run("a refusal reaches its reader though bytes wait unread, and its end is no reset", func(t *testing.T) {
+	t.Run("a refusal reaches its reader in spite of unread input, and no reset follows", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
-		for what, first := range map[string][]byte{"no object": frame("[]"), "a report": frame(outcomesReport),
-			"no such proxy": frame(helloOf(99)), "no length": {0, 0, 0, 0}, "too long": {0xff, 0, 0, 0}} {
+		for name, first := range map[string][]byte{"not an object": frame("[]"),
+			"report without identification": frame(outcomesReport), "unknown proxy": frame(helloOf(99)),
+			"length 0": {0, 0, 0, 0}, "length too large": {0xff, 0, 0, 0}} {
 			caller := dial(t, address)
 			if _, err := caller.Write(append(first, bytes.Repeat([]byte("unread "), 10000)...)); err != nil {
-				t.Fatalf("%s: %v", what, err)
+				t.Fatalf("%s: %v", name, err)
 			}
 			texts, err := caller.readRest()
 			if err != nil || len(texts) != 1 || !strings.HasPrefix(texts[0], `{"msg":"error","reason":"`) ||
 				fastjson.Validate(texts[0]) != nil {
-				t.Errorf("%s: got %q, error %v", what, texts, err)
+				t.Errorf("%s: got %q, error %v, want one error message and a regular end", name, texts, err)
 			}
 		}
 	})
-	t.Run("one who is refused and goes on without end is let go all the same", func(t *testing.T) {
+	t.Run("one who is refused and goes on sending is disconnected nevertheless", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		caller := dial(t, address)
 		caller.Write(frame("[]"))
@@ -125,9 +126,10 @@
 		}
 		logged.waitFor(t, "msg=unidentified_closed", 1)
 	})
-	t.Run("half a message and then the end: it has left, and nothing of it was taken in", func(t *testing.T) {
+	t.Run("half a message and then the end: the proxy is disconnected, the message ignored", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
-		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1) // whole, it would be skipped, and the log say so
+		// A complete report of another proxy would be logged as skipped.
+		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1)
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			proxy := dial(t, address)
 			proxy.send(helloOf(node))
@@ -141,34 +143,36 @@
 			logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 		}
 		if text, _ := logged.read(); strings.Contains(text, "msg=message_skipped") {
-			t.Errorf("half a message was taken for one: %s", text)
+			t.Errorf("a partial message was processed: %s", text)
 		}
 	})
-	t.Run("a stream's end and its successor's hello may come in either order", func(t *testing.T) {
+	t.Run("a stream's end and its successor's hello can arrive in either order", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
 			five = append(five, endpointJSON(b, "up"))
 		}
 		address, logged := serve(t, discovery.address, listJSON(1, true, five...), nil)
-		for version, endsFirst := range []bool{false, true, false} {
+		for version, closeOldFirst := range []bool{false, true, false} {
 			old, proxy, fake := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
 			old.send(hello)
 			old.receive()
-			if endsFirst {
+			if closeOldFirst {
 				old.Close()
 				logged.waitFor(t, "msg=proxy_disconnected proxy=3", 1)
 			}
 			proxy.send(hello)
 			if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 5-version {
-				t.Fatalf("ends first %v: error %v, picks %v", endsFirst, err, fake.picks(0))
+				t.Fatalf("old connection closed first: %v: error %v, picks %v, want %d", closeOldFirst, err,
+					fake.picks(0), 5-version)
 			}
-			if old.Close(); !endsFirst {
+			if old.Close(); !closeOldFirst {
 				if _, err := old.in.ReadByte(); err == nil {
-					t.Error("the old stream goes on")
+					t.Error("the old connection stays open after the new one has identified itself")
 				}
 			}
-			discovery.answers <- listJSON(2+version, false, endpointJSON(version, "draining")) // the order reaches the successor
+			// The push of this change arrives on the new connection.
+			discovery.answers <- listJSON(2+version, false, endpointJSON(version, "draining"))
 			for len(fake.picks(0)) > 4-version {
 				if err := fake.apply(proxy.receive()); err != nil {
 					t.Fatal(err)
@@ -178,42 +182,42 @@
 			logged.waitFor(t, "msg=connection_closed", 1)
 		}
 	})
-	t.Run("a stream that is to make room in the instant in which it says who it is stays", func(t *testing.T) {
+	t.Run("a stream that is to make room while its hello arrives stays", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		loop.limits.finalReadTimeout = testTimeout
-		here, there := net.Pipe()
-		defer there.Close()
-		conn := newConnection(here, 1, loop, func(*connection) error { return nil })
+		local, remote := net.Pipe()
+		defer remote.Close()
+		conn := newConnection(local, 1, loop, func(*connection) error { return nil })
 		conn.evict()
 		ended := make(chan error, 1)
 		go func() { ended <- conn.readMessages() }()
-		there.Write(frame(hello))
-		there.Write(frame(demandReport)) // it is read on: the deadline of an unidentified connection binds no more
-		there.Close()
+		remote.Write(frame(hello))
+		remote.Write(frame(demandReport)) // is read, as the deadline of an unidentified connection no longer applies
+		remote.Close()
 		if err := <-ended; err != io.EOF || conn.kind != kindProxy {
-			t.Errorf("ended by %v as a %v", err, conn.kind)
+			t.Errorf("readMessages returned %v on a connection of kind %v, want EOF and proxy", err, conn.kind)
 		}
 	})
-	t.Run("a message that met a deadline while we stalled goes on where it was", func(t *testing.T) {
+	t.Run("a message that met a deadline while the process stalled continues where it stopped", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, testTimeout // the deadline has passed before the first byte
-		here, there := net.Pipe()
-		conn := newConnection(here, 1, loop, func(*connection) error { return nil })
+		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, testTimeout // passes before the first byte
+		local, remote := net.Pipe()
+		conn := newConnection(local, 1, loop, func(*connection) error { return nil })
 		ended := make(chan error, 1)
 		message := bytes.Repeat([]byte("order "), 1000)
 		go func() { ended <- conn.deliver(message) }()
 		got := make([]byte, len(message))
-		if _, err := io.ReadFull(there, got); err != nil || !bytes.Equal(got, message) {
-			t.Errorf("error %v", err)
+		if _, err := io.ReadFull(remote, got); err != nil || !bytes.Equal(got, message) {
+			t.Errorf("error %v, or the peer received other bytes than the message", err)
 		}
 		if err := <-ended; err != nil {
-			t.Errorf("the stream was judged for our pause: %v", err)
+			t.Errorf("the write failed for a stall of the process itself: %v", err)
 		}
 	})
 }
 
 func TestLateAndManyConnections(t *testing.T) {
-	t.Run("who comes between listen and readiness is served once the list is there", func(t *testing.T) {
+	t.Run("a connection made between listen and readiness is served once the list is known", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, "null", nil)
 		proxy, otherProxy, fake := dial(t, address), dial(t, address), newFakeProxy("read it", "write")
@@ -224,14 +228,15 @@
 		discovery.answers <- twoEndpoints
 		otherProxy.receive()
 		if got := string(proxy.receive()[lengthSize:]); got != aliveReply {
-			t.Errorf("first it got %q", got)
+			t.Errorf("first message %q, want %q", got, aliveReply)
 		}
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 {
 			t.Errorf("error %v, picks %v", err, fake.lines)
 		}
 	})
-	t.Run("a flood of silent unidentified connections makes room as fast as it comes", func(t *testing.T) {
-		// One after the other would take 200 times the last look, which is all the patience there is.
+	t.Run("a flood of silent unidentified connections is evicted as fast as it arrives", func(t *testing.T) {
+		// Evicting one connection after the other would take 200 final reads, which is the whole
+		// testTimeout.
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) {
 			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, testTimeout, time.Millisecond, testTimeout/200
 		})
@@ -248,29 +253,29 @@
 			proxy.receive()
 		}
 	})
-	t.Run("lying, slow and one-byte clients end within their time, and keep no proxy out", func(t *testing.T) {
+	t.Run("lying, slow and one-byte clients end at the deadline, and do not block proxies", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
-		var odd []*client
+		var incomplete []*client
 		for i := range 120 {
 			caller := dial(t, address)
 			switch i % 4 {
 			case 0:
 				caller.Write(frame(hello)[:1])
 			case 1:
-				caller.Write([]byte{0, 0, 64, 0}) // the most that an unidentified connection may announce, and nothing of it
+				caller.Write([]byte{0, 0, 64, 0}) // the largest length that an unidentified connection may announce, without a body
 			case 2:
 				caller.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 			}
-			odd = append(odd, caller)
+			incomplete = append(incomplete, caller)
 		}
 		for node := range 40 {
 			proxy := dial(t, address)
 			proxy.send(helloOf(node))
 			proxy.receive()
 		}
-		for _, caller := range odd {
+		for _, caller := range incomplete {
 			if !caller.isRefused() {
-				t.Error("one of them stayed")
+				t.Error("a connection without a complete hello was not refused")
 			}
 		}
 	})
@@ -297,19 +302,19 @@
 					}
 					conn, err := net.DialTimeout("tcp", address, testTimeout)
 					if err != nil {
-						return // refused: it goes elsewhere
+						return // refused, as the listener is closed already
 					}
 					defer conn.Close()
 					conn.Write(frame(helloOf(i)))
 					conn.SetReadDeadline(time.Now().Add(testTimeout))
 					if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-						t.Error("one was left open")
+						t.Error("a connection was left open after shutdown")
 					}
 				})
 			}
 			all.Wait()
 			if err := <-ended; err != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("Serve returned %v, want nil", err)
 			}
 		}
 	})
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -13,11 +13,11 @@
 	"wheelrill/balancer"
 )
 
-// deployment is a deployment as its settings tell of it.
+// deployment describes the settings of a deployment.
 type deployment struct {
 	classes     []classSettings
 	zones       []string
-	backend     string // what the names of its backends begin with
+	backend     string // prefix of backend names
 	maxMessages int
 }
 
@@ -60,7 +60,8 @@
 	return names
 }
 
-// newLoop makes a controller for it that nobody serves, with some backends.
+// newLoop makes a controller of the deployment with some backends, and returns its event loop,
+// which the test iterates.
 func (c deployment) newLoop(t *testing.T, backends int) *eventLoop {
 	t.Helper()
 	var all []string
@@ -77,29 +78,32 @@
 	return loop
 }
 
-// simulate has trouble come: demand that outgrows the backends, one that hangs, drains, newcomers, proxies that come and
-// go. What each proxy holds after each second is told, with every name replaced by its place in the settings.
-func (c deployment) simulate(t *testing.T, order []int) (account []string) {
+// simulate runs a deployment for 40 seconds in which demand exceeds the backends' capacity: their
+// latency grows, the attempts at one backend all fail, backends are drained and added, and proxies
+// reconnect. It returns a line per second and proxy with the tables, limits and withdrawals that
+// the proxy holds. Names of classes and backends are replaced by their position in order and by
+// their number, so that deployments with other names are comparable.
+func (c deployment) simulate(t *testing.T, order []int) (states []string) {
 	loop := c.newLoop(t, 12)
 	chance := rand.New(rand.NewPCG(1, 2))
-	peers, hearers := map[int]*connection{}, map[int]*fakeProxy{}
-	place := map[string]int{}
+	conns, proxies := map[int]*connection{}, map[int]*fakeProxy{}
+	backendNumbers := map[string]int{}
 	for b := range 40 {
-		place[fmt.Sprint(c.backend, b)] = b
+		backendNumbers[fmt.Sprint(c.backend, b)] = b
 	}
 	for turn := range 40 {
 		drawn := []int{chance.IntN(12), chance.IntN(12), chance.IntN(8)}
 		advance(loop, microsPerSecond, func() {
 			for node := range 8 {
 				if turn == 0 || turn%9 == 0 && node == drawn[2] {
-					hearers[node] = newFakeProxy(c.classNames()...)
+					proxies[node] = newFakeProxy(c.classNames()...)
 				}
 			}
 		})
 		for node := range 8 {
 			if turn == 0 || turn%9 == 0 && node == drawn[2] {
-				peers[node] = connectProxy(t, loop, turn+1, node, turn > 0)
-				peers[node].zone = node % len(c.zones)
+				conns[node] = connectProxy(t, loop, turn+1, node, turn > 0)
+				conns[node].zone = node % len(c.zones)
 			}
 		}
 		loop.iterate(func() {
@@ -112,7 +116,7 @@
 				}
 			}
 			for node := range 8 {
-				for at, class := range order { // the same classes in the same order, wherever they stand in the settings
+				for at, class := range order { // the same classes in the same order, at any position in the settings
 					loop.demandReported(node, class, 20+10*at, microsPerSecond)
 				}
 			}
@@ -124,38 +128,38 @@
 				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[1], "up", 0)+"]").GetArray())
 			}
 		})
-		for _, node := range slices.Sorted(maps.Keys(peers)) {
-			fake, conn := hearers[node], peers[node]
+		for _, node := range slices.Sorted(maps.Keys(conns)) {
+			fake, conn := proxies[node], conns[node]
 			conn.lastMessageAt.Store(loop.now)
 			before := len(fake.nonces)
 			fake.receive(t, conn)
-			for _, mark := range fake.nonces[before:] {
-				loop.iterate(func() { loop.acknowledged(conn, mark) })
+			for _, nonce := range fake.nonces[before:] {
+				loop.iterate(func() { loop.acknowledged(conn, nonce) })
 			}
 			line := fmt.Sprint(turn, " ", node)
 			for _, class := range order {
-				held := map[int]float64{}
+				weights := map[int]float64{}
 				for id, weight := range fake.lines[class] {
-					held[place[id]] = weight
+					weights[backendNumbers[id]] = weight
 				}
-				line += fmt.Sprint(" ", held)
+				line += fmt.Sprint(" ", weights)
 				if l := fake.limits[class]; l != nil {
 					line += fmt.Sprintf(" %.4g/%g", l[0], l[1])
 				}
 			}
-			shut := []int{}
+			withdrawn := []int{}
 			for id := range fake.withdrawn {
-				shut = append(shut, place[id])
+				withdrawn = append(withdrawn, backendNumbers[id])
 			}
-			slices.Sort(shut)
-			account = append(account, line+fmt.Sprint(" ", shut))
+			slices.Sort(withdrawn)
+			states = append(states, line+fmt.Sprint(" ", withdrawn))
 		}
 	}
-	return account
+	return states
 }
 
 func TestDecisionsDoNotDependOnNames(t *testing.T) {
-	t.Run("other names and another order of classes give the same decisions", func(t *testing.T) {
+	t.Run("other names and another order of classes result in the same decisions", func(t *testing.T) {
 		classes := []classSettings{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
 			{"audit", 3000, 9000, 0.5, false, true}}
 		one := deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: 30}
@@ -165,9 +169,9 @@
 			limited += strings.Count(line, "/0")
 		}
 		if !strings.Contains(want[len(want)-1], ":") || limited == 0 {
-			t.Fatalf("the story orders no tables, or cuts nothing: %s", want[len(want)-1])
+			t.Fatalf("the simulation has no table entries or no admission limits: %s", want[len(want)-1])
 		}
-		for what, order := range map[string][]int{"turned round": {2, 1, 0}, "rotated": {1, 2, 0}, "as they were": {0, 1, 2}} {
+		for name, order := range map[string][]int{"reversed": {2, 1, 0}, "rotated": {1, 2, 0}, "unchanged": {0, 1, 2}} {
 			other := deployment{zones: []string{`north "1"`, "süd"}, backend: "worker/", maxMessages: 30,
 				classes: make([]classSettings, len(classes))}
 			for i, at := range order {
@@ -178,12 +182,12 @@
 			got := other.simulate(t, order)
 			for i := range want {
 				if got[i] != want[i] {
-					t.Fatalf("%s: line %d of %d\n got %s\nwant %s", what, i, len(want), got[i], want[i])
+					t.Fatalf("order %s: line %d of %d\n got %s\nwant %s", name, i, len(want), got[i], want[i])
 				}
 			}
 		}
 	})
-	t.Run("sixteen classes, each with its own table and limit; a seventeenth is refused", func(t *testing.T) {
+	t.Run("sixteen classes each have their own table and limit; a seventeenth is refused", func(t *testing.T) {
 		c := deployment{zones: []string{"a"}, backend: "s-", maxMessages: 30}
 		for i := range 16 {
 			c.classes = append(c.classes, classSettings{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
@@ -198,19 +202,19 @@
 		for class := range 16 {
 			if len(fake.picks(class)) != 3 || fake.limits[class] == nil || fake.limits[class][0] != float64(1+class) ||
 				fake.limits[class][1] != float64(class%2) {
-				t.Errorf("class %d: picks %v, level %v", class, fake.picks(class), fake.limits[class])
+				t.Errorf("class %d: picks %v, limit and retry policy %v", class, fake.picks(class), fake.limits[class])
 			}
 		}
 		c.classes = append(c.classes, classSettings{"one more", 500, 3000, 1, false, false})
 		if _, err := New(Identity{}, c.configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard)); err == nil ||
 			!strings.Contains(err.Error(), "profiles.count") {
-			t.Errorf("error %v", err)
+			t.Errorf("error %v, want one about profiles.count", err)
 		}
 	})
 }
 
 func TestControllersOfOneProcessAreApart(t *testing.T) {
-	t.Run("two in one process see nothing of each other, before and after a reload of either", func(t *testing.T) {
+	t.Run("two controllers in one process do not affect each other, before or after a reload", func(t *testing.T) {
 		one := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
 			{"read", 1500, 4000, 1, false, false}, {"write", 800, 2000, 3, true, false}}}
 		other := deployment{zones: []string{"b", "a"}, backend: "s-", maxMessages: 4, classes: []classSettings{
@@ -225,33 +229,36 @@
 			}
 			return made, discovery, proxy, fake
 		}
-		mine, discovery, proxy, fake := serve(one, listJSON(1, true, one.endpointJSON(0, "up", 0), one.endpointJSON(1, "up", 0)))
-		theirs, e, otherProxy, otherFake := serve(other, listJSON(1, true, other.endpointJSON(0, "up", 0), other.endpointJSON(2, "up", 0)))
+		first, discovery, proxy, fake := serve(one,
+			listJSON(1, true, one.endpointJSON(0, "up", 0), one.endpointJSON(1, "up", 0)))
+		second, otherDiscovery, otherProxy, otherFake := serve(other,
+			listJSON(1, true, other.endpointJSON(0, "up", 0), other.endpointJSON(2, "up", 0)))
 		for round := range 2 {
 			for class := range one.classes {
 				if want := []string{"s-0", "s-1"}; !slices.Equal(fake.picks(class), want) {
-					t.Errorf("round %d: picks %v", round, fake.picks(class))
+					t.Errorf("round %d: first controller's proxy picks %v, want %v", round, fake.picks(class), want)
 				}
 			}
 			for class := range other.classes {
 				if want := []string{"s-0", "s-2"}; !slices.Equal(otherFake.picks(class), want) {
-					t.Errorf("round %d: the other picks %v", round, otherFake.picks(class))
+					t.Errorf("round %d: second controller's proxy picks %v, want %v", round, otherFake.picks(class), want)
 				}
 			}
-			if fmt.Sprint(mine.loop.classIndex, mine.loop.zoneIndex, theirs.loop.classIndex, theirs.loop.zoneIndex) !=
+			if fmt.Sprint(first.loop.classIndex, first.loop.zoneIndex, second.loop.classIndex, second.loop.zoneIndex) !=
 				"map[read:0 write:1] map[a:0 b:1] map[other:1 read:2 write:0] map[a:1 b:0]" {
-				t.Errorf("round %d: %v %v, %v %v", round, mine.loop.classIndex, mine.loop.zoneIndex, theirs.loop.classIndex,
-					theirs.loop.zoneIndex)
+				t.Errorf("round %d: classes and zones %v %v, %v %v", round, first.loop.classIndex, first.loop.zoneIndex,
+					second.loop.classIndex, second.loop.zoneIndex)
 			}
-			if err := mine.Reload(other.configuration(discovery.address, "null")); err != nil { // counts from the next start on
+			// All of it but the discovery address takes effect at the next start only.
+			if err := first.Reload(other.configuration(discovery.address, "null")); err != nil {
 				t.Fatal(err)
 			}
-			if err := theirs.Reload([]byte("{")); err == nil {
-				t.Error("half a configuration was taken")
+			if err := second.Reload([]byte("{")); err == nil {
+				t.Error("a truncated configuration was accepted")
 			}
 		}
 		discovery.answers <- listJSON(2, false, one.endpointJSON(0, "draining", 0))
-		e.answers <- listJSON(2, false, other.endpointJSON(2, "draining", 0))
+		otherDiscovery.answers <- listJSON(2, false, other.endpointJSON(2, "draining", 0))
 		for len(fake.picks(1)) > 1 {
 			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
@@ -263,10 +270,10 @@
 			}
 		}
 		if !slices.Equal(fake.picks(0), []string{"s-1"}) || !slices.Equal(otherFake.picks(0), []string{"s-0"}) {
-			t.Errorf("picks %v and %v", fake.picks(0), otherFake.picks(0))
+			t.Errorf("picks %v and %v, want s-1 and s-0", fake.picks(0), otherFake.picks(0))
 		}
 	})
-	t.Run("what cannot be read one way only is refused by its key, and a reload of it changes nothing", func(t *testing.T) {
+	t.Run("an invalid or ambiguous configuration is refused by its key, also in a reload", func(t *testing.T) {
 		good := string(configuration("127.0.0.1:9", "null"))
 		made, err := New(Identity{}, []byte(good), NewLogger(io.Discard))
 		if err != nil {
@@ -297,18 +304,18 @@
 			"configuration: settings is":    {`"settings"`, `"was"`},
 			"setting rules.droppedStayopen": {`"coldShare"`, `"droppedStayopen":true,"coldShare"`},
 		} {
-			spoilt := strings.Replace(good, change[0], change[1], 1)
-			for what, read := range map[string]func([]byte) error{"a reload": made.Reload, "a start": func(text []byte) error {
+			invalid := strings.Replace(good, change[0], change[1], 1)
+			for name, load := range map[string]func([]byte) error{"reload": made.Reload, "start": func(text []byte) error {
 				_, err := New(Identity{}, text, NewLogger(io.Discard))
 				return err
 			}} {
-				if err := read([]byte(spoilt)); spoilt == good || err == nil || !strings.Contains(err.Error(), key) {
-					t.Errorf("%s with another %s: error %v", what, key, err)
+				if err := load([]byte(invalid)); invalid == good || err == nil || !strings.Contains(err.Error(), key) {
+					t.Errorf("%s with an invalid %s: error %v, want one that contains the key", name, key, err)
 				}
 			}
 		}
 		if after := fmt.Sprint(made.configuration.Identity, made.configuration.classNames, made.configuration.zones, *made.limits, made.watcher.address); after != before {
-			t.Errorf("before %s\nafter %s", before, after)
+			t.Errorf("a refused reload changed the configuration\nbefore %s\nafter %s", before, after)
 		}
 	})
 }
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -13,11 +13,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// fakeDiscovery is a stand-in that answers each call with the next text; none left, a watch ends without news.
+// fakeDiscovery is a discovery server that answers each call with the next text of answers. If
+// answers is empty, a watch ends at its timeout without changes.
 type fakeDiscovery struct {
 	address string
 	answers chan string
-	queries chan string // the query of each call
+	queries chan string // the query string of each call
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -27,12 +28,12 @@
 	}
 	discovery := &fakeDiscovery{listener.Addr().String(), make(chan string, 16), make(chan string, 1024)}
 	stop := make(chan struct{})
-	s := &fasthttp.Server{Logger: log.New(io.Discard, "", 0), Handler: func(call *fasthttp.RequestCtx) {
+	server := &fasthttp.Server{Logger: log.New(io.Discard, "", 0), Handler: func(call *fasthttp.RequestCtx) {
 		select {
 		case discovery.queries <- string(call.URI().QueryString()):
 		default:
 		}
-		wait := make(<-chan time.Time) // a call for the full list is always answered by the story
+		wait := make(<-chan time.Time) // a call for the full list waits for an answer of the test
 		if call.QueryArgs().Has("timeout_ms") {
 			wait = time.After(time.Duration(call.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond)
 		}
@@ -58,30 +59,31 @@
 		}
 	}}
 	done := make(chan struct{})
-	go func() { defer close(done); s.Serve(listener) }()
+	go func() { defer close(done); server.Serve(listener) }()
 	t.Cleanup(func() { close(stop); listener.Close(); <-done })
 	return discovery
 }
 
 func TestWatchingDiscovery(t *testing.T) {
-	t.Run("while it fails what was known stays, and the watch goes on where it was", func(t *testing.T) {
+	t.Run("while it fails, the known list stays, and the watch continues from its version", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
-		for _, bad := range []string{"status 500", "reset", "silence", "{", "[]", `{"version":9}`, "half" + twoEndpoints,
+		for _, invalid := range []string{"status 500", "reset", "silence", "{", "[]", `{"version":9}`, "half" + twoEndpoints,
 			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listJSON(0, true)} {
-			discovery.answers <- bad
+			discovery.answers <- invalid
 		}
 		address, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.minBackoff, l.maxBackoff, l.logRepeatInterval = 1, 1, 0 })
 		for range 10 {
 			if query := <-discovery.queries; query != "since=1&timeout_ms=50" && query != "" {
-				t.Errorf("asked %q", query)
+				t.Errorf("query %q, want a watch from version 1 or a request for the full list", query)
 			}
 		}
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
 		proxy.send(hello)
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
-			t.Errorf("error %v, got %+v", err, fake)
+			t.Errorf("error %v, got %+v, want two picks", err, fake)
 		}
-		discovery.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up")) // all was asked for by now
+		// The watcher has requested the full list by now.
+		discovery.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up"))
 		for len(fake.picks(0)) != 3 {
 			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
@@ -89,7 +91,7 @@
 		}
 		logged.waitFor(t, "msg=discovery_failed", 1)
 	})
-	t.Run("one that says again and again that it knows less is taken at its word, whole", func(t *testing.T) {
+	t.Run("one that says again and again that its version is older is believed, with a full list", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		known := listJSON(50, true, endpointJSON(0, "up"))
 		for range 6 {
@@ -99,11 +101,11 @@
 		logged.waitFor(t, "msg=endpoint_list_updated version=7 full=true endpoints=1", 1)
 		for i := range 6 {
 			if query := <-discovery.queries; (query == "") != (i == 5) {
-				t.Errorf("call %d asked %q", i, query)
+				t.Errorf("query %q in call %d, want an empty one in call 5 only", query, i)
 			}
 		}
 	})
-	t.Run("one that will not go on from our version is asked for all it knows", func(t *testing.T) {
+	t.Run("after repeated failures of a watch, the full list is requested", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		for range 5 {
 			discovery.answers <- "status 500"
@@ -113,20 +115,20 @@
 		logged.waitFor(t, "msg=endpoint_list_updated version=3 full=true endpoints=2", 1)
 		for i, want := range []string{"since=1", "since=1", "since=1", "since=1", "since=1", "", "since=3"} {
 			if query := <-discovery.queries; !strings.HasPrefix(query, want) || want == "" && query != "" {
-				t.Errorf("call %d asked %q", i, query)
+				t.Errorf("query %q in call %d, want %q", query, i, want)
 			}
 		}
 	})
-	t.Run("entries that cannot be used are left out, unknown words read with care", func(t *testing.T) {
+	t.Run("invalid endpoints are skipped, and an unknown state is treated as draining", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
-		odd := []string{`{"id":"","zone":"a","state":"up"}`, `{"id":"s-8","zone":"q","state":"up"}`, `7`, `{"zone":"a"}`,
+		invalid := []string{`{"id":"","zone":"a","state":"up"}`, `{"id":"s-8","zone":"q","state":"up"}`, `7`, `{"zone":"a"}`,
 			`{"id":"` + strings.Repeat("x", 300) + `","zone":"a","state":"up"}`, endpointJSON(6, "resting"),
 			`{"id":"say \"7\"","zone":"a","state":"up","weight":"big","started_ms":-3}`}
-		address, logged := serve(t, discovery.address, listJSON(1, true, append(odd, endpointJSON(0, "up"))...), nil)
+		address, logged := serve(t, discovery.address, listJSON(1, true, append(invalid, endpointJSON(0, "up"))...), nil)
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
 		proxy.send(hello)
 		if err := fake.apply(proxy.receive()); err != nil || !slices.Equal(fake.picks(0), []string{"s-0", `say "7"`}) {
-			t.Errorf("error %v, got %v", err, fake.picks(0))
+			t.Errorf("error %v, picks %v, want the two valid endpoints", err, fake.picks(0))
 		}
 		logged.waitFor(t, `state=resting treated_as=draining`, 1)
 	})
--- a/controller/example_test.go
+++ b/controller/example_test.go
@@ -9,7 +9,7 @@
 	"wheelrill/controller"
 )
 
-// A controller runs until its context ends, and what it logs goes to any logger.
+// A controller runs until its context ends. It logs to the given logger.
 func ExampleController_Serve() {
 	configuration, err := os.ReadFile("../deploy/sample.json")
 	if err != nil {
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -18,20 +18,21 @@
 	"github.com/valyala/fastjson"
 )
 
-// testTimeout bounds what a story waits for; nothing waits for it to pass.
+// testTimeout bounds the waits of tests. A test that passes never waits for its end.
 const testTimeout = 20 * time.Second
 
-// fakeProxy is a proxy as the protocol's page describes it: it applies messages, and counts what the channel counts.
+// fakeProxy is a proxy that follows the protocol: it applies pushes, and counts their cost as the
+// push channel does.
 type fakeProxy struct {
 	classes   []string
 	lines     []map[string]float64
-	limits    [][]float64 // level and manner of trying again, or nil
+	limits    [][]float64 // admission limit and retry policy by class; nil for none
 	withdrawn map[string]bool
 	nonces    []int
-	cost      int // lines of the last message
-	messages  int // messages
-	inMessage bool
-	parts     int
+	cost      int  // lines of the last message
+	messages  int  // number of messages received
+	inMessage bool // further parts of the current message follow
+	parts     int  // number of parts of the current message
 }
 
 func newFakeProxy(classes ...string) *fakeProxy {
@@ -55,12 +56,12 @@
 	More    bool
 }
 
-// apply takes frames as they leave; an error is what a proxy would reset its stream for.
+// apply applies the frames of pushes. An error is one for which a proxy would reset its connection.
 func (fake *fakeProxy) apply(raw []byte) error {
 	for len(raw) > 0 {
 		size := int(binary.BigEndian.Uint32(raw))
 		if size > 1<<20 || len(raw) < 4+size {
-			return fmt.Errorf("a frame of %d bytes in %d", size, len(raw))
+			return fmt.Errorf("frame length %d, with %d bytes left", size, len(raw))
 		}
 		if err := fake.applyPart(raw[4 : 4+size]); err != nil {
 			return fmt.Errorf("%w in %.200s", err, raw[4:4+size])
@@ -75,7 +76,7 @@
 	decode := json.NewDecoder(bytes.NewReader(text))
 	decode.DisallowUnknownFields()
 	if err := decode.Decode(&p); err != nil || p.Msg != "push" || (p.Level == nil) != (p.Retry == nil) {
-		return fmt.Errorf("not a push: %w", err)
+		return fmt.Errorf("not a valid push: %w", err)
 	}
 	if !fake.inMessage {
 		fake.cost, fake.parts = 0, 0
@@ -83,13 +84,13 @@
 	}
 	fake.inMessage = p.More
 	if fake.parts++; fake.parts > 64 {
-		return fmt.Errorf("too many parts")
+		return fmt.Errorf("more than 64 parts in a message")
 	}
-	meant := p.Classes
-	if meant == nil {
-		meant = fake.classes
+	classes := p.Classes
+	if classes == nil {
+		classes = fake.classes
 	}
-	for _, name := range meant {
+	for _, name := range classes {
 		class := slices.Index(fake.classes, name)
 		if class < 0 {
 			return fmt.Errorf("unknown class %q", name)
@@ -100,7 +101,7 @@
 		for _, l := range p.Lines {
 			id, weight := l[0].(string), l[1].(float64)
 			if weight < 0 {
-				return fmt.Errorf("a weight below 0")
+				return fmt.Errorf("negative weight %g of %s", weight, id)
 			}
 			fake.lines[class][id] = weight
 			if weight == 0 {
@@ -118,8 +119,8 @@
 		delete(fake.withdrawn, id)
 	}
 	fake.cost += len(p.Lines) + len(p.Out) + len(p.Back)
-	for _, one := range []bool{p.Whole, p.Level != nil, p.Ticket != nil} {
-		if one {
+	for _, present := range []bool{p.Whole, p.Level != nil, p.Ticket != nil} {
+		if present {
 			fake.cost++
 		}
 	}
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// picks gives the backends that the proxy can pick for a class.
+// picks returns the sorted backends that the proxy can pick for a class.
 func (fake *fakeProxy) picks(class int) (ids []string) {
 	for id := range fake.lines[class] {
 		if !fake.withdrawn[id] {
@@ -140,7 +141,7 @@
 	return ids
 }
 
-// receive applies what waits in a connection's outbox.
+// receive applies the messages in a connection's outbox.
 func (fake *fakeProxy) receive(t *testing.T, conn *connection) {
 	t.Helper()
 	for {
@@ -155,11 +156,11 @@
 	}
 }
 
-// logBuffer keeps the lines of a log, and lets stories wait for one.
+// logBuffer keeps the text of a log, and lets tests wait for a line.
 type logBuffer struct {
 	mutex   sync.Mutex
 	text    strings.Builder
-	changed chan struct{}
+	changed chan struct{} // closed by the next write
 }
 
 func (d *logBuffer) Write(line []byte) (int, error) {
@@ -177,26 +178,26 @@
 	return d.text.String(), d.changed
 }
 
-// waitFor until a line holds some text as often as asked.
-func (d *logBuffer) waitFor(t *testing.T, some string, times int) {
+// waitFor waits until the log contains a text at least the given number of times.
+func (d *logBuffer) waitFor(t *testing.T, want string, times int) {
 	t.Helper()
-	late := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
-		text, more := d.read()
-		if strings.Count(text, some) >= times {
+		text, changed := d.read()
+		if strings.Count(text, want) >= times {
 			return
 		}
 		select {
-		case <-more:
-		case <-late:
-			t.Fatalf("no line %q %d times in:\n%s", some, times, text)
+		case <-changed:
+		case <-timeout:
+			t.Fatalf("the log contains %q fewer than %d times:\n%s", want, times, text)
 		}
 	}
 }
 
 func newLogBuffer() *logBuffer { return &logBuffer{changed: make(chan struct{})} }
 
-// sampleSettings are those of a small deployment of two classes and two zones.
+// sampleSettings are the settings of a small deployment with two classes and two zones.
 const sampleSettings = `{"azs":["a","b"],"tick":1.0,"weights":"rough","membershipMode":"automatic",
 "familyInfo":{"admission":"per_second","backlog":900,"egressPerS":900,"overhead":4,"pushDelayMax":600,"reportEvery":1000,
 "proxyCount":40,"classWrites":[false,true],"staysLocal":[false,false],"messagesMost":30,"messagesOver":10000},
@@ -208,9 +209,9 @@
 		id, string("ab"[id%2]), state)
 }
 
-// listJSON is an answer of discovery: version, whole, and entries.
-func listJSON(version int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, whole, strings.Join(entries, ","))
+// listJSON returns a discovery response: a full list, or changes only.
+func listJSON(version int, full bool, entries ...string) string {
+	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
 func configuration(discovery, known string) []byte {
@@ -218,7 +219,8 @@
 "limits":{"cores":1,"memory_mb":192,"sockets":200},"settings":%s}`, discovery, known, sampleSettings))
 }
 
-// newIdleLoop makes a controller that nobody serves: the story takes its turns, and plays time.
+// newIdleLoop returns the event loop of a controller that is not served. The test runs its
+// iterations and sets its clock.
 func newIdleLoop(t *testing.T) (*eventLoop, *logBuffer) {
 	t.Helper()
 	logged := newLogBuffer()
@@ -242,33 +244,36 @@
 	return v
 }
 
-// advance takes a turn after a while, and idle ones before it, as timers bring them.
-func advance(loop *eventLoop, wait int64, what func()) {
+// advance runs an iteration with an event after a wait, and idle iterations every half second
+// before it, as timers cause them.
+func advance(loop *eventLoop, wait int64, event func()) {
 	for ; wait > microsPerSecond/2; wait -= microsPerSecond / 2 {
 		advanceStalled(loop, microsPerSecond/2, func() {})
 	}
-	advanceStalled(loop, wait, what)
+	advanceStalled(loop, wait, event)
 }
 
-// advanceStalled takes a turn after a while in which we stalled.
-func advanceStalled(loop *eventLoop, wait int64, what func()) {
+// advanceStalled runs an iteration with an event after a wait without any iteration, as if the
+// process had stalled.
+func advanceStalled(loop *eventLoop, wait int64, event func()) {
 	now := loop.now + wait
 	loop.clock = func() int64 { return now }
-	loop.iterate(what)
+	loop.iterate(event)
 }
 
-// connectProxy has a proxy join on a connection that nobody reads.
-func connectProxy(t *testing.T, loop *eventLoop, serial, node int, keeps bool) *connection {
-	here, there := net.Pipe()
-	t.Cleanup(func() { here.Close(); there.Close() })
-	conn := newConnection(here, serial, loop, func(*connection) error { return nil })
+// connectProxy connects a proxy to the loop, on a connection that is not read. sequence is the
+// position in the order of connections.
+func connectProxy(t *testing.T, loop *eventLoop, sequence, node int, mayHoldWithdrawals bool) *connection {
+	local, remote := net.Pipe()
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	conn := newConnection(local, sequence, loop, func(*connection) error { return nil })
 	conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
 	conn.lastMessageAt.Store(loop.now)
-	loop.iterate(func() { loop.proxyConnected(conn, 10, keeps) })
+	loop.iterate(func() { loop.proxyConnected(conn, 10, mayHoldWithdrawals) })
 	return conn
 }
 
-// client is a connection to a controller, as a proxy or collector has it.
+// client is the side of a proxy or collector of a connection to a controller.
 type client struct {
 	*testing.T
 	net.Conn
@@ -297,7 +302,7 @@
 	}
 }
 
-// receive reads one frame, with its length.
+// receive reads one frame, including its length prefix.
 func (caller *client) receive() []byte {
 	caller.Helper()
 	raw := make([]byte, 4)
@@ -311,22 +316,23 @@
 	return raw
 }
 
-// isClosed tells whether the controller closes the connection without another word.
+// isClosed reports whether the controller closes the connection without sending anything before.
 func (caller *client) isClosed() bool {
 	_, err := caller.in.ReadByte()
 	return err != nil && !isTimeout(err)
 }
 
-// isRefused tells whether the controller closes the connection with no other word than an error, if it gets through.
+// isRefused reports whether the controller closes the connection after at most one message, which
+// is an error message.
 func (caller *client) isRefused() bool {
 	text, err := io.ReadAll(caller.in)
-	errorOrNothing := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
+	emptyOrError := len(text) == 0 || len(text) > 4 && bytes.HasPrefix(text[4:], []byte(`{"msg":"error","reason":"`)) &&
 		fastjson.ValidateBytes(text[4:]) == nil && int(binary.BigEndian.Uint32(text)) == len(text)-4
-	return errorOrNothing && !isTimeout(err)
+	return emptyOrError && !isTimeout(err)
 }
 
-// isTimeout tells whether an error is a deadline's.
+// isTimeout reports whether an error comes from an expired deadline.
 func isTimeout(err error) bool {
-	var network net.Error
-	return errors.As(err, &network) && network.Timeout()
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
 }
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// FuzzStream gives a peer whatever bytes, as what is logged by an unidentified connection, and then by a proxy.
+// FuzzStream feeds arbitrary bytes to an unidentified connection, to a proxy's and to a
+// collector's. It guards against panics and endless reads on malformed input.
 func FuzzStream(f *testing.F) {
 	f.Add(slices.Concat(frame(hello), frame(demandReport), frame(probe), frame(`{"msg":"ack","node":3,"nonce":1}`)))
 	f.Add(slices.Concat(frame(agent), frame(outcomesReport), frame(demandReport), frame("null")))
@@ -27,20 +28,21 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		loop := newFuzzLoop(t)
 		for _, before := range []string{"", hello, agent} {
-			var first []byte
+			var prefix []byte
 			if before != "" {
-				first = frame(before)
+				prefix = frame(before)
 			}
-			conn := newConnection(&readerConn{Reader: bytes.NewReader(append(first, raw...))}, 1, loop, func(*connection) error { return nil })
+			conn := newConnection(&readerConn{Reader: bytes.NewReader(append(prefix, raw...))}, 1, loop,
+				func(*connection) error { return nil })
 			if err := conn.readMessages(); err == nil {
-				t.Fatal("bytes without an end")
+				t.Fatal("readMessages returned no error at the end of the input")
 			}
 			loop.iterate(func() {})
 		}
 	})
 }
 
-// readerConn is a connection that brings some bytes and ends.
+// readerConn is a connection whose input comes from a reader.
 type readerConn struct {
 	net.Conn
 	io.Reader
--- a/controller/server_bounds_test.go
+++ b/controller/server_bounds_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// countingListener counts the connections that were accepted and not closed yet.
+// countingListener counts the connections that are open, and their maximum.
 type countingListener struct {
 	*net.TCPListener
-	open, most atomic.Int64
+	open, maxOpen atomic.Int64
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -21,13 +21,13 @@
 		return nil, err
 	}
 	open := l.open.Add(1)
-	for most := l.most.Load(); open > most && !l.most.CompareAndSwap(most, open); {
-		most = l.most.Load()
+	for maxOpen := l.maxOpen.Load(); open > maxOpen && !l.maxOpen.CompareAndSwap(maxOpen, open); {
+		maxOpen = l.maxOpen.Load()
 	}
 	return &countedConn{TCPConn: conn, listener: l}, nil
 }
 
-// countedConn counts its first close only.
+// countedConn is a connection of a countingListener. Only its first close counts.
 type countedConn struct {
 	*net.TCPConn
 	listener *countingListener
@@ -39,8 +39,10 @@
 	return c.TCPConn.Close()
 }
 
+// TestConnectionLimit guards against more open connections than limits.maxConnections, and against
+// the eviction of identified connections, when many silent clients connect.
 func TestConnectionLimit(t *testing.T) {
-	const joined, limit, flood = 8, 24, 100
+	const proxyCount, limit, silentCount = 8, 24, 100
 	c, err := New(Identity{}, configuration(newFakeDiscovery(t).address, twoEndpoints), NewLogger(newLogBuffer()))
 	if err != nil {
 		t.Fatal(err)
@@ -52,36 +54,36 @@
 	}
 	listener := &countingListener{TCPListener: tcp.(*net.TCPListener)}
 	ctx, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	parts.Go(func() { c.loop.run(ctx) })
-	parts.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() { c.loop.run(ctx) })
+	running.Go(func() {
 		if err := (&server{limits: c.limits, loop: c.loop, log: c.log}).run(ctx, listener); err != nil {
 			t.Error(err)
 		}
 	})
-	t.Cleanup(func() { stop(); parts.Wait() })
+	t.Cleanup(func() { stop(); running.Wait() })
 
 	address := tcp.Addr().String()
 	var proxies []*client
-	for node := range joined {
+	for node := range proxyCount {
 		proxy := dial(t, address)
 		proxy.send(helloOf(node))
 		proxy.receive()
 		proxies = append(proxies, proxy)
 	}
 	var silent []*client
-	for range flood {
+	for range silentCount {
 		silent = append(silent, dial(t, address))
 	}
 	for i, s := range silent {
 		if !s.isRefused() {
-			t.Fatalf("silent connection %d was not ended", i)
+			t.Fatalf("silent connection %d was not closed", i)
 		}
 	}
-	if most := listener.most.Load(); most != limit {
-		t.Errorf("%d connections were open at once, want the limit of %d to be reached and kept", most, limit)
+	if maxOpen := listener.maxOpen.Load(); maxOpen != limit {
+		t.Errorf("at most %d connections were open at once, want exactly the limit of %d", maxOpen, limit)
 	}
-	for _, proxy := range proxies { // none of them made room
+	for _, proxy := range proxies { // all of them are still connected
 		proxy.send(probe)
 		proxy.receive()
 	}
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -24,26 +24,26 @@
 )
 
 func TestServingConnections(t *testing.T) {
-	t.Run("a proxy joins, gets a drain, and acknowledges pushes; a collector reports", func(t *testing.T) {
+	t.Run("a proxy connects, acknowledges a push and receives a drain; a collector reports", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, twoEndpoints, nil)
-		stranger := dial(t, address)
-		stranger.send(probe)
-		if got := string(stranger.receive()[4:]); got != `{"msg":"alive"}` {
-			t.Errorf("a probe is answered %q", got)
+		unidentified := dial(t, address)
+		unidentified.send(probe)
+		if got := string(unidentified.receive()[4:]); got != `{"msg":"alive"}` {
+			t.Errorf("an unidentified connection's probe is answered with %q", got)
 		}
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
-		for _, b := range frame(hello) { // in pieces
+		for _, b := range frame(hello) { // one byte per write
 			proxy.Write([]byte{b})
 		}
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(1)) != 2 {
-			t.Fatalf("error %v, got %+v", err, fake)
+			t.Fatalf("error %v, got %+v, want two picks", err, fake)
 		}
-		many := slices.Concat(frame(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":3.1}`, fake.nonces[0])),
+		messages := slices.Concat(frame(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":3.1}`, fake.nonces[0])),
 			frame(demandReport), frame(demandReport), frame(probe))
-		proxy.Write(many) // several in one go
+		proxy.Write(messages) // several messages in one write
 		if got := string(proxy.receive()[4:]); got != `{"msg":"alive"}` {
-			t.Errorf("a proxy's probe is answered %q", got)
+			t.Errorf("a proxy's probe is answered with %q", got)
 		}
 		caller := dial(t, address)
 		caller.send(agent)
@@ -60,19 +60,19 @@
 		proxy.Close()
 		logged.waitFor(t, "msg=proxy_disconnected proxy=3", 1)
 	})
-	t.Run("nothing is answered before the list is known", func(t *testing.T) {
+	t.Run("a probe is not answered before the list is known", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, "null", nil)
 		proxy := dial(t, address)
 		proxy.send(probe)
 		if text, _ := logged.read(); strings.Contains(text, "msg=ready") {
-			t.Error("ready without a backend")
+			t.Error("the controller is ready without a known backend")
 		}
 		discovery.answers <- twoEndpoints
 		proxy.receive()
 		logged.waitFor(t, "msg=ready", 1)
 	})
-	t.Run("odd messages are skipped, unreadable ones end the stream", func(t *testing.T) {
+	t.Run("invalid messages are skipped, unreadable ones end the connection", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		skipped := []string{`{}`, `{"msg":7}`, `{"msg":"lease"}`, `{"msg":"ack"}`, `{"msg":"ack","node":4,"nonce":1}`,
 			`{"msg":"ack","node":3,"nonce":-1}`, `{"msg":"ack","node":3,"nonce":1e300}`, `{"msg":"ack","nonce":0.5}`,
@@ -89,7 +89,7 @@
 		}
 		proxy.send(probe)
 		if got := string(proxy.receive()[4:]); got != `{"msg":"alive"}` {
-			t.Errorf("got %q", got)
+			t.Errorf("the probe after the invalid messages is answered with %q", got)
 		}
 		caller := dial(t, address)
 		caller.send(agent)
@@ -108,7 +108,7 @@
 			otherProxy.receive()
 			otherProxy.Write([]byte(raw))
 			if !otherProxy.isClosed() {
-				t.Errorf("%.20q was taken", raw)
+				t.Errorf("the connection stays open after %.20q", raw)
 			}
 		}
 		for _, text := range []string{strings.Replace(hello, "3", "40", 1), strings.Replace(hello, `"b"`, `"q"`, 1),
@@ -116,54 +116,57 @@
 			otherProxy := dial(t, address)
 			otherProxy.Write(frame(text))
 			if !otherProxy.isRefused() {
-				t.Errorf("%.40q was taken", text)
+				t.Errorf("the first message %.40q was not refused", text)
 			}
 		}
 	})
-	t.Run("an unidentified connection has one deadline, whatever it says and however slowly", func(t *testing.T) {
+	t.Run("an unidentified connection has one deadline, whatever it sends and however slowly", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout = 300 * time.Millisecond })
 		began, push := time.Now(), `{"msg":"push","out":["s-0"]}`
-		for what, bad := range map[string]string{"a report before it joined": string(frame(outcomesReport)),
-			"usage before it joined": string(frame(demandReport)), "a mark": string(frame(`{"msg":"ack","node":3,"nonce":1}`)),
-			"an order": string(frame(push)), "HTTP": "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "no object": string(frame("[]")),
-			"half a hello": string(frame(hello)[:20]), "no length": "\x00\x00\x00\x00", "nothing": "",
-			"too much": "\x7f\xff\xff\xff" + strings.Repeat("x", 9000)} {
+		for name, invalid := range map[string]string{"an outcomes report": string(frame(outcomesReport)),
+			"a demand report":    string(frame(demandReport)),
+			"an acknowledgement": string(frame(`{"msg":"ack","node":3,"nonce":1}`)),
+			"a push":             string(frame(push)), "HTTP": "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
+			"not an object": string(frame("[]")),
+			"half a hello":  string(frame(hello)[:20]), "length 0": "\x00\x00\x00\x00", "nothing": "",
+			"length too large": "\x7f\xff\xff\xff" + strings.Repeat("x", 9000)} {
 			caller := dial(t, address)
-			if caller.Write([]byte(bad)); !caller.isRefused() {
-				t.Errorf("%s: it was not refused", what)
+			if caller.Write([]byte(invalid)); !caller.isRefused() {
+				t.Errorf("%s: the connection was not refused", name)
 			}
 		}
-		for size := range 40 { // each breaks off elsewhere, and that is one sort of line
+		for size := range 40 { // each ends at a different byte, but all are one kind of log line
 			caller := dial(t, address)
 			caller.Write(frame(hello)[:5+size])
 			caller.Close()
 		}
 		logged.waitFor(t, "msg=unidentified_closed", 3)
 		if text, _ := logged.read(); strings.Count(text, "msg=unidentified_closed") > 10 {
-			t.Errorf("too much is logged of unidentified connections: %s", text)
+			t.Errorf("more than 10 log lines about unidentified connections: %s", text)
 		}
 		if spent := time.Since(began); spent > 2*time.Second {
-			t.Errorf("all that took %v", spent) // only those that are not done saying something wait for the deadline
+			// Only connections with an incomplete message wait for the deadline.
+			t.Errorf("took %v, want at most 2s", spent)
 		}
-		caller, trickle := dial(t, address), dial(t, address)
-		for range time.Tick(time.Millisecond) { // a probe renews nothing, nor does another byte
-			_, err := caller.Write(frame(probe))
-			if _, late := trickle.Write([]byte(hello)[:1]); err != nil && late != nil {
+		prober, trickle := dial(t, address), dial(t, address)
+		for range time.Tick(time.Millisecond) { // neither a probe nor a further byte extends the deadline
+			_, probeErr := prober.Write(frame(probe))
+			if _, trickleErr := trickle.Write([]byte(hello)[:1]); probeErr != nil && trickleErr != nil {
 				break
 			}
 		}
 	})
-	t.Run("what arrived while we stalled is read before anybody is judged late", func(t *testing.T) {
+	t.Run("what arrived while we stalled is read after the deadline", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		loop.limits.identifyTimeout = time.Nanosecond
-		here, there := net.Pipe()
-		go there.Write(frame(hello))
-		conn := newConnection(here, 1, loop, func(*connection) error { there.Close(); return nil })
+		local, remote := net.Pipe()
+		go remote.Write(frame(hello))
+		conn := newConnection(local, 1, loop, func(*connection) error { remote.Close(); return nil })
 		if err := conn.readMessages(); conn.kind != kindProxy {
-			t.Errorf("it is a %v: %v", conn.kind, err)
+			t.Errorf("kind %v, want proxy; error %v", conn.kind, err)
 		}
 	})
-	t.Run("unidentified connections that say nothing are ended, and keep nobody out", func(t *testing.T) {
+	t.Run("silent unidentified connections are closed, and do not block others", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, twoEndpoints, func(l *limits) { l.maxUnidentified, l.identifyTimeout = 10, 200*time.Millisecond })
 		proxy := dial(t, address)
@@ -182,34 +185,34 @@
 		caller.receive()
 		for _, s := range silent {
 			if !s.isRefused() {
-				t.Error("an unidentified connection stayed")
+				t.Error("a silent connection was not refused")
 			}
 		}
 		proxy.send(probe)
 		proxy.receive()
 		logged.waitFor(t, "msg=unidentified_closed", 1)
-		for late := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+20; runtime.Gosched() {
-			if time.Now().After(late) {
+		for deadline := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+20; runtime.Gosched() {
+			if time.Now().After(deadline) {
 				t.Fatalf("%d goroutines before, %d after", before, runtime.NumGoroutine())
 			}
 		}
 	})
-	t.Run("a peer that reads nothing ends when a message does not leave in time", func(t *testing.T) {
+	t.Run("a peer that reads nothing ends after the write timeout", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		loop.limits.writeTimeout = 20 * time.Millisecond
-		conn := connectProxy(t, loop, 1, 0, false) // its first table waits already
+		conn := connectProxy(t, loop, 1, 0, false) // its first table is already in the outbox
 		conn.run()
 		if text, _ := logged.read(); !strings.Contains(fmt.Sprint(conn.closeReason), "write: ") {
-			t.Errorf("ended by %v: %s", conn.closeReason, text)
+			t.Errorf("closed with %v, want a write error: %s", conn.closeReason, text)
 		}
 		loop.iterate(func() {})
 		if loop.isCurrent(conn) {
-			t.Error("it is still joined")
+			t.Error("the proxy is still connected")
 		}
 	})
-	t.Run("while hundreds are silent, proxies that come back all at once take the places of their old streams", func(t *testing.T) {
+	t.Run("while hundreds are silent, reconnecting proxies replace their old connections", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxConnections, l.maxIdentified, l.maxUnidentified = 48, 42, 48 })
-		var old, now []*client
+		var all, current []*client
 		for round := range 2 {
 			for range 100 {
 				dial(t, address)
@@ -218,15 +221,15 @@
 				proxy := dial(t, address)
 				proxy.send(strings.Replace(hello, "3", fmt.Sprint(node), 1))
 				proxy.send(probe)
-				if old = append(old, proxy); round == 1 {
-					now = append(now, proxy)
+				if all = append(all, proxy); round == 1 {
+					current = append(current, proxy)
 				}
 			}
 		}
-		for _, proxy := range now {
+		for _, proxy := range current {
 			proxy.receive()
 		}
-		for _, proxy := range old[:40] {
+		for _, proxy := range all[:40] {
 			for proxy.SetReadDeadline(time.Now().Add(testTimeout)); ; {
 				if _, err := proxy.in.ReadByte(); err != nil {
 					break
@@ -234,10 +237,10 @@
 			}
 		}
 		if text, _ := logged.read(); strings.Contains(text, errNoRoom.Error()) {
-			t.Error("one of them found no room")
+			t.Error("a reconnecting proxy was refused at the connection limit")
 		}
 	})
-	t.Run("of a zone's collectors the newest stay, and beyond the budget nobody is taken", func(t *testing.T) {
+	t.Run("the newest collectors of a zone stay, and connections beyond maxIdentified are refused", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxIdentified = 4 })
 		var all []*client
 		for range 3 {
@@ -248,7 +251,7 @@
 			all = append(all, caller)
 		}
 		if !all[0].isClosed() {
-			t.Error("the oldest stayed")
+			t.Error("the oldest of three collectors was not closed")
 		}
 		for node := range 3 {
 			proxy := dial(t, address)
@@ -256,43 +259,45 @@
 			if node < 2 {
 				proxy.receive()
 			} else if !proxy.isRefused() {
-				t.Error("one beyond the budget was taken")
+				t.Error("a connection beyond maxIdentified was not refused")
 			}
 		}
 	})
-	t.Run("without a descriptor left the oldest unidentified connection makes room", func(t *testing.T) {
+	t.Run("when file descriptors run out, the oldest unidentified connection is evicted", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		ctx, stop := context.WithCancel(t.Context())
-		here, there := net.Pipe()
-		defer here.Close()
-		short := &scriptedListener{Listener: &net.TCPListener{}, conns: []net.Conn{there, nil, nil}, done: ctx.Done()}
+		remote, local := net.Pipe()
+		defer remote.Close()
+		listener := &scriptedListener{Listener: &net.TCPListener{}, conns: []net.Conn{local, nil, nil}, done: ctx.Done()}
 		ended := make(chan error)
 		s := &server{limits: loop.limits, loop: loop, log: loop.log}
-		go func() { ended <- s.run(ctx, short) }()
+		go func() { ended <- s.run(ctx, listener) }()
 		logged.waitFor(t, "msg=accept_failed", 1)
 		logged.waitFor(t, "msg=unidentified_closed", 1)
 		stop()
 		if err := <-ended; err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("run returned %v, want nil", err)
 		}
 	})
-	t.Run("an address that cannot be had is an error", func(t *testing.T) {
-		taken, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Run("an address that is in use is an error", func(t *testing.T) {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer taken.Close()
-		c, err := New(Identity{Listen: taken.Addr().String()}, configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard))
+		defer listener.Close()
+		c, err := New(Identity{Listen: listener.Addr().String()}, configuration("127.0.0.1:9", twoEndpoints),
+			NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := c.Serve(t.Context()); err == nil || !strings.Contains(err.Error(), "listen") {
-			t.Errorf("error %v", err)
+			t.Errorf("error %v, want one about listen", err)
 		}
 	})
 }
 
-// scriptedListener is a listener that hands out connections, or for nil an error, and then waits.
+// scriptedListener is a listener that returns the given connections, with EMFILE in place of a nil
+// one, and then blocks until done is closed.
 type scriptedListener struct {
 	net.Listener
 	conns []net.Conn
--- a/controller/serving_test.go
+++ b/controller/serving_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// serve runs a controller, and ends it with the story, which must take well under 0.7 s.
+// serve runs a controller until the end of the test. Its shutdown has to take well under 0.7 s, so
+// the test fails after 0.6 s.
 func serve(t *testing.T, discovery, known string, change func(*limits)) (address string, logged *logBuffer) {
 	t.Helper()
 	_, address, logged = runController(t, discovery, known, change)
@@ -38,10 +39,10 @@
 		select {
 		case err := <-ended:
 			if err != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("Serve returned %v, want nil", err)
 			}
 		case <-time.After(600 * time.Millisecond):
-			t.Error("did not end in time")
+			t.Error("Serve did not return within 0.6 s after the end of its context")
 		}
 	})
 	logged.waitFor(t, "msg=serving", 1)
