--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -46,7 +46,7 @@
 		err  error
 		want string
 	}{
-		{distribution.ErrNotFounded, "neither the record nor the proposal has an epoch"},
+		{distribution.ErrNoEpoch, "neither the record nor the proposal has an epoch"},
 		{distribution.ErrVersionMismatch, "the record has changed since"},
 		{distribution.ErrNoChange, "it changes nothing"},
 		{distribution.ErrMalformed, "an entry has no scope or name, or is there twice"},
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -18,8 +18,8 @@
 
 // Why Record.Apply refuses a proposal.
 var (
-	// ErrNotFounded says that neither the record nor the proposal has an epoch.
-	ErrNotFounded = errors.New("distribution: neither the record nor the proposal has an epoch")
+	// ErrNoEpoch says that neither the record nor the proposal has an epoch.
+	ErrNoEpoch = errors.New("distribution: neither the record nor the proposal has an epoch")
 	// ErrVersionMismatch says that a conditional proposal was made for another version than the record's; the proposer
 	// looks at the record anew and may propose again.
 	ErrVersionMismatch = errors.New("distribution: the record has changed since")
@@ -65,7 +65,7 @@
 		version.Epoch = p.Epoch
 	}
 	if !version.Epoch.Known() {
-		return Change{}, ErrNotFounded
+		return Change{}, ErrNoEpoch
 	}
 	entries, err := r.effectiveEntries(p.Entries)
 	if err != nil {
--- a/distribution/record_test.go
+++ b/distribution/record_test.go
@@ -29,7 +29,7 @@
 
 func TestRecordAppliesProposalsInOrder(t *testing.T) {
 	v := NewRecord()
-	if _, err := v.Apply(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNotFounded) {
+	if _, err := v.Apply(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNoEpoch) {
 		t.Errorf("without an epoch: %v", err)
 	}
 	if _, err := v.Apply(Proposal{Epoch: epoch}); !errors.Is(err, ErrNoChange) || !v.Empty() {
