--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -22,7 +22,7 @@
 func TestSubscribeIsRefusedForEachReason(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxDepth, limits.MaxScopes, limits.FanOut = 2, 3, 3
-	c, _, first, _, leaf := tree(t, limits)
+	c, _, first, _, leaf := newRelayTree(t, limits)
 	empty := c.add(subscriber("empty", AllScopes(), limits))
 	for _, story := range []struct {
 		name    string
@@ -53,7 +53,7 @@
 
 func TestSubscribeOfScopesThatTheParentLacksIsRefused(t *testing.T) {
 	limits := DefaultLimits()
-	c, _, leaf := duo(t, limits)
+	c, _, leaf := newVoterAndLeaf(t, limits)
 	for _, wider := range []Scopes{AllScopes(), SomeScopes("b"), SomeScopes("a", "b")} {
 		refused, is := c.ask(leaf, &Subscribe{Name: "x", Scopes: wider}).(*Refused)
 		if !is || refused.Reason != RefusedNotCovered {
@@ -68,7 +68,7 @@
 func TestFullParentProposesItsChildren(t *testing.T) {
 	limits := DefaultLimits()
 	limits.FanOut = 2
-	c, v, _, _, _ := tree(t, limits)
+	c, v, _, _, _ := newRelayTree(t, limits)
 	refused, is := c.ask(v, &Subscribe{Name: "x", Scopes: SomeScopes("a"), FanOut: 1}).(*Refused)
 	if !is || refused.Reason != RefusedFull {
 		t.Fatalf("answer %+v", refused)
@@ -92,7 +92,7 @@
 	leafLimits.FanOut = 0
 	c := newCluster()
 	v := c.add(voter("v", limits))
-	c.fill(3)
+	c.acceptChanges(3)
 	c.pass(tick, tick)
 	var leaves []*member
 	for i := range 2 {
@@ -101,7 +101,7 @@
 	c.pass(second, tick)
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
 	c.pass(2*DefaultMaxRetryAfter, tick)
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, append(leaves, relay)...)
 	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") || len(children) != limits.FanOut {
@@ -151,7 +151,7 @@
 	c.random = true
 	v := c.add(voter("v", limits))
 	upper := c.add(subscriber("upper", AllScopes(), limits, "v", "middle", "lower"))
-	c.fill(3)
+	c.acceptChanges(3)
 	c.pass(4*second, tick)
 	middle := c.add(subscriber("middle", AllScopes(), limits, "upper", "lower"))
 	c.pass(second, tick)
@@ -174,13 +174,13 @@
 		}
 	}
 	c.heal(v, upper)
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(15*second, tick)
 	c.expectCaughtUp(t, upper, middle, lower)
 }
 
 func TestHalfOpenPlaceIsReplacedByTheSameName(t *testing.T) {
-	c, v, leaf := duo(t, DefaultLimits())
+	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 	for _, conn := range c.conns { // the leaf's process is gone, and the voter has not heard of it
 		conn.dialer = &member{cluster: c, config: Config{Name: "lost"}, frozen: true}
 	}
@@ -193,7 +193,7 @@
 }
 
 func TestCallersThatDoNotSubscribeAreBounded(t *testing.T) {
-	c, v, _ := duo(t, DefaultLimits())
+	c, v, _ := newVoterAndLeaf(t, DefaultLimits())
 	accepted := 0
 	for range 10_000 {
 		if v.node.Incoming(c.now) != 0 {
@@ -210,7 +210,7 @@
 }
 
 func TestLearnedCandidatesAreBounded(t *testing.T) {
-	c, _, leaf := duo(t, DefaultLimits())
+	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
 	for i := range 1000 {
 		leaf.node.learnCandidates([]string{fmt.Sprint("peer", i)}, i%2 == 0)
 	}
@@ -228,7 +228,7 @@
 	small.StateBytes = 4000
 	c := newCluster()
 	c.add(voter("v", DefaultLimits()))
-	c.fill(3)
+	c.acceptChanges(3)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), small, "v"))
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
@@ -245,7 +245,7 @@
 }
 
 func TestChildThatConfirmsNothingLosesItsPlace(t *testing.T) {
-	c, v, _ := duo(t, DefaultLimits())
+	c, v, _ := newVoterAndLeaf(t, DefaultLimits())
 	version := v.node.Version()
 	request := &Subscribe{Name: "x", Scopes: AllScopes(), Version: version, Digest: v.node.store.digest}
 	if _, is := c.ask(v, request).(*Admitted); !is {
--- a/distribution/batch.go
+++ b/distribution/batch.go
@@ -1,30 +1,30 @@
 package distribution
 
-// preparedBatch is a batch of changes whose effect on a store is worked out, and of which nothing is applied yet.
+// preparedBatch holds changes that are not applied yet, with their effect on a store.
 type preparedBatch struct {
-	steps  []preparedChange
-	digest Digest // of the store afterwards
-	bytes  int    // of the store's entries afterwards
+	changes []preparedChange
+	digest  Digest // digest of the store after the batch
+	bytes   int    // bytes of the store's entries after the batch
 }
 
-// preparedChange is one change with what each of its entries does to the digest.
+// preparedChange is one change with the effect of each of its entries on the digest.
 type preparedChange struct {
-	entries     []Entry // each with its own revision and time of acceptance
-	differences []Digest
+	entries     []Entry  // with their revisions and times of acceptance filled in
+	differences []Digest // by entry, the new digest less the old one
 	logged      loggedChange
 }
 
-// prepare works out what changes would do to the store. The store is not modified.
+// prepare computes the effect of changes on the store, and does not modify the store.
 func (s *store) prepare(changes []Change) preparedBatch {
 	batch := preparedBatch{digest: s.digest, bytes: s.bytes}
 	pending := map[Key]Entry{}
 	previous := s.version.Revision
 	for _, change := range changes {
-		step := preparedChange{entries: withDefaults(change)}
-		step.logged = loggedChange{change: withoutDefaults(change), previous: previous}
-		step.logged.size = step.logged.change.size()
+		prepared := preparedChange{entries: withDefaults(change)}
+		prepared.logged = loggedChange{change: withoutDefaults(change), previous: previous}
+		prepared.logged.size = prepared.logged.change.size()
 		previous = change.Revision
-		for _, entry := range step.entries {
+		for _, entry := range prepared.entries {
 			old, found := pending[entry.Key()]
 			if !found {
 				old, found = s.lookup(entry.Key())
@@ -34,28 +34,30 @@
 			}
 			pending[entry.Key()] = entry
 			difference := entryDigest(entry).subtract(entryDigest(old))
-			step.differences = append(step.differences, difference)
-			step.logged.addDigestChange(entry.Scope, difference)
-			step.logged.merged = step.logged.merged || entry.Revision != change.Revision
+			prepared.differences = append(prepared.differences, difference)
+			prepared.logged.addDigestChange(entry.Scope, difference)
+			prepared.logged.merged = prepared.logged.merged || entry.Revision != change.Revision
 			batch.digest = batch.digest.add(difference)
 			batch.bytes += entry.size()
 		}
-		batch.steps = append(batch.steps, step)
+		batch.changes = append(batch.changes, prepared)
 	}
 	return batch
 }
 
-// commit applies one change that was prepared, whole. The changes of a batch are committed in their order, with nothing
-// else in between, as each was prepared for what the one before it leaves.
-func (s *store) commit(step preparedChange) {
-	for i, entry := range step.entries {
-		s.putWithDigest(entry, step.differences[i])
+// commit applies one prepared change completely. The changes of a batch must be committed in order,
+// without any other modification of the store between them, because each was prepared for the state
+// after the previous one.
+func (s *store) commit(prepared preparedChange) {
+	for i, entry := range prepared.entries {
+		s.putWithDigest(entry, prepared.differences[i])
 	}
-	s.log.append(step.logged)
-	s.version.Revision = step.logged.change.Revision
+	s.log.append(prepared.logged)
+	s.version.Revision = prepared.logged.change.Revision
 }
 
-// withDefaults gives a change's entries with the revision and time that they leave to the change.
+// withDefaults returns the entries of a change, with the revision and time of the change filled in
+// where they are zero.
 func withDefaults(change Change) []Entry {
 	entries := make([]Entry, len(change.Entries))
 	for i, entry := range change.Entries {
@@ -70,7 +72,8 @@
 	return entries
 }
 
-// withoutDefaults is a change as it goes over the wire: what is the same for all its entries is left out of them.
+// withoutDefaults returns a change in its form on the wire: revisions and times of entries that
+// equal those of the change are zero, and the epoch is left out.
 func withoutDefaults(change Change) Change {
 	entries := make([]Entry, len(change.Entries))
 	for i, entry := range change.Entries {
--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -2,17 +2,20 @@
 
 import "slices"
 
-// loggedChange is a change in the log, as it goes to children, and what it did to the digest of each scope.
+// loggedChange is a change of the log in its form on the wire, with its effect on the digest of
+// each scope.
 type loggedChange struct {
 	change        Change
 	digestChanges []scopeDigestChange
 	size          int // bytes
-	// merged says that the change stands for several, of which the first came after the revision previous.
+	// merged marks a change that replaces all changes after the revision previous, up to its own
+	// revision.
 	merged   bool
 	previous uint64
 }
 
-// scopeDigestChange is by how much a change moved the digest of a scope. A scope may be there several times; they add up.
+// scopeDigestChange is the difference that a change makes to the digest of a scope. A change may
+// have several for one scope, which add up.
 type scopeDigestChange struct {
 	scope      string
 	difference Digest
@@ -27,11 +30,12 @@
 	l.digestChanges = append(l.digestChanges, scopeDigestChange{scope, difference})
 }
 
-// changeLog holds the latest changes, in order of their revisions, for deltas. Who owns it bounds it by enforceLimits.
+// changeLog holds the latest changes, sorted by revision, from which deltas are made. Its owner
+// calls enforceLimits to bound it.
 type changeLog struct {
-	floor   uint64 // every change after this revision is there
+	floor   uint64 // the log holds every change after this revision
 	changes []loggedChange
-	bytes   int // of all changes
+	bytes   int // sum of the sizes of all changes
 }
 
 func (l *changeLog) append(change loggedChange) {
@@ -39,7 +43,8 @@
 	l.bytes += change.size
 }
 
-// enforceLimits drops the oldest changes over the limits, and tells whether there were any.
+// enforceLimits drops the oldest changes until the log has at most the given number of changes and
+// bytes. It reports whether it dropped any.
 func (l *changeLog) enforceLimits(changes, bytes int) bool {
 	dropped := false
 	for len(l.changes) > 0 && (len(l.changes) > changes || l.bytes > bytes) {
@@ -52,13 +57,13 @@
 func (l *changeLog) dropOldest() {
 	l.floor = l.changes[0].change.Revision
 	l.bytes -= l.changes[0].size
-	l.changes[0] = loggedChange{} // the array lives on; its entries can be freed
+	l.changes[0] = loggedChange{} // the slice keeps the array in memory; this releases the entries of the change
 	l.changes = l.changes[1:]
 }
 
-// indexAfter is the index of the first change after a revision.
+// indexAfter returns the index of the first change after a revision.
 func (l *changeLog) indexAfter(revision uint64) int {
-	at, _ := slices.BinarySearchFunc(l.changes, revision+1, func(logged loggedChange, revision uint64) int {
+	index, _ := slices.BinarySearchFunc(l.changes, revision+1, func(logged loggedChange, revision uint64) int {
 		switch {
 		case logged.change.Revision < revision:
 			return -1
@@ -67,11 +72,12 @@
 		}
 		return 0
 	})
-	return at
+	return index
 }
 
-// changesAfter gives the changes after a revision in some scopes, as many as fit a batch of bytes and at least one, and
-// the revision that they lead to: the last change's, or the newest if nothing is left after them.
+// changesAfter returns the changes after a revision in some scopes, up to batchBytes but at least
+// one if there is any, and the revision that a child holds after them: the revision of the last
+// change, or newest if no further change follows.
 func (l *changeLog) changesAfter(revision uint64, scopes Scopes, batchBytes int, newest uint64) ([]Change, uint64) {
 	var changes []Change
 	size := 0
@@ -89,13 +95,15 @@
 	return changes, newest
 }
 
-// insideMerged tells whether a revision lies within a merged change, so that the log does not know the state at it.
+// insideMerged reports whether a revision lies within a merged change, so that the state at it
+// cannot be computed.
 func (l *changeLog) insideMerged(revision uint64) bool {
-	at := l.indexAfter(revision)
-	return at < len(l.changes) && l.changes[at].merged && l.changes[at].previous < revision
+	index := l.indexAfter(revision)
+	return index < len(l.changes) && l.changes[index].merged && l.changes[index].previous < revision
 }
 
-// digestChangeAfter is by how much the changes after a revision moved the digest of some scopes.
+// digestChangeAfter returns the difference that the changes after a revision made to the digest of
+// some scopes.
 func (l *changeLog) digestChangeAfter(revision uint64, scopes Scopes) Digest {
 	var sum Digest
 	for _, logged := range l.changes[l.indexAfter(revision):] {
@@ -108,7 +116,8 @@
 	return sum
 }
 
-// changeInScopes is the part of a change in some scopes, and whether there is any.
+// changeInScopes returns the part of a change in some scopes. It reports false if the change has no
+// entries there.
 func changeInScopes(change Change, scopes Scopes) (part Change, found bool) {
 	if scopes.All {
 		return change, len(change.Entries) > 0
--- a/distribution/compaction_test.go
+++ b/distribution/compaction_test.go
@@ -23,8 +23,8 @@
 	l.floor = max(l.floor, revision)
 }
 
-// lookUp gives an entry that a node has and that is not deleted.
-func (n *Node) lookUp(key Key) (Entry, bool) {
+// lookUpLive gives an entry that a node has and that is not deleted.
+func (n *Node) lookUpLive(key Key) (Entry, bool) {
 	entry, found := n.store.lookup(key)
 	return entry, found && !entry.Deleted
 }
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -1,11 +1,13 @@
 package distribution
 
-// isOlder tells whether a version is older than what the node has, or had before it was started.
+// isOlder reports whether a version is older than the version that the node holds, or than its
+// Config.Floor from before a restart.
 func (n *Node) isOlder(version Version) bool {
 	return version.Before(n.store.version) || version.Before(n.config.Floor)
 }
 
-// conflictsWith tells whether an epoch was founded beside the node's, without either knowing of the other.
+// conflictsWith reports whether an epoch has the same number as the epoch of this node, or of its
+// Config.Floor, but another identity: the two records were created independently.
 func (n *Node) conflictsWith(epoch Epoch) bool {
 	for _, known := range []Epoch{n.store.version.Epoch, n.config.Floor.Epoch} {
 		if epoch.Known() && known.Known() && epoch != known && epoch.Number == known.Number {
@@ -15,32 +17,35 @@
 	return false
 }
 
-// contentComplete tells whether what the node has is sound, and all of the scopes that it asks for now.
+// contentComplete reports whether the content of the store is not in doubt, and covers exactly the
+// scopes to which the node subscribes now.
 func (n *Node) contentComplete() bool {
 	return !n.contentInDoubt && n.store.covered.Equal(n.config.Scopes)
 }
 
-// reportOlder notes that something older than what the node has was refused.
+// reportOlder counts and logs a message, change or state that was refused because it is not newer
+// than the store.
 func (n *Node) reportOlder(peer string, version Version) {
 	n.counts.OlderRefused++
 	n.host.Log(Event{Kind: EventOlderRefused, Peer: peer, Version: version})
 }
 
-// applyBatch applies changes that were prepared, one after the other and each of them whole.
+// applyBatch applies prepared changes in order, and passes each to the host.
 func (n *Node) applyBatch(batch preparedBatch) {
-	for _, step := range batch.steps {
-		step.entries = n.faults.appliedEntries(step.entries)
-		n.store.commit(step)
+	for _, prepared := range batch.changes {
+		prepared.entries = n.faults.appliedEntries(prepared.entries)
+		n.store.commit(prepared)
 		n.counts.ChangesApplied++
-		change := step.logged.change
+		change := prepared.logged.change
 		change.Epoch = n.store.version.Epoch
-		change.Entries = step.entries
+		change.Entries = prepared.entries
 		n.host.Apply(change, false)
 	}
 	n.compactStore()
 }
 
-// replaceStore installs a complete state in one step.
+// replaceStore installs a complete state in one step and passes it to the host. It ends the places
+// of children whose scopes the state does not cover.
 func (n *Node) replaceStore(installed *store, now Microseconds) {
 	n.store = installed
 	n.host.Apply(Change{
@@ -53,7 +58,7 @@
 	n.sendDeltasToAll(now)
 }
 
-// compactStore keeps the log and the tombstones within their limits.
+// compactStore enforces the limits on the log and the tombstones.
 func (n *Node) compactStore() {
 	if n.store.compact(n.limits) {
 		n.host.Log(Event{Kind: EventCompacted, Version: Version{n.store.version.Epoch, n.store.log.floor}})
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// only gives the one connection of a member as a dialer.
-func (c *cluster) only(t *testing.T, m *member) *conn {
+// onlyConn gives the one connection of a member as a dialer.
+func (c *cluster) onlyConn(t *testing.T, m *member) *conn {
 	t.Helper()
 	for _, conn := range c.conns {
 		if conn.dialer == m {
@@ -17,13 +17,13 @@
 	return nil
 }
 
-// duo is a voter with a subscriber of scope "a".
-func duo(t *testing.T, limits Limits) (c *cluster, v, leaf *member) {
+// newVoterAndLeaf is a voter with a subscriber of scope "a".
+func newVoterAndLeaf(t *testing.T, limits Limits) (c *cluster, v, leaf *member) {
 	t.Helper()
 	c = newCluster()
 	c.encode = true
 	v = c.add(voter("v", limits))
-	c.fill(5)
+	c.acceptChanges(5)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
 	c.pass(second, tick)
 	c.expectCaughtUp(t, v, leaf)
@@ -31,11 +31,11 @@
 }
 
 func TestLostDeltaIsRecoveredByDeltas(t *testing.T) {
-	c, v, leaf := duo(t, DefaultLimits())
+	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
-	c.fill(2)
+	c.acceptChanges(2)
 	c.follow(v, 1)
-	conn := c.only(t, leaf)
+	conn := c.onlyConn(t, leaf)
 	c.deliver(conn, 0, true)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
@@ -45,10 +45,10 @@
 }
 
 func TestLossOfTheLastDeltaIsSeenByTheHeartbeat(t *testing.T) {
-	c, v, leaf := duo(t, DefaultLimits())
-	c.fill(1)
+	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
+	c.acceptChanges(1)
 	c.follow(v, 1)
-	c.deliver(c.only(t, leaf), 0, true)
+	c.deliver(c.onlyConn(t, leaf), 0, true)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 {
@@ -57,12 +57,12 @@
 }
 
 func TestWrongDigestEndsInASnapshot(t *testing.T) {
-	c, v, leaf := duo(t, DefaultLimits())
+	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	before := leaf.node.Version()
-	c.fill(1)
+	c.acceptChanges(1)
 	c.follow(v, 1)
-	conn := c.only(t, leaf)
+	conn := c.onlyConn(t, leaf)
 	delta := conn.queues[0][0].(*Delta)
 	damaged := *delta
 	damaged.Changes = []Change{{Revision: delta.Revision, Entries: []Entry{set("a", "other", "damaged")}}}
@@ -82,7 +82,7 @@
 }
 
 func TestWrongDigestOfAChildIsSeenWhenItSubscribes(t *testing.T) {
-	c, _, leaf := duo(t, DefaultLimits())
+	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
 	kept := leaf.node.State()
 	kept.Entries[0].Value = []byte("damaged")
 	leaf.kill()
@@ -98,10 +98,10 @@
 }
 
 func TestSubscriberStartsWithItsStoredState(t *testing.T) {
-	c, _, leaf := duo(t, DefaultLimits())
+	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
 	kept := leaf.node.State()
 	leaf.kill()
-	c.fill(3)
+	c.acceptChanges(3)
 	leaf.start(kept)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
@@ -116,7 +116,7 @@
 	c := newCluster()
 	c.encode = true
 	v := c.add(voter("v", limits))
-	c.fill(20)
+	c.acceptChanges(20)
 	c.pass(tick, tick)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
 	pieces := 0
@@ -218,7 +218,7 @@
 		t.Run(story.name, func(t *testing.T) {
 			limits := DefaultLimits()
 			limits.Tombstones = story.tombstones
-			c, v, leaf := duo(t, limits)
+			c, v, leaf := newVoterAndLeaf(t, limits)
 			before := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 			c.cut(v, leaf)
 			for i := range story.changes {
@@ -246,7 +246,7 @@
 	for i := range 4 {
 		leaves = append(leaves, c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), limits, "v")))
 	}
-	c.fill(5)
+	c.acceptChanges(5)
 	c.pass(2*second, tick)
 	c.cut(v, relay)
 	for i, leaf := range leaves {
@@ -278,9 +278,9 @@
 func TestLongLogIsSentInBatches(t *testing.T) {
 	limits := DefaultLimits()
 	limits.BatchBytes, limits.Window = 500, 1500
-	c, v, leaf := duo(t, limits)
+	c, v, leaf := newVoterAndLeaf(t, limits)
 	c.cut(v, leaf)
-	c.fill(200)
+	c.acceptChanges(200)
 	c.pass(second, tick)
 	before := leaf.node.Status(c.now).Counts
 	c.heal(v, leaf)
@@ -296,22 +296,22 @@
 }
 
 func TestResubscribeKeepsTheOldScopesUntilTheSnapshotIsComplete(t *testing.T) {
-	c, _, leaf := duo(t, DefaultLimits())
+	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
 	leaf.node.Resubscribe(SomeScopes("b", "a"), c.now)
-	if _, found := leaf.node.lookUp(Key{"a", "entry0"}); !found {
+	if _, found := leaf.node.lookUpLive(Key{"a", "entry0"}); !found {
 		t.Error("it lost what it had")
 	}
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
-	if _, found := leaf.node.lookUp(Key{"b", "entry0"}); !found {
+	if _, found := leaf.node.lookUpLive(Key{"b", "entry0"}); !found {
 		t.Error("it has nothing of the new scope")
 	}
 	leaf.node.Resubscribe(SomeScopes("b"), c.now)
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
-	if _, found := leaf.node.lookUp(Key{"a", "entry0"}); found {
+	if _, found := leaf.node.lookUpLive(Key{"a", "entry0"}); found {
 		t.Error("it keeps what it no longer asks for")
 	}
 }
--- a/distribution/controllers_test.go
+++ b/distribution/controllers_test.go
@@ -15,7 +15,7 @@
 // Apply implements Host: the controller takes the change over, and what it has then must be what stood on the record.
 func (m *member) Apply(change Change, whole bool) {
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "apply %x %t", encoded(change), whole)
+		m.cluster.transcript.note(m, "apply %x %t", mustEncode(change), whole)
 	}
 	version := Version{change.Epoch, change.Revision}
 	if version.Before(m.applied) {
@@ -63,7 +63,7 @@
 		}
 		want++
 		digest = digest.add(entryDigest(e))
-		if has, found := m.node.lookUp(key); !found || !sameEntry(has, e) {
+		if has, found := m.node.lookUpLive(key); !found || !sameEntry(has, e) {
 			c.fails("%s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
 		if has, found := m.mirror[key]; !found || !sameEntry(has, e) {
--- a/distribution/deltas.go
+++ b/distribution/deltas.go
@@ -1,9 +1,10 @@
 package distribution
 
-// heartbeatsPerProposal is the number of heartbeats from one with candidates to the next.
+// heartbeatsPerProposal is the interval, in heartbeats to one child, at which a heartbeat contains
+// candidates.
 const heartbeatsPerProposal = 16
 
-// sendToChild puts a message on a child's link and counts it as unconfirmed.
+// sendToChild sends a message on a child's link and counts its size as unconfirmed.
 func (n *Node) sendToChild(c *child, m Message) {
 	size := m.Size()
 	c.unconfirmedSizes = append(c.unconfirmedSizes, size)
@@ -11,7 +12,8 @@
 	n.host.Send(c.link, m)
 }
 
-// sendDeltasToAll sends every child what it lacks.
+// sendDeltasToAll sends every child the deltas that it lacks, and starts the snapshots that are
+// due.
 func (n *Node) sendDeltasToAll(now Microseconds) {
 	for _, child := range n.children {
 		n.sendDeltas(child, now)
@@ -19,9 +21,10 @@
 	n.startSnapshots(now)
 }
 
-// sendDeltas sends a child the deltas that it lacks, as far as its window allows, and tells whether everything is sent.
-// Nothing is queued for a child: what it has yet to get is what the log holds after the version sent to it, and if the
-// log drops that, a snapshot follows.
+// sendDeltas sends a child the deltas that it lacks, as far as its window allows, and reports
+// whether all are sent. There is no queue per child: its next delta is computed from the log and
+// the entries after the version last sent to it. A child whose version is no longer covered by them
+// gets a snapshot.
 func (n *Node) sendDeltas(c *child, now Microseconds) (allSent bool) {
 	for !c.awaitsSnapshot && c.snapshot == nil && !n.isBehind(c.sentVersion) && c.unconfirmedBytes < n.limits.Window {
 		delta, possible := n.store.deltaFrom(c.sentVersion, c.scopes, n.limits.BatchBytes)
@@ -40,10 +43,10 @@
 	return false
 }
 
-// isBehind tells whether this node has yet to get what a child at a version has.
+// isBehind reports whether this node holds an older version than a child at the given version.
 func (n *Node) isBehind(version Version) bool { return n.store.version.Before(version) }
 
-// scheduleHeartbeats has every child get a heartbeat with the next Tick.
+// scheduleHeartbeats makes a heartbeat to every child due at the next Tick.
 func (n *Node) scheduleHeartbeats(now Microseconds) {
 	for _, child := range n.children {
 		child.nextHeartbeatAt = now
@@ -59,8 +62,8 @@
 	}
 }
 
-// sendHeartbeat tells a child that this node is there. If the child has got everything, it moves the child on to this
-// node's revision.
+// sendHeartbeat sends a heartbeat to a child. If all deltas are sent, the heartbeat advances the
+// child to the revision of this node.
 func (n *Node) sendHeartbeat(c *child, now Microseconds) {
 	c.nextHeartbeatAt = now + n.limits.Heartbeat
 	heartbeat := &Heartbeat{Source: n.store.version, Path: n.ownPath(), Age: n.sourceAge(now)}
--- a/distribution/digest.go
+++ b/distribution/digest.go
@@ -6,17 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is a running sum over the live entries of some scopes, independent of their order: two nodes with the same
-// digest have the same entries, values, revisions and times of acceptance. It guards against faults, not against
-// forgery; members are authenticated by the connections that carry the messages.
+// Digest is an incremental sum over the entries of some scopes that are not tombstones, independent
+// of their order: two nodes with the same digest have the same entries, values, revisions and times
+// of acceptance. It guards against faults, not against forgery; members are authenticated by the
+// connections that carry the messages.
 type Digest struct {
-	// High is the sum of the entries' hashes with one seed.
+	// High is the sum of the hashes of the entries with highSeed.
 	High uint64 `cbor:"1,keyasint,omitempty"`
-	// Low is the sum of their hashes with another seed.
+	// Low is the sum of the hashes of the entries with lowSeed.
 	Low uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Seeds of the two halves, so that they are independent of each other.
+// Different seeds make the two halves of a digest independent of each other.
 const (
 	highSeed = 1
 	lowSeed  = 2
@@ -26,7 +27,7 @@
 
 func (d Digest) subtract(other Digest) Digest { return Digest{d.High - other.High, d.Low - other.Low} }
 
-// entryDigest is one entry's part of a digest: nothing for a tombstone.
+// entryDigest returns the contribution of one entry to a digest; zero for a tombstone.
 func entryDigest(entry Entry) Digest {
 	if entry.Deleted {
 		return Digest{}
@@ -45,6 +46,6 @@
 
 func seededHash(framed []byte, seed uint64) uint64 {
 	hash := xxhash.NewWithSeed(seed)
-	_, _ = hash.Write(framed) // never fails
+	_, _ = hash.Write(framed) // Write of a hash never fails
 	return hash.Sum64()
 }
--- a/distribution/doc.go
+++ b/distribution/doc.go
@@ -1,39 +1,52 @@
-// Package distribution decides how the configuration that the voters agree on reaches every other controller: which
-// controller subscribes to which, what each is sent, and what it refuses.
+// Package distribution decides how the configuration that the voters agree on reaches every other
+// controller: which controller subscribes to which, which messages each of them is sent, and which
+// messages it refuses.
 //
-// Voters and subscribers form a tree of bounded fan-out. A child subscribes to a parent, is granted a lease on a place,
-// and gets a snapshot or the changes that it lacks; it is a parent to others in turn. A position in the history of the
-// configuration is a Version: the epoch of the record, and a revision within it. A node never goes back to an older one.
+// Voters and subscribers form a tree of bounded fan-out. A child subscribes to a parent, is granted
+// a place by a lease, and gets either a snapshot or the changes that it lacks; it can be a parent
+// of other subscribers in turn. A position in the history of the configuration is a Version: the
+// epoch of the record, and a revision within that epoch. A node never goes back to an older
+// version.
 //
 // # Concurrency
 //
-// A Node does no I/O, reads no clock and starts no goroutine: its host calls it with the time, and it acts through
-// Host. The calls of one node, and of one Record, come one at a time; there are no locks here. What a method returns and
-// what is handed to the host is not modified afterwards, so it may be read by any goroutine. Parameters and fields named
-// now, or for a time, are microseconds of a clock of this node alone that never goes back; AcceptedAt alone is wall time.
+// A Node does no I/O, reads no clock and starts no goroutine: its host calls it with the current
+// time, and the node acts through Host. The calls of one Node, and those of one Record, must be
+// serialized by the caller; this package takes no locks. Return values and values handed to the
+// host are not modified afterwards, so any goroutine may read them. Parameters and fields that are
+// named now or that hold a time are in microseconds of a monotonic clock of that node; only
+// AcceptedAt is wall time.
 //
-// # What survives a crash
+// # State after a crash
 //
-// Nothing by itself. A voter's state is that of its record (package consensus), from which it is restored. A subscriber's
-// host can keep State and hand it to Restored at the next start; the subscriber then accepts nothing older. A host that
-// keeps no more than a version can set Config.Floor to the same end; today's daemon does not. A subscriber that is started
-// with neither accepts what its first parent has, also if that is older than what the subscriber had.
+// This package stores nothing itself. The state of a voter is restored from its record (package
+// consensus). The host of a subscriber can store State and pass it to Restored at the next start;
+// the subscriber then accepts nothing older. A host that stores only a version can set Config.Floor
+// for the same guarantee; the daemon does not use it. A subscriber that is started with neither
+// accepts the version of its first parent, even if it is older than the version that the subscriber
+// had before the restart.
 //
 // # Timers
 //
-// All run off Tick, which the host calls (package transport: every 100 ms), so each is late by up to that. The values are
-// the defaults of Limits; "up to" is drawn at random.
-//
-//   - Heartbeat, 1 s: a parent sends each child one.
-//   - Lease, 1.8 s: a child leaves a parent that is silent, and a parent ends the place of such a child.
-//   - Handshake, 3 s: a child gives up an attempt to get a place, or a parent that does not answer a request; a parent
-//     closes a caller that has not subscribed.
-//   - HedgeDelay, 0.4 s: a node without a parent dials a second candidate beside the first, and again a third.
-//   - Backoff, up to MinBackoff, 0.2 s, doubled with each failure until MaxBackoff, 2 s: no dial at all. The peer that
-//     failed is not dialled for at least half of that.
-//   - MaxRetryAfter, 10 s: a refused child waits up to that, and a peer whose epoch conflicts is not dialled for so long.
-//   - MaxStaleness, 5 s: a child whose parent is behind, or whose source is not known to be current, looks for another
-//     parent, and logs EventSourceStale in the second case.
-//
-// Snapshots are paced by a credit that grows with time, by SnapshotBytesPerSecond, at each Tick and Renew.
+// All timers are checked in Tick, which the host calls (package transport: every 100 ms), so each
+// fires late by up to that interval. The values below are the defaults of Limits; "up to" means
+// drawn at random below that bound.
+//
+//   - Heartbeat, 1 s: a parent sends each child one heartbeat per interval.
+//   - Lease, 1.8 s: a child leaves a parent that is silent for a lease, and a parent ends the place
+//     of a child that does not renew its lease.
+//   - Handshake, 3 s: a child gives up an attempt to get a place, or a parent that does not answer
+//     a request; a parent closes a connection that has not subscribed.
+//   - HedgeDelay, 0.4 s: a node without a parent dials a second candidate in parallel with the
+//     first, and after the same delay a third.
+//   - Backoff: after a failure a node dials no peer for up to MinBackoff, 0.2 s; the bound doubles
+//     with each consecutive failure until MaxBackoff, 2 s. The peer that failed is not dialled for
+//     at least half of the bound that follows from the consecutive failures of that peer.
+//   - MaxRetryAfter, 10 s: a refused child waits for up to this time, and a peer with a conflicting
+//     epoch is not dialled for this time.
+//   - MaxStaleness, 5 s: a child looks for another parent if its parent is behind, or if its source
+//     is not known to be current; in the second case it logs EventSourceStale.
+//
+// Snapshots are paced by a credit that grows with time at SnapshotBytesPerSecond. The credit is
+// refilled at each Tick, and at each Renew of a child with a snapshot under way.
 package distribution
--- a/distribution/envelope.go
+++ b/distribution/envelope.go
@@ -2,29 +2,29 @@
 
 import "errors"
 
-// Envelope is a message as it is encoded: just one of the fields is set. The key of the field is the message's kind on
-// the wire.
+// Envelope is the encoded form of a message: exactly one field is set. The key of that field is the
+// kind of the message on the wire.
 type Envelope struct {
-	// Subscribe is the message of kind 1, of a child.
+	// Subscribe is the message of kind 1, sent by a child.
 	Subscribe *Subscribe `cbor:"1,keyasint,omitempty"`
-	// Admitted is the message of kind 2, of a parent.
+	// Admitted is the message of kind 2, sent by a parent.
 	Admitted *Admitted `cbor:"2,keyasint,omitempty"`
-	// Refused is the message of kind 3, of a parent.
+	// Refused is the message of kind 3, sent by a parent.
 	Refused *Refused `cbor:"3,keyasint,omitempty"`
-	// Delta is the message of kind 4, of a parent.
+	// Delta is the message of kind 4, sent by a parent.
 	Delta *Delta `cbor:"4,keyasint,omitempty"`
-	// SnapshotPiece is the message of kind 5, of a parent.
+	// SnapshotPiece is the message of kind 5, sent by a parent.
 	SnapshotPiece *SnapshotPiece `cbor:"5,keyasint,omitempty"`
-	// Heartbeat is the message of kind 6, of a parent.
+	// Heartbeat is the message of kind 6, sent by a parent.
 	Heartbeat *Heartbeat `cbor:"6,keyasint,omitempty"`
-	// Renew is the message of kind 7, of a child.
+	// Renew is the message of kind 7, sent by a child.
 	Renew *Renew `cbor:"7,keyasint,omitempty"`
 }
 
-// ErrEnvelope says that an envelope held no message, or several.
-var ErrEnvelope = errors.New("distribution: an envelope must hold just one message")
+// ErrEnvelope is returned for an envelope that holds no message, or more than one.
+var ErrEnvelope = errors.New("distribution: the envelope holds no message or several, and must hold exactly one")
 
-// NewEnvelope gives the message's envelope.
+// NewEnvelope returns an envelope that holds the message.
 func NewEnvelope(m Message) Envelope {
 	switch m := m.(type) {
 	case *Subscribe:
@@ -45,7 +45,8 @@
 	return Envelope{}
 }
 
-// Message gives the message in the envelope; ErrEnvelope if there is not just one.
+// Message returns the message in the envelope, or ErrEnvelope if the envelope does not hold exactly
+// one.
 func (e Envelope) Message() (Message, error) {
 	var found []Message
 	if e.Subscribe != nil {
--- a/distribution/epoch_test.go
+++ b/distribution/epoch_test.go
@@ -4,10 +4,10 @@
 
 func TestNewerEpochReplacesAndConflictingEpochIsRefused(t *testing.T) {
 	t.Run("a newer one is taken by a snapshot", func(t *testing.T) {
-		c, _, first, _, leaf := tree(t, DefaultLimits())
+		c, _, first, _, leaf := newRelayTree(t, DefaultLimits())
 		old := leaf.node.Version()
 		c.found(Epoch{Number: 8, Identity: 80})
-		c.fill(2)
+		c.acceptChanges(2)
 		c.pass(3*second, tick)
 		c.expectCaughtUp(t, first, leaf)
 		if !old.Before(leaf.node.Version()) {
@@ -15,15 +15,15 @@
 		}
 	})
 	t.Run("an older one is refused", func(t *testing.T) {
-		c, v, leaf := duo(t, DefaultLimits())
+		c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 		c.found(Epoch{Number: 8, Identity: 80})
-		c.fill(2)
+		c.acceptChanges(2)
 		c.pass(2*second, tick)
 		before := leaf.node.Version()
 		v.kill()
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
-		c.fill(9)
+		c.acceptChanges(9)
 		c.pass(20*second, tick)
 		c.sound(t)
 		if leaf.node.Version() != before {
@@ -31,12 +31,12 @@
 		}
 	})
 	t.Run("one of the same number is refused and logged", func(t *testing.T) {
-		c, v, leaf := duo(t, DefaultLimits())
+		c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 		before := leaf.node.Version()
 		v.kill()
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
-		c.fill(9)
+		c.acceptChanges(9)
 		c.pass(20*second, tick)
 		c.sound(t)
 		if leaf.node.Version() != before {
@@ -63,7 +63,7 @@
 }
 
 func TestVoterRefusesChangesThatDoNotFollow(t *testing.T) {
-	c, v, _ := duo(t, DefaultLimits())
+	c, v, _ := newVoterAndLeaf(t, DefaultLimits())
 	version := v.node.Version()
 	for _, change := range []Change{
 		{Epoch: c.epoch, Revision: version.Revision},
@@ -87,13 +87,13 @@
 	c := newCluster()
 	limits := DefaultLimits()
 	behind := c.add(voter("behind", limits))
-	c.fill(5)
+	c.acceptChanges(5)
 	c.pass(tick, tick)
 	behind.leads = false
 	config := subscriber("leaf", SomeScopes("a"), limits, "behind")
 	config.Floor = Version{c.epoch, 8}
 	leaf := c.add(config)
-	c.fill(4)
+	c.acceptChanges(4)
 	c.pass(10*second, tick)
 	if leaf.node.Version() != (Version{}) {
 		t.Fatalf("it took %v", leaf.node.Version())
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -14,8 +14,8 @@
 	return Config{Name: name, Scopes: scopes, Limits: limits, Candidates: candidates}
 }
 
-// fill puts a number of changes on the record, in the scopes "a" and "b".
-func (c *cluster) fill(changes int) {
+// acceptChanges puts a number of changes on the record, in the scopes "a" and "b".
+func (c *cluster) acceptChanges(changes int) {
 	for i := range changes {
 		value := fmt.Sprint(len(c.record))
 		c.accept(set("a", fmt.Sprint("entry", i%7), value), set("b", fmt.Sprint("entry", i%5), value))
@@ -34,13 +34,13 @@
 	}
 }
 
-// tree is a voter, two relays below it, and a subscriber below the first.
-func tree(t *testing.T, limits Limits) (c *cluster, v, first, second, leaf *member) {
+// newRelayTree is a voter, two relays below it, and a subscriber below the first.
+func newRelayTree(t *testing.T, limits Limits) (c *cluster, v, first, second, leaf *member) {
 	t.Helper()
 	c = newCluster()
 	c.encode = true
 	v = c.add(voter("v", limits))
-	c.fill(5)
+	c.acceptChanges(5)
 	first = c.add(subscriber("first", AllScopes(), limits, "v"))
 	second = c.add(subscriber("second", AllScopes(), limits, "v"))
 	c.pass(2*oneSecond, tick)
@@ -58,10 +58,10 @@
 const oneSecond = second
 
 func TestChangesGoDownTheTreeAtOnce(t *testing.T) {
-	c, v, first, _, leaf := tree(t, DefaultLimits())
+	c, v, first, _, leaf := newRelayTree(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	for range 20 {
-		c.fill(1)
+		c.acceptChanges(1)
 		c.follow(v, 1)
 		c.settle()
 		c.expectCaughtUp(t, first, leaf)
@@ -73,7 +73,7 @@
 	if want := []string{"v", "first"}; fmt.Sprint(status.Path) != fmt.Sprint(want) {
 		t.Errorf("path %v", status.Path)
 	}
-	if _, found := leaf.node.lookUp(Key{"b", "entry0"}); found {
+	if _, found := leaf.node.lookUpLive(Key{"b", "entry0"}); found {
 		t.Error("the leaf has an entry that it did not ask for")
 	}
 }
@@ -89,10 +89,10 @@
 		{"cut", func(c *cluster, parent, leaf *member) { c.cut(parent, leaf) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
-			c, _, first, second, leaf := tree(t, DefaultLimits())
+			c, _, first, second, leaf := newRelayTree(t, DefaultLimits())
 			before := leaf.node.Status(c.now).Counts
 			failure.inflict(c, first, leaf)
-			c.fill(3)
+			c.acceptChanges(3)
 			c.pass(DefaultLease+oneSecond, tick)
 			c.expectCaughtUp(t, second, leaf)
 			status := leaf.node.Status(c.now)
@@ -110,14 +110,14 @@
 }
 
 func TestFrozenParentIsLeftAndItsPlaceFreed(t *testing.T) {
-	c, v, first, _, _ := tree(t, DefaultLimits())
+	c, v, first, _, _ := newRelayTree(t, DefaultLimits())
 	first.frozen = true
 	c.pass(DefaultLease+oneSecond, tick)
 	if children := v.node.Status(c.now).Children; slices.Contains(children, "first") {
 		t.Errorf("the voter's children are %v", children)
 	}
 	first.frozen = false
-	c.fill(2)
+	c.acceptChanges(2)
 	c.pass(3*oneSecond, tick)
 	c.expectCaughtUp(t, first)
 }
@@ -126,10 +126,10 @@
 	c := newCluster()
 	limits := DefaultLimits()
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
-	c.fill(5)
+	c.acceptChanges(5)
 	c.pass(oneSecond, tick)
 	behind.leads = false // it hears no more of the record
-	c.fill(4)
+	c.acceptChanges(4)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "ahead"))
 	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
@@ -142,7 +142,7 @@
 		t.Errorf("parent %q, age %d", status.Parent, status.Age)
 	}
 	c.heal(ahead, leaf)
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
 	c.expectCaughtUp(t, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "ahead" {
@@ -151,9 +151,9 @@
 }
 
 func TestRestartedVoterAtAnOlderRevisionCatchesUp(t *testing.T) {
-	c, v, first, second, leaf := tree(t, DefaultLimits())
+	c, v, first, second, leaf := newRelayTree(t, DefaultLimits())
 	kept := v.node.State()
-	c.fill(4)
+	c.acceptChanges(4)
 	c.pass(oneSecond, tick)
 	v.kill()
 	v.leads = false // the record's log comes later
@@ -164,7 +164,7 @@
 		t.Fatalf("the voter is at %v", version)
 	}
 	snapshots := first.node.Status(c.now).Counts.SnapshotsInstalled
-	c.fill(1)
+	c.acceptChanges(1)
 	v.leads = true
 	c.pass(2*oneSecond, tick)
 	c.expectCaughtUp(t, v, first, second, leaf)
@@ -174,7 +174,7 @@
 }
 
 func TestSubscribersTellTheirAgeWhileTheMajorityIsLost(t *testing.T) {
-	c, v, first, _, leaf := tree(t, DefaultLimits())
+	c, v, first, _, leaf := newRelayTree(t, DefaultLimits())
 	v.leads = false
 	dials := leaf.node.Status(c.now).Counts.Dials
 	c.pass(30*oneSecond, tick)
@@ -193,7 +193,7 @@
 		t.Errorf("stale was logged %d times", leaf.count(EventSourceStale))
 	}
 	v.leads = true
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(3*oneSecond, tick)
 	c.expectCaughtUp(t, first, leaf)
 	if age := leaf.node.Status(c.now).Age; age > 3*oneSecond {
@@ -209,7 +209,7 @@
 	limits := DefaultLimits()
 	slow := c.add(voter("slow", limits))
 	c.add(voter("quick", limits))
-	c.fill(3)
+	c.acceptChanges(3)
 	c.pass(tick, tick)
 	slow.frozen = true
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "slow", "quick"))
@@ -219,7 +219,7 @@
 		t.Errorf("status %+v", status)
 	}
 	slow.frozen = false // the late admission counts for nothing
-	c.fill(1)
+	c.acceptChanges(1)
 	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := slow.node.Status(c.now).Children; len(children) > 0 {
@@ -231,7 +231,7 @@
 	c := newCluster()
 	limits := DefaultLimits()
 	one, other := c.add(voter("one", limits)), c.add(voter("other", limits))
-	c.fill(3)
+	c.acceptChanges(3)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "one", "other"))
 	c.pass(tick, tick)
 	leaf.kill()
@@ -254,7 +254,7 @@
 func TestChildThatReadsNothingHoldsNobodyUp(t *testing.T) {
 	limits := DefaultLimits()
 	limits.LogChanges, limits.Tombstones = 50, 10
-	c, v, first, _, leaf := tree(t, limits)
+	c, v, first, _, leaf := newRelayTree(t, limits)
 	before := leaf.node.Status(c.now).Counts
 	leaf.frozen = true
 	most := 0
@@ -288,7 +288,7 @@
 	limits := DefaultLimits()
 	limits.FanOut, limits.MaxSnapshots = 4, 2
 	v := c.add(voter("v", limits))
-	c.fill(40)
+	c.acceptChanges(40)
 	const subscribers = 40
 	var all []*member
 	for i := range subscribers {
@@ -329,7 +329,7 @@
 	limits := DefaultLimits()
 	v := c.add(voter("v", limits))
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
-	c.fill(10)
+	c.acceptChanges(10)
 	c.pass(oneSecond, tick)
 	var region []*member
 	for i := range 60 {
@@ -350,7 +350,7 @@
 	}
 	dials := region[0].node.Status(c.now).Counts.Dials
 	for range 60 {
-		c.fill(2)
+		c.acceptChanges(2)
 		c.pass(5*oneSecond, 500*millisecond)
 	}
 	c.sound(t)
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -1,13 +1,15 @@
 package distribution
 
-// incomingSnapshot is a snapshot that is built up aside; the node's store stays as it is until the snapshot is complete.
+// incomingSnapshot is a snapshot that is being received into a store of its own; the node's store
+// does not change until the snapshot is complete.
 type incomingSnapshot struct {
 	store      *store
-	nextIndex  int          // of the next piece
+	nextIndex  int          // index of the next piece
 	progressAt Microseconds // when the last piece arrived
 }
 
-// handleSnapshotPiece adds a piece to the snapshot that is being received, and installs the snapshot after the last.
+// handleSnapshotPiece adds a piece to the incoming snapshot, and installs the snapshot after its
+// last piece.
 func (n *Node) handleSnapshotPiece(parent *parentLink, m *SnapshotPiece, now Microseconds) {
 	if m.Index == 0 && !n.beginSnapshotOrLeave(parent, m.Version, now) {
 		return
@@ -36,8 +38,9 @@
 	}
 }
 
-// beginSnapshotOrLeave begins to build up a snapshot that may replace what this node has: it is no older, and not of an
-// epoch founded beside. If it may not, the parent is left, and false returned.
+// beginSnapshotOrLeave begins a new incoming snapshot. If the version of the snapshot is older than
+// this node's, or its epoch is zero or conflicts with this node's, it leaves the parent instead and
+// returns false.
 func (n *Node) beginSnapshotOrLeave(parent *parentLink, version Version, now Microseconds) bool {
 	switch {
 	case n.conflictsWith(version.Epoch) || !version.Epoch.Known():
@@ -52,7 +55,8 @@
 	return false
 }
 
-// installSnapshot replaces what this node has by a snapshot that is complete and matches its digest.
+// installSnapshot replaces the store of this node by a snapshot that is complete and matches its
+// digest.
 func (n *Node) installSnapshot(parent *parentLink, m *SnapshotPiece, now Microseconds) {
 	installed := n.incomingSnapshot.store
 	installed.tombstones.horizon = max(installed.tombstones.horizon, m.Horizon)
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -1,6 +1,6 @@
 package distribution
 
-// Microseconds is a time of the node's own clock, or a duration on it.
+// Microseconds is a time or a duration on the clock of one node.
 type Microseconds = int64
 
 // Units of the limits: times are in microseconds, sizes in bytes.
@@ -12,15 +12,18 @@
 	mebibyte = 1 << 20
 )
 
-// Limits bounds what a node keeps, sends and waits for.
+// Limits bounds the memory, the messages and the waiting times of a node.
 type Limits struct {
 	// Heartbeat is the time between two heartbeats to a child.
 	Heartbeat Microseconds
-	// Lease is how long a parent and a child each wait for the other's messages before giving it up.
+	// Lease is the time after which a parent ends the place of a child that sent no Renew, and
+	// after which a child leaves a parent that sent no message.
 	Lease Microseconds
-	// Handshake is the time that a dial and its admission may take, and a caller until it subscribes.
+	// Handshake bounds the time from a dial to the admission, from a request to its answer, and
+	// from an accepted connection to its first Subscribe.
 	Handshake Microseconds
-	// MaxStaleness is the time of age, or of a parent's lag, after which another parent is looked for.
+	// MaxStaleness is the time after which a node looks for another parent if its source was not
+	// known to be current, or if its parent was behind, for so long.
 	MaxStaleness Microseconds
 
 	// FanOut is the number of children of one parent.
@@ -28,46 +31,51 @@
 	// MaxDepth is the number of nodes above a subscriber, the voter among them.
 	MaxDepth int
 
-	// LogChanges is the number of changes kept for deltas.
+	// LogChanges is the maximum number of changes in the log for deltas.
 	LogChanges int
-	// LogBytes is the number of bytes of the changes kept for deltas.
+	// LogBytes is the maximum number of bytes of the changes in the log for deltas.
 	LogBytes int
-	// Tombstones is the number of deleted entries kept.
+	// Tombstones is the maximum number of tombstones.
 	Tombstones int
-	// StateBytes is the number of bytes of the entries kept. A subscriber refuses more.
+	// StateBytes is the maximum number of bytes of all entries. A subscriber refuses messages that
+	// would exceed it.
 	StateBytes int
 
-	// Window is the number of bytes sent to a child that it has not yet confirmed.
+	// Window is the number of unconfirmed bytes at which a parent stops sending deltas and snapshot
+	// pieces to a child.
 	Window int
 	// BatchBytes bounds the changes in one delta, unless a single change is larger.
 	BatchBytes int
 	// PieceBytes bounds the entries in one piece of a snapshot, unless a single entry is larger.
 	PieceBytes int
-	// MaxSnapshots is the number of snapshots under way to children at once.
+	// MaxSnapshots is the maximum number of snapshots under way to children at the same time.
 	MaxSnapshots int
-	// SnapshotBytesPerSecond is the pace of all these snapshots together.
+	// SnapshotBytesPerSecond is the total rate of all outgoing snapshots.
 	SnapshotBytesPerSecond int
 
-	// MinBackoff is the time to wait after a first failure, before jitter.
+	// MinBackoff is the upper bound of the random wait after the first failure.
 	MinBackoff Microseconds
-	// MaxBackoff is the time to wait after many failures, before jitter.
+	// MaxBackoff is the upper bound of the random wait after many consecutive failures.
 	MaxBackoff Microseconds
-	// HedgeDelay is the time after which another parent is dialled beside those that have not admitted yet.
+	// HedgeDelay is the time without an admission after which a further candidate is dialled in
+	// parallel.
 	HedgeDelay Microseconds
-	// MaxRetryAfter is the time after which a refused child may come again at the latest.
+	// MaxRetryAfter is the longest time that a refused child waits before it asks the same parent
+	// again.
 	MaxRetryAfter Microseconds
-	// MaxCandidates is the number of possible parents kept, configured ones not counted.
+	// MaxCandidates is the maximum number of learned candidates; configured candidates do not
+	// count.
 	MaxCandidates int
-	// MaxProposed is the number of candidates in one message.
+	// MaxProposed is the maximum number of candidates in one message.
 	MaxProposed int
-	// MaxScopes is the number of scopes named in one subscription.
+	// MaxScopes is the maximum number of scopes named in one subscription.
 	MaxScopes int
 }
 
-// Defaults of the limits, in their units.
+// Defaults of the limits: times in microseconds, sizes in bytes.
 const (
 	DefaultHeartbeat    = second
-	DefaultLease        = 1800 * millisecond // a change reaches the children of a silent parent by another within 3 s
+	DefaultLease        = 1800 * millisecond // children of a silent parent get a change from another within 3 s
 	DefaultHandshake    = 3 * second
 	DefaultMaxStaleness = 5 * second
 
@@ -94,7 +102,7 @@
 	DefaultMaxScopes     = 4096
 )
 
-// DefaultLimits are limits for a subscriber among some ten thousand.
+// DefaultLimits returns the limits of a subscriber in a tree of about ten thousand.
 func DefaultLimits() Limits {
 	return Limits{
 		Heartbeat:    DefaultHeartbeat,
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -1,137 +1,152 @@
 package distribution
 
-// Message is one of the typed messages between a parent and a child. It is not modified after it was sent.
+// Message is one of the typed messages between a parent and a child. A message is not modified
+// after it was sent.
 type Message interface {
-	// Size estimates the bytes that the message takes on the wire, for the bounds on what is unconfirmed.
+	// Size estimates the number of bytes of the message on the wire, for the bounds on unconfirmed
+	// bytes.
 	Size() int
 }
 
-// Subscribe asks for a place below the receiver. It is the first message of a child on a new link, and sent again on
-// the same link when the child needs a snapshot or other scopes.
+// Subscribe asks for a place below the receiver. It is the first message of a child on a new link.
+// The child sends it again on the same link to recover from a gap or a wrong digest, or to
+// subscribe to other scopes.
 type Subscribe struct {
-	// Name is the one by which others dial the child.
+	// Name is the name under which other nodes dial the child.
 	Name string `cbor:"1,keyasint,omitempty"`
-	// Scopes are those that the child asks for.
+	// Scopes are the scopes that the child subscribes to.
 	Scopes Scopes `cbor:"2,keyasint,omitempty"`
-	// Version is what the child has.
+	// Version is the version that the child holds, or its Config.Floor if that is newer.
 	Version Version `cbor:"3,keyasint,omitempty"`
-	// Digest is that of what the child has.
+	// Digest is the digest of the entries that the child holds.
 	Digest Digest `cbor:"4,keyasint,omitempty"`
-	// WantSnapshot asks for a snapshot also where deltas would do: what the child has is in doubt, or of other scopes.
+	// WantSnapshot asks for a snapshot even where deltas would suffice: the child held a wrong
+	// digest, holds other scopes than it subscribes to, or holds less than its Config.Floor.
 	WantSnapshot bool `cbor:"5,keyasint,omitempty"`
-	// FanOut is how many children the sender would take itself; with none it is proposed to nobody as a parent.
+	// FanOut is the number of children that the sender accepts; a sender with zero is not proposed
+	// as a parent.
 	FanOut int `cbor:"6,keyasint,omitempty"`
-	// Request numbers the requests of the child; the answer repeats it, so that the child knows which one it answers.
+	// Request numbers the requests of the child. The answer repeats it, so that the child can match
+	// the two.
 	Request uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// NeverCurrent is the age of a node that has not known its source to be current since it started.
+// NeverCurrent is the Age of a node whose source has not been known to be current since the node
+// started.
 const NeverCurrent Microseconds = -1
 
-// Admitted grants a lease on a place.
+// Admitted grants the child a place for the time of a lease.
 type Admitted struct {
-	// Lease is the µs without a Renew after which the place is free again.
+	// Lease is the time in µs without a Renew after which the parent ends the place.
 	Lease Microseconds `cbor:"1,keyasint,omitempty"`
-	// Version is what the parent has.
+	// Version is the version that the parent holds.
 	Version Version `cbor:"2,keyasint,omitempty"`
-	// Path holds the names from the voter down to the parent, which is the last.
+	// Path holds the names of the nodes from the voter down to the parent, which is the last.
 	Path []string `cbor:"3,keyasint,omitempty"`
-	// Age is the µs for which the parent has not known its source to be current; NeverCurrent if it never was.
+	// Age is the time in µs since the parent last knew its source to be current; NeverCurrent if it
+	// never did.
 	Age Microseconds `cbor:"4,keyasint,omitempty"`
-	// Candidates are other possible parents.
+	// Candidates are the names of other possible parents.
 	Candidates []string `cbor:"5,keyasint,omitempty"`
-	// Request is that of the Subscribe that this answers.
+	// Request is the Request of the Subscribe that this message answers.
 	Request uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// RefusalReason says why a parent gives no place. Its numbers are those of the wire.
+// RefusalReason is the reason for which a parent refuses a place. Its numbers are sent on the wire.
 type RefusalReason uint8
 
 // Reasons of a refusal.
 const (
 	RefusedFull       RefusalReason = iota + 1 // every place of the fan-out is taken
-	RefusedBusy                                // as many snapshots as allowed are under way
-	RefusedNotCovered                          // the parent does not have all scopes that were asked for
-	RefusedLoop                                // the child is an ancestor of the parent
-	RefusedTooDeep                             // the tree would be deeper than its bound
+	RefusedBusy                                // Limits.MaxSnapshots snapshots are under way or due
+	RefusedNotCovered                          // the parent does not cover all requested scopes
+	RefusedLoop                                // the child is an ancestor of the parent, or the parent itself
+	RefusedTooDeep                             // the tree would be deeper than Limits.MaxDepth
 	RefusedEmpty                               // the parent has no configuration yet
-	RefusedMalformed                           // the request breaks a rule of the messages
-	RefusedConflict                            // the child has an epoch of the same number founded by others
+	RefusedMalformed                           // the name or the scopes of the request are invalid
+	RefusedConflict                            // the epoch of the child has the same number and another identity
 )
 
 var refusalNames = [...]string{"none", "full", "busy", "not covered", "loop", "too deep", "empty", "malformed",
 	"epoch conflict"}
 
-// String names the reason, as log lines have it.
+// String returns the text of the reason that log lines contain.
 func (r RefusalReason) String() string { return enumName(refusalNames[:], int(r)) }
 
-// Refused says that the receiver gets no place, or loses the one that it had.
+// Refused denies the receiver a place, or ends the place that it has.
 type Refused struct {
 	// Reason is never zero.
 	Reason RefusalReason `cbor:"1,keyasint,omitempty"`
-	// RetryAfter is the µs before the child may ask here again.
+	// RetryAfter is the time in µs before the child may ask the sender again.
 	RetryAfter Microseconds `cbor:"2,keyasint,omitempty"`
-	// Candidates are parents that the child may ask instead.
+	// Candidates are the names of other parents that the child may ask.
 	Candidates []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Delta holds changes in the child's scopes, in order, each of them whole.
+// Delta holds changes in the child's scopes, sorted by revision. No change is split between two
+// deltas.
 type Delta struct {
-	// Epoch is that of all the changes.
+	// Epoch is the epoch of all changes.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
-	// Previous is the revision at which the child must be for the changes to apply.
+	// Previous is the revision that the child must hold for the changes to apply.
 	Previous uint64 `cbor:"2,keyasint,omitempty"`
-	// Revision is where the child is afterwards; revisions with nothing in its scopes are passed over.
+	// Revision is the revision of the child after the changes; revisions without entries in its
+	// scopes are skipped.
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
 	// Changes have revisions after Previous, up to Revision.
 	Changes []Change `cbor:"4,keyasint,omitempty"`
-	// Digest is that of the child's scopes at Revision.
+	// Digest is the digest of the child's scopes at Revision.
 	Digest Digest `cbor:"5,keyasint,omitempty"`
 }
 
-// SnapshotPiece is a part of the state in the child's scopes. The child builds the state up aside and installs it in
-// one step after the last piece, if the digest matches.
+// SnapshotPiece is a part of the state in the child's scopes. The child collects the pieces
+// separately from its current state, and installs the new state in one step after the last piece if
+// the digest matches.
 type SnapshotPiece struct {
-	// Version is that of the whole state.
+	// Version is the version of the whole state.
 	Version Version `cbor:"1,keyasint,omitempty"`
-	// Index counts the pieces from 0 on, without a gap.
+	// Index numbers the pieces consecutively from 0.
 	Index int `cbor:"2,keyasint,omitempty"`
-	// Last says that the state is complete with this piece.
+	// Last marks the piece that completes the state.
 	Last bool `cbor:"3,keyasint,omitempty"`
-	// Entries each have their own revision and time of acceptance.
+	// Entries each state their revision and time of acceptance.
 	Entries []Entry `cbor:"4,keyasint,omitempty"`
-	// Horizon is that of the State; in the last piece only.
+	// Horizon is the State.Horizon of the whole state; set only in the last piece.
 	Horizon uint64 `cbor:"5,keyasint,omitempty"`
-	// Digest is that of the whole state; in the last piece only.
+	// Digest is the digest of the whole state; set only in the last piece.
 	Digest Digest `cbor:"6,keyasint,omitempty"`
 }
 
-// Heartbeat says that the parent is there, and moves the child past revisions with nothing in its scopes. Without an
-// epoch it moves nothing: the child's deltas or snapshot are still due, or the parent is behind the child.
+// Heartbeat shows that the parent is running, and advances the child past revisions without entries
+// in its scopes. A heartbeat with a zero epoch does not advance the child: deltas or a snapshot are
+// still due, or the parent is behind the child.
 type Heartbeat struct {
-	// Epoch is that of the revisions, or zero.
+	// Epoch is the epoch of Previous and Revision, or zero.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
-	// Previous is as in Delta.
+	// Previous has the meaning of Delta.Previous.
 	Previous uint64 `cbor:"2,keyasint,omitempty"`
-	// Revision is as in Delta.
+	// Revision has the meaning of Delta.Revision.
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
-	// Digest is that of the child's scopes at Revision.
+	// Digest is the digest of the child's scopes at Revision.
 	Digest Digest `cbor:"4,keyasint,omitempty"`
-	// Path is as in Admitted.
+	// Path has the meaning of Admitted.Path.
 	Path []string `cbor:"5,keyasint,omitempty"`
-	// Age is as in Admitted.
+	// Age has the meaning of Admitted.Age.
 	Age Microseconds `cbor:"6,keyasint,omitempty"`
-	// Candidates are as in Admitted, in one of heartbeatsPerProposal heartbeats.
+	// Candidates has the meaning of Admitted.Candidates; it is set in one of heartbeatsPerProposal
+	// heartbeats.
 	Candidates []string `cbor:"7,keyasint,omitempty"`
-	// Source is what the parent has.
+	// Source is the version that the parent holds.
 	Source Version `cbor:"8,keyasint,omitempty"`
 }
 
-// Renew renews the child's lease. It answers heartbeats, so that a child that reads nothing loses its place, and
-// larger amounts of deltas and pieces.
+// Renew renews the child's lease and confirms messages. A child sends it as the answer to a
+// heartbeat, so that a child that reads nothing loses its place, and after each
+// Limits.Window/renewsPerWindow bytes from the parent.
 type Renew struct {
-	// Version is what the child has.
+	// Version is the version that the child holds.
 	Version Version `cbor:"1,keyasint,omitempty"`
-	// Received counts the messages of the parent on this link since its Admitted, that one included.
+	// Received counts the messages of the parent on this link from its last Admitted on, including
+	// that one.
 	Received uint64 `cbor:"2,keyasint,omitempty"`
 }
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -209,7 +209,7 @@
 // Send implements Host.
 func (m *member) Send(link Link, message Message) {
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "send %d %d %x", link, message.Size(), encoded(NewEnvelope(message)))
+		m.cluster.transcript.note(m, "send %d %d %x", link, message.Size(), mustEncode(NewEnvelope(message)))
 	}
 	m.sent += message.Size()
 	for _, conn := range m.cluster.conns {
@@ -241,7 +241,7 @@
 func (m *member) Log(event Event) {
 	m.events = append(m.events, event)
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Version), int(event.Refusal), int(event.CloseReason))
+		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, mustEncode(event.Version), int(event.Refusal), int(event.CloseReason))
 	}
 }
 
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -1,22 +1,26 @@
 package distribution
 
-// outgoingSnapshot is a snapshot under way to a child: the entries as they were when it began.
+// outgoingSnapshot is a snapshot under way to a child: the entries at the time when the snapshot
+// began.
 type outgoingSnapshot struct {
 	version   Version
 	horizon   uint64
-	digest    Digest  // of all its entries
-	entries   []Entry // not sent yet
-	nextIndex int     // of the next piece
-	bytesLeft int     // of the entries not sent yet
+	digest    Digest  // digest of all entries of the snapshot
+	entries   []Entry // entries that are not sent yet
+	nextIndex int     // index of the next piece
+	bytesLeft int     // bytes of the entries that are not sent yet
 }
 
-// microsecondsPerSecond turns a pace in bytes a second into one in millionths of a byte a microsecond.
+// microsecondsPerSecond converts between bytes and credit, which is counted in millionths of a
+// byte: a rate of one byte per second adds one unit of credit per microsecond.
 const microsecondsPerSecond = second
 
-// creditsPerSecond divides the pace into the credit that may gather.
+// creditsPerSecond bounds the unused credit: at most the rate of one second divided by it
+// accumulates, or one piece if that is more.
 const creditsPerSecond = 4
 
-// snapshotsPending counts the snapshots under way and those that children wait for.
+// snapshotsPending counts the snapshots that are under way or due. A child that is ahead of this
+// node does not count.
 func (n *Node) snapshotsPending() int {
 	pending := 0
 	for _, child := range n.children {
@@ -28,8 +32,8 @@
 	return pending
 }
 
-// startSnapshots begins snapshots for children that wait, in the order of their admission, as many as may be under
-// way.
+// startSnapshots begins snapshots for waiting children, in the order of their admission, up to
+// Limits.MaxSnapshots under way at the same time.
 func (n *Node) startSnapshots(now Microseconds) {
 	underWay := 0
 	for _, child := range n.children {
@@ -51,7 +55,7 @@
 	n.sendSnapshotPieces(now)
 }
 
-// newOutgoingSnapshot holds what some scopes have now.
+// newOutgoingSnapshot returns a snapshot of the current entries of some scopes.
 func (n *Node) newOutgoingSnapshot(scopes Scopes) *outgoingSnapshot {
 	entries := n.store.collect(scopes, true)
 	return &outgoingSnapshot{
@@ -63,7 +67,7 @@
 	}
 }
 
-// snapshotTimeLeft estimates the µs until the snapshots under way are sent.
+// snapshotTimeLeft estimates the time in µs until the snapshots under way are completely sent.
 func (n *Node) snapshotTimeLeft() Microseconds {
 	bytesLeft := 0
 	for _, child := range n.children {
@@ -74,16 +78,18 @@
 	return int64(bytesLeft) * microsecondsPerSecond / int64(max(n.limits.SnapshotBytesPerSecond, 1))
 }
 
-// refillSnapshotCredit lets the credit of the snapshots grow with time, up to a piece or a part of a second.
+// refillSnapshotCredit adds the credit for the time since the last refill, up to the size of one
+// piece or the rate of one second divided by creditsPerSecond, whichever is more.
 func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
-	passed := min(now-n.creditRefilledAt, second) // more adds nothing, and could overflow after a long pause
-	n.snapshotCredit = min(n.snapshotCredit+passed*pace, bound)
+	elapsed := min(now-n.creditRefilledAt, second) // a longer time adds nothing to the bounded credit, and could overflow
+	n.snapshotCredit = min(n.snapshotCredit+elapsed*pace, bound)
 	n.creditRefilledAt = now
 }
 
-// sendSnapshotPieces sends pieces of the snapshots under way in turn, while there is credit. A piece may overdraw it.
+// sendSnapshotPieces sends pieces of the snapshots under way, one child after the other, while the
+// credit is above zero. The last piece may take the credit below zero.
 func (n *Node) sendSnapshotPieces(now Microseconds) {
 	idle := 0
 	for n.snapshotCredit > 0 && idle < len(n.children) {
@@ -98,7 +104,8 @@
 	}
 }
 
-// sendSnapshotPiece sends the next piece of a child's snapshot.
+// sendSnapshotPiece sends the next piece of a child's snapshot, and finishes the snapshot after the
+// last piece.
 func (n *Node) sendSnapshotPiece(c *child, now Microseconds) {
 	snapshot := c.snapshot
 	piece := &SnapshotPiece{Version: snapshot.version, Index: snapshot.nextIndex}
@@ -117,7 +124,8 @@
 	}
 }
 
-// finishSnapshot goes on with deltas after a snapshot, and lets the next snapshot begin.
+// finishSnapshot ends a snapshot that was sent completely, sends the child the deltas since, and
+// starts the next snapshot.
 func (n *Node) finishSnapshot(c *child, now Microseconds) {
 	c.sentVersion = c.snapshot.version
 	c.snapshot = nil
@@ -127,7 +135,8 @@
 	n.startSnapshots(now)
 }
 
-// splitEntries takes as many entries off the front as take no more than a number of bytes, and at least one.
+// splitEntries splits entries into the longest first part of at most maxBytes, but at least one
+// entry, and the rest.
 func splitEntries(entries []Entry, maxBytes int) (first, rest []Entry) {
 	size := 0
 	for i, entry := range entries {
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -2,60 +2,69 @@
 
 import "errors"
 
-// Proposal asks the voters for one change: all of its entries become one revision, or none does.
+// Proposal asks the voters for one change: all of its entries become one revision, or none of them
+// is applied.
 type Proposal struct {
-	// Conditional has it refused unless the record is at Base, which is what the proposer had seen.
+	// Conditional makes the voters refuse the proposal unless the record is at Base, the version
+	// that the proposer read.
 	Conditional bool `cbor:"1,keyasint,omitempty"`
-	// Base counts only if Conditional is set.
+	// Base is ignored unless Conditional is set.
 	Base Version `cbor:"2,keyasint,omitempty"`
-	// Epoch is set by the leader; it becomes that of the record if it has none yet.
+	// Epoch is set by the leader; it becomes the epoch of the record if the record has none yet.
 	Epoch Epoch `cbor:"3,keyasint,omitempty"`
-	// AcceptedAt is set by the leader: the wall time in microseconds at which it received the proposal.
+	// AcceptedAt is set by the leader: the wall time in microseconds at which it received the
+	// proposal.
 	AcceptedAt int64 `cbor:"4,keyasint,omitempty"`
-	// Entries have a scope, a name, and a value or Deleted.
+	// Entries have a scope, a name, and either a value or Deleted.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
 }
 
-// Why Record.Apply refuses a proposal.
+// Errors of Record.Apply. Their texts are sent to the proposer as the reason of the refusal and
+// must not change.
 var (
-	// ErrNoEpoch says that neither the record nor the proposal has an epoch.
+	// ErrNoEpoch is returned if neither the record nor the proposal has an epoch.
 	ErrNoEpoch = errors.New("distribution: neither the record nor the proposal has an epoch")
-	// ErrVersionMismatch says that a conditional proposal was made for another version than the record's; the proposer
-	// looks at the record anew and may propose again.
+	// ErrVersionMismatch is returned for a conditional proposal whose Base is not the version of
+	// the record. The proposer can read the record again and make a new proposal.
 	ErrVersionMismatch = errors.New("distribution: the record has changed since")
-	// ErrNoChange says that the proposal would leave the record as it is.
+	// ErrNoChange is returned for a proposal without entries, or with nothing but deletions of
+	// absent entries.
 	ErrNoChange = errors.New("distribution: it changes nothing")
-	// ErrMalformed says that an entry has no scope or name, one over MaxKeyBytes, or is there twice.
+	// ErrMalformed is returned if an entry has no scope or no name, if one of them exceeds
+	// MaxKeyBytes, or if a key occurs twice.
 	ErrMalformed = errors.New("distribution: an entry has no scope or name, or is there twice")
-	// ErrTooLarge says that the change is over MaxChangeBytes; it can be proposed in parts.
+	// ErrTooLarge is returned for a change over MaxChangeBytes; it can be split into several
+	// proposals.
 	ErrTooLarge = errors.New("distribution: it is over the bound on a change")
-	// ErrFull says that the configuration would be over MaxStateBytes.
+	// ErrFull is returned if the configuration would exceed MaxStateBytes.
 	ErrFull = errors.New("distribution: the configuration would be over its bound")
 )
 
-// Bounds in bytes on what the voters accept. They are the same at all voters, as each works out alone what is accepted.
+// Bounds in bytes on proposals and on the record. They are the same at all voters, because each
+// voter decides by itself whether a proposal is accepted.
 const (
 	MaxChangeBytes = 512 * kibibyte
-	MaxKeyBytes    = 512 // of a scope, and of a name
+	MaxKeyBytes    = 512 // for a scope, and for a name
 	MaxStateBytes  = DefaultStateBytes
 )
 
-// Record is the configuration as the voters have agreed on it: the same at each of them once the same proposals were
-// applied in the same order. It is kept by the replicated log of package consensus: State is what its snapshots hold. Its
-// calls come one at a time, those that only read it as well.
+// Record is the configuration on which the voters have agreed: it is the same at each voter once
+// the same proposals were applied in the same order. The replicated log of package consensus stores
+// it, with State as the content of its snapshots. All calls must be serialized by the caller,
+// including those that only read the record.
 type Record struct {
 	store *store
 }
 
-// NewRecord is a record without an epoch: the first change that is accepted brings it, so that no record is handed
-// out that is empty only because the one before it was lost.
+// NewRecord returns an empty record without an epoch. The first accepted proposal sets the epoch,
+// so that a record that is empty only because its predecessor was lost is not distributed.
 func NewRecord() *Record { return &Record{newStore(Version{}, AllScopes())} }
 
-// RestoreRecord is a record as a snapshot has it.
+// RestoreRecord returns the record whose snapshot holds the given state.
 func RestoreRecord(state State) *Record { return &Record{storeFrom(state, AllScopes())} }
 
-// Apply makes a proposal the next revision, or refuses it whole with one of the errors above. The outcome depends on the
-// record and the proposal alone.
+// Apply accepts a proposal as the next revision, or refuses all of it with one of the errors above.
+// The result depends only on the record and the proposal.
 func (r *Record) Apply(p Proposal) (Change, error) {
 	version := r.store.version
 	if p.Conditional && p.Base != version {
@@ -77,14 +86,15 @@
 		return Change{}, ErrFull
 	}
 	r.store.version.Epoch = version.Epoch
-	r.store.commit(batch.steps[0])
+	r.store.commit(batch.changes[0])
 	limits := DefaultLimits()
-	limits.LogChanges = 0 // the log for deltas is that of the voter's node
+	limits.LogChanges = 0 // deltas are made from the log of the voter's Node, not of its Record
 	r.store.compact(limits)
 	return change, nil
 }
 
-// effectiveEntries checks the entries of a proposal, and leaves out deletions of what is not there.
+// effectiveEntries checks the entries of a proposal, and returns them without the deletions of
+// absent entries.
 func (r *Record) effectiveEntries(proposed []Entry) ([]Entry, error) {
 	var entries []Entry
 	size := 0
@@ -114,7 +124,7 @@
 	return entries, nil
 }
 
-// valid tells whether both parts of a key are there and within their bound.
+// valid reports whether the scope and the name of a key are not empty and at most MaxKeyBytes long.
 func (k Key) valid() bool {
 	scopeValid := k.Scope != "" && len(k.Scope) <= MaxKeyBytes
 	nameValid := k.Name != "" && len(k.Name) <= MaxKeyBytes
@@ -126,12 +136,13 @@
 	return found && !entry.Deleted
 }
 
-// Difference is the proposal that leads from the record to just the wanted entries. It has no entries if nothing differs.
+// Difference returns the conditional proposal that changes the record to contain exactly the wanted
+// entries. It has no entries if the record already does.
 func (r *Record) Difference(wanted []Entry) Proposal {
 	proposal := Proposal{Conditional: true, Base: r.store.version}
-	stays := make(map[Key]bool, len(wanted))
+	wantedKeys := make(map[Key]bool, len(wanted))
 	for _, entry := range wanted {
-		stays[entry.Key()] = true
+		wantedKeys[entry.Key()] = true
 		old, found := r.store.lookup(entry.Key())
 		same := found && !old.Deleted && string(old.Value) == string(entry.Value)
 		if !same {
@@ -139,7 +150,7 @@
 		}
 	}
 	r.store.forEach(AllScopes(), func(entry Entry) bool {
-		if !entry.Deleted && !stays[entry.Key()] {
+		if !entry.Deleted && !wantedKeys[entry.Key()] {
 			proposal.Entries = append(proposal.Entries, Entry{Scope: entry.Scope, Name: entry.Name, Deleted: true})
 		}
 		return true
@@ -147,14 +158,15 @@
 	return proposal
 }
 
-// Version is the record's position.
+// Version returns the version of the record.
 func (r *Record) Version() Version { return r.store.version }
 
-// Digest is that of all entries.
+// Digest returns the digest of all entries.
 func (r *Record) Digest() Digest { return r.store.digest }
 
-// State is the whole record, for a snapshot. Its entries do not change with later proposals.
+// State returns the complete record, for a snapshot. Later proposals do not modify the returned
+// entries.
 func (r *Record) State() State { return r.store.state() }
 
-// Empty tells whether nothing was ever accepted, so that a snapshot has nothing to store.
+// Empty reports whether no proposal was ever accepted, so that a snapshot would have no content.
 func (r *Record) Empty() bool { return !r.store.version.Epoch.Known() }
--- a/distribution/record_test.go
+++ b/distribution/record_test.go
@@ -9,16 +9,16 @@
 
 func value(text string) []byte { return []byte(text) }
 
-func founded(t *testing.T) *Record {
+func newRecordWithEpoch(t *testing.T) *Record {
 	t.Helper()
 	v := NewRecord()
-	accepts(t, v, Entry{Scope: "first", Name: "first"})
+	mustApply(t, v, Entry{Scope: "first", Name: "first"})
 	return v
 }
 
 var epoch = Epoch{Number: 7, Identity: 1}
 
-func accepts(t *testing.T, v *Record, entries ...Entry) Change {
+func mustApply(t *testing.T, v *Record, entries ...Entry) Change {
 	t.Helper()
 	change, err := v.Apply(Proposal{Epoch: epoch, AcceptedAt: 5, Entries: entries})
 	if err != nil {
@@ -35,7 +35,7 @@
 	if _, err := v.Apply(Proposal{Epoch: epoch}); !errors.Is(err, ErrNoChange) || !v.Empty() {
 		t.Errorf("a refused proposal gave the record its epoch: %v", err)
 	}
-	change := accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
+	change := mustApply(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
 	if change.Revision != 1 || change.Epoch != epoch || change.AcceptedAt != 5 || len(change.Entries) != 2 || v.Empty() {
 		t.Errorf("accepted as %+v", change)
 	}
@@ -69,8 +69,8 @@
 		"too large":                 {[]Entry{{Scope: "s", Name: "b"}, large}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := founded(t)
-			accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")})
+			v := newRecordWithEpoch(t)
+			mustApply(t, v, Entry{Scope: "s", Name: "a", Value: value("1")})
 			version, digest := v.Version(), v.Digest()
 			if _, err := v.Apply(Proposal{Entries: refused.entries}); !errors.Is(err, refused.why) {
 				t.Errorf("got %v", err)
@@ -83,7 +83,7 @@
 }
 
 func TestRecordRefusesProposalsOverItsBound(t *testing.T) {
-	v := founded(t)
+	v := newRecordWithEpoch(t)
 	body := make([]byte, MaxChangeBytes/2)
 	for i := 0; ; i++ {
 		before := v.Version()
@@ -99,10 +99,10 @@
 }
 
 func TestDifferenceLeadsToTheWantedEntries(t *testing.T) {
-	v := founded(t)
-	accepts(t, v, Entry{Scope: "s", Name: "same", Value: value("1")}, Entry{Scope: "s", Name: "other", Value: value("1")},
+	v := newRecordWithEpoch(t)
+	mustApply(t, v, Entry{Scope: "s", Name: "same", Value: value("1")}, Entry{Scope: "s", Name: "other", Value: value("1")},
 		Entry{Scope: "r", Name: "gone", Value: value("1")}, Entry{Scope: "r", Name: "buried", Value: value("1")})
-	accepts(t, v, Entry{Scope: "r", Name: "buried", Deleted: true})
+	mustApply(t, v, Entry{Scope: "r", Name: "buried", Deleted: true})
 	wanted := []Entry{{Scope: "first", Name: "first"}, {Scope: "s", Name: "same", Value: value("1")}, {Scope: "s", Name: "other", Value: value("2")},
 		{Scope: "t", Name: "new", Value: value("3")}}
 	p := v.Difference(wanted)
@@ -123,14 +123,14 @@
 
 // A record that is restored goes on as the one that it was taken from.
 func TestRestoredRecordGoesOnLikeTheOriginal(t *testing.T) {
-	v := founded(t)
-	accepts(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
-	accepts(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
+	v := newRecordWithEpoch(t)
+	mustApply(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
+	mustApply(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
 	kept := v.State()
 	other := RestoreRecord(kept)
 	for _, state := range []*Record{v, other} {
-		accepts(t, state, Entry{Scope: "s", Name: "a", Value: value("3")})
-		accepts(t, state, Entry{Scope: "r", Name: "b", Deleted: true})
+		mustApply(t, state, Entry{Scope: "s", Name: "a", Value: value("3")})
+		mustApply(t, state, Entry{Scope: "r", Name: "b", Deleted: true})
 	}
 	if v.Version() != other.Version() || v.Digest() != other.Digest() || fmt.Sprint(v.State()) != fmt.Sprint(other.State()) {
 		t.Errorf("%+v\n%+v", v.State(), other.State())
@@ -142,12 +142,12 @@
 
 // Tombstones are bounded, and the horizon says from where on none is missing.
 func TestRecordBoundsItsTombstones(t *testing.T) {
-	v := founded(t)
+	v := newRecordWithEpoch(t)
 	const more = 5
 	for i := range DefaultTombstones + more {
 		scope, name := fmt.Sprint(i%200), fmt.Sprint(i)
-		accepts(t, v, Entry{Scope: scope, Name: name})
-		accepts(t, v, Entry{Scope: scope, Name: name, Deleted: true})
+		mustApply(t, v, Entry{Scope: scope, Name: name})
+		mustApply(t, v, Entry{Scope: scope, Name: name, Deleted: true})
 	}
 	if state := v.State(); len(state.Entries) != DefaultTombstones+1 || state.Horizon != 2*more+1 {
 		t.Errorf("%d entries, horizon %d", len(state.Entries), state.Horizon)
--- a/distribution/scopes.go
+++ b/distribution/scopes.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Scopes is what a subscription covers: all scopes, or those named.
+// Scopes is the set of scopes that a subscription covers: all scopes, or the named ones.
 type Scopes struct {
-	// All covers every scope, also those that there are none of yet.
+	// All covers every scope, including scopes that are added later.
 	All bool `cbor:"1,keyasint,omitempty"`
-	// Names are sorted, each once. They do not count where All is set.
+	// Names are sorted and unique. They are ignored if All is set.
 	Names []string `cbor:"2,keyasint,omitempty"`
 }
 
-// AllScopes covers every scope; voters have it.
+// AllScopes returns the set of all scopes, which every voter covers.
 func AllScopes() Scopes { return Scopes{All: true} }
 
-// SomeScopes covers the scopes named, in any order.
+// SomeScopes returns the set of the named scopes. The names may be in any order and may repeat.
 func SomeScopes(names ...string) Scopes {
 	sorted := slices.Sorted(slices.Values(names))
 	return Scopes{Names: slices.Compact(sorted)}
 }
 
-// Has tells whether the subscription covers a scope.
+// Has reports whether the set covers a scope.
 func (s Scopes) Has(scope string) bool {
 	if s.All {
 		return true
@@ -28,7 +28,7 @@
 	return found
 }
 
-// Cover tells whether everything that other covers is covered by s too.
+// Cover reports whether s covers every scope that other covers.
 func (s Scopes) Cover(other Scopes) bool {
 	if s.All || other.All {
 		return s.All
@@ -41,12 +41,12 @@
 	return true
 }
 
-// Equal tells whether both cover the same.
+// Equal reports whether s and other cover the same scopes.
 func (s Scopes) Equal(other Scopes) bool {
 	return s.All == other.All && (s.All || slices.Equal(s.Names, other.Names))
 }
 
-// sorted tells whether the names are in order and each there once, as Has relies on.
+// sorted reports whether the names are sorted and unique, as the binary search of Has requires.
 func (s Scopes) sorted() bool {
 	for i := 1; i < len(s.Names); i++ {
 		if s.Names[i-1] >= s.Names[i] {
--- a/distribution/size.go
+++ b/distribution/size.go
@@ -1,10 +1,10 @@
 package distribution
 
-// Estimates of encoded sizes in bytes: what a field takes besides its text. They only have to be near enough for the
-// bounds on memory and on unconfirmed bytes.
+// Estimates of encoded sizes in bytes, without the bytes of the texts and values themselves. They
+// only have to be close enough for the bounds on memory and on unconfirmed bytes.
 const (
 	fixedSize   = 16 // a message or a change without its lists
-	entrySize   = 24 // an entry without its texts
+	entrySize   = 24 // an entry without its texts and its value
 	versionSize = 24
 	digestSize  = 20
 	textSize    = 2 // a text without its characters
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -1,61 +1,63 @@
 package distribution
 
-// Counts are totals since the start of a node.
+// Counts holds totals since the start of a node.
 type Counts struct {
 	// DeltasSent counts the deltas sent to children.
 	DeltasSent uint64
-	// DeltasApplied counts the deltas of a parent that were applied.
+	// DeltasApplied counts the applied deltas from parents.
 	DeltasApplied uint64
-	// ChangesApplied counts the changes that were applied, those of the record at a voter among them.
+	// ChangesApplied counts the applied changes, including those that a voter gets from the record.
 	ChangesApplied uint64
-	// SnapshotsSent counts complete snapshots sent to children.
+	// SnapshotsSent counts the snapshots sent to children completely.
 	SnapshotsSent uint64
-	// SnapshotsInstalled counts the snapshots of a parent that were installed.
+	// SnapshotsInstalled counts the installed snapshots from parents.
 	SnapshotsInstalled uint64
-	// Refusals counts the refusals given to children.
+	// Refusals counts the Refused messages sent to children.
 	Refusals uint64
-	// RefusedByParents counts the refusals got from parents.
+	// RefusedByParents counts the Refused messages received from parents.
 	RefusedByParents uint64
-	// GapsSeen counts the messages that did not follow what this node has.
+	// GapsSeen counts the messages that did not follow the version of this node.
 	GapsSeen uint64
-	// WrongDigests counts the messages that ended in another digest.
+	// WrongDigests counts the messages that would have resulted in another digest than they state.
 	WrongDigests uint64
-	// OlderRefused counts the messages, changes and states refused for being older.
+	// OlderRefused counts the messages, changes and states that were refused because they are not
+	// newer.
 	OlderRefused uint64
-	// ParentsLost counts the parents that were lost or left.
+	// ParentsLost counts the parents whose link ended or was closed.
 	ParentsLost uint64
-	// Dials counts the dials of parents.
+	// Dials counts the dials of possible parents.
 	Dials uint64
 }
 
-// Status is what a node can say about itself.
+// Status describes a node at one time.
 type Status struct {
-	// Version is what the node has.
+	// Version is the version that the node holds.
 	Version Version
-	// Digest is that of the entries.
+	// Digest is the digest of the entries.
 	Digest Digest
-	// Age is for how many µs the source has not been known to be current: how old the configuration may be.
-	// NeverCurrent if it never was.
+	// Age is the time in µs since the source was last known to be current, that is how old the
+	// configuration may be; NeverCurrent if it never was.
 	Age Microseconds
-	// Parent is the parent's name; none for a voter, and while looking for one.
+	// Parent is the name of the parent; empty for a voter, and for a subscriber without a parent.
 	Parent string
-	// Path holds the names from the voter down to the parent.
+	// Path holds the names of the nodes from the voter down to the parent.
 	Path []string
 	// Children are the names of the children in the order of their admission.
 	Children []string
-	// Entries counts those that are not deleted.
+	// Entries counts the entries without tombstones.
 	Entries int
-	// Counts are the totals since the start.
+	// Counts holds the totals since the start.
 	Counts Counts
 }
 
-// Version is what the node has; it is zero until it has anything.
+// Version returns the version that the node holds; zero before the first configuration.
 func (n *Node) Version() Version { return n.store.version }
 
-// State is all that the node has, by scope and name, to be kept for a restart.
+// State returns the complete state of the node, sorted by scope and name, to be stored for a
+// restart.
 func (n *Node) State() State { return n.store.state() }
 
-// Status tells how the node is.
+// Status returns the status of the node at the time now.
 func (n *Node) Status(now Microseconds) Status {
 	status := Status{
 		Version: n.store.version,
@@ -74,7 +76,8 @@
 	return status
 }
 
-// sourceAge is for how many µs the source has not been known to be current; NeverCurrent if it never was.
+// sourceAge returns the time in µs since the source was last known to be current; NeverCurrent if
+// it never was.
 func (n *Node) sourceAge(now Microseconds) Microseconds {
 	if !n.sourceEverCurrent {
 		return NeverCurrent
@@ -82,7 +85,8 @@
 	return now - n.sourceCurrentAt
 }
 
-// noteSourceCurrent says that what the node has was all that the source had at a time.
+// noteSourceCurrent records that this node held everything that its source held at the time at,
+// unless a later time is recorded already. The source is the record of the voters.
 func (n *Node) noteSourceCurrent(at Microseconds) {
 	if n.sourceEverCurrent && at <= n.sourceCurrentAt {
 		return
@@ -91,7 +95,8 @@
 	n.sourceCurrentAt = at
 }
 
-// logStaleness logs when the source falls out of date, and when it is current again.
+// logStaleness logs EventSourceStale once the source was not known to be current for longer than
+// MaxStaleness, and EventSourceCurrent once it is again.
 func (n *Node) logStaleness(now Microseconds) {
 	stale := n.sourceEverCurrent && n.sourceAge(now) > n.limits.MaxStaleness
 	if stale == n.loggedStale {
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// store is the configuration at one version, with the log of the changes that led there. It belongs to one Node or Record
-// and is used within their calls alone. Entries that were read from it stay as they are when others replace them.
+// store is the configuration at one version, with the log of the latest changes up to it. It
+// belongs to one Node or Record and is used only within their calls. Entries that were read from it
+// are not modified when they are replaced.
 type store struct {
 	version     Version
-	covered     Scopes // the scopes that the contents are complete for
+	covered     Scopes // the scopes for which the entries are complete
 	scopes      map[string]*scopeState
-	digest      Digest // of all scopes
-	liveEntries int    // tombstones not counted
-	bytes       int    // of all entries, tombstones among them
+	digest      Digest // digest of all scopes
+	liveEntries int    // number of entries without tombstones
+	bytes       int    // bytes of all entries, including tombstones
 	tombstones  tombstoneQueue
 	log         changeLog
 }
 
-// scopeState holds the entries of one scope; there is none without entries.
+// scopeState holds the entries of one scope. It is removed with the last entry of the scope.
 type scopeState struct {
-	entries []Entry // by name, tombstones among them
+	entries []Entry // sorted by name, including tombstones
 	digest  Digest
 }
 
@@ -31,7 +32,8 @@
 	return s
 }
 
-// storeFrom is a store with the contents of a state, complete for the scopes given. Its log is empty.
+// storeFrom returns a store with the entries of a state, which are complete for the scopes covered.
+// Its log is empty.
 func storeFrom(state State, covered Scopes) *store {
 	s := newStore(state.Version, covered)
 	for _, entry := range state.Entries {
@@ -43,7 +45,8 @@
 
 func compareName(entry Entry, name string) int { return strings.Compare(entry.Name, name) }
 
-// lookup gives the entry of a key; where there is none, a tombstone and false.
+// lookup returns the entry of a key, which may be a tombstone; if there is none, it returns a new
+// tombstone and false.
 func (s *store) lookup(key Key) (Entry, bool) {
 	if scope := s.scopes[key.Scope]; scope != nil {
 		if at, found := slices.BinarySearchFunc(scope.entries, key.Name, compareName); found {
@@ -53,7 +56,7 @@
 	return Entry{Scope: key.Scope, Name: key.Name, Deleted: true}, false
 }
 
-// putWithDigest sets an entry, by which the digest changes as given.
+// putWithDigest sets an entry and adds difference to the digests.
 func (s *store) putWithDigest(entry Entry, difference Digest) {
 	scope := s.scopes[entry.Scope]
 	if scope == nil {
@@ -63,7 +66,7 @@
 	at, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
 	if found {
 		old := scope.entries[at]
-		entry.Scope, entry.Name = old.Scope, old.Name // one copy of each text is enough
+		entry.Scope, entry.Name = old.Scope, old.Name // shares the texts of the replaced entry
 		s.addToTotals(old, -1)
 		scope.entries[at] = entry
 	} else {
@@ -80,13 +83,13 @@
 	}
 }
 
-// put sets an entry whose effect on the digest is not known yet.
+// put sets an entry and computes its effect on the digests.
 func (s *store) put(entry Entry) {
 	old, _ := s.lookup(entry.Key())
 	s.putWithDigest(entry, entryDigest(entry).subtract(entryDigest(old)))
 }
 
-// addToTotals adds an entry to the totals, or takes it away.
+// addToTotals adds an entry to the totals for the sign 1, and subtracts it for -1.
 func (s *store) addToTotals(entry Entry, sign int) {
 	s.bytes += sign * entry.size()
 	if !entry.Deleted {
@@ -94,7 +97,8 @@
 	}
 }
 
-// removeTombstone takes an entry away that is a tombstone; the digest is that of live entries and stays.
+// removeTombstone removes an entry that is a tombstone. The digests do not change, as tombstones do
+// not count in them.
 func (s *store) removeTombstone(key Key) {
 	scope := s.scopes[key.Scope]
 	at, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
@@ -105,7 +109,7 @@
 	}
 }
 
-// digestFor is the digest of some scopes now.
+// digestFor returns the digest of some scopes at the version of the store.
 func (s *store) digestFor(scopes Scopes) Digest {
 	if scopes.All {
 		return s.digest
@@ -119,7 +123,8 @@
 	return sum
 }
 
-// digestAt is the digest that some scopes had at an earlier revision, if the log still tells.
+// digestAt returns the digest of some scopes at an earlier revision. It reports false if the log
+// does not cover it.
 func (s *store) digestAt(revision uint64, scopes Scopes) (Digest, bool) {
 	if revision < s.log.floor || revision > s.version.Revision || s.log.insideMerged(revision) {
 		return Digest{}, false
@@ -127,7 +132,8 @@
 	return s.digestFor(scopes).subtract(s.log.digestChangeAfter(revision, scopes)), true
 }
 
-// forEach hands out the entries of some scopes, tombstones among them, by scope and name, until told to stop.
+// forEach calls each for the entries of some scopes, including tombstones, sorted by scope and
+// name, until each returns false.
 func (s *store) forEach(scopes Scopes, each func(Entry) bool) {
 	names := scopes.Names
 	if scopes.All {
@@ -146,7 +152,7 @@
 	}
 }
 
-// collect gives the entries of some scopes, with tombstones or without.
+// collect returns the entries of some scopes, with tombstones or without them.
 func (s *store) collect(scopes Scopes, withTombstones bool) []Entry {
 	var entries []Entry
 	s.forEach(scopes, func(entry Entry) bool {
@@ -158,8 +164,9 @@
 	return entries
 }
 
-// mergedChange gives everything that was set after a revision as one change, if it takes no more than a number of bytes.
-// The caller has checked that no tombstone after the revision is missing.
+// mergedChange returns all entries that were set or deleted after a revision as one change, and
+// reports whether they take at most maxBytes; if not, the change is incomplete. The caller has
+// checked that no tombstone after the revision is missing.
 func (s *store) mergedChange(revision uint64, scopes Scopes, maxBytes int) (change Change, withinBytes bool) {
 	change = Change{Revision: s.version.Revision}
 	size := 0
@@ -173,13 +180,13 @@
 	return change, size <= maxBytes
 }
 
-// deltaSource says what a delta from some version on can be made of.
+// deltaSource is the source from which a delta after some version can be computed.
 type deltaSource uint8
 
 const (
-	noDelta          deltaSource = iota // another epoch, a revision not reached yet, or one that nothing reaches back to
+	noDelta          deltaSource = iota // impossible: another epoch, a later revision, or one before log and tombstones
 	deltaFromLog                        // the changes in the log
-	deltaFromEntries                    // one merged change of what was set since; it may turn out to be too large
+	deltaFromEntries                    // one merged change of all entries set since; it may exceed the batch size
 )
 
 func (s *store) deltaSourceFor(from Version) deltaSource {
@@ -194,7 +201,8 @@
 	return noDelta
 }
 
-// deltaPossible tells whether deltaFrom is possible. It makes no delta; of a merged change it has to learn the size.
+// deltaPossible reports whether deltaFrom would be possible. It computes the merged change, where
+// one is needed, for its size only.
 func (s *store) deltaPossible(from Version, scopes Scopes, batchBytes int) bool {
 	switch s.deltaSourceFor(from) {
 	case deltaFromLog:
@@ -206,9 +214,10 @@
 	return false
 }
 
-// deltaFrom gives what leads a child from one version on, at most a batch of bytes of it; nil if there is nothing in its
-// scopes. It is not possible from another epoch, from a revision not reached yet, or from one that neither the log nor
-// the tombstones reach any more.
+// deltaFrom returns a delta that advances a child from a version, of at most batchBytes unless a
+// single change of the log is larger; nil if nothing changed in its scopes. It is not possible from
+// another epoch, from a revision later than that of the store, or from a revision that neither the
+// log nor the tombstones cover.
 func (s *store) deltaFrom(from Version, scopes Scopes, batchBytes int) (delta *Delta, possible bool) {
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
 	switch s.deltaSourceFor(from) {
@@ -232,7 +241,8 @@
 	return delta, true
 }
 
-// compact drops from the log and the tombstones what the limits do not allow. It tells whether any of the log went.
+// compact drops the oldest changes of the log and the oldest tombstones over the limits. It reports
+// whether it dropped any change of the log.
 func (s *store) compact(limits Limits) bool {
 	dropped := s.log.enforceLimits(limits.LogChanges, limits.LogBytes)
 	for len(s.tombstones.queue) > limits.Tombstones {
@@ -241,7 +251,8 @@
 	return dropped
 }
 
-// dropTombstone drops the oldest tombstone, unless its key was set again since.
+// dropTombstone takes the oldest tombstone off the queue, and removes its entry unless the key was
+// set again since.
 func (s *store) dropTombstone() {
 	oldest := s.tombstones.pop()
 	if entry, found := s.lookup(oldest.key); found && entry.Deleted && entry.Revision == oldest.revision {
@@ -249,7 +260,12 @@
 	}
 }
 
-// state is the whole of the store.
+// state returns the complete state of the store, including tombstones.
 func (s *store) state() State {
-	return State{Version: s.version, Covered: s.covered, Horizon: s.tombstones.horizon, Entries: s.collect(AllScopes(), true)}
+	return State{
+		Version: s.version,
+		Covered: s.covered,
+		Horizon: s.tombstones.horizon,
+		Entries: s.collect(AllScopes(), true),
+	}
 }
--- a/distribution/tombstones.go
+++ b/distribution/tombstones.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// tombstoneQueue knows the deleted entries in the order of their revisions.
+// tombstoneQueue lists the deleted entries, sorted by revision.
 type tombstoneQueue struct {
 	horizon uint64 // no tombstone after this revision is missing
 	queue   []tombstone
@@ -13,19 +13,19 @@
 	key      Key
 }
 
-// add puts an entry in its place; as a rule the last.
+// add inserts an entry by its revision, which is usually the highest.
 func (t *tombstoneQueue) add(entry Entry) {
-	at := len(t.queue)
-	for at > 0 && t.queue[at-1].revision > entry.Revision {
-		at--
+	index := len(t.queue)
+	for index > 0 && t.queue[index-1].revision > entry.Revision {
+		index--
 	}
-	t.queue = slices.Insert(t.queue, at, tombstone{entry.Revision, entry.Key()})
+	t.queue = slices.Insert(t.queue, index, tombstone{entry.Revision, entry.Key()})
 }
 
-// pop takes the oldest off the queue.
+// pop removes the oldest tombstone from the queue, and raises the horizon to its revision.
 func (t *tombstoneQueue) pop() tombstone {
 	oldest := t.queue[0]
-	t.queue[0] = tombstone{} // the array lives on; its key can be freed
+	t.queue[0] = tombstone{} // the slice keeps the array in memory; this releases the key
 	t.queue = t.queue[1:]
 	t.horizon = max(t.horizon, oldest.revision)
 	return oldest
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// encoded is a value as it goes over the wire.
-func encoded(value any) []byte {
+// mustEncode is a value as it goes over the wire.
+func mustEncode(value any) []byte {
 	bytes, err := cbor.Marshal(value)
 	if err != nil {
 		panic(err) // the types are those of messages
@@ -35,27 +35,27 @@
 	return bytes
 }
 
-// unrest is a sequence of changes and failures that a seed determines.
-type unrest struct {
+// randomFaults is a sequence of changes and failures that a seed determines.
+type randomFaults struct {
 	*cluster
 	random      *rand.Rand
 	voters      []*member
 	subscribers []*member
 }
 
-func newUnrest(seed uint64) *unrest {
+func newRandomFaults(seed uint64) *randomFaults {
 	limits := DefaultLimits()
 	limits.FanOut, limits.MaxSnapshots = 3, 2
 	limits.LogChanges, limits.Tombstones = 30, 5
 	limits.BatchBytes, limits.PieceBytes = 400, 300
 	leafLimits := limits
 	leafLimits.FanOut = 0
-	u := &unrest{cluster: newCluster(), random: rand.New(rand.NewPCG(seed, seed))}
+	u := &randomFaults{cluster: newCluster(), random: rand.New(rand.NewPCG(seed, seed))}
 	u.cluster.random, u.transcript = true, newTranscript()
 	for _, name := range []string{"v0", "v1"} {
 		u.voters = append(u.voters, u.add(voter(name, limits)))
 	}
-	u.fill(5)
+	u.acceptChanges(5)
 	for i := range 12 {
 		scopes, its := AllScopes(), limits
 		if i%3 == 1 {
@@ -69,16 +69,18 @@
 	return u
 }
 
-func (u *unrest) oneOf(members []*member) *member { return members[u.random.IntN(len(members))] }
+func (u *randomFaults) randomMember(members []*member) *member {
+	return members[u.random.IntN(len(members))]
+}
 
 // step lets one thing happen, and up to two seconds pass.
-func (u *unrest) step() {
-	m := u.oneOf(u.subscribers)
+func (u *randomFaults) step() {
+	m := u.randomMember(u.subscribers)
 	switch u.random.IntN(20) {
 	case 0:
-		u.cut(m, u.oneOf(u.members))
+		u.cut(m, u.randomMember(u.members))
 	case 1:
-		u.hang(m, u.oneOf(u.members))
+		u.hang(m, u.randomMember(u.members))
 	case 2:
 		m.kill()
 		m.config.Floor = m.highest
@@ -94,10 +96,10 @@
 		m.config.Scopes = AllScopes()
 		m.node.Resubscribe(m.config.Scopes, u.now)
 	case 6:
-		at := u.oneOf(u.members).node
+		at := u.randomMember(u.members).node
 		at.compact(at.Version().Revision)
 	case 7:
-		v := u.oneOf(u.voters)
+		v := u.randomMember(u.voters)
 		v.leads = !v.leads
 	case 8:
 		if u.random.IntN(5) == 0 {
@@ -108,27 +110,27 @@
 		m.config.Floor = Version{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1} // founded beside the record
 		m.start(State{})
 	case 10:
-		v := u.oneOf(u.voters)
+		v := u.randomMember(u.voters)
 		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // of an older record
 		v.leads = false
 		v.kill()
 		v.start(State{})
 	case 11, 12:
-		u.changes()
+		u.acceptRandomChanges()
 		u.tick()
-		u.spoil()
+		u.damageQueues()
 	case 13, 14:
 		for _, other := range u.members {
 			u.heal(m, other)
 		}
 	default:
-		u.changes()
+		u.acceptRandomChanges()
 	}
 	u.pass(int64(1+u.random.IntN(20))*tick, tick)
 }
 
-// changes puts up to a dozen changes on the record.
-func (u *unrest) changes() {
+// acceptRandomChanges puts up to a dozen acceptRandomChanges on the record.
+func (u *randomFaults) acceptRandomChanges() {
 	for range 1 + u.random.IntN(12) {
 		name := fmt.Sprint(u.random.IntN(20))
 		scope := []string{"a", "b", "c"}[u.random.IntN(3)]
@@ -140,8 +142,8 @@
 	}
 }
 
-// spoil loses some of the messages that are on their way, and gives some others a wrong digest.
-func (u *unrest) spoil() {
+// damageQueues loses some of the messages that are on their way, and gives some others a wrong digest.
+func (u *randomFaults) damageQueues() {
 	for _, conn := range slices.Clone(u.conns) {
 		for side := range conn.queues {
 			if len(conn.queues[side]) == 0 {
@@ -182,7 +184,7 @@
 	const seeds, parts, steps = 4, 6, 25
 	var lines strings.Builder
 	for seed := range uint64(seeds) {
-		u := newUnrest(seed)
+		u := newRandomFaults(seed)
 		for part := range parts {
 			for range steps {
 				u.step()
--- a/distribution/version.go
+++ b/distribution/version.go
@@ -2,40 +2,46 @@
 
 import "fmt"
 
-// Epoch identifies one founding of the record. Revisions order changes within one epoch only.
+// Epoch identifies one creation of the record. Revisions order changes only within one epoch.
 //
-// Voters alone choose an epoch; a subscriber passes on what it got from its parent.
+// Only voters choose an epoch; a subscriber forwards the epoch that it got from its parent.
 type Epoch struct {
-	// Number grows with every founding, see NextEpoch. Zero is no epoch.
+	// Number grows each time the record is created again, see NextEpoch. Zero means no epoch.
 	Number uint64 `cbor:"1,keyasint,omitempty"`
-	// Identity is random. It tells apart two foundings that chose the same number without knowing of each other.
+	// Identity is random. It distinguishes two records that were created independently with the
+	// same number.
 	Identity uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// NextEpoch is the epoch of a record that is founded now. Its number is greater than that of any epoch that the founder
-// knows of, and no less than the wall clock in seconds, so that it also grows if the founder has lost all its state.
+// NextEpoch returns the epoch of a record that is created now. Its number is greater than that of
+// the newest known epoch, and at least the wall clock in seconds, so that it also grows if the
+// voter that creates the record has lost its state.
 func NextEpoch(known Epoch, wallSeconds, random uint64) Epoch {
 	return Epoch{Number: max(known.Number+1, wallSeconds), Identity: random}
 }
 
-// Newer tells whether e was founded after other. Of two epochs with the same number neither is newer.
+// Newer reports whether e has a greater number than other. Of two epochs with the same number
+// neither is newer.
 func (e Epoch) Newer(other Epoch) bool { return e.Number > other.Number }
 
-// Known tells whether e is the epoch of any record at all.
+// Known reports whether e is the epoch of a record; it is false for the zero Epoch.
 func (e Epoch) Known() bool { return e.Number > 0 }
 
-// String gives the number and the identity, as log lines have them.
+// String returns the number and the identity in the form used by log lines.
 func (e Epoch) String() string { return fmt.Sprintf("%d-%016x", e.Number, e.Identity) }
 
-// Version is a position in the history of the configuration. The zero Version is that of a node without any.
+// Version is a position in the history of the configuration. A node without any configuration has
+// the zero Version.
 type Version struct {
-	// Epoch is the record's.
+	// Epoch is the epoch of the record.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
 	// Revision counts the changes accepted in the epoch; the first is 1.
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Before tells whether v is surely older than other: of an older epoch, or an older revision of the same one.
+// Before reports whether v is certainly older than other: its epoch is older, or its epoch is the
+// same and its revision is older. It is false for two epochs with the same number and different
+// identities.
 func (v Version) Before(other Version) bool {
 	if v.Epoch == other.Epoch {
 		return v.Revision < other.Revision
