--- a/distribution/clone_test.go
+++ b/distribution/clone_test.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// clone copies a state of the model, so that several events can be played on from it. What is never modified is shared:
-// messages, entries, paths, and the truth, which is the same for a revision in whatever order the model got there.
+// clone copies a state of the model, so that several events can be applied to the same state.
+// Values that are never modified are shared: messages, entries, paths, and the expected entries by
+// revision, which do not depend on the order of events.
 func (c *cluster) clone() *cluster {
 	copied := *c
 	copied.cuts, copied.hung = maps.Clone(c.cuts), maps.Clone(c.hung)
@@ -64,8 +65,8 @@
 	}
 	copied.attempts = nil
 	for _, original := range n.attempts {
-		u := *original
-		copied.attempts = append(copied.attempts, &u)
+		attempt := *original
+		copied.attempts = append(copied.attempts, &attempt)
 	}
 	if n.incomingSnapshot != nil {
 		incoming := *n.incomingSnapshot
--- a/distribution/compaction_test.go
+++ b/distribution/compaction_test.go
@@ -1,8 +1,9 @@
 package distribution
 
-// A node compacts by its limits alone. Tests compact up to a revision, to have just the log and tombstones that they need.
+// A node compacts only by its limits. Tests compact up to a revision, so that the log and the
+// tombstones hold exactly what the test needs.
 
-// compact drops changes up to a revision from a node's log, and tombstones up to it.
+// compact drops the changes and tombstones of a node up to a revision.
 func (n *Node) compact(revision uint64) { n.store.compactTo(revision) }
 
 // compactTo drops changes and tombstones up to a revision.
@@ -23,7 +24,7 @@
 	l.floor = max(l.floor, revision)
 }
 
-// lookUpLive gives an entry that a node has and that is not deleted.
+// lookUpLive returns an entry of a node, and reports false if it is absent or deleted.
 func (n *Node) lookUpLive(key Key) (Entry, bool) {
 	entry, found := n.store.lookup(key)
 	return entry, found && !entry.Deleted
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// onlyConn gives the one connection of a member as a dialer.
+// onlyConn returns the connection that a member has dialled.
 func (c *cluster) onlyConn(t *testing.T, m *member) *conn {
 	t.Helper()
 	for _, conn := range c.conns {
@@ -13,11 +13,11 @@
 			return conn
 		}
 	}
-	t.Fatalf("%s has no connection", m.config.Name)
+	t.Fatalf("%s has not dialled any connection", m.config.Name)
 	return nil
 }
 
-// newVoterAndLeaf is a voter with a subscriber of scope "a".
+// newVoterAndLeaf starts a voter with five changes, and a subscriber of scope "a" that has them.
 func newVoterAndLeaf(t *testing.T, limits Limits) (c *cluster, v, leaf *member) {
 	t.Helper()
 	c = newCluster()
@@ -40,11 +40,11 @@
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 || counts.SnapshotsInstalled != snapshots {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v after a lost delta, want 1 gap and %d snapshots installed", counts, snapshots)
 	}
 }
 
-func TestLossOfTheLastDeltaIsSeenByTheHeartbeat(t *testing.T) {
+func TestHeartbeatRevealsLossOfTheLastDelta(t *testing.T) {
 	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 	c.acceptChanges(1)
 	c.follow(v, 1)
@@ -52,11 +52,11 @@
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v, want 1 gap, seen in the heartbeat after the lost delta", counts)
 	}
 }
 
-func TestWrongDigestEndsInASnapshot(t *testing.T) {
+func TestDeltaWithWrongDigestIsReplacedByASnapshot(t *testing.T) {
 	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	before := leaf.node.Version()
@@ -71,46 +71,46 @@
 	leaf.verify()
 	c.sound(t)
 	if leaf.node.Version() != before {
-		t.Error("something of a wrong delta was applied")
+		t.Errorf("the leaf is at %v after a delta with a wrong digest, want %v as before", leaf.node.Version(), before)
 	}
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	counts := leaf.node.Status(c.now).Counts
 	if counts.WrongDigests != 1 || counts.SnapshotsInstalled != snapshots+1 {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v, want 1 wrong digest and %d snapshots installed", counts, snapshots+1)
 	}
 }
 
-func TestWrongDigestOfAChildIsSeenWhenItSubscribes(t *testing.T) {
+func TestSubscribeWithWrongDigestGetsASnapshot(t *testing.T) {
 	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
-	kept := leaf.node.State()
-	kept.Entries[0].Value = []byte("damaged")
+	stored := leaf.node.State()
+	stored.Entries[0].Value = []byte("damaged")
 	leaf.kill()
-	leaf.start(kept)
+	leaf.start(stored)
 	c.now += second
 	c.tick()
 	c.settle()
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v after a start with a damaged state, want 1 snapshot installed", counts)
 	}
 }
 
 func TestSubscriberStartsWithItsStoredState(t *testing.T) {
 	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
-	kept := leaf.node.State()
+	stored := leaf.node.State()
 	leaf.kill()
 	c.acceptChanges(3)
-	leaf.start(kept)
+	leaf.start(stored)
 	c.pass(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 0 {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v after a start with the stored state, want no snapshot installed", counts)
 	}
 }
 
-func TestSnapshotIsInstalledWholeOrNotAtAll(t *testing.T) {
+func TestSnapshotIsInstalledOnlyWhenComplete(t *testing.T) {
 	limits := DefaultLimits()
 	limits.PieceBytes = 64
 	c := newCluster()
@@ -128,26 +128,26 @@
 			for c.deliver(conn, 1, false) {
 			}
 			for len(conn.queues[0]) > 0 {
-				piece, is := conn.queues[0][0].(*SnapshotPiece)
+				piece, isPiece := conn.queues[0][0].(*SnapshotPiece)
 				c.deliver(conn, 0, false)
 				leaf.verify()
 				c.sound(t)
-				if is {
+				if isPiece {
 					pieces++
 				}
-				if is && !piece.Last && leaf.node.Version() != (Version{}) {
-					t.Fatalf("it is at %v before the last piece", leaf.node.Version())
+				if isPiece && !piece.Last && leaf.node.Version() != (Version{}) {
+					t.Fatalf("the leaf is at %v before the last snapshot piece, want no version", leaf.node.Version())
 				}
 			}
 		}
 	}
 	c.expectCaughtUp(t, v, leaf)
 	if pieces < 4 {
-		t.Errorf("%d pieces", pieces)
+		t.Errorf("the snapshot arrived in %d pieces, want at least 4", pieces)
 	}
 }
 
-func TestSnapshotPiecesKeepToThePace(t *testing.T) {
+func TestSnapshotsKeepToTheirRateLimit(t *testing.T) {
 	limits := DefaultLimits()
 	c := newCluster()
 	v := c.add(voter("v", limits))
@@ -161,18 +161,20 @@
 	for i := range 20 {
 		before := v.sent
 		c.pass(second, tick)
-		if bytes := v.sent - before; i > 0 && bytes > limits.SnapshotBytesPerSecond+limits.PieceBytes+2048 {
-			t.Fatalf("%d bytes in a second", bytes)
+		bound := limits.SnapshotBytesPerSecond + limits.PieceBytes + 2048
+		if bytes := v.sent - before; i > 0 && bytes > bound {
+			t.Fatalf("the voter sent %d bytes in second %d, want at most %d", bytes, i, bound)
 		}
 	}
 	c.expectCaughtUp(t, c.members...)
 	if lost := c.members[1].node.Status(c.now).Counts.ParentsLost; lost > 0 {
-		t.Errorf("it left its parent %d times on the way", lost)
+		t.Errorf("leaf0 lost its parent %d times during the snapshot, want 0", lost)
 	}
 }
 
-// A pace above a window for each call of Elapsed is made use of: what a child confirms lets the next pieces go.
-func TestFastPaceIsReachedBetweenTicks(t *testing.T) {
+// A rate of more than one window per Tick must be reached: a Renew that confirms pieces makes the
+// parent send the next ones at once. Without that, each Tick would send at most one window.
+func TestHighSnapshotRateIsReachedBetweenTicks(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 16 * mebibyte
 	c := newCluster()
@@ -185,58 +187,62 @@
 	c.pass(second/2, tick)
 	c.expectCaughtUp(t, v, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v after half a second, want 1 snapshot installed", counts)
 	}
 }
 
-// A pause of hours, as of a machine that was suspended, gives no more credit than a second does.
-func TestCreditOfThePaceIsBoundedAfterAPause(t *testing.T) {
+// A pause of hours, for example of a suspended machine, must not give more credit than one second,
+// and must not overflow the computation of the credit.
+func TestSnapshotCreditIsBoundedAfterAPause(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 1 << 30
 	n := &Node{limits: limits}
+	bound := int64(limits.SnapshotBytesPerSecond) / creditsPerSecond * microsecondsPerSecond
 	for _, pause := range []int64{second, 24 * 3600 * second, 365 * 24 * 3600 * second} {
 		n.snapshotCredit = 0
-		if n.refillSnapshotCredit(n.creditRefilledAt + pause); n.snapshotCredit != int64(limits.SnapshotBytesPerSecond)/creditsPerSecond*microsecondsPerSecond {
-			t.Errorf("after %d s: a credit of %d", pause/second, n.snapshotCredit)
+		if n.refillSnapshotCredit(n.creditRefilledAt + pause); n.snapshotCredit != bound {
+			t.Errorf("the credit after %d s is %d, want %d", pause/second, n.snapshotCredit, bound)
 		}
 	}
 }
 
 func TestChildAtACompactedRevisionCatchesUp(t *testing.T) {
-	for _, story := range []struct {
+	for _, test := range []struct {
 		name       string
 		compact    func(v *member, revision uint64)
 		changes    int
 		snapshots  uint64
 		tombstones int
 	}{
-		{"log gone, tombstones there: one merged delta", dropLog, 4, 0, 100},
-		{"log and tombstones gone: a snapshot", compactAll, 4, 1, 100},
+		{"log dropped, tombstones complete: one merged delta", dropLog, 4, 0, 100},
+		{"log and tombstones dropped: a snapshot", compactAll, 4, 1, 100},
 		{"more tombstones than the limit: a snapshot", dropLog, 4, 1, 2},
-		{"too much for one delta: a snapshot", dropLog, 400, 1, 1000},
+		{"merged change too large for a delta: a snapshot", dropLog, 400, 1, 1000},
 	} {
-		t.Run(story.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			limits := DefaultLimits()
-			limits.Tombstones = story.tombstones
+			limits.Tombstones = test.tombstones
 			c, v, leaf := newVoterAndLeaf(t, limits)
 			before := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 			c.cut(v, leaf)
-			for i := range story.changes {
+			for i := range test.changes {
 				c.accept(set("a", fmt.Sprint("new", i), "1"), gone("a", fmt.Sprint("entry", i)))
 			}
 			c.pass(second, tick)
-			story.compact(v, v.node.Version().Revision-1)
+			test.compact(v, v.node.Version().Revision-1)
 			c.heal(v, leaf)
 			c.pass(6*second, tick)
 			c.expectCaughtUp(t, leaf)
-			if taken := leaf.node.Status(c.now).Counts.SnapshotsInstalled - before; taken != story.snapshots {
-				t.Errorf("%d snapshots", taken)
+			if installed := leaf.node.Status(c.now).Counts.SnapshotsInstalled - before; installed != test.snapshots {
+				t.Errorf("the leaf installed %d snapshots, want %d", installed, test.snapshots)
 			}
 		})
 	}
 }
 
-// TestMergedChangeReachesChildrenOfChildren has a relay that took a merged change serve children from before, within and after it.
+// A relay that applied a merged change must serve children whose version lies before, within or
+// after that change. The relay cannot compute the digest of a version within it, and must send that
+// child a delta nevertheless, not a snapshot.
 func TestMergedChangeReachesChildrenOfChildren(t *testing.T) {
 	limits := DefaultLimits()
 	c := newCluster()
@@ -260,8 +266,8 @@
 	c.heal(v, relay)
 	c.pass(4*second, tick)
 	c.expectCaughtUp(t, relay)
-	if taken := relay.node.Status(c.now).Counts.SnapshotsInstalled; taken != 1 {
-		t.Errorf("the relay took %d snapshots", taken)
+	if installed := relay.node.Status(c.now).Counts.SnapshotsInstalled; installed != 1 {
+		t.Errorf("the relay installed %d snapshots, want 1", installed)
 	}
 	for _, leaf := range leaves {
 		c.heal(relay, leaf)
@@ -269,8 +275,8 @@
 	c.pass(4*second, tick)
 	c.expectCaughtUp(t, leaves...)
 	for _, leaf := range leaves {
-		if taken := leaf.node.Status(c.now).Counts.SnapshotsInstalled; taken != 1 {
-			t.Errorf("%s took %d snapshots", leaf.config.Name, taken)
+		if installed := leaf.node.Status(c.now).Counts.SnapshotsInstalled; installed != 1 {
+			t.Errorf("%s installed %d snapshots, want 1", leaf.config.Name, installed)
 		}
 	}
 }
@@ -288,10 +294,11 @@
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsInstalled != before.SnapshotsInstalled || after.GapsSeen != 0 || after.WrongDigests != 0 {
-		t.Errorf("counts %+v", after)
+		t.Errorf("counts %+v, want no gap, no wrong digest and %d snapshots installed",
+			after, before.SnapshotsInstalled)
 	}
 	if batches := after.DeltasApplied - before.DeltasApplied; batches < 20 || batches > 100 {
-		t.Errorf("%d batches", batches)
+		t.Errorf("200 changes arrived in %d deltas, want 20 to 100", batches)
 	}
 }
 
@@ -299,24 +306,24 @@
 	c, _, leaf := newVoterAndLeaf(t, DefaultLimits())
 	leaf.node.Resubscribe(SomeScopes("b", "a"), c.now)
 	if _, found := leaf.node.lookUpLive(Key{"a", "entry0"}); !found {
-		t.Error("it lost what it had")
+		t.Error("entry0 of scope a is lost before the snapshot of the new scopes is complete")
 	}
 	c.acceptChanges(1)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if _, found := leaf.node.lookUpLive(Key{"b", "entry0"}); !found {
-		t.Error("it has nothing of the new scope")
+		t.Error("entry0 of the added scope b is missing after the snapshot")
 	}
 	leaf.node.Resubscribe(SomeScopes("b"), c.now)
 	c.acceptChanges(1)
 	c.pass(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if _, found := leaf.node.lookUpLive(Key{"a", "entry0"}); found {
-		t.Error("it keeps what it no longer asks for")
+		t.Error("entry0 of scope a is still there after the subscription to it ended")
 	}
 }
 
-// dropLog drops the log up to a revision and leaves the tombstones.
+// dropLog drops the log up to a revision and keeps the tombstones.
 func dropLog(m *member, revision uint64) { m.node.store.log.dropTo(revision) }
 
 // compactAll drops the log and the tombstones up to a revision.
--- a/distribution/epoch_test.go
+++ b/distribution/epoch_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestNewerEpochReplacesAndConflictingEpochIsRefused(t *testing.T) {
-	t.Run("a newer one is taken by a snapshot", func(t *testing.T) {
+	t.Run("a newer epoch is installed by a snapshot", func(t *testing.T) {
 		c, _, first, _, leaf := newRelayTree(t, DefaultLimits())
 		old := leaf.node.Version()
 		c.found(Epoch{Number: 8, Identity: 80})
@@ -11,10 +11,10 @@
 		c.pass(3*second, tick)
 		c.expectCaughtUp(t, first, leaf)
 		if !old.Before(leaf.node.Version()) {
-			t.Error("the newer epoch is not after the older")
+			t.Errorf("the leaf is at %v, want a version after %v", leaf.node.Version(), old)
 		}
 	})
-	t.Run("an older one is refused", func(t *testing.T) {
+	t.Run("an older epoch is refused", func(t *testing.T) {
 		c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 		c.found(Epoch{Number: 8, Identity: 80})
 		c.acceptChanges(2)
@@ -27,10 +27,10 @@
 		c.pass(20*second, tick)
 		c.sound(t)
 		if leaf.node.Version() != before {
-			t.Errorf("it went to %v", leaf.node.Version())
+			t.Errorf("the leaf moved to %v of an older epoch, want %v", leaf.node.Version(), before)
 		}
 	})
-	t.Run("one of the same number is refused and logged", func(t *testing.T) {
+	t.Run("an epoch of the same number is refused and logged", func(t *testing.T) {
 		c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
 		before := leaf.node.Version()
 		v.kill()
@@ -40,7 +40,7 @@
 		c.pass(20*second, tick)
 		c.sound(t)
 		if leaf.node.Version() != before {
-			t.Errorf("it went to %v", leaf.node.Version())
+			t.Errorf("the leaf moved to %v of a conflicting epoch, want %v", leaf.node.Version(), before)
 		}
 		refused := 0
 		for _, e := range v.events {
@@ -49,20 +49,20 @@
 			}
 		}
 		if refused == 0 || refused > 5 {
-			t.Errorf("refused %d times", refused)
+			t.Errorf("the voter refused the leaf for a conflicting epoch %d times, want 1 to 5", refused)
 		}
 	})
-	t.Run("the next grows also for one who has lost all", func(t *testing.T) {
+	t.Run("the next epoch is newer even after all state was lost", func(t *testing.T) {
 		first := NextEpoch(Epoch{}, 1_700_000_000, 1)
 		second := NextEpoch(first, 1_600_000_000, 2)
 		third := NextEpoch(Epoch{}, 1_700_000_100, 3)
 		if !second.Newer(first) || !third.Newer(second) {
-			t.Errorf("%v, %v, %v", first, second, third)
+			t.Errorf("epochs %v, %v, %v; want the second and the third newer than the one before", first, second, third)
 		}
 	})
 }
 
-func TestVoterRefusesChangesThatDoNotFollow(t *testing.T) {
+func TestVoterRefusesOlderRevisionsAndOtherEpochs(t *testing.T) {
 	c, v, _ := newVoterAndLeaf(t, DefaultLimits())
 	version := v.node.Version()
 	for _, change := range []Change{
@@ -73,17 +73,17 @@
 	} {
 		change.Entries = []Entry{set("a", "x", "wrong")}
 		if v.node.Accepted(change, c.now) {
-			t.Errorf("%v was taken", change)
+			t.Errorf("the voter at %v accepted %+v", version, change)
 		}
 	}
 	if v.node.Restored(State{Version: Version{c.epoch, 1}}, c.now) {
-		t.Error("an older state was taken")
+		t.Errorf("the voter at %v accepted a state at revision 1", version)
 	}
 	v.verify()
 	c.sound(t)
 }
 
-func TestRestartWithAFloorTakesNothingOlder(t *testing.T) {
+func TestRestartWithAFloorRefusesOlderVersions(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
 	behind := c.add(voter("behind", limits))
@@ -96,7 +96,7 @@
 	c.acceptChanges(4)
 	c.pass(10*second, tick)
 	if leaf.node.Version() != (Version{}) {
-		t.Fatalf("it took %v", leaf.node.Version())
+		t.Fatalf("the leaf accepted %v, which is older than its floor %v", leaf.node.Version(), config.Floor)
 	}
 	behind.leads = true
 	c.pass(3*second, tick)
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -15,7 +15,7 @@
 // Reasons to close a link.
 const (
 	CloseSilent         CloseReason = iota + 1 // no message for a lease, or too many unconfirmed messages
-	CloseNotChosen                             // another parent admitted first, or the offered place is no better
+	CloseNotChosen                             // another parent admitted first, or the current place is as good
 	CloseReplaced                              // the child subscribed again on another link
 	CloseRefused                               // the place was refused
 	CloseTimedOut                              // dial, admission or subscription took too long
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -14,7 +14,8 @@
 	return Config{Name: name, Scopes: scopes, Limits: limits, Candidates: candidates}
 }
 
-// acceptChanges puts a number of changes on the record, in the scopes "a" and "b".
+// acceptChanges adds a number of changes to the record, each with entries in the scopes "a" and
+// "b".
 func (c *cluster) acceptChanges(changes int) {
 	for i := range changes {
 		value := fmt.Sprint(len(c.record))
@@ -28,13 +29,14 @@
 	c.sound(t)
 	want := Version{c.epoch, uint64(len(c.record))}
 	for _, m := range members {
-		if has := m.node.Version(); has != want {
-			t.Fatalf("%s is at %v, the record at %v", m.config.Name, has, want)
+		if version := m.node.Version(); version != want {
+			t.Fatalf("%s is at %v, the record at %v", m.config.Name, version, want)
 		}
 	}
 }
 
-// newRelayTree is a voter, two relays below it, and a subscriber below the first.
+// newRelayTree starts a voter, two relays below it, and a subscriber of scope "a" below the first
+// relay. All have the whole record.
 func newRelayTree(t *testing.T, limits Limits) (c *cluster, v, first, second, leaf *member) {
 	t.Helper()
 	c = newCluster()
@@ -49,15 +51,15 @@
 	leaf.node.learnCandidates([]string{"second"}, false)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "first" {
-		t.Fatalf("the parent is %q", parent)
+		t.Fatalf("the parent of the leaf is %q, want \"first\"", parent)
 	}
 	return c, v, first, second, leaf
 }
 
-// oneSecond is second where a member is called second.
+// oneSecond is the constant second, for functions where the variable second is a member.
 const oneSecond = second
 
-func TestChangesGoDownTheTreeAtOnce(t *testing.T) {
+func TestChangesPropagateDownTheTreeImmediately(t *testing.T) {
 	c, v, first, _, leaf := newRelayTree(t, DefaultLimits())
 	snapshots := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 	for range 20 {
@@ -68,13 +70,13 @@
 	}
 	status := leaf.node.Status(c.now)
 	if status.Counts.SnapshotsInstalled != snapshots || status.Counts.GapsSeen != 0 {
-		t.Errorf("counts %+v", status.Counts)
+		t.Errorf("counts %+v of the leaf, want %d snapshots installed and no gap", status.Counts, snapshots)
 	}
 	if want := []string{"v", "first"}; fmt.Sprint(status.Path) != fmt.Sprint(want) {
-		t.Errorf("path %v", status.Path)
+		t.Errorf("the path of the leaf is %v, want %v", status.Path, want)
 	}
 	if _, found := leaf.node.lookUpLive(Key{"b", "entry0"}); found {
-		t.Error("the leaf has an entry that it did not ask for")
+		t.Error("the leaf has an entry of scope b, to which it does not subscribe")
 	}
 }
 
@@ -97,24 +99,24 @@
 			c.expectCaughtUp(t, second, leaf)
 			status := leaf.node.Status(c.now)
 			if status.Parent != "second" && status.Parent != "v" {
-				t.Errorf("the parent is %q", status.Parent)
+				t.Errorf("the parent of the leaf is %q, want \"second\" or \"v\"", status.Parent)
 			}
 			if status.Counts.SnapshotsInstalled != before.SnapshotsInstalled {
-				t.Error("a snapshot was sent where deltas would do")
+				t.Error("the leaf installed a snapshot where deltas suffice")
 			}
 			if status.Age > 2*oneSecond {
-				t.Errorf("age %d µs", status.Age)
+				t.Errorf("the age of the leaf is %d µs, want at most %d", status.Age, 2*oneSecond)
 			}
 		})
 	}
 }
 
-func TestFrozenParentIsLeftAndItsPlaceFreed(t *testing.T) {
+func TestFrozenRelayLosesItsPlaceAndRecovers(t *testing.T) {
 	c, v, first, _, _ := newRelayTree(t, DefaultLimits())
 	first.frozen = true
 	c.pass(DefaultLease+oneSecond, tick)
 	if children := v.node.Status(c.now).Children; slices.Contains(children, "first") {
-		t.Errorf("the voter's children are %v", children)
+		t.Errorf("the children of the voter are %v, want them without the frozen relay \"first\"", children)
 	}
 	first.frozen = false
 	c.acceptChanges(2)
@@ -122,13 +124,13 @@
 	c.expectCaughtUp(t, first)
 }
 
-func TestParentThatLagsChangesNothingAndIsLeftForABetterOne(t *testing.T) {
+func TestLaggingParentIsIgnoredAndReplaced(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
 	c.acceptChanges(5)
 	c.pass(oneSecond, tick)
-	behind.leads = false // it hears no more of the record
+	behind.leads = false // it gets no further changes of the record
 	c.acceptChanges(4)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "ahead"))
 	c.pass(oneSecond, tick)
@@ -136,32 +138,33 @@
 	c.cut(ahead, leaf)
 	leaf.node.learnCandidates([]string{"behind"}, false)
 	c.pass(3*oneSecond, tick)
-	c.expectCaughtUp(t, leaf) // it keeps what it has
+	c.expectCaughtUp(t, leaf) // it does not go back to the older version of its new parent
 	status := leaf.node.Status(c.now)
 	if status.Parent != "behind" || status.Age < 2*oneSecond {
-		t.Errorf("parent %q, age %d", status.Parent, status.Age)
+		t.Errorf("the parent of the leaf is %q and its age %d µs, want \"behind\" and at least %d",
+			status.Parent, status.Age, 2*oneSecond)
 	}
 	c.heal(ahead, leaf)
 	c.acceptChanges(1)
 	c.pass(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
 	c.expectCaughtUp(t, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "ahead" {
-		t.Errorf("it stays with %q, which lags", parent)
+		t.Errorf("the parent of the leaf is %q, want \"ahead\" instead of the lagging one", parent)
 	}
 }
 
 func TestRestartedVoterAtAnOlderRevisionCatchesUp(t *testing.T) {
 	c, v, first, second, leaf := newRelayTree(t, DefaultLimits())
-	kept := v.node.State()
+	stored := v.node.State()
 	c.acceptChanges(4)
 	c.pass(oneSecond, tick)
 	v.kill()
-	v.leads = false // the record's log comes later
-	v.start(kept)
+	v.leads = false // it gets the log of the record only later
+	v.start(stored)
 	c.pass(3*oneSecond, tick)
 	c.sound(t)
-	if version := v.node.Version(); version != kept.Version {
-		t.Fatalf("the voter is at %v", version)
+	if version := v.node.Version(); version != stored.Version {
+		t.Fatalf("the restarted voter is at %v, want %v of its stored state", version, stored.Version)
 	}
 	snapshots := first.node.Status(c.now).Counts.SnapshotsInstalled
 	c.acceptChanges(1)
@@ -169,11 +172,11 @@
 	c.pass(2*oneSecond, tick)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if first.node.Status(c.now).Counts.SnapshotsInstalled != snapshots {
-		t.Error("a snapshot was sent where deltas would do")
+		t.Error("the relay installed a snapshot where deltas suffice")
 	}
 }
 
-func TestSubscribersTellTheirAgeWhileTheMajorityIsLost(t *testing.T) {
+func TestSubscribersReportTheirAgeWithoutAMajority(t *testing.T) {
 	c, v, first, _, leaf := newRelayTree(t, DefaultLimits())
 	v.leads = false
 	dials := leaf.node.Status(c.now).Counts.Dials
@@ -181,30 +184,30 @@
 	c.expectCaughtUp(t, leaf)
 	status := leaf.node.Status(c.now)
 	if status.Age < 28*oneSecond || status.Age > 33*oneSecond {
-		t.Errorf("age %d µs after 30 s", status.Age)
+		t.Errorf("the age of the leaf is %d µs after 30 s, want 28 to 33 s", status.Age)
 	}
 	if status.Parent != "first" {
-		t.Errorf("the parent is %q", status.Parent)
+		t.Errorf("the parent of the leaf is %q, want \"first\"", status.Parent)
 	}
-	if tried := status.Counts.Dials - dials; tried > 6 {
-		t.Errorf("%d dials, and no parent is better", tried)
+	if newDials := status.Counts.Dials - dials; newDials > 6 {
+		t.Errorf("the leaf dialled %d times in 30 s while no parent was better, want at most 6", newDials)
 	}
 	if leaf.count(EventSourceStale) != 1 {
-		t.Errorf("stale was logged %d times", leaf.count(EventSourceStale))
+		t.Errorf("EventSourceStale was logged %d times, want 1", leaf.count(EventSourceStale))
 	}
 	v.leads = true
 	c.acceptChanges(1)
 	c.pass(3*oneSecond, tick)
 	c.expectCaughtUp(t, first, leaf)
 	if age := leaf.node.Status(c.now).Age; age > 3*oneSecond {
-		t.Errorf("age %d µs after the majority is back", age)
+		t.Errorf("the age of the leaf is %d µs after the majority is back, want at most %d", age, 3*oneSecond)
 	}
 	if leaf.count(EventSourceCurrent) != 1 {
-		t.Errorf("current was logged %d times", leaf.count(EventSourceCurrent))
+		t.Errorf("EventSourceCurrent was logged %d times, want 1", leaf.count(EventSourceCurrent))
 	}
 }
 
-func TestSlowParentIsHedgedByASecond(t *testing.T) {
+func TestUnresponsiveParentIsHedgedByASecondDial(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
 	slow := c.add(voter("slow", limits))
@@ -216,21 +219,21 @@
 	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if status := leaf.node.Status(c.now); status.Parent != "quick" || status.Counts.Dials != 2 {
-		t.Errorf("status %+v", status)
+		t.Errorf("status %+v, want the parent \"quick\" after 2 dials", status)
 	}
-	slow.frozen = false // the late admission counts for nothing
+	slow.frozen = false // its late admission is ignored
 	c.acceptChanges(1)
 	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := slow.node.Status(c.now).Children; len(children) > 0 {
-		t.Errorf("a place at both: %v", children)
+		t.Errorf("the leaf has a place at both voters; the children of \"slow\" are %v", children)
 	}
 }
 
 func TestFirstOfTwoParentsThatAdmitIsChosen(t *testing.T) {
 	c := newCluster()
 	limits := DefaultLimits()
-	one, other := c.add(voter("one", limits)), c.add(voter("other", limits))
+	first, second := c.add(voter("one", limits)), c.add(voter("other", limits))
 	c.acceptChanges(3)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "one", "other"))
 	c.pass(tick, tick)
@@ -240,45 +243,45 @@
 	leaf.node.dialCandidate(c.now)
 	c.connect()
 	if len(c.conns) != 2 {
-		t.Fatalf("%d connections", len(c.conns))
+		t.Fatalf("the leaf has %d connections after two dials, want 2", len(c.conns))
 	}
 	c.settle()
 	c.pass(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
-	places := len(one.node.Status(c.now).Children) + len(other.node.Status(c.now).Children)
+	places := len(first.node.Status(c.now).Children) + len(second.node.Status(c.now).Children)
 	if places != 1 {
-		t.Errorf("%d places", places)
+		t.Errorf("the leaf has %d places at the two voters, want 1", places)
 	}
 }
 
-func TestChildThatReadsNothingHoldsNobodyUp(t *testing.T) {
+func TestChildThatReadsNothingIsBoundedAndLosesItsPlace(t *testing.T) {
 	limits := DefaultLimits()
 	limits.LogChanges, limits.Tombstones = 50, 10
 	c, v, first, _, leaf := newRelayTree(t, limits)
 	before := leaf.node.Status(c.now).Counts
 	leaf.frozen = true
-	most := 0
+	maxUnconfirmed := 0
 	for range 300 {
 		c.accept(set("a", "large", string(make([]byte, 2000))), set("b", "x", "1"))
 		c.follow(v, 1)
 		c.settle()
 		if place := first.node.childByLink(first.node.children[0].link); place != nil {
-			most = max(most, place.unconfirmedBytes)
+			maxUnconfirmed = max(maxUnconfirmed, place.unconfirmedBytes)
 		}
 	}
-	if bound := limits.Window + limits.BatchBytes + 4096; most > bound {
-		t.Errorf("%d bytes under way to it, bound %d", most, bound)
+	if bound := limits.Window + limits.BatchBytes + 4096; maxUnconfirmed > bound {
+		t.Errorf("%d unconfirmed bytes were sent to the frozen leaf, want at most %d", maxUnconfirmed, bound)
 	}
 	c.pass(DefaultLease+oneSecond, tick)
 	if children := first.node.Status(c.now).Children; len(children) > 0 {
-		t.Errorf("it keeps its place: %v", children)
+		t.Errorf("the frozen leaf has not lost its place after a lease; the children of \"first\" are %v", children)
 	}
 	leaf.frozen = false
 	c.pass(5*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsInstalled+after.DeltasApplied == before.SnapshotsInstalled+before.DeltasApplied {
-		t.Error("it took nothing")
+		t.Error("the leaf applied no delta and installed no snapshot after it resumed")
 	}
 }
 
@@ -298,7 +301,7 @@
 		c.now += tick
 		c.tick()
 		c.connect()
-		for moved := true; moved; { // one message a connection at a time
+		for moved := true; moved; { // delivers one message per queue and round
 			moved = false
 			for _, conn := range slices.Clone(c.conns) {
 				for side := range conn.queues {
@@ -306,8 +309,9 @@
 				}
 			}
 			for _, m := range c.members {
-				if due := m.node.snapshotsPending(); due > limits.MaxSnapshots {
-					t.Fatalf("%s has %d snapshots under way", m.config.Name, due)
+				if pending := m.node.snapshotsPending(); pending > limits.MaxSnapshots {
+					t.Fatalf("%s has %d snapshots under way or due, want at most %d",
+						m.config.Name, pending, limits.MaxSnapshots)
 				}
 			}
 		}
@@ -315,15 +319,15 @@
 	c.expectCaughtUp(t, all...)
 	for _, m := range append(all, v) {
 		if places := len(m.node.Status(c.now).Children); places > limits.FanOut {
-			t.Errorf("%s has %d children", m.config.Name, places)
+			t.Errorf("%s has %d children, want at most %d", m.config.Name, places, limits.FanOut)
 		}
 		if depth := len(m.node.Status(c.now).Path); depth > limits.MaxDepth {
-			t.Errorf("%s is %d deep", m.config.Name, depth)
+			t.Errorf("%s has %d ancestors, want at most %d", m.config.Name, depth, limits.MaxDepth)
 		}
 	}
 }
 
-func TestRegionThatWasCutOffCatchesUp(t *testing.T) {
+func TestRegionCatchesUpAfterAPartition(t *testing.T) {
 	c := newCluster()
 	c.random = true
 	limits := DefaultLimits()
@@ -354,11 +358,11 @@
 		c.pass(5*oneSecond, 500*millisecond)
 	}
 	c.sound(t)
-	if tried := region[0].node.Status(c.now).Counts.Dials - dials; tried > 600 {
-		t.Errorf("%d dials in five minutes", tried)
+	if newDials := region[0].node.Status(c.now).Counts.Dials - dials; newDials > 600 {
+		t.Errorf("a subscriber that is cut off dialled %d times in five minutes, want at most 600", newDials)
 	}
 	if age := region[0].node.Status(c.now).Age; age < 290*oneSecond {
-		t.Errorf("age %d µs", age)
+		t.Errorf("the age of a subscriber that was cut off for 300 s is %d µs, want at least %d", age, 290*oneSecond)
 	}
 	for _, m := range region {
 		c.heal(v, m)
@@ -366,7 +370,7 @@
 	}
 	c.pass(6*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
-	if more := snapshots() - before; more > 0 {
-		t.Errorf("%d snapshots where deltas would do", more)
+	if installed := snapshots() - before; installed > 0 {
+		t.Errorf("the region installed %d snapshots where deltas suffice", installed)
 	}
 }
--- a/distribution/golden_test.go
+++ b/distribution/golden_test.go
@@ -8,8 +8,9 @@
 	"wheelrill/internal/golden"
 )
 
-// Two nodes compare digests, so each version must work out the same for the same entries.
-func TestDigestsAreAsTheGoldenFileHasThem(t *testing.T) {
+// Nodes compare digests with each other, so every release must compute the same digest for the same
+// entries.
+func TestDigestsMatchGoldenFile(t *testing.T) {
 	var lines strings.Builder
 	store := newStore(Version{Epoch{Number: 3, Identity: 9}, 4}, AllScopes())
 	for _, e := range []Entry{
@@ -22,7 +23,9 @@
 		fmt.Fprintf(&lines, "%q %q of revision %d: %016x %016x\n", e.Scope, e.Name, e.Revision, digest.High, digest.Low)
 		store.put(e)
 	}
-	for _, covered := range []Scopes{AllScopes(), SomeScopes("pricing"), SomeScopes("orders"), SomeScopes("absent", "pricing")} {
+	for _, covered := range []Scopes{
+		AllScopes(), SomeScopes("pricing"), SomeScopes("orders"), SomeScopes("absent", "pricing"),
+	} {
 		digest := store.digestFor(covered)
 		fmt.Fprintf(&lines, "all %t scopes %q: %016x %016x\n", covered.All, covered.Names, digest.High, digest.Low)
 	}
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keyWriter collects what tells two states apart.
+// keyWriter encodes the fields in which two states of the model can differ.
 type keyWriter []byte
 
 func (k *keyWriter) numbers(numbers ...int64) {
@@ -39,7 +39,8 @@
 	k.numbers(int64(version.Epoch.Number), int64(version.Epoch.Identity), int64(version.Revision))
 }
 
-// key tells states apart, whenever they came about.
+// key returns a hash of the state of the model. Times enter relative to the current time, so equal
+// states that are reached at different times have the same key.
 func (c *cluster) key() uint64 {
 	var k keyWriter
 	k.version(Version{c.epoch, uint64(len(c.record))})
@@ -69,7 +70,8 @@
 	return xxhash.Sum64(k)
 }
 
-// messageKey tells messages apart. Messages are never modified, so each is worked out once.
+// messageKey returns a hash of a message. Messages are never modified, so each hash is computed
+// once.
 func (c *cluster) messageKey(m Message) int64 {
 	if key, known := c.messageKeys[m]; known {
 		return key
@@ -79,7 +81,8 @@
 	return key
 }
 
-// addKey adds what a node will act by. Times are relative; those long ago are all alike.
+// addKey adds the fields that determine the behaviour of a node. Times are relative to now; all
+// past times of eight modelSteps or more count as equal.
 func (n *Node) addKey(k *keyWriter, now int64) {
 	since := func(at int64) int64 { return min((now-at)/modelStep, 8) }
 	until := func(at int64) int64 { return max(at-now, 0) }
@@ -87,8 +90,8 @@
 	k.version(s.version)
 	k.texts(s.covered.Names...)
 	k.numbers(int64(s.digest.High), int64(s.log.floor), int64(s.tombstones.horizon), int64(len(s.tombstones.queue)))
-	for _, grave := range s.tombstones.queue {
-		k.numbers(int64(grave.revision))
+	for _, tombstone := range s.tombstones.queue {
+		k.numbers(int64(tombstone.revision))
 	}
 	k.numbers(int64(len(s.log.changes)))
 	for _, change := range s.log.changes {
@@ -96,20 +99,22 @@
 		k.bits(change.merged)
 	}
 	k.bits(n.contentInDoubt, n.sourceEverCurrent, n.consecutiveFailures > 0, n.incomingSnapshot != nil, n.parent != nil)
-	k.numbers(until(n.nextDialAt), since(n.sourceCurrentAt), int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
+	k.numbers(until(n.nextDialAt), since(n.sourceCurrentAt),
+		int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
 	if n.incomingSnapshot != nil {
 		k.version(n.incomingSnapshot.store.version)
 		k.numbers(int64(n.incomingSnapshot.nextIndex))
 	}
-	for _, u := range append(slices.Clone(n.attempts), n.parent) {
-		if u == nil {
+	for _, place := range append(slices.Clone(n.attempts), n.parent) {
+		if place == nil {
 			continue
 		}
-		k.texts(u.peer)
-		k.texts(u.path...)
-		k.bits(u.connected, u.subscribing, u.behind)
-		k.numbers(since(u.dialedAt), since(u.lastReceivedAt), since(u.subscribeSentAt), since(u.behindSince), since(u.admittedAt), int64(u.recoveries),
-			int64(u.receivedMessages), int64(u.unconfirmedBytes))
+		k.texts(place.peer)
+		k.texts(place.path...)
+		k.bits(place.connected, place.subscribing, place.behind)
+		k.numbers(since(place.dialedAt), since(place.lastReceivedAt), since(place.subscribeSentAt),
+			since(place.behindSince), since(place.admittedAt), int64(place.recoveries),
+			int64(place.receivedMessages), int64(place.unconfirmedBytes))
 	}
 	for _, c := range n.children {
 		k.texts(c.name)
--- a/distribution/message_test.go
+++ b/distribution/message_test.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func TestHeartbeatsAndRenewsTakeFewBytes(t *testing.T) {
-	beat := &Heartbeat{
+func TestEncodedHeartbeatAndRenewAreSmall(t *testing.T) {
+	heartbeat := &Heartbeat{
 		Epoch:    Epoch{1_790_000_000, 1 << 60},
 		Previous: 12_345_678,
 		Revision: 12_345_678,
@@ -16,31 +16,34 @@
 		Age:      123_456,
 		Source:   Version{Epoch{1_790_000_000, 1 << 60}, 12_345_678},
 	}
-	encoded, err := cbor.Marshal(NewEnvelope(beat))
+	encoded, err := cbor.Marshal(NewEnvelope(heartbeat))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(encoded) > 128 || beat.Size() < len(encoded)*3/4 {
-		t.Errorf("a heartbeat has %d bytes, estimated %d", len(encoded), beat.Size())
+	if len(encoded) > 128 || heartbeat.Size() < len(encoded)*3/4 {
+		t.Errorf("the heartbeat has %d bytes, want at most 128; Size gives %d, want at least three quarters of them",
+			len(encoded), heartbeat.Size())
 	}
-	renew, err := cbor.Marshal(NewEnvelope(&Renew{Version: beat.Source, Received: 100_000}))
+	renew, err := cbor.Marshal(NewEnvelope(&Renew{Version: heartbeat.Source, Received: 100_000}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(renew) > 48 {
-		t.Errorf("a renewal has %d bytes", len(renew))
+		t.Errorf("the Renew has %d bytes, want at most 48", len(renew))
 	}
 }
 
-func TestEnvelopeMustHoldJustOneMessage(t *testing.T) {
+func TestEnvelopeMustHoldExactlyOneMessage(t *testing.T) {
 	for _, envelope := range []Envelope{{}, {Renew: &Renew{}, Refused: &Refused{}}} {
 		if m, err := envelope.Message(); err == nil {
-			t.Errorf("%+v gives %v", envelope, m)
+			t.Errorf("Message of %+v returned %v and no error, want an error", envelope, m)
 		}
 	}
-	for _, m := range []Message{&Subscribe{}, &Admitted{}, &Refused{}, &Delta{}, &SnapshotPiece{}, &Heartbeat{}, &Renew{}} {
+	for _, m := range []Message{
+		&Subscribe{}, &Admitted{}, &Refused{}, &Delta{}, &SnapshotPiece{}, &Heartbeat{}, &Renew{},
+	} {
 		if got, err := NewEnvelope(m).Message(); err != nil || got != m {
-			t.Errorf("%T comes back as %T, %v", m, got, err)
+			t.Errorf("the envelope of a %T returned %T and the error %v, want the same message", m, got, err)
 		}
 	}
 }
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -19,8 +19,8 @@
 // accumulates, or one piece if that is more.
 const creditsPerSecond = 4
 
-// snapshotsPending counts the snapshots that are under way or due. A child that is ahead of this
-// node does not count.
+// snapshotsPending counts the snapshots that are under way or due. A waiting child that is ahead of
+// this node does not count.
 func (n *Node) snapshotsPending() int {
 	pending := 0
 	for _, child := range n.children {
@@ -83,7 +83,7 @@
 func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
-	elapsed := min(now-n.creditRefilledAt, second) // a longer time adds nothing to the bounded credit, and could overflow
+	elapsed := min(now-n.creditRefilledAt, second) // a longer time adds nothing, and could overflow
 	n.snapshotCredit = min(n.snapshotCredit+elapsed*pace, bound)
 	n.creditRefilledAt = now
 }
--- a/distribution/record_test.go
+++ b/distribution/record_test.go
@@ -9,6 +9,7 @@
 
 func value(text string) []byte { return []byte(text) }
 
+// newRecordWithEpoch returns a record with one accepted change, which has set its epoch.
 func newRecordWithEpoch(t *testing.T) *Record {
 	t.Helper()
 	v := NewRecord()
@@ -30,59 +31,64 @@
 func TestRecordAppliesProposalsInOrder(t *testing.T) {
 	v := NewRecord()
 	if _, err := v.Apply(Proposal{Entries: []Entry{{Scope: "s", Name: "a"}}}); !errors.Is(err, ErrNoEpoch) {
-		t.Errorf("without an epoch: %v", err)
+		t.Errorf("a proposal without an epoch, to a record without one, returned %v, want %v", err, ErrNoEpoch)
 	}
 	if _, err := v.Apply(Proposal{Epoch: epoch}); !errors.Is(err, ErrNoChange) || !v.Empty() {
-		t.Errorf("a refused proposal gave the record its epoch: %v", err)
-	}
-	change := mustApply(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
-	if change.Revision != 1 || change.Epoch != epoch || change.AcceptedAt != 5 || len(change.Entries) != 2 || v.Empty() {
-		t.Errorf("accepted as %+v", change)
-	}
-	seen := v.Version()
-	if _, err := v.Apply(Proposal{Epoch: Epoch{Number: 9}, Entries: []Entry{{Scope: "s", Name: "a", Deleted: true}}}); err != nil {
+		t.Errorf("a proposal without entries returned %v, want %v; the record is at %+v, want no epoch",
+			err, ErrNoChange, v.Version())
+	}
+	change := mustApply(t, v,
+		Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
+	stamped := change.Revision == 1 && change.Epoch == epoch && change.AcceptedAt == 5
+	if !stamped || len(change.Entries) != 2 || v.Empty() {
+		t.Errorf("accepted as %+v, want revision 1, epoch %v, time 5 and 2 entries", change, epoch)
+	}
+	first := v.Version()
+	deletion := Proposal{Epoch: Epoch{Number: 9}, Entries: []Entry{{Scope: "s", Name: "a", Deleted: true}}}
+	if _, err := v.Apply(deletion); err != nil {
 		t.Fatal(err)
 	}
-	for _, base := range []Version{seen, {}} {
+	for _, base := range []Version{first, {}} {
 		p := Proposal{Conditional: true, Base: base, Entries: []Entry{{Scope: "s", Name: "c"}}}
 		if _, err := v.Apply(p); !errors.Is(err, ErrVersionMismatch) {
-			t.Errorf("on an older base: %v", err)
+			t.Errorf("a conditional proposal with the older base %+v returned %v, want %v",
+				base, err, ErrVersionMismatch)
 		}
 	}
 	if v.Version() != (Version{epoch, 2}) {
-		t.Errorf("at %+v", v.Version())
+		t.Errorf("the record is at %+v, want revision 2 of epoch %v", v.Version(), epoch)
 	}
 }
 
-func TestRecordRefusesAProposalWhole(t *testing.T) {
+func TestRefusedProposalLeavesRecordUnchanged(t *testing.T) {
 	large := Entry{Scope: "s", Name: "large", Value: make([]byte, MaxChangeBytes)}
-	for name, refused := range map[string]struct {
+	for name, test := range map[string]struct {
 		entries []Entry
-		why     error
+		want    error
 	}{
-		"nothing":                   {nil, ErrNoChange},
-		"deletes what is not there": {[]Entry{{Scope: "s", Name: "x", Deleted: true}}, ErrNoChange},
-		"no scope":                  {[]Entry{{Scope: "s", Name: "b"}, {Name: "a"}}, ErrMalformed},
-		"no name":                   {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s"}}, ErrMalformed},
-		"twice":                     {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s", Name: "b"}}, ErrMalformed},
-		"long name":                 {[]Entry{{Scope: "s", Name: strings.Repeat("n", MaxKeyBytes+1)}}, ErrMalformed},
-		"too large":                 {[]Entry{{Scope: "s", Name: "b"}, large}, ErrTooLarge},
+		"no entries":                 {nil, ErrNoChange},
+		"deletes an absent entry":    {[]Entry{{Scope: "s", Name: "x", Deleted: true}}, ErrNoChange},
+		"no scope":                   {[]Entry{{Scope: "s", Name: "b"}, {Name: "a"}}, ErrMalformed},
+		"no name":                    {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s"}}, ErrMalformed},
+		"the same key twice":         {[]Entry{{Scope: "s", Name: "b"}, {Scope: "s", Name: "b"}}, ErrMalformed},
+		"name over the size limit":   {[]Entry{{Scope: "s", Name: strings.Repeat("n", MaxKeyBytes+1)}}, ErrMalformed},
+		"change over the size limit": {[]Entry{{Scope: "s", Name: "b"}, large}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := newRecordWithEpoch(t)
 			mustApply(t, v, Entry{Scope: "s", Name: "a", Value: value("1")})
 			version, digest := v.Version(), v.Digest()
-			if _, err := v.Apply(Proposal{Entries: refused.entries}); !errors.Is(err, refused.why) {
-				t.Errorf("got %v", err)
+			if _, err := v.Apply(Proposal{Entries: test.entries}); !errors.Is(err, test.want) {
+				t.Errorf("Apply returned %v, want %v", err, test.want)
 			}
 			if v.Version() != version || v.Digest() != digest {
-				t.Error("something was applied")
+				t.Errorf("the refused proposal changed the record from %+v to %+v, or its digest", version, v.Version())
 			}
 		})
 	}
 }
 
-func TestRecordRefusesProposalsOverItsBound(t *testing.T) {
+func TestRecordRefusesProposalsOverItsSizeLimit(t *testing.T) {
 	v := newRecordWithEpoch(t)
 	body := make([]byte, MaxChangeBytes/2)
 	for i := 0; ; i++ {
@@ -92,7 +98,8 @@
 			continue
 		}
 		if !errors.Is(err, ErrFull) || v.Version() != before {
-			t.Errorf("entry %d: %v", i, err)
+			t.Errorf("entry %d of %d bytes returned %v, want %v only over %d bytes; the record went from %+v to %+v",
+				i, len(body), err, ErrFull, MaxStateBytes, before, v.Version())
 		}
 		return
 	}
@@ -100,56 +107,65 @@
 
 func TestDifferenceLeadsToTheWantedEntries(t *testing.T) {
 	v := newRecordWithEpoch(t)
-	mustApply(t, v, Entry{Scope: "s", Name: "same", Value: value("1")}, Entry{Scope: "s", Name: "other", Value: value("1")},
+	mustApply(t, v,
+		Entry{Scope: "s", Name: "same", Value: value("1")}, Entry{Scope: "s", Name: "other", Value: value("1")},
 		Entry{Scope: "r", Name: "gone", Value: value("1")}, Entry{Scope: "r", Name: "buried", Value: value("1")})
 	mustApply(t, v, Entry{Scope: "r", Name: "buried", Deleted: true})
-	wanted := []Entry{{Scope: "first", Name: "first"}, {Scope: "s", Name: "same", Value: value("1")}, {Scope: "s", Name: "other", Value: value("2")},
-		{Scope: "t", Name: "new", Value: value("3")}}
+	wanted := []Entry{
+		{Scope: "first", Name: "first"}, {Scope: "s", Name: "same", Value: value("1")},
+		{Scope: "s", Name: "other", Value: value("2")}, {Scope: "t", Name: "new", Value: value("3")},
+	}
 	p := v.Difference(wanted)
 	var names []string
 	for _, e := range p.Entries {
 		names = append(names, fmt.Sprint(e.Name, e.Deleted))
 	}
-	if got := strings.Join(names, " "); got != "otherfalse newfalse gonetrue" || p.Base != v.Version() {
-		t.Errorf("proposes %s on %+v", got, p.Base)
+	const want = "otherfalse newfalse gonetrue"
+	if got := strings.Join(names, " "); got != want || p.Base != v.Version() {
+		t.Errorf("the proposal has the entries %s and the base %+v, want %s and %+v", got, p.Base, want, v.Version())
 	}
 	if _, err := v.Apply(p); err != nil {
 		t.Fatal(err)
 	}
 	if p := v.Difference(wanted); len(p.Entries) != 0 {
-		t.Errorf("still differs in %+v", p.Entries)
+		t.Errorf("after the proposal the record still differs in %+v", p.Entries)
 	}
 }
 
-// A record that is restored goes on as the one that it was taken from.
-func TestRestoredRecordGoesOnLikeTheOriginal(t *testing.T) {
+// A restored record must accept later proposals with the same result as the record whose state it
+// got. If it lost a tombstone or a revision, voters would diverge after a restart from a snapshot.
+func TestRestoredRecordBehavesLikeTheOriginal(t *testing.T) {
 	v := newRecordWithEpoch(t)
 	mustApply(t, v, Entry{Scope: "s", Name: "a", Value: value("1")}, Entry{Scope: "r", Name: "b", Value: value("2")})
 	mustApply(t, v, Entry{Scope: "s", Name: "a", Deleted: true})
-	kept := v.State()
-	other := RestoreRecord(kept)
-	for _, state := range []*Record{v, other} {
-		mustApply(t, state, Entry{Scope: "s", Name: "a", Value: value("3")})
-		mustApply(t, state, Entry{Scope: "r", Name: "b", Deleted: true})
+	stored := v.State()
+	restored := RestoreRecord(stored)
+	for _, record := range []*Record{v, restored} {
+		mustApply(t, record, Entry{Scope: "s", Name: "a", Value: value("3")})
+		mustApply(t, record, Entry{Scope: "r", Name: "b", Deleted: true})
 	}
-	if v.Version() != other.Version() || v.Digest() != other.Digest() || fmt.Sprint(v.State()) != fmt.Sprint(other.State()) {
-		t.Errorf("%+v\n%+v", v.State(), other.State())
+	sameState := fmt.Sprint(v.State()) == fmt.Sprint(restored.State())
+	if v.Version() != restored.Version() || v.Digest() != restored.Digest() || !sameState {
+		t.Errorf("the original and the restored record differ:\n%+v\n%+v", v.State(), restored.State())
 	}
-	if again := RestoreRecord(kept); again.Version().Revision != 3 || len(kept.Entries) != 3 {
-		t.Error("what was kept changed with later proposals")
+	if again := RestoreRecord(stored); again.Version().Revision != 3 || len(stored.Entries) != 3 {
+		t.Errorf("later proposals changed the stored state: revision %d, want 3; %d entries, want 3",
+			again.Version().Revision, len(stored.Entries))
 	}
 }
 
-// Tombstones are bounded, and the horizon says from where on none is missing.
+// A record keeps at most DefaultTombstones tombstones. Its horizon is the revision of the last one
+// that it dropped, so no later one is missing.
 func TestRecordBoundsItsTombstones(t *testing.T) {
 	v := newRecordWithEpoch(t)
-	const more = 5
-	for i := range DefaultTombstones + more {
+	const excess = 5
+	for i := range DefaultTombstones + excess {
 		scope, name := fmt.Sprint(i%200), fmt.Sprint(i)
 		mustApply(t, v, Entry{Scope: scope, Name: name})
 		mustApply(t, v, Entry{Scope: scope, Name: name, Deleted: true})
 	}
-	if state := v.State(); len(state.Entries) != DefaultTombstones+1 || state.Horizon != 2*more+1 {
-		t.Errorf("%d entries, horizon %d", len(state.Entries), state.Horizon)
+	if state := v.State(); len(state.Entries) != DefaultTombstones+1 || state.Horizon != 2*excess+1 {
+		t.Errorf("%d entries and horizon %d, want %d entries and horizon %d",
+			len(state.Entries), state.Horizon, DefaultTombstones+1, 2*excess+1)
 	}
 }
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -13,12 +13,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// transcript sums up all that nodes ask of their hosts, with the numbers and bytes that do not change with names.
+// transcript hashes all calls of nodes to their hosts. Enumerated values enter as numbers and
+// messages as bytes, so that the hash does not depend on names and texts of this package.
 type transcript struct{ sum *xxhash.Digest }
 
 func newTranscript() *transcript { return &transcript{xxhash.New()} }
 
-// note adds a call of a member's host. The nil transcript notes nothing.
+// note adds a call to the host of a member. A nil transcript records nothing.
 func (t *transcript) note(m *member, format string, args ...any) {
 	if t != nil {
 		fmt.Fprintf(t.sum, "%d %s ", m.cluster.now, m.config.Name)
@@ -26,16 +27,17 @@
 	}
 }
 
-// mustEncode is a value as it goes over the wire.
+// mustEncode returns the encoding of a value on the wire.
 func mustEncode(value any) []byte {
 	bytes, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // the types are those of messages
+		panic(err) // not possible for the types of messages
 	}
 	return bytes
 }
 
-// randomFaults is a sequence of changes and failures that a seed determines.
+// randomFaults applies a random sequence of changes and failures, determined by a seed, to a
+// cluster.
 type randomFaults struct {
 	*cluster
 	random      *rand.Rand
@@ -57,14 +59,14 @@
 	}
 	u.acceptChanges(5)
 	for i := range 12 {
-		scopes, its := AllScopes(), limits
+		scopes, memberLimits := AllScopes(), limits
 		if i%3 == 1 {
-			scopes, its = SomeScopes("a"), leafLimits
+			scopes, memberLimits = SomeScopes("a"), leafLimits
 		}
 		if i%3 == 2 {
 			scopes = SomeScopes("a", "b")
 		}
-		u.subscribers = append(u.subscribers, u.add(subscriber(fmt.Sprint("s", i), scopes, its, "v0", "v1")))
+		u.subscribers = append(u.subscribers, u.add(subscriber(fmt.Sprint("s", i), scopes, memberLimits, "v0", "v1")))
 	}
 	return u
 }
@@ -73,7 +75,7 @@
 	return members[u.random.IntN(len(members))]
 }
 
-// step lets one thing happen, and up to two seconds pass.
+// step applies one random event, and then up to two seconds pass.
 func (u *randomFaults) step() {
 	m := u.randomMember(u.subscribers)
 	switch u.random.IntN(20) {
@@ -96,8 +98,8 @@
 		m.config.Scopes = AllScopes()
 		m.node.Resubscribe(m.config.Scopes, u.now)
 	case 6:
-		at := u.randomMember(u.members).node
-		at.compact(at.Version().Revision)
+		node := u.randomMember(u.members).node
+		node.compact(node.Version().Revision)
 	case 7:
 		v := u.randomMember(u.voters)
 		v.leads = !v.leads
@@ -107,11 +109,11 @@
 		}
 	case 9:
 		m.kill()
-		m.config.Floor = Version{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1} // founded beside the record
+		m.config.Floor = Version{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1} // conflicts with the record's epoch
 		m.start(State{})
 	case 10:
 		v := u.randomMember(u.voters)
-		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // of an older record
+		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // older than the record
 		v.leads = false
 		v.kill()
 		v.start(State{})
@@ -129,7 +131,7 @@
 	u.pass(int64(1+u.random.IntN(20))*tick, tick)
 }
 
-// acceptRandomChanges puts up to a dozen acceptRandomChanges on the record.
+// acceptRandomChanges adds 1 to 12 random changes to the record.
 func (u *randomFaults) acceptRandomChanges() {
 	for range 1 + u.random.IntN(12) {
 		name := fmt.Sprint(u.random.IntN(20))
@@ -142,7 +144,8 @@
 	}
 }
 
-// damageQueues loses some of the messages that are on their way, and gives some others a wrong digest.
+// damageQueues loses the first message of some queues, and sets a wrong digest in that of some
+// others.
 func (u *randomFaults) damageQueues() {
 	for _, conn := range slices.Clone(u.conns) {
 		for side := range conn.queues {
@@ -159,7 +162,8 @@
 	}
 }
 
-// withWrongDigest is a copy of a message with another digest, if it has one.
+// withWrongDigest returns a copy of a message with another digest; messages without a digest are
+// returned unchanged.
 func withWrongDigest(m Message) Message {
 	switch m := m.(type) {
 	case *Delta:
@@ -178,9 +182,11 @@
 	return m
 }
 
-// What nodes ask of their hosts through changes and failures stays the same, call for call. It covers each node's
-// choices, messages, refusals, events and what its controller is told.
-func TestNodesAskTheSameOfTheirHostsAsBefore(t *testing.T) {
+// All calls of nodes to their hosts, under random changes and failures, must stay the same as when
+// the golden file was written. They include each node's random choices, messages, refusals and
+// events, and the changes passed to its controller. The test fails if a change that should only
+// restructure the code alters behaviour.
+func TestHostCallsMatchGoldenTranscript(t *testing.T) {
 	const seeds, parts, steps = 4, 6, 25
 	var lines strings.Builder
 	for seed := range uint64(seeds) {
