--- a/distribution/event.go
+++ b/distribution/event.go
@@ -9,7 +9,7 @@
 }
 
 // CloseReason is the reason for which a node closes a link. Zero means that the connection ended by
-// itself. It is not sent on the wire.
+// itself. The reason is not sent on the wire.
 type CloseReason uint8
 
 // Reasons to close a link.
@@ -45,7 +45,7 @@
 	EventChildRefused                           // this node refused Peer a place, for Refusal
 	EventChildLost                              // the link to the child Peer ended or was closed, for CloseReason
 	EventGap                                    // a message of Peer does not follow the version of this node
-	EventWrongDigest                            // a message of Peer results in another digest; it is not applied
+	EventWrongDigest                            // the content after a message of Peer would not match its digest
 	EventOlderRefused                           // a message, change or state that is not newer was refused
 	EventEpochConflict                          // Peer has another epoch with the same number; refused
 	EventSnapshotSent                           // the last piece of a snapshot was sent to Peer
@@ -53,8 +53,8 @@
 	EventCompacted                              // changes up to Version were dropped from the log
 	EventMalformed                              // a message of Peer breaks a rule
 	EventTooLarge                               // a message of Peer would exceed Limits.StateBytes; refused
-	EventSourceStale                            // the source was not known to be current for MaxStaleness
-	EventSourceCurrent                          // the source is known to be current again
+	EventSourceStale                            // Status.Age exceeds Limits.MaxStaleness
+	EventSourceCurrent                          // Status.Age is within Limits.MaxStaleness again
 )
 
 var eventNames = [...]string{"none", "admitted", "refused by parent", "parent lost", "child admitted", "child refused",
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -22,8 +22,8 @@
 	// Handshake bounds the time from a dial to the admission, from a request to its answer, and
 	// from an accepted connection to its first Subscribe.
 	Handshake Microseconds
-	// MaxStaleness is the time after which a node looks for another parent if its source was not
-	// known to be current, or if its parent was behind, for so long.
+	// MaxStaleness is the time after which a node looks for another parent, if for that long its
+	// configuration was not known to be current, or its parent held an older version.
 	MaxStaleness Microseconds
 
 	// FanOut is the number of children of one parent.
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -43,8 +43,8 @@
 	Version Version `cbor:"2,keyasint,omitempty"`
 	// Path holds the names of the nodes from the voter down to the parent, which is the last.
 	Path []string `cbor:"3,keyasint,omitempty"`
-	// Age is the time in µs since the parent last knew its source to be current; NeverCurrent if it
-	// never did.
+	// Age is the time in µs since the configuration of the parent was last known to equal its
+	// source, the record of the voters; NeverCurrent if it never was.
 	Age Microseconds `cbor:"4,keyasint,omitempty"`
 	// Candidates are the names of other possible parents.
 	Candidates []string `cbor:"5,keyasint,omitempty"`
--- a/distribution/record_test.go
+++ b/distribution/record_test.go
@@ -19,6 +19,7 @@
 
 var epoch = Epoch{Number: 7, Identity: 1}
 
+// mustApply applies a proposal with the time 5, and fails the test if it is refused.
 func mustApply(t *testing.T, v *Record, entries ...Entry) Change {
 	t.Helper()
 	change, err := v.Apply(Proposal{Epoch: epoch, AcceptedAt: 5, Entries: entries})
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -35,8 +35,8 @@
 	Version Version
 	// Digest is the digest of the entries.
 	Digest Digest
-	// Age is the time in µs since the source was last known to be current, that is how old the
-	// configuration may be; NeverCurrent if it never was.
+	// Age is how old the configuration may be: the time in µs since it was last known to equal its
+	// source, the record of the voters; NeverCurrent if it never was.
 	Age Microseconds
 	// Parent is the name of the parent; empty for a voter, and for a subscriber without a parent.
 	Parent string
