--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// ask sends a request of a caller to a member and gives the answer.
-func (c *cluster) ask(m *member, request *Subscribe) Message {
+// subscribe sends a request of a caller to a member and gives the answer.
+func (c *cluster) subscribe(m *member, request *Subscribe) Message {
 	asker := &member{cluster: c, config: Config{Name: request.Name}, frozen: true}
 	link := m.node.Incoming(c.now)
 	conn := &conn{dialer: asker, acceptor: m, links: [2]Link{1, link}}
@@ -40,7 +40,7 @@
 		{"another record", first, Subscribe{Name: "x", Version: Version{Epoch{7, 71}, 4}}, RefusedConflict},
 	} {
 		t.Run(story.name, func(t *testing.T) {
-			refused, is := c.ask(story.at, &story.request).(*Refused)
+			refused, is := c.subscribe(story.at, &story.request).(*Refused)
 			if !is || refused.Reason != story.reason {
 				t.Fatalf("answer %+v", refused)
 			}
@@ -55,12 +55,12 @@
 	limits := DefaultLimits()
 	c, _, leaf := duo(t, limits)
 	for _, wider := range []Scopes{AllScopes(), SomeScopes("b"), SomeScopes("a", "b")} {
-		refused, is := c.ask(leaf, &Subscribe{Name: "x", Scopes: wider}).(*Refused)
+		refused, is := c.subscribe(leaf, &Subscribe{Name: "x", Scopes: wider}).(*Refused)
 		if !is || refused.Reason != RefusedNotCovered {
 			t.Errorf("%v: %+v", wider, refused)
 		}
 	}
-	if _, is := c.ask(leaf, &Subscribe{Name: "x", Scopes: SomeScopes("a")}).(*Admitted); !is {
+	if _, is := c.subscribe(leaf, &Subscribe{Name: "x", Scopes: SomeScopes("a")}).(*Admitted); !is {
 		t.Error("the same scopes are not admitted")
 	}
 }
@@ -69,7 +69,7 @@
 	limits := DefaultLimits()
 	limits.FanOut = 2
 	c, v, _, _, _ := tree(t, limits)
-	refused, is := c.ask(v, &Subscribe{Name: "x", Scopes: SomeScopes("a"), FanOut: 1}).(*Refused)
+	refused, is := c.subscribe(v, &Subscribe{Name: "x", Scopes: SomeScopes("a"), FanOut: 1}).(*Refused)
 	if !is || refused.Reason != RefusedFull {
 		t.Fatalf("answer %+v", refused)
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("candidates %v", refused.Candidates)
 	}
 	late := c.add(subscriber("late", SomeScopes("a"), limits, "v"))
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, late)
 	if parent := late.node.Status(c.now).Parent; parent != "first" && parent != "second" {
 		t.Errorf("the parent is %q", parent)
@@ -93,22 +93,22 @@
 	c := newCluster()
 	v := c.add(voter("v", limits))
 	c.fill(3)
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	var leaves []*member
 	for i := range 2 {
 		leaves = append(leaves, c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), leafLimits, "v")))
 	}
-	c.pass(second, tick)
+	c.advance(second, tick)
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
-	c.pass(2*DefaultMaxRetryAfter, tick)
+	c.advance(2*DefaultMaxRetryAfter, tick)
 	c.fill(1)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, append(leaves, relay)...)
 	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") || len(children) != limits.FanOut {
 		t.Errorf("the voter's children are %v", children)
 	}
 	other := c.add(subscriber("other", SomeScopes("a"), leafLimits, "v"))
-	c.pass(3*second, tick)
+	c.advance(3*second, tick)
 	c.expectCaughtUp(t, other)
 	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") {
 		t.Errorf("a leaf has displaced the relay: %v", children)
@@ -123,10 +123,10 @@
 	for i := range 100 {
 		c.accept(set("a", fmt.Sprint(i), string(make([]byte, 500))))
 	}
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	var waits []int64
 	for i := range 5 {
-		answer := c.ask(v, &Subscribe{Name: fmt.Sprint("x", i), Scopes: SomeScopes("a")})
+		answer := c.subscribe(v, &Subscribe{Name: fmt.Sprint("x", i), Scopes: SomeScopes("a")})
 		refused, is := answer.(*Refused)
 		if is != (i >= limits.MaxSnapshots) {
 			t.Fatalf("answer %d: %+v", i, answer)
@@ -140,7 +140,7 @@
 	}
 	version := v.node.Version()
 	request := &Subscribe{Name: "y", Scopes: SomeScopes("a"), Version: version, Digest: v.node.store.digestFor(SomeScopes("a"))}
-	if _, is := c.ask(v, request).(*Admitted); !is {
+	if _, is := c.subscribe(v, request).(*Admitted); !is {
 		t.Error("one that needs no snapshot is refused")
 	}
 }
@@ -152,18 +152,18 @@
 	v := c.add(voter("v", limits))
 	upper := c.add(subscriber("upper", AllScopes(), limits, "v", "middle", "lower"))
 	c.fill(3)
-	c.pass(4*second, tick)
+	c.advance(4*second, tick)
 	middle := c.add(subscriber("middle", AllScopes(), limits, "upper", "lower"))
-	c.pass(second, tick)
+	c.advance(second, tick)
 	lower := c.add(subscriber("lower", AllScopes(), limits, "middle", "upper"))
-	c.pass(4*second, tick)
+	c.advance(4*second, tick)
 	c.expectCaughtUp(t, upper, middle, lower)
 	c.cut(v, upper)
 	c.cut(v, middle)
 	c.cut(v, lower)
 	for range 60 {
-		c.pass(second, tick)
-		c.sound(t)
+		c.advance(second, tick)
+		c.requireConsistent(t)
 		if age := lower.node.Status(c.now).Age; age > 70*second {
 			t.Fatalf("age %d", age)
 		}
@@ -175,7 +175,7 @@
 	}
 	c.heal(v, upper)
 	c.fill(1)
-	c.pass(15*second, tick)
+	c.advance(15*second, tick)
 	c.expectCaughtUp(t, upper, middle, lower)
 }
 
@@ -185,7 +185,7 @@
 		conn.dialer = &member{cluster: c, config: Config{Name: "lost"}, frozen: true}
 	}
 	leaf.start(State{})
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := v.node.Status(c.now).Children; fmt.Sprint(children) != "[leaf]" {
 		t.Errorf("children %v", children)
@@ -203,7 +203,7 @@
 	if accepted != DefaultFanOut+maxExtraCallers {
 		t.Errorf("%d callers", accepted)
 	}
-	c.pass(DefaultHandshake+tick, tick)
+	c.advance(DefaultHandshake+tick, tick)
 	if len(v.node.callers) > 0 {
 		t.Errorf("%d callers are still there", len(v.node.callers))
 	}
@@ -220,27 +220,27 @@
 	if leaf.node.candidateByName("v") == nil || leaf.node.candidateByName("peer999") == nil {
 		t.Error("the configured one or the latest is gone")
 	}
-	c.sound(t)
+	c.requireConsistent(t)
 }
 
-func TestSubscriberRefusesStateOverItsBound(t *testing.T) {
+func TestSubscriberRefusesStateOverStateBytes(t *testing.T) {
 	small := DefaultLimits()
 	small.StateBytes = 4000
 	c := newCluster()
 	c.add(voter("v", DefaultLimits()))
 	c.fill(3)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), small, "v"))
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	before := leaf.node.Version()
 	c.accept(set("a", "large", string(make([]byte, 5000))))
-	c.pass(10*second, tick)
-	c.sound(t)
-	if leaf.node.Version() != before || leaf.count(EventTooLarge) == 0 {
+	c.advance(10*second, tick)
+	c.requireConsistent(t)
+	if leaf.node.Version() != before || leaf.eventCount(EventTooLarge) == 0 {
 		t.Errorf("it is at %v", leaf.node.Version())
 	}
-	c.accept(gone("a", "large"))
-	c.pass(10*second, tick)
+	c.accept(deletion("a", "large"))
+	c.advance(10*second, tick)
 	c.expectCaughtUp(t, leaf)
 }
 
@@ -248,7 +248,7 @@
 	c, v, _ := duo(t, DefaultLimits())
 	version := v.node.Version()
 	request := &Subscribe{Name: "x", Scopes: AllScopes(), Version: version, Digest: v.node.store.digest}
-	if _, is := c.ask(v, request).(*Admitted); !is {
+	if _, is := c.subscribe(v, request).(*Admitted); !is {
 		t.Fatal("it is not admitted")
 	}
 	link := v.node.children[1].link
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -82,7 +82,7 @@
 	bestPriority := 0
 	for i := range n.candidates {
 		candidate := &n.candidates[i]
-		if now < candidate.avoidUntil || n.isRelated(candidate.name) {
+		if now < candidate.avoidUntil || n.isNeighbor(candidate.name) {
 			continue
 		}
 		priority := candidate.priority()
@@ -102,8 +102,8 @@
 	return chosen.name
 }
 
-// isRelated tells whether a peer is the parent, being tried, or a child of this node.
-func (n *Node) isRelated(peer string) bool {
+// isNeighbor tells whether a peer is the parent, being tried, or a child of this node.
+func (n *Node) isNeighbor(peer string) bool {
 	if n.parent != nil && n.parent.peer == peer {
 		return true
 	}
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -32,14 +32,14 @@
 
 // modelEvent is one event: what happens, and to which member.
 type modelEvent struct {
-	kind byte
-	who  int
+	kind   byte
+	member int
 }
 
-func (h modelEvent) String() string { return fmt.Sprintf("%c%d", h.kind, h.who) }
+func (h modelEvent) String() string { return fmt.Sprintf("%c%d", h.kind, h.member) }
 
-// parsed reads happenings from words like a0 d1.
-func parsed(words string) (happenings []modelEvent) {
+// parseEvents reads happenings from words like a0 d1.
+func parseEvents(words string) (happenings []modelEvent) {
 	for _, word := range strings.Fields(words) {
 		happenings = append(happenings, modelEvent{word[0], int(word[1] - '0')})
 	}
@@ -52,11 +52,11 @@
 	value := strconv.Itoa(revision)
 	switch revision % 4 {
 	case 0:
-		return []Entry{gone("a", "x"), set("b", "z", value)}
+		return []Entry{deletion("a", "x"), set("b", "z", value)}
 	case 1:
 		return []Entry{set("a", "x", value), set("a", "y", value)}
 	case 2:
-		return []Entry{set("a", "x", value), gone("a", "y")}
+		return []Entry{set("a", "x", value), deletion("a", "y")}
 	}
 	return []Entry{set("b", "y", value), set("b", "z", value)}
 }
@@ -85,9 +85,9 @@
 	passTime           = 't' // modelStep passes, and every node is told
 )
 
-// event plays one event; false where it can do nothing.
-func (c *cluster) event(h modelEvent) bool {
-	m := c.members[h.who]
+// play plays one play; false where it can do nothing.
+func (c *cluster) play(h modelEvent) bool {
+	m := c.members[h.member]
 	switch h.kind {
 	case acceptChange:
 		c.accept(modelEntries(len(c.record) + 1)...)
@@ -119,10 +119,10 @@
 		clear(c.cuts)
 	case restartWithVersion:
 		m.kill()
-		m.config.Floor = m.highest
+		m.config.Floor = m.highestVersion
 		m.start(State{})
 	case restartWithNothing:
-		m.highest = Version{}
+		m.highestVersion = Version{}
 		m.kill()
 		m.start(State{})
 	case restartWithState:
@@ -153,7 +153,7 @@
 // modelTick lets each node note the time, without the voters following the record by it.
 func (c *cluster) modelTick() {
 	for _, m := range c.members {
-		if m.config.Voter && m.taken == len(c.record) && m.node.Version().Epoch == c.epoch {
+		if m.config.Voter && m.recordPosition == len(c.record) && m.node.Version().Epoch == c.epoch {
 			m.node.Current(c.now)
 		}
 		m.node.Tick(c.now)
@@ -166,12 +166,12 @@
 		return false
 	}
 	if m.node.Version().Epoch != c.epoch {
-		m.taken = 0
+		m.recordPosition = 0
 		return m.node.Restored(State{Version: Version{Epoch: c.epoch}}, c.now)
 	}
-	before := m.taken
+	before := m.recordPosition
 	c.follow(m, 1)
-	return m.taken > before
+	return m.recordPosition > before
 }
 
 // dialled gives the connections that a member has dialled.
@@ -217,8 +217,8 @@
 	return moved
 }
 
-// deeper is how many events more than usual are played.
-func deeper() int {
+// extraDepth is how many events more than usual are played.
+func extraDepth() int {
 	given, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // 2 takes minutes
 	return given
 }
@@ -236,7 +236,7 @@
 	} {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
-			depth := w.depth + deeper()
+			depth := w.depth + extraDepth()
 			breach, states := w.explore(depth, func(*Node) {})
 			if breach != "" {
 				t.Errorf("after %s", breach)
--- a/distribution/clone_test.go
+++ b/distribution/clone_test.go
@@ -36,7 +36,7 @@
 func (m *member) clone(c *cluster) *member {
 	copied := *m
 	copied.cluster = c
-	copied.mirror = maps.Clone(m.mirror)
+	copied.controllerEntries = maps.Clone(m.controllerEntries)
 	copied.events = nil
 	copied.node = m.node.clone(&copied)
 	return &copied
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -25,7 +25,7 @@
 	v = c.add(voter("v", limits))
 	c.fill(5)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, v, leaf)
 	return c, v, leaf
 }
@@ -37,7 +37,7 @@
 	c.follow(v, 1)
 	conn := c.only(t, leaf)
 	c.deliver(conn, 0, true)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 || counts.SnapshotsInstalled != snapshots {
 		t.Errorf("counts %+v", counts)
@@ -49,7 +49,7 @@
 	c.fill(1)
 	c.follow(v, 1)
 	c.deliver(c.only(t, leaf), 0, true)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 {
 		t.Errorf("counts %+v", counts)
@@ -69,11 +69,11 @@
 	conn.queues[0][0] = &damaged
 	c.deliver(conn, 0, false)
 	leaf.verify()
-	c.sound(t)
+	c.requireConsistent(t)
 	if leaf.node.Version() != before {
 		t.Error("something of a wrong delta was applied")
 	}
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	counts := leaf.node.Status(c.now).Counts
 	if counts.WrongDigests != 1 || counts.SnapshotsInstalled != snapshots+1 {
@@ -90,7 +90,7 @@
 	c.now += second
 	c.tick()
 	c.settle()
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
 		t.Errorf("counts %+v", counts)
@@ -103,7 +103,7 @@
 	leaf.kill()
 	c.fill(3)
 	leaf.start(kept)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 0 {
 		t.Errorf("counts %+v", counts)
@@ -117,7 +117,7 @@
 	c.encode = true
 	v := c.add(voter("v", limits))
 	c.fill(20)
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
 	pieces := 0
 	for range 100 {
@@ -131,7 +131,7 @@
 				piece, is := conn.queues[0][0].(*SnapshotPiece)
 				c.deliver(conn, 0, false)
 				leaf.verify()
-				c.sound(t)
+				c.requireConsistent(t)
 				if is {
 					pieces++
 				}
@@ -154,14 +154,14 @@
 	for i := range 200 {
 		c.accept(set("a", fmt.Sprint(i), string(make([]byte, 200))))
 	}
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	for i := range 3 {
 		c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), limits, "v"))
 	}
 	for i := range 20 {
-		before := v.sent
-		c.pass(second, tick)
-		if bytes := v.sent - before; i > 0 && bytes > limits.SnapshotBytesPerSecond+limits.PieceBytes+2048 {
+		before := v.sentBytes
+		c.advance(second, tick)
+		if bytes := v.sentBytes - before; i > 0 && bytes > limits.SnapshotBytesPerSecond+limits.PieceBytes+2048 {
 			t.Fatalf("%d bytes in a second", bytes)
 		}
 	}
@@ -180,9 +180,9 @@
 	for i := range 400 {
 		c.accept(set("a", fmt.Sprint(i), string(make([]byte, 5000))))
 	}
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
-	c.pass(second/2, tick)
+	c.advance(second/2, tick)
 	c.expectCaughtUp(t, v, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
 		t.Errorf("counts %+v", counts)
@@ -222,12 +222,12 @@
 			before := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 			c.cut(v, leaf)
 			for i := range story.changes {
-				c.accept(set("a", fmt.Sprint("new", i), "1"), gone("a", fmt.Sprint("entry", i)))
+				c.accept(set("a", fmt.Sprint("new", i), "1"), deletion("a", fmt.Sprint("entry", i)))
 			}
-			c.pass(second, tick)
+			c.advance(second, tick)
 			story.compact(v, v.node.Version().Revision-1)
 			c.heal(v, leaf)
-			c.pass(6*second, tick)
+			c.advance(6*second, tick)
 			c.expectCaughtUp(t, leaf)
 			if taken := leaf.node.Status(c.now).Counts.SnapshotsInstalled - before; taken != story.snapshots {
 				t.Errorf("%d snapshots", taken)
@@ -247,18 +247,18 @@
 		leaves = append(leaves, c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), limits, "v")))
 	}
 	c.fill(5)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.cut(v, relay)
 	for i, leaf := range leaves {
 		c.cut(v, leaf)
 		leaf.node.learnCandidates([]string{"relay"}, false)
 		c.cut(relay, leaf)
-		c.accept(set("a", "x", fmt.Sprint(i)), gone("a", fmt.Sprint("entry", i)))
-		c.pass(tick, tick)
+		c.accept(set("a", "x", fmt.Sprint(i)), deletion("a", fmt.Sprint("entry", i)))
+		c.advance(tick, tick)
 	}
 	v.node.store.log.dropTo(v.node.Version().Revision)
 	c.heal(v, relay)
-	c.pass(4*second, tick)
+	c.advance(4*second, tick)
 	c.expectCaughtUp(t, relay)
 	if taken := relay.node.Status(c.now).Counts.SnapshotsInstalled; taken != 1 {
 		t.Errorf("the relay took %d snapshots", taken)
@@ -266,7 +266,7 @@
 	for _, leaf := range leaves {
 		c.heal(relay, leaf)
 	}
-	c.pass(4*second, tick)
+	c.advance(4*second, tick)
 	c.expectCaughtUp(t, leaves...)
 	for _, leaf := range leaves {
 		if taken := leaf.node.Status(c.now).Counts.SnapshotsInstalled; taken != 1 {
@@ -281,10 +281,10 @@
 	c, v, leaf := duo(t, limits)
 	c.cut(v, leaf)
 	c.fill(200)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	before := leaf.node.Status(c.now).Counts
 	c.heal(v, leaf)
-	c.pass(3*second, tick)
+	c.advance(3*second, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsInstalled != before.SnapshotsInstalled || after.GapsSeen != 0 || after.WrongDigests != 0 {
@@ -302,14 +302,14 @@
 		t.Error("it lost what it had")
 	}
 	c.fill(1)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if _, found := leaf.node.lookUp(Key{"b", "entry0"}); !found {
 		t.Error("it has nothing of the new scope")
 	}
 	leaf.node.Resubscribe(SomeScopes("b"), c.now)
 	c.fill(1)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if _, found := leaf.node.lookUp(Key{"a", "entry0"}); found {
 		t.Error("it keeps what it no longer asks for")
--- a/distribution/controllers_test.go
+++ b/distribution/controllers_test.go
@@ -4,12 +4,12 @@
 	"testing"
 )
 
-// stateAt is what a node with all scopes has at a revision.
-func (c *cluster) stateAt(epoch Epoch, revision uint64) map[Key]Entry {
-	if c.truth[epoch] == nil {
-		c.truth[epoch] = map[uint64]map[Key]Entry{0: {}}
+// expectedAt is what a node with all scopes has at a revision.
+func (c *cluster) expectedAt(epoch Epoch, revision uint64) map[Key]Entry {
+	if c.expected[epoch] == nil {
+		c.expected[epoch] = map[uint64]map[Key]Entry{0: {}}
 	}
-	return c.truth[epoch][revision]
+	return c.expected[epoch][revision]
 }
 
 // Apply implements Host: the controller takes the change over, and what it has then must be what stood on the record.
@@ -18,44 +18,44 @@
 		m.cluster.transcript.note(m, "apply %x %t", encoded(change), whole)
 	}
 	version := Version{change.Epoch, change.Revision}
-	if version.Before(m.applied) {
-		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.applied, version)
+	if version.Before(m.appliedVersion) {
+		m.cluster.reportViolation("%s goes back from %v to %v", m.config.Name, m.appliedVersion, version)
 	}
-	m.applied = version
-	m.applies++
+	m.appliedVersion = version
+	m.applyCount++
 	if whole {
-		m.mirror = map[Key]Entry{}
+		m.controllerEntries = map[Key]Entry{}
 	}
 	for _, e := range change.Entries {
-		m.mirror[e.Key()] = e
+		m.controllerEntries[e.Key()] = e
 		if e.Deleted {
-			delete(m.mirror, e.Key())
+			delete(m.controllerEntries, e.Key())
 		}
 	}
 }
 
-// note checks that a subscriber does not go back, also over restarts. A voter that was restarted may: the record's log is
+// checkVersionOrder checks that a subscriber does not go back, also over restarts. A voter that was restarted may: the record's log is
 // played to it again.
-func (m *member) note() {
+func (m *member) checkVersionOrder() {
 	version := m.node.Version()
 	if m.config.Voter || !version.Epoch.Known() {
 		return
 	}
-	if version.Before(m.highest) {
-		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.highest, version)
+	if version.Before(m.highestVersion) {
+		m.cluster.reportViolation("%s goes back from %v to %v", m.config.Name, m.highestVersion, version)
 	}
-	m.highest = version
+	m.highestVersion = version
 }
 
 // verify checks what a node has, and what its controller was told, against the record.
 func (m *member) verify() {
-	m.note()
+	m.checkVersionOrder()
 	c, version := m.cluster, m.node.Version()
 	if !version.Epoch.Known() {
 		return
 	}
 	var digest Digest
-	truth, want := c.stateAt(version.Epoch, version.Revision), 0
+	truth, want := c.expectedAt(version.Epoch, version.Revision), 0
 	store := m.node.store
 	for key, e := range truth {
 		if !store.covered.Has(key.Scope) {
@@ -64,10 +64,10 @@
 		want++
 		digest = digest.add(entryDigest(e))
 		if has, found := m.node.lookUp(key); !found || !sameEntry(has, e) {
-			c.fails("%s has %v at %v and should have %v", m.config.Name, has, version, e)
+			c.reportViolation("%s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
-		if has, found := m.mirror[key]; !found || !sameEntry(has, e) {
-			c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, has, version, e)
+		if has, found := m.controllerEntries[key]; !found || !sameEntry(has, e) {
+			c.reportViolation("the controller of %s has %v at %v and should have %v", m.config.Name, has, version, e)
 		}
 	}
 	live := 0
@@ -77,12 +77,12 @@
 		}
 		return true
 	})
-	if live != want || store.liveEntries != want || len(m.mirror) != want {
-		c.fails("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, version,
-			store.liveEntries, len(m.mirror), want)
+	if live != want || store.liveEntries != want || len(m.controllerEntries) != want {
+		c.reportViolation("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, version,
+			store.liveEntries, len(m.controllerEntries), want)
 	}
 	if digest != store.digest || digest != store.digestFor(store.covered) {
-		c.fails("%s has another digest than its entries at %v", m.config.Name, version)
+		c.reportViolation("%s has another digest than its entries at %v", m.config.Name, version)
 	}
 }
 
@@ -90,16 +90,16 @@
 	return string(a.Value) == string(b.Value) && a.Revision == b.Revision && a.AcceptedAt == b.AcceptedAt
 }
 
-// sound ends a test at the first breach.
-func (c *cluster) sound(t *testing.T) {
+// requireConsistent ends a test at the first breach.
+func (c *cluster) requireConsistent(t *testing.T) {
 	t.Helper()
-	if c.broken != "" {
-		t.Fatal(c.broken)
+	if c.violation != "" {
+		t.Fatal(c.violation)
 	}
 }
 
-// count is how many events of a kind a member has logged.
-func (m *member) count(kind EventKind) int {
+// eventCount is how many events of a kind a member has logged.
+func (m *member) eventCount(kind EventKind) int {
 	number := 0
 	for _, e := range m.events {
 		if e.Kind == kind {
--- a/distribution/epoch_test.go
+++ b/distribution/epoch_test.go
@@ -6,9 +6,9 @@
 	t.Run("a newer one is taken by a snapshot", func(t *testing.T) {
 		c, _, first, _, leaf := tree(t, DefaultLimits())
 		old := leaf.node.Version()
-		c.found(Epoch{Number: 8, Identity: 80})
+		c.startNewRecord(Epoch{Number: 8, Identity: 80})
 		c.fill(2)
-		c.pass(3*second, tick)
+		c.advance(3*second, tick)
 		c.expectCaughtUp(t, first, leaf)
 		if !old.Before(leaf.node.Version()) {
 			t.Error("the newer epoch is not after the older")
@@ -16,16 +16,16 @@
 	})
 	t.Run("an older one is refused", func(t *testing.T) {
 		c, v, leaf := duo(t, DefaultLimits())
-		c.found(Epoch{Number: 8, Identity: 80})
+		c.startNewRecord(Epoch{Number: 8, Identity: 80})
 		c.fill(2)
-		c.pass(2*second, tick)
+		c.advance(2*second, tick)
 		before := leaf.node.Version()
 		v.kill()
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
 		c.fill(9)
-		c.pass(20*second, tick)
-		c.sound(t)
+		c.advance(20*second, tick)
+		c.requireConsistent(t)
 		if leaf.node.Version() != before {
 			t.Errorf("it went to %v", leaf.node.Version())
 		}
@@ -37,8 +37,8 @@
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
 		c.fill(9)
-		c.pass(20*second, tick)
-		c.sound(t)
+		c.advance(20*second, tick)
+		c.requireConsistent(t)
 		if leaf.node.Version() != before {
 			t.Errorf("it went to %v", leaf.node.Version())
 		}
@@ -80,7 +80,7 @@
 		t.Error("an older state was taken")
 	}
 	v.verify()
-	c.sound(t)
+	c.requireConsistent(t)
 }
 
 func TestRestartWithAFloorTakesNothingOlder(t *testing.T) {
@@ -88,17 +88,17 @@
 	limits := DefaultLimits()
 	behind := c.add(voter("behind", limits))
 	c.fill(5)
-	c.pass(tick, tick)
-	behind.leads = false
+	c.advance(tick, tick)
+	behind.hasLeader = false
 	config := subscriber("leaf", SomeScopes("a"), limits, "behind")
 	config.Floor = Version{c.epoch, 8}
 	leaf := c.add(config)
 	c.fill(4)
-	c.pass(10*second, tick)
+	c.advance(10*second, tick)
 	if leaf.node.Version() != (Version{}) {
 		t.Fatalf("it took %v", leaf.node.Version())
 	}
-	behind.leads = true
-	c.pass(3*second, tick)
+	behind.hasLeader = true
+	c.advance(3*second, tick)
 	c.expectCaughtUp(t, leaf)
 }
--- a/distribution/explore_test.go
+++ b/distribution/explore_test.go
@@ -10,7 +10,7 @@
 	name   string
 	voters int
 	relays int
-	first  string // before every order
+	setup  string // before every order
 	kinds  string // the events, by kind and member as in "a0 d2"
 	depth  int
 }
@@ -45,10 +45,10 @@
 	return c
 }
 
-// after plays an event on a copy of a state, checks every node after it, and tells whether it could happen.
-func (c *cluster) after(h modelEvent, plant func(*Node)) (next *cluster, could bool) {
+// playOnCopy plays an event on a copy of a state, checks every node playOnCopy it, and tells whether it could happen.
+func (c *cluster) playOnCopy(h modelEvent, plant func(*Node)) (next *cluster, could bool) {
 	next = c.clone()
-	could = next.event(h)
+	could = next.play(h)
 	plant(next.members[len(next.members)-1].node)
 	next.verify()
 	return next, could
@@ -75,19 +75,19 @@
 		c.modelTick()
 		c.settle()
 		for _, m := range c.members {
-			m.note()
+			m.checkVersionOrder()
 		}
 	}
 	c.verify()
 	for _, m := range c.members {
 		if want := (Version{c.epoch, uint64(len(c.record))}); m.node.Version() != want {
-			c.fails("%s stays at %v, the record is at %v", m.config.Name, m.node.Version(), want)
+			c.reportViolation("%s stays at %v, the record is at %v", m.config.Name, m.node.Version(), want)
 		}
 	}
 }
 
-// reached is a state of the model and the events that led to it.
-type reached struct {
+// reachedState is a state of the model and the events that led to it.
+type reachedState struct {
 	cluster *cluster
 	path    []modelEvent
 }
@@ -95,24 +95,24 @@
 // explore plays every order of the world's events to a depth. It gives the shortest breach, or "" if there is none,
 // and how many states there are.
 func (w startingState) explore(depth int, plant func(*Node)) (breach string, states int) {
-	start := reached{cluster: w.begin(plant)}
-	for _, h := range parsed(w.first) {
+	start := reachedState{cluster: w.begin(plant)}
+	for _, h := range parseEvents(w.setup) {
 		start.path = append(start.path, h)
-		start.cluster, _ = start.cluster.after(h, plant)
-		if start.cluster.broken != "" {
-			return fmt.Sprint(start.path, ": ", start.cluster.broken), 0
+		start.cluster, _ = start.cluster.playOnCopy(h, plant)
+		if start.cluster.violation != "" {
+			return fmt.Sprint(start.path, ": ", start.cluster.violation), 0
 		}
 	}
-	kinds := parsed(w.kinds)
-	seen, level := map[uint64]bool{}, []reached{start}
+	kinds := parseEvents(w.kinds)
+	seen, level := map[uint64]bool{}, []reachedState{start}
 	for range depth {
-		var next []reached
+		var next []reachedState
 		for _, from := range level {
 			for _, h := range kinds {
-				c, could := from.cluster.after(h, plant)
+				c, could := from.cluster.playOnCopy(h, plant)
 				path := append(slices.Clone(from.path), h)
-				if c.broken != "" {
-					return fmt.Sprint(path, ": ", c.broken), len(seen)
+				if c.violation != "" {
+					return fmt.Sprint(path, ": ", c.violation), len(seen)
 				}
 				if !could {
 					continue
@@ -122,11 +122,11 @@
 					continue
 				}
 				seen[key] = true
-				next = append(next, reached{c, path})
+				next = append(next, reachedState{c, path})
 				end := c.clone()
 				end.converge()
-				if end.broken != "" {
-					return fmt.Sprint(path, " and no failure any more: ", end.broken), len(seen)
+				if end.violation != "" {
+					return fmt.Sprint(path, " and no failure any more: ", end.violation), len(seen)
 				}
 			}
 		}
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -25,7 +25,7 @@
 // expectCaughtUp fails unless the members have the whole record.
 func (c *cluster) expectCaughtUp(t *testing.T, members ...*member) {
 	t.Helper()
-	c.sound(t)
+	c.requireConsistent(t)
 	want := Version{c.epoch, uint64(len(c.record))}
 	for _, m := range members {
 		if has := m.node.Version(); has != want {
@@ -43,9 +43,9 @@
 	c.fill(5)
 	first = c.add(subscriber("first", AllScopes(), limits, "v"))
 	second = c.add(subscriber("second", AllScopes(), limits, "v"))
-	c.pass(2*oneSecond, tick)
+	c.advance(2*oneSecond, tick)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "first"))
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	leaf.node.learnCandidates([]string{"second"}, false)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "first" {
@@ -93,7 +93,7 @@
 			before := leaf.node.Status(c.now).Counts
 			failure.inflict(c, first, leaf)
 			c.fill(3)
-			c.pass(DefaultLease+oneSecond, tick)
+			c.advance(DefaultLease+oneSecond, tick)
 			c.expectCaughtUp(t, second, leaf)
 			status := leaf.node.Status(c.now)
 			if status.Parent != "second" && status.Parent != "v" {
@@ -112,13 +112,13 @@
 func TestFrozenParentIsLeftAndItsPlaceFreed(t *testing.T) {
 	c, v, first, _, _ := tree(t, DefaultLimits())
 	first.frozen = true
-	c.pass(DefaultLease+oneSecond, tick)
+	c.advance(DefaultLease+oneSecond, tick)
 	if children := v.node.Status(c.now).Children; slices.Contains(children, "first") {
 		t.Errorf("the voter's children are %v", children)
 	}
 	first.frozen = false
 	c.fill(2)
-	c.pass(3*oneSecond, tick)
+	c.advance(3*oneSecond, tick)
 	c.expectCaughtUp(t, first)
 }
 
@@ -127,15 +127,15 @@
 	limits := DefaultLimits()
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
 	c.fill(5)
-	c.pass(oneSecond, tick)
-	behind.leads = false // it hears no more of the record
+	c.advance(oneSecond, tick)
+	behind.hasLeader = false // it hears no more of the record
 	c.fill(4)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "ahead"))
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	c.cut(ahead, leaf)
 	leaf.node.learnCandidates([]string{"behind"}, false)
-	c.pass(3*oneSecond, tick)
+	c.advance(3*oneSecond, tick)
 	c.expectCaughtUp(t, leaf) // it keeps what it has
 	status := leaf.node.Status(c.now)
 	if status.Parent != "behind" || status.Age < 2*oneSecond {
@@ -143,7 +143,7 @@
 	}
 	c.heal(ahead, leaf)
 	c.fill(1)
-	c.pass(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
+	c.advance(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
 	c.expectCaughtUp(t, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "ahead" {
 		t.Errorf("it stays with %q, which lags", parent)
@@ -154,19 +154,19 @@
 	c, v, first, second, leaf := tree(t, DefaultLimits())
 	kept := v.node.State()
 	c.fill(4)
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	v.kill()
-	v.leads = false // the record's log comes later
+	v.hasLeader = false // the record's log comes later
 	v.start(kept)
-	c.pass(3*oneSecond, tick)
-	c.sound(t)
+	c.advance(3*oneSecond, tick)
+	c.requireConsistent(t)
 	if version := v.node.Version(); version != kept.Version {
 		t.Fatalf("the voter is at %v", version)
 	}
 	snapshots := first.node.Status(c.now).Counts.SnapshotsInstalled
 	c.fill(1)
-	v.leads = true
-	c.pass(2*oneSecond, tick)
+	v.hasLeader = true
+	c.advance(2*oneSecond, tick)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if first.node.Status(c.now).Counts.SnapshotsInstalled != snapshots {
 		t.Error("a snapshot was sent where deltas would do")
@@ -175,9 +175,9 @@
 
 func TestSubscribersTellTheirAgeWhileTheMajorityIsLost(t *testing.T) {
 	c, v, first, _, leaf := tree(t, DefaultLimits())
-	v.leads = false
+	v.hasLeader = false
 	dials := leaf.node.Status(c.now).Counts.Dials
-	c.pass(30*oneSecond, tick)
+	c.advance(30*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	status := leaf.node.Status(c.now)
 	if status.Age < 28*oneSecond || status.Age > 33*oneSecond {
@@ -189,18 +189,18 @@
 	if tried := status.Counts.Dials - dials; tried > 6 {
 		t.Errorf("%d dials, and no parent is better", tried)
 	}
-	if leaf.count(EventSourceStale) != 1 {
-		t.Errorf("stale was logged %d times", leaf.count(EventSourceStale))
+	if leaf.eventCount(EventSourceStale) != 1 {
+		t.Errorf("stale was logged %d times", leaf.eventCount(EventSourceStale))
 	}
-	v.leads = true
+	v.hasLeader = true
 	c.fill(1)
-	c.pass(3*oneSecond, tick)
+	c.advance(3*oneSecond, tick)
 	c.expectCaughtUp(t, first, leaf)
 	if age := leaf.node.Status(c.now).Age; age > 3*oneSecond {
 		t.Errorf("age %d µs after the majority is back", age)
 	}
-	if leaf.count(EventSourceCurrent) != 1 {
-		t.Errorf("current was logged %d times", leaf.count(EventSourceCurrent))
+	if leaf.eventCount(EventSourceCurrent) != 1 {
+		t.Errorf("current was logged %d times", leaf.eventCount(EventSourceCurrent))
 	}
 }
 
@@ -210,17 +210,17 @@
 	slow := c.add(voter("slow", limits))
 	c.add(voter("quick", limits))
 	c.fill(3)
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	slow.frozen = true
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "slow", "quick"))
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if status := leaf.node.Status(c.now); status.Parent != "quick" || status.Counts.Dials != 2 {
 		t.Errorf("status %+v", status)
 	}
 	slow.frozen = false // the late admission counts for nothing
 	c.fill(1)
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := slow.node.Status(c.now).Children; len(children) > 0 {
 		t.Errorf("a place at both: %v", children)
@@ -233,7 +233,7 @@
 	one, other := c.add(voter("one", limits)), c.add(voter("other", limits))
 	c.fill(3)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "one", "other"))
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	leaf.kill()
 	leaf.start(State{})
 	leaf.node.dialCandidate(c.now)
@@ -243,7 +243,7 @@
 		t.Fatalf("%d connections", len(c.conns))
 	}
 	c.settle()
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	places := len(one.node.Status(c.now).Children) + len(other.node.Status(c.now).Children)
 	if places != 1 {
@@ -269,12 +269,12 @@
 	if bound := limits.Window + limits.BatchBytes + 4096; most > bound {
 		t.Errorf("%d bytes under way to it, bound %d", most, bound)
 	}
-	c.pass(DefaultLease+oneSecond, tick)
+	c.advance(DefaultLease+oneSecond, tick)
 	if children := first.node.Status(c.now).Children; len(children) > 0 {
 		t.Errorf("it keeps its place: %v", children)
 	}
 	leaf.frozen = false
-	c.pass(5*oneSecond, tick)
+	c.advance(5*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsInstalled+after.DeltasApplied == before.SnapshotsInstalled+before.DeltasApplied {
@@ -330,12 +330,12 @@
 	v := c.add(voter("v", limits))
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
 	c.fill(10)
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	var region []*member
 	for i := range 60 {
 		region = append(region, c.add(subscriber(fmt.Sprint("r", i), SomeScopes("a"), limits, "relay", "v")))
 	}
-	c.pass(20*oneSecond, tick)
+	c.advance(20*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
 	snapshots := func() (sum uint64) {
 		for _, m := range region {
@@ -351,9 +351,9 @@
 	dials := region[0].node.Status(c.now).Counts.Dials
 	for range 60 {
 		c.fill(2)
-		c.pass(5*oneSecond, 500*millisecond)
+		c.advance(5*oneSecond, 500*millisecond)
 	}
-	c.sound(t)
+	c.requireConsistent(t)
 	if tried := region[0].node.Status(c.now).Counts.Dials - dials; tried > 600 {
 		t.Errorf("%d dials in five minutes", tried)
 	}
@@ -364,7 +364,7 @@
 		c.heal(v, m)
 		c.heal(relay, m)
 	}
-	c.pass(6*oneSecond, tick)
+	c.advance(6*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
 	if more := snapshots() - before; more > 0 {
 		t.Errorf("%d snapshots where deltas would do", more)
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -58,7 +58,7 @@
 	installed.tombstones.horizon = max(installed.tombstones.horizon, m.Horizon)
 	n.incomingSnapshot = nil
 	n.contentInDoubt = false
-	parent.recoveries = 0
+	parent.recoveryRequests = 0
 	n.counts.SnapshotsInstalled++
 	n.host.Log(Event{Kind: EventSnapshotInstalled, Peer: parent.peer, Version: installed.version})
 	n.replaceStore(installed, now)
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -46,13 +46,13 @@
 	k.numbers(int64(len(c.members)), int64(len(c.cuts)))
 	for _, a := range c.members {
 		for _, b := range c.members {
-			k.bits(c.cuts[pair(a, b)])
+			k.bits(c.cuts[namePair(a, b)])
 		}
 	}
 	for _, m := range c.members {
-		k.numbers(int64(m.taken))
+		k.numbers(int64(m.recordPosition))
 		k.version(m.config.Floor)
-		k.version(m.highest)
+		k.version(m.highestVersion)
 		k.texts(m.config.Scopes.Names...)
 		m.node.addKey(&k, c.now)
 	}
@@ -108,7 +108,7 @@
 		k.texts(u.peer)
 		k.texts(u.path...)
 		k.bits(u.connected, u.subscribing, u.behind)
-		k.numbers(since(u.dialedAt), since(u.lastReceivedAt), since(u.subscribeSentAt), since(u.behindSince), since(u.admittedAt), int64(u.recoveries),
+		k.numbers(since(u.dialedAt), since(u.lastReceivedAt), since(u.subscribeSentAt), since(u.behindSince), since(u.admittedAt), int64(u.recoveryRequests),
 			int64(u.receivedMessages), int64(u.unconfirmedBytes))
 	}
 	for _, c := range n.children {
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -11,42 +11,42 @@
 // cluster is a network of nodes for tests: connections deliver in order, and can be cut, hang or lose a message. It
 // holds what every node should have at each revision, and checks each node against it.
 type cluster struct {
-	now     int64
-	members []*member
-	conns   []*conn
-	dials   []dial
-	cuts    map[[2]string]bool // by the names in order: dials fail
-	hung    map[[2]string]bool // by the names in order: nothing arrives, nobody is told
-	encode  bool               // messages go through their encoding
-	epoch   Epoch
-	record  []Change                           // of this epoch
-	truth   map[Epoch]map[uint64]map[Key]Entry // the whole configuration by epoch and revision
-	drawn   uint64
+	now         int64
+	members     []*member
+	conns       []*conn
+	dials       []dial
+	cuts        map[[2]string]bool // by the names in order: dials fail
+	hung        map[[2]string]bool // by the names in order: nothing arrives, nobody is told
+	encode      bool               // messages go through their encoding
+	epoch       Epoch
+	record      []Change                           // of this epoch
+	expected    map[Epoch]map[uint64]map[Key]Entry // the whole configuration by epoch and revision
+	randomState uint64
 	// messageKeys are worked out once for each message of the model.
 	messageKeys map[Message]int64
 	random      bool // Random draws; else it gives zero
-	broken      string
+	violation   string
 	transcript  *transcript // of what is asked of the hosts; nil for none
 }
 
 // member is a node with the controller that acts by it.
 type member struct {
-	cluster *cluster
-	config  Config
-	node    *Node
-	up      bool
-	frozen  bool // its process stands still
-	leads   bool // a voter that knows its record to be led
-	taken   int  // changes of the record that a voter has got
-	mirror  map[Key]Entry
-	applied Version
-	highest Version // ever, also before restarts
-	events  []Event
-	sent    int // bytes
-	applies int
+	cluster           *cluster
+	config            Config
+	node              *Node
+	up                bool
+	frozen            bool // its process stands still
+	hasLeader         bool // a voter that knows its record to be led
+	recordPosition    int  // changes of the record that a voter has got
+	controllerEntries map[Key]Entry
+	appliedVersion    Version
+	highestVersion    Version // ever, also before restarts
+	events            []Event
+	sentBytes         int // bytes
+	applyCount        int
 	// What verify found sound last, so that a node where nothing moved is not gone through again.
-	verified        Version
-	verifiedApplies int
+	verifiedVersion    Version
+	verifiedApplyCount int
 }
 
 type dial struct {
@@ -70,17 +70,17 @@
 		cuts:        map[[2]string]bool{},
 		hung:        map[[2]string]bool{},
 		epoch:       Epoch{Number: 7, Identity: 70},
-		truth:       map[Epoch]map[uint64]map[Key]Entry{},
+		expected:    map[Epoch]map[uint64]map[Key]Entry{},
 	}
 }
 
-func pair(a, b *member) [2]string {
+func namePair(a, b *member) [2]string {
 	return [2]string{min(a.config.Name, b.config.Name), max(a.config.Name, b.config.Name)}
 }
 
-func (c *cluster) fails(format string, args ...any) {
-	if c.broken == "" {
-		c.broken = fmt.Sprintf(format, args...)
+func (c *cluster) reportViolation(format string, args ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(format, args...)
 	}
 }
 
@@ -95,28 +95,28 @@
 
 // add starts a node. A voter begins with the empty record of the epoch and follows it.
 func (c *cluster) add(config Config) *member {
-	m := &member{cluster: c, config: config, leads: true}
+	m := &member{cluster: c, config: config, hasLeader: true}
 	c.members = append(c.members, m)
 	m.start(State{})
 	return m
 }
 
 // start starts the member's process, with a state that it kept if there is one.
-func (m *member) start(kept State) {
-	m.up, m.frozen, m.mirror, m.applied = true, false, map[Key]Entry{}, Version{}
-	m.verified = Version{}
+func (m *member) start(savedState State) {
+	m.up, m.frozen, m.controllerEntries, m.appliedVersion = true, false, map[Key]Entry{}, Version{}
+	m.verifiedVersion = Version{}
 	m.node = New(m.config, m, m.cluster.now)
-	if m.config.Voter && !kept.Version.Epoch.Known() {
-		kept.Version.Epoch = m.cluster.epoch
+	if m.config.Voter && !savedState.Version.Epoch.Known() {
+		savedState.Version.Epoch = m.cluster.epoch
 	}
-	m.taken = 0
+	m.recordPosition = 0
 	for _, change := range m.cluster.record {
-		if change.Revision <= kept.Version.Revision {
-			m.taken++
+		if change.Revision <= savedState.Version.Revision {
+			m.recordPosition++
 		}
 	}
-	if kept.Version.Epoch.Known() {
-		m.node.Restored(kept, m.cluster.now)
+	if savedState.Version.Epoch.Known() {
+		m.node.Restored(savedState, m.cluster.now)
 	}
 }
 
@@ -144,33 +144,33 @@
 
 // cut ends the connections of two members, and lets new ones fail.
 func (c *cluster) cut(a, b *member) {
-	c.cuts[pair(a, b)] = true
+	c.cuts[namePair(a, b)] = true
 	for _, conn := range slices.Clone(c.conns) {
-		if pair(conn.dialer, conn.acceptor) == pair(a, b) {
+		if namePair(conn.dialer, conn.acceptor) == namePair(a, b) {
 			c.sever(conn)
 		}
 	}
 }
 
 // hang has nothing arrive between two members, without either hearing of it.
-func (c *cluster) hang(a, b *member) { c.hung[pair(a, b)] = true }
+func (c *cluster) hang(a, b *member) { c.hung[namePair(a, b)] = true }
 
 func (c *cluster) heal(a, b *member) {
-	delete(c.cuts, pair(a, b))
-	delete(c.hung, pair(a, b))
+	delete(c.cuts, namePair(a, b))
+	delete(c.hung, namePair(a, b))
 	for _, conn := range slices.Clone(c.conns) {
-		if pair(conn.dialer, conn.acceptor) == pair(a, b) {
+		if namePair(conn.dialer, conn.acceptor) == namePair(a, b) {
 			c.sever(conn)
 		}
 	}
 }
 
-// found founds the record anew: a new epoch without changes, which the voters take over.
-func (c *cluster) found(epoch Epoch) {
+// startNewRecord founds the record anew: a new epoch without changes, which the voters take over.
+func (c *cluster) startNewRecord(epoch Epoch) {
 	c.epoch, c.record = epoch, nil
 	for _, m := range c.members {
 		if m.config.Voter && m.up {
-			m.taken = 0
+			m.recordPosition = 0
 			m.node.Restored(State{Version: Version{Epoch: epoch}}, c.now)
 		}
 	}
@@ -180,23 +180,23 @@
 func (c *cluster) accept(entries ...Entry) {
 	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
 	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two alike
-	c.stateAt(c.epoch, change.Revision-1)
-	next := maps.Clone(c.truth[c.epoch][change.Revision-1])
+	c.expectedAt(c.epoch, change.Revision-1)
+	next := maps.Clone(c.expected[c.epoch][change.Revision-1])
 	for _, e := range withDefaults(change) {
 		next[e.Key()] = e
 		if e.Deleted {
 			delete(next, e.Key())
 		}
 	}
-	c.truth[c.epoch][change.Revision] = next
+	c.expected[c.epoch][change.Revision] = next
 	c.record = append(c.record, change)
 }
 
 // follow hands a voter the changes of the record that it has not got, at most so many.
-func (c *cluster) follow(m *member, most int) {
-	for ; m.taken < len(c.record) && most > 0; most-- {
-		m.node.Accepted(c.record[m.taken], c.now)
-		m.taken++
+func (c *cluster) follow(m *member, maxChanges int) {
+	for ; m.recordPosition < len(c.record) && maxChanges > 0; maxChanges-- {
+		m.node.Accepted(c.record[m.recordPosition], c.now)
+		m.recordPosition++
 	}
 }
 
@@ -211,7 +211,7 @@
 	if m.cluster.transcript != nil {
 		m.cluster.transcript.note(m, "send %d %d %x", link, message.Size(), encoded(NewEnvelope(message)))
 	}
-	m.sent += message.Size()
+	m.sentBytes += message.Size()
 	for _, conn := range m.cluster.conns {
 		for side, end := range []*member{conn.dialer, conn.acceptor} {
 			if end == m && conn.links[side] == link {
@@ -220,7 +220,7 @@
 			}
 		}
 	}
-	m.cluster.fails("%s sends on a link that it does not have", m.config.Name)
+	m.cluster.reportViolation("%s sends on a link that it does not have", m.config.Name)
 }
 
 // Close implements Host.
@@ -250,8 +250,8 @@
 	if !m.cluster.random {
 		return 0
 	}
-	m.cluster.drawn = m.cluster.drawn*6364136223846793005 + 1442695040888963407
-	return m.cluster.drawn >> 20
+	m.cluster.randomState = m.cluster.randomState*6364136223846793005 + 1442695040888963407
+	return m.cluster.randomState >> 20
 }
 
 // connect settles the dials.
@@ -259,13 +259,13 @@
 	moved := false
 	for _, d := range slices.Clone(c.dials) {
 		peer := c.member(d.peer)
-		if peer != nil && (peer.frozen || c.hung[pair(d.from, peer)]) || d.from.frozen {
+		if peer != nil && (peer.frozen || c.hung[namePair(d.from, peer)]) || d.from.frozen {
 			continue
 		}
 		c.dials = slices.DeleteFunc(c.dials, func(other dial) bool { return other == d })
 		moved = true
 		var incoming Link
-		if peer != nil && peer.up && !c.cuts[pair(d.from, peer)] {
+		if peer != nil && peer.up && !c.cuts[namePair(d.from, peer)] {
 			incoming = peer.node.Incoming(c.now)
 		}
 		if incoming == 0 {
@@ -283,7 +283,7 @@
 func (c *cluster) deliver(on *conn, side int, lose bool) bool {
 	ends := []*member{on.dialer, on.acceptor}
 	to := ends[side]
-	if to.frozen || c.hung[pair(on.dialer, on.acceptor)] {
+	if to.frozen || c.hung[namePair(on.dialer, on.acceptor)] {
 		return false
 	}
 	if len(on.queues[side]) == 0 {
@@ -299,27 +299,27 @@
 	message := on.queues[side][0]
 	on.queues[side] = on.queues[side][1:]
 	if !lose && !on.closed[side] {
-		to.node.Received(on.links[side], c.coded(message), c.now)
+		to.node.Received(on.links[side], c.roundTrip(message), c.now)
 	}
 	return true
 }
 
-// coded takes a message through its encoding and back.
-func (c *cluster) coded(message Message) Message {
+// roundTrip takes a message through its encoding and back.
+func (c *cluster) roundTrip(message Message) Message {
 	if !c.encode {
 		return message
 	}
 	bytes, err := cbor.Marshal(NewEnvelope(message))
 	if err != nil {
-		c.fails("encoding: %v", err)
+		c.reportViolation("encoding: %v", err)
 	}
 	var envelope Envelope
 	if err := cbor.Unmarshal(bytes, &envelope); err != nil {
-		c.fails("decoding: %v", err)
+		c.reportViolation("decoding: %v", err)
 	}
 	decoded, err := envelope.Message()
 	if err != nil {
-		c.fails("decoding: %v", err)
+		c.reportViolation("decoding: %v", err)
 	}
 	return decoded
 }
@@ -338,16 +338,16 @@
 	}
 }
 
-// pass lets time pass in steps, in each of which everything arrives and every node is checked.
-func (c *cluster) pass(time, step int64) {
+// advance lets time advance in steps, in each of which everything arrives and every node is checked.
+func (c *cluster) advance(time, step int64) {
 	for end := c.now + time; c.now < end; {
 		c.now += step
 		c.tick()
 		c.settle()
 		for _, m := range c.members {
-			if m.up && (m.verified != m.node.Version() || m.verifiedApplies != m.applies) {
+			if m.up && (m.verifiedVersion != m.node.Version() || m.verifiedApplyCount != m.applyCount) {
 				m.verify()
-				m.verified, m.verifiedApplies = m.node.Version(), m.applies
+				m.verifiedVersion, m.verifiedApplyCount = m.node.Version(), m.applyCount
 			}
 		}
 	}
@@ -359,7 +359,7 @@
 		if !m.up || m.frozen {
 			continue
 		}
-		if m.config.Voter && m.leads {
+		if m.config.Voter && m.hasLeader {
 			c.follow(m, len(c.record))
 			m.node.Current(c.now)
 		}
@@ -371,4 +371,4 @@
 	return Entry{Scope: scope, Name: name, Value: []byte(value)}
 }
 
-func gone(scope, name string) Entry { return Entry{Scope: scope, Name: name, Deleted: true} }
+func deletion(scope, name string) Entry { return Entry{Scope: scope, Name: name, Deleted: true} }
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -11,10 +11,10 @@
 	connected      bool
 	lastReceivedAt Microseconds // when the last message came
 
-	subscribing     bool   // a Subscribe is sent and not answered; until it is, what comes answers an earlier one
-	lastRequest     uint64 // number of the last Subscribe
-	subscribeSentAt Microseconds
-	recoveries      int // requests after a gap or a wrong digest since a message last applied
+	subscribing      bool   // a Subscribe is sent and not answered; until it is, what comes answers an earlier one
+	lastRequest      uint64 // number of the last Subscribe
+	subscribeSentAt  Microseconds
+	recoveryRequests int // requests after a gap or a wrong digest since a message last applied
 
 	admittedAt       Microseconds
 	lease            Microseconds // µs, as granted
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -74,7 +74,7 @@
 	n.applyBatch(batch)
 	n.store.version.Revision = m.Revision
 	n.counts.DeltasApplied++
-	parent.recoveries = 0
+	parent.recoveryRequests = 0
 	n.sendDeltasToAll(now)
 }
 
@@ -139,7 +139,7 @@
 		n.handleWrongDigest(parent, now)
 	default:
 		n.store.version.Revision = max(n.store.version.Revision, m.Revision)
-		parent.recoveries = 0
+		parent.recoveryRequests = 0
 	}
 }
 
@@ -176,8 +176,8 @@
 
 // requestRecovery asks the parent anew, and leaves one that was asked maxRecoveries times without success.
 func (n *Node) requestRecovery(parent *parentLink, now Microseconds) {
-	parent.recoveries++
-	if parent.recoveries > maxRecoveries {
+	parent.recoveryRequests++
+	if parent.recoveryRequests > maxRecoveries {
 		n.leaveParent(CloseMalformed, now)
 		return
 	}
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -81,7 +81,7 @@
 		u.hang(m, u.oneOf(u.members))
 	case 2:
 		m.kill()
-		m.config.Floor = m.highest
+		m.config.Floor = m.highestVersion
 		m.start(State{})
 	case 3:
 		state := m.node.State()
@@ -98,10 +98,10 @@
 		at.compact(at.Version().Revision)
 	case 7:
 		v := u.oneOf(u.voters)
-		v.leads = !v.leads
+		v.hasLeader = !v.hasLeader
 	case 8:
 		if u.random.IntN(5) == 0 {
-			u.found(Epoch{u.epoch.Number + 1, u.epoch.Identity + 1})
+			u.startNewRecord(Epoch{u.epoch.Number + 1, u.epoch.Identity + 1})
 		}
 	case 9:
 		m.kill()
@@ -110,7 +110,7 @@
 	case 10:
 		v := u.oneOf(u.voters)
 		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // of an older record
-		v.leads = false
+		v.hasLeader = false
 		v.kill()
 		v.start(State{})
 	case 11, 12:
@@ -124,7 +124,7 @@
 	default:
 		u.changes()
 	}
-	u.pass(int64(1+u.random.IntN(20))*tick, tick)
+	u.advance(int64(1+u.random.IntN(20))*tick, tick)
 }
 
 // changes puts up to a dozen changes on the record.
@@ -134,7 +134,7 @@
 		scope := []string{"a", "b", "c"}[u.random.IntN(3)]
 		e := set(scope, name, strings.Repeat("x", u.random.IntN(200)))
 		if u.random.IntN(4) == 0 {
-			e = gone(scope, name)
+			e = deletion(scope, name)
 		}
 		u.accept(e)
 	}
@@ -187,7 +187,7 @@
 			for range steps {
 				u.step()
 			}
-			u.sound(t)
+			u.requireConsistent(t)
 			fmt.Fprintf(&lines, "seed %d, part %d: %016x\n", seed, part, u.transcript.sum.Sum64())
 		}
 		var kinds [len(eventNames)]int
--- a/distribution/transport/config.go
+++ b/distribution/transport/config.go
@@ -74,9 +74,9 @@
 }
 
 // valueOr is a value, or a default where it is not given.
-func valueOr[T int | time.Duration](value, absent T) T {
+func valueOr[T int | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return absent
+	return fallback
 }
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -20,13 +20,13 @@
 	return consensus.Credentials(authority.Issue(t, name))
 }
 
-// ignoredEvents does nothing with what becomes of the record.
-type ignoredEvents struct{}
+// discardedEvents does nothing with what becomes of the record.
+type discardedEvents struct{}
 
-func (ignoredEvents) EntryCommitted(ownership.Entry)     {}
-func (ignoredEvents) SnapshotRestored(*ownership.Record) {}
-func (ignoredEvents) ProposalCommitted(uint64, uint64)   {}
-func (ignoredEvents) ProposalFailed(uint64, uint64)      {}
+func (discardedEvents) EntryCommitted(ownership.Entry)     {}
+func (discardedEvents) SnapshotRestored(*ownership.Record) {}
+func (discardedEvents) ProposalCommitted(uint64, uint64)   {}
+func (discardedEvents) ProposalFailed(uint64, uint64)      {}
 
 // member is a voter: a node of the record, and the transport that hands its configuration on.
 type member struct {
@@ -34,12 +34,12 @@
 	node *consensus.Node
 }
 
-// startsMember runs a voter of a record.
-func startsMember(t *testing.T, name string, members map[string]string, credentials consensus.Credentials) *member {
+// startMember runs a voter of a record.
+func startMember(t *testing.T, name string, members map[string]string, credentials consensus.Credentials) *member {
 	t.Helper()
 	self := consensus.Peer{Name: name, Address: members[name]}
 	p := newPeer(name, Config{
-		Node: distribution.Config{Name: self.String(), Voter: true, Limits: quick(4)},
+		Node: distribution.Config{Name: self.String(), Voter: true, Limits: fastLimits(4)},
 		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
 	})
 	terms := ownership.LeaseTerms{
@@ -55,7 +55,7 @@
 		Credentials:  credentials,
 		Terms:        terms,
 		Distribution: p.Transport,
-	}, ignoredEvents{}, slog.New(slog.DiscardHandler))
+	}, discardedEvents{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,8 +63,8 @@
 	return &member{p, node}
 }
 
-// startsSubscriber runs a subscriber that others can dial by the calls of the members.
-func startsSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
+// startSubscriber runs a subscriber that others can dial by the calls of the members.
+func startSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
 	t.Helper()
 	subscriber, err := consensus.NewSubscriber(credentials)
 	if err != nil {
@@ -82,7 +82,7 @@
 			Name:       self.String(),
 			Scopes:     distribution.SomeScopes("pricing"),
 			Candidates: parents,
-			Limits:     quick(4),
+			Limits:     fastLimits(4),
 		},
 		Dial: subscriber.Dial,
 	})
@@ -90,14 +90,14 @@
 	return p, self.String()
 }
 
-// configures has the record hold just some values of the scope pricing.
-func configures(t *testing.T, m *member, values ...string) distribution.Version {
+// configure has the record hold just some values of the scope pricing.
+func configure(t *testing.T, m *member, values ...string) distribution.Version {
 	t.Helper()
 	var wanted []distribution.Entry
 	for i, value := range values {
 		wanted = append(wanted, distribution.Entry{Scope: "pricing", Name: fmt.Sprint(i), Value: []byte(value)})
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	version, _, err := m.node.Configure(ctx, wanted)
 	if err != nil {
@@ -131,22 +131,22 @@
 	}
 	var voters []*member
 	for name := range members {
-		voters = append(voters, startsMember(t, name, members, issueCredentials(t, ours, name)))
+		voters = append(voters, startMember(t, name, members, issueCredentials(t, ours, name)))
 	}
-	last := configures(t, voters[0], "1")
+	last := configure(t, voters[0], "1")
 	var all []*peer
-	relay, relayName := startsSubscriber(t, "s0", issueCredentials(t, ours, "s0"), parents...)
+	relay, relayName := startSubscriber(t, "s0", issueCredentials(t, ours, "s0"), parents...)
 	all = append(all, relay)
 	for i := 1; i < 4; i++ {
 		name := fmt.Sprint("s", i)
-		s, _ := startsSubscriber(t, name, issueCredentials(t, ours, name), relayName)
+		s, _ := startSubscriber(t, name, issueCredentials(t, ours, name), relayName)
 		all = append(all, s)
 	}
 	everywhere := func(version distribution.Version) {
 		t.Helper()
 		digests := map[distribution.Digest]bool{}
 		for _, p := range all {
-			until(t, fmt.Sprint(p.name, " has ", version), func() bool { return p.status(t).Version == version })
+			waitFor(t, fmt.Sprint(p.name, " has ", version), func() bool { return p.status(t).Version == version })
 			digests[p.status(t).Digest] = true
 		}
 		if len(digests) != 1 {
@@ -155,10 +155,10 @@
 	}
 	everywhere(last)
 	t.Run("a certificate with another name, or of another authority, gets no place", func(t *testing.T) {
-		liar, _ := startsSubscriber(t, "s1", issueCredentials(t, ours, "s9"), parents...)
-		stranger, _ := startsSubscriber(t, "s8", issueCredentials(t, foreign, "s8"), parents...)
+		liar, _ := startSubscriber(t, "s1", issueCredentials(t, ours, "s9"), parents...)
+		stranger, _ := startSubscriber(t, "s8", issueCredentials(t, foreign, "s8"), parents...)
 		for _, p := range []*peer{liar, stranger} {
-			until(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
+			waitFor(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
 			if status := p.status(t); status.Parent != "" || status.Version.Revision > 0 {
 				t.Errorf("%s: %+v", p.name, status)
 			}
@@ -173,7 +173,7 @@
 				break
 			}
 		}
-		version := configures(t, voters[0], "1", "2")
+		version := configure(t, voters[0], "1", "2")
 		everywhere(version)
 		if version.Epoch != last.Epoch || version.Revision != last.Revision+1 {
 			t.Errorf("from %v to %v", last, version)
@@ -188,11 +188,11 @@
 	t.Run("the majority is lost: all keep what they have, and say how old it is", func(t *testing.T) {
 		voters[0].stop()
 		for _, p := range all {
-			until(t, p.name+" says so", func() bool { return p.told(distribution.EventSourceStale) })
+			waitFor(t, p.name+" says so", func() bool { return p.hasLogged(distribution.EventSourceStale) })
 		}
 		everywhere(last)
-		if relay.has() != "pricing/0=1 pricing/1=2" {
-			t.Errorf("it has %s", relay.has())
+		if relay.contents() != "pricing/0=1 pricing/1=2" {
+			t.Errorf("it has %s", relay.contents())
 		}
 	})
 }
--- a/distribution/transport/methods.go
+++ b/distribution/transport/methods.go
@@ -35,11 +35,11 @@
 // postCallAndWait has the event loop run something, and waits for it; false once Run has ended.
 func (t *Transport) postCallAndWait(run func(now distribution.Microseconds)) bool {
 	done := make(chan struct{})
-	runAndSay := func(now distribution.Microseconds) {
+	runAndSignal := func(now distribution.Microseconds) {
 		run(now)
 		close(done)
 	}
-	if !t.post(event{kind: eventCall, run: runAndSay}) {
+	if !t.post(event{kind: eventCall, run: runAndSignal}) {
 		return false
 	}
 	select {
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -15,12 +15,12 @@
 	"wheelrill/distribution"
 )
 
-const patience = 30 * time.Second // bounds what a test waits for
+const waitTimeout = 30 * time.Second // bounds what a test waits for
 
-// until polls until something is so.
-func until(t testing.TB, what string, is func() bool) {
+// waitFor polls waitFor something is so.
+func waitFor(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	late := time.After(patience)
+	late := time.After(waitTimeout)
 	for !is() {
 		select {
 		case <-late:
@@ -30,8 +30,8 @@
 	}
 }
 
-// quick are limits with which a lost parent is seen soon.
-func quick(fanOut int) distribution.Limits {
+// fastLimits are limits with which a lost parent is seen soon.
+func fastLimits(fanOut int) distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.Heartbeat, limits.Lease, limits.Handshake = 50_000, 400_000, 500_000
 	limits.MaxStaleness, limits.HedgeDelay, limits.MinBackoff = 1_000_000, 150_000, 20_000
@@ -53,8 +53,8 @@
 	n.addresses[name] = address
 }
 
-// forget has nobody find a name any more; it gives its address.
-func (n *network) forget(name string) string {
+// remove has nobody find a name any more; it gives its address.
+func (n *network) remove(name string) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	address := n.addresses[name]
@@ -101,10 +101,10 @@
 	name string
 	stop func()
 
-	mutex  sync.Mutex
-	values map[distribution.Key]string
-	events []distribution.Event
-	wholes int
+	mutex           sync.Mutex
+	values          map[distribution.Key]string
+	events          []distribution.Event
+	completeChanges int
 }
 
 // newPeer makes a transport that does not run yet, with what it is told kept.
@@ -131,8 +131,8 @@
 	t.Cleanup(p.stop)
 }
 
-// starts runs a transport that others can dial.
-func (n *network) starts(t testing.TB, config distribution.Config, bounds Bounds) *peer {
+// start runs a transport that others can dial.
+func (n *network) start(t testing.TB, config distribution.Config, bounds Bounds) *peer {
 	t.Helper()
 	p := newPeer(config.Name, Config{Node: config, Dial: n.dial, Bounds: bounds})
 	p.run(t)
@@ -148,20 +148,20 @@
 
 func (n *network) voter(t testing.TB, name string, fanOut int) *peer {
 	t.Helper()
-	return n.starts(t, distribution.Config{Name: name, Voter: true, Limits: quick(fanOut)}, Bounds{})
+	return n.start(t, distribution.Config{Name: name, Voter: true, Limits: fastLimits(fanOut)}, Bounds{})
 }
 
 func (n *network) subscriber(t testing.TB, name string, fanOut int, parents ...string) *peer {
 	t.Helper()
-	return n.starts(t, distribution.Config{Name: name, Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
-		Limits: quick(fanOut)}, Bounds{})
+	return n.start(t, distribution.Config{Name: name, Scopes: distribution.SomeScopes("pricing"), Candidates: parents,
+		Limits: fastLimits(fanOut)}, Bounds{})
 }
 
 func (p *peer) apply(change distribution.Change, whole bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if whole {
-		p.wholes++
+		p.completeChanges++
 		clear(p.values)
 	}
 	for _, e := range change.Entries {
@@ -177,8 +177,8 @@
 	p.events = append(p.events, event)
 }
 
-// has gives what the peer acts by.
-func (p *peer) has() string {
+// contents gives what the peer acts by.
+func (p *peer) contents() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var all []string
@@ -192,10 +192,10 @@
 func (p *peer) snapshots() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.wholes
+	return p.completeChanges
 }
 
-func (p *peer) told(kind distribution.EventKind) bool {
+func (p *peer) hasLogged(kind distribution.EventKind) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return slices.ContainsFunc(p.events, func(e distribution.Event) bool { return e.Kind == kind })
@@ -220,8 +220,8 @@
 
 var epoch = distribution.Epoch{Number: 1, Identity: 1}
 
-// accepts puts values on the record, all in one revision; an empty value deletes.
-func (r *record) accepts(t testing.TB, values map[string]string) {
+// accept puts values on the record, all in one revision; an empty value deletes.
+func (r *record) accept(t testing.TB, values map[string]string) {
 	t.Helper()
 	var entries []distribution.Entry
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -243,8 +243,8 @@
 	}
 }
 
-// leads has the voters know their record to be led, until the test ends.
-func (r *record) leads(t testing.TB) (lost func()) {
+// keepCurrent has the voters know their record to be led, until the test ends.
+func (r *record) keepCurrent(t testing.TB) (lost func()) {
 	over := make(chan struct{})
 	var leading sync.WaitGroup
 	leading.Go(func() {
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -185,8 +185,8 @@
 	delete(t.openLinks, l)
 }
 
-// countCaller adds to the callers, or takes away; false if there are as many as can be.
-func (t *Transport) countCaller(change int) bool {
+// adjustCallers adds to the callers, or takes away; false if there are as many as can be.
+func (t *Transport) adjustCallers(change int) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.callers+change > t.bounds.Callers {
@@ -200,10 +200,10 @@
 // alone that allowed permits; nil permits all.
 func (t *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
 	defer conn.Close()
-	if !t.countCaller(1) {
+	if !t.adjustCallers(1) {
 		return
 	}
-	defer t.countCaller(-1)
+	defer t.adjustCallers(-1)
 	l := &link{transport: t, conn: conn, allowed: allowed}
 	if !t.register(l) {
 		return
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -15,8 +15,8 @@
 	n := newNetwork()
 	voters := []*peer{n.voter(t, "v0", 2), n.voter(t, "v1", 2), n.voter(t, "v2", 2)}
 	r := newRecord(voters...)
-	r.leads(t)
-	r.accepts(t, map[string]string{"a": "1"})
+	r.keepCurrent(t)
+	r.accept(t, map[string]string{"a": "1"})
 	var all []*peer
 	for i := range 3 {
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 4, "v0", "v1", "v2"))
@@ -27,13 +27,13 @@
 	everywhere := func(want string) {
 		t.Helper()
 		for _, p := range all {
-			until(t, p.name+" has "+want, func() bool { return p.has() == want })
+			waitFor(t, p.name+" has "+want, func() bool { return p.contents() == want })
 		}
 	}
 	everywhere("pricing/a=1")
-	r.accepts(t, map[string]string{"a": "2", "b": "1"})
+	r.accept(t, map[string]string{"a": "2", "b": "1"})
 	everywhere("pricing/a=2 pricing/b=1")
-	r.accepts(t, map[string]string{"a": ""})
+	r.accept(t, map[string]string{"a": ""})
 	everywhere("pricing/b=1")
 	digest := r.state.Digest()
 	for _, p := range all {
@@ -51,23 +51,23 @@
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
-	r.leads(t)
-	r.accepts(t, map[string]string{"a": "1"})
+	r.keepCurrent(t)
+	r.accept(t, map[string]string{"a": "1"})
 	middle := []*peer{n.subscriber(t, "m0", 4, "v0"), n.subscriber(t, "m1", 4, "v0")}
 	for _, m := range middle {
-		until(t, m.name+" has it", func() bool { return m.has() == "pricing/a=1" })
+		waitFor(t, m.name+" has it", func() bool { return m.contents() == "pricing/a=1" })
 	}
 	s := n.subscriber(t, "s", 0, "m0", "m1")
-	until(t, "it has a parent", func() bool { return s.has() == "pricing/a=1" && s.status(t).Parent != "" })
+	waitFor(t, "it has a parent", func() bool { return s.contents() == "pricing/a=1" && s.status(t).Parent != "" })
 	for _, m := range middle {
 		if s.status(t).Parent == m.name {
 			m.stop()
 			break
 		}
 	}
-	r.accepts(t, map[string]string{"a": "2"})
-	until(t, "the other parent tells it", func() bool { return s.has() == "pricing/a=2" })
-	if s.snapshots() != 1 || !s.told(distribution.EventParentLost) {
+	r.accept(t, map[string]string{"a": "2"})
+	waitFor(t, "the other parent tells it", func() bool { return s.contents() == "pricing/a=2" })
+	if s.snapshots() != 1 || !s.hasLogged(distribution.EventParentLost) {
 		t.Errorf("%d snapshots where a delta would do", s.snapshots())
 	}
 }
@@ -76,26 +76,26 @@
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
-	r.leads(t)
-	r.accepts(t, map[string]string{"a": "1"})
+	r.keepCurrent(t)
+	r.accept(t, map[string]string{"a": "1"})
 	over := make(chan struct{})
 	n.listen(t, "mute", func(conn net.Conn) { <-over; conn.Close() })
 	t.Cleanup(func() { close(over) })
 	s := n.subscriber(t, "s", 0, "mute", "v0")
-	until(t, "it has it from the other", func() bool { return s.has() == "pricing/a=1" })
+	waitFor(t, "it has it from the other", func() bool { return s.contents() == "pricing/a=1" })
 	if parent := s.status(t).Parent; parent != "v0" {
 		t.Errorf("its parent is %q", parent)
 	}
 }
 
 // A parent that is frozen, with its connections open: the kernel goes on taking what is sent to it.
-func TestFrozenParentIsLeftAndTheAgeTold(t *testing.T) {
+func TestFrozenParentIsLeftAndTheAgeGrows(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
-	r.leads(t)
-	r.accepts(t, map[string]string{"a": "1"})
-	behind := n.forget("v0") // a parent's path names those above it, who would be dialled in its place
+	r.keepCurrent(t)
+	r.accept(t, map[string]string{"a": "1"})
+	behind := n.remove("v0") // a parent's path names those above it, who would be dialled in its place
 	var mutex sync.Mutex
 	frozen := make(chan struct{})
 	n.listen(t, "m", func(conn net.Conn) { // a relay in front of the voter
@@ -129,47 +129,47 @@
 		relaying.Wait()
 	})
 	s := n.subscriber(t, "s", 0, "m")
-	until(t, "it has it", func() bool { return s.has() == "pricing/a=1" })
-	r.accepts(t, map[string]string{"a": "2"})
-	until(t, "it has the next", func() bool { return s.has() == "pricing/a=2" && s.status(t).Age >= 0 })
+	waitFor(t, "it has it", func() bool { return s.contents() == "pricing/a=1" })
+	r.accept(t, map[string]string{"a": "2"})
+	waitFor(t, "it has the next", func() bool { return s.contents() == "pricing/a=2" && s.status(t).Age >= 0 })
 	close(frozen)
-	until(t, "it leaves the frozen one", func() bool { return s.told(distribution.EventParentLost) })
-	until(t, "it tells its age", func() bool { return s.status(t).Age > 500_000 })
-	if s.has() != "pricing/a=2" {
-		t.Errorf("it has %s", s.has())
+	waitFor(t, "it leaves the frozen one", func() bool { return s.hasLogged(distribution.EventParentLost) })
+	waitFor(t, "it tells its age", func() bool { return s.status(t).Age > 500_000 })
+	if s.contents() != "pricing/a=2" {
+		t.Errorf("it has %s", s.contents())
 	}
 }
 
-func TestSubscriberTellsWhenTheMajorityIsLost(t *testing.T) {
+func TestSubscriberLogsThatTheMajorityIsLost(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
-	lost := r.leads(t)
-	r.accepts(t, map[string]string{"a": "1"})
+	lost := r.keepCurrent(t)
+	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	until(t, "it is current", func() bool { status := s.status(t); return s.has() == "pricing/a=1" && status.Age >= 0 })
+	waitFor(t, "it is current", func() bool { status := s.status(t); return s.contents() == "pricing/a=1" && status.Age >= 0 })
 	lost()
-	until(t, "it tells that what it has is old", func() bool { return s.told(distribution.EventSourceStale) })
-	if s.has() != "pricing/a=1" || s.status(t).Age < 900_000 {
-		t.Errorf("has %s, %+v", s.has(), s.status(t))
+	waitFor(t, "it tells that what it has is old", func() bool { return s.hasLogged(distribution.EventSourceStale) })
+	if s.contents() != "pricing/a=1" || s.status(t).Age < 900_000 {
+		t.Errorf("has %s, %+v", s.contents(), s.status(t))
 	}
-	r.leads(t)
-	until(t, "it is current again", func() bool { return s.told(distribution.EventSourceCurrent) })
+	r.keepCurrent(t)
+	waitFor(t, "it is current again", func() bool { return s.hasLogged(distribution.EventSourceCurrent) })
 	if s.snapshots() != 1 {
 		t.Errorf("%d snapshots", s.snapshots())
 	}
 }
 
 // One that subscribes and reads nothing is closed once its queue is full, and holds nobody up.
-func TestSubscriberThatReadsNothing(t *testing.T) {
+func TestSubscriberThatReadsNothingIsClosedAndDelaysNoOther(t *testing.T) {
 	n := newNetwork()
-	limits := quick(4)
+	limits := fastLimits(4)
 	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // so that the node itself does not end it
-	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: limits},
+	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: limits},
 		Bounds{QueueCount: 16, QueueBytes: 64 << 10, WriteTimeout: time.Hour})
 	r := newRecord(v)
-	r.leads(t)
-	r.accepts(t, map[string]string{"a": "1"})
+	r.keepCurrent(t)
+	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
 	ours, theirs := net.Pipe() // without any buffer of the kernel
 	defer ours.Close()
@@ -179,26 +179,26 @@
 	if err := frame.Write(ours, distribution.NewEnvelope(subscribe)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it has a place", func() bool { return len(v.status(t).Children) == 2 })
+	waitFor(t, "it has a place", func() bool { return len(v.status(t).Children) == 2 })
 	body := make([]byte, 4<<10)
 	for i := 0; v.Traffic().Overflows == 0; i++ {
 		if i == 1000 {
 			t.Fatal("its queue has no bound")
 		}
-		r.accepts(t, map[string]string{"large": fmt.Sprint(i, string(body))})
-		until(t, "the other has it", func() bool { return s.status(t).Version == r.state.Version() })
+		r.accept(t, map[string]string{"large": fmt.Sprint(i, string(body))})
+		waitFor(t, "the other has it", func() bool { return s.status(t).Version == r.state.Version() })
 	}
-	until(t, "its place is free", func() bool { return len(v.status(t).Children) == 1 })
+	waitFor(t, "its place is free", func() bool { return len(v.status(t).Children) == 1 })
 	serving.Wait()
-	r.accepts(t, map[string]string{"large": "", "a": "2"})
-	until(t, "the other has all", func() bool { return s.has() == "pricing/a=2" })
+	r.accept(t, map[string]string{"large": "", "a": "2"})
+	waitFor(t, "the other has all", func() bool { return s.contents() == "pricing/a=2" })
 }
 
 func TestSubscribeUnderANameThatIsNotAllowedIsClosed(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
 	r := newRecord(v)
-	r.accepts(t, map[string]string{"a": "1"})
+	r.accept(t, map[string]string{"a": "1"})
 	ours, theirs := net.Pipe()
 	defer ours.Close()
 	var serving sync.WaitGroup
@@ -217,7 +217,7 @@
 
 func TestBrokenMessagesCloseTheConnection(t *testing.T) {
 	n := newNetwork()
-	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{MessageBytes: 1 << 10})
+	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: fastLimits(4)}, Bounds{MessageBytes: 1 << 10})
 	for name, bytes := range map[string][]byte{
 		"too large":      {0, 0, 8, 0},
 		"no CBOR":        {0, 0, 0, 1, 0xff},
@@ -239,7 +239,7 @@
 
 func TestCallersAreBounded(t *testing.T) {
 	n := newNetwork()
-	v := n.starts(t, distribution.Config{Name: "v0", Voter: true, Limits: quick(4)}, Bounds{Callers: 2})
+	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: fastLimits(4)}, Bounds{Callers: 2})
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	for range 2 {
@@ -247,7 +247,7 @@
 		defer ours.Close()
 		serving.Go(func() { v.Accept(theirs, nil) })
 	}
-	until(t, "two are served", func() bool {
+	waitFor(t, "two are served", func() bool {
 		v.Transport.mutex.Lock()
 		defer v.Transport.mutex.Unlock()
 		return v.callers == 2
@@ -264,11 +264,11 @@
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
 	r := newRecord(v)
-	r.accepts(t, map[string]string{"a": "1"})
+	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	until(t, "it has it", func() bool { return s.has() == "pricing/a=1" })
+	waitFor(t, "it has it", func() bool { return s.contents() == "pricing/a=1" })
 	s.stop()
-	until(t, "its place is free", func() bool { return len(v.status(t).Children) == 0 })
+	waitFor(t, "its place is free", func() bool { return len(v.status(t).Children) == 0 })
 	if _, ok := s.Status(); ok {
 		t.Error("it answers")
 	}
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -81,21 +81,21 @@
 	return all
 }
 
-// unset names the first field below a value that holds nothing; "" if there is none. Of a list the first element counts.
-func unset(name string, value reflect.Value) string {
+// firstZeroField names the first field below a value that holds nothing; "" if there is none. Of a list the first element counts.
+func firstZeroField(name string, value reflect.Value) string {
 	switch value.Kind() {
 	case reflect.Pointer:
-		return unset(name, value.Elem())
+		return firstZeroField(name, value.Elem())
 	case reflect.Struct:
 		for i := range value.NumField() {
-			if found := unset(name+"."+value.Type().Field(i).Name, value.Field(i)); found != "" {
+			if found := firstZeroField(name+"."+value.Type().Field(i).Name, value.Field(i)); found != "" {
 				return found
 			}
 		}
 		return ""
 	case reflect.Slice:
 		if value.Len() > 0 {
-			return unset(name+"[0]", value.Index(0))
+			return firstZeroField(name+"[0]", value.Index(0))
 		}
 	}
 	if value.IsZero() {
@@ -104,8 +104,8 @@
 	return ""
 }
 
-// written are the bytes that a link writes for a message.
-func written(t *testing.T, m distribution.Message) []byte {
+// writtenBytes are the bytes that a link writes for a message.
+func writtenBytes(t *testing.T, m distribution.Message) []byte {
 	t.Helper()
 	c := New(Config{Node: distribution.Config{Name: "writer"}})
 	ours, theirs := net.Pipe()
@@ -148,7 +148,7 @@
 	if golden.Updating() {
 		var lines strings.Builder
 		for _, m := range messages {
-			fmt.Fprintf(&lines, "%s: %x\n", m.name, written(t, m.message))
+			fmt.Fprintf(&lines, "%s: %x\n", m.name, writtenBytes(t, m.message))
 		}
 		if err := os.WriteFile(path, []byte(lines.String()), 0o600); err != nil {
 			t.Fatal(err)
@@ -160,11 +160,11 @@
 	}
 	for _, m := range messages {
 		t.Run(m.name, func(t *testing.T) {
-			if missing := unset("message", reflect.ValueOf(m.message)); m.full && missing != "" {
+			if missing := firstZeroField("message", reflect.ValueOf(m.message)); m.full && missing != "" {
 				t.Errorf("%s is not set", missing)
 			}
 			want := golden[m.name]
-			if got := written(t, m.message); !bytes.Equal(got, want) {
+			if got := writtenBytes(t, m.message); !bytes.Equal(got, want) {
 				t.Errorf("written as\n%x, the golden file has\n%x", got, want)
 			}
 			var envelope distribution.Envelope
