--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// handleSubscribe handles a request for a place, or for a snapshot by a child that has one.
+// handleSubscribe handles a caller's request for a place, or a child's request for missing changes,
+// a snapshot or other scopes.
 func (n *Node) handleSubscribe(link Link, m *Subscribe, now Microseconds) {
 	if known := n.childByLink(link); known != nil {
 		n.handleResubscribe(known, m, now)
 		return
 	}
 	if !n.removeCaller(link) {
-		return // closed meanwhile
+		return // the node has closed this link already
 	}
 	n.replaceSameName(m.Name, now)
 	if reason := n.refusalReason(m); reason != 0 {
@@ -23,7 +24,8 @@
 	n.admitChild(admitted, m, now)
 }
 
-// handleResubscribe handles a request of a child that has a place.
+// handleResubscribe handles a further request of a child, which loses its place if the request
+// violates a rule.
 func (n *Node) handleResubscribe(c *child, m *Subscribe, now Microseconds) {
 	reason := n.violatedRule(m)
 	if m.Name != c.name {
@@ -37,7 +39,7 @@
 	n.admitChild(c, m, now)
 }
 
-// admitChild grants the lease and starts to send what the child lacks.
+// admitChild grants the lease and starts to send the changes or the snapshot that the child needs.
 func (n *Node) admitChild(c *child, m *Subscribe, now Microseconds) {
 	c.scopes = m.Scopes
 	c.fanOut = m.FanOut
@@ -60,8 +62,9 @@
 	n.sendDeltas(c, now)
 }
 
-// needsSnapshot tells whether deltas cannot lead the child to what this node has. A child that is ahead of this node
-// waits for it, also for a snapshot. The request violates no rule, so its epoch does not conflict with this node's.
+// needsSnapshot reports whether the child needs a snapshot, because deltas cannot bring it to this
+// node's version. While this node is behind the child, the child gets neither deltas nor a
+// snapshot. The request violates no rule, so its epoch does not conflict with this node's.
 func (n *Node) needsSnapshot(m *Subscribe) bool {
 	switch {
 	case m.WantSnapshot || n.store.version.Epoch.Newer(m.Version.Epoch):
@@ -72,15 +75,16 @@
 	return n.contentDiffers(m) || !n.store.deltaPossible(m.Version, m.Scopes, n.limits.BatchBytes)
 }
 
-// contentDiffers tells whether a child has other entries than this node had at the child's revision; false where the log
-// does not tell any more.
+// contentDiffers reports whether the child's entries differ from those that this node had at the
+// child's revision; false if the log no longer reaches back to that revision.
 func (n *Node) contentDiffers(m *Subscribe) bool {
 	digest, known := n.store.digestAt(m.Version.Revision, m.Scopes)
 	return known && digest != m.Digest
 }
 
-// refusalReason tells why a new child gets no place; zero if it gets one. admitChild, which follows, asks needsSnapshot once
-// more: children that were admitted already come there without this check.
+// refusalReason returns why a new child gets no place; zero if it gets one. admitChild, which is
+// called next, evaluates needsSnapshot again, because it also serves children that already have a
+// place, for which this check is not made.
 func (n *Node) refusalReason(m *Subscribe) RefusalReason {
 	if reason := n.violatedRule(m); reason != 0 {
 		return reason
@@ -95,7 +99,8 @@
 	return 0
 }
 
-// violatedRule tells by which rule a place is refused whether or not there is one left; zero if by none.
+// violatedRule returns the reason to refuse a request even if a place is free; zero if there is
+// none.
 func (n *Node) violatedRule(m *Subscribe) RefusalReason {
 	path := n.ownPath()
 	switch {
@@ -115,14 +120,17 @@
 	return 0
 }
 
-// wellFormed tells whether a request has a name and scopes that a node may have.
+// wellFormed reports whether the name and the scopes of a request are within their bounds, the name
+// is not empty, and the scopes are sorted.
 func (n *Node) wellFormed(m *Subscribe) bool {
 	nameValid := m.Name != "" && len(m.Name) <= maxNameBytes
 	return nameValid && len(m.Scopes.Names) <= n.limits.MaxScopes && m.Scopes.sorted()
 }
 
-// evictionCandidate gives the child that makes room for a subscriber where every place is taken: the last that cannot
-// pass on all that this node has, if the subscriber can. A tree whose upper places are taken by leaves could not grow.
+// evictionCandidate returns the child that loses its place to a subscriber if no place is free: the
+// last admitted one that could not serve all subscribers that this node can serve, provided that
+// the new subscriber could. Without eviction a tree whose upper places are taken by leaves could
+// not grow.
 func (n *Node) evictionCandidate(m *Subscribe) *child {
 	if !n.servesAllScopes(m.FanOut, m.Scopes) {
 		return nil
@@ -135,12 +143,13 @@
 	return nil
 }
 
-// servesAllScopes tells whether a subscriber can be the parent of any that this node can be the parent of.
+// servesAllScopes reports whether a node with this fan-out and these scopes could be the parent of
+// any subscriber that this node can be the parent of.
 func (n *Node) servesAllScopes(fanOut int, scopes Scopes) bool {
 	return fanOut > 0 && scopes.Cover(n.store.covered)
 }
 
-// evictFor ends the place of a child for a subscriber that was not refused, where every place is taken.
+// evictFor evicts a child for a subscriber that was not refused, if no place is free.
 func (n *Node) evictFor(m *Subscribe, now Microseconds) {
 	if len(n.children) < n.limits.FanOut {
 		return
@@ -150,7 +159,7 @@
 	n.removeChild(evicted, CloseRefused, now)
 }
 
-// replaceSameName ends the place that a child has on an older link, which may be half-open.
+// replaceSameName removes a child with this name, whose older link may be half-open.
 func (n *Node) replaceSameName(name string, now Microseconds) {
 	for _, child := range n.children {
 		if child.name == name {
@@ -161,7 +170,7 @@
 	}
 }
 
-// refuseSubscribe answers a request and closes the link.
+// refuseSubscribe answers a request with a refusal and closes the link.
 func (n *Node) refuseSubscribe(link Link, m *Subscribe, reason RefusalReason) {
 	n.counts.Refusals++
 	n.host.Log(Event{Kind: EventChildRefused, Peer: m.Name, Version: m.Version, Refusal: reason})
@@ -169,21 +178,22 @@
 	n.host.Close(link, CloseRefused)
 }
 
-// retryAfter is the µs after which a refused child may come again, with jitter so that those refused together don't come
-// together.
+// retryAfter returns the µs that a refused subscriber has to wait before it asks again. The jitter
+// keeps subscribers that were refused together from returning together.
 func (n *Node) retryAfter(reason RefusalReason) Microseconds {
-	least := n.limits.MaxRetryAfter / 2
+	minDelay := n.limits.MaxRetryAfter / 2
 	switch reason {
 	case RefusedBusy:
-		least = min(n.snapshotTimeLeft(), least)
+		minDelay = min(n.snapshotTimeLeft(), minDelay)
 	case RefusedEmpty:
-		least = n.limits.MaxBackoff / 2
+		minDelay = n.limits.MaxBackoff / 2
 	}
-	least = max(least, n.limits.MinBackoff)
-	return least + n.jitter(least)
+	minDelay = max(minDelay, n.limits.MinBackoff)
+	return minDelay + n.jitter(minDelay)
 }
 
-// proposeCandidates names children that could be the parent of a subscriber, beginning at a random one.
+// proposeCandidates returns at most MaxProposed children that could be the parent of a subscriber,
+// starting at a random child.
 func (n *Node) proposeCandidates(m *Subscribe) []string {
 	if len(n.children) == 0 {
 		return nil
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -5,16 +5,17 @@
 // candidate is a possible parent.
 type candidate struct {
 	name                string
-	configured          bool         // it stays; others make room for newer ones
-	proposed            bool         // by a refusal, and not tried since
-	avoidUntil          Microseconds // no dial before that time
+	configured          bool         // never removed; the oldest of the others are removed for newer ones
+	proposed            bool         // named in a refusal and not dialled since
+	avoidUntil          Microseconds // not dialled before this time
 	consecutiveFailures int
 }
 
-// maxNameBytes bounds a node's name.
+// maxNameBytes bounds the name of a node.
 const maxNameBytes = 256
 
-// priority orders the candidates: proposed ones know the tree best, learned ones may be gone.
+// priority orders the candidates for dialling. Those proposed in a refusal are first, as the
+// refusing peer knows the tree best; learned ones are last, as they may no longer exist.
 func (c *candidate) priority() int {
 	switch {
 	case c.proposed:
@@ -34,8 +35,9 @@
 	return nil
 }
 
-// addCandidate gives the candidate of a name, a new one if there is none yet; nil if the name can't be one. The pointer
-// is valid until the next call.
+// addCandidate returns the candidate with this name, which it adds if it is unknown. It returns nil
+// if the name is empty, longer than maxNameBytes or the node's own. The pointer is valid until the
+// next call.
 func (n *Node) addCandidate(name string, configured bool) *candidate {
 	if name == "" || len(name) > maxNameBytes || name == n.config.Name {
 		return nil
@@ -47,7 +49,8 @@
 	return &n.candidates[len(n.candidates)-1]
 }
 
-// learnCandidates adds possible parents that another node has named, in place of the oldest that were learned.
+// learnCandidates adds possible parents that another node has named, and removes the oldest learned
+// candidates beyond MaxCandidates.
 func (n *Node) learnCandidates(names []string, proposed bool) {
 	if n.config.Voter {
 		return
@@ -75,8 +78,8 @@
 	})
 }
 
-// pickCandidate chooses whom to dial: one that a refusal has named, else one that is configured, else one that was
-// learned; among those by chance. It gives none if none may be dialled now.
+// pickCandidate returns the peer to dial: a random one of the highest priority among the candidates
+// that may be dialled now, or "" if there is none.
 func (n *Node) pickCandidate(now Microseconds) string {
 	var best []*candidate
 	bestPriority := 0
@@ -102,7 +105,7 @@
 	return chosen.name
 }
 
-// isNeighbor tells whether a peer is the parent, being tried, or a child of this node.
+// isNeighbor reports whether a peer is the parent, the peer of an attempt, or a child of this node.
 func (n *Node) isNeighbor(peer string) bool {
 	if n.parent != nil && n.parent.peer == peer {
 		return true
@@ -115,14 +118,17 @@
 	return n.hasChild(peer)
 }
 
-// avoidUntil has a peer not dialled before a time.
+// avoidUntil prevents dials to a peer before a time.
 func (n *Node) avoidUntil(peer string, until Microseconds) {
 	if candidate := n.candidateByName(peer); candidate != nil {
 		candidate.avoidUntil = max(candidate.avoidUntil, until)
 	}
 }
 
-// recordFailure notes a failure at a peer: it is not dialled for longer each time, and neither is anybody else.
+// recordFailure records a failure at a peer. The peer is not dialled for half to all of a backoff
+// that doubles with each consecutive failure at this peer. No peer is dialled for a random part of
+// a backoff that doubles with each consecutive failure at any peer. Both backoffs grow up to
+// MaxBackoff.
 func (n *Node) recordFailure(peer string, now Microseconds) {
 	if candidate := n.candidateByName(peer); candidate != nil {
 		candidate.consecutiveFailures++
@@ -133,7 +139,7 @@
 	n.nextDialAt = now + n.jitter(n.backoffDelay(n.consecutiveFailures))
 }
 
-// backoffDelay is the longest wait, in µs, after a number of failures in a row.
+// backoffDelay returns the longest wait, in µs, after a number of consecutive failures.
 func (n *Node) backoffDelay(failures int) Microseconds {
 	delay := n.limits.MinBackoff
 	for range failures - 1 {
@@ -145,7 +151,8 @@
 	return min(delay, n.limits.MaxBackoff)
 }
 
-// resetFailures forgets failures once the parent has led this node to a current configuration.
+// resetFailures clears the failure counts of this node and of its parent, once this node has the
+// current configuration from the parent.
 func (n *Node) resetFailures(parent *parentLink) {
 	n.consecutiveFailures = 0
 	if candidate := n.candidateByName(parent.peer); candidate != nil {
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
-// maxExtraCallers bounds the callers, besides as many as there are places.
+// maxExtraCallers is the number of callers that a node accepts in addition to Limits.FanOut.
 const maxExtraCallers = 64
 
-// maxUnconfirmedMessages bounds the messages to a child that renews its lease and confirms nothing.
+// maxUnconfirmedMessages bounds the messages sent to a child that renews its lease but confirms
+// none of them.
 const maxUnconfirmedMessages = 4096
 
-// caller is a link that came in and has not subscribed yet.
+// caller is an accepted link on which no Subscribe has arrived yet.
 type caller struct {
 	link  Link
 	since Microseconds
 }
 
-// child is a place in the tree below this node, on a lease.
+// child is a node with a leased place below this node.
 type child struct {
 	link            Link
 	name            string
 	scopes          Scopes
-	fanOut          int // children that it would take itself
+	fanOut          int // number of children that the child itself accepts
 	leaseEnd        Microseconds
 	nextHeartbeatAt Microseconds
 	heartbeatsSent  int
 
-	// sentVersion is what the child has once it has got everything that was sent.
+	// sentVersion is the child's version once all messages sent to it have arrived.
 	sentVersion       Version
 	awaitsSnapshot    bool
-	snapshot          *outgoingSnapshot // nil while none is under way
-	unconfirmedSizes  []int             // bytes of the messages sent that it has not confirmed; at most maxUnconfirmedMessages
-	unconfirmedBytes  int               // their sum
+	snapshot          *outgoingSnapshot // nil while no snapshot is being sent
+	unconfirmedSizes  []int             // sizes in bytes of unconfirmed messages; at most maxUnconfirmedMessages
+	unconfirmedBytes  int               // sum of unconfirmedSizes
 	confirmedMessages uint64
 }
 
@@ -46,21 +47,23 @@
 	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
 }
 
-// removeCaller takes a link off the callers and tells whether it was one.
+// removeCaller removes a link from the callers and reports whether it was one of them.
 func (n *Node) removeCaller(link Link) bool {
 	before := len(n.callers)
 	n.callers = slices.DeleteFunc(n.callers, func(c caller) bool { return c.link == link })
 	return len(n.callers) < before
 }
 
-// removeChild frees a place. The link is closed already.
+// removeChild removes a child, whose link is closed already, and starts a snapshot for a child that
+// waits for one.
 func (n *Node) removeChild(c *child, reason CloseReason, now Microseconds) {
 	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
 	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sentVersion, CloseReason: reason})
 	n.startSnapshots(now)
 }
 
-// removeUncoveredChildren ends the places of children that ask for more than this node has now.
+// removeUncoveredChildren refuses and removes the children with scopes that this node no longer
+// covers.
 func (n *Node) removeUncoveredChildren(now Microseconds) {
 	for _, child := range slices.Clone(n.children) {
 		if n.store.covered.Cover(child.scopes) {
@@ -71,12 +74,13 @@
 	}
 }
 
-// subscription is the request that the child would have to make for its place.
+// subscription returns the request that corresponds to the child's present place.
 func (c *child) subscription() *Subscribe {
 	return &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}
 }
 
-// handleRenew renews a lease and notes what the child has got.
+// handleRenew renews the lease of a child, removes the messages that the child has received from
+// its unconfirmed ones, and sends further deltas and snapshot pieces.
 func (n *Node) handleRenew(link Link, m *Renew, now Microseconds) {
 	child := n.childByLink(link)
 	if child == nil {
@@ -89,13 +93,14 @@
 		child.confirmedMessages++
 	}
 	n.sendDeltas(child, now)
-	if child.snapshot != nil { // a window may be confirmed many times between two calls of Tick
+	if child.snapshot != nil { // a child can confirm several windows between two calls of Tick
 		n.refillSnapshotCredit(now)
 		n.sendSnapshotPieces(now)
 	}
 }
 
-// checkChildren ends leases that were not renewed, and callers that do not subscribe.
+// checkChildren closes the links of children whose lease has ended or that have too many
+// unconfirmed messages, and of callers that have not subscribed within Limits.Handshake.
 func (n *Node) checkChildren(now Microseconds) {
 	for i := 0; i < len(n.children); i++ {
 		child := n.children[i]
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -1,47 +1,54 @@
 package distribution
 
-// Link identifies a connection to another node, or the dial of one, for as long as it lives. Zero is none.
+// Link identifies a connection to another node, or a dial in progress, until it is closed. Zero
+// identifies no link.
 type Link uint64
 
-// Host acts for a node. Its methods are called from within the node's calls: they must neither wait nor call the node.
+// Host performs I/O for a node. The node calls it from within its own methods: the methods of a
+// host must neither block nor call the node.
 type Host interface {
-	// Dial connects to a peer; Connected or DialFailed answers for the link, unless Close comes first.
+	// Dial starts to connect to a peer. The host answers with Node.Connected or Node.DialFailed for
+	// the link, unless the node closes the link first.
 	Dial(peer string, link Link)
-	// Send puts a message on a link, after those before it. A host that cannot keep the message closes the link and says
-	// so by Closed. The message must not be modified afterwards.
+	// Send queues a message on a link, behind the messages sent earlier. A host that cannot keep
+	// the message closes the link and calls Node.Closed. The message must not be modified
+	// afterwards.
 	Send(link Link, m Message)
-	// Close ends a link, or a dial, once what was sent on it has left. Closed need not be called for it.
+	// Close ends a link, or a dial, once the messages already sent on the link are written. The
+	// host need not call Node.Closed for it.
 	Close(link Link, reason CloseReason)
-	// Apply has the controller act by a change: each entry has its revision and its time of acceptance. If the change is
-	// complete, its entries are all that there is, and what is not among them is deleted.
+	// Apply passes a change to the controller; each entry carries its revision and its time of
+	// acceptance. If complete is set, the entries are the whole configuration, and the controller
+	// deletes every entry that is not among them.
 	Apply(change Change, complete bool)
-	// Log is told an event.
+	// Log records an event.
 	Log(event Event)
-	// Random draws a random number, for jitter and choices.
+	// Random returns a random number, for jitter and for the choice among peers.
 	Random() uint64
 }
 
-// Config is what a node is started with.
+// Config holds the parameters of a node.
 type Config struct {
-	// Name is the one by which others dial the node. It is unique among all nodes.
+	// Name is the name under which other nodes dial this node. It is unique among all nodes.
 	Name string
-	// Voter says that the node gets changes from the record by Accepted, and has no parent.
+	// Voter marks a node that gets changes from the record through Accepted and has no parent.
 	Voter bool
-	// Scopes are what a subscriber asks for; a voter has all.
+	// Scopes are the scopes that a subscriber requests; a voter has all scopes.
 	Scopes Scopes
-	// Candidates are possible parents, by name; the node's own is left out.
+	// Candidates are the names of possible parents; the node's own name is ignored.
 	Candidates []string
-	// Floor is the newest version that a subscriber knows from before a restart: it accepts nothing older. It is for hosts
-	// that keep a version over a restart and not the State; one that hands the State to Restored need not set it. Whoever
-	// keeps it keeps the newer of the Floor it started with and the Version of the node. The daemon keeps the State, where
-	// it has a folder, and does not set it.
+	// Floor is the newest version that a subscriber knows from before a restart: it accepts no
+	// older version. It is meant for hosts that store a version across a restart but not the State;
+	// a host that passes the State to Restored need not set it. A host that stores a floor stores
+	// the newer of the Floor that the node started with and the node's Version. The daemon stores
+	// the State, if a folder for it is configured, and does not set Floor.
 	Floor Version
-	// Limits bound the node; none has a default here, see DefaultLimits.
+	// Limits bounds the node. New fills in no defaults: see DefaultLimits.
 	Limits Limits
 }
 
-// Node is a voter or a subscriber, and a parent to at most Limits.FanOut others. Its calls come one at a time; nothing
-// of it survives the process but what the host keeps of State.
+// Node is a voter or a subscriber, and the parent of at most Limits.FanOut others. Its methods must
+// not be called concurrently. Only the State that the host stores survives the process.
 type Node struct {
 	config Config
 	host   Host
@@ -49,32 +56,33 @@
 	store  *store
 	counts Counts
 
-	// As a parent.
+	// State as a parent.
 	lastLink         Link
-	callers          []caller // links that came in and have not subscribed yet; at most FanOut and maxExtraCallers
+	callers          []caller // accepted links without a Subscribe yet; at most FanOut+maxExtraCallers
 	children         []*child // in the order of their admission; at most FanOut
-	snapshotCredit   int64    // millionths of a byte that snapshots may send now; below zero after a larger piece
+	snapshotCredit   int64    // millionths of a byte that snapshots may send now; negative after a larger piece
 	creditRefilledAt Microseconds
-	lastServedChild  int // index of the child that got the last piece of a snapshot
+	lastServedChild  int // index of the child that was sent the last snapshot piece
 
-	// As a child.
-	parent              *parentLink       // the place that this node has; nil without one
+	// State as a child.
+	parent              *parentLink       // nil without a parent
 	attempts            []*parentLink     // to get a place, or a better one; at most maxAttempts
-	incomingSnapshot    *incomingSnapshot // nil while none is being received
-	contentInDoubt      bool              // a digest was wrong; nothing but a snapshot is accepted until one is installed
-	candidates          []candidate       // configured ones first; of others at most MaxCandidates
+	incomingSnapshot    *incomingSnapshot // nil while no snapshot is being received
+	contentInDoubt      bool              // a digest did not match; only a complete snapshot is accepted
+	candidates          []candidate       // configured ones first; at most MaxCandidates others
 	nextDialAt          Microseconds
-	consecutiveFailures int // to get a place, since the source was last known to be current
-	consecutiveRefusals int // since this node last got a place
+	consecutiveFailures int // failed attempts and lost parents since the source was last known to be current
+	consecutiveRefusals int // refusals since this node last got a place
 
 	sourceCurrentAt   Microseconds // when the source was last known to be current
 	sourceEverCurrent bool
-	loggedStale       bool // whether EventSourceStale was the last of its two events
+	loggedStale       bool // EventSourceStale was logged after the last EventSourceCurrent
 
-	faults plantedFaults // none but in a test
+	faults plantedFaults // zero except in tests
 }
 
-// New starts a node. A voter has nothing until Restored or Accepted; a subscriber dials at the first Tick.
+// New returns a node. A voter has no configuration until Restored or Accepted is called. A
+// subscriber dials a parent at a Tick, after a jitter of at most MinBackoff.
 func New(config Config, host Host, now Microseconds) *Node {
 	n := &Node{config: config, host: host, limits: config.Limits, creditRefilledAt: now, nextDialAt: now}
 	if config.Voter {
@@ -86,7 +94,7 @@
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
-	n.nextDialAt += n.jitter(n.limits.MinBackoff) // many may start at once
+	n.nextDialAt += n.jitter(n.limits.MinBackoff) // spreads the dials of nodes that start together
 	return n
 }
 
@@ -95,8 +103,9 @@
 	return n.lastLink
 }
 
-// Accepted hands a voter the next change of the record. Revisions grow, and need not be consecutive. It tells whether
-// the change was applied: not if it is no newer than what the voter has, or of another epoch.
+// Accepted passes the next change of the record to a voter. Revisions grow, and need not be
+// consecutive. It reports whether the change was applied: a change of another epoch, or one that is
+// not newer than the voter's version, is refused.
 func (n *Node) Accepted(change Change, now Microseconds) bool {
 	version := Version{change.Epoch, change.Revision}
 	if !n.store.version.Epoch.Known() {
@@ -111,9 +120,10 @@
 	return true
 }
 
-// Restored hands a voter the state of a record: at its start, from a snapshot of the record, or empty with a new epoch
-// when a record was founded anew. A subscriber can be started with the State of its last run. A state that is older than
-// what the node has, or without an epoch, is refused.
+// Restored replaces the content of a node. A voter gets the state of its record: at its start, from
+// a snapshot of the record, or empty with a new epoch after a new record was founded. A subscriber
+// can be started with the State of its last run. Restored reports whether the state was installed:
+// a state without an epoch, older than the node's version, or of a conflicting epoch is refused.
 func (n *Node) Restored(state State, now Microseconds) bool {
 	covered := state.Covered
 	if n.config.Voter {
@@ -128,11 +138,13 @@
 	return true
 }
 
-// Current says that the voter has just known its record to be led by a majority and itself to have all of it, so that
-// nothing newer was accepted anywhere for longer than that takes to reach it.
+// Current notes that the record of the voter has a leader backed by a majority at this time, and
+// that the voter has the whole record. No newer change was then accepted anywhere, except within
+// the time that a change takes to reach the voter.
 func (n *Node) Current(now Microseconds) { n.noteSourceCurrent(now) }
 
-// Tick lets time pass. The host calls it some ten times a second.
+// Tick advances the node's time and performs what is due. The host calls it about ten times a
+// second.
 func (n *Node) Tick(now Microseconds) {
 	n.checkParent(now)
 	n.checkAttempts(now)
@@ -144,8 +156,9 @@
 	n.logStaleness(now)
 }
 
-// Incoming identifies the link of a caller that the host has accepted. Its first message must be a Subscribe. Zero says
-// that too many callers have not subscribed yet; the host closes the connection.
+// Incoming registers an accepted connection and returns its link. The first message on the link
+// must be a Subscribe. Incoming returns zero if too many callers have not subscribed yet; the host
+// then closes the connection.
 func (n *Node) Incoming(now Microseconds) Link {
 	if len(n.callers) >= n.limits.FanOut+maxExtraCallers {
 		return 0
@@ -155,7 +168,7 @@
 	return link
 }
 
-// Connected says that a dial has succeeded.
+// Connected handles a successful dial.
 func (n *Node) Connected(link Link, now Microseconds) {
 	attempt := n.attemptByLink(link)
 	if attempt == nil || attempt.connected {
@@ -165,10 +178,10 @@
 	n.sendSubscribe(attempt, now)
 }
 
-// DialFailed says that a dial has not succeeded; the link is gone.
+// DialFailed handles a failed dial, whose link is closed already.
 func (n *Node) DialFailed(link Link, now Microseconds) { n.parentLinkClosed(link, now) }
 
-// Received hands in a message that came on a link.
+// Received handles a message that arrived on a link.
 func (n *Node) Received(link Link, m Message, now Microseconds) {
 	switch m := m.(type) {
 	case *Subscribe:
@@ -180,7 +193,7 @@
 	}
 }
 
-// Closed says that a link is gone.
+// Closed handles the end of a link.
 func (n *Node) Closed(link Link, now Microseconds) {
 	n.removeCaller(link)
 	if c := n.childByLink(link); c != nil {
@@ -189,8 +202,9 @@
 	n.parentLinkClosed(link, now)
 }
 
-// Resubscribe changes what a subscriber asks for. It keeps what it has until a snapshot of the new scopes is complete. It
-// is for hosts whose scopes change while they run; the daemon's do not.
+// Resubscribe changes the scopes of a subscriber. The node keeps its content until a snapshot of
+// the new scopes is complete. It is meant for hosts whose scopes change at run time; the daemon's
+// do not.
 func (n *Node) Resubscribe(scopes Scopes, now Microseconds) {
 	if n.config.Voter || n.config.Scopes.Equal(scopes) {
 		return
@@ -206,7 +220,7 @@
 	}
 }
 
-// jitter draws a time up to a bound.
+// jitter returns a random duration below bound, or zero if bound is not positive.
 func (n *Node) jitter(bound Microseconds) Microseconds {
 	if bound <= 0 {
 		return 0
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -2,26 +2,27 @@
 
 import "slices"
 
-// parentLink is the link to this node's parent, or to a peer that was asked for a place. In parameters it is named parent
-// where it is that of Node.parent, attempt where it is one of Node.attempts, and place where it may be either.
+// parentLink is the link to this node's parent, or to a peer that was asked for a place. A
+// parameter is named parent if it holds Node.parent, attempt if it holds one of Node.attempts, and
+// place if it may hold either.
 type parentLink struct {
 	link           Link
 	peer           string
 	dialedAt       Microseconds
 	connected      bool
-	lastReceivedAt Microseconds // when the last message came
+	lastReceivedAt Microseconds // arrival of the last message; until then, time of the dial
 
-	subscribing      bool   // a Subscribe is sent and not answered; until it is, what comes answers an earlier one
+	subscribing      bool   // a Subscribe is unanswered; messages until its answer belong to an earlier one
 	lastRequest      uint64 // number of the last Subscribe
 	subscribeSentAt  Microseconds
-	recoveryRequests int // requests after a gap or a wrong digest since a message last applied
+	recoveryRequests int // sent after a gap or a wrong digest, since a message last applied
 
 	admittedAt       Microseconds
-	lease            Microseconds // µs, as granted
+	lease            Microseconds // in µs, as granted by the parent
 	path             []string
-	behind           bool         // the parent is older than this node
-	behindSince      Microseconds // only if behind
-	receivedMessages uint64       // since the admission
+	behind           bool         // the parent's version is older than this node's
+	behindSince      Microseconds // set only if behind
+	receivedMessages uint64       // received since the last Admitted, which is included
 	unconfirmedBytes int          // received since the last Renew
 }
 
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// parentOrAttempt gives the parent, or one that was asked to be it, by its link.
+// parentOrAttempt returns the parent or the attempt with this link, nil if there is neither.
 func (n *Node) parentOrAttempt(link Link) *parentLink {
 	if n.parent != nil && n.parent.link == link {
 		return n.parent
@@ -42,7 +43,8 @@
 	return n.attemptByLink(link)
 }
 
-// sendSubscribe asks for a place, or asks the parent anew for what is missing.
+// sendSubscribe asks a peer for a place, or the parent for the changes or the snapshot that this
+// node is missing.
 func (n *Node) sendSubscribe(place *parentLink, now Microseconds) {
 	place.subscribing = true
 	place.subscribeSentAt = now
@@ -65,11 +67,12 @@
 	n.host.Send(place.link, request)
 }
 
-// handleAdmitted accepts a place that was granted, if it is the first or better than the one this node has.
+// handleAdmitted accepts a granted place if this node has no parent or the place is better than the
+// present one. It also handles the parent's answer to a repeated Subscribe.
 func (n *Node) handleAdmitted(place *parentLink, m *Admitted, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if m.Request != place.lastRequest {
-		return // it answers an earlier request; what follows may be of other scopes
+		return // answers an earlier request; the messages after it may have other scopes
 	}
 	place.subscribing = false
 	place.receivedMessages = 1
@@ -94,8 +97,10 @@
 	n.noteSourceAge(place, m.Version, m.Age, now)
 }
 
-// isBetterPlace tells whether a place that was granted is better than the one this node has: not behind where the
-// present one is, or with a source that was known to be current clearly later.
+// isBetterPlace reports whether a granted place is better than the present one. The new parent must
+// not be behind this node and must have known its source to be current. It is better if the present
+// parent is behind, if this node has never known its source to be current, or if the new parent's
+// age is less than half of this node's.
 func (n *Node) isBetterPlace(m *Admitted, now Microseconds) bool {
 	if n.isOlder(m.Version) || m.Age == NeverCurrent {
 		return false
@@ -104,7 +109,8 @@
 	return n.parent.behind || age == NeverCurrent || m.Age < age/2
 }
 
-// adoptParent makes an attempt the parent, and ends the others.
+// adoptParent makes the peer of an attempt the parent, leaves the previous parent and closes the
+// other attempts.
 func (n *Node) adoptParent(place *parentLink, now Microseconds) {
 	if n.parent != nil {
 		n.leaveParent(CloseOutdatedParent, now)
@@ -121,12 +127,14 @@
 	n.scheduleHeartbeats(now)
 }
 
-// pathValid tells whether a parent with this path can be this node's: it isn't below this node, nor too deep.
+// pathValid reports whether a parent with this path is allowed: the path is not empty, has at most
+// MaxDepth names, and does not contain this node, which would close a loop.
 func (n *Node) pathValid(path []string) bool {
 	return len(path) > 0 && len(path) <= n.limits.MaxDepth && !slices.Contains(path, n.config.Name)
 }
 
-// setPath stores the parent's path, and tells the children at the next Tick if it is another.
+// setPath stores the parent's path. If the path has changed, the children get a heartbeat with it
+// at the next Tick.
 func (n *Node) setPath(parent *parentLink, path []string, now Microseconds) {
 	if slices.Equal(parent.path, path) {
 		return
@@ -136,7 +144,7 @@
 	n.scheduleHeartbeats(now)
 }
 
-// ownPath holds the names from the voter down to this node, which is the last.
+// ownPath returns the names from the voter down to this node, which is the last.
 func (n *Node) ownPath() []string {
 	if n.parent == nil {
 		return []string{n.config.Name}
@@ -144,7 +152,8 @@
 	return append(slices.Clone(n.parent.path), n.config.Name)
 }
 
-// checkParent leaves a parent that has sent nothing for a lease, or does not answer a request.
+// checkParent leaves a parent that has sent nothing for the shorter of the granted lease and
+// Limits.Lease, or has not answered a request within Limits.Handshake.
 func (n *Node) checkParent(now Microseconds) {
 	parent := n.parent
 	if parent == nil {
@@ -162,13 +171,14 @@
 	}
 }
 
-// leaveParent gives the parent up. What it sent stays in force.
+// leaveParent closes the link to the parent. The configuration received from it stays in force.
 func (n *Node) leaveParent(reason CloseReason, now Microseconds) {
 	n.host.Close(n.parent.link, reason)
 	n.loseParent(reason, now)
 }
 
-// loseParent goes on without a parent; the next dial comes soon, after a jitter. The link is closed already.
+// loseParent removes the parent, whose link is closed already. The next dial follows after a random
+// part of the backoff.
 func (n *Node) loseParent(reason CloseReason, now Microseconds) {
 	lost := n.parent
 	n.parent = nil
@@ -179,7 +189,7 @@
 	n.scheduleHeartbeats(now)
 }
 
-// parentLinkClosed handles the end of a link to a parent, or of an attempt to get one.
+// parentLinkClosed handles the end of the link to the parent or to the peer of an attempt.
 func (n *Node) parentLinkClosed(link Link, now Microseconds) {
 	if attempt := n.attemptByLink(link); attempt != nil {
 		n.attemptFailed(attempt, now)
@@ -190,7 +200,8 @@
 	}
 }
 
-// rejectConflict leaves one whose epoch was founded beside this node's.
+// rejectConflict closes the link to a peer whose epoch has the same number as this node's but was
+// founded separately. The peer is not dialled for MaxRetryAfter.
 func (n *Node) rejectConflict(place *parentLink, now Microseconds) {
 	n.host.Log(Event{Kind: EventEpochConflict, Peer: place.peer, Version: n.store.version})
 	n.avoidUntil(place.peer, now+n.limits.MaxRetryAfter)
--- a/distribution/parent_search.go
+++ b/distribution/parent_search.go
@@ -2,13 +2,16 @@
 
 import "slices"
 
-// refusalsPerBackoff is how many refusals lengthen the wait like one failure: being sent down a tree is no failure.
+// refusalsPerBackoff is the number of refusals that lengthen the backoff as much as one failure. A
+// node that is referred down the tree is refused several times without any failure.
 const refusalsPerBackoff = 3
 
-// maxAttempts bounds the parents that are asked for a place at once. Two may be silent behind the same cut.
+// maxAttempts bounds the peers that are asked for a place at the same time. Two of them may be
+// unreachable because of the same network partition.
 const maxAttempts = 3
 
-// seekParent dials a possible parent where one is needed, and further ones beside those that take long.
+// seekParent dials a candidate if this node needs a parent. While this node has no parent, it dials
+// up to maxAttempts candidates at the same time, each HedgeDelay after the previous one.
 func (n *Node) seekParent(now Microseconds) {
 	if n.config.Voter || !n.needsParent(now) {
 		return
@@ -27,8 +30,9 @@
 	}
 }
 
-// needsParent tells whether this node has no parent, or one that has been behind or without a current source for
-// MaxStaleness.
+// needsParent reports whether this node has no parent, or a parent that has been behind for
+// MaxStaleness or has brought no progress for MaxStaleness. Progress is the admission by the
+// parent, a source known to be current, or a piece of an incoming snapshot.
 func (n *Node) needsParent(now Microseconds) bool {
 	parent := n.parent
 	if parent == nil {
@@ -37,17 +41,17 @@
 	if parent.behind && now-parent.behindSince >= n.limits.MaxStaleness {
 		return true
 	}
-	lastGoodAt := parent.admittedAt
+	lastProgressAt := parent.admittedAt
 	if n.sourceEverCurrent {
-		lastGoodAt = max(lastGoodAt, n.sourceCurrentAt)
+		lastProgressAt = max(lastProgressAt, n.sourceCurrentAt)
 	}
 	if n.incomingSnapshot != nil {
-		lastGoodAt = max(lastGoodAt, n.incomingSnapshot.progressAt)
+		lastProgressAt = max(lastProgressAt, n.incomingSnapshot.progressAt)
 	}
-	return now-lastGoodAt >= n.limits.MaxStaleness
+	return now-lastProgressAt >= n.limits.MaxStaleness
 }
 
-// dialCandidate tries one of the candidates, if there is one that may be tried now.
+// dialCandidate dials a candidate, if there is one that may be dialled now.
 func (n *Node) dialCandidate(now Microseconds) {
 	peer := n.pickCandidate(now)
 	if peer == "" {
@@ -59,7 +63,7 @@
 	n.host.Dial(peer, attempt.link)
 }
 
-// checkAttempts gives up attempts that take too long.
+// checkAttempts closes attempts that were not admitted within Limits.Handshake after the dial.
 func (n *Node) checkAttempts(now Microseconds) {
 	for _, attempt := range slices.Clone(n.attempts) {
 		if now-attempt.dialedAt >= n.limits.Handshake {
@@ -69,7 +73,8 @@
 	}
 }
 
-// attemptFailed puts off the next attempt, at this peer and at all. The link is closed already.
+// attemptFailed removes an attempt, whose link is closed already, and delays the next dial to this
+// peer and the next dial to any peer.
 func (n *Node) attemptFailed(attempt *parentLink, now Microseconds) {
 	n.removeAttempt(attempt)
 	n.recordFailure(attempt.peer, now)
@@ -79,7 +84,8 @@
 	n.attempts = slices.DeleteFunc(n.attempts, func(other *parentLink) bool { return other == attempt })
 }
 
-// declinePlace gives back a place that cannot be used or is no better, and waits before the next try.
+// declinePlace closes the link of a granted place that is unusable or not better than the present
+// one, and delays the next dial.
 func (n *Node) declinePlace(place *parentLink, reason CloseReason, now Microseconds) {
 	if place == n.parent {
 		n.leaveParent(reason, now)
@@ -87,15 +93,17 @@
 	}
 	n.host.Close(place.link, reason)
 	n.removeAttempt(place)
-	again := now + n.limits.MaxRetryAfter/2 + n.jitter(n.limits.MaxRetryAfter/2)
-	n.avoidUntil(place.peer, again)
+	retryAt := now + n.limits.MaxRetryAfter/2 + n.jitter(n.limits.MaxRetryAfter/2)
+	n.avoidUntil(place.peer, retryAt)
 	n.nextDialAt = now + n.jitter(n.limits.MinBackoff)
 	if n.parent != nil {
-		n.nextDialAt = again
+		n.nextDialAt = retryAt
 	}
 }
 
-// handleRefused handles a refusal: the peer is not asked for as long as it says, and those it names are tried soon.
+// handleRefused handles a refusal. The peer is not dialled for RetryAfter, which is limited to the
+// range from MinBackoff to twice MaxRetryAfter, and the candidates that it proposes are dialled
+// first.
 func (n *Node) handleRefused(place *parentLink, m *Refused, now Microseconds) {
 	n.counts.RefusedByParents++
 	n.host.Log(Event{Kind: EventRefusedBy, Peer: place.peer, Version: n.store.version, Refusal: m.Reason})
--- a/distribution/planted_faults.go
+++ b/distribution/planted_faults.go
@@ -1,27 +1,31 @@
 package distribution
 
-// plantedFaults each break one rule of a node, to show that the check of every order of events finds that. The zero value
-// breaks none; only check_test.go, which stands in this package, can set another. The rules lie in the middle of the
-// node's calls, so no host can break them from outside. All that looks at a planted fault is in this file: each method
-// gives back what it was given unless its fault is planted.
+// plantedFaults are deliberate faults, each of which breaks one rule of a node. They show that the
+// check of every order of events detects a broken rule. The zero value breaks none; only
+// check_test.go, which belongs to this package, sets others. The rules are applied in the middle of
+// the node's methods, so no host can break them from outside. All code that depends on a planted
+// fault is in this file: each method returns its unchanged argument unless the fault is planted.
 type plantedFaults struct {
-	acceptGaps  bool // a delta that does not follow is applied
-	acceptOlder bool // what an older parent sends is applied
-	applyHalf   bool // of a change the first entry alone is applied
+	acceptGaps  bool // applies deltas that do not follow the node's version
+	acceptOlder bool // applies an older version from a parent
+	applyHalf   bool // applies only the first entry of a change
 }
 
-// acceptsDigest lets a wrong digest pass where gaps are accepted.
+// acceptsDigest reports whether a digest is accepted: only one that matches, or any with
+// acceptGaps.
 func (f plantedFaults) acceptsDigest(matches bool) bool { return matches || f.acceptGaps }
 
-// acceptsMessage lets what does not follow pass where gaps are accepted, if the epoch is the node's.
+// acceptsMessage reports whether a message is accepted: with acceptGaps also one that does not
+// follow the node's version, if it has the node's epoch.
 func (f plantedFaults) acceptsMessage(follows, sameEpoch bool) bool {
 	return follows || f.acceptGaps && sameEpoch
 }
 
-// refusesOlder lets what is older pass where that is accepted.
+// refusesOlder reports whether an older version is refused: with acceptOlder never.
 func (f plantedFaults) refusesOlder(older bool) bool { return older && !f.acceptOlder }
 
-// requestedVersion hides from the parent what this node has, where older things are accepted.
+// requestedVersion returns the version for a Subscribe: with acceptOlder zero, so that an older
+// parent sends its content.
 func (f plantedFaults) requestedVersion(version Version) Version {
 	if f.acceptOlder {
 		return Version{}
@@ -29,7 +33,7 @@
 	return version
 }
 
-// appliedEntries leaves out all entries of a change but the first, where half of it is applied.
+// appliedEntries returns the entries of a change to apply: with applyHalf only the first.
 func (f plantedFaults) appliedEntries(entries []Entry) []Entry {
 	if f.applyHalf {
 		return entries[:1]
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -1,12 +1,14 @@
 package distribution
 
-// maxRecoveries is how often a node asks a parent to recover from a gap before it leaves it.
+// maxRecoveries is the number of consecutive requests for recovery from a gap or a wrong digest
+// that a node sends to its parent before it leaves the parent.
 const maxRecoveries = 3
 
-// renewsPerWindow is how often a window of the parent's is confirmed besides at heartbeats.
+// renewsPerWindow is the number of confirmations that a child sends per Limits.Window of received
+// bytes, in addition to those that answer heartbeats.
 const renewsPerWindow = 4
 
-// receiveFromParent handles a message of a parent, or of one that was asked to be it.
+// receiveFromParent handles a message from the parent or from a peer that was asked for a place.
 func (n *Node) receiveFromParent(link Link, m Message, now Microseconds) {
 	place := n.parentOrAttempt(link)
 	if place == nil {
@@ -27,7 +29,8 @@
 	}
 }
 
-// handleParentMessage handles what a parent sends to a child with a place, and renews the lease if it is time to.
+// handleParentMessage handles a message from a parent that has admitted this node. It renews the
+// lease after each heartbeat, and once Limits.Window/renewsPerWindow bytes are unconfirmed.
 func (n *Node) handleParentMessage(parent *parentLink, m Message, now Microseconds) {
 	isHeartbeat := false
 	switch m := m.(type) {
@@ -39,15 +42,16 @@
 		isHeartbeat = true
 		n.handleHeartbeat(parent, m, now)
 	}
-	hasPlace := parent == n.parent && !parent.subscribing // handling the message may have ended it
-	enough := parent.unconfirmedBytes >= n.limits.Window/renewsPerWindow
-	if hasPlace && (isHeartbeat || enough) {
+	hasPlace := parent == n.parent && !parent.subscribing // the calls above may have ended the place
+	renewDue := parent.unconfirmedBytes >= n.limits.Window/renewsPerWindow
+	if hasPlace && (isHeartbeat || renewDue) {
 		n.host.Send(parent.link, &Renew{Version: n.store.version, Received: parent.receivedMessages})
 		parent.unconfirmedBytes = 0
 	}
 }
 
-// handleDelta applies changes if they follow what this node has and end in the digest that they should.
+// handleDelta applies the changes of a delta if they follow this node's version, are well-formed,
+// lead to the digest in the delta, and keep the state within Limits.StateBytes.
 func (n *Node) handleDelta(parent *parentLink, m *Delta, now Microseconds) {
 	version := Version{m.Epoch, m.Revision}
 	if n.isOlder(version) || version == n.store.version {
@@ -78,14 +82,16 @@
 	n.sendDeltasToAll(now)
 }
 
-// followsContent tells whether what was sent for a child at a revision applies to what this node has.
+// followsContent reports whether a message that the parent sent for a child at a previous revision
+// applies to this node's content.
 func (n *Node) followsContent(epoch Epoch, previous uint64) bool {
-	sound := n.contentComplete() && n.incomingSnapshot == nil
-	follows := sound && n.store.version == Version{epoch, previous}
+	ready := n.contentComplete() && n.incomingSnapshot == nil
+	follows := ready && n.store.version == Version{epoch, previous}
 	return n.faults.acceptsMessage(follows, epoch == n.store.version.Epoch)
 }
 
-// deltaWellFormed tells whether the changes are in order and in this node's scopes.
+// deltaWellFormed reports whether a delta has changes, in ascending order of their revisions, each
+// with at least one entry and with entries of this node's scopes alone.
 func (n *Node) deltaWellFormed(m *Delta) bool {
 	last := m.Previous
 	for _, change := range m.Changes {
@@ -101,7 +107,8 @@
 	return len(m.Changes) > 0
 }
 
-// entriesValid tells whether entries are in this node's scopes and none is newer than a revision.
+// entriesValid reports whether all entries are in this node's scopes and none is newer than a
+// revision.
 func (n *Node) entriesValid(entries []Entry, revision uint64) bool {
 	for _, entry := range entries {
 		if !n.config.Scopes.Has(entry.Scope) || entry.Revision > revision {
@@ -111,7 +118,8 @@
 	return true
 }
 
-// handleHeartbeat notes that the parent is there, and moves on past revisions with nothing in this node's scopes.
+// handleHeartbeat stores the parent's path and age, and advances this node past revisions without
+// changes in its scopes.
 func (n *Node) handleHeartbeat(parent *parentLink, m *Heartbeat, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if !n.pathValid(m.Path) {
@@ -127,7 +135,8 @@
 	}
 }
 
-// advanceByHeartbeat moves on to the revision of a heartbeat that follows what this node has.
+// advanceByHeartbeat advances this node to the revision of a heartbeat, if the heartbeat follows
+// this node's version and has the same digest.
 func (n *Node) advanceByHeartbeat(parent *parentLink, m *Heartbeat, now Microseconds) {
 	version := Version{m.Epoch, m.Revision}
 	switch {
@@ -143,7 +152,9 @@
 	}
 }
 
-// noteSourceAge notes how old the parent's configuration is, and whether it is behind this node's.
+// noteSourceAge stores whether the parent is behind this node. If this node has everything that the
+// parent has, it also stores when the parent last knew the source to be current, and clears the
+// failure counts.
 func (n *Node) noteSourceAge(parent *parentLink, source Version, age, now Microseconds) {
 	behind := n.isOlder(source)
 	if behind && !parent.behind {
@@ -158,15 +169,17 @@
 	}
 }
 
-// handleGap answers a message that doesn't follow what this node has: it asks for what leads on from there.
+// handleGap handles a message that does not follow this node's version, by a request for the
+// missing changes.
 func (n *Node) handleGap(parent *parentLink, now Microseconds) {
 	n.counts.GapsSeen++
 	n.host.Log(Event{Kind: EventGap, Peer: parent.peer, Version: n.store.version})
 	n.requestRecovery(parent, now)
 }
 
-// handleWrongDigest answers changes or a snapshot that end in another digest than they should: nothing of them was
-// applied, and as nothing tells where the fault is, only a snapshot helps.
+// handleWrongDigest handles a message whose digest differs from the digest of the resulting
+// content. Nothing of the message was applied. As a digest does not show which entry is wrong, only
+// a snapshot can restore the content.
 func (n *Node) handleWrongDigest(parent *parentLink, now Microseconds) {
 	n.counts.WrongDigests++
 	n.host.Log(Event{Kind: EventWrongDigest, Peer: parent.peer, Version: n.store.version})
@@ -174,7 +187,8 @@
 	n.requestRecovery(parent, now)
 }
 
-// requestRecovery asks the parent anew, and leaves one that was asked maxRecoveries times without success.
+// requestRecovery subscribes again at the parent, or leaves the parent after maxRecoveries
+// consecutive requests without success.
 func (n *Node) requestRecovery(parent *parentLink, now Microseconds) {
 	parent.recoveryRequests++
 	if parent.recoveryRequests > maxRecoveries {
--- a/distribution/transport/config.go
+++ b/distribution/transport/config.go
@@ -8,45 +8,51 @@
 	"wheelrill/distribution"
 )
 
-// Config is what a transport is started with. Apply and Log are called by the event loop: they must not wait, nor call
-// the transport.
+// Config holds the parameters of a transport. The event loop calls Apply and Log: they must neither
+// block nor call the transport.
 type Config struct {
-	// Node is the configuration of the node.
+	// Node is the configuration of the distribution.Node.
 	Node distribution.Config
-	// Dial connects to a peer by its name, with all that has to be sent before the first message. It must return once
-	// its context ends.
+	// Dial connects to the peer with this name, and sends everything that has to precede the first
+	// message. It must return once its context ends.
 	Dial func(ctx context.Context, peer string) (net.Conn, error)
-	// Apply is told each change, in order; if it is complete, its entries are all that there is. Nil for nobody.
+	// Apply receives each change, in order. If complete is set, the entries of the change are the
+	// whole configuration. A nil Apply is not called.
 	Apply func(change distribution.Change, complete bool)
-	// Log is told events; nil for nobody.
+	// Log receives the events of the node. A nil Log is not called.
 	Log func(event distribution.Event)
-	// Bounds are those of the transport; what is 0 has its default.
+	// Bounds limits the transport; a bound that is not positive is replaced by its default.
 	Bounds Bounds
 }
 
-// Bounds are the sizes, counts and times of a transport.
+// Bounds holds the sizes, counts and times that limit a transport.
 type Bounds struct {
-	// Tick is the time between two ticks of the node.
+	// Tick is the interval between two calls of the node's Tick.
 	Tick time.Duration
-	// DialTimeout is the time that a dial may take.
+	// DialTimeout bounds the time of a dial.
 	DialTimeout time.Duration
-	// WriteTimeout is the time that what is queued for a peer may take to be written.
+	// WriteTimeout bounds the time to write the messages that are queued for a peer.
 	WriteTimeout time.Duration
-	// CloseTimeout is the same, once the link is to be closed.
+	// CloseTimeout replaces WriteTimeout for a link that is being closed.
 	CloseTimeout time.Duration
-	// Mailbox is the number of events that wait for the event loop; readers wait beyond.
+	// Mailbox is the number of events that can wait for the event loop; beyond it, readers and
+	// callers of methods wait.
 	Mailbox int
-	// QueueCount is the number of messages that wait for a peer; beyond, its link is closed.
+	// QueueCount is the number of messages that can wait for a peer; the link is closed if one more
+	// is sent.
 	QueueCount int
-	// QueueBytes bounds the same messages by their estimated sizes.
+	// QueueBytes bounds the sum of the estimated sizes of these messages; a single message to an
+	// empty queue may exceed it.
 	QueueBytes int
-	// MessageBytes bounds one message that a peer sends.
+	// MessageBytes bounds the size of one message from a peer.
 	MessageBytes int
-	// Callers is the number of accepted connections at a time; the next is closed at once.
+	// Callers is the number of accepted connections that can be open at the same time; one more is
+	// closed at once.
 	Callers int
 }
 
-// Defaults of the bounds, in their units.
+// Defaults of the bounds; Mailbox, QueueCount and Callers are counts, QueueBytes and MessageBytes
+// are bytes.
 const (
 	DefaultTick         = 100 * time.Millisecond
 	DefaultDialTimeout  = 2 * time.Second
@@ -73,7 +79,7 @@
 	}
 }
 
-// valueOr is a value, or a default where it is not given.
+// valueOr returns the value if it is positive, else the fallback.
 func valueOr[T int | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
--- a/distribution/transport/host.go
+++ b/distribution/transport/host.go
@@ -7,7 +7,7 @@
 	"wheelrill/distribution"
 )
 
-// host acts for the node, from within the event loop.
+// host implements distribution.Host for the node. The node calls it on the event loop.
 type host struct{ *Transport }
 
 // Dial implements distribution.Host.
@@ -19,7 +19,7 @@
 	t.goroutines.Go(func() { t.dial(ctx, peer, l) })
 }
 
-// dial connects a link and reads from it until its connection ends.
+// dial connects a link and reads messages from it until its connection ends.
 func (t *Transport) dial(ctx context.Context, peer string, l *link) {
 	conn, err := t.config.Dial(ctx, peer)
 	l.cancel()
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	readBufferBytes     = 512     // of each connection
-	maxIdleBufferBytes  = 4 << 10 // a read buffer that grew beyond is freed after the message
+	readBufferBytes     = 512     // per connection
+	maxIdleBufferBytes  = 4 << 10 // a read buffer that has grown larger is freed after the message
 	maxPooledBatchBytes = 64 << 10
 )
 
-// link is a connection to one peer. A reader lives as long as it; a writer only while something waits to be written, so
-// that an idle link costs one goroutine.
+// link is a connection to one peer. Its reader runs until the connection ends; its writer runs only
+// while messages wait to be written, so that an idle link costs one goroutine.
 type link struct {
 	transport *Transport
-	id        distribution.Link      // used by the event loop alone
-	allowed   func(name string) bool // names under which the peer may subscribe; nil for any
-	cancel    context.CancelFunc     // of the dial; nil for an accepted link
+	id        distribution.Link      // accessed on the event loop alone
+	allowed   func(name string) bool // whether the peer may subscribe under a name; nil allows all names
+	cancel    context.CancelFunc     // cancels the dial; nil for an accepted link
 
-	mutex       sync.Mutex             // of the fields below
-	conn        net.Conn               // nil while it is dialled; set once
+	mutex       sync.Mutex             // guards the fields below
+	conn        net.Conn               // nil until the dial has succeeded; set once
 	queue       []distribution.Message // at most Bounds.QueueCount
-	queuedBytes int                    // by the messages' estimates, with what is being written; at most Bounds.QueueBytes
-	writing     bool                   // the writer runs
-	closing     bool                   // nothing is queued any more; the connection is closed once the queue is written
+	queuedBytes int                    // estimated sizes of messages queued or being written; at most Bounds.QueueBytes
+	writing     bool                   // a writer runs
+	closing     bool                   // no message is queued any more; the connection closes once the queue is empty
 }
 
-// attach gives a dialled link its connection; false if it was closed meanwhile.
+// attach sets the connection of a dialled link. It returns false if the link was closed before.
 func (l *link) attach(conn net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -45,17 +45,17 @@
 	return true
 }
 
-// send queues a message, and starts a writer if none runs. False: the queue is full.
+// send queues a message, and starts a writer if none runs. It returns false if the queue is full.
 func (l *link) send(m distribution.Message) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closing || l.conn == nil {
-		return true // nobody will read it; the event loop hears of that
+		return true // dropped; the event loop has closed the link or will get its eventClosed
 	}
 	bounds := l.transport.bounds
 	size := m.Size()
 	full := len(l.queue) >= bounds.QueueCount || l.queuedBytes+size > bounds.QueueBytes
-	if l.queuedBytes > 0 && full { // a single message of any size is let through
+	if l.queuedBytes > 0 && full { // an empty queue accepts a message of any size
 		return false
 	}
 	l.queue = append(l.queue, m)
@@ -67,7 +67,7 @@
 	return true
 }
 
-// close ends the link once what is queued is written, or CloseTimeout has passed.
+// close ends the link once the queued messages are written, or CloseTimeout has passed.
 func (l *link) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// abort ends the link at once.
+// abort ends the link at once and drops the queued messages.
 func (l *link) abort() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -96,10 +96,11 @@
 	}
 }
 
-// batchPool holds buffers of at most maxPooledBatchBytes, as a writer needs one for a moment only.
+// batchPool holds buffers of at most maxPooledBatchBytes for reuse, as a writer needs its buffer
+// only while it runs.
 var batchPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// write sends what is queued until nothing is, or the connection fails.
+// write writes the queued messages until the queue is empty or the connection fails.
 func (l *link) write() {
 	batch := batchPool.Get().(*bytes.Buffer)
 	defer func() {
@@ -113,13 +114,13 @@
 			return
 		}
 		if !l.writeBatch(batch, messages) {
-			l.abort() // the reader sees it, and says so
+			l.abort() // the reader then fails and posts eventClosed
 			return
 		}
 	}
 }
 
-// writeBatch encodes messages and writes them in one call; false if that fails.
+// writeBatch encodes messages and writes them in one call. It returns false if either fails.
 func (l *link) writeBatch(batch *bytes.Buffer, messages []distribution.Message) bool {
 	batch.Reset()
 	size := 0
@@ -140,7 +141,8 @@
 	return true
 }
 
-// nextBatch takes what is to be written, and gives it a deadline; false if there is nothing, which ends the writer.
+// nextBatch takes all queued messages and sets the deadline to write them. It returns false if
+// there are none, which ends the writer.
 func (l *link) nextBatch() ([]distribution.Message, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -161,7 +163,8 @@
 	return messages, true
 }
 
-// read hands the event loop what the peer sends, until the connection ends or a message breaks a rule.
+// read posts the messages from the peer to the event loop until the connection ends or a message
+// breaks a rule.
 func (l *link) read() {
 	t := l.transport
 	defer func() {
@@ -190,13 +193,14 @@
 	}
 }
 
-// allows tells whether the peer may send that: it subscribes under its own names alone.
+// allows reports whether the peer may send a message: a Subscribe must have a name that the peer
+// may subscribe under.
 func (l *link) allows(m distribution.Message) bool {
 	subscribe, subscribes := m.(*distribution.Subscribe)
 	return !subscribes || l.allowed == nil || l.allowed(subscribe.Name)
 }
 
-// countingConn counts the bytes that come in.
+// countingConn counts the received bytes.
 type countingConn struct {
 	net.Conn
 	transport *Transport
--- a/distribution/transport/methods.go
+++ b/distribution/transport/methods.go
@@ -2,37 +2,41 @@
 
 import "wheelrill/distribution"
 
-// Accepted hands a voter the next change of the record.
+// Accepted passes the next change of the record to a voter's node.
 func (t *Transport) Accepted(change distribution.Change) {
 	t.postCall(func(now distribution.Microseconds) { t.node.Accepted(change, now) })
 }
 
-// Restored hands in a whole state: a voter's record, or what a subscriber has stored.
+// Restored passes a whole state to the node: the record of a voter, or the state that a subscriber
+// has stored.
 func (t *Transport) Restored(state distribution.State) {
 	t.postCall(func(now distribution.Microseconds) { t.node.Restored(state, now) })
 }
 
-// Current says that the voter has just known its record to be led by a majority.
+// Current notes that the record of the voter has a leader backed by a majority, and that the voter
+// has the whole record.
 func (t *Transport) Current() { t.postCall(t.node.Current) }
 
-// Status asks the node how it is, and waits for it; false once Run has ended.
+// Status returns the status of the node, for which it waits; false once Run has ended.
 func (t *Transport) Status() (status distribution.Status, ok bool) {
 	ok = t.postCallAndWait(func(now distribution.Microseconds) { status = t.node.Status(now) })
 	return status, ok
 }
 
-// State asks the node for all that it has, and waits for it; false once Run has ended. Nobody modifies the state.
+// State returns the whole content of the node, for which it waits; false once Run has ended. The
+// state must not be modified.
 func (t *Transport) State() (state distribution.State, ok bool) {
 	ok = t.postCallAndWait(func(distribution.Microseconds) { state = t.node.State() })
 	return state, ok
 }
 
-// postCall has the event loop run something; it waits for room in the mailbox alone.
+// postCall posts a function to be run on the event loop. It waits only while the mailbox is full.
 func (t *Transport) postCall(run func(now distribution.Microseconds)) {
 	t.post(event{kind: eventCall, run: run})
 }
 
-// postCallAndWait has the event loop run something, and waits for it; false once Run has ended.
+// postCallAndWait runs a function on the event loop and waits for its end. It returns false once
+// Run has ended.
 func (t *Transport) postCallAndWait(run func(now distribution.Microseconds)) bool {
 	done := make(chan struct{})
 	runAndSignal := func(now distribution.Microseconds) {
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -11,52 +11,53 @@
 	"wheelrill/distribution"
 )
 
-// Transport is a node on connections. Its methods may be called from any goroutine, but Run once only.
+// Transport runs a node over connections. Its methods may be called from any goroutine; Run may be
+// called only once.
 type Transport struct {
 	config    Config
 	bounds    Bounds
 	startedAt time.Time
-	mailbox   chan event    // of Bounds.Mailbox; read by Run, never closed
-	ended     chan struct{} // closed by Run at its end
+	mailbox   chan event    // capacity Bounds.Mailbox; read by Run, never closed
+	ended     chan struct{} // closed by Run when it ends
 
-	bytesIn   atomic.Int64 // received
-	bytesOut  atomic.Int64 // sent
-	overflows atomic.Int64 // links closed as their queue was full
+	bytesIn   atomic.Int64 // received bytes
+	bytesOut  atomic.Int64 // sent bytes
+	overflows atomic.Int64 // links closed because their queue was full
 
-	// Used by Run and what it calls alone.
+	// Accessed only on the event loop.
 	node            *distribution.Node
 	links           map[distribution.Link]*link
-	overflowedLinks []*link // aborted in the event that is being handled; the node hears of them after it
+	overflowedLinks []*link // aborted while an event is handled; the node gets Closed for each after it
 	ctx             context.Context
 
-	mutex     sync.Mutex         // of the three fields below
-	openLinks map[*link]struct{} // those with a connection, to be aborted at the end
+	mutex     sync.Mutex         // guards the three fields below
+	openLinks map[*link]struct{} // links with a connection, which closeAll aborts
 	closed    bool               // Run has ended; no link is added to openLinks any more
-	callers   int                // accepted connections, at most Bounds.Callers
+	callers   int                // open accepted connections; at most Bounds.Callers
 
 	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for them
 }
 
-// event is something for the event loop. The kind says which of the other fields are set.
+// event is an input of the event loop. Its kind determines which of the other fields are set.
 type event struct {
 	kind    eventKind
-	link    *link                               // of all kinds but eventCall
-	message distribution.Message                // of eventReceived
-	run     func(now distribution.Microseconds) // of eventCall
+	link    *link                               // set for all kinds except eventCall
+	message distribution.Message                // set for eventReceived
+	run     func(now distribution.Microseconds) // set for eventCall
 }
 
 type eventKind uint8
 
 const (
 	eventCall       eventKind = iota // run a function on the event loop
-	eventAccepted                    // a caller's connection was accepted
-	eventConnected                   // a dial has succeeded
-	eventDialFailed                  // a dial has not succeeded
+	eventAccepted                    // a connection of a caller was accepted
+	eventConnected                   // a dial succeeded
+	eventDialFailed                  // a dial failed
 	eventReceived                    // a message was read
 	eventClosed                      // the connection has ended
 )
 
-// New makes a transport. It does nothing before Run.
+// New returns a transport. It starts no goroutine before Run.
 func New(config Config) *Transport {
 	bounds := config.Bounds.withDefaults()
 	t := &Transport{
@@ -72,15 +73,16 @@
 	return t
 }
 
-// now is the time in µs since the transport was made, which never goes back.
+// now returns the µs since New, on a monotonic clock.
 func (t *Transport) now() distribution.Microseconds { return time.Since(t.startedAt).Microseconds() }
 
-// Run is the event loop. It returns once the context has ended and all dials and writers with it.
+// Run is the event loop. It returns once the context has ended and all dials and writers have
+// ended.
 func (t *Transport) Run(ctx context.Context) {
 	t.ctx = ctx
 	defer t.goroutines.Wait()
 	defer t.closeAll()
-	tick := time.NewTimer(rand.N(t.bounds.Tick)) // many in one process do not all wake at once
+	tick := time.NewTimer(rand.N(t.bounds.Tick)) // spreads the ticks of many transports in one process
 	defer tick.Stop()
 	for {
 		select {
@@ -96,7 +98,7 @@
 	}
 }
 
-// handleEvent tells the node what happened. Events of a link that is closed by now are dropped.
+// handleEvent passes an event to the node. Events of a link that is closed already are dropped.
 func (t *Transport) handleEvent(e event) {
 	now := t.now()
 	switch e.kind {
@@ -124,7 +126,8 @@
 	}
 }
 
-// addCaller has the node identify an accepted link, or closes the link if the node takes no more.
+// addCaller registers an accepted link with the node, or closes the link if the node accepts no
+// more callers.
 func (t *Transport) addCaller(l *link, now distribution.Microseconds) {
 	l.id = t.node.Incoming(now)
 	if l.id == 0 {
@@ -134,9 +137,9 @@
 	t.links[l.id] = l
 }
 
-// reportOverflowedLinks tells the node of links that could not keep a message.
+// reportOverflowedLinks calls the node's Closed for links that could not keep a message.
 func (t *Transport) reportOverflowedLinks() {
-	for len(t.overflowedLinks) > 0 { // telling the node may add to them
+	for len(t.overflowedLinks) > 0 { // the node's Closed can overflow further links
 		overflowed := t.overflowedLinks[0]
 		t.overflowedLinks = t.overflowedLinks[1:]
 		if t.links[overflowed.id] == overflowed {
@@ -147,7 +150,8 @@
 	t.overflowedLinks = nil
 }
 
-// post gives the event loop an event; it waits while the mailbox is full. False: Run has ended.
+// post puts an event into the mailbox and waits while the mailbox is full. It returns false once
+// Run has ended.
 func (t *Transport) post(e event) bool {
 	select {
 	case t.mailbox <- e:
@@ -157,7 +161,7 @@
 	}
 }
 
-// closeAll aborts all connections; none is added from now on.
+// closeAll aborts all connections and prevents new ones.
 func (t *Transport) closeAll() {
 	close(t.ended)
 	t.mutex.Lock()
@@ -168,7 +172,8 @@
 	}
 }
 
-// register adds a link with a connection to those that closeAll aborts; false if that is over.
+// register adds a link with a connection to those that closeAll aborts. It returns false if
+// closeAll has run already.
 func (t *Transport) register(l *link) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -185,7 +190,8 @@
 	delete(t.openLinks, l)
 }
 
-// adjustCallers adds to the callers, or takes away; false if there are as many as can be.
+// adjustCallers adds change to the number of callers. It returns false, and adds nothing, if the
+// number would exceed Bounds.Callers.
 func (t *Transport) adjustCallers(change int) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -196,8 +202,8 @@
 	return true
 }
 
-// Accept serves the connection of a caller until it ends, and closes it. The caller may subscribe under those names
-// alone that allowed permits; nil permits all.
+// Accept serves the connection of a caller until the connection ends, and closes it. The caller may
+// subscribe only under names that allowed permits; a nil allowed permits all names.
 func (t *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
 	defer conn.Close()
 	if !t.adjustCallers(1) {
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,5 +1,6 @@
-// Package frame writes and reads messages on a stream: four bytes of length, the highest first, then CBOR. Its functions
-// may be called at once on different streams.
+// Package frame writes and reads messages on a stream. Each message is a header, the length of the
+// body in four bytes with the highest first (big-endian), and a body in CBOR. The functions may be
+// called concurrently on different streams.
 package frame
 
 import (
@@ -11,25 +12,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// HeaderBytes is the number of bytes before a message.
+// HeaderBytes is the size of the header in front of each message.
 const HeaderBytes = 4
 
 const initialBufferBytes = 256
 
-// TooLargeError is what a reader returns for a message over its bound. The stream cannot be read on.
+// TooLargeError is the error for a message over the reader's bound. Nothing more can be read from
+// the stream.
 type TooLargeError struct {
 	// Size is the number of bytes of the message, without the header.
 	Size int
-	// Max is the bound on it.
+	// Max is the largest allowed Size.
 	Max int
 }
 
-// Error says both sizes.
+// Error returns a text with both sizes.
 func (e TooLargeError) Error() string {
-	return fmt.Sprintf("frame: a message of %d bytes, %d at most", e.Size, e.Max)
+	return fmt.Sprintf("frame: message of %d bytes exceeds the bound of %d bytes", e.Size, e.Max)
 }
 
-// Append adds a message as it goes onto the stream. A message that cannot be encoded leaves the buffer as it was.
+// Append appends a message with its header to a buffer. If the message cannot be encoded, the
+// buffer keeps its previous content.
 func Append(to *bytes.Buffer, message any) error {
 	start := to.Len()
 	to.Write(make([]byte, HeaderBytes))
@@ -42,7 +45,7 @@
 	return nil
 }
 
-// Write writes one message.
+// Write writes one message with its header.
 func Write(to io.Writer, message any) error {
 	var framed bytes.Buffer
 	if err := Append(&framed, message); err != nil {
@@ -52,15 +55,16 @@
 	return err
 }
 
-// Read reads one message of at most maxBytes. At the end of the stream the error is io.EOF, within a message
-// io.ErrUnexpectedEOF, and over the bound TooLargeError.
+// Read reads one message of at most maxBytes, without the header. The error is io.EOF if the stream
+// ends before a header or before a body, io.ErrUnexpectedEOF if it ends within one, and
+// TooLargeError if the message exceeds maxBytes.
 func Read(from io.Reader, maxBytes int, into any) error {
 	_, err := ReadWith(from, nil, maxBytes, into)
 	return err
 }
 
-// ReadWith is Read through a buffer, and gives the buffer back, which may have grown. Nothing that was read refers to the
-// buffer, as CBOR copies what it decodes.
+// ReadWith reads like Read, through a buffer that it returns for reuse and that may have grown. The
+// decoded message does not refer to the buffer, as CBOR decoding copies.
 func ReadWith(from io.Reader, buffer []byte, maxBytes int, into any) ([]byte, error) {
 	if cap(buffer) < HeaderBytes {
 		buffer = make([]byte, initialBufferBytes)
