--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// subscribe sends a request of a caller to a member and gives the answer.
+// subscribe sends a request from a new caller to a member and returns the answer.
 func (c *cluster) subscribe(m *member, request *Subscribe) Message {
-	asker := &member{cluster: c, config: Config{Name: request.Name}, frozen: true}
+	requester := &member{cluster: c, config: Config{Name: request.Name}, frozen: true}
 	link := m.node.Incoming(c.now)
-	conn := &conn{dialer: asker, acceptor: m, links: [2]Link{1, link}}
+	conn := &conn{dialer: requester, acceptor: m, links: [2]Link{1, link}}
 	c.conns = append(c.conns, conn)
 	m.node.Received(link, request, c.now)
 	if len(conn.queues[0]) == 0 {
@@ -24,7 +24,7 @@
 	limits.MaxDepth, limits.MaxScopes, limits.FanOut = 2, 3, 3
 	c, _, first, _, leaf := tree(t, limits)
 	empty := c.add(subscriber("empty", AllScopes(), limits))
-	for _, story := range []struct {
+	for _, test := range []struct {
 		name    string
 		at      *member
 		request Subscribe
@@ -33,19 +33,20 @@
 		{"no name", first, Subscribe{}, RefusedMalformed},
 		{"scopes out of order", first, Subscribe{Name: "x", Scopes: Scopes{Names: []string{"b", "a"}}}, RefusedMalformed},
 		{"too many scopes", first, Subscribe{Name: "x", Scopes: SomeScopes("a", "b", "c", "d")}, RefusedMalformed},
-		{"nothing there yet", empty, Subscribe{Name: "x", Scopes: AllScopes()}, RefusedEmpty},
-		{"more scopes than the parent has", first, Subscribe{Name: "v", Scopes: SomeScopes("a")}, RefusedLoop},
-		{"itself", first, Subscribe{Name: "first", Scopes: SomeScopes("a")}, RefusedLoop},
+		{"the parent has no configuration yet", empty, Subscribe{Name: "x", Scopes: AllScopes()}, RefusedEmpty},
+		{"the name of the parent's parent", first, Subscribe{Name: "v", Scopes: SomeScopes("a")}, RefusedLoop},
+		{"the name of the parent itself", first, Subscribe{Name: "first", Scopes: SomeScopes("a")}, RefusedLoop},
 		{"too deep", leaf, Subscribe{Name: "x", Scopes: SomeScopes("a")}, RefusedTooDeep},
-		{"another record", first, Subscribe{Name: "x", Version: Version{Epoch{7, 71}, 4}}, RefusedConflict},
+		{"an epoch of another record", first, Subscribe{Name: "x", Version: Version{Epoch{7, 71}, 4}}, RefusedConflict},
 	} {
-		t.Run(story.name, func(t *testing.T) {
-			refused, is := c.subscribe(story.at, &story.request).(*Refused)
-			if !is || refused.Reason != story.reason {
-				t.Fatalf("answer %+v", refused)
+		t.Run(test.name, func(t *testing.T) {
+			refused, ok := c.subscribe(test.at, &test.request).(*Refused)
+			if !ok || refused.Reason != test.reason {
+				t.Fatalf("the answer is %+v, it should be a refusal for %q", refused, test.reason)
 			}
 			if refused.RetryAfter < limits.MinBackoff || refused.RetryAfter > limits.MaxRetryAfter {
-				t.Errorf("retry after %d", refused.RetryAfter)
+				t.Errorf("RetryAfter is %d µs, not within %d and %d µs",
+					refused.RetryAfter, limits.MinBackoff, limits.MaxRetryAfter)
 			}
 		})
 	}
@@ -55,13 +56,13 @@
 	limits := DefaultLimits()
 	c, _, leaf := duo(t, limits)
 	for _, wider := range []Scopes{AllScopes(), SomeScopes("b"), SomeScopes("a", "b")} {
-		refused, is := c.subscribe(leaf, &Subscribe{Name: "x", Scopes: wider}).(*Refused)
-		if !is || refused.Reason != RefusedNotCovered {
-			t.Errorf("%v: %+v", wider, refused)
+		refused, ok := c.subscribe(leaf, &Subscribe{Name: "x", Scopes: wider}).(*Refused)
+		if !ok || refused.Reason != RefusedNotCovered {
+			t.Errorf("the answer to scopes %v is %+v, it should be a refusal for %q", wider, refused, RefusedNotCovered)
 		}
 	}
-	if _, is := c.subscribe(leaf, &Subscribe{Name: "x", Scopes: SomeScopes("a")}).(*Admitted); !is {
-		t.Error("the same scopes are not admitted")
+	if _, ok := c.subscribe(leaf, &Subscribe{Name: "x", Scopes: SomeScopes("a")}).(*Admitted); !ok {
+		t.Error("a subscriber with the parent's scopes is not admitted")
 	}
 }
 
@@ -69,19 +70,19 @@
 	limits := DefaultLimits()
 	limits.FanOut = 2
 	c, v, _, _, _ := tree(t, limits)
-	refused, is := c.subscribe(v, &Subscribe{Name: "x", Scopes: SomeScopes("a"), FanOut: 1}).(*Refused)
-	if !is || refused.Reason != RefusedFull {
-		t.Fatalf("answer %+v", refused)
+	refused, ok := c.subscribe(v, &Subscribe{Name: "x", Scopes: SomeScopes("a"), FanOut: 1}).(*Refused)
+	if !ok || refused.Reason != RefusedFull {
+		t.Fatalf("the answer is %+v, it should be a refusal for %q", refused, RefusedFull)
 	}
 	slices.Sort(refused.Candidates)
 	if fmt.Sprint(refused.Candidates) != "[first second]" {
-		t.Errorf("candidates %v", refused.Candidates)
+		t.Errorf("the proposed candidates are %v, they should be [first second]", refused.Candidates)
 	}
 	late := c.add(subscriber("late", SomeScopes("a"), limits, "v"))
 	c.advance(2*second, tick)
 	c.expectCaughtUp(t, late)
 	if parent := late.node.Status(c.now).Parent; parent != "first" && parent != "second" {
-		t.Errorf("the parent is %q", parent)
+		t.Errorf("the parent is %q, it should be \"first\" or \"second\"", parent)
 	}
 }
 
@@ -105,13 +106,13 @@
 	c.advance(second, tick)
 	c.expectCaughtUp(t, append(leaves, relay)...)
 	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") || len(children) != limits.FanOut {
-		t.Errorf("the voter's children are %v", children)
+		t.Errorf("the voter's children are %v, they should be %d with the relay", children, limits.FanOut)
 	}
 	other := c.add(subscriber("other", SomeScopes("a"), leafLimits, "v"))
 	c.advance(3*second, tick)
 	c.expectCaughtUp(t, other)
 	if children := v.node.Status(c.now).Children; !slices.Contains(children, "relay") {
-		t.Errorf("a leaf has displaced the relay: %v", children)
+		t.Errorf("a leaf has evicted the relay: the voter's children are %v", children)
 	}
 }
 
@@ -127,21 +128,23 @@
 	var waits []int64
 	for i := range 5 {
 		answer := c.subscribe(v, &Subscribe{Name: fmt.Sprint("x", i), Scopes: SomeScopes("a")})
-		refused, is := answer.(*Refused)
-		if is != (i >= limits.MaxSnapshots) {
-			t.Fatalf("answer %d: %+v", i, answer)
+		refused, ok := answer.(*Refused)
+		if ok != (i >= limits.MaxSnapshots) {
+			t.Fatalf("answer %d is %+v, only the first %d should be admitted", i, answer, limits.MaxSnapshots)
 		}
-		if is {
+		if ok {
 			waits = append(waits, refused.RetryAfter)
 		}
 	}
 	if slices.Max(waits) > limits.MaxRetryAfter || slices.Min(waits) < second {
-		t.Errorf("waits %v", waits)
+		t.Errorf("RetryAfter of the refusals is %v µs, each should be within %d and %d µs",
+			waits, second, limits.MaxRetryAfter)
 	}
 	version := v.node.Version()
-	request := &Subscribe{Name: "y", Scopes: SomeScopes("a"), Version: version, Digest: v.node.store.digestFor(SomeScopes("a"))}
-	if _, is := c.subscribe(v, request).(*Admitted); !is {
-		t.Error("one that needs no snapshot is refused")
+	request := &Subscribe{Name: "y", Scopes: SomeScopes("a"), Version: version,
+		Digest: v.node.store.digestFor(SomeScopes("a"))}
+	if _, ok := c.subscribe(v, request).(*Admitted); !ok {
+		t.Error("a subscriber that needs no snapshot is not admitted")
 	}
 }
 
@@ -165,12 +168,12 @@
 		c.advance(second, tick)
 		c.requireConsistent(t)
 		if age := lower.node.Status(c.now).Age; age > 70*second {
-			t.Fatalf("age %d", age)
+			t.Fatalf("the age of the lowest subscriber is %d µs, over 70 s", age)
 		}
 	}
 	for _, m := range []*member{upper, middle, lower} {
 		if age := m.node.Status(c.now).Age; age < 58*second {
-			t.Errorf("%s says that it is %d µs old", m.config.Name, age)
+			t.Errorf("the age of %s is %d µs, under 58 s", m.config.Name, age)
 		}
 	}
 	c.heal(v, upper)
@@ -181,14 +184,14 @@
 
 func TestHalfOpenPlaceIsReplacedByTheSameName(t *testing.T) {
 	c, v, leaf := duo(t, DefaultLimits())
-	for _, conn := range c.conns { // the leaf's process is gone, and the voter has not heard of it
+	for _, conn := range c.conns { // the leaf's process has ended, and the voter was not notified
 		conn.dialer = &member{cluster: c, config: Config{Name: "lost"}, frozen: true}
 	}
 	leaf.start(State{})
 	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := v.node.Status(c.now).Children; fmt.Sprint(children) != "[leaf]" {
-		t.Errorf("children %v", children)
+		t.Errorf("the voter's children are %v, they should be [leaf]", children)
 	}
 }
 
@@ -201,11 +204,11 @@
 		}
 	}
 	if accepted != DefaultFanOut+maxExtraCallers {
-		t.Errorf("%d callers", accepted)
+		t.Errorf("%d callers were accepted, the bound is %d", accepted, DefaultFanOut+maxExtraCallers)
 	}
 	c.advance(DefaultHandshake+tick, tick)
 	if len(v.node.callers) > 0 {
-		t.Errorf("%d callers are still there", len(v.node.callers))
+		t.Errorf("%d callers remain after Limits.Handshake", len(v.node.callers))
 	}
 }
 
@@ -215,10 +218,10 @@
 		leaf.node.learnCandidates([]string{fmt.Sprint("peer", i)}, i%2 == 0)
 	}
 	if len(leaf.node.candidates) != DefaultMaxCandidates+1 {
-		t.Errorf("%d candidates", len(leaf.node.candidates))
+		t.Errorf("%d candidates are stored, the bound is %d", len(leaf.node.candidates), DefaultMaxCandidates+1)
 	}
 	if leaf.node.candidateByName("v") == nil || leaf.node.candidateByName("peer999") == nil {
-		t.Error("the configured one or the latest is gone")
+		t.Error("the configured candidate or the last learned one was removed")
 	}
 	c.requireConsistent(t)
 }
@@ -237,7 +240,7 @@
 	c.advance(10*second, tick)
 	c.requireConsistent(t)
 	if leaf.node.Version() != before || leaf.eventCount(EventTooLarge) == 0 {
-		t.Errorf("it is at %v", leaf.node.Version())
+		t.Errorf("the leaf is at version %v, it should stay at %v and log EventTooLarge", leaf.node.Version(), before)
 	}
 	c.accept(deletion("a", "large"))
 	c.advance(10*second, tick)
@@ -248,13 +251,13 @@
 	c, v, _ := duo(t, DefaultLimits())
 	version := v.node.Version()
 	request := &Subscribe{Name: "x", Scopes: AllScopes(), Version: version, Digest: v.node.store.digest}
-	if _, is := c.subscribe(v, request).(*Admitted); !is {
-		t.Fatal("it is not admitted")
+	if _, ok := c.subscribe(v, request).(*Admitted); !ok {
+		t.Fatal("the child is not admitted")
 	}
 	link := v.node.children[1].link
 	for seconds := 0; v.node.childByLink(link) != nil; seconds++ {
 		if seconds > 2*maxUnconfirmedMessages {
-			t.Fatal("it keeps its place for ever")
+			t.Fatalf("the child still has its place after %d s without a confirmation", seconds)
 		}
 		c.now += second
 		v.node.Received(link, &Renew{Version: version}, c.now)
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -8,15 +8,17 @@
 	"testing"
 )
 
-// The check plays every order of events up to a depth: changes, messages that arrive or get lost, cuts, restarts,
-// compaction, new epochs and time. The nodes are real; the network, the record and the controllers are the model's.
-// After each event every node and its controller must have just what stood on the record at the node's revision, and no
-// revision may be lower than the node's before.
+// The model check plays every order of events up to a depth: accepted changes, messages that arrive
+// or are lost, cuts, restarts, compaction, new epochs and the passing of time. The nodes are real;
+// the network, the record and the controllers are simulated. After each event the content of every
+// node and of its controller must equal the record at the node's revision, and no version may be
+// lower than an earlier one of the same node.
 
-// modelStep is the time that an event of time takes; the limits below are small multiples of it.
+// modelStep is the time that passes with one passTime event; the limits below are small multiples
+// of it.
 const modelStep = second
 
-// modelLimits are small enough for every bound to be met within a few events.
+// modelLimits returns limits that are small enough for every one to be reached within a few events.
 func modelLimits() Limits {
 	limits := DefaultLimits()
 	limits.Heartbeat = modelStep
@@ -30,24 +32,25 @@
 	return limits
 }
 
-// modelEvent is one event: what happens, and to which member.
+// modelEvent is one event: its kind, and the index of the member that it affects.
 type modelEvent struct {
 	kind   byte
 	member int
 }
 
-func (h modelEvent) String() string { return fmt.Sprintf("%c%d", h.kind, h.member) }
+func (e modelEvent) String() string { return fmt.Sprintf("%c%d", e.kind, e.member) }
 
-// parseEvents reads happenings from words like a0 d1.
-func parseEvents(words string) (happenings []modelEvent) {
+// parseEvents parses events from words such as "a0 d1".
+func parseEvents(words string) (events []modelEvent) {
 	for _, word := range strings.Fields(words) {
-		happenings = append(happenings, modelEvent{word[0], int(word[1] - '0')})
+		events = append(events, modelEvent{word[0], int(word[1] - '0')})
 	}
-	return happenings
+	return events
 }
 
-// modelEntries is what the nth change sets: every change in scope "a" but each fourth, which is elsewhere, and two
-// entries in each, so that half a change can be told from a whole one.
+// modelEntries returns the two entries of the nth change. Every change touches scope "a", except
+// each fourth one (revision%4 == 3), which sets entries of scope "b" alone. Each change has two
+// entries so that a partly applied change differs from a whole one.
 func modelEntries(revision int) []Entry {
 	value := strconv.Itoa(revision)
 	switch revision % 4 {
@@ -61,34 +64,35 @@
 	return []Entry{set("b", "y", value), set("b", "z", value)}
 }
 
-// Kinds of events, by the letters that stand for them in the words of a start. A subscriber's first connection is the one
-// that it dialled first; down is to the subscriber, up to its parent.
+// Kinds of events, by the letters for them in startingState.setup and startingState.events. A
+// subscriber's first connection is the one that it dialled first; down is towards the subscriber,
+// up towards its parent.
 const (
-	acceptChange       = 'a' // a change is accepted; the first voter has it at once
-	followRecord       = 'f' // a voter that lags gets one change more, or the new record
-	foundRecord        = 'n' // the record is founded anew, which the first voter knows at once
-	restartVoterBehind = 'o' // a voter starts anew, with all but the last change of the record
-	deliverDown        = 'd' // a message arrives on a subscriber's first connection
-	deliverUp          = 'u'
-	loseDown           = 'x' // a message is lost on a subscriber's first connection
-	loseUp             = 'y'
-	deliverDown2       = 'e' // a message arrives on a subscriber's second connection
-	deliverUp2         = 'w'
-	cutConnection      = 'c' // a subscriber's first connection is cut, and none to that parent succeeds
-	healCuts           = 'h' // connections succeed again
-	restartWithVersion = 'k' // a subscriber starts anew, and knows no more than the version that it had
-	restartWithNothing = 'q' // a subscriber starts anew, and knows nothing of what it had
-	restartWithState   = 'p' // a subscriber starts anew with what it had
+	acceptChange       = 'a' // a change is accepted; the first voter gets it at once
+	followRecord       = 'f' // a voter that lags gets one more change, or the new record
+	foundRecord        = 'n' // a new record is founded; the first voter gets it at once
+	restartVoterBehind = 'o' // a voter restarts, with all changes of the record except the last
+	deliverDown        = 'd' // a message arrives at the subscriber on its first connection
+	deliverUp          = 'u' // a message arrives at the parent on a subscriber's first connection
+	loseDown           = 'x' // a message to the subscriber is lost on its first connection
+	loseUp             = 'y' // a message to the parent is lost on a subscriber's first connection
+	deliverDown2       = 'e' // a message arrives at the subscriber on its second connection
+	deliverUp2         = 'w' // a message arrives at the parent on a subscriber's second connection
+	cutConnection      = 'c' // a subscriber's first connection is cut, and dials of that parent fail
+	healCuts           = 'h' // all dials can succeed again
+	restartWithVersion = 'k' // a subscriber restarts with its version and without its content
+	restartWithNothing = 'q' // a subscriber restarts without its version and content
+	restartWithState   = 'p' // a subscriber restarts with its content
 	compactLog         = 'm' // a node drops its log and tombstones
-	changeScopes       = 'z' // a subscriber asks for other scopes
-	settleAll          = 's' // everything on its way arrives
-	passTime           = 't' // modelStep passes, and every node is told
+	changeScopes       = 'z' // a subscriber requests other scopes
+	settleAll          = 's' // all messages on their way arrive
+	passTime           = 't' // modelStep passes, and Tick of every node is called
 )
 
-// play plays one play; false where it can do nothing.
-func (c *cluster) play(h modelEvent) bool {
-	m := c.members[h.member]
-	switch h.kind {
+// play plays one event. It returns false if the event is impossible in this state.
+func (c *cluster) play(e modelEvent) bool {
+	m := c.members[e.member]
+	switch e.kind {
 	case acceptChange:
 		c.accept(modelEntries(len(c.record) + 1)...)
 		c.follow(c.members[0], len(c.record))
@@ -105,7 +109,7 @@
 		m.start(State{})
 		c.follow(m, len(c.record)-1)
 	case deliverDown, deliverDown2, deliverUp, deliverUp2, loseDown, loseUp:
-		return c.moveOne(m, h.kind)
+		return c.moveOne(m, e.kind)
 	case cutConnection:
 		conns := c.dialled(m)
 		if len(conns) == 0 {
@@ -150,7 +154,7 @@
 	return true
 }
 
-// modelTick lets each node note the time, without the voters following the record by it.
+// modelTick calls Tick of each node. Unlike tick, it passes no changes of the record to voters.
 func (c *cluster) modelTick() {
 	for _, m := range c.members {
 		if m.config.Voter && m.recordPosition == len(c.record) && m.node.Version().Epoch == c.epoch {
@@ -160,7 +164,8 @@
 	}
 }
 
-// followOne hands a voter the new record, or one more change of it.
+// followOne passes to a voter the new record, or one more change of its record. It reports whether
+// there was one.
 func (c *cluster) followOne(m *member) bool {
 	if !m.config.Voter {
 		return false
@@ -174,7 +179,7 @@
 	return m.recordPosition > before
 }
 
-// dialled gives the connections that a member has dialled.
+// dialled returns the connections that a member has dialled.
 func (c *cluster) dialled(m *member) []*conn {
 	var conns []*conn
 	for _, conn := range c.conns {
@@ -185,10 +190,10 @@
 	return conns
 }
 
-// messageMove says which message of a subscriber moves, and how.
+// messageMove selects the message that a delivery or a loss affects.
 type messageMove struct {
-	connection int // of those that the subscriber dialled
-	side       int // 0 to the subscriber, 1 to its parent
+	connection int // index among those that the subscriber dialled
+	side       int // 0 for messages to the subscriber, 1 to its parent
 	lose       bool
 }
 
@@ -201,7 +206,8 @@
 	deliverUp2:   {connection: 1, side: 1},
 }
 
-// moveOne lets one message of a subscriber's first or second connection arrive or get lost; false if there is none.
+// moveOne delivers or loses one message on a subscriber's first or second connection. It returns
+// false if there is none.
 func (c *cluster) moveOne(m *member, kind byte) bool {
 	move := messageMoves[kind]
 	conns := c.dialled(m)
@@ -217,55 +223,62 @@
 	return moved
 }
 
-// extraDepth is how many events more than usual are played.
+// extraDepth returns the number of events to play in addition to the depth of each test.
 func extraDepth() int {
-	given, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // 2 takes minutes
-	return given
+	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // 2 takes minutes
+	return extra
 }
 
 func TestNodesStayConsistentInEveryOrderOfEvents(t *testing.T) {
-	for _, w := range []startingState{
+	for _, s := range []startingState{
 		{"one voter and a subscriber", 1, 0, "", "a0 o0 f0 n0 m0 d1 u1 x1 y1 c1 h0 k1 p1 z1 t0", 4},
-		{"one voter, a relay and a subscriber", 1, 1, "", "a0 o0 f0 n0 m1 d1 x1 u1 d2 u2 x2 c1 c2 h0 k1 p1 k2 t0", 4},
-		{"two voters, the second behind, and a subscriber", 2, 0, "a0 s0", "a0 f1 n0 o0 m1 d2 e2 u2 w2 x2 c2 h0 k2 p2 z2 t0", 4},
-		{"two voters, and a subscriber that comes to the one behind", 2, 0, "a0 s0 c2 t0", "a0 f1 n0 m1 d2 u2 x2 c2 h0 k2 p2 z2 t0 s0", 4},
+		{"one voter, a relay and a subscriber",
+			1, 1, "", "a0 o0 f0 n0 m1 d1 x1 u1 d2 u2 x2 c1 c2 h0 k1 p1 k2 t0", 4},
+		{"two voters, the second behind, and a subscriber",
+			2, 0, "a0 s0", "a0 f1 n0 o0 m1 d2 e2 u2 w2 x2 c2 h0 k2 p2 z2 t0", 4},
+		{"two voters, and a subscriber that dials the one behind",
+			2, 0, "a0 s0 c2 t0", "a0 f1 n0 m1 d2 u2 x2 c2 h0 k2 p2 z2 t0 s0", 4},
 		{"a subscriber that starts with nothing", 1, 0, "a0 k1 t0 u1", "a0 m0 d1 u1 x1 y1 c1 h0 k1 t0", 4},
-		{"a relay without memory between two voters, the second behind", 2, 1, "a0 s0 c2 t0", "a0 f1 m0 u2 x2 c2 h0 q2 d3 u3 c3 t0 s0", 4},
-		{"a subscriber that asks for other scopes before it is answered", 1, 0, "a0 a0 k1 t0 u1 z1", "a0 d1 u1 x1 y1 z1 k1 t0", 4},
-		{"a relay that was compacted", 1, 1, "c2 a0 a0 a0 s0 m1 h0", "a0 m0 m1 d2 u2 x2 c1 c2 h0 k1 p2 t0 s0", 4},
+		{"a relay that restarts without content between two voters, the second behind",
+			2, 1, "a0 s0 c2 t0", "a0 f1 m0 u2 x2 c2 h0 q2 d3 u3 c3 t0 s0", 4},
+		{"a subscriber that requests other scopes before it is answered",
+			1, 0, "a0 a0 k1 t0 u1 z1", "a0 d1 u1 x1 y1 z1 k1 t0", 4},
+		{"a relay whose log was compacted",
+			1, 1, "c2 a0 a0 a0 s0 m1 h0", "a0 m0 m1 d2 u2 x2 c1 c2 h0 k1 p2 t0 s0", 4},
 	} {
-		t.Run(w.name, func(t *testing.T) {
+		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			depth := w.depth + extraDepth()
-			breach, states := w.explore(depth, func(*Node) {})
-			if breach != "" {
-				t.Errorf("after %s", breach)
+			depth := s.depth + extraDepth()
+			violation, states := s.explore(depth, func(*Node) {})
+			if violation != "" {
+				t.Errorf("violation after the events %s", violation)
 			}
-			t.Logf("depth %d, %d states", depth, states)
+			t.Logf("depth %d, %d distinct states", depth, states)
 		})
 	}
 }
 
 func TestModelCheckFindsPlantedFaults(t *testing.T) {
 	for _, fault := range []struct {
-		name, finds string
-		world       startingState
-		plant       func(*Node)
+		name, wantViolation string
+		start               startingState
+		plant               func(*Node)
 	}{
-		{"a gap taken in", "should have", startingState{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
+		{"a delta after a gap is applied", "should have", startingState{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
 			func(n *Node) { n.faults.acceptGaps = true }},
-		{"an old parent's revision taken in", "goes back", startingState{"", 2, 0, "a0 s0", "a0 f1 c2 s0 t0", 4},
+		{"an older revision of a parent is applied", "goes back", startingState{"", 2, 0, "a0 s0", "a0 f1 c2 s0 t0", 4},
 			func(n *Node) { n.faults.acceptOlder = true }},
-		{"a half-applied change", "there should be", startingState{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
+		{"a change is applied in part", "there should be", startingState{"", 1, 0, "", "a0 d1 u1 x1 c1 t0", 4},
 			func(n *Node) { n.faults.applyHalf = true }},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			breach, states := fault.world.explore(fault.world.depth, fault.plant)
-			if !strings.Contains(breach, fault.finds) {
-				t.Errorf("found %q in %d states", breach, states)
+			violation, states := fault.start.explore(fault.start.depth, fault.plant)
+			if !strings.Contains(violation, fault.wantViolation) {
+				t.Errorf("the violation is %q after %d states, it should contain %q",
+					violation, states, fault.wantViolation)
 			}
-			t.Log(breach)
+			t.Log(violation)
 		})
 	}
 }
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -5,8 +5,8 @@
 // maxExtraCallers is the number of callers that a node accepts in addition to Limits.FanOut.
 const maxExtraCallers = 64
 
-// maxUnconfirmedMessages bounds the messages sent to a child that renews its lease but confirms
-// none of them.
+// maxUnconfirmedMessages bounds the messages sent to a child that renews its lease without
+// confirming any.
 const maxUnconfirmedMessages = 4096
 
 // caller is an accepted link on which no Subscribe has arrived yet.
--- a/distribution/controllers_test.go
+++ b/distribution/controllers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// expectedAt is what a node with all scopes has at a revision.
+// expectedAt returns the entries that a node with all scopes has at a revision.
 func (c *cluster) expectedAt(epoch Epoch, revision uint64) map[Key]Entry {
 	if c.expected[epoch] == nil {
 		c.expected[epoch] = map[uint64]map[Key]Entry{0: {}}
@@ -12,18 +12,19 @@
 	return c.expected[epoch][revision]
 }
 
-// Apply implements Host: the controller takes the change over, and what it has then must be what stood on the record.
-func (m *member) Apply(change Change, whole bool) {
+// Apply implements Host. The controller applies the change to its own entries, which verify
+// compares with the record.
+func (m *member) Apply(change Change, complete bool) {
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "apply %x %t", encoded(change), whole)
+		m.cluster.transcript.note(m, "apply %x %t", encoded(change), complete)
 	}
 	version := Version{change.Epoch, change.Revision}
 	if version.Before(m.appliedVersion) {
-		m.cluster.reportViolation("%s goes back from %v to %v", m.config.Name, m.appliedVersion, version)
+		m.cluster.reportViolation("%s goes back: Apply got %v, then %v", m.config.Name, m.appliedVersion, version)
 	}
 	m.appliedVersion = version
 	m.applyCount++
-	if whole {
+	if complete {
 		m.controllerEntries = map[Key]Entry{}
 	}
 	for _, e := range change.Entries {
@@ -34,20 +35,21 @@
 	}
 }
 
-// checkVersionOrder checks that a subscriber does not go back, also over restarts. A voter that was restarted may: the record's log is
-// played to it again.
+// checkVersionOrder checks that a subscriber's version never decreases, also over restarts. The
+// version of a restarted voter may decrease: the log of the record is replayed to it.
 func (m *member) checkVersionOrder() {
 	version := m.node.Version()
 	if m.config.Voter || !version.Epoch.Known() {
 		return
 	}
 	if version.Before(m.highestVersion) {
-		m.cluster.reportViolation("%s goes back from %v to %v", m.config.Name, m.highestVersion, version)
+		m.cluster.reportViolation("%s goes back: its version was %v and is %v",
+			m.config.Name, m.highestVersion, version)
 	}
 	m.highestVersion = version
 }
 
-// verify checks what a node has, and what its controller was told, against the record.
+// verify compares the entries of a node and of its controller with the record.
 func (m *member) verify() {
 	m.checkVersionOrder()
 	c, version := m.cluster, m.node.Version()
@@ -55,19 +57,20 @@
 		return
 	}
 	var digest Digest
-	truth, want := c.expectedAt(version.Epoch, version.Revision), 0
+	expected, want := c.expectedAt(version.Epoch, version.Revision), 0
 	store := m.node.store
-	for key, e := range truth {
+	for key, e := range expected {
 		if !store.covered.Has(key.Scope) {
 			continue
 		}
 		want++
 		digest = digest.add(entryDigest(e))
-		if has, found := m.node.lookUp(key); !found || !sameEntry(has, e) {
-			c.reportViolation("%s has %v at %v and should have %v", m.config.Name, has, version, e)
+		if got, found := m.node.lookUp(key); !found || !sameEntry(got, e) {
+			c.reportViolation("%s has entry %v at version %v and should have %v", m.config.Name, got, version, e)
 		}
-		if has, found := m.controllerEntries[key]; !found || !sameEntry(has, e) {
-			c.reportViolation("the controller of %s has %v at %v and should have %v", m.config.Name, has, version, e)
+		if got, found := m.controllerEntries[key]; !found || !sameEntry(got, e) {
+			c.reportViolation("the controller of %s has entry %v at version %v and should have %v",
+				m.config.Name, got, version, e)
 		}
 	}
 	live := 0
@@ -78,11 +81,12 @@
 		return true
 	})
 	if live != want || store.liveEntries != want || len(m.controllerEntries) != want {
-		c.reportViolation("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, version,
-			store.liveEntries, len(m.controllerEntries), want)
+		c.reportViolation("%s has %d live entries at version %v, its liveEntries is %d, "+
+			"its controller has %d, and there should be %d",
+			m.config.Name, live, version, store.liveEntries, len(m.controllerEntries), want)
 	}
 	if digest != store.digest || digest != store.digestFor(store.covered) {
-		c.reportViolation("%s has another digest than its entries at %v", m.config.Name, version)
+		c.reportViolation("the digest of %s does not match its entries at version %v", m.config.Name, version)
 	}
 }
 
@@ -90,7 +94,7 @@
 	return string(a.Value) == string(b.Value) && a.Revision == b.Revision && a.AcceptedAt == b.AcceptedAt
 }
 
-// requireConsistent ends a test at the first breach.
+// requireConsistent ends the test if a rule was violated.
 func (c *cluster) requireConsistent(t *testing.T) {
 	t.Helper()
 	if c.violation != "" {
@@ -98,13 +102,13 @@
 	}
 }
 
-// eventCount is how many events of a kind a member has logged.
+// eventCount returns the number of events of a kind that a member has logged.
 func (m *member) eventCount(kind EventKind) int {
-	number := 0
+	matching := 0
 	for _, e := range m.events {
 		if e.Kind == kind {
-			number++
+			matching++
 		}
 	}
-	return number
+	return matching
 }
--- a/distribution/explore_test.go
+++ b/distribution/explore_test.go
@@ -5,35 +5,37 @@
 	"slices"
 )
 
-// startingState is a start of the model: who there is, and what comes before the orders that are played.
+// startingState describes a model before the check: its members, the events that come first, and
+// the events that are then played in every order.
 type startingState struct {
 	name   string
 	voters int
 	relays int
-	setup  string // before every order
-	kinds  string // the events, by kind and member as in "a0 d2"
+	setup  string // events before every order
+	events string // the events to play, by kind and member index, as in "a0 d2"
 	depth  int
 }
 
-// begin starts the world's members: voters, relays below the first voter, and one subscriber of scope "a".
-func (w startingState) begin(plant func(*Node)) *cluster {
+// begin starts the members of the model: voters, relays below them, and one subscriber of scope
+// "a".
+func (s startingState) begin(plant func(*Node)) *cluster {
 	c := newCluster()
 	limits := modelLimits()
 	var voters, parents []string
-	for i := range w.voters {
+	for i := range s.voters {
 		voters = append(voters, fmt.Sprint("v", i))
 		c.add(voter(voters[i], limits))
 	}
-	for i := range w.relays {
+	for i := range s.relays {
 		parents = append(parents, fmt.Sprint("r", i))
 		c.add(subscriber(parents[i], AllScopes(), limits, voters...))
 	}
-	if w.relays == 0 {
+	if s.relays == 0 {
 		parents = voters
 	}
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, parents...))
 	c.accept(modelEntries(1)...)
-	for _, m := range c.members[:w.voters] {
+	for _, m := range c.members[:s.voters] {
 		c.follow(m, 1)
 	}
 	for range 3 {
@@ -45,13 +47,14 @@
 	return c
 }
 
-// playOnCopy plays an event on a copy of a state, checks every node playOnCopy it, and tells whether it could happen.
-func (c *cluster) playOnCopy(h modelEvent, plant func(*Node)) (next *cluster, could bool) {
+// playOnCopy plays an event on a copy of a state, checks every node after it, and reports whether
+// the event was possible.
+func (c *cluster) playOnCopy(e modelEvent, plant func(*Node)) (next *cluster, possible bool) {
 	next = c.clone()
-	could = next.play(h)
+	possible = next.play(e)
 	plant(next.members[len(next.members)-1].node)
 	next.verify()
-	return next, could
+	return next, possible
 }
 
 func (c *cluster) verify() {
@@ -60,10 +63,11 @@
 	}
 }
 
-// convergeSteps is the time in which everybody has the whole record once nothing fails any more.
+// convergeSteps is the number of steps after which every node has the whole record once all
+// failures have ended.
 const convergeSteps = 14
 
-// converge ends all failures and checks that everybody gets the whole record.
+// converge ends all failures and checks that every node gets the whole record.
 func (c *cluster) converge() {
 	clear(c.cuts)
 	for range convergeSteps {
@@ -81,7 +85,7 @@
 	c.verify()
 	for _, m := range c.members {
 		if want := (Version{c.epoch, uint64(len(c.record))}); m.node.Version() != want {
-			c.reportViolation("%s stays at %v, the record is at %v", m.config.Name, m.node.Version(), want)
+			c.reportViolation("%s stays at version %v, the record is at %v", m.config.Name, m.node.Version(), want)
 		}
 	}
 }
@@ -92,29 +96,30 @@
 	path    []modelEvent
 }
 
-// explore plays every order of the world's events to a depth. It gives the shortest breach, or "" if there is none,
-// and how many states there are.
-func (w startingState) explore(depth int, plant func(*Node)) (breach string, states int) {
-	start := reachedState{cluster: w.begin(plant)}
-	for _, h := range parseEvents(w.setup) {
-		start.path = append(start.path, h)
-		start.cluster, _ = start.cluster.playOnCopy(h, plant)
+// explore plays every order of the given events up to a depth. It returns the shortest sequence of
+// events that violates a rule, with the violation, or "" if there is none, and the number of
+// distinct states.
+func (s startingState) explore(depth int, plant func(*Node)) (violation string, states int) {
+	start := reachedState{cluster: s.begin(plant)}
+	for _, e := range parseEvents(s.setup) {
+		start.path = append(start.path, e)
+		start.cluster, _ = start.cluster.playOnCopy(e, plant)
 		if start.cluster.violation != "" {
 			return fmt.Sprint(start.path, ": ", start.cluster.violation), 0
 		}
 	}
-	kinds := parseEvents(w.kinds)
+	events := parseEvents(s.events)
 	seen, level := map[uint64]bool{}, []reachedState{start}
 	for range depth {
 		var next []reachedState
 		for _, from := range level {
-			for _, h := range kinds {
-				c, could := from.cluster.playOnCopy(h, plant)
-				path := append(slices.Clone(from.path), h)
+			for _, e := range events {
+				c, possible := from.cluster.playOnCopy(e, plant)
+				path := append(slices.Clone(from.path), e)
 				if c.violation != "" {
 					return fmt.Sprint(path, ": ", c.violation), len(seen)
 				}
-				if !could {
+				if !possible {
 					continue
 				}
 				key := c.key()
@@ -126,7 +131,7 @@
 				end := c.clone()
 				end.converge()
 				if end.violation != "" {
-					return fmt.Sprint(path, " and no failure any more: ", end.violation), len(seen)
+					return fmt.Sprint(path, " and then no more failures: ", end.violation), len(seen)
 				}
 			}
 		}
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -8,43 +8,45 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// cluster is a network of nodes for tests: connections deliver in order, and can be cut, hang or lose a message. It
-// holds what every node should have at each revision, and checks each node against it.
+// cluster is a simulated network of nodes. Its connections deliver in order, and can be cut, hang
+// or lose a message. It holds the configuration that every node should have at each revision, and
+// checks each node against it.
 type cluster struct {
 	now         int64
 	members     []*member
 	conns       []*conn
 	dials       []dial
-	cuts        map[[2]string]bool // by the names in order: dials fail
-	hung        map[[2]string]bool // by the names in order: nothing arrives, nobody is told
-	encode      bool               // messages go through their encoding
+	cuts        map[[2]string]bool // by namePair: connections are closed and dials fail
+	hung        map[[2]string]bool // by namePair: nothing arrives, and neither end is notified
+	encode      bool               // messages are encoded and decoded on their way
 	epoch       Epoch
-	record      []Change                           // of this epoch
+	record      []Change                           // accepted changes of this epoch
 	expected    map[Epoch]map[uint64]map[Key]Entry // the whole configuration by epoch and revision
 	randomState uint64
-	// messageKeys are worked out once for each message of the model.
+	// messageKeys holds, for each message of the model, a key that is computed once.
 	messageKeys map[Message]int64
-	random      bool // Random draws; else it gives zero
-	violation   string
-	transcript  *transcript // of what is asked of the hosts; nil for none
+	random      bool        // Random returns pseudo-random numbers; else zero
+	violation   string      // the first violated rule; "" if there is none
+	transcript  *transcript // of all calls of the hosts; nil to record none
 }
 
-// member is a node with the controller that acts by it.
+// member is a node with the controller that applies its changes.
 type member struct {
 	cluster           *cluster
 	config            Config
 	node              *Node
-	up                bool
-	frozen            bool // its process stands still
-	hasLeader         bool // a voter that knows its record to be led
-	recordPosition    int  // changes of the record that a voter has got
+	up                bool // its process runs
+	frozen            bool // its process is suspended
+	hasLeader         bool // a voter whose record has a leader
+	recordPosition    int  // number of the record's changes that a voter has got
 	controllerEntries map[Key]Entry
 	appliedVersion    Version
-	highestVersion    Version // ever, also before restarts
+	highestVersion    Version // over all restarts
 	events            []Event
-	sentBytes         int // bytes
+	sentBytes         int // sum over all sent messages
 	applyCount        int
-	// What verify found sound last, so that a node where nothing moved is not gone through again.
+	// Version and applyCount at the last check by advance, which checks a node again only if they
+	// differ.
 	verifiedVersion    Version
 	verifiedApplyCount int
 }
@@ -55,10 +57,10 @@
 	link Link
 }
 
-// conn is a connection; what is on its way is in two queues.
+// conn is a connection; messages on their way are in two queues.
 type conn struct {
 	dialer, acceptor *member
-	links            [2]Link      // the dialer's, the acceptor's
+	links            [2]Link      // of the dialer, of the acceptor
 	queues           [2][]Message // to the dialer, to the acceptor
 	closed           [2]bool      // by the dialer, by the acceptor
 }
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// add starts a node. A voter begins with the empty record of the epoch and follows it.
+// add starts a node. A voter begins with the empty record of the epoch and follows the record.
 func (c *cluster) add(config Config) *member {
 	m := &member{cluster: c, config: config, hasLeader: true}
 	c.members = append(c.members, m)
@@ -101,7 +103,7 @@
 	return m
 }
 
-// start starts the member's process, with a state that it kept if there is one.
+// start starts the member's process, with a state from before if savedState has one.
 func (m *member) start(savedState State) {
 	m.up, m.frozen, m.controllerEntries, m.appliedVersion = true, false, map[Key]Entry{}, Version{}
 	m.verifiedVersion = Version{}
@@ -120,7 +122,7 @@
 	}
 }
 
-// kill ends the member's process; the other ends of its connections hear of it.
+// kill ends the member's process and closes its connections at their other ends.
 func (m *member) kill() {
 	m.up = false
 	for _, conn := range slices.Clone(m.cluster.conns) {
@@ -131,7 +133,7 @@
 	m.cluster.dials = slices.DeleteFunc(m.cluster.dials, func(d dial) bool { return d.from == m })
 }
 
-// sever ends a connection at both ends; what is on its way is lost.
+// sever closes a connection at both ends; messages on their way are lost.
 func (c *cluster) sever(lost *conn) {
 	c.conns = slices.DeleteFunc(c.conns, func(other *conn) bool { return other == lost })
 	if lost.dialer.up && !lost.closed[0] {
@@ -142,7 +144,7 @@
 	}
 }
 
-// cut ends the connections of two members, and lets new ones fail.
+// cut closes the connections of two members, and makes their dials fail.
 func (c *cluster) cut(a, b *member) {
 	c.cuts[namePair(a, b)] = true
 	for _, conn := range slices.Clone(c.conns) {
@@ -152,7 +154,7 @@
 	}
 }
 
-// hang has nothing arrive between two members, without either hearing of it.
+// hang stops all delivery between two members without closing their connections.
 func (c *cluster) hang(a, b *member) { c.hung[namePair(a, b)] = true }
 
 func (c *cluster) heal(a, b *member) {
@@ -165,7 +167,7 @@
 	}
 }
 
-// startNewRecord founds the record anew: a new epoch without changes, which the voters take over.
+// startNewRecord starts a new record: a new epoch without changes, which all running voters get.
 func (c *cluster) startNewRecord(epoch Epoch) {
 	c.epoch, c.record = epoch, nil
 	for _, m := range c.members {
@@ -176,10 +178,10 @@
 	}
 }
 
-// accept puts a change on the record; the voters get it by follow.
+// accept adds a change to the record; voters get it from follow.
 func (c *cluster) accept(entries ...Entry) {
 	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
-	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two alike
+	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // different for each change
 	c.expectedAt(c.epoch, change.Revision-1)
 	next := maps.Clone(c.expected[c.epoch][change.Revision-1])
 	for _, e := range withDefaults(change) {
@@ -192,7 +194,7 @@
 	c.record = append(c.record, change)
 }
 
-// follow hands a voter the changes of the record that it has not got, at most so many.
+// follow passes to a voter at most maxChanges of the record's changes that it has not got yet.
 func (c *cluster) follow(m *member, maxChanges int) {
 	for ; m.recordPosition < len(c.record) && maxChanges > 0; maxChanges-- {
 		m.node.Accepted(c.record[m.recordPosition], c.now)
@@ -220,7 +222,7 @@
 			}
 		}
 	}
-	m.cluster.reportViolation("%s sends on a link that it does not have", m.config.Name)
+	m.cluster.reportViolation("%s sends on link %d, which it does not have", m.config.Name, link)
 }
 
 // Close implements Host.
@@ -241,7 +243,8 @@
 func (m *member) Log(event Event) {
 	m.events = append(m.events, event)
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer, encoded(event.Version), int(event.Refusal), int(event.CloseReason))
+		m.cluster.transcript.note(m, "log %d %s %x %d %d", int(event.Kind), event.Peer,
+			encoded(event.Version), int(event.Refusal), int(event.CloseReason))
 	}
 }
 
@@ -254,7 +257,8 @@
 	return m.cluster.randomState >> 20
 }
 
-// connect settles the dials.
+// connect completes or fails the pending dials, except those of hung or frozen members. It reports
+// whether there was such a dial.
 func (c *cluster) connect() bool {
 	moved := false
 	for _, d := range slices.Clone(c.dials) {
@@ -278,8 +282,8 @@
 	return moved
 }
 
-// deliver hands the first message of a queue to its receiver, or the end of the connection after the last. It tells
-// whether anything moved.
+// deliver passes the first message of a queue to its receiver, or drops it if lose is set. After
+// the last message it passes on the end of the connection. It reports whether it did any of that.
 func (c *cluster) deliver(on *conn, side int, lose bool) bool {
 	ends := []*member{on.dialer, on.acceptor}
 	to := ends[side]
@@ -304,7 +308,7 @@
 	return true
 }
 
-// roundTrip takes a message through its encoding and back.
+// roundTrip encodes and decodes a message if the cluster encodes messages.
 func (c *cluster) roundTrip(message Message) Message {
 	if !c.encode {
 		return message
@@ -324,7 +328,7 @@
 	return decoded
 }
 
-// settle lets everything on its way arrive.
+// settle delivers messages and completes dials until none is left.
 func (c *cluster) settle() {
 	for moved := true; moved; {
 		moved = c.connect()
@@ -338,7 +342,8 @@
 	}
 }
 
-// advance lets time advance in steps, in each of which everything arrives and every node is checked.
+// advance advances the time in steps. In each step it runs all ticks, settles, and checks each
+// running node with a new version or new changes.
 func (c *cluster) advance(time, step int64) {
 	for end := c.now + time; c.now < end; {
 		c.now += step
@@ -353,7 +358,7 @@
 	}
 }
 
-// tick has every node that runs note the time.
+// tick calls Tick of every running node; voters whose record has a leader first follow the record.
 func (c *cluster) tick() {
 	for _, m := range c.members {
 		if !m.up || m.frozen {
--- a/distribution/parent_search.go
+++ b/distribution/parent_search.go
@@ -6,8 +6,8 @@
 // node that is referred down the tree is refused several times without any failure.
 const refusalsPerBackoff = 3
 
-// maxAttempts bounds the peers that are asked for a place at the same time. Two of them may be
-// unreachable because of the same network partition.
+// maxAttempts bounds the peers that are asked for a place at the same time. One network partition
+// may make two of them unreachable.
 const maxAttempts = 3
 
 // seekParent dials a candidate if this node needs a parent. While this node has no parent, it dials
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -178,8 +178,8 @@
 }
 
 // handleWrongDigest handles a message whose digest differs from the digest of the resulting
-// content. Nothing of the message was applied. As a digest does not show which entry is wrong, only
-// a snapshot can restore the content.
+// content. The node has applied no part of the message. As a digest does not show which entry is
+// wrong, only a snapshot can restore the content.
 func (n *Node) handleWrongDigest(parent *parentLink, now Microseconds) {
 	n.counts.WrongDigests++
 	n.host.Log(Event{Kind: EventWrongDigest, Peer: parent.peer, Version: n.store.version})
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -14,13 +14,13 @@
 	"wheelrill/ownership"
 )
 
-// issueCredentials makes the credentials of a name.
+// issueCredentials returns credentials with a certificate for a name.
 func issueCredentials(t *testing.T, authority *testcert.Authority, name string) consensus.Credentials {
 	t.Helper()
 	return consensus.Credentials(authority.Issue(t, name))
 }
 
-// discardedEvents does nothing with what becomes of the record.
+// discardedEvents ignores all events of the record.
 type discardedEvents struct{}
 
 func (discardedEvents) EntryCommitted(ownership.Entry)     {}
@@ -28,7 +28,8 @@
 func (discardedEvents) ProposalCommitted(uint64, uint64)   {}
 func (discardedEvents) ProposalFailed(uint64, uint64)      {}
 
-// member is a voter: a node of the record, and the transport that hands its configuration on.
+// member is a voter: a node of the replicated record, and the transport that distributes its
+// configuration.
 type member struct {
 	*peer
 	node *consensus.Node
@@ -40,7 +41,7 @@
 	self := consensus.Peer{Name: name, Address: members[name]}
 	p := newPeer(name, Config{
 		Node: distribution.Config{Name: self.String(), Voter: true, Limits: fastLimits(4)},
-		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") },
+		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter must not dial") },
 	})
 	terms := ownership.LeaseTerms{
 		Duration:      1_500_000,
@@ -63,7 +64,7 @@
 	return &member{p, node}
 }
 
-// startSubscriber runs a subscriber that others can dial by the calls of the members.
+// startSubscriber runs a subscriber, which other nodes can dial through a TLS listener.
 func startSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
 	t.Helper()
 	subscriber, err := consensus.NewSubscriber(credentials)
@@ -90,7 +91,7 @@
 	return p, self.String()
 }
 
-// configure has the record hold just some values of the scope pricing.
+// configure sets the content of the record to values of the scope pricing, and returns its version.
 func configure(t *testing.T, m *member, values ...string) distribution.Version {
 	t.Helper()
 	var wanted []distribution.Entry
@@ -106,7 +107,7 @@
 	return version
 }
 
-// freeAddresses are some on loopback that nobody listens at, by name.
+// freeAddresses returns a loopback address without a listener for each name.
 func freeAddresses(t *testing.T, names ...string) map[string]string {
 	t.Helper()
 	free := map[string]string{}
@@ -121,9 +122,12 @@
 	return free
 }
 
-// TestSubscribersFollowARecordOfThreeMembersOverTLS plays voters on a real record over TLS, and subscribers that are no members.
+// TestSubscribersFollowARecordOfThreeMembersOverTLS guards against subscribers that miss a change
+// or take an unneeded snapshot when the leader stops, accept a foreign certificate, or do not
+// report a lost majority. Three voters replicate a real record over TLS; subscribers that are not
+// members form a tree below them.
 func TestSubscribersFollowARecordOfThreeMembersOverTLS(t *testing.T) {
-	ours, foreign := testcert.NewAuthority(t), testcert.NewAuthority(t)
+	trusted, foreign := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	members := freeAddresses(t, "a", "b", "c")
 	var parents []string
 	for name, address := range members {
@@ -131,41 +135,41 @@
 	}
 	var voters []*member
 	for name := range members {
-		voters = append(voters, startMember(t, name, members, issueCredentials(t, ours, name)))
+		voters = append(voters, startMember(t, name, members, issueCredentials(t, trusted, name)))
 	}
 	last := configure(t, voters[0], "1")
 	var all []*peer
-	relay, relayName := startSubscriber(t, "s0", issueCredentials(t, ours, "s0"), parents...)
+	relay, relayName := startSubscriber(t, "s0", issueCredentials(t, trusted, "s0"), parents...)
 	all = append(all, relay)
 	for i := 1; i < 4; i++ {
 		name := fmt.Sprint("s", i)
-		s, _ := startSubscriber(t, name, issueCredentials(t, ours, name), relayName)
+		s, _ := startSubscriber(t, name, issueCredentials(t, trusted, name), relayName)
 		all = append(all, s)
 	}
-	everywhere := func(version distribution.Version) {
+	waitForAll := func(version distribution.Version) {
 		t.Helper()
 		digests := map[distribution.Digest]bool{}
 		for _, p := range all {
-			waitFor(t, fmt.Sprint(p.name, " has ", version), func() bool { return p.status(t).Version == version })
+			waitFor(t, fmt.Sprint(p.name, " has version ", version), func() bool { return p.status(t).Version == version })
 			digests[p.status(t).Digest] = true
 		}
 		if len(digests) != 1 {
-			t.Errorf("they differ: %v", digests)
+			t.Errorf("the subscribers have different digests at version %v: %v", version, digests)
 		}
 	}
-	everywhere(last)
+	waitForAll(last)
 	t.Run("a certificate with another name, or of another authority, gets no place", func(t *testing.T) {
-		liar, _ := startSubscriber(t, "s1", issueCredentials(t, ours, "s9"), parents...)
-		stranger, _ := startSubscriber(t, "s8", issueCredentials(t, foreign, "s8"), parents...)
-		for _, p := range []*peer{liar, stranger} {
-			waitFor(t, "it has tried again and again", func() bool { return p.status(t).Counts.Dials > 4 })
+		wrongName, _ := startSubscriber(t, "s1", issueCredentials(t, trusted, "s9"), parents...)
+		wrongAuthority, _ := startSubscriber(t, "s8", issueCredentials(t, foreign, "s8"), parents...)
+		for _, p := range []*peer{wrongName, wrongAuthority} {
+			waitFor(t, p.name+" has dialled more than 4 times", func() bool { return p.status(t).Counts.Dials > 4 })
 			if status := p.status(t); status.Parent != "" || status.Version.Revision > 0 {
-				t.Errorf("%s: %+v", p.name, status)
+				t.Errorf("%s got a place or content: %+v", p.name, status)
 			}
 			p.stop()
 		}
 	})
-	t.Run("the leader is stopped: the next change reaches all, by deltas", func(t *testing.T) {
+	t.Run("the leader is stopped: the next change reaches all subscribers by deltas", func(t *testing.T) {
 		for i, v := range voters {
 			if v.node.IsLeader() {
 				v.stop()
@@ -174,25 +178,25 @@
 			}
 		}
 		version := configure(t, voters[0], "1", "2")
-		everywhere(version)
+		waitForAll(version)
 		if version.Epoch != last.Epoch || version.Revision != last.Revision+1 {
-			t.Errorf("from %v to %v", last, version)
+			t.Errorf("the version after %v is %v, it should be the next revision of the same epoch", last, version)
 		}
 		last = version
 		for _, p := range all {
 			if p.snapshots() != 1 {
-				t.Errorf("%s took %d snapshots", p.name, p.snapshots())
+				t.Errorf("%s installed %d snapshots, it should be 1", p.name, p.snapshots())
 			}
 		}
 	})
-	t.Run("the majority is lost: all keep what they have, and say how old it is", func(t *testing.T) {
+	t.Run("the majority is lost: all subscribers keep their content and log that it is stale", func(t *testing.T) {
 		voters[0].stop()
 		for _, p := range all {
-			waitFor(t, p.name+" says so", func() bool { return p.hasLogged(distribution.EventSourceStale) })
+			waitFor(t, p.name+" logs EventSourceStale", func() bool { return p.hasLogged(distribution.EventSourceStale) })
 		}
-		everywhere(last)
+		waitForAll(last)
 		if relay.contents() != "pricing/0=1 pricing/1=2" {
-			t.Errorf("it has %s", relay.contents())
+			t.Errorf("the relay has %q", relay.contents())
 		}
 	})
 }
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"maps"
 	"net"
@@ -15,22 +14,22 @@
 	"wheelrill/distribution"
 )
 
-const waitTimeout = 30 * time.Second // bounds what a test waits for
+const waitTimeout = 30 * time.Second // bounds each wait of a test
 
-// waitFor polls waitFor something is so.
-func waitFor(t testing.TB, what string, is func() bool) {
+// waitFor polls until a condition is met, and fails the test after waitTimeout.
+func waitFor(t testing.TB, condition string, isMet func() bool) {
 	t.Helper()
-	late := time.After(waitTimeout)
-	for !is() {
+	timeout := time.After(waitTimeout)
+	for !isMet() {
 		select {
-		case <-late:
-			t.Fatalf("it never came to this: %s", what)
+		case <-timeout:
+			t.Fatalf("condition not met within %v: %s", waitTimeout, condition)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// fastLimits are limits with which a lost parent is seen soon.
+// fastLimits returns limits under which a lost parent is detected within 0.4 s.
 func fastLimits(fanOut int) distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.Heartbeat, limits.Lease, limits.Handshake = 50_000, 400_000, 500_000
@@ -39,7 +38,7 @@
 	return limits
 }
 
-// network has peers find each other by their names.
+// network resolves the names of peers to their addresses.
 type network struct {
 	mutex     sync.Mutex
 	addresses map[string]string
@@ -53,7 +52,7 @@
 	n.addresses[name] = address
 }
 
-// remove has nobody find a name any more; it gives its address.
+// remove deletes a name, so that dials of it fail, and returns its address.
 func (n *network) remove(name string) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -67,12 +66,12 @@
 	address, ok := n.addresses[name]
 	n.mutex.Unlock()
 	if !ok {
-		return nil, errors.New("nobody has that name")
+		return nil, fmt.Errorf("no peer is listening under the name %q", name)
 	}
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// listen accepts for a name until the test ends, and hands each connection on.
+// listen accepts connections for a name until the test ends, and serves each in a goroutine.
 func (n *network) listen(t testing.TB, name string, serve func(net.Conn)) (stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,7 +94,7 @@
 	return stop
 }
 
-// peer is a transport that runs, with what it was told to act by.
+// peer is a running transport with the content and the events that it has got.
 type peer struct {
 	*Transport
 	name string
@@ -107,7 +106,7 @@
 	completeChanges int
 }
 
-// newPeer makes a transport that does not run yet, with what it is told kept.
+// newPeer returns a transport that does not run yet and whose changes and events are stored.
 func newPeer(name string, config Config) *peer {
 	p := &peer{name: name, values: map[distribution.Key]string{}}
 	config.Apply, config.Log = p.apply, p.log
@@ -116,7 +115,7 @@
 	return p
 }
 
-// run runs the transport, and what else there is to the peer, until it is stopped or the test ends.
+// run runs the transport, and other parts of the peer, until the peer is stopped or the test ends.
 func (p *peer) run(t testing.TB, others ...func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -131,7 +130,7 @@
 	t.Cleanup(p.stop)
 }
 
-// start runs a transport that others can dial.
+// start runs a transport that other peers can dial.
 func (n *network) start(t testing.TB, config distribution.Config, bounds Bounds) *peer {
 	t.Helper()
 	p := newPeer(config.Name, Config{Node: config, Dial: n.dial, Bounds: bounds})
@@ -142,7 +141,7 @@
 		stopRunning()
 		stopListening()
 	})
-	t.Cleanup(p.stop) // before those of its parts: who serves a connection waits for the transport to end it
+	t.Cleanup(p.stop) // before the cleanup of listen, which waits for connections that the transport ends
 	return p
 }
 
@@ -157,10 +156,10 @@
 		Limits: fastLimits(fanOut)}, Bounds{})
 }
 
-func (p *peer) apply(change distribution.Change, whole bool) {
+func (p *peer) apply(change distribution.Change, complete bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if whole {
+	if complete {
 		p.completeChanges++
 		clear(p.values)
 	}
@@ -177,7 +176,7 @@
 	p.events = append(p.events, event)
 }
 
-// contents gives what the peer acts by.
+// contents returns the entries of the peer as text, sorted.
 func (p *peer) contents() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -205,12 +204,12 @@
 	t.Helper()
 	status, ok := p.Status()
 	if !ok {
-		t.Fatal("it has ended")
+		t.Fatalf("the transport of %s has ended", p.name)
 	}
 	return status
 }
 
-// record stands for the voters' record: what is accepted goes to each of them.
+// record simulates the voters' record: each voter gets every accepted change.
 type record struct {
 	state  *distribution.Record
 	voters []*peer
@@ -220,7 +219,7 @@
 
 var epoch = distribution.Epoch{Number: 1, Identity: 1}
 
-// accept puts values on the record, all in one revision; an empty value deletes.
+// accept adds values to the record, all in one revision; an empty value deletes the entry.
 func (r *record) accept(t testing.TB, values map[string]string) {
 	t.Helper()
 	var entries []distribution.Entry
@@ -229,13 +228,13 @@
 		e.Deleted = values[name] == ""
 		entries = append(entries, e)
 	}
-	founds := r.state.Empty()
+	foundsRecord := r.state.Empty()
 	change, err := r.state.Apply(distribution.Proposal{Epoch: epoch, AcceptedAt: 1, Entries: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, v := range r.voters {
-		if founds {
+		if foundsRecord {
 			v.Restored(r.state.State())
 		} else {
 			v.Accepted(change)
@@ -243,23 +242,24 @@
 	}
 }
 
-// keepCurrent has the voters know their record to be led, until the test ends.
-func (r *record) keepCurrent(t testing.TB) (lost func()) {
-	over := make(chan struct{})
-	var leading sync.WaitGroup
-	leading.Go(func() {
+// keepCurrent calls Current of all voters every 20 ms, until the returned function is called or the
+// test ends.
+func (r *record) keepCurrent(t testing.TB) (stop func()) {
+	stopped := make(chan struct{})
+	var calling sync.WaitGroup
+	calling.Go(func() {
 		for {
 			for _, v := range r.voters {
 				v.Current()
 			}
 			select {
-			case <-over:
+			case <-stopped:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
 	})
-	lost = sync.OnceFunc(func() { close(over); leading.Wait() })
-	t.Cleanup(lost)
-	return lost
+	stop = sync.OnceFunc(func() { close(stopped); calling.Wait() })
+	t.Cleanup(stop)
+	return stop
 }
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -21,28 +21,29 @@
 	for i := range 3 {
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 4, "v0", "v1", "v2"))
 	}
-	for i := 3; i < 8; i++ { // below other subscribers
+	for i := 3; i < 8; i++ { // with other subscribers as parents
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 0, "s0", "s1"))
 	}
-	everywhere := func(want string) {
+	waitForAll := func(want string) {
 		t.Helper()
 		for _, p := range all {
 			waitFor(t, p.name+" has "+want, func() bool { return p.contents() == want })
 		}
 	}
-	everywhere("pricing/a=1")
+	waitForAll("pricing/a=1")
 	r.accept(t, map[string]string{"a": "2", "b": "1"})
-	everywhere("pricing/a=2 pricing/b=1")
+	waitForAll("pricing/a=2 pricing/b=1")
 	r.accept(t, map[string]string{"a": ""})
-	everywhere("pricing/b=1")
+	waitForAll("pricing/b=1")
 	digest := r.state.Digest()
 	for _, p := range all {
 		status := p.status(t)
 		if status.Digest != digest || status.Version != r.state.Version() || p.snapshots() != 1 {
-			t.Errorf("%s is at %+v, %d snapshots", p.name, status, p.snapshots())
+			t.Errorf("%s has status %+v after %d snapshots; it should have digest %v and version %v after 1",
+				p.name, status, p.snapshots(), digest, r.state.Version())
 		}
 		if traffic := p.Traffic(); traffic.In == 0 || traffic.Out == 0 || traffic.Overflows != 0 {
-			t.Errorf("%s counts %+v", p.name, traffic)
+			t.Errorf("%s counts traffic %+v, it should have bytes in and out and no overflow", p.name, traffic)
 		}
 	}
 }
@@ -55,10 +56,12 @@
 	r.accept(t, map[string]string{"a": "1"})
 	middle := []*peer{n.subscriber(t, "m0", 4, "v0"), n.subscriber(t, "m1", 4, "v0")}
 	for _, m := range middle {
-		waitFor(t, m.name+" has it", func() bool { return m.contents() == "pricing/a=1" })
+		waitFor(t, m.name+" has a=1", func() bool { return m.contents() == "pricing/a=1" })
 	}
 	s := n.subscriber(t, "s", 0, "m0", "m1")
-	waitFor(t, "it has a parent", func() bool { return s.contents() == "pricing/a=1" && s.status(t).Parent != "" })
+	waitFor(t, "the subscriber has a=1 and a parent", func() bool {
+		return s.contents() == "pricing/a=1" && s.status(t).Parent != ""
+	})
 	for _, m := range middle {
 		if s.status(t).Parent == m.name {
 			m.stop()
@@ -66,9 +69,12 @@
 		}
 	}
 	r.accept(t, map[string]string{"a": "2"})
-	waitFor(t, "the other parent tells it", func() bool { return s.contents() == "pricing/a=2" })
+	waitFor(t, "the subscriber has a=2 from the other parent", func() bool {
+		return s.contents() == "pricing/a=2"
+	})
 	if s.snapshots() != 1 || !s.hasLogged(distribution.EventParentLost) {
-		t.Errorf("%d snapshots where a delta would do", s.snapshots())
+		t.Errorf("%d snapshots were installed, it should be 1; EventParentLost logged: %t",
+			s.snapshots(), s.hasLogged(distribution.EventParentLost))
 	}
 }
 
@@ -78,35 +84,37 @@
 	r := newRecord(v)
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
-	over := make(chan struct{})
-	n.listen(t, "mute", func(conn net.Conn) { <-over; conn.Close() })
-	t.Cleanup(func() { close(over) })
+	ended := make(chan struct{})
+	n.listen(t, "mute", func(conn net.Conn) { <-ended; conn.Close() })
+	t.Cleanup(func() { close(ended) })
 	s := n.subscriber(t, "s", 0, "mute", "v0")
-	waitFor(t, "it has it from the other", func() bool { return s.contents() == "pricing/a=1" })
+	waitFor(t, "the subscriber has a=1 from v0", func() bool { return s.contents() == "pricing/a=1" })
 	if parent := s.status(t).Parent; parent != "v0" {
-		t.Errorf("its parent is %q", parent)
+		t.Errorf("the parent is %q, it should be \"v0\"", parent)
 	}
 }
 
-// A parent that is frozen, with its connections open: the kernel goes on taking what is sent to it.
+// Guards against a subscriber that stays with a suspended parent, or does not report the age of its
+// configuration. The parent's connections stay open, as the kernel continues to accept bytes for a
+// suspended process; a forwarder that discards all bytes simulates this.
 func TestFrozenParentIsLeftAndTheAgeGrows(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
-	behind := n.remove("v0") // a parent's path names those above it, who would be dialled in its place
+	voterAddress := n.remove("v0") // else the subscriber learns v0 from its parent's path and dials it
 	var mutex sync.Mutex
 	frozen := make(chan struct{})
-	n.listen(t, "m", func(conn net.Conn) { // a relay in front of the voter
+	n.listen(t, "m", func(conn net.Conn) { // a forwarder in front of the voter
 		defer conn.Close()
-		to, err := net.Dial("tcp", behind)
+		to, err := net.Dial("tcp", voterAddress)
 		if err != nil {
 			return
 		}
 		defer to.Close()
-		var relaying sync.WaitGroup
-		relay := func(from, to net.Conn) {
+		var forwarding sync.WaitGroup
+		forward := func(from, to net.Conn) {
 			buffer := make([]byte, 4096)
 			for {
 				got, err := from.Read(buffer)
@@ -123,20 +131,24 @@
 				mutex.Unlock()
 			}
 		}
-		relaying.Go(func() { relay(to, conn) })
-		relay(conn, to)
+		forwarding.Go(func() { forward(to, conn) })
+		forward(conn, to)
 		to.Close()
-		relaying.Wait()
+		forwarding.Wait()
 	})
 	s := n.subscriber(t, "s", 0, "m")
-	waitFor(t, "it has it", func() bool { return s.contents() == "pricing/a=1" })
+	waitFor(t, "the subscriber has a=1", func() bool { return s.contents() == "pricing/a=1" })
 	r.accept(t, map[string]string{"a": "2"})
-	waitFor(t, "it has the next", func() bool { return s.contents() == "pricing/a=2" && s.status(t).Age >= 0 })
+	waitFor(t, "the subscriber has a=2 and is current", func() bool {
+		return s.contents() == "pricing/a=2" && s.status(t).Age >= 0
+	})
 	close(frozen)
-	waitFor(t, "it leaves the frozen one", func() bool { return s.hasLogged(distribution.EventParentLost) })
-	waitFor(t, "it tells its age", func() bool { return s.status(t).Age > 500_000 })
+	waitFor(t, "the subscriber leaves the frozen parent", func() bool {
+		return s.hasLogged(distribution.EventParentLost)
+	})
+	waitFor(t, "the subscriber's age exceeds 0.5 s", func() bool { return s.status(t).Age > 500_000 })
 	if s.contents() != "pricing/a=2" {
-		t.Errorf("it has %s", s.contents())
+		t.Errorf("the subscriber has %q, it should keep a=2", s.contents())
 	}
 }
 
@@ -144,54 +156,69 @@
 	n := newNetwork()
 	v := n.voter(t, "v0", 2)
 	r := newRecord(v)
-	lost := r.keepCurrent(t)
+	loseMajority := r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	waitFor(t, "it is current", func() bool { status := s.status(t); return s.contents() == "pricing/a=1" && status.Age >= 0 })
-	lost()
-	waitFor(t, "it tells that what it has is old", func() bool { return s.hasLogged(distribution.EventSourceStale) })
+	waitFor(t, "the subscriber has a=1 and is current", func() bool {
+		status := s.status(t)
+		return s.contents() == "pricing/a=1" && status.Age >= 0
+	})
+	loseMajority()
+	waitFor(t, "the subscriber logs EventSourceStale", func() bool {
+		return s.hasLogged(distribution.EventSourceStale)
+	})
 	if s.contents() != "pricing/a=1" || s.status(t).Age < 900_000 {
-		t.Errorf("has %s, %+v", s.contents(), s.status(t))
+		t.Errorf("the subscriber has %q and status %+v, it should keep a=1 with an age of 0.9 s or more",
+			s.contents(), s.status(t))
 	}
 	r.keepCurrent(t)
-	waitFor(t, "it is current again", func() bool { return s.hasLogged(distribution.EventSourceCurrent) })
+	waitFor(t, "the subscriber logs EventSourceCurrent", func() bool {
+		return s.hasLogged(distribution.EventSourceCurrent)
+	})
 	if s.snapshots() != 1 {
-		t.Errorf("%d snapshots", s.snapshots())
+		t.Errorf("%d snapshots were installed, it should be 1", s.snapshots())
 	}
 }
 
-// One that subscribes and reads nothing is closed once its queue is full, and holds nobody up.
+// Guards against an unbounded queue, or delays for other subscribers, when one subscriber reads
+// nothing. Its link has to be closed once the queue is full.
 func TestSubscriberThatReadsNothingIsClosedAndDelaysNoOther(t *testing.T) {
 	n := newNetwork()
 	limits := fastLimits(4)
-	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // so that the node itself does not end it
+	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // so that the node itself does not close the link
 	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: limits},
 		Bounds{QueueCount: 16, QueueBytes: 64 << 10, WriteTimeout: time.Hour})
 	r := newRecord(v)
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	ours, theirs := net.Pipe() // without any buffer of the kernel
-	defer ours.Close()
+	clientEnd, serverEnd := net.Pipe() // has no kernel buffer
+	defer clientEnd.Close()
 	var serving sync.WaitGroup
-	serving.Go(func() { v.Accept(theirs, nil) })
+	serving.Go(func() { v.Accept(serverEnd, nil) })
 	subscribe := &distribution.Subscribe{Name: "deaf", Scopes: distribution.SomeScopes("pricing")}
-	if err := frame.Write(ours, distribution.NewEnvelope(subscribe)); err != nil {
+	if err := frame.Write(clientEnd, distribution.NewEnvelope(subscribe)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "it has a place", func() bool { return len(v.status(t).Children) == 2 })
+	waitFor(t, "the subscriber that reads nothing has a place", func() bool {
+		return len(v.status(t).Children) == 2
+	})
 	body := make([]byte, 4<<10)
 	for i := 0; v.Traffic().Overflows == 0; i++ {
 		if i == 1000 {
-			t.Fatal("its queue has no bound")
+			t.Fatal("no overflow after 1000 changes: the queue has no bound")
 		}
 		r.accept(t, map[string]string{"large": fmt.Sprint(i, string(body))})
-		waitFor(t, "the other has it", func() bool { return s.status(t).Version == r.state.Version() })
+		waitFor(t, "the other subscriber has the change", func() bool {
+			return s.status(t).Version == r.state.Version()
+		})
 	}
-	waitFor(t, "its place is free", func() bool { return len(v.status(t).Children) == 1 })
+	waitFor(t, "the place of the closed subscriber is free", func() bool {
+		return len(v.status(t).Children) == 1
+	})
 	serving.Wait()
 	r.accept(t, map[string]string{"large": "", "a": "2"})
-	waitFor(t, "the other has all", func() bool { return s.contents() == "pricing/a=2" })
+	waitFor(t, "the other subscriber has all changes", func() bool { return s.contents() == "pricing/a=2" })
 }
 
 func TestSubscribeUnderANameThatIsNotAllowedIsClosed(t *testing.T) {
@@ -199,19 +226,19 @@
 	v := n.voter(t, "v0", 4)
 	r := newRecord(v)
 	r.accept(t, map[string]string{"a": "1"})
-	ours, theirs := net.Pipe()
-	defer ours.Close()
+	clientEnd, serverEnd := net.Pipe()
+	defer clientEnd.Close()
 	var serving sync.WaitGroup
-	serving.Go(func() { v.Accept(theirs, func(name string) bool { return name == "s1" }) })
-	if err := frame.Write(ours, distribution.NewEnvelope(&distribution.Subscribe{Name: "s2"})); err != nil {
+	serving.Go(func() { v.Accept(serverEnd, func(name string) bool { return name == "s1" }) })
+	if err := frame.Write(clientEnd, distribution.NewEnvelope(&distribution.Subscribe{Name: "s2"})); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ours.Read(make([]byte, 1)); err == nil {
-		t.Error("it was answered")
+	if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
+		t.Error("the Subscribe under the name s2 was answered, only s1 is allowed")
 	}
 	serving.Wait()
 	if children := v.status(t).Children; len(children) != 0 {
-		t.Errorf("children %v", children)
+		t.Errorf("the voter's children are %v, it should have none", children)
 	}
 }
 
@@ -220,17 +247,17 @@
 	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: fastLimits(4)}, Bounds{MessageBytes: 1 << 10})
 	for name, bytes := range map[string][]byte{
 		"too large":      {0, 0, 8, 0},
-		"no CBOR":        {0, 0, 0, 1, 0xff},
+		"invalid CBOR":   {0, 0, 0, 1, 0xff},
 		"empty envelope": {0, 0, 0, 1, 0xa0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, theirs := net.Pipe()
-			defer ours.Close()
+			clientEnd, serverEnd := net.Pipe()
+			defer clientEnd.Close()
 			var serving sync.WaitGroup
-			serving.Go(func() { v.Accept(theirs, nil) })
-			ours.Write(bytes)
-			if _, err := ours.Read(make([]byte, 1)); err == nil {
-				t.Error("it was answered")
+			serving.Go(func() { v.Accept(serverEnd, nil) })
+			clientEnd.Write(bytes)
+			if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
+				t.Error("the message was answered, the connection should be closed")
 			}
 			serving.Wait()
 		})
@@ -243,47 +270,50 @@
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	for range 2 {
-		ours, theirs := net.Pipe()
-		defer ours.Close()
-		serving.Go(func() { v.Accept(theirs, nil) })
+		clientEnd, serverEnd := net.Pipe()
+		defer clientEnd.Close()
+		serving.Go(func() { v.Accept(serverEnd, nil) })
 	}
-	waitFor(t, "two are served", func() bool {
+	waitFor(t, "two callers are served", func() bool {
 		v.Transport.mutex.Lock()
 		defer v.Transport.mutex.Unlock()
 		return v.callers == 2
 	})
-	ours, theirs := net.Pipe()
-	v.Accept(theirs, nil)
-	if _, err := ours.Read(make([]byte, 1)); err == nil {
-		t.Error("a third was served")
+	clientEnd, serverEnd := net.Pipe()
+	v.Accept(serverEnd, nil)
+	if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
+		t.Error("a third caller was served, Bounds.Callers is 2")
 	}
 }
 
-// At the end all connections are closed, and Run returns only when nothing of it is left.
+// Guards against connections and callers that remain once Run has returned, and against methods
+// that block then.
 func TestRunClosesAllConnectionsAtItsEnd(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
 	r := newRecord(v)
 	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	waitFor(t, "it has it", func() bool { return s.contents() == "pricing/a=1" })
+	waitFor(t, "the subscriber has a=1", func() bool { return s.contents() == "pricing/a=1" })
 	s.stop()
-	waitFor(t, "its place is free", func() bool { return len(v.status(t).Children) == 0 })
+	waitFor(t, "the place of the closed subscriber is free", func() bool {
+		return len(v.status(t).Children) == 0
+	})
 	if _, ok := s.Status(); ok {
-		t.Error("it answers")
+		t.Error("Status succeeds after Run has ended")
 	}
-	ours, theirs := net.Pipe()
-	s.Accept(theirs, nil)
-	if _, err := ours.Read(make([]byte, 1)); err == nil {
-		t.Error("it serves")
+	clientEnd, serverEnd := net.Pipe()
+	s.Accept(serverEnd, nil)
+	if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
+		t.Error("Accept serves a connection after Run has ended")
 	}
-	s.Current() // does not wait for an actor that has ended
+	s.Current() // must not block after Run has ended
 	for range 2 * DefaultMailbox {
 		s.Current()
 	}
 	s.Transport.mutex.Lock()
 	defer s.Transport.mutex.Unlock()
 	if len(s.openLinks) != 0 || s.callers != 0 {
-		t.Errorf("%d links, %d callers are left", len(s.openLinks), s.callers)
+		t.Errorf("%d links and %d callers remain after Run has ended", len(s.openLinks), s.callers)
 	}
 }
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -18,14 +18,14 @@
 	"wheelrill/internal/golden"
 )
 
-// wireMessage is a message whose bytes are held by the golden file, under a name that is the golden file's own.
+// wireMessage is a message whose encoding is in the golden file, with its name there.
 type wireMessage struct {
 	name    string
 	message distribution.Message
-	full    bool // every field of it is set
+	full    bool // whether every field is set
 }
 
-// refusalsOnTheWire are the reasons of a refusal in the order of their numbers on the wire.
+// refusalsOnTheWire lists the refusal reasons in the order of their numbers on the wire.
 var refusalsOnTheWire = []distribution.RefusalReason{
 	distribution.RefusedFull,
 	distribution.RefusedBusy,
@@ -37,7 +37,8 @@
 	distribution.RefusedConflict,
 }
 
-// wireMessages are all messages of the tree, with every field set and with the least.
+// wireMessages returns every type of message with every field set, with no field set, and in a few
+// other forms.
 func wireMessages() []wireMessage {
 	founding := distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788}
 	at := distribution.Version{Epoch: founding, Revision: 70_000}
@@ -51,26 +52,29 @@
 	change := distribution.Change{Epoch: founding, Revision: 70_000, AcceptedAt: 1_764_700_002_000_000,
 		Entries: []distribution.Entry{set, deleted}}
 	all := []wireMessage{
-		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Version: at, Digest: digest,
-			WantSnapshot: true, FanOut: 16, Request: 3}, true},
+		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Version: at,
+			Digest: digest, WantSnapshot: true, FanOut: 16, Request: 3}, true},
 		{"subscribe, the least", &distribution.Subscribe{}, false},
-		{"subscribe, two scopes", &distribution.Subscribe{Name: "s17", Scopes: distribution.SomeScopes("pricing", "orders"), Request: 1}, false},
-		{"admitted, every field", &distribution.Admitted{Lease: 1_800_000, Version: at, Path: path, Age: 250_000, Candidates: others,
-			Request: 3}, true},
+		{"subscribe, two scopes", &distribution.Subscribe{Name: "s17",
+			Scopes: distribution.SomeScopes("pricing", "orders"), Request: 1}, false},
+		{"admitted, every field", &distribution.Admitted{Lease: 1_800_000, Version: at, Path: path, Age: 250_000,
+			Candidates: others, Request: 3}, true},
 		{"admitted, the least", &distribution.Admitted{}, false},
 		{"admitted, never current", &distribution.Admitted{Age: distribution.NeverCurrent}, false},
-		{"refused, every field", &distribution.Refused{Reason: distribution.RefusedFull, RetryAfter: 5_000_000, Candidates: others}, true},
+		{"refused, every field", &distribution.Refused{Reason: distribution.RefusedFull, RetryAfter: 5_000_000,
+			Candidates: others}, true},
 		{"refused, the least", &distribution.Refused{}, false},
 		{"delta, every field", &distribution.Delta{Epoch: founding, Previous: 69_990, Revision: 70_000,
 			Changes: []distribution.Change{change}, Digest: digest}, true},
 		{"delta, the least", &distribution.Delta{}, false},
 		{"delta, a change as it is sent", &distribution.Delta{Epoch: founding, Previous: 1, Revision: 2,
-			Changes: []distribution.Change{{Revision: 2, AcceptedAt: 5, Entries: []distribution.Entry{deleted}}}, Digest: digest}, false},
+			Changes: []distribution.Change{{Revision: 2, AcceptedAt: 5, Entries: []distribution.Entry{deleted}}},
+			Digest:  digest}, false},
 		{"piece of a snapshot, every field", &distribution.SnapshotPiece{Version: at, Index: 7, Last: true,
 			Entries: []distribution.Entry{set}, Horizon: 60_000, Digest: digest}, true},
 		{"piece of a snapshot, the least", &distribution.SnapshotPiece{}, false},
-		{"heartbeat, every field", &distribution.Heartbeat{Epoch: founding, Previous: 69_990, Revision: 70_000, Digest: digest, Path: path,
-			Age: 250_000, Candidates: others, Source: at}, true},
+		{"heartbeat, every field", &distribution.Heartbeat{Epoch: founding, Previous: 69_990, Revision: 70_000,
+			Digest: digest, Path: path, Age: 250_000, Candidates: others, Source: at}, true},
 		{"heartbeat, the least", &distribution.Heartbeat{}, false},
 		{"renew, every field", &distribution.Renew{Version: at, Received: 1_000}, true},
 		{"renew, the least", &distribution.Renew{}, false},
@@ -81,7 +85,8 @@
 	return all
 }
 
-// firstZeroField names the first field below a value that holds nothing; "" if there is none. Of a list the first element counts.
+// firstZeroField returns the path of the first field within a value that has its zero value, or ""
+// if there is none. In a list only the first element is examined.
 func firstZeroField(name string, value reflect.Value) string {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -104,17 +109,17 @@
 	return ""
 }
 
-// writtenBytes are the bytes that a link writes for a message.
+// writtenBytes returns the bytes that a link writes for a message.
 func writtenBytes(t *testing.T, m distribution.Message) []byte {
 	t.Helper()
 	c := New(Config{Node: distribution.Config{Name: "writer"}})
-	ours, theirs := net.Pipe()
-	l := &link{transport: c, conn: theirs}
+	readEnd, writeEnd := net.Pipe()
+	l := &link{transport: c, conn: writeEnd}
 	if !l.send(m) {
 		t.Fatal("the queue of a new link is full")
 	}
-	l.close() // once the message has left
-	bytes, err := io.ReadAll(ours)
+	l.close() // closes the connection once the message is written
+	bytes, err := io.ReadAll(readEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +127,8 @@
 	return bytes
 }
 
-// goldenMessages reads the golden file: a line for each message, its name and its bytes in hexadecimal.
+// goldenMessages reads the golden file. Each line holds the name of a message and its bytes in
+// hexadecimal.
 func goldenMessages(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	body, err := os.ReadFile(path)
@@ -141,7 +147,8 @@
 	return golden
 }
 
-// Each message goes onto the connection as the golden file has it, and is read from there as what it was.
+// Guards against changes to the wire format: each message has to be written as the bytes in the
+// golden file, and these bytes have to be read as the same message.
 func TestMessagesAreWrittenAndReadAsTheGoldenFileHasThem(t *testing.T) {
 	path := filepath.Join("testdata", "messages.golden")
 	messages := wireMessages()
@@ -156,23 +163,23 @@
 	}
 	golden := goldenMessages(t, path)
 	if len(golden) != len(messages) {
-		t.Errorf("the golden file has %d messages, there are %d", len(golden), len(messages))
+		t.Errorf("the golden file has %d messages, the test has %d", len(golden), len(messages))
 	}
 	for _, m := range messages {
 		t.Run(m.name, func(t *testing.T) {
 			if missing := firstZeroField("message", reflect.ValueOf(m.message)); m.full && missing != "" {
-				t.Errorf("%s is not set", missing)
+				t.Errorf("field %s is not set, though the message should have every field", missing)
 			}
 			want := golden[m.name]
 			if got := writtenBytes(t, m.message); !bytes.Equal(got, want) {
-				t.Errorf("written as\n%x, the golden file has\n%x", got, want)
+				t.Errorf("the message is written as\n%x, the golden file has\n%x", got, want)
 			}
 			var envelope distribution.Envelope
 			if err := frame.Read(bufio.NewReader(bytes.NewReader(want)), DefaultMessageBytes, &envelope); err != nil {
 				t.Fatal(err)
 			}
 			if got, err := envelope.Message(); err != nil || !reflect.DeepEqual(got, m.message) {
-				t.Errorf("read as %+v, %v", got, err)
+				t.Errorf("the golden bytes are read as %+v, %v; want %+v", got, err, m.message)
 			}
 		})
 	}
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -17,8 +17,8 @@
 
 const initialBufferBytes = 256
 
-// TooLargeError is the error for a message over the reader's bound. Nothing more can be read from
-// the stream.
+// TooLargeError is the error for a message over the reader's bound. The stream cannot be read any
+// further.
 type TooLargeError struct {
 	// Size is the number of bytes of the message, without the header.
 	Size int
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -28,13 +28,13 @@
 			t.Fatal(err)
 		}
 	}
-	for i, m := range sent { // the buffer was used again, and what was read before stands
+	for i, m := range sent { // reading the later messages must not change the earlier ones
 		if got[i].Name != m.Name || !bytes.Equal(got[i].Body, m.Body) {
-			t.Errorf("message %d came as %+v", i, got[i])
+			t.Errorf("message %d was read as %+v, want %+v", i, got[i], m)
 		}
 	}
 	if err := Read(&stream, 8192, &got[0]); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("the error at the end of the stream is %v, want io.EOF", err)
 	}
 }
 
@@ -46,16 +46,16 @@
 	framed := stream.Bytes()
 	var m message
 	if err := Read(bytes.NewReader(framed), 50, &m); !errors.As(err, &TooLargeError{}) {
-		t.Errorf("over the bound: %v", err)
+		t.Errorf("the error for a message over 50 bytes is %v, want TooLargeError", err)
 	}
 	if err := Read(bytes.NewReader(framed[:50]), 500, &m); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("cut off: %v", err)
+		t.Errorf("the error for a truncated message is %v, want io.ErrUnexpectedEOF", err)
 	}
 	if err := Read(bytes.NewReader([]byte{0, 0, 0, 1, 0xff}), 500, &m); err == nil {
-		t.Error("taken, though it is no CBOR")
+		t.Error("a body of invalid CBOR is accepted")
 	}
 	if err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 500, &m); !errors.As(err, &TooLargeError{}) {
-		t.Errorf("far over the bound: %v", err)
+		t.Errorf("the error for a header of 0xffffffff bytes is %v, want TooLargeError", err)
 	}
 }
 
@@ -66,6 +66,7 @@
 	}
 	before := stream.Len()
 	if err := Append(&stream, make(chan int)); err == nil || stream.Len() != before {
-		t.Errorf("a message that cannot be encoded left %d bytes behind, %v", stream.Len()-before, err)
+		t.Errorf("Append of a message that cannot be encoded added %d bytes, error %v; want 0 bytes and an error",
+			stream.Len()-before, err)
 	}
 }
