--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -25,7 +25,7 @@
 	v = c.add(voter("v", limits))
 	c.acceptChanges(5)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, v, leaf)
 	return c, v, leaf
 }
@@ -37,7 +37,7 @@
 	c.follow(v, 1)
 	conn := c.onlyConn(t, leaf)
 	c.deliver(conn, 0, true)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 || counts.SnapshotsInstalled != snapshots {
 		t.Errorf("counts %+v after a lost delta, want 1 gap and %d snapshots installed", counts, snapshots)
@@ -49,7 +49,7 @@
 	c.acceptChanges(1)
 	c.follow(v, 1)
 	c.deliver(c.onlyConn(t, leaf), 0, true)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.GapsSeen != 1 {
 		t.Errorf("counts %+v, want 1 gap, seen in the heartbeat after the lost delta", counts)
@@ -69,11 +69,11 @@
 	conn.queues[0][0] = &damaged
 	c.deliver(conn, 0, false)
 	leaf.verify()
-	c.sound(t)
+	c.requireConsistent(t)
 	if leaf.node.Version() != before {
 		t.Errorf("the leaf is at %v after a delta with a wrong digest, want %v as before", leaf.node.Version(), before)
 	}
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	counts := leaf.node.Status(c.now).Counts
 	if counts.WrongDigests != 1 || counts.SnapshotsInstalled != snapshots+1 {
@@ -90,7 +90,7 @@
 	c.now += second
 	c.tick()
 	c.settle()
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
 		t.Errorf("counts %+v after a start with a damaged state, want 1 snapshot installed", counts)
@@ -103,7 +103,7 @@
 	leaf.kill()
 	c.acceptChanges(3)
 	leaf.start(stored)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	c.expectCaughtUp(t, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 0 {
 		t.Errorf("counts %+v after a start with the stored state, want no snapshot installed", counts)
@@ -117,7 +117,7 @@
 	c.encode = true
 	v := c.add(voter("v", limits))
 	c.acceptChanges(20)
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
 	pieces := 0
 	for range 100 {
@@ -131,7 +131,7 @@
 				piece, isPiece := conn.queues[0][0].(*SnapshotPiece)
 				c.deliver(conn, 0, false)
 				leaf.verify()
-				c.sound(t)
+				c.requireConsistent(t)
 				if isPiece {
 					pieces++
 				}
@@ -154,15 +154,15 @@
 	for i := range 200 {
 		c.accept(set("a", fmt.Sprint(i), string(make([]byte, 200))))
 	}
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	for i := range 3 {
 		c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), limits, "v"))
 	}
 	for i := range 20 {
-		before := v.sent
-		c.pass(second, tick)
+		before := v.sentBytes
+		c.advance(second, tick)
 		bound := limits.SnapshotBytesPerSecond + limits.PieceBytes + 2048
-		if bytes := v.sent - before; i > 0 && bytes > bound {
+		if bytes := v.sentBytes - before; i > 0 && bytes > bound {
 			t.Fatalf("the voter sent %d bytes in second %d, want at most %d", bytes, i, bound)
 		}
 	}
@@ -182,9 +182,9 @@
 	for i := range 400 {
 		c.accept(set("a", fmt.Sprint(i), string(make([]byte, 5000))))
 	}
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "v"))
-	c.pass(second/2, tick)
+	c.advance(second/2, tick)
 	c.expectCaughtUp(t, v, leaf)
 	if counts := leaf.node.Status(c.now).Counts; counts.SnapshotsInstalled != 1 {
 		t.Errorf("counts %+v after half a second, want 1 snapshot installed", counts)
@@ -226,12 +226,12 @@
 			before := leaf.node.Status(c.now).Counts.SnapshotsInstalled
 			c.cut(v, leaf)
 			for i := range test.changes {
-				c.accept(set("a", fmt.Sprint("new", i), "1"), gone("a", fmt.Sprint("entry", i)))
+				c.accept(set("a", fmt.Sprint("new", i), "1"), deletion("a", fmt.Sprint("entry", i)))
 			}
-			c.pass(second, tick)
+			c.advance(second, tick)
 			test.compact(v, v.node.Version().Revision-1)
 			c.heal(v, leaf)
-			c.pass(6*second, tick)
+			c.advance(6*second, tick)
 			c.expectCaughtUp(t, leaf)
 			if installed := leaf.node.Status(c.now).Counts.SnapshotsInstalled - before; installed != test.snapshots {
 				t.Errorf("the leaf installed %d snapshots, want %d", installed, test.snapshots)
@@ -253,18 +253,18 @@
 		leaves = append(leaves, c.add(subscriber(fmt.Sprint("leaf", i), SomeScopes("a"), limits, "v")))
 	}
 	c.acceptChanges(5)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.cut(v, relay)
 	for i, leaf := range leaves {
 		c.cut(v, leaf)
 		leaf.node.learnCandidates([]string{"relay"}, false)
 		c.cut(relay, leaf)
-		c.accept(set("a", "x", fmt.Sprint(i)), gone("a", fmt.Sprint("entry", i)))
-		c.pass(tick, tick)
+		c.accept(set("a", "x", fmt.Sprint(i)), deletion("a", fmt.Sprint("entry", i)))
+		c.advance(tick, tick)
 	}
 	v.node.store.log.dropTo(v.node.Version().Revision)
 	c.heal(v, relay)
-	c.pass(4*second, tick)
+	c.advance(4*second, tick)
 	c.expectCaughtUp(t, relay)
 	if installed := relay.node.Status(c.now).Counts.SnapshotsInstalled; installed != 1 {
 		t.Errorf("the relay installed %d snapshots, want 1", installed)
@@ -272,7 +272,7 @@
 	for _, leaf := range leaves {
 		c.heal(relay, leaf)
 	}
-	c.pass(4*second, tick)
+	c.advance(4*second, tick)
 	c.expectCaughtUp(t, leaves...)
 	for _, leaf := range leaves {
 		if installed := leaf.node.Status(c.now).Counts.SnapshotsInstalled; installed != 1 {
@@ -287,10 +287,10 @@
 	c, v, leaf := newVoterAndLeaf(t, limits)
 	c.cut(v, leaf)
 	c.acceptChanges(200)
-	c.pass(second, tick)
+	c.advance(second, tick)
 	before := leaf.node.Status(c.now).Counts
 	c.heal(v, leaf)
-	c.pass(3*second, tick)
+	c.advance(3*second, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsInstalled != before.SnapshotsInstalled || after.GapsSeen != 0 || after.WrongDigests != 0 {
@@ -309,14 +309,14 @@
 		t.Error("entry0 of scope a is lost before the snapshot of the new scopes is complete")
 	}
 	c.acceptChanges(1)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if _, found := leaf.node.lookUpLive(Key{"b", "entry0"}); !found {
 		t.Error("entry0 of the added scope b is missing after the snapshot")
 	}
 	leaf.node.Resubscribe(SomeScopes("b"), c.now)
 	c.acceptChanges(1)
-	c.pass(2*second, tick)
+	c.advance(2*second, tick)
 	c.expectCaughtUp(t, leaf)
 	if _, found := leaf.node.lookUpLive(Key{"a", "entry0"}); found {
 		t.Error("entry0 of scope a is still there after the subscription to it ended")
--- a/distribution/controllers_test.go
+++ b/distribution/controllers_test.go
@@ -4,70 +4,73 @@
 	"testing"
 )
 
-// stateAt is what a node with all scopes has at a revision.
-func (c *cluster) stateAt(epoch Epoch, revision uint64) map[Key]Entry {
-	if c.truth[epoch] == nil {
-		c.truth[epoch] = map[uint64]map[Key]Entry{0: {}}
+// expectedAt returns the entries that a node with all scopes has at a revision.
+func (c *cluster) expectedAt(epoch Epoch, revision uint64) map[Key]Entry {
+	if c.expected[epoch] == nil {
+		c.expected[epoch] = map[uint64]map[Key]Entry{0: {}}
 	}
-	return c.truth[epoch][revision]
+	return c.expected[epoch][revision]
 }
 
-// Apply implements Host: the controller takes the change over, and what it has then must be what stood on the record.
-func (m *member) Apply(change Change, whole bool) {
+// Apply implements Host. The controller applies the change to its own entries, which verify
+// compares with the record.
+func (m *member) Apply(change Change, complete bool) {
 	if m.cluster.transcript != nil {
-		m.cluster.transcript.note(m, "apply %x %t", mustEncode(change), whole)
+		m.cluster.transcript.note(m, "apply %x %t", mustEncode(change), complete)
 	}
 	version := Version{change.Epoch, change.Revision}
-	if version.Before(m.applied) {
-		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.applied, version)
+	if version.Before(m.appliedVersion) {
+		m.cluster.reportViolation("%s goes back: Apply got %v, then %v", m.config.Name, m.appliedVersion, version)
 	}
-	m.applied = version
-	m.applies++
-	if whole {
-		m.mirror = map[Key]Entry{}
+	m.appliedVersion = version
+	m.applyCount++
+	if complete {
+		m.controllerEntries = map[Key]Entry{}
 	}
 	for _, e := range change.Entries {
-		m.mirror[e.Key()] = e
+		m.controllerEntries[e.Key()] = e
 		if e.Deleted {
-			delete(m.mirror, e.Key())
+			delete(m.controllerEntries, e.Key())
 		}
 	}
 }
 
-// note checks that a subscriber does not go back, also over restarts. A voter that was restarted may: the record's log is
-// played to it again.
-func (m *member) note() {
+// checkVersionOrder checks that a subscriber's version never decreases, also over restarts. The
+// version of a restarted voter may decrease: the log of the record is replayed to it.
+func (m *member) checkVersionOrder() {
 	version := m.node.Version()
 	if m.config.Voter || !version.Epoch.Known() {
 		return
 	}
-	if version.Before(m.highest) {
-		m.cluster.fails("%s goes back from %v to %v", m.config.Name, m.highest, version)
+	if version.Before(m.highestVersion) {
+		m.cluster.reportViolation("%s goes back: its version was %v and is %v",
+			m.config.Name, m.highestVersion, version)
 	}
-	m.highest = version
+	m.highestVersion = version
 }
 
-// verify checks what a node has, and what its controller was told, against the record.
+// verify compares the entries of a node and of its controller with the record.
 func (m *member) verify() {
-	m.note()
+	m.checkVersionOrder()
 	c, version := m.cluster, m.node.Version()
 	if !version.Epoch.Known() {
 		return
 	}
 	var digest Digest
-	truth, want := c.stateAt(version.Epoch, version.Revision), 0
+	expected, want := c.expectedAt(version.Epoch, version.Revision), 0
 	store := m.node.store
-	for key, e := range truth {
+	for key, e := range expected {
 		if !store.covered.Has(key.Scope) {
 			continue
 		}
 		want++
 		digest = digest.add(entryDigest(e))
-		if has, found := m.node.lookUpLive(key); !found || !sameEntry(has, e) {
-			c.fails("%s has %v at %v and should have %v", m.config.Name, has, version, e)
+		if got, found := m.node.lookUpLive(key); !found || !sameEntry(got, e) {
+			c.reportViolation("%s has entry %v at version %v and should have %v", m.config.Name, got, version, e)
 		}
-		if has, found := m.mirror[key]; !found || !sameEntry(has, e) {
-			c.fails("the controller of %s has %v at %v and should have %v", m.config.Name, has, version, e)
+		if got, found := m.controllerEntries[key]; !found || !sameEntry(got, e) {
+			c.reportViolation("the controller of %s has entry %v at version %v and should have %v",
+				m.config.Name, got, version, e)
 		}
 	}
 	live := 0
@@ -77,12 +80,13 @@
 		}
 		return true
 	})
-	if live != want || store.liveEntries != want || len(m.mirror) != want {
-		c.fails("%s has %d entries at %v, counts %d, its controller has %d, and there should be %d", m.config.Name, live, version,
-			store.liveEntries, len(m.mirror), want)
+	if live != want || store.liveEntries != want || len(m.controllerEntries) != want {
+		c.reportViolation("%s has %d live entries at version %v, its liveEntries is %d, "+
+			"its controller has %d, and there should be %d",
+			m.config.Name, live, version, store.liveEntries, len(m.controllerEntries), want)
 	}
 	if digest != store.digest || digest != store.digestFor(store.covered) {
-		c.fails("%s has another digest than its entries at %v", m.config.Name, version)
+		c.reportViolation("the digest of %s does not match its entries at version %v", m.config.Name, version)
 	}
 }
 
@@ -90,21 +94,21 @@
 	return string(a.Value) == string(b.Value) && a.Revision == b.Revision && a.AcceptedAt == b.AcceptedAt
 }
 
-// sound ends a test at the first breach.
-func (c *cluster) sound(t *testing.T) {
+// requireConsistent ends the test if a rule was violated.
+func (c *cluster) requireConsistent(t *testing.T) {
 	t.Helper()
-	if c.broken != "" {
-		t.Fatal(c.broken)
+	if c.violation != "" {
+		t.Fatal(c.violation)
 	}
 }
 
-// count is how many events of a kind a member has logged.
-func (m *member) count(kind EventKind) int {
-	number := 0
+// eventCount returns the number of events of a kind that a member has logged.
+func (m *member) eventCount(kind EventKind) int {
+	matching := 0
 	for _, e := range m.events {
 		if e.Kind == kind {
-			number++
+			matching++
 		}
 	}
-	return number
+	return matching
 }
--- a/distribution/epoch_test.go
+++ b/distribution/epoch_test.go
@@ -6,9 +6,9 @@
 	t.Run("a newer epoch is installed by a snapshot", func(t *testing.T) {
 		c, _, first, _, leaf := newRelayTree(t, DefaultLimits())
 		old := leaf.node.Version()
-		c.found(Epoch{Number: 8, Identity: 80})
+		c.startNewRecord(Epoch{Number: 8, Identity: 80})
 		c.acceptChanges(2)
-		c.pass(3*second, tick)
+		c.advance(3*second, tick)
 		c.expectCaughtUp(t, first, leaf)
 		if !old.Before(leaf.node.Version()) {
 			t.Errorf("the leaf is at %v, want a version after %v", leaf.node.Version(), old)
@@ -16,16 +16,16 @@
 	})
 	t.Run("an older epoch is refused", func(t *testing.T) {
 		c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
-		c.found(Epoch{Number: 8, Identity: 80})
+		c.startNewRecord(Epoch{Number: 8, Identity: 80})
 		c.acceptChanges(2)
-		c.pass(2*second, tick)
+		c.advance(2*second, tick)
 		before := leaf.node.Version()
 		v.kill()
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
 		c.acceptChanges(9)
-		c.pass(20*second, tick)
-		c.sound(t)
+		c.advance(20*second, tick)
+		c.requireConsistent(t)
 		if leaf.node.Version() != before {
 			t.Errorf("the leaf moved to %v of an older epoch, want %v", leaf.node.Version(), before)
 		}
@@ -37,8 +37,8 @@
 		c.epoch, c.record = Epoch{Number: 7, Identity: 71}, nil
 		v.start(State{})
 		c.acceptChanges(9)
-		c.pass(20*second, tick)
-		c.sound(t)
+		c.advance(20*second, tick)
+		c.requireConsistent(t)
 		if leaf.node.Version() != before {
 			t.Errorf("the leaf moved to %v of a conflicting epoch, want %v", leaf.node.Version(), before)
 		}
@@ -80,7 +80,7 @@
 		t.Errorf("the voter at %v accepted a state at revision 1", version)
 	}
 	v.verify()
-	c.sound(t)
+	c.requireConsistent(t)
 }
 
 func TestRestartWithAFloorRefusesOlderVersions(t *testing.T) {
@@ -88,17 +88,17 @@
 	limits := DefaultLimits()
 	behind := c.add(voter("behind", limits))
 	c.acceptChanges(5)
-	c.pass(tick, tick)
-	behind.leads = false
+	c.advance(tick, tick)
+	behind.hasLeader = false
 	config := subscriber("leaf", SomeScopes("a"), limits, "behind")
 	config.Floor = Version{c.epoch, 8}
 	leaf := c.add(config)
 	c.acceptChanges(4)
-	c.pass(10*second, tick)
+	c.advance(10*second, tick)
 	if leaf.node.Version() != (Version{}) {
 		t.Fatalf("the leaf accepted %v, which is older than its floor %v", leaf.node.Version(), config.Floor)
 	}
-	behind.leads = true
-	c.pass(3*second, tick)
+	behind.hasLeader = true
+	c.advance(3*second, tick)
 	c.expectCaughtUp(t, leaf)
 }
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -26,7 +26,7 @@
 // expectCaughtUp fails unless the members have the whole record.
 func (c *cluster) expectCaughtUp(t *testing.T, members ...*member) {
 	t.Helper()
-	c.sound(t)
+	c.requireConsistent(t)
 	want := Version{c.epoch, uint64(len(c.record))}
 	for _, m := range members {
 		if version := m.node.Version(); version != want {
@@ -45,9 +45,9 @@
 	c.acceptChanges(5)
 	first = c.add(subscriber("first", AllScopes(), limits, "v"))
 	second = c.add(subscriber("second", AllScopes(), limits, "v"))
-	c.pass(2*oneSecond, tick)
+	c.advance(2*oneSecond, tick)
 	leaf = c.add(subscriber("leaf", SomeScopes("a"), limits, "first"))
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	leaf.node.learnCandidates([]string{"second"}, false)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "first" {
@@ -95,7 +95,7 @@
 			before := leaf.node.Status(c.now).Counts
 			failure.inflict(c, first, leaf)
 			c.acceptChanges(3)
-			c.pass(DefaultLease+oneSecond, tick)
+			c.advance(DefaultLease+oneSecond, tick)
 			c.expectCaughtUp(t, second, leaf)
 			status := leaf.node.Status(c.now)
 			if status.Parent != "second" && status.Parent != "v" {
@@ -114,13 +114,13 @@
 func TestFrozenRelayLosesItsPlaceAndRecovers(t *testing.T) {
 	c, v, first, _, _ := newRelayTree(t, DefaultLimits())
 	first.frozen = true
-	c.pass(DefaultLease+oneSecond, tick)
+	c.advance(DefaultLease+oneSecond, tick)
 	if children := v.node.Status(c.now).Children; slices.Contains(children, "first") {
 		t.Errorf("the children of the voter are %v, want them without the frozen relay \"first\"", children)
 	}
 	first.frozen = false
 	c.acceptChanges(2)
-	c.pass(3*oneSecond, tick)
+	c.advance(3*oneSecond, tick)
 	c.expectCaughtUp(t, first)
 }
 
@@ -129,15 +129,15 @@
 	limits := DefaultLimits()
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
 	c.acceptChanges(5)
-	c.pass(oneSecond, tick)
-	behind.leads = false // it gets no further changes of the record
+	c.advance(oneSecond, tick)
+	behind.hasLeader = false // it gets no further changes of the record
 	c.acceptChanges(4)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "ahead"))
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	c.cut(ahead, leaf)
 	leaf.node.learnCandidates([]string{"behind"}, false)
-	c.pass(3*oneSecond, tick)
+	c.advance(3*oneSecond, tick)
 	c.expectCaughtUp(t, leaf) // it does not go back to the older version of its new parent
 	status := leaf.node.Status(c.now)
 	if status.Parent != "behind" || status.Age < 2*oneSecond {
@@ -146,7 +146,7 @@
 	}
 	c.heal(ahead, leaf)
 	c.acceptChanges(1)
-	c.pass(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
+	c.advance(DefaultMaxStaleness+DefaultMaxRetryAfter, tick)
 	c.expectCaughtUp(t, leaf)
 	if parent := leaf.node.Status(c.now).Parent; parent != "ahead" {
 		t.Errorf("the parent of the leaf is %q, want \"ahead\" instead of the lagging one", parent)
@@ -157,19 +157,19 @@
 	c, v, first, second, leaf := newRelayTree(t, DefaultLimits())
 	stored := v.node.State()
 	c.acceptChanges(4)
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	v.kill()
-	v.leads = false // it gets the log of the record only later
+	v.hasLeader = false // it gets the log of the record only later
 	v.start(stored)
-	c.pass(3*oneSecond, tick)
-	c.sound(t)
+	c.advance(3*oneSecond, tick)
+	c.requireConsistent(t)
 	if version := v.node.Version(); version != stored.Version {
 		t.Fatalf("the restarted voter is at %v, want %v of its stored state", version, stored.Version)
 	}
 	snapshots := first.node.Status(c.now).Counts.SnapshotsInstalled
 	c.acceptChanges(1)
-	v.leads = true
-	c.pass(2*oneSecond, tick)
+	v.hasLeader = true
+	c.advance(2*oneSecond, tick)
 	c.expectCaughtUp(t, v, first, second, leaf)
 	if first.node.Status(c.now).Counts.SnapshotsInstalled != snapshots {
 		t.Error("the relay installed a snapshot where deltas suffice")
@@ -178,9 +178,9 @@
 
 func TestSubscribersReportTheirAgeWithoutAMajority(t *testing.T) {
 	c, v, first, _, leaf := newRelayTree(t, DefaultLimits())
-	v.leads = false
+	v.hasLeader = false
 	dials := leaf.node.Status(c.now).Counts.Dials
-	c.pass(30*oneSecond, tick)
+	c.advance(30*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	status := leaf.node.Status(c.now)
 	if status.Age < 28*oneSecond || status.Age > 33*oneSecond {
@@ -192,18 +192,18 @@
 	if newDials := status.Counts.Dials - dials; newDials > 6 {
 		t.Errorf("the leaf dialled %d times in 30 s while no parent was better, want at most 6", newDials)
 	}
-	if leaf.count(EventSourceStale) != 1 {
-		t.Errorf("EventSourceStale was logged %d times, want 1", leaf.count(EventSourceStale))
+	if leaf.eventCount(EventSourceStale) != 1 {
+		t.Errorf("EventSourceStale was logged %d times, want 1", leaf.eventCount(EventSourceStale))
 	}
-	v.leads = true
+	v.hasLeader = true
 	c.acceptChanges(1)
-	c.pass(3*oneSecond, tick)
+	c.advance(3*oneSecond, tick)
 	c.expectCaughtUp(t, first, leaf)
 	if age := leaf.node.Status(c.now).Age; age > 3*oneSecond {
 		t.Errorf("the age of the leaf is %d µs after the majority is back, want at most %d", age, 3*oneSecond)
 	}
-	if leaf.count(EventSourceCurrent) != 1 {
-		t.Errorf("EventSourceCurrent was logged %d times, want 1", leaf.count(EventSourceCurrent))
+	if leaf.eventCount(EventSourceCurrent) != 1 {
+		t.Errorf("EventSourceCurrent was logged %d times, want 1", leaf.eventCount(EventSourceCurrent))
 	}
 }
 
@@ -213,17 +213,17 @@
 	slow := c.add(voter("slow", limits))
 	c.add(voter("quick", limits))
 	c.acceptChanges(3)
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	slow.frozen = true
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "slow", "quick"))
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if status := leaf.node.Status(c.now); status.Parent != "quick" || status.Counts.Dials != 2 {
 		t.Errorf("status %+v, want the parent \"quick\" after 2 dials", status)
 	}
 	slow.frozen = false // its late admission is ignored
 	c.acceptChanges(1)
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	if children := slow.node.Status(c.now).Children; len(children) > 0 {
 		t.Errorf("the leaf has a place at both voters; the children of \"slow\" are %v", children)
@@ -236,7 +236,7 @@
 	first, second := c.add(voter("one", limits)), c.add(voter("other", limits))
 	c.acceptChanges(3)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "one", "other"))
-	c.pass(tick, tick)
+	c.advance(tick, tick)
 	leaf.kill()
 	leaf.start(State{})
 	leaf.node.dialCandidate(c.now)
@@ -246,7 +246,7 @@
 		t.Fatalf("the leaf has %d connections after two dials, want 2", len(c.conns))
 	}
 	c.settle()
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	places := len(first.node.Status(c.now).Children) + len(second.node.Status(c.now).Children)
 	if places != 1 {
@@ -272,12 +272,12 @@
 	if bound := limits.Window + limits.BatchBytes + 4096; maxUnconfirmed > bound {
 		t.Errorf("%d unconfirmed bytes were sent to the frozen leaf, want at most %d", maxUnconfirmed, bound)
 	}
-	c.pass(DefaultLease+oneSecond, tick)
+	c.advance(DefaultLease+oneSecond, tick)
 	if children := first.node.Status(c.now).Children; len(children) > 0 {
 		t.Errorf("the frozen leaf has not lost its place after a lease; the children of \"first\" are %v", children)
 	}
 	leaf.frozen = false
-	c.pass(5*oneSecond, tick)
+	c.advance(5*oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
 	after := leaf.node.Status(c.now).Counts
 	if after.SnapshotsInstalled+after.DeltasApplied == before.SnapshotsInstalled+before.DeltasApplied {
@@ -334,12 +334,12 @@
 	v := c.add(voter("v", limits))
 	relay := c.add(subscriber("relay", AllScopes(), limits, "v"))
 	c.acceptChanges(10)
-	c.pass(oneSecond, tick)
+	c.advance(oneSecond, tick)
 	var region []*member
 	for i := range 60 {
 		region = append(region, c.add(subscriber(fmt.Sprint("r", i), SomeScopes("a"), limits, "relay", "v")))
 	}
-	c.pass(20*oneSecond, tick)
+	c.advance(20*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
 	snapshots := func() (sum uint64) {
 		for _, m := range region {
@@ -355,9 +355,9 @@
 	dials := region[0].node.Status(c.now).Counts.Dials
 	for range 60 {
 		c.acceptChanges(2)
-		c.pass(5*oneSecond, 500*millisecond)
+		c.advance(5*oneSecond, 500*millisecond)
 	}
-	c.sound(t)
+	c.requireConsistent(t)
 	if newDials := region[0].node.Status(c.now).Counts.Dials - dials; newDials > 600 {
 		t.Errorf("a subscriber that is cut off dialled %d times in five minutes, want at most 600", newDials)
 	}
@@ -368,7 +368,7 @@
 		c.heal(v, m)
 		c.heal(relay, m)
 	}
-	c.pass(6*oneSecond, tick)
+	c.advance(6*oneSecond, tick)
 	c.expectCaughtUp(t, region...)
 	if installed := snapshots() - before; installed > 0 {
 		t.Errorf("the region installed %d snapshots where deltas suffice", installed)
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -47,13 +47,13 @@
 	k.numbers(int64(len(c.members)), int64(len(c.cuts)))
 	for _, a := range c.members {
 		for _, b := range c.members {
-			k.bits(c.cuts[pair(a, b)])
+			k.bits(c.cuts[namePair(a, b)])
 		}
 	}
 	for _, m := range c.members {
-		k.numbers(int64(m.taken))
+		k.numbers(int64(m.recordPosition))
 		k.version(m.config.Floor)
-		k.version(m.highest)
+		k.version(m.highestVersion)
 		k.texts(m.config.Scopes.Names...)
 		m.node.addKey(&k, c.now)
 	}
@@ -113,7 +113,7 @@
 		k.texts(place.path...)
 		k.bits(place.connected, place.subscribing, place.behind)
 		k.numbers(since(place.dialedAt), since(place.lastReceivedAt), since(place.subscribeSentAt),
-			since(place.behindSince), since(place.admittedAt), int64(place.recoveries),
+			since(place.behindSince), since(place.admittedAt), int64(place.recoveryRequests),
 			int64(place.receivedMessages), int64(place.unconfirmedBytes))
 	}
 	for _, c := range n.children {
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -85,7 +85,7 @@
 		u.hang(m, u.randomMember(u.members))
 	case 2:
 		m.kill()
-		m.config.Floor = m.highest
+		m.config.Floor = m.highestVersion
 		m.start(State{})
 	case 3:
 		state := m.node.State()
@@ -102,10 +102,10 @@
 		node.compact(node.Version().Revision)
 	case 7:
 		v := u.randomMember(u.voters)
-		v.leads = !v.leads
+		v.hasLeader = !v.hasLeader
 	case 8:
 		if u.random.IntN(5) == 0 {
-			u.found(Epoch{u.epoch.Number + 1, u.epoch.Identity + 1})
+			u.startNewRecord(Epoch{u.epoch.Number + 1, u.epoch.Identity + 1})
 		}
 	case 9:
 		m.kill()
@@ -114,7 +114,7 @@
 	case 10:
 		v := u.randomMember(u.voters)
 		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // older than the record
-		v.leads = false
+		v.hasLeader = false
 		v.kill()
 		v.start(State{})
 	case 11, 12:
@@ -128,7 +128,7 @@
 	default:
 		u.acceptRandomChanges()
 	}
-	u.pass(int64(1+u.random.IntN(20))*tick, tick)
+	u.advance(int64(1+u.random.IntN(20))*tick, tick)
 }
 
 // acceptRandomChanges adds 1 to 12 random changes to the record.
@@ -138,7 +138,7 @@
 		scope := []string{"a", "b", "c"}[u.random.IntN(3)]
 		e := set(scope, name, strings.Repeat("x", u.random.IntN(200)))
 		if u.random.IntN(4) == 0 {
-			e = gone(scope, name)
+			e = deletion(scope, name)
 		}
 		u.accept(e)
 	}
@@ -195,7 +195,7 @@
 			for range steps {
 				u.step()
 			}
-			u.sound(t)
+			u.requireConsistent(t)
 			fmt.Fprintf(&lines, "seed %d, part %d: %016x\n", seed, part, u.transcript.sum.Sum64())
 		}
 		var kinds [len(eventNames)]int
