--- a/controller/backend_index.go
+++ b/controller/backend_index.go
@@ -1,19 +1,20 @@
 package controller
 
-// backendIndex gives each backend that the list names a small index, and takes it back some time after the backend has been
-// removed: then another may have it. The event loop owns it.
+// backendIndex assigns a small index to each listed backend. Some time after the list has dropped
+// the backend, the index is free again for another one. The event loop owns it.
 type backendIndex struct {
-	index     map[string]int // by id
-	ids       []string       // by index; empty where the index is free
-	names     [][]byte       // by index: the id as it stands in messages, a JSON string
-	removedAt []microseconds // by index: since when the list lacks it; 0 while it is listed
-	free      []int          // indices that nobody has
-	sweptAt   microseconds   // when sweep last looked
+	index     map[string]int // by backend id
+	ids       []string       // by index: the backend id; empty if the index is free
+	names     [][]byte       // by index: the id as encoded in messages, a JSON string
+	removedAt []microseconds // by index: time at which the list dropped the backend; 0 while it is listed
+	free      []int          // free indices
+	sweptAt   microseconds   // time of the last sweep
 }
 
 func newBackendIndex() *backendIndex { return &backendIndex{index: map[string]int{}} }
 
-// assign gives the index of a backend, a new one if need be; not ok where there would be more than limit of them.
+// assign returns the index of a backend, and assigns one to a new backend. It returns false if that
+// takes more than limit indices.
 func (b *backendIndex) assign(id string, name []byte, limit int) (index int, ok bool) {
 	if index, ok = b.index[id]; ok {
 		return index, true
@@ -31,12 +32,13 @@
 	return index, true
 }
 
-// noteListed takes in which backends a list names, and whether they are there still; a full list lacks those that it does not name.
-func (b *backendIndex) noteListed(listed map[int]bool, full bool, now microseconds) {
+// updateListed records which backends a list names; the value of listed is false if the list names
+// the backend as removed. A full list drops all backends that it does not name.
+func (b *backendIndex) updateListed(listed map[int]bool, full bool, now microseconds) {
 	for backend, since := range b.removedAt {
-		there, named := listed[backend]
+		present, named := listed[backend]
 		switch {
-		case there:
+		case present:
 			b.removedAt[backend] = 0
 		case since == 0 && (named || full):
 			b.removedAt[backend] = now
@@ -44,8 +46,8 @@
 	}
 }
 
-// sweep forgets backends that were removed longer than keep ago, where forget says that everybody else can; it looks once in a
-// tenth of that time.
+// sweep frees the indices of backends that were dropped at least keep ago, if forget has discarded
+// their state. Calls within a tenth of keep after the last sweep do nothing.
 func (b *backendIndex) sweep(now, keep microseconds, forget func(index int) bool) (forgotten int) {
 	if now-b.sweptAt < keep/10 {
 		return 0
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -9,23 +9,25 @@
 	"wheelrill/balancer"
 )
 
-// newFleet makes a controller for a fleet of so many proxies and 200 backends, with a channel of so many lines a second.
+// newFleet makes the event loop of a controller for a number of proxies and 200 backends, whose
+// push channel has a rate of lines a second.
 func newFleet(b *testing.B, proxies int, lines float64) *eventLoop {
 	b.Helper()
 	return newFleetOf(b, proxies, 200, lines)
 }
 
-// newFleetOf makes one for so many backends.
+// newFleetOf does the same for a number of backends.
 func newFleetOf(b *testing.B, proxies, backends int, lines float64) *eventLoop {
 	b.Helper()
 	var entries []string
 	for id := range backends {
 		entries = append(entries, endpointJSON(id, "up"))
 	}
-	fit := strings.NewReplacer(`"proxyCount":40`, fmt.Sprintf(`"proxyCount":%d`, proxies),
+	settings := strings.NewReplacer(`"proxyCount":40`, fmt.Sprintf(`"proxyCount":%d`, proxies),
 		`"egressPerS":900`, fmt.Sprintf(`"egressPerS":%g`, lines), `"backlog":900`,
 		fmt.Sprintf(`"backlog":%g,"socketsMin":83`, 50*lines))
-	c, err := New(Identity{}, []byte(fit.Replace(string(configuration("127.0.0.1:9", listJSON(1, true, entries...))))),
+	text := settings.Replace(string(configuration("127.0.0.1:9", listJSON(1, true, entries...))))
+	c, err := New(Identity{}, []byte(text),
 		NewLogger(io.Discard))
 	if err != nil {
 		b.Fatal(err)
@@ -36,62 +38,67 @@
 	return c.loop
 }
 
-// arrive has proxies join at one clock time, each on a stream that takes all it is sent.
-func arrive(loop *eventLoop, proxies int) (peers []*connection) {
+// connectFleet connects proxies at one clock time, each on a connection whose outbox takes all messages.
+func connectFleet(loop *eventLoop, proxies int) (conns []*connection) {
 	loop.iterate(func() {
-		for node := range proxies {
-			conn := newConnection(&readerConn{Reader: strings.NewReader("")}, node+1, loop, func(*connection) error { return nil })
-			conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
+		for proxy := range proxies {
+			conn := newConnection(&readerConn{Reader: strings.NewReader("")}, proxy+1, loop,
+				func(*connection) error { return nil })
+			conn.kind, conn.proxy, conn.zone = kindProxy, proxy, proxy%2
 			conn.lastMessageAt.Store(loop.now)
-			peers = append(peers, conn)
+			conns = append(conns, conn)
 			loop.proxyConnected(conn, 0.5, true)
 		}
 	})
-	return peers
+	return conns
 }
 
-// answers has every proxy take what it was sent and answer the last mark.
-func answers(loop *eventLoop, peers []*connection) {
+// acknowledgeAll empties the outbox of every proxy, and acknowledges the last ack request of each.
+func acknowledgeAll(loop *eventLoop, conns []*connection) {
 	loop.iterate(func() {
-		for _, conn := range peers {
+		for _, conn := range conns {
 			for len(conn.outbox) > 0 {
 				<-conn.outbox
 			}
-			if j := loop.sessions[conn.proxy]; j != nil && len(j.unacked) > 0 {
-				loop.acknowledged(conn, j.unacked[len(j.unacked)-1].nonce)
+			if session := loop.sessions[conn.proxy]; session != nil && len(session.unacked) > 0 {
+				loop.acknowledged(conn, session.unacked[len(session.unacked)-1].nonce)
 			}
 		}
 	})
 }
 
-// Through the one nothing ever waits, so that all of the work is counted; through the other most proxies wait.
-const wide, narrow = 9e9, 900
+// Rates of the push channel, in lines a second. At wideRate no push ever waits, so that all work is
+// measured; at narrowRate most proxies wait.
+const wideRate, narrowRate = 9e9, 900
 
-// BenchmarkFleet tells what one of each costs a controller as its proxies grow in number.
+// BenchmarkFleet measures events of a controller by its number of proxies: a takeover (all proxies
+// connect at once), a report, a change of a backend that reaches all proxies (order), and an
+// iteration without events (beat).
 func BenchmarkFleet(b *testing.B) {
 	for _, proxies := range []int{10, 100, 1000, 2400} {
-		for what, lines := range map[string]float64{"takeover": wide, "takeover_narrow": narrow} {
-			b.Run(fmt.Sprintf("%s/%d", what, proxies), func(b *testing.B) {
+		for name, lines := range map[string]float64{"takeover": wideRate, "takeover_narrow": narrowRate} {
+			b.Run(fmt.Sprintf("%s/%d", name, proxies), func(b *testing.B) {
 				b.ReportAllocs()
 				for range b.N {
 					b.StopTimer()
 					loop := newFleet(b, proxies, lines)
 					b.StartTimer()
-					answers(loop, arrive(loop, proxies))
+					acknowledgeAll(loop, connectFleet(loop, proxies))
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(proxies), "ns/proxy")
 			})
 		}
-		loop := newFleet(b, proxies, wide)
-		peers := arrive(loop, proxies)
-		answers(loop, peers)
+		loop := newFleet(b, proxies, wideRate)
+		conns := connectFleet(loop, proxies)
+		acknowledgeAll(loop, conns)
 		advance(loop, 5*microsPerSecond, func() {})
-		answers(loop, peers)
+		acknowledgeAll(loop, conns)
 		b.Run(fmt.Sprintf("report/%d", proxies), func(b *testing.B) {
 			b.ReportAllocs()
 			id := loop.backends.ids[0]
 			for i := range b.N {
-				loop.outcomesReported(outcomeReport{id, 5, 0, 200_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+				loop.outcomesReported(outcomeReport{id, 5, 0, 200_000, microsPerSecond,
+					balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				loop.demandReported(i%proxies, i%2, 3, 2*microsPerSecond)
 			}
 			loop.decisions.EndpointsUpdated(false, nil)
@@ -103,10 +110,10 @@
 				advanceAtOnce(loop, 3*microsPerSecond, func() {
 					loop.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
-				for _, conn := range peers {
+				for _, conn := range conns {
 					conn.lastMessageAt.Store(loop.now)
 				}
-				answers(loop, peers)
+				acknowledgeAll(loop, conns)
 			}
 		})
 		b.Run(fmt.Sprintf("beat/%d", proxies), func(b *testing.B) {
@@ -118,8 +125,8 @@
 	}
 }
 
-// BenchmarkList tells what a list costs a controller by its entries: the full one at the start, without proxies, and a
-// change of one entry, told to a hundred.
+// BenchmarkList measures an endpoint list by its number of backends: the full list at the start,
+// without proxies (lines), and a change of one backend, which reaches 100 proxies (change).
 func BenchmarkList(b *testing.B) {
 	const proxies = 100
 	for _, backends := range []int{200, 1000, 5000, 20_000} {
@@ -136,21 +143,21 @@
 				t.flush(nil, nil, nil)
 			}
 		})
-		loop := newFleetOf(b, proxies, backends, wide)
-		peers := arrive(loop, proxies)
-		answers(loop, peers)
+		loop := newFleetOf(b, proxies, backends, wideRate)
+		conns := connectFleet(loop, proxies)
+		acknowledgeAll(loop, conns)
 		advance(loop, 5*microsPerSecond, func() {})
-		answers(loop, peers)
+		acknowledgeAll(loop, conns)
 		b.Run(fmt.Sprintf("change/%d", backends), func(b *testing.B) {
 			for i := range b.N {
 				state := []balancer.EndpointState{balancer.Draining, balancer.Ready}[i%2]
 				advanceAtOnce(loop, 3*microsPerSecond, func() {
 					loop.decisions.EndpointsUpdated(false, []balancer.Endpoint{{Backend: 7, State: state, Weight: 2, Zone: 1}})
 				})
-				for _, conn := range peers {
+				for _, conn := range conns {
 					conn.lastMessageAt.Store(loop.now)
 				}
-				answers(loop, peers)
+				acknowledgeAll(loop, conns)
 			}
 		})
 	}
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -12,28 +12,28 @@
 	"wheelrill/internal/settings"
 )
 
-// restartKeys are the keys of a configuration that count from a start on, not from a reload.
+// restartKeys are the keys of a configuration that take effect at a start, not at a reload.
 var restartKeys = []string{"name", "listen", "limits", "settings"}
 
-// parsedConfiguration is a configuration that was read and found usable.
+// parsedConfiguration is a configuration that was read and validated.
 type parsedConfiguration struct {
 	Identity
 	seed          uint64
-	cachedList    *fastjson.Value // discovery's list as it was known when the configuration was written; nil for none
+	cachedList    *fastjson.Value // discovery's list when the configuration was written; nil if it has none
 	limits        *limits
 	channel       balancer.PushChannel
 	rules         balancer.RuleLimits
 	classes       []balancer.Class
-	classNames    [][]byte       // by class: its name as it stands in messages, a JSON string
-	classIndex    map[string]int // index of a class by its name
+	classNames    [][]byte       // by class: the name as encoded in messages, a JSON string
+	classIndex    map[string]int // class index by name
 	zones         []string
 	telemetry     balancer.Telemetry
 	admissionMode balancer.AdmissionMode
-	restartTexts  map[string]string // text of the keys of needsRestart that are there
-	warnings      []string          // what is odd, but can be borne
+	restartTexts  map[string]string // JSON text of each of restartKeys that is present
+	warnings      []string          // unusual settings that can still be used
 }
 
-// resources are what the process may use, as the configuration has it.
+// resources are the limits of the process as the configuration gives them.
 type resources struct{ cores, memoryMB, sockets float64 }
 
 // parseConfiguration reads a whole configuration. An error names the key that is missing or unusable.
@@ -61,7 +61,7 @@
 	return p, nil
 }
 
-// newParsedConfiguration reads the keys that may be missing.
+// newParsedConfiguration reads the keys that parseConfiguration does not require.
 func newParsedConfiguration(root *fastjson.Value) *parsedConfiguration {
 	text := func(key string) string { return string(root.GetStringBytes(key)) }
 	p := &parsedConfiguration{
@@ -80,17 +80,17 @@
 	return p
 }
 
-// parseSeed reads a hexadecimal seed; any other text serves as well.
+// parseSeed reads a hexadecimal seed; any other text is hashed to a seed.
 func parseSeed(text []byte) uint64 {
 	if seed, err := strconv.ParseUint(string(text), 16, 64); err == nil {
 		return seed
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write(text) // never fails
+	_, _ = hash.Write(text) // a hash never returns an error
 	return hash.Sum64()
 }
 
-// parseResources reads what the process may use.
+// parseResources reads the limits of the process. Each must be present and above 0.
 func parseResources(values *fastjson.Value) (given resources, err error) {
 	for _, resource := range []struct {
 		key   string
@@ -98,30 +98,32 @@
 	}{{"cores", &given.cores}, {"memory_mb", &given.memoryMB}, {"sockets", &given.sockets}} {
 		number, ok := numberAt(values, resource.key)
 		if !ok || number == 0 {
-			return given, fmt.Errorf("configuration: limits.%s is missing, or no figure above 0", resource.key)
+			return given, fmt.Errorf("configuration: limits.%s is missing or not a number above 0", resource.key)
 		}
 		*resource.value = number
 	}
 	return given, nil
 }
 
-// parseSettings reads the settings, and fits the limits to them. What is odd goes to warnings; an error names the key.
+// parseSettings reads the settings and fits the limits to them. Unusual settings go to warnings; an
+// error names the key.
 func (p *parsedConfiguration) parseSettings(values *fastjson.Value) error {
 	parsed := settings.ParseJSON(values, p.warnf)
 	p.channel, p.rules, p.classes = parsed.PushChannel(), parsed.RuleLimits(), parsed.Classes()
 	p.telemetry, p.admissionMode, p.zones = parsed.Telemetry(), parsed.AdmissionMode(), parsed.Zones()
 	proxies := parsed.Count("familyInfo.proxyCount")
 	if proxies == 0 {
-		parsed.Reject("familyInfo.proxyCount", "is 0")
+		parsed.Reject("familyInfo.proxyCount", "is 0; at least 1 proxy is required")
 	}
 	if parsed.NumberOr("familyInfo.partitionsN", 0) > 0 {
-		parsed.Reject("familyInfo.partitionsN", "asks for slices, which no page describes on sockets yet")
+		parsed.Reject("familyInfo.partitionsN",
+			"is above 0, but shards are not supported on sockets; set it to 0 or leave it out")
 	}
 	if p.telemetry.HealthChecksAllowed {
-		p.warnf("probes are left off: no page describes them on sockets yet")
+		p.warnf("health checks are disabled: they are not supported on sockets")
 	}
 	p.telemetry.HealthChecksAllowed = false
-	p.telemetry.PollingRequired = false // the list is watched here all the time
+	p.telemetry.PollingRequired = false // the watcher follows the list all the time
 	tick := settings.FromMilliseconds(parsed.NumberOr("tick", 0))
 	p.parseClassNames(values, parsed)
 	if err := parsed.Err(); err != nil {
@@ -133,12 +135,12 @@
 	return nil
 }
 
-// warnf notes what is odd, but can be borne.
+// warnf adds a warning about an unusual setting that can still be used.
 func (p *parsedConfiguration) warnf(format string, args ...any) {
 	p.warnings = append(p.warnings, fmt.Sprintf(format, args...))
 }
 
-// parseClassNames reads the names of the classes, which differ from each other.
+// parseClassNames reads the names of the classes, which must be distinct and not empty.
 func (p *parsedConfiguration) parseClassNames(values *fastjson.Value, parsed *settings.Settings) {
 	for class := range p.classes {
 		key := fmt.Sprintf("profiles.%d.name", class)
@@ -149,14 +151,15 @@
 		}
 		name := string(value.GetStringBytes())
 		if _, taken := p.classIndex[name]; taken || name == "" {
-			parsed.Reject(key, fmt.Sprintf("is %q, which is empty or another's", name))
+			parsed.Reject(key, fmt.Sprintf("is %q, which is empty or the name of another class", name))
 		}
 		p.classNames = append(p.classNames, value.MarshalTo(nil))
 		p.classIndex[name] = class
 	}
 }
 
-// newDecisions begins decisions with a configuration, on a channel; shards are not played on sockets.
+// newDecisions makes decisions that push over a channel. They have no shards, which are not
+// supported on sockets.
 func (p *parsedConfiguration) newDecisions(host balancer.Host, channel balancer.PushChannel) (*balancer.Controller, error) {
 	return balancer.New(host, balancer.Config{
 		Seed:      p.seed,
@@ -168,7 +171,7 @@
 	})
 }
 
-// indexByName gives the index of each name.
+// indexByName returns the index of each name.
 func indexByName(names []string) map[string]int {
 	index := map[string]int{}
 	for i, name := range names {
--- a/controller/configuration_cache.go
+++ b/controller/configuration_cache.go
@@ -19,31 +19,35 @@
 	cacheFile       = "configuration.cbor"
 	cacheFolderMode = os.FileMode(0o700)
 
-	cacheInterval    = 5 * time.Second // that what has changed is written ...
-	cachePauseFactor = 100             // ... and no sooner than so many times what the last writing took
+	cacheInterval    = 5 * time.Second // least time between two writes of the file
+	cachePauseFactor = 100             // least pause after a write, as a multiple of the time that the write took
 )
 
-// configurationCache keeps a subscriber's configuration in a file, so that a restart begins with it, and takes nothing older. The file
-// is replaced in one step: after a crash it is complete, and cacheInterval old at most. runCache's goroutine owns it.
+// configurationCache stores a subscriber's configuration in a file, so that a restart begins with
+// it and accepts nothing older. The file is replaced atomically: after a crash it is complete, and
+// at most as old as the pause between two writes (cacheInterval, or longer where a write is slow).
+// The goroutine of runCache owns the cache.
 type configurationCache struct {
 	path  string
-	saved distribution.Version // what the file has
+	saved distribution.Version // version of the configuration in the file
 }
 
-// openConfigurationCache makes a cache in a folder, if that can be written to.
+// openConfigurationCache makes a cache in a folder, which it creates if it is missing. It checks
+// that a file can be created there.
 func openConfigurationCache(folder string) (*configurationCache, error) {
 	if err := os.MkdirAll(folder, cacheFolderMode); err != nil {
-		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
+		return nil, fmt.Errorf("folder: %w; a folder that can be written to is required", err)
 	}
 	probe, err := os.CreateTemp(folder, cacheFile+".*")
 	if err != nil {
-		return nil, fmt.Errorf("folder: %w; give one that can be written", err)
+		return nil, fmt.Errorf("folder: %w; a folder that can be written to is required", err)
 	}
 	_ = probe.Close() // nothing was written to it
 	return &configurationCache{path: filepath.Join(folder, cacheFile)}, os.Remove(probe.Name())
 }
 
-// load reads the file; nil where there is none. One that is damaged is left as it is, until the next writing replaces it.
+// load reads the file; it returns nil if there is no file. A damaged file stays as it is until the
+// next save replaces it.
 func (c *configurationCache) load() (*distribution.State, error) {
 	body, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -62,7 +66,8 @@
 	return state, nil
 }
 
-// update writes what a node of the tree has, if that has moved on since.
+// update saves the configuration of a node of the distribution tree, if its version differs from
+// that of the file.
 func (c *configurationCache) update(node *transport.Transport) error {
 	status, ok := node.Status()
 	if !ok || status.Version == c.saved || !status.Version.Epoch.Known() {
@@ -79,7 +84,7 @@
 	return nil
 }
 
-// save replaces the file in one step, so that it is complete whenever the process ends.
+// save replaces the file atomically, so that it is complete whenever the process ends.
 func (c *configurationCache) save(state distribution.State) error {
 	var body bytes.Buffer
 	if err := consensus.WriteConfiguration(&body, &state); err != nil {
@@ -89,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // where it did not come to the renaming
+	defer func() { _ = os.Remove(file.Name()) }() // removes the temporary file if an error prevented the rename
 	_, err = file.Write(body.Bytes())
 	if err := errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
@@ -97,8 +102,8 @@
 	return os.Rename(file.Name(), c.path)
 }
 
-// runCache writes what a subscriber has each cacheInterval, and at the end of the context. It returns then, so that the transport,
-// which is asked for it, can end.
+// runCache saves a subscriber's configuration every cacheInterval, and once more when ctx ends. It
+// returns after that save, so that the transport, whose state it reads, can stop.
 func (d *distributor) runCache(ctx context.Context) {
 	if d.cache == nil {
 		<-ctx.Done()
@@ -106,10 +111,10 @@
 	}
 	timer := time.NewTimer(cacheInterval)
 	defer timer.Stop()
-	for ended := false; !ended; {
+	for stopping := false; !stopping; {
 		select {
 		case <-ctx.Done():
-			ended = true
+			stopping = true
 		case <-timer.C:
 		}
 		began := time.Now()
--- a/controller/configuration_cache_test.go
+++ b/controller/configuration_cache_test.go
@@ -12,32 +12,33 @@
 
 func TestConfigurationCache(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new")
-	k, err := openConfigurationCache(folder)
+	cache, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if state, err := k.load(); state != nil || err != nil {
-		t.Errorf("kept before anything was: %v, %v", state, err)
+	if state, err := cache.load(); state != nil || err != nil {
+		t.Errorf("a new cache has state %v, error %v", state, err)
 	}
 	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4}, Revision: 7},
 		Covered: distribution.SomeScopes("pricing"), Horizon: 2, Entries: []distribution.Entry{distributedEntry("drain/s-1", "true", 5)}}
-	if err := k.save(state); err != nil {
+	if err := cache.save(state); err != nil {
 		t.Fatal(err)
 	}
-	again, err := openConfigurationCache(folder)
+	reopened, err := openConfigurationCache(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) || again.saved != state.Version {
+	if got, err := reopened.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) ||
+		reopened.saved != state.Version {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	if left, err := os.ReadDir(folder); err != nil || len(left) != 1 {
-		t.Errorf("left in the folder: %v, %v", left, err)
+	if files, err := os.ReadDir(folder); err != nil || len(files) != 1 {
+		t.Errorf("the folder should contain one file, has %v, error %v", files, err)
 	}
 	if err := os.WriteFile(filepath.Join(folder, cacheFile), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := again.load(); err == nil || got != nil || !strings.Contains(err.Error(), cacheFile) {
+	if got, err := reopened.load(); err == nil || got != nil || !strings.Contains(err.Error(), cacheFile) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
@@ -45,11 +46,12 @@
 		t.Fatal(err)
 	}
 	if _, err := openConfigurationCache(file); err == nil || !strings.Contains(err.Error(), "folder") {
-		t.Errorf("a file for a folder: %v", err)
+		t.Errorf("a file was accepted as the folder, or the error does not name the folder: %v", err)
 	}
 }
 
-// A subscriber that starts again while nobody can be reached goes on with what it had.
+// A subscriber that restarts while no parent can be reached has to use its cached configuration.
+// Without it, drains would end with the restart.
 func TestSubscriberBeginsWithItsCacheAfterARestart(t *testing.T) {
 	known := listJSON(1, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
 	members, voters := runVoters(t, known, "n0", "n1")
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -8,7 +8,7 @@
 
 func TestUnusableConfigurationIsRefused(t *testing.T) {
 	good := string(configuration("127.0.0.1:9", "null"))
-	for what, change := range map[string][2]string{
+	for name, change := range map[string][2]string{
 		"not JSON":                       {"{", "["},
 		"configuration: listen":          {`"listen"`, `"was"`},
 		"configuration: discovery":       {`"discovery"`, `"was"`},
@@ -21,18 +21,18 @@
 		"setting rules.rampTime":         {`"rampTime"`, `"was"`},
 		"setting familyInfo.partitionsN": {`"overhead":4`, `"overhead":4,"partitionsN":64`},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			changed := strings.Replace(good, change[0], change[1], 1)
 			_, err := New(Identity{}, []byte(changed), NewLogger(io.Discard))
-			if err == nil || what != "not JSON" && !strings.Contains(err.Error(), what) {
-				t.Errorf("error %v", err)
+			if err == nil || name != "not JSON" && !strings.Contains(err.Error(), name) {
+				t.Errorf("got error %v, want one that names the key", err)
 			}
 		})
 	}
-	t.Run("the place given beats the configuration, and odd words are said", func(t *testing.T) {
+	t.Run("the identity's addresses override the configuration's, and an unusual setting is logged", func(t *testing.T) {
 		logged := newLogBuffer()
-		odd := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
-		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(odd), NewLogger(logged))
+		unusual := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
+		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(unusual), NewLogger(logged))
 		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
 			c.Memory() != 192<<20 {
 			t.Errorf("got %+v, error %v", c, err)
@@ -47,14 +47,14 @@
 		discovery.answers <- "silence"
 		c, address, logged := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = patience })
 		if query := <-discovery.asked; query != "since=1&timeout_ms=50" {
-			t.Errorf("asked %q", query)
+			t.Errorf("discovery got the query %q", query)
 		}
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
 		proxy.send(hello)
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
-			t.Errorf("error %v, got %+v", err, fake)
+			t.Errorf("error %v, the proxy has %+v", err, fake)
 		}
-		for range 3 { // several in a row are one
+		for range 3 { // repeated reloads have the effect of one
 			if err := c.Reload(configuration(next.address, "null")); err != nil {
 				t.Fatal(err)
 			}
@@ -66,33 +66,33 @@
 			}
 		}
 		if query := <-next.asked; query != "since=1&timeout_ms=50" {
-			t.Errorf("the new one was asked %q", query)
+			t.Errorf("the new discovery got the query %q", query)
 		}
 		logged.waitFor(t, "msg=configuration_reloaded discovery="+next.address, 3)
 	})
-	t.Run("one that cannot be used changes nothing, and says why", func(t *testing.T) {
+	t.Run("an unusable configuration changes nothing, and the error names the key", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		c, _, logged := runController(t, discovery.address, twoEndpoints, nil)
 		good := string(configuration("127.0.0.1:9", "null"))
-		for change, why := range map[[2]string]string{{"{", "["}: "configuration", {`"discovery"`, `"was"`}: "discovery",
+		for change, key := range map[[2]string]string{{"{", "["}: "configuration", {`"discovery"`, `"was"`}: "discovery",
 			{"127.0.0.1:9", "nowhere"}: "discovery", {`"settings"`, `"was"`}: "settings", {good[90:], ""}: "configuration",
 			{`"egressPerS":900`, `"egressPerS":"many"`}: "egressPerS"} {
 			if err := c.Reload([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil ||
-				!strings.Contains(err.Error(), why) {
-				t.Errorf("%v: error %v", change, err)
+				!strings.Contains(err.Error(), key) {
+				t.Errorf("%v: got error %v, want one that contains %q", change, err, key)
 			}
 		}
 		for len(discovery.asked) > 0 {
 			<-discovery.asked
 		}
 		if query := <-discovery.asked; query != "since=1&timeout_ms=50" {
-			t.Errorf("asked %q", query)
+			t.Errorf("discovery got the query %q", query)
 		}
 		if text, _ := logged.read(); strings.Contains(text, "msg=configuration_reloaded") {
-			t.Errorf("one was taken: %s", text)
+			t.Errorf("an unusable configuration was accepted: %s", text)
 		}
 	})
-	t.Run("what counts from the next start on is said", func(t *testing.T) {
+	t.Run("changed keys that need a restart are logged", func(t *testing.T) {
 		c, _, logged := runController(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		changed := strings.Replace(string(configuration("127.0.0.1:9", "null")), `"backlog":900`, `"backlog":901`, 1)
 		if err := c.Reload([]byte(strings.Replace(changed, `127.0.0.1:0`, `127.0.0.1:1`, 1))); err != nil {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,9 +1,11 @@
-// Package controller runs the decisions of package balancer as a controller on sockets: proxies and collectors connect to it, it
-// follows discovery, and pushes tables to the proxies.
+// Package controller runs the decisions of package balancer as a controller on sockets: proxies and
+// collectors connect to it, it follows the endpoint list of discovery, and it pushes tables to the
+// proxies.
 //
-// One goroutine, the event loop's, owns the state and calls the decisions. Connections, the watcher of endpoints, the record of
-// shared ownership and the distribution of configuration have goroutines of their own, and hand the loop events. Nothing is stored
-// but what package consensus keeps, and a subscriber's configurationCache.
+// The goroutine of the event loop owns the state and calls the decisions. Connections, the endpoint
+// watcher, the record of shared ownership and the distribution of configuration run on goroutines
+// of their own and post events to the loop. Only package consensus and a subscriber's
+// configurationCache store state on disk.
 package controller
 
 import (
@@ -23,28 +25,28 @@
 	"wheelrill/balancer"
 )
 
-// Identity is a controller's name and addresses. An empty field is taken from the configuration.
+// Identity is a controller's name and addresses. New takes an empty field from the configuration.
 type Identity struct {
-	Name      string // in the log, and among members that share ownership
-	Listen    string // address where proxies and collectors connect
+	Name      string // identifies the controller in the log and among members that share ownership
+	Listen    string // address on which proxies and collectors connect
 	Discovery string // host and port of discovery
 }
 
-// Controller is one controller. New makes it; ShareOwnership and JoinDistribution may follow; Serve runs it, once. Reload may be
-// called while it serves.
+// Controller is one controller. New makes it; ShareOwnership and JoinDistribution may follow; Serve
+// runs it once. Reload may be called while it serves.
 type Controller struct {
 	limits      *limits
 	log         *slog.Logger
 	loop        *eventLoop
 	watcher     *endpointWatcher
-	distributor *distributor // nil where no configuration is distributed
+	distributor *distributor // nil if the controller takes no part in the distribution of configuration
 
 	mutex         sync.Mutex           // guards configuration
-	configuration *parsedConfiguration // the last one that counts
+	configuration *parsedConfiguration // read by New or by the last successful Reload
 }
 
-// New reads a configuration, a JSON object, and makes a controller of it that logs to a logger. An error names the key that is
-// missing or unusable.
+// New reads a configuration, a JSON object, and makes a controller that logs to logger. An error
+// names the key that is missing or unusable.
 func New(identity Identity, configuration []byte, logger *slog.Logger) (*Controller, error) {
 	parsed, err := parseConfiguration(configuration)
 	if err != nil {
@@ -66,7 +68,8 @@
 	for _, text := range parsed.warnings {
 		c.log.Warn("setting_unusual", "text", text)
 	}
-	// The loop, the decisions and the watcher need each other, so they are joined in steps.
+	// The loop, the decisions and the watcher refer to each other, so the references are set one by
+	// one.
 	c.loop = newEventLoop(parsed, c.log)
 	if c.loop.decisions, err = parsed.newDecisions(c.loop, parsed.channel); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// newEventLoop makes the loop, without decisions and watcher.
+// newEventLoop makes the loop without its decisions and its watcher, which New sets.
 func newEventLoop(parsed *parsedConfiguration, log *slog.Logger) *eventLoop {
 	loop := &eventLoop{
 		limits:     parsed.limits,
@@ -109,16 +112,19 @@
 	return loop
 }
 
-// Cores is how many cores the process was given, at least 1.
+// Cores returns the number of cores that the configuration gives the process, at least 1.
 func (c *Controller) Cores() int { return c.limits.cores }
 
-// Memory is how many bytes of memory the process was given; 0 if nobody said.
+// Memory returns the bytes of memory that the configuration gives the process; 0 if unknown.
 func (c *Controller) Memory() int64 { return c.limits.memory }
 
-// Reload takes a configuration that replaces the last one, in one step. What it says of discovery counts at once, and more than what
-// New's identity said, so it has to be there; the rest of it counts from the next start on. Keys of the rest that differ from the last
-// configuration that was read are logged; those that it lacks are not. One that cannot be used changes nothing, and the error names
-// the key. Connections, tables and all that is known live on. It may be called by any goroutine.
+// Reload replaces the configuration in one step. The discovery address and the cached list take
+// effect at once. The address overrides that of New's identity, so it must be present. A voter also
+// proposes the entries that the configuration distributes. All other keys take effect at the next
+// start: Reload logs each of restartKeys that differs from the last configuration read, but not a
+// key that the new configuration lacks. A configuration that cannot be used changes nothing, and
+// the error names the key. Connections, tables and all other state are kept. Any goroutine may call
+// Reload.
 func (c *Controller) Reload(configuration []byte) error {
 	parsed, err := parseConfiguration(configuration)
 	if err != nil {
@@ -135,7 +141,8 @@
 	defer c.mutex.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(parsed.restartTexts)) {
 		if parsed.restartTexts[key] != c.configuration.restartTexts[key] {
-			c.log.Warn("reload_needs_restart", "key", key, "text", "it differs, and counts from the next start on")
+			c.log.Warn("reload_needs_restart", "key", key,
+				"text", "the value differs from the last one, and takes effect at the next start")
 		}
 	}
 	c.log.Info("configuration_reloaded", "discovery", parsed.Discovery)
@@ -147,12 +154,14 @@
 	return nil
 }
 
-// Serve runs the controller until the context ends. It returns nil then, after a planned end: our proxies are handed over where
-// ownership is shared, then connections are closed, then the record and the distribution end. Otherwise it returns what kept it
-// from serving.
+// Serve runs the controller until ctx ends, and returns nil after this planned end. At a planned
+// end the controller first hands its proxies over if ownership is shared, then closes connections,
+// then stops the record and the distribution. Otherwise Serve returns the error that kept it from
+// serving.
 func (c *Controller) Serve(ctx context.Context) error {
 	if c.distributor != nil && c.distributor.transport == nil {
-		return errors.New("distribution: a voter is a member that shares the record, and this one does not")
+		return errors.New(
+			"distribution: a voter must share ownership, but ShareOwnership was not called after JoinDistribution")
 	}
 	c.mutex.Lock()
 	configuration := c.configuration
@@ -166,9 +175,10 @@
 	defer cancel()
 	connections, endConnections := c.connectionsContext(ctx)
 	defer endConnections()
-	// Close the record's address last: other members take an unreachable address as proof that our connections are closed.
-	recorded, endRecord := context.WithCancel(context.WithoutCancel(ctx))
-	defer endRecord()
+	// Close the record's address last: other members take an unreachable address as proof that this
+	// controller's connections are closed.
+	recordCtx, stopRecord := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopRecord()
 	defer time.AfterFunc(c.limits.readyTimeout, func() {
 		c.loop.post(func() { c.loop.becomeReady(readyWithoutList) })
 	}).Stop()
@@ -176,21 +186,21 @@
 	running.Go(func() { c.loop.run(ctx); endConnections() })
 	running.Go(func() { c.watcher.run(ctx) })
 	if c.loop.ownership != nil {
-		running.Go(func() { c.loop.ownership.node.Run(recorded) })
+		running.Go(func() { c.loop.ownership.node.Run(recordCtx) })
 	}
 	if c.distributor != nil {
-		running.Go(func() { c.distributor.run(recorded) })
+		running.Go(func() { c.distributor.run(recordCtx) })
 	}
 	err = (&server{limits: c.limits, loop: c.loop, log: c.log}).run(connections, listener)
 	cancel()
-	endRecord()
+	stopRecord()
 	running.Wait()
 	c.log.Info("stopped", "name", configuration.Name)
 	return err
 }
 
-// connectionsContext is that of the server. Where ownership is shared, connections outlast the context, as the loop hands our
-// proxies over first and ends them then.
+// connectionsContext returns the context of the server. Where ownership is shared, it does not end
+// with ctx: connections have to last until the loop has handed the proxies over.
 func (c *Controller) connectionsContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if c.loop.ownership != nil {
 		ctx = context.WithoutCancel(ctx)
@@ -198,14 +208,14 @@
 	return context.WithCancel(ctx)
 }
 
-// logStart logs what the controller begins with.
+// logStart logs the addresses, limits and settings with which the controller starts.
 func (c *Controller) logStart(configuration *parsedConfiguration, listen net.Addr) {
 	c.log.Info("serving", "name", configuration.Name, "listen", listen, "discovery", configuration.Discovery,
 		"proxies", c.limits.proxies, "max_unidentified", c.limits.maxUnidentified, "sockets", c.limits.sockets)
 	c.logSettings(configuration.channel, configuration.rules, configuration.telemetry)
 }
 
-// logSettings logs what the settings give the decisions.
+// logSettings logs the settings that the decisions use.
 func (c *Controller) logSettings(channel balancer.PushChannel, rules balancer.RuleLimits, telemetry balancer.Telemetry) {
 	seconds := func(span microseconds, places int) string { return formatDecimal(inSeconds(span), places) }
 	c.log.Info("settings_in_force", "lines_per_s", formatDecimal(channel.LinesPerSecond, 0),
--- a/controller/distributed_entries.go
+++ b/controller/distributed_entries.go
@@ -11,11 +11,13 @@
 	"wheelrill/distribution"
 )
 
-// distributedKey is the object of the configuration whose entries the voters distribute: by scope, kind and name.
+// distributedKey is the key of the configuration's object that contains the entries for the voters
+// to distribute, by scope, kind and name.
 const distributedKey = "distributed"
 
-// readDistributed reads the entries that a configuration wants to be distributed, sorted by their keys; not ok where it has none, and
-// nothing is to change. An error names the first key that is wrong, and what would do.
+// readDistributed reads the entries that a configuration distributes, sorted by their keys. It
+// returns false if the configuration has no such object, in which case nothing changes. An error
+// names the first unusable key, and what is allowed.
 func readDistributed(root *fastjson.Value) (entries []distribution.Entry, ok bool, err error) {
 	scopes := root.Get(distributedKey)
 	if scopes == nil {
@@ -35,67 +37,70 @@
 	return r.entries, true, r.err
 }
 
-// distributedReader gathers entries, and the first thing that is wrong.
+// distributedReader collects entries, and the first error among them.
 type distributedReader struct {
 	entries []distribution.Entry
 	err     error
 }
 
-// reject notes what is wrong with a key, if it is the first.
+// reject records an error about a key, if it is the first error.
 func (r *distributedReader) reject(path, format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf("configuration: %s: %s", path, fmt.Sprintf(format, args...))
 	}
 }
 
-// visit visits the members of an object.
-func (r *distributedReader) visit(object *fastjson.Value, path string, member func(key, path string, value *fastjson.Value)) {
+// visit calls member for each member of an object.
+func (r *distributedReader) visit(
+	object *fastjson.Value, path string, member func(key, path string, value *fastjson.Value),
+) {
 	if object.Type() != fastjson.TypeObject {
-		r.reject(path, "is no object")
+		r.reject(path, "is not an object")
 		return
 	}
 	const maxName = distribution.MaxKeyBytes / 2
 	object.GetObject().Visit(func(key []byte, value *fastjson.Value) {
 		name := string(key)
 		if name == "" || len(name) > maxName {
-			r.reject(path, "%q is no name; give one of 1 to %d bytes", name, maxName)
+			r.reject(path, "%q is not a valid name; a name has 1 to %d bytes", name, maxName)
 			return
 		}
 		member(name, path+"."+name, value)
 	})
 }
 
-// add checks one entry and takes it in.
+// add checks an entry and adds it to the entries.
 func (r *distributedReader) add(scope, kind, name, path string, value *fastjson.Value) {
 	text := string(value.MarshalTo(nil))
-	if wrong := checkEntry(kind, text, value); wrong != "" {
-		r.reject(path, "%s", wrong)
+	if problem := checkEntry(kind, text, value); problem != "" {
+		r.reject(path, "%s", problem)
 	}
 	r.entries = append(r.entries, distribution.Entry{Scope: scope, Name: kind + kindSeparator + name, Value: []byte(text)})
 }
 
-// checkEntry says what is wrong with the value of an entry of a kind, and what would do; nothing if it can be used.
-func checkEntry(kind, text string, value *fastjson.Value) (wrong string) {
+// checkEntry checks the value of an entry of a kind. It returns an empty text if the value is
+// usable; otherwise the text gives the value, and what is allowed.
+func checkEntry(kind, text string, value *fastjson.Value) (problem string) {
 	switch kind {
 	case kindDrain:
 		if text != drainValue {
-			return fmt.Sprintf("is %s; a drain is true, and ends when its entry is taken out", text)
+			return fmt.Sprintf("is %s; a drain must be true, and ends when its entry is removed", text)
 		}
 	case kindWeight:
 		if _, ok := parseWeight(text); !ok || value.Type() != fastjson.TypeNumber {
-			return fmt.Sprintf("is %s; give a number above 0, up to %g", text, float64(maxWeight))
+			return fmt.Sprintf("is %s; use a number above 0, and at most %g", text, float64(maxWeight))
 		}
 	case kindLimit:
 		if limit, err := value.Float64(); err != nil || limit < 0 {
-			return fmt.Sprintf("is %s; give a number of requests a second", text)
+			return fmt.Sprintf("is %s; use a number of requests a second, 0 or above", text)
 		}
 	case kindRoute, kindService:
 		if value.Type() != fastjson.TypeObject {
-			return "is no object"
+			return "is not an object"
 		}
 	default:
 		kinds := []string{kindDrain, kindWeight, kindLimit, kindRoute, kindService}
-		return "is of an unknown kind; there are " + strings.Join(kinds, ", ")
+		return "is of an unknown kind; the kinds are " + strings.Join(kinds, ", ")
 	}
 	return ""
 }
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -17,59 +17,66 @@
 	"wheelrill/distribution/transport"
 )
 
-// DistributionConfig says what part a controller has in the distribution of configuration.
+// DistributionConfig is the role of a controller in the distribution of configuration.
 type DistributionConfig struct {
-	// Voter is true for a member that shares the record, and hands the configuration on to subscribers. Of what follows only FanOut
-	// and SnapshotPace count then.
+	// Voter is true for a member that shares the record, and distributes the configuration to
+	// subscribers. Of the fields below, only FanOut and SnapshotPace apply to a voter.
 	Voter bool
-	// Name is a subscriber's; the controller's own if empty.
+	// Name is the name of a subscriber; empty means the controller's own name.
 	Name string
-	// Parents has the addresses of voters, or of subscribers that pass on, by their names.
+	// Parents maps the names of voters, and of subscribers that listen, to their addresses.
 	Parents map[string]string
-	// Scopes are those of the entries that the controller gets.
+	// Scopes are the scopes of the entries that the controller receives.
 	Scopes []string
-	// AllScopes is true for one that gets all of them, whatever Scopes says.
+	// AllScopes is true for a controller that receives the entries of all scopes, whatever Scopes
+	// contains.
 	AllScopes bool
-	// Listen is where others subscribe, and how they are told to dial; empty: the controller passes nothing on.
+	// Listen is the address on which other subscribers connect, and which they are given to dial;
+	// empty means that the controller passes nothing on.
 	Listen string
-	// Folder is where a subscriber keeps what it has; empty: a restart begins with nothing.
+	// Folder is where a subscriber stores its configuration; empty means that a restart begins
+	// without one.
 	Folder string
-	// FanOut is how many subscribe here, at most; 0 for the default.
+	// FanOut is the maximum number of subscribers that connect here; 0 means the default.
 	FanOut int
-	// SnapshotPace is how many bytes a second all snapshots that are sent from here take together; 0 for the default.
+	// SnapshotPace is the rate, in bytes a second, that all snapshots sent from here share; 0 means
+	// the default.
 	SnapshotPace int
 	consensus.Credentials
 
-	limits distribution.Limits // of the node; the default where it is zero
+	limits distribution.Limits // limits of the node; the default if zero
 }
 
 const (
-	proposeTimeout = 10 * time.Second // that a change waits for the record
-	statusInterval = 10 * time.Second // between two lines that tell the state of the distribution
+	proposeTimeout = 10 * time.Second // time that a proposed change may wait for the record
+	statusInterval = 10 * time.Second // time between two distribution_status lines of the log
 )
 
-// errNoParent is what a voter's dial gives.
+// errNoParent is the error of a voter's dial.
 var errNoParent = errors.New("a voter has no parent")
 
-// distributor is the controller's side of the distribution: what arrives waits here until the event loop takes it. JoinDistribution
-// sets its fields, and ShareOwnership a voter's transport and node, before Serve begins.
+// distributor is the controller's part in the distribution of configuration. Changes that arrive
+// wait in it until the event loop takes them. JoinDistribution sets its fields, and ShareOwnership
+// sets a voter's transport and consensusNode, before Serve begins.
 type distributor struct {
 	loop          *eventLoop
 	log           *slog.Logger
 	limits        distribution.Limits
-	transport     *transport.Transport // our node of the tree, and its connections
-	consensusNode *consensus.Node      // of a voter
-	listener      *consensus.Listener  // of a subscriber that passes on
-	cache         *configurationCache  // of a subscriber with a folder
-	arrived       arrivedEntries       // what the loop has not taken
-	proposals     chan proposedEntries // of a voter: the newest configuration that is to be proposed; a newer one replaces it
+	transport     *transport.Transport // this controller's node of the distribution tree, and its connections
+	consensusNode *consensus.Node      // set for a voter
+	listener      *consensus.Listener  // set for a subscriber that listens
+	cache         *configurationCache  // set for a subscriber with a folder
+	arrived       arrivedEntries       // entries that the event loop has not taken yet
+	// proposals holds, at a voter, the newest configuration to propose; a newer one replaces it.
+	proposals chan proposedEntries
 }
 
-// proposedEntries are all entries that are to be on the record.
+// proposedEntries are all entries that the record has after their proposal is accepted.
 type proposedEntries []distribution.Entry
 
-// JoinDistribution has the controller take part in the distribution of configuration from Serve on. It is called once, before Serve.
-// A voter has to share the record as well, by ShareOwnership, afterwards. An error says what would do.
+// JoinDistribution makes the controller take part in the distribution of configuration while it
+// serves. It is called once, before Serve; a voter must then also call ShareOwnership. An error
+// names the value that is refused, and what is accepted.
 func (c *Controller) JoinDistribution(config DistributionConfig) error {
 	if config.Name == "" {
 		config.Name = c.configuration.Name
@@ -85,7 +92,8 @@
 	return nil
 }
 
-// nodeLimits are the limits of our node. One that listens nowhere has no place for others, and is proposed to nobody.
+// nodeLimits returns the limits of this controller's node. A subscriber that does not listen has a
+// fan-out of 0, and is never proposed as a parent.
 func (c DistributionConfig) nodeLimits() distribution.Limits {
 	limits := c.limits
 	if limits == (distribution.Limits{}) {
@@ -103,14 +111,15 @@
 	return limits
 }
 
-// subscribe prepares a subscriber.
+// subscribe sets up a subscriber: its listener, its node of the tree and its cache.
 func (d *distributor) subscribe(config DistributionConfig) error {
 	subscriber, err := consensus.NewSubscriber(config.Credentials)
 	if err != nil {
 		return err
 	}
 	if strings.Contains(config.Name, consensus.PeerSeparator) {
-		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out", config.Name, consensus.PeerSeparator)
+		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out",
+			config.Name, consensus.PeerSeparator)
 	}
 	self := consensus.Peer{Name: config.Name}
 	if config.Listen != "" {
@@ -132,7 +141,7 @@
 	return d.restore(config.Folder)
 }
 
-// candidates are the parents as our node has them, in the order of their names.
+// candidates returns the parents in the form that the node uses, in the order of their names.
 func (c DistributionConfig) candidates() (candidates []string) {
 	for _, name := range slices.Sorted(maps.Keys(c.Parents)) {
 		candidates = append(candidates, consensus.Peer{Name: name, Address: c.Parents[name]}.String())
@@ -140,7 +149,8 @@
 	return candidates
 }
 
-// restore begins with what a folder has; what it has may be damaged, but it must be possible to write there.
+// restore loads the configuration that a folder contains. A damaged file is logged and ignored, but
+// the folder must be writable.
 func (d *distributor) restore(folder string) error {
 	if folder == "" {
 		return nil
@@ -151,17 +161,18 @@
 	}
 	state, err := d.cache.load()
 	if err != nil {
-		d.log.Warn("cache_unusable", "error", err) // it begins with nothing, and gets all from a parent
+		d.log.Warn("cache_unusable", "error", err) // begin without a configuration; a parent sends all of it
 		return nil
 	}
 	if state != nil {
-		d.log.Info("cache_loaded", "revision", state.Version.Revision, "epoch", state.Version.Epoch.String(), "entries", len(state.Entries))
+		d.log.Info("cache_loaded", "revision", state.Version.Revision, "epoch", state.Version.Epoch.String(),
+			"entries", len(state.Entries))
 		d.transport.Restored(*state)
 	}
 	return nil
 }
 
-// becomeVoter prepares a voter, as a member that shares the record.
+// becomeVoter sets up the node of a voter, which is a member that shares the record.
 func (d *distributor) becomeVoter(self consensus.Peer) *transport.Transport {
 	d.transport = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
@@ -172,19 +183,20 @@
 	return d.transport
 }
 
-// accept serves one that subscribes here. Goroutines of the listener call it.
+// accept serves the connection of a subscriber. Goroutines of the listener call it.
 func (d *distributor) accept(conn net.Conn, allowed func(string) bool) {
 	d.transport.Accept(conn, allowed)
 }
 
-// run carries the distribution until the context ends. Controller.Serve starts it and waits for its end; it starts the goroutines of
-// its parts and waits for theirs, the transport's last, so that the cache is written with all that came.
+// run distributes configuration until ctx ends. Controller.Serve starts it and waits for its end.
+// run starts the goroutines of its parts and waits for them; the transport ends last, so that the
+// cache is written with everything that has arrived.
 func (d *distributor) run(ctx context.Context) {
 	var running sync.WaitGroup
-	carried, endCarried := context.WithCancel(context.WithoutCancel(ctx))
-	running.Go(func() { d.transport.Run(carried) })
+	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
+	running.Go(func() { d.transport.Run(transportCtx) })
 	running.Go(func() {
-		defer endCarried()
+		defer stopTransport()
 		d.runCache(ctx)
 	})
 	if d.listener != nil {
--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -10,15 +10,15 @@
 	"wheelrill/distribution"
 )
 
-// arrivedEntries are distributed entries that the event loop has not taken: the newest of each key, so that their number is bounded
-// by that of the keys.
+// arrivedEntries holds the distributed entries that the event loop has not taken yet. It keeps the
+// newest entry of each key, so the number of entries is bounded by the number of keys.
 type arrivedEntries struct {
-	mutex sync.Mutex // guards all of it
+	mutex sync.Mutex // guards all fields
 	byKey map[distribution.Key]distribution.Entry
-	full  bool // they are all that there is
+	full  bool // the entries are a complete configuration
 }
 
-// add adds a change; a full one replaces all that waits.
+// add merges a change; a full change replaces all waiting entries.
 func (a *arrivedEntries) add(entries []distribution.Entry, full bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -31,7 +31,8 @@
 	}
 }
 
-// take gives what has arrived since it was last called, in the order of revisions.
+// take returns the entries that have arrived since its last call, in the order of revisions, and
+// whether they are a complete configuration.
 func (a *arrivedEntries) take() (entries []distribution.Entry, full bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -43,38 +44,41 @@
 	return entries, full
 }
 
-// apply keeps what has arrived for the event loop, which takes it in its next iteration. The transport's goroutine calls it; it does
-// not wait for the loop.
+// apply stores a change for the event loop, which takes it in its next iteration. The goroutine of
+// the transport calls apply, which does not wait for the loop.
 func (d *distributor) apply(change distribution.Change, full bool) {
 	d.arrived.add(change.Entries, full)
 	d.loop.wake()
 }
 
-// takeArrived gives what has arrived since it was last called.
+// takeArrived returns the entries that have arrived since its last call, and whether they are a
+// complete configuration.
 func (d *distributor) takeArrived() (entries []distribution.Entry, full bool) {
 	return d.arrived.take()
 }
 
-// changedSubjects are the backends and classes that distributed entries say something new of.
+// changedSubjects are the backends and classes whose overrides have changed.
 type changedSubjects struct {
 	backends map[string]bool // by id
-	classes  map[string]bool // by name; only those of our settings
+	classes  map[string]bool // by name; only classes of this controller's settings
 }
 
-// add takes in a subject; false if it is of no concern here.
+// add adds a subject. It returns false if the subject is neither a backend nor a class of this
+// controller's settings.
 func (c changedSubjects) add(changed subject, classIndex map[string]int) bool {
 	if changed.backend != "" {
 		c.backends[changed.backend] = true
 		return true
 	}
-	if _, ours := classIndex[changed.class]; ours {
+	if _, known := classIndex[changed.class]; known {
 		c.classes[changed.class] = true
 		return true
 	}
 	return false
 }
 
-// applyDistributed has the decisions act by what has arrived: through the list of endpoints, and the quotas of classes.
+// applyDistributed passes entries that have arrived to the decisions, as changes of the endpoint
+// list and quotas of classes.
 func (l *eventLoop) applyDistributed(entries []distribution.Entry, full bool) {
 	changed := changedSubjects{backends: map[string]bool{}, classes: map[string]bool{}}
 	if full {
@@ -82,7 +86,7 @@
 			changed.add(subject, l.classIndex)
 		}
 	}
-	var newest distribution.Entry // entries come in the order of their revisions
+	var newest distribution.Entry // the entries are in the order of their revisions
 	for _, entry := range entries {
 		subject, ok := l.overrides.apply(entry)
 		if !ok {
@@ -102,7 +106,8 @@
 	l.updateQuotas(changed.classes)
 }
 
-// secondsSinceAccepted is how long ago a voter accepted an entry, by both wall clocks; 0 if nobody said when.
+// secondsSinceAccepted returns the time since a voter accepted an entry, by the wall clocks of the
+// voter and of this process; 0 if the entry has no time of acceptance.
 func (l *eventLoop) secondsSinceAccepted(entry distribution.Entry) float64 {
 	if entry.AcceptedAt <= 0 {
 		return 0
@@ -110,12 +115,13 @@
 	return inSeconds(l.now - entry.AcceptedAt)
 }
 
-// updateOverriddenEndpoints tells the decisions of backends whose overrides have changed, as if discovery did, in the order of ids.
+// updateOverriddenEndpoints reports backends whose overrides have changed to the decisions, as if
+// discovery had changed them, in the order of ids.
 func (l *eventLoop) updateOverriddenEndpoints(changed map[string]bool) {
 	var endpoints []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
 		if backend, known := l.backends.index[id]; known {
-			endpoints = l.overrides.merged(endpoints, id, l.overrides.listed[backend])
+			endpoints = l.overrides.appendMerged(endpoints, id, l.overrides.listed[backend])
 		}
 	}
 	if len(endpoints) > 0 {
@@ -123,7 +129,8 @@
 	}
 }
 
-// updateQuotas tells the decisions of classes whose limits have changed, in the order of names.
+// updateQuotas gives the decisions the quotas of classes whose limits have changed, in the order of
+// names.
 func (l *eventLoop) updateQuotas(changed map[string]bool) {
 	for _, class := range slices.Sorted(maps.Keys(changed)) {
 		l.decisions.SetClassQuota(l.classIndex[class], l.overrides.limitOf(class))
--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -8,19 +8,21 @@
 	"wheelrill/distribution"
 )
 
-// logRefused logs that somebody called a subscriber's address and was not let in. Goroutines of the listener call it.
+// logRefused logs a connection that the listener of a subscriber refused. Goroutines of the
+// listener call it.
 func (d *distributor) logRefused(from net.Addr, reason error) {
 	d.log.Warn("subscriber_refused", "remote", from, "error", reason)
 }
 
-// logEvent logs what our node of the tree tells. The transport's goroutine calls it.
+// logEvent logs an event of this controller's node of the distribution tree. The goroutine of the
+// transport calls it.
 func (d *distributor) logEvent(event distribution.Event) {
 	log := d.log.With("revision", event.Version.Revision, "epoch", event.Version.Epoch.String())
 	switch event.Kind {
 	case distribution.EventAdmitted:
 		log.Info("subscribed", "parent", event.Peer)
 	case distribution.EventParentLost:
-		log.Warn("parent_lost", "parent", event.Peer, "reason", lossReason(event.CloseReason))
+		log.Warn("parent_lost", "parent", event.Peer, "reason", parentLossReason(event.CloseReason))
 	case distribution.EventSnapshotInstalled:
 		log.Info("snapshot_applied", "parent", event.Peer)
 	case distribution.EventSourceStale:
@@ -37,15 +39,16 @@
 	}
 }
 
-// lossReason says why a parent was lost; none of the node's reasons is the end of the connection.
-func lossReason(reason distribution.CloseReason) string {
+// parentLossReason returns the reason why a parent was lost. If the node gives no reason, the connection
+// ended.
+func parentLossReason(reason distribution.CloseReason) string {
 	if reason == 0 {
 		return "connection closed"
 	}
 	return reason.String()
 }
 
-// runStatusReports logs the state of the distribution each statusInterval, until the context ends.
+// runStatusReports logs the state of the distribution every statusInterval, until ctx ends.
 func (d *distributor) runStatusReports(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -70,12 +73,12 @@
 	}
 }
 
-// perSecond gives a rate as the log has it.
+// perSecond formats a rate for the log.
 func perSecond(amount int64, interval time.Duration) string {
 	return formatDecimal(float64(amount)/interval.Seconds(), 0)
 }
 
-// formatAge gives an age as the log has it, in seconds.
+// formatAge formats an age for the log, in seconds.
 func formatAge(age microseconds) string {
 	if age == distribution.NeverCurrent {
 		return "unknown"
--- a/controller/distribution_propose.go
+++ b/controller/distribution_propose.go
@@ -10,7 +10,8 @@
 	"wheelrill/consensus"
 )
 
-// distributedEntries reads what a configuration wants to be distributed, at a voter; elsewhere it is left alone (not ok).
+// distributedEntries reads the entries that a voter's configuration distributes. It returns false
+// if the controller is not a voter, or if the configuration does not say what to distribute.
 func (c *Controller) distributedEntries(configuration []byte) (entries proposedEntries, ok bool, err error) {
 	if c.distributor == nil || c.distributor.consensusNode == nil {
 		return nil, false, nil
@@ -22,7 +23,8 @@
 	return readDistributed(root)
 }
 
-// enqueueProposal has a voter propose entries; they replace what waits to be proposed.
+// enqueueProposal queues entries for a voter to propose. They replace entries that are already
+// queued.
 func (d *distributor) enqueueProposal(entries proposedEntries) {
 	for {
 		select {
@@ -37,7 +39,7 @@
 	}
 }
 
-// runProposals proposes what is enqueued, one change after the other, until the context ends.
+// runProposals proposes queued entries, one change at a time, until ctx ends.
 func (d *distributor) runProposals(ctx context.Context) {
 	for {
 		select {
@@ -49,7 +51,7 @@
 	}
 }
 
-// propose brings entries onto the record as one change, and logs what became of it.
+// propose puts entries on the record as one change, and logs the result.
 func (d *distributor) propose(ctx context.Context, entries proposedEntries) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -14,7 +14,7 @@
 	"wheelrill/distribution"
 )
 
-// runningController is a controller that runs in this process.
+// runningController is a controller that serves in the test process.
 type runningController struct {
 	*Controller
 	logged  *logBuffer
@@ -22,7 +22,7 @@
 	stop    func()
 }
 
-// startController runs a controller that was prepared.
+// startController makes a controller, has it prepared, and serves with it until the test ends.
 func startController(t *testing.T, name, known string, prepare func(*Controller) error) *runningController {
 	t.Helper()
 	logged := newLogBuffer()
@@ -43,7 +43,7 @@
 	s := &runningController{Controller: c, logged: logged, stop: sync.OnceFunc(func() { cancel(); running.Wait() })}
 	t.Cleanup(func() {
 		if text, _ := logged.read(); t.Failed() {
-			t.Logf("%s said:\n%s", name, text)
+			t.Logf("log of %s:\n%s", name, text)
 		}
 	})
 	t.Cleanup(s.stop)
@@ -53,7 +53,7 @@
 	return s
 }
 
-// freeAddress is one on loopback that nobody listens at.
+// freeAddress returns a loopback address on which no listener is open.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,14 +64,15 @@
 	return l.Addr().String()
 }
 
-// quickLimits are limits with which losses are seen soon.
+// quickLimits are limits with which a lost connection is detected soon.
 func quickLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.Heartbeat, limits.Lease, limits.Handshake, limits.MaxStaleness = microsPerSecond/10, microsPerSecond/2, microsPerSecond, 3*microsPerSecond/2
 	return limits
 }
 
-// runVoters runs controllers that share a record and vote on what is distributed.
+// runVoters runs controllers that share the record and vote on the distributed configuration. It
+// returns the members' addresses by name, and the controllers.
 func runVoters(t *testing.T, known string, names ...string) (map[string]string, []*runningController) {
 	t.Helper()
 	members := map[string]string{}
@@ -93,7 +94,7 @@
 	return members, all
 }
 
-// runSubscriber runs a controller that subscribes for the scope pricing.
+// runSubscriber runs a controller that subscribes to the scope pricing.
 func runSubscriber(t *testing.T, name, known string, with DistributionConfig) *runningController {
 	t.Helper()
 	with.Scopes, with.limits = []string{"pricing"}, quickLimits()
@@ -125,11 +126,11 @@
 	leaf := runSubscriber(t, "s2", known, DistributionConfig{Parents: map[string]string{"s1": relayAt}})
 	proxy, fake := dial(t, leaf.address), newFakeProxy("read it", "write")
 	proxy.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true}`)
-	picks := func(what string, is func(ids []string) bool) {
+	awaitPicks := func(what string, done func(ids []string) bool) {
 		t.Helper()
-		for !is(fake.picks(0)) {
-			if err := fake.apply(proxy.receive()); err != nil { // which fails after a while
-				t.Fatalf("%s: %v, picks %v", what, err, fake.picks(0))
+		for !done(fake.picks(0)) {
+			if err := fake.apply(proxy.receive()); err != nil { // fails after a timeout
+				t.Fatalf("waiting for picks %s: %v, picks %v", what, err, fake.picks(0))
 			}
 			for len(fake.nonces) > 0 && !fake.inMessage {
 				proxy.send(fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d,"latency":1}`, fake.nonces[0]))
@@ -137,13 +138,15 @@
 			}
 		}
 	}
-	picks("all", func(ids []string) bool { return len(ids) == 6 && !fake.inMessage })
+	awaitPicks("of all backends", func(ids []string) bool { return len(ids) == 6 && !fake.inMessage })
 	t.Run("a drain is in force at a controller below another subscriber", func(t *testing.T) {
 		voters[1].reload(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
 		voters[1].logged.waitFor(t, "msg=change_accepted revision=1", 1)
-		picks("without the drained one", func(ids []string) bool { return !slices.Contains(ids, "s-2") && !fake.inMessage })
+		awaitPicks("without the drained backend", func(ids []string) bool {
+			return !slices.Contains(ids, "s-2") && !fake.inMessage
+		})
 		if !slices.Contains(fake.picks(0), "s-3") {
-			t.Error("a drain of another scope counts")
+			t.Error("a drain of a scope without subscription is in force")
 		}
 		for _, s := range []*runningController{relay, leaf, voters[0], voters[2]} {
 			s.logged.waitFor(t, "msg=configuration_applied revision=1", 1)
@@ -151,22 +154,22 @@
 		leaf.logged.waitFor(t, "msg=snapshot_applied revision=1", 1)
 		leaf.logged.waitFor(t, `msg=subscribed`, 1)
 	})
-	t.Run("the same file again is no change, and a bad one changes nothing", func(t *testing.T) {
+	t.Run("the same configuration again is no change, and an unusable one changes nothing", func(t *testing.T) {
 		voters[0].reload(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
 		voters[0].logged.waitFor(t, "msg=change_empty revision=1", 1)
 		if err := voters[0].Reload(withDistributed(known, `{"pricing":{"drain":{"s-4":1}}}`)); err == nil {
-			t.Error("taken")
+			t.Error("an unusable configuration was accepted")
 		}
 		voters[0].reload(t, known, fmt.Sprintf(`{"pricing":{"service":{"x":{"y":%q}}}}`, strings.Repeat("z", 1<<20)))
 		voters[0].logged.waitFor(t, "msg=change_refused", 1)
 	})
-	t.Run("the parent is lost, and the voters' majority: it goes on with what it has", func(t *testing.T) {
+	t.Run("a subscriber that loses its parent and the voters' majority keeps its configuration", func(t *testing.T) {
 		relay.stop()
 		leaf.logged.waitFor(t, "msg=parent_lost", 1)
-		leaf.logged.waitFor(t, "msg=subscribed", 2) // at one that it has learned of
+		leaf.logged.waitFor(t, "msg=subscribed", 2) // at a parent that it learned from the lost one
 		voters[2].reload(t, known, `{"pricing":{"drain":{"s-4":true}}}`)
 		voters[2].logged.waitFor(t, "msg=change_accepted revision=2", 1)
-		picks("with the second change", func(ids []string) bool {
+		awaitPicks("with the second change", func(ids []string) bool {
 			return !slices.Contains(ids, "s-4") && slices.Contains(ids, "s-2") && !fake.inMessage
 		})
 		voters[0].stop()
@@ -176,32 +179,32 @@
 			t.Errorf("picks %v", picks)
 		}
 		if text, _ := leaf.logged.read(); strings.Count(text, "msg=snapshot_applied") != 1 {
-			t.Errorf("a snapshot where a delta would do")
+			t.Errorf("a snapshot was sent where a delta is enough")
 		}
 	})
 }
 
 func TestUnusableDistributionIsRefused(t *testing.T) {
 	known := listJSON(1, true, endpointJSON(0, "up"))
-	for name, x := range map[string]struct {
-		with DistributionConfig
-		want string
+	for name, test := range map[string]struct {
+		config DistributionConfig
+		want   string
 	}{
 		"listens everywhere in plain text": {DistributionConfig{Listen: "0.0.0.0:0"}, "loopback"},
 		"address in use":                   {DistributionConfig{Listen: "127.0.0.1:0x"}, "listen"},
-		"a name that is none":              {DistributionConfig{Name: "s@1"}, "leave it out"},
-		"no such certificate":              {DistributionConfig{}, "certificate"},
+		"a name with a separator":          {DistributionConfig{Name: "s@1"}, "leave it out"},
+		"a missing certificate file":       {DistributionConfig{}, "certificate"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := New(Identity{}, configuration("127.0.0.1:9", known), NewLogger(newLogBuffer()))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if x.want == "certificate" {
-				x.with.Certificate = "none.pem"
+			if test.want == "certificate" {
+				test.config.Certificate = "none.pem"
 			}
-			if err := c.JoinDistribution(x.with); err == nil || !strings.Contains(err.Error(), x.want) {
-				t.Errorf("got %v", err)
+			if err := c.JoinDistribution(test.config); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got error %v, want one that contains %q", err, test.want)
 			}
 		})
 	}
@@ -214,12 +217,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if err := c.Serve(ctx); err == nil || !strings.Contains(err.Error(), "shares the record") {
-		t.Errorf("a voter without a record serves: %v", err)
+	if err := c.Serve(ctx); err == nil ||
+		!strings.Contains(err.Error(), "a voter must share ownership, but ShareOwnership was not called") {
+		t.Errorf("a voter without shared ownership: Serve returned %v", err)
 	}
 }
 
-// A controller that takes no part reads what its file would distribute as little as before.
+// A controller that takes no part in the distribution ignores the distributed key of its
+// configuration, even if the value is unusable.
 func TestWithoutDistributionItsKeyIsNotRead(t *testing.T) {
 	logged := newLogBuffer()
 	c, err := New(Identity{}, withDistributed(listJSON(1, true, endpointJSON(0, "up")), `[]`), NewLogger(logged))
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -18,9 +18,9 @@
 		}
 	}
 	if full && l.overrides != nil {
-		l.overrides.noteUnlisted(listed)
+		l.overrides.markUnlisted(listed)
 	}
-	l.backends.noteListed(listed, full, l.now)
+	l.backends.updateListed(listed, full, l.now)
 	l.log.Info("endpoint_list_updated", "version", version, "full", full, "endpoints", len(endpoints))
 	l.decisions.EndpointsUpdated(full, endpoints)
 	if len(endpoints) > 0 {
@@ -33,8 +33,8 @@
 	if l.overrides == nil {
 		return append(to, endpoint)
 	}
-	l.overrides.noteListed(endpoint)
-	return l.overrides.merged(to, l.backends.ids[endpoint.Backend], endpoint)
+	l.overrides.storeListed(endpoint)
+	return l.overrides.appendMerged(to, l.backends.ids[endpoint.Backend], endpoint)
 }
 
 // decodeEndpoint reads an endpoint of the list, and gives its backend an index. One that cannot be used is skipped.
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -8,41 +8,45 @@
 	"wheelrill/balancer"
 )
 
-// eventLoop owns the controller's state and is the decisions' host. Its goroutine, which run is, is the only one that reads or
-// writes the decisions, tables, sessions, overrides, timers, backend indices and the coordinator of ownership; all others hand it
-// functions through inbox. What New sets and nobody changes, connections read as well: limits, log, zone and class indices and names,
-// clock, and the channels. What it takes at once happens at one clock time, and leaves as one message to each proxy concerned.
-// Nothing of its state outlasts the process: a restart begins with the cached list of the configuration.
+// eventLoop owns the controller's state and is the host of the decisions. Only the goroutine of run
+// reads or writes the decisions, tables, sessions, overrides, timers, backend indices and the
+// ownership coordinator; all other goroutines post functions to inbox. Connections also read the
+// fields that New sets and that never change: limits, log, zone and class indices and names, clock,
+// and the channels. All events of one iteration happen at one clock time, and each proxy that they
+// concern is written one message for them. The loop stores nothing on disk: after a restart it
+// begins with the cached list of the configuration.
 type eventLoop struct {
-	// tables is embedded so that the loop is the decisions' host: PublishEntry, AssignTable, Withdraw and the other orders are its
-	// methods. So connect, disconnect, proxy, flush and forget, called on the loop, are those of tables.
+	// tables is embedded so that PublishEntry, AssignTable, Withdraw and the other orders of
+	// balancer.Host are methods of the loop. The loop's methods connect, disconnect, proxy, flush
+	// and forget are therefore those of tables.
 	*tables
 	limits    *limits
 	log       *slog.Logger
 	decisions *balancer.Controller
 	watcher   *endpointWatcher
 
-	ownership   *ownershipHost // shared ownership of proxies; nil where the controller acts alone
-	distributor *distributor   // where distributed configuration arrives; nil for nowhere
-	overrides   *overrides     // what distributed configuration says of backends; nil where none arrives
+	ownership   *ownershipHost // shared ownership of proxies; nil if the controller acts alone
+	distributor *distributor   // distributed configuration; nil if the controller takes no part
+	overrides   *overrides     // distributed overrides of backends and classes; nil without distributor
 
-	zoneIndex  map[string]int // index of a zone by its name
-	classIndex map[string]int // index of a class by its name
+	zoneIndex  map[string]int // zone index by name
+	classIndex map[string]int // class index by name
 	zoneNames  []string
 	backends   *backendIndex
-	sessions   []*session // by proxy; nil if it is not connected
+	sessions   []*session // by proxy; nil if the proxy is not connected
 
-	inbox   chan func()   // events to take; limits.inboxSize of them, then post waits and tryPost gives up
-	stopped chan struct{} // closed by run as it returns; nobody takes from inbox any more
-	ready   chan struct{} // closed by becomeReady; answers leave from then on
+	inbox   chan func()   // at most limits.inboxSize queued events; if full, post blocks and tryPost drops its event
+	stopped chan struct{} // closed when run returns; no event is handled after that
+	ready   chan struct{} // closed by becomeReady; connections send no message before that
 
 	clock     func() microseconds // Unix time
-	now       microseconds        // clock time of this iteration
-	stalledAt microseconds        // when the last pause ended in which the process had no turn
-	timers    []timer             // in the order in which they are due
+	now       microseconds        // clock time of the current iteration
+	stalledAt microseconds        // end of the last pause in which the process did not run
+	timers    []timer             // ordered by due time
 }
 
-// post gives the loop an event that must not be lost; it waits while the inbox is full. Any goroutine but the loop's may call it.
+// post queues an event that must not be lost, and blocks while the inbox is full. Once the loop has
+// stopped, the event is dropped. Any goroutine but the loop's may call it.
 func (l *eventLoop) post(event func()) {
 	select {
 	case l.inbox <- event:
@@ -50,8 +54,9 @@
 	}
 }
 
-// tryPost gives the loop an event that may be lost: with a full inbox it is dropped, as the reader has to go on reading, and
-// thousands of reports that wait already say nearly the same. Any goroutine may call it.
+// tryPost queues an event that may be lost. With a full inbox the event is dropped: the reader must
+// not block, and the thousands of queued reports carry nremaining the same information. Any goroutine
+// may call it.
 func (l *eventLoop) tryPost(event func()) {
 	select {
 	case l.inbox <- event:
@@ -60,7 +65,8 @@
 	}
 }
 
-// wake has the loop iterate. With a full inbox it will without that. Any goroutine may call it.
+// wake makes the loop iterate. A full inbox already makes it iterate, so nothing is queued then.
+// Any goroutine may call it.
 func (l *eventLoop) wake() {
 	select {
 	case l.inbox <- func() {}:
@@ -68,8 +74,8 @@
 	}
 }
 
-// run takes events until the context ends, and then hands our proxies over where ownership is shared. Controller.Serve starts it
-// and waits for its end.
+// run handles events until ctx ends, and then hands the proxies over if ownership is shared.
+// Controller.Serve starts it and waits for its end.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.stopped)
 	if l.ownership != nil {
@@ -94,13 +100,14 @@
 	}
 }
 
-// awaitTick waits until limits.tick has passed since the last iteration; false if the context ends before.
+// awaitTick waits until limits.tick has passed since the last iteration. It returns false if ctx
+// ends first.
 func (l *eventLoop) awaitTick(ctx context.Context, wake *time.Timer) bool {
-	early := l.now + l.limits.tick.Microseconds() - l.clock()
-	if early <= 0 {
+	remaining := l.now + l.limits.tick.Microseconds() - l.clock()
+	if remaining <= 0 {
 		return true
 	}
-	wake.Reset(time.Duration(early) * time.Microsecond)
+	wake.Reset(time.Duration(remaining) * time.Microsecond)
 	select {
 	case <-ctx.Done():
 		return false
@@ -109,20 +116,21 @@
 	}
 }
 
-// iterate takes an event, all others that have come in, and the timers that are due, at one clock time, and has what they changed
-// leave.
+// iterate handles an event, the distributed entries that have arrived, other queued events and due
+// timers, all at one clock time, and then pushes the resulting changes to the proxies.
 func (l *eventLoop) iterate(first func()) {
 	l.advanceClock()
 	first()
-	l.takeDistributed()
-	l.takeWaiting()
+	l.handleArrivedEntries()
+	l.handleQueuedEvents()
 	l.fireTimers()
 	l.dropSilentProxies()
 	defer l.forgetRemovedBackends()
 	l.pushChanges()
 }
 
-// advanceClock begins an iteration. Clock times of iterations differ; a long pause between two is noted, as nobody was heard in it.
+// advanceClock sets the clock time of an iteration, which is always later than that of the last
+// one. A long pause between two iterations is recorded, because no message was read during it.
 func (l *eventLoop) advanceClock() {
 	last := l.now
 	l.now = max(l.clock(), last+1)
@@ -133,8 +141,8 @@
 	}
 }
 
-// takeDistributed takes in the distributed configuration that has arrived.
-func (l *eventLoop) takeDistributed() {
+// handleArrivedEntries applies the distributed entries that have arrived.
+func (l *eventLoop) handleArrivedEntries() {
 	if l.distributor == nil {
 		return
 	}
@@ -144,9 +152,10 @@
 	}
 }
 
-// takeWaiting takes events that wait in the inbox, up to limits.eventsPerIteration with the first one.
-func (l *eventLoop) takeWaiting() {
-	for taken := 1; taken < l.limits.eventsPerIteration; taken++ {
+// handleQueuedEvents handles queued events, so that the iteration handles at most
+// limits.eventsPerIteration events, the first one included.
+func (l *eventLoop) handleQueuedEvents() {
+	for handled := 1; handled < l.limits.eventsPerIteration; handled++ {
 		select {
 		case event := <-l.inbox:
 			event()
@@ -156,15 +165,16 @@
 	}
 }
 
-// pushChanges writes each proxy what this iteration has changed for it, and notes the acknowledgements that were asked for. Where
-// ownership is shared, the changes are put on the record first.
+// pushChanges writes each proxy the changes of this iteration that concern it, and registers the
+// acknowledgements that the decisions requested. Where ownership is shared, the changes are put on
+// the record first.
 func (l *eventLoop) pushChanges() {
 	send, revision := (*connection).send, uint64(0)
 	if l.ownership != nil {
 		l.ownership.recordTableChanges()
 		send, revision = l.ownership.send, l.ownership.coordinator.Revision()
 	}
-	var ack *pendingAck // one for all proxies of this iteration
+	var ack *pendingAck // shared by all proxies of this iteration
 	l.flush(send, l.dropProxy, func(proxy, nonce int) {
 		if ack == nil {
 			ack = &pendingAck{nonce: nonce, revision: revision, sentBy: l.now + l.decisions.QueueDelay()}
@@ -173,29 +183,31 @@
 	})
 }
 
-// forgetRemovedBackends ends what is kept of backends that were removed long ago. Nothing on its way names them by their index.
+// forgetRemovedBackends discards the state of backends that were removed longer than
+// limits.forgetAfter ago. No queued event or message refers to a backend by its index.
 func (l *eventLoop) forgetRemovedBackends() {
 	forgotten := l.backends.sweep(l.now, l.limits.forgetAfter, func(backend int) bool {
-		gone := l.forget(backend, func() bool { return l.decisions.ForgetBackend(backend) })
-		if gone && l.ownership != nil {
+		discarded := l.forget(backend, func() bool { return l.decisions.ForgetBackend(backend) })
+		if discarded && l.ownership != nil {
 			l.ownership.evidence.ForgetBackend(l.backends.ids[backend])
 		}
-		return gone
+		return discarded
 	})
 	if forgotten > 0 {
 		l.log.Info("backends_forgotten", "backends", forgotten, "known", len(l.backends.index))
 	}
 }
 
-// Reasons why answers leave.
+// Reasons for becoming ready.
 const (
 	readyListKnown         = "the list is known"
 	readyDiscoveryAnswered = "discovery has answered"
 	readyWithoutList       = "nothing is known, and discovery keeps silent"
 )
 
-// becomeReady has answers leave from now on. A controller that knows no backend orders nothing, and proxies go on with what they
-// hold, which is no worse than with none to connect to.
+// becomeReady lets connections send their messages, the answers to readiness checks among them. A
+// controller that knows no backend issues no orders, so its proxies keep the tables that they have.
+// That is no worse for them than finding no controller to connect to.
 func (l *eventLoop) becomeReady(reason string) {
 	select {
 	case <-l.ready:
@@ -210,7 +222,8 @@
 	l.log.Log(context.Background(), level, "ready", "backends", len(l.backends.index), "reason", reason)
 }
 
-// Log implements balancer.Host: it logs a change of mode, with the id of the backend that it is about, as staff know it.
+// Log implements balancer.Host: it logs a change of mode, with the id of the backend concerned, by
+// which operators know the backend.
 func (l *eventLoop) Log(backend int, line string) {
 	if backend < 0 {
 		l.log.Info("decision", "text", line)
@@ -219,15 +232,15 @@
 	l.log.Info("decision", "backend", l.backends.ids[backend], "text", line)
 }
 
-// PollEndpoints implements balancer.Host: it cuts the watcher's backoff short. The list is watched all the time, as that costs
-// discovery nothing here.
+// PollEndpoints implements balancer.Host: it ends the watcher's backoff at once. The list is
+// watched all the time, because a watch costs discovery nothing here.
 func (l *eventLoop) PollEndpoints() { l.watcher.wake() }
 
-// CheckHealth implements balancer.Host. It is not called: on sockets no page says how backends are checked, so the decisions are
-// told that they may not.
+// CheckHealth implements balancer.Host. It is never called: health checks are not supported on
+// sockets, so parseSettings disables them for the decisions.
 func (l *eventLoop) CheckHealth(int) {}
 
-// zoneName gives the name of a zone; none for an index that is no zone's.
+// zoneName returns the name of a zone, or an empty string if the index is out of range.
 func (l *eventLoop) zoneName(zone int) string {
 	if zone < 0 || zone >= len(l.zoneNames) {
 		return ""
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -11,28 +11,30 @@
 )
 
 func TestEventLoop(t *testing.T) {
-	t.Run("a proxy that joins is given the full table, and no more entries than the decisions count", func(t *testing.T) {
+	t.Run("a new proxy is given the full table, and no more lines than the decisions charge", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		for node, keeps := range []bool{false, true} {
-			conn, fake := connectProxy(t, loop, 1, node, keeps), newFakeProxy("read it", "write")
-			fake.withdrawn["s-1"] = keeps
-			// Counted: headers aside a mark, a level for each class, a bind and its lines, each twice if it keeps any.
-			most := 1 + 2 + 1 + 2
-			if keeps {
-				most += 2
+		for node, mayHold := range []bool{false, true} {
+			conn, fake := connectProxy(t, loop, 1, node, mayHold), newFakeProxy("read it", "write")
+			fake.withdrawn["s-1"] = mayHold
+			// Charged, without headers: an ack request, a limit for each class, an assignment and its two
+			// lines, and as many lines again if the proxy may hold withdrawals.
+			maxCost := 1 + 2 + 1 + 2
+			if mayHold {
+				maxCost += 2
 			}
-			if fake.receive(t, conn); len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 || len(fake.nonces) != 1 || fake.cost > most {
+			if fake.receive(t, conn); len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 || len(fake.nonces) != 1 ||
+				fake.cost > maxCost {
 				t.Errorf("node %d: got %+v", node, fake)
 			}
 		}
 	})
-	t.Run("what happens at one clock time goes out as one message", func(t *testing.T) {
+	t.Run("changes at one clock time are pushed as one message", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		conn, fake := connectProxy(t, loop, 1, 3, false), newFakeProxy("read it", "write")
 		fake.receive(t, conn)
 		loop.acknowledged(conn, fake.nonces[0])
-		news := fmt.Sprintf("[%s,%s,%s]", endpointJSON(0, "draining"), endpointJSON(1, "removed"), endpointJSON(2, "up"))
-		advance(loop, 5*microsPerSecond, func() { loop.endpointsUpdated(false, 2, parsed(t, news).GetArray()) })
+		changes := fmt.Sprintf("[%s,%s,%s]", endpointJSON(0, "draining"), endpointJSON(1, "removed"), endpointJSON(2, "up"))
+		advance(loop, 5*microsPerSecond, func() { loop.endpointsUpdated(false, 2, parsed(t, changes).GetArray()) })
 		if fake.receive(t, conn); fake.messages != 2 || !slices.Equal(fake.picks(0), []string{"s-2"}) {
 			t.Errorf("got %+v", fake)
 		}
@@ -41,81 +43,87 @@
 		loop, logged := newIdleLoop(t)
 		old, fake := connectProxy(t, loop, 1, 0, false), newFakeProxy("read it", "write")
 		fake.receive(t, old)
-		conn, h2 := connectProxy(t, loop, 2, 0, true), newFakeProxy("read it", "write")
+		conn, newer := connectProxy(t, loop, 2, 0, true), newFakeProxy("read it", "write")
 		loop.iterate(func() { loop.acknowledged(old, fake.nonces[0]); loop.proxyDisconnected(old) })
-		h2.receive(t, conn)
-		if !loop.isCurrent(conn) || old.send(nil) != errClosed || len(h2.picks(0)) != 2 {
-			t.Errorf("current %v, picks %v", loop.isCurrent(conn), h2.picks(0))
+		newer.receive(t, conn)
+		if !loop.isCurrent(conn) || old.send(nil) != errClosed || len(newer.picks(0)) != 2 {
+			t.Errorf("current %v, picks %v", loop.isCurrent(conn), newer.picks(0))
 		}
 		stale := connectProxy(t, loop, 1, 0, true)
 		if !loop.isCurrent(conn) || stale.send(nil) != errClosed {
-			t.Error("a hello that was under way for long took the stream's place")
+			t.Error("a hello of an older connection replaced the newer connection")
 		}
 		loop.iterate(func() { conn.close(io.EOF); loop.proxyDisconnected(conn) })
 		if text, _ := logged.read(); loop.isCurrent(conn) || !strings.Contains(text, `msg=proxy_disconnected proxy=0 error=EOF`) {
-			t.Errorf("did not leave: %s", text)
+			t.Errorf("the proxy is still connected, or its end is not logged: %s", text)
 		}
 	})
 	t.Run("a stream that says nothing and acknowledges nothing is half-open, a quiet one is not", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		gone, talks, quiet := connectProxy(t, loop, 1, 0, false), connectProxy(t, loop, 2, 1, false), connectProxy(t, loop, 3, 2, false)
+		halfOpen, active := connectProxy(t, loop, 1, 0, false), connectProxy(t, loop, 2, 1, false)
+		idle := connectProxy(t, loop, 3, 2, false)
 		fake := newFakeProxy("read it", "write")
-		fake.receive(t, quiet)
-		loop.iterate(func() { loop.acknowledged(quiet, fake.nonces[0]) })
+		fake.receive(t, idle)
+		loop.iterate(func() { loop.acknowledged(idle, fake.nonces[0]) })
 		advance(loop, loop.limits.silenceTimeout-microsPerSecond/2, func() {
-			talks.lastMessageAt.Store(loop.now)
-			loop.demandReported(0, 0, 4, microsPerSecond) // through a collector: that says nothing of the stream
+			active.lastMessageAt.Store(loop.now)
+			loop.demandReported(0, 0, 4, microsPerSecond) // from a collector, which does not show that the connection works
 		})
-		if !loop.isCurrent(gone) || !loop.isCurrent(talks) {
-			t.Error("given up too early")
+		if !loop.isCurrent(halfOpen) || !loop.isCurrent(active) {
+			t.Error("a connection was dropped before the silence timeout")
 		}
 		advance(loop, microsPerSecond, func() {})
-		if loop.isCurrent(gone) || !loop.isCurrent(talks) || !loop.isCurrent(quiet) {
-			t.Errorf("gone %v, talks %v, quiet %v", loop.isCurrent(gone), loop.isCurrent(talks), loop.isCurrent(quiet))
+		if loop.isCurrent(halfOpen) || !loop.isCurrent(active) || !loop.isCurrent(idle) {
+			t.Errorf("still connected: half-open %v, active %v, idle %v",
+				loop.isCurrent(halfOpen), loop.isCurrent(active), loop.isCurrent(idle))
 		}
 	})
-	t.Run("a stream whose acknowledgement waits in the channel behind others is not half-open", func(t *testing.T) {
+	t.Run("a connection whose ack request still waits in the push channel is not half-open", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		conn := connectProxy(t, loop, 1, 0, false)
-		one := *loop.sessions[0].unacked[0]
-		one.sentBy += 30 * microsPerSecond // as where thousands join at once
-		loop.sessions[0].unacked[0] = &one
+		delayed := *loop.sessions[0].unacked[0]
+		delayed.sentBy += 30 * microsPerSecond // as when thousands of proxies connect at once
+		loop.sessions[0].unacked[0] = &delayed
 		advance(loop, 20*microsPerSecond, func() {})
 		if !loop.isCurrent(conn) {
-			t.Error("given up while its mark waited")
+			t.Error("the connection was dropped while its ack request waited in the channel")
 		}
 		advance(loop, 20*microsPerSecond, func() {})
 		if loop.isCurrent(conn) {
-			t.Error("never given up")
+			t.Error("the half-open connection was never dropped")
 		}
 	})
-	t.Run("after a stall of our own nobody is taken for silent", func(t *testing.T) {
+	t.Run("after a stall of this process no connection counts as silent", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		conn := connectProxy(t, loop, 1, 0, false)
 		advanceAtOnce(loop, 2*loop.limits.silenceTimeout, func() {})
 		if !loop.isCurrent(conn) {
-			t.Error("given up before it could be heard")
+			t.Error("the connection was dropped before its messages could be read")
 		}
 		advance(loop, loop.limits.silenceTimeout+microsPerSecond, func() {})
 		if loop.isCurrent(conn) {
-			t.Error("never given up")
+			t.Error("the half-open connection was never dropped")
 		}
 		logged.waitFor(t, "msg=process_stalled", 1)
 	})
-	t.Run("it is found sooner where others have given the same acknowledgement", func(t *testing.T) {
+	t.Run("a half-open connection is found sooner if another proxy gave the same acknowledgement", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		gone, here := connectProxy(t, loop, 1, 0, false), connectProxy(t, loop, 2, 1, false)
+		halfOpen, active := connectProxy(t, loop, 1, 0, false), connectProxy(t, loop, 2, 1, false)
 		fake := newFakeProxy("read it", "write")
-		fake.receive(t, here)
-		loop.iterate(func() { loop.acknowledged(here, fake.nonces[0]) })
-		advance(loop, 4*microsPerSecond, func() { loop.endpointsUpdated(false, 2, parsed(t, "["+endpointJSON(0, "draining")+"]").GetArray()) })
-		fake.receive(t, here)
+		fake.receive(t, active)
+		loop.iterate(func() { loop.acknowledged(active, fake.nonces[0]) })
+		advance(loop, 4*microsPerSecond, func() {
+			loop.endpointsUpdated(false, 2, parsed(t, "["+endpointJSON(0, "draining")+"]").GetArray())
+		})
+		fake.receive(t, active)
 		first := loop.sessions[0].unacked[0].nonce
-		loop.iterate(func() { loop.acknowledged(here, fake.nonces[len(fake.nonces)-1]) })
-		loop.sessions[0].unacked = slices.DeleteFunc(loop.sessions[0].unacked, func(w *pendingAck) bool { return w.nonce == first })
+		loop.iterate(func() { loop.acknowledged(active, fake.nonces[len(fake.nonces)-1]) })
+		loop.sessions[0].unacked = slices.DeleteFunc(loop.sessions[0].unacked, func(ack *pendingAck) bool {
+			return ack.nonce == first
+		})
 		advance(loop, loop.limits.ackLagTimeout+microsPerSecond/10, func() {})
-		if loop.isCurrent(gone) || !loop.isCurrent(here) {
-			t.Errorf("gone %v, here %v", loop.isCurrent(gone), loop.isCurrent(here))
+		if loop.isCurrent(halfOpen) || !loop.isCurrent(active) {
+			t.Errorf("still connected: half-open %v, active %v", loop.isCurrent(halfOpen), loop.isCurrent(active))
 		}
 	})
 	t.Run("reports are given up when the inbox is full, and the log says so", func(t *testing.T) {
@@ -128,7 +136,7 @@
 			loop.iterate(func() {})
 		}
 		if len(loop.inbox) > loop.limits.eventsPerIteration {
-			t.Errorf("%d still wait", len(loop.inbox))
+			t.Errorf("%d events still wait", len(loop.inbox))
 		}
 	})
 }
@@ -137,15 +145,15 @@
 	loop, _ := newIdleLoop(t)
 	conn, fake := connectProxy(t, loop, 1, 0, true), newFakeProxy("read it", "write")
 	first := loop.backends.index["s-0"]
-	for version := 2; version < 60; version++ { // each backend is replaced by one under a new id
+	for version := 2; version < 60; version++ { // each backend is replaced by one with a new id
 		fake.receive(t, conn)
 		if n := len(fake.nonces); n > 0 {
 			loop.acknowledged(conn, fake.nonces[n-1])
 		}
-		news := fmt.Sprintf("[%s,%s]", endpointJSON(version, "up"), endpointJSON(version-2, "removed"))
+		changes := fmt.Sprintf("[%s,%s]", endpointJSON(version, "up"), endpointJSON(version-2, "removed"))
 		advance(loop, 3*microsPerSecond, func() {
 			conn.lastMessageAt.Store(loop.now)
-			loop.endpointsUpdated(false, int64(version), parsed(t, news).GetArray())
+			loop.endpointsUpdated(false, int64(version), parsed(t, changes).GetArray())
 		})
 	}
 	fake.receive(t, conn)
@@ -156,9 +164,10 @@
 		t.Errorf("picks %v", fake.lines)
 	}
 	if _, known := loop.backends.index["s-50"]; !known || loop.backends.ids[first] == "s-0" {
-		t.Error("forgotten too soon, or not at all")
+		t.Error("a backend was forgotten too soon, or not at all")
 	}
-	loop.outcomesReported(outcomeReport{"s-0", 9, 9, 0, microsPerSecond, balancer.BackendLoad{}}) // a late report says nothing of the one that has its index now
+	// A late report on a forgotten backend must not count for the backend that reuses its index.
+	loop.outcomesReported(outcomeReport{"s-0", 9, 9, 0, microsPerSecond, balancer.BackendLoad{}})
 	advance(loop, 3*microsPerSecond, func() { conn.lastMessageAt.Store(loop.now) })
 	fake.receive(t, conn)
 	if len(fake.picks(0)) != 2 {
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -9,53 +9,55 @@
 	"wheelrill/balancer"
 )
 
-// TestIncrementalPushesEqualFullComparison has tables that look only at what changed write what others write that go through all backends
-// each time.
+// TestIncrementalPushesEqualFullComparison guards against an incremental push that misses a change:
+// tables that compare only changed backends must write the same bytes as tables that compare all
+// backends for each message.
 func TestIncrementalPushesEqualFullComparison(t *testing.T) {
 	const proxies, backends, numbers, steps = 6, 12, 3, 400
 	for seed := range uint64(40) {
-		chance := rand.New(rand.NewPCG(seed, 9))
-		both := []*tables{newTestTables(2), newTestTables(2)}
-		do := func(what func(to *tables)) {
-			for _, to := range both {
-				what(to)
+		random := rand.New(rand.NewPCG(seed, 9))
+		variants := []*tables{newTestTables(2), newTestTables(2)}
+		order := func(give func(to *tables)) {
+			for _, to := range variants {
+				give(to)
 			}
 		}
-		logged, written := 0, make([][]byte, len(both))
+		total, written := 0, make([][]byte, len(variants))
 		for step := range steps {
-			proxy, backend, number, classes := chance.IntN(proxies), chance.IntN(backends), chance.IntN(numbers), uint16(chance.IntN(4))
-			flag, weight := chance.IntN(2) == 0, float64(chance.IntN(3))
-			switch chance.IntN(12) {
+			proxy, backend, number := random.IntN(proxies), random.IntN(backends), random.IntN(numbers)
+			classes := uint16(random.IntN(4))
+			flag, weight := random.IntN(2) == 0, float64(random.IntN(3))
+			switch random.IntN(12) {
 			case 0:
-				do(func(to *tables) { connectFakeProxy(to, proxy, flag) })
+				order(func(to *tables) { connectFakeProxy(to, proxy, flag) })
 			case 1, 2:
-				do(func(to *tables) { to.AssignTable(number, proxy, classes) })
+				order(func(to *tables) { to.AssignTable(number, proxy, classes) })
 			case 3, 4, 5:
-				do(func(to *tables) { to.PublishEntry(number, backend, weight) })
+				order(func(to *tables) { to.PublishEntry(number, backend, weight) })
 			case 6, 7:
-				do(func(to *tables) { to.Withdraw(backend, flag) })
+				order(func(to *tables) { to.Withdraw(backend, flag) })
 			case 8:
-				do(func(to *tables) { to.SyncWithdrawals(proxy, 5, balancer.NoRetry) })
+				order(func(to *tables) { to.SyncWithdrawals(proxy, 5, balancer.NoRetry) })
 			case 9:
-				do(func(to *tables) { to.ClearWithdrawals(proxy) })
+				order(func(to *tables) { to.ClearWithdrawals(proxy) })
 			case 10:
-				do(func(to *tables) {
-					for at := range numbers {
-						to.PublishEntry(at, backend, 0) // as decisions forget only what has no line
+				order(func(to *tables) {
+					for table := range numbers {
+						to.PublishEntry(table, backend, 0) // the decisions forget only backends without entries
 					}
 				})
-				do(func(to *tables) { to.forget(backend, func() bool { return true }) })
+				order(func(to *tables) { to.forget(backend, func() bool { return true }) })
 			case 11:
-				do(func(to *tables) { to.RequestAck(step, flag) })
+				order(func(to *tables) { to.RequestAck(step, flag) })
 			}
 			if flag {
-				continue // several orders leave in one message
+				continue // one message contains several orders
 			}
-			for i, to := range both {
+			for i, to := range variants {
 				written[i] = written[i][:0]
-				for _, s := range to.proxies {
-					if s != nil && i == 1 {
-						s.reconciled = false
+				for _, state := range to.proxies {
+					if state != nil && i == 1 {
+						state.reconciled = false
 					}
 				}
 				to.flush(func(_ *connection, message []byte) error {
@@ -64,17 +66,18 @@
 				}, func(proxy int, err error) { t.Fatal(proxy, err) }, func(int, int) {})
 			}
 			if string(written[0]) != string(written[1]) {
-				t.Fatalf("seed %d, step %d:\n%q\n%q by going through all", seed, step, written[0], written[1])
+				t.Fatalf("seed %d, step %d:\n%q\n%q by full comparison", seed, step, written[0], written[1])
 			}
-			logged += len(written[0])
+			total += len(written[0])
 		}
-		if logged < 10*steps {
-			t.Errorf("seed %d: only %d bytes were written", seed, logged)
+		if total < 10*steps {
+			t.Errorf("seed %d: only %d bytes were written", seed, total)
 		}
 	}
 }
 
-// BenchmarkChangedEntry tells what a change of one line costs tables as proxies and backends grow in number, without decisions.
+// BenchmarkChangedEntry measures a change of one entry by the number of proxies and backends,
+// without decisions.
 func BenchmarkChangedEntry(b *testing.B) {
 	for _, proxies := range []int{100, 400, 1200, 2400} {
 		for _, backends := range []int{1000, 5000, 20_000} {
@@ -88,7 +91,10 @@
 					tables.AssignTable(0, proxy, 0)
 				}
 				flush := func() {
-					tables.flush(func(_ *connection, m []byte) error { _, err := io.Discard.Write(m); return err }, nil, nil)
+					tables.flush(func(_ *connection, message []byte) error {
+						_, err := io.Discard.Write(message)
+						return err
+					}, nil, nil)
 				}
 				flush()
 				b.ResetTimer()
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -9,18 +9,19 @@
 	"wheelrill/ownership"
 )
 
-// newKnownTable makes tables of ten lines for two classes, and a proxy that comes from another owner with what is given.
-func newKnownTable(base ownership.KnownTable, brought map[string]float64) (*tables, *fakeProxy, *connection) {
+// newKnownTable makes tables of ten entries for two classes, and a proxy that another owner has
+// left with the given entries. base is what the new owner knows of them.
+func newKnownTable(base ownership.KnownTable, entriesBefore map[string]float64) (*tables, *fakeProxy, *connection) {
 	to := newTestTables(2)
 	fake, conn := connectFakeProxy(to, 0, false)
 	for class := range fake.lines {
-		fake.lines[class] = maps.Clone(brought)
+		fake.lines[class] = maps.Clone(entriesBefore)
 		fake.limits[class] = []float64{2, 0}
 	}
 	for b := range 10 {
 		to.PublishEntry(0, b, 1)
 	}
-	to.proxies[0].base = []ownership.KnownTable{base, base}
+	to.proxies[0].knownTables = []ownership.KnownTable{base, base}
 	return to, fake, conn
 }
 
@@ -29,65 +30,66 @@
 	for b := range 10 {
 		ten[fmt.Sprint("s-", b)] = 1
 	}
-	// quoted is a table as the record has it, which keeps names as they are written.
+	// quoted returns a table in the form of the record, whose names are JSON strings.
 	quoted := func(lines map[string]float64) map[string]float64 {
-		of := map[string]float64{}
+		encoded := map[string]float64{}
 		for id, weight := range lines {
-			of[fmt.Sprintf("%q", id)] = weight
+			encoded[fmt.Sprintf("%q", id)] = weight
 		}
-		return of
+		return encoded
 	}
-	t.Run("what it surely has is not written again, and limits that others left are lifted, once", func(t *testing.T) {
+	t.Run("known entries are not written again, and limits of another owner are lifted once", func(t *testing.T) {
 		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		tables.AssignTable(0, 0, 0)
 		tables.RequestAck(1, false)
-		tables.writes(t)
+		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); fake.cost > 3 || !maps.Equal(fake.lines[0], ten) || fake.limits[0][0] < 1e9 || fake.limits[1][0] < 1e9 ||
 			fake.limits[0][1] != float64(balancer.RetryIfNotExecuted) {
 			t.Errorf("got %+v", fake)
 		}
 		tables.PublishEntry(0, 3, 0.5)
-		tables.writes(t)
+		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); fake.cost != 1 || fake.limits[0][0] < 1e9 {
-			t.Errorf("a later change wrote %d lines, levels %v", fake.cost, fake.limits)
+			t.Errorf("a later change took %d lines, limits %v", fake.cost, fake.limits)
 		}
 		tables.SetAdmissionLimit(balancer.AllTables, 0, 7, balancer.NoRetry)
-		tables.writes(t)
+		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); fake.limits[0][0] != 7 || fake.limits[1][0] != 7 {
-			t.Errorf("levels %v", fake.limits)
+			t.Errorf("limits %v, want 7", fake.limits)
 		}
 	})
-	t.Run("entries that differ, that it lacks, that it has too many, and those in doubt are written", func(t *testing.T) {
-		brought := maps.Clone(ten)
-		brought["s-1"], brought["s-9"], brought["s-20"] = 0.25, 0.5, 3
-		delete(brought, "s-2")
-		known := quoted(brought)
-		delete(known, `"s-9"`) // in doubt: it may have any, or none
-		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, brought)
+	t.Run("entries that differ, are missing, are surplus or are uncertain are written", func(t *testing.T) {
+		entriesBefore := maps.Clone(ten)
+		entriesBefore["s-1"], entriesBefore["s-9"], entriesBefore["s-20"] = 0.25, 0.5, 3
+		delete(entriesBefore, "s-2")
+		known := quoted(entriesBefore)
+		delete(known, `"s-9"`) // uncertain: the proxy may have any weight, or none
+		tables, fake, conn := newKnownTable(
+			ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, entriesBefore)
 		tables.AssignTable(0, 0, 0)
-		tables.writes(t)
+		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || !maps.Equal(fake.lines[1], ten) || fake.cost != 5 {
-			t.Errorf("wrote %d lines: %+v", fake.cost, fake.lines)
+			t.Errorf("%d lines, want 5; entries %+v", fake.cost, fake.lines)
 		}
 	})
-	t.Run("where as many differ as there are, it gets the full table", func(t *testing.T) {
+	t.Run("if all entries differ, the full table is written", func(t *testing.T) {
 		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
 		tables.AssignTable(0, 0, 0)
-		tables.writes(t)
+		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || fake.limits[0] != nil || tables.fullTables != 1 || tables.deltaTables != 0 {
 			t.Errorf("got %+v", fake)
 		}
 	})
-	t.Run("with classes that had other tables, what any of them may lack is written", func(t *testing.T) {
+	t.Run("for classes that had different tables, an entry that any of them lacks is written", func(t *testing.T) {
 		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		delete(fake.lines[1], "s-4")
-		less := quoted(ten)
-		delete(less, `"s-4"`)
-		tables.proxies[0].base[1] = ownership.KnownTable{Lines: less}
+		withoutOne := quoted(ten)
+		delete(withoutOne, `"s-4"`)
+		tables.proxies[0].knownTables[1] = ownership.KnownTable{Lines: withoutOne}
 		tables.AssignTable(0, 0, 0)
-		tables.writes(t)
+		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || !maps.Equal(fake.lines[1], ten) {
-			t.Errorf("has %v", fake.lines)
+			t.Errorf("entries %v, want %v for both classes", fake.lines, ten)
 		}
 	})
 }
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -9,34 +9,41 @@
 	"wheelrill/distribution"
 )
 
-// Kinds of distributed entries. The name of an entry is its kind, a slash, and what it is about; an entry of the scope "pricing" that
+// Kinds of distributed entries. The name of an entry is its kind, a slash, and the name of the
+// backend, class, tenant, route or service that it refers to: an entry of the scope "pricing" that
 // drains the backend s-1 has the name "drain/s-1".
 const (
-	kindDrain   = "drain"   // of a backend
-	kindWeight  = "weight"  // of a backend
-	kindLimit   = "limit"   // of a class, requests a second of all proxies; of a tenant it is carried alone
+	kindDrain  = "drain"  // of a backend
+	kindWeight = "weight" // of a backend
+	// A limit of a class is the requests a second of all proxies. A limit of a tenant is
+	// distributed, but not applied here.
+	kindLimit   = "limit"   // of a class or a tenant
 	kindRoute   = "route"   // by its name
 	kindService = "service" // by its name
 
 	kindSeparator = "/"
 )
 
-// drainValue is the one value of a drain.
+// drainValue is the only valid value of a drain.
 const drainValue = "true"
 
-// maxWeight is beyond what a list can mean.
+// maxWeight is larger than any meaningful weight in an endpoint list.
 const maxWeight = 1e6
 
-// minLimit stands for a limit of 0, as 0 is none at all for the decisions: they let little through then, to hear of it.
+// minLimit replaces a limit of 0, because the decisions take a quota of 0 as no quota at all. With
+// minLimit they still let a little through, so that load reports of the class continue.
 const minLimit = 1e-9
 
-// overrides are what distributed entries say of backends, over discovery's word, and of classes. A backend or class may have entries
-// of several scopes. The event loop owns it; after a restart it is filled anew by the distribution.
+// overrides holds the values that distributed entries set for backends, where they take precedence
+// over discovery, and for classes. A backend or class may have entries of several scopes. The event
+// loop owns it; after a restart, the distribution fills it again.
 type overrides struct {
 	classLimits map[string]map[distribution.Key]float64        // by class, requests a second
-	drains      map[string]map[distribution.Key]microseconds   // by backend's id: when the entry was accepted
-	weights     map[string]map[distribution.Key]weightOverride // by backend's id
-	listed      []balancer.Endpoint                            // by backend, as discovery has it; an index that is given anew is listed anew
+	drains      map[string]map[distribution.Key]microseconds   // by backend id: time at which the entry was accepted
+	weights     map[string]map[distribution.Key]weightOverride // by backend id
+	// listed holds, by backend index, the endpoint as discovery lists it. Before an index is used
+	// again, the list names its new backend.
+	listed []balancer.Endpoint
 }
 
 // weightOverride is a weight and the revision that set it.
@@ -51,66 +58,70 @@
 	return o
 }
 
-// clear forgets all distributed entries.
+// clear discards all distributed entries.
 func (o *overrides) clear() {
 	o.classLimits = map[string]map[distribution.Key]float64{}
 	o.drains = map[string]map[distribution.Key]microseconds{}
 	o.weights = map[string]map[distribution.Key]weightOverride{}
 }
 
-// subject is what an entry is about: a backend, or a class, or for others neither.
+// subject is the backend or the class that an entry refers to. Entries of other kinds have neither.
 type subject struct{ backend, class string }
 
-// apply takes an entry in; it gives what the decisions have to hear of anew. Not ok: the entry makes no sense, and counts as if it were
-// not there.
+// apply stores or deletes the value of an entry, and returns the subject for which the decisions
+// have to be updated. It returns false if the value is unusable; the entry then counts as deleted.
 func (o *overrides) apply(entry distribution.Entry) (changed subject, ok bool) {
-	kind, about, _ := strings.Cut(entry.Name, kindSeparator)
+	kind, target, _ := strings.Cut(entry.Name, kindSeparator)
 	switch kind {
 	case kindDrain:
 		usable := string(entry.Value) == drainValue
-		setOverride(o.drains, about, entry.Key(), entry.AcceptedAt, usable && !entry.Deleted)
-		return subject{backend: about}, usable || entry.Deleted
+		setOverride(o.drains, target, entry.Key(), entry.AcceptedAt, usable && !entry.Deleted)
+		return subject{backend: target}, usable || entry.Deleted
 	case kindWeight:
 		weight, usable := parseWeight(string(entry.Value))
-		setOverride(o.weights, about, entry.Key(), weightOverride{weight, entry.Revision}, usable && !entry.Deleted)
-		return subject{backend: about}, usable || entry.Deleted
+		setOverride(o.weights, target, entry.Key(), weightOverride{weight, entry.Revision}, usable && !entry.Deleted)
+		return subject{backend: target}, usable || entry.Deleted
 	case kindLimit:
 		limit, usable := parseLimit(string(entry.Value))
-		setOverride(o.classLimits, about, entry.Key(), limit, usable && !entry.Deleted)
-		return subject{class: about}, usable || entry.Deleted
+		setOverride(o.classLimits, target, entry.Key(), limit, usable && !entry.Deleted)
+		return subject{class: target}, usable || entry.Deleted
 	}
 	return subject{}, true
 }
 
-// setOverride keeps what a key says of a backend or class, or forgets it.
-func setOverride[T any](bySubject map[string]map[distribution.Key]T, about string, key distribution.Key, value T, stands bool) {
-	if !stands {
-		delete(bySubject[about], key)
-		if len(bySubject[about]) == 0 {
-			delete(bySubject, about)
+// setOverride stores the value of a key for a backend or class, or deletes it if present is false.
+func setOverride[T any](
+	bySubject map[string]map[distribution.Key]T, target string, key distribution.Key, value T, present bool,
+) {
+	if !present {
+		delete(bySubject[target], key)
+		if len(bySubject[target]) == 0 {
+			delete(bySubject, target)
 		}
 		return
 	}
-	if bySubject[about] == nil {
-		bySubject[about] = map[distribution.Key]T{}
+	if bySubject[target] == nil {
+		bySubject[target] = map[distribution.Key]T{}
 	}
-	bySubject[about][key] = value
+	bySubject[target][key] = value
 }
 
-// parseWeight reads a weight; not ok if it is none, 0 or less, or above maxWeight.
+// parseWeight parses a weight. It returns false unless the weight is a number above 0, and at most
+// maxWeight.
 func parseWeight(text string) (weight float64, ok bool) {
 	weight, err := strconv.ParseFloat(text, 64)
 	return weight, err == nil && weight > 0 && weight <= maxWeight
 }
 
-// parseLimit reads a limit of an entry that arrived; not ok if it is none, below 0 or infinite. checkEntry, of an entry that is to be
-// distributed, looks at a JSON number instead.
+// parseLimit parses the limit of an entry that has arrived, and replaces 0 by minLimit. It returns
+// false unless the limit is a finite number, 0 or above. checkEntry, which checks entries before
+// they are distributed, reads a JSON number instead.
 func parseLimit(text string) (limit float64, ok bool) {
 	limit, err := strconv.ParseFloat(text, 64)
 	return max(limit, minLimit), err == nil && limit >= 0 && !math.IsInf(limit, 1)
 }
 
-// limitOf is the lowest limit that stands for a class; 0 where there is none.
+// limitOf returns the lowest limit that an entry sets for a class; 0 if there is none.
 func (o *overrides) limitOf(class string) (lowest float64) {
 	for _, limit := range o.classLimits[class] {
 		if lowest == 0 || limit < lowest {
@@ -120,7 +131,7 @@
 	return lowest
 }
 
-// reset forgets all distributed entries, and gives what they were about.
+// reset discards all distributed entries, and returns their subjects.
 func (o *overrides) reset() (changed []subject) {
 	for backend := range o.drains {
 		changed = append(changed, subject{backend: backend})
@@ -135,8 +146,8 @@
 	return changed
 }
 
-// weightOf is the weight that stands for a backend: of several scopes' the one that was set last, the lowest where they were set by
-// one revision.
+// weightOf returns the weight that entries set for a backend. Of several scopes, the entry with the
+// newest revision applies, and of several entries of one revision the lowest weight.
 func (o *overrides) weightOf(backend string) (weight float64, ok bool) {
 	var newest weightOverride
 	for _, override := range o.weights[backend] {
@@ -149,7 +160,8 @@
 	return newest.weight, ok
 }
 
-// drainedSince is when the first of the entries that drain a backend was accepted; 0 where none says.
+// drainedSince returns the time at which the first of the entries that drain a backend was
+// accepted; 0 if no entry has a time.
 func (o *overrides) drainedSince(backend string) (since microseconds) {
 	for _, acceptedAt := range o.drains[backend] {
 		if acceptedAt > 0 && (since == 0 || acceptedAt < since) {
@@ -159,16 +171,16 @@
 	return since
 }
 
-// noteListed keeps what discovery says of a backend.
-func (o *overrides) noteListed(endpoint balancer.Endpoint) {
+// storeListed stores an endpoint as discovery lists it.
+func (o *overrides) storeListed(endpoint balancer.Endpoint) {
 	for len(o.listed) <= endpoint.Backend {
 		o.listed = append(o.listed, balancer.Endpoint{})
 	}
 	o.listed[endpoint.Backend] = endpoint
 }
 
-// noteUnlisted notes those that a full list lacks.
-func (o *overrides) noteUnlisted(listed map[int]bool) {
+// markUnlisted marks the endpoints that a full list lacks as removed.
+func (o *overrides) markUnlisted(listed map[int]bool) {
 	for backend := range o.listed {
 		if _, named := listed[backend]; !named {
 			o.listed[backend].State = balancer.Removed
@@ -176,9 +188,10 @@
 	}
 }
 
-// merged adds an endpoint as the decisions are to have it. One that is drained and that discovery has dropped is drained first:
-// dropped alone, it might go on being used.
-func (o *overrides) merged(to []balancer.Endpoint, id string, endpoint balancer.Endpoint) []balancer.Endpoint {
+// appendMerged appends an endpoint with its overrides applied, as the decisions are given it. A drained
+// backend that discovery has removed is appended twice, as draining and then as removed: if it were
+// only removed, proxies might go on using it.
+func (o *overrides) appendMerged(to []balancer.Endpoint, id string, endpoint balancer.Endpoint) []balancer.Endpoint {
 	if weight, ok := o.weightOf(id); ok {
 		endpoint.Weight = weight
 	}
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -19,32 +19,32 @@
 	ready := balancer.Endpoint{Backend: 3, State: balancer.Ready, Weight: 2}
 	merged := func(e balancer.Endpoint) string {
 		var all []string
-		for _, e := range o.merged(nil, "s-3", e) {
-			all = append(all, fmt.Sprint(e.State, e.Weight))
+		for _, endpoint := range o.appendMerged(nil, "s-3", e) {
+			all = append(all, fmt.Sprint(endpoint.State, endpoint.Weight))
 		}
 		return strings.Join(all, ", ")
 	}
-	puts := func(e distribution.Entry, usable bool) {
+	apply := func(e distribution.Entry, usable bool) {
 		t.Helper()
 		if _, ok := o.apply(e); ok != usable {
-			t.Errorf("%+v: usable %v", e, ok)
+			t.Errorf("apply(%+v) returned %v, want %v", e, ok, usable)
 		}
 	}
-	wants := func(e balancer.Endpoint, want string) {
+	expectMerged := func(e balancer.Endpoint, want string) {
 		t.Helper()
 		if got := merged(e); got != want {
-			t.Errorf("got %s, not %s", got, want)
+			t.Errorf("merged endpoints are %s, want %s", got, want)
 		}
 	}
-	wants(ready, fmt.Sprint(balancer.Ready, 2))
-	puts(distributedEntry("weight/s-3", "0.5", 1), true)
-	wants(ready, fmt.Sprint(balancer.Ready, 0.5))
+	expectMerged(ready, fmt.Sprint(balancer.Ready, 2))
+	apply(distributedEntry("weight/s-3", "0.5", 1), true)
+	expectMerged(ready, fmt.Sprint(balancer.Ready, 0.5))
 	other := distributedEntry("weight/s-3", "1.5", 2)
 	other.Scope = "orders"
-	puts(other, true)
-	wants(ready, fmt.Sprint(balancer.Ready, 1.5)) // set last
-	puts(distributedEntry("drain/s-3", "true", 3), true)
-	wants(ready, fmt.Sprint(balancer.Draining, 1.5))
+	apply(other, true)
+	expectMerged(ready, fmt.Sprint(balancer.Ready, 1.5)) // the weight of the newest revision
+	apply(distributedEntry("drain/s-3", "true", 3), true)
+	expectMerged(ready, fmt.Sprint(balancer.Draining, 1.5))
 	first := distributedEntry("drain/s-3", "true", 2)
 	first.Scope, first.AcceptedAt = "orders", 5
 	second := distributedEntry("drain/s-3", "true", 4)
@@ -55,68 +55,68 @@
 		drain distribution.Entry
 		since int64
 	}{{second, 9}, {first, 5}, {unknown, 5}} {
-		puts(step.drain, true)
-		if got := o.merged(nil, "s-3", ready)[0].DrainingSince; got != step.since {
-			t.Errorf("drained since %d, not %d", got, step.since)
+		apply(step.drain, true)
+		if got := o.appendMerged(nil, "s-3", ready)[0].DrainingSince; got != step.since {
+			t.Errorf("drained since %d, want %d", got, step.since)
 		}
 	}
 	first.Deleted, unknown.Deleted = true, true
-	puts(first, true)
-	puts(unknown, true)
-	if got := o.merged(nil, "s-3", ready)[0].DrainingSince; got != 9 {
-		t.Errorf("drained since %d once the first is over", got)
+	apply(first, true)
+	apply(unknown, true)
+	if got := o.appendMerged(nil, "s-3", ready)[0].DrainingSince; got != 9 {
+		t.Errorf("drained since %d after the first drain has ended, want 9", got)
 	}
-	gone := ready
-	gone.State = balancer.Removed
-	wants(gone, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Removed))
-	for _, nonsense := range []string{"false", "", "1"} { // as if it were not there
-		puts(distributedEntry("drain/s-3", nonsense, 4), false)
-		wants(ready, fmt.Sprint(balancer.Ready, 1.5))
+	removed := ready
+	removed.State = balancer.Removed
+	expectMerged(removed, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Removed))
+	for _, unusable := range []string{"false", "", "1"} { // counts as a deleted entry
+		apply(distributedEntry("drain/s-3", unusable, 4), false)
+		expectMerged(ready, fmt.Sprint(balancer.Ready, 1.5))
 	}
 	other.Deleted = true
-	puts(other, true)
-	wants(ready, fmt.Sprint(balancer.Ready, 0.5))
-	for _, nonsense := range []string{"0", "-1", "NaN", "1e9", "x", ""} {
-		puts(distributedEntry("weight/s-3", nonsense, 5), false)
-		wants(ready, fmt.Sprint(balancer.Ready, 2))
+	apply(other, true)
+	expectMerged(ready, fmt.Sprint(balancer.Ready, 0.5))
+	for _, unusable := range []string{"0", "-1", "NaN", "1e9", "x", ""} {
+		apply(distributedEntry("weight/s-3", unusable, 5), false)
+		expectMerged(ready, fmt.Sprint(balancer.Ready, 2))
 	}
-	puts(distributedEntry("limit/t1", "5", 6), true)
-	puts(distributedEntry("drain/s-3", "true", 7), true)
-	for _, nonsense := range []string{"-1", "NaN", "Inf", "x", ""} {
-		puts(distributedEntry("limit/read it", nonsense, 8), false)
+	apply(distributedEntry("limit/t1", "5", 6), true)
+	apply(distributedEntry("drain/s-3", "true", 7), true)
+	for _, unusable := range []string{"-1", "NaN", "Inf", "x", ""} {
+		apply(distributedEntry("limit/read it", unusable, 8), false)
 	}
 	if limit := o.limitOf("read it"); limit != 0 {
-		t.Errorf("a limit of %v", limit)
+		t.Errorf("unusable values set a limit of %v", limit)
 	}
-	puts(distributedEntry("limit/read it", "7", 9), true)
+	apply(distributedEntry("limit/read it", "7", 9), true)
 	lower := distributedEntry("limit/read it", "0", 10)
 	lower.Scope = "orders"
-	if puts(lower, true); o.limitOf("read it") != minLimit {
-		t.Errorf("of 7 and 0 the limit is %v", o.limitOf("read it"))
+	if apply(lower, true); o.limitOf("read it") != minLimit {
+		t.Errorf("the limit of entries of 7 and 0 is %v, want minLimit", o.limitOf("read it"))
 	}
 	lower.Deleted = true
-	if puts(lower, true); o.limitOf("read it") != 7 {
-		t.Errorf("the limit that is left is %v", o.limitOf("read it"))
+	if apply(lower, true); o.limitOf("read it") != 7 {
+		t.Errorf("the limit after the entry of 0 was deleted is %v, want 7", o.limitOf("read it"))
 	}
 	changed := o.reset()
 	slices.SortFunc(changed, func(a, b subject) int { return strings.Compare(a.backend+a.class, b.backend+b.class) })
 	if want := []subject{{class: "read it"}, {backend: "s-3"}, {class: "t1"}}; !slices.Equal(changed, want) {
-		t.Errorf("reset %v", changed)
+		t.Errorf("reset returned %v, want %v", changed, want)
 	}
-	wants(ready, fmt.Sprint(balancer.Ready, 2))
+	expectMerged(ready, fmt.Sprint(balancer.Ready, 2))
 	if len(o.drains)+len(o.weights)+len(o.classLimits) != 0 {
-		t.Errorf("left over: %+v", o)
+		t.Errorf("overrides after reset: %+v", o)
 	}
 }
 
-// drainOf is what arrives when a backend is drained, or let back.
+// drainOf returns the entry that arrives when a backend is drained, or when its drain ends.
 func drainOf(id string, revision uint64, deleted bool) []distribution.Entry {
 	e := distributedEntry("drain/"+id, "true", revision)
 	e.Deleted = deleted
 	return []distribution.Entry{e}
 }
 
-// picks takes what a proxy was told, and gives what it can pick.
+// receivePicks applies the messages to a proxy, and returns the backends that it can pick.
 func (fake *fakeProxy) receivePicks(t *testing.T, conn *connection) []string {
 	t.Helper()
 	fake.receive(t, conn)
@@ -124,7 +124,7 @@
 }
 
 func TestDistributedEntriesReachDecisions(t *testing.T) {
-	begins := func(t *testing.T) (*eventLoop, *fakeProxy, *connection) {
+	newLoop := func(t *testing.T) (*eventLoop, *fakeProxy, *connection) {
 		loop, _ := newIdleLoop(t)
 		loop.overrides = newOverrides()
 		loop.iterate(func() {
@@ -137,63 +137,63 @@
 		loop.iterate(func() { loop.acknowledged(conn, fake.nonces[len(fake.nonces)-1]) })
 		return loop, fake, conn
 	}
-	without := func(t *testing.T, loop *eventLoop, fake *fakeProxy, conn *connection, id string) {
+	expectWithout := func(t *testing.T, loop *eventLoop, fake *fakeProxy, conn *connection, id string) {
 		t.Helper()
 		advance(loop, 2*microsPerSecond, func() {})
 		if got := fake.receivePicks(t, conn); slices.Contains(got, id) {
-			t.Errorf("picks %v", got)
+			t.Errorf("picks %v, want none of %s", got, id)
 		}
 	}
-	t.Run("a drain takes a backend out, and its end brings it back", func(t *testing.T) {
-		loop, fake, conn := begins(t)
+	t.Run("a drained backend is not picked until its drain ends", func(t *testing.T) {
+		loop, fake, conn := newLoop(t)
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
-		without(t, loop, fake, conn, "s-0")
-		loop.iterate(func() { // whatever discovery says
+		expectWithout(t, loop, fake, conn, "s-0")
+		loop.iterate(func() { // discovery does not override the drain
 			loop.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
 		})
-		without(t, loop, fake, conn, "s-0")
+		expectWithout(t, loop, fake, conn, "s-0")
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 2, true), false) })
 		advance(loop, 5*microsPerSecond, func() {})
 		if got := fake.receivePicks(t, conn); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
-	t.Run("a drain counts for a backend that is listed later", func(t *testing.T) {
-		loop, fake, conn := begins(t)
+	t.Run("a drain applies to a backend that is listed later", func(t *testing.T) {
+		loop, fake, conn := newLoop(t)
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-2", 1, false), false) })
 		loop.iterate(func() { loop.endpointsUpdated(false, 3, parsed(t, "["+endpointJSON(2, "up")+"]").GetArray()) })
-		without(t, loop, fake, conn, "s-2")
+		expectWithout(t, loop, fake, conn, "s-2")
 	})
-	t.Run("a drain of one that discovery has dropped takes it out", func(t *testing.T) {
-		loop, fake, conn := begins(t)
+	t.Run("a drained backend that discovery has dropped is not picked", func(t *testing.T) {
+		loop, fake, conn := newLoop(t)
 		loop.iterate(func() { loop.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(1, "up")+"]").GetArray()) })
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
-		without(t, loop, fake, conn, "s-0")
+		expectWithout(t, loop, fake, conn, "s-0")
 		advance(loop, loop.limits.forgetAfter+2*microsPerSecond, func() {})
 		if loop.backends.ids[0] == "s-0" {
-			t.Error("it is never forgotten")
+			t.Error("the backend was never forgotten")
 		}
 		loop.iterate(func() { loop.endpointsUpdated(false, 4, parsed(t, "["+endpointJSON(8, "up")+"]").GetArray()) })
 		advance(loop, 5*microsPerSecond, func() {})
 		next := newFakeProxy("read it", "write")
 		if got := next.receivePicks(t, connectProxy(t, loop, 2, 1, false)); loop.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
-			t.Errorf("the next that has its index is %s; picks %v", loop.backends.ids[0], got)
+			t.Errorf("its index was reused by %q, want s-8; picks %v", loop.backends.ids[0], got)
 		}
 	})
-	t.Run("a full configuration ends what it lacks", func(t *testing.T) {
-		loop, fake, conn := begins(t)
+	t.Run("a full configuration ends drains that it lacks", func(t *testing.T) {
+		loop, fake, conn := newLoop(t)
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
-		without(t, loop, fake, conn, "s-0")
+		expectWithout(t, loop, fake, conn, "s-0")
 		loop.iterate(func() { loop.applyDistributed(nil, true) })
 		advance(loop, 5*microsPerSecond, func() {})
 		if got := fake.receivePicks(t, conn); !slices.Contains(got, "s-0") {
 			t.Errorf("picks %v", got)
 		}
 	})
-	t.Run("a limit of a class is told to the proxies, and its end", func(t *testing.T) {
-		loop, fake, conn := begins(t)
+	t.Run("a limit of a class and its end reach the proxies", func(t *testing.T) {
+		loop, fake, conn := newLoop(t)
 		index := loop.classIndex["read it"]
-		comes := func() {
+		reportDemand := func() {
 			for range 8 {
 				loop.decisions.DemandReported(0, index, 80, microsPerSecond)
 				advance(loop, microsPerSecond, func() {})
@@ -201,27 +201,27 @@
 				loop.iterate(func() { loop.acknowledged(conn, fake.nonces[len(fake.nonces)-1]) })
 			}
 		}
-		comes()
+		reportDemand()
 		loop.iterate(func() {
 			loop.applyDistributed([]distribution.Entry{distributedEntry("limit/read it", "8", 1), distributedEntry("limit/tenant-17", "1", 1)}, false)
 		})
-		comes()
+		reportDemand()
 		if len(fake.limits[0]) == 0 || fake.limits[0][0] <= 0 || fake.limits[0][0] > 8.1 {
-			t.Errorf("levels %v", fake.limits)
+			t.Errorf("limits %v, want at most 8.1", fake.limits)
 		}
 		loop.iterate(func() { loop.applyDistributed(nil, true) })
-		comes()
+		reportDemand()
 		if len(fake.limits[0]) > 0 && fake.limits[0][0] <= 80 {
-			t.Errorf("levels once it is over: %v", fake.limits)
+			t.Errorf("limits %v after the entry's end, want above 80", fake.limits)
 		}
 	})
-	t.Run("a weight stands over the listed one", func(t *testing.T) {
-		loop, fake, conn := begins(t)
+	t.Run("a weight overrides the listed one", func(t *testing.T) {
+		loop, fake, conn := newLoop(t)
 		loop.iterate(func() { loop.applyDistributed([]distribution.Entry{distributedEntry("weight/s-0", "4", 1)}, false) })
 		advance(loop, 20*microsPerSecond, func() {})
 		fake.receive(t, conn)
 		if lines := fake.lines[0]; lines["s-0"] <= lines["s-1"] {
-			t.Errorf("lines %v", lines)
+			t.Errorf("weights %v, want s-0 above s-1", lines)
 		}
 	})
 }
@@ -237,28 +237,28 @@
 	want := `orders drain/s-9 true;pricing drain/s-1 true;pricing limit/t1 120;pricing route//x {"to":"pricing"};` +
 		`pricing service/pricing {};pricing weight/s-2 0.5`
 	if got := strings.Join(all, ";"); got != want || !ok || err != nil {
-		t.Errorf("got %s, %v, %v", got, ok, err)
+		t.Errorf("got %s, %v, error %v; want %s", got, ok, err, want)
 	}
 	if _, ok, err := readDistributed(parsed(t, `{}`)); ok || err != nil {
-		t.Errorf("a file without it: %v, %v", ok, err)
+		t.Errorf("a configuration without the key: %v, error %v", ok, err)
 	}
 	if entries, ok, err := readDistributed(parsed(t, `{"distributed":{}}`)); !ok || err != nil || len(entries) != 0 {
-		t.Errorf("nothing is to be distributed: %v, %v, %v", entries, ok, err)
+		t.Errorf("an empty object: entries %v, %v, error %v", entries, ok, err)
 	}
 	for bad, want := range map[string]string{
-		`[]`:                               "configuration: distributed: is no object",
-		`{"pricing":[]}`:                   "configuration: distributed.pricing: is no object",
-		`{"pricing":{"drain":true}}`:       "configuration: distributed.pricing.drain: is no object",
+		`[]`:                               "configuration: distributed: is not an object",
+		`{"pricing":[]}`:                   "configuration: distributed.pricing: is not an object",
+		`{"pricing":{"drain":true}}`:       "configuration: distributed.pricing.drain: is not an object",
 		`{"pricing":{"drian":{"s":1}}}`:    "configuration: distributed.pricing.drian.s: is of an unknown kind",
-		`{"pricing":{"drain":{"s":1}}}`:    "configuration: distributed.pricing.drain.s: is 1; a drain is true",
-		`{"pricing":{"weight":{"s":0}}}`:   "configuration: distributed.pricing.weight.s: is 0; give a number above 0",
-		`{"pricing":{"weight":{"s":"2"}}}`: `configuration: distributed.pricing.weight.s: is "2"; give`,
-		`{"pricing":{"limit":{"t":-1}}}`:   "configuration: distributed.pricing.limit.t: is -1; give a number",
-		`{"pricing":{"route":{"t":1}}}`:    "configuration: distributed.pricing.route.t: is no object",
-		`{"":{"route":{"t":{}}}}`:          `configuration: distributed: "" is no name`,
+		`{"pricing":{"drain":{"s":1}}}`:    "configuration: distributed.pricing.drain.s: is 1; a drain must be true",
+		`{"pricing":{"weight":{"s":0}}}`:   "configuration: distributed.pricing.weight.s: is 0; use a number above 0",
+		`{"pricing":{"weight":{"s":"2"}}}`: `configuration: distributed.pricing.weight.s: is "2"; use a number above 0`,
+		`{"pricing":{"limit":{"t":-1}}}`:   "configuration: distributed.pricing.limit.t: is -1; use a number of requests a second",
+		`{"pricing":{"route":{"t":1}}}`:    "configuration: distributed.pricing.route.t: is not an object",
+		`{"":{"route":{"t":{}}}}`:          `configuration: distributed: "" is not a valid name`,
 	} {
 		if _, _, err := readDistributed(parsed(t, `{"distributed":`+bad+`}`)); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: got %v", bad, err)
+			t.Errorf("%s: got error %v, want %s", bad, err, want)
 		}
 	}
 }
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -8,34 +8,39 @@
 	"wheelrill/ownership"
 )
 
-// OwnershipConfig says with whom a controller shares the ownership of proxies. The members agree on all of it but the folder and
-// the files.
+// OwnershipConfig names the members that share the ownership of proxies. All members agree on all
+// of it, except the name, the folder and the files.
 type OwnershipConfig struct {
-	// Name is ours among the members; the controller's own if empty.
+	// Name is the name of this member; empty means the controller's own name.
 	Name string
-	// Members has the address of each member for the others, by its name; ours is among them.
+	// Members maps the name of each member, this one included, to the address on which the others
+	// reach it.
 	Members map[string]string
-	// Folder is for what must outlast the process; empty: nothing does, and a restart comes as a new member.
+	// Folder stores the state that must outlast the process. If it is empty nothing does, and the
+	// process joins as a new member after a restart.
 	Folder string
 	consensus.Credentials
-	// Lease is how long without an answer of the record it takes for a member to act by itself; 0 for 1.5 s.
+	// Lease is the time without an answer of the record after which a member acts by itself; 0
+	// means 1.5 s.
 	Lease ownership.Microseconds
 }
 
-// Figures that follow from no setting. A lease must fit into the time in which a drain has to reach all proxies, and an entry or two
-// may be lost within it.
+// Values that no setting determines. A lease must fit into the time in which a drain has to reach
+// all proxies, and one or two of the entries that renew it may be lost.
 const (
 	defaultLease     = 3 * microsPerSecond / 2
-	renewalsPerLease = 8 // entries that are proposed in a lease, at least
-	// reservedMessages are left to an owner of those that may be written to a proxy: its first table, what goes before that to one
-	// that waits, a drain, and one more.
+	renewalsPerLease = 8 // entries that are proposed during a lease, at least
+	// reservedMessages is the number of messages that an owner may always write to a proxy: its
+	// first table, what is written before that to a proxy that waits, a drain, and one more.
 	reservedMessages = 4
-	// unlimitedMessages may be written to a proxy where no setting limits them.
+	// unlimitedMessages is the number of messages that may be written to a proxy if no setting
+	// limits them.
 	unlimitedMessages = 1 << 20
 )
 
-// ShareOwnership has the controller share the ownership of its proxies from Serve on. It is called once, before Serve, and after
-// JoinDistribution where the controller is a voter. An error says what would do.
+// ShareOwnership makes the controller share the ownership of its proxies while it serves. It is
+// called once, before Serve, and after JoinDistribution if the controller is a voter. An error
+// names the value that is refused, and what is accepted.
 func (c *Controller) ShareOwnership(config OwnershipConfig) error {
 	if config.Name == "" {
 		config.Name = c.configuration.Name
@@ -49,9 +54,10 @@
 	if host.node, err = c.newConsensusNode(config, host); err != nil {
 		return err
 	}
-	// New made decisions that act alone; they are made anew with our part of the messages, and their timers with them.
+	// The decisions that New made assume that no other controller writes to the proxies. Replace
+	// them and their timers by decisions that have this member's share of the messages.
 	loop.timers = nil
-	if loop.decisions, err = c.configuration.newDecisions(loop, c.ownChannel(terms)); err != nil {
+	if loop.decisions, err = c.configuration.newDecisions(loop, c.memberChannel(terms)); err != nil {
 		return err
 	}
 	loop.ownership = host
@@ -60,7 +66,7 @@
 	return nil
 }
 
-// leaseTerms are what all members agree on.
+// leaseTerms returns the terms that all members agree on.
 func (c *Controller) leaseTerms(config OwnershipConfig) (ownership.LeaseTerms, error) {
 	channel := c.configuration.channel
 	terms := ownership.LeaseTerms{
@@ -78,28 +84,32 @@
 	}
 	terms.RenewInterval = terms.Duration / renewalsPerLease
 	if terms.RenewInterval < c.limits.tick.Microseconds() {
-		return terms, fmt.Errorf("lease: %d ms is too short for a tick of %s", terms.Duration/1000, c.limits.tick)
+		return terms, fmt.Errorf("lease: %d ms is too short for a tick of %s; it must last at least %d ticks",
+			terms.Duration/1000, c.limits.tick, renewalsPerLease)
 	}
 	return terms, nil
 }
 
-// newConsensusNode makes our node of the record; that of a voter carries the distribution, too.
+// newConsensusNode makes this member's node of the record. The node of a voter also distributes the
+// configuration.
 func (c *Controller) newConsensusNode(config OwnershipConfig, host *ownershipHost) (*consensus.Node, error) {
 	nodeConfig := consensus.Config{Name: config.Name, Members: config.Members, Folder: config.Folder,
 		Credentials: config.Credentials, Terms: host.terms}
-	votes := c.distributor != nil && c.distributor.transport == nil
-	if votes {
-		nodeConfig.Distribution = c.distributor.becomeVoter(consensus.Peer{Name: config.Name, Address: config.Members[config.Name]})
+	isVoter := c.distributor != nil && c.distributor.transport == nil
+	if isVoter {
+		nodeConfig.Distribution = c.distributor.becomeVoter(
+			consensus.Peer{Name: config.Name, Address: config.Members[config.Name]})
 	}
 	node, err := consensus.New(nodeConfig, consensusEvents{c.loop, host}, c.log)
-	if err == nil && votes {
+	if err == nil && isVoter {
 		c.distributor.consensusNode = node
 	}
 	return node, err
 }
 
-// ownChannel is the push channel with our part of the messages that may be written to a proxy.
-func (c *Controller) ownChannel(terms ownership.LeaseTerms) balancer.PushChannel {
+// memberChannel returns the push channel with this member's share of the messages that may be written
+// to a proxy.
+func (c *Controller) memberChannel(terms ownership.LeaseTerms) balancer.PushChannel {
 	channel := c.configuration.channel
 	if channel.MaxMessages > 0 {
 		channel.MaxMessages = terms.UnownedQuota() + terms.OwnerQuota()
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -9,21 +9,26 @@
 	"wheelrill/ownership"
 )
 
-// ownershipHost is the coordinator's host: it joins the shared ownership of proxies with the decisions, the tables and the
-// connections. The event loop owns it; only node has goroutines of its own, which Controller.Serve starts and awaits.
+// ownershipHost is the host of the coordinator: it connects the shared ownership of proxies with
+// the decisions, the tables and the connections. The event loop owns it; only node has goroutines
+// of its own, which Controller.Serve starts and waits for.
 type ownershipHost struct {
 	loop        *eventLoop
 	coordinator *ownership.Coordinator
 	node        *consensus.Node
 	terms       ownership.LeaseTerms
-	evidence    *ownership.Evidence // what our proxies met since it was last put on the record
+	evidence    *ownership.Evidence // observations by this member's proxies that are not on the record yet
 
-	pending  map[int]pendingProxy // connected proxies that are not ours yet
-	queued   []queuedMessage      // messages that wait for the record, in their order; their number has no bound, but the end of the lease releases them
-	released uint64               // revision of our tables up to which messages may leave
+	// pending holds the connected proxies that this member does not own yet.
+	pending map[int]pendingProxy
+	// queued holds, in order, the messages that wait for the record. Their number is not bounded,
+	// but the end of the lease releases them.
+	queued []queuedMessage
+	// released is the revision of this member's tables up to which messages may be sent.
+	released uint64
 }
 
-// pendingProxy is what the decisions are told of a proxy once it is ours.
+// pendingProxy holds the facts about a proxy that the decisions are given once this member owns it.
 type pendingProxy struct {
 	zone               int
 	requestsPerSecond  float64
@@ -33,8 +38,8 @@
 // coordinatorTimer is the tag of the coordinator's timer; no timer of the decisions has this tag.
 const coordinatorTimer = 1<<64 - 1
 
-// coordinatorTick gives the coordinator its turn: it renews our lease, says which proxies were heard from since, puts evidence on
-// the record, and sets the timer for the next turn.
+// coordinatorTick runs the coordinator periodically: it renews the lease, reports when each proxy
+// last sent a message, puts evidence on the record, and sets the timer for the next tick.
 func (h *ownershipHost) coordinatorTick(now microseconds) {
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
@@ -46,9 +51,11 @@
 	h.loop.SetTimer(h.terms.RenewInterval/2, coordinatorTimer)
 }
 
-// handOver gives our proxies away at a planned end: the loop iterates no more, so no push is made, and the record says so before any
-// of their connections ends, if it answers within limits.handOverTimeout. Meanwhile ReleaseUpTo still hands queued messages that the
-// record releases to their connections, and writers send what waits in outboxes.
+// handOver gives up the ownership of this member's proxies at a planned end. The loop does not
+// iterate any more, so no push is made. The record confirms the handover before any connection of
+// these proxies ends, if it answers within limits.handOverTimeout. Until then ReleaseUpTo still
+// passes queued messages that the record releases to their connections, and writers send the
+// messages that wait in outboxes.
 func (h *ownershipHost) handOver() {
 	loop := h.loop
 	loop.now = max(loop.clock(), loop.now+1)
@@ -67,14 +74,14 @@
 	loop.log.Info("handover_confirmed", "owned", h.coordinator.OwnedProxies())
 }
 
-// proxyJoined has a connected proxy wait until it is ours.
-func (h *ownershipHost) proxyJoined(proxy int, pending pendingProxy) {
+// addPendingProxy registers a connected proxy, which waits until this member owns it.
+func (h *ownershipHost) addPendingProxy(proxy int, pending pendingProxy) {
 	h.pending[proxy] = pending
 	h.coordinator.ProxyConnected(proxy, h.loop.now)
 }
 
-// proxyLeft forgets a proxy; it tells whether the decisions know it.
-func (h *ownershipHost) proxyLeft(proxy int) (known bool) {
+// removeProxy discards a proxy, and reports whether the decisions know it.
+func (h *ownershipHost) removeProxy(proxy int) (known bool) {
 	_, pending := h.pending[proxy]
 	delete(h.pending, proxy)
 	h.evidence.ForgetProxy(proxy)
@@ -82,7 +89,8 @@
 	return !pending
 }
 
-// ProxyGranted implements ownership.Host: a proxy is ours from now on, and goes to the decisions.
+// ProxyGranted implements ownership.Host: this member owns a proxy from now on, and passes it to
+// the decisions.
 func (h *ownershipHost) ProxyGranted(grant ownership.Grant) {
 	pending, ok := h.pending[grant.Proxy]
 	if !ok {
@@ -90,7 +98,7 @@
 	}
 	delete(h.pending, grant.Proxy)
 	state := h.loop.proxy(grant.Proxy)
-	state.unowned, state.base = false, grant.Base
+	state.unowned, state.knownTables = false, grant.Base
 	if grant.NoWithdrawals {
 		state.mayHoldWithdrawals, pending.mayHoldWithdrawals = false, false
 	}
@@ -105,12 +113,14 @@
 	decisions.SeedDemand(grant.Proxy, grant.Demand)
 }
 
-// PeerCapacityReported implements ownership.Host: it hands on what another member saw the backends do.
+// PeerCapacityReported implements ownership.Host: it gives the decisions the throughput of the
+// backends that another member observed.
 func (h *ownershipHost) PeerCapacityReported(capacity ownership.Capacity) {
 	h.loop.decisions.SeedThroughput(capacity.Proven, capacity.Saturated)
 }
 
-// PeerObservationReported implements ownership.Host: it hands on what another member's proxies met at a backend.
+// PeerObservationReported implements ownership.Host: it gives the decisions the outcomes that
+// another member's proxies had at a backend.
 func (h *ownershipHost) PeerObservationReported(_ string, observation ownership.Observation) {
 	if backend, ok := h.loop.backends.index[observation.Backend]; ok {
 		h.loop.decisions.PeerOutcomesReported(backend, observation.Attempts, observation.Failed, observation.MeanLatency,
@@ -118,12 +128,14 @@
 	}
 }
 
-// MessagesSentByPeers implements ownership.Host: the decisions write a proxy so many messages less.
+// MessagesSentByPeers implements ownership.Host: it reduces the messages that the decisions may
+// write to a proxy by those that other members sent.
 func (h *ownershipHost) MessagesSentByPeers(proxy, messages int) {
 	h.loop.decisions.MessagesSentByPeers(proxy, messages)
 }
 
-// QuorumChanged implements ownership.Host: it logs that we act without the record, or with it again.
+// QuorumChanged implements ownership.Host: it logs that this member acts without the record, or
+// with it again.
 func (h *ownershipHost) QuorumChanged(withoutQuorum bool, reason string) {
 	level := slog.LevelInfo
 	if withoutQuorum {
--- a/controller/ownership_queue.go
+++ b/controller/ownership_queue.go
@@ -4,14 +4,15 @@
 	"slices"
 )
 
-// queuedMessage is a message that waits until what it says stands on the record.
+// queuedMessage is a message that waits until the table changes in it are on the record.
 type queuedMessage struct {
 	conn     *connection
 	message  []byte
-	revision uint64 // of our tables, that it says something of
+	revision uint64 // of this member's tables, as the message contains them
 }
 
-// ReleaseUpTo implements ownership.Host: what stands on the record up to a revision of our tables may leave.
+// ReleaseUpTo implements ownership.Host: it sends the queued messages up to a revision of this
+// member's tables, because their changes are on the record.
 func (h *ownershipHost) ReleaseUpTo(revision uint64) {
 	h.released = max(h.released, revision)
 	count := 0
@@ -28,7 +29,8 @@
 	h.queued = slices.Delete(h.queued, 0, count)
 }
 
-// send has a message leave, or wait for the record behind others.
+// send sends a message, or queues it if its table changes are not released yet or if other messages
+// are queued.
 func (h *ownershipHost) send(conn *connection, message []byte) error {
 	revision := h.coordinator.Revision()
 	if len(h.queued) > 0 || revision > h.released {
--- a/controller/ownership_record.go
+++ b/controller/ownership_record.go
@@ -7,8 +7,9 @@
 	"wheelrill/ownership"
 )
 
-// consensusEvents hands what becomes of the record to the event loop. Its methods are called by goroutines of the consensus node, so
-// they only post: what they post runs on the loop's goroutine, and reads loop.now there, as the clock time at which it is taken.
+// consensusEvents passes the events of the record to the event loop. Goroutines of the consensus
+// node call its methods, so the methods only post. The posted functions run on the goroutine of the
+// loop, where loop.now is the clock time at which the event is handled.
 type consensusEvents struct {
 	loop *eventLoop
 	host *ownershipHost
@@ -34,7 +35,8 @@
 	e.loop.post(func() { e.host.coordinator.ProposalFailed(incarnation, sequence, e.loop.now) })
 }
 
-// recordTableChanges puts on the record what this iteration has changed in our tables, before any of it is written.
+// recordTableChanges puts this iteration's changes of tables on the record, before any of them is
+// written to a proxy.
 func (h *ownershipHost) recordTableChanges() {
 	tables := h.loop.tables
 	var changes []ownership.TableChange
@@ -65,12 +67,13 @@
 	}
 }
 
-// recordLine is an entry of a table as the record has it.
+// recordLine returns an entry of a table in the form that the record has.
 func (h *ownershipHost) recordLine(backend int, weight float64) ownership.Line {
 	return ownership.Line{Backend: string(h.loop.backendName(backend)), Weight: weight}
 }
 
-// shareEvidence puts on the record what our proxies met, which backends are ejected here, and what arrives at each proxy.
+// shareEvidence puts on the record the outcomes that this member's proxies observed, the backends
+// that are ejected here, the throughput of the backends, and the demand of each proxy.
 func (h *ownershipHost) shareEvidence(now microseconds) {
 	for backend, id := range h.loop.backends.ids {
 		if id != "" {
@@ -86,5 +89,5 @@
 // Propose implements ownership.Host: it proposes an entry for the record.
 func (h *ownershipHost) Propose(entry ownership.Entry) { h.node.Propose(entry) }
 
-// RandomID implements ownership.Host: it names a new incarnation.
+// RandomID implements ownership.Host: it returns the id of a new incarnation.
 func (h *ownershipHost) RandomID() uint64 { return randomID() }
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -11,45 +11,47 @@
 	"time"
 )
 
-// runningMember is one of several controllers that share their fleet.
+// runningMember is one of the controllers that share the ownership of proxies.
 type runningMember struct {
 	address string
 	logged  *logBuffer
 	stop    func()
-	module  *eventLoop
+	loop    *eventLoop
 }
 
-// awaitAcknowledged waits until a member has it on the record that a proxy confirmed a table of its owner's.
+// awaitAcknowledged waits until the record of a member contains the acknowledgement of a table of
+// owner by a proxy.
 func (s *runningMember) awaitAcknowledged(t *testing.T, node int, owner string) {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(patience)
 	for {
-		stands := make(chan bool, 1)
-		s.module.post(func() {
-			h := s.module.ownership.coordinator.Record().Proxies[node]
-			stands <- h.Owner == owner && h.Revision > 0
+		acknowledged := make(chan bool, 1)
+		s.loop.post(func() {
+			proxy := s.loop.ownership.coordinator.Record().Proxies[node]
+			acknowledged <- proxy.Owner == owner && proxy.Revision > 0
 		})
 		select {
-		case is := <-stands:
-			if is {
+		case done := <-acknowledged:
+			if done {
 				return
 			}
-		case <-late:
-			t.Fatal("nothing that it confirmed is on the record")
+		case <-timeout:
+			t.Fatalf("the record has no acknowledgement of proxy %d to owner %s", node, owner)
 		}
 	}
 }
 
-// runMembers runs as many as names are given; those that are not to run are members all the same.
+// runMembers runs the named controllers. All of them have the same list of members, of which those
+// that are not named do not run.
 func runMembers(t *testing.T, known string, members int, names ...string) []*runningMember {
 	t.Helper()
-	all := map[string]string{}
+	addresses := map[string]string{}
 	for i := range members {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[fmt.Sprint("n", i)] = l.Addr().String()
+		addresses[fmt.Sprint("n", i)] = l.Addr().String()
 		l.Close()
 	}
 	var running []*runningMember
@@ -59,7 +61,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.ShareOwnership(OwnershipConfig{Members: all}); err != nil {
+		if err := c.ShareOwnership(OwnershipConfig{Members: addresses}); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -77,7 +79,7 @@
 		t.Cleanup(s.stop)
 		t.Cleanup(func() {
 			if text, _ := logged.read(); t.Failed() {
-				t.Logf("%s said:\n%s", name, text)
+				t.Logf("log of %s:\n%s", name, text)
 			}
 		})
 		running = append(running, s)
@@ -85,12 +87,13 @@
 	return running
 }
 
-// connectProxyAt has a proxy dial a controller, and apply what it is told until a message has a mark; it answers that.
+// connectProxyAt connects a proxy to a controller, applies messages until one requests an
+// acknowledgement, and acknowledges it.
 func connectProxyAt(t *testing.T, address string, fake *fakeProxy, cold bool) *client {
 	t.Helper()
 	proxy := dial(t, address)
 	proxy.send(fmt.Sprintf(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":%v}`, cold))
-	for marks := len(fake.nonces); len(fake.nonces) == marks || fake.inMessage; {
+	for nonces := len(fake.nonces); len(fake.nonces) == nonces || fake.inMessage; {
 		if err := fake.apply(proxy.receive()); err != nil {
 			t.Fatal(err)
 		}
@@ -105,55 +108,55 @@
 		entries = append(entries, endpointJSON(id, "up"))
 	}
 	known := listJSON(1, true, entries...)
-	t.Run("a proxy that goes over is told what differs, and not the full table again", func(t *testing.T) {
+	t.Run("a proxy that changes its owner is written the difference, not the full table again", func(t *testing.T) {
 		all := runMembers(t, known, 3, "n0", "n1", "n2")
-		for _, s := range all { // each has entered, and its tables stand
+		for _, s := range all { // each member has joined, and its tables are on the record
 			s.logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		}
 		fake := newFakeProxy("read it", "write")
 		proxy := connectProxyAt(t, all[0].address, fake, true)
 		if len(fake.picks(0)) != 12 {
-			t.Fatalf("has %v", fake.picks(0))
+			t.Fatalf("picks %v, want 12 backends", fake.picks(0))
 		}
-		told := 0
-		for at := 1; told == 0 && at < 6; at++ { // at first not all are vouched for yet
+		knownTables := 0
+		for at := 1; knownTables == 0 && at < 6; at++ { // not all tables are confirmed on the record at first
 			all[at%3].awaitAcknowledged(t, 3, fmt.Sprint("n", (at-1)%3))
 			proxy.Close()
 			proxy = connectProxyAt(t, all[at%3].address, fake, false)
 			text, _ := all[at%3].logged.read()
-			if told = strings.Count(text, "tables_known=true"); told > 0 && fake.cost > 6 {
-				t.Errorf("%d lines for a proxy that had all of them", fake.cost)
+			if knownTables = strings.Count(text, "tables_known=true"); knownTables > 0 && fake.cost > 6 {
+				t.Errorf("%d lines were written to a proxy that had all entries", fake.cost)
 			}
 			if picks := fake.picks(0); len(picks) != 12 || !slices.Equal(picks, fake.picks(1)) {
-				t.Fatalf("it can pick %v and %v", picks, fake.picks(1))
+				t.Fatalf("picks %v and %v, want the same 12 backends", picks, fake.picks(1))
 			}
 		}
-		if told == 0 {
-			t.Error("what it had was never known")
+		if knownTables == 0 {
+			t.Error("no member ever knew the tables of the proxy")
 		}
 	})
-	t.Run("at a planned end the record says so before the streams end", func(t *testing.T) {
+	t.Run("at a planned end the handover is confirmed before the connections end", func(t *testing.T) {
 		all := runMembers(t, known, 3, "n0", "n1", "n2")
 		all[1].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		proxy := connectProxyAt(t, all[1].address, newFakeProxy("read it", "write"), true)
 		all[1].stop()
 		if text, _ := all[1].logged.read(); !strings.Contains(text, "msg=handover_confirmed") || !proxy.isClosed() {
-			t.Errorf("logged %s", text)
+			t.Errorf("connection closed %v, log: %s", proxy.isClosed(), text)
 		}
 	})
-	t.Run("one that has no majority serves by itself after a lease", func(t *testing.T) {
+	t.Run("a member without a majority serves by itself after a lease", func(t *testing.T) {
 		alone := runMembers(t, known, 3, "n0")[0]
 		fake := newFakeProxy("read it", "write")
 		began := time.Now()
 		connectProxyAt(t, alone.address, fake, true)
 		if text, _ := alone.logged.read(); len(fake.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
-			t.Errorf("it can pick %v; logged %s", fake.picks(0), text)
+			t.Errorf("picks %v, want 12 backends; log: %s", fake.picks(0), text)
 		}
-		if waited := time.Since(began); waited > 3*time.Second { // the grace of these settings
-			t.Errorf("it waited for %s", waited)
+		if waited := time.Since(began); waited > 3*time.Second { // drain grace of these settings
+			t.Errorf("the proxy waited %s for its tables", waited)
 		}
 	})
-	t.Run("with fencing tokens asked for, each push has its owner's", func(t *testing.T) {
+	t.Run("if a proxy asks for fencing tokens, each push has its owner's token", func(t *testing.T) {
 		all := runMembers(t, known, 2, "n0", "n1")
 		all[0].logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		proxy := dial(t, all[0].address)
@@ -162,7 +165,7 @@
 			t.Errorf("got %q", raw)
 		}
 	})
-	t.Run("sharing that cannot be is refused with what would do", func(t *testing.T) {
+	t.Run("an unusable OwnershipConfig is refused", func(t *testing.T) {
 		c, err := New(Identity{Name: "n9"}, configuration("127.0.0.1:9", known), NewLogger(newLogBuffer()))
 		if err != nil {
 			t.Fatal(err)
--- a/controller/pages_test.go
+++ b/controller/pages_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-// endingsReference is a test that docs/endings.md names: `folder: TestName/beginning of a case...`, of controller where no folder
-// stands, of the test named before where it begins with dots.
+// endingsReference matches a reference to a test in docs/endings.md: `folder: TestName/beginning of
+// a case...`. Without a folder it is one of package controller, and if it begins with dots it is a
+// case of the test referenced before.
 var endingsReference = regexp.MustCompile("`(?:([a-z/]+): )?((?:Test|Fuzz|\\.\\.\\./)[^`]*)`")
 
-// TestEndingsPageNamesTestsThatExist has each test and case on that page be found in its folder.
+// TestEndingsPageNamesTestsThatExist guards against references to tests that were renamed or
+// removed: each test and case on that page must exist in its folder.
 func TestEndingsPageNamesTestsThatExist(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "endings.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sources := map[string]string{} // by folder: all of its tests
+	sources := map[string]string{} // by folder: the text of its test files
 	last, lastFolder, count := "", "", 0
 	for _, reference := range endingsReference.FindAllStringSubmatch(string(page), -1) {
 		folder, name := reference[1], reference[2]
@@ -28,7 +30,7 @@
 		case sameTest:
 			folder, test, part = lastFolder, last, name
 		case folder == "" && sources["controller"] != "" && !strings.Contains(sources["controller"], "func "+test+"("):
-			folder = lastFolder // of the folder named before it
+			folder = lastFolder // a test of the folder referenced before
 		case folder == "":
 			folder = "controller"
 		}
@@ -41,15 +43,15 @@
 		count++
 		part = strings.TrimSuffix(part, "...")
 		if !strings.Contains(sources[folder], "func "+test+"(") || !strings.Contains(sources[folder], `"`+part) {
-			t.Errorf("%s: there is no %s with a case %q", folder, test, part)
+			t.Errorf("folder %s: docs/endings.md references %s with a case %q, which does not exist", folder, test, part)
 		}
 	}
 	if count < 40 {
-		t.Errorf("only %d tests were found on the page", count)
+		t.Errorf("only %d references were found on the page, want at least 40", count)
 	}
 }
 
-// testSources gives the text of a folder's test files.
+// testSources returns the text of all test files in a folder.
 func testSources(t *testing.T, folder string) (text string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*_test.go"))
--- a/controller/push_charge_test.go
+++ b/controller/push_charge_test.go
@@ -10,13 +10,14 @@
 	"wheelrill/balancer"
 )
 
-// Rule 5 holds only if what leaves is never more than what the decisions count.
+// The limit on lines to proxies holds only if the pushes never contain more lines than the
+// decisions charge. A push with uncharged lines would exceed the limit unnoticed.
 func TestPushesAreNeverMoreThanCharged(t *testing.T) {
 	wide := strings.NewReplacer(`"egressPerS":900`, `"egressPerS":1e6`, `"backlog":900`, `"backlog":1e6`,
 		`"pushDelayMax":600`, `"pushDelayMax":600000`, `"overhead":4`, `"overhead":4,"socketsMin":10`)
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			chance := rand.New(rand.NewPCG(seed, 5))
+			random := rand.New(rand.NewPCG(seed, 5))
 			var entries []string
 			for id := range 20 {
 				entries = append(entries, endpointJSON(id, "up"))
@@ -26,25 +27,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			loop, hearers, left := c.loop, map[*connection]*fakeProxy{}, 0
+			loop, fakes, written := c.loop, map[*connection]*fakeProxy{}, 0
 			now := loop.now
 			loop.clock = func() int64 { return now }
 			loop.iterate(func() {})
 			for step := range 160 {
 				advance(loop, microsPerSecond/4, func() {
-					for range chance.IntN(4) {
-						switch node := chance.IntN(40); chance.IntN(5) {
+					for range random.IntN(4) {
+						switch node := random.IntN(40); random.IntN(5) {
 						case 0, 1:
 							conn := newConnection(&readerConn{Reader: strings.NewReader("")}, step, loop, func(*connection) error { return nil })
 							conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
-							loop.proxyConnected(conn, 1+float64(chance.IntN(20)), chance.IntN(2) == 0)
-							hearers[conn] = newFakeProxy("read it", "write")
+							loop.proxyConnected(conn, 1+float64(random.IntN(20)), random.IntN(2) == 0)
+							fakes[conn] = newFakeProxy("read it", "write")
 						case 2:
-							state := []string{"up", "draining", "removed"}[chance.IntN(3)]
-							loop.endpointsUpdated(false, int64(step), parsed(t, "["+endpointJSON(chance.IntN(22), state)+"]").GetArray())
-						default: // a jam for a while, then none
+							state := []string{"up", "draining", "removed"}[random.IntN(3)]
+							loop.endpointsUpdated(false, int64(step), parsed(t, "["+endpointJSON(random.IntN(22), state)+"]").GetArray())
+						default: // 40 steps of short response times, then 40 of long ones
 							for id := range 20 {
-								loop.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0, 200_000 + int64(step/40%2)*900_000, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+								loop.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0,
+									200_000 + int64(step/40%2)*900_000, microsPerSecond,
+									balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 							}
 							for other := range 40 {
 								loop.demandReported(other, other%2, 30, microsPerSecond)
@@ -52,22 +55,22 @@
 						}
 					}
 				})
-				for conn, fake := range hearers {
+				for conn, fake := range fakes {
 					conn.lastMessageAt.Store(loop.now)
 					for len(conn.outbox) > 0 {
 						before := fake.messages
 						if err := fake.apply(<-conn.outbox); err != nil || fake.messages != before+1 {
 							t.Fatal(err)
 						}
-						left += 4 + fake.cost
+						written += 4 + fake.cost
 					}
 				}
-				if counted := loop.decisions.QueueDelay(); int64(left) > counted {
-					t.Fatalf("step %d: %d lines left, %d were counted", step, left, counted)
+				if charged := loop.decisions.QueueDelay(); int64(written) > charged {
+					t.Fatalf("step %d: %d lines were written, %d were charged", step, written, charged)
 				}
 			}
-			if left < 1000 {
-				t.Errorf("only %d lines in all", left)
+			if written < 1000 {
+				t.Errorf("only %d lines were written in all", written)
 			}
 		})
 	}
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -11,18 +11,19 @@
 )
 
 func TestRetryPermissions(t *testing.T) {
-	t.Run("no class is ever permitted more than a try after proof, and one that is cut none", func(t *testing.T) {
-		// Classes that may run twice and such that may not stand side by side, in tables of the fleet and of the zone,
-		// with windows that a request outlasts: nothing here may depend on how long one is.
+	t.Run("no class may retry executed requests, and a class with a lowered limit none", func(t *testing.T) {
+		// Idempotent and other classes are mixed, in tables of the fleet and of a zone, and
+		// requests may last longer than the windows: the permission must not depend on how long a
+		// window is.
 		c := deployment{zones: []string{"a", "b"}, backend: "s-", messages: 30, classes: []classSettings{
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
 		loop := c.newLoop(t, 8)
 		fake, conn := newFakeProxy(c.classNames()...), (*connection)(nil)
-		cut := 0
+		lowered := 0
 		for turn := range 60 {
 			switch turn % 20 {
-			case 0: // restarted stream, or its first
+			case 0: // a first or a new connection
 				conn = connectProxy(t, loop, turn+1, 0, turn%40 == 20)
 				if turn%40 == 0 {
 					fake = newFakeProxy(c.classNames()...)
@@ -39,16 +40,17 @@
 			advance(loop, microsPerSecond/2, func() {
 				conn.lastMessageAt.Store(loop.now)
 				for b := range 8 {
-					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // hot, calm, and hot again
-					loop.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // high, low, and high again
+					loop.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2,
+						balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
 				for class := range 4 {
 					loop.demandReported(0, class, 30, microsPerSecond/2)
 				}
 			})
 			fake.receive(t, conn)
-			for _, mark := range fake.nonces {
-				loop.iterate(func() { loop.acknowledged(conn, mark) })
+			for _, nonce := range fake.nonces {
+				loop.iterate(func() { loop.acknowledged(conn, nonce) })
 			}
 			fake.nonces = nil
 			for class, l := range fake.limits {
@@ -56,46 +58,47 @@
 					continue
 				}
 				limited := l[0] < 1_000_000
-				if cut += map[bool]int{true: 1}[limited]; l[1] > 1 || limited && l[1] != 0 {
-					t.Fatalf("turn %d, class %d: level %g with permission %g", turn, class, l[0], l[1])
+				if lowered += map[bool]int{true: 1}[limited]; l[1] > 1 || limited && l[1] != 0 {
+					t.Fatalf("turn %d, class %d: limit %g with retry policy %g", turn, class, l[0], l[1])
 				}
 			}
 		}
-		if cut == 0 {
-			t.Error("the story cuts nothing")
+		if lowered == 0 {
+			t.Error("no admission limit was lowered")
 		}
 	})
-	t.Run("a permission is written for just the classes that it is meant for", func(t *testing.T) {
+	t.Run("a retry policy is written for exactly the classes that it was ordered for", func(t *testing.T) {
 		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
 		tables := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
 		here, conn := newFakeProxy("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
 		tables.connect(0, conn, false)
-		story := rand.New(rand.NewPCG(3, 4))
+		random := rand.New(rand.NewPCG(3, 4))
 		want := make([]float64, 3)
 		tables.AssignTable(0, 0, 0b011)
 		tables.AssignTable(1, 0, 0b100)
 		for turn := range 300 {
 			for class := range 3 {
-				if story.IntN(3) == 0 {
-					want[class] = float64(story.IntN(2))
-					tables.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+story.IntN(2)), balancer.RetryPolicy(want[class]))
+				if random.IntN(3) == 0 {
+					want[class] = float64(random.IntN(2))
+					tables.SetAdmissionLimit(balancer.AllTables, 1<<class, float64(5+random.IntN(2)),
+						balancer.RetryPolicy(want[class]))
 				} else if turn == 0 {
 					tables.SetAdmissionLimit(balancer.AllTables, 1<<class, 5, balancer.NoRetry)
 				}
 			}
-			switch story.IntN(4) {
+			switch random.IntN(4) {
 			case 0:
-				tables.AssignTable(0, 0, 0b011) // a full table forgets levels
+				tables.AssignTable(0, 0, 0b011) // a full table discards limits
 			case 1:
 				tables.AssignTable(1, 0, 0b100)
 			case 2:
-				tables.PublishEntry(story.IntN(2), story.IntN(9), float64(story.IntN(3)))
+				tables.PublishEntry(random.IntN(2), random.IntN(9), float64(random.IntN(3)))
 			}
-			tables.flush((*connection).send, func(int, error) { t.Fatal("lost") }, func(int, int) {})
+			tables.flush((*connection).send, func(int, error) { t.Fatal("a proxy was dropped") }, func(int, int) {})
 			here.receive(t, conn)
 			for class, l := range here.limits {
 				if l == nil || l[1] != want[class] {
-					t.Fatalf("turn %d: class %d has level %v, permission %g was meant", turn, class, l, want[class])
+					t.Fatalf("turn %d: class %d has limit and retry policy %v, want retry policy %g", turn, class, l, want[class])
 				}
 			}
 		}
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -4,37 +4,43 @@
 	"slices"
 )
 
-// session is a proxy's connection, and what it has not acknowledged. The event loop owns it.
+// session is a proxy's connection with the acknowledgements that it still owes. The event loop owns
+// it.
 type session struct {
-	conn    *connection
-	unacked []*pendingAck // the oldest first; limits.maxUnacked of them, then the oldest is forgotten
-	// firstComplete is the first that went out when each class had a table of ours; kept only where ownership is shared.
-	firstComplete *pendingAck
-	complete      bool // firstComplete was acknowledged
+	conn *connection
+	// unacked holds the missing acknowledgements, oldest first. Beyond limits.maxUnacked, the
+	// oldest is dropped.
+	unacked []*pendingAck
+	// firstCompleteAck is the first acknowledgement that was requested while every class had a table
+	// of this controller. It is set only where ownership is shared.
+	firstCompleteAck     *pendingAck
+	completeAcknowledged bool // firstCompleteAck was acknowledged
 }
 
-// pendingAck is an acknowledgement that was asked for at some clock time, from however many proxies.
+// pendingAck is an acknowledgement that was requested at one clock time. All proxies that it was
+// requested from share it.
 type pendingAck struct {
 	nonce           int
-	revision        uint64       // of our tables on the record then, where ownership is shared
-	sentBy          microseconds // when the last push that asks for it can have left the channel
-	firstAnsweredAt microseconds // when the first proxy gave it; 0 before
+	revision        uint64       // of this member's tables at that time, where ownership is shared
+	sentBy          microseconds // time by which the last push with this request has left the push channel
+	firstAnsweredAt microseconds // time of the first proxy's acknowledgement; 0 before
 }
 
-// isCurrent tells whether a connection is its proxy's, and was not replaced.
+// isCurrent reports whether a connection is its proxy's current one, and was not replaced.
 func (l *eventLoop) isCurrent(conn *connection) bool {
 	return conn.proxy < len(l.sessions) && l.sessions[conn.proxy] != nil && l.sessions[conn.proxy].conn == conn
 }
 
-// proxyConnected takes a proxy's connection. A newer one replaces the older, whose end then says nothing. requestsPerSecond is what
-// roughly arrives at the proxy, 0 if unknown; mayHoldWithdrawals tells whether it may have withdrawals of other controllers.
+// proxyConnected handles a proxy's connection. A newer connection replaces the older one, whose end
+// is then ignored. requestsPerSecond is the approximate rate of requests at the proxy, 0 if
+// unknown; mayHoldWithdrawals reports whether the proxy may have withdrawals of other controllers.
 func (l *eventLoop) proxyConnected(conn *connection, requestsPerSecond float64, mayHoldWithdrawals bool) {
 	for len(l.sessions) <= conn.proxy {
 		l.sessions = append(l.sessions, nil)
 	}
 	if older := l.sessions[conn.proxy]; older != nil {
 		if older.conn.sequence > conn.sequence {
-			conn.close(errSuperseded) // its hello was under way for longer than the next connection took
+			conn.close(errSuperseded) // its hello took longer than the whole connect of the newer connection
 			return
 		}
 		l.removeSession(conn.proxy)
@@ -47,13 +53,14 @@
 	state := l.connect(conn.proxy, conn, mayHoldWithdrawals)
 	if l.ownership != nil {
 		state.unowned, state.wantsToken = true, conn.wantsToken
-		l.ownership.proxyJoined(conn.proxy, pendingProxy{conn.zone, requestsPerSecond, mayHoldWithdrawals})
+		l.ownership.addPendingProxy(conn.proxy, pendingProxy{conn.zone, requestsPerSecond, mayHoldWithdrawals})
 		return
 	}
 	l.decisions.ProxyConnected(conn.proxy, conn.zone, requestsPerSecond, mayHoldWithdrawals)
 }
 
-// proxyDisconnected takes the end of a proxy's connection, unless another has replaced it.
+// proxyDisconnected handles the end of a proxy's connection, unless another connection has replaced
+// it.
 func (l *eventLoop) proxyDisconnected(conn *connection) {
 	if l.isCurrent(conn) {
 		l.log.Info("proxy_disconnected", "proxy", conn.proxy, "error", conn.closeReason)
@@ -63,24 +70,26 @@
 
 // dropProxy closes the connection of a proxy that cannot be reached.
 func (l *eventLoop) dropProxy(proxy int, reason error) {
-	if reason != errClosed { // else its end is on its way already
+	if reason != errClosed { // a connection that has ended posts its end itself
 		l.log.Warn("proxy_dropped", "proxy", proxy, "error", reason)
 		l.sessions[proxy].conn.close(reason)
 	}
 	l.removeSession(proxy)
 }
 
-// removeSession ends what is kept of a proxy's connection.
+// removeSession discards the state of a proxy's connection, and reports the end to the decisions if
+// they know the proxy.
 func (l *eventLoop) removeSession(proxy int) {
 	l.sessions[proxy] = nil
 	l.disconnect(proxy)
-	if l.ownership == nil || l.ownership.proxyLeft(proxy) {
+	if l.ownership == nil || l.ownership.removeProxy(proxy) {
 		l.decisions.ProxyDisconnected(proxy)
 	}
 }
 
-// dropSilentProxies closes connections that are half-open. They cannot be told from quiet ones but by acknowledgements that are
-// missing, so both are asked for.
+// dropSilentProxies closes half-open connections. Only missing acknowledgements distinguish them
+// from idle connections, so a connection is closed if it is silent and an acknowledgement is
+// missing.
 func (l *eventLoop) dropSilentProxies() {
 	for proxy, session := range l.sessions {
 		if session != nil && l.isSilent(session) {
@@ -89,55 +98,61 @@
 	}
 }
 
-// isSilent tells whether a proxy was not heard of for too long, and has left an acknowledgement out for as long. Pushes leave the
-// channel one by one, so time counts from when all that waits can have left; where another proxy has given the same
-// acknowledgement, less time will do. While the process stalled it heard nobody, which says nothing of the proxy.
+// isSilent reports whether a proxy has sent nothing for too long, and has left an acknowledgement
+// missing for as long. Pushes leave the channel one by one, so the time counts from when all queued
+// pushes can have left. If another proxy has given the same acknowledgement, the shorter
+// ackLagTimeout applies. The time in which the process stalled does not count, because no message
+// was read then.
 func (l *eventLoop) isSilent(session *session) bool {
 	if len(session.unacked) == 0 {
 		return false
 	}
 	oldest := session.unacked[0]
-	unheard := l.now - max(session.conn.lastMessageAt.Load(), l.stalledAt)
-	if min(l.now-oldest.sentBy, unheard) > l.limits.silenceTimeout {
+	silentFor := l.now - max(session.conn.lastMessageAt.Load(), l.stalledAt)
+	if min(l.now-oldest.sentBy, silentFor) > l.limits.silenceTimeout {
 		return true
 	}
-	return oldest.firstAnsweredAt > 0 && min(l.now-oldest.firstAnsweredAt, unheard) > l.limits.ackLagTimeout
+	return oldest.firstAnsweredAt > 0 && min(l.now-oldest.firstAnsweredAt, silentFor) > l.limits.ackLagTimeout
 }
 
-// expectAck notes that a proxy was asked for an acknowledgement.
+// expectAck registers that an acknowledgement was requested from a proxy.
 func (l *eventLoop) expectAck(proxy int, ack *pendingAck) {
 	session := l.sessions[proxy]
-	if l.ownership != nil && session.firstComplete == nil && !session.complete && !slices.Contains(l.proxy(proxy).tables, unbound) {
-		session.firstComplete = ack
+	if l.ownership != nil && session.firstCompleteAck == nil && !session.completeAcknowledged &&
+		!slices.Contains(l.proxy(proxy).tables, unassigned) {
+		session.firstCompleteAck = ack
 	}
 	session.unacked = append(session.unacked, ack)
 	if len(session.unacked) > l.limits.maxUnacked {
-		session.unacked = session.unacked[1:] // it talks, but acknowledges nothing
+		session.unacked = session.unacked[1:] // the proxy may send other messages, but acknowledges nothing
 	}
 }
 
-// acknowledged takes an acknowledgement, which stands for all before it. From a connection that was replaced it says nothing.
+// acknowledged handles an acknowledgement, which covers all earlier ones. An acknowledgement from a
+// replaced connection is ignored.
 func (l *eventLoop) acknowledged(conn *connection, nonce int) {
 	if !l.isCurrent(conn) {
 		return
 	}
 	session := l.sessions[conn.proxy]
-	at := slices.IndexFunc(session.unacked, func(ack *pendingAck) bool { return ack.nonce == nonce })
-	if at < 0 {
+	index := slices.IndexFunc(session.unacked, func(ack *pendingAck) bool { return ack.nonce == nonce })
+	if index < 0 {
 		l.log.Warn("ack_unknown", "proxy", conn.proxy, "nonce", nonce)
 		return
 	}
-	ack := session.unacked[at]
+	ack := session.unacked[index]
 	if ack.firstAnsweredAt == 0 {
 		ack.firstAnsweredAt = l.now
 	}
 	if l.ownership != nil {
-		session.complete = session.complete || slices.Contains(session.unacked[:at+1], session.firstComplete)
-		if session.complete {
+		session.completeAcknowledged = session.completeAcknowledged ||
+			slices.Contains(session.unacked[:index+1], session.firstCompleteAck)
+		if session.completeAcknowledged {
 			state := l.proxy(conn.proxy)
-			l.ownership.coordinator.ProxyAcknowledged(conn.proxy, ack.revision, state.tables, state.cleared || !state.mayHoldWithdrawals)
+			l.ownership.coordinator.ProxyAcknowledged(conn.proxy, ack.revision, state.tables,
+				state.cleared || !state.mayHoldWithdrawals)
 		}
 	}
-	session.unacked = slices.Delete(session.unacked, 0, at+1)
+	session.unacked = slices.Delete(session.unacked, 0, index+1)
 	l.decisions.Acknowledged(conn.proxy, nonce)
 }
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -13,14 +13,15 @@
 	"wheelrill/internal/golden"
 )
 
-// storedFile is the file in a subscriber's folder. Its name is part of the format.
+// storedFile is the name of the file in a subscriber's folder. The name is part of the stored
+// format.
 const storedFile = "configuration.cbor"
 
-// storedFolder is a subscriber's folder as an earlier version has written it.
+// storedFolder is a subscriber's folder that an earlier version wrote.
 var storedFolder = filepath.Join("testdata", "stored-subscriber")
 
-// storedState is what the stored folder holds: more entries than are encoded at a time, some of them set again or
-// deleted, at an epoch and a revision.
+// storedState is the state in the stored folder: more entries than are encoded at a time, some of
+// them set again or deleted, with an epoch and a revision.
 func storedState(t *testing.T) distribution.State {
 	t.Helper()
 	record := distribution.NewRecord()
@@ -52,7 +53,7 @@
 	return state
 }
 
-// storedCopy copies the stored folder to one that the test may write to.
+// storedCopy copies the stored folder to a temporary folder that the test may write to.
 func storedCopy(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "folder")
@@ -62,7 +63,9 @@
 	return folder
 }
 
-// A folder that an earlier version has written is read as what it was, and written with the same bytes.
+// A change of the stored format would make a subscriber ignore the file that it wrote before an
+// update. A folder of an earlier version has to be read completely, and written with the same
+// bytes.
 func TestStoredFolderOfASubscriberIsReadAndWrittenAsBefore(t *testing.T) {
 	want := storedState(t)
 	if golden.Updating() {
@@ -81,10 +84,11 @@
 	}
 	got, err := cache.load()
 	if err != nil || got == nil {
-		t.Fatalf("read %v, %v", got, err)
+		t.Fatalf("load returned %v, error %v", got, err)
 	}
 	if !reflect.DeepEqual(*got, want) || cache.saved != want.Version {
-		t.Errorf("read %+v at %+v, %d entries; %+v, %d entries was written", got.Version, cache.saved, len(got.Entries), want.Version, len(want.Entries))
+		t.Errorf("read version %+v (saved %+v) with %d entries, want %+v with %d entries",
+			got.Version, cache.saved, len(got.Entries), want.Version, len(want.Entries))
 	}
 	path := filepath.Join(folder, storedFile)
 	before, err := os.ReadFile(path)
@@ -98,20 +102,21 @@
 		t.Fatal(err)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, before) {
-		t.Errorf("%d bytes are written, it was %d: %v", len(after), len(before), err)
+		t.Errorf("%d bytes were written, want the same %d bytes; error %v", len(after), len(before), err)
 	}
 }
 
-// A stored file that was cut off is refused whole, is left where it is, and is replaced by the next writing.
+// A truncated file must not be read in part, as it would end drains and weights that it lacks. load
+// refuses the complete file, leaves it unchanged, and the next save replaces it.
 func TestStoredFileThatIsCutOffIsRefusedWhole(t *testing.T) {
 	folder := storedCopy(t)
 	path := filepath.Join(folder, storedFile)
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := whole[:len(whole)/2]
-	if err := os.WriteFile(path, cut, 0o600); err != nil {
+	truncated := complete[:len(complete)/2]
+	if err := os.WriteFile(path, truncated, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cache, err := openConfigurationCache(folder)
@@ -120,15 +125,17 @@
 	}
 	got, err := cache.load()
 	if got != nil || err == nil || !strings.Contains(err.Error(), path+": damaged: ") {
-		t.Errorf("read %+v, %v", got, err)
+		t.Errorf("load returned %+v, error %v", got, err)
 	}
-	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, cut) || cache.saved != (distribution.Version{}) {
-		t.Errorf("%d bytes are left of %d at %+v: %v", len(left), len(cut), cache.saved, err)
+	if remaining, err := os.ReadFile(path); err != nil || !bytes.Equal(remaining, truncated) ||
+		cache.saved != (distribution.Version{}) {
+		t.Errorf("the file has %d bytes, want %d unchanged ones; saved %+v, error %v",
+			len(remaining), len(truncated), cache.saved, err)
 	}
 	if err := cache.save(storedState(t)); err != nil {
 		t.Fatal(err)
 	}
-	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, whole) {
-		t.Errorf("%d bytes after the next writing: %v", len(after), err)
+	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, complete) {
+		t.Errorf("the file has %d bytes after the next save, error %v", len(after), err)
 	}
 }
