--- a/controller/tables.go
+++ b/controller/tables.go
@@ -7,80 +7,100 @@
 	"wheelrill/ownership"
 )
 
-// tables keeps the tables, admission limits and withdrawals that the decisions have ordered, and what each connected proxy was last
-// written. Orders change it and mark the proxies concerned; flush writes each of them one message for all orders of one clock time.
-// The event loop owns it.
+// tables holds the tables, admission limits and withdrawals that the decisions have ordered, and
+// the state that each connected proxy was last written. Orders update it and mark the proxies
+// concerned; flush writes each marked proxy one message for all orders of one clock time. The event
+// loop owns it.
 type tables struct {
-	classNames  [][]byte                 // by class: its name as it stands in messages, a JSON string
-	backendName func(backend int) []byte // the same of a backend's id
-	maxFrame    int                      // bytes of a part of a message
-	maxParts    int                      // parts of a message
+	classNames  [][]byte                 // by class: the name as encoded in messages, a JSON string
+	backendName func(backend int) []byte // id of a backend, encoded the same way
+	maxFrame    int                      // bytes of one part of a message, at most
+	maxParts    int                      // parts of a message, at most
 
 	byNumber              map[int]*table
-	admissionLimitsForAll []admissionLimit // by class: for every table of every connected proxy
+	admissionLimitsForAll []admissionLimit // by class: for all tables of all connected proxies
 	withdrawn             []bool           // by backend
-	proxies               []*pushState     // by proxy; nil if it is not connected
+	proxies               []*pushState     // by proxy; nil if the proxy is not connected
 
-	// Of this clock time, until flush.
+	// Changes and requests at the current clock time; flush resets them.
 	withdrawalChanges []int // backends that were withdrawn or restored
-	ackNonce          int   // of the acknowledgement that is asked for ...
-	ackRequested      bool  // ... if one is ...
-	ackFromAll        bool  // ... from all connected proxies, not only those that are written something
-
-	deltaTables int // tables that were written as what differs from those that a proxy brought, in all
-	fullTables  int // tables that were written in full, in all
+	ackNonce          int   // nonce of the requested acknowledgement
+	ackRequested      bool  // an acknowledgement is requested
+	ackFromAll        bool  // from all connected proxies, not only those that are written a message
+
+	// deltaTables counts the tables that were written as the difference from the table that a proxy
+	// already had.
+	deltaTables int
+	// fullTables counts the tables that were written in full.
+	fullTables int
 }
 
-// table is one of those that proxies can be assigned.
+// table holds the entries and the admission limits of one table number.
 type table struct {
-	weights         []float64        // by backend; 0 is no entry
+	weights         []float64        // by backend; 0 means no entry
 	changed         []int            // backends whose entries were set at this clock time
-	isChanged       []bool           // by backend: it is among changed
+	isChanged       []bool           // by backend: whether changed contains it
 	admissionLimits []admissionLimit // by class
 }
 
-// admissionLimit is how much of a class proxies admit, and how they may retry.
+// admissionLimit is the admission limit of a class, with the retry policy of its requests.
 type admissionLimit struct {
-	set   bool    // false: nothing was ordered
-	limit float64 // a share, or requests a second, by the site's admission mode
+	set   bool    // false if no limit was ordered
+	limit float64 // a share, or requests a second, depending on the site's admission mode
 	retry balancer.RetryPolicy
 }
 
-// backendState is whether a proxy may use a backend, whatever its tables say.
+// backendState says whether a proxy may use a backend, whatever its tables contain.
 type backendState uint8
 
 const (
-	backendUnknown   backendState = iota // as it was when the proxy connected
-	backendAllowed                       // it may use it
-	backendWithdrawn                     // it was told not to
+	backendUnknown   backendState = iota // the proxy's state from before it connected
+	backendAllowed                       // the proxy may use the backend
+	backendWithdrawn                     // the proxy was ordered not to use the backend
 )
 
-// unbound stands for the table of a class that is not ours: the proxy goes on with the one that it has.
-const unbound = -1
+// unassigned stands for the table of a class to which this controller has assigned none: the proxy
+// keeps the table that it has.
+const unassigned = -1
 
-// pushState is what a connected proxy is to have, and what it was written.
+// pushState is the state that a connected proxy should have, and the state that it was last
+// written.
 type pushState struct {
 	conn   *connection
-	tables []int // by class: number of its table, or unbound
-
-	// What is to be written.
-	dirty                 bool             // something is
-	fullDue               uint16           // classes whose tables are to be written in full
-	withdrawalChanges     []int            // backends withdrawn or restored since its last message, where that concerns it
-	defaultAdmissionLimit admissionLimit   // in force where no limit was ordered and no table is ours, once it was written
-	admissionLimits       []admissionLimit // by class: as last written; a limit below 0 stands for one that nobody knows
-	backendStates         []backendState   // by backend: as last written; those beyond its end are as at first
-	cleared               bool             // withdrawals of others are lifted from the backends that its tables use
-	reconciled            bool             // backendStates agrees with all of its tables but for what changed since its last message
-
-	// What it came with.
-	mayHoldWithdrawals bool                   // it may have withdrawals of other controllers
-	base               []ownership.KnownTable // by class: what it surely has, until a table of ours is written; nil if unknown
-
-	// Where ownership is shared.
-	unowned    bool   // another controller may own it still: nothing may be written to it
-	wantsToken bool   // it asked for fencing tokens, and refuses what comes with an older one than it has seen
-	grantToken uint64 // of the claim by which it was granted; it stays so without a quorum, and after it was claimed again; 0 for none
+	tables []int // by class: number of the assigned table, or unassigned
+
+	// Changes that the next message contains, and the state as last written.
+	dirty   bool   // a message is due
+	fullDue uint16 // classes whose tables are to be written in full
+	// withdrawalChanges holds the backends that were withdrawn or restored since the last message,
+	// if the change concerns this proxy.
+	withdrawalChanges []int
+	// defaultAdmissionLimit applies to an unassigned class if there is no limit for all tables.
+	// SyncWithdrawals sets it.
+	defaultAdmissionLimit admissionLimit
+	// admissionLimits holds, by class, the limit as last written. A limit below 0 stands for an
+	// unknown one.
+	admissionLimits []admissionLimit
+	backendStates   []backendState // by backend: as last written; initialState beyond its end
+	cleared         bool           // withdrawals of other controllers are lifted from the backends of its tables
+	// reconciled is true if backendStates agrees with all tables of the proxy, except for changes
+	// since its last message.
+	reconciled bool
+
+	// State that the proxy brings from before it connected.
+	mayHoldWithdrawals bool // it may have withdrawals of other controllers
+	// knownTables holds, by class, the table that the proxy surely has, until a table of this controller
+	// is written; nil if that is unknown.
+	knownTables []ownership.KnownTable
+
+	// Fields that are used only where ownership is shared.
+	unowned bool // another controller may still own the proxy, so nothing may be written to it
+	// wantsToken is true if the proxy asked for fencing tokens. It then refuses a message with an
+	// older token than it has seen.
+	wantsToken bool
+	// grantToken is the token of the claim by which the proxy was granted; 0 for none. It stays the
+	// same without a quorum, and after the proxy was claimed again.
+	grantToken uint64
 }
 
 func newTables(classNames [][]byte, backendName func(int) []byte, maxFrame, maxParts int) *tables {
@@ -88,20 +108,21 @@
 		byNumber: map[int]*table{}, admissionLimitsForAll: make([]admissionLimit, len(classNames))}
 }
 
-// connect begins what is kept of a proxy.
+// connect adds the state of a proxy that has connected.
 func (t *tables) connect(proxy int, conn *connection, mayHoldWithdrawals bool) *pushState {
 	for len(t.proxies) <= proxy {
 		t.proxies = append(t.proxies, nil)
 	}
 	t.proxies[proxy] = &pushState{conn: conn, mayHoldWithdrawals: mayHoldWithdrawals,
-		admissionLimits: make([]admissionLimit, len(t.classNames)), tables: slices.Repeat([]int{unbound}, len(t.classNames))}
+		admissionLimits: make([]admissionLimit, len(t.classNames)),
+		tables:          slices.Repeat([]int{unassigned}, len(t.classNames))}
 	return t.proxies[proxy]
 }
 
-// disconnect ends what is kept of a proxy.
+// disconnect discards the state of a proxy.
 func (t *tables) disconnect(proxy int) { t.proxies[proxy] = nil }
 
-// proxy gives what is kept of a proxy; nil if it is not connected.
+// proxy returns the state of a proxy; nil if it is not connected.
 func (t *tables) proxy(proxy int) *pushState {
 	if proxy < 0 || proxy >= len(t.proxies) {
 		return nil
@@ -109,7 +130,7 @@
 	return t.proxies[proxy]
 }
 
-// table gives the table of a number, an empty one if nothing was ordered of it.
+// table returns the table with a number, an empty one if no order has named it yet.
 func (t *tables) table(number int) *table {
 	if t.byNumber[number] == nil {
 		t.byNumber[number] = &table{admissionLimits: make([]admissionLimit, len(t.classNames))}
@@ -117,10 +138,11 @@
 	return t.byNumber[number]
 }
 
-// allClasses is the set of all classes.
+// allClasses returns the set of all classes.
 func (t *tables) allClasses() uint16 { return uint16(1<<len(t.classNames) - 1) }
 
-// classSet reads a set of classes as orders give it: none in particular stands for all.
+// classSet returns the classes that an order applies to; an empty set in an order means all
+// classes.
 func (t *tables) classSet(classes uint16) uint16 {
 	if classes == 0 {
 		return t.allClasses()
@@ -128,10 +150,11 @@
 	return classes & t.allClasses()
 }
 
-// hasClass tells whether a class is in a set.
+// hasClass reports whether a set contains a class.
 func hasClass(set uint16, class int) bool { return set&(1<<class) != 0 }
 
-// PublishEntry implements balancer.Host: it sets the entry of a backend in a table, or takes it out.
+// PublishEntry implements balancer.Host: it sets the entry of a backend in a table, or removes it
+// if the weight is 0.
 func (t *tables) PublishEntry(number, backend int, weight float64) {
 	table := t.table(number)
 	for len(table.weights) <= backend {
@@ -144,11 +167,12 @@
 	t.markDirty(func(proxy *pushState) bool { return slices.Contains(proxy.tables, number) })
 }
 
-// AssignTable implements balancer.Host: a proxy gets a full table for some classes, and later what changes in it.
+// AssignTable implements balancer.Host: for some classes, a proxy is written the complete table,
+// and later the changes of the table.
 func (t *tables) AssignTable(number, proxy int, classes uint16) {
 	state := t.proxy(proxy)
 	if state == nil {
-		return // it disconnected meanwhile
+		return // it has disconnected
 	}
 	t.table(number)
 	state.reconciled = false
@@ -161,7 +185,8 @@
 	state.dirty = true
 }
 
-// Withdraw implements balancer.Host: it keeps connected proxies off a backend whatever their tables say, or restores it.
+// Withdraw implements balancer.Host: it withdraws a backend from connected proxies, whatever their
+// tables contain, or restores it.
 func (t *tables) Withdraw(backend int, withdrawn bool) {
 	for len(t.withdrawn) <= backend {
 		t.withdrawn = append(t.withdrawn, false)
@@ -169,8 +194,8 @@
 	t.withdrawn[backend] = withdrawn
 	t.withdrawalChanges = append(t.withdrawalChanges, backend)
 	t.markDirty(func(proxy *pushState) bool {
-		// A table that is not ours may have it.
-		concerned := slices.Contains(proxy.tables, unbound) || t.uses(proxy, backend)
+		// The table that the proxy uses for an unassigned class may contain the backend.
+		concerned := slices.Contains(proxy.tables, unassigned) || t.uses(proxy, backend)
 		if concerned {
 			proxy.withdrawalChanges = append(proxy.withdrawalChanges, backend)
 		}
@@ -178,11 +203,12 @@
 	})
 }
 
-// SyncWithdrawals implements balancer.Host: a proxy of which some table is not ours is told all that is withdrawn, as it may use any
-// of it, and a limit for what has none. False where all of its tables are ours.
+// SyncWithdrawals implements balancer.Host: a proxy with an unassigned class is written all withdrawn
+// backends, because it may use any of them, and a limit for its unassigned classes that have none. It
+// returns false if the proxy has no unassigned class or is not connected.
 func (t *tables) SyncWithdrawals(proxy int, limit float64, retry balancer.RetryPolicy) bool {
 	state := t.proxy(proxy)
-	if state == nil || !slices.Contains(state.tables, unbound) {
+	if state == nil || !slices.Contains(state.tables, unassigned) {
 		return false
 	}
 	state.defaultAdmissionLimit = admissionLimit{true, sanitizeNumber(limit), retry}
@@ -195,15 +221,17 @@
 	return true
 }
 
-// ClearWithdrawals implements balancer.Host: a proxy may use what its tables have and others had withdrawn from it.
+// ClearWithdrawals implements balancer.Host: a proxy may use the backends of its tables that other
+// controllers have withdrawn from it.
 func (t *tables) ClearWithdrawals(proxy int) {
 	if state := t.proxy(proxy); state != nil {
 		state.cleared, state.dirty, state.reconciled = true, true, false
 	}
 }
 
-// SetAdmissionLimit implements balancer.Host: it sets the limit of some classes in a table, or in all. The lower of the two stands,
-// with the table's own retry policy.
+// SetAdmissionLimit implements balancer.Host: it sets the limit of some classes in one table, or
+// for all tables. The lower of a table's limit and the limit for all applies, with the table's own
+// retry policy.
 func (t *tables) SetAdmissionLimit(number int, classes uint16, limit float64, retry balancer.RetryPolicy) {
 	limits, concerned := t.admissionLimitsForAll, func(*pushState) bool { return true }
 	if number != balancer.AllTables {
@@ -218,13 +246,14 @@
 	t.markDirty(concerned)
 }
 
-// RequestAck implements balancer.Host: the proxies that are written something at this clock time, or all connected ones, are to
-// acknowledge it.
-func (t *tables) RequestAck(nonce int, everyone bool) {
-	t.ackNonce, t.ackRequested, t.ackFromAll = nonce, true, t.ackFromAll || everyone
+// RequestAck implements balancer.Host: the proxies that are written a message at this clock time,
+// or all connected ones, are asked to acknowledge it.
+func (t *tables) RequestAck(nonce int, fromAll bool) {
+	t.ackNonce, t.ackRequested, t.ackFromAll = nonce, true, t.ackFromAll || fromAll
 }
 
-// markDirty has the proxies concerned be written a message.
+// markDirty marks the proxies for which concerned returns true, so that flush writes each a
+// message.
 func (t *tables) markDirty(concerned func(*pushState) bool) {
 	for _, proxy := range t.proxies {
 		if proxy != nil && concerned(proxy) {
@@ -233,17 +262,17 @@
 	}
 }
 
-// uses tells whether a proxy's tables, as far as they are ours, have an entry for a backend.
+// uses reports whether a table that a proxy is assigned has an entry for a backend.
 func (t *tables) uses(proxy *pushState, backend int) bool {
 	for _, number := range proxy.tables {
-		if number != unbound && t.weight(number, backend) > 0 {
+		if number != unassigned && t.weight(number, backend) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// weight gives the weight of a backend in a table; 0 for no entry.
+// weight returns the weight of a backend in a table; 0 if it has no entry.
 func (t *tables) weight(number, backend int) float64 {
 	if weights := t.byNumber[number].weights; backend < len(weights) {
 		return weights[backend]
@@ -251,12 +280,12 @@
 	return 0
 }
 
-// limitFor is the limit that stands for a class at a proxy: the lower one of its table's and that of all, with the table's own
-// retry policy.
+// limitFor returns the limit that applies to a class at a proxy: the lower one of the limit of its
+// table and the limit for all tables, with the table's own retry policy.
 func (t *tables) limitFor(proxy *pushState, class int) admissionLimit {
 	forAll := t.admissionLimitsForAll[class]
 	number := proxy.tables[class]
-	if number == unbound {
+	if number == unassigned {
 		if forAll.set {
 			return forAll
 		}
@@ -272,8 +301,9 @@
 	return own
 }
 
-// forget ends what is kept of a backend that no table and no proxy's tables have, if the decisions can. A proxy that was told not to
-// use it goes on so: as long as that connection lives, the backend must be known if it comes back.
+// forget discards the state of a backend that no table contains, if the decisions can discard
+// theirs. It returns false while a connected proxy has the backend withdrawn: until that connection
+// ends, the backend must stay known, so that it can be restored if it is listed again.
 func (t *tables) forget(backend int, decisionsForget func() bool) bool {
 	for _, proxy := range t.proxies {
 		if proxy != nil && backend < len(proxy.backendStates) && proxy.backendStates[backend] == backendWithdrawn {
@@ -294,7 +324,7 @@
 	return true
 }
 
-// initialState is the state of a backend of which the proxy was told nothing.
+// initialState returns the state of a backend before the proxy is written anything about it.
 func (p *pushState) initialState() backendState {
 	if p.mayHoldWithdrawals {
 		return backendUnknown
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -8,15 +8,18 @@
 	"wheelrill/ownership"
 )
 
-// flush writes what was ordered since the last one: a message for each proxy concerned, in the order of the proxies, which goes to
-// send. A proxy whose message cannot be encoded or sent goes to drop; one that is to acknowledge goes to expectAck.
-func (t *tables) flush(send func(*connection, []byte) error, drop func(proxy int, err error), expectAck func(proxy, nonce int)) {
+// flush writes the orders since the last flush: one message for each proxy concerned, in the order
+// of the proxies, is passed to send. A proxy whose message cannot be encoded or sent is passed to
+// drop, and a proxy that is asked for an acknowledgement to expectAck.
+func (t *tables) flush(
+	send func(*connection, []byte) error, drop func(proxy int, err error), expectAck func(proxy, nonce int),
+) {
 	for proxy, state := range t.proxies {
-		if state == nil || state.unowned || !t.isDue(state) {
+		if state == nil || state.unowned || !t.needsMessage(state) {
 			continue
 		}
 		state.dirty = false
-		message, err := t.encodeFor(state)
+		message, err := t.encodeMessage(state)
 		if err == nil {
 			err = send(state.conn, message)
 		}
@@ -28,16 +31,16 @@
 			expectAck(proxy, t.ackNonce)
 		}
 	}
-	t.forgetChanges()
+	t.resetChanges()
 }
 
-// isDue tells whether a proxy is to be written a message.
-func (t *tables) isDue(proxy *pushState) bool {
+// needsMessage reports whether flush writes a proxy a message.
+func (t *tables) needsMessage(proxy *pushState) bool {
 	return proxy.dirty || t.ackRequested && t.ackFromAll
 }
 
-// forgetChanges ends what is kept of one clock time.
-func (t *tables) forgetChanges() {
+// resetChanges discards the changes and requests of one clock time.
+func (t *tables) resetChanges() {
 	for _, table := range t.byNumber {
 		for _, backend := range table.changed {
 			table.isChanged[backend] = false
@@ -48,15 +51,15 @@
 	t.ackRequested, t.ackFromAll = false, false
 }
 
-// encodeFor encodes what a proxy is to be written, and notes it as written: tables first, then limits, then withdrawals, and the
-// acknowledgement that is asked for last.
-func (t *tables) encodeFor(proxy *pushState) ([]byte, error) {
+// encodeMessage encodes the message to a proxy, and records its content as written. The tables are
+// first, then limits, then withdrawals, and the request for an acknowledgement is last.
+func (t *tables) encodeMessage(proxy *pushState) ([]byte, error) {
 	w := &messageWriter{classNames: t.classNames, maxFrame: t.maxFrame, maxParts: t.maxParts, token: proxy.grantToken}
 	t.writeTables(proxy, w)
 	t.writeLimits(proxy, w)
 	t.writeWithdrawals(proxy, w)
 	if proxy.fullDue != 0 {
-		proxy.base = nil
+		proxy.knownTables = nil
 	}
 	proxy.fullDue = 0
 	if t.ackRequested {
@@ -65,15 +68,16 @@
 	return w.finish()
 }
 
-// writeTables writes the tables of a proxy in the order of its classes, each once for all classes that have it: in full, or what
-// differs from what the proxy brought, where it is due, and what has changed for the other classes.
+// writeTables writes the tables of a proxy in the order of its classes, each table once for all
+// classes that have it. Classes that lack the table are written all of it, or the difference from
+// the table that the proxy already has; the other classes are written its changes.
 func (t *tables) writeTables(proxy *pushState, w *messageWriter) {
 	for class, number := range proxy.tables {
-		if number == unbound || slices.Contains(proxy.tables[:class], number) {
-			continue // not ours, or written with a class before
+		if number == unassigned || slices.Contains(proxy.tables[:class], number) {
+			continue // not assigned, or written with an earlier class
 		}
 		table := t.byNumber[number]
-		due, upToDate := proxy.classesOf(number)
+		due, upToDate := proxy.classesWithTable(number)
 		if due != 0 {
 			t.writeDueTable(proxy, table, due, w)
 		}
@@ -83,8 +87,9 @@
 	}
 }
 
-// classesOf gives the classes that have a table: those for which it is due in full, and those that have it already.
-func (p *pushState) classesOf(number int) (due, upToDate uint16) {
+// classesWithTable returns the classes to which a table is assigned: those that it is to be written to in
+// full, and those that have it already.
+func (p *pushState) classesWithTable(number int) (due, upToDate uint16) {
 	for class, other := range p.tables {
 		switch {
 		case other != number:
@@ -97,7 +102,7 @@
 	return due, upToDate
 }
 
-// writeDueTable writes a table for classes that lack it.
+// writeDueTable writes a table for classes that lack it, as a difference if possible.
 func (t *tables) writeDueTable(proxy *pushState, table *table, due uint16, w *messageWriter) {
 	if delta, ok := t.encodeDelta(proxy, table, due); ok {
 		w.writeTableChange(due, delta)
@@ -126,10 +131,11 @@
 	return entries
 }
 
-// encodeDelta encodes the entries of a table that a proxy lacks, or may lack, by what it surely has; not ok where that is unknown or
-// takes no less than the full table.
+// encodeDelta encodes the entries in which a table differs, or may differ, from the table that a
+// proxy surely has. It returns false if that table is unknown, or if the difference is no smaller
+// than the full table.
 func (t *tables) encodeDelta(proxy *pushState, table *table, due uint16) (entries [][]byte, ok bool) {
-	if proxy.base == nil {
+	if proxy.knownTables == nil {
 		return nil, false
 	}
 	want := map[string]float64{}
@@ -138,7 +144,7 @@
 			want[string(t.backendName(backend))] = weight
 		}
 	}
-	delta, ok := ownership.Delta(proxy.base, func(class int) bool { return hasClass(due, class) }, want)
+	delta, ok := ownership.Delta(proxy.knownTables, func(class int) bool { return hasClass(due, class) }, want)
 	if !ok {
 		return nil, false
 	}
@@ -147,23 +153,25 @@
 	}
 	for class := range proxy.admissionLimits {
 		if hasClass(due, class) {
-			proxy.admissionLimits[class] = unknownLimit // a full table would have it forget those that others left
+			proxy.admissionLimits[class] = unknownLimit // only a full table makes the proxy discard limits of others
 		}
 	}
 	return entries, true
 }
 
-// unknownLimit stands for whatever limit another controller may have left at a proxy.
+// unknownLimit stands for any limit that another controller may have left at a proxy.
 var unknownLimit = admissionLimit{set: true, limit: -1}
 
-// isUnknown tells whether a limit as last written is another controller's.
+// isUnknown reports whether a limit as last written may be one of another controller.
 func (l admissionLimit) isUnknown() bool { return l.limit < 0 }
 
-// unlimited is the limit of a class for which none was ordered, where it has to be written: no proxy reaches it, and retries are as
-// proxies make them without an order.
+// unlimited is written for a class without an ordered limit, where the lack of a limit has to be
+// written: no proxy reaches this limit, and its retry policy is the one that proxies use without an
+// order.
 var unlimited = admissionLimit{true, math.MaxFloat32, balancer.RetryIfNotExecuted}
 
-// writeLimits writes limits that differ from what the proxy was last written, each once for all classes that share it.
+// writeLimits writes the limits that differ from those last written to the proxy, each once for all
+// classes that share it.
 func (t *tables) writeLimits(proxy *pushState, w *messageWriter) {
 	changed := t.updateLimits(proxy)
 	for class, limit := range proxy.admissionLimits {
@@ -181,8 +189,9 @@
 	}
 }
 
-// updateLimits notes the limits that a proxy is to have as written, and gives the classes whose limits differ from what it has. A
-// full table has it forget its limits; where it may have those of others, the lack of one has to be written.
+// updateLimits records the limits that a proxy should have as written, and returns the classes
+// whose limits differ from those that it has. A full table makes the proxy discard its limits. If
+// it may have limits of other controllers, the lack of a limit has to be written.
 func (t *tables) updateLimits(proxy *pushState) (changed uint16) {
 	for class := range t.classNames {
 		limit, unknown := t.limitFor(proxy, class), proxy.admissionLimits[class].isUnknown()
@@ -200,14 +209,16 @@
 	return changed
 }
 
-// writeWithdrawals writes which backends are withdrawn, and which are restored. A proxy keeps withdrawals of other controllers, and
-// of our process before this one, while the decisions count on a cleared proxy to keep only ours: so whatever its tables use and it
-// may keep withdrawn is restored then, or with the first entry for it.
+// writeWithdrawals writes which backends are withdrawn, and which are restored. A proxy keeps
+// withdrawals of other controllers, and of an earlier process of this one, while the decisions
+// assume that a cleared proxy has only the withdrawals of this process. So a backend that its
+// tables contain and that it may have withdrawn is restored when the proxy is cleared, or with the
+// first entry for the backend after that.
 func (t *tables) writeWithdrawals(proxy *pushState, w *messageWriter) {
 	var withdrawn, restored [][]byte
 	for _, backend := range t.uncertainBackends(proxy) {
-		// A table that is not ours may have a backend whose withdrawal has changed.
-		mayUse := slices.Contains(proxy.tables, unbound) && slices.Contains(proxy.withdrawalChanges, backend)
+		// The table of an unassigned class may contain a backend whose withdrawal has changed.
+		mayUse := slices.Contains(proxy.tables, unassigned) && slices.Contains(proxy.withdrawalChanges, backend)
 		if !mayUse && !t.uses(proxy, backend) {
 			continue
 		}
@@ -226,12 +237,12 @@
 	w.writeBackends(keyRestore, restored)
 }
 
-// isWithdrawn tells whether a backend is withdrawn.
+// isWithdrawn reports whether a backend is withdrawn.
 func (t *tables) isWithdrawn(backend int) bool {
 	return backend < len(t.withdrawn) && t.withdrawn[backend]
 }
 
-// stateOf gives the state of a backend at a proxy, as last written, for it to be changed.
+// stateOf returns a pointer to the state of a backend at a proxy, as last written.
 func (p *pushState) stateOf(backend int) *backendState {
 	for len(p.backendStates) <= backend {
 		p.backendStates = append(p.backendStates, p.initialState())
@@ -239,13 +250,14 @@
 	return &p.backendStates[backend]
 }
 
-// uncertainBackends are those that a proxy may keep in another state than it should, in order: all that are known, until its tables
-// were gone through once, and then those whose entries or withdrawals changed since its last message.
+// uncertainBackends returns, in ascending order, the backends whose state at a proxy may differ
+// from the state that it should have: all known backends until the proxy is reconciled, and after
+// that those whose entries or withdrawals changed since its last message.
 func (t *tables) uncertainBackends(proxy *pushState) (backends []int) {
 	if proxy.reconciled {
 		backends = slices.Clone(proxy.withdrawalChanges)
 		for class, number := range proxy.tables {
-			if number != unbound && !slices.Contains(proxy.tables[:class], number) {
+			if number != unassigned && !slices.Contains(proxy.tables[:class], number) {
 				backends = append(backends, t.byNumber[number].changed...)
 			}
 		}
