--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -38,7 +38,8 @@
 	return c.loop
 }
 
-// connectFleet connects proxies at one clock time, each on a connection whose outbox takes all messages.
+// connectFleet connects proxies at one clock time, each on a connection whose outbox takes all
+// messages.
 func connectFleet(loop *eventLoop, proxies int) (conns []*connection) {
 	loop.iterate(func() {
 		for proxy := range proxies {
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -36,7 +36,8 @@
 // resources are the limits of the process as the configuration gives them.
 type resources struct{ cores, memoryMB, sockets float64 }
 
-// parseConfiguration reads a whole configuration. An error names the key that is missing or unusable.
+// parseConfiguration reads a whole configuration. An error names the key that is missing or
+// unusable.
 func parseConfiguration(configuration []byte) (*parsedConfiguration, error) {
 	root, err := fastjson.ParseBytes(configuration)
 	if err != nil {
--- a/controller/configuration_cache_test.go
+++ b/controller/configuration_cache_test.go
@@ -30,7 +30,7 @@
 	}
 	if got, err := reopened.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) ||
 		reopened.saved != state.Version {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("load returned %+v, error %v", got, err)
 	}
 	if files, err := os.ReadDir(folder); err != nil || len(files) != 1 {
 		t.Errorf("the folder should contain one file, has %v, error %v", files, err)
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if got, err := reopened.load(); err == nil || got != nil || !strings.Contains(err.Error(), cacheFile) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("load returned %+v, error %v", got, err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -35,7 +35,7 @@
 		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(unusual), NewLogger(logged))
 		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
 			c.Memory() != 192<<20 {
-			t.Errorf("got %+v, error %v", c, err)
+			t.Errorf("controller %+v, error %v; want the identity's addresses and the limits of the configuration", c, err)
 		}
 		logged.waitFor(t, "guessed", 1)
 	})
@@ -54,7 +54,7 @@
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
 			t.Errorf("error %v, the proxy has %+v", err, fake)
 		}
-		for range 3 { // repeated reloads have the effect of one
+		for range 3 { // repeated reloads have the same effect as one
 			if err := c.Reload(configuration(next.address, "null")); err != nil {
 				t.Fatal(err)
 			}
--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// parentLossReason returns the reason why a parent was lost. If the node gives no reason, the connection
-// ended.
+// parentLossReason returns the reason why a parent was lost. If the node gives no reason, the
+// connection ended.
 func parentLossReason(reason distribution.CloseReason) string {
 	if reason == 0 {
 		return "connection closed"
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -101,7 +101,7 @@
 	return startController(t, name, known, func(c *Controller) error { return c.JoinDistribution(with) })
 }
 
-// reload has a controller read a file that distributes something.
+// reload makes a controller read a configuration with an object of distributed entries.
 func (s *runningController) reload(t *testing.T, known, distributed string) {
 	t.Helper()
 	if err := s.Reload(withDistributed(known, distributed)); err != nil {
@@ -109,6 +109,7 @@
 	}
 }
 
+// withDistributed returns a configuration with an object of distributed entries.
 func withDistributed(known, distributed string) []byte {
 	text := string(configuration("127.0.0.1:9", known))
 	return []byte(strings.Replace(text, `"seed"`, `"distributed":`+distributed+`,"seed"`, 1))
@@ -176,10 +177,10 @@
 		voters[1].stop()
 		leaf.logged.waitFor(t, "msg=configuration_stale revision=2", 1)
 		if picks := fake.picks(0); len(picks) != 5 {
-			t.Errorf("picks %v", picks)
+			t.Errorf("picks %v, want 5 backends", picks)
 		}
 		if text, _ := leaf.logged.read(); strings.Count(text, "msg=snapshot_applied") != 1 {
-			t.Errorf("a snapshot was sent where a delta is enough")
+			t.Error("a snapshot was sent where a delta is enough")
 		}
 	})
 }
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -35,7 +35,9 @@
 	backends   *backendIndex
 	sessions   []*session // by proxy; nil if the proxy is not connected
 
-	inbox   chan func()   // at most limits.inboxSize queued events; if full, post blocks and tryPost drops its event
+	// inbox holds at most limits.inboxSize events. When it is full, post blocks and tryPost drops
+	// its event.
+	inbox   chan func()
 	stopped chan struct{} // closed when run returns; no event is handled after that
 	ready   chan struct{} // closed by becomeReady; connections send no message before that
 
@@ -55,7 +57,7 @@
 }
 
 // tryPost queues an event that may be lost. With a full inbox the event is dropped: the reader must
-// not block, and the thousands of queued reports carry nremaining the same information. Any goroutine
+// not block, and the thousands of queued reports carry almost the same information. Any goroutine
 // may call it.
 func (l *eventLoop) tryPost(event func()) {
 	select {
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -16,15 +16,15 @@
 		for node, mayHold := range []bool{false, true} {
 			conn, fake := connectProxy(t, loop, 1, node, mayHold), newFakeProxy("read it", "write")
 			fake.withdrawn["s-1"] = mayHold
-			// Charged, without headers: an ack request, a limit for each class, an assignment and its two
-			// lines, and as many lines again if the proxy may hold withdrawals.
+			// Charged, without headers: an ack request, a limit for each class, an assignment and
+			// its two lines, and as many lines again if the proxy may hold withdrawals.
 			maxCost := 1 + 2 + 1 + 2
 			if mayHold {
 				maxCost += 2
 			}
 			if fake.receive(t, conn); len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 || len(fake.nonces) != 1 ||
 				fake.cost > maxCost {
-				t.Errorf("node %d: got %+v", node, fake)
+				t.Errorf("proxy %d: want all backends, one ack request and at most %d lines, got %+v", node, maxCost, fake)
 			}
 		}
 	})
@@ -36,7 +36,7 @@
 		changes := fmt.Sprintf("[%s,%s,%s]", endpointJSON(0, "draining"), endpointJSON(1, "removed"), endpointJSON(2, "up"))
 		advance(loop, 5*microsPerSecond, func() { loop.endpointsUpdated(false, 2, parsed(t, changes).GetArray()) })
 		if fake.receive(t, conn); fake.messages != 2 || !slices.Equal(fake.picks(0), []string{"s-2"}) {
-			t.Errorf("got %+v", fake)
+			t.Errorf("want a second message that leaves s-2, got %+v", fake)
 		}
 	})
 	t.Run("a newer stream takes the place of the old, whose end and acknowledgements say nothing", func(t *testing.T) {
@@ -47,7 +47,7 @@
 		loop.iterate(func() { loop.acknowledged(old, fake.nonces[0]); loop.proxyDisconnected(old) })
 		newer.receive(t, conn)
 		if !loop.isCurrent(conn) || old.send(nil) != errClosed || len(newer.picks(0)) != 2 {
-			t.Errorf("current %v, picks %v", loop.isCurrent(conn), newer.picks(0))
+			t.Errorf("newer connection: current %v, picks %v", loop.isCurrent(conn), newer.picks(0))
 		}
 		stale := connectProxy(t, loop, 1, 0, true)
 		if !loop.isCurrent(conn) || stale.send(nil) != errClosed {
@@ -158,10 +158,11 @@
 	}
 	fake.receive(t, conn)
 	if known := len(loop.backends.index); known > 20 || len(loop.backends.ids) > 20 || len(loop.withdrawn) > 20 {
-		t.Errorf("%d known, %d indices, %d withdrawn", known, len(loop.backends.ids), len(loop.withdrawn))
+		t.Errorf("%d known backends, %d indices, %d withdrawal flags, want at most 20 each",
+			known, len(loop.backends.ids), len(loop.withdrawn))
 	}
 	if !slices.Equal(fake.picks(0), []string{"s-58", "s-59"}) || !slices.Equal(fake.picks(1), []string{"s-58", "s-59"}) {
-		t.Errorf("picks %v", fake.lines)
+		t.Errorf("want picks s-58 and s-59, got entries %v", fake.lines)
 	}
 	if _, known := loop.backends.index["s-50"]; !known || loop.backends.ids[first] == "s-0" {
 		t.Error("a backend was forgotten too soon, or not at all")
@@ -171,6 +172,6 @@
 	advance(loop, 3*microsPerSecond, func() { conn.lastMessageAt.Store(loop.now) })
 	fake.receive(t, conn)
 	if len(fake.picks(0)) != 2 {
-		t.Errorf("picks %v", fake.picks(0))
+		t.Errorf("picks %v after a late report, want 2 backends", fake.picks(0))
 	}
 }
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -45,7 +45,7 @@
 		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); fake.cost > 3 || !maps.Equal(fake.lines[0], ten) || fake.limits[0][0] < 1e9 || fake.limits[1][0] < 1e9 ||
 			fake.limits[0][1] != float64(balancer.RetryIfNotExecuted) {
-			t.Errorf("got %+v", fake)
+			t.Errorf("want at most 3 lines and lifted limits, got %+v", fake)
 		}
 		tables.PublishEntry(0, 3, 0.5)
 		tables.flushToOutboxes(t)
@@ -77,7 +77,7 @@
 		tables.AssignTable(0, 0, 0)
 		tables.flushToOutboxes(t)
 		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || fake.limits[0] != nil || tables.fullTables != 1 || tables.deltaTables != 0 {
-			t.Errorf("got %+v", fake)
+			t.Errorf("want one full table and no limits, got %+v", fake)
 		}
 	})
 	t.Run("for classes that had different tables, an entry that any of them lacks is written", func(t *testing.T) {
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -31,7 +31,8 @@
 const maxWeight = 1e6
 
 // minLimit replaces a limit of 0, because the decisions take a quota of 0 as no quota at all. With
-// minLimit they still let a little through, so that load reports of the class continue.
+// minLimit they still admit a small share of the requests, so that load reports of the class
+// continue.
 const minLimit = 1e-9
 
 // overrides holds the values that distributed entries set for backends, where they take precedence
@@ -41,8 +42,8 @@
 	classLimits map[string]map[distribution.Key]float64        // by class, requests a second
 	drains      map[string]map[distribution.Key]microseconds   // by backend id: time at which the entry was accepted
 	weights     map[string]map[distribution.Key]weightOverride // by backend id
-	// listed holds, by backend index, the endpoint as discovery lists it. Before an index is used
-	// again, the list names its new backend.
+	// listed holds, by backend index, the endpoint as discovery lists it. When an index is assigned
+	// again, the listing of its new backend replaces the endpoint.
 	listed []balancer.Endpoint
 }
 
@@ -188,9 +189,9 @@
 	}
 }
 
-// appendMerged appends an endpoint with its overrides applied, as the decisions are given it. A drained
-// backend that discovery has removed is appended twice, as draining and then as removed: if it were
-// only removed, proxies might go on using it.
+// appendMerged appends an endpoint with its overrides applied, as the decisions are given it. A
+// drained backend that discovery has removed is appended twice, as draining and then as removed: if
+// it were only removed, proxies might go on using it.
 func (o *overrides) appendMerged(to []balancer.Endpoint, id string, endpoint balancer.Endpoint) []balancer.Endpoint {
 	if weight, ok := o.weightOf(id); ok {
 		endpoint.Weight = weight
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -132,7 +132,7 @@
 		})
 		conn, fake := connectProxy(t, loop, 1, 0, false), newFakeProxy("read it", "write")
 		if got := fake.receivePicks(t, conn); len(got) != 2 {
-			t.Fatalf("picks %v", got)
+			t.Fatalf("picks %v, want 2 backends", got)
 		}
 		loop.iterate(func() { loop.acknowledged(conn, fake.nonces[len(fake.nonces)-1]) })
 		return loop, fake, conn
@@ -155,7 +155,7 @@
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 2, true), false) })
 		advance(loop, 5*microsPerSecond, func() {})
 		if got := fake.receivePicks(t, conn); !slices.Contains(got, "s-0") {
-			t.Errorf("picks %v", got)
+			t.Errorf("picks %v, want s-0 among them", got)
 		}
 	})
 	t.Run("a drain applies to a backend that is listed later", func(t *testing.T) {
@@ -187,7 +187,7 @@
 		loop.iterate(func() { loop.applyDistributed(nil, true) })
 		advance(loop, 5*microsPerSecond, func() {})
 		if got := fake.receivePicks(t, conn); !slices.Contains(got, "s-0") {
-			t.Errorf("picks %v", got)
+			t.Errorf("picks %v, want s-0 among them", got)
 		}
 	})
 	t.Run("a limit of a class and its end reach the proxies", func(t *testing.T) {
@@ -253,7 +253,7 @@
 		`{"pricing":{"drain":{"s":1}}}`:    "configuration: distributed.pricing.drain.s: is 1; a drain must be true",
 		`{"pricing":{"weight":{"s":0}}}`:   "configuration: distributed.pricing.weight.s: is 0; use a number above 0",
 		`{"pricing":{"weight":{"s":"2"}}}`: `configuration: distributed.pricing.weight.s: is "2"; use a number above 0`,
-		`{"pricing":{"limit":{"t":-1}}}`:   "configuration: distributed.pricing.limit.t: is -1; use a number of requests a second",
+		`{"pricing":{"limit":{"t":-1}}}`:   "configuration: distributed.pricing.limit.t: is -1; use a number of requests",
 		`{"pricing":{"route":{"t":1}}}`:    "configuration: distributed.pricing.route.t: is not an object",
 		`{"":{"route":{"t":{}}}}`:          `configuration: distributed: "" is not a valid name`,
 	} {
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -9,7 +9,7 @@
 )
 
 // OwnershipConfig names the members that share the ownership of proxies. All members agree on all
-// of it, except the name, the folder and the files.
+// of it, except the name, the folder and the files of the credentials.
 type OwnershipConfig struct {
 	// Name is the name of this member; empty means the controller's own name.
 	Name string
@@ -107,8 +107,8 @@
 	return node, err
 }
 
-// memberChannel returns the push channel with this member's share of the messages that may be written
-// to a proxy.
+// memberChannel returns the push channel with this member's share of the messages that may be
+// written to a proxy.
 func (c *Controller) memberChannel(terms ownership.LeaseTerms) balancer.PushChannel {
 	channel := c.configuration.channel
 	if channel.MaxMessages > 0 {
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -162,7 +162,7 @@
 		proxy := dial(t, all[0].address)
 		proxy.send(`{"msg":"hello","node":3,"locality":"b","w":12.5,"cold":true,"fence":true}`)
 		if raw := string(proxy.receive()); !strings.Contains(raw, `{"msg":"push","token":`) {
-			t.Errorf("got %q", raw)
+			t.Errorf("the push has no token: %q", raw)
 		}
 	})
 	t.Run("an unusable OwnershipConfig is refused", func(t *testing.T) {
@@ -172,11 +172,11 @@
 		}
 		if err := c.ShareOwnership(OwnershipConfig{Members: map[string]string{"n0": "127.0.0.1:0"}}); err == nil ||
 			!strings.Contains(err.Error(), `"n9" is not among them`) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v", err)
 		}
 		if err := c.ShareOwnership(OwnershipConfig{Members: map[string]string{"n9": "127.0.0.1:0"}, Lease: 1000}); err == nil ||
 			!strings.Contains(err.Error(), "lease") {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v", err)
 		}
 	})
 }
--- a/controller/push_charge_test.go
+++ b/controller/push_charge_test.go
@@ -60,7 +60,7 @@
 					for len(conn.outbox) > 0 {
 						before := fake.messages
 						if err := fake.apply(<-conn.outbox); err != nil || fake.messages != before+1 {
-							t.Fatal(err)
+							t.Fatalf("error %v, or a part without its message", err)
 						}
 						written += 4 + fake.cost
 					}
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -11,8 +11,8 @@
 	// unacked holds the missing acknowledgements, oldest first. Beyond limits.maxUnacked, the
 	// oldest is dropped.
 	unacked []*pendingAck
-	// firstCompleteAck is the first acknowledgement that was requested while every class had a table
-	// of this controller. It is set only where ownership is shared.
+	// firstCompleteAck is the first acknowledgement that was requested while every class had a
+	// table of this controller. It is set only where ownership is shared.
 	firstCompleteAck     *pendingAck
 	completeAcknowledged bool // firstCompleteAck was acknowledged
 }
@@ -40,7 +40,7 @@
 	}
 	if older := l.sessions[conn.proxy]; older != nil {
 		if older.conn.sequence > conn.sequence {
-			conn.close(errSuperseded) // its hello took longer than the whole connect of the newer connection
+			conn.close(errSuperseded) // its hello arrived after that of a newer connection
 			return
 		}
 		l.removeSession(conn.proxy)
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -89,8 +89,8 @@
 
 	// State that the proxy brings from before it connected.
 	mayHoldWithdrawals bool // it may have withdrawals of other controllers
-	// knownTables holds, by class, the table that the proxy surely has, until a table of this controller
-	// is written; nil if that is unknown.
+	// knownTables holds, by class, the table that the proxy surely has, until a table of this
+	// controller is written; nil if that is unknown.
 	knownTables []ownership.KnownTable
 
 	// Fields that are used only where ownership is shared.
@@ -203,9 +203,9 @@
 	})
 }
 
-// SyncWithdrawals implements balancer.Host: a proxy with an unassigned class is written all withdrawn
-// backends, because it may use any of them, and a limit for its unassigned classes that have none. It
-// returns false if the proxy has no unassigned class or is not connected.
+// SyncWithdrawals implements balancer.Host: a proxy with an unassigned class is written all
+// withdrawn backends, because it may use any of them, and a limit for its unassigned classes that
+// have none. It returns false if the proxy has no unassigned class or is not connected.
 func (t *tables) SyncWithdrawals(proxy int, limit float64, retry balancer.RetryPolicy) bool {
 	state := t.proxy(proxy)
 	if state == nil || !slices.Contains(state.tables, unassigned) {
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// classesWithTable returns the classes to which a table is assigned: those that it is to be written to in
-// full, and those that have it already.
+// classesWithTable returns the classes to which a table is assigned: those that it is to be written
+// to in full, and those that have it already.
 func (p *pushState) classesWithTable(number int) (due, upToDate uint16) {
 	for class, other := range p.tables {
 		switch {
--- a/controller/tables_pushes_test.go
+++ b/controller/tables_pushes_test.go
@@ -12,8 +12,10 @@
 	"wheelrill/balancer"
 )
 
+// backendName returns the id of a backend as encoded in messages.
 func backendName(b int) []byte { return fmt.Appendf(nil, `"s-%d"`, b) }
 
+// newTestTables makes tables for classes c0, c1 and so on.
 func newTestTables(classes int) *tables {
 	names := [][]byte{}
 	for i := range classes {
@@ -35,6 +37,7 @@
 	return fake, conn
 }
 
+// flushToOutboxes writes each proxy its message; the test fails if a proxy is dropped.
 func (t *tables) flushToOutboxes(test *testing.T) {
 	test.Helper()
 	t.flush((*connection).send, func(proxy int, err error) {
@@ -43,7 +46,7 @@
 }
 
 func TestPushes(t *testing.T) {
-	t.Run("an assignment writes the full table and its limits, later changes only what changed", func(t *testing.T) {
+	t.Run("an assignment writes the full table and limits, later changes reach only assigned proxies", func(t *testing.T) {
 		tables := newTestTables(2)
 		fake, conn := connectFakeProxy(tables, 0, false)
 		other, otherConn := connectFakeProxy(tables, 5, false)
