--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -27,7 +27,7 @@
 		Args:    cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			for _, s := range rehearse.Scenarios() {
-				fmt.Fprintf(c.OutOrStdout(), "%-10s %s\n", s.Name, s.About)
+				fmt.Fprintf(c.OutOrStdout(), "%-10s %s\n", s.Name, s.Summary)
 			}
 		},
 	}
@@ -103,10 +103,10 @@
 	fmt.Fprintf(to, "%s, seed %d, %d controllers, sharing %v, %d proxies, %.0f s, faults %v\n", r.Scenario, r.Seed, r.Controllers,
 		r.Sharing, r.Proxies, r.Seconds, r.Faults)
 	fmt.Fprintf(to, "effects %d, broken rules %v; longest with an empty table %.2f s, most messages to a proxy %d\n", r.Effects,
-		r.ViolationCounts, r.LongestEmptyTable, r.MostMessages)
+		r.ViolationCounts, r.LongestEmptyTable, r.PeakMessages)
 	fmt.Fprintf(to, "value served in time %.4f of %d requests; lost %d, rejected %d\n", r.ServedValue, r.Requests, r.Lost, r.Rejected)
 	fmt.Fprintf(to, "streams begun %d, lines in the first second of each %.1f; all lines %d in %d pushes; rejected as stale %d\n",
-		r.StreamsBegun, r.LinesAtConnect, r.Lines, r.Pushes, r.StalePushesRejected)
+		r.StreamsOpened, r.LinesAtConnect, r.Lines, r.Pushes, r.StalePushesRejected)
 	fmt.Fprintf(to, "hangs %d, detected after %.2f s in the mean, %.2f s at most; attempts into them %d; backends replaced %d\n", r.Hangs,
 		r.MeanHangDetection, r.MaxHangDetection, r.AttemptsIntoHang, r.BackendsReplaced)
 	for _, v := range r.Violations {
--- a/fake/backend.go
+++ b/fake/backend.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		b.busy++
-		b.checker.EffectTaken(request.key, b.clock())
+		b.checker.EffectApplied(request.key, b.clock())
 		time.AfterFunc(b.ServiceTime, func() { b.finish(request) })
 	}
 }
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -161,7 +161,7 @@
 	Counts            map[string]int // of all violations, by "rule N"
 	Effects           int            // requests that took effect
 	LongestEmptyTable time.Duration  // that a connected proxy lacked an entry
-	MostMessages      int            // to one proxy within the window
+	PeakMessages      int            // to one proxy within the window
 }
 
 // Verdict judges what still lasts as it stands, and gives what the run has shown. It is called once, at the end.
@@ -181,6 +181,6 @@
 		Counts:            c.counts,
 		Effects:           len(c.effects),
 		LongestEmptyTable: c.longestEmptyTable,
-		MostMessages:      c.mostMessages,
+		PeakMessages:      c.mostMessages,
 	}
 }
--- a/invariant/checker_test.go
+++ b/invariant/checker_test.go
@@ -49,8 +49,8 @@
 			c.ProxyConnected(1, true, []string{"c"}, 0)
 			c.TableChanged(1, "c", true, 8000*ms)
 		}, 9000 * ms, nil},
-		{"two effects of two pieces of work", func(c *Checker) { c.EffectTaken("x", 0); c.EffectTaken("y", ms) }, 0, nil},
-		{"one effect twice", func(c *Checker) { c.EffectTaken("x", 0); c.EffectTaken("x", ms) }, 0, []Rule{2}},
+		{"two effects of two pieces of work", func(c *Checker) { c.EffectApplied("x", 0); c.EffectApplied("y", ms) }, 0, nil},
+		{"one effect twice", func(c *Checker) { c.EffectApplied("x", 0); c.EffectApplied("x", ms) }, 0, []Rule{2}},
 		{"a worker that drains is tried within the grace", func(c *Checker) {
 			c.ProxyConnected(1, true, nil, 0)
 			c.EndpointListed("w", false, false, 0)
@@ -138,7 +138,7 @@
 	t.Run("breaches beyond some are counted, not kept", func(t *testing.T) {
 		c := ready()
 		for range 3 * maxViolations {
-			c.EffectTaken("x", 0)
+			c.EffectApplied("x", 0)
 		}
 		if v := c.Verdict(0); len(v.Violations) != maxViolations || v.Counts["rule 2"] != 3*maxViolations-1 {
 			t.Errorf("%d kept, counted %v", len(v.Violations), v.Counts)
--- a/invariant/duplicate_effect.go
+++ b/invariant/duplicate_effect.go
@@ -4,8 +4,8 @@
 
 // Rule 2: no request takes effect twice, however often it is retried.
 
-// EffectTaken notes that a request took effect at a backend. Its key is its own.
-func (c *Checker) EffectTaken(key string, at time.Duration) {
+// EffectApplied notes that a request took effect at a backend. Its key is its own.
+func (c *Checker) EffectApplied(key string, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if first, again := c.effects[key]; again {
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -27,13 +27,13 @@
 
 	Effects           int     `json:"effects"`                  // requests that took effect
 	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // seconds
-	MostMessages      int     `json:"most_messages_to_a_relay"` // within the window
+	PeakMessages      int     `json:"most_messages_to_a_relay"` // within the window
 	ServedValue       float64 `json:"value_served"`             // in time, as a share of the value that came
 	Lost              int     `json:"lost"`                     // requests
 	Rejected          int     `json:"refused"`                  // requests that were not admitted
 	Requests          int     `json:"came"`                     // all
 
-	StreamsBegun        int     `json:"streams_begun"`                         // of proxies to controllers
+	StreamsOpened       int     `json:"streams_begun"`                         // of proxies to controllers
 	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean
 	Lines               int     `json:"lines"`                                 // in all orders
 	Pushes              int     `json:"orders"`                                // that proxies applied
@@ -68,13 +68,13 @@
 	report.ViolationCounts = v.Counts
 	report.Effects = v.Effects
 	report.LongestEmptyTable = v.LongestEmptyTable.Seconds()
-	report.MostMessages = v.MostMessages
+	report.PeakMessages = v.PeakMessages
 	report.ServedValue = (after.ServedValue - before.ServedValue) / max(after.OfferedValue-before.OfferedValue, 1)
 	report.Lost = after.Lost - before.Lost
 	report.Rejected = after.Rejected - before.Rejected
 	report.Requests = after.Requests - before.Requests
-	report.StreamsBegun = after.Streams - before.Streams
-	report.LinesAtConnect = float64(after.LinesAtConnect-before.LinesAtConnect) / float64(max(report.StreamsBegun, 1))
+	report.StreamsOpened = after.Streams - before.Streams
+	report.LinesAtConnect = float64(after.LinesAtConnect-before.LinesAtConnect) / float64(max(report.StreamsOpened, 1))
 	report.Lines = after.Lines - before.Lines
 	report.Pushes = after.Pushes - before.Pushes
 	report.StalePushesRejected = after.StalePushesRejected - before.StalePushesRejected
@@ -90,7 +90,7 @@
 	report := r.report
 	report.SchedulingDelayP99 = milliseconds(delayP99)
 	report.SchedulingDelayMax = milliseconds(delayMax)
-	tookOver := report.StreamsBegun > 0 || !r.stoppedAny() // what is only between controllers moves no proxy
+	tookOver := report.StreamsOpened > 0 || !r.stoppedAny() // what is only between controllers moves no proxy
 	switch {
 	case process.TooBusy(delayP99):
 		report.Verdict = VerdictInconclusive
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -78,8 +78,8 @@
 
 // ScenarioDescription says what a scenario is.
 type ScenarioDescription struct {
-	Name  string // by which it is asked for
-	About string // in a sentence
+	Name    string // by which it is asked for
+	Summary string // in a sentence
 }
 
 // Scenarios are all there are.
