--- a/fake/backend.go
+++ b/fake/backend.go
@@ -7,45 +7,46 @@
 	"wheelrill/invariant"
 )
 
-// Mode is how a backend behaves.
+// Mode is the way in which a backend treats requests.
 type Mode uint8
 
 // Modes of a backend.
 const (
-	ModeHealthy  Mode = iota // serves as fast as its cores allow
-	ModeHang                 // takes everything and answers nothing
-	ModeFailFast             // answers at once that it failed
-	ModeRefuse               // takes nothing: proof that nothing ran
+	ModeHealthy  Mode = iota // serves requests as fast as its cores allow
+	ModeHang                 // accepts every request and answers none
+	ModeFailFast             // answers with a failure after a part of the service time
+	ModeRefuse               // rejects every request, which proves that the request did not run
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
 // Outcomes of an attempt.
 const (
 	OutcomeSucceeded Outcome = iota
-	OutcomeFailed            // it may have run
-	OutcomeRejected          // it never ran
-	OutcomeTimedOut          // it may run yet
+	OutcomeFailed            // the request may have run
+	OutcomeRejected          // the request did not run
+	OutcomeTimedOut          // the request may have run, or may still run
 )
 
-// Backend has cores that take a time for each request, and a queue before them. Safe for concurrent use.
+// Backend serves up to Cores requests at once, each for ServiceTime, and queues the others. Safe
+// for concurrent use.
 type Backend struct {
-	ID          string        // its name on the wire
-	Zone        string        // by name
-	Weight      float64       // as discovery has it
-	Cores       int           // requests that are served at once
-	ServiceTime time.Duration // of one request
+	ID          string        // name on the wire
+	Zone        string        // name of the zone
+	Weight      float64       // as published by discovery
+	Cores       int           // number of requests served at once
+	ServiceTime time.Duration // time for which a request occupies a core
 
 	checker *invariant.Checker
 	clock   func() time.Duration
 
-	mutex   sync.Mutex // of all below
-	mode    Mode
-	started time.Time     // zero for long ago
-	warmup  time.Duration // that it is cold after its start
-	busy    int           // cores
-	queue   []*queuedRequest
+	mutex     sync.Mutex // guards the fields below
+	mode      Mode
+	startedAt time.Time     // zero if the backend started long ago
+	warmup    time.Duration // time after startedAt for which the backend is cold
+	busyCores int
+	queue     []*queuedRequest
 }
 
 type queuedRequest struct {
@@ -56,34 +57,38 @@
 }
 
 const (
-	// coldQueuePerCore is how many requests for each core may wait at a cold backend before it is overloaded.
+	// coldQueuePerCore is the number of requests per core that may wait at a cold backend; a longer
+	// queue overloads it.
 	coldQueuePerCore = 8
-	refuseTime       = time.Millisecond
-	failFastShare    = 4 // a failure takes one part in so many of the service time
+	// refusalLatency is the time that a rejection takes.
+	refusalLatency = time.Millisecond
+	// failFastDivisor divides the service time; the quotient is the time that a failure takes.
+	failFastDivisor = 4
 )
 
-// SetMode has the backend behave so from now on.
+// SetMode sets the mode in which the backend treats requests from now on.
 func (b *Backend) SetMode(mode Mode) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.mode = mode
 }
 
-// Restart has it start anew: healthy, with an empty queue, and cold for a while.
+// Restart puts the backend into the state of a new process: healthy, with an empty queue, and cold
+// for the warmup time. Requests that occupy a core continue.
 func (b *Backend) Restart(warmup time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.mode = ModeHealthy
-	b.started = time.Now()
+	b.startedAt = time.Now()
 	b.warmup = warmup
 	b.queue = nil
 }
 
-// Warm tells whether it may be sent as much as any.
+// Warm reports whether the backend has run for its warmup time, so that it can take full load.
 func (b *Backend) Warm() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.started.IsZero() || time.Since(b.started) >= b.warmup
+	return b.startedAt.IsZero() || time.Since(b.startedAt) >= b.warmup
 }
 
 func (b *Backend) hangs() bool {
@@ -92,33 +97,34 @@
 	return b.mode == ModeHang
 }
 
-// discoveryEntry is the backend as discovery writes it.
+// discoveryEntry returns the entry of the backend in the endpoint list.
 func (b *Backend) discoveryEntry(state State) discoveryEntry {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	entry := discoveryEntry{ID: b.ID, Addr: b.ID, Zone: b.Zone, Kind: "w", State: state, Weight: b.Weight}
-	if !b.started.IsZero() {
-		entry.Started = b.started.UnixMilli()
+	if !b.startedAt.IsZero() {
+		entry.Started = b.startedAt.UnixMilli()
 	}
 	return entry
 }
 
-// Handle gives the backend a request. Done is called once, with the time that it took, on a goroutine of its own; never
-// where the backend hangs, or where the timeout ends before a core is free. A cold backend with too long a queue is
-// overloaded, and hangs from then on.
+// Handle accepts a request. It calls done once, on a separate goroutine, with the outcome and the
+// time that the attempt took. It never calls done if the backend hangs, or if timeout ends before a
+// core is free. A cold backend whose queue gets too long is overloaded, and hangs from then on.
 func (b *Backend) Handle(key string, timeout time.Duration, done func(Outcome, time.Duration)) {
 	switch b.enqueue(key, timeout, done) {
 	case ModeHealthy:
 		b.serveQueue()
 	case ModeFailFast:
-		took := b.ServiceTime / failFastShare
-		time.AfterFunc(took, func() { done(OutcomeFailed, took) })
+		latency := b.ServiceTime / failFastDivisor
+		time.AfterFunc(latency, func() { done(OutcomeFailed, latency) })
 	case ModeRefuse:
-		time.AfterFunc(refuseTime, func() { done(OutcomeRejected, refuseTime) })
+		time.AfterFunc(refusalLatency, func() { done(OutcomeRejected, refusalLatency) })
 	}
 }
 
-// enqueue puts a request into the queue of a healthy backend, and gives the mode that it came in.
+// enqueue appends a request to the queue if the backend is healthy. It returns the mode in which
+// the request arrived.
 func (b *Backend) enqueue(key string, timeout time.Duration, done func(Outcome, time.Duration)) Mode {
 	now := time.Now()
 	b.mutex.Lock()
@@ -127,7 +133,7 @@
 		return b.mode
 	}
 	b.queue = append(b.queue, &queuedRequest{key: key, arrived: now, deadline: now.Add(timeout), done: done})
-	cold := b.started.Add(b.warmup).After(now)
+	cold := b.startedAt.Add(b.warmup).After(now)
 	if cold && len(b.queue) > coldQueuePerCore*b.Cores {
 		b.mode = ModeHang
 		b.queue = nil
@@ -136,26 +142,27 @@
 	return ModeHealthy
 }
 
-// serveQueue begins what waits, as far as cores are free. What is past its deadline is dropped without having run.
+// serveQueue starts queued requests while cores are free. It drops requests that are past their
+// deadline; they do not run.
 func (b *Backend) serveQueue() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for b.busy < b.Cores && len(b.queue) > 0 {
+	for b.busyCores < b.Cores && len(b.queue) > 0 {
 		request := b.queue[0]
 		b.queue = b.queue[1:]
 		if time.Now().After(request.deadline) {
 			continue
 		}
-		b.busy++
+		b.busyCores++
 		b.checker.EffectApplied(request.key, b.clock())
 		time.AfterFunc(b.ServiceTime, func() { b.finish(request) })
 	}
 }
 
-// finish frees a request's core, and answers unless the backend hangs.
+// finish frees the core of a request, and answers the request unless the backend hangs.
 func (b *Backend) finish(request *queuedRequest) {
 	b.mutex.Lock()
-	b.busy--
+	b.busyCores--
 	hangs := b.mode == ModeHang
 	b.mutex.Unlock()
 	if !hangs {
--- a/fake/collector.go
+++ b/fake/collector.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// collector forwards to one controller what proxies of one zone met that have their streams there.
+// collector reports to one controller the outcomes that proxies of one zone observe while their
+// streams go to that controller.
 type collector struct {
 	fleet      *Fleet
 	zone       string
@@ -20,17 +21,17 @@
 }
 
 type outcomeCounts struct {
-	attempts int
-	failed   int
-	took     time.Duration // sum over those that succeeded
+	attempts   int
+	failed     int
+	latencySum time.Duration // of the successful attempts
 }
 
 func newCollector(fleet *Fleet, zone string, controller int) *collector {
 	return &collector{fleet: fleet, zone: zone, controller: controller, outcomes: map[string]*outcomeCounts{}}
 }
 
-// note counts the outcome of an attempt.
-func (c *collector) note(backend string, outcome Outcome, took time.Duration) {
+// countOutcome counts the outcome of an attempt.
+func (c *collector) countOutcome(backend string, outcome Outcome, latency time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	counts := c.outcomes[backend]
@@ -40,13 +41,15 @@
 	}
 	counts.attempts++
 	if outcome == OutcomeSucceeded {
-		counts.took += took
+		counts.latencySum += latency
 	} else {
 		counts.failed++
 	}
 }
 
-// run keeps a connection, and forwards at each interval until the context ends. What falls into a break is lost.
+// run sends the counted outcomes to the controller at each report interval until the context ends.
+// It keeps one connection and dials again after an error. Outcomes of an interval that ends without
+// a connection are lost.
 func (c *collector) run(ctx context.Context) {
 	ticker := time.NewTicker(c.fleet.reportInterval)
 	defer ticker.Stop()
@@ -69,27 +72,29 @@
 		if conn == nil {
 			continue
 		}
-		if err := write(conn, reports, dialTimeout); err != nil {
+		if err := writeWithTimeout(conn, reports, dialTimeout); err != nil {
 			conn.Close()
 			conn = nil
 		}
 	}
 }
 
-// dial gives a connection on which the collector has said who it is, or nil.
+// dial opens a connection and sends the message that identifies the collector. It returns nil if
+// that fails.
 func (c *collector) dial() net.Conn {
 	conn, err := net.DialTimeout("tcp", c.fleet.links[c.controller].Address(), dialTimeout)
 	if err != nil {
 		return nil
 	}
-	if err := write(conn, frame(agent{Msg: msgAgent, Zone: c.zone}), dialTimeout); err != nil {
+	if err := writeWithTimeout(conn, frame(agent{Msg: msgAgent, Zone: c.zone}), dialTimeout); err != nil {
 		conn.Close()
 		return nil
 	}
 	return conn
 }
 
-// takeReports gives the reports of what was counted, framed, and begins to count anew.
+// takeReports returns the framed reports of the outcomes counted since the last call, and resets
+// the counts.
 func (c *collector) takeReports() []byte {
 	c.mutex.Lock()
 	outcomes := c.outcomes
@@ -99,14 +104,14 @@
 	for _, id := range slices.Sorted(maps.Keys(outcomes)) {
 		counts := outcomes[id]
 		report := outcomeReport{Msg: msgOutcomes, Zone: c.zone, Backend: id, Total: counts.attempts, Errors: counts.failed,
-			Interval: wholeMilliseconds(c.fleet.reportInterval)}
+			Interval: truncatedMilliseconds(c.fleet.reportInterval)}
 		if succeeded := counts.attempts - counts.failed; succeeded > 0 {
-			report.Latency = float64(counts.took.Microseconds()) / 1000 / float64(succeeded)
+			report.Latency = float64(counts.latencySum.Microseconds()) / 1000 / float64(succeeded)
 		}
 		out = append(out, frame(report)...)
 	}
 	return out
 }
 
-// wholeMilliseconds gives whole ones.
-func wholeMilliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
+// truncatedMilliseconds returns a duration in milliseconds, without the fraction.
+func truncatedMilliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
--- a/fake/counts.go
+++ b/fake/counts.go
@@ -1,39 +1,39 @@
 package fake
 
-// Counts sums what proxies met.
+// Counts holds the numbers of requests, attempts and pushes at proxies.
 type Counts struct {
-	Requests int // that came
-	Served   int // within the latency objective
-	Late     int // answered after it
-	Lost     int // not answered
-	Rejected int // not admitted
+	Requests int // received by the proxies
+	Served   int // answered within the latency objective
+	Late     int // answered after the latency objective
+	Lost     int // ended without a successful answer, after a proxy had admitted them
+	Rejected int // not admitted by a proxy
 
-	OfferedValue float64 // sum of the priority weights of what came
-	ServedValue  float64 // and of what was served
+	OfferedValue float64 // sum of the priority weights of all requests
+	ServedValue  float64 // sum of the priority weights of the served requests
 
 	Attempts         int // sent to backends
-	AttemptsIntoHang int // sent to one that hung
+	AttemptsIntoHang int // sent to a backend that hung at that time
 
-	Streams             int // that were begun
-	Pushes              int // applied
-	Lines               int // in them
-	LinesAtConnect      int // of them within a second of a stream's beginning
-	StalePushesRejected int // of an older owner
+	Streams             int // on which a controller sent a message
+	Pushes              int // applied by the proxies
+	Lines               int // of the applied pushes
+	LinesAtConnect      int // of pushes applied within connectWindow of the start of a stream
+	StalePushesRejected int // rejected for the fencing token of an older owner
 }
 
-func (c *Counts) add(o Counts) {
-	c.Requests += o.Requests
-	c.Served += o.Served
-	c.Late += o.Late
-	c.Lost += o.Lost
-	c.Rejected += o.Rejected
-	c.OfferedValue += o.OfferedValue
-	c.ServedValue += o.ServedValue
-	c.Attempts += o.Attempts
-	c.AttemptsIntoHang += o.AttemptsIntoHang
-	c.Streams += o.Streams
-	c.Pushes += o.Pushes
-	c.Lines += o.Lines
-	c.LinesAtConnect += o.LinesAtConnect
-	c.StalePushesRejected += o.StalePushesRejected
+func (c *Counts) add(other Counts) {
+	c.Requests += other.Requests
+	c.Served += other.Served
+	c.Late += other.Late
+	c.Lost += other.Lost
+	c.Rejected += other.Rejected
+	c.OfferedValue += other.OfferedValue
+	c.ServedValue += other.ServedValue
+	c.Attempts += other.Attempts
+	c.AttemptsIntoHang += other.AttemptsIntoHang
+	c.Streams += other.Streams
+	c.Pushes += other.Pushes
+	c.Lines += other.Lines
+	c.LinesAtConnect += other.LinesAtConnect
+	c.StalePushesRejected += other.StalePushesRejected
 }
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -11,27 +11,28 @@
 	"wheelrill/invariant"
 )
 
-// Discovery tells controllers of backends, over HTTP with long polls. Safe for concurrent use.
+// Discovery serves the endpoint list to controllers over HTTP, with long polls. Safe for concurrent
+// use.
 type Discovery struct {
 	server  *http.Server
 	address string
-	checker *invariant.Checker // nil where nothing is published
+	checker *invariant.Checker // may be nil if Publish is never called
 	clock   func() time.Duration
-	closed  chan struct{}
-	running sync.WaitGroup // the server's goroutine, which Close ends
+	closed  chan struct{}  // closed by Close
+	running sync.WaitGroup // the goroutine of the server, which Close ends
 
-	mutex     sync.Mutex // of all below
+	mutex     sync.Mutex // guards the fields below
 	version   int
 	entries   []discoveryEntry
-	indexByID map[string]int // of entries
-	fullBody  []byte         // the full list as it is sent; nil once something has changed
-	changed   chan struct{}  // closed at each change
-	silent    bool
+	indexByID map[string]int // positions in entries, by backend ID
+	fullBody  []byte         // the encoded full list; nil from a change until the list is encoded again
+	changed   chan struct{}  // closed and replaced at each change
+	silent    bool           // polls are not answered
 	answers   int
 	bytesSent int64
 }
 
-// NewDiscovery begins to serve an empty list.
+// NewDiscovery starts to serve an empty list on loopback.
 func NewDiscovery(checker *invariant.Checker, clock func() time.Duration) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,21 +47,21 @@
 		changed:   make(chan struct{}),
 	}
 	d.server = &http.Server{Handler: d}
-	d.running.Go(func() { _ = d.server.Serve(listener) }) // its error is that it was closed
+	d.running.Go(func() { _ = d.server.Serve(listener) }) // the only error is that the server was closed
 	return d, nil
 }
 
-// Address is where it serves.
+// Address returns the address of the server.
 func (d *Discovery) Address() string { return d.address }
 
-// Close ends it. It is called once.
+// Close stops the server and its open polls. It must be called only once.
 func (d *Discovery) Close() {
 	close(d.closed)
-	_ = d.server.Close() // the listener is closed, whatever it says
+	_ = d.server.Close() // the listener is closed even if there is an error
 	d.running.Wait()
 }
 
-// SetSilent has it answer nothing, or go on.
+// SetSilent makes the server withhold all answers, or answer again.
 func (d *Discovery) SetSilent(silent bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -68,13 +69,13 @@
 	d.notifyWatchers()
 }
 
-// notifyWatchers has long polls look again. The discovery is locked.
+// notifyWatchers wakes all long polls, which then read the list again. The caller holds the mutex.
 func (d *Discovery) notifyWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Publish writes backends with a state, as one version of the list.
+// Publish sets the state of backends in the list, as one new version, and wakes all long polls.
 func (d *Discovery) Publish(state State, backends ...*Backend) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -94,29 +95,30 @@
 	d.notifyWatchers()
 }
 
-// Sent is how many answers it has given, and how many bytes their bodies had.
+// Sent returns the number of answers that were sent, and the total size of their bodies.
 func (d *Discovery) Sent() (answers int, bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.answers, d.bytesSent
 }
 
-// listing is an answer at a moment.
-type listing struct {
+// snapshot is the answer to a poll at one moment.
+type snapshot struct {
 	body    []byte
 	version int
-	changed chan struct{} // closed once another answer may be due
+	changed chan struct{} // closed at the next change of the list or of silent
 	silent  bool
 }
 
-// since gives what has changed after a version, or the full list.
-func (d *Discovery) since(version int, full bool) listing {
+// snapshotSince returns an answer with the entries that changed after a version, or with the full
+// list.
+func (d *Discovery) snapshotSince(version int, full bool) snapshot {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	now := listing{version: d.version, changed: d.changed, silent: d.silent}
+	current := snapshot{version: d.version, changed: d.changed, silent: d.silent}
 	if full && d.fullBody != nil {
-		now.body = d.fullBody
-		return now
+		current.body = d.fullBody
+		return current
 	}
 	answer := discoveryAnswer{Version: d.version, Full: full, Servers: []discoveryEntry{}}
 	for _, entry := range d.entries {
@@ -126,37 +128,38 @@
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // weights are numbers that can be written
+		panic(err) // cannot happen: every weight is a number that JSON can encode
 	}
-	now.body = body
+	current.body = body
 	if full {
 		d.fullBody = body
 	}
-	return now
+	return current
 }
 
-// silentRecheck is how long an answer that is due waits for the end of a silence, where nothing else ends it.
+// silentRecheck is the interval at which a poll that has timed out checks whether the server still
+// withholds answers. Usually SetSilent wakes the poll earlier.
 const silentRecheck = time.Hour
 
-// ServeHTTP answers with the full list at once, or to a poll with since= with what has changed after that version, once
-// something has or after timeout_ms=.
-func (d *Discovery) ServeHTTP(to http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers at once with the full list. If the query has since=, it answers with the
+// entries that changed after that version, as soon as there are any or when timeout_ms= has passed.
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.Atoi(r.URL.Query().Get("since"))
 	full := err != nil
-	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")) // 0 where it is none
+	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")) // 0 if timeout_ms is missing
 	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timeout.Stop()
 	for {
-		now := d.since(version, full)
-		if !now.silent && (full || now.version > version) {
-			d.answer(to, now.body)
+		current := d.snapshotSince(version, full)
+		if !current.silent && (full || current.version > version) {
+			d.answer(w, current.body)
 			return
 		}
 		select {
-		case <-now.changed:
+		case <-current.changed:
 		case <-timeout.C:
-			if !now.silent {
-				d.answer(to, now.body)
+			if !current.silent {
+				d.answer(w, current.body)
 				return
 			}
 			timeout.Reset(silentRecheck)
@@ -168,11 +171,11 @@
 	}
 }
 
-func (d *Discovery) answer(to http.ResponseWriter, body []byte) {
+func (d *Discovery) answer(w http.ResponseWriter, body []byte) {
 	d.mutex.Lock()
 	d.answers++
 	d.bytesSent += int64(len(body))
 	d.mutex.Unlock()
-	to.Header().Set("Content-Type", "application/json")
-	_, _ = to.Write(body) // who asked is gone, and asks again
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(body) // an error means that the client is gone; it polls again
 }
--- a/fake/doc.go
+++ b/fake/doc.go
@@ -1,6 +1,8 @@
-// Package fake plays what is around controllers on loopback, as the protocol has it: proxies, backends, collectors and
-// discovery, and links between any two parties with faults on them. Tests, rehearsals and measurements use it.
+// Package fake implements the parties around the controllers on loopback, speaking the real
+// protocol: proxies, backends, collectors and discovery. It also provides links that inject faults
+// between any two parties. Tests, rehearsals and measurements use it.
 //
-// A Fleet is all of it. What it does and meets goes to an invariant.Checker. protocol.go has the messages; it alone maps
-// the words of the wire to terms of the code.
+// A Fleet holds all these parties. It passes what they do and observe to an invariant.Checker.
+// protocol.go defines the messages; it is the only file that maps names on the wire to terms of the
+// code.
 package fake
--- a/fake/fake_test.go
+++ b/fake/fake_test.go
@@ -17,43 +17,46 @@
 	"wheelrill/invariant"
 )
 
-const testTimeout = 20 * time.Second // bounds what a test waits for
+const testTimeout = 20 * time.Second // for each condition or message that a test waits for
 
-// eventually waits until something is so.
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits until a condition holds, and fails the test after testTimeout.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	late := time.After(testTimeout)
-	for !is() {
+	timeout := time.After(testTimeout)
+	for !condition() {
 		select {
-		case <-late:
-			t.Fatalf("never %s", what)
+		case <-timeout:
+			t.Fatalf("not within %s: %s", testTimeout, description)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// startEcho serves an address that sends back what it is sent.
+// startEcho starts a server that returns all bytes that it receives, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var open sync.WaitGroup
-	open.Go(func() {
+	var connections sync.WaitGroup
+	connections.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			open.Go(func() { io.Copy(conn, conn); conn.Close() })
+			connections.Go(func() { io.Copy(conn, conn); conn.Close() })
 		}
 	})
-	t.Cleanup(func() { l.Close(); open.Wait() })
+	t.Cleanup(func() { l.Close(); connections.Wait() })
 	return l.Addr().String()
 }
 
-func TestFaultyLinkHoldsOrResetsWhatItCarries(t *testing.T) {
+// TestFaultyLinkDelaysOrResetsConnections guards against a link that loses bytes or lets them pass
+// while a fault drops them, and against one that lets connections continue while it refuses them.
+// Rehearsals would then test other faults than their reports name.
+func TestFaultyLinkDelaysOrResetsConnections(t *testing.T) {
 	link, err := NewFaultyLink(startEcho(t))
 	if err != nil {
 		t.Fatal(err)
@@ -67,12 +70,12 @@
 		conn.SetDeadline(time.Now().Add(testTimeout))
 		return conn
 	}
-	echo := func(conn net.Conn, word string) error {
-		conn.Write([]byte(word))
-		got := make([]byte, len(word))
+	echo := func(conn net.Conn, text string) error {
+		conn.Write([]byte(text))
+		got := make([]byte, len(text))
 		_, err := io.ReadFull(conn, got)
-		if err == nil && string(got) != word {
-			err = fmt.Errorf("got %q", got)
+		if err == nil && string(got) != text {
+			err = fmt.Errorf("got %q, want %q", got, text)
 		}
 		return err
 	}
@@ -81,31 +84,33 @@
 	if err := echo(a, "one"); err != nil {
 		t.Fatal(err)
 	}
-	for name, fault := range map[string]Fault{"both ways": Partition, "out": {DropOutgoing: true}, "back": {DropIncoming: true}} {
-		t.Run("what is sent during a cut "+name+" comes after it", func(t *testing.T) {
+	for name, fault := range map[string]Fault{
+		"both directions": Partition, "outgoing bytes": {DropOutgoing: true}, "incoming bytes": {DropIncoming: true},
+	} {
+		t.Run("bytes sent while the link drops "+name+" arrive after the fault", func(t *testing.T) {
 			link.SetFault(fault)
 			a.Write([]byte("two"))
 			got := make([]byte, 3)
 			a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			if n, _ := a.Read(got); n > 0 {
-				t.Errorf("%q came through", got[:n])
+				t.Errorf("%q arrived during the fault", got[:n])
 			}
 			link.SetFault(Fault{})
 			a.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := io.ReadFull(a, got); err != nil || string(got) != "two" {
-				t.Errorf("got %q, %v", got, err)
+				t.Errorf("after the fault got %q and error %v, want two", got, err)
 			}
 		})
 	}
-	t.Run("shut, open calls are reset and new ones refused", func(t *testing.T) {
+	t.Run("a link that refuses connections resets open and new ones", func(t *testing.T) {
 		link.SetFault(Fault{RefuseConnections: true})
 		if err := echo(a, "x"); err == nil {
-			t.Error("an open call went on")
+			t.Error("an open connection was not reset")
 		}
-		if b, err := net.Dial("tcp", link.Address()); err == nil { // it may be reset as it comes up, or after
+		if b, err := net.Dial("tcp", link.Address()); err == nil { // the reset may come during or after the dial
 			b.SetDeadline(time.Now().Add(testTimeout))
 			if err := echo(b, "x"); err == nil {
-				t.Error("a new call was taken")
+				t.Error("a new connection was not reset")
 			}
 			b.Close()
 		}
@@ -118,16 +123,21 @@
 	})
 }
 
-// newTestFleet makes a fleet with one controller, which the test plays.
+// newTestFleet returns a fleet with one controller, and the listener of that controller, which the
+// test implements.
 func newTestFleet(t *testing.T) (*Fleet, net.Listener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := NewFleet(FleetConfig{Zones: []string{"a"}, Backends: 3, Cores: 1, ServiceTime: 2 * time.Millisecond, Proxies: 1, Fenced: true,
-		Classes: []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Rate: 200},
-			{Name: "write", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2, Writes: true, Rate: 200}},
+	fleet, err := NewFleet(FleetConfig{
+		Zones: []string{"a"}, Backends: 3, Cores: 1, ServiceTime: 2 * time.Millisecond, Proxies: 1, Fenced: true,
+		Classes: []Class{
+			{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Rate: 200},
+			{Name: "write", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2, Writes: true,
+				Rate: 200},
+		},
 		ReportInterval: 50 * time.Millisecond, Seed: 1},
 		invariant.Limits{MaxEmptyTable: time.Minute, DrainGrace: time.Minute}, []string{l.Addr().String()})
 	if err != nil {
@@ -136,14 +146,15 @@
 	return fleet, l
 }
 
-// controllerEnd is a controller's end of a proxy's stream.
+// controllerEnd is the controller's end of a stream from a proxy.
 type controllerEnd struct {
 	*testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-// acceptProxy accepts connections until a proxy's comes; others are read and answered nothing.
+// acceptProxy accepts connections until one is from a proxy. It reads from the others, but does not
+// answer them.
 func acceptProxy(t *testing.T, l net.Listener) *controllerEnd {
 	t.Helper()
 	for {
@@ -178,71 +189,76 @@
 	}
 }
 
-// receiveKind reads until a message of some kind comes.
-func (c *controllerEnd) receiveKind(word string) string {
+// receiveType reads messages until one has the given type, and returns it.
+func (c *controllerEnd) receiveType(msg string) string {
 	c.Helper()
 	for {
-		if body := c.receive(); strings.Contains(body, `"msg":"`+word+`"`) {
+		if body := c.receive(); strings.Contains(body, `"msg":"`+msg+`"`) {
 			return body
 		}
 	}
 }
 
-func TestProxyFollowsTheOrdersOfItsController(t *testing.T) {
+// TestProxyAppliesPushesOfItsController guards against a proxy that deviates from its tables,
+// admission limits, fencing tokens or retry policy: rehearsals would then find violations that
+// controllers have not caused, or miss those that they have.
+func TestProxyAppliesPushesOfItsController(t *testing.T) {
 	fleet, l := newTestFleet(t)
 	defer l.Close()
 	fleet.Start()
 	c := acceptProxy(t, l)
 	c.send(`{"msg":"alive"}`)
 	c.send(`{"msg":"push","token":5,"whole":true,"lines":[["w-00",1],["w-01",1]],"ticket":7}`)
-	if got := c.receiveKind("ack"); !strings.Contains(got, `"nonce":7`) {
-		t.Errorf("answered %s", got)
+	if got := c.receiveType("ack"); !strings.Contains(got, `"nonce":7`) {
+		t.Errorf("the acknowledgement is %s, want nonce 7", got)
 	}
-	awaitUsers := func(worker string, n int) {
+	awaitUsers := func(backend string, n int) {
 		t.Helper()
-		eventually(t, fmt.Sprintf("%d proxies use %s", n, worker), func() bool { return fleet.ProxiesUsing(worker) == n })
+		eventually(t, fmt.Sprintf("%d proxies use %s", n, backend), func() bool { return fleet.ProxiesUsing(backend) == n })
 	}
 	awaitUsers("w-00", 1)
-	t.Run("a message in parts is applied whole; a class is meant alone", func(*testing.T) {
+	t.Run("all parts of a push are applied, each to its classes only", func(*testing.T) {
 		c.send(`{"msg":"push","token":5,"classes":["read"],"lines":[["w-00",0]],"more":true}`)
 		c.send(`{"msg":"push","token":5,"out":["w-01"],"lines":[["w-02",1]],"ticket":8}`)
-		c.receiveKind("ack")
+		c.receiveType("ack")
 		awaitUsers("w-01", 0)
 		awaitUsers("w-02", 1)
-		awaitUsers("w-00", 1) // for writes
+		awaitUsers("w-00", 1) // for the class write
 	})
-	t.Run("an order with an older token is refused, and answered", func(t *testing.T) {
+	t.Run("a push with an older token is rejected, but acknowledged", func(t *testing.T) {
 		c.send(`{"msg":"push","token":4,"back":["w-01"],"ticket":9}`)
-		c.receiveKind("ack")
+		c.receiveType("ack")
 		awaitUsers("w-01", 0)
-		eventually(t, "counted", func() bool { return fleet.Counts().StalePushesRejected == 1 })
+		eventually(t, "one stale push is counted", func() bool { return fleet.Counts().StalePushesRejected == 1 })
 	})
-	t.Run("requests are sent where the tables say, reports and demand are told", func(t *testing.T) {
-		eventually(t, "served", func() bool { return fleet.Counts().Served > 20 })
-		if got := c.receiveKind("demand"); !strings.Contains(got, `"route":`) {
-			t.Errorf("told %s", got)
+	t.Run("requests are served and demand is reported", func(t *testing.T) {
+		eventually(t, "more than 20 requests are served", func() bool { return fleet.Counts().Served > 20 })
+		if got := c.receiveType("demand"); !strings.Contains(got, `"route":`) {
+			t.Errorf("the demand report is %s, want a route", got)
 		}
 	})
-	t.Run("a hung worker answers nothing, one that refuses proves it, and a write is not tried again without proof", func(t *testing.T) {
+	t.Run("requests are lost at failing backends after few attempts, and served by a healthy one", func(t *testing.T) {
 		fleet.Backends[0].SetMode(ModeFailFast)
 		fleet.Backends[2].SetMode(ModeFailFast)
-		lost, tries := fleet.Counts().Lost, fleet.Counts().Attempts
-		eventually(t, "lost", func() bool { return fleet.Counts().Lost > lost+10 })
-		if after := fleet.Counts(); after.Attempts-tries > 3*(after.Requests) {
-			t.Errorf("%d tries", after.Attempts-tries)
+		lost, attempts := fleet.Counts().Lost, fleet.Counts().Attempts
+		eventually(t, "more than 10 requests are lost", func() bool { return fleet.Counts().Lost > lost+10 })
+		if after := fleet.Counts(); after.Attempts-attempts > 3*(after.Requests) {
+			t.Errorf("%d attempts for %d requests, allowed are 3 per request", after.Attempts-attempts, after.Requests)
 		}
 		fleet.Backends[0].SetMode(ModeRefuse)
 		fleet.Backends[2].SetMode(ModeHealthy)
 		served := fleet.Counts().Served
-		eventually(t, "served by the other", func() bool { return fleet.Counts().Served > served+20 })
+		eventually(t, "more than 20 requests are served by the healthy backend", func() bool {
+			return fleet.Counts().Served > served+20
+		})
 	})
-	t.Run("a level lets in no more a second", func(t *testing.T) {
+	t.Run("requests above the admission limit are rejected", func(t *testing.T) {
 		c.send(`{"msg":"push","token":5,"level":1,"retry":0,"ticket":10}`)
-		c.receiveKind("ack")
-		refused := fleet.Counts().Rejected
-		eventually(t, "refused", func() bool { return fleet.Counts().Rejected > refused+50 })
+		c.receiveType("ack")
+		rejected := fleet.Counts().Rejected
+		eventually(t, "more than 50 requests are rejected", func() bool { return fleet.Counts().Rejected > rejected+50 })
 	})
-	t.Run("what cannot be used ends the stream, and the proxy dials again with what it has", func(t *testing.T) {
+	t.Run("an invalid push ends the stream, and the proxy dials again and keeps its tables", func(t *testing.T) {
 		c.send(`{"msg":"push","lines":[["nobody",1]]}`)
 		c2 := acceptProxy(t, l)
 		awaitUsers("w-02", 1)
@@ -250,57 +266,62 @@
 	})
 	verdict, counts := fleet.Close()
 	if len(verdict.Violations) > 0 || verdict.Effects == 0 || counts.Streams == 0 {
-		t.Errorf("verdict %+v, counts %+v", verdict, counts)
+		t.Errorf("verdict %+v, counts %+v; want no violations, some effects and some streams", verdict, counts)
 	}
 }
 
+// TestDiscoveryAnswersListsAndLongPolls guards against an answer that misses a change, and against
+// a long poll that is not answered when the list changes: controllers would use a stale list.
 func TestDiscoveryAnswersListsAndLongPolls(t *testing.T) {
 	fleet, l := newTestFleet(t)
 	defer l.Close()
 	defer fleet.Close()
-	get := func(query string) (a discoveryAnswer) {
+	get := func(query string) (answer discoveryAnswer) {
 		t.Helper()
 		response, err := http.Get("http://" + fleet.Discovery.Address() + "/api/targets" + query)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer response.Body.Close()
-		if err := json.NewDecoder(response.Body).Decode(&a); err != nil {
+		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 			t.Fatal(err)
 		}
-		return a
+		return answer
 	}
-	whole := get("")
-	if !whole.Full || len(whole.Servers) != 3 {
-		t.Fatalf("got %+v", whole)
+	full := get("")
+	if !full.Full || len(full.Servers) != 3 {
+		t.Fatalf("got %+v, want a full list of 3 backends", full)
 	}
-	if a := get(fmt.Sprintf("?since=%d&timeout_ms=1", whole.Version)); len(a.Servers) != 0 || a.Full {
-		t.Errorf("nothing new, got %+v", a)
+	if a := get(fmt.Sprintf("?since=%d&timeout_ms=1", full.Version)); len(a.Servers) != 0 || a.Full {
+		t.Errorf("without a change got %+v, want no entries", a)
 	}
-	told := make(chan discoveryAnswer)
-	go func() { told <- get(fmt.Sprintf("?since=%d&timeout_ms=20000", whole.Version)) }()
+	answers := make(chan discoveryAnswer)
+	go func() { answers <- get(fmt.Sprintf("?since=%d&timeout_ms=20000", full.Version)) }()
 	fleet.Discovery.Publish("draining", fleet.Backends[1])
-	if a := <-told; len(a.Servers) != 1 || a.Servers[0].State != "draining" || a.Version <= whole.Version {
-		t.Errorf("a watch got %+v", a)
+	if a := <-answers; len(a.Servers) != 1 || a.Servers[0].State != "draining" || a.Version <= full.Version {
+		t.Errorf("the long poll got %+v, want the draining backend in a newer version", a)
 	}
 	fleet.Backends[2].Restart(time.Second)
 	fleet.Discovery.Publish("up", fleet.Backends[2])
 	fleet.Discovery.Publish("removed", fleet.Backends[0])
 	a := get("")
-	if at := slices.IndexFunc(a.Servers, func(e discoveryEntry) bool { return e.ID == "w-02" }); len(a.Servers) != 2 || a.Servers[at].Started == 0 {
-		t.Errorf("got %+v", a)
+	restarted := slices.IndexFunc(a.Servers, func(e discoveryEntry) bool { return e.ID == "w-02" })
+	if len(a.Servers) != 2 || a.Servers[restarted].Started == 0 {
+		t.Errorf("got %+v, want 2 backends, and a start time of w-02", a)
 	}
 }
 
+// TestColdBackendIsOverloadedByALongQueue guards against a cold backend that takes any load: rule 4
+// could then never be violated in a rehearsal.
 func TestColdBackendIsOverloadedByALongQueue(t *testing.T) {
 	fleet, l := newTestFleet(t)
 	defer l.Close()
-	w := fleet.Backends[0]
-	w.Restart(time.Hour)
-	for i := range coldQueuePerCore*w.Cores + w.Cores + 2 {
-		w.Handle(fmt.Sprint(i), time.Minute, func(Outcome, time.Duration) {})
+	backend := fleet.Backends[0]
+	backend.Restart(time.Hour)
+	for i := range coldQueuePerCore*backend.Cores + backend.Cores + 2 {
+		backend.Handle(fmt.Sprint(i), time.Minute, func(Outcome, time.Duration) {})
 	}
 	if v, _ := fleet.Close(); len(v.Violations) != 1 || v.Violations[0].Rule != 4 {
-		t.Errorf("breaches %+v", v.Violations)
+		t.Errorf("violations are %+v, want one of rule 4", v.Violations)
 	}
 }
--- a/fake/faulty_link.go
+++ b/fake/faulty_link.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Fault is what is wrong with a link.
+// Fault describes how a link disturbs connections. The zero value disturbs nothing.
 type Fault struct {
-	Delay             time.Duration // added to each piece that is read
-	DropOutgoing      bool          // what the caller sends does not come through; nobody is told
-	DropIncoming      bool          // nor does what it is sent
-	RefuseConnections bool          // new connections are refused, open ones reset
+	Delay             time.Duration // added to each new connection and to each chunk of bytes
+	DropOutgoing      bool          // bytes from the caller wait for the end of the fault; no side gets an error
+	DropIncoming      bool          // the same for bytes to the caller
+	RefuseConnections bool          // new connections are reset at once, and so are open ones
 }
 
-// Partition is the fault of a link through which nothing comes, either way.
+// Partition is the fault of a link that delivers no bytes in either direction.
 var Partition = Fault{DropOutgoing: true, DropIncoming: true}
 
-// FaultyLink is a way to an address with faults on it: callers dial the link in place of the address. Safe for
-// concurrent use.
+// FaultyLink forwards connections to an address and injects faults into them. Callers dial the link
+// instead of the address. Safe for concurrent use.
 type FaultyLink struct {
-	to       string
+	target   string // address that connections are forwarded to
 	listener net.Listener
-	running  sync.WaitGroup // goroutines that accept and copy, which Close ends
+	running  sync.WaitGroup // goroutines that accept connections and copy bytes, which Close ends
 
-	mutex   sync.Mutex // of all below
+	mutex   sync.Mutex // guards the fields below
 	fault   Fault
-	changed chan struct{} // closed at each change of the fault, and by Close
-	conns   map[net.Conn]bool
+	changed chan struct{}     // closed and replaced at each change of the fault and by Close
+	conns   map[net.Conn]bool // open connections, those of callers and those to the target
 	closed  bool
 }
 
@@ -38,26 +38,27 @@
 	linkDialTimeout = time.Second
 )
 
-// NewFaultyLink makes a link to an address, without a fault.
+// NewFaultyLink starts a link to an address, without a fault.
 func NewFaultyLink(to string) (*FaultyLink, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &FaultyLink{to: to, listener: listener, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	l := &FaultyLink{target: to, listener: listener, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	l.running.Go(l.accept)
 	return l, nil
 }
 
-// Address is where callers dial.
+// Address returns the address that callers dial.
 func (l *FaultyLink) Address() string { return l.listener.Addr().String() }
 
-// SetFault puts a fault on the link, or with Fault{} takes it off; open connections feel it as well.
+// SetFault replaces the fault of the link, which affects open connections as well. Fault{} removes
+// it.
 func (l *FaultyLink) SetFault(fault Fault) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.fault = fault
-	l.notify()
+	l.notifyFaultChanged()
 	if fault.RefuseConnections {
 		for conn := range l.conns {
 			reset(conn)
@@ -65,13 +66,14 @@
 	}
 }
 
-// notify has what waits for a change of the fault look again. The link is locked.
-func (l *FaultyLink) notify() {
+// notifyFaultChanged wakes the goroutines that wait for a change of the fault. The caller holds the
+// mutex.
+func (l *FaultyLink) notifyFaultChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Close takes the link away with all connections on it.
+// Close closes the link and all its connections, and waits for the goroutines of the link.
 func (l *FaultyLink) Close() {
 	l.mutex.Lock()
 	l.closed = true
@@ -79,12 +81,13 @@
 	for conn := range l.conns {
 		conn.Close()
 	}
-	l.notify()
+	l.notifyFaultChanged()
 	l.mutex.Unlock()
 	l.running.Wait()
 }
 
-// reset ends a connection as a killed process does. Errors mean that it has ended.
+// reset closes a connection with a TCP reset, as it happens when a process is killed. An error
+// means that the connection is closed already.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -92,14 +95,16 @@
 	conn.Close()
 }
 
-// state is the fault at the moment, and a channel that is closed at its next change.
+// state returns the current fault, a channel that is closed when the fault changes, and whether the
+// link is closed.
 func (l *FaultyLink) state() (fault Fault, changed chan struct{}, closed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.fault, l.changed, l.closed
 }
 
-// register notes a connection; false once the link is closed.
+// register adds a connection to the open ones. If the link is closed, it closes the connection and
+// returns false.
 func (l *FaultyLink) register(conn net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -135,36 +140,37 @@
 	}
 }
 
-// direction tells whether a fault drops what goes one way.
-type direction func(Fault) bool
+// dropsDirection reports whether a fault drops the bytes of one direction.
+type dropsDirection func(Fault) bool
 
 func outgoing(f Fault) bool { return f.DropOutgoing }
 func incoming(f Fault) bool { return f.DropIncoming }
 
-// forward copies one connection's bytes both ways. One made while outgoing bytes are dropped hangs, as on a network that
-// loses packets.
+// forward copies the bytes of a caller's connection in both directions. A connection that is made
+// while outgoing bytes are dropped hangs, as on a network that loses packets.
 func (l *FaultyLink) forward(conn net.Conn) {
 	defer l.unregister(conn)
-	if !l.awaitPassage(outgoing) {
+	if !l.awaitForwarding(outgoing) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", l.to, linkDialTimeout)
+	remote, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
 		reset(conn)
 		return
 	}
-	if !l.register(far) {
+	if !l.register(remote) {
 		return
 	}
-	defer l.unregister(far)
-	var both sync.WaitGroup
-	both.Go(func() { l.copy(far, conn, outgoing) })
-	both.Go(func() { l.copy(conn, far, incoming) })
-	both.Wait()
+	defer l.unregister(remote)
+	var copies sync.WaitGroup
+	copies.Go(func() { l.copy(remote, conn, outgoing) })
+	copies.Go(func() { l.copy(conn, remote, incoming) })
+	copies.Wait()
 }
 
-// awaitPassage waits until a direction is not dropped, and for the delay; false once the link is closed.
-func (l *FaultyLink) awaitPassage(dropped direction) bool {
+// awaitForwarding waits until the bytes of a direction are no longer dropped, and then for the
+// delay of the fault. It returns false once the link is closed.
+func (l *FaultyLink) awaitForwarding(dropped dropsDirection) bool {
 	for {
 		fault, changed, closed := l.state()
 		if closed {
@@ -178,13 +184,14 @@
 	}
 }
 
-// copy brings bytes one way. What is under way as a fault begins waits for its end, as what TCP sends again does.
-func (l *FaultyLink) copy(to, from net.Conn, dropped direction) {
+// copy forwards bytes in one direction. Bytes that are in transit when a fault begins are delivered
+// after its end, like segments that TCP retransmits.
+func (l *FaultyLink) copy(to, from net.Conn, dropped dropsDirection) {
 	buffer := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !l.awaitPassage(dropped) {
+			if !l.awaitForwarding(dropped) {
 				return
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -193,19 +200,20 @@
 			}
 		}
 		if err != nil {
-			endLike(to, err)
+			propagateClose(to, err)
 			return
 		}
 	}
 }
 
-// endLike ends a connection as the other side of the link ended: in order, or with a reset.
-func endLike(conn net.Conn, err error) {
+// propagateClose ends a connection in the way in which the connection on the other side of the link
+// ended: with an orderly close of its sending direction after io.EOF, otherwise with a reset.
+func propagateClose(conn net.Conn, err error) {
 	if !errors.Is(err, io.EOF) {
 		reset(conn)
 		return
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // an error means that it has ended
+		_ = tcp.CloseWrite() // an error means that the connection is closed already
 	}
 }
--- a/fake/fleet.go
+++ b/fake/fleet.go
@@ -10,48 +10,50 @@
 	"wheelrill/invariant"
 )
 
-// FleetConfig says of how much a fleet is made. All that is drawn comes from the seed.
+// FleetConfig sets the size and the properties of a fleet.
 type FleetConfig struct {
-	Zones          []string      // names; backends and proxies are spread over them
-	Backends       int           // number of them
-	Cores          int           // of each backend
-	ServiceTime    time.Duration // that a request takes on a core
-	Proxies        int           // number of them
-	Fenced         bool          // proxies ask for tokens
-	Classes        []Class       // of requests, which come to each proxy
-	ReportInterval time.Duration // of collectors
-	Seed           uint64        // of all that is drawn
+	Zones          []string      // names; backends and proxies are spread evenly over them
+	Backends       int           // number of backends
+	Cores          int           // per backend
+	ServiceTime    time.Duration // time for which a request occupies a core
+	Proxies        int           // number of proxies
+	Fenced         bool          // proxies ask for fencing tokens
+	Classes        []Class       // of requests; every proxy receives requests of each class
+	ReportInterval time.Duration // of the collectors
+	Seed           uint64        // of all random choices
 }
 
-// Fleet is all that is around controllers. Safe for concurrent use, but for Start and Close.
+// Fleet holds discovery, the backends, the proxies and the collectors around the controllers, and
+// the links to the controllers. Safe for concurrent use, except for Start and Close.
 type Fleet struct {
-	Discovery *Discovery // tells controllers of the backends
-	Backends  []*Backend // in the order of their names
+	Discovery *Discovery // serves the list of backends to the controllers
+	Backends  []*Backend // w-00, w-01 and so on
 
 	checker        *invariant.Checker
 	classes        []Class
 	reportInterval time.Duration
-	began          time.Time
-	links          []*FaultyLink           // to controllers
-	channels       []*pushChannel          // by controller
+	startedAt      time.Time
+	links          []*FaultyLink           // to the controllers, by controller
+	pushChannels   []*pushChannel          // by controller
 	proxies        []*Proxy                // by number
-	collectors     map[string][]*collector // by zone and controller
+	collectors     map[string][]*collector // by zone, then by controller
 	seed           uint64
-	byID           map[string]*Backend
-	running        sync.WaitGroup     // goroutines of proxies and collectors, which stop ends
+	backendsByID   map[string]*Backend
+	running        sync.WaitGroup     // goroutines of proxies and collectors, which end on stop
 	stop           context.CancelFunc // nil before Start
 }
 
-// NewFleet sets everything up but the streams to controllers, which are at the given addresses.
+// NewFleet creates a fleet for the controllers at the given addresses, starts its links to them,
+// and publishes all backends. It opens no streams; Start does.
 func NewFleet(config FleetConfig, limits invariant.Limits, controllers []string) (*Fleet, error) {
 	f := &Fleet{
 		checker:        invariant.NewChecker(limits),
 		classes:        config.Classes,
 		reportInterval: config.ReportInterval,
-		began:          time.Now(),
+		startedAt:      time.Now(),
 		collectors:     map[string][]*collector{},
 		seed:           config.Seed,
-		byID:           map[string]*Backend{},
+		backendsByID:   map[string]*Backend{},
 	}
 	var err error
 	if f.Discovery, err = NewDiscovery(f.checker, f.Clock); err != nil {
@@ -64,7 +66,7 @@
 			return nil, err
 		}
 		f.links = append(f.links, link)
-		f.channels = append(f.channels, &pushChannel{fleet: f, controller: i, linesPerSecond: limits.LinesPerSecond})
+		f.pushChannels = append(f.pushChannels, &pushChannel{fleet: f, controller: i, linesPerSecond: limits.LinesPerSecond})
 	}
 	f.addBackends(config)
 	for _, zone := range config.Zones {
@@ -90,29 +92,32 @@
 			clock:       f.Clock,
 		}
 		f.Backends = append(f.Backends, b)
-		f.byID[b.ID] = b
+		f.backendsByID[b.ID] = b
 	}
 	f.Discovery.Publish(StateUp, f.Backends...)
 }
 
-// Clock is the time since the fleet was set up, as its checker has it.
-func (f *Fleet) Clock() time.Duration { return time.Since(f.began) }
+// Clock returns the time since the fleet was created. It is the clock of all times that the checker
+// gets.
+func (f *Fleet) Clock() time.Duration { return time.Since(f.startedAt) }
 
-// ControllerRestarted notes that a controller's process is another from now on, and so is its push channel.
-func (f *Fleet) ControllerRestarted(controller int) { f.channels[controller].restart() }
+// ControllerRestarted records that a controller runs as a new process from now on, with a new,
+// empty push channel.
+func (f *Fleet) ControllerRestarted(controller int) { f.pushChannels[controller].restart() }
 
-// ControllerFrozen notes that a controller's process stands still, or goes on. Its streams count as lost meanwhile.
+// ControllerFrozen records that a controller's process is frozen, or runs again. While it is
+// frozen, proxies with a stream to it count as disconnected.
 func (f *Fleet) ControllerFrozen(controller int, frozen bool) {
 	for _, p := range f.proxies {
 		p.mutex.Lock()
 		if p.controller == controller {
-			p.noteReachable(!frozen)
+			p.reportReachable(!frozen)
 		}
 		p.mutex.Unlock()
 	}
 }
 
-// Start begins streams, reports and requests, which go on until Close.
+// Start starts the streams, the reports and the requests, which continue until Close.
 func (f *Fleet) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -130,8 +135,8 @@
 	}
 }
 
-// Close ends everything, and gives what the checker found and the proxies counted. The verdict is taken before streams
-// end, which would count as lost.
+// Close stops the fleet. It returns the verdict of the checker and the counts of the proxies. The
+// checker gives its verdict before the streams end, because an ended stream counts as lost.
 func (f *Fleet) Close() (invariant.Verdict, Counts) {
 	verdict := f.checker.Verdict(f.Clock())
 	if f.stop != nil {
@@ -145,7 +150,7 @@
 	return verdict, f.Counts()
 }
 
-// Counts sums what the proxies have counted so far.
+// Counts returns the sum of the counts of all proxies so far.
 func (f *Fleet) Counts() Counts {
 	var sum Counts
 	for _, p := range f.proxies {
@@ -156,7 +161,8 @@
 	return sum
 }
 
-// ProxiesUsing is how many proxies have an entry for a backend in some table, and may use it.
+// ProxiesUsing returns the number of proxies that can pick a backend: at least one of their tables
+// has an entry for it, and it is not withdrawn.
 func (f *Fleet) ProxiesUsing(backend string) int {
 	using := 0
 	for _, p := range f.proxies {
@@ -167,7 +173,8 @@
 	return using
 }
 
-// ConnectedProxies is how many proxies have a stream to some controller, and to this one.
+// ConnectedProxies returns the number of proxies that are connected to any controller, and the
+// number of those that are connected to the given one.
 func (f *Fleet) ConnectedProxies(controller int) (toAny, toThis int) {
 	for _, p := range f.proxies {
 		p.mutex.Lock()
@@ -182,13 +189,13 @@
 	return toAny, toThis
 }
 
-// backend is the one of an id, or nil.
-func (f *Fleet) backend(id string) *Backend { return f.byID[id] }
+// backend returns the backend with an ID, or nil for an unknown ID.
+func (f *Fleet) backend(id string) *Backend { return f.backendsByID[id] }
 
-// reportOutcome hands the outcome of an attempt to the collector of a zone for the controller that the proxy had its
-// stream to, if it had one.
-func (f *Fleet) reportOutcome(zone string, controller int, backend string, outcome Outcome, took time.Duration) {
+// reportOutcome passes the outcome of an attempt to the collector of the proxy's zone for the
+// controller that the proxy was connected to. Without a connection the outcome is dropped.
+func (f *Fleet) reportOutcome(zone string, controller int, backend string, outcome Outcome, latency time.Duration) {
 	if controller >= 0 {
-		f.collectors[zone][controller].note(backend, outcome, took)
+		f.collectors[zone][controller].countOutcome(backend, outcome, latency)
 	}
 }
--- a/fake/protocol.go
+++ b/fake/protocol.go
@@ -4,22 +4,23 @@
 	"encoding/binary"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 )
 
-// Words of the protocol, in "msg".
+// Types of messages, the values of the key "msg".
 const (
 	msgHello    = "hello"    // a proxy's first message
 	msgAgent    = "agent"    // a collector's first message
-	msgProbe    = "probe"    // asks for any answer
-	msgAlive    = "alive"    // that answer
-	msgPush     = "push"     // a part of a push
-	msgAck      = "ack"      // a push with a nonce is applied
-	msgDemand   = "demand"   // requests that came to a proxy
-	msgOutcomes = "outcomes" // what proxies met at a backend
+	msgProbe    = "probe"    // asks for an alive message
+	msgAlive    = "alive"    // the answer to a probe
+	msgPush     = "push"     // one part of a push
+	msgAck      = "ack"      // acknowledges a push with a nonce
+	msgDemand   = "demand"   // number of requests that a proxy received
+	msgOutcomes = "outcomes" // outcomes of attempts at a backend
 )
 
-// probe asks for any answer.
+// probe asks a controller for an alive message.
 type probe struct {
 	Msg string `json:"msg"`
 }
@@ -35,12 +36,12 @@
 	Msg   string  `json:"msg"`
 	Proxy int     `json:"node"`
 	Zone  string  `json:"locality"`
-	Rate  float64 `json:"w"`               // requests a second that come to it as a rule
-	Cold  bool    `json:"cold"`            // it holds nothing
-	Fence bool    `json:"fence,omitempty"` // it asks for owners' tokens
+	Rate  float64 `json:"w"`               // requests a second that the proxy normally receives
+	Cold  bool    `json:"cold"`            // the proxy has applied no push
+	Fence bool    `json:"fence,omitempty"` // the proxy asks for the fencing tokens of owners
 }
 
-// ack tells that a push with a nonce is applied.
+// ack acknowledges a push with a nonce: the proxy has handled it.
 type ack struct {
 	Msg     string  `json:"msg"`
 	Proxy   int     `json:"node"`
@@ -48,7 +49,7 @@
 	Latency float64 `json:"latency"` // ms
 }
 
-// demandReport tells how many requests of a class came to a proxy.
+// demandReport reports how many requests of a class a proxy received in an interval.
 type demandReport struct {
 	Msg      string  `json:"msg"`
 	Proxy    int     `json:"node"`
@@ -58,39 +59,41 @@
 	Interval float64 `json:"interval"` // ms
 }
 
-// outcomeReport tells what the proxies of a zone met at a backend.
+// outcomeReport reports the outcomes of the attempts that the proxies of a zone sent to a backend
+// in an interval.
 type outcomeReport struct {
 	Msg      string  `json:"msg"`
 	Zone     string  `json:"locality"`
 	Backend  string  `json:"endpoint"`
 	Total    int     `json:"total"`
 	Errors   int     `json:"errors"`
-	Latency  float64 `json:"rtt"`      // mean of those that succeeded, ms
+	Latency  float64 `json:"rtt"`      // mean of the successful attempts, ms
 	Interval float64 `json:"interval"` // ms
 }
 
-// pushPart is one message of a push. A push may come in several, all of which but the last have More.
+// pushPart is one message of a push. A push may have several messages; More is set in all except
+// the last.
 type pushPart struct {
 	Msg       string   `json:"msg"`
-	Token     uint64   `json:"token"`   // the owner's; 0 for none
-	Classes   []string `json:"classes"` // that it is for; none for all
-	Full      bool     `json:"whole"`   // takes the place of what was there
-	Entries   [][2]any `json:"lines"`   // backend and weight, where 0 removes the entry
-	Limit     *float64 `json:"level"`   // requests a second that are admitted
-	Retry     int      `json:"retry"`   // goes with a limit
-	Withdrawn []string `json:"out"`     // backends to use no more
-	Restored  []string `json:"back"`    // and to use again
-	Nonce     *int     `json:"ticket"`  // to be acknowledged
-	More      bool     `json:"more"`
+	Token     uint64   `json:"token"`   // fencing token of the owner; 0 for none
+	Classes   []string `json:"classes"` // that Full, Entries and Limit apply to; nil for all
+	Full      bool     `json:"whole"`   // replaces the tables and the admission limits
+	Entries   [][2]any `json:"lines"`   // backend and weight; a weight of 0 removes the entry
+	Limit     *float64 `json:"level"`   // admission limit, requests a second; nil for no change
+	Retry     int      `json:"retry"`   // retry policy that comes with a limit
+	Withdrawn []string `json:"out"`     // backends that must not be used any more
+	Restored  []string `json:"back"`    // withdrawn backends that may be used again
+	Nonce     *int     `json:"ticket"`  // asks for an acknowledgement; nil for none
+	More      bool     `json:"more"`    // further parts of the same push follow
 }
 
-// Retry policies that a push may have.
+// Retry policies in a push. A push may also have 0, for no retries.
 const (
-	retryIfNotExecuted = 1 // after proof that nothing ran; also where no push says otherwise
-	retryOnFailure     = 2 // and more: after any failure, where a second run does no harm
+	retryIfNotExecuted = 1 // retry after proof that the attempt did not run; the default without a limit
+	retryOnFailure     = 2 // also retry after any other failure, if the class has no writes
 )
 
-// lines is what the part costs in a push channel.
+// lines returns the cost of the part in a push channel, in lines, without MessageOverhead.
 func (p pushPart) lines() int {
 	n := len(p.Entries) + len(p.Withdrawn) + len(p.Restored)
 	if p.Full {
@@ -106,22 +109,22 @@
 }
 
 const (
-	frameHeaderSize = 4       // bytes that hold the length, the highest first
+	frameHeaderSize = 4       // bytes of the length of the body, big-endian
 	maxFrameSize    = 1 << 20 // bytes
 )
 
-var errUnusable = errors.New("fake: a push that cannot be used")
+var errInvalidPush = errors.New("fake: push with an unknown class or backend, or a weight that is not a number >= 0")
 
-// frame encodes a message as it goes onto a stream.
+// frame encodes a message for a stream: the length of its JSON body, then the body.
 func frame(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
-		panic(err) // only types of this file are given
+		panic(err) // cannot happen: every message type of this file can be encoded
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// readFrame reads the body of one message.
+// readFrame reads one frame and returns its body.
 func readFrame(r io.Reader) ([]byte, error) {
 	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -129,14 +132,14 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size == 0 || size > maxFrameSize {
-		return nil, errUnusable
+		return nil, fmt.Errorf("fake: frame of %d bytes, allowed are 1 to %d", size, maxFrameSize)
 	}
 	body := make([]byte, size)
 	_, err := io.ReadFull(r, body)
 	return body, err
 }
 
-// discoveryEntry is one backend as discovery writes it.
+// discoveryEntry is the entry of one backend in the endpoint list.
 type discoveryEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -145,19 +148,19 @@
 	Cell    int     `json:"cell"`
 	State   State   `json:"state"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // since 1970; 0 for long ago
+	Started int64   `json:"started_ms"` // Unix time in ms; 0 if the backend started long ago
 
-	version int // of the list in which it last changed
+	version int // of the list in which the entry last changed
 }
 
-// discoveryAnswer is the body of discovery's answers.
+// discoveryAnswer is the body of an answer of discovery.
 type discoveryAnswer struct {
 	Version int              `json:"version"`
-	Full    bool             `json:"full"` // all entries; otherwise those that have changed
+	Full    bool             `json:"full"` // Servers has all entries; otherwise only the changed ones
 	Servers []discoveryEntry `json:"servers"`
 }
 
-// State is what discovery says of a backend.
+// State is the state of a backend in the endpoint list.
 type State string
 
 // States of a backend.
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// Class is one class of requests.
+// Class describes one class of requests and its traffic.
 type Class struct {
 	Name             string        // on the wire
-	LatencyObjective time.Duration // within which an answer counts as served
-	Deadline         time.Duration // after which a request is lost
-	PriorityWeight   float64       // value of a request that is served
-	Writes           bool          // a second run of the same would be a second effect
-	Rate             float64       // requests a second that come to each proxy
+	LatencyObjective time.Duration // an answer within this time counts as served
+	Deadline         time.Duration // a request without an answer within this time is lost
+	PriorityWeight   float64       // value of a served request
+	Writes           bool          // running a request twice would have two effects
+	Rate             float64       // requests a second that each proxy receives
 }
 
-// Proxy has one stream to some controller, tables that it follows exactly, and requests that it sends where they say.
+// Proxy keeps a stream to one of the controllers, applies the pushes that it receives, and sends
+// its requests exactly as its tables say.
 type Proxy struct {
 	fleet  *Fleet
 	number int
 	zone   string
-	fenced bool       // it asks for tokens, and rejects pushes with an older one than it has seen
-	random *rand.Rand // of run alone
+	fenced bool       // asks for fencing tokens, and rejects pushes with a token below highestToken
+	random *rand.Rand // used by run only
 
-	mutex      sync.Mutex // of all below
-	controller int        // that its stream is to; -1 for none
-	cold       bool       // it has had no push
-	tables     []*Table   // by class
-	limits     []admissionLimit
-	withdrawn  map[string]bool // backends by id
-	token      uint64          // the highest that was seen
-	demand     []int           // requests by class since they were last reported
-	counts     Counts
+	mutex        sync.Mutex       // guards the fields below
+	controller   int              // that the proxy is connected to; -1 for none
+	cold         bool             // no push has been applied
+	tables       []*Table         // by class
+	limits       []admissionLimit // by class
+	withdrawn    map[string]bool  // by backend ID
+	highestToken uint64           // of all applied pushes
+	demand       []int            // requests by class since the last demand report
+	counts       Counts
 }
 
-// newProxy makes a proxy that holds nothing.
+// newProxy returns a proxy with empty tables that is not connected.
 func newProxy(fleet *Fleet, number int, config FleetConfig) *Proxy {
 	p := &Proxy{
 		fleet:      fleet,
@@ -57,24 +58,26 @@
 	return p
 }
 
-// connected notes that a controller has shown to be there.
-func (p *Proxy) connected(controller int) {
+// setConnected records that a controller has sent a message on the stream to it.
+func (p *Proxy) setConnected(controller int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.controller = controller
 	p.counts.Streams++
-	p.noteReachable(true)
+	p.reportReachable(true)
 }
 
-func (p *Proxy) disconnected() {
+// setDisconnected records that the stream to the controller has ended.
+func (p *Proxy) setDisconnected() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.controller = -1
-	p.noteReachable(false)
+	p.reportReachable(false)
 }
 
-// noteReachable tells the checker that pushes reach the proxy from now on, or do not. The proxy is locked.
-func (p *Proxy) noteReachable(reachable bool) {
+// reportReachable reports to the checker whether pushes can reach the proxy from now on. The caller
+// holds the mutex.
+func (p *Proxy) reportReachable(reachable bool) {
 	var empty []string
 	for i, class := range p.fleet.classes {
 		if reachable && p.tables[i].Empty() {
@@ -84,7 +87,7 @@
 	p.fleet.checker.ProxyConnected(p.number, reachable, empty, p.fleet.Clock())
 }
 
-// uses tells whether it has an entry for a backend in some table, and may use it.
+// uses reports whether the proxy can pick a backend from at least one of its tables.
 func (p *Proxy) uses(backend string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -96,43 +99,44 @@
 	return false
 }
 
-// push is all parts of one push.
+// push collects the parts of one push and their cost in lines.
 type push struct {
 	parts []pushPart
 	lines int
 }
 
-func (o *push) add(part pushPart) {
-	o.parts = append(o.parts, part)
-	o.lines += part.lines()
+func (p *push) add(part pushPart) {
+	p.parts = append(p.parts, part)
+	p.lines += part.lines()
 }
 
-// apply takes in a whole push, or none of it. An error means that it cannot be used.
-func (p *Proxy) apply(o push, controller int, connecting bool) error {
+// apply applies all parts of a push, or returns an error and applies none if a part is invalid. A
+// fenced proxy rejects a push with a stale token without an error.
+func (p *Proxy) apply(received push, controller int, connecting bool) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	token := o.parts[0].Token
-	if p.fenced && token > 0 && token < p.token {
+	token := received.parts[0].Token
+	if p.fenced && token > 0 && token < p.highestToken {
 		p.counts.StalePushesRejected++
 		return nil
 	}
-	for _, part := range o.parts {
-		if !p.usable(part) {
-			return errUnusable
+	for _, part := range received.parts {
+		if !p.validPart(part) {
+			return errInvalidPush
 		}
 	}
-	for _, part := range o.parts {
+	for _, part := range received.parts {
 		p.applyPart(part)
 	}
 	for _, table := range p.tables {
 		table.Index(p.withdrawn)
 	}
-	p.token = max(p.token, token)
+	p.highestToken = max(p.highestToken, token)
 	p.cold = false
 	p.counts.Pushes++
-	p.counts.Lines += o.lines
+	p.counts.Lines += received.lines
 	if connecting {
-		p.counts.LinesAtConnect += o.lines
+		p.counts.LinesAtConnect += received.lines
 	}
 	now := p.fleet.Clock()
 	p.fleet.checker.PushApplied(fmt.Sprint("controller ", controller), p.number, token, now)
@@ -142,8 +146,9 @@
 	return nil
 }
 
-// usable tells whether all classes, backends and weights of a part are ones that can be.
-func (p *Proxy) usable(part pushPart) bool {
+// validPart reports whether all classes and backends of a part are known and all weights are
+// numbers >= 0.
+func (p *Proxy) validPart(part pushPart) bool {
 	for _, name := range part.Classes {
 		if !slices.ContainsFunc(p.fleet.classes, func(c Class) bool { return c.Name == name }) {
 			return false
@@ -159,7 +164,7 @@
 	return true
 }
 
-// applyPart takes in a usable part. The proxy is locked.
+// applyPart applies a valid part. The caller holds the mutex.
 func (p *Proxy) applyPart(part pushPart) {
 	for i, class := range p.fleet.classes {
 		if part.Classes != nil && !slices.Contains(part.Classes, class.Name) {
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -6,38 +6,41 @@
 	"time"
 )
 
-// MessageOverhead is how many lines a message takes beside its own in a push channel.
+// MessageOverhead is the cost of a message in a push channel, in lines, in addition to its own
+// lines.
 const MessageOverhead = 4
 
-// pushChannel is the way from one controller to all proxies: so many lines a second, one message after the other.
+// pushChannel models the channel from one controller to all proxies. It carries linesPerSecond, one
+// message after the other.
 type pushChannel struct {
 	fleet          *Fleet
 	controller     int
-	linesPerSecond float64 // 0 for no bound
+	linesPerSecond float64 // 0 for no limit
 
-	mutex       sync.Mutex // of all below
-	incarnation int        // of the controller's process; each has a channel of its own
-	freeAt      time.Duration
+	mutex       sync.Mutex    // guards the fields below
+	incarnation int           // counts the controller's processes; each has a channel of its own
+	idleFrom    time.Duration // when all queued messages have been sent
 }
 
-// enter has a message enter, and gives how long it takes to come through.
-func (c *pushChannel) enter(proxy, lines int) time.Duration {
+// enqueue adds a message to the channel and returns the time until the message has passed it.
+func (c *pushChannel) enqueue(proxy, lines int) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.fleet.Clock()
-	c.fleet.checker.PushQueued(fmt.Sprintf("controller %d, incarnation %d", c.controller, c.incarnation), proxy, lines, now)
+	process := fmt.Sprintf("controller %d, incarnation %d", c.controller, c.incarnation)
+	c.fleet.checker.PushQueued(process, proxy, lines, now)
 	if c.linesPerSecond <= 0 {
 		return 0
 	}
-	passing := time.Duration(float64(lines) / c.linesPerSecond * float64(time.Second))
-	c.freeAt = max(c.freeAt, now) + passing
-	return c.freeAt - now
+	sendTime := time.Duration(float64(lines) / c.linesPerSecond * float64(time.Second))
+	c.idleFrom = max(c.idleFrom, now) + sendTime
+	return c.idleFrom - now
 }
 
-// restart empties the channel, as the controller's process is another.
+// restart empties the channel, because the controller runs as a new process.
 func (c *pushChannel) restart() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.incarnation++
-	c.freeAt = 0
+	c.idleFrom = 0
 }
--- a/fake/request.go
+++ b/fake/request.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// request is one request that came to a proxy, and its attempt in hand.
+// request is a request that a proxy received, with the data of its current attempt.
 type request struct {
-	class    int
-	key      string // its own
-	began    time.Time
-	retries  int    // attempts before this one
-	previous string // backend of the attempt before
-	random   uint64 // picks the backend
+	class     int
+	key       string // unique to the request
+	arrivedAt time.Time
+	retries   int    // number of earlier attempts
+	previous  string // backend of the previous attempt
+	random    uint64 // random number that the backend is picked with
 }
 
-// generateRequests has requests of a class come to the proxy until the context ends.
+// generateRequests gives the proxy requests of a class, at exponentially distributed intervals,
+// until the context ends.
 func (p *Proxy) generateRequests(ctx context.Context, class int, random *rand.Rand) {
 	for n := 0; ; n++ {
 		gap := time.Duration(random.ExpFloat64() / p.fleet.classes[class].Rate * float64(time.Second))
@@ -31,7 +32,8 @@
 	}
 }
 
-// handleRequest admits a request and makes its first attempt, or rejects it.
+// handleRequest counts a request, and makes its first attempt unless the admission limit rejects
+// it.
 func (p *Proxy) handleRequest(class int, key string, random *rand.Rand) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,10 +44,11 @@
 		p.counts.Rejected++
 		return
 	}
-	p.attempt(request{class: class, key: key, began: time.Now(), random: random.Uint64()})
+	p.attempt(request{class: class, key: key, arrivedAt: time.Now(), random: random.Uint64()})
 }
 
-// attempt sends a request to a backend by weight, not to the one of the attempt before. The proxy is locked.
+// attempt sends a request to a backend that is picked by weight, other than the backend of the
+// previous attempt. The caller holds the mutex.
 func (p *Proxy) attempt(r request) {
 	class := p.fleet.classes[r.class]
 	id, found := p.tables[r.class].Pick(r.previous, r.random)
@@ -54,7 +57,7 @@
 		return
 	}
 	backend := p.fleet.backend(id)
-	timeout := time.Until(r.began.Add(class.Deadline))
+	timeout := time.Until(r.arrivedAt.Add(class.Deadline))
 	if backend == nil || timeout <= 0 {
 		p.counts.Lost++
 		return
@@ -65,43 +68,46 @@
 		p.counts.AttemptsIntoHang++
 	}
 	controller := p.controller
-	var once sync.Once // the backend's answer or the time-out, whichever is first
-	finish := func(outcome Outcome, took time.Duration) {
+	var once sync.Once // only the first of the backend's answer and the timeout counts
+	finish := func(outcome Outcome, latency time.Duration) {
 		once.Do(func() {
-			p.fleet.reportOutcome(p.zone, controller, id, outcome, took)
+			p.fleet.reportOutcome(p.zone, controller, id, outcome, latency)
 			p.finishAttempt(r, id, outcome)
 		})
 	}
 	timer := time.AfterFunc(timeout, func() { finish(OutcomeTimedOut, timeout) })
 	effect := r.key
 	if !class.Writes {
-		effect = fmt.Sprint(r.key, "#", r.retries) // what may run twice has no effect of its own
+		effect = fmt.Sprint(r.key, "#", r.retries) // may run twice: each attempt has its own effect key
 	}
-	backend.Handle(effect, timeout, func(outcome Outcome, took time.Duration) {
+	backend.Handle(effect, timeout, func(outcome Outcome, latency time.Duration) {
 		timer.Stop()
-		finish(outcome, took)
+		finish(outcome, latency)
 	})
 }
 
-// finishAttempt counts the request's end, or retries it.
+// finishAttempt counts the result of the request, or retries the request once.
 func (p *Proxy) finishAttempt(r request, backend string, outcome Outcome) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	class := p.fleet.classes[r.class]
 	switch {
-	case outcome == OutcomeSucceeded && time.Since(r.began) <= class.LatencyObjective:
+	case outcome == OutcomeSucceeded && time.Since(r.arrivedAt) <= class.LatencyObjective:
 		p.counts.Served++
 		p.counts.ServedValue += class.PriorityWeight
 	case outcome == OutcomeSucceeded:
 		p.counts.Late++
 	case r.retries == 0 && p.mayRetry(r.class, outcome):
-		p.attempt(request{class: r.class, key: r.key, began: r.began, retries: 1, previous: backend, random: NextRandom(r.random)})
+		p.attempt(request{
+			class: r.class, key: r.key, arrivedAt: r.arrivedAt, retries: 1, previous: backend, random: NextRandom(r.random),
+		})
 	default:
 		p.counts.Lost++
 	}
 }
 
-// mayRetry tells whether the policy in force lets a failed attempt be followed by another. The proxy is locked.
+// mayRetry reports whether the retry policy of a class allows a retry after an unsuccessful
+// outcome. The caller holds the mutex.
 func (p *Proxy) mayRetry(class int, outcome Outcome) bool {
 	policy := retryIfNotExecuted
 	if limit := p.limits[class]; limit.set {
@@ -113,27 +119,28 @@
 	return policy >= retryOnFailure && !p.fleet.classes[class].Writes
 }
 
-// admissionLimit is how many requests of a class are admitted a second, as a token bucket, and how attempts are retried.
+// admissionLimit is the token bucket that limits the admitted requests of a class, and the retry
+// policy of that class.
 type admissionLimit struct {
-	set    bool // without it all are admitted
-	rate   float64
-	retry  int
-	tokens float64 // requests that may be admitted now
-	at     time.Time
+	set        bool    // if not, every request is admitted
+	rate       float64 // admitted requests a second
+	retry      int     // policy
+	tokens     float64 // requests that may be admitted at once
+	refilledAt time.Time
 }
 
 func newAdmissionLimit(rate float64, retry int) admissionLimit {
-	return admissionLimit{set: true, rate: rate, retry: retry, tokens: 1, at: time.Now()}
+	return admissionLimit{set: true, rate: rate, retry: retry, tokens: 1, refilledAt: time.Now()}
 }
 
-// admit takes a token, if there is one.
+// admit takes a token and reports whether there was one.
 func (l *admissionLimit) admit() bool {
 	if !l.set {
 		return true
 	}
 	now := time.Now()
-	l.tokens = min(max(1, l.rate), l.tokens+now.Sub(l.at).Seconds()*l.rate)
-	l.at = now
+	l.tokens = min(max(1, l.rate), l.tokens+now.Sub(l.refilledAt).Seconds()*l.rate)
+	l.refilledAt = now
 	if l.tokens < 1 {
 		return false
 	}
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -13,22 +13,24 @@
 const (
 	dialTimeout      = 300 * time.Millisecond
 	probeInterval    = time.Second
-	silenceTimeout   = 3 * time.Second        // without a byte a stream is given up
-	applyTimePerLine = 100 * time.Microsecond // for each line of a push
-	connectWindow    = time.Second            // in which pushes count as those of a beginning stream
+	idleTimeout      = 3 * time.Second        // a stream is closed if no message arrives for this long
+	applyTimePerLine = 100 * time.Microsecond // time that a proxy takes to apply one line of a push
+	connectWindow    = time.Second            // from the start of a stream; lines applied in it count as LinesAtConnect
 	minRedialDelay   = 20                     // ms
-	redialJitter     = 130                    // ms
-	ackLatency       = 1                      // ms, as acknowledgements have it
+	redialJitter     = 130                    // ms, bound of the random part of the delay
+	ackLatency       = 1                      // ms, reported in every acknowledgement
 )
 
-// run keeps a stream to some controller until the context ends: after each break to the next one, after a moment.
+// run keeps the proxy connected to one of the controllers until the context ends. When a stream
+// ends or cannot be opened, it waits for a random delay and dials the next controller in an order
+// that is random for each proxy.
 func (p *Proxy) run(ctx context.Context) {
 	order := p.random.Perm(len(p.fleet.links))
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		controller := order[attempt%len(order)]
 		conn, err := net.DialTimeout("tcp", p.fleet.links[controller].Address(), dialTimeout)
 		if err == nil {
-			p.stream(ctx, conn, controller)
+			p.serveStream(ctx, conn, controller)
 		}
 		wait := time.Duration(minRedialDelay+p.random.IntN(redialJitter)) * time.Millisecond
 		select {
@@ -38,8 +40,8 @@
 	}
 }
 
-// stream speaks with one controller until the connection or the context ends.
-func (p *Proxy) stream(ctx context.Context, conn net.Conn, controller int) {
+// serveStream exchanges messages with one controller until the connection or the context ends.
+func (p *Proxy) serveStream(ctx context.Context, conn net.Conn, controller int) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
@@ -69,19 +71,20 @@
 	return hello{Msg: msgHello, Proxy: p.number, Zone: p.zone, Rate: rate, Cold: p.cold, Fence: p.fenced}
 }
 
-// readPushes applies and acknowledges pushes until one cannot be read or used. The proxy counts as connected from the
-// first message of the controller on, which shows that it is there.
+// readPushes applies and acknowledges pushes until a message cannot be read or is invalid. The
+// proxy counts as connected from the first message of the controller on, which shows that the
+// controller is running.
 func (p *Proxy) readPushes(ctx context.Context, conn net.Conn, controller int, began time.Time) {
 	reader := bufio.NewReader(conn)
 	connected := false
 	defer func() {
 		if connected {
-			p.disconnected()
+			p.setDisconnected()
 		}
 	}()
 	var pending push
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
 		body, err := readFrame(reader)
@@ -90,7 +93,7 @@
 		}
 		if !connected {
 			connected = true
-			p.connected(controller)
+			p.setConnected(controller)
 		}
 		var part pushPart
 		if err := json.Unmarshal(body, &part); err != nil {
@@ -117,26 +120,29 @@
 	}
 }
 
-// awaitDelivery waits as long as a push takes through the controller's push channel and to be applied.
+// awaitDelivery waits for the time that a push takes to pass the controller's push channel and to
+// be applied.
 func (p *Proxy) awaitDelivery(ctx context.Context, controller, lines int) {
-	wait := p.fleet.channels[controller].enter(p.number, lines+MessageOverhead) + time.Duration(lines)*applyTimePerLine
+	wait := p.fleet.pushChannels[controller].enqueue(p.number, lines+MessageOverhead) +
+		time.Duration(lines)*applyTimePerLine
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
 }
 
-// acknowledge answers each part that asks for it. A failed write shows as the next read fails.
-func (p *Proxy) acknowledge(conn net.Conn, o push) {
-	for _, part := range o.parts {
+// acknowledge sends an acknowledgement for each part with a nonce. It ignores write errors, because
+// the next read then fails too.
+func (p *Proxy) acknowledge(conn net.Conn, handled push) {
+	for _, part := range handled.parts {
 		if part.Nonce != nil {
 			_, _ = conn.Write(frame(ack{Msg: msgAck, Proxy: p.number, Nonce: *part.Nonce, Latency: ackLatency}))
 		}
 	}
 }
 
-// reportDemand probes the controller and reports demand at each interval, until the context ends or a write fails,
-// which closes the connection.
+// reportDemand sends a probe and the demand of each class at each probe interval, until the context
+// ends or a write fails. It closes the connection after a failed write.
 func (p *Proxy) reportDemand(ctx context.Context, conn net.Conn) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -156,15 +162,15 @@
 				Interval: float64(probeInterval.Milliseconds())}
 			out = append(out, frame(report)...)
 		}
-		if err := write(conn, out, probeInterval); err != nil {
+		if err := writeWithTimeout(conn, out, probeInterval); err != nil {
 			conn.Close()
 			return
 		}
 	}
 }
 
-// write writes all within a time.
-func write(conn net.Conn, out []byte, timeout time.Duration) error {
+// writeWithTimeout writes all bytes, or returns an error after the timeout.
+func writeWithTimeout(conn net.Conn, out []byte, timeout time.Duration) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
--- a/fake/table.go
+++ b/fake/table.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Table is what a proxy picks backends from, for one class. Entries are set, and then indexed for picks. Not safe for
-// concurrent use.
+// Table is the table of a proxy for one class, from which it picks backends. Set changes entries;
+// Index makes the changes effective for Has, Empty and Pick. Not safe for concurrent use.
 type Table struct {
-	weights map[string]float64 // by backend
-	ids     []string           // of the backends that may be picked, in order
-	sums    []float64          // of their weights, up to and with each
+	weights    map[string]float64 // by backend
+	ids        []string           // of the backends that may be picked, sorted
+	prefixSums []float64          // sums of the weights of ids up to and including each
 }
 
-// NewTable is a table without entries.
+// NewTable returns a table without entries.
 func NewTable() *Table { return &Table{weights: map[string]float64{}} }
 
-// Set gives a backend an entry, or removes it with a weight of 0.
+// Set sets the weight of a backend. A weight of 0 removes the entry.
 func (t *Table) Set(id string, weight float64) {
 	if weight > 0 {
 		t.weights[id] = weight
@@ -22,10 +22,10 @@
 	}
 }
 
-// Index makes what was set count for picks. Backends that are withdrawn are not picked.
+// Index makes the entries that were set available for picks, except those of withdrawn backends.
 func (t *Table) Index(withdrawn map[string]bool) {
 	t.ids = t.ids[:0]
-	t.sums = t.sums[:0]
+	t.prefixSums = t.prefixSums[:0]
 	for id := range t.weights {
 		if !withdrawn[id] {
 			t.ids = append(t.ids, id)
@@ -35,64 +35,65 @@
 	total := 0.
 	for _, id := range t.ids {
 		total += t.weights[id]
-		t.sums = append(t.sums, total)
+		t.prefixSums = append(t.prefixSums, total)
 	}
 }
 
-// Has tells whether a backend may be picked.
+// Has reports whether a backend may be picked.
 func (t *Table) Has(id string) bool {
 	_, found := slices.BinarySearch(t.ids, id)
 	return found
 }
 
-// Empty tells whether none may be picked.
+// Empty reports whether no backend may be picked.
 func (t *Table) Empty() bool { return len(t.ids) == 0 }
 
-// Pick chooses a backend by weight with a random number, but not the one of the attempt before; found is false where no
-// backend is left.
+// Pick chooses a backend with a probability in proportion to its weight, by a uniform random
+// number. It never chooses the backend of the previous attempt; found is false if there is no other
+// backend.
 func (t *Table) Pick(previous string, random uint64) (chosen string, found bool) {
 	skipped, listed := slices.BinarySearch(t.ids, previous)
 	if t.Empty() || listed && len(t.ids) == 1 {
 		return "", false
 	}
-	total := t.sumOf(len(t.ids))
+	total := t.prefixSum(len(t.ids))
 	if !listed {
-		return t.ids[t.entryAt(unit(random)*total)], true
+		return t.ids[t.indexAt(unitInterval(random)*total)], true
 	}
-	// The part of the sum that is the previous backend's is stepped over.
-	from := t.sumOf(skipped)
-	to := t.sumOf(skipped + 1)
-	point := unit(random) * (total - (to - from))
+	// Skip the interval of the previous backend in the sum of the weights.
+	from := t.prefixSum(skipped)
+	to := t.prefixSum(skipped + 1)
+	point := unitInterval(random) * (total - (to - from))
 	if point >= from {
 		point += to - from
 	}
-	entry := t.entryAt(point)
-	if entry == skipped { // by rounding alone
+	entry := t.indexAt(point)
+	if entry == skipped { // possible only by a rounding error
 		entry = (skipped + 1) % len(t.ids)
 	}
 	return t.ids[entry], true
 }
 
-// sumOf sums the weights of the first entries.
-func (t *Table) sumOf(entries int) float64 {
+// prefixSum returns the sum of the weights of the first entries.
+func (t *Table) prefixSum(entries int) float64 {
 	if entries == 0 {
 		return 0
 	}
-	return t.sums[entries-1]
+	return t.prefixSums[entries-1]
 }
 
-// entryAt is the entry within whose part of the sum a point lies.
-func (t *Table) entryAt(point float64) int {
-	entry, exact := slices.BinarySearch(t.sums, point)
+// indexAt returns the index of the entry whose interval in the sum of the weights contains a point.
+func (t *Table) indexAt(point float64) int {
+	entry, exact := slices.BinarySearch(t.prefixSums, point)
 	if exact {
-		entry++ // an entry's part ends before its sum
+		entry++ // the interval of an entry excludes its upper end
 	}
-	return min(entry, len(t.sums)-1)
+	return min(entry, len(t.prefixSums)-1)
 }
 
-// unit turns a random number into one from 0 up to 1, with as many bits as a float64 holds.
-func unit(random uint64) float64 { return float64(random>>11) / (1 << 53) }
+// unitInterval maps a random number to [0, 1), with the 53 bits that a float64 holds.
+func unitInterval(random uint64) float64 { return float64(random>>11) / (1 << 53) }
 
-// NextRandom gives the random number of a request's next attempt from that of the last: a step of a linear congruential
-// generator, as proxies have it.
+// NextRandom returns the random number of a request's next attempt, computed from that of the
+// previous attempt by one step of a linear congruential generator, like the proxies' own.
 func NextRandom(random uint64) uint64 { return random*6364136223846793005 + 1442695040888963407 }
