--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -1,9 +1,12 @@
-// Package invariant checks a recorded run against the five rules of the operators, and the order of owners: which proxy was
-// told what when, which backend was sent what, what took effect. It knows nothing of how controllers decide.
+// Package invariant checks a recorded run against the five rules of the operators and against the
+// rule on the order of owners. Its input is which pushes each proxy got and when, which attempts
+// each backend was sent, and which requests took effect. It does not depend on how controllers
+// decide.
 //
-// A Checker is told what happens and judges most rules at once, each in a file of its own. Rule 1 is judged when a gap
-// ends, or by Verdict; rule 4 where a backend is overloaded, which fake.Backend tells. Times are on one clock that begins
-// at 0.
+// A Checker receives the events of a run and checks most rules at each event; each rule has a file
+// of its own. Rule 1 is checked when a time without an entry ends, and by Verdict for the times
+// that still last. A violation of rule 4 is detected by fake.Backend, which reports it when a cold
+// backend is overloaded. All times are on one clock that starts at 0.
 package invariant
 
 import (
@@ -17,74 +20,80 @@
 // Rule is the number of a rule in the operators' pages.
 type Rule int
 
-// The rules.
+// Numbers of the rules.
 const (
-	RuleEmptyTable      Rule = 1 // a connected proxy has an entry for each class while a warm backend is listed
+	RuleEmptyTable      Rule = 1 // a connected proxy has an entry for each class while a ready, warm backend is listed
 	RuleDuplicateEffect Rule = 2 // no request takes effect twice
-	RuleDrainGrace      Rule = 3 // a backend that drains or is gone is left within the grace
+	RuleDrainGrace      Rule = 3 // a draining or removed backend is sent nothing after the drain grace
 	RuleColdStart       Rule = 4 // a cold backend is not overloaded
-	RulePushBudget      Rule = 5 // messages and lines to proxies stay within what they take
-	RuleOwnerOrder      Rule = 6 // no push of an owner that is over is applied
+	RulePushBudget      Rule = 5 // messages to a proxy and lines in a push channel stay within their limits
+	RuleOwnerOrder      Rule = 6 // a proxy applies no push of a former owner
 )
 
-// Limits are the figures that a run is checked by.
+// Limits holds the limits that a run is checked against.
 type Limits struct {
-	MaxEmptyTable  time.Duration // that a connected proxy may lack an entry for a class while a ready, warm backend is listed
-	DrainGrace     time.Duration // in which a backend that drains or is gone has to be left
-	MaxMessages    int           // to one proxy within MessageWindow, by all controllers together; 0 for no limit
-	MessageWindow  time.Duration // that MaxMessages is for
-	LinesPerSecond float64       // that leave one controller; 0 for no limit
-	Backlog        float64       // lines that may wait to leave
-	Margin         time.Duration // added to each time, for what a busy machine adds to what it measures
+	// MaxEmptyTable is the longest time for which a connected proxy may lack an entry for a class
+	// while a ready, warm backend is listed.
+	MaxEmptyTable time.Duration
+	// DrainGrace is the time within which proxies have to stop sending to a backend that drains or
+	// is removed.
+	DrainGrace     time.Duration
+	MaxMessages    int           // to one proxy within MessageWindow, from all controllers together; 0 for no limit
+	MessageWindow  time.Duration // period that MaxMessages applies to
+	LinesPerSecond float64       // that leave the push channel of one controller; 0 for no limit
+	Backlog        float64       // lines that may wait in the push channel of one controller
+	// Margin is added to MaxEmptyTable and DrainGrace, for the delays that a busy machine adds to
+	// measured times.
+	Margin time.Duration
 }
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
-	Rule    Rule          `json:"Rule"`  // that was broken
-	At      time.Duration `json:"At"`    // since the run began
-	Subject string        `json:"Whose"` // the proxy, backend, controller or effect
-	Text    string        `json:"Text"`  // what happened
+	Rule    Rule          `json:"Rule"`  // violated rule
+	At      time.Duration `json:"At"`    // since the start of the run
+	Subject string        `json:"Whose"` // the proxy, the backend, the controller process or the key of the effect
+	Text    string        `json:"Text"`  // what violated the rule
 }
 
-// maxViolations is how many violations a verdict has with their texts; more are only counted.
+// maxViolations is the number of violations that a verdict lists; further ones are only counted.
 const maxViolations = 100
 
-// Checker is told what happens in a run. Safe for concurrent use.
+// Checker receives the events of a run and checks the rules. Safe for concurrent use.
 type Checker struct {
 	limits Limits
 
-	mutex      sync.Mutex // of all below
+	mutex      sync.Mutex // guards the fields below
 	violations []Violation
-	counts     map[string]int // of violations, by rule
+	counts     map[string]int // of all violations, by "rule N"
 	proxies    map[int]*proxy
 	backends   map[string]*backend
-	effects    map[string]time.Duration // when each took effect, by key
-	queues     map[string]*queue        // by controller's process
+	effects    map[string]time.Duration   // time at which each request took effect, by key
+	backlogs   map[string]*channelBacklog // by controller process
 
 	longestEmptyTable time.Duration
-	mostMessages      int // to one proxy within the window
+	peakMessages      int // most messages to one proxy within MessageWindow
 }
 
-// proxy is what a checker knows of one.
+// proxy is the state of one proxy, as known from the events.
 type proxy struct {
-	connected     bool
-	changedAt     time.Duration            // when connected last changed
-	emptySince    map[string]time.Duration // by class, of those without an entry while connected
-	emptyReported map[string]bool          // classes whose violation stands already
-	messages      []time.Duration          // within the window
-	overBudget    bool                     // its messages; the violation stands already
-	token         uint64                   // the highest that was applied
+	connected           bool
+	connectionChangedAt time.Duration            // time of the last ProxyConnected
+	emptySince          map[string]time.Duration // by class, for classes without an entry while connected
+	emptyReported       map[string]bool          // classes whose current lack of an entry is recorded as a violation
+	messageTimes        []time.Duration          // of the messages within MessageWindow
+	overLimit           bool                     // more than MaxMessages; recorded as a violation
+	highestToken        uint64                   // of the applied pushes; 0 if none had a fencing token
 }
 
-// backend is what a checker knows of one.
+// backend is the state of one backend, as known from the events.
 type backend struct {
-	ready      bool
-	warm       bool
-	leaveBy    time.Duration // 0 while it may be sent requests
-	overloaded bool
+	ready         bool
+	warm          bool
+	drainDeadline time.Duration // 0 while the backend may be sent requests
+	overloaded    bool
 }
 
-// NewChecker makes a checker that knows of nothing yet.
+// NewChecker returns a checker that has received no events.
 func NewChecker(limits Limits) *Checker {
 	return &Checker{
 		limits:   limits,
@@ -92,20 +101,23 @@
 		proxies:  map[int]*proxy{},
 		backends: map[string]*backend{},
 		effects:  map[string]time.Duration{},
-		queues:   map[string]*queue{},
+		backlogs: map[string]*channelBacklog{},
 	}
 }
 
-// violate notes a violation. The checker is locked.
-func (c *Checker) violate(rule Rule, at time.Duration, subject, format string, args ...any) {
+// recordViolation counts a violation, and lists it unless maxViolations are listed already. The
+// caller holds the mutex.
+func (c *Checker) recordViolation(rule Rule, at time.Duration, subject, format string, args ...any) {
 	c.counts[fmt.Sprint("rule ", rule)]++
 	if len(c.violations) >= maxViolations {
 		return
 	}
-	c.violations = append(c.violations, Violation{Rule: rule, At: at, Subject: subject, Text: fmt.Sprintf(format, args...)})
+	text := fmt.Sprintf(format, args...)
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, Subject: subject, Text: text})
 }
 
-// proxy gives what is known of a proxy, which may be nothing. The checker is locked.
+// proxy returns the state of a proxy, and creates it at the first event of the proxy. The caller
+// holds the mutex.
 func (c *Checker) proxy(id int) *proxy {
 	p := c.proxies[id]
 	if p == nil {
@@ -117,14 +129,14 @@
 
 func proxyName(id int) string { return fmt.Sprint("proxy ", id) }
 
-// ProxyConnected notes that pushes of some controller reach a proxy from now on, or do not. Empty are the classes that it
-// has no entry for.
+// ProxyConnected records whether pushes of some controller can reach a proxy from now on. empty
+// lists the classes for which the proxy has no entry.
 func (c *Checker) ProxyConnected(id int, connected bool, empty []string, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	p := c.proxy(id)
 	p.connected = connected
-	p.changedAt = at
+	p.connectionChangedAt = at
 	if !connected {
 		clear(p.emptySince)
 		clear(p.emptyReported)
@@ -135,8 +147,9 @@
 	}
 }
 
-// EndpointListed notes that discovery has told every controller of a backend's state. One that drains or is gone has to be
-// left within the grace from now on.
+// EndpointListed records that discovery has published the state of a backend to every controller.
+// ready is false if the backend drains or is removed: proxies then have to stop sending to it
+// within the drain grace from the first such event on.
 func (c *Checker) EndpointListed(id string, ready, warm bool, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -149,22 +162,23 @@
 	b.warm = warm
 	switch {
 	case ready:
-		b.leaveBy = 0
-	case b.leaveBy == 0:
-		b.leaveBy = at + c.limits.DrainGrace + c.limits.Margin
+		b.drainDeadline = 0
+	case b.drainDeadline == 0:
+		b.drainDeadline = at + c.limits.DrainGrace + c.limits.Margin
 	}
 }
 
-// Verdict is what a run has shown.
+// Verdict is the result of the checks of a run.
 type Verdict struct {
-	Violations        []Violation    // in the order of their times; the first hundred that were met
+	Violations        []Violation    // sorted by time; only the first 100 that were recorded
 	Counts            map[string]int // of all violations, by "rule N"
-	Effects           int            // requests that took effect
-	LongestEmptyTable time.Duration  // that a connected proxy lacked an entry
-	PeakMessages      int            // to one proxy within the window
+	Effects           int            // number of distinct keys that took effect
+	LongestEmptyTable time.Duration  // longest time for which a connected proxy lacked an entry
+	PeakMessages      int            // most messages to one proxy within MessageWindow
 }
 
-// Verdict judges what still lasts as it stands, and gives what the run has shown. It is called once, at the end.
+// Verdict checks the times without an entry that still last, and returns the result of all checks.
+// It must be called only once, at the end of the run.
 func (c *Checker) Verdict(at time.Duration) Verdict {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -181,6 +195,6 @@
 		Counts:            c.counts,
 		Effects:           len(c.effects),
 		LongestEmptyTable: c.longestEmptyTable,
-		PeakMessages:      c.mostMessages,
+		PeakMessages:      c.peakMessages,
 	}
 }
--- a/invariant/cold_start.go
+++ b/invariant/cold_start.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Rule 4: a cold backend is not sent so much that it is overloaded.
+// Rule 4: a cold backend is not sent so many requests that it is overloaded.
 
-// ColdBackendOverloaded notes that one was. Each backend counts once.
+// ColdBackendOverloaded records that a cold backend was overloaded. Each backend counts once in a
+// run.
 func (c *Checker) ColdBackendOverloaded(id string, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -13,5 +14,5 @@
 		return
 	}
 	b.overloaded = true
-	c.violate(RuleColdStart, at, id, "pushed over while it was cold")
+	c.recordViolation(RuleColdStart, at, id, "overloaded while it was cold")
 }
--- a/invariant/drain_grace.go
+++ b/invariant/drain_grace.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Rule 3: a backend that drains or is gone is sent nothing once the grace is over. It runs from when discovery told, or
-// from when the proxy connected, if that was later.
+// Rule 3: a backend that drains or is removed is sent nothing once the drain grace and the margin
+// are over. They start when discovery publishes the state, or when the proxy connects if that is
+// later.
 
-// AttemptSent notes that a proxy sends a backend something now, by its table. One without a connection cannot be told to
-// leave it.
+// AttemptSent records that a proxy sends a backend an attempt, as its table says. A proxy that is
+// not connected is not checked, because no controller can withdraw the backend from its table.
 func (c *Checker) AttemptSent(id string, proxyID int, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	b := c.backends[id]
 	p := c.proxy(proxyID)
-	if b == nil || b.leaveBy == 0 || !p.connected {
+	if b == nil || b.drainDeadline == 0 || !p.connected {
 		return
 	}
-	leaveBy := max(b.leaveBy, p.changedAt+c.limits.DrainGrace+c.limits.Margin)
-	if at > leaveBy {
-		c.violate(RuleDrainGrace, at, proxyName(proxyID), "sent to %s, which was to be left by %s", id, leaveBy.Round(time.Millisecond))
+	deadline := max(b.drainDeadline, p.connectionChangedAt+c.limits.DrainGrace+c.limits.Margin)
+	if at > deadline {
+		c.recordViolation(RuleDrainGrace, at, proxyName(proxyID), "sent an attempt to %s, whose drain grace was over at %s",
+			id, deadline.Round(time.Millisecond))
 	}
 }
--- a/invariant/empty_table.go
+++ b/invariant/empty_table.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Rule 1: while a ready, warm backend is listed, a connected proxy lacks an entry for a class no longer than
-// MaxEmptyTable. A time without a connection does not count, as nobody could give it one.
+// Rule 1: while a ready, warm backend is listed, a connected proxy lacks an entry for a class no
+// longer than MaxEmptyTable and the margin. Time without a connection does not count, because no
+// controller can send the proxy an entry then.
 
-// TableChanged notes that a proxy has an entry for a class that it can pick from now on, or has none.
+// TableChanged records whether a proxy has an entry that it can pick for a class from now on.
 func (c *Checker) TableChanged(id int, class string, hasEntry bool, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -21,9 +22,9 @@
 	}
 }
 
-// checkEmptyTable judges a time without an entry that has lasted until now. The checker is locked.
+// checkEmptyTable checks a time without an entry, from since to at. The caller holds the mutex.
 func (c *Checker) checkEmptyTable(id int, class string, since, at time.Duration) {
-	if !c.anyReadyAndWarm() {
+	if !c.hasReadyWarmBackend() {
 		return
 	}
 	c.longestEmptyTable = max(c.longestEmptyTable, at-since)
@@ -32,10 +33,11 @@
 		return
 	}
 	p.emptyReported[class] = true
-	c.violate(RuleEmptyTable, at, proxyName(id), "no entry for %s since %s", class, since.Round(time.Millisecond))
+	c.recordViolation(RuleEmptyTable, at, proxyName(id), "no entry for class %s since %s",
+		class, since.Round(time.Millisecond))
 }
 
-func (c *Checker) anyReadyAndWarm() bool {
+func (c *Checker) hasReadyWarmBackend() bool {
 	for _, b := range c.backends {
 		if b.ready && b.warm {
 			return true
--- a/invariant/push_budget.go
+++ b/invariant/push_budget.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Rule 5: a proxy is sent MaxMessages within MessageWindow at most, and no more than Backlog lines wait to leave a
-// controller, of which LinesPerSecond do.
+// Rule 5: a proxy is sent at most MaxMessages within MessageWindow, and at most Backlog lines wait
+// in the push channel of a controller, which sends LinesPerSecond.
 
-// queue is what waits in the push channel of a controller's process.
-type queue struct {
-	at    time.Duration // when it was last looked at
-	lines float64
+// channelBacklog is the number of lines that wait in the push channel of a controller process.
+type channelBacklog struct {
+	updatedAt   time.Duration // when queuedLines was computed
+	queuedLines float64
 }
 
-// PushQueued notes that a push of some lines for a proxy enters a controller's push channel. The controller is named
-// by its process: another process has a channel of its own.
+// PushQueued records that a push to a proxy, with a cost in lines, enters the push channel of a
+// controller. The name of the controller identifies one process: a new process of the same
+// controller has a push channel of its own.
 func (c *Checker) PushQueued(controller string, proxyID int, lines int, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -25,32 +26,38 @@
 	c.checkBacklog(controller, lines, at)
 }
 
-// checkMessages judges one more message to a proxy. Each time over the limit counts once. The checker is locked.
+// checkMessages checks the number of messages to a proxy, with one more message. Each period above
+// the limit counts as one violation. The caller holds the mutex.
 func (c *Checker) checkMessages(proxyID int, at time.Duration) {
 	p := c.proxy(proxyID)
-	p.messages = slices.DeleteFunc(p.messages, func(sent time.Duration) bool { return sent <= at-c.limits.MessageWindow })
-	p.messages = append(p.messages, at)
-	c.mostMessages = max(c.mostMessages, len(p.messages))
-	over := len(p.messages) > c.limits.MaxMessages
-	if over && !p.overBudget {
-		c.violate(RulePushBudget, at, proxyName(proxyID), "%d messages within %s", len(p.messages), c.limits.MessageWindow)
+	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(sent time.Duration) bool {
+		return sent <= at-c.limits.MessageWindow
+	})
+	p.messageTimes = append(p.messageTimes, at)
+	c.peakMessages = max(c.peakMessages, len(p.messageTimes))
+	over := len(p.messageTimes) > c.limits.MaxMessages
+	if over && !p.overLimit {
+		c.recordViolation(RulePushBudget, at, proxyName(proxyID), "%d messages within %s, at most %d allowed",
+			len(p.messageTimes), c.limits.MessageWindow, c.limits.MaxMessages)
 	}
-	p.overBudget = over
+	p.overLimit = over
 }
 
-// checkBacklog judges lines that enter a channel. One that is over counts as empty, so that it counts once. The checker
-// is locked.
+// checkBacklog checks the backlog of a push channel, with the lines that enter it. After a
+// violation the backlog restarts at 0, so that the same lines count only once. The caller holds the
+// mutex.
 func (c *Checker) checkBacklog(controller string, lines int, at time.Duration) {
-	q := c.queues[controller]
+	q := c.backlogs[controller]
 	if q == nil {
-		q = &queue{at: at}
-		c.queues[controller] = q
+		q = &channelBacklog{updatedAt: at}
+		c.backlogs[controller] = q
 	}
-	left := (at - q.at).Seconds() * c.limits.LinesPerSecond
-	q.lines = max(0, q.lines-left) + float64(lines)
-	q.at = at
-	if c.limits.LinesPerSecond > 0 && q.lines > c.limits.Backlog {
-		c.violate(RulePushBudget, at, controller, "%.0f lines in its channel, %.0f at most", q.lines, c.limits.Backlog)
-		q.lines = 0
+	sentLines := (at - q.updatedAt).Seconds() * c.limits.LinesPerSecond
+	q.queuedLines = max(0, q.queuedLines-sentLines) + float64(lines)
+	q.updatedAt = at
+	if c.limits.LinesPerSecond > 0 && q.queuedLines > c.limits.Backlog {
+		c.recordViolation(RulePushBudget, at, controller, "%.0f lines in its push channel, at most %.0f allowed",
+			q.queuedLines, c.limits.Backlog)
+		q.queuedLines = 0
 	}
 }
