--- a/rehearse/backends.go
+++ b/rehearse/backends.go
@@ -7,94 +7,98 @@
 )
 
 const (
-	drainTime         = 6 * time.Second // of a backend, which is back then as a new process
-	hangTime          = 8 * time.Second
-	hangPollInterval  = 50 * time.Millisecond
-	leftWhenOneIn     = 10 // a backend counts as left once no more than one proxy in ten uses it
-	minSteadyBackends = 2  // of which one is left to serve
+	drainTime              = 6 * time.Second // until a draining backend is replaced by a new process
+	hangTime               = 8 * time.Second
+	hangPollInterval       = 50 * time.Millisecond
+	abandonedUseDivisor    = 10 // a backend counts as abandoned once at most one proxy in ten uses it
+	minUndisturbedBackends = 2  // so that at least one continues to serve
 )
 
-// pickSteadyBackend draws a backend with which nothing is going on; nil if there are too few.
-func (r *run) pickSteadyBackend() *fake.Backend {
-	var steady []*fake.Backend
+// pickUndisturbedBackend returns a random backend that is warm and neither hangs nor is being
+// replaced. It returns nil if there are fewer than minUndisturbedBackends.
+func (r *run) pickUndisturbedBackend() *fake.Backend {
+	var undisturbed []*fake.Backend
 	for _, b := range r.fleet.Backends {
-		if !r.busyBackends[b] && b.Warm() {
-			steady = append(steady, b)
+		if !r.disturbedBackends[b] && b.Warm() {
+			undisturbed = append(undisturbed, b)
 		}
 	}
-	if len(steady) < minSteadyBackends {
+	if len(undisturbed) < minUndisturbedBackends {
 		return nil
 	}
-	return steady[r.random.IntN(len(steady))]
+	return undisturbed[r.random.IntN(len(undisturbed))]
 }
 
-// replaceBackend has a backend drain, and come back as a new process, which is cold at first.
+// replaceBackend drains a backend and replaces it by a new process, which is cold at first.
 func (r *run) replaceBackend() {
-	b := r.pickSteadyBackend()
+	b := r.pickUndisturbedBackend()
 	if b == nil {
 		return
 	}
-	r.busyBackends[b] = true
+	r.disturbedBackends[b] = true
 	r.report.BackendsReplaced++
-	r.log("%s drains", b.ID)
+	r.log("%s is draining", b.ID)
 	r.fleet.Discovery.Publish(fake.StateDraining, b)
-	r.after(drainTime, func() error {
-		r.log("%s is back", b.ID)
+	r.scheduleAfter(drainTime, func() error {
+		r.log("%s is up again as a new process", b.ID)
 		b.Restart(warmupTime)
 		r.fleet.Discovery.Publish(fake.StateUp, b)
-		r.after(warmupTime, func() error {
-			r.fleet.Discovery.Publish(fake.StateUp, b) // as it was: the checker has it as warm from now on
-			delete(r.busyBackends, b)
+		r.scheduleAfter(warmupTime, func() error {
+			// The same state again, so that the checker records the backend as warm.
+			r.fleet.Discovery.Publish(fake.StateUp, b)
+			delete(r.disturbedBackends, b)
 			return nil
 		})
 		return nil
 	})
 }
 
-// hang is one of a backend, while it lasts.
+// hang is the hang of a backend that is in progress.
 type hang struct {
 	backend  *fake.Backend
 	began    time.Time
-	detected bool // nearly all proxies have left it
+	detected bool // the backend has been abandoned
 }
 
-// hangBackend has a backend take everything and answer nothing for a while, and notes when nearly all proxies had left
-// it.
+// hangBackend makes a backend hang for hangTime, and records how long it takes until nearly all
+// proxies have abandoned it.
 func (r *run) hangBackend() {
-	b := r.pickSteadyBackend()
+	b := r.pickUndisturbedBackend()
 	if b == nil {
 		return
 	}
 	h := &hang{backend: b, began: time.Now()}
-	r.busyBackends[b] = true
+	r.disturbedBackends[b] = true
 	b.SetMode(fake.ModeHang)
 	r.report.Hangs++
 	r.log("%s hangs", b.ID)
 	r.pollHangAfter(0, h)
 }
 
+// pollHangAfter schedules the next pollHang.
 func (r *run) pollHangAfter(wait time.Duration, h *hang) {
-	r.after(wait, func() error {
+	r.scheduleAfter(wait, func() error {
 		r.pollHang(h)
 		return nil
 	})
 }
 
-// pollHang looks whether the backend is left, and ends the hang once it has lasted long enough.
+// pollHang checks whether nearly all proxies have abandoned the backend, and ends the hang after
+// hangTime. A backend that has not been abandoned by then counts with the whole time.
 func (r *run) pollHang(h *hang) {
-	since := time.Since(h.began)
-	left := r.fleet.ProxiesUsing(h.backend.ID) <= r.Proxies/leftWhenOneIn
+	elapsed := time.Since(h.began)
+	abandoned := r.fleet.ProxiesUsing(h.backend.ID) <= r.Proxies/abandonedUseDivisor
 	switch {
-	case left && !h.detected:
+	case abandoned && !h.detected:
 		h.detected = true
-		r.hangDetections = append(r.hangDetections, since)
-		r.log("%s is left", h.backend.ID)
-	case since >= hangTime:
+		r.hangDetections = append(r.hangDetections, elapsed)
+		r.log("nearly all proxies have abandoned %s", h.backend.ID)
+	case elapsed >= hangTime:
 		if !h.detected {
-			r.hangDetections = append(r.hangDetections, since)
+			r.hangDetections = append(r.hangDetections, elapsed)
 		}
 		h.backend.SetMode(fake.ModeHealthy)
-		delete(r.busyBackends, h.backend)
+		delete(r.disturbedBackends, h.backend)
 		return
 	}
 	r.pollHangAfter(hangPollInterval, h)
--- a/rehearse/doc.go
+++ b/rehearse/doc.go
@@ -1,4 +1,5 @@
-// Package rehearse plays scenarios against real controllers: processes of the program itself, with a fake.Fleet around
-// them and an invariant.Checker as the judge. scenario.go has what is played, start.go how controllers are started, run.go
-// the loop, faults.go the faults of controllers, backends.go those of backends, report.go what is shown.
+// Package rehearse runs scenarios against real controllers: processes of the program itself, with a
+// fake.Fleet around them and an invariant.Checker that checks the rules. scenario.go has the
+// scenarios and their parameters, start.go starts the controllers, run.go has the main loop,
+// faults.go the faults of controllers, backends.go those of backends, report.go the report.
 package rehearse
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -13,20 +13,20 @@
 
 // faultKind is one kind of fault that a scenario injects.
 type faultKind struct {
-	name         string // as --faults has it
-	needsLinks   bool   // members reach each other by way of links
-	stopsProcess bool   // a controller's process ends or stands still
+	name         string // as in --faults
+	needsLinks   bool   // members have to be connected through links
+	stopsProcess bool   // the process of a controller is ended or frozen
 	inject       func(r *run, t faultTargets)
 }
 
-// faultTargets are the controllers that a fault is drawn for, by their indices.
+// faultTargets are the controllers that were chosen for a fault, by index.
 type faultTargets struct {
 	first int
-	next  int // the one after it among those that are up
-	up    int // how many are up
+	next  int // the controller after first among those that are up
+	up    int // number of controllers that are up
 }
 
-// faultKinds are all there are, in the order in which they are named.
+// faultKinds lists all kinds of faults, in the order in which help and errors list their names.
 var faultKinds = []faultKind{
 	{name: "kill", stopsProcess: true, inject: (*run).injectKill},
 	{name: "leave", stopsProcess: true, inject: (*run).injectLeave},
@@ -39,10 +39,10 @@
 	{name: "reload", stopsProcess: true, inject: (*run).injectReload},
 }
 
-// defaultFault is what is drawn where nothing is named.
+// defaultFault is injected if the scenario names no faults.
 const defaultFault = "kill"
 
-// FaultNames are the names of the kinds of faults.
+// FaultNames returns the names of all kinds of faults.
 func FaultNames() []string {
 	var names []string
 	for _, kind := range faultKinds {
@@ -59,31 +59,33 @@
 	}
 	names := FaultNames()
 	last := len(names) - 1
-	return faultKind{}, fmt.Errorf("fault %q; there are %s and %s", name, strings.Join(names[:last], ", "), names[last])
+	return faultKind{}, fmt.Errorf("unknown fault %q, allowed are %s and %s", name,
+		strings.Join(names[:last], ", "), names[last])
 }
 
-// How long faults last, and how long a controller that died stays away.
+// Durations of faults, and times after which a stopped controller is started again.
 const (
-	freezeTime    = 10 * time.Second
-	linkFaultTime = 8 * time.Second
-	linkDelay     = 300 * time.Millisecond
-	maxDowntime   = 8 * time.Second
-	shortDowntime = time.Second
-	shortOneIn    = 4 // one downtime in so many is short
+	freezeTime           = 10 * time.Second
+	linkFaultTime        = 8 * time.Second
+	linkDelay            = 300 * time.Millisecond
+	maxDowntime          = 8 * time.Second
+	shortDowntime        = time.Second
+	shortDowntimeDivisor = 4 // one downtime in four is at most shortDowntime
 )
 
-// faultNames are those that the scenario draws from.
+// faultNames returns the names of the faults that the scenario chooses from.
 func (r *run) faultNames() []string { return strings.Split(cmp.Or(r.Faults, defaultFault), ",") }
 
-// drawsLinkFaults tells whether links between members are needed.
-func (r *run) drawsLinkFaults() bool {
+// needsLinks reports whether the scenario has a fault that needs links between members.
+func (r *run) needsLinks() bool {
 	return slices.ContainsFunc(r.faultNames(), func(name string) bool {
 		kind, err := findFaultKind(name)
 		return err == nil && kind.needsLinks
 	})
 }
 
-// injectFault injects the next of the faults that are drawn from into a controller that is up. One is left to serve.
+// injectFault injects a random fault of the scenario into a random controller that is up. It
+// injects none while fewer than two controllers are up, so that one continues to serve.
 func (r *run) injectFault() error {
 	var up []int
 	for i, c := range r.controllers {
@@ -96,8 +98,8 @@
 	}
 	names := r.faultNames()
 	name := names[r.random.IntN(len(names))]
-	drawn := r.random.IntN(len(up))
-	targets := faultTargets{first: up[drawn], next: up[(drawn+1)%len(up)], up: len(up)}
+	chosen := r.random.IntN(len(up))
+	targets := faultTargets{first: up[chosen], next: up[(chosen+1)%len(up)], up: len(up)}
 	r.faultCounts[name]++
 	r.log("%s %s", name, r.controllers[targets.first].Name)
 	kind, err := findFaultKind(name)
@@ -108,13 +110,14 @@
 	return nil
 }
 
-// injectKill ends a controller by SIGKILL.
+// injectKill ends a controller with SIGKILL.
 func (r *run) injectKill(t faultTargets) { r.stopController(t.first, syscall.SIGKILL) }
 
-// injectLeave ends a controller by SIGTERM.
+// injectLeave ends a controller with SIGTERM.
 func (r *run) injectLeave(t faultTargets) { r.stopController(t.first, syscall.SIGTERM) }
 
-// injectPair kills two controllers within one election, if a third is up.
+// injectPair kills a controller and, if at least three are up, a second one within the same
+// election.
 func (r *run) injectPair(t faultTargets) {
 	r.stopController(t.first, syscall.SIGKILL)
 	if t.up > 2 {
@@ -122,70 +125,81 @@
 	}
 }
 
-// injectFreeze has a controller stand still, by SIGSTOP.
+// injectFreeze freezes a controller with SIGSTOP.
 func (r *run) injectFreeze(t faultTargets) { r.freezeController(t.first) }
 
-// injectReload has a controller read its configuration, by SIGHUP, while another one is killed, so that it may be electing.
+// injectReload makes a controller reload its configuration with SIGHUP and kills another one, so
+// that the reload may fall into an election.
 func (r *run) injectReload(t faultTargets) {
-	_ = r.controllers[t.first].Signal(syscall.SIGHUP) // an error means that it has ended, which the loop finds
+	// An error means that the process has ended, which the main loop detects.
+	_ = r.controllers[t.first].Signal(syscall.SIGHUP)
 	r.stopController(t.next, syscall.SIGKILL)
 }
 
-// injectCut partitions a member from all others, both ways.
+// injectCut partitions a member from all others, in both directions.
 func (r *run) injectCut(t faultTargets) {
 	r.faultLinks(fake.Partition, func(pair memberPair) bool { return pair.from == t.first || pair.to == t.first })
 }
 
-// injectHalf drops what a member sends on the connections that it dials; what others send by theirs comes through.
+// injectHalf drops the bytes that a member sends on the connections that it dials. Bytes on the
+// connections that other members dial are delivered.
 func (r *run) injectHalf(t faultTargets) {
 	r.faultLinks(fake.Fault{DropOutgoing: true}, func(pair memberPair) bool { return pair.from == t.first })
 }
 
-// injectSplit partitions every member from every other, both ways, so that no majority is left.
+// injectSplit partitions every member from every other, in both directions, so that no group of
+// members has a majority.
 func (r *run) injectSplit(faultTargets) {
 	r.faultLinks(fake.Partition, func(memberPair) bool { return true })
 }
 
-// injectSlow delays what goes over a member's links.
+// injectSlow delays the bytes on all links of a member, in both directions.
 func (r *run) injectSlow(t faultTargets) {
-	r.faultLinks(fake.Fault{Delay: linkDelay}, func(pair memberPair) bool { return pair.from == t.first || pair.to == t.first })
+	r.faultLinks(fake.Fault{Delay: linkDelay}, func(pair memberPair) bool {
+		return pair.from == t.first || pair.to == t.first
+	})
 }
 
-// faultLinks puts a fault on some of the links between members for a while.
+// faultLinks sets a fault on the selected links between members, for linkFaultTime or half the
+// fault interval, whichever is shorter.
 func (r *run) faultLinks(fault fake.Fault, selected func(memberPair) bool) {
 	for pair, link := range r.links {
 		if !selected(pair) {
 			continue
 		}
 		link.SetFault(fault)
-		r.after(min(linkFaultTime, r.FaultInterval/2), func() error {
+		r.scheduleAfter(min(linkFaultTime, r.FaultInterval/2), func() error {
 			link.SetFault(fake.Fault{})
 			return nil
 		})
 	}
 }
 
-// stopController ends a controller, which comes back as new after a while.
+// stopController ends the process of a controller with a signal, and starts a new process after a
+// random downtime.
 func (r *run) stopController(i int, signal syscall.Signal) {
 	c := r.controllers[i]
 	c.Stop(signal)
 	downtime := time.Duration(r.random.Int64N(int64(min(r.FaultInterval/2, maxDowntime))))
-	if r.random.IntN(shortOneIn) == 0 {
+	if r.random.IntN(shortDowntimeDivisor) == 0 {
 		downtime = min(downtime, shortDowntime)
 	}
-	r.after(downtime, func() error {
+	r.scheduleAfter(downtime, func() error {
 		r.fleet.ControllerRestarted(i)
 		return c.Start()
 	})
 }
 
-// freezeController has a controller stand still for a while, in which it counts as not up, for other faults.
+// freezeController freezes the process of a controller, for freezeTime or half the fault interval,
+// whichever is shorter. The controller does not count as up in that time, so that no other fault is
+// injected into it.
 func (r *run) freezeController(i int) {
 	c := r.controllers[i]
 	c.Up = false
-	_ = c.Signal(syscall.SIGSTOP) // an error means that it has ended, which the loop finds
+	// An error means that the process has ended, which the main loop detects.
+	_ = c.Signal(syscall.SIGSTOP)
 	r.fleet.ControllerFrozen(i, true)
-	r.after(min(freezeTime, r.FaultInterval/2), func() error {
+	r.scheduleAfter(min(freezeTime, r.FaultInterval/2), func() error {
 		c.Up = true
 		r.fleet.ControllerFrozen(i, false)
 		return c.Signal(syscall.SIGCONT)
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -9,58 +9,60 @@
 	"wheelrill/invariant"
 )
 
-// Report is what a run has shown. Its keys as JSON are read by others and stay.
+// Report is the result of a run. Other programs read its JSON keys, so they must not change.
 type Report struct {
 	Scenario    string         `json:"scenario"`  // calm or takeover
-	Seed        uint64         `json:"seed"`      // of all that was drawn
-	Sharing     bool           `json:"sharing"`   // of the ownership of proxies
-	Controllers int            `json:"instances"` // number of them
-	Proxies     int            `json:"relays"`    // number of them
-	Seconds     float64        `json:"seconds"`   // that were played
-	Faults      map[string]int `json:"faults"`    // that befell controllers, by kind
+	Seed        uint64         `json:"seed"`      // of all random choices
+	Sharing     bool           `json:"sharing"`   // the controllers shared the ownership of proxies
+	Controllers int            `json:"instances"` // number of controllers
+	Proxies     int            `json:"relays"`    // number of proxies
+	Seconds     float64        `json:"seconds"`   // duration of the run
+	Faults      map[string]int `json:"faults"`    // number of faults injected into controllers, by kind
 
-	Verdict    Verdict               `json:"verdict"`       // of the run
-	Reason     string                `json:"why,omitempty"` // of an inconclusive verdict
-	Violations []invariant.Violation `json:"breaches"`      // the first hundred
-	// ViolationCounts are those of all violations by rule, also where there are too many to keep.
+	Verdict    Verdict               `json:"verdict"`       // overall result
+	Reason     string                `json:"why,omitempty"` // why the verdict is inconclusive
+	Violations []invariant.Violation `json:"breaches"`      // the first 100
+	// ViolationCounts has the numbers of all violations by rule, including those that are not
+	// listed.
 	ViolationCounts map[string]int `json:"broken"`
 
 	Effects           int     `json:"effects"`                  // requests that took effect
 	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // seconds
-	PeakMessages      int     `json:"most_messages_to_a_relay"` // within the window
-	ServedValue       float64 `json:"value_served"`             // in time, as a share of the value that came
-	Lost              int     `json:"lost"`                     // requests
+	PeakMessages      int     `json:"most_messages_to_a_relay"` // within MessageWindow
+	ServedValue       float64 `json:"value_served"`             // in time, as a share of the value of all requests
+	Lost              int     `json:"lost"`                     // requests admitted, but not answered successfully
 	Rejected          int     `json:"refused"`                  // requests that were not admitted
-	Requests          int     `json:"came"`                     // all
+	Requests          int     `json:"came"`                     // all requests that proxies received
 
-	StreamsOpened       int     `json:"streams_begun"`                         // of proxies to controllers
-	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean
-	Lines               int     `json:"lines"`                                 // in all orders
-	Pushes              int     `json:"orders"`                                // that proxies applied
-	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // by their tokens
+	StreamsOpened       int     `json:"streams_begun"`                         // from proxies to controllers
+	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean of all streams
+	Lines               int     `json:"lines"`                                 // of all applied pushes
+	Pushes              int     `json:"orders"`                                // applied by proxies
+	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // for the fencing token of an older owner
 
 	Hangs             int     `json:"hangs"`                           // of backends
-	BackendsReplaced  int     `json:"workers_replaced"`                // that drained, and came back as new
+	BackendsReplaced  int     `json:"workers_replaced"`                // drained and replaced by a new process
 	MeanHangDetection float64 `json:"left_a_hung_worker_after_s_mean"` // seconds
 	MaxHangDetection  float64 `json:"left_a_hung_worker_after_s_most"` // seconds
-	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // sent to backends that hung
+	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // sent to backends that hung at that time
 
 	SchedulingDelayP99 float64 `json:"turn_late_ms_of_one_in_a_hundred"` // ms, of this process
 	SchedulingDelayMax float64 `json:"turn_late_ms_most"`                // ms, of this process
-	Folder             string  `json:"folder"`                           // of logs and configurations
+	Folder             string  `json:"folder"`                           // with logs and configurations
 }
 
-// Verdict is how a run is judged.
+// Verdict is the overall result of a run.
 type Verdict string
 
-// Verdicts.
+// Verdicts of a run.
 const (
 	VerdictPassed       Verdict = "kept"
 	VerdictViolated     Verdict = "broken"
 	VerdictInconclusive Verdict = "could not be judged"
 )
 
-// summarize takes into the report what the fleet counted while it was played.
+// summarize writes into the report the results of the checker, the counts of the fleet between
+// before and after, and the times until hanging backends were abandoned.
 func (r *run) summarize(v invariant.Verdict, before, after fake.Counts) {
 	report := r.report
 	report.Faults = r.faultCounts
@@ -85,21 +87,25 @@
 	}
 }
 
-// decideVerdict settles the verdict: a machine that was too busy shows nothing, for or against.
+// decideVerdict sets the verdict of the report. A run on a machine that was too busy is
+// inconclusive, whether or not there are violations.
 func (r *run) decideVerdict(v invariant.Verdict, delayP99, delayMax time.Duration) {
 	report := r.report
 	report.SchedulingDelayP99 = milliseconds(delayP99)
 	report.SchedulingDelayMax = milliseconds(delayMax)
-	tookOver := report.StreamsOpened > 0 || !r.stoppedAny() // what is only between controllers moves no proxy
+	// Faults of the links between controllers alone move no proxy, so they require no new stream.
+	takeoverAsExpected := report.StreamsOpened > 0 || !r.stoppedAny()
 	switch {
 	case process.TooBusy(delayP99):
 		report.Verdict = VerdictInconclusive
-		report.Reason = fmt.Sprintf("one turn in a hundred was over %s late; leave the machine more room", process.MaxDelay)
+		report.Reason = fmt.Sprintf(
+			"the 99th percentile of the scheduling delay was over %s; repeat the run on a less busy machine",
+			process.MaxDelay)
 	case len(v.Violations) > 0:
 		report.Verdict = VerdictViolated
-	case report.Effects == 0 || !tookOver:
+	case report.Effects == 0 || !takeoverAsExpected:
 		report.Verdict = VerdictInconclusive
-		report.Reason = "no proxy was taken over, or nothing took effect; play it for longer"
+		report.Reason = "no proxy was taken over, or no request took effect; repeat the run with a longer duration"
 	default:
 		report.Verdict = VerdictPassed
 	}
@@ -107,7 +113,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// stoppedAny tells whether any controller's process was stopped.
+// stoppedAny reports whether a fault ended or froze the process of a controller.
 func (r *run) stoppedAny() bool {
 	for _, kind := range faultKinds {
 		if kind.stopsProcess && r.faultCounts[kind.name] > 0 {
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -13,48 +13,48 @@
 	"wheelrill/internal/process"
 )
 
-// Times between hangs and between replacements of backends.
+// Intervals of hangs and of replacements of backends, and of the main loop.
 const (
-	hangInterval    = 18 * time.Second
-	replaceInterval = 13 * time.Second
-	loopInterval    = 20 * time.Millisecond
-	firstAfter      = 4 // the first hang and the first replacement come after this part of their interval
+	hangInterval      = 18 * time.Second
+	replaceInterval   = 13 * time.Second
+	loopInterval      = 20 * time.Millisecond
+	firstDelayDivisor = 4 // the first hang and the first replacement are due after a quarter of their interval
 )
 
-// memberPair is the direction of a link between two controllers.
+// memberPair identifies a link by the member that dials and the member that is dialed.
 type memberPair struct{ from, to int }
 
-// run is one play of a scenario. Everything in it belongs to the goroutine that plays.
+// run is one run of a scenario. Only the goroutine that calls Scenario.Run uses its fields.
 type run struct {
 	*Scenario
-	fleet          *fake.Fleet
-	controllers    []*process.Controller
-	links          map[memberPair]*fake.FaultyLink // between members
-	folder         string
-	events         *os.File // what has happened, beside the controllers' logs
-	random         *rand.Rand
-	faultCounts    map[string]int         // by kind
-	busyBackends   map[*fake.Backend]bool // with which something is going on
-	hangDetections []time.Duration        // from each hang until nearly all proxies had left
-	report         *Report
-	timers         []timer
+	fleet             *fake.Fleet
+	controllers       []*process.Controller
+	links             map[memberPair]*fake.FaultyLink // between members
+	folder            string
+	events            *os.File // log of faults and of changes of backends, apart from the controllers' logs
+	random            *rand.Rand
+	faultCounts       map[string]int         // of injected faults, by kind
+	disturbedBackends map[*fake.Backend]bool // that hang or are being replaced
+	hangDetections    []time.Duration        // from each start of a hang until the backend was abandoned
+	report            *Report
+	timers            []timer
 }
 
-// timer is something that comes later.
+// timer is a call that is due at a later time.
 type timer struct {
-	at   time.Time
-	call func() error
+	at       time.Time
+	callback func() error
 }
 
 func newRun(s *Scenario, fleet *fake.Fleet, folder string) *run {
 	return &run{
-		Scenario:     s,
-		fleet:        fleet,
-		links:        map[memberPair]*fake.FaultyLink{},
-		folder:       folder,
-		random:       rand.New(rand.NewPCG(s.Seed, 1)),
-		faultCounts:  map[string]int{},
-		busyBackends: map[*fake.Backend]bool{},
+		Scenario:          s,
+		fleet:             fleet,
+		links:             map[memberPair]*fake.FaultyLink{},
+		folder:            folder,
+		random:            rand.New(rand.NewPCG(s.Seed, 1)),
+		faultCounts:       map[string]int{},
+		disturbedBackends: map[*fake.Backend]bool{},
 		report: &Report{
 			Scenario:    s.name(),
 			Seed:        s.Seed,
@@ -66,12 +66,12 @@
 	}
 }
 
-// close ends all processes and links.
+// close ends the processes of the controllers that are up, and closes all links.
 func (r *run) close() {
 	r.events.Close()
 	for _, c := range r.controllers {
 		if c.Up {
-			_ = c.Signal(syscall.SIGCONT) // one that is frozen would not end
+			_ = c.Signal(syscall.SIGCONT) // a frozen process would not end
 			c.Stop(syscall.SIGKILL)
 		}
 		c.Log.Close()
@@ -81,11 +81,13 @@
 	}
 }
 
-func (r *run) after(wait time.Duration, call func() error) {
-	r.timers = append(r.timers, timer{time.Now().Add(wait), call})
+// scheduleAfter adds a timer that is due after a wait.
+func (r *run) scheduleAfter(wait time.Duration, callback func() error) {
+	r.timers = append(r.timers, timer{time.Now().Add(wait), callback})
 }
 
-// schedule is when the next controller fault, the next hang and the next replacement of a backend are due.
+// schedule holds the times at which the next fault of a controller, the next hang and the next
+// replacement of a backend are due.
 type schedule struct {
 	fault, hang, replace time.Time
 }
@@ -97,29 +99,30 @@
 	}
 	return schedule{
 		fault:   began.Add(r.FaultInterval),
-		hang:    began.Add(hangInterval / firstAfter),
-		replace: began.Add(replaceInterval / firstAfter),
+		hang:    began.Add(hangInterval / firstDelayDivisor),
+		replace: began.Add(replaceInterval / firstDelayDivisor),
 	}
 }
 
-// play injects faults, hangs and replacements by the schedule until the duration is over, and gives the report.
-func (r *run) play(ctx context.Context) (*Report, error) {
+// execute injects faults, hangs and replacements by the schedule until the duration is over, and
+// returns the report.
+func (r *run) execute(ctx context.Context) (*Report, error) {
 	monitor := process.StartDelayMonitor()
 	before := r.fleet.Counts()
 	began := time.Now()
-	r.observe(false)
+	r.notifyObserver(false)
 	next := r.newSchedule(began)
 	for ctx.Err() == nil && time.Since(began) < r.Duration {
 		select {
 		case <-ctx.Done():
 		case <-time.After(loopInterval):
 		}
-		if err := r.step(time.Now(), &next); err != nil {
+		if err := r.runDueActions(time.Now(), &next); err != nil {
 			return nil, err
 		}
 	}
 	r.report.Seconds = time.Since(began).Seconds()
-	r.observe(true)
+	r.notifyObserver(true)
 	verdict, after := r.fleet.Close()
 	p99, longest := monitor.Stop()
 	r.summarize(verdict, before, after)
@@ -127,8 +130,9 @@
 	return r.report, nil
 }
 
-// step does what is due.
-func (r *run) step(now time.Time, next *schedule) error {
+// runDueActions fires the timers and injects the faults, hangs and replacements that are due. It
+// returns an error if a controller has ended without having been stopped.
+func (r *run) runDueActions(now time.Time, next *schedule) error {
 	if err := r.fireTimers(now); err != nil {
 		return err
 	}
@@ -148,13 +152,13 @@
 	}
 	for _, c := range r.controllers {
 		if c.ExitedUnexpectedly() {
-			return fmt.Errorf("%s has ended by itself; its log is %s", c.Name, c.Log.Name())
+			return fmt.Errorf("controller %s ended without having been stopped; its log is %s", c.Name, c.Log.Name())
 		}
 	}
 	return nil
 }
 
-// fireTimers calls those that are due, which may set others.
+// fireTimers calls the callbacks of the timers that are due. A callback may add timers.
 func (r *run) fireTimers(now time.Time) error {
 	for i := 0; i < len(r.timers); {
 		due := r.timers[i]
@@ -163,20 +167,21 @@
 			continue
 		}
 		r.timers = slices.Delete(r.timers, i, i+1)
-		if err := due.call(); err != nil {
+		if err := due.callback(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) observe(ended bool) {
+// notifyObserver calls Observe, if it is set.
+func (r *run) notifyObserver(ended bool) {
 	if r.Observe != nil {
 		r.Observe(r.controllers, ended)
 	}
 }
 
-// log notes what happens beside the controllers' logs, and tells who watches.
+// log writes an event to the event log, and passes its text to Progress.
 func (r *run) log(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	fmt.Fprintf(r.events, "time=%s msg=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), text)
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -12,46 +12,47 @@
 	"wheelrill/invariant"
 )
 
-// Scenario injects faults into controllers under load, one after the other; those that died are started again. Load is of
-// two classes of requests, one of which must not take effect twice; now and then a backend hangs or is replaced.
+// Scenario describes a run that injects faults into controllers under load, one after the other,
+// and starts controllers again that were stopped. The load has two classes of requests; requests of
+// one of them must not take effect twice. At intervals a backend hangs or is replaced.
 type Scenario struct {
-	Duration      time.Duration // that is played
+	Duration      time.Duration // of the run
 	FaultInterval time.Duration // between two faults
-	Controllers   int           // number of them
-	Proxies       int           // number of them
-	Backends      int           // number of them
-	Seed          uint64        // of all that is drawn
+	Controllers   int           // number of controllers
+	Proxies       int           // number of proxies
+	Backends      int           // number of backends
+	Seed          uint64        // of all random choices
 	Sharing       bool          // the controllers share the ownership of proxies
-	Fenced        bool          // proxies ask for owners' tokens, and reject older ones
-	Faults        string        // kinds that are drawn from, with commas; empty for kill
-	Calm          bool          // nothing goes wrong at all
-	Disk          bool          // members keep the record on disk, and come back as who they were
-	Program       string        // path of the executable that is run as a controller
+	Fenced        bool          // proxies ask for fencing tokens, and reject pushes with an older one
+	Faults        string        // names of faults to choose from, separated by commas; kill if empty
+	Calm          bool          // no faults, hangs or replacements
+	Disk          bool          // members keep the record on disk, and have the same identity after a restart
+	Program       string        // path of the executable that is started as a controller
 	Folder        string        // for logs and configurations; a temporary one if empty
 
-	// Progress is told what happens, as it does; nil for nobody.
+	// Progress is called with the text of each event when it happens; may be nil.
 	Progress func(text string)
-	// Observe is called with the controllers as play begins, and as it has ended; nil for nobody.
+	// Observe is called with the controllers at the start and at the end of the run; may be nil.
 	Observe func(controllers []*process.Controller, ended bool)
 }
 
-// What a proxy may be sent: MaxMessages within MessageWindow.
+// Limit on the messages to one proxy: MaxMessages within MessageWindow.
 const (
 	MaxMessages   = 30
 	MessageWindow = 10 * time.Second
 )
 
-// Figures of the deployment.
+// Parameters of the deployment.
 const (
 	coresPerBackend = 4
 	serviceTime     = 20 * time.Millisecond
 	reportInterval  = time.Second
-	warmupTime      = 17 * time.Second // that a new backend is cold
-	coldShare       = 0.16             // of its load, that it may be sent meanwhile
+	warmupTime      = 17 * time.Second // for which a new backend is cold
+	coldShare       = 0.16             // share of its normal load that a cold backend may be sent
 
 	drainGrace       = 3000 * time.Millisecond
-	socketAllowance  = 300 * time.Millisecond // that real sockets get beyond the grace
-	schedulingMargin = 500 * time.Millisecond // that a busy machine adds to what is measured
+	socketAllowance  = 300 * time.Millisecond // added to drainGrace in the limits, for delays of real sockets
+	schedulingMargin = 500 * time.Millisecond // added for the delays that a busy machine adds to measured times
 
 	minLinesPerSecond      = 900 // of a controller's push channel
 	minBacklog             = 900 // lines
@@ -60,33 +61,39 @@
 	pushDelay              = 660 * time.Millisecond
 	tick                   = 4 * time.Millisecond
 
-	minMembers = 2 // of a record
+	minMembers = 2 // controllers that share a record
 )
 
 var zones = []string{"a", "b", "c"}
 
 var classes = []fake.Class{
-	{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1, Rate: 3},
-	{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 3, Writes: true, Rate: 1},
+	{
+		Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond,
+		PriorityWeight: 1, Rate: 3,
+	},
+	{
+		Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond,
+		PriorityWeight: 3, Writes: true, Rate: 1,
+	},
 }
 
 // Names of scenarios.
 const (
-	ScenarioCalm     = "calm"     // Calm is set
-	ScenarioTakeover = "takeover" // Calm is not
+	ScenarioCalm     = "calm"     // Calm is true
+	ScenarioTakeover = "takeover" // Calm is false
 )
 
-// ScenarioDescription says what a scenario is.
+// ScenarioDescription describes a scenario in the list of scenarios.
 type ScenarioDescription struct {
-	Name    string // by which it is asked for
-	Summary string // in a sentence
+	Name    string // for selecting the scenario
+	Summary string // in one line
 }
 
-// Scenarios are all there are.
+// Scenarios returns the descriptions of all scenarios.
 func Scenarios() []ScenarioDescription {
 	return []ScenarioDescription{
-		{ScenarioCalm, "nothing goes wrong"},
-		{ScenarioTakeover, "controllers are killed under load, and come back as new; a backend hangs now and then"},
+		{ScenarioCalm, "no faults are injected"},
+		{ScenarioTakeover, "controllers are killed under load and started again; now and then a backend hangs"},
 	}
 }
 
@@ -97,13 +104,13 @@
 	return ScenarioTakeover
 }
 
-// pushChannel is what a controller's way to its proxies carries. One line to all proxies with the overhead of its message
-// has to fit, wherever they all are.
+// pushChannel returns the capacity of the push channel of a controller. One line to every proxy,
+// with the overhead of its message, has to fit even if all proxies are connected to one controller.
 func (s *Scenario) pushChannel() (linesPerSecond, backlog int) {
 	return max(minLinesPerSecond, linesPerSecondPerProxy*s.Proxies), max(minBacklog, backlogPerProxy*s.Proxies)
 }
 
-// Settings are what every controller is given, in the form of the simulator's first message.
+// Settings returns the settings of every controller, in the form of the simulator's first message.
 func (s *Scenario) Settings(classes []fake.Class) map[string]any {
 	var profiles []map[string]any
 	var writes, zoneLocal []bool
@@ -148,10 +155,13 @@
 	}
 }
 
-// Run plays it. An error means that it could not be played at all; the report's verdict says how it went.
+// Run runs the scenario. An error means that the run could not be started or completed; otherwise
+// the verdict of the report is the result.
 func (s *Scenario) Run(ctx context.Context) (*Report, error) {
 	if s.Controllers < 1 || s.Proxies < 1 || s.Sharing && s.Controllers < minMembers {
-		return nil, fmt.Errorf("controllers %d, proxies %d: one of each at least, two controllers where they share", s.Controllers, s.Proxies)
+		return nil, fmt.Errorf(
+			"%d controllers and %d proxies: at least one of each is needed, and two controllers for sharing",
+			s.Controllers, s.Proxies)
 	}
 	folder, err := s.makeFolder()
 	if err != nil {
@@ -175,10 +185,10 @@
 		fleet.Close()
 		return nil, err
 	}
-	return r.play(ctx)
+	return r.execute(ctx)
 }
 
-// makeFolder makes the folder for logs and configurations.
+// makeFolder creates the folder for logs and configurations, and returns its path.
 func (s *Scenario) makeFolder() (string, error) {
 	if s.Folder == "" {
 		return os.MkdirTemp("", ScenarioTakeover+"-")
@@ -200,7 +210,7 @@
 	}
 }
 
-// limits are what the run is checked by.
+// limits returns the limits that the run is checked against.
 func (s *Scenario) limits() invariant.Limits {
 	linesPerSecond, backlog := s.pushChannel()
 	return invariant.Limits{
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	readyTimeout    = 30 * time.Second
-	pollInterval    = 50 * time.Millisecond
-	controllerCores = 1
-	memoryMegabytes = 192 // of a controller
-	maxSockets      = 1024
+	readyTimeout       = 30 * time.Second
+	pollInterval       = 50 * time.Millisecond
+	controllerCores    = 1
+	controllerMemoryMB = 192
+	controllerSockets  = 1024
 )
 
-// startControllers starts the processes, and waits until they serve and all proxies have their tables.
+// startControllers starts the controllers and waits until all of them respond. Then it starts the
+// fleet and waits until all proxies are connected and have tables.
 func (r *run) startControllers(ctx context.Context, listen, members []string) error {
 	for i := range r.Controllers {
 		c, err := r.newController(i, listen, members)
@@ -36,13 +37,13 @@
 			return err
 		}
 	}
-	await(ctx, readyTimeout, func() bool { return r.anyExited() || r.allRespond() })
+	pollUntil(ctx, readyTimeout, func() bool { return r.anyExited() || r.allRespond() })
 	if r.anyExited() || !r.allRespond() {
-		return fmt.Errorf("the controllers have ended, or do not answer within %s; their logs in %s say why", readyTimeout, r.folder)
+		return fmt.Errorf("a controller has ended or did not respond within %s; see the logs in %s", readyTimeout, r.folder)
 	}
 	r.fleet.Start()
-	if !await(ctx, readyTimeout, r.allProxiesReady) {
-		return fmt.Errorf("the proxies have no tables within %s; the controllers' logs are in %s", readyTimeout, r.folder)
+	if !pollUntil(ctx, readyTimeout, r.allProxiesReady) {
+		return fmt.Errorf("not all proxies got tables within %s; see the controllers' logs in %s", readyTimeout, r.folder)
 	}
 	return nil
 }
@@ -65,10 +66,11 @@
 	return connected == r.Proxies && r.fleet.ProxiesUsing(r.fleet.Backends[0].ID) == r.Proxies
 }
 
-// await polls until something is so; false where the context or the time ends before.
-func await(ctx context.Context, timeout time.Duration, until func() bool) bool {
+// pollUntil polls a condition until it holds. It returns false if the context ends or the timeout
+// passes first.
+func pollUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	timer := time.After(timeout)
-	for !until() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return false
@@ -82,7 +84,8 @@
 
 func controllerName(i int) string { return fmt.Sprint("n", i) }
 
-// newController writes what a controller is started with.
+// newController writes the configuration of a controller and creates its log. It does not start the
+// process.
 func (r *run) newController(i int, listen, members []string) (*process.Controller, error) {
 	name := controllerName(i)
 	config, err := process.WriteConfig(r.folder, name+".json", map[string]any{
@@ -90,7 +93,7 @@
 		"listen":    listen[i],
 		"discovery": r.fleet.Discovery.Address(),
 		"seed":      fmt.Sprintf("%x", r.Seed+uint64(i)+1),
-		"limits":    map[string]any{"cores": controllerCores, "memory_mb": memoryMegabytes, "sockets": maxSockets},
+		"limits":    map[string]any{"cores": controllerCores, "memory_mb": controllerMemoryMB, "sockets": controllerSockets},
 		"settings":  r.Settings(classes),
 	})
 	if err != nil {
@@ -108,7 +111,7 @@
 	return c, err
 }
 
-// writeOptions writes the options file of a member, and gives its path.
+// writeOptions writes the options file of a member and returns its path.
 func (r *run) writeOptions(i int, members []string) (string, error) {
 	addresses, err := r.memberAddresses(i, members)
 	if err != nil {
@@ -127,11 +130,12 @@
 	return path, os.WriteFile(path, body, 0o600)
 }
 
-// memberAddresses are where a member finds the others: by way of links, where faults of links may be drawn.
+// memberAddresses returns the addresses at which a member reaches all members. If the scenario has
+// faults of links, the addresses of the others are those of links.
 func (r *run) memberAddresses(from int, members []string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for to, address := range members {
-		if to != from && r.drawsLinkFaults() {
+		if to != from && r.needsLinks() {
 			link, err := fake.NewFaultyLink(address)
 			if err != nil {
 				return nil, err
