--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -100,7 +100,7 @@
 		Listen:       d.Listen,
 		Folder:       d.Folder,
 		FanOut:       d.FanOut,
-		SnapshotPace: d.SnapshotPace,
+		SnapshotPace: d.SnapshotBytesPerSecond,
 		Credentials:  consensus.Credentials{Certificate: d.Certificate, Key: d.Key, Authority: d.Authority},
 	}
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -64,8 +64,8 @@
 	return frame, nil
 }
 
-// Events is the number of the frame's events.
-func (f Frame) Events() int { return len(f.records) / eventSize }
+// EventCount is the number of the frame's events.
+func (f Frame) EventCount() int { return len(f.records) / eventSize }
 
 func (f Frame) event(i int) record {
 	return record{f.records[i*eventSize : (i+1)*eventSize], f.tail}
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -47,7 +47,7 @@
 func (s *Server) Handle(frame Frame) (*Reply, error) {
 	s.reply.Reset(frame.Number)
 	s.now = settings.FromMilliseconds(frame.Clock)
-	for i := range frame.Events() {
+	for i := range frame.EventCount() {
 		if err := s.handleEvent(frame.event(i)); err != nil {
 			return nil, fmt.Errorf("frame %d, event %d: %w", frame.Number, i, err)
 		}
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -20,8 +20,8 @@
 	Authority   string            `yaml:"authority"`   // path of the PEM file of the authority that signed the certificates, the voters' as well
 	Plain       bool              `yaml:"plain"`       // plain text, on loopback alone, without the three above
 	FanOut      int               `yaml:"fan_out"`     // subscribers at most; 0 for the default
-	// SnapshotPace is how many bytes a second all snapshots to subscribers take together; 0 for the default.
-	SnapshotPace int `yaml:"snapshot_bytes_per_s"`
+	// SnapshotBytesPerSecond is how many bytes a second all snapshots to subscribers take together; 0 for the default.
+	SnapshotBytesPerSecond int `yaml:"snapshot_bytes_per_s"`
 }
 
 // Roles that a controller can have.
@@ -48,8 +48,8 @@
 	if d.FanOut < 0 || d.FanOut > maxFanOut {
 		return where.refuse("distribution.fan_out", "is %d; give a number from 1 to %d, or leave it out", d.FanOut, maxFanOut)
 	}
-	if d.SnapshotPace != 0 && (d.SnapshotPace < minSnapshotPace || d.SnapshotPace > maxSnapshotPace) {
-		return where.refuse("distribution.snapshot_bytes_per_s", "is %d; give a number from %d to %d, or leave it out", d.SnapshotPace,
+	if d.SnapshotBytesPerSecond != 0 && (d.SnapshotBytesPerSecond < minSnapshotPace || d.SnapshotBytesPerSecond > maxSnapshotPace) {
+		return where.refuse("distribution.snapshot_bytes_per_s", "is %d; give a number from %d to %d, or leave it out", d.SnapshotBytesPerSecond,
 			minSnapshotPace, maxSnapshotPace)
 	}
 	switch d.Role {
@@ -138,7 +138,7 @@
 		return d.checkListenAddress(where)
 	case d.FanOut > 0:
 		return where.refuse("distribution.fan_out", "is for one that passes on; give listen as well, or leave it out")
-	case d.SnapshotPace > 0:
+	case d.SnapshotBytesPerSecond > 0:
 		return where.refuse("distribution.snapshot_bytes_per_s", "is for one that passes on; give listen as well, or leave it out")
 	}
 	return nil
--- a/options/distribution_test.go
+++ b/options/distribution_test.go
@@ -29,10 +29,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := f.Distribution; d.Role != Subscriber || d.Parents["n1"] != "127.0.0.1:9002" || len(d.Scopes) != 2 || d.FanOut != 8 || d.SnapshotPace != 16<<20 {
+	if d := f.Distribution; d.Role != Subscriber || d.Parents["n1"] != "127.0.0.1:9002" || len(d.Scopes) != 2 || d.FanOut != 8 || d.SnapshotBytesPerSecond != 16<<20 {
 		t.Errorf("got %+v", d)
 	}
-	if f, err := Parse("w.yaml", []byte(voting)); err != nil || f.Distribution.Role != Voter || f.Distribution.FanOut != 16 || f.Distribution.SnapshotPace != 1024 {
+	if f, err := Parse("w.yaml", []byte(voting)); err != nil || f.Distribution.Role != Voter || f.Distribution.FanOut != 16 || f.Distribution.SnapshotBytesPerSecond != 1024 {
 		t.Errorf("got %+v, %v", f, err)
 	}
 	if _, err := Parse("w.yaml", []byte(strings.Replace(subscribing, "[pricing, orders]", `["*"]`, 1))); err != nil {
--- a/options/golden_test.go
+++ b/options/golden_test.go
@@ -73,7 +73,7 @@
 	if d := f.Distribution; d != nil {
 		out += fmt.Sprintf("distribution role %q name %q parents %v scopes %q listen %q folder %q certificate %q key %q authority %q plain %v "+
 			"fan_out %d snapshot_bytes_per_s %d\n", d.Role, d.Name, d.Parents, d.Scopes, d.Listen, d.Folder, d.Certificate, d.Key, d.Authority,
-			d.Plain, d.FanOut, d.SnapshotPace)
+			d.Plain, d.FanOut, d.SnapshotBytesPerSecond)
 	}
 	return out
 }
