--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -8,10 +8,11 @@
 	"wheelrill/balancer"
 )
 
-// maxClasses is how many classes of requests a controller takes; the balancer keeps sets of them in 16 bits.
+// maxClasses is the maximum number of request classes: the balancer keeps a set of classes in 16
+// bits.
 const maxClasses = 16
 
-// Classes reads the classes of requests, in their order on the wire.
+// Classes reads the request classes in the order in which the wire numbers them.
 func (s *Settings) Classes() []balancer.Class {
 	const (
 		writesKey    = "familyInfo.classWrites"
@@ -33,29 +34,31 @@
 			LatencyObjective: s.positiveMicroseconds(key + "target"),
 			Deadline:         s.positiveMicroseconds(key + "deadline"),
 			PriorityWeight:   s.NumberOr(key+"worth", 1),
-			Writes:           flagAt(writes, i, true), // an unmarked class is not retried, which is safe
-			ZoneLocal:        flagAt(zoneLocal, i, false),
+			// By default a class counts as writes, which is safe: its requests are fenced, and not
+			// retried, while a shard migrates.
+			Writes:    flagAt(writes, i, true),
+			ZoneLocal: flagAt(zoneLocal, i, false),
 		})
 	}
 	return classes
 }
 
-// requireItems rejects a list that is given and has not an item for each class.
+// requireItems rejects a list that is present and does not have one item per class.
 func (s *Settings) requireItems(key string, list []string, classes int) {
 	if len(list) > 0 && len(list) != classes {
 		s.Reject(key, fmt.Sprintf("has %d words for %d classes", len(list), classes))
 	}
 }
 
-// flagAt reads the flag of a class; without a list it is the given one.
-func flagAt(list []string, class int, absent bool) bool {
+// flagAt reports whether the item of a class is "true"; a class without an item gets the default.
+func flagAt(list []string, class int, defaultFlag bool) bool {
 	if class >= len(list) {
-		return absent
+		return defaultFlag
 	}
 	return list[class] == "true"
 }
 
-// PushChannel reads what the way to the proxies carries.
+// PushChannel reads the capacity and the delay of the push channel to the proxies.
 func (s *Settings) PushChannel() balancer.PushChannel {
 	return balancer.PushChannel{
 		LinesPerSecond:        s.positive("familyInfo.egressPerS"),
@@ -69,7 +72,7 @@
 	}
 }
 
-// RuleLimits reads the figures of the rules that a controller is held to.
+// RuleLimits reads the limits of the rules that a controller has to keep.
 func (s *Settings) RuleLimits() balancer.RuleLimits {
 	return balancer.RuleLimits{
 		DrainGrace:            s.positiveMicroseconds("rules.stopSendingWithin"),
@@ -79,7 +82,8 @@
 	}
 }
 
-// Sharding reads how keys are partitioned; its other keys are required only where there are shards.
+// Sharding reads how data is partitioned into shards. Its other settings are read only if the
+// number of shards is above 0; the write lease and the settle time are then required.
 func (s *Settings) Sharding() balancer.Sharding {
 	sharding := balancer.Sharding{Count: s.countUpTo("familyInfo.partitionsN", math.MaxUint16)}
 	if sharding.Count > 0 {
@@ -90,20 +94,23 @@
 	return sharding
 }
 
-// Words of the wire for how discovery's weights behave; true where they follow a backend's load.
+// loadDependentWeights maps the wire's words for the weights in endpoint lists to whether these
+// weights follow a backend's load.
 var loadDependentWeights = map[string]bool{"silent": false, "nominal": false, "rough": false, "live": true}
 
-// Words of the wire for how a controller learns of backends; true where it has to poll.
+// pollingRequired maps the wire's words for how a controller gets the endpoint list to whether it
+// has to poll.
 var pollingRequired = map[string]bool{"automatic": false, "subscribe": true}
 
-// Words of the wire for what an admission limit counts.
+// admissionModes maps the wire's words for the unit of an admission limit.
 var admissionModes = map[string]balancer.AdmissionMode{
 	"silent":     balancer.AdmissionUnsupported,
 	"fraction":   balancer.AdmissionByShare,
 	"per_second": balancer.AdmissionByRate,
 }
 
-// Telemetry reads what a controller can observe; the poll interval is required only where it has to poll.
+// Telemetry reads what a controller can observe. The maximum poll interval is read, and then
+// required, only if the controller has to poll the endpoint list.
 func (s *Settings) Telemetry() balancer.Telemetry {
 	telemetry := balancer.Telemetry{
 		ReportInterval:       s.positiveMicroseconds("familyInfo.reportEvery"),
@@ -118,12 +125,13 @@
 	return telemetry
 }
 
-// AdmissionMode reads what an admission limit counts.
+// AdmissionMode reads the unit of admission limits; without the setting they are unsupported.
 func (s *Settings) AdmissionMode() balancer.AdmissionMode {
 	return wordOf(s, "familyInfo.admission", balancer.AdmissionUnsupported, admissionModes)
 }
 
-// LoadFields reads the names of the figures in a load report, in their order; none where backends report nothing.
+// LoadFields reads the names of the values in a load report, in their order in the report. The list
+// is empty if backends report no load.
 func (s *Settings) LoadFields() []string {
 	if s.values["reporting.how"] == "silent" {
 		return nil
@@ -131,7 +139,8 @@
 	return s.list("reporting.fields")
 }
 
-// Zones reads the zones' names, at least one and each once. A zone's number is its index.
+// Zones reads the names of the zones: at least one, without duplicates. A zone's number is its
+// index.
 func (s *Settings) Zones() []string {
 	const key = "azs"
 	zones := s.list(key)
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// everyKey has each key that settings are read from.
+// everyKey has every key that a reader reads.
 const everyKey = `{"azs":["a","b"],"familyInfo":{"admission":"fraction","backlog":900.5,"classWrites":[false,true],
 "egressPerS":700,"ingestRate":4000,"keepsWriting":2500,"lingers":1500,"messagesMost":40,"messagesOver":1000,
 "overhead":6,"partitionsN":12,"proxyCount":30,"pushDelayMax":662.5,"reportEvery":1000,"singleWriter":false,
@@ -24,8 +24,8 @@
 "rules":{"askWithin":10000,"coldShare":0.16,"droppedStayOpen":true,"rampTime":17000,"stopSendingWithin":3000},
 "tick":250,"weights":"rough"}`
 
-// leafPaths gives the paths of all values in an object that are no objects, in order; items of lists of objects have
-// their number in it.
+// leafPaths returns the sorted paths of all values in an object that are not objects. A path
+// through a list of objects contains the index of the item.
 func leafPaths(path string, v any) (paths []string) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -43,8 +43,9 @@
 	return append(paths, path)
 }
 
-// change has the value at a path replaced, or with no value left out; a new name takes the place of the key's.
-func change(root any, path, name string, value any) {
+// replaceValue sets the value at a path and changes the last key of the path to name. A nil value
+// removes the key.
+func replaceValue(root any, path, name string, value any) {
 	steps := strings.Split(path, ".")
 	for _, step := range steps[:len(steps)-1] {
 		if list, ok := root.([]any); ok {
@@ -61,7 +62,7 @@
 	}
 }
 
-// asLines writes an object as path=value lines, as the simulator does.
+// asLines returns an object as path=value lines, the form that the simulator sends.
 func asLines(path string, v any) string {
 	switch v := v.(type) {
 	case map[string]any:
@@ -71,75 +72,81 @@
 		}
 		return text
 	case []any:
-		text, words := "", []string{}
+		text, items := "", []string{}
 		for i, item := range v {
 			if _, ok := item.(map[string]any); ok {
 				text += asLines(path+"."+strconv.Itoa(i), item)
 			}
-			words = append(words, fmt.Sprint(item))
+			items = append(items, fmt.Sprint(item))
 		}
 		if text != "" {
 			return text + fmt.Sprintf("%s.count=%d\n", path, len(v))
 		}
-		return path + "=" + strings.Join(words, ",") + "\n"
+		return path + "=" + strings.Join(items, ",") + "\n"
 	}
 	return fmt.Sprintf("%s=%v\n", path, v)
 }
 
-// readAll reads everything, and gives each value in a line under a name of its own, or the error, and what was odd.
+// readAll calls every reader. It returns one line per value, or one with the error, and one per
+// warning.
 func readAll(text string, asJSON bool) []string {
-	var odd []string
-	note := func(format string, args ...any) { odd = append(odd, "odd: "+fmt.Sprintf(format, args...)) }
+	var warnings []string
+	warn := func(format string, args ...any) { warnings = append(warnings, "odd: "+fmt.Sprintf(format, args...)) }
 	var s *Settings
 	if asJSON {
-		s = ParseJSON(fastjson.MustParse(text), note)
+		s = ParseJSON(fastjson.MustParse(text), warn)
 	} else {
-		s = ParseLines(text, note)
+		s = ParseLines(text, warn)
 	}
 	var out []string
 	add := func(name string, value any) { out = append(out, fmt.Sprintf("%s %v", name, value)) }
-	ch, li, cl, pa, si := s.PushChannel(), s.RuleLimits(), s.Classes(), s.Sharding(), s.Telemetry()
-	add("lines_per_s", ch.LinesPerSecond)
-	add("overhead_lines", ch.MessageOverhead)
-	add("limit_lines", ch.LimitLines)
-	add("backlog_lines", ch.Backlog)
-	add("push_delay_us", ch.MaxLatency)
-	add("messages_most", ch.MaxMessages)
-	add("messages_over_us", ch.MessageWindow)
-	add("proxies", ch.Proxies)
-	add("connections_min", ch.MinBackendConnections)
-	add("grace_us", li.DrainGrace)
-	add("cold_share", li.ColdStartShare)
-	add("warm_by_us", li.WarmupTime)
-	add("only_draining_binds", li.OnlyDrainingMustLeave)
-	for i, c := range cl {
-		add(fmt.Sprintf("class_%d", i), fmt.Sprintf("target_us %d deadline_us %d value %v writes %v own_zone %v", c.LatencyObjective, c.Deadline,
-			c.PriorityWeight, c.Writes, c.ZoneLocal))
+	channel, limits, classes := s.PushChannel(), s.RuleLimits(), s.Classes()
+	sharding, telemetry := s.Sharding(), s.Telemetry()
+	add("lines_per_s", channel.LinesPerSecond)
+	add("overhead_lines", channel.MessageOverhead)
+	add("limit_lines", channel.LimitLines)
+	add("backlog_lines", channel.Backlog)
+	add("push_delay_us", channel.MaxLatency)
+	add("messages_most", channel.MaxMessages)
+	add("messages_over_us", channel.MessageWindow)
+	add("proxies", channel.Proxies)
+	add("connections_min", channel.MinBackendConnections)
+	add("grace_us", limits.DrainGrace)
+	add("cold_share", limits.ColdStartShare)
+	add("warm_by_us", limits.WarmupTime)
+	add("only_draining_binds", limits.OnlyDrainingMustLeave)
+	for i, c := range classes {
+		add(fmt.Sprintf("class_%d", i), fmt.Sprintf("target_us %d deadline_us %d value %v writes %v own_zone %v",
+			c.LatencyObjective, c.Deadline, c.PriorityWeight, c.Writes, c.ZoneLocal))
 	}
-	add("slices", fmt.Sprintf("%d single_owner %v writes_on_us %d settle_us %d", pa.Count, pa.SingleOwner, pa.WriteLease, pa.SettleTime))
-	add("report_every_us", si.ReportInterval)
-	add("report_lines_per_s", si.ReportLinesPerSecond)
-	add("may_probe", si.HealthChecksAllowed)
-	add("must_ask", si.PollingRequired)
-	add("live_weights", si.LoadDependentWeights)
-	add("ask_within_us", si.MaxPollInterval)
+	add("slices", fmt.Sprintf("%d single_owner %v writes_on_us %d settle_us %d",
+		sharding.Count, sharding.SingleOwner, sharding.WriteLease, sharding.SettleTime))
+	add("report_every_us", telemetry.ReportInterval)
+	add("report_lines_per_s", telemetry.ReportLinesPerSecond)
+	add("may_probe", telemetry.HealthChecksAllowed)
+	add("must_ask", telemetry.PollingRequired)
+	add("live_weights", telemetry.LoadDependentWeights)
+	add("ask_within_us", telemetry.MaxPollInterval)
 	add("admission", uint8(s.AdmissionMode()))
 	add("load_fields", strings.Join(s.LoadFields(), "|"))
 	add("zones", strings.Join(s.Zones(), "|"))
 	add("count_proxies", s.Count("familyInfo.proxyCount"))
 	add("tick_us", FromMilliseconds(s.NumberOr("tick", 0)))
 	if s.Err() != nil {
-		return append(odd, "error: "+s.Err().Error())
+		return append(warnings, "error: "+s.Err().Error())
 	}
-	return append(out, odd...)
+	return append(out, warnings...)
 }
 
-// spelledOtherwise writes a key in a way that is taken for a slip.
-func spelledOtherwise(key string) string { return strings.ToUpper(key[:1]) + "_" + key[1:] }
+// misspell returns a key in a spelling that is recognized as a misspelling: other case, and an
+// underscore.
+func misspell(key string) string { return strings.ToUpper(key[:1]) + "_" + key[1:] }
 
-// TestEveryKeyIsReadAndRefusedAsBefore leaves each key out, spells it otherwise and gives it values of each kind; only
-// what differs from the unchanged settings is kept.
-func TestEveryKeyIsReadAndRefusedAsBefore(t *testing.T) {
+// TestEveryKeyIsReadAndRefusedAsInGoldenFiles guards against a key that is no longer read, or whose
+// values are accepted, defaulted or refused differently. It removes each key, misspells it and sets
+// it to values of each kind; the golden files have the lines that differ from those of the
+// unchanged settings.
+func TestEveryKeyIsReadAndRefusedAsInGoldenFiles(t *testing.T) {
 	parse := func() any {
 		var root any
 		if err := json.Unmarshal([]byte(everyKey), &root); err != nil {
@@ -158,12 +165,12 @@
 			}
 			return string(body)
 		}
-		usual := readAll(write(parse()), asJSON)
-		text := "unchanged\n  " + strings.Join(usual, "\n  ") + "\n"
-		show := func(title string, root any) {
+		baseline := readAll(write(parse()), asJSON)
+		text := "unchanged\n  " + strings.Join(baseline, "\n  ") + "\n"
+		addDifferences := func(title string, root any) {
 			text += title + "\n"
 			for _, line := range readAll(write(root), asJSON) {
-				if !slices.Contains(usual, line) {
+				if !slices.Contains(baseline, line) {
 					text += "  " + line + "\n"
 				}
 			}
@@ -171,18 +178,19 @@
 		for _, path := range leafPaths("", parse()) {
 			name := path[strings.LastIndex(path, ".")+1:]
 			root := parse()
-			change(root, path, name, nil)
-			show(path+" left out", root)
+			replaceValue(root, path, name, nil)
+			addDifferences(path+" left out", root)
 			root = parse()
-			change(root, path, spelledOtherwise(name), 7)
-			show(path+" spelled otherwise", root)
-			for _, value := range []any{"word", "", "NaN", "Inf", -1, 0, 3.75, 17, 70_000, 1e300, true, false, []any{}, []any{"x"},
-				[]any{"x", "x"}, []any{"true", "true"}, []any{1, 2, 3}, "silent", "nominal", "live", "automatic", "fraction", "per_second",
+			replaceValue(root, path, misspell(name), 7)
+			addDifferences(path+" spelled otherwise", root)
+			for _, value := range []any{"word", "", "NaN", "Inf", -1, 0, 3.75, 17, 70_000, 1e300, true, false,
+				[]any{}, []any{"x"}, []any{"x", "x"}, []any{"true", "true"}, []any{1, 2, 3},
+				"silent", "nominal", "live", "automatic", "fraction", "per_second",
 				json.RawMessage("null"), map[string]any{"a": 1}} {
 				root := parse()
-				change(root, path, name, value)
+				replaceValue(root, path, name, value)
 				shown, _ := json.Marshal(value)
-				show(path+" = "+string(shown), root)
+				addDifferences(path+" = "+string(shown), root)
 			}
 		}
 		name := "lines.golden"
@@ -193,15 +201,17 @@
 	}
 }
 
-// TestFiguresAreBoundedAsBefore holds the bounds of figures that come from elsewhere than settings.
-func TestFiguresAreBoundedAsBefore(t *testing.T) {
+// TestTimesAndNumbersAreBoundedAsInGoldenFile guards against a change of rounding and bounds in
+// FromMilliseconds and Sanitize, which other packages apply to numbers that are not settings.
+func TestTimesAndNumbersAreBoundedAsInGoldenFile(t *testing.T) {
 	text := ""
-	for _, word := range []string{"0", "-0", "-1", "0.0004", "0.0005", "0.0015", "1.4996", "1e3", "9007199254740.992", "1e300", "NaN", "+Inf", "-Inf"} {
-		x, err := strconv.ParseFloat(word, 64)
+	for _, number := range []string{"0", "-0", "-1", "0.0004", "0.0005", "0.0015", "1.4996", "1e3",
+		"9007199254740.992", "1e300", "NaN", "+Inf", "-Inf"} {
+		x, err := strconv.ParseFloat(number, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		text += fmt.Sprintf("%s ms: %d us, usable %v\n", word, FromMilliseconds(x), Sanitize(x))
+		text += fmt.Sprintf("%s ms: %d us, usable %v\n", number, FromMilliseconds(x), Sanitize(x))
 	}
 	golden.Compare(t, "figures.golden", text)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,10 @@
-// Package settings reads the settings that a controller starts with into the balancer's types. They come as lines of
-// path=value from the simulator and as nested JSON in a controller's configuration; both forms have the same keys.
+// Package settings converts a controller's initial settings to the balancer's types. The simulator
+// sends them as lines of path=value, a controller's configuration has them as nested JSON; both
+// forms have the same keys.
 //
-// Reading goes on after a key that cannot be used: every reader then returns a zero value, and Settings.Err names the
-// first such key once all have been read. Keys of the wire are words of the simulator's pages; this package alone maps
-// them to the balancer's terms.
+// An unusable setting does not stop the reading: its reader returns a zero value, and Settings.Err
+// returns the error of the first unusable setting; check it once all settings have been read. The
+// keys are words of the simulator's protocol; only this package maps them to the balancer's terms.
 package settings
 
 import (
@@ -14,28 +15,29 @@
 	"github.com/valyala/fastjson"
 )
 
-// WarnFunc is told of what is odd but usable, as an unknown word for which a safe value is taken.
+// WarnFunc logs a warning about input that is still usable, such as an unknown word that is read as
+// a safe value.
 type WarnFunc func(format string, args ...any)
 
-// KeyError is a setting that is missing or that cannot be used.
+// KeyError reports a setting that is missing or unusable.
 type KeyError struct {
-	Key    string // its path, as rules.rampTime
-	Reason string // continues a sentence that begins with the key, as "is missing"
+	Key    string // path of the setting, such as rules.rampTime
+	Reason string // predicate of a sentence with the key as its subject, such as "is missing"
 }
 
-// Error names the key and the reason.
+// Error returns the key and the reason as one sentence.
 func (e *KeyError) Error() string { return fmt.Sprintf("setting %s %s", e.Key, e.Reason) }
 
-// Settings are values by their paths. Not safe for concurrent use.
+// Settings holds the values of all settings by path. It is not safe for concurrent use.
 type Settings struct {
 	values map[string]string
-	lists  map[string][]string // items of lists, where the form has lists
-	err    *KeyError           // of the first key that cannot be used
+	lists  map[string][]string // list items by path; JSON only
+	err    *KeyError           // of the first rejected setting
 	warn   WarnFunc
 }
 
-// ParseLines reads settings of one path=value a line; lines without = are passed over, and of lines with one path the
-// last counts.
+// ParseLines parses settings with one path=value per line. It ignores lines without =; of several
+// lines with the same path, the last one applies.
 func ParseLines(text string, warn WarnFunc) *Settings {
 	s := &Settings{values: map[string]string{}, warn: warn}
 	for _, line := range strings.Split(text, "\n") {
@@ -46,7 +48,8 @@
 	return s
 }
 
-// ParseJSON reads settings from an object, flattened to the paths that ParseLines reads. Items of lists may hold commas.
+// ParseJSON reads settings from a JSON object, flattened to the paths that ParseLines reads. Unlike
+// there, list items may contain commas.
 func ParseJSON(object *fastjson.Value, warn WarnFunc) *Settings {
 	s := &Settings{values: map[string]string{}, lists: map[string][]string{}, warn: warn}
 	s.flatten("", object)
@@ -66,23 +69,24 @@
 	}
 }
 
-// flattenList keeps a list as one text with commas, its count, its items, and the paths within items that are objects.
+// flattenList stores a list as comma-separated text, its number of items under the path's "count",
+// its items, and the values within items that are objects.
 func (s *Settings) flattenList(path string, items []*fastjson.Value) {
 	s.values[join(path, "count")] = strconv.Itoa(len(items))
-	words := []string{}
+	texts := []string{}
 	for i, item := range items {
 		if item.Type() == fastjson.TypeObject {
 			s.flatten(join(path, strconv.Itoa(i)), item)
 		}
-		words = append(words, plainText(item))
+		texts = append(texts, plainText(item))
 	}
-	s.values[path] = strings.Join(words, ",")
-	s.lists[path] = words
+	s.values[path] = strings.Join(texts, ",")
+	s.lists[path] = texts
 }
 
 func join(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 
-// plainText gives a string without its quotes, and any other value as JSON.
+// plainText returns a JSON string without its quotes, and any other value as JSON text.
 func plainText(value *fastjson.Value) string {
 	if value.Type() == fastjson.TypeString {
 		return string(value.GetStringBytes())
@@ -90,14 +94,15 @@
 	return string(value.MarshalTo(nil))
 }
 
-// Reject notes that a key cannot be used. The first rejected key is the one that Err names.
+// Reject records that a setting is unusable. Err returns only the error of the first rejected
+// setting.
 func (s *Settings) Reject(key, reason string) {
 	if s.err == nil {
 		s.err = &KeyError{Key: key, Reason: reason}
 	}
 }
 
-// Err is the *KeyError of the first key rejected among those read so far, or nil.
+// Err returns the *KeyError of the first setting that was rejected so far, or nil.
 func (s *Settings) Err() error {
 	if s.err == nil {
 		return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,37 +39,44 @@
 "reporting":{"fields":["cpu","waiting"],"how":"piggyback"},
 "rules":{"coldShare":0.16,"droppedStayOpen":true,"rampTime":17000,"stopSendingWithin":3000},"weights":"live"}`
 
-// readEverything calls every reader, and gives what each returned.
+// readEverything calls every reader and returns all results.
 func readEverything(s *Settings) []any {
-	return []any{s.Classes(), s.PushChannel(), s.RuleLimits(), s.Sharding(), s.Telemetry(), s.AdmissionMode(), s.Zones(),
-		s.LoadFields(), s.Count("profiles.count"), s.NumberOr("tick", 7), s.Err()}
+	return []any{s.Classes(), s.PushChannel(), s.RuleLimits(), s.Sharding(), s.Telemetry(), s.AdmissionMode(),
+		s.Zones(), s.LoadFields(), s.Count("profiles.count"), s.NumberOr("tick", 7), s.Err()}
 }
 
+// TestBothFormsReadTheSame guards against a setting that is read differently from the simulator's
+// lines than from the nested JSON of a configuration.
 func TestBothFormsReadTheSame(t *testing.T) {
 	var warnings []string
-	note := func(format string, _ ...any) { warnings = append(warnings, format) }
-	t.Run("lines and nested JSON say the same", func(t *testing.T) {
-		one, other := readEverything(ParseLines(sampleLines, note)), readEverything(ParseJSON(fastjson.MustParse(sampleJSON), note))
-		if !reflect.DeepEqual(one, other) || one[len(one)-1] != nil || len(warnings) > 0 {
-			t.Errorf("%v\n%v\nwarnings %v", one, other, warnings)
+	warn := func(format string, _ ...any) { warnings = append(warnings, format) }
+	t.Run("lines and nested JSON have the same values", func(t *testing.T) {
+		fromLines := readEverything(ParseLines(sampleLines, warn))
+		fromJSON := readEverything(ParseJSON(fastjson.MustParse(sampleJSON), warn))
+		if !reflect.DeepEqual(fromLines, fromJSON) || fromLines[len(fromLines)-1] != nil || len(warnings) > 0 {
+			t.Errorf("read from lines: %v\nread from JSON: %v\nwarnings %q, want equal values and no warning",
+				fromLines, fromJSON, warnings)
 		}
-		if zones := one[6].([]string); len(zones) != 2 || zones[1] != "b" {
-			t.Errorf("zones %v", zones)
+		if zones := fromLines[6].([]string); len(zones) != 2 || zones[1] != "b" {
+			t.Errorf("zones %q, want a and b", zones)
 		}
 	})
-	t.Run("names keep their commas where the form has lists", func(t *testing.T) {
-		zones := ParseJSON(fastjson.MustParse(`{"azs":["a, the first","b"]}`), note).Zones()
+	t.Run("list items of JSON keep their commas", func(t *testing.T) {
+		zones := ParseJSON(fastjson.MustParse(`{"azs":["a, the first","b"]}`), warn).Zones()
 		if len(zones) != 2 || zones[0] != "a, the first" {
-			t.Errorf("zones %q", zones)
+			t.Errorf("zones %q, want %q and %q", zones, "a, the first", "b")
 		}
 	})
-	for _, broken := range []string{`{"profiles":7}`, `{"profiles":[1,2]}`, `{"profiles":{"count":99999}}`, `{"azs":null}`} {
-		t.Run(broken, func(t *testing.T) {
-			s := ParseJSON(fastjson.MustParse(broken), note)
+	for _, unusable := range []string{
+		`{"profiles":7}`, `{"profiles":[1,2]}`, `{"profiles":{"count":99999}}`, `{"azs":null}`,
+	} {
+		t.Run(unusable, func(t *testing.T) {
+			s := ParseJSON(fastjson.MustParse(unusable), warn)
 			readEverything(s)
 			var refused *KeyError
-			if !errors.As(s.Err(), &refused) || refused.Key == "" || !strings.HasPrefix(s.Err().Error(), "setting "+refused.Key+" ") {
-				t.Errorf("error %v", s.Err())
+			if !errors.As(s.Err(), &refused) || refused.Key == "" ||
+				!strings.HasPrefix(s.Err().Error(), "setting "+refused.Key+" ") {
+				t.Errorf("error %v, want a *KeyError whose text starts with its key", s.Err())
 			}
 		})
 	}
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -11,16 +11,18 @@
 
 const (
 	microsecondsPerMillisecond = 1000
-	longestMicroseconds        = float64(1 << 53) // above it a float64 no longer holds every whole number
+	maxMicroseconds            = float64(1 << 53) // above it, float64 skips integers
 )
 
-// FromMilliseconds turns milliseconds into whole microseconds; what Sanitize refuses is 0.
+// FromMilliseconds converts milliseconds to microseconds, rounded to an integer of at most 2^53. A
+// value that is negative, infinite or not a number becomes 0.
 func FromMilliseconds(milliseconds float64) int64 {
 	rounded := math.Round(Sanitize(milliseconds) * microsecondsPerMillisecond)
-	return int64(min(rounded, longestMicroseconds))
+	return int64(min(rounded, maxMicroseconds))
 }
 
-// Sanitize turns a figure that is negative, infinite or not a number into 0, which stands for absent.
+// Sanitize returns x, or 0, which stands for an absent value, if x is negative, infinite or not a
+// number.
 func Sanitize(x float64) float64 {
 	if !usable(x) {
 		return 0
@@ -30,7 +32,7 @@
 
 func usable(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) && x >= 0 }
 
-// number reads a required figure of 0 or more.
+// number reads a required number of 0 or more.
 func (s *Settings) number(key string) float64 {
 	text, ok := s.values[key]
 	if !ok {
@@ -45,7 +47,7 @@
 	return x
 }
 
-// positive reads a required figure above 0.
+// positive reads a required number above 0.
 func (s *Settings) positive(key string) float64 {
 	x := s.number(key)
 	if x == 0 {
@@ -54,15 +56,16 @@
 	return x
 }
 
-// NumberOr reads a figure of 0 or more that may be left out, which means the given one.
-func (s *Settings) NumberOr(key string, absent float64) float64 {
+// NumberOr reads an optional number of 0 or more; without the setting it returns the default.
+func (s *Settings) NumberOr(key string, defaultValue float64) float64 {
 	if !s.has(key) {
-		return absent
+		return defaultValue
 	}
 	return s.number(key)
 }
 
-// Count reads a required figure that sizes something in memory: up to 65,535, any fraction cut off.
+// Count reads a required number of items that are allocated in memory: at most 65,535, truncated to
+// an integer.
 func (s *Settings) Count(key string) int {
 	x := s.number(key)
 	if x > math.MaxUint16 {
@@ -72,19 +75,20 @@
 	return int(x)
 }
 
-// countUpTo reads a figure that may be left out, which means 0, and caps it.
-func (s *Settings) countUpTo(key string, most float64) int {
-	return int(min(s.NumberOr(key, 0), most))
+// countUpTo reads an optional count that is 0 by default, and caps it at maxCount.
+func (s *Settings) countUpTo(key string, maxCount float64) int {
+	return int(min(s.NumberOr(key, 0), maxCount))
 }
 
-// microseconds reads a required time, which the wire has in milliseconds.
+// microseconds reads a required duration, which the settings give in milliseconds.
 func (s *Settings) microseconds(key string) int64 { return FromMilliseconds(s.number(key)) }
 
-// positiveMicroseconds reads a required time above 0, which the wire has in milliseconds.
+// positiveMicroseconds reads a required duration above 0, which the settings give in milliseconds.
 func (s *Settings) positiveMicroseconds(key string) int64 { return FromMilliseconds(s.positive(key)) }
 
-// has tells whether a key is there that may be left out. A key that is only spelled otherwise is rejected: the operator
-// gave it, so its default would be wrong.
+// has reports whether an optional setting is present. If the same key is present in another
+// spelling (case, underscores, hyphens), that key is rejected: the operator meant to set it, so the
+// default would be wrong.
 func (s *Settings) has(key string) bool {
 	if _, ok := s.values[key]; ok {
 		return true
@@ -97,12 +101,13 @@
 	return false
 }
 
-// foldKey removes what spellings of one key differ by.
+// foldKey returns a key in lower case, without underscores and hyphens.
 func foldKey(key string) string {
 	return strings.NewReplacer("_", "", "-", "").Replace(strings.ToLower(key))
 }
 
-// flag reads true or false; the safe value stands for another word, with a warning, and for none.
+// flag reads true or false. A missing setting and, with a warning, any other word are read as the
+// safe value.
 func (s *Settings) flag(key string, safe bool) bool {
 	s.has(key)
 	switch text, ok := s.values[key]; {
@@ -116,7 +121,8 @@
 	return safe
 }
 
-// wordOf maps a word of the wire; the safe value stands for another word, with a warning, and for none.
+// wordOf maps a word of the wire to its value. A missing setting and, with a warning, an unknown
+// word are read as the safe value.
 func wordOf[T any](s *Settings, key string, safe T, known map[string]T) T {
 	text, ok := s.values[key]
 	if value, found := known[text]; found {
@@ -132,11 +138,11 @@
 	s.warn("setting %s: unknown word %q", key, text)
 }
 
-// list reads a list that may be left out, which means an empty one.
+// list reads an optional list, which is empty by default.
 func (s *Settings) list(key string) []string {
 	s.has(key)
-	if words, ok := s.lists[key]; ok {
-		return words
+	if items, ok := s.lists[key]; ok {
+		return items
 	}
 	if s.values[key] == "" {
 		return nil
--- a/options/error.go
+++ b/options/error.go
@@ -8,52 +8,53 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// FileError is what keeps a file from being used.
+// FileError reports why an options file is unusable.
 type FileError struct {
-	File   string // its path
-	Line   int    // from 1; 0 where no line is at fault
-	Key    string // with the sections that it is in, or empty
-	Reason string // with what would do
+	File   string // path of the file
+	Line   int    // counted from 1; 0 if the error has no line
+	Key    string // with its sections, such as sharing.name; may be empty
+	Reason string // with the values that are allowed
 }
 
-// Error says all of it in one line.
+// Error returns file, line, key and reason in one line.
 func (e *FileError) Error() string {
-	where := e.File
+	position := e.File
 	if e.Line > 0 {
-		where = fmt.Sprintf("%s:%d", e.File, e.Line)
+		position = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key == "" {
-		return where + ": " + e.Reason
+		return position + ": " + e.Reason
 	}
-	return where + ": " + e.Key + ": " + e.Reason
+	return position + ": " + e.Key + ": " + e.Reason
 }
 
-// decodeError turns an error of the YAML decoder into ours.
+// decodeError converts an error of the YAML decoder to a FileError.
 func decodeError(path string, err error) *FileError {
-	refused := &FileError{File: path, Reason: err.Error()}
-	var at yaml.Error
-	if !errors.As(err, &at) {
-		return refused
+	fileError := &FileError{File: path, Reason: err.Error()}
+	var yamlError yaml.Error
+	if !errors.As(err, &yamlError) {
+		return fileError
 	}
-	refused.Reason = at.GetMessage() + "; the keys are those of deploy/wheelrill.yaml"
-	if token := at.GetToken(); token != nil {
-		refused.Line = token.Position.Line
-		refused.Key = token.Value
+	fileError.Reason = yamlError.GetMessage() + "; the keys are those of deploy/wheelrill.yaml"
+	if token := yamlError.GetToken(); token != nil {
+		fileError.Line = token.Position.Line
+		fileError.Key = token.Value
 	}
-	return refused
+	return fileError
 }
 
-// locator finds the lines of keys.
+// locator finds the lines of keys in an options file.
 type locator struct {
 	path string
-	tree *ast.File // nil where the text cannot be parsed
+	tree *ast.File // nil if the text cannot be parsed; errors then have no line
 }
 
-// refuse makes the error of a key, with its line if the file has it.
-func (l locator) refuse(key, format string, args ...any) error {
+// keyError returns a FileError for a key, with the key's line if the file contains the key.
+func (l locator) keyError(key, format string, args ...any) error {
 	return &FileError{File: l.path, Line: l.line(key), Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
+// line returns the line of a key, or 0 if the file does not contain it.
 func (l locator) line(key string) int {
 	path, err := yaml.PathString("$." + key)
 	if err != nil || l.tree == nil {
--- a/options/file.go
+++ b/options/file.go
@@ -1,7 +1,9 @@
-// Package options reads the file in which an operator switches on what the platform does not have. It is YAML and
-// strict: what cannot be used is a *FileError, which names the file, the line and the key, and says what would do.
+// Package options reads the options file, in which an operator enables features that the platform's
+// own configuration does not have. The file is YAML and read strictly: unknown keys and unusable
+// values are reported as a *FileError with the file, the line, the key and the values that are
+// allowed.
 //
-// The names of File and its fields are part of the texts that operators are given for values of a wrong type.
+// Errors about values of a wrong type contain the names of File and its fields.
 package options
 
 import (
@@ -15,13 +17,13 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// File is the whole file. A section that is not there is off.
+// File is the content of an options file. The feature of a missing section is disabled.
 type File struct {
-	Sharing      *Sharing      `yaml:"sharing"`      // of the fleet, with other controllers
-	Distribution *Distribution `yaml:"distribution"` // of configuration
+	Sharing      *Sharing      `yaml:"sharing"`      // ownership of proxies, with other controllers
+	Distribution *Distribution `yaml:"distribution"` // distribution of configuration
 }
 
-// Read reads a file. Its errors are *FileError.
+// Read reads an options file. All its errors are *FileError.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -30,22 +32,24 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a file, whose path stands in errors. They are *FileError.
+// Parse parses the text of an options file. The path appears in errors only; all of them are
+// *FileError.
 func Parse(path string, text []byte) (*File, error) {
 	file := &File{}
 	decoder := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
-	if err := decoder.Decode(file); err != nil && !errors.Is(err, io.EOF) { // an empty file switches nothing on
+	// An empty file enables nothing.
+	if err := decoder.Decode(file); err != nil && !errors.Is(err, io.EOF) {
 		return nil, decodeError(path, err)
 	}
-	where := locator{path: path}
-	where.tree, _ = parser.ParseBytes(text, 0) // without it errors name no line
+	loc := locator{path: path}
+	loc.tree, _ = parser.ParseBytes(text, 0) // without a tree, errors have no line
 	if file.Sharing != nil {
-		if err := file.Sharing.check(where); err != nil {
+		if err := file.Sharing.check(loc); err != nil {
 			return nil, err
 		}
 	}
 	if file.Distribution != nil {
-		if err := file.Distribution.check(where, file.Sharing); err != nil {
+		if err := file.Distribution.check(loc, file.Sharing); err != nil {
 			return nil, err
 		}
 	}
--- a/options/golden_test.go
+++ b/options/golden_test.go
@@ -9,7 +9,7 @@
 	"wheelrill/internal/golden"
 )
 
-// Files with every key that a member, a voter and a subscriber may give; each key stands in a line of its own.
+// Options files with every key that a member, a voter or a subscriber may have, one key per line.
 const (
 	sharingKeys = `sharing:
   name: n0
@@ -56,54 +56,60 @@
 `
 )
 
-// anyUnknown is the error that names a key that is not known.
-var anyUnknown = regexp.MustCompile(`w\.yaml:\d+: \w+: unknown field "\w+";`)
+// unknownFieldError matches the start of an error about an unknown key.
+var unknownFieldError = regexp.MustCompile(`w\.yaml:\d+: \w+: unknown field "\w+";`)
 
-// parsed gives what a file was read as, each value under its key, or the error.
-func parsed(text string) string {
+// parseResult parses an options file and returns all values under their keys, or the error.
+func parseResult(text string) string {
 	f, err := Parse("w.yaml", []byte(text))
 	if err != nil {
 		return "error: " + err.Error() + "\n"
 	}
 	out := ""
 	if s := f.Sharing; s != nil {
-		out += fmt.Sprintf("sharing name %q members %v folder %q certificate %q key %q authority %q plain %v lease %v, read as %v\n", s.Name,
-			s.Members, s.Folder, s.Certificate, s.Key, s.Authority, s.Plain, s.Lease, s.LeaseTime())
+		out += fmt.Sprintf("sharing name %q members %v folder %q certificate %q key %q authority %q "+
+			"plain %v lease %v, read as %v\n", s.Name, s.Members, s.Folder, s.Certificate, s.Key, s.Authority,
+			s.Plain, s.Lease, s.LeaseTime())
 	}
 	if d := f.Distribution; d != nil {
-		out += fmt.Sprintf("distribution role %q name %q parents %v scopes %q listen %q folder %q certificate %q key %q authority %q plain %v "+
-			"fan_out %d snapshot_bytes_per_s %d\n", d.Role, d.Name, d.Parents, d.Scopes, d.Listen, d.Folder, d.Certificate, d.Key, d.Authority,
-			d.Plain, d.FanOut, d.SnapshotBytesPerSecond)
+		out += fmt.Sprintf("distribution role %q name %q parents %v scopes %q listen %q folder %q certificate %q "+
+			"key %q authority %q plain %v fan_out %d snapshot_bytes_per_s %d\n",
+			d.Role, d.Name, d.Parents, d.Scopes, d.Listen, d.Folder, d.Certificate, d.Key, d.Authority, d.Plain, d.FanOut, d.SnapshotBytesPerSecond)
 	}
 	return out
 }
 
-// TestEveryKeyIsReadAndRefusedAsBefore leaves out each line of each file, misspells its key, writes it twice and gives
-// it values of each kind; it keeps what the file is read as, or the error with line and key.
-func TestEveryKeyIsReadAndRefusedAsBefore(t *testing.T) {
-	values := []string{"word", `""`, "-1", "0", "1", "257", "1023", "1073741825", "3.5", "true", "[]", "[a]", "[a, a]", `[a, "*"]`, "{}", "{a: b}",
-		"{a: 127.0.0.1:1, b: 127.0.0.1:1}", "null", "[", "10m", "499ms", "10s", "127.0.0.1:9017", "0.0.0.0:9017", ":9017", "10.0.0.4", "voter", "subscriber",
+// TestEveryKeyIsReadAndRefusedAsInGoldenFiles guards against a key that is no longer read, or whose
+// values are accepted or refused differently. It removes and duplicates each line of each file,
+// misspells its key and replaces its value; the golden files have the resulting values, or the
+// error with line and key.
+func TestEveryKeyIsReadAndRefusedAsInGoldenFiles(t *testing.T) {
+	values := []string{"word", `""`, "-1", "0", "1", "257", "1023", "1073741825", "3.5", "true",
+		"[]", "[a]", "[a, a]", `[a, "*"]`, "{}", "{a: b}", "{a: 127.0.0.1:1, b: 127.0.0.1:1}", "null", "[",
+		"10m", "499ms", "10s", "127.0.0.1:9017", "0.0.0.0:9017", ":9017", "10.0.0.4", "voter", "subscriber",
 		"n@1", strings.Repeat("s", 193)}
-	for _, file := range []struct{ name, text string }{{"sharing", sharingKeys}, {"voter", voterKeys}, {"subscriber", subscriberKeys},
-		{"plain", plainKeys}} {
+	for _, file := range []struct{ name, text string }{
+		{"sharing", sharingKeys}, {"voter", voterKeys}, {"subscriber", subscriberKeys}, {"plain", plainKeys},
+	} {
 		t.Run(file.name, func(t *testing.T) {
-			text := "unchanged\n  " + parsed(file.text)
+			text := "unchanged\n  " + parseResult(file.text)
 			lines := strings.SplitAfter(strings.TrimSuffix(file.text, "\n"), "\n")
 			for i, line := range lines {
-				with := func(instead string) string {
-					return strings.Join(lines[:i], "") + instead + strings.Join(lines[i+1:], "")
+				replaceLine := func(replacement string) string {
+					return strings.Join(lines[:i], "") + replacement + strings.Join(lines[i+1:], "")
 				}
 				key, _, _ := strings.Cut(line, ":")
 				title := fmt.Sprintf("line %d, %s, ", i+1, strings.TrimSpace(key))
-				leftOut := parsed(with(""))
-				if !strings.HasPrefix(line, " ") { // several keys are unknown then, and any of them is named
-					leftOut = anyUnknown.ReplaceAllString(leftOut, "w.yaml: KEY: unknown field;")
+				leftOut := parseResult(replaceLine(""))
+				// Without a section, several keys are unknown, and the error names any of them.
+				if !strings.HasPrefix(line, " ") {
+					leftOut = unknownFieldError.ReplaceAllString(leftOut, "w.yaml: KEY: unknown field;")
 				}
 				text += title + "left out\n  " + leftOut
-				text += title + "misspelled\n  " + parsed(with(strings.Replace(line, ":", "s:", 1)))
-				text += title + "twice\n  " + parsed(with(strings.TrimSuffix(line, "\n")+"\n"+line))
+				text += title + "misspelled\n  " + parseResult(replaceLine(strings.Replace(line, ":", "s:", 1)))
+				text += title + "twice\n  " + parseResult(replaceLine(strings.TrimSuffix(line, "\n")+"\n"+line))
 				for _, value := range values {
-					text += title + value + "\n  " + parsed(with(key+": "+value+"\n"))
+					text += title + value + "\n  " + parseResult(replaceLine(key+": "+value+"\n"))
 				}
 			}
 			golden.Compare(t, file.name+".golden", text)
--- a/options/sharing.go
+++ b/options/sharing.go
@@ -6,54 +6,58 @@
 	"time"
 )
 
-// Sharing says with whom a controller shares the ownership of proxies.
+// Sharing configures the controllers (members) that share the ownership of proxies.
 type Sharing struct {
-	Name        string            `yaml:"name"`        // ours among the members; LB_NAME where empty
-	Members     map[string]string `yaml:"members"`     // addresses by name, ours as well; two at least
-	Folder      string            `yaml:"folder"`      // for what outlasts the process; empty for nothing
-	Certificate string            `yaml:"certificate"` // path of a PEM file that names the member
-	Key         string            `yaml:"key"`         // path of its PEM file
-	Authority   string            `yaml:"authority"`   // path of the PEM file of the authority that signed the members' certificates
-	Plain       bool              `yaml:"plain"`       // plain text, on loopback alone, without the three above
-	Lease       string            `yaml:"lease"`       // a duration; empty for the default
-
-	lease time.Duration
+	Name        string            `yaml:"name"`        // of this controller, in Members; LB_NAME if empty
+	Members     map[string]string `yaml:"members"`     // addresses by name, this controller's included; two or more
+	Folder      string            `yaml:"folder"`      // for state across restarts; empty for none
+	Certificate string            `yaml:"certificate"` // path of a PEM file, issued to the member's name
+	Key         string            `yaml:"key"`         // path of a PEM file, of the certificate's key
+	Authority   string            `yaml:"authority"`   // path of a PEM file, signer of all members' certificates
+	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, on loopback only
+	Lease       string            `yaml:"lease"`       // a duration, see LeaseTime; empty for the default
+
+	lease time.Duration // parsed from Lease
 }
 
-// LeaseTime is how long a member waits for the replicated record before it goes on by itself; 0 for the default.
+// LeaseTime returns how long a member waits for the replicated record before it continues without
+// it; 0 for the default.
 func (s *Sharing) LeaseTime() time.Duration { return s.lease }
 
 const minMembers = 2
 
-// Bounds of a lease: below, a slow answer is taken for a partition; above, drains wait too long in one.
+// Limits of a lease. With a shorter lease, a slow answer is mistaken for a network partition; with
+// a longer lease, drains wait too long during a partition.
 const (
 	minLease = 500 * time.Millisecond
 	maxLease = 10 * time.Second
 )
 
-func (s *Sharing) check(where locator) error {
+func (s *Sharing) check(loc locator) error {
 	if len(s.Members) < minMembers {
-		return where.refuse("sharing.members", "has %d members; name at least two, each with its address, as n0: 10.0.0.4:9443", len(s.Members))
+		return loc.keyError("sharing.members",
+			"has %d members; name at least two, each with its address, as n0: 10.0.0.4:9443", len(s.Members))
 	}
 	if _, ok := s.Members[s.Name]; s.Name != "" && !ok {
-		return where.refuse("sharing.name", "%q is not among the members; give one of %v", s.Name, slices.Sorted(maps.Keys(s.Members)))
+		return loc.keyError("sharing.name", "%q is not among the members; give one of %v",
+			s.Name, slices.Sorted(maps.Keys(s.Members)))
 	}
-	if err := checkAddresses(where, "sharing.members", s.Members, s.Plain); err != nil {
+	if err := checkAddresses(loc, "sharing.members", s.Members, s.Plain); err != nil {
 		return err
 	}
-	if err := checkCredentials(where, "sharing", s.Plain, s.Certificate, s.Key, s.Authority); err != nil {
+	if err := checkCredentials(loc, "sharing", s.Plain, s.Certificate, s.Key, s.Authority); err != nil {
 		return err
 	}
-	return s.checkLease(where)
+	return s.checkLease(loc)
 }
 
-func (s *Sharing) checkLease(where locator) error {
+func (s *Sharing) checkLease(loc locator) error {
 	if s.Lease == "" {
 		return nil
 	}
 	lease, err := time.ParseDuration(s.Lease)
 	if err != nil || lease < minLease || lease > maxLease {
-		return where.refuse("sharing.lease", "%q; give a time from %s to %s, as 1500ms", s.Lease, minLease, maxLease)
+		return loc.keyError("sharing.lease", "%q; give a time from %s to %s, as 1500ms", s.Lease, minLease, maxLease)
 	}
 	s.lease = lease
 	return nil
