--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,7 @@
-// Command simadapter lets the simulator drive the controllers' decisions over standard input and output: frames of events
-// come in, and each is answered with one frame of actions. It ends with code 0 where the input ends between frames, and
-// with 1 and a line on standard error where it is not the simulator's wire.
+// Command simadapter lets the simulator drive the controllers' decisions: it reads frames of events
+// from standard input and answers each with a reply of actions on standard output. It exits with
+// code 0 if the input ends between frames, and with code 1 and a line on standard error if the
+// input does not follow the simulator's protocol.
 package main
 
 import (
@@ -14,7 +15,7 @@
 	"wheelrill/internal/simwire"
 )
 
-const bufferSize = 1 << 20 // bytes, each way
+const bufferSize = 1 << 20 // bytes, of each of the input and output buffers
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout, os.Stderr); err != nil {
@@ -23,7 +24,7 @@
 	}
 }
 
-// serve answers frames until the input ends.
+// serve replies to each frame until the input ends.
 func serve(in io.Reader, out, log io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -7,26 +7,28 @@
 	"wheelrill/balancer"
 )
 
-// instance is one controller of the simulation: the host of its balancer, and the bounds of what events may name.
+// instance is one controller in the simulation. It implements balancer.Host for its balancer, and
+// validates the ids and numbers in events.
 type instance struct {
 	server     *Server
 	id         uint16
-	balancer   *balancer.Controller // nil once it has aborted
-	loadFields []string             // names of the figures in a load report, in order
-	classes    int
-	zones      int
-	shards     int
-	backends   index
-	proxies    index
+	balancer   *balancer.Controller // nil after an abort
+	loadFields []string             // names of the values in a load report, in order
+	classes    int                  // number of classes
+	zones      int                  // number of zones
+	shards     int                  // number of shards
+	backends   index                // by backend id
+	proxies    index                // by proxy id
 }
 
-// index gives small numbers to ids in the order in which they are first met.
+// index assigns consecutive numbers to ids, in the order in which the ids first occur.
 type index struct {
 	numbers map[uint32]int
 	ids     []uint32 // by number
 }
 
-func (x *index) number(id uint32) int {
+// numberOf returns the number of an id, and assigns the next free number to a new id.
+func (x *index) numberOf(id uint32) int {
 	if n, ok := x.numbers[id]; ok {
 		return n
 	}
@@ -39,21 +41,22 @@
 	return n
 }
 
-// abortOnPanic turns a panic of the balancer into the end of this instance alone.
+// abortOnPanic aborts only this instance if its balancer panics in the call.
 func (in *instance) abortOnPanic(call func()) {
 	defer func() {
-		if reason := recover(); reason != nil {
+		if cause := recover(); cause != nil {
 			in.balancer = nil
-			in.server.reply.addText(actionAbort, in.id, fmt.Sprint(reason))
+			in.server.reply.addText(actionAbort, in.id, fmt.Sprint(cause))
 		}
 	}()
 	call()
 }
 
-// instanceID is the id of the controller that an event is for; eventEndpointList has none.
+// instanceID returns the id of the controller that an event is for; eventEndpointList has none.
 func (r record) instanceID() uint16 { return r.u16(instanceAt) }
 
-// eventHandlers is what each event of an instance does; the others concern the server (handleEvent).
+// eventHandlers maps the events of an instance to their handlers; Server.handleEvent handles the
+// other events.
 var eventHandlers = map[eventCode]func(*instance, record){
 	eventEndpointsUpdated:     (*instance).endpointsUpdated,
 	eventTimerFired:           (*instance).timerFired,
@@ -69,7 +72,7 @@
 	eventShardOwnerStored:     (*instance).shardOwnerStored,
 }
 
-// handle takes an event to the balancer, unless it has aborted.
+// handle passes an event to the balancer, unless the instance has aborted.
 func (in *instance) handle(r record) {
 	handler := eventHandlers[r.code()]
 	if in.balancer == nil || handler == nil {
@@ -85,13 +88,13 @@
 }
 
 func (in *instance) healthCheckCompleted(r record) {
-	if backend, ok := in.known(&in.backends, r.u32(checkedBackendAt), "backend"); ok {
+	if backend, ok := in.knownID(&in.backends, r.u32(checkedBackendAt), "backend"); ok {
 		in.balancer.HealthCheckCompleted(backend, in.healthCheckResult(r.u16(checkedResultAt)))
 	}
 }
 
 func (in *instance) outcomesReported(r record) {
-	backend, ok := in.known(&in.backends, r.u32(outcomesBackendAt), "backend")
+	backend, ok := in.knownID(&in.backends, r.u32(outcomesBackendAt), "backend")
 	if !ok || !in.exists(int(r.u8(outcomesZoneAt)), in.zones, "zone") {
 		return
 	}
@@ -109,7 +112,7 @@
 func (in *instance) proxyConnected(r record) {
 	zone := int(r.u8(connectedZoneAt))
 	if in.exists(zone, in.zones, "zone") {
-		proxy := in.proxies.number(uint32(r.u16(connectedProxyAt)))
+		proxy := in.proxies.numberOf(uint32(r.u16(connectedProxyAt)))
 		in.balancer.ProxyConnected(proxy, zone, r.f32(connectedRateAt), false)
 	}
 }
@@ -162,34 +165,38 @@
 
 func (in *instance) shardOwnerStored(r record) {
 	if shard, ok := in.existingShard(r); ok {
-		in.balancer.ShardOwnerStored(shard, in.backends.number(r.u32(shardOwnerAt)), r.f32(shardWeightAt))
+		in.balancer.ShardOwnerStored(shard, in.backends.numberOf(r.u32(shardOwnerAt)), r.f32(shardWeightAt))
 	}
 }
 
-// knownProxy gives the number of the proxy that an event names, with a warning where it never connected.
+// knownProxy returns the number of an event's proxy. It warns and returns false if the proxy has
+// never connected.
 func (in *instance) knownProxy(r record) (int, bool) {
-	return in.known(&in.proxies, uint32(r.u16(proxyAt)), "proxy")
+	return in.knownID(&in.proxies, uint32(r.u16(proxyAt)), "proxy")
 }
 
-// existingShard gives the shard that an event names, with a warning where there is no such shard.
+// existingShard returns the number of an event's shard. It warns and returns false if there is no
+// such shard.
 func (in *instance) existingShard(r record) (int, bool) {
 	shard := int(r.u16(shardAt))
 	return shard, in.exists(shard, in.shards, wordShard)
 }
 
-// exists tells whether a number is below a count, with a warning where it is not.
-func (in *instance) exists(number, count int, what string) bool {
+// exists reports whether a number is below a count, and warns if it is not. The noun names the
+// counted items in the warning.
+func (in *instance) exists(number, count int, noun string) bool {
 	if number >= count {
-		in.server.warn("%s %d does not exist", what, number)
+		in.server.warn("%s %d does not exist", noun, number)
 	}
 	return number < count
 }
 
-// known gives the number of an id that was met before, with a warning where it was not.
-func (in *instance) known(x *index, id uint32, what string) (int, bool) {
+// knownID returns the number of an id in an index. It warns and returns false if the id is not
+// there: no event that introduces it has occurred.
+func (in *instance) knownID(x *index, id uint32, noun string) (int, bool) {
 	number, ok := x.numbers[id]
 	if !ok {
-		in.server.warn("%s %d was never named before", what, id)
+		in.server.warn("%s %d is not known: no earlier event introduced it", noun, id)
 	}
 	return number, ok
 }
@@ -219,7 +226,7 @@
 			continue
 		}
 		endpoints = append(endpoints, balancer.Endpoint{
-			Backend:   in.backends.number(entry.u32(endpointBackendAt)),
+			Backend:   in.backends.numberOf(entry.u32(endpointBackendAt)),
 			State:     state,
 			StartedAt: entry.microseconds(endpointStartedAt),
 			Weight:    entry.f32(endpointWeightAt),
@@ -229,7 +236,8 @@
 	in.balancer.EndpointsUpdated(kind != updateDelta, endpoints)
 }
 
-// endpointState reads a backend's state; one that is not known counts as draining, which sends nothing new there.
+// endpointState converts a backend's state. An unknown state counts as draining, so that the
+// backend receives no new requests.
 func (in *instance) endpointState(code byte) balancer.EndpointState {
 	switch code {
 	case backendRemoved:
@@ -243,6 +251,7 @@
 	return balancer.Draining
 }
 
+// healthCheckResult converts the result of a health check, and warns if it is unknown.
 func (in *instance) healthCheckResult(code uint16) balancer.HealthCheckResult {
 	switch code {
 	case checkPassed:
@@ -262,12 +271,13 @@
 	return balancer.HealthCheckUnknown
 }
 
-// loadReport reads the count of figures at a position, and the figures behind it. One that is not there is negative.
+// loadReport reads the number of load values at a position and the values after it. A missing value
+// is -1.
 func (in *instance) loadReport(r record, at int) balancer.BackendLoad {
 	load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
-	figures := min(int(r.u8(at)), len(in.loadFields), maxLoadFigures)
-	for i := range figures {
-		x := r.f32(at + loadFiguresAt + loadFigureSize*i)
+	valueCount := min(int(r.u8(at)), len(in.loadFields), maxLoadValues)
+	for i := range valueCount {
+		x := r.f32(at + loadValuesAt + loadValueSize*i)
 		switch in.loadFields[i] {
 		case loadCPU:
 			load.CPUUtilization = x
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -11,7 +11,7 @@
 	"wheelrill/internal/settings"
 )
 
-// Sizes of what frames and replies consist of, in bytes.
+// Sizes of the parts of frames and replies, in bytes.
 const (
 	frameHeaderSize = 20
 	replyHeaderSize = 12
@@ -20,16 +20,18 @@
 	endpointSize    = 22
 )
 
-// Frame is the events that the simulator sends at once. Its bytes stay valid until the next read into the same buffer.
+// Frame is a batch of events that the simulator sends at one clock time. Its bytes are valid until
+// the next read into the same buffer.
 type Frame struct {
 	Clock   float64 // simulated time in milliseconds
 	Number  uint32  // the frame's number, which its reply repeats
-	records []byte
-	tail    []byte
+	records []byte  // events of eventSize bytes
+	tail    []byte  // texts and lists that the events refer to
 }
 
-// ReadFrame reads one frame by way of a buffer that the caller keeps. It returns io.EOF where the input ends between
-// frames, and another error where it ends or is wrong within one.
+// ReadFrame reads one frame into a buffer that the caller reuses. It returns io.EOF if the input
+// ends between two frames, and another error if the input ends within a frame or the frame is
+// invalid.
 func ReadFrame(r io.Reader, body *bytes.Buffer) (Frame, error) {
 	var head [frameHeaderSize]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
@@ -51,7 +53,7 @@
 		return Frame{}, fmt.Errorf("frame %d: %d records do not fit in %d bytes", frame.Number, count, length)
 	}
 	body.Reset()
-	// The buffer grows with what arrives, so that a wrong length costs no memory.
+	// The buffer grows only as bytes arrive, so that a wrong length does not allocate memory.
 	if n, err := io.CopyN(body, r, int64(length)); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Frame{}, fmt.Errorf("frame %d: input ended after %d of %d bytes", frame.Number, n, length)
@@ -64,17 +66,18 @@
 	return frame, nil
 }
 
-// EventCount is the number of the frame's events.
+// EventCount returns the number of events in the frame.
 func (f Frame) EventCount() int { return len(f.records) / eventSize }
 
 func (f Frame) event(i int) record {
 	return record{f.records[i*eventSize : (i+1)*eventSize], f.tail}
 }
 
-// record is one event, or one entry of an endpoint list; fields are read by their byte position (layout.go).
+// record is one event, or one entry of an endpoint list. Its fields are read by byte position, see
+// layout.go.
 type record struct {
 	raw  []byte
-	tail []byte // of the whole frame
+	tail []byte // tail of the whole frame
 }
 
 func (r record) code() eventCode   { return eventCode(r.raw[codeAt]) }
@@ -83,19 +86,21 @@
 func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r.raw[at:]) }
 func (r record) u64(at int) uint64 { return binary.LittleEndian.Uint64(r.raw[at:]) }
 
-// f32 and f64 give 0 for what is negative, infinite or not a number.
+// f32 reads a float32. It returns 0 for a value that is negative, infinite or not a number.
 func (r record) f32(at int) float64 {
 	return settings.Sanitize(float64(math.Float32frombits(r.u32(at))))
 }
 
+// f64 reads a float64. It returns 0 for a value that is negative, infinite or not a number.
 func (r record) f64(at int) float64 {
 	return settings.Sanitize(math.Float64frombits(r.u64(at)))
 }
 
-// microseconds reads a time, which the wire has in milliseconds.
+// microseconds reads a time, which the protocol has in milliseconds.
 func (r record) microseconds(at int) int64 { return settings.FromMilliseconds(r.f64(at)) }
 
-// tailOf gives the part of the tail that the field at this position names, with the size in bytes of each counted item.
+// tailOf returns the part of the tail that the text or list field at this position refers to. The
+// field counts items of itemSize bytes.
 func (r record) tailOf(at, itemSize int) ([]byte, error) {
 	from := uint64(r.u32(at))
 	size := uint64(r.u32(at+textSizeAt)) * uint64(itemSize)
@@ -106,21 +111,21 @@
 	return r.tail[from : from+size], nil
 }
 
-// Reply collects the actions that answer one frame.
+// Reply is the list of actions in answer to one frame.
 type Reply struct {
-	number  uint32
-	records []byte
-	tail    []byte
+	number  uint32 // number of the frame
+	records []byte // actions of actionSize bytes
+	tail    []byte // texts that the actions refer to
 }
 
-// Reset empties the reply, and gives it the number of the frame that it answers.
+// Reset removes all actions and sets the number of the frame to answer.
 func (p *Reply) Reset(number uint32) {
 	p.number = number
 	p.records = p.records[:0]
 	p.tail = p.tail[:0]
 }
 
-// add appends an action and gives its bytes, zero but for code and instance.
+// add appends an action and returns its bytes; all fields except code and instance are zero.
 func (p *Reply) add(code actionCode, instance uint16) action {
 	from := len(p.records)
 	p.records = append(p.records, make([]byte, actionSize)...)
@@ -130,7 +135,7 @@
 	return a
 }
 
-// addText appends an action whose one field is a text in the tail.
+// addText appends an action whose only field is a text in the tail.
 func (p *Reply) addText(code actionCode, instance uint16, text string) {
 	a := p.add(code, instance)
 	a.putU32(textAt, uint32(len(p.tail)))
@@ -138,7 +143,7 @@
 	p.tail = append(p.tail, text...)
 }
 
-// WriteTo writes the reply, and gives the number of bytes written.
+// WriteTo writes the reply and returns the number of bytes written.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	var head [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(head[replyCountAt:], uint32(len(p.records)/actionSize))
@@ -155,7 +160,7 @@
 	return total, nil
 }
 
-// action is the bytes of one action; fields are written by their byte position (layout.go).
+// action holds the bytes of one action. Its fields are written by byte position, see layout.go.
 type action []byte
 
 func (a action) putU16(at int, x uint16)  { binary.LittleEndian.PutUint16(a[at:], x) }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -22,8 +22,8 @@
 	value any
 }
 
-// message builds a record of a code from fields.
-func message(code byte, fields ...field) []byte {
+// eventRecord returns the bytes of an event.
+func eventRecord(code byte, fields ...field) []byte {
 	r := make([]byte, eventSize)
 	r[0] = code
 	for _, f := range fields {
@@ -32,33 +32,34 @@
 	return r
 }
 
+// put encodes a value at the start of a buffer.
 func put(to []byte, value any) {
 	if err := func() error { _, err := binary.Encode(to, binary.LittleEndian, value); return err }(); err != nil {
 		panic(err)
 	}
 }
 
-// listed builds one entry of a list of backends.
-func listed(id uint32, condition, zone byte, started float64, weight float32) []byte {
+// endpointEntry returns the bytes of one entry of an endpoint list.
+func endpointEntry(id uint32, state, zone byte, started float64, weight float32) []byte {
 	e := make([]byte, endpointSize)
 	put(e, started)
-	e[10] = condition
+	e[10] = state
 	put(e[11:], weight)
 	e[17] = zone
 	put(e[18:], id)
 	return e
 }
 
-// framed builds a frame at a clock time in milliseconds.
-func framed(clock float64, number uint32, tail []byte, records ...[]byte) []byte {
+// frameAt returns the bytes of a frame with a number and a clock time in milliseconds.
+func frameAt(clock float64, number uint32, tail []byte, records ...[]byte) []byte {
 	raw := frame(tail, records...)
 	put(raw[4:], clock)
 	put(raw[16:], number)
 	return raw
 }
 
-// hexed shows a reply by its head, its actions and its tail.
-func hexed(reply []byte) string {
+// hexDump returns a reply as text: header and actions in hex, and the tail as a quoted string.
+func hexDump(reply []byte) string {
 	text := "  head " + hex.EncodeToString(reply[:replyHeaderSize]) + "\n"
 	rest := reply[replyHeaderSize:]
 	for range binary.LittleEndian.Uint32(reply) {
@@ -68,7 +69,7 @@
 	return text + fmt.Sprintf("  tail %q\n", rest)
 }
 
-// Positions in the record of a log line, and in the head of a reply.
+// Code of a log action, and positions in its record.
 const (
 	logActionCode   = 67
 	textOffsetAt    = 3
@@ -76,52 +77,55 @@
 	logTextFieldEnd = 11
 )
 
-// hexedWithoutLogTexts shows a reply as hexed does, but gives the texts of log lines apart, as they are for people: their
-// places and lengths count as 0, and the reply's length as if they were not in its tail.
-func hexedWithoutLogTexts(reply []byte) (shown string, logTexts []string) {
+// hexDumpWithoutLogTexts returns a hexDump without the texts of log lines, and these texts apart,
+// because they are for operators. In the dump their offsets and lengths are 0, and the reply's
+// length does not include them.
+func hexDumpWithoutLogTexts(reply []byte) (dump string, logTexts []string) {
 	reply = bytes.Clone(reply)
 	count := int(binary.LittleEndian.Uint32(reply))
 	tail := reply[replyHeaderSize+count*actionSize:]
-	kept, removed := tail, 0
+	tailWithoutLogs, removed := tail, 0
 	for i := range count {
 		action := reply[replyHeaderSize+i*actionSize:][:actionSize]
 		if action[0] != logActionCode {
 			continue
 		}
-		offset, length := binary.LittleEndian.Uint32(action[textOffsetAt:]), binary.LittleEndian.Uint32(action[textLengthAt:])
+		offset := binary.LittleEndian.Uint32(action[textOffsetAt:])
+		length := binary.LittleEndian.Uint32(action[textLengthAt:])
 		line := string(tail[offset:][:length])
 		logTexts = append(logTexts, line)
-		kept = bytes.Replace(kept, []byte(line), nil, 1)
+		tailWithoutLogs = bytes.Replace(tailWithoutLogs, []byte(line), nil, 1)
 		removed += len(line)
 		clear(action[textOffsetAt:logTextFieldEnd])
 	}
-	binary.LittleEndian.PutUint32(reply[replyLengthAt:], binary.LittleEndian.Uint32(reply[replyLengthAt:])-uint32(removed))
-	return hexed(append(reply[:replyHeaderSize+count*actionSize], kept...)), logTexts
+	length := binary.LittleEndian.Uint32(reply[replyLengthAt:])
+	binary.LittleEndian.PutUint32(reply[replyLengthAt:], length-uint32(removed))
+	return hexDump(append(reply[:replyHeaderSize+count*actionSize], tailWithoutLogs...)), logTexts
 }
 
-// simulated is a stretch of a simulator's run: frames of events by time, with every event code.
-type simulated struct {
-	frames []simulatedFrame
+// eventScript is a sequence of frames as a simulator sends them, in the order of their clock times.
+type eventScript struct {
+	frames []scriptedFrame
 }
 
-type simulatedFrame struct {
-	clock   float64
+type scriptedFrame struct {
+	clock   float64 // in milliseconds
 	tail    []byte
 	records [][]byte
 }
 
-func (s *simulated) at(clock float64, tail []byte, records ...[]byte) {
-	s.frames = append(s.frames, simulatedFrame{clock, tail, records})
+func (s *eventScript) addFrame(clock float64, tail []byte, records ...[]byte) {
+	s.frames = append(s.frames, scriptedFrame{clock, tail, records})
 }
 
-// timer is a sleep that an instance asked for.
+// timer is a timer that an instance has set.
 type timer struct {
-	due      float64
+	due      float64 // clock time in milliseconds
 	instance uint16
 	tag      uint64
 }
 
-const probing = `azs=a,b
+const pollingSettings = `azs=a,b
 familyInfo.admission=fraction
 familyInfo.backlog=900
 familyInfo.egressPerS=900
@@ -148,7 +152,7 @@
 weights=live
 `
 
-const sliced = `azs=a,b
+const shardSettings = `azs=a,b
 familyInfo.admission=per_second
 familyInfo.backlog=900
 familyInfo.egressPerS=900
@@ -168,89 +172,104 @@
 rules.stopSendingWithin=3000
 `
 
-// script has three instances: one that probes and asks for the list, one with slices and one that cannot start.
-func script() *simulated {
-	s := &simulated{}
+// newEventScript returns a script with every event code and three instances: one that checks
+// backends' health and polls the endpoint list, one with shards, and one with unusable settings.
+func newEventScript() *eventScript {
+	s := &eventScript{}
 	start := func(id uint16, seed uint64, at, size int) []byte {
-		return message(0, field{1, id}, field{3, seed}, field{11, uint32(at)}, field{15, uint32(size)})
+		return eventRecord(0, field{1, id}, field{3, seed}, field{11, uint32(at)}, field{15, uint32(size)})
 	}
-	broken := strings.Replace(probing, "familyInfo.backlog", "familyInfo.Backlogs", 1)
-	s.at(0, []byte(probing+sliced+broken), start(1, 7, 0, len(probing)), start(2, 8, len(probing), len(sliced)),
-		start(3, 9, len(probing)+len(sliced), len(broken)))
+	unusableSettings := strings.Replace(pollingSettings, "familyInfo.backlog", "familyInfo.Backlogs", 1)
+	s.addFrame(0, []byte(pollingSettings+shardSettings+unusableSettings), start(1, 7, 0, len(pollingSettings)),
+		start(2, 8, len(pollingSettings), len(shardSettings)),
+		start(3, 9, len(pollingSettings)+len(shardSettings), len(unusableSettings)))
 	var list []byte
 	for i := range 6 {
-		list = append(list, listed(uint32(100+i), 1, byte(i%2), float64(i*10), 1)...)
+		list = append(list, endpointEntry(uint32(100+i), 1, byte(i%2), float64(i*10), 1)...)
 	}
-	list = append(list, listed(106, 2, 0, 0, 1)...)
-	list = append(list, listed(107, 9, 1, 0, 0.5)...)
-	list = append(list, listed(108, 1, 7, 0, 1)...)
-	roster := func(number, at, count int) []byte {
-		return message(14, field{1, uint32(number)}, field{5, uint32(at)}, field{9, uint32(count)})
+	list = append(list, endpointEntry(106, 2, 0, 0, 1)...)
+	list = append(list, endpointEntry(107, 9, 1, 0, 0.5)...)
+	list = append(list, endpointEntry(108, 1, 7, 0, 1)...)
+	endpointList := func(number, at, count int) []byte {
+		return eventRecord(14, field{1, uint32(number)}, field{5, uint32(at)}, field{9, uint32(count)})
 	}
-	fleet := func(id uint16, number int, how byte) []byte {
-		return message(1, field{1, id}, field{3, uint32(number)}, field{7, how})
+	endpointsUpdated := func(id uint16, number int, kind byte) []byte {
+		return eventRecord(1, field{1, id}, field{3, uint32(number)}, field{7, kind})
 	}
-	joined := func(id, proxy uint16, zone byte) []byte {
-		return message(6, field{1, id}, field{4, float32(1)}, field{8, zone}, field{9, proxy})
+	proxyConnected := func(id, proxy uint16, zone byte) []byte {
+		return eventRecord(6, field{1, id}, field{4, float32(1)}, field{8, zone}, field{9, proxy})
 	}
-	s.at(1, list, roster(0, 0, 9), roster(16, 0, 1), fleet(1, 0, 1), fleet(2, 0, 0), fleet(1, 0, 4), fleet(1, 16, 1))
-	s.at(2, nil, joined(1, 40, 0), joined(1, 41, 1), joined(1, 42, 0), joined(2, 50, 0), joined(2, 51, 1), joined(1, 43, 5))
-	for slice := range uint16(4) {
-		s.at(3, nil, message(13, field{1, uint16(2)}, field{3, slice}, field{5, uint32(100 + slice)}, field{9, float32(1)}),
-			message(12, field{1, uint16(2)}, field{3, slice}, field{5, byte(1)}))
+	s.addFrame(1, list, endpointList(0, 0, 9), endpointList(16, 0, 1), endpointsUpdated(1, 0, 1),
+		endpointsUpdated(2, 0, 0), endpointsUpdated(1, 0, 4), endpointsUpdated(1, 16, 1))
+	s.addFrame(2, nil, proxyConnected(1, 40, 0), proxyConnected(1, 41, 1), proxyConnected(1, 42, 0),
+		proxyConnected(2, 50, 0), proxyConnected(2, 51, 1), proxyConnected(1, 43, 5))
+	for shard := range uint16(4) {
+		s.addFrame(3, nil,
+			eventRecord(13, field{1, uint16(2)}, field{3, shard}, field{5, uint32(100 + shard)}, field{9, float32(1)}),
+			eventRecord(12, field{1, uint16(2)}, field{3, shard}, field{5, byte(1)}))
 	}
-	s.at(4, nil, message(12, field{1, uint16(2)}, field{3, uint16(1)}, field{5, byte(0)}), message(4, field{1, uint16(1)}), message(99))
+	s.addFrame(4, nil, eventRecord(12, field{1, uint16(2)}, field{3, uint16(1)}, field{5, byte(0)}),
+		eventRecord(4, field{1, uint16(1)}), eventRecord(99))
 	for second := 1; second <= 40; second++ {
 		clock := float64(second * 1000)
 		var events [][]byte
 		for b := range uint32(6) {
-			tries, failed := uint32(50), uint32(0)
+			attempts, failures := uint32(50), uint32(0)
 			if b == 2 && second > 5 && second < 12 {
-				failed = 50
+				failures = 50
 			}
 			mean := 300.0
 			if second > 20 && second < 30 {
 				mean = 4000
 			}
-			stats := func(id uint16) []byte {
-				return message(9, field{1, id}, field{3, byte(b % 2)}, field{4, 100 + b}, field{8, tries}, field{12, failed}, field{16, mean},
-					field{24, 2 * mean}, field{32, byte(3)}, field{33, float32(0.9)}, field{37, float32(mean / 100)}, field{41, float32(0.2)})
+			outcomes := func(id uint16) []byte {
+				return eventRecord(9, field{1, id}, field{3, byte(b % 2)}, field{4, 100 + b}, field{8, attempts},
+					field{12, failures}, field{16, mean}, field{24, 2 * mean}, field{32, byte(3)},
+					field{33, float32(0.9)}, field{37, float32(mean / 100)}, field{41, float32(0.2)})
 			}
-			events = append(events, stats(1), stats(2))
+			events = append(events, outcomes(1), outcomes(2))
 		}
 		for p := range uint16(3) {
-			events = append(events, message(10, field{1, uint16(1)}, field{3, 40 + p}, field{5, byte(p % 2)}, field{6, uint32(200 * (1 + second/20))}, field{14, 1000.0}),
-				message(8, field{1, uint16(1)}, field{3, 40 + p}, field{5, uint64(second)}))
+			events = append(events,
+				eventRecord(10, field{1, uint16(1)}, field{3, 40 + p}, field{5, byte(p % 2)},
+					field{6, uint32(200 * (1 + second/20))}, field{14, 1000.0}),
+				eventRecord(8, field{1, uint16(1)}, field{3, 40 + p}, field{5, uint64(second)}))
 		}
-		for slice := range uint16(4) {
-			events = append(events, message(11, field{1, uint16(2)}, field{3, slice}, field{5, byte(0)}, field{6, uint32(150)}, field{14, 1000.0}))
+		for shard := range uint16(4) {
+			events = append(events, eventRecord(11, field{1, uint16(2)}, field{3, shard}, field{5, byte(0)},
+				field{6, uint32(150)}, field{14, 1000.0}))
 		}
 		for code := range uint16(8) {
-			events = append(events, message(3, field{1, uint16(1)}, field{3, uint32(100 + code%6)}, field{7, code}))
+			events = append(events, eventRecord(3, field{1, uint16(1)}, field{3, uint32(100 + code%6)}, field{7, code}))
 		}
-		s.at(clock, nil, events...)
+		s.addFrame(clock, nil, events...)
 		if second == 15 {
-			s.at(clock+1, nil, fleet(1, 0, 3), message(7, field{1, uint16(1)}, field{3, uint16(41)}))
+			s.addFrame(clock+1, nil, endpointsUpdated(1, 0, 3),
+				eventRecord(7, field{1, uint16(1)}, field{3, uint16(41)}))
 		}
 		if second == 18 {
 			list[10], list[endpointSize+10] = 2, 0
-			s.at(clock+1, list, roster(0, 0, 6), fleet(1, 0, 0), fleet(2, 0, 1))
+			s.addFrame(clock+1, list, endpointList(0, 0, 6), endpointsUpdated(1, 0, 0), endpointsUpdated(2, 0, 1))
 		}
 	}
-	s.at(41_000, nil, message(5, field{1, uint16(1)}), message(2, field{1, uint16(1)}), message(2, field{1, uint16(2)}))
+	s.addFrame(41_000, nil, eventRecord(5, field{1, uint16(1)}), eventRecord(2, field{1, uint16(1)}),
+		eventRecord(2, field{1, uint16(2)}))
 	return s
 }
 
-// TestRepliesAreAsBefore plays a script that has every event code, and keeps each byte that is answered.
-func TestRepliesAreAsBefore(t *testing.T) {
+// TestRepliesMatchGoldenFiles guards against any change of the replies to the simulator. It runs a
+// script with every event code and compares all bytes of the replies, the logged lines, and the
+// warnings.
+func TestRepliesMatchGoldenFiles(t *testing.T) {
 	var log strings.Builder
 	server, body, text, number := NewServer(&log), bytes.Buffer{}, "", uint32(0)
-	logged := ""
+	logLines := ""
 	seen, timers := map[byte]bool{}, []timer{}
 	exchange := func(clock float64, tail []byte, records ...[]byte) {
 		t.Helper()
 		number++
-		frame, err := ReadFrame(bytes.NewReader(framed(clock, number, tail, records...)), &body)
+		input := bytes.NewReader(frameAt(clock, number, tail, records...))
+		frame, err := ReadFrame(input, &body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -265,20 +284,21 @@
 		if n, err := reply.WriteTo(&out); err != nil || n != int64(out.Len()) {
 			t.Fatalf("wrote %d of %d bytes: %v", n, out.Len(), err)
 		}
-		shown, logTexts := hexedWithoutLogTexts(out.Bytes())
-		text += fmt.Sprintf("frame %d at %v ms\n", frame.Number, frame.Clock) + shown
+		dump, logTexts := hexDumpWithoutLogTexts(out.Bytes())
+		text += fmt.Sprintf("frame %d at %v ms\n", frame.Number, frame.Clock) + dump
 		for _, line := range logTexts {
-			logged += fmt.Sprintf("frame %d: %s\n", number, line)
+			logLines += fmt.Sprintf("frame %d: %s\n", number, line)
 		}
 		for i := range int(binary.LittleEndian.Uint32(out.Bytes())) {
 			action := out.Bytes()[replyHeaderSize+i*actionSize:]
 			if action[0] == 64 {
 				wait := math.Float64frombits(binary.LittleEndian.Uint64(action[3:]))
-				timers = append(timers, timer{clock + wait, binary.LittleEndian.Uint16(action[1:]), binary.LittleEndian.Uint64(action[11:])})
+				instance, tag := binary.LittleEndian.Uint16(action[1:]), binary.LittleEndian.Uint64(action[11:])
+				timers = append(timers, timer{clock + wait, instance, tag})
 			}
 		}
 	}
-	for _, frame := range script().frames {
+	for _, frame := range newEventScript().frames {
 		for {
 			slices.SortStableFunc(timers, func(a, b timer) int { return cmp.Compare(a.due, b.due) })
 			if len(timers) == 0 || timers[0].due > frame.clock {
@@ -286,37 +306,39 @@
 			}
 			next := timers[0]
 			timers = timers[1:]
-			exchange(next.due, nil, message(2, field{1, next.instance}, field{3, next.tag}))
+			exchange(next.due, nil, eventRecord(2, field{1, next.instance}, field{3, next.tag}))
 		}
 		exchange(frame.clock, frame.tail, frame.records...)
 	}
 	for code := range byte(15) {
 		if !seen[code] {
-			t.Errorf("the script has no event of code %d", code)
+			t.Errorf("the script has no event with code %d", code)
 		}
 	}
 	for _, code := range []byte{64, 65, 67, 68, 69, 71, 73, 74, 75, 76} {
 		if !strings.Contains(text, fmt.Sprintf("\n  %02x0", code)) {
-			t.Errorf("no action of code %d is answered", code)
+			t.Errorf("no reply has an action with code %d", code)
 		}
 	}
 	text += "complaints\n"
 	for line := range strings.Lines(log.String()) {
-		_, what, _ := strings.Cut(line, ": ") // without the program's name
-		text += what
+		_, warning, _ := strings.Cut(line, ": ") // without the program's name
+		text += warning
 	}
 	golden.Compare(t, "replies.golden", text)
-	golden.Compare(t, "replies-log.golden", logged)
+	golden.Compare(t, "replies-log.golden", logLines)
 }
 
-// TestActionsAreWrittenAsBefore keeps the bytes of each action, with values that tell its fields apart.
-func TestActionsAreWrittenAsBefore(t *testing.T) {
+// TestActionsMatchGoldenFile guards against any change of an action's bytes. Fields have different
+// values, so that swapped fields are detected.
+func TestActionsMatchGoldenFile(t *testing.T) {
 	text := ""
 	for _, action := range []struct {
 		name string
 		call func(in *instance)
 	}{
-		{"sleep 1234.567 ms, tag 0x0102030405060708", func(in *instance) { in.SetTimer(1_234_567, 0x0102030405060708) }},
+		{"sleep 1234.567 ms, tag 0x0102030405060708",
+			func(in *instance) { in.SetTimer(1_234_567, 0x0102030405060708) }},
 		{"check backend 77001", func(in *instance) { in.CheckHealth(1) }},
 		{"emit about backend 77001", func(in *instance) { in.Log(1, "is back") }},
 		{"emit about none", func(in *instance) { in.Log(-1, "began") }},
@@ -325,20 +347,25 @@
 		{"bind proxy 515 to table 258, classes 0x0a05", func(in *instance) { in.AssignTable(258, 1, 0x0a05) }},
 		{"withdraw backend 77001", func(in *instance) { in.Withdraw(1, true) }},
 		{"restore backend 77001", func(in *instance) { in.Withdraw(1, false) }},
-		{"level 0.5 in table 258, classes 0x0a05, tries 2", func(in *instance) { in.SetAdmissionLimit(258, 0x0a05, 0.5, 2) }},
-		{"level 1200 everywhere, classes 1, tries 0", func(in *instance) { in.SetAdmissionLimit(balancer.AllTables, 1, 1200, 0) }},
+		{"level 0.5 in table 258, classes 0x0a05, tries 2",
+			func(in *instance) { in.SetAdmissionLimit(258, 0x0a05, 0.5, 2) }},
+		{"level 1200 everywhere, classes 1, tries 0",
+			func(in *instance) { in.SetAdmissionLimit(balancer.AllTables, 1, 1200, 0) }},
 		{"mark 77 of those that are reached", func(in *instance) { in.RequestAck(77, false) }},
 		{"mark 78 of all", func(in *instance) { in.RequestAck(78, true) }},
-		{"nothing for a proxy that came later", func(in *instance) { in.SyncWithdrawals(1, 1, 0); in.ClearWithdrawals(1) }},
+		{"nothing for a proxy that came later", func(in *instance) {
+			in.SyncWithdrawals(1, 1, 0)
+			in.ClearWithdrawals(1)
+		}},
 		{"panic", func(in *instance) { in.abortOnPanic(func() { panic("broken") }) }},
 	} {
 		server := NewServer(io.Discard)
 		in := &instance{server: server, id: 0x0403}
 		for _, id := range []uint32{77000, 77001} {
-			in.backends.number(id)
+			in.backends.numberOf(id)
 		}
 		for _, id := range []uint32{514, 515} {
-			in.proxies.number(id)
+			in.proxies.numberOf(id)
 		}
 		server.reply.Reset(9)
 		action.call(in)
@@ -346,16 +373,18 @@
 		if _, err := server.reply.WriteTo(&out); err != nil {
 			t.Fatal(err)
 		}
-		text += action.name + "\n" + hexed(out.Bytes())
+		text += action.name + "\n" + hexDump(out.Bytes())
 	}
 	golden.Compare(t, "actions.golden", text)
 }
 
-// TestFramesAreRefusedAsBefore keeps what is said of input that cannot be read.
-func TestFramesAreRefusedAsBefore(t *testing.T) {
-	good := framed(5, 3, []byte(probing), message(0, field{1, uint16(1)}, field{15, uint32(len(probing))}))
-	altered := func(at int, value any) []byte {
-		raw := bytes.Clone(good)
+// TestRefusedFramesMatchGoldenFile guards against malformed frames that are accepted, or refused
+// with another error.
+func TestRefusedFramesMatchGoldenFile(t *testing.T) {
+	validFrame := frameAt(5, 3, []byte(pollingSettings),
+		eventRecord(0, field{1, uint16(1)}, field{15, uint32(len(pollingSettings))}))
+	withValue := func(at int, value any) []byte {
+		raw := bytes.Clone(validFrame)
 		put(raw[at:], value)
 		return raw
 	}
@@ -364,11 +393,13 @@
 		name string
 		raw  []byte
 	}{
-		{"empty", nil}, {"cut in the head", good[:7]}, {"cut in the records", good[:40]}, {"cut in the tail", good[:len(good)-1]},
-		{"a length that never comes", altered(0, uint32(1<<31))}, {"more records than bytes", altered(12, uint32(1<<30))},
-		{"a clock that is not a number", altered(4, math.NaN())}, {"a clock without end", altered(4, math.Inf(1))},
-		{"settings outside the tail", altered(frameHeaderSize+15, uint32(5000))},
-		{"a list outside the tail", framed(5, 3, nil, message(14, field{9, uint32(1)}))},
+		{"empty", nil}, {"cut in the head", validFrame[:7]}, {"cut in the records", validFrame[:40]},
+		{"cut in the tail", validFrame[:len(validFrame)-1]},
+		{"a length that never comes", withValue(0, uint32(1<<31))},
+		{"more records than bytes", withValue(12, uint32(1<<30))},
+		{"a clock that is not a number", withValue(4, math.NaN())}, {"a clock without end", withValue(4, math.Inf(1))},
+		{"settings outside the tail", withValue(frameHeaderSize+15, uint32(5000))},
+		{"a list outside the tail", frameAt(5, 3, nil, eventRecord(14, field{9, uint32(1)}))},
 	} {
 		server, body, in, err := NewServer(io.Discard), bytes.Buffer{}, bytes.NewReader(input.raw), error(nil)
 		for err == nil {
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -6,19 +6,20 @@
 	"wheelrill/balancer"
 )
 
-// The methods of balancer.Host: each appends one action to the reply in hand.
+// The methods of balancer.Host. Each action is appended to the current reply.
 
-// Now is the simulated time of the frame in hand, in µs.
+// Now returns the simulated time of the current frame, in microseconds.
 func (in *instance) Now() int64 { return in.server.now }
 
-// SetTimer asks for eventTimerFired with the tag once the wait, in µs, is over.
+// SetTimer requests an eventTimerFired with the tag after a wait in microseconds.
 func (in *instance) SetTimer(wait int64, tag uint64) {
-	a := in.act(actionSetTimer)
+	a := in.newAction(actionSetTimer)
 	a.putF64(timerWaitAt, float64(wait)/microsecondsPerMillisecond)
 	a.putU64(timerTagAt, tag)
 }
 
-// Log writes a line to the simulator's log, about a backend, or about none if it is negative.
+// Log writes a line to the simulator's log; a line about a backend starts with its id, and -1
+// stands for no backend.
 func (in *instance) Log(backend int, line string) {
 	if backend >= 0 {
 		line = fmt.Sprintf("backend %d %s", in.backends.ids[backend], line)
@@ -26,59 +27,65 @@
 	in.server.reply.addText(actionLog, in.id, line)
 }
 
-// PollEndpoints asks discovery for what changed, and for changes from now on.
-func (in *instance) PollEndpoints() { in.act(actionPollEndpoints).putBool(pollFollowAt, true) }
+// PollEndpoints requests the changes of the endpoint list from discovery, now and whenever the list
+// changes.
+func (in *instance) PollEndpoints() { in.newAction(actionPollEndpoints).putBool(pollFollowAt, true) }
 
 // CheckHealth starts a health check of a backend.
 func (in *instance) CheckHealth(backend int) {
-	in.act(actionCheckHealth).putU32(checkBackendAt, in.backends.ids[backend])
+	in.newAction(actionCheckHealth).putU32(checkBackendAt, in.backends.ids[backend])
 }
 
-// PublishEntry sets a backend's weight in a table; a weight of 0 removes the entry.
+// PublishEntry sets the weight of a backend in a table; a weight of 0 removes the entry.
 func (in *instance) PublishEntry(table, backend int, weight float64) {
-	a := in.act(actionPublishEntry)
+	a := in.newAction(actionPublishEntry)
 	a.putU16(publishTableAt, uint16(table))
 	a.putU32(publishBackendAt, in.backends.ids[backend])
 	a.putF32(publishWeightAt, weight)
 }
 
-// AssignTable gives a proxy a table for some classes, a bit for each.
+// AssignTable makes a proxy use a table for a set of classes (bit i is class i).
 func (in *instance) AssignTable(table, proxy int, classes uint16) {
-	a := in.act(actionAssignTable)
+	a := in.newAction(actionAssignTable)
 	a.putU16(assignTableAt, uint16(table))
 	a.putU16(assignProxyAt, uint16(in.proxies.ids[proxy]))
 	a.putU16(assignClassesAt, classes)
 }
 
-// Withdraw has proxies use a backend no more, whatever their tables hold, or use it again. The wire reaches further than
-// balancer.Host asks: it tells all connected proxies, not only those that may hold tables of other controllers.
+// Withdraw makes proxies avoid a backend, whatever entries their tables have, or allows them to use
+// it again. The protocol does more than balancer.Host requires: the action reaches all connected
+// proxies, not only those that may hold tables of other controllers.
 func (in *instance) Withdraw(backend int, withdrawn bool) {
-	a := in.act(actionWithdraw)
+	a := in.newAction(actionWithdraw)
 	a.putU32(withdrawBackendAt, in.backends.ids[backend])
 	a.putBool(withdrawFlagAt, withdrawn)
 }
 
-// SyncWithdrawals has no action on this wire: a withdrawal reaches all connected proxies.
+// SyncWithdrawals returns false: this protocol has no such action, as a withdrawal reaches all
+// connected proxies.
 func (in *instance) SyncWithdrawals(int, float64, balancer.RetryPolicy) bool { return false }
 
-// ClearWithdrawals has none either: a proxy observes the withdrawals of its instance alone.
+// ClearWithdrawals does nothing: this protocol has no such action, as a proxy observes only the
+// withdrawals of its own instance.
 func (in *instance) ClearWithdrawals(int) {}
 
-// SetAdmissionLimit sets how much of some classes the proxies of a table admit, and when they retry.
+// SetAdmissionLimit sets how much of a set of classes (bit i is class i) the proxies of a table
+// admit, and their retry policy.
 func (in *instance) SetAdmissionLimit(table int, classes uint16, limit float64, retry balancer.RetryPolicy) {
-	a := in.act(actionSetAdmissionLimit)
+	a := in.newAction(actionSetAdmissionLimit)
 	a.putU16(limitTableAt, uint16(table))
 	a.putU16(limitClassesAt, classes)
 	a.putF32(limitAt, limit)
 	a[limitRetryAt] = byte(retry)
 }
 
-// RequestAck has the proxies that this reply reaches acknowledge a number, or all connected ones.
-func (in *instance) RequestAck(number int, everyone bool) {
-	a := in.act(actionRequestAck)
+// RequestAck requests an eventAcknowledged with this number from each proxy that this reply reaches
+// or, with allConnected, from each connected proxy.
+func (in *instance) RequestAck(number int, allConnected bool) {
+	a := in.newAction(actionRequestAck)
 	a.putU64(requestNumberAt, uint64(number))
-	a.putBool(requestEveryoneAt, everyone)
+	a.putBool(requestAllConnectedAt, allConnected)
 }
 
-// act appends an action of this instance.
-func (in *instance) act(code actionCode) action { return in.server.reply.add(code, in.id) }
+// newAction appends an action of this instance to the reply.
+func (in *instance) newAction(code actionCode) action { return in.server.reply.add(code, in.id) }
--- a/internal/simwire/layout.go
+++ b/internal/simwire/layout.go
@@ -1,16 +1,17 @@
 package simwire
 
-// Byte positions of the fields that are read or written, by record. Fields that nobody here uses are left out. Numbers are
-// little endian, times are milliseconds as f64, and a text or a list is two u32: where it begins in the frame's tail, and
-// its size.
+// Byte positions of fields in records. Fields that this package neither reads nor writes are left
+// out. Numbers are little endian, and times are milliseconds as f64. A text or a list is a pair of
+// u32: its offset in the frame's tail, and its size (of a text in bytes, of a list in entries).
 
-// microsecondsPerMillisecond is a millisecond of the wire in the balancer's unit. Times that come are converted by
-// settings.FromMilliseconds, which also rounds and refuses what cannot be a time.
+// microsecondsPerMillisecond converts the protocol's unit of time to the balancer's. Times in
+// events are converted by settings.FromMilliseconds instead, which also rounds them and replaces
+// invalid times by 0.
 const microsecondsPerMillisecond = 1000
 
 // Header of a frame of events.
 const (
-	frameLengthAt = 0  // u32, bytes of what follows the header
+	frameLengthAt = 0  // u32, bytes after the header
 	frameClockAt  = 4  // f64, milliseconds
 	frameCountAt  = 12 // u32, events
 	frameNumberAt = 16 // u32
@@ -19,26 +20,26 @@
 // Header of a reply.
 const (
 	replyCountAt  = 0 // u32, actions
-	replyLengthAt = 4 // u32, bytes of what follows the header
+	replyLengthAt = 4 // u32, bytes after the header
 	replyNumberAt = 8 // u32
 )
 
-// textSizeAt is where a text or a list has its size, from its own position on.
+// textSizeAt is the position of the size in the field of a text or a list, relative to the field.
 const textSizeAt = 4
 
-// Every event and action.
+// Fields of every event and action.
 const (
 	codeAt     = 0 // u8
 	instanceAt = 1 // u16; eventEndpointList has none
 )
 
-// eventCreate.
+// Fields of eventCreate.
 const (
 	createSeedAt     = 3  // u64
 	createSettingsAt = 11 // text
 )
 
-// eventEndpointList, and its entries of endpointSize bytes.
+// Fields of eventEndpointList, and of its entries, which have endpointSize bytes.
 const (
 	listNumberAt  = 1 // u32
 	listEntriesAt = 5 // list
@@ -50,107 +51,107 @@
 	endpointBackendAt = 18 // u32
 )
 
-// eventEndpointsUpdated.
+// Fields of eventEndpointsUpdated.
 const (
 	updateListAt = 3 // u32, number of an eventEndpointList
 	updateKindAt = 7 // u8
 )
 
-// eventTimerFired.
+// firedTagAt is the position of the tag in eventTimerFired.
 const firedTagAt = 3 // u64
 
-// eventHealthCheckCompleted.
+// Fields of eventHealthCheckCompleted.
 const (
 	checkedBackendAt = 3 // u32
 	checkedResultAt  = 7 // u16
 )
 
-// eventOutcomesReported.
+// Fields of eventOutcomesReported.
 const (
-	outcomesZoneAt     = 3  // u8, of the proxies
+	outcomesZoneAt     = 3  // u8, zone of the proxies that reported
 	outcomesBackendAt  = 4  // u32
 	outcomesAttemptsAt = 8  // u32
 	outcomesFailuresAt = 12 // u32
 	outcomesMeanAt     = 16 // time, mean answer time
 	outcomesSpanAt     = 24 // time
-	outcomesLoadAt     = 32 // u8, number of figures; then the figures, f32 each
-	loadFiguresAt      = 1  // from there on
-	loadFigureSize     = 4
+	outcomesLoadAt     = 32 // u8, number of load values; the values follow, f32 each
+	loadValuesAt       = 1  // relative to outcomesLoadAt
+	loadValueSize      = 4
 )
 
-// eventProxyConnected.
+// Fields of eventProxyConnected.
 const (
-	connectedRateAt  = 4 // f32, requests a second on ordinary days
+	connectedRateAt  = 4 // f32, baseline demand in requests per second
 	connectedZoneAt  = 8 // u8
 	connectedProxyAt = 9 // u16
 )
 
-// eventProxyDisconnected, eventAcknowledged and eventDemandReported.
+// Fields of eventProxyDisconnected, eventAcknowledged and eventDemandReported.
 const (
 	proxyAt     = 3 // u16
-	ackNumberAt = 5 // u64; eventAcknowledged alone
+	ackNumberAt = 5 // u64; only in eventAcknowledged
 )
 
-// eventDemandReported and eventShardDemandReported.
+// Fields of eventDemandReported and eventShardDemandReported.
 const (
 	demandClassAt = 5  // u8
 	demandCountAt = 6  // u32
 	demandSpanAt  = 14 // time
 )
 
-// eventShardDemandReported, eventShardOwnership and eventShardOwnerStored.
+// Fields of eventShardDemandReported, eventShardOwnership and eventShardOwnerStored.
 const (
 	shardAt         = 3 // u16
-	shardAssignedAt = 5 // u8, a flag; eventShardOwnership alone
-	shardOwnerAt    = 5 // u32, a backend; eventShardOwnerStored alone
-	shardWeightAt   = 9 // f32; the same
+	shardAssignedAt = 5 // u8, a flag; only in eventShardOwnership
+	shardOwnerAt    = 5 // u32, a backend; only in eventShardOwnerStored
+	shardWeightAt   = 9 // f32; only in eventShardOwnerStored
 )
 
-// actionLog and actionAbort.
+// textAt is the position of the text in actionLog and actionAbort.
 const textAt = 3 // text
 
-// actionSetTimer.
+// Fields of actionSetTimer.
 const (
 	timerWaitAt = 3  // time
 	timerTagAt  = 11 // u64
 )
 
-// actionPollEndpoints.
-const pollFollowAt = 3 // u8, a flag: changes are wanted from now on
+// pollFollowAt is the position of the follow flag in actionPollEndpoints.
+const pollFollowAt = 3 // u8, a flag: changes are requested from now on
 
-// actionCheckHealth.
+// checkBackendAt is the position of the backend in actionCheckHealth.
 const checkBackendAt = 3 // u32
 
-// actionPublishEntry.
+// Fields of actionPublishEntry.
 const (
 	publishTableAt   = 3 // u16
 	publishBackendAt = 5 // u32
 	publishWeightAt  = 9 // f32
 )
 
-// actionWithdraw.
+// Fields of actionWithdraw.
 const (
 	withdrawBackendAt = 3 // u32
 	withdrawFlagAt    = 7 // u8, a flag: withdrawn
 )
 
-// actionAssignTable.
+// Fields of actionAssignTable.
 const (
 	assignTableAt   = 3 // u16
 	assignProxyAt   = 5 // u16
-	assignClassesAt = 7 // u16, a bit a class
+	assignClassesAt = 7 // u16, a bit per class
 )
 
-// actionSetAdmissionLimit.
+// Fields of actionSetAdmissionLimit.
 const (
 	limitTableAt   = 3  // u16
-	limitClassesAt = 5  // u16, a bit a class
+	limitClassesAt = 5  // u16, a bit per class
 	limitAt        = 7  // f32
-	limitRetryAt   = 11 // u8
+	limitRetryAt   = 11 // u8, a balancer.RetryPolicy
 )
 
-// actionRequestAck.
+// Fields of actionRequestAck.
 const (
-	requestNumberAt   = 3  // u64
-	requestEveryoneAt = 11 // u8, a flag: all connected proxies
+	requestNumberAt       = 3  // u64
+	requestAllConnectedAt = 11 // u8, a flag: all connected proxies
 )
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -1,9 +1,11 @@
-// Package simwire serves the simulator's wire: it reads frames of events, hands each to the balancer of the instance
-// that it names, and answers with the actions that the balancer asked for.
+// Package simwire implements the simulator's binary protocol: it reads frames of events, passes
+// each event to the balancer of the instance that the event is for, and replies with the actions
+// that the balancer ordered.
 //
-// codes.go maps the wire's words to the field's terms, layout.go has the positions of fields, frame.go frames and records,
-// server.go the instances, events.go what events mean, and host.go what actions are made of. Ids of the wire become small
-// indices here, in the order in which they are first met. Nothing is decided in this package.
+// codes.go maps the protocol's words to the terms of load balancing, layout.go has the positions of
+// fields, frame.go reads frames and writes replies, server.go manages the instances, events.go
+// decodes events, and host.go encodes actions. Ids of the protocol are converted to consecutive
+// numbers, in the order in which the ids first occur. This package makes no balancing decisions.
 package simwire
 
 import (
@@ -16,20 +18,22 @@
 
 const (
 	maxEndpointLists = 16
-	maxWarnings      = 200 // different ones; beyond them the input is not this wire
+	maxWarnings      = 200 // of different texts; more are dropped, the input is then not this protocol
 )
 
-// Server hosts the instances that a simulator drives. Not safe for concurrent use: one frame is handled at a time.
+// Server holds the instances that a simulator drives. It is not safe for concurrent use: it handles
+// one frame at a time.
 type Server struct {
 	log           io.Writer
-	warned        map[string]bool
+	warned        map[string]bool // texts of all warnings so far
 	instances     map[uint16]*instance
-	endpointLists [maxEndpointLists][]byte // as they came, by number
-	now           int64                    // simulated time of the frame in hand, µs
+	endpointLists [maxEndpointLists][]byte // entries as received, by list number
+	now           int64                    // simulated time of the current frame, in microseconds
 	reply         Reply
 }
 
-// NewServer makes a server without instances. What is odd on the wire is written to log, each text once.
+// NewServer returns a server without instances. It writes warnings about unusable events to log,
+// each text once.
 func NewServer(log io.Writer) *Server {
 	return &Server{log: log, warned: map[string]bool{}, instances: map[uint16]*instance{}}
 }
@@ -40,10 +44,11 @@
 		return
 	}
 	s.warned[line] = true
-	fmt.Fprintln(s.log, "simadapter:", line) // a failing log is no reason to stop
+	fmt.Fprintln(s.log, "simadapter:", line) // a failed write is no reason to stop
 }
 
-// Handle plays one frame. The reply is valid until the next call; an error means that the frame was not this wire.
+// Handle handles the events of one frame. The reply is valid until the next call. An error means
+// that the frame does not follow the protocol.
 func (s *Server) Handle(frame Frame) (*Reply, error) {
 	s.reply.Reset(frame.Number)
 	s.now = settings.FromMilliseconds(frame.Clock)
@@ -55,8 +60,9 @@
 	return &s.reply, nil
 }
 
-// handleEvent acts on what concerns the server itself, and hands the rest to its instance. Only an event that points
-// outside of its frame is an error; others that cannot be used are skipped with a warning.
+// handleEvent handles the events that concern the server itself, and passes all others to their
+// instances. Only an event that refers to bytes outside its frame is an error; other unusable
+// events are skipped with a warning.
 func (s *Server) handleEvent(r record) error {
 	switch code := r.code(); {
 	case code > lastEvent:
@@ -79,6 +85,7 @@
 	return nil
 }
 
+// storeEndpointList stores a list for later events that refer to it by number.
 func (s *Server) storeEndpointList(r record) error {
 	entries, err := r.tailOf(listEntriesAt, endpointSize)
 	if err != nil {
@@ -89,12 +96,12 @@
 		s.warn("list number %d is not known", number)
 		return nil
 	}
-	s.endpointLists[number] = append([]byte(nil), entries...) // the frame's bytes are used again
+	s.endpointLists[number] = append([]byte(nil), entries...) // copied, as the buffer is reused
 	return nil
 }
 
-// createInstance starts a balancer with the settings in the frame. One whose settings cannot be used aborts, and the
-// others go on.
+// createInstance starts an instance with the settings in the frame. If the settings are unusable,
+// only this instance aborts.
 func (s *Server) createInstance(r record) error {
 	text, err := r.tailOf(createSettingsAt, 1)
 	if err != nil {
@@ -102,22 +109,23 @@
 	}
 	in := &instance{server: s, id: r.instanceID()}
 	s.instances[in.id] = in
-	read := settings.ParseLines(string(text), s.warn)
+	instanceSettings := settings.ParseLines(string(text), s.warn)
 	config := balancer.Config{
 		Seed:      r.u64(createSeedAt),
-		Channel:   read.PushChannel(),
-		Rules:     read.RuleLimits(),
-		Classes:   read.Classes(),
-		Sharding:  read.Sharding(),
-		Telemetry: read.Telemetry(),
-		Admission: read.AdmissionMode(),
+		Channel:   instanceSettings.PushChannel(),
+		Rules:     instanceSettings.RuleLimits(),
+		Classes:   instanceSettings.Classes(),
+		Sharding:  instanceSettings.Sharding(),
+		Telemetry: instanceSettings.Telemetry(),
+		Admission: instanceSettings.AdmissionMode(),
 	}
-	config.Channel.LimitLines = float64(len(config.Classes)) // this wire repeats the limits of all tables with each message
-	in.loadFields = read.LoadFields()
+	// In this protocol, each message to a proxy repeats the limits of all tables.
+	config.Channel.LimitLines = float64(len(config.Classes))
+	in.loadFields = instanceSettings.LoadFields()
 	in.classes = len(config.Classes)
-	in.zones = len(read.Zones())
+	in.zones = len(instanceSettings.Zones())
 	in.shards = config.Sharding.Count
-	err = read.Err()
+	err = instanceSettings.Err()
 	if err == nil {
 		in.abortOnPanic(func() { in.balancer, err = balancer.New(in, config) })
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// frame builds the bytes of a frame from records, each given as code and the bytes after it.
+// frame returns the bytes of frame 9, at a clock time of 247 ms. A record is its code and the bytes
+// after it, and is padded with zeros.
 func frame(tail []byte, records ...[]byte) []byte {
 	var out []byte
 	for _, r := range records {
@@ -40,7 +41,8 @@
 rules.stopSendingWithin=3000
 `
 
-func create(instance uint16, size int) []byte {
+// createEvent returns an eventCreate with the seed 7 and settings at the start of the tail.
+func createEvent(instance uint16, size int) []byte {
 	r := make([]byte, 19)
 	binary.LittleEndian.PutUint16(r[1:], instance)
 	r[3] = 7 // the seed
@@ -48,8 +50,9 @@
 	return r
 }
 
-// play hands frames to a fresh server and gives the codes of all actions and what was logged.
-func play(t *testing.T, frames ...[]byte) (codes []byte, tails, warnings string, err error) {
+// runFrames passes frames to a new server. It returns the codes of all actions, the tails of all
+// replies, the logged warnings, and the first error.
+func runFrames(t *testing.T, frames ...[]byte) (codes []byte, tails, warnings string, err error) {
 	t.Helper()
 	var log strings.Builder
 	server, body := NewServer(&log), bytes.Buffer{}
@@ -72,74 +75,90 @@
 	}
 }
 
+// TestUnusableInputIsRefusedOrSkipped guards against malformed frames that are accepted, and
+// against unusable events or settings that stop more than the instance they are for.
 func TestUnusableInputIsRefusedOrSkipped(t *testing.T) {
-	good := frame([]byte(sampleSettings), create(3, len(sampleSettings)))
-	t.Run("an instance starts and asks for its timer", func(t *testing.T) {
-		codes, _, logged, err := play(t, good)
+	validFrame := frame([]byte(sampleSettings), createEvent(3, len(sampleSettings)))
+	t.Run("a valid instance starts and sets its timer", func(t *testing.T) {
+		codes, _, logged, err := runFrames(t, validFrame)
 		if err != nil || logged != "" || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) {
-			t.Errorf("codes %v, logged %q, error %v", codes, logged, err)
+			t.Errorf("action codes %v, logged %q, error %v; want only a timer", codes, logged, err)
 		}
 	})
-	huge := frame(nil)
-	binary.LittleEndian.PutUint32(huge, 1<<31)
-	many := frame(nil)
-	binary.LittleEndian.PutUint32(many[12:], 1<<30)
-	unclocked := frame(nil)
-	binary.LittleEndian.PutUint64(unclocked[4:], math.Float64bits(math.NaN()))
+	tooLong := frame(nil)
+	binary.LittleEndian.PutUint32(tooLong, 1<<31)
+	tooManyRecords := frame(nil)
+	binary.LittleEndian.PutUint32(tooManyRecords[12:], 1<<30)
+	nanClock := frame(nil)
+	binary.LittleEndian.PutUint64(nanClock[4:], math.Float64bits(math.NaN()))
 	for name, raw := range map[string][]byte{
-		"cut off in the header":       good[:7],
-		"cut off in the records":      good[:40],
-		"a length that never comes":   huge,
-		"more records than bytes":     many,
-		"a clock that is no number":   unclocked,
-		"a tail offset out of bounds": frame([]byte("short"), create(3, 500)),
+		"cut off in the header":        validFrame[:7],
+		"cut off in the records":       validFrame[:40],
+		"a length above the input's":   tooLong,
+		"more records than bytes":      tooManyRecords,
+		"a clock that is not a number": nanClock,
+		"a tail offset out of bounds":  frame([]byte("short"), createEvent(3, 500)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, _, _, err := play(t, raw); err == nil {
-				t.Error("was taken")
+			if _, _, _, err := runFrames(t, raw); err == nil {
+				t.Error("the frame was accepted, want an error")
 			}
 		})
 	}
-	t.Run("unknown codes, words and instances are skipped and said once", func(t *testing.T) {
+	t.Run("unknown codes, words and instances are skipped with one warning each", func(t *testing.T) {
 		text := strings.Replace(sampleSettings, "=automatic", "=sometimes\nrules.askWithin=10000", 1)
-		codes, _, logged, err := play(t, frame([]byte(text), create(3, len(text)), []byte{77}, []byte{77}, []byte{2, 9}))
-		if err != nil || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) || strings.Count(logged, "event code 77") != 1 ||
+		codes, _, logged, err := runFrames(t, frame([]byte(text), createEvent(3, len(text)), []byte{77}, []byte{77},
+			[]byte{2, 9}))
+		if err != nil || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) ||
+			strings.Count(logged, "event code 77") != 1 ||
 			!strings.Contains(logged, "sometimes") || !strings.Contains(logged, "instance 9") {
-			t.Errorf("codes %v, logged %q, error %v", codes, logged, err)
+			t.Errorf("action codes %v, logged %q, error %v; want only a timer, and one warning each",
+				codes, logged, err)
 		}
 	})
-	t.Run("reports of what was never named, or does not exist, are skipped and said", func(t *testing.T) {
-		codes, _, logged, err := play(t, good, frame(nil, []byte{6, 3, 0, 1, 0, 0, 0, 0, 1, 5, 0}, []byte{10, 3, 0, 77},
-			[]byte{10, 3, 0, 5, 0, 9}, []byte{7, 3, 0, 78}, []byte{8, 3, 0, 79}, []byte{9, 3, 0, 0, 44}, []byte{12, 3, 0, 46}))
+	t.Run("events about unknown proxies, backends, classes and shards are skipped with a warning", func(t *testing.T) {
+		codes, _, logged, err := runFrames(t, validFrame,
+			frame(nil, []byte{6, 3, 0, 1, 0, 0, 0, 0, 1, 5, 0}, []byte{10, 3, 0, 77},
+				[]byte{10, 3, 0, 5, 0, 9}, []byte{7, 3, 0, 78}, []byte{8, 3, 0, 79}, []byte{9, 3, 0, 0, 44},
+				[]byte{12, 3, 0, 46}))
 		for _, want := range []string{"proxy 77", "class 9", "proxy 78", "proxy 79", "backend 44", "slice 46"} {
 			if err != nil || !bytes.Equal(codes, []byte{byte(actionSetTimer)}) || !strings.Contains(logged, want) {
-				t.Errorf("%s: codes %v, logged %q, error %v", want, codes, logged, err)
+				t.Errorf("action codes %v, logged %q, error %v; want only a timer, and a warning about %s",
+					codes, logged, err, want)
 			}
 		}
 	})
 	for _, key := range []string{"familyInfo.egressPerS", "profiles.0.target", "azs", "rules.rampTime"} {
-		t.Run("without "+key+" the instance aborts, and the others go on", func(t *testing.T) {
+		t.Run("without "+key+" only that instance aborts", func(t *testing.T) {
 			text := strings.Replace(sampleSettings, key, "was."+key, 1)
-			codes, tail, _, err := play(t, frame([]byte(text), create(3, len(text))), good, frame(nil, []byte{2, 3}))
-			if err != nil || !bytes.Equal(codes, []byte{byte(actionAbort), byte(actionSetTimer)}) || !strings.Contains(tail, key) {
-				t.Errorf("codes %v, tail %q, error %v", codes, tail, err)
+			codes, tail, _, err := runFrames(t, frame([]byte(text), createEvent(3, len(text))), validFrame,
+				frame(nil, []byte{2, 3}))
+			if err != nil || !bytes.Equal(codes, []byte{byte(actionAbort), byte(actionSetTimer)}) ||
+				!strings.Contains(tail, key) {
+				t.Errorf("action codes %v, tail %q, error %v; want an abort that names %s, and a timer",
+					codes, tail, err, key)
 			}
 		})
 	}
-	t.Run("a panic ends its instance alone", func(t *testing.T) {
+	t.Run("a panic aborts only its instance", func(t *testing.T) {
 		server := NewServer(io.Discard)
 		in := &instance{server: server, id: 4}
 		in.abortOnPanic(func() { panic("index out of range") })
-		if in.balancer != nil || len(server.reply.records) != actionSize || string(server.reply.tail) != "index out of range" {
-			t.Errorf("reply %v %q", server.reply.records, server.reply.tail)
+		if in.balancer != nil || len(server.reply.records) != actionSize ||
+			string(server.reply.tail) != "index out of range" {
+			t.Errorf("actions %v, tail %q; want one abort with the cause of the panic",
+				server.reply.records, server.reply.tail)
 		}
 	})
 }
 
+// FuzzFrames guards against frames that crash the server or an instance, and against malformed
+// replies.
 func FuzzFrames(f *testing.F) {
-	start := frame([]byte(sampleSettings), create(0, len(sampleSettings)))
+	start := frame([]byte(sampleSettings), createEvent(0, len(sampleSettings)))
 	f.Add(start)
-	f.Add(append(bytes.Clone(start), frame(nil, []byte{9, 0, 0, 0, 5}, []byte{6, 0, 0}, []byte{1, 0, 0}, []byte{200})...))
+	f.Add(append(bytes.Clone(start), frame(nil, []byte{9, 0, 0, 0, 5}, []byte{6, 0, 0}, []byte{1, 0, 0},
+		[]byte{200})...))
 	f.Add(start[:33])
 	f.Add(frame(make([]byte, 2*endpointSize), []byte{14, 0, 0, 0, 0, 0, 0, 0, 0, 2}, []byte{1, 0, 0}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -154,10 +173,11 @@
 				return
 			}
 			if reply.number != frame.Number || len(reply.records)%actionSize != 0 {
-				t.Fatal("not a reply to its frame")
+				t.Fatalf("reply %d with %d bytes of actions, want reply %d with a multiple of %d bytes",
+					reply.number, len(reply.records), frame.Number, actionSize)
 			}
 			if bytes.Contains(reply.tail, []byte("runtime error")) {
-				t.Fatalf("the module panicked: %s", reply.tail)
+				t.Fatalf("an instance aborted on a runtime error: %s", reply.tail)
 			}
 		}
 	})
