--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test has made with a file of its testdata folder that an earlier version wrote. It is for
-// tests alone.
+// Package golden compares the output of a test with a file in the testdata folder that an earlier
+// version wrote. Only tests use it.
 package golden
 
 import (
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// update is for whoever changes a format on purpose; CI never sets it.
-var update = flag.Bool("update", false, "write the golden files anew")
+// update is for intended changes of a format; CI never sets it.
+var update = flag.Bool("update", false, "overwrite the golden files with the current output")
 
-// Compare fails the test at the first line in which the text differs from the file testdata/name. With the flag -update it
-// writes the file first.
+// Compare compares a text with the file testdata/name, and fails the test with the first line that
+// differs. With the flag -update, it first overwrites the file with the text.
 func Compare(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -42,10 +42,10 @@
 	}
 }
 
-// Updating tells whether golden files are written anew, for tests that keep other files than texts.
+// Updating reports whether the flag -update is set, for tests whose golden files are not texts.
 func Updating() bool { return *update }
 
-// lineAt is a line, or a word for none.
+// lineAt returns the line at an index, or a placeholder if there is no such line.
 func lineAt(lines []string, i int) string {
 	if i >= len(lines) {
 		return "(no line)"
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// recorder is a test whose failure is noted.
+// recorder is a testing.TB that records its first failure instead of failing.
 type recorder struct {
 	testing.TB
 	failure string
@@ -22,6 +22,8 @@
 	}
 }
 
+// TestCompareNamesTheFirstLineThatDiffers guards against a comparison that accepts a different
+// text, or names a wrong line.
 func TestCompareNamesTheFirstLineThatDiffers(t *testing.T) {
 	t.Chdir(t.TempDir())
 	if err := os.MkdirAll("testdata", 0o755); err != nil {
@@ -30,11 +32,13 @@
 	if err := os.WriteFile(filepath.Join("testdata", "file"), []byte("a\nb\nc"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for got, want := range map[string]string{"a\nb\nc": "", "a\nx\nc": "line 2", "a\nb": "line 3", "a\nb\nc\nd": "line 4"} {
+	for got, want := range map[string]string{"a\nb\nc": "", "a\nx\nc": "line 2", "a\nb": "line 3",
+		"a\nb\nc\nd": "line 4"} {
 		r := &recorder{TB: t}
 		Compare(r, "file", got)
 		if (r.failure == "") != (want == "") || !strings.Contains(r.failure, want) {
-			t.Errorf("%q: failed with %q, want %q", got, r.failure, want)
+			t.Errorf("Compare with %q failed with %q, want a failure that contains %q, or none if that is empty",
+				got, r.failure, want)
 		}
 	}
 }
--- a/internal/process/config.go
+++ b/internal/process/config.go
@@ -9,23 +9,24 @@
 	"path/filepath"
 )
 
-// Ports below those that the system gives to clients: one of the latter could be taken while its controller is down.
+// FreeAddresses chooses ports below the ephemeral range: the system could assign an ephemeral port
+// to a client while the controller on that port is down.
 const (
 	firstPort   = 20_000
-	ports       = 10_000
+	portCount   = 10_000
 	maxAttempts = 1_000
 )
 
-// FreeAddresses gives addresses on loopback that nobody listens on now.
+// FreeAddresses returns n different loopback addresses on which no process listens now.
 func FreeAddresses(n int) (addresses []string, err error) {
-	var listeners []net.Listener // held until all are found, so that each is given once
+	var listeners []net.Listener // open until all are found, so that no address occurs twice
 	defer func() {
 		for _, l := range listeners {
 			l.Close()
 		}
 	}()
 	for attempt := 0; len(addresses) < n; attempt++ {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(ports)))
+		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount)))
 		switch {
 		case err == nil:
 			listeners = append(listeners, l)
@@ -37,7 +38,8 @@
 	return addresses, nil
 }
 
-// WriteConfig writes a value as a file in a folder, readable by its owner alone, and gives the path.
+// WriteConfig writes a value as JSON to a file in a folder, readable only by its owner, and returns
+// the path.
 func WriteConfig(folder, name string, value any) (string, error) {
 	body, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
--- a/internal/process/controller.go
+++ b/internal/process/controller.go
@@ -1,5 +1,5 @@
-// Package process runs controllers as processes of their own on loopback, and watches whether the machine is too busy to
-// judge them by.
+// Package process runs controllers as child processes on loopback, and measures whether the machine
+// is too busy for meaningful results.
 package process
 
 import (
@@ -13,57 +13,60 @@
 	"time"
 )
 
-// Controller is one controller's process. Its fields are set before Start. Not safe for concurrent use, as its caller
-// alone starts and stops it.
+// Controller is a controller in a child process. Its caller sets all exported fields except Up
+// before Start, and clears Up while it suspends the process. It is not safe for concurrent use: a
+// single caller starts and stops it.
 type Controller struct {
-	Name    string   // for messages
+	Name    string   // for error messages
 	Program string   // path of the executable
-	Listen  string   // address that it serves, for Responds
-	Env     []string // in addition to that of this process
-	Args    []string // of the program
-	Log     *os.File // takes its standard output and error; the caller closes it
-	Up      bool     // it runs, and is meant to
+	Listen  string   // address on which it serves, used by Responds
+	Env     []string // in addition to the environment of this process
+	Args    []string // arguments of the program
+	Log     *os.File // receives its standard output and error; closed by the caller
+	Up      bool     // the process is meant to run; set by Start, cleared by Stop
 
 	cmd   *exec.Cmd
-	ended chan struct{} // closed once the process has been waited for
+	ended chan struct{} // closed when Wait has returned
 }
 
-// Time limits of what a controller is asked.
+// Time limits of Stop and Responds.
 const (
-	stopTimeout  = 3 * time.Second // after it, a controller that was told to stop is killed
+	stopTimeout  = 3 * time.Second // a controller that has not exited by then is killed
 	dialTimeout  = 200 * time.Millisecond
 	replyTimeout = 500 * time.Millisecond
 )
 
-// Start begins the process. It is killed when this process ends.
+// Start starts the process. The system kills it when this process exits.
 func (c *Controller) Start() error {
 	c.cmd = exec.Command(c.Program, c.Args...)
 	c.cmd.Env = append(os.Environ(), c.Env...)
 	c.cmd.Stdout = c.Log
 	c.cmd.Stderr = c.Log
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none is left when this process is killed
+	// No child is left running when this process is killed.
+	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", c.Name, err)
 	}
 	c.Up = true
 	c.ended = make(chan struct{})
-	// Ends with the process.
+	// This goroutine ends with the process.
 	go func(cmd *exec.Cmd, ended chan struct{}) {
-		_ = cmd.Wait() // its exit code is in no contract: those who care read its log
+		_ = cmd.Wait() // the exit code is not specified; the log has the cause
 		close(ended)
 	}(c.cmd, c.ended)
 	return nil
 }
 
-// PID is the process's id. Start comes before.
+// PID returns the id of the process. It must not be called before Start.
 func (c *Controller) PID() int { return c.cmd.Process.Pid }
 
-// Signal sends the process a signal, and waits for nothing.
+// Signal sends a signal to the process and does not wait for its effect.
 func (c *Controller) Signal(s syscall.Signal) error { return c.cmd.Process.Signal(s) }
 
-// Stop sends the process SIGTERM or SIGKILL and waits for its end; one that does not end in time is killed.
+// Stop sends SIGTERM or SIGKILL to the process and waits until it exits. A process that does not
+// exit within stopTimeout is killed.
 func (c *Controller) Stop(s syscall.Signal) {
-	_ = c.Signal(s) // an error means that it has ended
+	_ = c.Signal(s) // an error means that it has already exited
 	select {
 	case <-c.ended:
 	case <-time.After(stopTimeout):
@@ -73,7 +76,7 @@
 	c.Up = false
 }
 
-// ExitedUnexpectedly tells whether the process has ended without having been stopped.
+// ExitedUnexpectedly reports whether the process has exited without a call of Stop.
 func (c *Controller) ExitedUnexpectedly() bool {
 	select {
 	case <-c.ended:
@@ -83,7 +86,8 @@
 	}
 }
 
-// Responds tells whether the controller answers a probe, as the platform sends it.
+// Responds reports whether the controller answers a probe, the readiness check that the platform
+// sends.
 func (c *Controller) Responds() bool {
 	conn, err := net.DialTimeout("tcp", c.Listen, dialTimeout)
 	if err != nil {
@@ -98,7 +102,7 @@
 	if _, err := conn.Write(framed); err != nil {
 		return false
 	}
-	header := make([]byte, 4) // of any answer
+	header := make([]byte, 4) // the length of the answer; its content does not matter
 	_, err = io.ReadFull(conn, header)
 	return err == nil
 }
--- a/internal/process/delay.go
+++ b/internal/process/delay.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// DelayMonitor measures how late this process is scheduled. What is measured on a machine that is too busy shows
-// nothing, for or against.
+// DelayMonitor measures by how much the scheduling of this process is delayed. Results from a
+// machine that is too busy are evidence neither for nor against a controller.
 type DelayMonitor struct {
 	stop   chan struct{}   // closed by Stop
-	done   chan struct{}   // closed as the goroutine ends
-	delays []time.Duration // the goroutine's until done is closed, Stop's after
+	done   chan struct{}   // closed when the goroutine ends
+	delays []time.Duration // used only by the goroutine until done is closed, then only by Stop
 }
 
 const sampleInterval = 10 * time.Millisecond
 
-// MaxDelay is what the 99th percentile may be. Beyond it nothing that was timed means anything.
+// MaxDelay is the limit of the 99th percentile of the delays. Above it, measured times are
+// meaningless.
 const MaxDelay = 100 * time.Millisecond
 
-// TooBusy tells whether the machine was too busy, by the 99th percentile of the delays.
+// TooBusy reports whether the machine was too busy, given the 99th percentile of the delays.
 func TooBusy(p99 time.Duration) bool { return p99 > MaxDelay }
 
-// StartDelayMonitor begins to measure, in a goroutine that Stop ends.
+// StartDelayMonitor starts to measure in a goroutine, until Stop is called.
 func StartDelayMonitor() *DelayMonitor {
 	m := &DelayMonitor{stop: make(chan struct{}), done: make(chan struct{})}
 	go m.run()
 	return m
 }
 
+// run measures how much later than sampleInterval a timer fires, until stop is closed.
 func (m *DelayMonitor) run() {
 	defer close(m.done)
 	for {
-		began := time.Now()
+		start := time.Now()
 		select {
 		case <-m.stop:
 			return
 		case <-time.After(sampleInterval):
-			m.delays = append(m.delays, time.Since(began)-sampleInterval)
+			m.delays = append(m.delays, time.Since(start)-sampleInterval)
 		}
 	}
 }
 
-// Stop ends the monitor, and gives the 99th percentile and the longest of the delays. It is called once.
-func (m *DelayMonitor) Stop() (p99, longest time.Duration) {
+// Stop ends the measurement and returns the 99th percentile and the maximum of the delays. It must
+// be called only once.
+func (m *DelayMonitor) Stop() (p99, maxDelay time.Duration) {
 	close(m.stop)
 	<-m.done
 	if len(m.delays) == 0 {
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -44,7 +44,7 @@
 		return
 	}
 	s.warned[line] = true
-	fmt.Fprintln(s.log, "simadapter:", line) // a failed write is no reason to stop
+	fmt.Fprintln(s.log, "simadapter:", line) // the server continues if the write fails
 }
 
 // Handle handles the events of one frame. The reply is valid until the next call. An error means
--- a/internal/testcert/authority.go
+++ b/internal/testcert/authority.go
@@ -1,4 +1,5 @@
-// Package testcert makes an authority for one test that signs certificates for names. It is for tests alone.
+// Package testcert creates a certificate authority for a test, which issues certificates for names.
+// Only tests use it.
 package testcert
 
 import (
@@ -15,27 +16,28 @@
 	"time"
 )
 
-// lifetime is that of certificates; no test is longer.
+// lifetime is the lifetime of all certificates; no test takes longer.
 const lifetime = time.Hour
 
-// Authority signs certificates. Its files are removed with the test.
+// Authority is a certificate authority. Its files are removed when the test ends.
 type Authority struct {
 	folder string
 	key    *ecdsa.PrivateKey
 	cert   *x509.Certificate
 }
 
-// Files are the paths of a certificate for a name, its key, and the certificate of its authority, all in PEM.
+// Files has the paths of a certificate for a name, of its key, and of its authority's certificate,
+// all in PEM.
 type Files struct {
-	// Certificate is for both sides of TLS.
+	// Certificate is valid for TLS servers and TLS clients.
 	Certificate string
-	// Key is that of the certificate.
+	// Key is the private key of Certificate.
 	Key string
-	// Authority is the certificate that signs others.
+	// Authority is the certificate of the authority that issued Certificate.
 	Authority string
 }
 
-// NewAuthority makes an authority for a test.
+// NewAuthority creates a certificate authority for a test.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{
@@ -54,7 +56,7 @@
 	return a
 }
 
-// Issue makes a certificate for a DNS name.
+// Issue creates a key and a certificate for a DNS name.
 func (a *Authority) Issue(t testing.TB, name string) Files {
 	t.Helper()
 	key := newKey(t)
@@ -75,6 +77,7 @@
 	}
 }
 
+// newKey generates a P-256 key.
 func newKey(t testing.TB) *ecdsa.PrivateKey {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -84,7 +87,7 @@
 	return key
 }
 
-// sign gives a certificate for a key, in DER.
+// sign signs a certificate for a public key and returns it in DER.
 func (a *Authority) sign(t testing.TB, certificate *x509.Certificate, key *ecdsa.PublicKey) []byte {
 	t.Helper()
 	der, err := x509.CreateCertificate(rand.Reader, certificate, a.cert, key, a.key)
@@ -94,6 +97,7 @@
 	return der
 }
 
+// write writes DER data as a PEM file and returns its path.
 func (a *Authority) write(t testing.TB, name, kind string, der []byte) (path string) {
 	t.Helper()
 	path = filepath.Join(a.folder, name)
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -32,7 +32,7 @@
 	Subscriber = "subscriber" // receives the changes that the voters accepted
 )
 
-// AllScopes stands for all scopes. It must then be the only item of Distribution.Scopes.
+// AllScopes stands for all scopes. It is valid only as the single item of Distribution.Scopes.
 const AllScopes = "*"
 
 // Limits of the values in the section distribution.
--- a/options/golden_test.go
+++ b/options/golden_test.go
@@ -101,7 +101,8 @@
 				key, _, _ := strings.Cut(line, ":")
 				title := fmt.Sprintf("line %d, %s, ", i+1, strings.TrimSpace(key))
 				leftOut := parseResult(replaceLine(""))
-				// Without a section, several keys are unknown, and the error names any of them.
+				// Without a section, several keys are unknown, and the error is about an arbitrary
+				// one.
 				if !strings.HasPrefix(line, " ") {
 					leftOut = unknownFieldError.ReplaceAllString(leftOut, "w.yaml: KEY: unknown field;")
 				}
