--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -14,8 +14,8 @@
 //     the backends are cleared within backendQueueClearTime, but not below minLimitShare of the
 //     saturated throughput: requests that wait too long are dropped.
 //   - Hold: the limit then returns to sustainableShare of the saturated throughput, less half of
-//     the queue that is still reported, without waiting for reports of the lowered limit, which
-//     come late.
+//     the queueing time that is still reported, as a share of backendQueueClearTime, but not below
+//     minLimitShare. It does not wait for reports of the lowered limit, which come late.
 //   - Raise: while the limit holds back demand and the latency ratio is below overloadedRatio (or
 //     most backends report themselves idle and are believed, see overload.go), the limit is raised
 //     by raiseStep. If most backends have no queue, the step is from one to three times
@@ -64,8 +64,8 @@
 	// fastRaiseStep is the relative step while most backends have no queue. The step grows to three
 	// times this as the latency ratio falls to queueFreeRatio, where no backend has a queue.
 	fastRaiseStep = 0.1
-	// answerTimeAllowance is the time from a request to its answer. Reports show the effect of a
-	// limit later by this time than by the delay of the reports alone.
+	// answerTimeAllowance is the time allowed from a request to its answer. Reports show the effect
+	// of a limit only after this time in addition to the delay of the reports.
 	answerTimeAllowance = second
 	// assumedHeadroom is the multiple of the throughput proven without a queue that the fleet is
 	// assumed to be capable of, until a queue was seen.
@@ -75,10 +75,9 @@
 	// limitTolerance is the relative difference below which two limits count as equal: reports are
 	// no more precise.
 	limitTolerance = 0.05
-	// noLimit is the value that means no limit where a limit must be given, see
-	// Host.SetAdmissionLimit.
+	// noLimit is the value of an admission limit that means unlimited, see Host.SetAdmissionLimit.
 	noLimit = 1_000_000
-	// minUnits is the lowest number of units that a request counts.
+	// minUnits is the lowest number of units that one request counts as.
 	minUnits = 1e-3
 )
 
@@ -86,8 +85,8 @@
 type admissionState struct {
 	mode            AdmissionMode
 	priorityOrder   []int     // class indices, in the order in which classes are admitted
-	unitsPerRequest []float64 // by class
-	longestDeadline float64   // microseconds
+	unitsPerRequest []float64 // units that a request counts as, by class
+	longestDeadline float64   // longest deadline of any class, in microseconds
 	// meanObjective is the mean latency objective of the admitted requests, in microseconds; 0
 	// before the first evaluation.
 	meanObjective float64
@@ -100,23 +99,22 @@
 	saturatedThroughput float64
 
 	limitShare   float64 // limit as a share of the saturated throughput; 0 until a limit is needed
-	limit        float64 // units per second
-	limiting     bool    // whether the offered demand exceeds the limit
-	limitLowered bool    // whether a lowered limit has yet to be published
-	latencyRatio float64 // at the last evaluation
+	limit        float64 // limit on the admitted demand of all classes, in units per second
+	limiting     bool    // the offered demand exceeds the limit
+	limitLowered bool    // a lowered limit has yet to be published
+	latencyRatio float64 // latency ratio at the last evaluation
 
 	backendQueueClearAt Microseconds // deadline for clearing the queue that the limit was last lowered for
-	holdUntil           Microseconds // when reports show that this queue is cleared
+	holdUntil           Microseconds // when reports show that this queue is cleared, so that the limit may change
 	overloadedSince     Microseconds // when evaluations began to show queues nearly everywhere; 0 while they do not
-	raisedAt            Microseconds // when the limit was last raised, or set by an assumption
+	raisedAt            Microseconds // when the limit was last raised, or set by assumedHeadroom
 
-	// By class.
-	targetLimits     []float64           // limits to be published: a share or a rate; 0 means no limit
-	publishedLimits  []float64           // limits that were last published
-	limitsSent       bool                // whether a limit was ever published
-	quota            []RequestsPerSecond // requests that the whole fleet may be sent; 0 means any number
-	countedRequests  []float64           // requests since the last evaluation
-	demandCorrection []float64           // counted requests over the sum of the proxies' rates
+	targetLimits     []float64           // limits to be published, by class: a share or a rate; 0 means no limit
+	publishedLimits  []float64           // limits that were last published, by class
+	limitsSent       bool                // a limit of some class was published at least once
+	quota            []RequestsPerSecond // requests per second that the fleet may be sent, by class; 0 means any number
+	countedRequests  []float64           // requests that proxies counted since the last evaluation, by class
+	demandCorrection []float64           // counted requests over the sum of the proxies' rates, by class, smoothed
 }
 
 func newAdmissionState(mode AdmissionMode, classes []Class) admissionState {
@@ -206,8 +204,8 @@
 func (a *admissionState) lowerLimit(load loadSummary, now, reportLag Microseconds) {
 	// The throughput cannot exceed the admitted demand by more than a little. Answered requests
 	// were certainly admitted, even if only little of the demand has been reported so far.
-	mostAdmitted := max(load.admitted, load.answered)
-	throughput := min(load.answered/load.reportedCapacity, maxHeadroom*mostAdmitted/load.publishedCapacity)
+	admitted := max(load.admitted, load.answered)
+	throughput := min(load.answered/load.reportedCapacity, maxHeadroom*admitted/load.publishedCapacity)
 	if a.saturatedThroughput == 0 {
 		a.saturatedThroughput = throughput
 	}
@@ -225,7 +223,8 @@
 	a.limitLowered = true
 }
 
-// mayRaise reports whether the limit holds back demand that there is room for.
+// mayRaise reports whether the limit holds back demand although most backends are idle or the
+// latency ratio is below overloadedRatio.
 func (a *admissionState) mayRaise(load loadSummary, idle bool) bool {
 	return a.exceedsLimit(load.offered) && (idle || load.latencyRatio < overloadedRatio)
 }
@@ -233,8 +232,8 @@
 // raiseLimit raises the limit by a step, scaled by the share of the capacity that reports cover.
 func (a *admissionState) raiseLimit(load loadSummary, idle bool, now Microseconds) {
 	step := raiseStep
-	mostWithoutQueue := load.medianRatio < unloadedRatio && load.latencyRatio < overloadedRatio
-	if idle || mostWithoutQueue {
+	mostUnloaded := load.medianRatio < unloadedRatio && load.latencyRatio < overloadedRatio
+	if idle || mostUnloaded {
 		unloaded := (unloadedRatio - load.latencyRatio) / (unloadedRatio - queueFreeRatio)
 		step = fastRaiseStep * (1 + 2*max(0, min(1, unloaded)))
 	}
@@ -303,8 +302,8 @@
 // orUnlimited returns a limit, or infinity if it is 0.
 func orUnlimited(limit float64) float64 { return cmp.Or(limit, math.Inf(1)) }
 
-// maxMinFairRate returns the cap for rates with which they add up to total, or noLimit if their sum
-// is below total. It sorts rates.
+// maxMinFairRate returns the cap at which the capped rates add up to total, or noLimit if the sum
+// of the uncapped rates is below total. It sorts rates.
 func maxMinFairRate(rates []float64, total float64) float64 {
 	slices.Sort(rates)
 	for i, rate := range rates {
@@ -355,8 +354,8 @@
 	return published
 }
 
-// seedThroughput adopts the throughput that another controller has seen, where this controller has
-// not yet seen any.
+// seedThroughput adopts the proven and the saturated throughput that another controller measured,
+// each only if this controller has not measured it yet.
 func (a *admissionState) seedThroughput(proven, saturated float64) {
 	a.provenThroughput = cmp.Or(a.provenThroughput, max(proven, 0))
 	a.saturatedThroughput = cmp.Or(a.saturatedThroughput, max(saturated, 0))
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -10,54 +10,62 @@
 
 // backendState holds everything that the controller knows about one backend.
 type backendState struct {
-	Endpoint                  // latest list entry; its State is Removed once a complete list omits the backend
-	listed       bool         // whether an endpoint list has named the backend
-	subset       int          // index of its subset
-	seenDraining bool         // whether it was listed as draining since it was last ready
-	drainDelay   Microseconds // time from the drain order to the last list that named it as draining
-
-	published float64      // weight in this controller's tables; 0 if it has no entry
-	withdrawn bool         // whether proxies were notified not to use it, whatever tables they hold
-	enteredAt Microseconds // when it last became new or was readmitted; 0 if it was on the first list
+	// Endpoint is the latest list entry of the backend. Its State is Removed once a complete list
+	// omits the backend.
+	Endpoint
+	listed       bool         // an endpoint list has named the backend
+	subset       int          // index of the backend's subset
+	seenDraining bool         // the backend was listed as draining since it was last listed as ready
+	drainDelay   Microseconds // time from the order of the drain to the last list that reported the drain
+
+	published float64      // weight of the backend in this controller's tables; 0 if it has no entry
+	withdrawn bool         // proxies were notified not to use the backend, whatever tables they hold
+	enteredAt Microseconds // when the backend last became new or was readmitted; 0 if it was on the first list
 
 	ownOutcomes         []outcomeSample // reported by this controller's proxies within the score window
 	peerOutcomes        []outcomeSample // reported by other controllers; counts only while ownOutcomes is empty
-	reportedByPeersOnly bool            // whether peerOutcomes counts
-	attempts, failures  int             // sums over the samples that count
-	meanAnswerTime      float64         // mean over the answered attempts, in microseconds; 0 if there are none
-	load                BackendLoad     // last load that it reported
-
-	lastAnswerAt        Microseconds // when an answer was last reported, or outcomes were reset
-	consecutiveFailures int          // attempts since lastAnswerAt, none of them answered
-	score               float64      // mean answer time over the median; 1 if unknown, -1 once an ejection was due
+	reportedByPeersOnly bool            // peerOutcomes counts, because ownOutcomes is empty
+	attempts, failures  int             // attempts and failures of the outcome samples that count
+	meanAnswerTime      float64         // mean of the answered attempts that count, in microseconds; 0 if there are none
+	load                BackendLoad     // load that the backend reported last
+
+	lastAnswerAt Microseconds // when an answer of the backend was last reported, or its outcomes were reset
+	// consecutiveFailures is the number of attempts reported since lastAnswerAt; all of them failed.
+	consecutiveFailures int
+	// score is the backend's mean answer time over the median backend's. It is 1 if either is
+	// unknown, and -1 once an ejection of the backend was due.
+	score float64
 
 	ejected bool
 	// ejectedByPeerReport is set if the ejection rests on peer reports alone. It is then not
 	// reported back to peers: controllers would otherwise prolong each other's ejections forever.
 	ejectedByPeerReport bool
-	readmitAt           Microseconds
-	backoff             Microseconds // duration of the last ejection; 0 if there was none since it was new or restarted
-	healthCheckedAt     Microseconds
-	reducedShare        float64      // remaining share of the listed weight; 0 if the weight is not reduced
-	weightReducedAt     Microseconds // outcomes from before this time do not reflect the reduced weight
-	raiseWeightAt       Microseconds // when the next step of raising the weight is due
+	readmitAt           Microseconds // end of the ejection
+	// backoff is the duration of the last ejection. It is 0 if the backend was never ejected since it
+	// was new or restarted.
+	backoff         Microseconds
+	healthCheckedAt Microseconds // when the last health check started, or the backend was ejected
+	reducedShare    float64      // remaining share of the listed weight; 0 if the weight is not reduced
+	weightReducedAt Microseconds // outcomes from before this time do not reflect the reduced weight
+	raiseWeightAt   Microseconds // when the reduced weight is due to be raised by the next step
 }
 
 // outcomeSample is one report line about a backend.
 type outcomeSample struct {
 	receivedAt Microseconds
-	coversFrom Microseconds // start of the covered time, plus up to one report interval (reportCoverage)
-	answerTime Microseconds // sum over the answered attempts
+	coversFrom Microseconds // start of the time that the line covers, plus up to one report interval (reportCoverage)
+	answerTime Microseconds // sum of the answer times of the answered attempts
 	attempts   int
 	failures   int
 }
 
-// updateEndpoint applies an entry of the endpoint list. fleetKnown is set if a complete list came
-// before, so that a new backend joins a known fleet; loadDependent is set if listed weights fall
+// updateEndpoint applies an entry of the endpoint list. fleetKnown is set if an earlier complete
+// list has named the fleet that a new backend joins; loadDependent is set if listed weights fall
 // with load.
 func (b *backendState) updateEndpoint(endpoint Endpoint, now Microseconds, fleetKnown, loadDependent bool) {
 	restarted := b.listed && endpoint.StartedAt > b.StartedAt
-	// A backend that kept its entry while a wrong list had dropped it is neither new nor cold.
+	// A backend that kept its table entry while a wrong endpoint list omitted it is neither new nor
+	// cold.
 	keptEntry := b.State == Ready || b.published > 0
 	isNew := !b.listed || restarted || !keptEntry
 	if endpoint.State == Removed || loadDependent {
@@ -138,7 +146,7 @@
 // diminish a backend's capacity.
 func (b *backendState) unreducedWeight() float64 { return b.published / cmp.Or(b.reducedShare, 1) }
 
-// successRate returns the share of attempts that were answered; 1 if there were no attempts.
+// successRate returns the share of the counted attempts that were answered; 1 if there are none.
 func (b *backendState) successRate() float64 {
 	return 1 - float64(b.failures)/float64(max(b.attempts, 1))
 }
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -12,8 +12,8 @@
 	tickInterval = second / 4
 	// minPollBackoff is the shortest pause between two polls of the endpoint list.
 	minPollBackoff = second / 2
-	// pollsInInterval is how many polls fit into the longest allowed poll interval, so that a
-	// failed poll can be repeated within it.
+	// pollsInInterval is the number of polls that fit into the longest allowed poll interval, so
+	// that a failed poll can be repeated within it.
 	pollsInInterval = 4
 	// never is later than any time that Host.Now returns.
 	never Microseconds = 1 << 62
@@ -34,37 +34,40 @@
 	telemetry Telemetry
 	classes   []Class
 
-	backends  []*backendState // by index; an entry that no endpoint list has named yet has listed unset
-	proxies   []*proxyState   // by index
+	// backends holds the state of each backend, by the backend's index. A backend that no endpoint
+	// list has named yet has listed unset.
+	backends  []*backendState
+	proxies   []*proxyState // state of each proxy, by the proxy's index
 	pushQueue pushQueue
 	sharding  shardingState
 	admission admissionState
 
-	// Endpoint list.
-	pollAt         Microseconds // time of the next poll, if polling is required
-	pollBackoff    Microseconds
-	endpointsKnown bool // a complete list with at least one endpoint has been received
-	warmEverListed bool // some listed backend was once ready and warm, even if it is no longer listed
+	// State of the endpoint list.
+	pollAt         Microseconds // time of the next poll of the endpoint list, if polling is required
+	pollBackoff    Microseconds // pause before the next poll if the last one fails, before randomization
+	endpointsKnown bool         // a complete endpoint list with at least one endpoint has been received
+	warmEverListed bool         // some listed backend was once ready and warm, even if it is no longer listed
 
-	// Reports.
+	// State of the evaluation of reports.
 	evaluatedAt Microseconds // time of the last evaluation of reports
-	newAttempts int          // attempts reported since that evaluation
+	newAttempts int          // attempts reported since the last evaluation
 	reportSpan  float64      // smoothed time that a report line covers, in microseconds
 	panicMode   bool         // all usable backends are ejected, so all of them are published
 
-	// Tables: one per subset for the shared classes, then one per zone for the zone-local classes.
+	// Table indices: tables 0 to subsetCount-1 are those of the subsets, for the shared classes. They
+	// are followed by one table per zone, for the zone-local classes.
 	subsetCount      int
-	sharedClasses    uint16
-	zoneLocalClasses uint16
+	sharedClasses    uint16 // set of the classes that are not zone-local: bit i is class i
+	zoneLocalClasses uint16 // set of the zone-local classes: bit i is class i
 
-	// Publication.
-	publishedAt    Microseconds // time of the last round that published a change; 0 if it left some entries over
+	// State of the publication of changes.
+	publishedAt    Microseconds // time of the last round that published a change; 0 if it left some entries unpublished
 	changedAt      Microseconds // time at which any change was last sent to several proxies
 	graceAtListing Microseconds // drain grace that pending drains had left when last listed, see computeGraceAtListing
 	queueCongested bool         // changes wait for the push channel, so tables for proxies wait as well
 	syncQueue      []int        // proxies that wait for tables, and then for withdrawals to be cleared
 
-	randomDraws uint64
+	randomDraws uint64 // number of random fractions drawn so far
 }
 
 // New returns a controller without any state: it ejects no backend until reports arrive. It returns
@@ -101,7 +104,7 @@
 // or for capacity in the push channel.
 func (c *Controller) TimerFired(tag uint64) {
 	if tag != c.timerTag() {
-		return // timer of an earlier incarnation
+		return // the timer was set by an earlier incarnation
 	}
 	now := c.host.Now()
 	c.host.SetTimer(tickInterval, c.timerTag())
@@ -148,7 +151,7 @@
 // backend is added to the lightest subset.
 func (c *Controller) updateBackends(endpoints []Endpoint, now Microseconds) (named []bool) {
 	named = make([]bool, len(c.backends))
-	var weights *subsetWeights // computed at the first new backend only, since that visits all backends
+	var weights *subsetWeights // nil until a new backend is found, since computing it visits all backends
 	for _, endpoint := range endpoints {
 		for len(c.backends) <= endpoint.Backend {
 			c.backends = append(c.backends, &backendState{})
@@ -286,7 +289,7 @@
 		zone:                      zone,
 		subset:                    id % c.subsetCount,
 		baselineRate:              max(baseline, 1),
-		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reports come
+		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reported
 		tablesAssigned:            c.sharding.enabled(),
 		mayHoldForeignWithdrawals: mayHoldForeignWithdrawals,
 		messageTimes:              previous.peerMessageTimes,
@@ -312,14 +315,15 @@
 }
 
 // MessagesSentByPeers handles the number of messages that other controllers have sent to a proxy
-// within the message window, or are going to send. The messages count for the current connection of
-// the proxy, or for its next one if it is not connected.
+// within the message window, or are going to send. The messages count towards the proxy's message
+// limit in its current connection, or in its next one if it is not connected.
 func (c *Controller) MessagesSentByPeers(id, messages int) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxyState{})
 	}
 	proxy := c.proxies[id]
-	// At the current time, charge would take a message of this controller for one of these.
+	// With the current time, charge would conclude that this controller has already sent the proxy a
+	// message now, and would not charge the overhead of that message.
 	at := c.host.Now() - 1
 	times := slices.Repeat([]Microseconds{at}, messages)
 	if proxy.connected {
@@ -333,8 +337,8 @@
 // controller measured, in requests per second by class.
 func (c *Controller) SeedDemand(id int, rates []RequestsPerSecond) { copy(c.proxies[id].demand, rates) }
 
-// SeedThroughput uses another controller's Throughput for each of the two figures that this
-// controller has not measured itself.
+// SeedThroughput adopts each of the two figures of another controller's Throughput, if this
+// controller has not measured that figure itself.
 func (c *Controller) SeedThroughput(proven, saturated float64) {
 	c.admission.seedThroughput(proven, saturated)
 }
@@ -354,8 +358,8 @@
 }
 
 // Ejection reports whether a backend is ejected because of outcomes at this controller's own
-// proxies, with the attempts and failures behind that as far as they are known, and the length of
-// the ejection.
+// proxies. It also returns the attempts and failures that led to the ejection, as far as they are
+// known, and the length of the ejection.
 func (c *Controller) Ejection(id int) (attempts, failures int, backoff Microseconds, ejected bool) {
 	if id >= len(c.backends) {
 		return 0, 0, 0, false
@@ -372,8 +376,8 @@
 // incarnation has its own seed.
 func (c *Controller) timerTag() uint64 { return c.seed }
 
-// QueueDelay returns the time until all queued lines have left the push channel. No ack for them
-// can arrive before that.
+// QueueDelay returns the time until all queued lines have left the push channel. The last of them
+// cannot be acknowledged before that.
 func (c *Controller) QueueDelay() Microseconds { return c.pushQueue.delay() }
 
 // randomFraction returns a random number from 0 to 1, determined by the seed and the number of
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -5,26 +5,26 @@
 //
 // Inputs are request counts, one report line per proxy and class, each with the time that it covers
 // (microseconds). A rate remains valid until the next line from its proxy. With hundreds of small
-// proxies, which have no line in most intervals, the sum of the rates is too high: it is corrected
-// to the number of requests counted at all proxies together.
+// proxies, which have no report line in most intervals, the sum of the rates is too high: it is
+// corrected to the number of requests counted at all proxies together.
 
 const (
-	// minDemandCorrection is the lowest correction factor. The error of the sum of the rates is
-	// smaller than that.
+	// minDemandCorrection is the lowest factor by which the sum of the rates is corrected. The error
+	// of the sum never requires a lower factor.
 	minDemandCorrection = 0.5
-	// reportSpanSmoothing is the number of report lines over which the mean of their spans is
-	// smoothed.
+	// reportSpanSmoothing is the number of report lines over which the mean time that a line covers
+	// is smoothed.
 	reportSpanSmoothing = 64
 )
 
 // updateRate moves a rate towards a count, weighted by the time that the count covers, because a
-// proxy with little demand has no line in most intervals.
+// proxy with little demand has no report line in most intervals.
 func (c *Controller) updateRate(rate *float64, count int, span Microseconds) {
 	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.telemetry.ReportInterval+span)
 }
 
-// updateReportSpan updates the mean time that recent report lines cover. The events that a line
-// describes are as old as that.
+// updateReportSpan updates the mean time that recent report lines cover. It stands for the age of
+// the requests that a line describes.
 func (c *Controller) updateReportSpan(span Microseconds) {
 	c.reportSpan += (float64(span) - c.reportSpan) / reportSpanSmoothing
 }
@@ -69,8 +69,9 @@
 	return units
 }
 
-// correctDemand moves the correction factor of a class half way to the one that the requests
-// counted since the last evaluation imply. That evaluation was the given number of seconds ago.
+// correctDemand moves the demand correction of a class half way to the factor that the requests
+// counted since the last evaluation imply. The total is the corrected sum of the rates of the
+// class, and the last evaluation was the given number of seconds ago.
 func (a *admissionState) correctDemand(class int, total RequestsPerSecond, seconds float64) {
 	if a.countedRequests[class] <= 0 || total <= 0 {
 		return
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -5,15 +5,15 @@
 // from events to effects are split into one file each:
 //
 //	outlier.go    which backends are ejected, and when they are readmitted
-//	weight.go     share of its listed weight for a backend: warm-up, slow start, lagging
+//	weight.go     the share of its listed weight that a backend gets: warm-up, slow start, lagging
 //	subset.go     the number of subsets, and the subset of each backend
 //	publish.go    which table entries are published, and when
-//	sync.go       when proxies that connect get complete tables, and messages until then
-//	pushqueue.go  how much may be sent without queueing for too long
+//	sync.go       when a proxy that connects gets complete tables, or withdrawals until then
+//	pushqueue.go  how many lines may be queued in the push channel, and messages per proxy
 //	overload.go   the summary of load reports over the whole fleet
 //	admission.go  the limit on admitted requests under overload, and its division among classes
 //	retry.go      the retry policy that accompanies a limit
-//	drain.go      which backends proxies must stop using, and the time left for that
+//	drain.go      which backends proxies must stop using, and within what time
 //	shard.go      the backend that owns a shard, and when writes to the shard must stop
 //
 // State, and its updates by reports and endpoint lists, is in backend.go, proxy.go and demand.go,
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -49,13 +49,13 @@
 	Backend int
 	// Attempts is the number of attempts that ended at the backend.
 	Attempts int
-	// Failures is the number of these attempts that timed out, were refused, or were answered with
-	// an error.
+	// Failures is the number of attempts, out of Attempts, that timed out, were refused, or were
+	// answered with an error.
 	Failures int
-	// MeanAnswerTime is the mean answer time of the other attempts. If all attempts failed, its
-	// value is ignored.
+	// MeanAnswerTime is the mean answer time of the attempts that did not fail. If all attempts
+	// failed, its value is ignored.
 	MeanAnswerTime Microseconds
-	// Span is the length of the time that the report covers. That time ended just before the report
+	// Span is the length of the period that the report covers, which ended just before the report
 	// was made.
 	Span Microseconds
 	// Load is the load that the backend reported along with its answers.
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -54,5 +54,6 @@
 	RequestAck(number int, allConnected bool)
 }
 
-// AllTables stands for every table of every connected proxy, as the table of SetAdmissionLimit.
+// AllTables is the table argument of Host.SetAdmissionLimit that stands for every table of every
+// connected proxy.
 const AllTables = 0xffff
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -31,9 +31,10 @@
 // (panic mode).
 //
 // Backends are evaluated once per report interval, if this controller's proxies reported attempts
-// since the last evaluation, or at once on a report from another controller that completes
-// consecutiveFailuresToEject. The change to the entry of an ejected backend is published as an
-// ordinary change (publish.go), or as a required one while the backend is warming up.
+// since the last evaluation, or at once if a report from another controller brings the consecutive
+// failures of a backend to consecutiveFailuresToEject. The change to the entry of an ejected
+// backend is published as an ordinary change (publish.go), or as a required one while the backend
+// is warming up.
 //
 // An ejected backend is readmitted after its backoff, or when it passes a health check; it then has
 // a slow start (weight.go). The backoff is baseEjectionTime, and doubles with each further ejection
@@ -44,17 +45,27 @@
 // these reported none, of other controllers' proxies. Times are in microseconds.
 
 const (
-	consecutiveFailuresToEject = 5 // the same threshold as in proxies
-	minAttemptsToEject         = 20
-	healthySuccessRate         = 0.8  // median success rate from which the fleet counts as healthy
-	failingShareOfMedian       = 0.5  // of the median success rate
-	maxEjectedShare            = 0.75 // of the listed weight: a network partition may hide all zones but one
-
+	// consecutiveFailuresToEject is the number of consecutive failures from which a backend is dead.
+	// Proxies use the same threshold.
+	consecutiveFailuresToEject = 5
+	// minAttemptsToEject is the lowest number of attempts that can show that a backend is failing.
+	minAttemptsToEject = 20
+	// healthySuccessRate is the median success rate from which the fleet counts as healthy.
+	healthySuccessRate = 0.8
+	// failingShareOfMedian is the share of the median success rate below which a backend is failing.
+	failingShareOfMedian = 0.5
+	// maxEjectedShare is the highest share of the listed weight that may be ejected. A network
+	// partition may make the backends of all zones except one unreachable.
+	maxEjectedShare = 0.75
+
+	// minAttemptsToLag is the lowest number of attempts that can show that a backend is lagging.
 	minAttemptsToLag = 10
-	laggingScore     = 2.0 // mean answer time over the median; if answers are late as well, this is no coincidence
+	// laggingScore is the lowest score of a lagging backend: its mean answer time over the median. If
+	// its answers are late as well, such a score is no coincidence.
+	laggingScore = 2.0
 
-	baseEjectionTime = 10 * second
-	maxEjectionTime  = 60 * second
+	baseEjectionTime = 10 * second // backoff of the first ejection of a backend
+	maxEjectionTime  = 60 * second // longest backoff
 	// healthChecksPerBackoff is the number of health checks in one backoff. A shallow check shows
 	// only that the process runs, so checks are rarer the longer the backoff is.
 	healthChecksPerBackoff = 3
@@ -67,10 +78,10 @@
 }
 
 // reportCoverage returns the start of the time that a report covers, plus up to one report
-// interval, and whether its outcomes count. If reports are not old, the start is taken to be now
-// and the outcomes count. If they are, a report that reaches back to before its backend's start, or
-// before its backend entered, does not count: it describes another process, or the time in which
-// the backend was ejected.
+// interval, and whether its outcomes count. If reports are not old (reportsAreOld), the start is
+// taken to be now and the outcomes count. If reports are old, a report whose start is before the
+// start of the backend's process, or before the backend entered, does not count: it describes
+// another process, or the time in which the backend was ejected.
 func (c *Controller) reportCoverage(backend *backendState, span, now Microseconds) (from Microseconds, counts bool) {
 	if !c.reportsAreOld() {
 		return now, true
@@ -93,10 +104,10 @@
 
 // fleetOutcomes holds the figures that a backend is compared with.
 type fleetOutcomes struct {
-	medianSuccessRate float64 // of the backends with answers; 1 if there are none, which counts as healthy
-	medianAnswerTime  float64 // of the backends with answers, in microseconds; 0 if there are none
-	listedWeight      float64 // of all usable backends
-	ejectedWeight     float64 // of the usable backends that are ejected
+	medianSuccessRate float64 // median over the backends with answers; 1 (healthy) if no backend has any
+	medianAnswerTime  float64 // median over the backends with answers, in microseconds; 0 if no backend has any
+	listedWeight      float64 // sum of the listed weights of all usable backends
+	ejectedWeight     float64 // sum of the listed weights of the usable backends that are ejected
 }
 
 // detectOutliers scores every usable backend that is not ejected, and ejects outliers or reduces
@@ -134,7 +145,8 @@
 	return f.healthy() && backend.consecutiveFailures >= consecutiveFailuresToEject
 }
 
-// failing reports whether a backend answers a far smaller share of its attempts than others.
+// failing reports whether a backend answers a far smaller share of its attempts than the median
+// backend while the fleet is healthy.
 func (f *fleetOutcomes) failing(backend *backendState) bool {
 	known := backend.attempts >= minAttemptsToEject
 	return known && f.healthy() && backend.successRate() < f.medianSuccessRate*failingShareOfMedian
@@ -175,8 +187,8 @@
 	return late && known && !backend.load.reportsIdle(backend.meanAnswerTime)
 }
 
-// eject ejects a backend, unless too much weight would then be ejected. In either case its score is
-// -1 until it is scored again.
+// eject ejects a backend, unless more than maxEjectedShare of the listed weight would then be
+// ejected. In either case its score is -1 until it is scored again.
 func (c *Controller) eject(id int, now Microseconds, fleet *fleetOutcomes) {
 	backend := c.backends[id]
 	backend.score = -1
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -9,8 +9,8 @@
 //   - the median backend's latency ratio is above unloadedRatio;
 //   - most backends do not report themselves idle, or they are not believed because the latency
 //     ratio is at least implausiblyIdleRatio;
-//   - the overload lasts longer than the age of the reports, where these are old: the requests in
-//     the queues that they show may have been answered or given up since.
+//   - if reports are old (reportsAreOld), the overload has lasted longer than their age: the
+//     requests in the queues that they show may have been answered or given up since.
 //
 // Inputs are the outcomes of this controller's own proxies since the last evaluation, their demand
 // (requests per second), their baseline demand, and the loads that backends report. Demand,
@@ -41,18 +41,20 @@
 
 // loadSummary sums up the reports since the last evaluation.
 type loadSummary struct {
-	latencyRatio float64 // over all answers; 0 if there are none
+	latencyRatio float64 // latency ratio of all answers; 0 if there are none
 	medianRatio  float64 // latency ratio of the median backend
 
-	offered  float64 // demand in units per second
+	offered  float64 // demand at the connected proxies, in units per second
 	admitted float64 // part of the offered demand that the published limits admit
 	answered float64 // units per second answered by backends that keep up
 
-	// Capacity is unreduced published weight times baseline demand.
-	publishedCapacity float64 // of all backends with an entry
-	reportedCapacity  float64 // of backends that keep up, as far as their proxies can have reported
-	recentCapacity    float64 // of backends with own reports within the score window, likewise
-	deadCapacity      float64 // of backends whose attempts all failed
+	// A capacity is unreduced published weight times baseline demand. In reportedCapacity and
+	// recentCapacity, only the baseline demand of proxies that can have reported counts
+	// (reportingDemand).
+	publishedCapacity float64 // capacity of all backends with an entry
+	reportedCapacity  float64 // capacity that reports cover, of backends that keep up
+	recentCapacity    float64 // capacity that reports cover, of backends with own reports within the score window
+	deadCapacity      float64 // capacity of backends whose attempts since the last evaluation all failed
 }
 
 // summarizeLoad sums up the reports since the last evaluation, and updates the mean latency
@@ -75,10 +77,10 @@
 
 // outcomeTotals holds the sums of the outcomes since the last evaluation over all backends.
 type outcomeTotals struct {
-	attempts        int     // attempts that were answered or timed out in a queue
-	answers         int     // answers of backends that keep up, and failures not caused by a queue
-	answerTime      float64 // of attempts, in microseconds
-	meanAnswerTimes []float64
+	attempts        int       // number of attempts that were answered, or timed out in the queue of a backend
+	answers         int       // answers of backends that keep up, plus failures not caused by a queue
+	answerTime      float64   // sum of the answer times of attempts, in microseconds
+	meanAnswerTimes []float64 // mean answer time of each backend that answered, in microseconds
 }
 
 // sumFleetOutcomes sums the outcomes since the last evaluation, and the capacities of the backends
@@ -89,7 +91,7 @@
 		weight := backend.unreducedWeight()
 		load.publishedCapacity += weight * baseline
 		reportedRecently := backend.attempts > 0 && !backend.reportedByPeersOnly
-		if reportedRecently { // with few reports, one evaluation covers only some backends
+		if reportedRecently { // with few reports, those of one evaluation cover only some backends
 			load.recentCapacity += weight * reporting
 		}
 		answered, failures, answerTime := backend.outcomesSince(c.evaluatedAt)
@@ -163,8 +165,8 @@
 	return requests
 }
 
-// queueOutlastsReports reports whether queues stand at nearly all backends, and have done so for
-// longer than reports are old.
+// queueOutlastsReports reports whether queues stand at nearly all backends. If reports are old, the
+// queues must also have stood there for longer than the reports' age.
 func (c *Controller) queueOutlastsReports(load loadSummary, idle bool, now Microseconds) bool {
 	a := &c.admission
 	queueStands := load.latencyRatio > overloadedRatio && load.medianRatio > unloadedRatio && !idle
@@ -208,7 +210,7 @@
 // as short.
 func (load BackendLoad) reportsIdle(meanAnswerTime float64) bool {
 	nothingWaits := load.QueueLength >= 0 && load.QueueLength < idleUtilization
-	quick := load.ServiceTime < idleServiceShare*meanAnswerTime
+	serviceTimeShort := load.ServiceTime < idleServiceShare*meanAnswerTime
 	coresFree := load.CPUUtilization >= 0 && load.CPUUtilization < idleUtilization
-	return load.known() && (nothingWaits && quick || coresFree)
+	return load.known() && (nothingWaits && serviceTimeShort || coresFree)
 }
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -5,23 +5,34 @@
 	connected      bool
 	connectedAt    Microseconds
 	disconnectedAt Microseconds // 0 if the proxy has never disconnected, or is connected again
-	zone, subset   int
-	baselineRate   float64   // requests per second that reach the proxy on ordinary days, at least 1
-	demand         []float64 // requests per second that reach the proxy now, by class
+	zone, subset   int          // indices of the proxy's zone and subset
+	baselineRate   float64      // requests per second that reach the proxy on ordinary days, at least 1
+	demand         []float64    // requests per second that reach the proxy now, by class
 
 	// tablesAssigned is set once this controller has assigned its tables to the proxy. With sharding
 	// it is always set: such a proxy has no tables, and reads owners from the store of shards.
 	tablesAssigned bool
 
-	// Withdrawals that the proxy may hold, see sync.go.
-	mayHoldForeignWithdrawals bool    // withdrawals of other controllers
-	withdrawalsSynced         bool    // withdrawals of this controller were sent before its tables
-	withdrawalsCleared        bool    // each backend's first entry lifts its withdrawal, which costs one more line
-	heldWithdrawals           float64 // number sent by this controller before its tables; costs the same line each
+	// mayHoldForeignWithdrawals is set if the proxy may hold withdrawals of other controllers.
+	mayHoldForeignWithdrawals bool
+	// withdrawalsSynced is set once the proxy was sent a withdrawals message, before its tables, see
+	// sync.go.
+	withdrawalsSynced bool
+	// withdrawalsCleared is set once the withdrawals of other controllers were cleared at the proxy.
+	// The first entry of each backend then lifts its withdrawal, which costs one more line.
+	withdrawalsCleared bool
+	// heldWithdrawals is the number of withdrawals that this controller sent to the proxy before its
+	// tables. A first entry that lifts one of them costs one more line too.
+	heldWithdrawals float64
 
-	acknowledged     int64          // the proxy has received all push batches up to this number
-	messageTimes     []Microseconds // times of messages to the proxy, within the message window
-	peerMessageTimes []Microseconds // times of other controllers' messages, used when the proxy connects
+	// acknowledged is the number of the latest push batch that the proxy has acknowledged. The proxy
+	// has received all batches up to this number.
+	acknowledged int64
+	// messageTimes holds the times of the messages to the proxy within the message window.
+	messageTimes []Microseconds
+	// peerMessageTimes holds the times of other controllers' messages to a proxy that is not
+	// connected. They become its first messageTimes when it connects.
+	peerMessageTimes []Microseconds
 
 	// peersReportedMessages is set if other controllers reported, before the proxy connected, how
 	// many messages they have sent to it, even if that number was 0; see messagesForRequired.
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -21,7 +21,8 @@
 //   - enough time has passed since any change of an earlier clock time was sent to several proxies,
 //     if the settings limit messages. The time is the drain grace that was left at listing
 //     (computeGraceAtListing), less PushChannel.MaxLatency and a tick, divided by
-//     publicationsPerGrace, or the message window divided by its messages if that is shorter;
+//     publicationsPerGrace, or the message window divided by PushChannel.MaxMessages if that is
+//     shorter;
 //   - no more than nearlyEmptyShare of the push queue's capacity is queued, or all required changes
 //     fit into it;
 //   - each proxy with assigned tables may be sent one more message (mayPush).
@@ -53,23 +54,27 @@
 // of publishChanges.
 type publication struct {
 	now         Microseconds
-	overhead    Lines // cost of a message, without its changes
-	tablesEmpty bool  // no backend has an entry
+	overhead    Lines // cost of a message without its changes
+	tablesEmpty bool  // no backend has an entry in any table
 
-	connected              float64   // number of connected proxies
-	withdrawalReceivers    float64   // connected proxies that withdrawals are sent to, see receivesWithdrawals
-	proxiesBySubset        []float64 // proxies with assigned tables
-	liftingProxiesBySubset []float64 // of these, proxies with firstEntryLiftsWithdrawal: a first entry costs one more line
+	connected           float64   // number of connected proxies
+	withdrawalReceivers float64   // number of connected proxies with receivesWithdrawals
+	proxiesBySubset     []float64 // number of proxies with assigned tables, by subset
+	// liftingProxiesBySubset is the number of proxies with assigned tables and with
+	// firstEntryLiftsWithdrawal, by subset. The first entry of a backend costs one more line at each.
+	liftingProxiesBySubset []float64
 
 	targetBySubset []float64 // target weight of each subset
 	fairWeight     float64   // mean target weight of a subset
-	messagePaid    []bool    // by subset: another change already pays for the messages to its proxies
+	// messageCharged is set, by subset, once another change covers the overhead of the messages to
+	// the proxies of the subset.
+	messageCharged []bool
 
 	changesDue     bool    // some entry or limit differs from its target
 	requiredLines  Lines   // cost of all required changes
-	withdrawalsDue float64 // backends to be withdrawn or restored
-	// Complete tables for all withdrawal receivers arrive in time and cost so little that
-	// withdrawals are not sent, see the method of this name.
+	withdrawalsDue float64 // number of backends that are to be withdrawn or restored
+	// tablesReplaceWithdrawals is set if complete tables for all withdrawal receivers arrive in time
+	// and cost so little that withdrawals are not sent, see the method of this name.
 	tablesReplaceWithdrawals bool
 }
 
@@ -109,7 +114,7 @@
 
 // planPublication sums the changes to be published, and their costs.
 func (c *Controller) planPublication(now Microseconds) *publication {
-	plan := &publication{now: now, overhead: c.pushQueue.messageOverhead(), messagePaid: make([]bool, c.subsetCount)}
+	plan := &publication{now: now, overhead: c.pushQueue.messageOverhead(), messageCharged: make([]bool, c.subsetCount)}
 	plan.tablesEmpty = !slices.ContainsFunc(c.backends, func(backend *backendState) bool { return backend.published > 0 })
 	plan.targetBySubset, plan.fairWeight = c.subsetTargetWeights(now)
 	plan.changesDue = slices.ContainsFunc(c.admission.priorityOrder, c.admission.limitChanged)
@@ -161,7 +166,7 @@
 		if weight < shortSubsetShare*plan.fairWeight {
 			plan.requiredLines++
 			plan.requiredLines += plan.proxiesBySubset[subset] * plan.overhead
-			plan.messagePaid[subset] = true
+			plan.messageCharged[subset] = true
 		}
 	}
 	for _, backend := range c.backends {
@@ -171,7 +176,7 @@
 		}
 		if c.changeRequired(plan, backend, weight) {
 			plan.requiredLines += max(plan.entryCost(backend), 1)
-			plan.messagePaid[backend.subset] = true
+			plan.messageCharged[backend.subset] = true
 		}
 		if backend.withdrawn != c.mustLeave(backend) {
 			plan.withdrawalsDue++
@@ -190,7 +195,7 @@
 // the backend's subset, to each in one message with all other changes of this round.
 func (plan *publication) entryCost(backend *backendState) Lines {
 	cost := plan.proxiesBySubset[backend.subset]
-	if !plan.messagePaid[backend.subset] {
+	if !plan.messageCharged[backend.subset] {
 		cost *= 1 + plan.overhead
 	}
 	if backend.published == 0 {
@@ -221,8 +226,8 @@
 
 // entryChanges summarizes the entry changes of a round.
 type entryChanges struct {
-	published  bool    // some entries were published
-	leftOver   bool    // some entries did not fit
+	published  bool    // some changes of entries were published
+	leftOver   bool    // some changes of entries wait for capacity in the push queue
 	lostWeight float64 // published weight, unreduced, that endpoint lists took away, for limitOnCapacityLoss
 }
 
@@ -230,7 +235,7 @@
 // capacity.
 func (c *Controller) publishEntries(plan *publication) (entries entryChanges) {
 	order := c.orderChanges(plan)
-	clear(plan.messagePaid)
+	clear(plan.messageCharged)
 	for _, required := range []bool{true, false} {
 		for _, backend := range order {
 			weight := c.targetWeight(backend, plan.now)
@@ -251,7 +256,7 @@
 			}
 			c.setPublished(backend, weight)
 			entries.published = true
-			plan.messagePaid[backend.subset] = true
+			plan.messageCharged[backend.subset] = true
 			plan.tablesEmpty = plan.tablesEmpty && weight == 0
 		}
 	}
@@ -314,7 +319,7 @@
 	if plan.tablesReplaceWithdrawals {
 		return
 	}
-	messageCost := plan.overhead + float64(len(c.classes)) // paid by the first withdrawal of the round
+	messageCost := plan.overhead + float64(len(c.classes)) // counted with the first withdrawal of the round only
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
 		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.withdrawalReceivers*(1+messageCost), true) {
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -4,15 +4,15 @@
 
 // Push queue: an account of the lines that wait in the push channel to the proxies. A line counts
 // as queued until an ack for its batch, or for a later one, comes back, so that the account also
-// holds when the channel is slow. It is too high by the lines that have left the channel and whose
-// ack is still on its way.
+// holds when the channel is slow. The account is too high by the lines that have left the channel
+// and whose ack is still on its way.
 //
 //   - Required changes may fill the capacity: as many lines as the backlog takes, but no more than
 //     leave within maxQueueTime. The capacity is the same however short the drain grace is. A
 //     change that is held back here, not in the channel, is decided again on later reports, and
 //     shares messages with other changes.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of the capacity, so that
-//     required changes never wait behind more than that.
+//     required changes never wait behind more lines than that.
 //   - publish.go states when a round of changes may start, and in which order it is sent.
 //   - Of the messages that a proxy may be sent within the message window, ordinary messages use
 //     half. At a proxy for which other controllers reported the messages that they sent
@@ -23,37 +23,46 @@
 // Inputs are PushChannel, the drain grace (microseconds) and the costs of the pushes (lines).
 
 const (
-	maxQueueTime        = 2 * minPublishInterval // within which a full queue leaves the channel
-	ordinaryShare       = 1. / 2                 // of the capacity
-	nearlyEmptyShare    = 1. / 8                 // of the capacity
-	messagesForRequired = 2                      // kept per proxy and message window, see peersReportedMessages
+	// maxQueueTime is the longest time within which a full queue leaves the channel.
+	maxQueueTime = 2 * minPublishInterval
+	// ordinaryShare is the share of the capacity that ordinary changes and complete tables may fill.
+	ordinaryShare = 1. / 2
+	// nearlyEmptyShare is the share of the capacity up to which the queue counts as nearly empty.
+	nearlyEmptyShare = 1. / 8
+	// messagesForRequired is the number of messages per proxy and message window that are kept for
+	// required messages, at a proxy with peersReportedMessages.
+	messagesForRequired = 2
 
 	// A batch times out if its ack has not arrived within the sum of PushChannel.MaxLatency,
 	// maxAckDelay and ackTimeoutFactor times the nominal sending time of the queue.
 	ackTimeoutFactor = 4
 	maxAckDelay      = 2 * second
 
-	batchNumberMask = 0xffff // the part of a batch number that is sent to proxies
+	batchNumberMask = 0xffff // selects the lowest 16 bits of a batch number, which are sent to proxies
 )
 
 // pushQueue is the account of the push channel.
 type pushQueue struct {
 	PushChannel
-	batches     []pushBatch // batches without an ack for them or for a later one, oldest first
-	queuedLines Lines       // sum over batches
+	batches     []pushBatch // batches with an ack missing, and without any ack for a later batch, oldest first
+	queuedLines Lines       // sum of the lines of all batches
 	lastNumber  int64       // number of the last batch
 
-	// Capacity kept for the tables of waiting proxies, see reserveForTables.
-	reservedLines         Lines // cost of these tables
-	maxQueuedBeforeTables Lines // most queued lines, including these tables, with which no table is late
+	// reservedLines is the cost of the tables of waiting proxies, see reserveForTables.
+	reservedLines Lines
+	// maxQueuedBeforeTables is the highest number of queued lines, including the reserved lines, with
+	// which none of the tables of waiting proxies is late.
+	maxQueuedBeforeTables Lines
 }
 
 // pushBatch holds the lines sent to proxies at one clock time.
 type pushBatch struct {
-	number  int64
-	sentAt  Microseconds
-	lines   Lines                 // sum over linesTo
-	linesTo map[*proxyState]Lines // by proxy without an ack yet; complete tables cost many times an entry
+	number int64
+	sentAt Microseconds
+	lines  Lines // sum of linesTo
+	// linesTo holds the lines for each proxy that has not acknowledged the batch. They are counted by
+	// proxy because complete tables cost many times as much as an entry.
+	linesTo map[*proxyState]Lines
 }
 
 // charge adds lines for a proxy to the current batch. With the first lines at this clock time it
@@ -160,8 +169,8 @@
 	return int64(q.queuedLines / max(q.LinesPerSecond, 1) * float64(second))
 }
 
-// hasCapacity reports whether a change of this cost may be queued now. Any change may if nothing is
-// queued.
+// hasCapacity reports whether a change of this cost may be queued now. If nothing is queued, a
+// change of any cost may be queued.
 func (q *pushQueue) hasCapacity(cost Lines, required bool) bool {
 	queued := q.queuedLines + cost
 	return q.queuedLines == 0 || queued <= q.capacity()*ordinaryShare || required && queued <= q.capacity()
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -2,13 +2,14 @@
 
 // Shards: keys may be divided into shards. Each shard assigned to this controller has one backend
 // as its owner, which is the only entry of the shard's table. An owner stays until it cannot serve
-// the shard, since a change of owner discards what the backend holds for the shard's keys. Its
-// successor is the backend with the least load relative to its weight.
+// the shard, since a change of owner discards the data that the backend holds for the shard's keys.
+// Its successor is the backend with the least load relative to its weight.
 //
-// If a shard has a single owner, writes to the shard are stopped (fenced) while it moves. They
-// continue once each proxy has acknowledged the fence, or has been disconnected for as long as it
-// goes on writing (Sharding.WriteLease), and the writes that proxies sent before have settled
-// (Sharding.SettleTime). Reads continue at the new owner if proxies support limits.
+// If shards have a single owner (Sharding.SingleOwner), writes to a shard are stopped (fenced)
+// while it moves. They continue once each proxy has acknowledged the fence, or has been
+// disconnected for as long as it goes on writing (Sharding.WriteLease), and the writes that proxies
+// sent before have settled (Sharding.SettleTime). Reads continue at the new owner if proxies
+// support limits.
 //
 // Inputs are target weights (weight.go), demand by shard (requests per second), acks, and
 // Sharding.WriteLease and SettleTime (microseconds).
@@ -29,17 +30,17 @@
 type shardingState struct {
 	Sharding
 	shards       []shardState
-	writeClasses uint16
+	writeClasses uint16 // set of the classes with Class.Writes: bit i is class i
 }
 
 // shardState holds the state of one shard, which is zero unless the shard is assigned to this
 // controller.
 type shardState struct {
-	assigned  bool         // to this controller
-	owner     int          // index of a backend, or noOwner
-	demand    []float64    // requests per second, by class
+	assigned  bool         // the shard is assigned to this controller
+	owner     int          // index of the backend that owns the shard, or noOwner
+	demand    []float64    // requests per second for the shard, by class
 	fence     int64        // number of the push batch that stopped writes; 0 if writes are allowed, or fencePending
-	settledAt Microseconds // when the former owner's writes have settled; 0 while a proxy may still send it one
+	settledAt Microseconds // when the former owner's writes have settled; 0 while a proxy may still send it writes
 }
 
 func newShardingState(config Sharding, classes []Class) shardingState {
@@ -54,8 +55,8 @@
 
 func (s *shardingState) enabled() bool { return len(s.shards) > 0 }
 
-// repeatFences fences all fenced shards again after a proxy has connected: the proxy reads only
-// owners from the store, and has to be notified of the fences.
+// repeatFences fences all fenced shards again after a proxy has connected: the proxy reads owners
+// from the store, but no fences, and has to be notified of them.
 func (s *shardingState) repeatFences() {
 	for id := range s.shards {
 		if s.shards[id].fence > 0 {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,8 +6,8 @@
 )
 
 // Subsets: the backends may be divided into subsets, each with a table and a part of the proxies. A
-// proxy is in the subset given by its index modulo the number of subsets, a new backend in the
-// subset with the least weight.
+// proxy is in the subset given by its index modulo the number of subsets. A new backend is added to
+// the subset with the least weight, where the weight in the backend's zone counts twice.
 //
 // One subset, with one table for all proxies, is best where it is possible. There are more subsets
 // if
@@ -26,8 +26,9 @@
 // with the first complete list that is not empty.
 
 const (
-	// maxProxiesPerConnection is the most proxies per connection of the smallest backend without
-	// subsets: up to this ratio, many of the proxies are quiet.
+	// maxProxiesPerConnection is the highest ratio of proxies to the connections that the smallest
+	// backend accepts at which connections require no subsets: up to this ratio, many of the proxies
+	// are quiet.
 	maxProxiesPerConnection = 1.6
 	// minSubsetSize is the least number of backends per subset.
 	minSubsetSize = 5
@@ -69,11 +70,11 @@
 	}
 }
 
-// subsetWeights holds the listed weight of the ready backends by subset, in total and by zone.
-// Methods on a nil pointer that change it do nothing.
+// subsetWeights holds the listed weight of the ready backends by subset, in total and by zone. Its
+// methods add and remove do nothing on a nil pointer.
 type subsetWeights struct {
-	all    []float64
-	byZone map[int][]float64
+	all    []float64         // weight of each subset
+	byZone map[int][]float64 // by zone: weight of each subset in the zone
 }
 
 // listedSubsetWeights sums the listed weights of the ready backends.
@@ -152,8 +153,8 @@
 func (c *Controller) moveToSubset(to int, plan *publication) bool {
 	from := slices.Index(plan.targetBySubset, slices.Max(plan.targetBySubset))
 	id := slices.IndexFunc(c.backends, func(backend *backendState) bool {
-		settled := backend.published > 0 && c.targetWeight(backend, plan.now) == backend.published
-		return backend.subset == from && settled && !c.warmingUp(backend, plan.now)
+		entryIsCurrent := backend.published > 0 && c.targetWeight(backend, plan.now) == backend.published
+		return backend.subset == from && entryIsCurrent && !c.warmingUp(backend, plan.now)
 	})
 	cost := (plan.proxiesBySubset[from] + plan.proxiesBySubset[to]) * (c.pushQueue.messageOverhead() + 1)
 	if id < 0 || plan.targetBySubset[from] <= plan.fairWeight || !c.pushQueue.hasCapacity(cost, true) {
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -52,11 +52,11 @@
 type syncRound struct {
 	now            Microseconds
 	withdrawals    float64         // number of withdrawals in force
-	withdrawalCost Lines           // of a message with all of them
-	reserve        Lines           // kept free in the push queue
-	waiting        int             // connected proxies without assigned tables at the start of the pass
-	assigned       int             // of these, proxies that were assigned tables in this pass
-	tableSizes     map[int]float64 // entries by table, for the tables counted so far
+	withdrawalCost Lines           // cost of a message with all withdrawals in force
+	reserve        Lines           // capacity of the push queue that is kept free for changes that cannot wait
+	waiting        int             // number of connected proxies without assigned tables at the start of the pass
+	assigned       int             // number of proxies that were assigned tables in this pass
+	tableSizes     map[int]float64 // number of entries by table, for the tables counted so far
 }
 
 // enqueueForSync adds a proxy to the proxies that wait for tables, at its position in the order.
@@ -84,7 +84,7 @@
 	tableFits := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
 	messageFits := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
 	if !tableFits && !messageFits {
-		return // thousands of proxies may wait, and this function runs with each ack
+		return // without a pass over all waiting proxies: there may be thousands, and each ack leads here
 	}
 	round.waiting = c.countWaitingForTables()
 	c.reserveForTables(now, round.tableSizes)
@@ -143,13 +143,13 @@
 	}
 }
 
-// tablesSendable reports whether a proxy's tables, or a clearing of withdrawals, which counts as
-// much here, may be sent to it now. Changes that wait for the channel are sent first, unless the
-// proxy's tables would be late.
+// tablesSendable reports whether a proxy may be sent its tables now, or a message that clears
+// withdrawals, which is taken to cost as much. Changes that wait for the channel are sent first,
+// unless the proxy's tables would be late.
 func (c *Controller) tablesSendable(proxy *proxyState, tables fullTables, now Microseconds) bool {
 	wouldBeLate := !proxy.tablesAssigned && c.pushQueue.wouldDelayTables(0)
-	itsTurn := !c.queueCongested || wouldBeLate
-	return proxy.connected && !tables.anyEmpty && itsTurn &&
+	mayPrecedeChanges := !c.queueCongested || wouldBeLate
+	return proxy.connected && !tables.anyEmpty && mayPrecedeChanges &&
 		c.pushQueue.hasCapacity(tables.cost, false) && c.pushQueue.mayPush(proxy, now, false)
 }
 
@@ -187,8 +187,8 @@
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
 	anyWithdrawals := proxy.mayHoldForeignWithdrawals || round.withdrawals > 0
-	hasRoom := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
-	if !anyWithdrawals || !hasRoom || !c.pushQueue.mayPush(proxy, round.now, true) {
+	hasCapacity := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
+	if !anyWithdrawals || !hasCapacity || !c.pushQueue.mayPush(proxy, round.now, true) {
 		return
 	}
 	if !c.host.SyncWithdrawals(id, noLimit, RetryIfNotExecuted) {
@@ -219,9 +219,9 @@
 
 // fullTables summarizes the complete tables of a proxy.
 type fullTables struct {
-	entries  float64
-	cost     Lines // including their message and limits
-	anyEmpty bool  // one of the tables has no entry
+	entries  float64 // number of entries of all the tables
+	cost     Lines   // cost of the tables, including their message and limits
+	anyEmpty bool    // one of the tables has no entry
 }
 
 // fullTablesOf sums the sizes and costs of a proxy's tables. The sizes map caches the number of
@@ -236,7 +236,7 @@
 		}
 		tables.entries += size
 		tables.cost += size
-		tables.cost++ // for the assignment
+		tables.cost++ // for the assignment of the table
 		tables.anyEmpty = tables.anyEmpty || size == 0
 	})
 	return tables
@@ -253,8 +253,8 @@
 
 // reserveForTables sums the costs of the tables of waiting proxies, and computes how many lines may
 // be queued for the most urgent of these proxies to have its tables in time. Withdrawals cannot
-// replace these tables: a withdrawal may be unable to name a backend that was removed before this
-// controller started, whereas complete tables leave it out.
+// replace these tables: this controller may not know a backend that was removed before it started,
+// and cannot withdraw that backend, whereas complete tables omit it.
 func (c *Controller) reserveForTables(now Microseconds, sizes map[int]float64) {
 	queue := &c.pushQueue
 	queue.reservedLines = 0
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -11,29 +11,33 @@
 //     was warm then. A backend that was still warming up then has no slow start;
 //   - reduced: the share is multiplied by weightReductionFactor with each evaluation at which the
 //     answers lag behind (outlier.go), but not below minReducedShare. With fixed weights, slow
-//     machines are the first to be overfilled. A step back is due every weightRaiseInterval.
+//     machines are the first to be overloaded. The share is raised by one step every
+//     weightRaiseInterval.
 //
 // Weights are relative: a backend receives the share of requests that its weight has in the sum of
-// the weights in its table. A small weight does not protect a backend that is nearly alone there.
+// the weights in its table. A small weight does not protect a backend if its table has hardly any
+// other entries.
 //
 // For that reason a backend that is warming up gets no entry at all in two cases, in which nothing
-// else would keep an overload away from it. The first case is an overload where proxies ignore
-// limits. The second case is a controller that has not evaluated any report although a warm backend
-// was ever listed: it may have started during an overload, and cannot set a limit yet.
+// else would protect it from an overload. The first case is an overload where proxies ignore
+// limits. The second case is a controller that has not evaluated any report yet, once a warm
+// backend was listed: the controller may have started during an overload, and cannot set a limit
+// yet.
 //
 // Inputs are Endpoint.StartedAt, Endpoint.Weight, the time since the backend entered (microseconds)
 // and its score.
 
 const (
-	slowStartShare = 0.25
-	slowStartTime  = 5 * second
+	slowStartShare = 0.25       // share of its listed weight for a backend in its slow start
+	slowStartTime  = 5 * second // duration of a slow start
 
-	// warmupStepsPerWeight is the number of steps from no weight to the full weight.
+	// warmupStepsPerWeight is the number of steps from no weight to the full weight of a backend
+	// that is warming up.
 	warmupStepsPerWeight = 4
 
-	weightReductionFactor = 0.75
-	minReducedShare       = 0.25
-	weightRaiseInterval   = 20 * second
+	weightReductionFactor = 0.75        // factor of one step by which the weight of a lagging backend is reduced
+	minReducedShare       = 0.25        // lowest share of its listed weight for a lagging backend
+	weightRaiseInterval   = 20 * second // time between two steps that raise a reduced weight
 	// fullWeightTolerance is the distance from the full weight within which a raised share counts
 	// as the full weight.
 	fullWeightTolerance = 0.05
@@ -65,10 +69,10 @@
 // warmShare returns the share of its weight that a backend of the given age can certainly carry, in
 // steps.
 func (c *Controller) warmShare(age Microseconds) float64 {
-	cold := c.rules.ColdStartShare
-	certain := cold + (1-cold)*float64(age)/float64(c.rules.WarmupTime)
-	step := float64(int(certain*warmupStepsPerWeight)) / warmupStepsPerWeight
-	return max(step, cold)
+	coldShare := c.rules.ColdStartShare
+	certainShare := coldShare + (1-coldShare)*float64(age)/float64(c.rules.WarmupTime)
+	steppedShare := float64(int(certainShare*warmupStepsPerWeight)) / warmupStepsPerWeight
+	return max(steppedShare, coldShare)
 }
 
 // warmingUp reports whether a backend started less than the warm-up time ago. A start that lies
@@ -78,18 +82,18 @@
 	return backend.StartedAt > 0 && age < c.rules.WarmupTime
 }
 
-// withholdWarmingUp reports whether backends that are warming up get no entry. This is so during an
-// overload if proxies ignore limits. It is also so, once a warm backend was ever listed, until a
-// report shows whether this controller started during an overload. It does not matter whether a
-// warm backend is still listed.
+// withholdWarmingUp reports whether backends that are warming up get no entry. They get none during
+// an overload if proxies ignore limits. Once a warm backend was listed, they also get none until a
+// report shows whether this controller started during an overload, even if no warm backend is
+// listed any more.
 func (c *Controller) withholdWarmingUp() bool {
 	unlimitedOverload := c.admission.mode == AdmissionUnsupported && c.admission.latencyRatio > overloadedRatio
 	noReportYet := c.admission.meanObjective == 0
 	return unlimitedOverload || noReportYet && c.warmEverListed
 }
 
-// reduceWeight lowers the weight of a lagging backend, as if it were the only backend with a queue.
-// That is wrong where backends differ in speed by nature.
+// reduceWeight lowers the weight of a lagging backend. It assumes that the backend answers late
+// because it alone has a queue, which is wrong where backends differ in speed by nature.
 func (c *Controller) reduceWeight(id int, now Microseconds) {
 	backend := c.backends[id]
 	if backend.reducedShare == 0 {
