--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -4,13 +4,13 @@
 
 func TestOverloadLowersTheLimit(t *testing.T) {
 	t.Run("reports older than any request do not lower the limit unless the overload outlasts them", func(t *testing.T) {
-		// With old reports, an overload of six seconds lowered the limit only once it was over, and
-		// then for twenty seconds. Seen in runs with the whole fleet.
+		// With old reports, an overload of six seconds lowered the limit only after the overload was
+		// over, and then for twenty seconds. Seen in runs with the whole fleet.
 		for duration, wantLimits := range map[int]bool{6: false, 40: true} {
 			host := startController(t, defaultSettings(), 8, 3)
 			report := func(overloaded bool) {
 				for b := range host.controller.backends {
-					host.reportOutcomes(b, 10, count(overloaded), 250_000+650_000*int64(count(overloaded)))
+					host.reportOutcomes(b, 10, toInt(overloaded), 250_000+650_000*int64(toInt(overloaded)))
 				}
 				for p := range host.controller.proxies {
 					for class := range 2 {
@@ -54,12 +54,12 @@
 				host.limits, host.retries)
 		}
 		if len(host.tables[0]) != 8 {
-			t.Errorf("the overload removed table entries, left are %v", host.tables[0])
+			t.Errorf("table %v after the overload, want all 8 backends", host.tables[0])
 		}
 	})
 	t.Run("counts accumulated over several report intervals are not taken for the throughput of one", func(t *testing.T) {
-		// Each report line accumulated four report intervals, which made the fleet's throughput
-		// seem twice as high as it was. Seen in a search over large scenarios.
+		// Each report line accumulated the counts of four report intervals, which made the fleet's
+		// throughput seem twice as high as it was. Seen in a search over large scenarios.
 		host, turn := startController(t, defaultSettings(), 12, 3), 0
 		host.run(8, func() {
 			turn++
@@ -69,7 +69,8 @@
 			host.reportDemand(40, 20)
 		})
 		if limit := host.limits["65535 1"]; limit == 0 || limit >= 40 {
-			t.Errorf("limits %v in an overload of which each report covers a quarter of the backends", host.limits)
+			t.Errorf("limits %v with reports from a quarter of the backends at a time, want more than 0 and less than 40",
+				host.limits)
 		}
 	})
 	t.Run("the limit is lower if some backends answer nothing", func(t *testing.T) {
@@ -79,7 +80,7 @@
 			host := startController(t, defaultSettings(), 8, 3)
 			host.run(2, func() {
 				for b := range 8 {
-					host.reportOutcomes(b, 10*count(b < 5)+failures*count(b > 4), failures*count(b > 4), 900_000*int64(count(b < 5)))
+					host.reportOutcomes(b, 10*toInt(b < 5)+failures*toInt(b > 4), failures*toInt(b > 4), 900_000*int64(toInt(b < 5)))
 				}
 				host.reportDemand(16, 8)
 			})
@@ -154,7 +155,8 @@
 			}
 			host.reportDemand(2, 2)
 		})
-		// The fleet answered 240 requests per second, of more than one unit each.
+		// The fleet answered 240 requests per second. A request counts as more than one unit on
+		// average, so the throughput is above 240 units/s.
 		if throughput := host.controller.admission.saturatedThroughput * 8 * 2 * 30; throughput < 240 {
 			t.Errorf("saturated throughput of %.1f units/s, want at least 240 for 240 answers/s", throughput)
 		}
@@ -198,7 +200,7 @@
 				first, host.controller.admission.limitShare)
 		}
 		if host.run(12, at(230_000)); host.controller.admission.limiting {
-			t.Errorf("still limited at %.1f units/s", host.controller.admission.limit)
+			t.Errorf("demand is still limited to %.1f units/s, want it below the limit", host.controller.admission.limit)
 		}
 	})
 	t.Run("saturated throughput from before falls in an overload that answers less", func(t *testing.T) {
@@ -259,8 +261,8 @@
 
 func TestLimitIsRaisedInSteps(t *testing.T) {
 	t.Run("a limit is raised while nothing waits, although rate limits admit less than their sum", func(t *testing.T) {
-		// Rate limits refuse the bursts of small proxies, so the answered throughput stays below
-		// the limit. Seen in large scenarios.
+		// Rate limits refuse the bursts of small proxies, so the answered throughput stays below the
+		// limit. A raise must not require that it reaches the limit. Seen in large scenarios.
 		host := startController(t, defaultSettings(), 8, 3)
 		host.run(4, reportOverload(host))
 		low := host.limits["65535 1"]
@@ -290,13 +292,13 @@
 			t.Fatal("no limit in force at the overload")
 		}
 		if host.run(30, at(330_000)); host.controller.admission.limiting {
-			t.Errorf("still limited at %.1f units/s, latency ratio %.2f",
+			t.Errorf("demand is still limited to %.1f units/s at a latency ratio of %.2f, want it below the limit",
 				host.controller.admission.limit, host.controller.admission.latencyRatio)
 		}
 	})
 	t.Run("the limit is raised by one step at a time, each after reports of the previous one", func(t *testing.T) {
-		// Three steps of 45% fitted into the time that reports take, and the overload returned.
-		// Seen in scaled-up overload scenarios.
+		// The limit was raised by three steps of 45% before reports showed the effect of the first,
+		// and the overload returned. Seen in scaled-up overload scenarios.
 		host := startController(t, defaultSettings(), 8, 3)
 		host.run(2, reportOverload(host))
 		host.run(9, func() { host.reportHealthy() })
@@ -326,7 +328,7 @@
 			mode  AdmissionMode
 			fleet int // proxies at all controllers, 3 of them at this one
 			quota float64
-			want  float64 // limit of the class; the demand is 20 requests a second at each proxy
+			want  float64 // limit of class 0, whose demand is 20 requests per second at each proxy
 		}{
 			"all proxies at this controller":         {AdmissionByRate, 0, 30, 10},
 			"half of the proxies at this controller": {AdmissionByRate, 6, 30, 5},
--- a/balancer/backend_test.go
+++ b/balancer/backend_test.go
@@ -4,7 +4,7 @@
 
 func TestRemovedBackends(t *testing.T) {
 	t.Run("with OnlyDrainingMustLeave, a removed backend keeps its entry until its attempts fail", func(t *testing.T) {
-		// A wrong endpoint list dropped most backends. When they were listed again, they were
+		// A wrong endpoint list omitted most backends. When they were listed again, they were
 		// treated as new.
 		settings := defaultSettings()
 		settings.limits.OnlyDrainingMustLeave = true
--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -63,8 +63,9 @@
 		}
 	})
 	t.Run("backends that only this controller's proxies cannot reach do not count as lost capacity", func(t *testing.T) {
-		// A zone was cut off. Proxies beyond the cut also sent less to the backends that this
-		// controller kept, so no capacity was lost. Seen in a scaled-up Muscat scenario.
+		// A network partition cut off a zone, and its backends were ejected. The proxies in that zone
+		// in turn sent less to the backends that kept their entries here, so no capacity was lost.
+		// Seen in a scaled-up Muscat scenario.
 		host := startController(t, defaultSettings(), 16, 3)
 		host.run(6, func() { host.reportHealthy() })
 		host.run(2, func() {
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -105,7 +105,8 @@
 				leftAfterFirst, len(host.tables[0]))
 		}
 		messagesBefore := len(host.messages)
-		// In another scenario, assignments of tables kept the queue from becoming nearly empty.
+		// In another scenario, assignments of tables kept the queue from becoming nearly empty, so
+		// that the waiting drains were not sent.
 		if host.controller.ProxyConnected(20, 0, 10, false); host.assigned["20 0 3"] {
 			t.Error("proxy 20 was assigned tables while drains wait for capacity")
 		}
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -24,7 +24,7 @@
 	polls        int
 	healthChecks []int
 	effects      []string
-	unsentLines  map[int64]float64 // by batch number: lines that have not left the channel of runChannel
+	unsentLines  map[int64]float64 // lines that have not left the channel of runChannel, by batch number
 }
 
 func (host *fakeHost) Now() int64      { return host.now }
@@ -143,8 +143,8 @@
 	return c
 }
 
-// run advances the clock by a number of seconds. Every second it calls each, unless that is nil. At
-// each step all connected proxies answer the last ack request.
+// run advances the clock by a number of seconds. Every second it calls the function each, unless
+// that is nil. At each step of the clock all connected proxies answer the last ack request.
 func (host *fakeHost) run(seconds float64, each func()) {
 	end := host.now + int64(seconds*float64(second))
 	next := host.now + second
@@ -207,8 +207,8 @@
 	}
 }
 
-// reportDemandOver reports demand in lines that cover the given span, as is the case if report
-// lines are delayed.
+// reportDemandOver reports ordinary demand at each proxy in report lines that cover the given span.
+// Lines cover a longer span than the report interval if they are delayed.
 func (host *fakeHost) reportDemandOver(span int64) {
 	for p := range host.controller.proxies {
 		for class := range 2 {
@@ -217,7 +217,7 @@
 	}
 }
 
-// expectWeight checks a backend's weight in table 0.
+// expectWeight fails the test if a backend's weight in table 0 differs from the wanted weight.
 func (host *fakeHost) expectWeight(b int, want float64, when string) {
 	host.Helper()
 	if got := host.tables[0][b]; got < want-0.001 || got > want+0.001 {
@@ -238,8 +238,8 @@
 	}
 }
 
-// count returns 1 if a condition holds, and 0 otherwise.
-func count(holds bool) int {
+// toInt returns 1 if a condition holds, and 0 otherwise.
+func toInt(holds bool) int {
 	if holds {
 		return 1
 	}
@@ -274,7 +274,7 @@
 			if host.unsentLines[batch.number] -= take; host.unsentLines[batch.number] > 0 {
 				break
 			}
-			// Proxies that have disconnected since then acknowledge too.
+			// Lines for proxies that have disconnected since the batch was sent leave the channel too.
 			for _, p := range slices.Collect(maps.Keys(batch.linesTo)) {
 				host.controller.pushQueue.acknowledge(int(batch.number&0xffff), p)
 			}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestOutliersAreEjected(t *testing.T) {
-	t.Run("a dead backend is ejected, readmitted at a quarter, and then ejected for twice as long", func(t *testing.T) {
+	t.Run("a dead backend is ejected, readmitted at a quarter of its weight, ejected twice as long", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 6, 2)
 		reportDead := func() { host.reportHealthy(2); host.reportOutcomes(2, 4, 4, 0) }
 		host.run(5, reportDead)
@@ -29,7 +29,7 @@
 			host.reportOutcomes(b, 10, 5+b%3, 250_000)
 		},
 		"no backend is ejected for a few failures in a row under overload": func(host *fakeHost, turn, b int) {
-			host.reportOutcomes(b, 6, 4+2*count((turn+b)%3 == 0), 900_000)
+			host.reportOutcomes(b, 6, 4+2*toInt((turn+b)%3 == 0), 900_000)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 		host := startController(t, defaultSettings(), 8, 2)
 		host.run(6, func() {
 			for b := range 8 {
-				host.reportOutcomes(b, 10, 10*count(b > 1), 250_000*int64(count(b <= 1)))
+				host.reportOutcomes(b, 10, 10*toInt(b > 1), 250_000*int64(toInt(b <= 1)))
 			}
 		})
 		if len(host.tables[0]) != 2 {
@@ -69,7 +69,7 @@
 		host := startController(t, defaultSettings(), 8, 2)
 		host.run(5, func() {
 			for b := range 8 {
-				host.reportOutcomes(b, 10, 10*count(b > 1), 250_000*int64(count(b <= 1)))
+				host.reportOutcomes(b, 10, 10*toInt(b > 1), 250_000*int64(toInt(b <= 1)))
 			}
 		})
 		host.controller.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Removed},
@@ -96,14 +96,14 @@
 		host.expectWeight(2, 0.5, "after a passed health check")
 		checksBefore := len(host.healthChecks)
 		if host.run(6, reportDead); len(host.healthChecks) != checksBefore {
-			t.Error("health check as early as after the first ejection, want it later")
+			t.Error("a health check within 6 s of renewed failures, want none so early in the longer backoff")
 		}
 	})
 }
 
 func TestReportsOlderThanRequests(t *testing.T) {
-	// With 75 report lines per second for thousands of keys, reports are 10 to 20 s old. Seen in
-	// runs with the whole fleet.
+	// With 75 report lines per second for thousands of proxies and backends, reports are 10 to 20 s
+	// old. Seen in runs with the whole fleet.
 	t.Run("old reports from before a restart do not count against the new process", func(t *testing.T) {
 		for span, wantEjected := range map[int64]bool{second: true, 20 * second: false} {
 			host := startController(t, defaultSettings(), 8, 2)
@@ -120,8 +120,8 @@
 		}
 	})
 	t.Run("one report over a long time counts if other reports are not old", func(t *testing.T) {
-		// Failures of a backend that had been away were noticed too late after its return. Seen in
-		// a scaled-up Nairobi scenario.
+		// The failures of a backend that had just returned to service were noticed too late. Seen in a
+		// scaled-up Nairobi scenario.
 		host := startController(t, defaultSettings(), 8, 2)
 		host.run(5, func() { host.reportHealthy() })
 		host.updateEndpoints(3, 4, Ready, host.now)
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -29,10 +29,10 @@
 		host.controller.PeerOutcomesReported(2, 2, 2, 0, 0)
 		host.controller.PeerOutcomesReported(2, 9, 0, 40_000, 0) // answers at peers do not reset the count
 		host.run(3, func() { host.reportHealthy(2) })
-		host.expectWeight(2, 2, "after four in all")
+		host.expectWeight(2, 2, "after four consecutive failures in total")
 		host.controller.PeerOutcomesReported(2, 1, 1, 0, 0)
 		host.run(3, func() { host.reportHealthy(2) })
-		host.expectWeight(2, 0, "after five in all")
+		host.expectWeight(2, 0, "after five consecutive failures in total")
 	})
 	t.Run("peer outcomes reduce no weight, show no overload, and eject nothing if most backends fail", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 4, 2)
@@ -105,7 +105,7 @@
 			}
 		}
 	})
-	t.Run("messages of peers count: a connecting proxy still gets its tables, and then waits", func(t *testing.T) {
+	t.Run("messages of peers count: a connecting proxy gets its tables, then ordinary changes wait", func(t *testing.T) {
 		settings := defaultSettings()
 		settings.channel.MaxMessages, settings.channel.MessageWindow = 8, 10*second
 		host := startController(t, settings, 4, 1)
--- a/balancer/shard_test.go
+++ b/balancer/shard_test.go
@@ -49,8 +49,9 @@
 		}
 	})
 	t.Run("a shard taken over from another controller is fenced, since it may have been moving", func(t *testing.T) {
-		// The former controller had moved the shard just before a partition took it away, and the new
-		// one lifted the limit that stopped writes.
+		// A controller had fenced and moved the shard just before a network partition, after which the
+		// shard was assigned to another controller. That controller lifted the fence, although writes
+		// to a former owner may have been in progress.
 		host := start(t, true, AdmissionByShare)
 		host.run(5, func() { host.reportHealthy() })
 		host.controller.ShardAssigned(2)
@@ -65,7 +66,8 @@
 		}
 	})
 	t.Run("fences are repeated once, however many proxies connect", func(t *testing.T) {
-		// Each proxy that connected had every fence sent to all proxies again, and the channel overflowed.
+		// With each proxy that connected, every fence was sent to all proxies again, and the channel
+		// overflowed.
 		host := start(t, true, AdmissionByShare)
 		host.controller.EndpointsUpdated(false, removal)
 		before := len(host.effects)
@@ -75,7 +77,7 @@
 		host.run(1, nil)
 		fences := 0
 		for _, line := range host.effects[before:] {
-			fences += count(strings.HasSuffix(line, "limit 3 2 0.00 0"))
+			fences += toInt(strings.HasSuffix(line, "limit 3 2 0.00 0"))
 		}
 		if fences != 1 {
 			t.Errorf("the fence of shard 3 was sent %d times, want 1", fences)
--- a/balancer/start_test.go
+++ b/balancer/start_test.go
@@ -80,13 +80,13 @@
 }
 
 func TestStartUnderOverload(t *testing.T) {
-	// A controller restarted under overload, and assigned its proxies tables with a backend that had
-	// just started as well.
+	// A controller restarted under overload. The tables that it assigned to its proxies contained a
+	// backend that had just started as well.
 	startWithCold := func(warmCount int) *fakeHost {
 		host := startController(t, defaultSettings(), 0, 3)
 		var endpoints []Endpoint
 		for b := range 6 {
-			startedAt := (host.now - second) * int64(count(b >= warmCount))
+			startedAt := (host.now - second) * int64(toInt(b >= warmCount))
 			endpoints = append(endpoints, Endpoint{Backend: b, State: Ready, Weight: 2, StartedAt: startedAt})
 		}
 		host.controller.EndpointsUpdated(true, endpoints)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestSubsets(t *testing.T) {
-	// In scenarios with 150 proxies, each opened a connection to all backends, but the smallest
+	// In scenarios with 150 proxies, each proxy opened a connection to all backends, but the smallest
 	// backends accept 80 connections.
 	settings := defaultSettings()
 	settings.channel.Proxies, settings.channel.MinBackendConnections, settings.channel.Backlog = 150, 80, 3300
 	settings.channel.LinesPerSecond = 2400 // sends complete tables to all proxies within the grace
 	entriesIn := func(host *fakeHost, subset int) (entries int) {
 		for b := range host.tables[subset] {
-			entries += count(host.tables[subset][b] > 0)
+			entries += toInt(host.tables[subset][b] > 0)
 		}
 		return entries
 	}
@@ -59,7 +59,7 @@
 		}
 		host.run(12, func() { host.reportHealthy(members[:3]...) })
 		if entriesIn(host, 0) < 7 || entriesIn(host, 0)+entriesIn(host, 1) != 27 {
-			t.Errorf("after most of these became ready: %d and %d entries, want 27 in total and at least 7 in subset 0",
+			t.Errorf("with most of subset 1 ready again: %d and %d entries, want 27 in total and at least 7 in subset 0",
 				entriesIn(host, 0), entriesIn(host, 1))
 		}
 	})
@@ -110,7 +110,7 @@
 			host.runChannel(10)
 			proxiesBySubset := make([]int, host.controller.subsetCount)
 			for _, p := range host.controller.proxies {
-				proxiesBySubset[p.subset] += count(p.tablesAssigned)
+				proxiesBySubset[p.subset] += toInt(p.tablesAssigned)
 			}
 			if slices.Min(proxiesBySubset) < 90/len(proxiesBySubset) || len(proxiesBySubset) < 2 {
 				t.Errorf("connected after %s: the proxies by subset are %v, want an even spread over at least 2",
@@ -143,7 +143,7 @@
 		subsets int
 	}{
 		{"tables leave in time with as many subsets as connections require", wholeFleetSettings().channel, 55 * second, 27},
-		{"with those only half would leave in time, so tables are cut to half of that time", small, 8300_000, 34},
+		{"with the subsets for connections half the tables would be late, so they get half the time", small, 8300_000, 34},
 		{"a longer grace allows longer tables", small, 14600_000, 15},
 		{"no subset is below the least size", small, 4000_000, 40},
 		{"connections suffice, but one table would not leave in time", connected, 8300_000, 12},
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -64,7 +64,7 @@
 			assigned := host.assigned[fmt.Sprint(p, 0, 3)]
 			notified := slices.Contains(host.effects, fmt.Sprintf("%d sync %d", host.now, p))
 			if assigned != (turn < len(host.assigned)-1) || notified == assigned || len(host.assigned) < 8 {
-				t.Errorf("proxy %d, number %d to connect: tables assigned %v, withdrawals sent %v, want either; %d have tables",
+				t.Errorf("proxy %d, number %d to connect: tables assigned %v, withdrawals sent %v, want just one; %d have tables",
 					p, turn+1, assigned, notified, len(host.assigned))
 			}
 		}
@@ -82,7 +82,8 @@
 }
 
 func TestWholeFleetConnectsToOneController(t *testing.T) {
-	// Baseline rates that are spread over the indices of the proxies.
+	// baseline returns the baseline rate of a proxy: 0.3 to 1.3 requests per second, in an order
+	// unrelated to the indices.
 	baseline := func(p int) float64 { return 0.3 + float64(p*7919%1000)/1000 }
 	t.Run("if all proxies connect to one controller, the busiest get tables first", func(t *testing.T) {
 		// When four of five controllers failed, 36,000 lines were queued, which take the channel 40 s.
@@ -102,7 +103,7 @@
 		// The tables of the first second are sent to the proxies that have connected first.
 		busiestWaiting := 0
 		for p := range 2000 {
-			busiestWaiting += count(!host.controller.proxies[p].tablesAssigned && baseline(p) > 1.15)
+			busiestWaiting += toInt(!host.controller.proxies[p].tablesAssigned && baseline(p) > 1.15)
 		}
 		if served < 300 || busiestWaiting > 0 {
 			t.Errorf("%d proxies have tables, want at least 300; %d of the busiest have none, want 0; lowest rate served %.2f",
@@ -141,7 +142,7 @@
 		}
 		connect(0, 35)
 		runChannel(1.5)
-		host.updateEndpoints(160, 260, Ready, 0) // 100 new backends cost each of these proxies 100 lines
+		host.updateEndpoints(160, 260, Ready, 0) // 100 new backends, whose entries also need the channel
 		connect(35, 50)
 		runChannel(0.5)
 		connect(50, 75)
@@ -183,7 +184,7 @@
 			for _, proxy := range host.controller.proxies {
 				earliest := host.now + host.controller.QueueDelay() + settings.channel.MaxLatency
 				late := earliest-proxy.connectedAt > settings.limits.DrainGrace
-				lateCount += count(!proxy.tablesAssigned && late)
+				lateCount += toInt(!proxy.tablesAssigned && late)
 			}
 		}
 		if lateCount > 0 {
@@ -202,7 +203,7 @@
 		host.runChannel(10)
 		assigned, notified := 0, 0
 		for _, p := range host.controller.proxies {
-			assigned, notified = assigned+count(p.tablesAssigned), notified+count(p.withdrawalsSynced)
+			assigned, notified = assigned+toInt(p.tablesAssigned), notified+toInt(p.withdrawalsSynced)
 		}
 		if assigned < 400 || notified > 0 {
 			t.Errorf("%d proxies have tables, want at least 400; %d got a withdrawals message, want 0", assigned, notified)
--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -37,7 +37,7 @@
 	seconds           int
 	reportSpan        int64 // time that a report line covers
 	loads             bool  // backends report their load
-	noSyncMessage     bool  // the host does not support SyncWithdrawals
+	noSyncMessage     bool  // the host does not support Host.SyncWithdrawals
 	change            func(settings *testSettings)
 }
 
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -16,13 +16,13 @@
 	now           int64
 	lines         []string
 	timers        []transcriptTimer
-	requestedAcks []int // numbers of acks requested and not yet given; their times are in ackTimes
-	ackTimes      []int64
+	requestedAcks []int   // batch numbers of acks that were requested and not yet given
+	ackTimes      []int64 // times at which these acks are given
 	connected     []bool
 	endpoints     []Endpoint
 	listedCount   int // backends below this index have been listed
 	condition     int // condition of the fleet, see reportAll
-	affected      int // backends below this index are those that some conditions affect
+	affected      int // some conditions affect only the backends below this index
 }
 
 type transcriptTimer struct {
--- a/balancer/weight_test.go
+++ b/balancer/weight_test.go
@@ -22,7 +22,7 @@
 			host.expectWeight(7, 2, "once it is warm")
 		}
 	})
-	t.Run("a start a moment from now, as clocks differ, counts as warming up; one far ahead does not", func(t *testing.T) {
+	t.Run("a start time slightly ahead, as clocks differ, means warming up; one far ahead does not", func(t *testing.T) {
 		host := startController(t, defaultSettings(), 3, 1)
 		host.run(3, func() { host.reportHealthy() })
 		host.updateEndpoints(3, 4, Ready, host.now+6*second)
