--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -67,8 +67,8 @@
 		{"snapshot", "snapshot restored"},
 	} {
 		if source.name == "snapshot" {
-			// Raft takes a snapshot only after it has applied an entry behind the last change of
-			// members.
+			// Raft takes a snapshot only if it has applied an entry that follows the last change of its
+			// list of members.
 			memberA.commit(b, ownership.Entry{Member: "a", Incarnation: 1, Seq: entries/2 + 2})
 			if err := r.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot {
 				b.Fatal(err)
--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -93,7 +93,8 @@
 }
 
 // stampEntry sets the fields of an entry that only the leader knows: Stamp, the time at which the
-// entry arrived, and OnRecord, the incarnations that have surely written nothing without a quorum.
+// entry arrived, and FullyRecorded, the incarnations that have certainly written nothing without a
+// quorum.
 func (n *Node) stampEntry(machine *stateMachine, entry *ownership.Entry, connection int) {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
--- a/consensus/cost.go
+++ b/consensus/cost.go
@@ -8,8 +8,8 @@
 // costSample holds the counters of the record's load at one time.
 type costSample struct {
 	at    time.Time
-	bytes int64  // sent and received so far
-	index uint64 // of the last entry that was applied
+	bytes int64  // number of bytes sent and received so far
+	index uint64 // index of the last entry that was applied
 }
 
 // logCost logs the record's entries and bytes per second and its snapshot size, once per
--- a/consensus/credentials.go
+++ b/consensus/credentials.go
@@ -19,7 +19,8 @@
 	Authority string
 }
 
-// tlsConfig reads the files. It returns nil for plain text.
+// tlsConfig reads the files and returns the TLS configuration. It returns nil, which stands for
+// plain text, if all paths are empty.
 func (c Credentials) tlsConfig() (*tls.Config, error) {
 	if c == (Credentials{}) {
 		return nil, nil
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -33,10 +33,10 @@
 //     the connection;
 //   - forwardProposals sends proposed entries to the leader, one at a time;
 //   - maintainMembership makes the member part of a record: by joining one, by bootstrapping one,
-//     or by starting over under a new ID.
+//     or by dropping its record and starting over under a new ID.
 //
 // Raft has goroutines of its own, which end with instance.close. The methods of Events and
-// Distribution are called on raft's goroutines and on these.
+// Distribution are called on raft's goroutines and on those of Node.Run.
 //
 // # Locks
 //
--- a/consensus/forward.go
+++ b/consensus/forward.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	forwardRetryPause = 50 * time.Millisecond // between a failed attempt and ProposalFailed
+	forwardRetryPause = 50 * time.Millisecond // pause between a failed attempt and ProposalFailed
 	localConnection   = 0                     // the connection number of the leader's own entries
 )
 
@@ -71,7 +71,7 @@
 // same connection. Only forwardProposals uses it.
 type leaderConn struct {
 	transport *transport
-	name      string // of the leader to which conn is open
+	name      string // name of the leader to which conn is open
 	conn      net.Conn
 }
 
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -295,7 +295,7 @@
 				t.Fatal(err)
 			}
 			m := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder})
-			m.waitFor(t, "entry committed n0 5 2") // from the log, after the snapshot
+			m.waitFor(t, "entry committed n0 5 2") // this entry is in the log after the snapshot
 			if restored, _ := m.has("snapshot restored"); !restored {
 				t.Error("the member did not restore the snapshot")
 			}
@@ -308,7 +308,7 @@
 			}
 			machine := m.current().machine
 			golden.Compare(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
-			// The member can append entries to the record that it read.
+			// The member must be able to append entries to the record that it read.
 			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}})
 		})
 	}
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -114,12 +114,12 @@
 
 func startMember(t testing.TB, config Config) *runningMember {
 	t.Helper()
-	return startMemberOn(t, config, nil)
+	return startMemberWithStore(t, config, nil)
 }
 
-// startMemberOn starts a member whose store for raft's term and vote is wrapped, to inject write
-// errors.
-func startMemberOn(t testing.TB, config Config,
+// startMemberWithStore starts a member whose store for raft's term and vote is wrapped, to inject
+// write errors.
+func startMemberWithStore(t testing.TB, config Config,
 	wrapStore func(raft.StableStore) raft.StableStore) *runningMember {
 	t.Helper()
 	events := newEventLog()
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -14,10 +14,10 @@
 
 // Sizes and times of a raft instance that do not depend on the lease, unlike raftTimings.
 const (
-	snapshotThreshold = 4096            // entries after a snapshot until the next is due
-	snapshotInterval  = 5 * time.Second // between two checks whether a snapshot is due
-	trailingLogs      = 1024            // entries kept after a snapshot for members that lag a bit
-	maxAppendEntries  = 32              // in one raft message; each may have the maximum size
+	snapshotThreshold = 4096            // number of entries after a snapshot at which the next is due
+	snapshotInterval  = 5 * time.Second // time between two checks whether a snapshot is due
+	trailingLogs      = 1024            // entries kept after a snapshot; a member that lags by fewer needs no snapshot
+	maxAppendEntries  = 32              // entries in one raft message; each may have the maximum size
 	connectionPool    = 2               // connections that raft keeps to each member
 )
 
@@ -61,7 +61,7 @@
 	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.newHaltingStore(store.stable),
 		store.snapshots, raftTransport)
 	if err != nil {
-		_ = raftTransport.Close() // the error of NewRaft is returned instead
+		_ = raftTransport.Close() // only the error of NewRaft is returned
 		store.close()
 		return fmt.Errorf("consensus: start raft: %w", err)
 	}
@@ -70,7 +70,7 @@
 		machine: machine,
 		id:      store.id,
 		close: func() {
-			_ = r.Shutdown().Error()  // always nil
+			_ = r.Shutdown().Error()  // the error is always nil
 			_ = raftTransport.Close() // transport.close closes the connections
 			store.close()
 		},
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -19,10 +19,11 @@
 	*Node
 	leaderlessPolls int // successive polls without a leader, or without membership in the record
 	freshness       freshness
-	cost            costSample // as of the last log line
+	cost            costSample // counters at the last log line
 }
 
-// maintainMembership makes this member part of the record, and keeps it so, until the context ends.
+// maintainMembership makes this member part of the record, and restores its membership when it is
+// lost, until the context ends.
 func (n *Node) maintainMembership(ctx context.Context) {
 	loop := &membershipLoop{Node: n, cost: costSample{at: time.Now(), bytes: n.transport.bytes.Load()}}
 	poll := time.NewTicker(pollInterval)
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -47,14 +47,14 @@
 	Leader    string `cbor:"5,keyasint,omitempty"` // name of the leader; empty if unknown
 
 	Version *distribution.Version `cbor:"6,keyasint,omitempty"` // version after an accepted change
-	Refusal refusal               `cbor:"7,keyasint,omitempty"` // class of Reason for a change; else 0
+	Refusal refusal               `cbor:"7,keyasint,omitempty"` // class of Reason for a refused Change; otherwise 0
 }
 
 // refusal is the class of reasons for which a change is not accepted.
 type refusal uint8
 
 const (
-	refusedRetry           refusal = iota + 1 // not the leader, or the outcome is unknown
+	refusedRetry           refusal = iota + 1 // may be proposed again: not the leader, or the outcome is unknown
 	refusedVersionMismatch                    // the record is not at the base of the proposal
 	refusedPermanently                        // the record would refuse the change again
 )
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -17,9 +17,9 @@
 	"wheelrill/ownership"
 )
 
-// Events receives the changes of the ownership record, with the entries in their order, and the
-// outcomes of proposals. Its methods are called on several goroutines. They may block, but must not
-// wait for a call to the Node.
+// Events receives the changes of the ownership record in the order of its entries, and the outcomes
+// of proposals. Its methods are called on several goroutines. They may block, but must not wait for
+// a call to the Node.
 type Events interface {
 	// EntryCommitted passes the next entry of the record, which may be from any member.
 	EntryCommitted(ownership.Entry)
@@ -55,7 +55,7 @@
 	events    Events
 	log       *slog.Logger
 	transport *transport
-	clock     func() ownership.Microseconds // time since New
+	clock     func() ownership.Microseconds // returns the time since New
 	timings   raftTimings
 
 	// proposals holds at most the one entry to forward next, as a member has only one entry in
@@ -68,13 +68,13 @@
 	halted    atomic.Bool                             // a write of raft's term or vote has failed
 	wrapStore func(raft.StableStore) raft.StableStore // injects write errors in tests; else nil
 
-	// leaderMutex protects the fields below. They hold the knowledge that this process gained as
-	// leader, over several leaderships, as it depends only on this process's clock. It does not
-	// survive the process.
+	// leaderMutex protects the fields below. They hold state that this process has collected as
+	// leader. The state stays valid over several leaderships, as it depends only on the clock of
+	// this process, and is lost when the process ends.
 	leaderMutex sync.Mutex
 	leases      *ownership.LeaseTracker
 	clockID     uint64             // identifies this process's clock in stamps
-	newestEpoch distribution.Epoch // the newest of all configuration records of this process
+	newestEpoch distribution.Epoch // newest epoch of all configuration records that this process has held
 }
 
 // New checks a Config, opens the folder, and listens on this member's address; Run accepts the
@@ -149,9 +149,9 @@
 	loops.Go(func() { n.maintainMembership(ctx) })
 	<-ctx.Done()
 	if n.halted.Load() {
-		n.transport.close() // before raft, as this releases the goroutine that haltingStore blocks
+		n.transport.close() // closed before raft, as this releases the goroutine that haltingStore blocks
 	} else if r := n.current().raft; r.State() == raft.Leader {
-		_ = r.LeadershipTransfer().Error() // if it fails, the others elect a leader a little later
+		_ = r.LeadershipTransfer().Error() // if the transfer fails, the other members elect a leader a little later
 	}
 	n.current().close()
 	n.transport.close()
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -99,8 +99,8 @@
 	return memberResponse{Accepted: true, Version: &result.version}
 }
 
-// refusalReason returns the text of an error without the prefix of package distribution, as reasons
-// on the wire have it.
+// refusalReason returns the text of an error without the prefix of package distribution, because
+// the reasons on the wire do not contain this prefix.
 func refusalReason(err error) string { return strings.TrimPrefix(err.Error(), "distribution: ") }
 
 // nextEpoch returns the epoch for a configuration record that has none yet. It is newer than every
--- a/consensus/raft_layer.go
+++ b/consensus/raft_layer.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"strings"
 	"time"
@@ -55,7 +56,7 @@
 func (l *streamLayer) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	name, id, ok := strings.Cut(string(address), addressSeparator)
 	if !ok {
-		return nil, errUnknownMember
+		return nil, fmt.Errorf("%w %q", errUnknownMember, address)
 	}
 	conn, err := l.dial(context.Background(), name, connRaft)
 	if err != nil {
--- a/consensus/random.go
+++ b/consensus/random.go
@@ -8,6 +8,6 @@
 // randomID returns a random odd number, so never 0.
 func randomID() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never returns an error
+	_, _ = rand.Read(b[:]) // Read of crypto/rand never returns an error
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -20,8 +20,8 @@
 	storeFile         = "record.db"
 	idKey             = "id"
 	retainedSnapshots = 2
-	folderMode        = os.FileMode(0o700) // others could vote in the name of this member
-	lockTimeout       = time.Second        // until opening a folder that is in use fails
+	folderMode        = os.FileMode(0o700) // other users of the machine could otherwise vote in the name of this member
+	lockTimeout       = time.Second        // time until opening a folder that is in use fails
 )
 
 // storage holds the stores of a raft instance, in memory or in a folder.
--- a/consensus/storage_test.go
+++ b/consensus/storage_test.go
@@ -40,14 +40,14 @@
 func TestFullDiskHaltsTheMember(t *testing.T) {
 	addresses, isFull := freeAddresses(t, "a", "b", "c"), &atomic.Bool{}
 	wrap := func(store raft.StableStore) raft.StableStore { return fullDisk{store, isFull} }
-	a := startMemberOn(t, Config{Name: "a", Members: addresses, Folder: t.TempDir()}, wrap)
+	a := startMemberWithStore(t, Config{Name: "a", Members: addresses, Folder: t.TempDir()}, wrap)
 	others := map[string]*runningMember{
 		"b": startMember(t, Config{Name: "b", Members: addresses}),
 		"c": startMember(t, Config{Name: "c", Members: addresses}),
 	}
 	a.commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 	start := time.Now()
-	waitUntil(t, "another member than a leads", func() bool {
+	waitUntil(t, "a member other than a is the leader", func() bool {
 		if r := a.current().raft; r.State() == raft.Leader {
 			r.LeadershipTransfer().Error()
 		}
@@ -55,8 +55,9 @@
 	})
 	isFull.Store(true)
 	others[a.status().Leader].stop()
-	// In the next election a votes or is a candidate, and has to store its vote in both cases.
-	waitUntil(t, "a is halted after the next election", a.halted.Load)
+	// In the next election, member a votes for another member or for itself, and has to store its
+	// vote in both cases.
+	waitUntil(t, "member a is halted after the next election", a.halted.Load)
 	if elapsed := time.Since(start); elapsed > testTimeout {
 		t.Errorf("the leadership transfer and the halt took %s, want at most %s together", elapsed, testTimeout)
 	}
--- a/consensus/pace.go
+++ b/consensus/timings.go
@@ -6,22 +6,28 @@
 type raftTimings struct {
 	heartbeat   time.Duration // raft's heartbeat and election timeouts
 	leaderLease time.Duration // a leader that reaches no majority for this time steps down
-	commit      time.Duration // until the leader sends its commit index without a further entry
+	commit      time.Duration // time until the leader sends its commit index without a further entry
 }
 
 // Bounds of the timings, and their ratios to the lease. A leader whose process ends is replaced
 // within about two heartbeat timeouts.
 const (
-	minHeartbeat = 400 * time.Millisecond // suits a local network and a lease of 1.5 s
-	// maxHeartbeat is low enough that a change reaches subscribers within 3 s even if the leader's
-	// process ends just after the leader accepted it.
+	// minHeartbeat, the lower bound of the heartbeat timeout, suits a local network and a lease of
+	// 1.5 s.
+	minHeartbeat = 400 * time.Millisecond
+	// maxHeartbeat, the upper bound of the heartbeat timeout, is low enough that a change reaches
+	// subscribers within 3 s even if the leader's process ends just after the leader accepted it.
 	maxHeartbeat = 1200 * time.Millisecond
 
-	minCommitTimeout    = 50 * time.Millisecond
-	leaseDivisor        = 15 // heartbeat timeout = lease / leaseDivisor * heartbeatMultiplier,
-	heartbeatMultiplier = 4  // so that two elections fit into a lease
-	leaderLeaseDivisor  = 4  // leader lease = heartbeat timeout less this fraction, so 3/4
-	commitDivisor       = 30 // commit timeout = lease / commitDivisor
+	minCommitTimeout = 50 * time.Millisecond
+
+	// The heartbeat timeout is lease / leaseDivisor * heartbeatMultiplier, so that two elections
+	// fit into a lease.
+	leaseDivisor        = 15
+	heartbeatMultiplier = 4
+
+	leaderLeaseDivisor = 4  // the leader lease is shorter than the heartbeat timeout by 1/leaderLeaseDivisor
+	commitDivisor      = 30 // commit timeout = lease / commitDivisor
 )
 
 // timingsFor returns the timings for a lease. With a longer lease the timings increase in
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	dialTimeout      = 500 * time.Millisecond // to open a connection and identify its caller
-	callTimeout      = time.Second            // for a call and its response
-	acceptRetryPause = 10 * time.Millisecond  // after an error of the listener
+	dialTimeout      = 500 * time.Millisecond // time limit for opening a connection and identifying its caller
+	callTimeout      = time.Second            // time limit for a call and its response
+	acceptRetryPause = 10 * time.Millisecond  // pause after an error of the listener
 )
 
 // transport opens and accepts the connections between members, both raft connections and
@@ -42,9 +42,9 @@
 
 	mutex     sync.Mutex        // protects conns and connCount
 	conns     map[net.Conn]bool // open connections, which close closes
-	connCount int               // connections for calls accepted so far; gives each its number
+	connCount int               // number of connections for calls accepted so far, which numbers them
 
-	bytes atomic.Int64 // sent and received
+	bytes atomic.Int64 // number of bytes sent and received
 }
 
 func newTransport(members map[string]string, tlsConfig *tls.Config) *transport {
@@ -174,11 +174,11 @@
 	return secured, from, nil
 }
 
-// dial opens a connection to the member of a name, for one purpose, within dialTimeout.
+// dial opens a connection for one purpose to the member with the given name, within dialTimeout.
 func (t *transport) dial(ctx context.Context, name string, purpose connPurpose) (net.Conn, error) {
 	address, ok := t.members[name]
 	if !ok {
-		return nil, errUnknownMember
+		return nil, fmt.Errorf("%w %q", errUnknownMember, name)
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -12,7 +12,7 @@
 // Other parts define their own limits: the distributed configuration in distribution/limits.go
 // (distribution.Limits), its connections in distribution/transport/config.go (transport.Bounds),
 // the shared record in constants of package consensus next to the code that uses them (its times
-// are in pace.go), and leases in ownership.go.
+// are in timings.go), and leases in ownership.go.
 type limits struct {
 	// Resources of the process and size of the fleet.
 
--- a/ownership/apply.go
+++ b/ownership/apply.go
@@ -17,16 +17,16 @@
 	switch {
 	case e.Incarnation == c.incarnation && e.Seq == 1:
 		c.reportRecordedEvidence()
-	case e.Member != c.name && c.hasEntered(): // reports from before the entering are outdated
+	case e.Member != c.name && c.hasEntered(): // reports from before this member entered are outdated
 		c.reportEvidence(e)
 	}
 }
 
-// SnapshotRestored replaces the record, instead of applying the entries that led to it. A proxy
-// that this incarnation owned and that the new record assigns to another incarnation is lost as by
-// loseProxy, with two differences: the owner quota is not taken away, and the proxy also counts as
-// lost if its new owner has this member's name, in another incarnation. This is the current
-// behavior; docs/ROADMAP.md discusses whether the owner quota should stay.
+// SnapshotRestored replaces the record by one from a snapshot; the entries that led to this record
+// are not applied. A proxy that this incarnation owned and that the new record assigns to another
+// incarnation is lost as by loseProxy, with two differences: the owner quota is not taken away, and
+// the proxy also counts as lost if its new owner has this member's name, in another incarnation.
+// This is the current behavior; docs/ROADMAP.md discusses whether the owner quota should stay.
 func (c *Coordinator) SnapshotRestored(record *Record, now Microseconds) {
 	c.record = record
 	for proxy, owned := range record.Proxies {
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -33,8 +33,8 @@
 	Demand []float64
 }
 
-// claimKind distinguishes a claim for a new stream from a claim for a stream that the member has
-// had all the time.
+// claimKind distinguishes the claim of a proxy that has opened a new stream to the member from the
+// claim of a proxy whose stream to the member has stayed open.
 type claimKind bool
 
 const (
@@ -42,8 +42,8 @@
 	sameStream claimKind = true
 )
 
-// maxStampedMoves is the number of moves that are remembered for a proxy: one more than any rule
-// counts.
+// maxStampedMoves is the number of moves that are remembered for a proxy: one more than the highest
+// number of moves that a rule distinguishes, which is maxMovesWithReserve.
 const maxStampedMoves = maxMovesWithReserve + 1
 
 // claim moves a proxy to the member of an entry, under the next fencing token.
@@ -92,9 +92,9 @@
 }
 
 // knownTables returns the content of a proxy's tables, by class, as far as it follows from an
-// incarnation's tables. It is not known if the proxy has acknowledged nothing, or too long ago. A
-// line that was set after the acknowledged revision is uncertain: it may have been written to the
-// proxy or not.
+// incarnation's tables. It is not known if the proxy has acknowledged nothing, or only a revision
+// from before a table's last compaction. A line that was set after the acknowledged revision is
+// uncertain: it may have been written to the proxy or not.
 func (i *Incarnation) knownTables(owned Ownership) (byClass []KnownTable, known bool) {
 	if owned.Revision == 0 || len(owned.Tables) == 0 {
 		return nil, false
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Host is the interface through which a Coordinator acts. Its methods are called during the calls
-// of the Coordinator, on the same goroutine, and must not call back, with one exception:
-// ReleaseUpTo may call ProxyDisconnected for a proxy to which a message could not be sent.
+// Host is the interface through which a Coordinator acts. The Coordinator calls these methods
+// during calls of its own methods, on the same goroutine. They must not call the Coordinator, with
+// one exception: ReleaseUpTo may call Coordinator.ProxyDisconnected for a proxy to which a message
+// could not be sent.
 type Host interface {
 	// Propose proposes an entry for the record. Exactly one call of ProposalCommitted or
 	// ProposalFailed has to follow.
@@ -17,10 +18,10 @@
 	// PeerCapacityReported passes on the fleet capacity that another member has observed.
 	PeerCapacityReported(capacity Capacity)
 	// MessagesSentByPeers reduces the number of messages that may still be written to a granted
-	// proxy: other members may have written as many as given.
+	// proxy by the given number, which other members may have written.
 	MessagesSentByPeers(proxy, messages int)
 	// ReleaseUpTo permits writing the messages that belong to revisions up to the given one. It may
-	// call ProxyDisconnected.
+	// call Coordinator.ProxyDisconnected.
 	ReleaseUpTo(revision uint64)
 	// PeerObservationReported passes on what another member's proxies recently observed at a
 	// backend, or the observation for which that member has withdrawn the backend.
@@ -28,7 +29,7 @@
 	// QuorumChanged reports that the member continues without quorum, or that it has entered the
 	// record.
 	QuorumChanged(withoutQuorum bool, reason string)
-	// RandomID draws the ID of an incarnation, which no other incarnation may have.
+	// RandomID returns a random ID for a new incarnation. No other incarnation may have this ID.
 	RandomID() uint64
 }
 
@@ -47,7 +48,7 @@
 	// class; nil if no member has reported it.
 	Demand []float64
 	// SentMessages is the number of messages that count as already written, out of those that one
-	// owner may write within the window.
+	// owner may write within LeaseTerms.MessageWindow: UnownedQuota and OwnerQuota together.
 	SentMessages int
 }
 
@@ -58,25 +59,25 @@
 	host   Host
 	terms  LeaseTerms
 	name   string
-	record *Record // after the entries applied so far
+	record *Record // the record after the entries applied so far
 
 	// State of the present incarnation and of its entries.
 	incarnation    uint64
-	seq            uint64       // of the last committed entry; 0 before the incarnation has entered
-	inFlight       *Entry       // proposed and not answered yet; nil if there is none
+	seq            uint64       // number of the last committed entry; 0 before the incarnation has entered
+	inFlight       *Entry       // the proposed entry that is not answered yet; nil if no entry is in flight
 	proposedAt     Microseconds // time at which inFlight was first proposed
 	pending        Entry        // collects the content of the entry after inFlight
 	leaseStart     Microseconds // time at which the last committed entry was proposed
 	lastProposedAt Microseconds // time at which the last entry was first proposed
 	lastEnteredAt  Microseconds // time at which an incarnation's first entry was last proposed
-	withoutQuorum  bool         // the quorum was lost, and the record was not entered since
+	withoutQuorum  bool         // the quorum was lost, and this member has not entered the record since
 	closing        bool
 	startedAt      Microseconds
 
-	revision     uint64                     // of this member's tables
+	revision     uint64                     // revision of this member's tables
 	tables       map[int]map[string]float64 // weights by table and backend
-	proxies      map[int]*claimState        // connected to this member
-	grantTimes   map[int][]Microseconds     // times of the grants within the window, by proxy
+	proxies      map[int]*claimState        // state of each proxy that is connected to this member
+	grantTimes   map[int][]Microseconds     // times of the grants within the message window, by proxy
 	leaderClocks map[uint64]leaderClock
 }
 
@@ -87,20 +88,22 @@
 //	claimed, not granted yet                      no       no      0           0
 //	owned on the record                           yes      yes     > 0         0
 //	lost to another member                        yes      no      0           > 0
-//	of a new incarnation, not active since        yes      either  0           > 0
+//	incarnation began, proxy not active since     yes      either  0           > 0
 //	claimed again, or connected without quorum    yes      either  0           0
 type claimState struct {
 	granted     bool
-	windowStart Microseconds // of the message window: time of the grant, or end of the last window
-	owned       bool         // on the record, by this incarnation or the last one
+	windowStart Microseconds // start of the message window: the time of the grant, or the end of the last window
+	owned       bool         // this incarnation or the previous one owns the proxy on the record
 	// claimToken is the fencing token of this incarnation's claim; 0 for none. Messages carry the
 	// token of the grant instead.
 	claimToken uint64
 	// staleClaims counts the claims by this member that were in flight when the proxy's stream
 	// began: they were for an older stream.
 	staleClaims int
-	// unclaimedSince is the time since which this member has no claim of the proxy: the proxy has
-	// to be active after it before it is claimed again. It is 0 if the proxy is owned or claimed.
+	// unclaimedSince is the time at which the proxy was lost, or this incarnation began without a
+	// claim of the proxy. The proxy is claimed again once it was active more than
+	// LeaseTerms.RenewInterval after this time. It is 0 once this incarnation has claimed the
+	// proxy.
 	unclaimedSince Microseconds
 
 	// Last acknowledgement by the proxy, as in Confirmation.
@@ -157,7 +160,7 @@
 		state := c.proxies[proxy]
 		if state.granted && !state.owned && now-state.windowStart >= c.terms.MessageWindow {
 			state.windowStart = now
-			c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota()) // the unowned quota remains
+			c.host.MessagesSentByPeers(proxy, c.terms.OwnerQuota()) // the member may write only the unowned quota
 		}
 	}
 	for proxy, times := range c.grantTimes {
@@ -168,7 +171,8 @@
 	c.proposePending(now)
 }
 
-// Close gives up all proxies at a planned end: from now on the caller must not write to any proxy.
+// Close gives up all proxies at the planned end of this member: from now on the caller must not
+// write to any proxy.
 func (c *Coordinator) Close(now Microseconds) {
 	c.closing = true
 	c.pending.Closing = true
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -109,7 +109,7 @@
 				host.released, host.withoutQuorum)
 		}
 		if coordinator.ProxyConnected(3, 1200); host.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
-			t.Errorf("granted %v", host.granted)
+			t.Errorf("granted %v, want no token, no base and the owner quota counted as sent", host.granted)
 		}
 		coordinator.Tick(1200 + terms.MessageWindow) // in the next window, only the unowned quota remains
 		if host.sentByPeers[3] != terms.OwnerQuota() {
@@ -154,7 +154,7 @@
 			t.Errorf("granted %v by the claim for the older stream", host.granted)
 		}
 		if host.commitLast(coordinator, 80, 1, 2, 1000); host.granted[4] != "2 false 0" {
-			t.Errorf("granted %v", host.granted)
+			t.Errorf("granted %v, want a grant by the claim for the newer stream, with token 2", host.granted)
 		}
 	})
 	t.Run("a proxy that moves often between owners gets no more messages than the limit", func(t *testing.T) {
@@ -270,16 +270,16 @@
 				host.peerReports)
 		}
 		if host.commitLast(coordinator, 30); !slices.Equal(host.peerReports, []string{"n2 a"}) {
-			t.Errorf("passed on %v", host.peerReports)
+			t.Errorf("passed on %v, want only the withdrawal of a by n2", host.peerReports)
 		}
 		if coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 4,
 			Observations: []Observation{{Backend: "b"}}}, 35); !slices.Equal(host.peerReports,
 			[]string{"n2 a", "n1 b"}) {
-			t.Errorf("passed on %v", host.peerReports)
+			t.Errorf("passed on %v, want also the observation of b by n1", host.peerReports)
 		}
 		if coordinator.EntryApplied(Entry{Member: "n2", Incarnation: 5, Seq: 1},
 			40); len(coordinator.record.Withdrawn) != 0 {
-			t.Errorf("withdrawn %v", coordinator.record.Withdrawn)
+			t.Errorf("withdrawn %v after n2 entered again, want no withdrawal", coordinator.record.Withdrawn)
 		}
 	})
 }
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -1,7 +1,7 @@
-// Package ownership decides which of several controllers (members) owns which proxy, what a proxy
-// is known to hold when its owner changes, and how many messages may still be written to it. The
-// package has no I/O, no clock and no goroutines: no method is safe for concurrent use, and times
-// are those of the caller's monotonic clock.
+// Package ownership decides which of several controllers (members) owns which proxy, which tables a
+// proxy is known to hold when its owner changes, and how many messages may still be written to the
+// proxy. The package has no I/O, no clock and no goroutines: no method is safe for concurrent use,
+// and times are those of the caller's monotonic clock.
 //
 // # The record
 //
@@ -13,11 +13,11 @@
 //
 // # A member
 //
-// Coordinator is the part of one member. It claims the proxies that connect to the member, and puts
-// each change of the member's tables on the record before the change is written to a proxy. A
-// member is without quorum when no entry of its own has been committed for a lease. It then
-// continues without the record and serves every proxy that connects. An incarnation lasts from the
-// time at which a member enters the record to its planned end, its loss of the quorum, or its
+// Coordinator implements the part of one member. It claims the proxies that connect to the member,
+// and puts each change of the member's tables on the record before the change is written to a
+// proxy. A member is without quorum when no entry of its own has been committed for a lease. It
+// then continues without the record and serves every proxy that connects. An incarnation lasts from
+// the time at which a member enters the record to its planned end, its loss of the quorum, or its
 // restart. No state of a Coordinator survives a crash: the next process enters as a new
 // incarnation. The state of the record survives as long as a majority of the members does, or as
 // long as the folders in which package consensus stores it.
@@ -38,9 +38,10 @@
 // # The leader
 //
 // LeaseTracker holds what only the leader of the record knows, by its own clock: until when each
-// member has certainly written nothing without quorum. These members are fully recorded: the record
-// has what their proxies hold. The comment of LeaseTracker.Observe shows why this time is never too
-// long. A new leader has observed no entries, so it reports no member as fully recorded.
+// member has certainly written nothing without quorum. Until then the member is fully recorded: the
+// record has everything that the member wrote to its proxies. The comment of LeaseTracker.Observe
+// shows why this time is never too long. A new leader has observed no entries, so it reports no
+// member as fully recorded.
 //
 // A process that is not running has written nothing either, and its successor continues without
 // quorum one lease after its start at the earliest. So a member is also fully recorded for one
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -1,6 +1,6 @@
 package ownership
 
-// Entry is what one member appends to the record in one step. A member has one entry in flight at a
+// Entry is a change of the record that one member proposes. A member has one entry in flight at a
 // time. The encoding is used on the wire and on disk: key numbers are never changed or reused.
 type Entry struct {
 	// Member is the name of the member that proposes the entry.
@@ -15,10 +15,10 @@
 	SeenToken uint64 `cbor:"4,keyasint,omitempty"`
 	// Closing ends the incarnation, which writes nothing to any proxy from then on.
 	Closing bool `cbor:"5,keyasint,omitempty"`
-	// Claims are the proxies that have connected to the member.
+	// Claims are the proxies that the member claims because they have connected to it.
 	Claims []int `cbor:"6,keyasint,omitempty"`
-	// Reclaims are the proxies that the member claims again on a stream that it has had all the
-	// time. This field was added after the fields below: its key is the first that was free.
+	// Reclaims are the proxies that the member claims again while their streams to it stay open.
+	// This field was added after the fields below: its key is the first that was free.
 	Reclaims []int `cbor:"15,keyasint,omitempty"`
 	// Revision is the revision of the member's tables after TableChanges.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
@@ -27,7 +27,8 @@
 	TableChanges []TableChange `cbor:"8,keyasint,omitempty"`
 	// Confirmations are the acknowledgements by proxies since the last entry.
 	Confirmations []Confirmation `cbor:"9,keyasint,omitempty"`
-	// Observations are what the member's proxies observed at backends since its last report.
+	// Observations are the outcomes that the member's proxies observed at backends since the
+	// member's last report.
 	Observations []Observation `cbor:"10,keyasint,omitempty"`
 	// Demands are the demands of the proxies whose demand has changed.
 	Demands []Demand `cbor:"13,keyasint,omitempty"`
@@ -44,9 +45,9 @@
 // Stamp is a time on the clock of one leader. It can be compared only with stamps of the same
 // leader.
 type Stamp struct {
-	// Leader is a random number that a process draws for its clock.
+	// Leader is a random number that identifies the leader's process, and so its clock.
 	Leader uint64 `cbor:"1,keyasint"`
-	// At is the time since that process started.
+	// At is the time since the leader's process started.
 	At Microseconds `cbor:"2,keyasint"`
 }
 
@@ -64,7 +65,7 @@
 
 // Line is the weight of one backend in a table.
 type Line struct {
-	// Backend is its id.
+	// Backend is the id of the backend.
 	Backend string `cbor:"1,keyasint"`
 	// Weight is the weight of the backend; 0 means that the table has no line for it.
 	Weight float64 `cbor:"2,keyasint"`
@@ -87,9 +88,10 @@
 	WithdrawalsKnown bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Observation is what a member's proxies observed at a backend within a span of time.
+// Observation holds the outcomes that a member's proxies observed at a backend within a span of
+// time.
 type Observation struct {
-	// Backend is its id.
+	// Backend is the id of the backend.
 	Backend string `cbor:"1,keyasint"`
 	// Attempts counts the requests that were sent to the backend.
 	Attempts int `cbor:"2,keyasint"`
@@ -97,7 +99,8 @@
 	Failed int `cbor:"3,keyasint"`
 	// MeanLatency is the mean latency of the attempts that did not fail.
 	MeanLatency Microseconds `cbor:"4,keyasint"`
-	// Window is the observed span.
+	// Window is the length of the observed span of time. If outcomes of several spans are summed,
+	// it is the length of the longest.
 	Window Microseconds `cbor:"5,keyasint"`
 	// Withdrawn reports whether the member has withdrawn the backend, because of the attempts given
 	// here.
@@ -114,9 +117,9 @@
 	Rates []float64 `cbor:"2,keyasint"`
 }
 
-// Capacity is the throughput that a fleet was observed to reach, in requests per second for each
-// unit of weight and of ordinary traffic, so that it also applies to another member's proxies. 0
-// means that it is not known.
+// Capacity is the throughput that a fleet was observed to reach, in units of requests per second
+// for each unit of weight and of baseline demand (balancer.Controller.Throughput), so that it also
+// applies to another member's proxies. 0 means that it is not known.
 type Capacity struct {
 	// Proven is the throughput without a queue.
 	Proven float64 `cbor:"1,keyasint"`
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Evidence collects what a member's proxies observed, for the other members: outcomes by backend
+// Evidence collects observations by a member's proxies for the other members: outcomes by backend
 // since the last report, the backends that this member has withdrawn, the demand at each proxy, and
 // the fleet's capacity. It is reported at most once in a reportInterval, and at once when a backend
 // is withdrawn or restored. It is not safe for concurrent use.
@@ -13,16 +13,16 @@
 	interval   Microseconds // reportInterval, or less in tests
 	reportedAt Microseconds
 
-	observed      map[string]Observation // since the last report, by backend
-	withdrawn     map[string]Observation // reasons of this member's withdrawals, by backend
-	lastWithdrawn map[string]Observation // withdrawn as of the last report
+	observed      map[string]Observation // outcomes since the last report, by backend
+	withdrawn     map[string]Observation // outcomes for which this member has withdrawn a backend, by backend
+	lastWithdrawn map[string]Observation // the map withdrawn as of the last report
 
-	demand        map[int][]rate    // by proxy and class
+	demand        map[int][]rate    // average rates of requests, by proxy and class
 	changedDemand map[int]bool      // proxies whose demand differs from the last reported
-	lastDemand    map[int][]float64 // as last reported
+	lastDemand    map[int][]float64 // rates as last reported, by proxy and class
 
 	capacity     Capacity
-	lastCapacity Capacity // as last reported
+	lastCapacity Capacity // the capacity as last reported
 }
 
 // Report holds what is due for the other members; it is empty if nothing is due.
@@ -37,12 +37,12 @@
 
 // Limits on what is reported, and when.
 const (
-	maxDemands        = 64  // proxies in a report
+	maxDemands        = 64  // maximum number of proxies in a report
 	demandTolerance   = 0.2 // a relative change of demand by less is not reported
 	capacityTolerance = 0.1 // a relative change of capacity by less is not reported
 
 	demandWindow   = Microseconds(5_000_000) // span over which demand is averaged
-	reportInterval = Microseconds(1_000_000) // between two reports, unless withdrawals change
+	reportInterval = Microseconds(1_000_000) // minimum time between two reports, unless withdrawals change
 )
 
 // rate is an average of requests per second.
@@ -87,8 +87,9 @@
 	v.observed[backend] = observation
 }
 
-// SetWithdrawn records whether this member has withdrawn a backend, because of how many attempts
-// and failures, and for how long. A backend that is already withdrawn keeps its first reason.
+// SetWithdrawn records whether this member has withdrawn a backend, with the numbers of attempts
+// and failures that led to the withdrawal, and its duration. A backend that is already withdrawn
+// keeps its first reason.
 func (v *Evidence) SetWithdrawn(backend string, withdrawn bool, attempts, failed int, backoff Microseconds) {
 	if !withdrawn {
 		delete(v.withdrawn, backend)
@@ -130,7 +131,7 @@
 	}
 }
 
-// ForgetProxy drops the demand of a proxy that is gone.
+// ForgetProxy drops the demand of a proxy that has disconnected.
 func (v *Evidence) ForgetProxy(proxy int) {
 	delete(v.demand, proxy)
 	delete(v.changedDemand, proxy)
--- a/ownership/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -18,7 +18,7 @@
 		observations := evidence.TakeDue(6_000_000).Observations
 		if want := []Observation{{Backend: "b", Attempts: 20, Failed: 5, MeanLatency: 200,
 			Window: 2000}}; !slices.Equal(observations, want) {
-			t.Errorf("reported %+v", observations)
+			t.Errorf("reported %+v, want %+v", observations, want)
 		}
 		if observations := evidence.TakeDue(7_000_000).Observations; observations != nil {
 			t.Errorf("reported twice: %+v", observations)
@@ -31,7 +31,7 @@
 		evidence.SetWithdrawn("a", true, 9, 9, 10)
 		if observations := evidence.TakeDue(5_000_001).Observations; len(observations) != 1 ||
 			!observations[0].Withdrawn || observations[0].Failed != 9 || observations[0].Backoff != 10 {
-			t.Errorf("reported %+v", observations)
+			t.Errorf("reported %+v, want one withdrawal with 9 failures and a backoff of 10", observations)
 		}
 		evidence.AddOutcomes("a", 1, 1, 0, 1000)
 		evidence.SetWithdrawn("a", true, 1, 1, 10)
@@ -63,7 +63,7 @@
 		}
 		if demands := evidence.TakeDue(4_000_000).Demands; len(demands) != 1 || demands[0].Proxy != 7 ||
 			demands[0].Rates[1] < 20 {
-			t.Errorf("reported %v", demands)
+			t.Errorf("reported %v, want one demand, of proxy 7, of at least 20 requests per second", demands)
 		}
 		evidence.ForgetProxy(7)
 		evidence.AddDemand(7, 0, 1, 0) // an empty span is ignored
@@ -81,7 +81,7 @@
 			}
 		}
 		if !slices.Equal(reported, []Capacity{{2, 0}, {3, 0}}) {
-			t.Errorf("reported %v", reported)
+			t.Errorf("reported %v, want only the changes beyond the tolerance, to 2 and to 3", reported)
 		}
 	})
 	t.Run("an entering member gets the recorded capacities, and a claim the recorded demand", func(t *testing.T) {
@@ -91,11 +91,11 @@
 		coordinator.EntryApplied(Entry{Member: "n1", Incarnation: 1, Seq: 1, Capacity: Capacity{2, 1},
 			Demands: []Demand{{5, []float64{4, 0}}}}, 0)
 		if host.commitLast(coordinator, 10); !slices.Equal(host.peerReports, []string{"{2 1}"}) {
-			t.Errorf("passed on %v", host.peerReports)
+			t.Errorf("passed on %v, want the capacity on the record", host.peerReports)
 		}
 		if moves, _ := coordinator.record.Apply(Entry{Member: "n1", Incarnation: 1, Seq: 2,
 			Claims: []int{5}}); !slices.Equal(moves[0].Demand, []float64{4, 0}) {
-			t.Errorf("moves %+v", moves)
+			t.Errorf("moves %+v, want the demand on the record", moves)
 		}
 	})
 }
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// grantByRecord grants a proxy whose claim is on the record. If the proxy has moved within the
-// window more often than previousOwnersCounted, for which quotas are reserved, the owner quota
-// counts as used.
+// grantByRecord grants a proxy whose claim is on the record. Owner quotas are reserved for
+// previousOwnersCounted moves within the message window. If the proxy has moved more often, this
+// member's owner quota counts as used.
 func (c *Coordinator) grantByRecord(move Move, now Microseconds) {
 	sentMessages := 0
 	if c.recentMoves(move.To.Moves, now) > previousOwnersCounted {
@@ -42,8 +42,8 @@
 }
 
 // forgotUnownedMessages reports whether this member may have written messages to a proxy within the
-// window that it does not know of: it has started within the window, or it was granted the proxy
-// before within the window. It drops the times of older grants.
+// message window of which it has no count, because it has started within the window, or was already
+// granted the proxy within the window. It drops the times of older grants.
 func (c *Coordinator) forgotUnownedMessages(proxy int, now Microseconds) bool {
 	windowPassed := func(at Microseconds) bool { return now-at >= c.terms.MessageWindow }
 	recentGrants := slices.DeleteFunc(c.grantTimes[proxy], windowPassed)
--- a/ownership/leader_clock.go
+++ b/ownership/leader_clock.go
@@ -1,14 +1,15 @@
 package ownership
 
-// maxLeaderClocks is the number of leaders' clocks that are remembered. No recent stamp can be left
-// of a clock that was forgotten.
+// maxLeaderClocks is the number of leaders' clocks that are remembered. Beyond this number, the
+// clock whose last stamp was received longest ago is forgotten, as none of its stamps can be
+// recent.
 const maxLeaderClocks = 64
 
 // leaderClock relates a leader's clock to the local clock: the greatest stamp that was received
 // from the leader, and the time at which it was received.
 type leaderClock struct {
-	stampedAt  Microseconds // by the leader's clock
-	receivedAt Microseconds // by the local clock
+	stampedAt  Microseconds // greatest stamp, by the leader's clock
+	receivedAt Microseconds // time at which that stamp was received, by the local clock
 }
 
 // observeStamp records the stamp of an entry or of a move in a snapshot.
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -1,9 +1,9 @@
 package ownership
 
-// LeaseTracker holds what the leader of the record knows about the members by its own clock: until
-// when each of them has certainly written nothing without quorum. The comments of Observe and
-// MarkStopped give the reasons. A tracker is kept over several leaderships of one process, and is
-// lost when the process ends. It is not safe for concurrent use.
+// LeaseTracker determines, for the leader of the record and by its clock, until when each member
+// has certainly written nothing without quorum. The comments of Observe and MarkStopped give the
+// reasons. A tracker is kept over several leaderships of one process, and is lost when the process
+// ends. It is not safe for concurrent use.
 type LeaseTracker struct {
 	lease     Microseconds
 	members   int                      // number of members
@@ -14,8 +14,8 @@
 // entryArrivals holds the arrival times of the last entries of an incarnation that arrived in
 // sequence on one connection.
 type entryArrivals struct {
-	connection         int
-	seq                uint64       // of the last entry that arrived
+	connection         int          // number of the connection
+	seq                uint64       // number of the last entry that arrived
 	arrivedAt          Microseconds // arrival of the entry with seq
 	previousAt         Microseconds // arrival of the entry before it, or notArrived
 	earliestLeaseStart Microseconds // earliest possible start of the lease, or notArrived
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -10,16 +10,16 @@
 
 // PeerStatus is the answer of another member to a status request.
 type PeerStatus struct {
-	ID        string // its name and a random part, which it keeps as long as it remembers its votes
+	ID        string // the peer's name and a random part, which stays the same as long as its votes are stored
 	HasRecord bool   // the peer is part of a record
 	Leader    string // name of the leader that the peer knows; empty if it knows none
 }
 
-// OwnStatus is what a member knows about itself.
+// OwnStatus is the state of the member for which NextStep determines the next step.
 type OwnStatus struct {
 	Name            string // the member's name
-	ID              string // as in PeerStatus
-	HasRecord       bool   // the member has a part of a record, as an admitted member or not
+	ID              string // this member's ID, of the same form as PeerStatus.ID
+	HasRecord       bool   // the member stores a part of a record, even if the record does not list its ID
 	IsMember        bool   // the record lists this ID as a member
 	HasLeader       bool   // the record has a leader
 	Durable         bool   // the member's part of the record survives a restart of the process
@@ -28,7 +28,7 @@
 
 // Step is the next action of a member towards being part of a record.
 type Step struct {
-	Action  Action            // what to do
+	Action  Action            // the kind of the step
 	JoinVia string            // for Join: name of the member to ask
 	IDs     map[string]string // for Bootstrap: IDs of all members, by name
 }
@@ -39,9 +39,9 @@
 // Kinds of steps.
 const (
 	Wait      Action = iota // do nothing for now
-	Join                    // ask another member to be admitted under the own ID
+	Join                    // ask another member for admission under this member's ID
 	Bootstrap               // found a record of all members
-	StartOver               // drop the own part of the record, and return as a new member
+	StartOver               // drop this member's part of the record, and return as a new member
 )
 
 // maxLeaderlessPolls is the number of consecutive polls without a leader after which no election is
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -14,19 +14,19 @@
 
 var modelTerms = LeaseTerms{Duration: 3, RenewInterval: 1, MessageWindow: 5, MaxMessages: 16, Members: 2}
 
-// eventKind is the letter by which an event is written.
+// eventKind identifies an event by the letter that stands for it in a sequence of steps.
 type eventKind byte
 
 const (
 	eventTick        eventKind = 't' // a unit of time passes
 	eventDial        eventKind = 'd' // the proxy connects to the member
-	eventOrder       eventKind = 'o' // the member changes its table
+	eventChangeTable eventKind = 'o' // the member changes its table
 	eventAcknowledge eventKind = 'c' // the proxy acknowledges everything that was written to it
 	eventCutOff      eventKind = 'x' // the member is cut off from the record
 	eventLoseAnswers eventKind = 'l' // the entries of the member arrive, the answers are lost
 	eventHeal        eventKind = 'h' // the connection between the member and the record works again
 	eventKill        eventKind = 'k' // the member's process is killed
-	eventClose       eventKind = 'q' // the member's process ends as planned
+	eventClose       eventKind = 'q' // the member closes its incarnation, then its process ends
 	eventStart       eventKind = 's' // the member's process starts
 	eventStartCutOff eventKind = 'z' // the member's process starts, cut off from the record
 	eventFlood       eventKind = 'f' // the member writes as many messages as it may
@@ -37,11 +37,11 @@
 	now          int64
 	log          []Entry
 	leases       *LeaseTracker
-	record       *Record // the leader's
+	record       *Record // the record at the leader
 	members      []*modelMember
 	streamMember int                // index of the member to which the proxy is connected
 	streamSerial int                // number of the proxy's stream
-	proxyLines   map[string]float64 // held by the proxy
+	proxyLines   map[string]float64 // weights that the proxy holds, by backend
 	proxyToken   uint64             // greatest fencing token that the proxy has seen
 	messageTimes []int64            // times of the messages to the proxy
 	violation    string             // first violation; empty without one
@@ -56,13 +56,13 @@
 	running, cutOff   bool     // cutOff: from the record
 	answersLost       bool     // the entries arrive, the answers are lost
 	connection        int      // number of the connection to the leader
-	applied           int      // number of entries of the log
-	proposals         []Entry  // not delivered yet
+	applied           int      // number of log entries that the member has applied
+	proposals         []Entry  // entries that are not delivered to the leader yet
 	knownStream       int      // serial of the last stream that began at this member
 	grantedStream     int      // serial of the granted stream
-	token             uint64   // of the grant
-	weight            float64  // of backend a; 0 for no line
-	lastRevision      uint64   // of the last table change
+	token             uint64   // fencing token of the grant
+	weight            float64  // weight of backend a in the member's table; 0 for no line
+	lastRevision      uint64   // revision of the last table change
 	lastWrittenStream int      // serial of the last stream on which the member wrote
 	unreleased        []uint64 // revisions that wait for their release
 	countedMessages   []int64  // times of the messages that count against the quota
@@ -241,7 +241,7 @@
 			return false
 		}
 		state.dial(member)
-	case eventOrder:
+	case eventChangeTable:
 		if !member.running || member.grantedStream == member.knownStream && !member.spendMessage() {
 			return false
 		}
--- a/ownership/proposals.go
+++ b/ownership/proposals.go
@@ -81,8 +81,8 @@
 	c.proposePending(now)
 }
 
-// ProposalFailed handles a proposal of which it is not known whether it is committed. The entry is
-// proposed again unchanged: Record.Apply ignores repeated entries.
+// ProposalFailed handles a proposal whose outcome is unknown: its entry may be committed or not.
+// The entry is proposed again unchanged, as Record.Apply ignores repeated entries.
 func (c *Coordinator) ProposalFailed(incarnation, seq uint64, _ Microseconds) {
 	if c.isInFlight(incarnation, seq) {
 		c.host.Propose(*c.inFlight)
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -31,9 +31,9 @@
 	c.pending.Reclaims = slices.DeleteFunc(c.pending.Reclaims, isProxy)
 }
 
-// ProxyActiveAt handles the time at which a proxy was last active on its stream. A connected proxy
-// that this member lost or has not claimed since its incarnation began is claimed again if it was
-// active more than LeaseTerms.RenewInterval after that.
+// ProxyActiveAt handles a report of the time at which a proxy was last active on its stream. A
+// connected proxy that this member lost, or has not claimed since its incarnation began, is claimed
+// again if it was active more than LeaseTerms.RenewInterval after the loss or that beginning.
 func (c *Coordinator) ProxyActiveAt(proxy int, at Microseconds) {
 	state := c.proxies[proxy]
 	if state != nil && state.unclaimedSince > 0 && at > state.unclaimedSince+c.terms.RenewInterval {
@@ -73,7 +73,7 @@
 	c.addConfirmation(proxy, state)
 }
 
-// addConfirmation adds what an owned proxy has acknowledged to the next entry.
+// addConfirmation adds the last acknowledgement by an owned proxy to the next entry.
 func (c *Coordinator) addConfirmation(proxy int, state *claimState) {
 	if state.claimToken == 0 || state.acknowledgedRevision == 0 {
 		return
@@ -125,8 +125,8 @@
 
 // loseProxy gives up a proxy that another member has claimed: the proxy is still connected to this
 // member, which does not own it any more. The stream may be half-open; if the proxy is active on it
-// later, the proxy is claimed again. SnapshotRestored handles a proxy that was lost in entries that
-// a snapshot replaced.
+// later, the proxy is claimed again. If the other member's claim is contained in a restored
+// snapshot instead of an applied entry, SnapshotRestored gives up the proxy.
 func (c *Coordinator) loseProxy(state *claimState, proxy int, now Microseconds) {
 	state.owned = false
 	state.claimToken = 0
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -23,8 +23,8 @@
 	Demands map[int][]float64 `cbor:"6,keyasint"`
 	// Capacities are the last reported capacities, by member.
 	Capacities map[string]Capacity `cbor:"7,keyasint"`
-	// PastIncarnations holds the last incarnations of each member that are over, at most
-	// maxPastIncarnations.
+	// PastIncarnations holds the most recent incarnations that are over, at most
+	// maxPastIncarnations of each member, by name of the member.
 	PastIncarnations map[string][]uint64 `cbor:"8,keyasint"`
 }
 
@@ -75,11 +75,12 @@
 	// Moves are the times of the last claims that moved the proxy: claims of a proxy that had an
 	// owner, except those by the same owner for the same stream.
 	Moves []Stamp `cbor:"6,keyasint"`
-	// WithdrawalsKnown is as in Confirmation.
+	// WithdrawalsKnown reports whether the proxy holds the withdrawals that its owner ordered, and
+	// none by an earlier owner.
 	WithdrawalsKnown bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Bounds on what the record remembers.
+// Bounds on the number of removed lines and past incarnations in the record.
 const (
 	maxRemovedLines             = 256 // removed lines of a table beyond which it is compacted
 	removedLinesAfterCompaction = 128 // removed lines that a compaction leaves in a table
@@ -163,7 +164,7 @@
 			table = &Table{Lines: map[string]VersionedWeight{}}
 			i.Tables[change.Table] = table
 		}
-		if e.Seq == 1 { // complete tables: earlier removals of lines are not known
+		if e.Seq == 1 { // an incarnation's first entry has complete tables, without earlier removals
 			table.CompactedAt = e.Revision
 		}
 		for _, line := range change.Lines {
--- a/ownership/record_test.go
+++ b/ownership/record_test.go
@@ -18,7 +18,7 @@
 		base := moves[0].Base
 		if len(base) != 1 || !base[0].Uncertain["a"] || !base[0].Uncertain["b"] || base[0].Uncertain["c"] ||
 			base[0].Lines["c"] != 1 {
-			t.Errorf("base %+v", base)
+			t.Errorf("base %+v, want a and b uncertain, and c known with weight 1", base)
 		}
 	})
 	t.Run("a proxy holds no withdrawals if it acknowledged all restores and has none by others", func(t *testing.T) {
@@ -37,7 +37,7 @@
 			if moves, _ := record.Apply(Entry{Member: "n1", Incarnation: 2, Seq: 1, Claims: []int{3},
 				FullyRecorded: []uint64{1}}); moves[0].NoWithdrawals != c.noWithdrawals ||
 				!moves[0].Known {
-				t.Errorf("%+v: %+v", c, moves[0])
+				t.Errorf("case %+v: got %+v, want a known base and NoWithdrawals %v", c, moves[0], c.noWithdrawals)
 			}
 		}
 	})
--- a/ownership/tables.go
+++ b/ownership/tables.go
@@ -6,14 +6,15 @@
 )
 
 // ChangeTables records changes of this member's tables and returns their new revision. Messages
-// that are created from now on belong to this revision, and may be written once Host.ReleaseUpTo
-// names it.
+// that are created from now on belong to this revision, and may be written once Host.ReleaseUpTo is
+// called with this revision or a later one.
 func (c *Coordinator) ChangeTables(changes []TableChange, now Microseconds) uint64 {
 	c.revision++
 	for _, change := range changes {
 		c.applyTableChange(change)
 	}
-	// Changes that are not proposed yet become one revision with these.
+	// Earlier changes that are still pending are proposed together with the new ones, under the new
+	// revision.
 	if c.pending.Revision > 0 && len(c.pending.TableChanges) > 0 {
 		c.pending.TableChanges = append(c.pending.TableChanges, changes...)
 	} else {
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -17,22 +17,24 @@
 	MaxMessages int
 	// Members is the number of members.
 	Members int
-	// GuaranteedMessages is the number of messages that an owner may write to a proxy in any case,
-	// however many members owned the proxy shortly before. A proxy has one owner at a time, which
-	// paces its changes. The changes of a whole window and the messages that each takeover needs
-	// therefore stay within MaxMessages for up to maxMovesWithReserve moves.
+	// GuaranteedMessages is the number of messages that an owner may always write to a proxy,
+	// unless the proxy has moved more than maxMovesWithReserve times within MessageWindow. A proxy
+	// has one owner at a time, which paces its changes. The changes of a whole window and the
+	// messages that each takeover needs therefore stay within MaxMessages for up to
+	// maxMovesWithReserve moves.
 	GuaranteedMessages int
 }
 
 // Rules by which the messages to a proxy are divided.
 const (
-	previousOwnersCounted = 2 // previous owners in the window for whose quotas there is room
-	maxMovesWithReserve   = 4 // moves within the window up to which an owner has GuaranteedMessages
+	previousOwnersCounted = 2 // number of previous owners within MessageWindow whose quotas fit into MaxMessages
+	maxMovesWithReserve   = 4 // moves within MessageWindow up to which an owner has GuaranteedMessages
 )
 
-// UnownedQuota returns the number of messages that a member may write to a proxy within the window
-// without owning it on the record. A member that has started within the window, or that was already
-// granted the proxy within the window, no longer knows what it wrote and may write one message.
+// UnownedQuota returns the number of messages that a member may write to a proxy within
+// MessageWindow without owning it on the record. A member that has started within the window, or
+// that was already granted the proxy within the window, no longer knows what it wrote and may write
+// one message.
 func (t LeaseTerms) UnownedQuota() int { return max(1, t.MaxMessages/2/max(t.Members, 1)-1) }
 
 // OwnerQuota returns the number of messages that an owner may write in addition to UnownedQuota.
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -12,13 +12,13 @@
 )
 
 // transcript runs three members on one record by a seeded random sequence of calls. Its text has
-// all calls of their hosts and all entries that are put on the record.
+// every call that the members make to their hosts, and every entry that is applied to the record.
 type transcript struct {
 	random       *rand.Rand
 	now          int64
 	text         strings.Builder
 	log          []Entry
-	record       *Record // the leader's
+	record       *Record // the record at the leader
 	leases       *LeaseTracker
 	members      []*transcriptMember
 	lastRandomID uint64
@@ -31,7 +31,7 @@
 	coordinator *Coordinator
 	evidence    *Evidence
 	proposed    []Entry
-	applied     int // number of entries of the log
+	applied     int // number of log entries that the member has applied
 	connection  int
 	connected   map[int]bool
 	released    uint64
@@ -128,7 +128,7 @@
 	m.coordinator.ProposalFailed(e.Incarnation, e.Seq, m.now)
 }
 
-// step makes one call, drawn at random.
+// step performs one random action of the member.
 func (m *transcriptMember) step() {
 	proxy := m.random.IntN(4)
 	backend := string(rune('a' + m.random.IntN(5)))
@@ -202,7 +202,8 @@
 	}
 }
 
-// runTranscript runs one sequence of calls, and returns its transcript and the resulting record.
+// runTranscript runs one sequence of steps, and returns its transcript, followed by the resulting
+// record as text.
 func runTranscript(seed uint64, steps int) string {
 	s := &transcript{random: rand.New(rand.NewPCG(seed, 35)), now: 1000, record: NewRecord(),
 		leases: NewLeaseTracker(transcriptTerms)}
@@ -218,9 +219,9 @@
 	return s.text.String() + describeRecord(s.record)
 }
 
-// TestSameCallsGiveSameTranscript guards against changes of behavior: the same calls lead to the
-// same calls of the hosts and to the same record as in the golden files. One sequence is compared
-// in full, the others by their checksums.
+// TestSameCallsGiveSameTranscript guards against changes of behavior: for the same sequence of
+// calls to the members, their calls to the hosts and the resulting record are the same as in the
+// golden files. One sequence is compared in full, the others by their checksums.
 func TestSameCallsGiveSameTranscript(t *testing.T) {
 	golden.Compare(t, "transcript.txt", runTranscript(1, 500))
 	var sums strings.Builder
