--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -17,7 +17,7 @@
 var (
 	errNotMember     = errors.New("consensus: the caller's certificate is not valid for the name of any member")
 	errWrongID       = errors.New("consensus: the connection is for an ID that this member does not have now")
-	errUnknownMember = errors.New("consensus: the configuration has no address for the member")
+	errUnknownMember = errors.New("consensus: the settings have no address for the member")
 )
 
 // ConfigError names the key of a Config whose value cannot be used. Its reason says why, and how to
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -106,7 +106,7 @@
 	// proxy.
 	unclaimedSince Microseconds
 
-	// Last acknowledgement by the proxy, as in Confirmation.
+	// Last acknowledgement by the proxy, with the fields of a Confirmation.
 	acknowledgedRevision uint64
 	acknowledgedTables   []int
 	withdrawalsKnown     bool
