--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -49,7 +49,7 @@
 func helloOf(node int) string { return strings.Replace(hello, "3", fmt.Sprint(node), 1) }
 
 func TestClosingConnections(t *testing.T) {
-	t.Run("who asks and closes its side at once is answered, but not before readiness", func(t *testing.T) {
+	t.Run("a probe before a half-close is answered, but not before readiness", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.identifyTimeout = testTimeout })
 		prober := dial(t, address)
@@ -57,10 +57,10 @@
 		prober.closeWriting()
 		silent := dial(t, address)
 		silent.closeWriting()
-		logged.waitFor(t, "msg=unidentified_closed", 1) // of the silent connection, which has no answer to wait for
+		logged.waitFor(t, "msg=unidentified_closed", 1) // of the silent connection, to which no answer is queued
 		discovery.answers <- twoEndpoints
 		if texts, err := prober.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
-			t.Errorf("answered %q, error %v", texts, err)
+			t.Errorf("got %q, error %v, want %q", texts, err, aliveReply)
 		}
 	})
 	t.Run("an answer that waits for readiness does not extend the identification timeout", func(t *testing.T) {
@@ -69,7 +69,7 @@
 		prober.send(probe)
 		prober.closeWriting()
 		if texts, err := prober.readRest(); err != nil || len(texts) != 0 {
-			t.Errorf("answered %q, error %v", texts, err)
+			t.Errorf("got %q, error %v, want no message", texts, err)
 		}
 	})
 	t.Run("a collector's last report before its half-close is processed", func(t *testing.T) {
@@ -78,7 +78,7 @@
 		caller.Write(bytes.Join([][]byte{frame(agent), frame(strings.Replace(outcomesReport, "s-0", "s-last", 1)), frame(probe)}, nil))
 		caller.closeWriting()
 		if texts, err := caller.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
-			t.Errorf("answered %q, error %v", texts, err)
+			t.Errorf("got %q, error %v, want %q", texts, err, aliveReply)
 		}
 		logged.waitFor(t, "msg=report_for_unknown_backend backend=s-last", 1)
 	})
@@ -90,16 +90,16 @@
 			t.Fatalf("error %v, nonces %v, want one nonce", err, fake.nonces)
 		}
 		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, fake.nonces[0])
-		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the second acknowledgement is unknown
+		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the repeated ack is logged as unknown
 		proxy.closeWriting()
 		texts, err := proxy.readRest()
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != aliveReply {
-			t.Errorf("got %q, error %v", texts, err)
+			t.Errorf("got %q, error %v, want %q as the last message", texts, err, aliveReply)
 		}
 		logged.waitFor(t, "msg=ack_unknown proxy=3", 1)
 		logged.waitFor(t, "msg=proxy_disconnected proxy=3 error=EOF", 1)
 	})
-	t.Run("a refusal reaches its reader in spite of unread input, and no reset follows", func(t *testing.T) {
+	t.Run("a refusal reaches the peer in spite of unread input, and no reset follows", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		for name, first := range map[string][]byte{"not an object": frame("[]"),
 			"report without identification": frame(outcomesReport), "unknown proxy": frame(helloOf(99)),
@@ -115,7 +115,7 @@
 			}
 		}
 	})
-	t.Run("one who is refused and goes on sending is disconnected nevertheless", func(t *testing.T) {
+	t.Run("a refused connection that continues to send is closed", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, nil)
 		caller := dial(t, address)
 		caller.Write(frame("[]"))
@@ -126,7 +126,7 @@
 		}
 		logged.waitFor(t, "msg=unidentified_closed", 1)
 	})
-	t.Run("half a message and then the end: the proxy is disconnected, the message ignored", func(t *testing.T) {
+	t.Run("a proxy whose stream ends within a message is disconnected, and the message is ignored", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
 		// A complete report of another proxy would be logged as skipped.
 		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1)
@@ -146,7 +146,7 @@
 			t.Errorf("a partial message was processed: %s", text)
 		}
 	})
-	t.Run("a stream's end and its successor's hello can arrive in either order", func(t *testing.T) {
+	t.Run("a connection's end and its successor's hello can arrive in either order", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
@@ -182,7 +182,7 @@
 			logged.waitFor(t, "msg=connection_closed", 1)
 		}
 	})
-	t.Run("a stream that is to make room while its hello arrives stays", func(t *testing.T) {
+	t.Run("an evicted connection whose hello arrives in time stays", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		loop.limits.finalReadTimeout = testTimeout
 		local, remote := net.Pipe()
@@ -198,9 +198,10 @@
 			t.Errorf("readMessages returned %v on a connection of kind %v, want EOF and proxy", err, conn.kind)
 		}
 	})
-	t.Run("a message that met a deadline while the process stalled continues where it stopped", func(t *testing.T) {
+	t.Run("a write whose deadline passes while the process stalls continues where it stopped", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, testTimeout // passes before the first byte
+		// The write deadline passes before the first byte.
+		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, testTimeout
 		local, remote := net.Pipe()
 		conn := newConnection(local, 1, loop, func(*connection) error { return nil })
 		ended := make(chan error, 1)
@@ -211,7 +212,7 @@
 			t.Errorf("error %v, or the peer received other bytes than the message", err)
 		}
 		if err := <-ended; err != nil {
-			t.Errorf("the write failed for a stall of the process itself: %v", err)
+			t.Errorf("deliver returned %v after a stall of the process, want nil", err)
 		}
 	})
 }
@@ -253,7 +254,7 @@
 			proxy.receive()
 		}
 	})
-	t.Run("lying, slow and one-byte clients end at the deadline, and do not block proxies", func(t *testing.T) {
+	t.Run("clients without a complete hello are refused at the deadline, and do not block proxies", func(t *testing.T) {
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.identifyTimeout, l.maxUnidentified = 300*time.Millisecond, 60 })
 		var incomplete []*client
 		for i := range 120 {
@@ -279,7 +280,7 @@
 			}
 		}
 	})
-	t.Run("connections in the instant of the end are closed, whether they were accepted or not", func(t *testing.T) {
+	t.Run("connections made during shutdown are closed, whether they were accepted or not", func(t *testing.T) {
 		for range 10 {
 			c, err := New(Identity{}, configuration(newFakeDiscovery(t).address, twoEndpoints), NewLogger(io.Discard))
 			if err != nil {
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	p.limits.fitFleet(proxies, len(p.zones))
-	p.limits.fitPace(tick, p.channel, p.telemetry)
+	p.limits.fitTimes(tick, p.channel, p.telemetry)
 	p.limits.fitReports(p.telemetry, p.classes)
 	return nil
 }
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -15,11 +15,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// connectionKind is the role as which a connection has identified itself.
+// connectionKind is the role of a connection's peer, as the peer has identified itself.
 type connectionKind uint8
 
 const (
-	kindUnidentified connectionKind = iota // not identified yet
+	kindUnidentified connectionKind = iota // the peer has not identified itself yet
 	kindCollector
 	kindProxy
 )
@@ -30,10 +30,10 @@
 }
 
 // connection is a connection from a proxy, from a collector, or from a peer that has not identified
-// itself yet. It has two goroutines: run itself is the reader, which decodes messages into events
-// of the loop, and run starts the writer, which sends the messages in outbox, and waits for its
-// end. Any goroutine may call send and close. The documentation of run describes the states of a
-// connection.
+// itself yet. It has two goroutines. The goroutine of run is the reader, which decodes messages
+// into events of the loop. run also starts the writer, which sends the messages in outbox, and
+// waits for the writer's end. Any goroutine may call send and close. The states of a connection are
+// described at run.
 type connection struct {
 	socket   net.Conn
 	limits   *limits
@@ -56,8 +56,8 @@
 	lastMessageAt atomic.Int64 // clock time of the last complete message, µs
 
 	outbox      chan []byte   // queued messages; send fails when limits.outboxSize messages wait
-	readDone    chan struct{} // closed when the reader has ended; outbox gets no answers after that
-	awaitsReady bool          // the messages in outbox may wait for readiness; set before readDone is closed
+	readDone    chan struct{} // closed when the reader has ended; no answers are put into outbox after that
+	awaitsReady bool          // whether the writer may wait for readiness after readDone; set before that
 
 	closed      chan struct{} // closed by close
 	closeOnce   sync.Once
@@ -73,7 +73,7 @@
 		readDone: make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
-	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout)) // the only deadline until it has identified itself
+	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout)) // the only read deadline until the peer has identified itself
 	return c
 }
 
@@ -114,20 +114,21 @@
 	})
 }
 
-// evict ends an unidentified connection, unless a message that identifies it has already arrived:
-// it moves the read deadline to the past, so that only the final read remains.
+// evict ends an unidentified connection, unless a message that identifies it has already arrived.
+// It moves the read deadline to the past, so Read reads only once more, for at most
+// limits.finalReadTimeout.
 func (c *connection) evict() {
 	c.evicted.Store(true)
 	c.readUntil(c.acceptedAt)
 	select {
-	case <-c.readDone: // the reader has ended, and an answer may wait for readiness
+	case <-c.readDone: // the reader has ended, but the writer may wait for readiness
 		time.AfterFunc(c.limits.finalReadTimeout, func() { c.close(errIdentifyTimeout) })
 	default:
 	}
 }
 
-// identifyAs registers an unidentified connection as a proxy or a collector, and removes its read
-// deadline. If it is refused, the connection stays unidentified.
+// identifyAs registers an unidentified connection as a proxy's or a collector's, and removes its
+// read deadline. If register refuses the connection, it stays unidentified.
 func (c *connection) identifyAs(kind connectionKind, proxy, zone int) error {
 	c.kind, c.proxy, c.zone = kind, proxy, zone
 	if err := c.register(c); err != nil {
@@ -163,8 +164,8 @@
 }
 
 // readMessages reads and dispatches messages until the connection ends, and returns the reason;
-// io.EOF is a regular end. A message that is not a JSON object ends the connection. A JSON object
-// that makes no sense is skipped.
+// io.EOF is a regular end. A message that is not a JSON object ends the connection. So does an
+// error of dispatch. Other invalid messages are skipped.
 func (c *connection) readMessages() error {
 	in, parser := bufio.NewReader(c), &fastjson.Parser{}
 	c.body = &bytes.Buffer{}
--- a/controller/connection_writer.go
+++ b/controller/connection_writer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// send puts a message into the outbox. It never blocks: a full outbox means that the peer does not
-// read its messages, and returns errOutboxFull.
+// send puts a message into the outbox. It never blocks: if the outbox is full, because the peer
+// does not read its messages, send returns errOutboxFull. After close it returns errClosed.
 func (c *connection) send(message []byte) error {
 	select {
 	case <-c.closed:
@@ -24,9 +24,9 @@
 	}
 }
 
-// writeMessages is the writer. It sends the messages in the outbox until the connection is closed
-// or, once the reader has ended, until the outbox is empty. It sends nothing before the loop is
-// ready, not even the answer to a probe.
+// writeMessages is the writer of the connection. It sends the messages in the outbox until the
+// connection is closed or, after the end of the reader, until the outbox is empty. Before the loop
+// is ready it sends no message, not even the answer to a probe.
 func (c *connection) writeMessages() {
 	if !c.awaitReady() {
 		return
@@ -40,7 +40,7 @@
 }
 
 // awaitReady waits until the loop is ready, so that messages may be sent. It returns false if the
-// connection ends without sending any.
+// connection ends without a message from the controller.
 func (c *connection) awaitReady() bool {
 	select {
 	case <-c.loop.ready:
@@ -101,10 +101,11 @@
 	}
 }
 
-// endReading tells the writer that the reader has ended, and waits until the writer has sent the
-// messages in the outbox. Any connection, also an identified one, is closed when
-// limits.identifyTimeout after its accept has passed, but has at least limits.finalReadTimeout. An
-// evicted connection has only limits.finalReadTimeout.
+// endReading signals the end of the reader to the writer, and waits until the writer has sent the
+// messages in the outbox. If the writer is not done in time, endReading closes the connection: at
+// limits.identifyTimeout after the accept, or after limits.finalReadTimeout if that is later. This
+// time also applies to identified connections. For an evicted connection it is
+// limits.finalReadTimeout.
 func (c *connection) endReading(writer *sync.WaitGroup, reason error, awaitReady bool) {
 	c.awaitsReady = awaitReady
 	close(c.readDone)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -147,7 +147,7 @@
 	}
 	c.log.Info("configuration_reloaded", "discovery", parsed.Discovery)
 	c.configuration = parsed
-	c.watcher.follow(parsed.Discovery, parsed.cachedList)
+	c.watcher.setAddress(parsed.Discovery, parsed.cachedList)
 	if distributes {
 		c.distributor.enqueueProposal(entries)
 	}
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -8,7 +8,8 @@
 )
 
 // dispatch handles a message according to its kind and the kind of the connection. An error ends
-// the connection. Messages that are merely invalid are skipped.
+// the connection; only an unidentified connection gets one. An identified connection logs and skips
+// invalid messages.
 func (c *connection) dispatch(message *fastjson.Value) error {
 	if duplicateKey(message) != "" { // it is ambiguous which of the two values applies
 		c.skipMessage("duplicate key")
@@ -29,8 +30,8 @@
 	}
 }
 
-// dispatchIdentified handles a message of a kind that requires an identified connection, most of
-// them one of a certain kind.
+// dispatchIdentified handles a message that only an identified connection may send.
+// Acknowledgements are accepted only from proxies, and outcomes only from collectors.
 func (c *connection) dispatchIdentified(kind string, message *fastjson.Value) error {
 	switch {
 	case c.kind == kindUnidentified:
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// skipMessage logs that a message is skipped, with the beginning of its text. Reasons are constant
-// texts, as these log lines are rate limited by reason.
+// skipMessage logs that the message being read is skipped, with the beginning of its text. There
+// are only a few different reasons, as the log lines are rate limited by reason.
 func (c *connection) skipMessage(reason string) {
 	const maxShown = 160 // bytes
 	text := c.body.Bytes()
@@ -67,14 +68,14 @@
 		"message", string(text[:min(len(text), maxShown)]))
 }
 
-// zoneAt reads the sender's zone, and returns its index.
+// zoneAt reads the sender's zone, and returns its index. ok is false if the zone is unknown.
 func (c *connection) zoneAt(message *fastjson.Value) (zone int, ok bool) {
 	zone, ok = c.loop.zoneIndex[string(message.GetStringBytes(keyZone))]
 	return zone, ok
 }
 
 // intervalAt reads the interval that a report covers, and returns it in microseconds and in
-// seconds. It is not ok if it is missing, 0, or above limits.maxReportInterval.
+// seconds. ok is false if the interval is missing, invalid, 0, or above limits.maxReportInterval.
 func (c *connection) intervalAt(message *fastjson.Value) (interval microseconds, seconds float64, ok bool) {
 	milliseconds, ok := numberAt(message, keyInterval)
 	interval = settings.FromMilliseconds(milliseconds)
@@ -98,8 +99,8 @@
 // handleProxyHello handles the message with which a proxy identifies itself.
 func (c *connection) handleProxyHello(message *fastjson.Value) error {
 	if c.kind != kindUnidentified {
-		// A second hello is skipped: ending the stream of a connected proxy would not count as its
-		// leaving.
+		// A second hello is skipped. It does not end the connection, as the end of a connected
+		// proxy's stream would not mean that the proxy has left.
 		c.skipMessage("the connection has already identified itself")
 		return nil
 	}
@@ -111,9 +112,9 @@
 	}
 	requestsPerSecond, ok := numberAt(message, keyRate)
 	if !ok || requestsPerSecond > c.limits.maxProxyRate {
-		requestsPerSecond = 0 // unknown; the proxy is served nevertheless
+		requestsPerSecond = 0 // the rate is unknown; the proxy is served nevertheless
 	}
-	mayHoldWithdrawals := !message.GetBool(keyCold) // true if the key is missing
+	mayHoldWithdrawals := !message.GetBool(keyCold) // also if the hello lacks keyCold
 	c.wantsToken = message.GetBool(keyFence)
 	if err := c.identifyAs(kindProxy, proxy, zone); err != nil {
 		return err
@@ -144,8 +145,9 @@
 	c.loop.tryPost(func() { c.loop.outcomesReported(report) })
 }
 
-// decodeOutcomes reads a load report about a backend. It ignores unused fields. It checks the zone
-// and the interval nevertheless, as they show whether the other fields can be right.
+// decodeOutcomes reads a load report about a backend. It ignores fields that it does not use. It
+// requires a known zone and a valid interval, although it does not return the zone: if one of them
+// is invalid, the other fields can be wrong too.
 func (c *connection) decodeOutcomes(message *fastjson.Value) (report outcomeReport, ok bool) {
 	interval, seconds, intervalOK := c.intervalAt(message)
 	attempts, attemptsOK := countAt(message, keyCount, c.limits.maxFleetRate, seconds)
@@ -165,8 +167,8 @@
 	return outcomeReport{backend, attempts, failed, meanLatency, interval, load}, true
 }
 
-// decodeLoad reads the load figures that a backend reports about itself. Any or all of them may be
-// missing. It is not ok if any of them is invalid.
+// decodeLoad reads the load figures that a backend reports about itself. A missing figure is
+// negative. ok is false if a figure is invalid.
 func (c *connection) decodeLoad(metrics *fastjson.Value) (load balancer.BackendLoad, ok bool) {
 	invalid := metrics != nil && metrics.Type() != fastjson.TypeObject
 	maxServiceTime := float64(c.limits.maxResponseTime) / 1000 // ms
@@ -178,8 +180,8 @@
 	return load, !invalid
 }
 
-// handleDemand handles a load report about a proxy. It may arrive on the proxy's connection or on
-// that of any collector.
+// handleDemand handles a load report about a proxy. The report may arrive on the proxy's connection
+// or on the connection of any collector.
 func (c *connection) handleDemand(message *fastjson.Value) {
 	proxy, proxyKnown := indexAt(message, keyProxy, c.limits.proxies)
 	class, classKnown := c.loop.classIndex[string(message.GetStringBytes(keyClass))]
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -15,10 +15,10 @@
 
 // deployment describes the settings of a deployment.
 type deployment struct {
-	classes     []classSettings
-	zones       []string
-	backend     string // prefix of backend names
-	maxMessages int
+	classes       []classSettings
+	zones         []string
+	backendPrefix string // prefix of the backends' ids
+	maxMessages   int
 }
 
 type classSettings struct {
@@ -29,16 +29,16 @@
 }
 
 func (c deployment) configuration(discovery, known string) []byte {
-	var profiles, writes, own []any
+	var profiles, writes, staysLocal []any
 	for _, p := range c.classes {
 		profiles = append(profiles, map[string]any{"name": p.name, "target": p.target, "deadline": p.deadline, "worth": p.worth})
-		writes, own = append(writes, p.writes), append(own, p.staysLocal)
+		writes, staysLocal = append(writes, p.writes), append(staysLocal, p.staysLocal)
 	}
 	text, err := json.Marshal(map[string]any{"name": "n", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f",
 		"known": json.RawMessage(known), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 200},
 		"settings": map[string]any{"azs": c.zones, "tick": 1, "weights": "rough", "membershipMode": "automatic",
 			"familyInfo": map[string]any{"admission": "per_second", "backlog": 900, "egressPerS": 900, "overhead": 4,
-				"pushDelayMax": 600, "reportEvery": 1000, "proxyCount": 40, "classWrites": writes, "staysLocal": own,
+				"pushDelayMax": 600, "reportEvery": 1000, "proxyCount": 40, "classWrites": writes, "staysLocal": staysLocal,
 				"messagesMost": c.maxMessages, "messagesOver": 10000},
 			"profiles": profiles, "reporting": map[string]any{"how": "silent", "fields": []any{}},
 			"rules": map[string]any{"coldShare": 0.2, "rampTime": 17000, "stopSendingWithin": 3000}}})
@@ -49,7 +49,7 @@
 }
 
 func (c deployment) endpointJSON(b int, state string, started int64) string {
-	return fmt.Sprintf(`{"id":%q,"zone":%q,"state":%q,"weight":2,"started_ms":%d}`, fmt.Sprint(c.backend, b),
+	return fmt.Sprintf(`{"id":%q,"zone":%q,"state":%q,"weight":2,"started_ms":%d}`, fmt.Sprint(c.backendPrefix, b),
 		c.zones[b%len(c.zones)], state, started)
 }
 
@@ -68,11 +68,11 @@
 	for b := range backends {
 		all = append(all, c.endpointJSON(b, "up", 0))
 	}
-	made, err := New(Identity{}, c.configuration("127.0.0.1:9", listJSON(1, true, all...)), NewLogger(io.Discard))
+	controller, err := New(Identity{}, c.configuration("127.0.0.1:9", listJSON(1, true, all...)), NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop, now := made.loop, made.loop.now
+	loop, now := controller.loop, controller.loop.now
 	loop.clock = func() int64 { return now }
 	loop.iterate(func() {})
 	return loop
@@ -81,51 +81,52 @@
 // simulate runs a deployment for 40 seconds in which demand exceeds the backends' capacity: their
 // latency grows, the attempts at one backend all fail, backends are drained and added, and proxies
 // reconnect. It returns a line per second and proxy with the tables, limits and withdrawals that
-// the proxy holds. Names of classes and backends are replaced by their position in order and by
-// their number, so that deployments with other names are comparable.
+// the proxy holds. Each class is replaced by its position in order, and each backend by its number,
+// so that deployments with other names are comparable.
 func (c deployment) simulate(t *testing.T, order []int) (states []string) {
 	loop := c.newLoop(t, 12)
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
+	noLoad := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1} // all figures are missing
 	conns, proxies := map[int]*connection{}, map[int]*fakeProxy{}
 	backendNumbers := map[string]int{}
 	for b := range 40 {
-		backendNumbers[fmt.Sprint(c.backend, b)] = b
+		backendNumbers[fmt.Sprint(c.backendPrefix, b)] = b
 	}
-	for turn := range 40 {
-		drawn := []int{chance.IntN(12), chance.IntN(12), chance.IntN(8)}
+	for second := range 40 {
+		drawn := []int{random.IntN(12), random.IntN(12), random.IntN(8)}
 		advance(loop, microsPerSecond, func() {
 			for node := range 8 {
-				if turn == 0 || turn%9 == 0 && node == drawn[2] {
+				if second == 0 || second%9 == 0 && node == drawn[2] {
 					proxies[node] = newFakeProxy(c.classNames()...)
 				}
 			}
 		})
 		for node := range 8 {
-			if turn == 0 || turn%9 == 0 && node == drawn[2] {
-				conns[node] = connectProxy(t, loop, turn+1, node, turn > 0)
+			if second == 0 || second%9 == 0 && node == drawn[2] {
+				conns[node] = connectProxy(t, loop, second+1, node, second > 0)
 				conns[node].zone = node % len(c.zones)
 			}
 		}
 		loop.iterate(func() {
 			for b := range 12 {
-				mean := int64(200_000 + 60_000*turn)
-				if b == 5 && turn > 4 {
-					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 9, 9, 0, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+				mean := int64(200_000 + 60_000*second)
+				if b == 5 && second > 4 {
+					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backendPrefix, b), 9, 9, 0, microsPerSecond, noLoad})
 				} else {
-					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backend, b), 20, 1, mean, microsPerSecond, balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
+					loop.outcomesReported(outcomeReport{fmt.Sprint(c.backendPrefix, b), 20, 1, mean, microsPerSecond, noLoad})
 				}
 			}
 			for node := range 8 {
-				for at, class := range order { // the same classes in the same order, at any position in the settings
+				for at, class := range order { // the order of reports does not depend on the settings
 					loop.demandReported(node, class, 20+10*at, microsPerSecond)
 				}
 			}
-			if turn%5 == 2 {
-				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[0], "draining", 0)+","+
-					c.endpointJSON(12+turn/5, "up", loop.now/1000)+"]").GetArray())
+			if second%5 == 2 {
+				loop.endpointsUpdated(false, int64(second), parsed(t, "["+c.endpointJSON(drawn[0], "draining", 0)+","+
+					c.endpointJSON(12+second/5, "up", loop.now/1000)+"]").GetArray())
 			}
-			if turn%5 == 4 {
-				loop.endpointsUpdated(false, int64(turn), parsed(t, "["+c.endpointJSON(drawn[1], "up", 0)+"]").GetArray())
+			if second%5 == 4 {
+				loop.endpointsUpdated(false, int64(second), parsed(t, "["+c.endpointJSON(drawn[1], "up", 0)+"]").GetArray())
 			}
 		})
 		for _, node := range slices.Sorted(maps.Keys(conns)) {
@@ -136,7 +137,7 @@
 			for _, nonce := range fake.nonces[before:] {
 				loop.iterate(func() { loop.acknowledged(conn, nonce) })
 			}
-			line := fmt.Sprint(turn, " ", node)
+			line := fmt.Sprint(second, " ", node)
 			for _, class := range order {
 				weights := map[int]float64{}
 				for id, weight := range fake.lines[class] {
@@ -162,7 +163,7 @@
 	t.Run("other names and another order of classes result in the same decisions", func(t *testing.T) {
 		classes := []classSettings{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
 			{"audit", 3000, 9000, 0.5, false, true}}
-		one := deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: 30}
+		one := deployment{classes: classes, zones: []string{"a", "b"}, backendPrefix: "s-", maxMessages: 30}
 		want := one.simulate(t, []int{0, 1, 2})
 		limited := 0
 		for _, line := range want {
@@ -172,7 +173,7 @@
 			t.Fatalf("the simulation has no table entries or no admission limits: %s", want[len(want)-1])
 		}
 		for name, order := range map[string][]int{"reversed": {2, 1, 0}, "rotated": {1, 2, 0}, "unchanged": {0, 1, 2}} {
-			other := deployment{zones: []string{`north "1"`, "süd"}, backend: "worker/", maxMessages: 30,
+			other := deployment{zones: []string{`north "1"`, "süd"}, backendPrefix: "worker/", maxMessages: 30,
 				classes: make([]classSettings, len(classes))}
 			for i, at := range order {
 				p := classes[i]
@@ -188,7 +189,7 @@
 		}
 	})
 	t.Run("sixteen classes each have their own table and limit; a seventeenth is refused", func(t *testing.T) {
-		c := deployment{zones: []string{"a"}, backend: "s-", maxMessages: 30}
+		c := deployment{zones: []string{"a"}, backendPrefix: "s-", maxMessages: 30}
 		for i := range 16 {
 			c.classes = append(c.classes, classSettings{fmt.Sprint("class ", i), 500 + 100*float64(i), 3000, 1 + float64(i%5), i%3 == 0, i%4 == 1})
 		}
@@ -213,21 +214,21 @@
 	})
 }
 
-func TestControllersOfOneProcessAreApart(t *testing.T) {
+func TestControllersOfOneProcessAreIndependent(t *testing.T) {
 	t.Run("two controllers in one process do not affect each other, before or after a reload", func(t *testing.T) {
-		one := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
+		one := deployment{zones: []string{"a", "b"}, backendPrefix: "s-", maxMessages: 30, classes: []classSettings{
 			{"read", 1500, 4000, 1, false, false}, {"write", 800, 2000, 3, true, false}}}
-		other := deployment{zones: []string{"b", "a"}, backend: "s-", maxMessages: 4, classes: []classSettings{
+		other := deployment{zones: []string{"b", "a"}, backendPrefix: "s-", maxMessages: 4, classes: []classSettings{
 			{"write", 3000, 9000, 1, false, false}, {"other", 100, 500, 9, true, false}, {"read", 800, 2000, 3, true, false}}}
 		serve := func(c deployment, known string) (*Controller, *fakeDiscovery, *client, *fakeProxy) {
 			discovery := newFakeDiscovery(t)
-			made, address, _ := runConfiguration(t, c.configuration(discovery.address, known), nil)
+			controller, address, _ := runConfiguration(t, c.configuration(discovery.address, known), nil)
 			proxy, fake := dial(t, address), newFakeProxy(c.classNames()...)
 			proxy.send(`{"msg":"hello","node":0,"locality":"a","w":5,"cold":true}`)
 			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatal(err)
 			}
-			return made, discovery, proxy, fake
+			return controller, discovery, proxy, fake
 		}
 		first, discovery, proxy, fake := serve(one,
 			listJSON(1, true, one.endpointJSON(0, "up", 0), one.endpointJSON(1, "up", 0)))
@@ -249,7 +250,7 @@
 				t.Errorf("round %d: classes and zones %v %v, %v %v", round, first.loop.classIndex, first.loop.zoneIndex,
 					second.loop.classIndex, second.loop.zoneIndex)
 			}
-			// All of it but the discovery address takes effect at the next start only.
+			// Of the new configuration, only the discovery address takes effect before the next start.
 			if err := first.Reload(other.configuration(discovery.address, "null")); err != nil {
 				t.Fatal(err)
 			}
@@ -273,13 +274,17 @@
 			t.Errorf("picks %v and %v, want s-1 and s-0", fake.picks(0), otherFake.picks(0))
 		}
 	})
-	t.Run("an invalid or ambiguous configuration is refused by its key, also in a reload", func(t *testing.T) {
+	t.Run("an invalid or ambiguous configuration is refused with its key, also in a reload", func(t *testing.T) {
 		good := string(configuration("127.0.0.1:9", "null"))
-		made, err := New(Identity{}, []byte(good), NewLogger(io.Discard))
+		controller, err := New(Identity{}, []byte(good), NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := fmt.Sprint(made.configuration.Identity, made.configuration.classNames, made.configuration.zones, *made.limits, made.watcher.address)
+		state := func() string {
+			loaded := controller.configuration
+			return fmt.Sprint(loaded.Identity, loaded.classNames, loaded.zones, *controller.limits, controller.watcher.address)
+		}
+		before := state()
 		for key, change := range map[string][2]string{
 			"profiles.1.name":               {`"name":"write"`, `"name":"read it"`},
 			"profiles.0.name":               {`"name":"read it"`, `"name":""`},
@@ -305,7 +310,7 @@
 			"setting rules.droppedStayopen": {`"coldShare"`, `"droppedStayopen":true,"coldShare"`},
 		} {
 			invalid := strings.Replace(good, change[0], change[1], 1)
-			for name, load := range map[string]func([]byte) error{"reload": made.Reload, "start": func(text []byte) error {
+			for name, load := range map[string]func([]byte) error{"reload": controller.Reload, "start": func(text []byte) error {
 				_, err := New(Identity{}, text, NewLogger(io.Discard))
 				return err
 			}} {
@@ -314,7 +319,7 @@
 				}
 			}
 		}
-		if after := fmt.Sprint(made.configuration.Identity, made.configuration.classNames, made.configuration.zones, *made.limits, made.watcher.address); after != before {
+		if after := state(); after != before {
 			t.Errorf("a refused reload changed the configuration\nbefore %s\nafter %s", before, after)
 		}
 	})
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -16,7 +16,7 @@
 
 // endpointWatcher follows discovery's endpoint list by consecutive watches, without a pause while
 // they succeed. The known list is kept while calls fail and when the discovery address changes. The
-// goroutine of run owns the watcher; other goroutines may call wake, follow and cancelCall.
+// goroutine of run owns the watcher; other goroutines may call wake, setAddress and cancelCall.
 type endpointWatcher struct {
 	limits *limits
 	log    *slog.Logger
@@ -24,27 +24,27 @@
 	// empty.
 	onEndpoints func(full bool, version int64, servers []*fastjson.Value)
 	onAnswer    func()        // called once, at the first accepted answer of discovery
-	wakeups     chan struct{} // buffers one request to call without delay
+	wakeups     chan struct{} // buffers one request to skip the pause before the next call
 
 	// Owned by the goroutine of run, and by loadCached before run begins.
 	client          *fasthttp.HostClient
-	version         int64 // version of the known list
-	hasVersion      bool  // whether a list is known
-	staleAnswers    int   // consecutive answers with an older version than the known one
-	unusableAnswers int   // consecutive answers that were not accepted
+	version         int64 // version of the known endpoint list
+	hasVersion      bool  // whether an endpoint list is known
+	staleAnswers    int   // number of consecutive answers with an older version than the known list
+	unusableAnswers int   // number of consecutive answers that were not accepted
 
 	mutex             sync.Mutex // guards the fields below
 	address           string     // address of discovery, which the next call uses
 	pendingRelocation *relocation
 	conn              net.Conn // connection to discovery, kept to cancel a call
-	cancelDial        func()   // cancels the latest dial
-	stopped           bool     // the watcher has ended, and starts no further call
+	cancelDial        func()   // cancels the latest dial to discovery
+	stopped           bool     // cancelCall was called; all later calls fail
 }
 
 // relocation is a request to use another discovery address from the next call on.
 type relocation struct {
 	address string
-	cached  *fastjson.Value // list to use if none is known yet; nil for none
+	cached  *fastjson.Value // endpoint list to use if no list is known yet; may be nil
 }
 
 func newEndpointWatcher(address string, limits *limits, log *slog.Logger, onEndpoints func(bool, int64, []*fastjson.Value),
@@ -70,7 +70,7 @@
 	}
 }
 
-// loadCached uses the endpoint list of a configuration if no list is known yet.
+// loadCached accepts the endpoint list in a configuration if no list is known yet.
 func (w *endpointWatcher) loadCached(cached *fastjson.Value) {
 	if cached == nil || w.hasVersion {
 		return
@@ -90,11 +90,11 @@
 		w.relocate()
 		version, began := w.version, time.Now()
 		err := w.poll()
-		endedAtOnce := w.version == version && time.Since(began) < w.limits.watchWait/2
+		endedEarly := w.version == version && time.Since(began) < w.limits.watchWait/2
 		switch {
-		case err == nil && endedAtOnce:
-			// Discovery ends watches early. Without a pause, calls would follow each other in a
-			// tight loop.
+		case err == nil && endedEarly:
+			// Discovery has ended the watch early, without a change. Without a pause, calls would
+			// follow each other in a tight loop.
 			backoff = w.limits.minBackoff
 		case err == nil || w.relocate():
 			backoff = w.limits.minBackoff
@@ -203,9 +203,9 @@
 	return nil
 }
 
-// follow changes the discovery address from the next call on. It cancels a running call to another
-// address, and cuts a pause short.
-func (w *endpointWatcher) follow(address string, cached *fastjson.Value) {
+// setAddress changes the discovery address from the next call on. It cancels a running call to
+// another address, and cuts a pause short. The cached list is used if no list is known yet.
+func (w *endpointWatcher) setAddress(address string, cached *fastjson.Value) {
 	w.mutex.Lock()
 	w.pendingRelocation = &relocation{address, cached}
 	if address != w.address {
@@ -235,15 +235,15 @@
 	return true
 }
 
-// addressChanged reports whether the discovery address is no longer the given one, so that an
-// answer from it has to be ignored.
+// addressChanged reports whether the discovery address differs from the given one, so that an
+// answer from the given address has to be ignored.
 func (w *endpointWatcher) addressChanged(from string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.address != from
 }
 
-// dial connects to discovery. follow and cancelCall can cancel it.
+// dial connects to discovery. setAddress and cancelCall can cancel it.
 func (w *endpointWatcher) dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), w.limits.dialTimeout)
 	defer cancel()
@@ -276,6 +276,6 @@
 func (w *endpointWatcher) abortCall() {
 	w.cancelDial()
 	if w.conn != nil {
-		_ = w.conn.Close() // the call fails, whatever the result of Close
+		_ = w.conn.Close() // the call fails even if Close returns an error
 	}
 }
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -17,7 +17,7 @@
 // answers is empty, a watch ends at its timeout without changes.
 type fakeDiscovery struct {
 	address string
-	answers chan string
+	answers chan string // bodies of answers, or failures: status 500, silence, reset, half with a body
 	queries chan string // the query string of each call
 }
 
@@ -65,7 +65,7 @@
 }
 
 func TestWatchingDiscovery(t *testing.T) {
-	t.Run("while it fails, the known list stays, and the watch continues from its version", func(t *testing.T) {
+	t.Run("while discovery fails, the known list stays, and the watch continues from its version", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		for _, invalid := range []string{"status 500", "reset", "silence", "{", "[]", `{"version":9}`, "half" + twoEndpoints,
 			`{"version":-1,"full":true,"servers":[]}`, `{"version":3,"full":true,"servers":{}}`, listJSON(0, true)} {
@@ -91,7 +91,7 @@
 		}
 		logged.waitFor(t, "msg=discovery_failed", 1)
 	})
-	t.Run("one that says again and again that its version is older is believed, with a full list", func(t *testing.T) {
+	t.Run("after repeated answers with an older version, an older full list is accepted", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		known := listJSON(50, true, endpointJSON(0, "up"))
 		for range 6 {
--- a/controller/encode.go
+++ b/controller/encode.go
@@ -6,43 +6,45 @@
 	"strconv"
 )
 
-// messageWriter encodes one message to a proxy as a sequence of parts. Every part except the last
-// has keyMore. A part applies to one set of classes.
+// messageWriter encodes one message to a proxy as a sequence of parts. Each part is a frame. It
+// applies to one set of classes, and all parts except the last have keyMore. The open part is the
+// part that is being written.
 type messageWriter struct {
-	classNames [][]byte // as JSON strings
-	maxFrame   int      // maximum bytes of a part, without its length prefix
+	classNames [][]byte // names of the classes as JSON strings, by class index
+	maxFrame   int      // maximum bytes of a part, excluding its length prefix
 	maxParts   int
 	token      uint64 // fencing token of the proxy's owner, if the proxy asked for it; 0 for none
 
 	raw         []byte
 	partStart   int    // offset of the open part in raw
-	parts       int    // number of parts, including the open one
+	parts       int    // number of parts of the message so far, including the open part
 	partClasses uint16 // bit set of the classes that the open part applies to; 0 if it names none
-	hasLimit    bool   // the open part has an admission limit
+	hasLimit    bool   // whether the open part already has an admission limit
 }
 
 // partTail is the maximum number of bytes between the last item of an array and the end of its
 // part.
 const partTail = len(`],"` + keyMore + `":true}`)
 
-// maxFieldBytes is an upper bound for the size of a field that is not an array.
+// maxFieldBytes is an upper bound for the encoded size, in bytes, of a field that is not an array.
 const maxFieldBytes = 64
 
-// openPart opens a part for a set of classes, unless the open part is for the same set.
+// openPart begins another part of the message for a set of classes, unless the open part applies to
+// the same set.
 func (w *messageWriter) openPart(classes uint16) {
 	if w.parts == 0 || w.partClasses != classes {
 		w.nextPart(classes)
 	}
 }
 
-// openAnyPart opens a part without classes if no part is open.
+// openAnyPart begins a part of the message that names no classes, if no part is open.
 func (w *messageWriter) openAnyPart() {
 	if w.parts == 0 {
 		w.nextPart(0)
 	}
 }
 
-// nextPart closes the open part and begins another one for a set of classes.
+// nextPart closes the open part of the message, and begins another part for a set of classes.
 func (w *messageWriter) nextPart(classes uint16) {
 	if w.parts > 0 {
 		w.raw = append(w.raw, `,"`+keyMore+`":true}`...)
@@ -61,7 +63,7 @@
 	}
 }
 
-// openField writes the key of a field.
+// openField writes the key of a field of the open part.
 func (w *messageWriter) openField(key string) {
 	w.raw = append(w.raw, `,"`...)
 	w.raw = append(w.raw, key...)
@@ -106,7 +108,8 @@
 	return len(w.raw)-w.partStart+size+partTail <= w.maxFrame+lengthSize
 }
 
-// ensureRoom opens another part if a field of maxFieldBytes would not fit into the open one.
+// ensureRoom begins another part of the message if a field of maxFieldBytes would not fit into the
+// open part.
 func (w *messageWriter) ensureRoom() {
 	if !w.hasRoomFor(maxFieldBytes) {
 		w.nextPart(w.partClasses)
@@ -159,8 +162,8 @@
 	w.raw = strconv.AppendInt(w.raw, int64(nonce), 10)
 }
 
-// finish closes the last part and returns the message, or errTooManyParts if it has more than
-// maxParts parts.
+// finish closes the last part and returns the message, or errTooManyParts if the message has more
+// than maxParts parts.
 func (w *messageWriter) finish() ([]byte, error) {
 	w.openAnyPart()
 	if w.parts > w.maxParts {
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -55,8 +55,8 @@
 		l.log.Warn("endpoint_skipped", "backend", string(id), "reason", "the maximum number of backends is reached")
 		return endpoint, false
 	}
-	weight, _ := numberAt(server, keyWeight)       // 0 if invalid
-	startedAt, _ := numberAt(server, keyStartedAt) // 0, which means long ago, if invalid
+	weight, _ := numberAt(server, keyWeight)       // a missing or invalid weight counts as 0
+	startedAt, _ := numberAt(server, keyStartedAt) // a missing or invalid start time counts as 0, which means long ago
 	return balancer.Endpoint{Backend: backend, State: state, StartedAt: settings.FromMilliseconds(startedAt), Weight: weight,
 		Zone: zone}, true
 }
--- a/controller/errors.go
+++ b/controller/errors.go
@@ -11,8 +11,8 @@
 var (
 	// errUnreadable: a frame length is invalid, or a frame is not a JSON object.
 	errUnreadable = errors.New("cannot be read")
-	// errIdentifyTimeout: the connection did not identify itself within limits.identifyTimeout, or
-	// before its eviction.
+	// errIdentifyTimeout: the connection did not identify itself within limits.identifyTimeout after
+	// its accept, or before its eviction.
 	errIdentifyTimeout = errors.New("it never said who it is")
 	// errUnacceptable: before identification, a message has a duplicate key, or an unknown proxy or
 	// zone.
@@ -32,9 +32,11 @@
 	errOutboxFull = errors.New("too many messages wait for it")
 	// errClosed: send was called after close.
 	errClosed = errors.New("the connection is closed")
-	// errReplaced: the proxy, or a further collector of the zone, has a newer connection.
+	// errReplaced: the proxy has a newer connection, or newer collectors have filled the
+	// limits.collectorsPerZone connections of the zone.
 	errReplaced = errors.New("replaced by a newer connection")
-	// errSilent: the connection is probably half-open.
+	// errSilent: the proxy has been silent for longer than limits.silenceTimeout or
+	// limits.ackLagTimeout, so its connection is probably half-open.
 	errSilent = errors.New("no message, and a push unacknowledged, for longer than the timeout")
 )
 
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -18,20 +18,20 @@
 	"github.com/valyala/fastjson"
 )
 
-// testTimeout bounds the waits of tests. A test that passes never waits for its end.
+// testTimeout bounds the waits of tests. A test that passes never waits until it expires.
 const testTimeout = 20 * time.Second
 
-// fakeProxy is a proxy that follows the protocol: it applies pushes, and counts their cost as the
-// push channel does.
+// fakeProxy is a proxy that follows the protocol. It applies pushes, and counts their cost in the
+// same way as the push channel.
 type fakeProxy struct {
 	classes   []string
-	lines     []map[string]float64
-	limits    [][]float64 // admission limit and retry policy by class; nil for none
+	lines     []map[string]float64 // table entries by class: weights by backend id
+	limits    [][]float64          // by class: admission limit and retry policy; nil if the class has no limit
 	withdrawn map[string]bool
 	nonces    []int
-	cost      int  // lines of the last message
+	cost      int  // cost of the last message, in lines of the push channel
 	messages  int  // number of messages received
-	inMessage bool // further parts of the current message follow
+	inMessage bool // the last part had More set, so the next part belongs to the same message
 	parts     int  // number of parts of the current message
 }
 
@@ -56,12 +56,13 @@
 	More    bool
 }
 
-// apply applies the frames of pushes. An error is one for which a proxy would reset its connection.
+// apply applies the frames of pushes. It returns an error for a push at which a real proxy would
+// reset its connection.
 func (fake *fakeProxy) apply(raw []byte) error {
 	for len(raw) > 0 {
 		size := int(binary.BigEndian.Uint32(raw))
 		if size > 1<<20 || len(raw) < 4+size {
-			return fmt.Errorf("frame length %d, with %d bytes left", size, len(raw))
+			return fmt.Errorf("frame length %d, want at most %d, and at most the %d bytes that follow", size, 1<<20, len(raw)-4)
 		}
 		if err := fake.applyPart(raw[4 : 4+size]); err != nil {
 			return fmt.Errorf("%w in %.200s", err, raw[4:4+size])
@@ -84,7 +85,7 @@
 	}
 	fake.inMessage = p.More
 	if fake.parts++; fake.parts > 64 {
-		return fmt.Errorf("more than 64 parts in a message")
+		return fmt.Errorf("message with part number %d, want at most 64 parts", fake.parts)
 	}
 	classes := p.Classes
 	if classes == nil {
@@ -93,7 +94,7 @@
 	for _, name := range classes {
 		class := slices.Index(fake.classes, name)
 		if class < 0 {
-			return fmt.Errorf("unknown class %q", name)
+			return fmt.Errorf("unknown class %q, want one of %q", name, fake.classes)
 		}
 		if p.Whole {
 			fake.lines[class], fake.limits[class] = map[string]float64{}, nil
@@ -101,7 +102,7 @@
 		for _, l := range p.Lines {
 			id, weight := l[0].(string), l[1].(float64)
 			if weight < 0 {
-				return fmt.Errorf("negative weight %g of %s", weight, id)
+				return fmt.Errorf("weight %g of backend %s, want at least 0", weight, id)
 			}
 			fake.lines[class][id] = weight
 			if weight == 0 {
@@ -244,8 +245,8 @@
 	return v
 }
 
-// advance runs an iteration with an event after a wait, and idle iterations every half second
-// before it, as timers cause them.
+// advance runs an iteration with an event after a wait. During the wait it runs an idle iteration
+// every half second, as the timers of a running loop would.
 func advance(loop *eventLoop, wait int64, event func()) {
 	for ; wait > microsPerSecond/2; wait -= microsPerSecond / 2 {
 		advanceStalled(loop, microsPerSecond/2, func() {})
@@ -261,8 +262,8 @@
 	loop.iterate(event)
 }
 
-// connectProxy connects a proxy to the loop, on a connection that is not read. sequence is the
-// position in the order of connections.
+// connectProxy connects a proxy to the loop, on a connection that is not served, as run is not
+// called. sequence is the connection's position in the order in which connections were accepted.
 func connectProxy(t *testing.T, loop *eventLoop, sequence, node int, mayHoldWithdrawals bool) *connection {
 	local, remote := net.Pipe()
 	t.Cleanup(func() { local.Close(); remote.Close() })
@@ -273,7 +274,7 @@
 	return conn
 }
 
-// client is the side of a proxy or collector of a connection to a controller.
+// client is the end of a proxy or collector of a connection to a controller.
 type client struct {
 	*testing.T
 	net.Conn
@@ -316,7 +317,7 @@
 	return raw
 }
 
-// isClosed reports whether the controller closes the connection without sending anything before.
+// isClosed reports whether the controller closes the connection without sending a message.
 func (caller *client) isClosed() bool {
 	_, err := caller.in.ReadByte()
 	return err != nil && !isTimeout(err)
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// FuzzStream feeds arbitrary bytes to an unidentified connection, to a proxy's and to a
-// collector's. It guards against panics and endless reads on malformed input.
+// FuzzStream feeds arbitrary bytes to an unidentified connection, to the connection of a proxy and
+// to the connection of a collector. It guards against panics and endless reads on malformed input.
 func FuzzStream(f *testing.F) {
 	f.Add(slices.Concat(frame(hello), frame(demandReport), frame(probe), frame(`{"msg":"ack","node":3,"nonce":1}`)))
 	f.Add(slices.Concat(frame(agent), frame(outcomesReport), frame(demandReport), frame("null")))
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -241,9 +241,9 @@
 			for b := range 12 {
 				load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 				if b == 5 && turn > 4 {
-					loop.outcomesReported(outcomeReport{fmt.Sprint(site.backend, b), 9, 9, 0, microsPerSecond, load})
+					loop.outcomesReported(outcomeReport{fmt.Sprint(site.backendPrefix, b), 9, 9, 0, microsPerSecond, load})
 				} else {
-					loop.outcomesReported(outcomeReport{fmt.Sprint(site.backend, b), 20, 1,
+					loop.outcomesReported(outcomeReport{fmt.Sprint(site.backendPrefix, b), 20, 1,
 						int64(200_000 + 60_000*turn), microsPerSecond, load})
 				}
 			}
@@ -286,7 +286,8 @@
 		{"audit", 3000, 9000, 0.5, false, true}}
 	var text strings.Builder
 	for _, messages := range []int{0, 4, 30} {
-		day := recordDay(t, deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: messages})
+		day := recordDay(t, deployment{classes: classes, zones: []string{"a", "b"}, backendPrefix: "s-",
+			maxMessages: messages})
 		lines := strings.SplitAfter(day, "\n")
 		fmt.Fprintf(&text, "# %d messages at most: %d messages, sha256 %x\n", messages, len(lines)-1, sha256.Sum256([]byte(day)))
 		if messages == 30 {
--- a/controller/golden_wire_test.go
+++ b/controller/golden_wire_test.go
@@ -39,8 +39,8 @@
 		}
 		fmt.Fprintf(&text, "%s: %q\n", name, got)
 	}
-	// recordOpen does the same without the half-close, so that the controller closes the connection
-	// by itself.
+	// recordOpen writes the controller's answer to messages without a half-close after them, so that
+	// the controller has to close the connection.
 	recordOpen := func(name string, sent ...string) {
 		caller := dial(t, address)
 		for _, raw := range sent {
--- a/controller/json.go
+++ b/controller/json.go
@@ -6,8 +6,8 @@
 	"wheelrill/internal/settings"
 )
 
-// numberAt reads the number of a key. It is not ok if the value is missing, not a number, infinite
-// or negative.
+// numberAt reads the number at a key of an object. ok is false if the value is missing, not a
+// number, infinite or negative.
 func numberAt(object *fastjson.Value, key string) (number float64, ok bool) {
 	value := object.Get(key)
 	if value == nil {
@@ -35,20 +35,20 @@
 	return -1
 }
 
-// indexAt reads an integer from 0 up to, but not including, a bound.
+// indexAt reads an integer that is at least 0 and below a bound. ok is false for any other value.
 func indexAt(object *fastjson.Value, key string, below int) (index int, ok bool) {
 	number, ok := numberAt(object, key)
 	return int(number), ok && number < float64(below) && number == float64(int(number))
 }
 
-// countAt reads a number of requests: an integer up to the number that arrives at a rate of
-// perSecond in the given seconds, or in one second if they are fewer.
+// countAt reads a number of requests. ok is false unless it is an integer of at most perSecond
+// times seconds; an interval below one second counts as one second.
 func countAt(object *fastjson.Value, key string, perSecond, seconds float64) (count int, ok bool) {
 	return indexAt(object, key, int(perSecond*max(seconds, 1))+1)
 }
 
 // duplicateKey returns the path of the first key that occurs twice in the same object, at any
-// depth; it is empty if there is none.
+// depth. The path is empty if all keys are unique.
 func duplicateKey(value *fastjson.Value) (path string) {
 	switch value.Type() {
 	case fastjson.TypeArray:
@@ -58,7 +58,8 @@
 			}
 		}
 	case fastjson.TypeObject:
-		seen := make(map[string]bool, value.GetObject().Len()) // a message may hold a hundred thousand keys
+		// A message can have 100,000 keys, so comparing each key with all others would take too long.
+		seen := make(map[string]bool, value.GetObject().Len())
 		value.GetObject().Visit(func(key []byte, item *fastjson.Value) {
 			if path != "" {
 				return
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -78,25 +78,28 @@
 
 	// Largest plausible values in load reports; a report with a larger one is skipped.
 
-	// maxProxyRate is the rate of requests that arrive at one proxy, per second.
+	// maxProxyRate is the largest plausible rate of requests that arrive at one proxy, per second.
 	maxProxyRate float64
-	// maxFleetRate is the rate of requests that arrive at all proxies together, per second.
+	// maxFleetRate is the largest plausible rate of requests that arrive at all proxies together,
+	// per second.
 	maxFleetRate float64
-	// maxResponseTime is the longest response time.
+	// maxResponseTime is the longest plausible response time of a backend.
 	maxResponseTime microseconds
-	// maxReportInterval is the longest interval that one report covers.
+	// maxReportInterval is the longest plausible interval that one report covers.
 	maxReportInterval microseconds
-	// maxUtilization is a backend's CPU utilization: a share of its cores, or a percentage.
+	// maxUtilization is the largest plausible CPU utilization of a backend. It allows for backends
+	// that report a percentage in place of a share of their cores.
 	maxUtilization float64
-	// maxQueueLength is the number of requests queued at a backend.
+	// maxQueueLength is the largest plausible number of requests queued at a backend.
 	maxQueueLength float64
 
 	// Times of the event loop.
 
 	// tick is the minimum time between two iterations that events trigger.
 	tick time.Duration
-	// stallThreshold is the time between two iterations above which the process counts as stalled:
-	// the decisions set timers that cause several iterations a second.
+	// stallThreshold is the time between two iterations above which the process counts as stalled.
+	// An idle loop has no such gaps, as the timers of the decisions cause several iterations a
+	// second.
 	stallThreshold microseconds
 	// readyTimeout is the time after the start at which the controller becomes ready even without
 	// an endpoint list.
@@ -107,8 +110,8 @@
 	// silenceTimeout is the time without a message, and with an acknowledgement outstanding for as
 	// long, after which a connection counts as half-open.
 	silenceTimeout microseconds
-	// ackLagTimeout replaces silenceTimeout where another proxy has already sent the outstanding
-	// acknowledgement, and counts from that time on.
+	// ackLagTimeout replaces silenceTimeout if another proxy has already acknowledged the push whose
+	// acknowledgement is outstanding. It counts from the acknowledgement of the other proxy on.
 	ackLagTimeout microseconds
 
 	// Times of connections.
@@ -142,9 +145,9 @@
 	minBackoff time.Duration
 	// maxBackoff bounds the doubled wait, before jitter.
 	maxBackoff time.Duration
-	// maxUnusableAnswers is the number of consecutive unusable answers after which the watcher
-	// requests the full list, and of consecutive stale ones after which it accepts a full list that
-	// is older than the known one.
+	// maxUnusableAnswers is the number of consecutive unusable answers of discovery after which the
+	// watcher requests the full list. It is also the number of consecutive answers with an older
+	// version than the known list after which the watcher accepts a full list of an older version.
 	maxUnusableAnswers int
 
 	// The log.
@@ -219,8 +222,8 @@
 // fitFleet sets the limits that follow from the number of proxies and zones. It needs the result of
 // fitResources.
 func (l *limits) fitFleet(proxies, zones int) {
-	const reservedSockets = 24        // for the runtime, the standard streams, the listener and discovery
-	const reservedForUnidentified = 8 // always available, as every connection starts unidentified
+	const reservedSockets = 24        // descriptors for the runtime, the standard streams, the listener and discovery
+	const reservedForUnidentified = 8 // always left for unidentified connections, as every connection starts as one
 	const minUnidentified = 256
 	l.proxies = proxies
 	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
@@ -228,12 +231,13 @@
 	// detected.
 	expected := 2*proxies + (l.collectorsPerZone+1)*zones
 	l.maxIdentified = min(expected, l.maxConnections-reservedForUnidentified)
-	l.maxUnidentified = max(minUnidentified, proxies+zones) // all reconnect at once after a restart
+	// After a restart, all proxies and collectors reconnect at once.
+	l.maxUnidentified = max(minUnidentified, proxies+zones)
 }
 
-// fitPace sets the times that follow from the loop's tick, the push channel and the report
+// fitTimes sets the times that follow from the loop's tick, the push channel and the report
 // interval.
-func (l *limits) fitPace(tick microseconds, channel balancer.PushChannel, telemetry balancer.Telemetry) {
+func (l *limits) fitTimes(tick microseconds, channel balancer.PushChannel, telemetry balancer.Telemetry) {
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
 	// A running proxy reports once per interval. The timeouts allow for a proxy that stalls for two
 	// seconds and for a full push channel.
--- a/controller/log.go
+++ b/controller/log.go
@@ -53,20 +53,20 @@
 	"unidentified_closed":          "error",
 }
 
-// suppressedKey is the key of the number of lines of the same kind that were suppressed since the
-// last written one.
+// suppressedKey is the log key of the number of lines of the same kind that were suppressed since
+// the last written line of this kind.
 const suppressedKey = "suppressed"
 
-// rateLimitHandler is a slog.Handler that forwards records to another handler, and suppresses
-// rate-limited events that repeat too soon. It is safe for concurrent use.
+// rateLimitHandler is a slog.Handler that forwards records to another handler. It suppresses a
+// rate-limited event that repeats within limits.logRepeatInterval. It is safe for concurrent use.
 type rateLimitHandler struct {
 	slog.Handler
-	limits  *limits       // uses logRepeatInterval and maxLogKinds
+	limits  *limits       // logRepeatInterval and maxLogKinds are used
 	repeats *repeatCounts // shared with the handlers derived from this one
 }
 
 // repeatCounts counts the suppressed lines by kind. A kind is an event together with the value of
-// its key.
+// the key that rateLimitedEvents assigns to it.
 type repeatCounts struct {
 	mutex  sync.Mutex // guards byKind and the counts that it points to
 	byKind map[string]*repeatCount
--- a/controller/log_test.go
+++ b/controller/log_test.go
@@ -47,7 +47,7 @@
 		log.Warn("report_dropped", "inbox_size", 1)
 		if count(output, "msg=report_dropped") != 2 || count(output, "suppressed=0") != 1 ||
 			count(output, "suppressed=4") != 1 {
-			t.Error(output.read())
+			t.Errorf("want a line with suppressed=0 and a line with suppressed=4, got:\n%s", output.text.String())
 		}
 	})
 	t.Run("other events are never suppressed", func(t *testing.T) {
@@ -56,7 +56,7 @@
 			log.Warn("proxy_dropped", "proxy", 3)
 		}
 		if count(output, "msg=proxy_dropped") != 5 || count(output, "suppressed") != 0 {
-			t.Error(output.read())
+			t.Errorf("want 5 lines without suppressed, got:\n%s", output.text.String())
 		}
 	})
 	t.Run("values of the event's key are counted separately, errors by their root cause", func(t *testing.T) {
@@ -68,10 +68,10 @@
 		}
 		log.Info("unidentified_closed", "error", errors.New("other"))
 		if count(output, "msg=proxy_connected") != 3 || count(output, "msg=unidentified_closed") != 2 {
-			t.Error(output.read())
+			t.Errorf("want 3 lines of proxy_connected and 2 of unidentified_closed, got:\n%s", output.text.String())
 		}
 	})
-	t.Run("kinds beyond the bound are counted as one", func(t *testing.T) {
+	t.Run("kinds beyond maxLogKinds are counted as one kind", func(t *testing.T) {
 		limits := defaultLimits()
 		limits.maxLogKinds = 2
 		log, output := newTestLogger(limits)
@@ -79,7 +79,7 @@
 			log.Info("proxy_connected", "proxy", proxy)
 		}
 		if count(output, "msg=proxy_connected") != 3 {
-			t.Error(output.read())
+			t.Errorf("want 3 lines, got:\n%s", output.text.String())
 		}
 	})
 	t.Run("a derived logger shares its counts with the original", func(t *testing.T) {
@@ -88,7 +88,7 @@
 		log.With("name", "n0").Warn("accept_failed")
 		log.WithGroup("server").Warn("accept_failed")
 		if count(output, "msg=accept_failed") != 1 {
-			t.Error(output.read())
+			t.Errorf("want 1 line, got:\n%s", output.text.String())
 		}
 	})
 }
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -18,11 +18,11 @@
 	const listKnown, discoveryAnswered = "the list is known", "discovery has answered"
 	const timedOut = "nothing is known, and discovery keeps silent"
 	for _, test := range []struct {
-		name, known string // known is the list in the configuration
+		name, known string // known is the endpoint list in the configuration
 		answers     []string
 		refuses     bool   // discovery refuses connections
 		reason      string // why the controller becomes ready
-		picks       int    // backends in the table that a proxy gets; -1 for any number
+		picks       int    // number of backends in the table that a proxy receives; -1 if it does not matter
 	}{
 		{"discovery answers, a list is configured", twoEndpoints,
 			[]string{listJSON(2, true, endpointJSON(0, "up"))}, false, listKnown, -1},
@@ -60,7 +60,7 @@
 				}
 			})
 			caller, proxy, fake := dial(t, controllerAddress), dial(t, controllerAddress), newFakeProxy("read it", "write")
-			caller.send(probe) // before readiness; the answer waits for it
+			caller.send(probe) // sent before readiness; the answer waits for readiness
 			if got := string(caller.receive()[lengthSize:]); got != aliveReply {
 				t.Errorf("probe answered with %q, want %q", got, aliveReply)
 			}
@@ -81,7 +81,7 @@
 			}
 		})
 	}
-	t.Run("the list that comes after readiness is pushed to a proxy that has connected before", func(t *testing.T) {
+	t.Run("a list that arrives after readiness is pushed to a proxy that is already connected", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		address, logged := serve(t, discovery.address, "null", func(l *limits) { l.readyTimeout = time.Millisecond })
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
@@ -89,7 +89,7 @@
 		logged.waitFor(t, "msg=proxy_connected", 1)
 		discovery.answers <- twoEndpoints
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 || len(fake.picks(1)) != 2 {
-			t.Errorf("error %v, picks %v", err, fake.lines)
+			t.Errorf("error %v, tables %v, want two entries in each", err, fake.lines)
 		}
 	})
 }
@@ -105,12 +105,12 @@
 	return listener.Addr().String()
 }
 
-// scriptedConn is a connection whose input is a text. It calls then as soon as the whole text is
-// read.
+// scriptedConn is a connection whose input is a text. It calls onEnd as soon as the whole text has
+// been read.
 type scriptedConn struct {
 	net.Conn
-	text string
-	then func()
+	text  string
+	onEnd func()
 }
 
 func (h *scriptedConn) Read(b []byte) (int, error) {
@@ -119,7 +119,7 @@
 	}
 	n := copy(b, h.text)
 	if h.text = h.text[n:]; h.text == "" {
-		h.then()
+		h.onEnd()
 	}
 	return n, nil
 }
@@ -157,20 +157,20 @@
 			}
 		}
 	}
-	t.Run("an answer of the former address is ignored", func(t *testing.T) {
+	t.Run("an answer from the former address is ignored", func(t *testing.T) {
 		accepted := 0
 		watcher := newEndpointWatcher("127.0.0.1:1", defaultLimits(), slog.New(slog.DiscardHandler),
 			func(bool, int64, []*fastjson.Value) { accepted++ }, func() { accepted++ })
 		body := listJSON(50, true, endpointJSON(0, "up"))
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		watcher.client.Dial = func(string) (net.Conn, error) {
-			return &scriptedConn{text: answer, then: func() { watcher.follow("127.0.0.1:2", nil) }}, nil
+			return &scriptedConn{text: answer, onEnd: func() { watcher.setAddress("127.0.0.1:2", nil) }}, nil
 		}
 		if err := watcher.poll(); !errors.Is(err, errAddressChanged) || accepted != 0 || watcher.hasVersion {
 			t.Errorf("error %v, %d callbacks, version %d, want errAddressChanged and no list", err, accepted, watcher.version)
 		}
 	})
-	t.Run("a drain told in the very answer that dies is received with a later answer", func(t *testing.T) {
+	t.Run("a drain in an answer that is cut off takes effect with a later answer", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		proxy, fake, _ := connect(t, discovery, twoEndpoints)
 		drain := listJSON(2, false, endpointJSON(0, "draining"))
@@ -179,7 +179,7 @@
 		discovery.answers <- drain
 		receiveUntil(t, proxy, fake, "s-1")
 	})
-	t.Run("a version told twice, a skipped one and an older one", func(t *testing.T) {
+	t.Run("repeated and skipped versions are accepted, and an older version is refused", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		var five []string
 		for b := range 5 {
@@ -196,18 +196,18 @@
 		discovery.answers <- listJSON(8, false, endpointJSON(2, "draining"))
 		receiveUntil(t, proxy, fake, "s-3", "s-4")
 	})
-	t.Run("changes are not taken in place of a requested full list", func(t *testing.T) {
+	t.Run("changes are not accepted in place of a requested full list", func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
 		for range 5 {
 			discovery.answers <- "status 500"
 		}
-		discovery.answers <- listJSON(9, false, endpointJSON(7, "up")) // the state before these changes is unknown
+		discovery.answers <- listJSON(9, false, endpointJSON(7, "up")) // changes of a list that the watcher does not know
 		discovery.answers <- listJSON(9, true, endpointJSON(1, "up"), endpointJSON(7, "up"))
 		proxy, fake, logged := connect(t, discovery, twoEndpoints)
 		receiveUntil(t, proxy, fake, "s-1", "s-7")
 		logged.waitFor(t, "got only changes, but the full list was requested", 1)
 	})
-	t.Run("one that ends each watch at once is called with pauses", func(t *testing.T) {
+	t.Run("a discovery server that ends each watch at once is called with pauses", func(t *testing.T) {
 		discovery, began := newFakeDiscovery(t), time.Now()
 		const calls, minBackoff = 10, 20 * time.Millisecond
 		for range calls {
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -5,10 +5,10 @@
 // outcomeReport is a load report: the outcomes of the attempts that the proxies of a zone made at a
 // backend.
 type outcomeReport struct {
-	backend     string // id of the backend
-	attempts    int
+	backend     string       // id of the backend
+	attempts    int          // number of attempts
 	failed      int          // number of failed attempts
-	meanLatency microseconds // of the successful attempts
+	meanLatency microseconds // mean latency of the successful attempts
 	interval    microseconds // time that the report covers
 	load        balancer.BackendLoad
 }
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -15,7 +15,7 @@
 		// Idempotent and other classes are mixed, in tables of the fleet and of a zone, and
 		// requests may last longer than the windows: the permission must not depend on how long a
 		// window is.
-		c := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
+		c := deployment{zones: []string{"a", "b"}, backendPrefix: "s-", maxMessages: 30, classes: []classSettings{
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
 		loop := c.newLoop(t, 8)
--- a/controller/server.go
+++ b/controller/server.go
@@ -23,7 +23,7 @@
 	log    *slog.Logger
 
 	accepted int            // number of connections accepted so far; owned by run's goroutine
-	running  sync.WaitGroup // goroutines of connections
+	running  sync.WaitGroup // goroutines that serve connections
 
 	mutex        sync.Mutex    // guards the fields below
 	unidentified []*connection // oldest first
@@ -31,7 +31,7 @@
 }
 
 // run accepts connections until the context ends, and then closes all of them. It returns an error
-// if the listener fails before.
+// if the listener is closed before that; after any other error of the listener it continues.
 func (s *server) run(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { interrupt(listener) })
 	defer stop()
@@ -83,8 +83,8 @@
 }
 
 // drainBacklog accepts and closes the connections in the listener's backlog, for
-// limits.finalReadTimeout, and then closes the listener. Some kernels don't close the backlog with
-// the listener, and its peers would wait forever.
+// limits.finalReadTimeout, and then closes the listener. Some kernels don't close the connections
+// in the backlog with the listener, and their peers would wait forever.
 func (s *server) drainBacklog(listener net.Listener) {
 	defer func() { _ = listener.Close() }() // the result does not matter, as the listener is not used again
 	tcp, ok := listener.(*net.TCPListener)
@@ -122,7 +122,7 @@
 	return false
 }
 
-// excess returns how many connections have to end before one more fits into the limits.
+// excess returns the number of connections that have to end before one more fits into the limits.
 func (s *server) excess() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -148,14 +148,14 @@
 	}
 }
 
-// identify moves a connection from the unidentified to the identified ones. A newer connection of a
-// proxy replaces the older one, and a collector beyond limits.collectorsPerZone replaces the oldest
-// of its zone, as the replaced connection may be half-open. At limits.maxIdentified, the new
-// connection is refused. Connections call it in their own goroutines.
+// identify moves a connection from the unidentified to the identified connections. A newer
+// connection of a proxy replaces the older one, and a collector beyond limits.collectorsPerZone
+// replaces the oldest of its zone, as the replaced connection may be half-open. At
+// limits.maxIdentified, the new connection is refused. Connections call it in their own goroutines.
 func (s *server) identify(c *connection) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	groupSize := 1 // connections of the same proxy, or of collectors of the same zone
+	groupSize := 1 // number of connections of the same proxy, or of collectors of the same zone
 	for _, other := range slices.Backward(slices.Clone(s.identified)) {
 		if !c.inSameGroup(other) {
 			continue
--- a/controller/server_bounds_test.go
+++ b/controller/server_bounds_test.go
@@ -83,7 +83,7 @@
 	if maxOpen := listener.maxOpen.Load(); maxOpen != limit {
 		t.Errorf("at most %d connections were open at once, want exactly the limit of %d", maxOpen, limit)
 	}
-	for _, proxy := range proxies { // all of them are still connected
+	for _, proxy := range proxies { // the proxies were not evicted
 		proxy.send(probe)
 		proxy.receive()
 	}
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -135,7 +135,7 @@
 				t.Errorf("%s: the connection was not refused", name)
 			}
 		}
-		for size := range 40 { // each ends at a different byte, but all are one kind of log line
+		for size := range 40 { // the connections end at different bytes, but cause one kind of log line
 			caller := dial(t, address)
 			caller.Write(frame(hello)[:5+size])
 			caller.Close()
@@ -156,7 +156,7 @@
 			}
 		}
 	})
-	t.Run("what arrived while we stalled is read after the deadline", func(t *testing.T) {
+	t.Run("bytes that arrived while the process stalled are read after the deadline", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		loop.limits.identifyTimeout = time.Nanosecond
 		local, remote := net.Pipe()
@@ -197,10 +197,10 @@
 			}
 		}
 	})
-	t.Run("a peer that reads nothing ends after the write timeout", func(t *testing.T) {
+	t.Run("a connection whose peer reads nothing ends after the write timeout", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		loop.limits.writeTimeout = 20 * time.Millisecond
-		conn := connectProxy(t, loop, 1, 0, false) // its first table is already in the outbox
+		conn := connectProxy(t, loop, 1, 0, false) // the proxy's first table is already in the outbox
 		conn.run()
 		if text, _ := logged.read(); !strings.Contains(fmt.Sprint(conn.closeReason), "write: ") {
 			t.Errorf("closed with %v, want a write error: %s", conn.closeReason, text)
@@ -210,7 +210,7 @@
 			t.Error("the proxy is still connected")
 		}
 	})
-	t.Run("while hundreds are silent, reconnecting proxies replace their old connections", func(t *testing.T) {
+	t.Run("while many connections are silent, reconnecting proxies replace their old connections", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.maxConnections, l.maxIdentified, l.maxUnidentified = 48, 42, 48 })
 		var all, current []*client
 		for round := range 2 {
@@ -279,7 +279,7 @@
 			t.Errorf("run returned %v, want nil", err)
 		}
 	})
-	t.Run("an address that is in use is an error", func(t *testing.T) {
+	t.Run("Serve returns an error if its address is in use", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -296,8 +296,8 @@
 	})
 }
 
-// scriptedListener is a listener that returns the given connections, with EMFILE in place of a nil
-// one, and then blocks until done is closed.
+// scriptedListener is a listener that returns the given connections, with the error EMFILE in place
+// of a nil connection, and then blocks until done is closed.
 type scriptedListener struct {
 	net.Listener
 	conns []net.Conn
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestShutdown(t *testing.T) {
-	t.Run("before it listens, Serve with an ended context returns without an error", func(t *testing.T) {
+	t.Run("Serve with an ended context returns nil before it listens", func(t *testing.T) {
 		c, err := New(Identity{}, configuration("127.0.0.1:9", twoEndpoints), NewLogger(io.Discard))
 		if err != nil {
 			t.Fatal(err)
@@ -26,7 +26,7 @@
 			t.Errorf("Serve returned %v, want nil", err)
 		}
 	})
-	t.Run("a discovery that takes no connection does not delay the shutdown", func(t *testing.T) {
+	t.Run("a discovery server that accepts no connection does not delay the shutdown", func(t *testing.T) {
 		// serve shuts down at the end of the test.
 		serve(t, newUnresponsiveAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = testTimeout })
 	})
@@ -56,8 +56,8 @@
 		}
 	})
 	t.Run("no goroutine is left after shutdown", func(t *testing.T) {
-		if left := controllerGoroutines(); left != "" {
-			t.Fatalf("goroutines of an earlier test are left:\n%s", left)
+		if remaining := controllerGoroutines(); remaining != "" {
+			t.Fatalf("goroutines of an earlier test are left:\n%s", remaining)
 		}
 		t.Run("with proxies, collectors, unidentified connections and a pending reload", func(t *testing.T) {
 			discovery, next := newFakeDiscovery(t), newFakeDiscovery(t)
@@ -80,8 +80,8 @@
 				t.Fatal(err)
 			}
 		})
-		if left := controllerGoroutines(); left != "" { // Serve has returned
-			t.Errorf("goroutines are left after Serve:\n%s", left)
+		if remaining := controllerGoroutines(); remaining != "" { // Serve has returned
+			t.Errorf("goroutines are left after Serve:\n%s", remaining)
 		}
 	})
 }
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -12,12 +12,12 @@
 const microsPerSecond microseconds = 1_000_000
 
 // inSeconds converts a duration to seconds.
-func inSeconds(span microseconds) float64 { return float64(span) / float64(microsPerSecond) }
+func inSeconds(duration microseconds) float64 { return float64(duration) / float64(microsPerSecond) }
 
 // timer is a pending timer of the decisions or of the ownership coordinator. The event loop owns
 // it.
 type timer struct {
-	at  microseconds // when it is due
+	at  microseconds // clock time at which the timer is due
 	tag uint64
 }
 
--- a/controller/wire.go
+++ b/controller/wire.go
@@ -1,7 +1,7 @@
 package controller
 
-// Names in the protocol with proxies, collectors and discovery. They are defined in this file only;
-// the Go identifiers use the usual terms.
+// Names in the protocol with proxies, collectors and discovery. They are defined in this file only.
+// The Go identifiers are the usual terms of the field, also where the protocol has other names.
 
 // Kinds of messages: the values of keyMessage.
 const (
@@ -28,24 +28,24 @@
 	keyNonce    = "nonce"    // nonce of the last push that is acknowledged
 	keyBackend  = "endpoint" // id of the backend
 	keyClass    = "route"    // name of the class
-	keyCount    = "total"    // number of attempts (outcomes) or requests (demand)
-	keyFailed   = "errors"   // number of failed attempts
+	keyCount    = "total"    // number of attempts (in messageOutcomes) or of requests (in messageDemand)
+	keyFailed   = "errors"   // number of attempts that failed, of those in keyCount
 	keyLatency  = "rtt"      // mean latency of the successful attempts, ms
 	keyInterval = "interval" // interval that the report covers, ms
 	keyLoad     = "metrics"  // load figures that the backend reports about itself
 
 	// Load figures of a backend. Each has two alternative keys.
 	keyUtilization, keyCPU    = "util", "cpu"          // CPU utilization, as a share of the backend's cores
-	keyQueue, keyWaiting      = "queue", "waiting"     // queued requests
-	keyServiceTime, keyMeanMS = "latency_ms", "avg_ms" // recent service time, ms
+	keyQueue, keyWaiting      = "queue", "waiting"     // number of requests queued at the backend
+	keyServiceTime, keyMeanMS = "latency_ms", "avg_ms" // recent service time of the backend, ms
 )
 
 // Keys of pushes.
 const (
 	keyToken    = "token"   // fencing token of the proxy's owner
 	keyClasses  = "classes" // names of the classes that the push applies to; all if missing
-	keyFull     = "whole"   // true: the entries replace the table, and the admission limit is removed
-	keyEntries  = "lines"   // backends with weights; a weight of 0 removes the entry
+	keyFull     = "whole"   // true: the entries replace the whole table, and the admission limit is removed
+	keyEntries  = "lines"   // table entries: backends with weights; a weight of 0 removes the entry
 	keyLimit    = "level"   // admission limit
 	keyRetry    = "retry"   // retry policy; present with each admission limit
 	keyWithdraw = "out"     // withdrawn backends: the proxy must not use them
@@ -53,7 +53,7 @@
 	keyAck      = "ticket"  // nonce that the proxy has to acknowledge
 	keyMore     = "more"    // true: another part of this message follows
 
-	keyReason = "reason" // text of an error message
+	keyReason = "reason" // why the connection is refused (in messageError)
 )
 
 // Discovery: the request path, the parameters of a watch, and the keys and values of a response.
