--- a/cmd/wheelrill/ending_test.go
+++ b/cmd/wheelrill/ending_test.go
@@ -13,7 +13,7 @@
 
 const testTimeout = 20 * time.Second // limit of each wait in a test
 
-// process is this program in a process of its own. The channel receives the lines of its log.
+// process is a child process that runs this program. log receives the lines of its standard error.
 type process struct {
 	*exec.Cmd
 	log chan string
@@ -99,10 +99,10 @@
 	}
 }
 
-// TestSIGTERMEndsInTimeWhateverIsGoingOn guards against a process that does not exit on SIGTERM
+// TestSIGTERMEndsTheProcessInEveryPhase guards against a process that does not exit on SIGTERM
 // before the platform kills it: because it is blocked in reading its configuration or waits for
 // discovery, or because a further SIGTERM kills it during the shutdown.
-func TestSIGTERMEndsInTimeWhateverIsGoingOn(t *testing.T) {
+func TestSIGTERMEndsTheProcessInEveryPhase(t *testing.T) {
 	sample, err := filepath.Abs("../../deploy/sample.json")
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 		p.Process.Signal(syscall.SIGTERM)
 		p.awaitExit(t, signaledAt)
 	})
-	t.Run("while a reload reads", func(t *testing.T) {
+	t.Run("while a reload reads the configuration", func(t *testing.T) {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.Symlink(sample, path); err != nil {
 			t.Fatal(err)
@@ -131,7 +131,7 @@
 		p.Process.Signal(syscall.SIGTERM)
 		p.awaitExit(t, signaledAt)
 	})
-	t.Run("before discovery has answered, and again and again until the end", func(t *testing.T) {
+	t.Run("before discovery has answered, and repeatedly until the process exits", func(t *testing.T) {
 		p := startProgram(t, sample)
 		p.awaitLine(t, "msg=serving")
 		signaledAt, signalingDone := time.Now(), make(chan struct{})
--- a/cmd/wheelrill/main.go
+++ b/cmd/wheelrill/main.go
@@ -1,8 +1,8 @@
 // Command wheelrill runs one controller. Its other commands are for operators: rehearse runs
 // scenarios with faults against real controllers, scale measures what controllers consume.
-// README.md describes how to start it. main.go has signals and exit codes, serve.go the controller,
-// rehearse.go and scale.go the other commands. Each command only reads its flags, calls a package
-// and writes the result.
+// README.md describes how to start a controller. main.go handles signals and exit codes, serve.go
+// runs the controller, rehearse.go and scale.go implement the other commands. Each command only
+// reads its flags, calls a package and writes the result.
 package main
 
 import (
@@ -22,8 +22,8 @@
 // Exit codes of a controller that failed, and of commands with a verdict.
 const (
 	exitFailed       exitCode = 1 // the controller failed and has logged the cause
-	exitViolated     exitCode = 1 // a rule or a budget was violated, or a page differs
-	exitInconclusive exitCode = 2 // no verdict, as a controller exited by itself or was refused
+	exitViolated     exitCode = 1 // a rule or a budget was violated, or a page differs from the saved runs
+	exitInconclusive exitCode = 2 // no verdict: a controller exited by itself, or the arguments or files are unusable
 )
 
 // Error returns the code as text; main does not print it.
--- a/cmd/wheelrill/main_test.go
+++ b/cmd/wheelrill/main_test.go
@@ -18,9 +18,9 @@
 	return len(line), nil
 }
 
-// TestHangUpsReloadAndSIGTERMEnds guards against a SIGHUP that does not reload the configuration,
-// or applies an invalid one, and against a SIGTERM that does not end serve.
-func TestHangUpsReloadAndSIGTERMEnds(t *testing.T) {
+// TestSIGHUPReloadsAndSIGTERMEndsServe guards against a SIGHUP that does not reload the
+// configuration, or applies an invalid one, and against a SIGTERM that does not end serve.
+func TestSIGHUPReloadsAndSIGTERMEndsServe(t *testing.T) {
 	sample, err := os.ReadFile("../../deploy/sample.json")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wheelrill/output.go
+++ b/cmd/wheelrill/output.go
@@ -40,12 +40,15 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// newProgressWriter returns a function that writes texts to standard error, each after the seconds
-// since this call and the text of total. It returns nil if standard error is not a terminal.
-func newProgressWriter(total string) func(text string) {
+// newProgressWriter returns a function that writes a line of progress to standard error: the
+// seconds since the call of newProgressWriter, the suffix, and a text. It returns nil if standard
+// error is not a terminal.
+func newProgressWriter(suffix string) func(text string) {
 	if !onTerminal() {
 		return nil
 	}
 	start := time.Now()
-	return func(text string) { fmt.Fprintf(os.Stderr, "%6.1f s%s  %s\n", time.Since(start).Seconds(), total, text) }
+	return func(text string) {
+		fmt.Fprintf(os.Stderr, "%6.1f s%s  %s\n", time.Since(start).Seconds(), suffix, text)
+	}
 }
--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -70,7 +70,7 @@
 	return command
 }
 
-// rehearseScenario runs the named scenario with this executable as the controllers.
+// rehearseScenario runs the named scenario. This executable is the program of its controllers.
 func rehearseScenario(ctx context.Context, scenario *rehearse.Scenario, name, sharing string,
 ) (*rehearse.Report, error) {
 	switch name {
--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRulesHoldWhileControllersFail guards against violations of the rules while real controllers
-// are killed, frozen or cut off. It runs short scenarios; a run without a verdict is skipped.
+// are killed, frozen or partitioned. It runs short scenarios; a run without a verdict is skipped.
 func TestRulesHoldWhileControllersFail(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
@@ -39,11 +39,12 @@
 		scenario rehearse.Scenario
 	}{
 		{"members are killed", rehearse.Scenario{Sharing: true, Fenced: true}},
-		{"members freeze, are cut off and leave", rehearse.Scenario{Sharing: true, Faults: "freeze,half,leave"}},
+		{"members freeze, are partitioned in one direction and leave",
+			rehearse.Scenario{Sharing: true, Faults: "freeze,half,leave"}},
 		{"two members fail at once, and no majority is left",
 			rehearse.Scenario{Sharing: true, Fenced: true, Faults: "pair,split"}},
-		{"nothing is shared", rehearse.Scenario{}},
-		{"nothing goes wrong", rehearse.Scenario{Sharing: true, Calm: true}},
+		{"controllers do not share ownership", rehearse.Scenario{}},
+		{"no fault is injected", rehearse.Scenario{Sharing: true, Calm: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := c.scenario
--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -84,8 +84,8 @@
 	return command
 }
 
-// measure runs the named measurement with this executable as the controllers, and saves the run if
-// a folder is given.
+// measure runs the named measurement, and saves the run if a folder is given. This executable is
+// the program of the measured processes.
 func measure(ctx context.Context, name string, flags *scaleRunFlags) (*results.Run, error) {
 	m, err := scale.Find(name)
 	if err != nil {
@@ -130,7 +130,7 @@
 
 // scaleReportFlags holds the flags of scale report.
 type scaleReportFlags struct {
-	folder string // with the saved runs
+	folder string // folder of the saved runs
 	check  string // path of the page to compare with the runs
 	write  string // path of the page to update from the runs
 	asJSON bool
--- a/cmd/wheelrill/scale_lists_test.go
+++ b/cmd/wheelrill/scale_lists_test.go
@@ -7,8 +7,8 @@
 	"wheelrill/scale/results"
 )
 
-// runMeasurement runs a measurement through the command line, with this test binary as its
-// processes, and returns the saved run.
+// runMeasurement runs a measurement through the command line and returns the saved run. This test
+// binary is the program of the measured processes.
 func runMeasurement(t *testing.T, name string, flags ...string) *results.Run {
 	t.Helper()
 	t.Setenv(runAsProgramEnv, "yes")
--- a/cmd/wheelrill/scale_test.go
+++ b/cmd/wheelrill/scale_test.go
@@ -29,10 +29,10 @@
 	return text.String(), code
 }
 
-// TestScaleRunMeasuresKeepsAndRefuses guards against a missing measurement in scale list, unusable
-// arguments that are accepted, and a run that is not saved or whose exit code does not match its
-// verdict.
-func TestScaleRunMeasuresKeepsAndRefuses(t *testing.T) {
+// TestScaleRunSavesRunsAndRefusesArguments guards against a missing measurement in scale list,
+// unusable arguments that are accepted, and a run that is not saved or whose exit code does not
+// match its verdict.
+func TestScaleRunSavesRunsAndRefusesArguments(t *testing.T) {
 	list, code := runCommand(t, "scale", "list")
 	for _, m := range scale.Measurements() {
 		if !strings.Contains(list, m.Describe().Name) || code != 0 {
--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// distributionConfig converts the section distribution. A new key of the section has to be added
-// here, too.
+// distributionConfig converts the section distribution of the options file. A new key of the
+// section has to be added here, too.
 func distributionConfig(d *options.Distribution) controller.DistributionConfig {
 	return controller.DistributionConfig{
 		Voter:        d.Role == options.Voter,
@@ -108,7 +108,8 @@
 	}
 }
 
-// ownershipConfig converts the section sharing. A new key of the section has to be added here, too.
+// ownershipConfig converts the section sharing of the options file. A new key of the section has to
+// be added here, too.
 func ownershipConfig(s *options.Sharing) controller.OwnershipConfig {
 	return controller.OwnershipConfig{
 		Name:        s.Name,
--- a/fake/backend.go
+++ b/fake/backend.go
@@ -62,7 +62,7 @@
 	coldQueuePerCore = 8
 	// refusalLatency is the time that a rejection takes.
 	refusalLatency = time.Millisecond
-	// failFastDivisor divides the service time; the quotient is the time that a failure takes.
+	// A failure in ModeFailFast takes the service time divided by failFastDivisor.
 	failFastDivisor = 4
 )
 
--- a/fake/counts.go
+++ b/fake/counts.go
@@ -5,20 +5,20 @@
 	Requests int // received by the proxies
 	Served   int // answered within the latency objective
 	Late     int // answered after the latency objective
-	Lost     int // ended without a successful answer, after a proxy had admitted them
+	Lost     int // admitted by a proxy, but ended without a successful answer
 	Rejected int // not admitted by a proxy
 
 	OfferedValue float64 // sum of the priority weights of all requests
 	ServedValue  float64 // sum of the priority weights of the served requests
 
-	Attempts         int // sent to backends
-	AttemptsIntoHang int // sent to a backend that hung at that time
+	Attempts         int // attempts sent to backends
+	AttemptsIntoHang int // attempts sent to a backend that hung at that time
 
-	Streams             int // on which a controller sent a message
-	Pushes              int // applied by the proxies
-	Lines               int // of the applied pushes
-	LinesAtConnect      int // of pushes applied within connectWindow of the start of a stream
-	StalePushesRejected int // rejected for the fencing token of an older owner
+	Streams             int // streams on which a controller sent at least one message
+	Pushes              int // pushes applied by the proxies
+	Lines               int // lines of the applied pushes
+	LinesAtConnect      int // lines of pushes applied within connectWindow of the start of a stream
+	StalePushesRejected int // pushes rejected because they had the fencing token of an older owner
 }
 
 func (c *Counts) add(other Counts) {
--- a/fake/fake_test.go
+++ b/fake/fake_test.go
@@ -107,7 +107,7 @@
 		if err := echo(a, "x"); err == nil {
 			t.Error("an open connection was not reset")
 		}
-		if b, err := net.Dial("tcp", link.Address()); err == nil { // the reset may come during or after the dial
+		if b, err := net.Dial("tcp", link.Address()); err == nil { // the reset may arrive during or after the dial
 			b.SetDeadline(time.Now().Add(testTimeout))
 			if err := echo(b, "x"); err == nil {
 				t.Error("a new connection was not reset")
--- a/fake/faulty_link.go
+++ b/fake/faulty_link.go
@@ -12,7 +12,7 @@
 type Fault struct {
 	Delay             time.Duration // added to each new connection and to each chunk of bytes
 	DropOutgoing      bool          // bytes from the caller wait for the end of the fault; no side gets an error
-	DropIncoming      bool          // the same for bytes to the caller
+	DropIncoming      bool          // bytes to the caller wait for the end of the fault; no side gets an error
 	RefuseConnections bool          // new connections are reset at once, and so are open ones
 }
 
--- a/fake/fleet.go
+++ b/fake/fleet.go
@@ -18,9 +18,9 @@
 	ServiceTime    time.Duration // time for which a request occupies a core
 	Proxies        int           // number of proxies
 	Fenced         bool          // proxies ask for fencing tokens
-	Classes        []Class       // of requests; every proxy receives requests of each class
-	ReportInterval time.Duration // of the collectors
-	Seed           uint64        // of all random choices
+	Classes        []Class       // classes of requests; every proxy receives requests of each class
+	ReportInterval time.Duration // time between two reports of a collector
+	Seed           uint64        // seed of all random choices
 }
 
 // Fleet holds discovery, the backends, the proxies and the collectors around the controllers, and
@@ -136,7 +136,8 @@
 }
 
 // Close stops the fleet. It returns the verdict of the checker and the counts of the proxies. The
-// checker gives its verdict before the streams end, because an ended stream counts as lost.
+// checker gives its verdict before the streams end, because a proxy whose stream has ended counts
+// as disconnected.
 func (f *Fleet) Close() (invariant.Verdict, Counts) {
 	verdict := f.checker.Verdict(f.Clock())
 	if f.stop != nil {
@@ -174,7 +175,7 @@
 }
 
 // ConnectedProxies returns the number of proxies that are connected to any controller, and the
-// number of those that are connected to the given one.
+// number of proxies that are connected to the given controller.
 func (f *Fleet) ConnectedProxies(controller int) (toAny, toThis int) {
 	for _, p := range f.proxies {
 		p.mutex.Lock()
--- a/fake/protocol.go
+++ b/fake/protocol.go
@@ -76,7 +76,7 @@
 type pushPart struct {
 	Msg       string   `json:"msg"`
 	Token     uint64   `json:"token"`   // fencing token of the owner; 0 for none
-	Classes   []string `json:"classes"` // that Full, Entries and Limit apply to; nil for all
+	Classes   []string `json:"classes"` // classes that Full, Entries and Limit apply to; nil for all
 	Full      bool     `json:"whole"`   // replaces the tables and the admission limits
 	Entries   [][2]any `json:"lines"`   // backend and weight; a weight of 0 removes the entry
 	Limit     *float64 `json:"level"`   // admission limit, requests a second; nil for no change
@@ -150,7 +150,7 @@
 	Weight  float64 `json:"weight"`
 	Started int64   `json:"started_ms"` // Unix time in ms; 0 if the backend started long ago
 
-	version int // of the list in which the entry last changed
+	version int // version of the list in which the entry last changed
 }
 
 // discoveryAnswer is the body of an answer of discovery.
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -10,7 +10,7 @@
 
 // Class describes one class of requests and its traffic.
 type Class struct {
-	Name             string        // on the wire
+	Name             string        // name on the wire
 	LatencyObjective time.Duration // an answer within this time counts as served
 	Deadline         time.Duration // a request without an answer within this time is lost
 	PriorityWeight   float64       // value of a served request
@@ -28,12 +28,12 @@
 	random *rand.Rand // used by run only
 
 	mutex        sync.Mutex       // guards the fields below
-	controller   int              // that the proxy is connected to; -1 for none
+	controller   int              // index of the controller that the proxy is connected to; -1 for none
 	cold         bool             // no push has been applied
 	tables       []*Table         // by class
 	limits       []admissionLimit // by class
 	withdrawn    map[string]bool  // by backend ID
-	highestToken uint64           // of all applied pushes
+	highestToken uint64           // highest fencing token of the applied pushes
 	demand       []int            // requests by class since the last demand report
 	counts       Counts
 }
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -10,7 +10,7 @@
 // lines.
 const MessageOverhead = 4
 
-// pushChannel models the channel from one controller to all proxies. It carries linesPerSecond, one
+// pushChannel models the channel from one controller to all proxies. It sends linesPerSecond, one
 // message after the other.
 type pushChannel struct {
 	fleet          *Fleet
@@ -22,7 +22,7 @@
 	idleFrom    time.Duration // when all queued messages have been sent
 }
 
-// enqueue adds a message to the channel and returns the time until the message has passed it.
+// enqueue adds a message to the channel and returns the time until the channel has sent it.
 func (c *pushChannel) enqueue(proxy, lines int) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/fake/request.go
+++ b/fake/request.go
@@ -18,8 +18,8 @@
 	random    uint64 // random number that the backend is picked with
 }
 
-// generateRequests gives the proxy requests of a class, at exponentially distributed intervals,
-// until the context ends.
+// generateRequests passes requests of a class to handleRequest, at exponentially distributed
+// intervals, until the context ends.
 func (p *Proxy) generateRequests(ctx context.Context, class int, random *rand.Rand) {
 	for n := 0; ; n++ {
 		gap := time.Duration(random.ExpFloat64() / p.fleet.classes[class].Rate * float64(time.Second))
@@ -124,7 +124,7 @@
 type admissionLimit struct {
 	set        bool    // if not, every request is admitted
 	rate       float64 // admitted requests a second
-	retry      int     // policy
+	retry      int     // retry policy of the class
 	tokens     float64 // requests that may be admitted at once
 	refilledAt time.Time
 }
@@ -133,7 +133,8 @@
 	return admissionLimit{set: true, rate: rate, retry: retry, tokens: 1, refilledAt: time.Now()}
 }
 
-// admit takes a token and reports whether there was one.
+// admit reports whether a request is admitted, and takes a token for it. Without a limit, every
+// request is admitted.
 func (l *admissionLimit) admit() bool {
 	if !l.set {
 		return true
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -15,7 +15,7 @@
 	probeInterval    = time.Second
 	idleTimeout      = 3 * time.Second        // a stream is closed if no message arrives for this long
 	applyTimePerLine = 100 * time.Microsecond // time that a proxy takes to apply one line of a push
-	connectWindow    = time.Second            // from the start of a stream; lines applied in it count as LinesAtConnect
+	connectWindow    = time.Second            // after a stream starts; lines applied in it count as LinesAtConnect
 	minRedialDelay   = 20                     // ms
 	redialJitter     = 130                    // ms, bound of the random part of the delay
 	ackLatency       = 1                      // ms, reported in every acknowledgement
--- a/fake/table.go
+++ b/fake/table.go
@@ -7,7 +7,7 @@
 type Table struct {
 	weights    map[string]float64 // by backend
 	ids        []string           // of the backends that may be picked, sorted
-	prefixSums []float64          // sums of the weights of ids up to and including each
+	prefixSums []float64          // by index in ids: sum of the weights up to and including that backend
 }
 
 // NewTable returns a table without entries.
@@ -48,9 +48,9 @@
 // Empty reports whether no backend may be picked.
 func (t *Table) Empty() bool { return len(t.ids) == 0 }
 
-// Pick chooses a backend with a probability in proportion to its weight, by a uniform random
-// number. It never chooses the backend of the previous attempt; found is false if there is no other
-// backend.
+// Pick chooses a backend with a probability in proportion to its weight. The choice depends only on
+// the table, the previous backend and random, a uniformly distributed number. Pick never chooses
+// the backend of the previous attempt; found is false if the table has no other backend.
 func (t *Table) Pick(previous string, random uint64) (chosen string, found bool) {
 	skipped, listed := slices.BinarySearch(t.ids, previous)
 	if t.Empty() || listed && len(t.ids) == 1 {
@@ -94,6 +94,7 @@
 // unitInterval maps a random number to [0, 1), with the 53 bits that a float64 holds.
 func unitInterval(random uint64) float64 { return float64(random>>11) / (1 << 53) }
 
-// NextRandom returns the random number of a request's next attempt, computed from that of the
-// previous attempt by one step of a linear congruential generator, like the proxies' own.
+// NextRandom returns the random number of a request's next attempt, computed from the number of the
+// previous attempt by one step of a linear congruential generator. The measurement of the time
+// for a pick and a retry uses it, too.
 func NextRandom(random uint64) uint64 { return random*6364136223846793005 + 1442695040888963407 }
--- a/internal/process/controller.go
+++ b/internal/process/controller.go
@@ -49,7 +49,7 @@
 	}
 	c.Up = true
 	c.ended = make(chan struct{})
-	// This goroutine ends with the process.
+	// This goroutine ends when the process exits.
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		_ = cmd.Wait() // the exit code is not specified; the log has the cause
 		close(ended)
@@ -66,7 +66,7 @@
 // Stop sends SIGTERM or SIGKILL to the process and waits until it exits. A process that does not
 // exit within stopTimeout is killed.
 func (c *Controller) Stop(s syscall.Signal) {
-	_ = c.Signal(s) // an error means that it has already exited
+	_ = c.Signal(s) // an error means that the process has already exited
 	select {
 	case <-c.ended:
 	case <-time.After(stopTimeout):
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -43,7 +43,8 @@
 	return classes
 }
 
-// requireItems rejects a list that is present and does not have one item per class.
+// requireItems rejects a list of per-class values that does not have one item for each class. It
+// accepts a missing or empty list.
 func (s *Settings) requireItems(key string, list []string, classes int) {
 	if len(list) > 0 && len(list) != classes {
 		s.Reject(key, fmt.Sprintf("has %d words for %d classes", len(list), classes))
@@ -109,8 +110,9 @@
 	"per_second": balancer.AdmissionByRate,
 }
 
-// Telemetry reads what a controller can observe. The maximum poll interval is read, and then
-// required, only if the controller has to poll the endpoint list.
+// Telemetry reads which reports and health checks a controller can use, and how it gets the
+// endpoint list. The maximum poll interval is required if the controller has to poll that list;
+// otherwise it is not read.
 func (s *Settings) Telemetry() balancer.Telemetry {
 	telemetry := balancer.Telemetry{
 		ReportInterval:       s.positiveMicroseconds("familyInfo.reportEvery"),
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// everyKey has every key that a reader reads.
+// everyKey is a JSON object with every key that a method of Settings reads.
 const everyKey = `{"azs":["a","b"],"familyInfo":{"admission":"fraction","backlog":900.5,"classWrites":[false,true],
 "egressPerS":700,"ingestRate":4000,"keepsWriting":2500,"lingers":1500,"messagesMost":40,"messagesOver":1000,
 "overhead":6,"partitionsN":12,"proxyCount":30,"pushDelayMax":662.5,"reportEvery":1000,"singleWriter":false,
@@ -87,8 +87,8 @@
 	return fmt.Sprintf("%s=%v\n", path, v)
 }
 
-// readAll calls every reader. It returns one line per value, or one with the error, and one per
-// warning.
+// readAll calls every method of Settings that reads a value. It returns one line per value, or a
+// single line with the error instead, and one line per warning.
 func readAll(text string, asJSON bool) []string {
 	var warnings []string
 	warn := func(format string, args ...any) { warnings = append(warnings, "odd: "+fmt.Sprintf(format, args...)) }
@@ -144,8 +144,8 @@
 
 // TestEveryKeyIsReadAndRefusedAsInGoldenFiles guards against a key that is no longer read, or whose
 // values are accepted, defaulted or refused differently. It removes each key, misspells it and sets
-// it to values of each kind; the golden files have the lines that differ from those of the
-// unchanged settings.
+// it to values of each kind; the golden files contain the lines of readAll that differ
+// from those of the unchanged settings.
 func TestEveryKeyIsReadAndRefusedAsInGoldenFiles(t *testing.T) {
 	parse := func() any {
 		var root any
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,7 +32,7 @@
 type Settings struct {
 	values map[string]string
 	lists  map[string][]string // list items by path; JSON only
-	err    *KeyError           // of the first rejected setting
+	err    *KeyError           // error of the first rejected setting
 	warn   WarnFunc
 }
 
@@ -48,8 +48,8 @@
 	return s
 }
 
-// ParseJSON reads settings from a JSON object, flattened to the paths that ParseLines reads. Unlike
-// there, list items may contain commas.
+// ParseJSON reads settings from a JSON object and flattens it to the paths that ParseLines reads.
+// List items may contain commas; ParseLines cannot have such items, because commas separate them.
 func ParseJSON(object *fastjson.Value, warn WarnFunc) *Settings {
 	s := &Settings{values: map[string]string{}, lists: map[string][]string{}, warn: warn}
 	s.flatten("", object)
@@ -69,8 +69,9 @@
 	}
 }
 
-// flattenList stores a list as comma-separated text, its number of items under the path's "count",
-// its items, and the values within items that are objects.
+// flattenList stores the comma-separated text of a list under its path, the number of its items
+// under path.count, and the separate items in s.lists. It also flattens each item that is an
+// object, to paths that start with path and the item's index.
 func (s *Settings) flattenList(path string, items []*fastjson.Value) {
 	s.values[join(path, "count")] = strconv.Itoa(len(items))
 	texts := []string{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,15 +39,15 @@
 "reporting":{"fields":["cpu","waiting"],"how":"piggyback"},
 "rules":{"coldShare":0.16,"droppedStayOpen":true,"rampTime":17000,"stopSendingWithin":3000},"weights":"live"}`
 
-// readEverything calls every reader and returns all results.
+// readEverything calls every method of Settings that reads a value, and returns all results.
 func readEverything(s *Settings) []any {
 	return []any{s.Classes(), s.PushChannel(), s.RuleLimits(), s.Sharding(), s.Telemetry(), s.AdmissionMode(),
 		s.Zones(), s.LoadFields(), s.Count("profiles.count"), s.NumberOr("tick", 7), s.Err()}
 }
 
-// TestBothFormsReadTheSame guards against a setting that is read differently from the simulator's
-// lines than from the nested JSON of a configuration.
-func TestBothFormsReadTheSame(t *testing.T) {
+// TestLinesAndJSONGiveTheSameSettings guards against a setting that is read differently from the
+// simulator's lines than from the nested JSON of a configuration.
+func TestLinesAndJSONGiveTheSameSettings(t *testing.T) {
 	var warnings []string
 	warn := func(format string, _ ...any) { warnings = append(warnings, format) }
 	t.Run("lines and nested JSON have the same values", func(t *testing.T) {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -11,7 +11,7 @@
 
 const (
 	microsecondsPerMillisecond = 1000
-	maxMicroseconds            = float64(1 << 53) // above it, float64 skips integers
+	maxMicroseconds            = float64(1 << 53) // above it, float64 cannot represent every integer
 )
 
 // FromMilliseconds converts milliseconds to microseconds, rounded to an integer of at most 2^53. A
@@ -21,8 +21,8 @@
 	return int64(min(rounded, maxMicroseconds))
 }
 
-// Sanitize returns x, or 0, which stands for an absent value, if x is negative, infinite or not a
-// number.
+// Sanitize returns x, or 0 if x is negative, infinite or not a number. A 0 stands for an absent
+// value.
 func Sanitize(x float64) float64 {
 	if !usable(x) {
 		return 0
@@ -64,8 +64,8 @@
 	return s.number(key)
 }
 
-// Count reads a required number of items that are allocated in memory: at most 65,535, truncated to
-// an integer.
+// Count reads a required number of items, truncated to an integer. It rejects a number above
+// 65,535, because the items are allocated in memory.
 func (s *Settings) Count(key string) int {
 	x := s.number(key)
 	if x > math.MaxUint16 {
@@ -121,8 +121,8 @@
 	return safe
 }
 
-// wordOf maps a word of the wire to its value. A missing setting and, with a warning, an unknown
-// word are read as the safe value.
+// wordOf reads a setting whose value is one of the known words, and returns the value of that word.
+// A missing setting and, with a warning, an unknown word are read as the safe value.
 func wordOf[T any](s *Settings, key string, safe T, known map[string]T) T {
 	text, ok := s.values[key]
 	if value, found := known[text]; found {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -41,7 +41,7 @@
 	return n
 }
 
-// abortOnPanic aborts only this instance if its balancer panics in the call.
+// abortOnPanic runs a call into the balancer. If the call panics, only this instance aborts.
 func (in *instance) abortOnPanic(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -191,8 +191,8 @@
 	return number < count
 }
 
-// knownID returns the number of an id in an index. It warns and returns false if the id is not
-// there: no event that introduces it has occurred.
+// knownID returns the number of an id in an index. It warns and returns false if no earlier
+// event has introduced the id.
 func (in *instance) knownID(x *index, id uint32, noun string) (int, bool) {
 	number, ok := x.numbers[id]
 	if !ok {
@@ -271,8 +271,8 @@
 	return balancer.HealthCheckUnknown
 }
 
-// loadReport reads the number of load values at a position and the values after it. A missing value
-// is -1.
+// loadReport reads a list of load values: the number of values at a position, and the values behind
+// it. A load value that the report lacks becomes -1.
 func (in *instance) loadReport(r record, at int) balancer.BackendLoad {
 	load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 	valueCount := min(int(r.u8(at)), len(in.loadFields), maxLoadValues)
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -77,7 +77,7 @@
 // layout.go.
 type record struct {
 	raw  []byte
-	tail []byte // tail of the whole frame
+	tail []byte // tail of the frame; nil in an entry of an endpoint list
 }
 
 func (r record) code() eventCode   { return eventCode(r.raw[codeAt]) }
@@ -96,11 +96,11 @@
 	return settings.Sanitize(math.Float64frombits(r.u64(at)))
 }
 
-// microseconds reads a time, which the protocol has in milliseconds.
+// microseconds reads a time in milliseconds and returns it in microseconds.
 func (r record) microseconds(at int) int64 { return settings.FromMilliseconds(r.f64(at)) }
 
 // tailOf returns the part of the tail that the text or list field at this position refers to. The
-// field counts items of itemSize bytes.
+// size in the field counts items of itemSize bytes.
 func (r record) tailOf(at, itemSize int) ([]byte, error) {
 	from := uint64(r.u32(at))
 	size := uint64(r.u32(at+textSizeAt)) * uint64(itemSize)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -69,7 +69,7 @@
 	return text + fmt.Sprintf("  tail %q\n", rest)
 }
 
-// Code of a log action, and positions in its record.
+// Code of a log action, and byte positions of its text field: offset, length and end.
 const (
 	logActionCode   = 67
 	textOffsetAt    = 3
@@ -77,9 +77,9 @@
 	logTextFieldEnd = 11
 )
 
-// hexDumpWithoutLogTexts returns a hexDump without the texts of log lines, and these texts apart,
-// because they are for operators. In the dump their offsets and lengths are 0, and the reply's
-// length does not include them.
+// hexDumpWithoutLogTexts returns the hexDump of a reply without the texts of its log lines, and
+// these texts separately: they are for operators and have a golden file of their own. In the dump
+// their offsets and lengths are 0, and the reply's length does not include them.
 func hexDumpWithoutLogTexts(reply []byte) (dump string, logTexts []string) {
 	reply = bytes.Clone(reply)
 	count := int(binary.LittleEndian.Uint32(reply))
@@ -322,7 +322,7 @@
 	}
 	text += "complaints\n"
 	for line := range strings.Lines(log.String()) {
-		_, warning, _ := strings.Cut(line, ": ") // without the program's name
+		_, warning, _ := strings.Cut(line, ": ") // removes the program's name
 		text += warning
 	}
 	golden.Compare(t, "replies.golden", text)
--- a/internal/simwire/layout.go
+++ b/internal/simwire/layout.go
@@ -1,8 +1,9 @@
 package simwire
 
 // Byte positions of fields in records. Fields that this package neither reads nor writes are left
-// out. Numbers are little endian, and times are milliseconds as f64. A text or a list is a pair of
-// u32: its offset in the frame's tail, and its size (of a text in bytes, of a list in entries).
+// out. The comment behind a position has the field's type. Numbers are little endian, and times are
+// milliseconds as f64. A text or a list is a pair of u32: its offset in the frame's tail, and its
+// size (of a text in bytes, of a list in entries).
 
 // microsecondsPerMillisecond converts the protocol's unit of time to the balancer's. Times in
 // events are converted by settings.FromMilliseconds instead, which also rounds them and replaces
@@ -73,7 +74,7 @@
 	outcomesAttemptsAt = 8  // u32
 	outcomesFailuresAt = 12 // u32
 	outcomesMeanAt     = 16 // time, mean answer time
-	outcomesSpanAt     = 24 // time
+	outcomesSpanAt     = 24 // time, length of the interval that the report covers
 	outcomesLoadAt     = 32 // u8, number of load values; the values follow, f32 each
 	loadValuesAt       = 1  // relative to outcomesLoadAt
 	loadValueSize      = 4
@@ -96,7 +97,7 @@
 const (
 	demandClassAt = 5  // u8
 	demandCountAt = 6  // u32
-	demandSpanAt  = 14 // time
+	demandSpanAt  = 14 // time, length of the interval that the report covers
 )
 
 // Fields of eventShardDemandReported, eventShardOwnership and eventShardOwnerStored.
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -18,7 +18,9 @@
 
 const (
 	maxEndpointLists = 16
-	maxWarnings      = 200 // of different texts; more are dropped, the input is then not this protocol
+	// maxWarnings limits the number of different warnings; further ones are dropped. Input that
+	// causes so many is not this protocol.
+	maxWarnings = 200
 )
 
 // Server holds the instances that a simulator drives. It is not safe for concurrent use: it handles
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -1,7 +1,7 @@
 // Package invariant checks a recorded run against the five rules of the operators and against the
-// rule on the order of owners. Its input is which pushes each proxy got and when, which attempts
-// each backend was sent, and which requests took effect. It does not depend on how controllers
-// decide.
+// rule on the order of owners. Its inputs are the pushes to each proxy with their times, the
+// attempts sent to each backend, and the requests that took effect. It does not depend on how
+// controllers decide.
 //
 // A Checker receives the events of a run and checks most rules at each event; each rule has a file
 // of its own. Rule 1 is checked when a time without an entry ends, and by Verdict for the times
@@ -37,10 +37,12 @@
 	MaxEmptyTable time.Duration
 	// DrainGrace is the time within which proxies have to stop sending to a backend that drains or
 	// is removed.
-	DrainGrace     time.Duration
-	MaxMessages    int           // to one proxy within MessageWindow, from all controllers together; 0 for no limit
+	DrainGrace time.Duration
+	// MaxMessages limits the messages to one proxy within MessageWindow, from all controllers
+	// together; 0 for no limit.
+	MaxMessages    int
 	MessageWindow  time.Duration // period that MaxMessages applies to
-	LinesPerSecond float64       // that leave the push channel of one controller; 0 for no limit
+	LinesPerSecond float64       // lines that leave the push channel of one controller; 0 for no limit
 	Backlog        float64       // lines that may wait in the push channel of one controller
 	// Margin is added to MaxEmptyTable and DrainGrace, for the delays that a busy machine adds to
 	// measured times.
@@ -50,7 +52,7 @@
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule          `json:"Rule"`  // violated rule
-	At      time.Duration `json:"At"`    // since the start of the run
+	At      time.Duration `json:"At"`    // time since the start of the run
 	Subject string        `json:"Whose"` // the proxy, the backend, the controller process or the key of the effect
 	Text    string        `json:"Text"`  // what violated the rule
 }
@@ -64,14 +66,14 @@
 
 	mutex      sync.Mutex // guards the fields below
 	violations []Violation
-	counts     map[string]int // of all violations, by "rule N"
+	counts     map[string]int // number of violations, by "rule N"
 	proxies    map[int]*proxy
 	backends   map[string]*backend
 	effects    map[string]time.Duration   // time at which each request took effect, by key
 	backlogs   map[string]*channelBacklog // by controller process
 
 	longestEmptyTable time.Duration
-	peakMessages      int // most messages to one proxy within MessageWindow
+	peakMessages      int // maximum number of messages to one proxy within MessageWindow
 }
 
 // proxy is the state of one proxy, as known from the events.
@@ -80,9 +82,9 @@
 	connectionChangedAt time.Duration            // time of the last ProxyConnected
 	emptySince          map[string]time.Duration // by class, for classes without an entry while connected
 	emptyReported       map[string]bool          // classes whose current lack of an entry is recorded as a violation
-	messageTimes        []time.Duration          // of the messages within MessageWindow
-	overLimit           bool                     // more than MaxMessages; recorded as a violation
-	highestToken        uint64                   // of the applied pushes; 0 if none had a fencing token
+	messageTimes        []time.Duration          // times of the messages within MessageWindow
+	overLimit           bool                     // messageTimes has more than MaxMessages items; recorded as a violation
+	highestToken        uint64                   // highest fencing token of the applied pushes; 0 if no push had one
 }
 
 // backend is the state of one backend, as known from the events.
@@ -171,10 +173,10 @@
 // Verdict is the result of the checks of a run.
 type Verdict struct {
 	Violations        []Violation    // sorted by time; only the first 100 that were recorded
-	Counts            map[string]int // of all violations, by "rule N"
+	Counts            map[string]int // number of violations, listed or not, by "rule N"
 	Effects           int            // number of distinct keys that took effect
 	LongestEmptyTable time.Duration  // longest time for which a connected proxy lacked an entry
-	PeakMessages      int            // most messages to one proxy within MessageWindow
+	PeakMessages      int            // maximum number of messages to one proxy within MessageWindow
 }
 
 // Verdict checks the times without an entry that still last, and returns the result of all checks.
--- a/options/check.go
+++ b/options/check.go
@@ -23,7 +23,8 @@
 	return nil
 }
 
-// checkAddress rejects an address that is not host:port or, for plain text, not on loopback.
+// checkAddress rejects an address that is not host:port. For plain text it also rejects an address
+// that is not on loopback.
 func checkAddress(loc locator, key, address string, plain bool) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// checkCredentials rejects plain text together with credentials, and TLS without all of them. The
-// paths are those of the certificate, the key and the authority.
+// checkCredentials rejects plain text together with credentials, and TLS with incomplete
+// credentials. The paths are those of the certificate, the key and the authority.
 func checkCredentials(loc locator, section string, plain bool, paths ...string) error {
 	givenPaths := 0
 	for _, path := range paths {
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -12,15 +12,15 @@
 type Distribution struct {
 	Role        string            `yaml:"role"`        // Voter or Subscriber
 	Name        string            `yaml:"name"`        // name of the subscriber; if empty, LB_NAME is used
-	Parents     map[string]string `yaml:"parents"`     // addresses by name, of the parents to try first
+	Parents     map[string]string `yaml:"parents"`     // addresses of the parents to try first, by name
 	Scopes      []string          `yaml:"scopes"`      // scopes that it subscribes to, or only AllScopes
-	Listen      string            `yaml:"listen"`      // address for its own subscribers; if empty, it accepts none
-	Folder      string            `yaml:"folder"`      // for the configuration, across restarts; empty for none
-	Certificate string            `yaml:"certificate"` // path of a PEM file, issued to the subscriber's name
-	Key         string            `yaml:"key"`         // path of a PEM file, of the certificate's key
-	Authority   string            `yaml:"authority"`   // path of a PEM file, signer of all nodes' certificates
+	Listen      string            `yaml:"listen"`      // address at which it accepts subscribers; empty to accept none
+	Folder      string            `yaml:"folder"`      // folder that keeps configuration across restarts; empty for none
+	Certificate string            `yaml:"certificate"` // path of the PEM certificate, issued to the subscriber's name
+	Key         string            `yaml:"key"`         // path of the PEM private key of Certificate
+	Authority   string            `yaml:"authority"`   // path of the PEM certificate that signs all nodes' certificates
 	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, on loopback only
-	FanOut      int               `yaml:"fan_out"`     // maximum number of its subscribers; 0 for the default
+	FanOut      int               `yaml:"fan_out"`     // maximum number of direct subscribers; 0 for the default
 	// SnapshotBytesPerSecond limits the total rate of all snapshots to subscribers; 0 for the
 	// default.
 	SnapshotBytesPerSecond int `yaml:"snapshot_bytes_per_s"`
@@ -41,11 +41,12 @@
 	minSnapshotRate = 1 << 10 // bytes a second
 	maxSnapshotRate = 1 << 30 // bytes a second
 	maxScopes       = 4096
-	maxScopeSize    = 256 // bytes
-	maxNameSize     = 192 // bytes
+	maxScopeSize    = 256 // bytes of the name of a scope
+	maxNameSize     = 192 // bytes of the name of a subscriber
 
-	// peerSeparator separates name and address where nodes name each other. It equals
-	// consensus.PeerSeparator; package controller checks names for it again.
+	// peerSeparator separates the name and the address of a node in the text that identifies the
+	// node to others. It equals consensus.PeerSeparator; package controller checks names for it
+	// again.
 	peerSeparator = "@"
 )
 
--- a/options/error.go
+++ b/options/error.go
@@ -11,9 +11,9 @@
 // FileError reports why an options file is unusable.
 type FileError struct {
 	File   string // path of the file
-	Line   int    // counted from 1; 0 if the error has no line
-	Key    string // with its sections, such as sharing.name; may be empty
-	Reason string // with the values that are allowed
+	Line   int    // line at fault, counted from 1; 0 if unknown
+	Key    string // key at fault with its sections, such as sharing.name; may be empty
+	Reason string // what is wrong, and the values that are allowed
 }
 
 // Error returns file, line, key and reason in one line.
--- a/options/file.go
+++ b/options/file.go
@@ -19,8 +19,8 @@
 
 // File is the content of an options file. The feature of a missing section is disabled.
 type File struct {
-	Sharing      *Sharing      `yaml:"sharing"`      // ownership of proxies, with other controllers
-	Distribution *Distribution `yaml:"distribution"` // distribution of configuration
+	Sharing      *Sharing      `yaml:"sharing"`      // shares the ownership of proxies with other controllers
+	Distribution *Distribution `yaml:"distribution"` // distributes configuration to controllers
 }
 
 // Read reads an options file. All its errors are *FileError.
@@ -32,17 +32,17 @@
 	return Parse(path, text)
 }
 
-// Parse parses the text of an options file. The path appears in errors only; all of them are
+// Parse parses the text of an options file. It uses the path only in errors, each of which is a
 // *FileError.
 func Parse(path string, text []byte) (*File, error) {
 	file := &File{}
 	decoder := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
-	// An empty file enables nothing.
+	// The decoder returns io.EOF for an empty file, which is valid and enables no feature.
 	if err := decoder.Decode(file); err != nil && !errors.Is(err, io.EOF) {
 		return nil, decodeError(path, err)
 	}
 	loc := locator{path: path}
-	loc.tree, _ = parser.ParseBytes(text, 0) // without a tree, errors have no line
+	loc.tree, _ = parser.ParseBytes(text, 0) // if it fails, the tree is nil and errors have no line
 	if file.Sharing != nil {
 		if err := file.Sharing.check(loc); err != nil {
 			return nil, err
--- a/options/sharing.go
+++ b/options/sharing.go
@@ -8,12 +8,12 @@
 
 // Sharing configures the controllers (members) that share the ownership of proxies.
 type Sharing struct {
-	Name        string            `yaml:"name"`        // of this controller, in Members; LB_NAME if empty
-	Members     map[string]string `yaml:"members"`     // addresses by name, this controller's included; two or more
-	Folder      string            `yaml:"folder"`      // for state across restarts; empty for none
-	Certificate string            `yaml:"certificate"` // path of a PEM file, issued to the member's name
-	Key         string            `yaml:"key"`         // path of a PEM file, of the certificate's key
-	Authority   string            `yaml:"authority"`   // path of a PEM file, signer of all members' certificates
+	Name        string            `yaml:"name"`        // name of this controller in Members; if empty, LB_NAME is used
+	Members     map[string]string `yaml:"members"`     // addresses by name, this controller's included; at least two
+	Folder      string            `yaml:"folder"`      // folder that keeps state across restarts; empty for none
+	Certificate string            `yaml:"certificate"` // path of the PEM certificate, issued to the member's name
+	Key         string            `yaml:"key"`         // path of the PEM private key of Certificate
+	Authority   string            `yaml:"authority"`   // path of the PEM certificate that signs all members' certificates
 	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, on loopback only
 	Lease       string            `yaml:"lease"`       // a duration, see LeaseTime; empty for the default
 
--- a/rehearse/backends.go
+++ b/rehearse/backends.go
@@ -44,7 +44,7 @@
 		b.Restart(warmupTime)
 		r.fleet.Discovery.Publish(fake.StateUp, b)
 		r.scheduleAfter(warmupTime, func() error {
-			// The same state again, so that the checker records the backend as warm.
+			// Publishes the same state again, so that the checker records the backend as warm.
 			r.fleet.Discovery.Publish(fake.StateUp, b)
 			delete(r.disturbedBackends, b)
 			return nil
@@ -53,7 +53,7 @@
 	})
 }
 
-// hang is the hang of a backend that is in progress.
+// hang is the state of a hang in progress.
 type hang struct {
 	backend  *fake.Backend
 	began    time.Time
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -13,7 +13,7 @@
 
 // faultKind is one kind of fault that a scenario injects.
 type faultKind struct {
-	name         string // as in --faults
+	name         string // value of --faults that selects the fault
 	needsLinks   bool   // members have to be connected through links
 	stopsProcess bool   // the process of a controller is ended or frozen
 	inject       func(r *run, t faultTargets)
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -11,8 +11,8 @@
 
 // Report is the result of a run. Other programs read its JSON keys, so they must not change.
 type Report struct {
-	Scenario    string         `json:"scenario"`  // calm or takeover
-	Seed        uint64         `json:"seed"`      // of all random choices
+	Scenario    string         `json:"scenario"`  // name of the scenario: calm or takeover
+	Seed        uint64         `json:"seed"`      // seed of all random choices
 	Sharing     bool           `json:"sharing"`   // the controllers shared the ownership of proxies
 	Controllers int            `json:"instances"` // number of controllers
 	Proxies     int            `json:"relays"`    // number of proxies
@@ -21,34 +21,34 @@
 
 	Verdict    Verdict               `json:"verdict"`       // overall result
 	Reason     string                `json:"why,omitempty"` // why the verdict is inconclusive
-	Violations []invariant.Violation `json:"breaches"`      // the first 100
+	Violations []invariant.Violation `json:"breaches"`      // the first 100 violations
 	// ViolationCounts has the numbers of all violations by rule, including those that are not
 	// listed.
 	ViolationCounts map[string]int `json:"broken"`
 
 	Effects           int     `json:"effects"`                  // requests that took effect
 	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // seconds
-	PeakMessages      int     `json:"most_messages_to_a_relay"` // within MessageWindow
-	ServedValue       float64 `json:"value_served"`             // in time, as a share of the value of all requests
+	PeakMessages      int     `json:"most_messages_to_a_relay"` // maximum messages to one proxy within MessageWindow
+	ServedValue       float64 `json:"value_served"`             // value served in time, as a share of all requests' value
 	Lost              int     `json:"lost"`                     // requests admitted, but not answered successfully
 	Rejected          int     `json:"refused"`                  // requests that were not admitted
 	Requests          int     `json:"came"`                     // all requests that proxies received
 
-	StreamsOpened       int     `json:"streams_begun"`                         // from proxies to controllers
-	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean of all streams
-	Lines               int     `json:"lines"`                                 // of all applied pushes
-	Pushes              int     `json:"orders"`                                // applied by proxies
-	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // for the fencing token of an older owner
+	StreamsOpened       int     `json:"streams_begun"`                         // streams from proxies to controllers
+	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean number of lines, over all streams
+	Lines               int     `json:"lines"`                                 // lines of all applied pushes
+	Pushes              int     `json:"orders"`                                // pushes applied by proxies
+	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // pushes with an older owner's token
 
-	Hangs             int     `json:"hangs"`                           // of backends
-	BackendsReplaced  int     `json:"workers_replaced"`                // drained and replaced by a new process
-	MeanHangDetection float64 `json:"left_a_hung_worker_after_s_mean"` // seconds
-	MaxHangDetection  float64 `json:"left_a_hung_worker_after_s_most"` // seconds
-	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // sent to backends that hung at that time
+	Hangs             int     `json:"hangs"`                           // hangs of backends
+	BackendsReplaced  int     `json:"workers_replaced"`                // backends drained and replaced by a new process
+	MeanHangDetection float64 `json:"left_a_hung_worker_after_s_mean"` // mean time until a hung backend is abandoned, s
+	MaxHangDetection  float64 `json:"left_a_hung_worker_after_s_most"` // maximum time until a hung backend is abandoned, s
+	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // attempts sent to backends that hung at that time
 
-	SchedulingDelayP99 float64 `json:"turn_late_ms_of_one_in_a_hundred"` // ms, of this process
-	SchedulingDelayMax float64 `json:"turn_late_ms_most"`                // ms, of this process
-	Folder             string  `json:"folder"`                           // with logs and configurations
+	SchedulingDelayP99 float64 `json:"turn_late_ms_of_one_in_a_hundred"` // 99th percentile for this process
+	SchedulingDelayMax float64 `json:"turn_late_ms_most"`                // maximum for this process
+	Folder             string  `json:"folder"`                           // folder with logs and configurations
 }
 
 // Verdict is the overall result of a run.
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -33,9 +33,9 @@
 	folder            string
 	events            *os.File // log of faults and of changes of backends, apart from the controllers' logs
 	random            *rand.Rand
-	faultCounts       map[string]int         // of injected faults, by kind
-	disturbedBackends map[*fake.Backend]bool // that hang or are being replaced
-	hangDetections    []time.Duration        // from each start of a hang until the backend was abandoned
+	faultCounts       map[string]int         // number of injected faults, by kind
+	disturbedBackends map[*fake.Backend]bool // backends that hang or are being replaced
+	hangDetections    []time.Duration        // time until the backend was abandoned or the hang ended, by hang
 	report            *Report
 	timers            []timer
 }
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -13,22 +13,22 @@
 )
 
 // Scenario describes a run that injects faults into controllers under load, one after the other,
-// and starts controllers again that were stopped. The load has two classes of requests; requests of
-// one of them must not take effect twice. At intervals a backend hangs or is replaced.
+// and restarts the controllers that were stopped. The load has two classes of requests; a request
+// of the class with writes must not take effect twice. At intervals a backend hangs or is replaced.
 type Scenario struct {
-	Duration      time.Duration // of the run
-	FaultInterval time.Duration // between two faults
+	Duration      time.Duration // duration of the run
+	FaultInterval time.Duration // time between two faults
 	Controllers   int           // number of controllers
 	Proxies       int           // number of proxies
 	Backends      int           // number of backends
-	Seed          uint64        // of all random choices
+	Seed          uint64        // seed of all random choices
 	Sharing       bool          // the controllers share the ownership of proxies
 	Fenced        bool          // proxies ask for fencing tokens, and reject pushes with an older one
 	Faults        string        // names of faults to choose from, separated by commas; kill if empty
 	Calm          bool          // no faults, hangs or replacements
 	Disk          bool          // members keep the record on disk, and have the same identity after a restart
 	Program       string        // path of the executable that is started as a controller
-	Folder        string        // for logs and configurations; a temporary one if empty
+	Folder        string        // folder for logs and configurations; if empty, a temporary one is created
 
 	// Progress is called with the text of each event when it happens; may be nil.
 	Progress func(text string)
@@ -47,21 +47,21 @@
 	coresPerBackend = 4
 	serviceTime     = 20 * time.Millisecond
 	reportInterval  = time.Second
-	warmupTime      = 17 * time.Second // for which a new backend is cold
+	warmupTime      = 17 * time.Second // time for which a new backend is cold
 	coldShare       = 0.16             // share of its normal load that a cold backend may be sent
 
 	drainGrace       = 3000 * time.Millisecond
 	socketAllowance  = 300 * time.Millisecond // added to drainGrace in the limits, for delays of real sockets
 	schedulingMargin = 500 * time.Millisecond // added for the delays that a busy machine adds to measured times
 
-	minLinesPerSecond      = 900 // of a controller's push channel
-	minBacklog             = 900 // lines
+	minLinesPerSecond      = 900 // minimum rate of a controller's push channel
+	minBacklog             = 900 // minimum capacity of a controller's push queue, in lines
 	linesPerSecondPerProxy = 6
 	backlogPerProxy        = 12
 	pushDelay              = 660 * time.Millisecond
 	tick                   = 4 * time.Millisecond
 
-	minMembers = 2 // controllers that share a record
+	minMembers = 2 // minimum number of controllers that share a record
 )
 
 var zones = []string{"a", "b", "c"}
@@ -79,21 +79,21 @@
 
 // Names of scenarios.
 const (
-	ScenarioCalm     = "calm"     // Calm is true
-	ScenarioTakeover = "takeover" // Calm is false
+	ScenarioCalm     = "calm"     // Scenario.Calm is true
+	ScenarioTakeover = "takeover" // Scenario.Calm is false
 )
 
 // ScenarioDescription describes a scenario in the list of scenarios.
 type ScenarioDescription struct {
-	Name    string // for selecting the scenario
-	Summary string // in one line
+	Name    string // name that selects the scenario
+	Summary string // summary in one line
 }
 
 // Scenarios returns the descriptions of all scenarios.
 func Scenarios() []ScenarioDescription {
 	return []ScenarioDescription{
 		{ScenarioCalm, "no faults are injected"},
-		{ScenarioTakeover, "controllers are killed under load and started again; now and then a backend hangs"},
+		{ScenarioTakeover, "controllers are killed under load and started again; at intervals a backend hangs"},
 	}
 }
 
@@ -104,13 +104,14 @@
 	return ScenarioTakeover
 }
 
-// pushChannel returns the capacity of the push channel of a controller. One line to every proxy,
-// with the overhead of its message, has to fit even if all proxies are connected to one controller.
+// pushChannel returns the rate and the backlog limit of the push channel of a controller. One line
+// to every proxy, with the overhead of its message, has to fit even if all proxies are connected to
+// one controller.
 func (s *Scenario) pushChannel() (linesPerSecond, backlog int) {
 	return max(minLinesPerSecond, linesPerSecondPerProxy*s.Proxies), max(minBacklog, backlogPerProxy*s.Proxies)
 }
 
-// Settings returns the settings of every controller, in the form of the simulator's first message.
+// Settings returns the settings of every controller, with the keys of the simulator's protocol.
 func (s *Scenario) Settings(classes []fake.Class) map[string]any {
 	var profiles []map[string]any
 	var writes, zoneLocal []bool
@@ -210,7 +211,7 @@
 	}
 }
 
-// limits returns the limits that the run is checked against.
+// limits returns the limits of the rules that the fleet's checker applies to the run.
 func (s *Scenario) limits() invariant.Limits {
 	linesPerSecond, backlog := s.pushChannel()
 	return invariant.Limits{
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -131,7 +131,7 @@
 }
 
 // memberAddresses returns the addresses at which a member reaches all members. If the scenario has
-// faults of links, the addresses of the others are those of links.
+// faults of links, the member reaches each other member through a link and gets its address.
 func (r *run) memberAddresses(from int, members []string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for to, address := range members {
