--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -9,7 +9,7 @@
 		n.handleResubscribe(known, m, now)
 		return
 	}
-	if !n.removeCaller(link) {
+	if !n.removeUnsubscribed(link) {
 		return // the node has closed this link already
 	}
 	n.replaceSameName(m.Name, now)
@@ -89,7 +89,7 @@
 	if reason := n.violatedRule(m); reason != 0 {
 		return reason
 	}
-	if len(n.children) >= n.limits.FanOut && n.evictionCandidate(m) == nil {
+	if len(n.children) >= n.limits.FanOut && n.childToEvict(m) == nil {
 		return RefusedFull
 	}
 	snapshotDue := n.needsSnapshot(m) && !n.isBehind(m.Version)
@@ -127,11 +127,10 @@
 	return nameValid && len(m.Scopes.Names) <= n.limits.MaxScopes && m.Scopes.sorted()
 }
 
-// evictionCandidate returns the child that loses its place to a subscriber if no place is free: the
-// last admitted one that could not serve all subscribers that this node can serve, provided that
-// the new subscriber could. Without eviction a tree whose upper places are taken by leaves could
-// not grow.
-func (n *Node) evictionCandidate(m *Subscribe) *child {
+// childToEvict returns the child that loses its place to a subscriber if no place is free: the last
+// admitted one that could not serve all subscribers that this node can serve, provided that the new
+// subscriber could. Without eviction a tree whose upper places are taken by leaves could not grow.
+func (n *Node) childToEvict(m *Subscribe) *child {
 	if !n.servesAllScopes(m.FanOut, m.Scopes) {
 		return nil
 	}
@@ -154,7 +153,7 @@
 	if len(n.children) < n.limits.FanOut {
 		return
 	}
-	evicted := n.evictionCandidate(m)
+	evicted := n.childToEvict(m)
 	n.refuseSubscribe(evicted.link, evicted.subscription(), RefusedFull)
 	n.removeChild(evicted, CloseRefused, now)
 }
--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestCallersThatDoNotSubscribeAreBounded(t *testing.T) {
+func TestLinksWithoutSubscribeAreBounded(t *testing.T) {
 	c, v, _ := newVoterAndLeaf(t, DefaultLimits())
 	accepted := 0
 	for range 10_000 {
@@ -203,12 +203,12 @@
 			accepted++
 		}
 	}
-	if accepted != DefaultFanOut+maxExtraCallers {
-		t.Errorf("%d callers were accepted, the bound is %d", accepted, DefaultFanOut+maxExtraCallers)
+	if accepted != DefaultFanOut+maxExtraUnsubscribed {
+		t.Errorf("%d callers were accepted, the bound is %d", accepted, DefaultFanOut+maxExtraUnsubscribed)
 	}
 	c.advance(DefaultHandshake+tick, tick)
-	if len(v.node.callers) > 0 {
-		t.Errorf("%d callers remain after Limits.Handshake", len(v.node.callers))
+	if len(v.node.unsubscribedLinks) > 0 {
+		t.Errorf("%d callers remain after Limits.Handshake", len(v.node.unsubscribedLinks))
 	}
 }
 
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -70,7 +70,7 @@
 const (
 	acceptChange       = 'a' // a change is accepted; the first voter gets it at once
 	followRecord       = 'f' // a voter that lags gets one more change, or the new record
-	foundRecord        = 'n' // a new record is founded; the first voter gets it at once
+	createRecord       = 'n' // a new record is founded; the first voter gets it at once
 	restartVoterBehind = 'o' // a voter restarts, with all changes of the record except the last
 	deliverDown        = 'd' // a message arrives at the subscriber on its first connection
 	deliverUp          = 'u' // a message arrives at the parent on a subscriber's first connection
@@ -98,7 +98,7 @@
 		c.follow(c.members[0], len(c.record))
 	case followRecord:
 		return c.followOne(m)
-	case foundRecord:
+	case createRecord:
 		c.epoch, c.record = Epoch{c.epoch.Number + 1, c.epoch.Identity + 1}, nil
 		c.followOne(c.members[0])
 	case restartVoterBehind:
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// maxExtraCallers is the number of callers that a node accepts in addition to Limits.FanOut.
-const maxExtraCallers = 64
+// maxExtraUnsubscribed is the number of callers that a node accepts in addition to Limits.FanOut.
+const maxExtraUnsubscribed = 64
 
 // maxUnconfirmedMessages bounds the messages sent to a child that renews its lease without
 // confirming any.
 const maxUnconfirmedMessages = 4096
 
-// caller is an accepted link on which no Subscribe has arrived yet.
-type caller struct {
-	link  Link
-	since Microseconds
+// unsubscribedLink is an accepted link on which no Subscribe has arrived yet.
+type unsubscribedLink struct {
+	link       Link
+	acceptedAt Microseconds
 }
 
 // child is a node with a leased place below this node.
@@ -47,11 +47,11 @@
 	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
 }
 
-// removeCaller removes a link from the callers and reports whether it was one of them.
-func (n *Node) removeCaller(link Link) bool {
-	before := len(n.callers)
-	n.callers = slices.DeleteFunc(n.callers, func(c caller) bool { return c.link == link })
-	return len(n.callers) < before
+// removeUnsubscribed removes a link from the callers and reports whether it was one of them.
+func (n *Node) removeUnsubscribed(link Link) bool {
+	before := len(n.unsubscribedLinks)
+	n.unsubscribedLinks = slices.DeleteFunc(n.unsubscribedLinks, func(l unsubscribedLink) bool { return l.link == link })
+	return len(n.unsubscribedLinks) < before
 }
 
 // removeChild removes a child, whose link is closed already, and starts a snapshot for a child that
@@ -110,8 +110,8 @@
 			i--
 		}
 	}
-	for len(n.callers) > 0 && now-n.callers[0].since >= n.limits.Handshake {
-		n.host.Close(n.callers[0].link, CloseTimedOut)
-		n.callers = n.callers[1:]
+	for len(n.unsubscribedLinks) > 0 && now-n.unsubscribedLinks[0].acceptedAt >= n.limits.Handshake {
+		n.host.Close(n.unsubscribedLinks[0].link, CloseTimedOut)
+		n.unsubscribedLinks = n.unsubscribedLinks[1:]
 	}
 }
--- a/distribution/clone_test.go
+++ b/distribution/clone_test.go
@@ -47,7 +47,7 @@
 	copied := *n
 	copied.host = host
 	copied.store = n.store.clone()
-	copied.callers = slices.Clone(n.callers)
+	copied.unsubscribedLinks = slices.Clone(n.unsubscribedLinks)
 	copied.candidates = slices.Clone(n.candidates)
 	copied.children = nil
 	for _, original := range n.children {
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -100,7 +100,7 @@
 	}
 	k.bits(n.contentInDoubt, n.sourceEverCurrent, n.consecutiveFailures > 0, n.incomingSnapshot != nil, n.parent != nil)
 	k.numbers(until(n.nextDialAt), since(n.sourceCurrentAt),
-		int64(len(n.callers)), int64(len(n.children)), int64(len(n.attempts)))
+		int64(len(n.unsubscribedLinks)), int64(len(n.children)), int64(len(n.attempts)))
 	if n.incomingSnapshot != nil {
 		k.version(n.incomingSnapshot.store.version)
 		k.numbers(int64(n.incomingSnapshot.nextIndex))
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -57,12 +57,12 @@
 	counts Counts
 
 	// State as a parent.
-	lastLink         Link
-	callers          []caller // accepted links without a Subscribe yet; at most FanOut+maxExtraCallers
-	children         []*child // in the order of their admission; at most FanOut
-	snapshotCredit   int64    // millionths of a byte that snapshots may send now; negative after a larger piece
-	creditRefilledAt Microseconds
-	lastServedChild  int // index of the child that was sent the last snapshot piece
+	lastLink          Link
+	unsubscribedLinks []unsubscribedLink // accepted links without a Subscribe yet; at most FanOut+maxExtraCallers
+	children          []*child           // in the order of their admission; at most FanOut
+	snapshotCredit    int64              // millionths of a byte that snapshots may send now; negative after a larger piece
+	creditRefilledAt  Microseconds
+	lastServedChild   int // index of the child that was sent the last snapshot piece
 
 	// State as a child.
 	parent              *parentLink       // nil without a parent
@@ -160,11 +160,11 @@
 // must be a Subscribe. Incoming returns zero if too many callers have not subscribed yet; the host
 // then closes the connection.
 func (n *Node) Incoming(now Microseconds) Link {
-	if len(n.callers) >= n.limits.FanOut+maxExtraCallers {
+	if len(n.unsubscribedLinks) >= n.limits.FanOut+maxExtraUnsubscribed {
 		return 0
 	}
 	link := n.newLink()
-	n.callers = append(n.callers, caller{link, now})
+	n.unsubscribedLinks = append(n.unsubscribedLinks, unsubscribedLink{link, now})
 	return link
 }
 
@@ -195,7 +195,7 @@
 
 // Closed handles the end of a link.
 func (n *Node) Closed(link Link, now Microseconds) {
-	n.removeCaller(link)
+	n.removeUnsubscribed(link)
 	if c := n.childByLink(link); c != nil {
 		n.removeChild(c, 0, now)
 	}
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -49,8 +49,8 @@
 // tombstone and false.
 func (s *store) lookup(key Key) (Entry, bool) {
 	if scope := s.scopes[key.Scope]; scope != nil {
-		if at, found := slices.BinarySearchFunc(scope.entries, key.Name, compareName); found {
-			return scope.entries[at], true
+		if index, found := slices.BinarySearchFunc(scope.entries, key.Name, compareName); found {
+			return scope.entries[index], true
 		}
 	}
 	return Entry{Scope: key.Scope, Name: key.Name, Deleted: true}, false
@@ -63,17 +63,17 @@
 		scope = &scopeState{}
 		s.scopes[strings.Clone(entry.Scope)] = scope
 	}
-	at, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
+	index, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
 	if found {
-		old := scope.entries[at]
+		old := scope.entries[index]
 		entry.Scope, entry.Name = old.Scope, old.Name // shares the texts of the replaced entry
 		s.addToTotals(old, -1)
-		scope.entries[at] = entry
+		scope.entries[index] = entry
 	} else {
 		if len(scope.entries) > 0 {
 			entry.Scope = scope.entries[0].Scope
 		}
-		scope.entries = slices.Insert(scope.entries, at, entry)
+		scope.entries = slices.Insert(scope.entries, index, entry)
 	}
 	s.addToTotals(entry, 1)
 	scope.digest = scope.digest.add(difference)
@@ -101,9 +101,9 @@
 // not count in them.
 func (s *store) removeTombstone(key Key) {
 	scope := s.scopes[key.Scope]
-	at, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
-	s.addToTotals(scope.entries[at], -1)
-	scope.entries = slices.Delete(scope.entries, at, at+1)
+	index, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
+	s.addToTotals(scope.entries[index], -1)
+	scope.entries = slices.Delete(scope.entries, index, index+1)
 	if len(scope.entries) == 0 {
 		delete(s.scopes, key.Scope)
 	}
--- a/distribution/transport/config.go
+++ b/distribution/transport/config.go
@@ -46,36 +46,36 @@
 	QueueBytes int
 	// MessageBytes bounds the size of one message from a peer.
 	MessageBytes int
-	// Callers is the number of accepted connections that can be open at the same time; one more is
+	// AcceptedConnections is the number of accepted connections that can be open at the same time; one more is
 	// closed at once.
-	Callers int
+	AcceptedConnections int
 }
 
-// Defaults of the bounds; Mailbox, QueueCount and Callers are counts, QueueBytes and MessageBytes
+// Defaults of the bounds; Mailbox, QueueCount and AcceptedConnections are counts, QueueBytes and MessageBytes
 // are bytes.
 const (
-	DefaultTick         = 100 * time.Millisecond
-	DefaultDialTimeout  = 2 * time.Second
-	DefaultWriteTimeout = 5 * time.Second
-	DefaultCloseTimeout = 500 * time.Millisecond
-	DefaultMailbox      = 64
-	DefaultQueueCount   = 256
-	DefaultQueueBytes   = 512 << 10
-	DefaultMessageBytes = 4 << 20
-	DefaultCallers      = 1024
+	DefaultTick                = 100 * time.Millisecond
+	DefaultDialTimeout         = 2 * time.Second
+	DefaultWriteTimeout        = 5 * time.Second
+	DefaultCloseTimeout        = 500 * time.Millisecond
+	DefaultMailbox             = 64
+	DefaultQueueCount          = 256
+	DefaultQueueBytes          = 512 << 10
+	DefaultMessageBytes        = 4 << 20
+	DefaultAcceptedConnections = 1024
 )
 
 func (b Bounds) withDefaults() Bounds {
 	return Bounds{
-		Tick:         valueOr(b.Tick, DefaultTick),
-		DialTimeout:  valueOr(b.DialTimeout, DefaultDialTimeout),
-		WriteTimeout: valueOr(b.WriteTimeout, DefaultWriteTimeout),
-		CloseTimeout: valueOr(b.CloseTimeout, DefaultCloseTimeout),
-		Mailbox:      valueOr(b.Mailbox, DefaultMailbox),
-		QueueCount:   valueOr(b.QueueCount, DefaultQueueCount),
-		QueueBytes:   valueOr(b.QueueBytes, DefaultQueueBytes),
-		MessageBytes: valueOr(b.MessageBytes, DefaultMessageBytes),
-		Callers:      valueOr(b.Callers, DefaultCallers),
+		Tick:                valueOr(b.Tick, DefaultTick),
+		DialTimeout:         valueOr(b.DialTimeout, DefaultDialTimeout),
+		WriteTimeout:        valueOr(b.WriteTimeout, DefaultWriteTimeout),
+		CloseTimeout:        valueOr(b.CloseTimeout, DefaultCloseTimeout),
+		Mailbox:             valueOr(b.Mailbox, DefaultMailbox),
+		QueueCount:          valueOr(b.QueueCount, DefaultQueueCount),
+		QueueBytes:          valueOr(b.QueueBytes, DefaultQueueBytes),
+		MessageBytes:        valueOr(b.MessageBytes, DefaultMessageBytes),
+		AcceptedConnections: valueOr(b.AcceptedConnections, DefaultAcceptedConnections),
 	}
 }
 
--- a/distribution/transport/doc.go
+++ b/distribution/transport/doc.go
@@ -14,7 +14,7 @@
 //
 // At most Bounds.Mailbox events wait in the mailbox; beyond it, readers and callers of methods wait.
 // Messages to a peer wait in a queue of at most Bounds.QueueCount messages and QueueBytes; a link
-// whose queue is full is closed and counted in Traffic.Overflows. While Bounds.Callers accepted
+// whose queue is full is closed and counted in Traffic.Overflows. While Bounds.AcceptedConnections accepted
 // connections are open, one more is closed at once.
 //
 // # Timers
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -228,13 +228,13 @@
 		e.Deleted = values[name] == ""
 		entries = append(entries, e)
 	}
-	foundsRecord := r.state.Empty()
+	createsRecord := r.state.Empty()
 	change, err := r.state.Apply(distribution.Proposal{Epoch: epoch, AcceptedAt: 1, Entries: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, v := range r.voters {
-		if foundsRecord {
+		if createsRecord {
 			v.Restored(r.state.State())
 		} else {
 			v.Accepted(change)
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -30,10 +30,10 @@
 	overflowedLinks []*link // aborted while an event is handled; the node gets Closed for each after it
 	ctx             context.Context
 
-	mutex     sync.Mutex         // guards the three fields below
-	openLinks map[*link]struct{} // links with a connection, which closeAll aborts
-	closed    bool               // Run has ended; no link is added to openLinks any more
-	callers   int                // open accepted connections; at most Bounds.Callers
+	mutex               sync.Mutex         // guards the three fields below
+	openLinks           map[*link]struct{} // links with a connection, which closeAll aborts
+	closed              bool               // Run has ended; no link is added to openLinks any more
+	acceptedConnections int                // open accepted connections; at most Bounds.AcceptedConnections
 
 	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for them
 }
@@ -106,7 +106,7 @@
 		e.run(now)
 		return
 	case eventAccepted:
-		t.addCaller(e.link, now)
+		t.addAcceptedLink(e.link, now)
 		return
 	}
 	if t.links[e.link.id] != e.link {
@@ -126,9 +126,9 @@
 	}
 }
 
-// addCaller registers an accepted link with the node, or closes the link if the node accepts no
+// addAcceptedLink registers an accepted link with the node, or closes the link if the node accepts no
 // more callers.
-func (t *Transport) addCaller(l *link, now distribution.Microseconds) {
+func (t *Transport) addAcceptedLink(l *link, now distribution.Microseconds) {
 	l.id = t.node.Incoming(now)
 	if l.id == 0 {
 		l.close()
@@ -190,15 +190,15 @@
 	delete(t.openLinks, l)
 }
 
-// adjustCallers adds change to the number of callers. It returns false, and adds nothing, if the
-// number would exceed Bounds.Callers.
-func (t *Transport) adjustCallers(change int) bool {
+// adjustAcceptedConnections adds change to the number of callers. It returns false, and adds nothing, if the
+// number would exceed Bounds.AcceptedConnections.
+func (t *Transport) adjustAcceptedConnections(change int) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.callers+change > t.bounds.Callers {
+	if t.acceptedConnections+change > t.bounds.AcceptedConnections {
 		return false
 	}
-	t.callers += change
+	t.acceptedConnections += change
 	return true
 }
 
@@ -206,10 +206,10 @@
 // subscribe only under names that allowed permits; a nil allowed permits all names.
 func (t *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
 	defer conn.Close()
-	if !t.adjustCallers(1) {
+	if !t.adjustAcceptedConnections(1) {
 		return
 	}
-	defer t.adjustCallers(-1)
+	defer t.adjustAcceptedConnections(-1)
 	l := &link{transport: t, conn: conn, allowed: allowed}
 	if !t.register(l) {
 		return
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -264,9 +264,9 @@
 	}
 }
 
-func TestCallersAreBounded(t *testing.T) {
+func TestAcceptedConnectionsAreBounded(t *testing.T) {
 	n := newNetwork()
-	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: fastLimits(4)}, Bounds{Callers: 2})
+	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: fastLimits(4)}, Bounds{AcceptedConnections: 2})
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	for range 2 {
@@ -277,12 +277,12 @@
 	waitFor(t, "two callers are served", func() bool {
 		v.Transport.mutex.Lock()
 		defer v.Transport.mutex.Unlock()
-		return v.callers == 2
+		return v.acceptedConnections == 2
 	})
 	clientEnd, serverEnd := net.Pipe()
 	v.Accept(serverEnd, nil)
 	if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
-		t.Error("a third caller was served, Bounds.Callers is 2")
+		t.Error("a third caller was served, Bounds.AcceptedConnections is 2")
 	}
 }
 
@@ -313,7 +313,7 @@
 	}
 	s.Transport.mutex.Lock()
 	defer s.Transport.mutex.Unlock()
-	if len(s.openLinks) != 0 || s.callers != 0 {
-		t.Errorf("%d links and %d callers remain after Run has ended", len(s.openLinks), s.callers)
+	if len(s.openLinks) != 0 || s.acceptedConnections != 0 {
+		t.Errorf("%d links and %d callers remain after Run has ended", len(s.openLinks), s.acceptedConnections)
 	}
 }
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -40,8 +40,8 @@
 // wireMessages returns every type of message with every field set, with no field set, and in a few
 // other forms.
 func wireMessages() []wireMessage {
-	founding := distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788}
-	at := distribution.Version{Epoch: founding, Revision: 70_000}
+	recordEpoch := distribution.Epoch{Number: 1_764_700_000, Identity: 0x1122334455667788}
+	at := distribution.Version{Epoch: recordEpoch, Revision: 70_000}
 	digest := distribution.Digest{High: 0xfedcba9876543210, Low: 0x0123456789abcdef}
 	scopes := distribution.Scopes{All: true, Names: []string{"orders", "pricing"}}
 	set := distribution.Entry{Scope: "pricing", Name: "weight/s-1", Value: []byte("0.5"), Revision: 69_999, Deleted: true,
@@ -49,7 +49,7 @@
 	deleted := distribution.Entry{Scope: "pricing", Name: "drain/s-2", Deleted: true}
 	path := []string{"n0@10.0.0.4:9443", "r1@10.0.1.7:9443"}
 	others := []string{"r2@10.0.1.8:9443", "r3@10.0.1.9:9443"}
-	change := distribution.Change{Epoch: founding, Revision: 70_000, AcceptedAt: 1_764_700_002_000_000,
+	change := distribution.Change{Epoch: recordEpoch, Revision: 70_000, AcceptedAt: 1_764_700_002_000_000,
 		Entries: []distribution.Entry{set, deleted}}
 	all := []wireMessage{
 		{"subscribe, every field", &distribution.Subscribe{Name: "s17@10.0.2.1:9443", Scopes: scopes, Version: at,
@@ -64,16 +64,16 @@
 		{"refused, every field", &distribution.Refused{Reason: distribution.RefusedFull, RetryAfter: 5_000_000,
 			Candidates: others}, true},
 		{"refused, the least", &distribution.Refused{}, false},
-		{"delta, every field", &distribution.Delta{Epoch: founding, Previous: 69_990, Revision: 70_000,
+		{"delta, every field", &distribution.Delta{Epoch: recordEpoch, Previous: 69_990, Revision: 70_000,
 			Changes: []distribution.Change{change}, Digest: digest}, true},
 		{"delta, the least", &distribution.Delta{}, false},
-		{"delta, a change as it is sent", &distribution.Delta{Epoch: founding, Previous: 1, Revision: 2,
+		{"delta, a change as it is sent", &distribution.Delta{Epoch: recordEpoch, Previous: 1, Revision: 2,
 			Changes: []distribution.Change{{Revision: 2, AcceptedAt: 5, Entries: []distribution.Entry{deleted}}},
 			Digest:  digest}, false},
 		{"piece of a snapshot, every field", &distribution.SnapshotPiece{Version: at, Index: 7, Last: true,
 			Entries: []distribution.Entry{set}, Horizon: 60_000, Digest: digest}, true},
 		{"piece of a snapshot, the least", &distribution.SnapshotPiece{}, false},
-		{"heartbeat, every field", &distribution.Heartbeat{Epoch: founding, Previous: 69_990, Revision: 70_000,
+		{"heartbeat, every field", &distribution.Heartbeat{Epoch: recordEpoch, Previous: 69_990, Revision: 70_000,
 			Digest: digest, Path: path, Age: 250_000, Candidates: others, Source: at}, true},
 		{"heartbeat, the least", &distribution.Heartbeat{}, false},
 		{"renew, every field", &distribution.Renew{Version: at, Received: 1_000}, true},
