--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// handleSubscribe handles a caller's request for a place, or a child's request for missing changes,
-// a snapshot or other scopes.
+// handleSubscribe handles a new subscriber's request for a place, or a child's request for missing
+// changes, a snapshot or other scopes.
 func (n *Node) handleSubscribe(link Link, m *Subscribe, now Microseconds) {
 	if known := n.childByLink(link); known != nil {
 		n.handleResubscribe(known, m, now)
 		return
 	}
 	if !n.removeUnsubscribed(link) {
-		return // the node has closed this link already
+		return // a Subscribe on a link that this node has closed
 	}
 	n.replaceSameName(m.Name, now)
 	if reason := n.refusalReason(m); reason != 0 {
@@ -82,9 +82,9 @@
 	return known && digest != m.Digest
 }
 
-// refusalReason returns why a new child gets no place; zero if it gets one. admitChild, which is
-// called next, evaluates needsSnapshot again, because it also serves children that already have a
-// place, for which this check is not made.
+// refusalReason returns the reason to refuse a new subscriber a place; zero if it gets one.
+// admitChild, which is called next, evaluates needsSnapshot again, because it also serves children
+// that already have a place, whose requests are not checked here.
 func (n *Node) refusalReason(m *Subscribe) RefusalReason {
 	if reason := n.violatedRule(m); reason != 0 {
 		return reason
@@ -99,8 +99,8 @@
 	return 0
 }
 
-// violatedRule returns the reason to refuse a request even if a place is free; zero if there is
-// none.
+// violatedRule returns the reason to refuse a request even if a place is free; zero if the request
+// violates no rule.
 func (n *Node) violatedRule(m *Subscribe) RefusalReason {
 	path := n.ownPath()
 	switch {
@@ -127,9 +127,10 @@
 	return nameValid && len(m.Scopes.Names) <= n.limits.MaxScopes && m.Scopes.sorted()
 }
 
-// childToEvict returns the child that loses its place to a subscriber if no place is free: the last
-// admitted one that could not serve all subscribers that this node can serve, provided that the new
-// subscriber could. Without eviction a tree whose upper places are taken by leaves could not grow.
+// childToEvict returns the child that loses its place to a new subscriber if no place is free: the
+// last admitted child that could not serve all subscribers that this node can serve. It returns nil
+// if there is no such child, or if the new subscriber could not serve them either. Without eviction
+// a tree whose upper places are taken by leaves could not grow.
 func (n *Node) childToEvict(m *Subscribe) *child {
 	if !n.servesAllScopes(m.FanOut, m.Scopes) {
 		return nil
@@ -177,8 +178,8 @@
 	n.host.Close(link, CloseRefused)
 }
 
-// retryAfter returns the µs that a refused subscriber has to wait before it asks again. The jitter
-// keeps subscribers that were refused together from returning together.
+// retryAfter returns the time in µs that a refused subscriber has to wait before it asks again. The
+// jitter keeps subscribers that were refused together from returning together.
 func (n *Node) retryAfter(reason RefusalReason) Microseconds {
 	minDelay := n.limits.MaxRetryAfter / 2
 	switch reason {
--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// subscribe sends a request from a new caller to a member and returns the answer.
+// subscribe sends a request on a new link to a member, and returns the answer.
 func (c *cluster) subscribe(m *member, request *Subscribe) Message {
 	requester := &member{cluster: c, config: Config{Name: request.Name}, frozen: true}
 	link := m.node.Incoming(c.now)
@@ -184,7 +184,7 @@
 
 func TestHalfOpenPlaceIsReplacedByTheSameName(t *testing.T) {
 	c, v, leaf := newVoterAndLeaf(t, DefaultLimits())
-	for _, conn := range c.conns { // the leaf's process has ended, and the voter was not notified
+	for _, conn := range c.conns { // simulates that the leaf's process ended and the voter was not notified
 		conn.dialer = &member{cluster: c, config: Config{Name: "lost"}, frozen: true}
 	}
 	leaf.start(State{})
@@ -204,11 +204,11 @@
 		}
 	}
 	if accepted != DefaultFanOut+maxExtraUnsubscribed {
-		t.Errorf("%d callers were accepted, the bound is %d", accepted, DefaultFanOut+maxExtraUnsubscribed)
+		t.Errorf("%d links without a Subscribe were accepted, the bound is %d", accepted, DefaultFanOut+maxExtraUnsubscribed)
 	}
 	c.advance(DefaultHandshake+tick, tick)
 	if len(v.node.unsubscribedLinks) > 0 {
-		t.Errorf("%d callers remain after Limits.Handshake", len(v.node.unsubscribedLinks))
+		t.Errorf("%d links without a Subscribe remain after Limits.Handshake", len(v.node.unsubscribedLinks))
 	}
 }
 
--- a/distribution/batch.go
+++ b/distribution/batch.go
@@ -10,7 +10,7 @@
 // preparedChange is one change with the effect of each of its entries on the digest.
 type preparedChange struct {
 	entries     []Entry  // with their revisions and times of acceptance filled in
-	differences []Digest // by entry, the new digest less the old one
+	differences []Digest // for each entry, its digest minus the digest of the entry that it replaces
 	logged      loggedChange
 }
 
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -5,7 +5,7 @@
 // candidate is a possible parent.
 type candidate struct {
 	name                string
-	configured          bool         // never removed; the oldest of the others are removed for newer ones
+	configured          bool         // from Config.Candidates, and never removed; of the others the oldest are removed
 	proposed            bool         // named in a refusal and not dialled since
 	avoidUntil          Microseconds // not dialled before this time
 	consecutiveFailures int
@@ -14,8 +14,9 @@
 // maxNameBytes bounds the name of a node.
 const maxNameBytes = 256
 
-// priority orders the candidates for dialling. Those proposed in a refusal are first, as the
-// refusing peer knows the tree best; learned ones are last, as they may no longer exist.
+// priority orders the candidates for dialling. Candidates proposed in a refusal come first, as the
+// refusing peer knows the tree best. Other learned candidates come last, as they may no longer
+// exist.
 func (c *candidate) priority() int {
 	switch {
 	case c.proposed:
@@ -79,7 +80,7 @@
 }
 
 // pickCandidate returns the peer to dial: a random one of the highest priority among the candidates
-// that may be dialled now, or "" if there is none.
+// that may be dialled now, or "" if no candidate may be dialled.
 func (n *Node) pickCandidate(now Microseconds) string {
 	var best []*candidate
 	bestPriority := 0
--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -57,7 +57,7 @@
 func (l *changeLog) dropOldest() {
 	l.floor = l.changes[0].change.Revision
 	l.bytes -= l.changes[0].size
-	l.changes[0] = loggedChange{} // the slice keeps the array in memory; this releases the entries of the change
+	l.changes[0] = loggedChange{} // the array stays in memory; this releases the entries of the dropped change
 	l.changes = l.changes[1:]
 }
 
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The model check plays every order of events up to a depth: accepted changes, messages that arrive
+// The model check runs every order of events up to a depth: accepted changes, messages that arrive
 // or are lost, cuts, restarts, compaction, new epochs and the passing of time. The nodes are real;
 // the network, the record and the controllers are simulated. After each event the content of every
 // node and of its controller must equal the record at the node's revision, and no version may be
@@ -40,7 +40,8 @@
 
 func (e modelEvent) String() string { return fmt.Sprintf("%c%d", e.kind, e.member) }
 
-// parseEvents parses events from words such as "a0 d1".
+// parseEvents parses a list of events, such as "a0 d1": each is the letter of its kind and the
+// index of a member.
 func parseEvents(words string) (events []modelEvent) {
 	for _, word := range strings.Fields(words) {
 		events = append(events, modelEvent{word[0], int(word[1] - '0')})
@@ -64,14 +65,14 @@
 	return []Entry{set("b", "y", value), set("b", "z", value)}
 }
 
-// Kinds of events, by the letters for them in startingState.setup and startingState.events. A
-// subscriber's first connection is the one that it dialled first; down is towards the subscriber,
-// up towards its parent.
+// Kinds of events, by their letters in startingState.setup and startingState.events. Most affect
+// one member. A subscriber's first connection is the one that it dialled first; down is towards the
+// subscriber, up towards its parent.
 const (
 	acceptChange       = 'a' // a change is accepted; the first voter gets it at once
-	followRecord       = 'f' // a voter that lags gets one more change, or the new record
-	createRecord       = 'n' // a new record is founded; the first voter gets it at once
-	restartVoterBehind = 'o' // a voter restarts, with all changes of the record except the last
+	followRecord       = 'f' // a voter that lacks changes gets the next one, or gets the new record
+	createRecord       = 'n' // a new record is created; the first voter gets it at once
+	restartVoterBehind = 'o' // a voter restarts and gets all changes of the record except the last
 	deliverDown        = 'd' // a message arrives at the subscriber on its first connection
 	deliverUp          = 'u' // a message arrives at the parent on a subscriber's first connection
 	loseDown           = 'x' // a message to the subscriber is lost on its first connection
@@ -83,13 +84,13 @@
 	restartWithVersion = 'k' // a subscriber restarts with its version and without its content
 	restartWithNothing = 'q' // a subscriber restarts without its version and content
 	restartWithState   = 'p' // a subscriber restarts with its content
-	compactLog         = 'm' // a node drops its log and tombstones
+	compactLog         = 'm' // the member's node drops its log and tombstones
 	changeScopes       = 'z' // a subscriber requests other scopes
-	settleAll          = 's' // all messages on their way arrive
+	settleAll          = 's' // all sent messages arrive
 	passTime           = 't' // modelStep passes, and Tick of every node is called
 )
 
-// play plays one event. It returns false if the event is impossible in this state.
+// play executes one event. It returns false if the event is impossible in this state.
 func (c *cluster) play(e modelEvent) bool {
 	m := c.members[e.member]
 	switch e.kind {
@@ -165,7 +166,7 @@
 }
 
 // followOne passes to a voter the new record, or one more change of its record. It reports whether
-// there was one.
+// the voter lacked one.
 func (c *cluster) followOne(m *member) bool {
 	if !m.config.Voter {
 		return false
@@ -207,7 +208,7 @@
 }
 
 // moveOne delivers or loses one message on a subscriber's first or second connection. It returns
-// false if there is none.
+// false if there is no message to deliver or to lose.
 func (c *cluster) moveOne(m *member, kind byte) bool {
 	move := messageMoves[kind]
 	conns := c.dialled(m)
@@ -223,9 +224,9 @@
 	return moved
 }
 
-// extraDepth returns the number of events to play in addition to the depth of each test.
+// extraDepth returns the number of events by which each case's depth is increased.
 func extraDepth() int {
-	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // 2 takes minutes
+	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // with 2 the model check takes minutes
 	return extra
 }
 
@@ -241,7 +242,7 @@
 		{"a subscriber that starts with nothing", 1, 0, "a0 k1 t0 u1", "a0 m0 d1 u1 x1 y1 c1 h0 k1 t0", 4},
 		{"a relay that restarts without content between two voters, the second behind",
 			2, 1, "a0 s0 c2 t0", "a0 f1 m0 u2 x2 c2 h0 q2 d3 u3 c3 t0 s0", 4},
-		{"a subscriber that requests other scopes before it is answered",
+		{"a subscriber that requests other scopes before the parent answers",
 			1, 0, "a0 a0 k1 t0 u1 z1", "a0 d1 u1 x1 y1 z1 k1 t0", 4},
 		{"a relay whose log was compacted",
 			1, 1, "c2 a0 a0 a0 s0 m1 h0", "a0 m0 m1 d2 u2 x2 c1 c2 h0 k1 p2 t0 s0", 4},
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// maxExtraUnsubscribed is the number of callers that a node accepts in addition to Limits.FanOut.
+// maxExtraUnsubscribed is the number of links without a Subscribe that a node accepts in addition
+// to Limits.FanOut.
 const maxExtraUnsubscribed = 64
 
 // maxUnconfirmedMessages bounds the messages sent to a child that renews its lease without
@@ -15,7 +16,7 @@
 	acceptedAt Microseconds
 }
 
-// child is a node with a leased place below this node.
+// child is a node that has a place below this node for the time of a lease.
 type child struct {
 	link            Link
 	name            string
@@ -27,11 +28,11 @@
 
 	// sentVersion is the child's version once all messages sent to it have arrived.
 	sentVersion       Version
-	awaitsSnapshot    bool
-	snapshot          *outgoingSnapshot // nil while no snapshot is being sent
+	awaitsSnapshot    bool              // a snapshot for the child is due and has not begun
+	snapshot          *outgoingSnapshot // the snapshot that is being sent to the child; otherwise nil
 	unconfirmedSizes  []int             // sizes in bytes of unconfirmed messages; at most maxUnconfirmedMessages
 	unconfirmedBytes  int               // sum of unconfirmedSizes
-	confirmedMessages uint64
+	confirmedMessages uint64            // messages confirmed since the last Admitted, including it
 }
 
 func (n *Node) childByLink(link Link) *child {
@@ -47,7 +48,7 @@
 	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
 }
 
-// removeUnsubscribed removes a link from the callers and reports whether it was one of them.
+// removeUnsubscribed removes a link from the unsubscribed links, and reports whether it was there.
 func (n *Node) removeUnsubscribed(link Link) bool {
 	before := len(n.unsubscribedLinks)
 	n.unsubscribedLinks = slices.DeleteFunc(n.unsubscribedLinks, func(l unsubscribedLink) bool { return l.link == link })
@@ -74,7 +75,7 @@
 	}
 }
 
-// subscription returns the request that corresponds to the child's present place.
+// subscription returns the request that corresponds to the child's current place.
 func (c *child) subscription() *Subscribe {
 	return &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}
 }
@@ -100,7 +101,8 @@
 }
 
 // checkChildren closes the links of children whose lease has ended or that have too many
-// unconfirmed messages, and of callers that have not subscribed within Limits.Handshake.
+// unconfirmed messages, and accepted links on which no Subscribe has arrived within
+// Limits.Handshake.
 func (n *Node) checkChildren(now Microseconds) {
 	for i := 0; i < len(n.children); i++ {
 		child := n.children[i]
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -44,8 +44,8 @@
 	n.compactStore()
 }
 
-// replaceStore installs a complete state in one step and passes it to the host. It ends the places
-// of children whose scopes the state does not cover, and sends the others the deltas they lack.
+// replaceStore installs a complete state in one step and passes it to the host. It removes the
+// children whose scopes the state does not cover, and sends the others the deltas that they lack.
 func (n *Node) replaceStore(installed *store, now Microseconds) {
 	n.store = installed
 	n.host.Apply(Change{
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// onlyConn returns the connection that a member has dialled.
+// onlyConn returns the connection of a member that has dialled one, and fails the test if it has
+// dialled none.
 func (c *cluster) onlyConn(t *testing.T, m *member) *conn {
 	t.Helper()
 	for _, conn := range c.conns {
@@ -173,7 +174,7 @@
 }
 
 // A rate of more than one window per Tick must be reached: a Renew that confirms pieces makes the
-// parent send the next ones at once. Without that, each Tick would send at most one window.
+// parent send the next ones at once. Otherwise the parent would send at most one window per Tick.
 func TestHighSnapshotRateIsReachedBetweenTicks(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 16 * mebibyte
--- a/distribution/deltas.go
+++ b/distribution/deltas.go
@@ -23,8 +23,8 @@
 
 // sendDeltas sends a child the deltas that it lacks, as far as its window allows, and reports
 // whether all are sent. There is no queue per child: its next delta is computed from the log and
-// the entries after the version last sent to it. A child whose version is no longer covered by them
-// gets a snapshot.
+// the entries after the version last sent to it. A child gets a snapshot if the log and the entries
+// no longer cover its version.
 func (n *Node) sendDeltas(c *child, now Microseconds) (allSent bool) {
 	for !c.awaitsSnapshot && c.snapshot == nil && !n.isBehind(c.sentVersion) && c.unconfirmedBytes < n.limits.Window {
 		delta, possible := n.store.deltaFrom(c.sentVersion, c.scopes, n.limits.BatchBytes)
--- a/distribution/entry.go
+++ b/distribution/entry.go
@@ -10,9 +10,9 @@
 
 // Entry is one keyed value of the configuration.
 type Entry struct {
-	// Scope is the first part of the key.
+	// Scope is the unit of subscription; Scope and Name form the key.
 	Scope string `cbor:"1,keyasint,omitempty"`
-	// Name is the second part of the key.
+	// Name is the name of the entry within its scope.
 	Name string `cbor:"2,keyasint,omitempty"`
 	// Value is not interpreted by this package, and must not be modified after the entry was passed
 	// to it.
@@ -47,7 +47,7 @@
 // State is the configuration at one version. It is the content of a voter's snapshot of the record,
 // and the state that a subscriber stores for a restart.
 type State struct {
-	// Version is the position of the state.
+	// Version is the version of the configuration that the entries form.
 	Version Version `cbor:"1,keyasint,omitempty"`
 	// Covered holds the scopes for which the entries are complete. A voter ignores it and covers
 	// all scopes.
--- a/distribution/envelope.go
+++ b/distribution/envelope.go
@@ -5,19 +5,19 @@
 // Envelope is the encoded form of a message: exactly one field is set. The key of that field is the
 // kind of the message on the wire.
 type Envelope struct {
-	// Subscribe is the message of kind 1, sent by a child.
+	// Subscribe asks a parent for a place. Kind 1, sent by a child.
 	Subscribe *Subscribe `cbor:"1,keyasint,omitempty"`
-	// Admitted is the message of kind 2, sent by a parent.
+	// Admitted grants a child a place. Kind 2, sent by a parent.
 	Admitted *Admitted `cbor:"2,keyasint,omitempty"`
-	// Refused is the message of kind 3, sent by a parent.
+	// Refused denies a child a place, or revokes it. Kind 3, sent by a parent.
 	Refused *Refused `cbor:"3,keyasint,omitempty"`
-	// Delta is the message of kind 4, sent by a parent.
+	// Delta holds changes that follow the child's version. Kind 4, sent by a parent.
 	Delta *Delta `cbor:"4,keyasint,omitempty"`
-	// SnapshotPiece is the message of kind 5, sent by a parent.
+	// SnapshotPiece is one part of a snapshot. Kind 5, sent by a parent.
 	SnapshotPiece *SnapshotPiece `cbor:"5,keyasint,omitempty"`
-	// Heartbeat is the message of kind 6, sent by a parent.
+	// Heartbeat shows that the parent is running. Kind 6, sent by a parent.
 	Heartbeat *Heartbeat `cbor:"6,keyasint,omitempty"`
-	// Renew is the message of kind 7, sent by a child.
+	// Renew renews the child's lease and confirms messages. Kind 7, sent by a child.
 	Renew *Renew `cbor:"7,keyasint,omitempty"`
 }
 
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -8,20 +8,20 @@
 	return names[value]
 }
 
-// CloseReason is the reason for which a node closes a link. Zero means that the connection ended by
-// itself. The reason is not sent on the wire.
+// CloseReason is the reason for which a node closes a link. Zero means that the connection ended
+// and the node did not close it. The reason is not sent on the wire.
 type CloseReason uint8
 
 // Reasons to close a link.
 const (
-	CloseSilent         CloseReason = iota + 1 // no message for a lease, or too many unconfirmed messages
-	CloseNotChosen                             // another parent admitted first, or the current place is as good
+	CloseSilent         CloseReason = iota + 1 // no message or Renew for a lease, or too many unconfirmed messages
+	CloseNotChosen                             // another parent admitted first, or the current parent is as good
 	CloseReplaced                              // the child subscribed again on another link
 	CloseRefused                               // the place was refused
-	CloseTimedOut                              // dial, admission or subscription took too long
+	CloseTimedOut                              // no admission, answer or Subscribe within Limits.Handshake
 	CloseOutdatedParent                        // the parent sent an older version, or another parent is more current
-	CloseLoop                                  // the node is one of its own ancestors, or too deep in the tree
-	CloseConflict                              // the epoch of the parent has the same number and another identity
+	CloseLoop                                  // the parent is below the node, or the node would be too deep
+	CloseConflict                              // the parent's epoch has the node's number and another identity
 	CloseNotCovered                            // the parent no longer covers the child's scopes
 	CloseMalformed                             // a message breaks a rule, or recovery failed maxRecoveries times
 	CloseTooLarge                              // the state would exceed Limits.StateBytes
@@ -33,7 +33,7 @@
 // String returns the text of the reason that log lines contain.
 func (r CloseReason) String() string { return enumName(closeNames[:], int(r)) }
 
-// EventKind is the kind of an Event.
+// EventKind identifies the occurrence that an Event reports, such as a lost parent.
 type EventKind uint8
 
 // Kinds of events.
@@ -44,15 +44,15 @@
 	EventChildAdmitted                          // Peer has a place below this node
 	EventChildRefused                           // this node refused Peer a place, for Refusal
 	EventChildLost                              // the link to the child Peer ended or was closed, for CloseReason
-	EventGap                                    // a message of Peer does not follow the version of this node
-	EventWrongDigest                            // the content after a message of Peer would not match its digest
+	EventGap                                    // a message from Peer does not follow the version of this node
+	EventWrongDigest                            // the content after a message from Peer would not match its digest
 	EventOlderRefused                           // a message, change or state that is not newer was refused
-	EventEpochConflict                          // Peer has another epoch with the same number; refused
+	EventEpochConflict                          // Peer's epoch has this node's number and another identity; refused
 	EventSnapshotSent                           // the last piece of a snapshot was sent to Peer
 	EventSnapshotInstalled                      // a snapshot from Peer was installed
 	EventCompacted                              // changes up to Version were dropped from the log
-	EventMalformed                              // a message of Peer breaks a rule
-	EventTooLarge                               // a message of Peer would exceed Limits.StateBytes; refused
+	EventMalformed                              // a message from Peer breaks a rule
+	EventTooLarge                               // a message from Peer would exceed Limits.StateBytes; refused
 	EventSourceStale                            // Status.Age exceeds Limits.MaxStaleness
 	EventSourceCurrent                          // Status.Age is within Limits.MaxStaleness again
 )
@@ -64,7 +64,7 @@
 // String returns the text of the kind that log lines contain.
 func (k EventKind) String() string { return enumName(eventNames[:], int(k)) }
 
-// Event is an occurrence for the host's log. The controller logs each event with revision= and
+// Event reports an occurrence to the host's log. The controller logs each event with revision= and
 // epoch= (controller/distribution_log.go): EventParentLost as msg=parent_lost with parent= and
 // reason=, the text of the CloseReason or "connection closed"; events about children, and
 // EventCompacted, as msg=distribution_tree, and refused messages as
--- a/distribution/explore_test.go
+++ b/distribution/explore_test.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// startingState describes a model before the check: its members, the events that come first, and
-// the events that are then played in every order.
+// startingState describes the start of a model check: the members, the events that are executed
+// first, and the events that are then executed in every order.
 type startingState struct {
 	name   string
 	voters int
 	relays int
-	setup  string // events before every order
-	events string // the events to play, by kind and member index, as in "a0 d2"
+	setup  string // events that are executed before every order
+	events string // events to execute, by kind and member index, as in "a0 d2"
 	depth  int
 }
 
@@ -47,8 +47,8 @@
 	return c
 }
 
-// playOnCopy plays an event on a copy of a state, checks every node after it, and reports whether
-// the event was possible.
+// playOnCopy executes an event on a copy of a state, checks every node after it, and reports
+// whether the event was possible.
 func (c *cluster) playOnCopy(e modelEvent, plant func(*Node)) (next *cluster, possible bool) {
 	next = c.clone()
 	possible = next.play(e)
@@ -96,8 +96,8 @@
 	path    []modelEvent
 }
 
-// explore plays every order of the given events up to a depth. It returns the shortest sequence of
-// events that violates a rule, with the violation, or "" if there is none, and the number of
+// explore executes the events in every order up to a depth. It returns the shortest sequence of
+// events that violates a rule, with the violation, or "" if no rule is violated, and the number of
 // distinct states.
 func (s startingState) explore(depth int, plant func(*Node)) (violation string, states int) {
 	start := reachedState{cluster: s.begin(plant)}
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -30,7 +30,7 @@
 	want := Version{c.epoch, uint64(len(c.record))}
 	for _, m := range members {
 		if version := m.node.Version(); version != want {
-			t.Fatalf("%s is at %v, the record at %v", m.config.Name, version, want)
+			t.Fatalf("%s is at %v, want %v of the record", m.config.Name, version, want)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	ahead, behind := c.add(voter("ahead", limits)), c.add(voter("behind", limits))
 	c.acceptChanges(5)
 	c.advance(oneSecond, tick)
-	behind.hasLeader = false // it gets no further changes of the record
+	behind.hasLeader = false // the voter gets no further changes of the record
 	c.acceptChanges(4)
 	leaf := c.add(subscriber("leaf", SomeScopes("a"), limits, "ahead"))
 	c.advance(oneSecond, tick)
@@ -138,7 +138,7 @@
 	c.cut(ahead, leaf)
 	leaf.node.learnCandidates([]string{"behind"}, false)
 	c.advance(3*oneSecond, tick)
-	c.expectCaughtUp(t, leaf) // it does not go back to the older version of its new parent
+	c.expectCaughtUp(t, leaf) // the leaf does not go back to the older version of its new parent
 	status := leaf.node.Status(c.now)
 	if status.Parent != "behind" || status.Age < 2*oneSecond {
 		t.Errorf("the parent of the leaf is %q and its age %d µs, want \"behind\" and at least %d",
@@ -159,7 +159,7 @@
 	c.acceptChanges(4)
 	c.advance(oneSecond, tick)
 	v.kill()
-	v.hasLeader = false // it gets the log of the record only later
+	v.hasLeader = false // the voter gets the changes of the record only once this is set
 	v.start(stored)
 	c.advance(3*oneSecond, tick)
 	c.requireConsistent(t)
@@ -221,7 +221,7 @@
 	if status := leaf.node.Status(c.now); status.Parent != "quick" || status.Counts.Dials != 2 {
 		t.Errorf("status %+v, want the parent \"quick\" after 2 dials", status)
 	}
-	slow.frozen = false // its late admission is ignored
+	slow.frozen = false // the late Admitted of "slow" has to be ignored
 	c.acceptChanges(1)
 	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
@@ -301,7 +301,7 @@
 		c.now += tick
 		c.tick()
 		c.connect()
-		for moved := true; moved; { // delivers one message per queue and round
+		for moved := true; moved; { // each round delivers at most one message from each queue
 			moved = false
 			for _, conn := range slices.Clone(c.conns) {
 				for side := range conn.queues {
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -16,8 +16,8 @@
 type Limits struct {
 	// Heartbeat is the time between two heartbeats to a child.
 	Heartbeat Microseconds
-	// Lease is the time after which a parent ends the place of a child that sent no Renew, and
-	// after which a child leaves a parent that sent no message.
+	// Lease is the time after which a parent removes a child that sent no Renew, and after which a
+	// child leaves a parent that sent no message.
 	Lease Microseconds
 	// Handshake bounds the time from a dial to the admission, from a request to its answer, and
 	// from an accepted connection to its first Subscribe.
@@ -26,9 +26,9 @@
 	// configuration was not known to be current, or its parent held an older version.
 	MaxStaleness Microseconds
 
-	// FanOut is the number of children of one parent.
+	// FanOut is the maximum number of children of one parent.
 	FanOut int
-	// MaxDepth is the number of nodes above a subscriber, the voter among them.
+	// MaxDepth is the maximum number of ancestors of a subscriber, including the voter.
 	MaxDepth int
 
 	// LogChanges is the maximum number of changes in the log for deltas.
@@ -53,9 +53,11 @@
 	// SnapshotBytesPerSecond is the total rate of all outgoing snapshots.
 	SnapshotBytesPerSecond int
 
-	// MinBackoff is the upper bound of the random wait after the first failure.
+	// MinBackoff is the upper bound of the random wait before the dial that follows a first
+	// failure.
 	MinBackoff Microseconds
-	// MaxBackoff is the upper bound of the random wait after many consecutive failures.
+	// MaxBackoff is the upper bound of the random wait before a dial, however many consecutive
+	// failures precede it.
 	MaxBackoff Microseconds
 	// HedgeDelay is the time without an admission after which a further candidate is dialled in
 	// parallel.
@@ -74,8 +76,9 @@
 
 // Defaults of the limits: times in microseconds, sizes in bytes.
 const (
-	DefaultHeartbeat    = second
-	DefaultLease        = 1800 * millisecond // children of a silent parent get a change from another within 3 s
+	DefaultHeartbeat = second
+	// With this lease, the children of a silent parent get changes from another parent within 3 s.
+	DefaultLease        = 1800 * millisecond
 	DefaultHandshake    = 3 * second
 	DefaultMaxStaleness = 5 * second
 
@@ -102,7 +105,7 @@
 	DefaultMaxScopes     = 4096
 )
 
-// DefaultLimits returns the limits of a subscriber in a tree of about ten thousand.
+// DefaultLimits returns the limits of a subscriber in a tree of about ten thousand nodes.
 func DefaultLimits() Limits {
 	return Limits{
 		Heartbeat:    DefaultHeartbeat,
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -8,8 +8,8 @@
 	Size() int
 }
 
-// Subscribe asks for a place below the receiver. It is the first message of a child on a new link.
-// The child sends it again on the same link to recover from a gap or a wrong digest, or to
+// Subscribe asks the receiver for a place as its child. It is the first message of a child on a new
+// link. The child sends it again on the same link to recover from a gap or a wrong digest, or to
 // subscribe to other scopes.
 type Subscribe struct {
 	// Name is the name under which other nodes dial the child.
@@ -37,7 +37,7 @@
 
 // Admitted grants the child a place for the time of a lease.
 type Admitted struct {
-	// Lease is the time in µs without a Renew after which the parent ends the place.
+	// Lease is the time in µs without a Renew after which the parent removes the child.
 	Lease Microseconds `cbor:"1,keyasint,omitempty"`
 	// Version is the version that the parent holds.
 	Version Version `cbor:"2,keyasint,omitempty"`
@@ -57,14 +57,14 @@
 
 // Reasons of a refusal.
 const (
-	RefusedFull       RefusalReason = iota + 1 // every place of the fan-out is taken
+	RefusedFull       RefusalReason = iota + 1 // Limits.FanOut children have a place already
 	RefusedBusy                                // Limits.MaxSnapshots snapshots are under way or due
 	RefusedNotCovered                          // the parent does not cover all requested scopes
 	RefusedLoop                                // the child is an ancestor of the parent, or the parent itself
 	RefusedTooDeep                             // the tree would be deeper than Limits.MaxDepth
 	RefusedEmpty                               // the parent has no configuration yet
 	RefusedMalformed                           // the name or the scopes of the request are invalid
-	RefusedConflict                            // the epoch of the child has the same number and another identity
+	RefusedConflict                            // the child's epoch has the parent's number and another identity
 )
 
 var refusalNames = [...]string{"none", "full", "busy", "not covered", "loop", "too deep", "empty", "malformed",
@@ -73,9 +73,9 @@
 // String returns the text of the reason that log lines contain.
 func (r RefusalReason) String() string { return enumName(refusalNames[:], int(r)) }
 
-// Refused denies the receiver a place, or ends the place that it has.
+// Refused denies the receiver a place, or revokes the place that it has.
 type Refused struct {
-	// Reason is never zero.
+	// Reason states why the receiver gets no place; it is never zero.
 	Reason RefusalReason `cbor:"1,keyasint,omitempty"`
 	// RetryAfter is the time in µs before the child may ask the sender again.
 	RetryAfter Microseconds `cbor:"2,keyasint,omitempty"`
@@ -86,7 +86,7 @@
 // Delta holds changes in the child's scopes, sorted by revision. No change is split between two
 // deltas.
 type Delta struct {
-	// Epoch is the epoch of all changes.
+	// Epoch is the epoch of Previous, of Revision and of all changes.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
 	// Previous is the revision that the child must hold for the changes to apply.
 	Previous uint64 `cbor:"2,keyasint,omitempty"`
@@ -99,21 +99,23 @@
 	Digest Digest `cbor:"5,keyasint,omitempty"`
 }
 
-// SnapshotPiece is a part of the state in the child's scopes. The child collects the pieces
-// separately from its current state, and installs the new state in one step after the last piece if
-// the digest matches.
+// SnapshotPiece is one part of a snapshot, the complete state in the child's scopes. The child
+// collects the pieces separately from its current state, and installs the new state in one step
+// after the last piece if the digest matches.
 type SnapshotPiece struct {
-	// Version is the version of the whole state.
+	// Version is the version of the parent's state when the snapshot began; it is the same in all
+	// pieces.
 	Version Version `cbor:"1,keyasint,omitempty"`
 	// Index numbers the pieces consecutively from 0.
 	Index int `cbor:"2,keyasint,omitempty"`
 	// Last marks the piece that completes the state.
 	Last bool `cbor:"3,keyasint,omitempty"`
-	// Entries each state their revision and time of acceptance.
+	// Entries include tombstones; each entry states its revision and time of acceptance.
 	Entries []Entry `cbor:"4,keyasint,omitempty"`
-	// Horizon is the State.Horizon of the whole state; set only in the last piece.
+	// Horizon is the revision after which no tombstone is missing among the entries of all pieces;
+	// it is set only in the last piece.
 	Horizon uint64 `cbor:"5,keyasint,omitempty"`
-	// Digest is the digest of the whole state; set only in the last piece.
+	// Digest is the digest of the entries of all pieces; it is set only in the last piece.
 	Digest Digest `cbor:"6,keyasint,omitempty"`
 }
 
@@ -123,18 +125,19 @@
 type Heartbeat struct {
 	// Epoch is the epoch of Previous and Revision, or zero.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
-	// Previous has the meaning of Delta.Previous.
+	// Previous is the revision that the child must hold for the heartbeat to advance it.
 	Previous uint64 `cbor:"2,keyasint,omitempty"`
-	// Revision has the meaning of Delta.Revision.
+	// Revision is the revision to which the heartbeat advances the child.
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
 	// Digest is the digest of the child's scopes at Revision.
 	Digest Digest `cbor:"4,keyasint,omitempty"`
-	// Path has the meaning of Admitted.Path.
+	// Path holds the names of the nodes from the voter down to the parent, which is the last.
 	Path []string `cbor:"5,keyasint,omitempty"`
-	// Age has the meaning of Admitted.Age.
+	// Age is the time in µs since the configuration of the parent was last known to equal its
+	// source, the record of the voters; NeverCurrent if it never was.
 	Age Microseconds `cbor:"6,keyasint,omitempty"`
-	// Candidates has the meaning of Admitted.Candidates; it is set in one of heartbeatsPerProposal
-	// heartbeats.
+	// Candidates are the names of other possible parents; they are set in one of
+	// heartbeatsPerProposal heartbeats.
 	Candidates []string `cbor:"7,keyasint,omitempty"`
 	// Source is the version that the parent holds.
 	Source Version `cbor:"8,keyasint,omitempty"`
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -10,22 +10,22 @@
 
 // cluster is a simulated network of nodes. Its connections deliver in order, and can be cut, hang
 // or lose a message. It holds the configuration that every node should have at each revision, and
-// checks each node against it.
+// checks each node against that configuration.
 type cluster struct {
 	now         int64
 	members     []*member
 	conns       []*conn
 	dials       []dial
-	cuts        map[[2]string]bool // by namePair: connections are closed and dials fail
-	hung        map[[2]string]bool // by namePair: nothing arrives, and neither end is notified
-	encode      bool               // messages are encoded and decoded on their way
+	cuts        map[[2]string]bool // by namePair: members whose connections are closed and whose dials fail
+	hung        map[[2]string]bool // by namePair: members between which nothing arrives; they are not notified
+	encode      bool               // encodes and decodes each message between sender and receiver
 	epoch       Epoch
-	record      []Change                           // accepted changes of this epoch
-	expected    map[Epoch]map[uint64]map[Key]Entry // the whole configuration by epoch and revision
+	record      []Change                           // accepted changes of the current epoch
+	expected    map[Epoch]map[uint64]map[Key]Entry // the whole configuration at each epoch and revision
 	randomState uint64
 	// messageKeys holds, for each message of the model, a key that is computed once.
 	messageKeys map[Message]int64
-	random      bool        // Random returns pseudo-random numbers; else zero
+	random      bool        // makes Random of all members return pseudo-random numbers instead of zero
 	violation   string      // the first violated rule; "" if there is none
 	transcript  *transcript // of all calls of the hosts; nil to record none
 }
@@ -35,34 +35,35 @@
 	cluster           *cluster
 	config            Config
 	node              *Node
-	up                bool // its process runs
-	frozen            bool // its process is suspended
-	hasLeader         bool // a voter whose record has a leader
-	recordPosition    int  // number of the record's changes that a voter has got
+	up                bool // the member's process runs
+	frozen            bool // the member's process is suspended
+	hasLeader         bool // for a voter: the record has a leader, so that the voter follows the record
+	recordPosition    int  // number of the record's changes passed to this voter
 	controllerEntries map[Key]Entry
 	appliedVersion    Version
-	highestVersion    Version // over all restarts
+	highestVersion    Version // highest version of the node over all restarts
 	events            []Event
-	sentBytes         int // sum over all sent messages
-	applyCount        int
-	// Version and applyCount at the last check by advance, which checks a node again only if they
-	// differ.
+	sentBytes         int // sum of the sizes of all sent messages
+	applyCount        int // number of calls of Apply
+	// verifiedVersion and verifiedApplyCount are the node's version and applyCount when advance
+	// last called verify. advance calls verify again only if one of them has changed.
 	verifiedVersion    Version
 	verifiedApplyCount int
 }
 
+// dial is a dial that is neither completed nor failed yet.
 type dial struct {
 	from *member
 	peer string
 	link Link
 }
 
-// conn is a connection; messages on their way are in two queues.
+// conn is a connection of two members, with the messages that are sent and not delivered yet.
 type conn struct {
 	dialer, acceptor *member
-	links            [2]Link      // of the dialer, of the acceptor
-	queues           [2][]Message // to the dialer, to the acceptor
-	closed           [2]bool      // by the dialer, by the acceptor
+	links            [2]Link      // as the dialer numbers it, as the acceptor numbers it
+	queues           [2][]Message // messages to the dialer, messages to the acceptor
+	closed           [2]bool      // whether the dialer has closed it, whether the acceptor has
 }
 
 func newCluster() *cluster {
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// add starts a node. A voter begins with the empty record of the epoch and follows the record.
+// add starts a member. A voter begins with the empty record of the current epoch, and gets the
+// record's changes from follow.
 func (c *cluster) add(config Config) *member {
 	m := &member{cluster: c, config: config, hasLeader: true}
 	c.members = append(c.members, m)
@@ -103,7 +105,7 @@
 	return m
 }
 
-// start starts the member's process, with a state from before if savedState has one.
+// start starts the member's process. The node is restored from savedState if that has an epoch.
 func (m *member) start(savedState State) {
 	m.up, m.frozen, m.controllerEntries, m.appliedVersion = true, false, map[Key]Entry{}, Version{}
 	m.verifiedVersion = Version{}
@@ -133,7 +135,7 @@
 	m.cluster.dials = slices.DeleteFunc(m.cluster.dials, func(d dial) bool { return d.from == m })
 }
 
-// sever closes a connection at both ends; messages on their way are lost.
+// sever closes a connection at both ends; messages that are not delivered yet are lost.
 func (c *cluster) sever(lost *conn) {
 	c.conns = slices.DeleteFunc(c.conns, func(other *conn) bool { return other == lost })
 	if lost.dialer.up && !lost.closed[0] {
@@ -157,6 +159,8 @@
 // hang stops all delivery between two members without closing their connections.
 func (c *cluster) hang(a, b *member) { c.hung[namePair(a, b)] = true }
 
+// heal makes dials and delivery between two members possible again. It closes the connections that
+// existed while the members were hung.
 func (c *cluster) heal(a, b *member) {
 	delete(c.cuts, namePair(a, b))
 	delete(c.hung, namePair(a, b))
@@ -167,7 +171,8 @@
 	}
 }
 
-// startNewRecord starts a new record: a new epoch without changes, which all running voters get.
+// startNewRecord replaces the record by an empty one with a new epoch, and passes it to all running
+// voters.
 func (c *cluster) startNewRecord(epoch Epoch) {
 	c.epoch, c.record = epoch, nil
 	for _, m := range c.members {
@@ -178,7 +183,7 @@
 	}
 }
 
-// accept adds a change to the record; voters get it from follow.
+// accept adds a change to the record; follow passes it to the voters.
 func (c *cluster) accept(entries ...Entry) {
 	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
 	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // different for each change
@@ -194,7 +199,7 @@
 	c.record = append(c.record, change)
 }
 
-// follow passes to a voter at most maxChanges of the record's changes that it has not got yet.
+// follow passes to a voter at most maxChanges of the record's changes that the voter lacks.
 func (c *cluster) follow(m *member, maxChanges int) {
 	for ; m.recordPosition < len(c.record) && maxChanges > 0; maxChanges-- {
 		m.node.Accepted(c.record[m.recordPosition], c.now)
@@ -258,7 +263,7 @@
 }
 
 // connect completes or fails the pending dials, except those of hung or frozen members. It reports
-// whether there was such a dial.
+// whether it completed or failed any dial.
 func (c *cluster) connect() bool {
 	moved := false
 	for _, d := range slices.Clone(c.dials) {
@@ -282,8 +287,9 @@
 	return moved
 }
 
-// deliver passes the first message of a queue to its receiver, or drops it if lose is set. After
-// the last message it passes on the end of the connection. It reports whether it did any of that.
+// deliver passes the first message of a queue to its receiver, or drops it if lose is set. If the
+// queue is empty and the sender has closed the connection, deliver passes on the end of the
+// connection. It returns false if nothing could be delivered.
 func (c *cluster) deliver(on *conn, side int, lose bool) bool {
 	ends := []*member{on.dialer, on.acceptor}
 	to := ends[side]
@@ -328,7 +334,8 @@
 	return decoded
 }
 
-// settle delivers messages and completes dials until none is left.
+// settle completes dials and delivers messages until no dial or message is pending, except those of
+// hung or frozen members.
 func (c *cluster) settle() {
 	for moved := true; moved; {
 		moved = c.connect()
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -39,16 +39,17 @@
 	Candidates []string
 	// Floor is the newest version that a subscriber knows from before a restart: it accepts no
 	// older version. It is meant for hosts that store a version across a restart but not the State;
-	// a host that passes the State to Restored need not set it. A host that stores a floor stores
-	// the newer of the Floor that the node started with and the node's Version. The daemon stores
-	// the State, if a folder for it is configured, and does not set Floor.
+	// a host that passes the State to Restored need not set it. The floor to store is the newer of
+	// the Floor that the node started with and the node's Version. Package controller stores the
+	// State, if a folder for it is configured, and does not set Floor.
 	Floor Version
 	// Limits bounds the node. New fills in no defaults: see DefaultLimits.
 	Limits Limits
 }
 
 // Node is a voter or a subscriber, and the parent of at most Limits.FanOut others. Its methods must
-// not be called concurrently. Only the State that the host stores survives the process.
+// not be called concurrently. Only the State that the host stores survives a restart of the
+// process.
 type Node struct {
 	config Config
 	host   Host
@@ -56,20 +57,20 @@
 	store  *store
 	counts Counts
 
-	// State as a parent.
+	// State of this node as the parent of its children.
 	lastLink          Link
-	unsubscribedLinks []unsubscribedLink // accepted links without a Subscribe yet; at most FanOut+maxExtraCallers
+	unsubscribedLinks []unsubscribedLink // links without a Subscribe; at most FanOut+maxExtraUnsubscribed
 	children          []*child           // in the order of their admission; at most FanOut
 	snapshotCredit    int64              // millionths of a byte that snapshots may send now; negative after a larger piece
 	creditRefilledAt  Microseconds
 	lastServedChild   int // index of the child that was sent the last snapshot piece
 
-	// State as a child.
+	// State of this node as the child of its parent.
 	parent              *parentLink       // nil without a parent
-	attempts            []*parentLink     // to get a place, or a better one; at most maxAttempts
-	incomingSnapshot    *incomingSnapshot // nil while no snapshot is being received
-	contentInDoubt      bool              // a digest did not match; only a complete snapshot is accepted
-	candidates          []candidate       // configured ones first; at most MaxCandidates others
+	attempts            []*parentLink     // links to peers that were asked for a place; at most maxAttempts
+	incomingSnapshot    *incomingSnapshot // the snapshot that is being received; otherwise nil
+	contentInDoubt      bool              // a digest did not match, so only a complete snapshot is accepted
+	candidates          []candidate       // possible parents, the configured ones first; at most MaxCandidates others
 	nextDialAt          Microseconds
 	consecutiveFailures int // failed attempts and lost parents since the source was last known to be current
 	consecutiveRefusals int // refusals since this node last got a place
@@ -121,9 +122,10 @@
 }
 
 // Restored replaces the content of a node. A voter gets the state of its record: at its start, from
-// a snapshot of the record, or empty with a new epoch after a new record was founded. A subscriber
-// can be started with the State of its last run. Restored reports whether the state was installed:
-// a state without an epoch, older than the node's version, or of a conflicting epoch is refused.
+// a snapshot of the record, or an empty state with a new epoch after a new record was created. A
+// subscriber can be started with the State of its last run. Restored reports whether the state was
+// installed: a state without an epoch, older than the node's version, or of a conflicting epoch is
+// refused.
 func (n *Node) Restored(state State, now Microseconds) bool {
 	covered := state.Covered
 	if n.config.Voter {
@@ -157,8 +159,8 @@
 }
 
 // Incoming registers an accepted connection and returns its link. The first message on the link
-// must be a Subscribe. Incoming returns zero if too many callers have not subscribed yet; the host
-// then closes the connection.
+// must be a Subscribe. Incoming returns zero if too many accepted links are without a Subscribe;
+// the host then closes the connection.
 func (n *Node) Incoming(now Microseconds) Link {
 	if len(n.unsubscribedLinks) >= n.limits.FanOut+maxExtraUnsubscribed {
 		return 0
@@ -203,8 +205,8 @@
 }
 
 // Resubscribe changes the scopes of a subscriber. The node keeps its content until a snapshot of
-// the new scopes is complete. It is meant for hosts whose scopes change at run time; the daemon's
-// do not.
+// the new scopes is complete. It is meant for hosts whose scopes change at run time; package
+// controller does not call it, as its scopes are fixed.
 func (n *Node) Resubscribe(scopes Scopes, now Microseconds) {
 	if n.config.Voter || n.config.Scopes.Equal(scopes) {
 		return
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -1,7 +1,7 @@
 package distribution
 
-// outgoingSnapshot is a snapshot under way to a child: the entries at the time when the snapshot
-// began.
+// outgoingSnapshot is a snapshot that is being sent to a child. Its entries are those at the time
+// when the snapshot began.
 type outgoingSnapshot struct {
 	version   Version
 	horizon   uint64
@@ -15,8 +15,8 @@
 // byte: a rate of one byte per second adds one unit of credit per microsecond.
 const microsecondsPerSecond = second
 
-// creditsPerSecond bounds the unused credit: at most the rate of one second divided by it
-// accumulates, or one piece if that is more.
+// creditsPerSecond bounds the unused credit to the bytes that the rate permits in
+// 1/creditsPerSecond seconds, or to one piece if that is more.
 const creditsPerSecond = 4
 
 // snapshotsPending counts the snapshots that are under way or due. A waiting child that is ahead of
@@ -79,7 +79,7 @@
 }
 
 // refillSnapshotCredit adds the credit for the time since the last refill, up to the size of one
-// piece or the rate of one second divided by creditsPerSecond, whichever is more.
+// piece, or to the bytes that the rate permits in 1/creditsPerSecond seconds if that is more.
 func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// parentLink is the link to this node's parent, or to a peer that was asked for a place. A
-// parameter is named parent if it holds Node.parent, attempt if it holds one of Node.attempts, and
-// place if it may hold either.
+// parentLink is the link to this node's parent, or to a peer that this node asks for a place as its
+// child. A parameter is named parent if it holds Node.parent, attempt if it holds one of
+// Node.attempts, and place if it may hold either.
 type parentLink struct {
 	link           Link
 	peer           string
@@ -13,17 +13,17 @@
 	lastReceivedAt Microseconds // arrival of the last message; until then, time of the dial
 
 	subscribing      bool   // a Subscribe is unanswered; messages until its answer belong to an earlier one
-	lastRequest      uint64 // number of the last Subscribe
+	lastRequest      uint64 // Request of the last Subscribe on this link
 	subscribeSentAt  Microseconds
-	recoveryRequests int // sent after a gap or a wrong digest, since a message last applied
+	recoveryRequests int // requests after a gap or a wrong digest, since a message was last applied
 
 	admittedAt       Microseconds
-	lease            Microseconds // in µs, as granted by the parent
-	path             []string
+	lease            Microseconds // granted by the parent, in µs
+	path             []string     // names of the nodes from the voter down to the parent
 	behind           bool         // the parent's version is older than this node's
-	behindSince      Microseconds // set only if behind
-	receivedMessages uint64       // received since the last Admitted, which is included
-	unconfirmedBytes int          // received since the last Renew
+	behindSince      Microseconds // when behind became true; used only while it is true
+	receivedMessages uint64       // messages received since the last Admitted, including it
+	unconfirmedBytes int          // bytes received since the last Renew
 }
 
 func (n *Node) attemptByLink(link Link) *parentLink {
@@ -68,11 +68,11 @@
 }
 
 // handleAdmitted accepts a granted place if this node has no parent or the place is better than the
-// present one. It also handles the parent's answer to a repeated Subscribe.
+// current one. It also handles the parent's answer to a repeated Subscribe.
 func (n *Node) handleAdmitted(place *parentLink, m *Admitted, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if m.Request != place.lastRequest {
-		return // answers an earlier request; the messages after it may have other scopes
+		return // answers an earlier request; the messages that follow may have other scopes
 	}
 	place.subscribing = false
 	place.receivedMessages = 1
@@ -97,8 +97,8 @@
 	n.noteSourceAge(place, m.Version, m.Age, now)
 }
 
-// isBetterPlace reports whether a granted place is better than the present one. The new parent must
-// not be behind this node and must have known its source to be current. It is better if the present
+// isBetterPlace reports whether a granted place is better than the current one. The new parent must
+// not be behind this node and must have known its source to be current. It is better if the current
 // parent is behind, if this node has never known its source to be current, or if the new parent's
 // age is less than half of this node's.
 func (n *Node) isBetterPlace(m *Admitted, now Microseconds) bool {
@@ -200,8 +200,9 @@
 	}
 }
 
-// rejectConflict closes the link to a peer whose epoch has the same number as this node's but was
-// founded separately. The peer is not dialled for MaxRetryAfter.
+// rejectConflict closes the link to a peer whose epoch has the same number as this node's and
+// another identity: the two records were created independently. The peer is not dialled for
+// MaxRetryAfter.
 func (n *Node) rejectConflict(place *parentLink, now Microseconds) {
 	n.host.Log(Event{Kind: EventEpochConflict, Peer: place.peer, Version: n.store.version})
 	n.avoidUntil(place.peer, now+n.limits.MaxRetryAfter)
--- a/distribution/parent_search.go
+++ b/distribution/parent_search.go
@@ -6,8 +6,8 @@
 // node that is referred down the tree is refused several times without any failure.
 const refusalsPerBackoff = 3
 
-// maxAttempts bounds the peers that are asked for a place at the same time. One network partition
-// may make two of them unreachable.
+// maxAttempts bounds the peers that a node asks for a place at the same time. With three, one peer
+// can still be reached if a network partition makes two of them unreachable.
 const maxAttempts = 3
 
 // seekParent dials a candidate if this node needs a parent. While this node has no parent, it dials
@@ -31,8 +31,8 @@
 }
 
 // needsParent reports whether this node has no parent, or a parent that has been behind for
-// MaxStaleness or has brought no progress for MaxStaleness. Progress is the admission by the
-// parent, a source known to be current, or a piece of an incoming snapshot.
+// MaxStaleness or with which this node has made no progress for MaxStaleness. Progress is the
+// admission by the parent, a source known to be current, or a piece of an incoming snapshot.
 func (n *Node) needsParent(now Microseconds) bool {
 	parent := n.parent
 	if parent == nil {
@@ -84,7 +84,7 @@
 	n.attempts = slices.DeleteFunc(n.attempts, func(other *parentLink) bool { return other == attempt })
 }
 
-// declinePlace closes the link of a granted place that is unusable or not better than the present
+// declinePlace closes the link of a granted place that is unusable or not better than the current
 // one, and delays the next dial.
 func (n *Node) declinePlace(place *parentLink, reason CloseReason, now Microseconds) {
 	if place == n.parent {
--- a/distribution/planted_faults.go
+++ b/distribution/planted_faults.go
@@ -1,10 +1,11 @@
 package distribution
 
 // plantedFaults are deliberate faults, each of which breaks one rule of a node. They show that the
-// check of every order of events detects a broken rule. The zero value breaks none; only
-// check_test.go, which belongs to this package, sets others. The rules are applied in the middle of
-// the node's methods, so no host can break them from outside. All code that depends on a planted
-// fault is in this file: each method returns its unchanged argument unless the fault is planted.
+// model check, which runs every order of events, detects a broken rule. The zero value breaks no
+// rule; only check_test.go, which belongs to this package, sets others. The rules are applied in
+// the middle of the node's methods, so no host can break them from outside. All code that depends
+// on a planted fault is in this file: each method returns its unchanged argument unless the fault
+// is planted.
 type plantedFaults struct {
 	acceptGaps  bool // applies deltas that do not follow the node's version
 	acceptOlder bool // applies an older version from a parent
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -8,7 +8,8 @@
 // bytes, in addition to those that answer heartbeats.
 const renewsPerWindow = 4
 
-// receiveFromParent handles a message from the parent or from a peer that was asked for a place.
+// receiveFromParent handles a message from the parent, or from a peer that this node has asked for
+// a place as its child.
 func (n *Node) receiveFromParent(link Link, m Message, now Microseconds) {
 	place := n.parentOrAttempt(link)
 	if place == nil {
@@ -82,8 +83,9 @@
 	n.sendDeltasToAll(now)
 }
 
-// followsContent reports whether a message that the parent sent for a child at a previous revision
-// applies to this node's content.
+// followsContent reports whether a message from the parent applies to this node's content: the
+// content is complete and at the epoch and previous revision that the message requires, and no
+// snapshot is being received.
 func (n *Node) followsContent(epoch Epoch, previous uint64) bool {
 	ready := n.contentComplete() && n.incomingSnapshot == nil
 	follows := ready && n.store.version == Version{epoch, previous}
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -44,7 +44,7 @@
 	Path []string
 	// Children are the names of the children in the order of their admission.
 	Children []string
-	// Entries counts the entries without tombstones.
+	// Entries counts the entries that are not tombstones.
 	Entries int
 	// Counts holds the totals since the start.
 	Counts Counts
@@ -85,8 +85,8 @@
 	return now - n.sourceCurrentAt
 }
 
-// noteSourceCurrent records that this node held everything that its source held at the time at,
-// unless a later time is recorded already. The source is the record of the voters.
+// noteSourceCurrent records that this node held everything that its source, the record of the
+// voters, held at a time. The call has no effect if a later time is recorded already.
 func (n *Node) noteSourceCurrent(at Microseconds) {
 	if n.sourceEverCurrent && at <= n.sourceCurrentAt {
 		return
@@ -96,7 +96,7 @@
 }
 
 // logStaleness logs EventSourceStale once the source was not known to be current for longer than
-// MaxStaleness, and EventSourceCurrent once it is again.
+// MaxStaleness, and EventSourceCurrent once it is known to be current again.
 func (n *Node) logStaleness(now Microseconds) {
 	stale := n.sourceEverCurrent && n.sourceAge(now) > n.limits.MaxStaleness
 	if stale == n.loggedStale {
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -7,14 +7,14 @@
 )
 
 // store is the configuration at one version, with the log of the latest changes up to it. It
-// belongs to one Node or Record and is used only within their calls. Entries that were read from it
-// are not modified when they are replaced.
+// belongs to one Node or Record, and is used only within the calls of that Node or Record. Entries
+// that were read from it are not modified when they are replaced.
 type store struct {
 	version     Version
 	covered     Scopes // the scopes for which the entries are complete
 	scopes      map[string]*scopeState
 	digest      Digest // digest of all scopes
-	liveEntries int    // number of entries without tombstones
+	liveEntries int    // number of entries that are not tombstones
 	bytes       int    // bytes of all entries, including tombstones
 	tombstones  tombstoneQueue
 	log         changeLog
@@ -56,7 +56,7 @@
 	return Entry{Scope: key.Scope, Name: key.Name, Deleted: true}, false
 }
 
-// putWithDigest sets an entry and adds difference to the digests.
+// putWithDigest sets an entry, and adds difference to the digests of its scope and of the store.
 func (s *store) putWithDigest(entry Entry, difference Digest) {
 	scope := s.scopes[entry.Scope]
 	if scope == nil {
@@ -184,7 +184,7 @@
 type deltaSource uint8
 
 const (
-	noDelta          deltaSource = iota // impossible: another epoch, a later revision, or one before log and tombstones
+	noDelta          deltaSource = iota // none from another epoch, a later revision, or one before log and tombstones
 	deltaFromLog                        // the changes in the log
 	deltaFromEntries                    // one merged change of all entries set since; it may exceed the batch size
 )
@@ -201,8 +201,8 @@
 	return noDelta
 }
 
-// deltaPossible reports whether deltaFrom would be possible. It computes the merged change, where
-// one is needed, for its size only.
+// deltaPossible reports whether deltaFrom can return a delta. If that takes a merged change, the
+// change is computed only for its size.
 func (s *store) deltaPossible(from Version, scopes Scopes, batchBytes int) bool {
 	switch s.deltaSourceFor(from) {
 	case deltaFromLog:
@@ -215,9 +215,9 @@
 }
 
 // deltaFrom returns a delta that advances a child from a version, of at most batchBytes unless a
-// single change of the log is larger; nil if nothing changed in its scopes. It is not possible from
-// another epoch, from a revision later than that of the store, or from a revision that neither the
-// log nor the tombstones cover.
+// single change of the log is larger; nil if nothing changed in its scopes. No delta is possible
+// from another epoch, from a revision later than that of the store, or from a revision that neither
+// the log nor the tombstones cover.
 func (s *store) deltaFrom(from Version, scopes Scopes, batchBytes int) (delta *Delta, possible bool) {
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
 	switch s.deltaSourceFor(from) {
--- a/distribution/tombstones.go
+++ b/distribution/tombstones.go
@@ -13,7 +13,8 @@
 	key      Key
 }
 
-// add inserts an entry by its revision, which is usually the highest.
+// add inserts the tombstone of a deleted entry at its place in the order of revisions, usually at
+// the end.
 func (t *tombstoneQueue) add(entry Entry) {
 	index := len(t.queue)
 	for index > 0 && t.queue[index-1].revision > entry.Revision {
@@ -25,7 +26,7 @@
 // pop removes the oldest tombstone from the queue, and raises the horizon to its revision.
 func (t *tombstoneQueue) pop() tombstone {
 	oldest := t.queue[0]
-	t.queue[0] = tombstone{} // the slice keeps the array in memory; this releases the key
+	t.queue[0] = tombstone{} // the array stays in memory; this releases the key of the dropped tombstone
 	t.queue = t.queue[1:]
 	t.horizon = max(t.horizon, oldest.revision)
 	return oldest
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -75,7 +75,7 @@
 	return members[u.random.IntN(len(members))]
 }
 
-// step applies one random event, and then up to two seconds pass.
+// step applies one random event, and then advances the time by up to two seconds.
 func (u *randomFaults) step() {
 	m := u.randomMember(u.subscribers)
 	switch u.random.IntN(20) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// damageQueues loses the first message of some queues, and sets a wrong digest in that of some
-// others.
+// damageQueues loses the first message of some queues, and sets a wrong digest in the first message
+// of others.
 func (u *randomFaults) damageQueues() {
 	for _, conn := range slices.Clone(u.conns) {
 		for side := range conn.queues {
--- a/distribution/transport/config.go
+++ b/distribution/transport/config.go
@@ -36,23 +36,23 @@
 	// CloseTimeout replaces WriteTimeout for a link that is being closed.
 	CloseTimeout time.Duration
 	// Mailbox is the number of events that can wait for the event loop; beyond it, readers and
-	// callers of methods wait.
+	// goroutines that call methods wait.
 	Mailbox int
 	// QueueCount is the number of messages that can wait for a peer; the link is closed if one more
 	// is sent.
 	QueueCount int
-	// QueueBytes bounds the sum of the estimated sizes of these messages; a single message to an
-	// empty queue may exceed it.
+	// QueueBytes bounds the sum of the estimated sizes of the messages that wait for a peer; a
+	// single message to an empty queue may exceed it.
 	QueueBytes int
 	// MessageBytes bounds the size of one message from a peer.
 	MessageBytes int
-	// AcceptedConnections is the number of accepted connections that can be open at the same time; one more is
-	// closed at once.
+	// AcceptedConnections is the number of accepted connections that can be open at the same time;
+	// one more is closed at once.
 	AcceptedConnections int
 }
 
-// Defaults of the bounds; Mailbox, QueueCount and AcceptedConnections are counts, QueueBytes and MessageBytes
-// are bytes.
+// Defaults of the bounds; Mailbox, QueueCount and AcceptedConnections are counts, QueueBytes and
+// MessageBytes are bytes.
 const (
 	DefaultTick                = 100 * time.Millisecond
 	DefaultDialTimeout         = 2 * time.Second
--- a/distribution/transport/doc.go
+++ b/distribution/transport/doc.go
@@ -12,14 +12,14 @@
 //
 // # Bounds
 //
-// At most Bounds.Mailbox events wait in the mailbox; beyond it, readers and callers of methods wait.
-// Messages to a peer wait in a queue of at most Bounds.QueueCount messages and QueueBytes; a link
-// whose queue is full is closed and counted in Traffic.Overflows. While Bounds.AcceptedConnections accepted
-// connections are open, one more is closed at once.
+// At most Bounds.Mailbox events wait in the mailbox; beyond it, readers and goroutines that call
+// methods wait. Messages to a peer wait in a queue of at most Bounds.QueueCount messages and
+// QueueBytes; a link whose queue is full is closed and counted in Traffic.Overflows. While
+// Bounds.AcceptedConnections accepted connections are open, one more is closed at once.
 //
 // # Timers
 //
-//   - Bounds.Tick, 100 ms: the interval of the node's Tick; the first Tick comes at a random time
+//   - Bounds.Tick, 100 ms: the interval of the node's Tick; the first Tick occurs at a random time
 //     within it.
 //   - DialTimeout, 2 s: bounds a dial.
 //   - WriteTimeout, 5 s: bounds the time to write the messages queued for a peer.
@@ -27,7 +27,7 @@
 //
 // All other timers are those of the node.
 //
-// # What survives a crash
+// # State after a crash
 //
 // The transport stores nothing: see Transport.State for the state that a subscriber can store.
 package transport
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -24,14 +24,14 @@
 	transport *Transport
 	id        distribution.Link      // accessed on the event loop alone
 	allowed   func(name string) bool // whether the peer may subscribe under a name; nil allows all names
-	cancel    context.CancelFunc     // cancels the dial; nil for an accepted link
+	cancel    context.CancelFunc     // cancels the dial of the link; nil for an accepted link
 
 	mutex       sync.Mutex             // guards the fields below
 	conn        net.Conn               // nil until the dial has succeeded; set once
 	queue       []distribution.Message // at most Bounds.QueueCount
 	queuedBytes int                    // estimated sizes of messages queued or being written; at most Bounds.QueueBytes
 	writing     bool                   // a writer runs
-	closing     bool                   // no message is queued any more; the connection closes once the queue is empty
+	closing     bool                   // send drops messages, and the connection is closed once the queue is empty
 }
 
 // attach sets the connection of a dialled link. It returns false if the link was closed before.
@@ -120,7 +120,8 @@
 	}
 }
 
-// writeBatch encodes messages and writes them in one call. It returns false if either fails.
+// writeBatch encodes messages and writes them in one call. It returns false if the encoding or the
+// write fails.
 func (l *link) writeBatch(batch *bytes.Buffer, messages []distribution.Message) bool {
 	batch.Reset()
 	size := 0
@@ -141,8 +142,8 @@
 	return true
 }
 
-// nextBatch takes all queued messages and sets the deadline to write them. It returns false if
-// there are none, which ends the writer.
+// nextBatch takes all queued messages and sets the deadline to write them. It returns false if the
+// queue is empty, which ends the writer.
 func (l *link) nextBatch() ([]distribution.Message, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/distribution/transport/members_test.go
+++ b/distribution/transport/members_test.go
@@ -35,7 +35,8 @@
 	node *consensus.Node
 }
 
-// startMember runs a voter of a record.
+// startMember starts a voter of the record that the members replicate, and stops it when the test
+// ends.
 func startMember(t *testing.T, name string, members map[string]string, credentials consensus.Credentials) *member {
 	t.Helper()
 	self := consensus.Peer{Name: name, Address: members[name]}
@@ -64,7 +65,8 @@
 	return &member{p, node}
 }
 
-// startSubscriber runs a subscriber, which other nodes can dial through a TLS listener.
+// startSubscriber starts a subscriber, which other nodes can dial through a TLS listener, and
+// returns the name for these dials.
 func startSubscriber(t *testing.T, name string, credentials consensus.Credentials, parents ...string) (*peer, string) {
 	t.Helper()
 	subscriber, err := consensus.NewSubscriber(credentials)
@@ -195,8 +197,8 @@
 			waitFor(t, p.name+" logs EventSourceStale", func() bool { return p.hasLogged(distribution.EventSourceStale) })
 		}
 		waitForAll(last)
-		if relay.contents() != "pricing/0=1 pricing/1=2" {
-			t.Errorf("the relay has %q", relay.contents())
+		if want := "pricing/0=1 pricing/1=2"; relay.contents() != want {
+			t.Errorf("the relay has %q, it should keep %q", relay.contents(), want)
 		}
 	})
 }
--- a/distribution/transport/methods.go
+++ b/distribution/transport/methods.go
@@ -35,8 +35,8 @@
 	t.post(event{kind: eventCall, run: run})
 }
 
-// postCallAndWait runs a function on the event loop and waits for its end. It returns false once
-// Run has ended.
+// postCallAndWait runs a function on the event loop and waits until it has returned. It returns
+// false once Run has ended.
 func (t *Transport) postCallAndWait(run func(now distribution.Microseconds)) bool {
 	done := make(chan struct{})
 	runAndSignal := func(now distribution.Microseconds) {
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -94,7 +94,7 @@
 	return stop
 }
 
-// peer is a running transport with the content and the events that it has got.
+// peer is a transport with the entries and the events that its node has passed to it.
 type peer struct {
 	*Transport
 	name string
@@ -103,10 +103,10 @@
 	mutex           sync.Mutex
 	values          map[distribution.Key]string
 	events          []distribution.Event
-	completeChanges int
+	completeChanges int // number of applied changes that hold the whole configuration
 }
 
-// newPeer returns a transport that does not run yet and whose changes and events are stored.
+// newPeer returns a peer that stores its changes and events. Its transport does not run yet.
 func newPeer(name string, config Config) *peer {
 	p := &peer{name: name, values: map[distribution.Key]string{}}
 	config.Apply, config.Log = p.apply, p.log
@@ -141,7 +141,7 @@
 		stopRunning()
 		stopListening()
 	})
-	t.Cleanup(p.stop) // before the cleanup of listen, which waits for connections that the transport ends
+	t.Cleanup(p.stop) // runs before the cleanup of listen, which waits for connections that the transport ends
 	return p
 }
 
@@ -219,7 +219,7 @@
 
 var epoch = distribution.Epoch{Number: 1, Identity: 1}
 
-// accept adds values to the record, all in one revision; an empty value deletes the entry.
+// accept sets entries of the record by name, all in one revision; an empty value deletes the entry.
 func (r *record) accept(t testing.TB, values map[string]string) {
 	t.Helper()
 	var entries []distribution.Entry
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -17,7 +17,7 @@
 	config    Config
 	bounds    Bounds
 	startedAt time.Time
-	mailbox   chan event    // capacity Bounds.Mailbox; read by Run, never closed
+	mailbox   chan event    // events for Run; capacity Bounds.Mailbox; never closed
 	ended     chan struct{} // closed by Run when it ends
 
 	bytesIn   atomic.Int64 // received bytes
@@ -27,12 +27,12 @@
 	// Accessed only on the event loop.
 	node            *distribution.Node
 	links           map[distribution.Link]*link
-	overflowedLinks []*link // aborted while an event is handled; the node gets Closed for each after it
+	overflowedLinks []*link // aborted as their queue was full; Run calls the node's Closed for each
 	ctx             context.Context
 
 	mutex               sync.Mutex         // guards the three fields below
 	openLinks           map[*link]struct{} // links with a connection, which closeAll aborts
-	closed              bool               // Run has ended; no link is added to openLinks any more
+	closed              bool               // Run has ended, and register adds no further links to openLinks
 	acceptedConnections int                // open accepted connections; at most Bounds.AcceptedConnections
 
 	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for them
@@ -41,16 +41,16 @@
 // event is an input of the event loop. Its kind determines which of the other fields are set.
 type event struct {
 	kind    eventKind
-	link    *link                               // set for all kinds except eventCall
-	message distribution.Message                // set for eventReceived
-	run     func(now distribution.Microseconds) // set for eventCall
+	link    *link                               // the link of the event; set for all kinds except eventCall
+	message distribution.Message                // the received message; set for eventReceived
+	run     func(now distribution.Microseconds) // the function to run; set for eventCall
 }
 
 type eventKind uint8
 
 const (
 	eventCall       eventKind = iota // run a function on the event loop
-	eventAccepted                    // a connection of a caller was accepted
+	eventAccepted                    // a connection was accepted
 	eventConnected                   // a dial succeeded
 	eventDialFailed                  // a dial failed
 	eventReceived                    // a message was read
@@ -126,8 +126,8 @@
 	}
 }
 
-// addAcceptedLink registers an accepted link with the node, or closes the link if the node accepts no
-// more callers.
+// addAcceptedLink registers an accepted link with the node, or closes the link if too many accepted
+// links are without a Subscribe.
 func (t *Transport) addAcceptedLink(l *link, now distribution.Microseconds) {
 	l.id = t.node.Incoming(now)
 	if l.id == 0 {
@@ -137,7 +137,8 @@
 	t.links[l.id] = l
 }
 
-// reportOverflowedLinks calls the node's Closed for links that could not keep a message.
+// reportOverflowedLinks calls the node's Closed for the links that were aborted because their queue
+// was full.
 func (t *Transport) reportOverflowedLinks() {
 	for len(t.overflowedLinks) > 0 { // the node's Closed can overflow further links
 		overflowed := t.overflowedLinks[0]
@@ -190,8 +191,8 @@
 	delete(t.openLinks, l)
 }
 
-// adjustAcceptedConnections adds change to the number of callers. It returns false, and adds nothing, if the
-// number would exceed Bounds.AcceptedConnections.
+// adjustAcceptedConnections adds change to the number of open accepted connections. It returns
+// false, and adds nothing, if the number would exceed Bounds.AcceptedConnections.
 func (t *Transport) adjustAcceptedConnections(change int) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -202,8 +203,8 @@
 	return true
 }
 
-// Accept serves the connection of a caller until the connection ends, and closes it. The caller may
-// subscribe only under names that allowed permits; a nil allowed permits all names.
+// Accept serves a connection that a peer has opened until the connection ends, and closes it. The
+// peer may subscribe only under names that allowed permits; a nil allowed permits all names.
 func (t *Transport) Accept(conn net.Conn, allowed func(name string) bool) {
 	defer conn.Close()
 	if !t.adjustAcceptedConnections(1) {
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -21,7 +21,7 @@
 	for i := range 3 {
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 4, "v0", "v1", "v2"))
 	}
-	for i := 3; i < 8; i++ { // with other subscribers as parents
+	for i := 3; i < 8; i++ { // these have other subscribers as parents
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 0, "s0", "s1"))
 	}
 	waitForAll := func(want string) {
@@ -103,10 +103,10 @@
 	r := newRecord(v)
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
-	voterAddress := n.remove("v0") // else the subscriber learns v0 from its parent's path and dials it
+	voterAddress := n.remove("v0") // otherwise the subscriber would learn v0 from its parent's path and dial it
 	var mutex sync.Mutex
 	frozen := make(chan struct{})
-	n.listen(t, "m", func(conn net.Conn) { // a forwarder in front of the voter
+	n.listen(t, "m", func(conn net.Conn) { // "m" forwards all bytes between the subscriber and the voter
 		defer conn.Close()
 		to, err := net.Dial("tcp", voterAddress)
 		if err != nil {
@@ -192,7 +192,7 @@
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	clientEnd, serverEnd := net.Pipe() // has no kernel buffer
+	clientEnd, serverEnd := net.Pipe() // a pipe has no kernel buffer for unread bytes
 	defer clientEnd.Close()
 	var serving sync.WaitGroup
 	serving.Go(func() { v.Accept(serverEnd, nil) })
@@ -274,7 +274,7 @@
 		defer clientEnd.Close()
 		serving.Go(func() { v.Accept(serverEnd, nil) })
 	}
-	waitFor(t, "two callers are served", func() bool {
+	waitFor(t, "two connections are served", func() bool {
 		v.Transport.mutex.Lock()
 		defer v.Transport.mutex.Unlock()
 		return v.acceptedConnections == 2
@@ -282,12 +282,12 @@
 	clientEnd, serverEnd := net.Pipe()
 	v.Accept(serverEnd, nil)
 	if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
-		t.Error("a third caller was served, Bounds.AcceptedConnections is 2")
+		t.Error("a third connection was served, Bounds.AcceptedConnections is 2")
 	}
 }
 
-// Guards against connections and callers that remain once Run has returned, and against methods
-// that block then.
+// Guards against connections that remain open or counted once Run has returned, and against methods
+// that block after that.
 func TestRunClosesAllConnectionsAtItsEnd(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
@@ -314,6 +314,6 @@
 	s.Transport.mutex.Lock()
 	defer s.Transport.mutex.Unlock()
 	if len(s.openLinks) != 0 || s.acceptedConnections != 0 {
-		t.Errorf("%d links and %d callers remain after Run has ended", len(s.openLinks), s.acceptedConnections)
+		t.Errorf("%d links and %d accepted connections remain after Run has ended", len(s.openLinks), s.acceptedConnections)
 	}
 }
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -86,7 +86,7 @@
 }
 
 // firstZeroField returns the path of the first field within a value that has its zero value, or ""
-// if there is none. In a list only the first element is examined.
+// if every field is set. In a list only the first element is examined.
 func firstZeroField(name string, value reflect.Value) string {
 	switch value.Kind() {
 	case reflect.Pointer:
--- a/distribution/version.go
+++ b/distribution/version.go
@@ -2,11 +2,13 @@
 
 import "fmt"
 
-// Epoch identifies one creation of the record. Revisions order changes only within one epoch.
+// Epoch identifies one record among all that the voters have created: a record that is created
+// again, because the previous one was lost, has a new epoch. Revisions order changes only within
+// one epoch.
 //
 // Only voters choose an epoch; a subscriber forwards the epoch that it got from its parent.
 type Epoch struct {
-	// Number grows each time the record is created again, see NextEpoch. Zero means no epoch.
+	// Number grows each time the record is created again, see NextEpoch. Zero stands for no epoch.
 	Number uint64 `cbor:"1,keyasint,omitempty"`
 	// Identity is random. It distinguishes two records that were created independently with the
 	// same number.
@@ -33,7 +35,7 @@
 // Version is a position in the history of the configuration. A node without any configuration has
 // the zero Version.
 type Version struct {
-	// Epoch is the epoch of the record.
+	// Epoch identifies the record in which Revision counts.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
 	// Revision counts the changes accepted in the epoch; the first is 1.
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
