--- a/distribution/store.go
+++ b/distribution/store.go
@@ -7,14 +7,14 @@
 )
 
 // store is the configuration at one version, with the log of the latest changes up to it. It
-// belongs to one Node or Record and is used only within their calls. Entries that were read from it
-// are not modified when they are replaced.
+// belongs to one Node or Record, and is used only within the calls of that Node or Record. Entries
+// that were read from it are not modified when they are replaced.
 type store struct {
 	version     Version
 	covered     Scopes // the scopes for which the entries are complete
 	scopes      map[string]*scopeState
 	digest      Digest // digest of all scopes
-	liveEntries int    // number of entries without tombstones
+	liveEntries int    // number of entries that are not tombstones
 	bytes       int    // bytes of all entries, including tombstones
 	tombstones  tombstoneQueue
 	log         changeLog
@@ -49,31 +49,31 @@
 // tombstone and false.
 func (s *store) lookup(key Key) (Entry, bool) {
 	if scope := s.scopes[key.Scope]; scope != nil {
-		if at, found := slices.BinarySearchFunc(scope.entries, key.Name, compareName); found {
-			return scope.entries[at], true
+		if index, found := slices.BinarySearchFunc(scope.entries, key.Name, compareName); found {
+			return scope.entries[index], true
 		}
 	}
 	return Entry{Scope: key.Scope, Name: key.Name, Deleted: true}, false
 }
 
-// putWithDigest sets an entry and adds difference to the digests.
+// putWithDigest sets an entry, and adds difference to the digests of its scope and of the store.
 func (s *store) putWithDigest(entry Entry, difference Digest) {
 	scope := s.scopes[entry.Scope]
 	if scope == nil {
 		scope = &scopeState{}
 		s.scopes[strings.Clone(entry.Scope)] = scope
 	}
-	at, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
+	index, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
 	if found {
-		old := scope.entries[at]
+		old := scope.entries[index]
 		entry.Scope, entry.Name = old.Scope, old.Name // shares the texts of the replaced entry
 		s.addToTotals(old, -1)
-		scope.entries[at] = entry
+		scope.entries[index] = entry
 	} else {
 		if len(scope.entries) > 0 {
 			entry.Scope = scope.entries[0].Scope
 		}
-		scope.entries = slices.Insert(scope.entries, at, entry)
+		scope.entries = slices.Insert(scope.entries, index, entry)
 	}
 	s.addToTotals(entry, 1)
 	scope.digest = scope.digest.add(difference)
@@ -101,9 +101,9 @@
 // not count in them.
 func (s *store) removeTombstone(key Key) {
 	scope := s.scopes[key.Scope]
-	at, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
-	s.addToTotals(scope.entries[at], -1)
-	scope.entries = slices.Delete(scope.entries, at, at+1)
+	index, _ := slices.BinarySearchFunc(scope.entries, key.Name, compareName)
+	s.addToTotals(scope.entries[index], -1)
+	scope.entries = slices.Delete(scope.entries, index, index+1)
 	if len(scope.entries) == 0 {
 		delete(s.scopes, key.Scope)
 	}
@@ -184,7 +184,7 @@
 type deltaSource uint8
 
 const (
-	noDelta          deltaSource = iota // impossible: another epoch, a later revision, or one before log and tombstones
+	noDelta          deltaSource = iota // none from another epoch, a later revision, or one before log and tombstones
 	deltaFromLog                        // the changes in the log
 	deltaFromEntries                    // one merged change of all entries set since; it may exceed the batch size
 )
@@ -201,8 +201,8 @@
 	return noDelta
 }
 
-// deltaPossible reports whether deltaFrom would be possible. It computes the merged change, where
-// one is needed, for its size only.
+// deltaPossible reports whether deltaFrom can return a delta. If that takes a merged change, the
+// change is computed only for its size.
 func (s *store) deltaPossible(from Version, scopes Scopes, batchBytes int) bool {
 	switch s.deltaSourceFor(from) {
 	case deltaFromLog:
@@ -215,9 +215,9 @@
 }
 
 // deltaFrom returns a delta that advances a child from a version, of at most batchBytes unless a
-// single change of the log is larger; nil if nothing changed in its scopes. It is not possible from
-// another epoch, from a revision later than that of the store, or from a revision that neither the
-// log nor the tombstones cover.
+// single change of the log is larger; nil if nothing changed in its scopes. No delta is possible
+// from another epoch, from a revision later than that of the store, or from a revision that neither
+// the log nor the tombstones cover.
 func (s *store) deltaFrom(from Version, scopes Scopes, batchBytes int) (delta *Delta, possible bool) {
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
 	switch s.deltaSourceFor(from) {
