--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -32,7 +32,7 @@
 		Run: func(c *cobra.Command, _ []string) {
 			for _, m := range scale.Measurements() {
 				about := m.Describe()
-				fmt.Fprintf(c.OutOrStdout(), "%-16s %s; sizes %v, %s\n", about.Name, about.About, about.Sizes, about.Size)
+				fmt.Fprintf(c.OutOrStdout(), "%-16s %s; sizes %v, %s\n", about.Name, about.About, about.Sizes, about.SizeUnit)
 			}
 		},
 	}
@@ -71,7 +71,7 @@
 	}
 	f := command.Flags()
 	f.IntSliceVar(&flags.sizes, "sizes", nil, "sizes to measure; those that scale list names if left out")
-	f.DurationVar(&flags.options.For, "for", 20*time.Second, "how long each size is observed")
+	f.DurationVar(&flags.options.Duration, "for", 20*time.Second, "how long each size is observed")
 	f.Uint64Var(&flags.options.Seed, "seed", 1, "of all that is drawn")
 	f.IntVar(&flags.options.Voters, "voters", 5, "raft voters, where sizes count something else")
 	f.BoolVar(&flags.asJSON, "json", false, "the run as JSON")
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	flags.options.Progress = progressSince("")
-	run, err := scale.Play(ctx, m, flags.sizes, flags.options)
+	run, err := scale.MeasureSizes(ctx, m, flags.sizes, flags.options)
 	if err != nil {
 		return nil, err
 	}
@@ -197,7 +197,7 @@
 	if err != nil {
 		return inconclusive(err)
 	}
-	if err := results.Check(string(page), runs); err != nil {
+	if err := results.CheckPage(string(page), runs); err != nil {
 		fmt.Fprintf(os.Stderr, "wheelrill: %s: %s\n", path, err)
 		return exitViolated
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return inconclusive(err)
 	}
-	filled, err := results.Fill(string(page), runs)
+	filled, err := results.FillPage(string(page), runs)
 	if err != nil {
 		return inconclusive(fmt.Errorf("%s: %w", path, err))
 	}
--- a/cmd/wheelrill/scale_test.go
+++ b/cmd/wheelrill/scale_test.go
@@ -62,7 +62,7 @@
 
 func TestScaleReportChecksAndWritesPages(t *testing.T) {
 	folder := t.TempDir()
-	run := &results.Run{Name: "one", About: "One", Size: "members", Metrics: []results.Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes"}}}
+	run := &results.Run{Name: "one", About: "One", SizeUnit: "members", Metrics: []results.Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes"}}}
 	s := results.Sample{Size: 3}
 	s.Set("bytes", 1234)
 	run.Samples = append(run.Samples, s)
--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -30,7 +30,7 @@
 
 // Describe tells what is measured.
 func (addedTime) Describe() Description {
-	return Description{Name: "added-time", Size: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
+	return Description{Name: "added-time", SizeUnit: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
 		About: "Time that a proxy's draw and an ordered retry add to a request by the lines of its table",
 		Metrics: []results.Metric{
@@ -48,7 +48,7 @@
 // Needs tells what one size takes at most.
 func (addedTime) Needs(_ int, o Options) Needs {
 	const bytes = 256 << 20
-	return Needs{Memory: bytes, Time: o.For + 2*maxPickTime}
+	return Needs{Memory: bytes, Time: o.Duration + 2*maxPickTime}
 }
 
 // pickTimes is what one repeat has shown, in nanoseconds.
@@ -79,7 +79,7 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		one, err := measurePicks(table, size, random, o.For/pickRepeats)
+		one, err := measurePicks(table, size, random, o.Duration/pickRepeats)
 		if err != nil {
 			return sample, err
 		}
--- a/scale/change.go
+++ b/scale/change.go
@@ -33,7 +33,7 @@
 // Describe says what it is.
 func (changeByFile) Describe() Description {
 	d := Description{Name: "change", About: "A change as it is made today, a file for each controller and a SIGHUP, real processes on one machine",
-		Size: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{targetControllers}, Transport: "loopback"}
+		SizeUnit: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{targetControllers}, Transport: "loopback"}
 	for _, rate := range changeRates() {
 		d.Metrics = append(d.Metrics,
 			results.Metric{Name: "half" + rate.suffix, Unit: "ms",
@@ -56,7 +56,7 @@
 // Needs are those of the controllers.
 func (changeByFile) Needs(size int, o Options) Needs {
 	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
-		Time: startTimeout + time.Duration(len(changeRates()))*(o.For+settleTimeout)}
+		Time: startTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
 }
 
 // Run makes changes at each pace, and notes when each controller acted by them.
@@ -221,7 +221,7 @@
 	p := &pacedChanges{fleet: f, latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)}
 	before := f.processor()
 	began := time.Now()
-	if err := p.make(ctx, rate, o.For); err != nil {
+	if err := p.make(ctx, rate, o.Duration); err != nil {
 		return err
 	}
 	processor := f.processor() - before
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -36,7 +36,7 @@
 
 // Describe tells what is measured.
 func (m decisions) Describe() Description {
-	d := Description{Name: "decisions-backends", Size: "backends", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
+	d := Description{Name: "decisions-backends", SizeUnit: "backends", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
 		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", defaultProxies),
 		Metrics: []results.Metric{
@@ -54,7 +54,7 @@
 		}}
 	if m.byProxies {
 		d.Name = "decisions-proxies"
-		d.Size = "proxies"
+		d.SizeUnit = "proxies"
 		d.Sizes = []int{100, 400, 1200, 2400}
 		d.Targets = []int{2400}
 		d.About = fmt.Sprintf("Processor time and heap of a controller's decisions by proxies, %d backends, without sockets", defaultBackends)
@@ -65,7 +65,7 @@
 // Needs tells what one size takes at most.
 func (m decisions) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Time: o.For + maxDecisionTime}
+	return Needs{Memory: bytes, Time: o.Duration + maxDecisionTime}
 }
 
 // Run plays the repeats, each with a controller of its own, and takes the median.
@@ -76,7 +76,7 @@
 		run.proxies = size
 	}
 	var runs []decisionCost
-	sample.Partial, err = repeats(ctx, o.For, func() error {
+	sample.Partial, err = repeats(ctx, o.Duration, func() error {
 		runs = append(runs, run.play())
 		return nil
 	})
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -14,7 +14,7 @@
 // playsTiny runs a measurement over sizes, keeps it, and reads it back as the report does.
 func playsTiny(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := Play(t.Context(), m, sizes, Options{For: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters})
+	r, err := MeasureSizes(t.Context(), m, sizes, Options{Duration: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -27,7 +27,7 @@
 
 // Describe says what it is.
 func (m distributionCost) Describe() Description {
-	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", Size: "subscribers",
+	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", SizeUnit: "subscribers",
 		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{targetControllers}, Transport: "memory"}
 	if m.whole {
 		d.Name = "distribution-whole"
@@ -84,7 +84,7 @@
 // Needs are those of all nodes in our process.
 func (m distributionCost) Needs(size int, o Options) Needs {
 	return Needs{Memory: m.plan(size).memory(o),
-		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.For+settleTimeout)}
+		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
 }
 
 // Run makes changes at each pace, and reads what each node passed on and when it acted.
@@ -126,7 +126,7 @@
 	recordBefore := t.recordBytes()
 	processorBefore := processorTime()
 	began := time.Now()
-	made, err := t.change(ctx, rate.perS, began.Add(t.options.For))
+	made, err := t.change(ctx, rate.perS, began.Add(t.options.Duration))
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	s.Set("most"+rate.suffix, t.propagation.seconds(t.propagation.each, 100))
 	s.Set("parents_lost"+rate.suffix, float64(t.parentsLost()-parentsLost))
 	if made == 0 {
-		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.For)
+		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.Duration)
 	}
 	passed := map[string]float64{}
 	for name := range after {
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -41,7 +41,7 @@
 // Describe says what it is.
 func (distributedFaults) Describe() Description {
 	d := Description{Name: "distribution-faults", About: "Distribution below the record under faults, 4.2 changes a second, hollow subscribers in one process",
-		Size: "subscribers", Sizes: []int{1100}, Transport: "memory"}
+		SizeUnit: "subscribers", Sizes: []int{1100}, Transport: "memory"}
 	for _, f := range treeFaults() {
 		d.Metrics = append(d.Metrics,
 			results.Metric{Name: f.name + "_half", Unit: "s", About: f.about + ": until in force, 50 in 100", Budget: maxPropagationSeconds},
@@ -60,7 +60,7 @@
 // Needs are those of all nodes in our process.
 func (distributedFaults) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(size).memory(o),
-		Time: startTimeout + readyTimeout + time.Duration(len(treeFaults()))*(o.For+recoveryTime+settleTimeout)}
+		Time: startTimeout + readyTimeout + time.Duration(len(treeFaults()))*(o.Duration+recoveryTime+settleTimeout)}
 }
 
 // Run plays one fault after the other.
@@ -85,7 +85,7 @@
 // under plays a fault beside changes, and notes what came of it.
 func (t *tree) under(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.propagation.reset()
-	span := max(t.options.For/time.Duration(f.part), downtime)
+	span := max(t.options.Duration/time.Duration(f.part), downtime)
 	starts := t.starts.Load()
 	needless := t.needlessSnapshots()
 	before := t.bytes()
@@ -94,7 +94,7 @@
 	var playing sync.WaitGroup
 	var failed error
 	playing.Go(func() { failed = f.play(ctx, t, span) })
-	_, err := t.change(ctx, changesPerSecond*changeRateFactor, began.Add(span+min(recoveryTime, t.options.For)))
+	_, err := t.change(ctx, changesPerSecond*changeRateFactor, began.Add(span+min(recoveryTime, t.options.Duration)))
 	playing.Wait()
 	if err == nil {
 		err = failed
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -19,7 +19,7 @@
 // Processor time is left aside where the race detector takes most of it.
 func plays(t *testing.T, m Measurement, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := Play(context.Background(), m, []int{hollowInCI}, Options{For: span, Seed: 1, Voters: defaultVoters})
+	r, err := MeasureSizes(context.Background(), m, []int{hollowInCI}, Options{Duration: span, Seed: 1, Voters: defaultVoters})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -25,7 +25,7 @@
 
 // Describe tells what is measured.
 func (lists) Describe() Description {
-	return Description{Name: "lists", Size: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
+	return Description{Name: "lists", SizeUnit: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
 		Targets: []int{99_000}, Transport: "loopback",
 		About: "What discovery's list costs one real controller without proxies: recovery of one, and each change",
 		Metrics: []results.Metric{
@@ -45,7 +45,7 @@
 // Needs tells what one size takes at most.
 func (lists) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Processes: 1, Time: o.For + listReadyTimeout}
+	return Needs{Memory: bytes, Processes: 1, Time: o.Duration + listReadyTimeout}
 }
 
 // listCost is what one run of a controller has shown.
@@ -70,7 +70,7 @@
 	}
 	defer discovery.Close()
 	var all []listCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.Duration, func() error {
 		cost, err := measureList(ctx, discovery, backends, folder, o)
 		all = append(all, cost)
 		return err
@@ -120,7 +120,7 @@
 	if cost.known, err = strconv.ParseFloat(c.known, 64); err != nil {
 		return cost, fmt.Errorf("backends of msg=ready: %w", err)
 	}
-	span := min(listIdle, o.For/4)
+	span := min(listIdle, o.Duration/4)
 	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, span) }); err != nil {
 		return cost, err
 	}
--- a/scale/record.go
+++ b/scale/record.go
@@ -39,7 +39,7 @@
 
 // Describe says what it is.
 func (recordReal) Describe() Description {
-	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 proxies in all", Size: "members",
+	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 proxies in all", SizeUnit: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			results.Metric{Name: "follower_processor", Unit: "% of a core",
@@ -51,12 +51,12 @@
 
 // Needs are those of the members and of the fakes in our process.
 func (recordReal) Needs(size int, o Options) Needs {
-	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.For}
+	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.Duration}
 	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
 		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
 			size, rehearse.MaxMessages, rehearse.MessageWindow)
-	} else if o.For < 2*costLogInterval {
-		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.For, costLogInterval, 2*costLogInterval)
+	} else if o.Duration < 2*costLogInterval {
+		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.Duration, costLogInterval, 2*costLogInterval)
 	}
 	return needs
 }
@@ -68,7 +68,7 @@
 		return results.Sample{}, err
 	}
 	spent := &spending{before: map[string]usage{}, after: map[string]usage{}}
-	play := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.For, FaultInterval: o.For, Controllers: size, Proxies: recordProxies,
+	play := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.Duration, FaultInterval: o.Duration, Controllers: size, Proxies: recordProxies,
 		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: spent.observe}
 	report, err := play.Run(ctx)
 	if err = errors.Join(err, spent.failed); err != nil {
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -21,14 +21,14 @@
 // Describe says what it is.
 func (r recordHollow) Describe() Description {
 	d := Description{Name: "record-hollow", About: "The record, all controllers being members, hollow ones without proxies in one process",
-		Size: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, targetControllers}, Transport: "loopback",
+		SizeUnit: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			results.Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Budget: maxProcessorPercent, Fit: true},
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Budget: maxMegabytes, Fit: true})}
 	if r.byLease {
 		d.Name = "record-lease"
 		d.About = "The record of the voters, hollow ones without proxies in one process, by their lease"
-		d.Size = "ms of lease"
+		d.SizeUnit = "ms of lease"
 		d.Sizes = []int{1500, 3000, 4500, 6000, 9000}
 		d.Targets = []int{int(voterLease.Milliseconds())}
 	}
@@ -46,7 +46,7 @@
 // Needs are those of our own process.
 func (r recordHollow) Needs(size int, o Options) Needs {
 	size, _ = r.members(size, o)
-	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory), Time: startTimeout + o.For}
+	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory), Time: startTimeout + o.Duration}
 }
 
 // Run has members renew their leases, and reads what passed over their connections.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return s, err
 	}
-	if err := pauseFor(ctx, o.For); err != nil {
+	if err := pauseFor(ctx, o.Duration); err != nil {
 		return s, err
 	}
 	after := recordCosts(members)
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -27,7 +27,7 @@
 
 // Describe tells what is measured.
 func (r recovery) Describe() Description {
-	d := Description{Name: "recovery", Size: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
+	d := Description{Name: "recovery", SizeUnit: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
 		Targets: []int{40, 220, targetControllers}, Transport: "loopback",
 		About: fmt.Sprintf("Real controllers that restart at once on one machine, and learn %d backends from discovery: those of %d services",
 			r.backends(), servicesPerGroup),
@@ -57,7 +57,7 @@
 // Needs tells what one size takes at most.
 func (r recovery) Needs(size int, o Options) Needs {
 	return Needs{Memory: fakesMemory + int64(size)*int64(controllerMemory+r.backends()*backendMemory), Processes: size,
-		Time: o.For + listReadyTimeout}
+		Time: o.Duration + listReadyTimeout}
 }
 
 // recoveryCost is what one restart of all has shown.
@@ -82,7 +82,7 @@
 		return s, err
 	}
 	var all []recoveryCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.Duration, func() error {
 		_, before := discovery.Sent()
 		cost, err := restartAll(ctx, controllers, folder)
 		_, after := discovery.Sent()
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -31,7 +31,7 @@
 
 // Describe says what it is.
 func (recoverySnapshot) Describe() Description {
-	return Description{Name: "recovery-snapshot", Size: "entries of its scope", Sizes: []int{77, 250, 800, 2500},
+	return Description{Name: "recovery-snapshot", SizeUnit: "entries of its scope", Sizes: []int{77, 250, 800, 2500},
 		Targets: []int{entriesServed, entriesOfAll}, Transport: "memory",
 		About: fmt.Sprintf("A subscriber that starts anew, until it has its scope from a voter; values of %d bytes, pace by default", valueBytes),
 		Metrics: []results.Metric{
@@ -45,7 +45,7 @@
 
 // Needs are those of both ends.
 func (recoverySnapshot) Needs(_ int, o Options) Needs {
-	return Needs{Memory: treeMemory, Time: o.For + snapshotTimeout}
+	return Needs{Memory: treeMemory, Time: o.Duration + snapshotTimeout}
 }
 
 // snapshotCost is what one start has shown.
@@ -74,7 +74,7 @@
 		return s, err
 	}
 	var all []snapshotCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.Duration, func() error {
 		cost, err := measureSnapshot(ctx, network, size)
 		all = append(all, cost)
 		return err
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -23,7 +23,7 @@
 
 // Describe says what it is.
 func (m recoveryTree) Describe() Description {
-	return Description{Name: "recovery-subscribers", Size: "subscribers that restart at once", Sizes: []int{1, 40, 220, m.subscribers},
+	return Description{Name: "recovery-subscribers", SizeUnit: "subscribers that restart at once", Sizes: []int{1, 40, 220, m.subscribers},
 		Targets: []int{40, 220, targetControllers}, Transport: "memory",
 		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", m.subscribers,
 			commonEntries+servicesPerGroup),
@@ -39,7 +39,7 @@
 // Needs are those of all nodes in our process.
 func (m recoveryTree) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(max(size, m.subscribers)).memory(o),
-		Time: o.For + startTimeout + 2*readyTimeout}
+		Time: o.Duration + startTimeout + 2*readyTimeout}
 }
 
 // restartCost is what one restart has shown.
@@ -57,7 +57,7 @@
 	defer t.close()
 	delays := watchDelays()
 	var all []restartCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = repeats(ctx, o.Duration, func() error {
 		cost, err := t.restartSome(ctx, size)
 		all = append(all, cost)
 		return err
@@ -112,7 +112,7 @@
 
 // Describe says what it is.
 func (m recoveryDelta) Describe() Description {
-	return Description{Name: "recovery-delta", Size: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
+	return Description{Name: "recovery-delta", SizeUnit: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
 		Transport: "memory",
 		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", m.subscribers/regions),
 		Metrics: []results.Metric{
--- a/scale/results/kept_test.go
+++ b/scale/results/kept_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Check(string(page), runs); err != nil {
+	if err := CheckPage(string(page), runs); err != nil {
 		t.Error(err)
 	}
 }
--- a/scale/results/markdown.go
+++ b/scale/results/markdown.go
@@ -57,7 +57,7 @@
 
 // writeSamples writes the samples, a row a metric.
 func (r *Run) writeSamples(b *strings.Builder) {
-	fmt.Fprintf(b, "| measured, by %s |", r.Size)
+	fmt.Fprintf(b, "| measured, by %s |", r.SizeUnit)
 	for _, s := range r.Samples {
 		fmt.Fprintf(b, " %s |", humanize.Comma(int64(s.Size)))
 	}
@@ -82,7 +82,7 @@
 
 // writeFits writes the fits, and what they give at the sizes to come.
 func (r *Run) writeFits(b *strings.Builder) {
-	fmt.Fprintf(b, "| fitted, n %s | form | exponent | residual |", r.Size)
+	fmt.Fprintf(b, "| fitted, n %s | form | exponent | residual |", r.SizeUnit)
 	for _, target := range r.Targets {
 		fmt.Fprintf(b, " at %s, fitted |", humanize.Comma(int64(target)))
 	}
--- a/scale/results/page.go
+++ b/scale/results/page.go
@@ -15,8 +15,8 @@
 	figure = regexp.MustCompile(`([0-9.,]+)<!-- scale (\S+) (\S+) (\d+) -->`)
 )
 
-// Fill gives a page with all blocks and figures made anew from runs. A name that no run has is an error.
-func Fill(page string, runs []*Run) (string, error) {
+// FillPage gives a page with all blocks and figures made anew from runs. A name that no run has is an error.
+func FillPage(page string, runs []*Run) (string, error) {
 	if strings.Count(page, "<!-- scale report ") != len(block.FindAllString(page, -1)) {
 		return "", errors.New("a block has no <!-- end -->")
 	}
@@ -72,9 +72,9 @@
 	return fmt.Sprintf("%s<!-- scale %s %s %d -->", value, name, metric, size)
 }
 
-// Check tells whether a page has just the tables and figures that runs give, and which line is the first that differs.
-func Check(page string, runs []*Run) error {
-	filled, err := Fill(page, runs)
+// CheckPage tells whether a page has just the tables and figures that runs give, and which line is the first that differs.
+func CheckPage(page string, runs []*Run) error {
+	filled, err := FillPage(page, runs)
 	if err != nil {
 		return err
 	}
--- a/scale/results/results_test.go
+++ b/scale/results/results_test.go
@@ -39,7 +39,7 @@
 
 // sample run of three sizes, over its budget at the last.
 func sampleRun() *Run {
-	r := &Run{Name: "sample", About: "A sample", Revision: "abc1234", Transport: "memory", Size: "members", Targets: []int{11_000},
+	r := &Run{Name: "sample", About: "A sample", Revision: "abc1234", Transport: "memory", SizeUnit: "members", Targets: []int{11_000},
 		Metrics: []Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes", Budget: 25_000, Fit: true}}}
 	for _, size := range []int{3, 5, 9} {
 		s := Sample{Size: size}
@@ -92,7 +92,7 @@
 func TestPageIsFilledAndChecked(t *testing.T) {
 	runs := []*Run{sampleRun()}
 	empty := "# Capacity\n\n<!-- scale report sample -->\n<!-- end -->\n\nA member: 0<!-- scale sample bytes 9 -->, at 11,000 0<!-- scale sample bytes 11000 -->.\n"
-	page, err := Fill(empty, runs)
+	page, err := FillPage(empty, runs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,19 +102,19 @@
 			t.Errorf("no %q in\n%s", part, page)
 		}
 	}
-	if err := Check(page, runs); err != nil {
+	if err := CheckPage(page, runs); err != nil {
 		t.Errorf("a page just made: %v", err)
 	}
-	if err := Check(strings.Replace(page, "| 15,000 |", "| 15,001 |", 1), runs); err == nil {
+	if err := CheckPage(strings.Replace(page, "| 15,000 |", "| 15,001 |", 1), runs); err == nil {
 		t.Error("a changed table passed")
 	}
-	if err := Check(strings.Replace(page, "member: 27,000<", "member: 26,000<", 1), runs); err == nil {
+	if err := CheckPage(strings.Replace(page, "member: 27,000<", "member: 26,000<", 1), runs); err == nil {
 		t.Error("a changed figure passed")
 	}
-	if err := Check(strings.Replace(page, "<!-- end -->", "", 1), runs); err == nil {
+	if err := CheckPage(strings.Replace(page, "<!-- end -->", "", 1), runs); err == nil {
 		t.Error("a block without an end passed")
 	}
-	if err := Check(page, nil); err == nil {
+	if err := CheckPage(page, nil); err == nil {
 		t.Error("a block of no run passed")
 	}
 }
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -25,7 +25,7 @@
 	Transport string           `json:"transport"`         // between controllers: loopback, memory or calls
 	Seed      uint64           `json:"seed"`              // of all that was drawn
 	Seconds   float64          `json:"seconds"`           // that each size was observed
-	Size      string           `json:"size"`              // what sizes count
+	SizeUnit  string           `json:"size"`              // what sizes count
 	Targets   []int            `json:"targets,omitempty"` // sizes that fits are read at
 	Metrics   []Metric         `json:"metrics"`           // in the order of the table
 	Samples   []Sample         `json:"samples"`           // by size
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -34,7 +34,7 @@
 
 // Describe says what it is.
 func (roles) Describe() Description {
-	d := Description{Name: "roles", Size: "entries in all", Sizes: []int{5700, 50_000, 150_000, entriesOfAll}, Transport: "loopback",
+	d := Description{Name: "roles", SizeUnit: "entries in all", Sizes: []int{5700, 50_000, 150_000, entriesOfAll}, Transport: "loopback",
 		Targets: []int{entriesOfAll},
 		About: fmt.Sprintf("A voter, a distributor with %d children and a controller with %d and %d backends, real processes, 4.2 changes a second",
 			maxFanOut, controllerChildren, backendsServed)}
@@ -59,9 +59,9 @@
 	held := int64(o.Voters*copiesAtVoter+2) * int64(size) * entryMemory * heapGrowth
 	children := int64(maxFanOut+controllerChildren) * (subscriberMemory + int64(size/targetGroups)*entryMemory*heapGrowth)
 	needs := Needs{Memory: treeMemory + 3*memberMemory + held + children, Processes: 3,
-		Time: startTimeout + 2*rolesReadyTimeout + o.For}
-	if o.For < 2*statsLogInterval {
-		needs.Refusal = fmt.Sprintf("--for %s; a controller logs its cost each %s, give %s or more", o.For, statsLogInterval, 2*statsLogInterval)
+		Time: startTimeout + 2*rolesReadyTimeout + o.Duration}
+	if o.Duration < 2*statsLogInterval {
+		needs.Refusal = fmt.Sprintf("--for %s; a controller logs its cost each %s, give %s or more", o.Duration, statsLogInterval, 2*statsLogInterval)
 	}
 	return needs
 }
@@ -103,7 +103,7 @@
 		}
 		before[role] = usage
 	}
-	for time.Since(began) < r.options.For {
+	for time.Since(began) < r.options.Duration {
 		if err := pauseFor(ctx, rate.pause(random)); err != nil {
 			return err
 		}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -13,7 +13,7 @@
 
 // Options are what a run may be asked for.
 type Options struct {
-	For      time.Duration     // how long each size is observed
+	Duration time.Duration     // how long each size is observed
 	Seed     uint64            // of all that is drawn
 	Voters   int               // raft voters, where the measurement has a number of its own
 	Program  string            // path of the executable that is run as a controller
@@ -32,7 +32,7 @@
 type Description struct {
 	Name      string           // of the measurement, also of the file of its runs
 	About     string           // what is measured, in a sentence
-	Size      string           // what a size counts
+	SizeUnit  string           // what a size counts
 	Sizes     []int            // default sizes
 	Targets   []int            // sizes that fits are read at, as the one in two years
 	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
@@ -92,9 +92,9 @@
 	return nil, fmt.Errorf("there is no measurement %q; there are %s", name, strings.Join(names, ", "))
 }
 
-// Play runs a measurement at each size, and fits what it saw. It refuses what the machine would not bear, with a
+// MeasureSizes runs a measurement at each size, and fits what it saw. It refuses what the machine would not bear, with a
 // *RefusedError, before anything starts.
-func Play(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
+func MeasureSizes(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
 	about := m.Describe()
 	if len(sizes) == 0 {
 		sizes = about.Sizes
@@ -116,19 +116,19 @@
 		Machine:   machine,
 		Transport: about.Transport,
 		Seed:      options.Seed,
-		Seconds:   options.For.Seconds(),
-		Size:      about.Size,
+		Seconds:   options.Duration.Seconds(),
+		SizeUnit:  about.SizeUnit,
 		Targets:   slices.Clone(about.Targets),
 		Metrics:   about.Metrics,
 	}
 	for _, size := range sizes {
-		options.progressf("%s: %d %s", about.Name, size, about.Size)
+		options.progressf("%s: %d %s", about.Name, size, about.SizeUnit)
 		limited, cancel := context.WithTimeout(ctx, 2*m.Needs(size, options).Time)
 		load := currentLoad()
 		sample, err := m.Run(limited, size, options)
 		cancel()
 		if err != nil {
-			return nil, fmt.Errorf("%s at %d %s: %w", about.Name, size, about.Size, err)
+			return nil, fmt.Errorf("%s at %d %s: %w", about.Name, size, about.SizeUnit, err)
 		}
 		sample.Size = size
 		sample.Load = load
