--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -53,16 +53,16 @@
 
 // pickTimes is what one repeat has shown, in nanoseconds.
 type pickTimes struct {
-	once             *hdrhistogram.Histogram // wall time of a pick
-	retried          *hdrhistogram.Histogram // and of that of a retry, together
-	onceProcessor    *hdrhistogram.Histogram // processor time of the thread, which a busy machine lengthens less
-	retriedProcessor *hdrhistogram.Histogram
-	requests         int
+	firstPick          *hdrhistogram.Histogram // wall time of a pick
+	bothPicks          *hdrhistogram.Histogram // and of that of a retry, together
+	firstPickProcessor *hdrhistogram.Histogram // processor time of the thread, which a busy machine lengthens less
+	bothPicksProcessor *hdrhistogram.Histogram
+	requests           int
 }
 
 func newPickTimes() pickTimes {
 	empty := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxPickTime), histogramDigits) }
-	return pickTimes{once: empty(), retried: empty(), onceProcessor: empty(), retriedProcessor: empty()}
+	return pickTimes{firstPick: empty(), bothPicks: empty(), firstPickProcessor: empty(), bothPicksProcessor: empty()}
 }
 
 // Run plays the repeats over one table, and takes the median of their percentiles.
@@ -79,38 +79,38 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		one, err := measurePicks(table, size, random, o.Duration/pickRepeats)
+		repeat, err := measurePicks(table, size, random, o.Duration/pickRepeats)
 		if err != nil {
 			return sample, err
 		}
-		all = append(all, one)
+		all = append(all, repeat)
 	}
 	figures := []struct {
-		metric   string
-		quantile float64
-		of       func(pickTimes) *hdrhistogram.Histogram
+		metric    string
+		quantile  float64
+		histogram func(pickTimes) *hdrhistogram.Histogram
 	}{
-		{"draw_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.once }},
-		{"draw_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.once }},
-		{"retried_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.retried }},
-		{"retried_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.retried }},
-		{"draw_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.onceProcessor }},
-		{"retried_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.retriedProcessor }},
+		{"draw_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.firstPick }},
+		{"draw_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.firstPick }},
+		{"retried_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.bothPicks }},
+		{"retried_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.bothPicks }},
+		{"draw_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.firstPickProcessor }},
+		{"retried_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.bothPicksProcessor }},
 	}
 	for _, f := range figures {
 		sample.Set(f.metric, medianOf(all, func(d pickTimes) float64 {
-			return float64(f.of(d).ValueAtQuantile(f.quantile)) / float64(time.Millisecond)
+			return float64(f.histogram(d).ValueAtQuantile(f.quantile)) / float64(time.Millisecond)
 		}))
 	}
 	sample.Set("requests", medianOf(all, func(d pickTimes) float64 { return float64(d.requests) }))
-	if least := slices.MinFunc(all, func(a, b pickTimes) int { return a.requests - b.requests }).requests; least < enoughPicks {
-		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", least)
+	if fewest := slices.MinFunc(all, func(a, b pickTimes) int { return a.requests - b.requests }).requests; fewest < picksForStableP99 {
+		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", fewest)
 	}
 	return sample, nil
 }
 
-// enoughPicks is enough for the slowest of a hundred to be many.
-const enoughPicks = 1000
+// picksForStableP99 is enough for the slowest of a hundred to be many.
+const picksForStableP99 = 1000
 
 // measurePicks picks a backend and another one for a while, and notes how long that took. It holds its thread, whose
 // processor time is read.
@@ -133,26 +133,26 @@
 	from := time.Now()
 	fromProcessor := threadTime()
 	first, found := table.Pick("", number)
-	once := time.Since(from)
-	onceProcessor := threadTime() - fromProcessor
+	firstPick := time.Since(from)
+	firstPickProcessor := threadTime() - fromProcessor
 	second, foundOther := table.Pick(first, fake.NextRandom(number))
-	retried := time.Since(from)
-	retriedProcessor := threadTime() - fromProcessor
+	bothPicks := time.Since(from)
+	bothPicksProcessor := threadTime() - fromProcessor
 	if !found || foundOther && second == first || !foundOther && entries > 1 {
 		return fmt.Errorf("drew %q, then %q of %d entries", first, second, entries)
 	}
 	return errors.Join(
-		t.once.RecordValue(once.Nanoseconds()),
-		t.retried.RecordValue(retried.Nanoseconds()),
-		t.onceProcessor.RecordValue(onceProcessor.Nanoseconds()),
-		t.retriedProcessor.RecordValue(retriedProcessor.Nanoseconds()))
+		t.firstPick.RecordValue(firstPick.Nanoseconds()),
+		t.bothPicks.RecordValue(bothPicks.Nanoseconds()),
+		t.firstPickProcessor.RecordValue(firstPickProcessor.Nanoseconds()),
+		t.bothPicksProcessor.RecordValue(bothPicksProcessor.Nanoseconds()))
 }
 
 // weightedTable makes a table of so many entries, with weights as rough as discovery's.
-func weightedTable(lines int, seed uint64) *fake.Table {
+func weightedTable(entries int, seed uint64) *fake.Table {
 	random := rand.New(rand.NewPCG(seed, seed))
 	table := fake.NewTable()
-	for i := range lines {
+	for i := range entries {
 		table.Set(fmt.Sprintf("s-%08x", i), 0.5+1.5*random.Float64())
 	}
 	return table
--- a/scale/change.go
+++ b/scale/change.go
@@ -23,11 +23,11 @@
 type changeByFile struct{}
 
 const (
-	discoverySlots = 4 // addresses that a controller is moved around between
-	settleTimeout  = 10 * time.Second
-	memberCores    = 1
-	memberSockets  = 256
-	memberLimitMB  = 192
+	discoveryAddressCount = 4 // addresses that a controller is moved around between
+	settleTimeout         = 10 * time.Second
+	memberCores           = 1
+	memberSockets         = 256
+	memberLimitMB         = 192
 )
 
 // Describe says what it is.
@@ -87,27 +87,27 @@
 		}
 		memory = max(memory, float64(usage.resident)/megabyte)
 	}
-	s.Set("bytes_per_change", float64(fleet.written))
+	s.Set("bytes_per_change", float64(fleet.lastChangeBytes))
 	s.Set("memory", memory)
 	return s, nil
 }
 
 // reloadedFleet is controllers that are told of changes by files and signals.
 type reloadedFleet struct {
-	discovery   *fake.Discovery
-	controllers []*reloadedController
-	folder      string
-	seed        uint64
-	settings    map[string]any
-	changed     int // changes so far
-	written     int // bytes of the last change's files
+	discovery       *fake.Discovery
+	controllers     []*reloadedController
+	folder          string
+	seed            uint64
+	settings        map[string]any
+	changesMade     int // changes so far
+	lastChangeBytes int // bytes of the last change's files
 }
 
 // reloadedController is one of them.
 type reloadedController struct {
-	process       *process.Controller
-	slots         []*watchedAddress // of discovery, which changes move it around between
-	appliedChange atomic.Int64      // the last change that it acted by
+	process            *process.Controller
+	discoveryAddresses []*watchedAddress // of discovery, which changes move it around between
+	appliedChange      atomic.Int64      // the last change that it acted by
 }
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
@@ -123,13 +123,13 @@
 	for i := range size {
 		c := &reloadedController{}
 		f.controllers = append(f.controllers, c)
-		for range discoverySlots {
+		for range discoveryAddressCount {
 			slot, err := watchAddress(f.discovery, func(change int64) { c.appliedChange.Store(max(c.appliedChange.Load(), change)) })
 			if err != nil {
 				f.close()
 				return nil, err
 			}
-			c.slots = append(c.slots, slot)
+			c.discoveryAddresses = append(c.discoveryAddresses, slot)
 		}
 		c.process = &process.Controller{Name: memberName(i), Program: o.Program, Listen: listen[i],
 			Env: []string{"LB_CONFIG=" + f.path(i)}}
@@ -151,7 +151,7 @@
 		if c.process != nil && c.process.Log != nil {
 			c.process.Log.Close()
 		}
-		for _, slot := range c.slots {
+		for _, slot := range c.discoveryAddresses {
 			slot.close()
 		}
 	}
@@ -161,7 +161,7 @@
 // write gives controller i its file for a change, in one step as an operator's tool would.
 func (f *reloadedFleet) write(i int, change int64) (int, error) {
 	c := f.controllers[i]
-	slot := c.slots[change%discoverySlots]
+	slot := c.discoveryAddresses[change%discoveryAddressCount]
 	slot.change.Store(change)
 	name := memberName(i)
 	draft, err := process.WriteConfig(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
@@ -171,16 +171,16 @@
 	if err != nil {
 		return 0, err
 	}
-	about, err := os.Stat(draft)
+	info, err := os.Stat(draft)
 	if err != nil {
 		return 0, err
 	}
-	return int(about.Size()), os.Rename(draft, f.path(i))
+	return int(info.Size()), os.Rename(draft, f.path(i))
 }
 
 // start starts all, and waits until each follows discovery.
 func (f *reloadedFleet) start(ctx context.Context) error {
-	f.changed = 1
+	f.changesMade = 1
 	for i, c := range f.controllers {
 		if _, err := f.write(i, 1); err != nil {
 			return err
@@ -221,7 +221,7 @@
 	p := &pacedChanges{fleet: f, latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)}
 	before := f.processor()
 	began := time.Now()
-	if err := p.make(ctx, rate, o.Duration); err != nil {
+	if err := p.run(ctx, rate, o.Duration); err != nil {
 		return err
 	}
 	processor := f.processor() - before
@@ -238,9 +238,9 @@
 	return nil
 }
 
-// make makes changes, and waits until all have been acted by or are late.
-func (p *pacedChanges) make(ctx context.Context, rate changeRate, span time.Duration) error {
-	random := rand.New(rand.NewPCG(p.fleet.seed, uint64(p.fleet.changed)))
+// run makes changes, and waits until all have been acted by or are late.
+func (p *pacedChanges) run(ctx context.Context, rate changeRate, span time.Duration) error {
+	random := rand.New(rand.NewPCG(p.fleet.seed, uint64(p.fleet.changesMade)))
 	var observing sync.WaitGroup
 	defer observing.Wait()
 	for began := time.Now(); time.Since(began) < span; {
@@ -262,30 +262,30 @@
 // observe notes when the last controller acts by a change.
 func (p *pacedChanges) observe(ctx context.Context, change int64, accepted time.Time) {
 	inTime := awaitClosely(ctx, settleTimeout, func() bool { return p.fleet.allApplied(change) })
-	took := time.Since(accepted)
+	elapsed := time.Since(accepted)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if !inTime {
 		p.late++
 	}
-	_ = p.latency.RecordValue(took.Microseconds()) // settleTimeout is within its range
+	_ = p.latency.RecordValue(elapsed.Microseconds()) // settleTimeout is within its range
 }
 
 // writeChange gives each controller its file of the next change, and a signal.
 func (f *reloadedFleet) writeChange() (change int64, err error) {
-	f.changed++
-	f.written = 0
+	f.changesMade++
+	f.lastChangeBytes = 0
 	for i, c := range f.controllers {
-		size, err := f.write(i, int64(f.changed))
+		size, err := f.write(i, int64(f.changesMade))
 		if err != nil {
 			return 0, err
 		}
-		f.written += size
+		f.lastChangeBytes += size
 		if err := c.process.Signal(syscall.SIGHUP); err != nil {
 			return 0, fmt.Errorf("%s: %w", c.process.Name, err)
 		}
 	}
-	return int64(f.changed), nil
+	return int64(f.changesMade), nil
 }
 
 // processor is the time that all controllers have taken.
--- a/scale/content.go
+++ b/scale/content.go
@@ -17,8 +17,8 @@
 	commonEntries       = 20
 	valueBytes          = 48
 	maxEntriesChanged   = 3  // entries that one change has at most
-	commonChanges       = 10 // one change in so many goes to all
-	drainChanges        = 5  // one in so many sets or ends a drain, which is an entry that comes and goes
+	commonChangeOneIn   = 10 // one change in so many goes to all
+	drainChangeOneIn    = 5  // one in so many sets or ends a drain, which is an entry that comes and goes
 )
 
 const commonScope = "common"
@@ -27,17 +27,19 @@
 
 // contentShape is how much is distributed.
 type contentShape struct {
-	groups int // of services
-	ofEach int // entries of each group
+	groups          int // of services
+	entriesPerGroup int // entries of each group
 }
 
 // scaledContent has as many groups as so many controllers serve, and of each service one entry.
 func scaledContent(controllers int) contentShape {
-	return contentShape{groups: max(1, (controllers+controllersPerGroup-1)/controllersPerGroup), ofEach: servicesPerGroup}
+	return contentShape{groups: max(1, (controllers+controllersPerGroup-1)/controllersPerGroup), entriesPerGroup: servicesPerGroup}
 }
 
 // fullContent is all that there will be, however many controllers there are.
-func fullContent() contentShape { return contentShape{groups: targetGroups, ofEach: entriesServed} }
+func fullContent() contentShape {
+	return contentShape{groups: targetGroups, entriesPerGroup: entriesServed}
+}
 
 // content is the configuration as it was proposed, change by change: what nodes are compared with.
 type content struct {
@@ -66,7 +68,7 @@
 	proposals = append(proposals, common)
 	for group := range c.shape.groups {
 		var entries []distribution.Entry
-		for i := range c.shape.ofEach {
+		for i := range c.shape.entriesPerGroup {
 			entries = append(entries, c.entry(groupScope(group), fmt.Sprintf("service/%d", i)))
 		}
 		proposals = append(proposals, entries)
@@ -82,25 +84,25 @@
 	return distribution.Entry{Scope: scope, Name: name, Value: value}
 }
 
-// draw gives the entries of the next change: some of one group, or some that go to all.
-func (c *content) draw() (entries []distribution.Entry) {
+// drawChange gives the entries of the next change: some of one group, or some that go to all.
+func (c *content) drawChange() (entries []distribution.Entry) {
 	scope := groupScope(c.random.IntN(c.shape.groups))
-	names := c.shape.ofEach
+	names := c.shape.entriesPerGroup
 	kind := "service"
-	if c.random.IntN(commonChanges) == 0 {
+	if c.random.IntN(commonChangeOneIn) == 0 {
 		scope = commonScope
 		names = commonEntries
 		kind = "tenant"
 	}
-	standing := c.stateAt(c.last(), distribution.SomeScopes(scope))
+	currentEntries := c.stateAt(c.lastRevision(), distribution.SomeScopes(scope))
 	for _, i := range c.random.Perm(names)[:1+c.random.IntN(maxEntriesChanged)] {
 		name := fmt.Sprintf("%s/%d", kind, i)
-		drain := c.random.IntN(drainChanges) == 0
+		drain := c.random.IntN(drainChangeOneIn) == 0
 		if drain {
 			name += "/drain"
 		}
 		e := c.entry(scope, name)
-		if _, live := standing[e.Key()]; drain && live {
+		if _, live := currentEntries[e.Key()]; drain && live {
 			e.Deleted = true
 			e.Value = nil
 		}
@@ -129,18 +131,18 @@
 
 // acceptedAt is when a revision was accepted: as its leader noted it, unless it came to stand only after its proposer had
 // been told that it did not, as where the majority was lost.
-func (c *content) acceptedAt(revision uint64, noted int64) time.Time {
+func (c *content) acceptedAt(revision uint64, leaderTime int64) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	at := time.UnixMicro(noted)
+	at := time.UnixMicro(leaderTime)
 	if recordedAt, ok := c.recordedAt[revision]; ok && recordedAt.Sub(at) > proposalTimeout {
 		return recordedAt
 	}
 	return at
 }
 
-// last is the newest revision.
-func (c *content) last() uint64 {
+// lastRevision is the newest revision.
+func (c *content) lastRevision() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.revision
@@ -150,16 +152,16 @@
 func (c *content) newestByScope(revision uint64) map[string]uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	of := map[string]uint64{}
+	newest := map[string]uint64{}
 	for scope, entries := range c.byScope {
 		for _, e := range slices.Backward(entries) {
 			if e.Revision <= revision {
-				of[scope] = e.Revision
+				newest[scope] = e.Revision
 				break
 			}
 		}
 	}
-	return of
+	return newest
 }
 
 // stateAt is what some scopes hold at a revision.
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -17,7 +17,7 @@
 	tables       [][]int // tables that a proxy is bound to
 	pendingAck   int     // the number of the ack that is requested
 	ackRequested bool
-	toEach       bool         // the request for an ack reaches every connected proxy
+	toAllProxies bool         // the request for an ack reaches every connected proxy
 	changed      map[int]bool // tables that were changed at this clock time
 	reached      map[int]bool // proxies that were told something beside their tables
 }
@@ -86,7 +86,7 @@
 func (h *countingHost) SetAdmissionLimit(table int, _ uint16, _ float64, _ balancer.RetryPolicy) {
 	h.orders.limits++
 	h.changed[table] = true
-	h.toEach = h.toEach || table == balancer.AllTables
+	h.toAllProxies = h.toAllProxies || table == balancer.AllTables
 }
 
 // RequestAck notes that the proxies reached at this clock time are to answer.
@@ -94,23 +94,23 @@
 	h.orders.acks++
 	h.pendingAck = number
 	h.ackRequested = true
-	h.toEach = h.toEach || everyone
+	h.toAllProxies = h.toAllProxies || everyone
 }
 
 // acknowledge has each proxy that was reached answer the request for an ack, until there is no further one.
 func (h *countingHost) acknowledge() {
 	for h.ackRequested {
 		ack := h.pendingAck
-		toEach := h.toEach
+		toAllProxies := h.toAllProxies
 		changed := h.changed
 		reached := h.reached
 		h.ackRequested = false
-		h.toEach = false
+		h.toAllProxies = false
 		h.changed = map[int]bool{}
 		h.reached = map[int]bool{}
-		concerned := func(table int) bool { return changed[table] }
+		tableChanged := func(table int) bool { return changed[table] }
 		for proxy, tables := range h.tables {
-			if toEach || reached[proxy] || slices.ContainsFunc(tables, concerned) {
+			if toAllProxies || reached[proxy] || slices.ContainsFunc(tables, tableChanged) {
 				h.control.Acknowledged(proxy, ack)
 			}
 		}
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -76,8 +76,8 @@
 		run.proxies = size
 	}
 	var runs []decisionCost
-	sample.Partial, err = repeats(ctx, o.Duration, func() error {
-		runs = append(runs, run.play())
+	sample.Partial, err = runRepeats(ctx, o.Duration, func() error {
+		runs = append(runs, run.execute())
 		return nil
 	})
 	if err != nil {
@@ -94,17 +94,17 @@
 
 // decisionValues are the medians of several runs.
 func decisionValues(runs []decisionCost) (s results.Sample) {
-	middle := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
+	medianFigure := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
 		return medianOf(runs, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
 	}
-	line := middle(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
-	quiet := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
-	evaluation := middle(time.Millisecond, func(c decisionCost) time.Duration { return c.reportsTick })
+	line := medianFigure(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
+	quiet := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
+	evaluation := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.reportsTick })
 	perSecond := (ticksPerSecond-evaluationsPerSecond)*quiet*1000 + evaluationsPerSecond*evaluation*1000 + reportLines*line // µs
-	s.Set("start", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
-	s.Set("again", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.again }))
-	s.Set("join", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.join }))
-	s.Set("change", middle(time.Millisecond, func(c decisionCost) time.Duration { return c.change }))
+	s.Set("start", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
+	s.Set("again", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.repeatedList }))
+	s.Set("join", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.join }))
+	s.Set("change", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.change }))
 	s.Set("report_line", line)
 	s.Set("beat", quiet)
 	s.Set("look", evaluation)
@@ -131,19 +131,19 @@
 
 // decisionCost is the processor time that each step of a run took.
 type decisionCost struct {
-	start       time.Duration // the full list, to a controller that knows nothing
-	again       time.Duration // the same list once more
-	join        time.Duration // all proxies connect
-	change      time.Duration // one entry of the list
-	reportLine  time.Duration // one line of a report
-	quietTick   time.Duration // without reports
-	reportsTick time.Duration // that evaluates reports
-	heap        int64         // bytes in use at the end
-	orders      orderCounts
+	start        time.Duration // the full list, to a controller that knows nothing
+	repeatedList time.Duration // the same list once more
+	join         time.Duration // all proxies connect
+	change       time.Duration // one entry of the list
+	reportLine   time.Duration // one line of a report
+	quietTick    time.Duration // without reports
+	reportsTick  time.Duration // that evaluates reports
+	heap         int64         // bytes in use at the end
+	orders       orderCounts
 }
 
-// play has a controller live from its first list on.
-func (l decisionRun) play() (cost decisionCost) {
+// execute has a controller live from its first list on.
+func (l decisionRun) execute() (cost decisionCost) {
 	entries := l.entries()
 	before := heapInUse()
 	host := newCountingHost(l.proxies)
@@ -151,7 +151,7 @@
 		control, err := balancer.New(host, balancer.Config{
 			Seed:      1,
 			Classes:   measuredClasses(),
-			Channel:   openChannel(l.proxies),
+			Channel:   unlimitedChannel(l.proxies),
 			Rules:     measuredLimits(),
 			Telemetry: balancer.Telemetry{ReportInterval: reportInterval},
 			Admission: balancer.AdmissionByRate,
@@ -170,9 +170,9 @@
 		host.acknowledge()
 	})
 	host.advance(settlingTicks)
-	l.playTicks(host, &cost)
-	cost.change = l.changing(host)
-	cost.again = processorTimeOf(func() {
+	l.runTicks(host, &cost)
+	cost.change = l.measureDrains(host)
+	cost.repeatedList = processorTimeOf(func() {
 		host.control.EndpointsUpdated(true, entries)
 		host.acknowledge()
 	})
@@ -183,14 +183,14 @@
 	return cost
 }
 
-// playTicks plays quiet ticks, and then ticks that evaluate reports about every backend and proxy.
-func (l decisionRun) playTicks(host *countingHost, cost *decisionCost) {
+// runTicks plays quiet ticks, and then ticks that evaluate reports about every backend and proxy.
+func (l decisionRun) runTicks(host *countingHost, cost *decisionCost) {
 	cost.quietTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
 	var reports, evaluations time.Duration
 	lines := 0
 	for range l.ticks {
 		host.now += reportInterval - workTick
-		reports += processorTimeOf(func() { lines += l.reports(host) })
+		reports += processorTimeOf(func() { lines += l.sendReports(host) })
 		evaluations += processorTimeOf(func() { host.advance(1) })
 	}
 	cost.reportLine = reports / time.Duration(lines)
@@ -198,12 +198,12 @@
 }
 
 // reports tells of good answers of all backends, and of the usual demand at all proxies.
-func (l decisionRun) reports(host *countingHost) (lines int) {
-	const tries, mean, requests = 10, 200_000, 2
+func (l decisionRun) sendReports(host *countingHost) (lines int) {
+	const attempts, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
 		host.control.OutcomesReported(balancer.OutcomeReport{
 			Backend:        backend,
-			Attempts:       tries,
+			Attempts:       attempts,
 			MeanAnswerTime: mean,
 			Span:           reportInterval,
 			Load:           balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1},
@@ -218,9 +218,9 @@
 	return l.backends + l.proxies*classes
 }
 
-// changing has one backend after the other drain, as the list says, and come back. It gives what a drain takes until
+// measureDrains has one backend after the other drain, as the list says, and come back. It gives what a drain takes until
 // all proxies have answered.
-func (l decisionRun) changing(host *countingHost) time.Duration {
+func (l decisionRun) measureDrains(host *countingHost) time.Duration {
 	sum := time.Duration(0)
 	for i := range l.changes {
 		entry := l.entry(i * l.backends / l.changes)
@@ -266,8 +266,8 @@
 	return balancer.RuleLimits{DrainGrace: 3 * second, ColdStartShare: 0.16, WarmupTime: 17 * second}
 }
 
-// openChannel bears whatever is sent.
-func openChannel(proxies int) balancer.PushChannel {
+// unlimitedChannel bears whatever is sent.
+func unlimitedChannel(proxies int) balancer.PushChannel {
 	const linesPerS, backlogS = 9e9, 50
 	return balancer.PushChannel{LinesPerSecond: linesPerS, MessageOverhead: 4, Backlog: backlogS * linesPerS, MaxLatency: 660_000, Proxies: proxies}
 }
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -8,11 +8,11 @@
 	"wheelrill/scale/results"
 )
 
-// tiny are sizes that a test bears.
-var tiny = []int{10, 20, 40, 80}
+// smallSizes are sizes that a test bears.
+var smallSizes = []int{10, 20, 40, 80}
 
-// playsTiny runs a measurement over sizes, keeps it, and reads it back as the report does.
-func playsTiny(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
+// measureSmall runs a measurement over sizes, keeps it, and reads it back as the report does.
+func measureSmall(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
 	t.Helper()
 	r, err := MeasureSizes(t.Context(), m, sizes, Options{Duration: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters})
 	if err != nil {
@@ -40,8 +40,8 @@
 	return kept[0]
 }
 
-// grows fails unless a metric's fit is a line, or a power of one.
-func grows(t *testing.T, r *results.Run, metric string) {
+// checkGrowsLinearly fails unless a metric's fit is a line, or a power of one.
+func checkGrowsLinearly(t *testing.T, r *results.Run, metric string) {
 	t.Helper()
 	fit, ok := results.FitOver(r.Samples, metric, nil)
 	if !ok || fit.Form == results.FormPower && (fit.Exponent < 0.95 || fit.Exponent > 1.05) || fit.Residual > 0.05 {
@@ -52,8 +52,8 @@
 // TestDecisionsAreMeasuredAtEachSize has what orders cost grow no faster than backends and proxies do.
 func TestDecisionsAreMeasuredAtEachSize(t *testing.T) {
 	t.Parallel()
-	grows(t, playsTiny(t, decisions{}, tiny, time.Second), "orders")
-	r := playsTiny(t, decisions{byProxies: true}, tiny[1:], time.Millisecond)
+	checkGrowsLinearly(t, measureSmall(t, decisions{}, smallSizes, time.Second), "orders")
+	r := measureSmall(t, decisions{byProxies: true}, smallSizes[1:], time.Millisecond)
 	for i, s := range r.Samples[1:] {
 		before, _ := r.Samples[i].Get("orders")
 		if orders, _ := s.Get("orders"); orders != before+float64(s.Size-r.Samples[i].Size) || s.Partial == "" {
@@ -68,7 +68,7 @@
 	const lineChanges, withdrawals = 3, 2 // of a drain and a return: out, back with a part of its weight, then all of it
 	for _, size := range []int{20, 200} {
 		l := decisionRun{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
-		orders := l.play().orders
+		orders := l.execute().orders
 		if orders.entries < size || orders.entries > size+l.changes*lineChanges {
 			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.entries)
 		}
@@ -83,7 +83,7 @@
 
 // TestAddedTimeCountsEachRequestInAllFourWays has each request of a repeat be counted in all four ways.
 func TestAddedTimeCountsEachRequestInAllFourWays(t *testing.T) {
-	r := playsTiny(t, addedTime{}, tiny, 50*time.Millisecond)
+	r := measureSmall(t, addedTime{}, smallSizes, 50*time.Millisecond)
 	for _, s := range r.Samples {
 		half, _ := s.Get("retried_half")
 		most, _ := s.Get("retried_p99")
@@ -98,14 +98,14 @@
 func TestRepeatsEndWithTheSpanAndSayHowMany(t *testing.T) {
 	done := 0
 	do := func() error { done++; return nil }
-	if partial, err := repeats(t.Context(), time.Hour, do); partial != "" || err != nil || done != 3 {
+	if partial, err := runRepeats(t.Context(), time.Hour, do); partial != "" || err != nil || done != 3 {
 		t.Errorf("%d of 3: %q, %v", done, partial, err)
 	}
 	done = 0
-	if partial, err := repeats(t.Context(), 0, do); partial == "" || err != nil || done != 1 {
+	if partial, err := runRepeats(t.Context(), 0, do); partial == "" || err != nil || done != 1 {
 		t.Errorf("%d within no time: %q, %v", done, partial, err)
 	}
-	if middle := median([]float64{9, 1, 2, 4}); middle != 3 {
-		t.Errorf("the median of four is %v", middle)
+	if medianFigure := median([]float64{9, 1, 2, 4}); medianFigure != 3 {
+		t.Errorf("the median of four is %v", medianFigure)
 	}
 }
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -11,7 +11,7 @@
 
 // distributionCost is what distribution below the record costs and how fast it is: voters, distributors and subscribers.
 type distributionCost struct {
-	whole bool // all entries that there will be are distributed, and not one for each service
+	allEntries bool // all entries that there will be are distributed, and not one for each service
 }
 
 // treeRole is a role as figures are given of it.
@@ -29,7 +29,7 @@
 func (m distributionCost) Describe() Description {
 	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", SizeUnit: "subscribers",
 		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{targetControllers}, Transport: "memory"}
-	if m.whole {
+	if m.allEntries {
 		d.Name = "distribution-whole"
 		d.Sizes = []int{1100}
 		d.Targets = nil
@@ -45,16 +45,16 @@
 			results.Metric{Name: "most" + rate.suffix, Unit: "s",
 				About: "until in force, 100 in 100, " + rate.about, Budget: maxPropagationSeconds, Fit: true},
 			results.Metric{Name: "parents_lost" + rate.suffix, Unit: "times", About: "nodes that lost or left their parent, " + rate.about})
-		for _, of := range treeRoles() {
+		for _, role := range treeRoles() {
 			d.Metrics = append(d.Metrics,
-				results.Metric{Name: of.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s",
-					About: "in and out at " + of.about + ", mean, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
-				results.Metric{Name: of.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s",
-					About: "in and out at " + of.about + ", worst, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
-				results.Metric{Name: of.name + "_processor" + rate.suffix, Unit: "% of a core",
-					About: "processor time of " + of.about + " by its share of bytes, mean, " + rate.about, Budget: maxProcessorPercent},
-				results.Metric{Name: of.name + "_processor_worst" + rate.suffix, Unit: "% of a core",
-					About: "processor time of " + of.about + " by its share of bytes, worst, " + rate.about, Budget: maxProcessorPercent})
+				results.Metric{Name: role.name + "_bytes_per_s" + rate.suffix, Unit: "bytes/s",
+					About: "in and out at " + role.about + ", mean, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
+				results.Metric{Name: role.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s",
+					About: "in and out at " + role.about + ", worst, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
+				results.Metric{Name: role.name + "_processor" + rate.suffix, Unit: "% of a core",
+					About: "processor time of " + role.about + " by its share of bytes, mean, " + rate.about, Budget: maxProcessorPercent},
+				results.Metric{Name: role.name + "_processor_worst" + rate.suffix, Unit: "% of a core",
+					About: "processor time of " + role.about + " by its share of bytes, worst, " + rate.about, Budget: maxProcessorPercent})
 		}
 	}
 	for _, rate := range changeRates() {
@@ -75,7 +75,7 @@
 
 // plan is the deployment at a size.
 func (m distributionCost) plan(size int) treePlan {
-	if m.whole {
+	if m.allEntries {
 		return fullTree(size)
 	}
 	return scaledTree(size)
@@ -111,10 +111,10 @@
 	s.Set("distributors_ready", t.distributorsReady.Seconds())
 	s.Set("ready", t.ready.Seconds())
 	if needlessSnapshots := t.needlessSnapshots(); needlessSnapshots > 0 {
-		t.propagation.violate("%d snapshots were taken where deltas would have done", needlessSnapshots)
+		t.propagation.addViolation("%d snapshots were taken where deltas would have done", needlessSnapshots)
 	}
 	s.Violations = t.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
@@ -126,20 +126,20 @@
 	recordBefore := t.recordBytes()
 	processorBefore := processorTime()
 	began := time.Now()
-	made, err := t.change(ctx, rate.perS, began.Add(t.options.Duration))
+	made, err := t.makeChanges(ctx, rate.perS, began.Add(t.options.Duration))
 	if err != nil {
 		return err
 	}
 	after := t.bytes()
 	processor := processorTime() - processorBefore
 	seconds := time.Since(began).Seconds()
-	t.setRecord(recordBefore, t.recordBytes(), rate, seconds, s)
+	t.setRecordBytes(recordBefore, t.recordBytes(), rate, seconds, s)
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
-	s.Set("half"+rate.suffix, t.propagation.seconds(t.propagation.each, 50))
-	s.Set("p99"+rate.suffix, t.propagation.seconds(t.propagation.each, 99))
-	s.Set("most"+rate.suffix, t.propagation.seconds(t.propagation.each, 100))
+	s.Set("half"+rate.suffix, t.propagation.seconds(t.propagation.latency, 50))
+	s.Set("p99"+rate.suffix, t.propagation.seconds(t.propagation.latency, 99))
+	s.Set("most"+rate.suffix, t.propagation.seconds(t.propagation.latency, 100))
 	s.Set("parents_lost"+rate.suffix, float64(t.parentsLost()-parentsLost))
 	if made == 0 {
 		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.Duration)
@@ -158,7 +158,7 @@
 	for _, bytes := range passed {
 		all += bytes
 	}
-	nodes := t.byRole()
+	nodes := t.nodesByRole()
 	for _, role := range treeRoles() {
 		names := nodes[role.name]
 		if len(names) == 0 {
@@ -180,27 +180,27 @@
 
 // bytes is what each node has passed over its links so far, without what the voters have passed for the record.
 func (t *tree) bytes() map[string]int64 {
-	of := map[string]int64{}
+	result := map[string]int64{}
 	for _, s := range t.nodes() {
-		of[s.name] = s.bytes()
+		result[s.name] = s.bytes()
 	}
 	for _, v := range t.voters.voters {
-		of[v.name] = v.bytes()
+		result[v.name] = v.bytes()
 	}
-	return of
+	return result
 }
 
 // recordBytes is what each voter has passed for the record so far.
 func (t *tree) recordBytes() map[string]int64 {
-	of := map[string]int64{}
+	result := map[string]int64{}
 	for _, v := range t.voters.voters {
-		of[v.name] = v.recordBytes()
+		result[v.name] = v.recordBytes()
 	}
-	return of
+	return result
 }
 
-// setRecord notes what the record has cost, the leader apart: who passed the most.
-func (t *tree) setRecord(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
+// setRecordBytes notes what the record has cost, the leader apart: who passed the most.
+func (t *tree) setRecordBytes(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
 	sum := 0.
 	leader := 0.
 	for name := range after {
@@ -212,9 +212,9 @@
 	s.Set(recordBytes+"_leader"+rate.suffix, leader)
 }
 
-// byRole gives the names of the nodes by the roles that figures are given of.
-func (t *tree) byRole() map[string][]string {
-	of := map[string][]string{}
+// nodesByRole gives the names of the nodes by the roles that figures are given of.
+func (t *tree) nodesByRole() map[string][]string {
+	result := map[string][]string{}
 	for _, s := range t.nodes() {
 		role := "subscriber"
 		if status, ok := s.status(); s.role == roleDistributor {
@@ -222,20 +222,20 @@
 		} else if ok && len(status.Children) > 0 {
 			role = "parent"
 		}
-		of[role] = append(of[role], s.name)
+		result[role] = append(result[role], s.name)
 	}
 	for _, v := range t.voters.voters {
-		of["voter"] = append(of["voter"], v.name)
+		result["voter"] = append(result["voter"], v.name)
 	}
-	return of
+	return result
 }
 
 // depth is the number of nodes from a voter to the deepest subscriber.
-func (t *tree) depth() (most int) {
+func (t *tree) depth() (deepest int) {
 	for _, s := range t.nodes() {
 		if status, ok := s.status(); ok {
-			most = max(most, len(status.Path)+1)
+			deepest = max(deepest, len(status.Path)+1)
 		}
 	}
-	return most
+	return deepest
 }
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -15,8 +15,8 @@
 // treeFault is one kind of trouble: it plays until its time is over, beside changes at ten times the mean.
 type treeFault struct {
 	name, about string
-	part        int // of the time a size is observed, the fault takes one in so many
-	play        func(ctx context.Context, t *tree, span time.Duration) error
+	spanDivisor int // of the time a size is observed, the fault takes one in so many
+	inject      func(ctx context.Context, t *tree, span time.Duration) error
 }
 
 // Figures of the faults.
@@ -73,31 +73,31 @@
 	delays := watchDelays()
 	for _, f := range treeFaults() {
 		o.progressf("%d subscribers: %s", size, f.about)
-		if err := t.under(ctx, f, &s); err != nil {
+		if err := t.measureFault(ctx, f, &s); err != nil {
 			return s, err
 		}
 	}
 	s.Violations = t.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
-// under plays a fault beside changes, and notes what came of it.
-func (t *tree) under(ctx context.Context, f treeFault, s *results.Sample) error {
+// measureFault plays a fault beside changes, and notes what came of it.
+func (t *tree) measureFault(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.propagation.reset()
-	span := max(t.options.Duration/time.Duration(f.part), downtime)
+	span := max(t.options.Duration/time.Duration(f.spanDivisor), downtime)
 	starts := t.starts.Load()
 	needless := t.needlessSnapshots()
 	before := t.bytes()
 	began := time.Now()
 	t.faultHits.Store(0)
 	var playing sync.WaitGroup
-	var failed error
-	playing.Go(func() { failed = f.play(ctx, t, span) })
-	_, err := t.change(ctx, changesPerSecond*changeRateFactor, began.Add(span+min(recoveryTime, t.options.Duration)))
+	var faultErr error
+	playing.Go(func() { faultErr = f.inject(ctx, t, span) })
+	_, err := t.makeChanges(ctx, changesPerSecond*changeRateFactor, began.Add(span+min(recoveryTime, t.options.Duration)))
 	playing.Wait()
 	if err == nil {
-		err = failed
+		err = faultErr
 	}
 	if err != nil {
 		return err
@@ -111,15 +111,15 @@
 	for name := range after {
 		worst = max(worst, float64(after[name]-before[name])/seconds)
 	}
-	s.Set(f.name+"_half", t.propagation.seconds(t.propagation.each, 50))
-	s.Set(f.name+"_p99", t.propagation.seconds(t.propagation.each, 99))
-	s.Set(f.name+"_most", t.propagation.seconds(t.propagation.each, 100))
-	s.Set(f.name+"_back", t.propagation.seconds(t.propagation.catchUp, 100))
+	s.Set(f.name+"_half", t.propagation.seconds(t.propagation.latency, 50))
+	s.Set(f.name+"_p99", t.propagation.seconds(t.propagation.latency, 99))
+	s.Set(f.name+"_most", t.propagation.seconds(t.propagation.latency, 100))
+	s.Set(f.name+"_back", t.propagation.seconds(t.propagation.catchUpLatency, 100))
 	s.Set(f.name+"_faults", float64(t.faultHits.Load()))
 	s.Set(f.name+"_snapshots", float64(t.starts.Load()-starts))
 	s.Set(f.name+"_bytes_per_s_worst", worst)
 	if more := t.needlessSnapshots() - needless; more > 0 {
-		t.propagation.violate("%s: %d snapshots were taken where deltas would have done", f.about, more)
+		t.propagation.addViolation("%s: %d snapshots were taken where deltas would have done", f.about, more)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 // drawParent draws a node that does not vote and has children; nil if there is none.
 func (t *tree) drawParent() *hollowSubscriber {
 	nodes := t.nodes()
-	for _, i := range t.faultDraws.Perm(len(nodes)) {
+	for _, i := range t.faultRandom.Perm(len(nodes)) {
 		if status, ok := nodes[i].status(); ok && len(status.Children) > 0 {
 			return nodes[i]
 		}
@@ -162,7 +162,7 @@
 // restartMany kills one subscriber in fifty at once, and starts them again.
 func restartMany(ctx context.Context, t *tree, _ time.Duration) error {
 	var restarting sync.WaitGroup
-	for _, i := range t.faultDraws.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOneIn-1)/restartedOneIn] {
+	for _, i := range t.faultRandom.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOneIn-1)/restartedOneIn] {
 		restarting.Go(func() { t.restart(ctx, t.subscribers[i]) })
 	}
 	restarting.Wait()
@@ -172,13 +172,13 @@
 // partitionRegion cuts a region without voters off for as long as the fault lasts.
 func partitionRegion(ctx context.Context, t *tree, span time.Duration) error {
 	voters := len(t.voters.voters)
-	region := voters + t.faultDraws.IntN(regions-voters)
+	region := voters + t.faultRandom.IntN(regions-voters)
 	t.network.cutOff(region)
 	err := pauseFor(ctx, span)
 	for _, s := range t.nodes() {
 		if s.region == region {
 			t.faultHits.Add(1)
-			s.reachableNow()
+			s.markReachable()
 		}
 	}
 	t.network.heal()
@@ -207,8 +207,8 @@
 
 // loseMajority kills most voters, the leader among them, and starts them again after half of the time.
 func loseMajority(ctx context.Context, t *tree, span time.Duration) error {
-	most := slices.Clone(t.voters.voters)
-	slices.SortStableFunc(most, func(a, b *voter) int {
+	majority := slices.Clone(t.voters.voters)
+	slices.SortStableFunc(majority, func(a, b *voter) int {
 		switch leader := t.voters.leader(); {
 		case a == leader:
 			return -1
@@ -217,15 +217,15 @@
 		}
 		return 0
 	})
-	most = most[:len(most)/2+1]
-	for _, v := range most {
+	majority = majority[:len(majority)/2+1]
+	for _, v := range majority {
 		t.faultHits.Add(1)
 		v.kill()
 	}
 	if err := pauseFor(ctx, span/2); err != nil {
 		return err
 	}
-	for _, v := range most {
+	for _, v := range majority {
 		if err := v.start(); err != nil {
 			return err
 		}
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -12,14 +12,14 @@
 	"wheelrill/scale/results"
 )
 
-// hollowInCI is how many hollow subscribers CI plays; distributors and voters come beside them.
-const hollowInCI = 110
+// subscribersInCI is how many hollow subscribers CI plays; distributors and voters come beside them.
+const subscribersInCI = 110
 
-// plays runs a measurement at a size and for a time at which CI bears it, and fails when a budget or a digest does.
+// measureInCI runs a measurement at a size and for a time at which CI bears it, and fails when a budget or a digest does.
 // Processor time is left aside where the race detector takes most of it.
-func plays(t *testing.T, m Measurement, span time.Duration) *results.Run {
+func measureInCI(t *testing.T, m Measurement, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := MeasureSizes(context.Background(), m, []int{hollowInCI}, Options{Duration: span, Seed: 1, Voters: defaultVoters})
+	r, err := MeasureSizes(context.Background(), m, []int{subscribersInCI}, Options{Duration: span, Seed: 1, Voters: defaultVoters})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 // TestDistributionKeepsUpWithChanges has changes be in force everywhere within the budgets.
 func TestDistributionKeepsUpWithChanges(t *testing.T) {
 	t.Parallel()
-	r := plays(t, distributionCost{}, 3*time.Second)
+	r := measureInCI(t, distributionCost{}, 3*time.Second)
 	for _, metric := range []string{"half", "most_x10", "subscriber_bytes_per_s", "parent_bytes_per_s_worst", "voter_bytes_per_s_x10"} {
 		if value, ok := r.Samples[0].Get(metric); !ok || value <= 0 {
 			t.Errorf("%s: %v", metric, value)
@@ -51,7 +51,7 @@
 // TestDistributionRecoversFromEachFault has nobody be at a wrong revision, or behind for long, while things fail.
 func TestDistributionRecoversFromEachFault(t *testing.T) {
 	t.Parallel()
-	r := plays(t, distributedFaults{}, 1500*time.Millisecond)
+	r := measureInCI(t, distributedFaults{}, 1500*time.Millisecond)
 	for _, f := range treeFaults() {
 		if hits, _ := r.Samples[0].Get(f.name + "_faults"); hits == 0 {
 			t.Errorf("%s hit nobody", f.about)
@@ -62,7 +62,7 @@
 // TestContentFindsEachDifference has each way in which a node can be at a wrong or a mixed revision be seen.
 func TestContentFindsEachDifference(t *testing.T) {
 	scopes := distribution.SomeScopes("a", "b")
-	c := newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1)
+	c := newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1)
 	set := func(revision uint64, entries ...distribution.Entry) {
 		c.noteAccepted(distribution.Change{Revision: revision, Entries: entries})
 	}
@@ -91,21 +91,21 @@
 
 // TestPropagationSeesAnOlderChange has a subscriber that goes back to an older revision be seen, and late changes be counted as late.
 func TestPropagationSeesAnOlderChange(t *testing.T) {
-	f := newPropagation(newContent(contentShape{groups: 1, ofEach: servicesPerGroup}, 1))
-	s := &hollowSubscriber{name: "s", propagation: f, reachable: time.Now().Add(-time.Hour)}
+	f := newPropagation(newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1))
+	s := &hollowSubscriber{name: "s", propagation: f, reachableSince: time.Now().Add(-time.Hour)}
 	late := time.Now().Add(-4 * time.Second).UnixMicro()
 	s.apply(distribution.Change{Revision: 5, Entries: []distribution.Entry{{Scope: "a", Name: "x", Revision: 5, AcceptedAt: late}}}, false)
-	if len(f.violations) != 0 || f.seconds(f.each, 100) < maxPropagationSeconds {
-		t.Errorf("late: %v, %v s", f.violations, f.seconds(f.each, 100))
+	if len(f.violations) != 0 || f.seconds(f.latency, 100) < maxPropagationSeconds {
+		t.Errorf("late: %v, %v s", f.violations, f.seconds(f.latency, 100))
 	}
 	s.apply(distribution.Change{Revision: 4}, true)
 	s.apply(distribution.Change{Revision: 5}, false)
 	if len(f.violations) != 2 {
 		t.Errorf("an older snapshot and a change taken twice: %q", f.violations)
 	}
-	s.reachable = time.Now()
+	s.reachableSince = time.Now()
 	s.apply(distribution.Change{Revision: 6, Entries: []distribution.Entry{{Scope: "a", Name: "x", Revision: 6, AcceptedAt: late}}}, false)
-	if got := f.seconds(f.catchUp, 100); got > maxPropagationSeconds || f.catchUp.TotalCount() != 1 {
+	if got := f.seconds(f.catchUpLatency, 100); got > maxPropagationSeconds || f.catchUpLatency.TotalCount() != 1 {
 		t.Errorf("one that was cut off is counted from its end: %v s", got)
 	}
 }
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -22,7 +22,7 @@
 	voterLease         = 10 * time.Second        // of members that own no proxies: docs/distributing.md
 	renewsPerLease     = 8
 	guaranteedMessages = 4
-	mailboxSize        = 1024
+	taskQueueSize      = 1024
 )
 
 // hollowMember takes part in the record with the same code as a real controller, and has no proxies.
@@ -31,15 +31,15 @@
 	node        *consensus.Node
 	coordinator *ownership.Coordinator
 	began       time.Time
-	mail        chan func()
+	tasks       chan func()
 	done        chan struct{}
 
-	entered atomic.Bool // on the record
+	hasQuorum atomic.Bool // on the record
 }
 
-// startHollow gives a member that takes part until the context ends. The terms follow from the lease.
-func startHollow(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
-	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), mailboxSize), done: make(chan struct{})}
+// startHollowMember gives a member that takes part until the context ends. The terms follow from the lease.
+func startHollowMember(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
+	m := &hollowMember{name: config.Name, began: time.Now(), tasks: make(chan func(), taskQueueSize), done: make(chan struct{})}
 	config.Terms = ownership.LeaseTerms{Duration: lease.Microseconds(), RenewInterval: lease.Microseconds() / renewsPerLease,
 		MessageWindow: rehearse.MessageWindow.Microseconds(), MaxMessages: rehearse.MaxMessages, Members: len(config.Members), GuaranteedMessages: guaranteedMessages}
 	var err error
@@ -63,8 +63,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case what := <-m.mail:
-			what()
+		case task := <-m.tasks:
+			task()
 		case <-ticks.C:
 			m.coordinator.Tick(m.now())
 		}
@@ -72,9 +72,9 @@
 }
 
 // post has something done by the event loop, unless that has ended.
-func (m *hollowMember) post(what func()) {
+func (m *hollowMember) post(task func()) {
 	select {
-	case m.mail <- what:
+	case m.tasks <- task:
 	case <-m.done:
 	}
 }
@@ -107,7 +107,7 @@
 func (h hollowHost) MessagesSentByPeers(int, int)                          {}
 func (h hollowHost) ReleaseUpTo(uint64)                                    {}
 func (h hollowHost) PeerObservationReported(string, ownership.Observation) {}
-func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.entered.Store(!alone) }
+func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.hasQuorum.Store(!alone) }
 
 // RandomID draws a number.
 func (h hollowHost) RandomID() uint64 {
@@ -116,8 +116,8 @@
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// startMembers starts hollow members on loopback, and waits until all of them are on the record.
-func startMembers(ctx context.Context, running *sync.WaitGroup, size int, lease time.Duration) ([]*hollowMember, error) {
+// startHollowMembers starts hollow members on loopback, and waits until all of them are on the record.
+func startHollowMembers(ctx context.Context, running *sync.WaitGroup, size int, lease time.Duration) ([]*hollowMember, error) {
 	addresses, err := process.FreeAddresses(size)
 	if err != nil {
 		return nil, err
@@ -128,21 +128,21 @@
 	}
 	var members []*hollowMember
 	for i := range size {
-		m, err := startHollow(ctx, running, consensus.Config{Name: memberName(i), Members: at}, lease)
+		m, err := startHollowMember(ctx, running, consensus.Config{Name: memberName(i), Members: at}, lease)
 		if err != nil {
 			return nil, err
 		}
 		members = append(members, m)
 	}
-	entered := func() bool {
+	hasQuorum := func() bool {
 		for _, m := range members {
-			if !m.entered.Load() {
+			if !m.hasQuorum.Load() {
 				return false
 			}
 		}
 		return true
 	}
-	if !await(ctx, startTimeout, entered) {
+	if !await(ctx, startTimeout, hasQuorum) {
 		return nil, fmt.Errorf("not all of %d members were on the record within %s", size, startTimeout)
 	}
 	return members, nil
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -32,13 +32,13 @@
 	dial        func(ctx context.Context, peer string) (net.Conn, error)
 	propagation *propagation // is told what it acts by
 
-	mutex     sync.Mutex           // of all below
-	node      *transport.Transport // of this incarnation
-	stop      context.CancelFunc   // nil while it is down
-	ended     chan struct{}        // closed with the goroutine of this incarnation
-	seen      uint64               // the newest revision that it acts by
-	reachable time.Time            // since when
-	before    earlierIncarnations
+	mutex           sync.Mutex           // of all below
+	node            *transport.Transport // of this incarnation
+	stop            context.CancelFunc   // nil while it is down
+	ended           chan struct{}        // closed with the goroutine of this incarnation
+	appliedRevision uint64               // the newest revision that it acts by
+	reachableSince  time.Time            // since when
+	earlier         earlierIncarnations
 }
 
 // earlierIncarnations is what earlier incarnations have passed over their links, and taken.
@@ -52,7 +52,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	limits := distribution.DefaultLimits()
 	if s.role == roleDistributor {
-		limits = setAsideLimits()
+		limits = dedicatedNodeLimits()
 	}
 	limits.FanOut = s.fanOut
 	node := transport.New(transport.Config{
@@ -64,8 +64,8 @@
 	s.node = node
 	s.stop = stop
 	s.ended = ended
-	s.seen = 0
-	s.reachable = time.Now()
+	s.appliedRevision = 0
+	s.reachableSince = time.Now()
 	s.mutex.Unlock()
 	if s.network != nil {
 		s.network.listen(s.name, s.region, func(conn net.Conn) { node.Accept(conn, nil) })
@@ -104,29 +104,29 @@
 	traffic := node.Traffic()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.before.snapshots += status.Counts.SnapshotsInstalled
-	s.before.traffic.In += traffic.In
-	s.before.traffic.Out += traffic.Out
+	s.earlier.snapshots += status.Counts.SnapshotsInstalled
+	s.earlier.traffic.In += traffic.In
+	s.earlier.traffic.Out += traffic.Out
 }
 
 // apply is told each change, in order.
-func (s *hollowSubscriber) apply(change distribution.Change, whole bool) {
+func (s *hollowSubscriber) apply(change distribution.Change, snapshot bool) {
 	s.mutex.Lock()
-	seen := s.seen
-	reachable := s.reachable
-	s.seen = max(seen, change.Revision)
+	appliedRevision := s.appliedRevision
+	reachableSince := s.reachableSince
+	s.appliedRevision = max(appliedRevision, change.Revision)
 	s.mutex.Unlock()
-	if change.Revision < seen || !whole && change.Revision == seen {
-		s.propagation.violate("%s went from revision %d to %d", s.name, seen, change.Revision)
+	if change.Revision < appliedRevision || !snapshot && change.Revision == appliedRevision {
+		s.propagation.addViolation("%s went from revision %d to %d", s.name, appliedRevision, change.Revision)
 	}
-	s.propagation.applied(change, seen, reachable)
+	s.propagation.applied(change, appliedRevision, reachableSince)
 }
 
-// reachableNow notes that it can be reached from now on, after a cut.
-func (s *hollowSubscriber) reachableNow() {
+// markReachable notes that it can be reached from now on, after a cut.
+func (s *hollowSubscriber) markReachable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reachable = time.Now()
+	s.reachableSince = time.Now()
 }
 
 // bytes is what has passed over its links, in all incarnations.
@@ -137,14 +137,14 @@
 	if s.stop == nil {
 		traffic = transport.Traffic{}
 	}
-	return s.before.traffic.In + s.before.traffic.Out + traffic.In + traffic.Out
+	return s.earlier.traffic.In + s.earlier.traffic.Out + traffic.In + traffic.Out
 }
 
 // earlierSnapshots counts those that its earlier incarnations have taken.
 func (s *hollowSubscriber) earlierSnapshots() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.before.snapshots
+	return s.earlier.snapshots
 }
 
 // status asks the node how it is; false while it is down.
@@ -164,20 +164,20 @@
 	s.mutex.Lock()
 	node := s.node
 	up := s.stop != nil
-	seen := s.seen
+	appliedRevision := s.appliedRevision
 	s.mutex.Unlock()
 	if !up {
 		return
 	}
 	state, ok := node.State()
-	if !ok || at == 0 && seen == 0 {
+	if !ok || at == 0 && appliedRevision == 0 {
 		return // it has just started, and says so to those who ask
 	}
 	if at > 0 {
 		state.Version.Revision = at
 	}
 	if text := content.difference(state, s.scopes); text != "" {
-		s.propagation.violate("%s: %s", s.name, text)
+		s.propagation.addViolation("%s: %s", s.name, text)
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.stop != nil && s.seen < want
+	return s.stop != nil && s.appliedRevision < want
 }
 
 // countBehind counts the nodes that act by less than what is in their scopes up to a revision.
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -24,7 +24,7 @@
 	distributors      []*hollowSubscriber
 	subscribers       []*hollowSubscriber
 	random            *rand.Rand
-	faultDraws        *rand.Rand    // for what fails, which is drawn beside the changes
+	faultRandom       *rand.Rand    // for what fails, which is drawn beside the changes
 	faultHits         atomic.Int64  // of the fault that is played
 	starts            atomic.Int64  // incarnations that have begun, which need a snapshot each
 	ready             time.Duration // of all subscribers, once the distributors were
@@ -34,7 +34,7 @@
 // newTree starts a deployment, and waits until each node has its configuration.
 func newTree(ctx context.Context, plan treePlan, o Options) (*tree, error) {
 	t := &tree{options: o, network: newNetwork(), content: newContent(plan.content, o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
-		faultDraws: rand.New(rand.NewPCG(o.Seed, faultSeed))}
+		faultRandom: rand.New(rand.NewPCG(o.Seed, faultSeed))}
 	t.propagation = newPropagation(t.content)
 	var err error
 	if t.folder, err = os.MkdirTemp(o.Folder, "voters-"); err != nil {
@@ -137,28 +137,28 @@
 
 // close ends all.
 func (t *tree) close() {
-	each(t.nodes(), (*hollowSubscriber).kill)
+	forEachNode(t.nodes(), (*hollowSubscriber).kill)
 	t.voters.close()
 	t.network.serving.Wait()
 	_ = os.RemoveAll(t.folder) // what is left of a temporary folder harms nobody
 }
 
-// each does something with all nodes, some at a time.
-func each(nodes []*hollowSubscriber, what func(*hollowSubscriber)) {
+// forEachNode does something with all nodes, some at a time.
+func forEachNode(nodes []*hollowSubscriber, action func(*hollowSubscriber)) {
 	var working sync.WaitGroup
 	var next atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
 		working.Go(func() {
 			for i := next.Add(1) - 1; int(i) < len(nodes); i = next.Add(1) - 1 {
-				what(nodes[i])
+				action(nodes[i])
 			}
 		})
 	}
 	working.Wait()
 }
 
-// change makes changes at a pace until a time, and compares some subscribers, drawn by the seed, with the content.
-func (t *tree) change(ctx context.Context, perS float64, until time.Time) (made int, err error) {
+// makeChanges makes changes at a pace until a time, and compares some subscribers, drawn by the seed, with the content.
+func (t *tree) makeChanges(ctx context.Context, perS float64, until time.Time) (made int, err error) {
 	checks := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
 	check := time.Now().Add(timeBetweenChecks)
 	for {
@@ -169,20 +169,20 @@
 		if err := pauseFor(ctx, pause); err != nil {
 			return made, err
 		}
-		limited, cancel := context.WithDeadline(ctx, until)
-		err := t.voters.propose(limited, t.content.draw())
+		deadlineCtx, cancel := context.WithDeadline(ctx, until)
+		err := t.voters.propose(deadlineCtx, t.content.drawChange())
 		cancel()
 		switch {
 		case err == nil:
 			made++
 		case ctx.Err() != nil:
 			return made, ctx.Err()
-		case limited.Err() == nil:
+		case deadlineCtx.Err() == nil:
 			return made, err
 		}
 		if time.Now().After(check) {
 			check = time.Now().Add(timeBetweenChecks)
-			t.checkSome(checks)
+			t.checkRandomSubscribers(checks)
 		}
 	}
 }
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -16,20 +16,20 @@
 
 // voterGroup is voters with a record between them over loopback, each handing it out in memory.
 type voterGroup struct {
-	voters  []*voter
-	members map[string]string
-	folder  string
-	network *network
-	content *content
+	voters        []*voter
+	raftAddresses map[string]string
+	folder        string
+	network       *network
+	content       *content
 }
 
 // voter is one of them. What it has on disk outlasts a kill.
 type voter struct {
 	hollowSubscriber
-	group  *voterGroup
-	member *hollowMember // of this incarnation
-	ending sync.WaitGroup
-	before int64 // bytes that earlier incarnations have spent on the record
+	group              *voterGroup
+	member             *hollowMember // of this incarnation
+	goroutines         sync.WaitGroup
+	earlierRecordBytes int64 // bytes that earlier incarnations have spent on the record
 }
 
 func newVoters(n int, folder string, network *network, content *content, propagation *propagation) (*voterGroup, error) {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &voterGroup{network: network, content: content, folder: folder, members: map[string]string{}}
+	g := &voterGroup{network: network, content: content, folder: folder, raftAddresses: map[string]string{}}
 	for i := range n {
 		v := &voter{group: g}
 		v.name = voterName(i)
@@ -48,7 +48,7 @@
 		v.scopes = distribution.AllScopes()
 		v.fanOut = maxFanOut
 		g.voters = append(g.voters, v)
-		g.members[v.name] = addresses[i]
+		g.raftAddresses[v.name] = addresses[i]
 	}
 	return g, nil
 }
@@ -62,15 +62,15 @@
 			return err
 		}
 	}
-	entered := func() bool {
+	hasQuorum := func() bool {
 		for _, v := range g.voters {
-			if !v.member.entered.Load() {
+			if !v.member.hasQuorum.Load() {
 				return false
 			}
 		}
 		return g.leader() != nil
 	}
-	if !await(ctx, startTimeout, entered) {
+	if !await(ctx, startTimeout, hasQuorum) {
 		return fmt.Errorf("the voters have no record within %s", startTimeout)
 	}
 	return nil
@@ -79,15 +79,15 @@
 // leader is the voter that leads; nil if none does.
 func (g *voterGroup) leader() *voter {
 	for _, v := range g.voters {
-		if m := v.running(); m != nil && m.node.IsLeader() {
+		if m := v.runningMember(); m != nil && m.node.IsLeader() {
 			return v
 		}
 	}
 	return nil
 }
 
-// running is the voter's part in the record; nil while it is down.
-func (v *voter) running() *hollowMember {
+// runningMember is the voter's part in the record; nil while it is down.
+func (v *voter) runningMember() *hollowMember {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.stop == nil {
@@ -100,7 +100,7 @@
 func (g *voterGroup) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		if v := g.leader(); v != nil {
-			if m := v.running(); m != nil {
+			if m := v.runningMember(); m != nil {
 				_, err := m.node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
 				if err == nil || errors.Is(err, consensus.ErrChangeRefused) {
 					return err
@@ -120,11 +120,11 @@
 	}
 }
 
-// setAsideLimits are those of a node on a machine set aside.
-func setAsideLimits() distribution.Limits {
+// dedicatedNodeLimits are those of a node on a machine set aside.
+func dedicatedNodeLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.FanOut = maxFanOut
-	limits.SnapshotBytesPerSecond = setAsidePace
+	limits.SnapshotBytesPerSecond = dedicatedSnapshotRate
 	return limits
 }
 
@@ -137,20 +137,20 @@
 
 // start starts a voter, with the log and the votes that it had.
 func (v *voter) start() error {
-	limits := setAsideLimits()
+	limits := dedicatedNodeLimits()
 	limits.FanOut = v.fanOut
 	node := newVoterTransport(v.name, limits)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	v.ending.Go(func() {
+	v.goroutines.Go(func() {
 		defer close(ended)
 		node.Run(ctx)
 	})
-	member, err := startHollow(ctx, &v.ending, consensus.Config{Name: v.name, Members: v.group.members,
+	member, err := startHollowMember(ctx, &v.goroutines, consensus.Config{Name: v.name, Members: v.group.raftAddresses,
 		Folder: filepath.Join(v.group.folder, v.name), Distribution: voterDistribution{node, v.group.content}}, voterLease)
 	if err != nil {
 		stop()
-		v.ending.Wait()
+		v.goroutines.Wait()
 		return err
 	}
 	v.mutex.Lock()
@@ -165,28 +165,28 @@
 
 // kill ends it as the end of a process would. What is on disk stays.
 func (v *voter) kill() {
-	member := v.running()
+	member := v.runningMember()
 	if member == nil {
 		return
 	}
 	v.hollowSubscriber.kill()
-	v.ending.Wait()
+	v.goroutines.Wait()
 	_, bytes := member.node.Cost()
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.before += bytes
+	v.earlierRecordBytes += bytes
 }
 
 // recordBytes is what the record has cost, in all incarnations.
 func (v *voter) recordBytes() int64 {
-	member := v.running()
+	member := v.runningMember()
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if member == nil {
-		return v.before
+		return v.earlierRecordBytes
 	}
 	_, bytes := member.node.Cost()
-	return v.before + bytes
+	return v.earlierRecordBytes + bytes
 }
 
 // voterDistribution hands the record's changes to a voter's node of the tree, and notes them for comparison.
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -39,10 +39,10 @@
 	began   time.Time
 	reading sync.WaitGroup // of its log
 
-	mutex sync.Mutex
-	ready time.Time          // when it logged that it is, or 0
-	known string             // backends that it knew then
-	last  map[string]logLine // the last line of each event
+	mutex         sync.Mutex
+	ready         time.Time          // when it logged that it is, or 0
+	knownBackends string             // backends that it knew then
+	lastLines     map[string]logLine // the last line of each event
 }
 
 // logLine is a line of a controller's log.
@@ -127,8 +127,8 @@
 	c.process.Log = to
 	c.began = time.Now()
 	c.ready = time.Time{}
-	c.known = ""
-	c.last = map[string]logLine{}
+	c.knownBackends = ""
+	c.lastLines = map[string]logLine{}
 	err = c.process.Start()
 	to.Close() // the process has its own
 	if err != nil {
@@ -140,22 +140,22 @@
 		defer log.Close()
 		defer from.Close()
 		for lines := bufio.NewScanner(from); lines.Scan(); {
-			c.read(lines.Text())
+			c.readLine(lines.Text())
 			fmt.Fprintln(log, lines.Text())
 		}
 	})
 	return nil
 }
 
-// read notes when the controller says that it is ready, and what it says of the rest.
-func (c *listedController) read(line string) {
+// readLine notes when the controller says that it is ready, and what it says of the rest.
+func (c *listedController) readLine(line string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	event := logEvent(line)
-	c.last[event] = logLine{line, time.Now()}
+	c.lastLines[event] = logLine{line, time.Now()}
 	if event == logReady {
 		c.ready = time.Now()
-		c.known = logField(line, logBackends)
+		c.knownBackends = logField(line, logBackends)
 	}
 }
 
@@ -163,7 +163,7 @@
 func (c *listedController) lastLine(event string) (logLine, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	line, ok := c.last[event]
+	line, ok := c.lastLines[event]
 	return line, ok
 }
 
@@ -176,10 +176,10 @@
 
 // waitReady waits until it is ready, or has ended, or has been waited for too long.
 func (c *listedController) waitReady(ctx context.Context, within time.Duration) error {
-	over := func() bool {
+	done := func() bool {
 		return !c.readyAt().IsZero() || c.process.ExitedUnexpectedly()
 	}
-	awaitClosely(ctx, within, over)
+	awaitClosely(ctx, within, done)
 	if c.readyAt().IsZero() {
 		return fmt.Errorf("%s is not ready within %s", c.process.Name, within)
 	}
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -18,7 +18,7 @@
 // How much one size plays.
 const (
 	listReadyTimeout = 150 * time.Second
-	listIdle         = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
+	listIdleTime     = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
 	listChanges      = 10
 	maxListBytes     = 16 << 20 // bytes of an answer of discovery that a controller takes
 )
@@ -50,12 +50,12 @@
 
 // listCost is what one run of a controller has shown.
 type listCost struct {
-	ready, readyProcessor  time.Duration
-	idle, changing         float64 // seconds of processor time a second, while nothing and while entries change
-	changeTime             float64 // seconds between two changes
-	listBytes, changeBytes int64
-	memory                 int64
-	known                  float64
+	ready, readyProcessor    time.Duration
+	idleShare, changingShare float64 // seconds of processor time a second, while nothing and while entries change
+	changeTime               float64 // seconds between two changes
+	listBytes, changeBytes   int64
+	memory                   int64
+	knownBackends            float64
 }
 
 // Run plays the repeats, each with a process of its own.
@@ -70,7 +70,7 @@
 	}
 	defer discovery.Close()
 	var all []listCost
-	s.Partial, err = repeats(ctx, o.Duration, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		cost, err := measureList(ctx, discovery, backends, folder, o)
 		all = append(all, cost)
 		return err
@@ -78,18 +78,18 @@
 	if err != nil {
 		return s, fmt.Errorf("%w; its log is in %s", err, folder)
 	}
-	middle := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
-	s.Set("ready", middle(func(c listCost) float64 { return c.ready.Seconds() }))
-	s.Set("ready_processor", middle(func(c listCost) float64 { return c.readyProcessor.Seconds() }))
-	s.Set("list_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) }))
-	s.Set("entry_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) / float64(size) }))
-	s.Set("idle_processor", middle(func(c listCost) float64 { return percent * c.idle }))
-	s.Set("change_processor", middle(func(c listCost) float64 {
-		return max(0, c.changing-c.idle) * c.changeTime * 1000
+	medianFigure := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
+	s.Set("ready", medianFigure(func(c listCost) float64 { return c.ready.Seconds() }))
+	s.Set("ready_processor", medianFigure(func(c listCost) float64 { return c.readyProcessor.Seconds() }))
+	s.Set("list_bytes", medianFigure(func(c listCost) float64 { return float64(c.listBytes) }))
+	s.Set("entry_bytes", medianFigure(func(c listCost) float64 { return float64(c.listBytes) / float64(size) }))
+	s.Set("idle_processor", medianFigure(func(c listCost) float64 { return percent * c.idleShare }))
+	s.Set("change_processor", medianFigure(func(c listCost) float64 {
+		return max(0, c.changingShare-c.idleShare) * c.changeTime * 1000
 	}))
-	s.Set("change_bytes", middle(func(c listCost) float64 { return float64(c.changeBytes) / listChanges }))
-	s.Set("memory", middle(func(c listCost) float64 { return float64(c.memory) / megabyte }))
-	s.Set("known", middle(func(c listCost) float64 { return c.known }))
+	s.Set("change_bytes", medianFigure(func(c listCost) float64 { return float64(c.changeBytes) / listChanges }))
+	s.Set("memory", medianFigure(func(c listCost) float64 { return float64(c.memory) / megabyte }))
+	s.Set("known", medianFigure(func(c listCost) float64 { return c.knownBackends }))
 	s.Set("repeats", float64(len(all)))
 	return s, nil
 }
@@ -117,16 +117,16 @@
 	cost.ready = c.readyAt().Sub(c.began)
 	_, now := discovery.Sent()
 	cost.listBytes = now - sent
-	if cost.known, err = strconv.ParseFloat(c.known, 64); err != nil {
+	if cost.knownBackends, err = strconv.ParseFloat(c.knownBackends, 64); err != nil {
 		return cost, fmt.Errorf("backends of msg=ready: %w", err)
 	}
-	span := min(listIdle, o.Duration/4)
-	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, span) }); err != nil {
+	span := min(listIdleTime, o.Duration/4)
+	if cost.idleShare, err = c.processorShareDuring(func() error { return pauseFor(ctx, span) }); err != nil {
 		return cost, err
 	}
 	_, sent = discovery.Sent()
 	cost.changeTime = span.Seconds() / listChanges
-	cost.changing, err = c.spends(func() error {
+	cost.changingShare, err = c.processorShareDuring(func() error {
 		for i := range listChanges {
 			state := []fake.State{fake.StateDraining, fake.StateUp}[i%2]
 			discovery.Publish(state, backends[i/2*len(backends)/listChanges])
@@ -146,14 +146,14 @@
 	return cost, err
 }
 
-// spends is the processor time that the controller takes while something goes on, in seconds a second.
-func (c *listedController) spends(what func() error) (float64, error) {
+// processorShareDuring is the processor time that the controller takes while something goes on, in seconds a second.
+func (c *listedController) processorShareDuring(activity func() error) (float64, error) {
 	began := time.Now()
 	before, err := readPreciseUsage(c.process.PID())
 	if err != nil {
 		return 0, err
 	}
-	if err := what(); err != nil {
+	if err := activity(); err != nil {
 		return 0, err
 	}
 	after, err := readPreciseUsage(c.process.PID())
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -19,10 +19,10 @@
 )
 
 // RefusedError is why a run was not begun: the machine would not bear it.
-type RefusedError struct{ why string }
+type RefusedError struct{ reason string }
 
 // Error says why, and what would do.
-func (r *RefusedError) Error() string { return r.why }
+func (r *RefusedError) Error() string { return r.reason }
 
 // thisMachine reads what the machine has.
 func thisMachine() (results.Machine, error) {
@@ -71,8 +71,8 @@
 
 func watchDelays() delayWatch { return delayWatch{process.StartDelayMonitor()} }
 
-// tooBusy ends the watch, and says why nothing can be judged; empty where it can.
-func (w delayWatch) tooBusy() string {
+// inconclusiveReason ends the watch, and says why nothing can be judged; empty where it can.
+func (w delayWatch) inconclusiveReason() string {
 	p99, _ := w.monitor.Stop()
 	if !process.TooBusy(p99) {
 		return ""
--- a/scale/median.go
+++ b/scale/median.go
@@ -11,9 +11,9 @@
 // maxRepeats is how often a size is measured, of which the median is taken.
 const maxRepeats = 3
 
-// repeats does something maxRepeats times, or as often as begins within a span, and once at least. It says so where it is
+// runRepeats does something maxRepeats times, or as often as begins within a span, and once at least. It says so where it is
 // less.
-func repeats(ctx context.Context, span time.Duration, do func() error) (partial string, err error) {
+func runRepeats(ctx context.Context, span time.Duration, do func() error) (partial string, err error) {
 	began := time.Now()
 	done := 0
 	for done == 0 || done < maxRepeats && time.Since(began) < span {
@@ -47,8 +47,8 @@
 // medianOf is the median of one figure of several measurements.
 func medianOf[T any](all []T, figure func(T) float64) float64 {
 	var values []float64
-	for _, one := range all {
-		values = append(values, figure(one))
+	for _, measurement := range all {
+		values = append(values, figure(measurement))
 	}
 	return median(values)
 }
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -12,12 +12,12 @@
 // network connects nodes of one process by connections in memory. A region can be cut off: what is sent into it or out
 // of it waits, and so do dials and closes, as on a way that loses all packets.
 type network struct {
-	mutex   sync.Mutex
-	at      map[string]endpoint
-	healed  chan struct{} // closed with the end of a cut; nil while there is none
-	cut     int           // the region, while there is a cut
-	closing []net.Conn    // closed on one side during a cut, which the other side hears of later
-	serving sync.WaitGroup
+	mutex     sync.Mutex
+	endpoints map[string]endpoint
+	healed    chan struct{} // closed with the end of a cut; nil while there is none
+	cutRegion int           // the region, while there is a cut
+	closing   []net.Conn    // closed on one side during a cut, which the other side hears of later
+	serving   sync.WaitGroup
 }
 
 // endpoint is where a node takes connections in.
@@ -26,20 +26,20 @@
 	accept func(net.Conn)
 }
 
-func newNetwork() *network { return &network{at: map[string]endpoint{}} }
+func newNetwork() *network { return &network{endpoints: map[string]endpoint{}} }
 
 // listen has a node take connections in under its name.
 func (n *network) listen(name string, region int, accept func(net.Conn)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.at[name] = endpoint{region, accept}
+	n.endpoints[name] = endpoint{region, accept}
 }
 
 // leave has dials to a name be refused.
 func (n *network) leave(name string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.at, name)
+	delete(n.endpoints, name)
 }
 
 // dial connects a node in a region to another by its name.
@@ -52,9 +52,9 @@
 		if healed == nil {
 			near, far := net.Pipe()
 			n.serving.Go(func() {
-				to.accept(&memoryConn{Conn: far, of: n, from: to.region, to: region, closed: make(chan struct{})})
+				to.accept(&memoryConn{Conn: far, network: n, from: to.region, to: region, closed: make(chan struct{})})
 			})
-			return &memoryConn{Conn: near, of: n, from: region, to: to.region, closed: make(chan struct{})}, nil
+			return &memoryConn{Conn: near, network: n, from: region, to: to.region, closed: make(chan struct{})}, nil
 		}
 		if err := pauseFor(ctx, redialInterval); err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 func (n *network) lookUp(region int, name string) (to endpoint, healed chan struct{}, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	to, ok := n.at[name]
+	to, ok := n.endpoints[name]
 	if !ok {
 		return to, nil, fmt.Errorf("dial %s: connection refused", name)
 	}
@@ -78,7 +78,7 @@
 
 // cutBetween gives what ends with the cut between two regions, nil where there is none.
 func (n *network) cutBetween(a, b int) chan struct{} {
-	if n.healed != nil && (a == n.cut) != (b == n.cut) {
+	if n.healed != nil && (a == n.cutRegion) != (b == n.cutRegion) {
 		return n.healed
 	}
 	return nil
@@ -88,7 +88,7 @@
 func (n *network) cutOff(region int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = region
+	n.cutRegion = region
 	n.healed = make(chan struct{})
 }
 
@@ -108,7 +108,7 @@
 // memoryConn is one end of a connection.
 type memoryConn struct {
 	net.Conn
-	of       *network
+	network  *network
 	from, to int
 	once     sync.Once
 	closed   chan struct{}
@@ -128,9 +128,9 @@
 // Write sends, once no cut lies between.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	for {
-		c.of.mutex.Lock()
-		healed := c.of.cutBetween(c.from, c.to)
-		c.of.mutex.Unlock()
+		c.network.mutex.Lock()
+		healed := c.network.cutBetween(c.from, c.to)
+		c.network.mutex.Unlock()
 		if healed == nil {
 			return c.Conn.Write(b)
 		}
@@ -164,13 +164,13 @@
 // Close ends it here at once, and at the other end once no cut lies between.
 func (c *memoryConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.of.mutex.Lock()
-	held := c.of.cutBetween(c.from, c.to) != nil
-	if held {
-		c.of.closing = append(c.of.closing, c.Conn)
+	c.network.mutex.Lock()
+	isCut := c.network.cutBetween(c.from, c.to) != nil
+	if isCut {
+		c.network.closing = append(c.network.closing, c.Conn)
 	}
-	c.of.mutex.Unlock()
-	if held {
+	c.network.mutex.Unlock()
+	if isCut {
 		return c.SetDeadline(time.Unix(1, 0)) // ends reads and writes of ours
 	}
 	return c.Conn.Close()
--- a/scale/record.go
+++ b/scale/record.go
@@ -67,56 +67,56 @@
 	if err != nil {
 		return results.Sample{}, err
 	}
-	spent := &spending{before: map[string]usage{}, after: map[string]usage{}}
-	play := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.Duration, FaultInterval: o.Duration, Controllers: size, Proxies: recordProxies,
-		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: spent.observe}
-	report, err := play.Run(ctx)
-	if err = errors.Join(err, spent.failed); err != nil {
+	usages := &memberUsage{before: map[string]usage{}, after: map[string]usage{}}
+	scenario := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.Duration, FaultInterval: o.Duration, Controllers: size, Proxies: recordProxies,
+		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: usages.observe}
+	report, err := scenario.Run(ctx)
+	if err = errors.Join(err, usages.readErr); err != nil {
 		return results.Sample{}, err
 	}
 	members := map[string]memberCost{}
-	for name := range spent.before {
-		if members[name], err = costLogged(filepath.Join(folder, name+".log")); err != nil {
+	for name := range usages.before {
+		if members[name], err = readLoggedCost(filepath.Join(folder, name+".log")); err != nil {
 			return results.Sample{}, err
 		}
 	}
-	s := spent.sample(members)
+	s := usages.sample(members)
 	if report.Verdict != rehearse.VerdictPassed {
 		s.Inconclusive = fmt.Sprintf("the rehearsal's verdict is %q: %s; %v", report.Verdict, report.Reason, report.ViolationCounts)
 	}
 	return s, nil
 }
 
-// spending is what members took while a rehearsal was played.
-type spending struct {
+// memberUsage is what members took while a rehearsal was played.
+type memberUsage struct {
 	before, after map[string]usage
 	began, ended  time.Time
-	failed        error
+	readErr       error
 }
 
 // observe reads each member's usage as play begins and as it ends.
-func (s *spending) observe(controllers []*process.Controller, ended bool) {
-	into := s.before
+func (s *memberUsage) observe(controllers []*process.Controller, ended bool) {
+	target := s.before
 	if ended {
-		into = s.after
+		target = s.after
 		s.ended = time.Now()
 	} else {
 		s.began = time.Now()
 	}
 	for _, c := range controllers {
 		usage, err := readUsage(c.PID())
-		s.failed = errors.Join(s.failed, err)
-		into[c.Name] = usage
+		s.readErr = errors.Join(s.readErr, err)
+		target[c.Name] = usage
 	}
 }
 
 // processor is the share of a core that a member took, in percent.
-func (s *spending) processor(name string) float64 {
+func (s *memberUsage) processor(name string) float64 {
 	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
 // sample sums members up, followers apart from the leader.
-func (s *spending) sample(members map[string]memberCost) (sample results.Sample) {
+func (s *memberUsage) sample(members map[string]memberCost) (sample results.Sample) {
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
 	for name, cost := range members {
@@ -145,8 +145,8 @@
 	leads          bool
 }
 
-// costLogged reads the last cost that a member logged, and whether it leads at the end.
-func costLogged(path string) (cost memberCost, err error) {
+// readLoggedCost reads the last cost that a member logged, and whether it leads at the end.
+func readLoggedCost(path string) (cost memberCost, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return cost, err
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -56,7 +56,7 @@
 	defer running.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	members, err := startMembers(ctx, &running, size, lease)
+	members, err := startHollowMembers(ctx, &running, size, lease)
 	if err != nil {
 		return s, err
 	}
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -13,7 +13,7 @@
 // recovery measures what controllers that restart at once cost as they learn the list anew from discovery, each a real
 // process of this machine. A whole list is asked for today, whatever a controller serves.
 type recovery struct {
-	whole bool // all backends, and not just those of the services that one serves
+	allBackends bool // all backends, and not just those of the services that one serves
 }
 
 // What there is to learn, by assumption: each service has as many backends.
@@ -39,7 +39,7 @@
 			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Budget: maxMegabytes},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
-	if r.whole {
+	if r.allBackends {
 		d.Name = "recovery-whole"
 		d.Sizes = []int{1, 2, 4, 8}
 		d.About = fmt.Sprintf("Real controllers that restart at once on one machine, and learn all %d backends from discovery", r.backends())
@@ -48,7 +48,7 @@
 }
 
 func (r recovery) backends() int {
-	if r.whole {
+	if r.allBackends {
 		return targetBackends
 	}
 	return backendsServed
@@ -82,7 +82,7 @@
 		return s, err
 	}
 	var all []recoveryCost
-	s.Partial, err = repeats(ctx, o.Duration, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		_, before := discovery.Sent()
 		cost, err := restartAll(ctx, controllers, folder)
 		_, after := discovery.Sent()
@@ -93,12 +93,12 @@
 	if err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
-	middle := func(figure func(recoveryCost) float64) float64 { return medianOf(all, figure) }
-	s.Set("ready", middle(func(c recoveryCost) float64 { return c.ready.Seconds() }))
-	s.Set("ready_processor", middle(func(c recoveryCost) float64 { return c.processor.Seconds() }))
-	s.Set("all_bytes", middle(func(c recoveryCost) float64 { return float64(c.bytes) }))
-	s.Set("bytes", middle(func(c recoveryCost) float64 { return float64(c.bytes) / float64(size) }))
-	s.Set("memory", middle(func(c recoveryCost) float64 { return float64(c.memory) / megabyte }))
+	medianFigure := func(figure func(recoveryCost) float64) float64 { return medianOf(all, figure) }
+	s.Set("ready", medianFigure(func(c recoveryCost) float64 { return c.ready.Seconds() }))
+	s.Set("ready_processor", medianFigure(func(c recoveryCost) float64 { return c.processor.Seconds() }))
+	s.Set("all_bytes", medianFigure(func(c recoveryCost) float64 { return float64(c.bytes) }))
+	s.Set("bytes", medianFigure(func(c recoveryCost) float64 { return float64(c.bytes) / float64(size) }))
+	s.Set("memory", medianFigure(func(c recoveryCost) float64 { return float64(c.memory) / megabyte }))
 	s.Set("repeats", float64(len(all)))
 	return s, nil
 }
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -61,7 +61,7 @@
 	defer running.Wait()
 	defer stop()
 	network := newNetwork()
-	content := newContent(contentShape{groups: 1, ofEach: size}, o.Seed)
+	content := newContent(contentShape{groups: 1, entriesPerGroup: size}, o.Seed)
 	entries := make([]distribution.Entry, size)
 	for i := range entries {
 		entries[i] = content.entry(groupScope(0), fmt.Sprintf("service/%d", i))
@@ -74,7 +74,7 @@
 		return s, err
 	}
 	var all []snapshotCost
-	s.Partial, err = repeats(ctx, o.Duration, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		cost, err := measureSnapshot(ctx, network, size)
 		all = append(all, cost)
 		return err
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -10,8 +10,8 @@
 // what the entry has.
 func TestSnapshotRecoversAScope(t *testing.T) {
 	t.Parallel()
-	r := playsTiny(t, recoverySnapshot{}, []int{20, 40, 80, 160}, 100*time.Millisecond)
-	grows(t, r, "bytes")
+	r := measureSmall(t, recoverySnapshot{}, []int{20, 40, 80, 160}, 100*time.Millisecond)
+	checkGrowsLinearly(t, r, "bytes")
 	for _, s := range r.Samples {
 		bytes, _ := s.Get("bytes")
 		entry, _ := s.Get("entry_bytes")
@@ -25,7 +25,7 @@
 func TestSubscribersRestartAtOnce(t *testing.T) {
 	t.Parallel()
 	const entryBytes, subscribers = 200, 12 // entryBytes: by far
-	r := playsTiny(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
+	r := measureSmall(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
 	for _, s := range r.Samples {
 		bytes, _ := s.Get("bytes")
 		if bytes <= 0 || bytes > (commonEntries+servicesPerGroup)*entryBytes {
@@ -37,7 +37,7 @@
 // TestRegionCatchesUpWithoutSnapshots has a region catch up without a snapshot.
 func TestRegionCatchesUpWithoutSnapshots(t *testing.T) {
 	t.Parallel() // with one subscriber in each region
-	r := playsTiny(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond)
+	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond)
 	if snapshots, ok := r.Samples[0].Get("snapshots"); !ok || snapshots > 0 {
 		t.Errorf("%v snapshots, %v", snapshots, ok)
 	}
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -18,7 +18,7 @@
 const (
 	recoverySubscribers = 1100
 	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
-	proposeAll          = time.Minute
+	allProposalsTime    = time.Minute
 )
 
 // Describe says what it is.
@@ -57,7 +57,7 @@
 	defer t.close()
 	delays := watchDelays()
 	var all []restartCost
-	s.Partial, err = repeats(ctx, o.Duration, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		cost, err := t.restartSome(ctx, size)
 		all = append(all, cost)
 		return err
@@ -71,34 +71,34 @@
 	s.Set("processor", medianOf(all, func(c restartCost) float64 { return c.processor.Seconds() * 1000 / float64(size) }))
 	s.Set("repeats", float64(len(all)))
 	s.Violations = t.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
 // restartSome kills subscribers that are drawn, starts them anew, and waits until all have their configuration.
-func (t *tree) restartSome(ctx context.Context, many int) (cost restartCost, err error) {
-	var some []*hollowSubscriber
-	for _, i := range t.random.Perm(len(t.subscribers))[:many] {
-		some = append(some, t.subscribers[i])
+func (t *tree) restartSome(ctx context.Context, count int) (cost restartCost, err error) {
+	var restarted []*hollowSubscriber
+	for _, i := range t.random.Perm(len(t.subscribers))[:count] {
+		restarted = append(restarted, t.subscribers[i])
 	}
-	each(some, (*hollowSubscriber).kill)
+	forEachNode(restarted, (*hollowSubscriber).kill)
 	before := t.bytes()
 	processorBefore := processorTime()
 	began := time.Now()
-	for _, s := range some {
+	for _, s := range restarted {
 		t.starts.Add(1)
 		s.start()
 	}
-	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(some) == 0 }) {
-		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", countWaiting(some), many, readyTimeout)
+	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(restarted) == 0 }) {
+		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", countWaiting(restarted), count, readyTimeout)
 	}
 	cost.ready = time.Since(began)
 	cost.processor = processorTime() - processorBefore
 	for name, bytes := range t.bytes() {
 		cost.worst = max(cost.worst, float64(bytes-before[name])/max(cost.ready, time.Second).Seconds())
 	}
-	for _, s := range some {
-		cost.bytes += float64(s.received()) / float64(many)
+	for _, s := range restarted {
+		cost.bytes += float64(s.received()) / float64(count)
 	}
 	return cost, nil
 }
@@ -124,7 +124,7 @@
 
 // Needs are those of all nodes in our process.
 func (m recoveryDelta) Needs(_ int, o Options) Needs {
-	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + proposeAll}
+	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + allProposalsTime}
 }
 
 // Run cuts a region without voters off while so many changes are made.
@@ -139,7 +139,7 @@
 	t.network.cutOff(region)
 	began := time.Now()
 	for range size {
-		if err := t.voters.propose(ctx, t.content.draw()); err != nil {
+		if err := t.voters.propose(ctx, t.content.drawChange()); err != nil {
 			return s, err
 		}
 	}
@@ -152,12 +152,12 @@
 		if node.region == region {
 			behind = append(behind, node)
 			before += float64(node.received())
-			node.reachableNow()
+			node.markReachable()
 		}
 	}
 	t.network.heal()
 	healed := time.Now()
-	if !awaitClosely(ctx, readyTimeout, func() bool { return t.current(behind) }) {
+	if !awaitClosely(ctx, readyTimeout, func() bool { return t.allCurrent(behind) }) {
 		return s, fmt.Errorf("a region is not current %s after the end of its cut", readyTimeout)
 	}
 	ready := time.Since(healed)
@@ -165,18 +165,18 @@
 	for _, node := range behind {
 		after += float64(node.received())
 	}
-	each(behind, func(node *hollowSubscriber) { node.check(t.content, t.content.last()) })
+	forEachNode(behind, func(node *hollowSubscriber) { node.check(t.content, t.content.lastRevision()) })
 	s.Set("ready", ready.Seconds())
 	s.Set("bytes", (after-before)/float64(len(behind)))
 	s.Set("snapshots", float64(t.needlessSnapshots()))
 	s.Violations = t.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
-// current tells whether all of some nodes are at the newest revision, by their own word.
-func (t *tree) current(nodes []*hollowSubscriber) bool {
-	last := t.content.last()
+// allCurrent tells whether all of some nodes are at the newest revision, by their own word.
+func (t *tree) allCurrent(nodes []*hollowSubscriber) bool {
+	last := t.content.lastRevision()
 	for _, node := range nodes {
 		if status, ok := node.status(); !ok || status.Version.Revision < last {
 			return false
--- a/scale/results/markdown.go
+++ b/scale/results/markdown.go
@@ -12,15 +12,15 @@
 // shownDigits is how many digits of a figure a table shows.
 const shownDigits = 3
 
-// smallest is what a table does not take for 0.
-const smallest = 1e-9
+// zeroThreshold is what a table does not take for 0.
+const zeroThreshold = 1e-9
 
 // FormatFigure writes a figure as tables have it: three digits that count, and commas.
 func FormatFigure(value float64) string {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return fmt.Sprint(value)
 	}
-	if math.Abs(value) < smallest {
+	if math.Abs(value) < zeroThreshold {
 		return "0"
 	}
 	digits := shownDigits - 1 - int(math.Floor(math.Log10(math.Abs(value))))
--- a/scale/results/page.go
+++ b/scale/results/page.go
@@ -26,20 +26,20 @@
 	}
 	page = block.ReplaceAllStringFunc(page, f.fillBlock)
 	page = figure.ReplaceAllStringFunc(page, f.fillFigure)
-	return page, errors.Join(f.failed...)
+	return page, errors.Join(f.errs...)
 }
 
 // filler makes parts of a page from runs, and collects what could not be made, which stays as it is.
 type filler struct {
 	byName map[string]*Run
-	failed []error
+	errs   []error
 }
 
 // run is the one of a name, or nil.
 func (f *filler) run(name string) *Run {
 	r := f.byName[name]
 	if r == nil {
-		f.failed = append(f.failed, fmt.Errorf("no run %q is kept", name))
+		f.errs = append(f.errs, fmt.Errorf("no run %q is kept", name))
 	}
 	return r
 }
@@ -66,7 +66,7 @@
 		value, err = r.Figure(metric, size)
 	}
 	if err != nil {
-		f.failed = append(f.failed, err)
+		f.errs = append(f.errs, err)
 		return text
 	}
 	return fmt.Sprintf("%s<!-- scale %s %s %d -->", value, name, metric, size)
--- a/scale/results/results_test.go
+++ b/scale/results/results_test.go
@@ -9,10 +9,10 @@
 
 // TestBothFormsAreFittedAgain has both forms found again from curves of theirs, and none where too little is known.
 func TestBothFormsAreFittedAgain(t *testing.T) {
-	curve := func(of func(n float64) float64) (samples []Sample) {
+	curve := func(f func(n float64) float64) (samples []Sample) {
 		for _, size := range []int{3, 5, 7, 9, 30} {
 			s := Sample{Size: size}
-			s.Set("cost", of(float64(size)))
+			s.Set("cost", f(float64(size)))
 			samples = append(samples, s)
 		}
 		return samples
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -37,7 +37,7 @@
 
 // newRoleFleet prepares one; it starts nothing but discovery.
 func newRoleFleet(size int, folder string, o Options) (r *roleFleet, err error) {
-	shape := contentShape{groups: targetGroups, ofEach: max(1, size/targetGroups)}
+	shape := contentShape{groups: targetGroups, entriesPerGroup: max(1, size/targetGroups)}
 	r = &roleFleet{options: o, folder: folder, content: newContent(shape, o.Seed), listen: map[string]string{},
 		processes: map[string]*listedController{}, ready: map[string]time.Duration{}, stop: func() {}}
 	r.propagation = newPropagation(r.content)
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	for i, role := range []string{voterRole, distributorRole, controllerRole} {
-		megabytes := setAsideMegabytes
+		megabytes := dedicatedNodeMegabytes
 		if role == controllerRole {
 			megabytes = maxMegabytes
 		}
@@ -106,7 +106,7 @@
 	for i, name := range r.voterNames() {
 		fmt.Fprintf(&members, "    %s: %s\n", name, r.addresses[i])
 	}
-	pace := fmt.Sprintf("  snapshot_bytes_per_s: %d\n", setAsidePace)
+	pace := fmt.Sprintf("  snapshot_bytes_per_s: %d\n", dedicatedSnapshotRate)
 	switch role {
 	case voterRole:
 		return fmt.Sprintf("sharing:\n  plain: true\n  name: %s\n  lease: %s\n  folder: %s\n  members:\n%sdistribution:\n  role: voter\n  fan_out: %d\n%s",
@@ -149,31 +149,31 @@
 // startVoters starts the hollow voters and the real one, and waits until all are on the record.
 func (r *roleFleet) startVoters(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
-	real := r.processes[voterRole]
-	if err := real.start(r.folder); err != nil {
+	realVoter := r.processes[voterRole]
+	if err := realVoter.start(r.folder); err != nil {
 		return err
 	}
 	names := r.voterNames()
 	for i, name := range names[:len(names)-1] {
-		node := newVoterTransport(consensus.Peer{Name: name, Address: r.addresses[i]}.String(), setAsideLimits())
+		node := newVoterTransport(consensus.Peer{Name: name, Address: r.addresses[i]}.String(), dedicatedNodeLimits())
 		r.running.Go(func() { node.Run(ctx) })
-		member, err := startHollow(ctx, &r.running, consensus.Config{Name: name, Members: r.members(), Folder: filepath.Join(r.folder, name),
+		member, err := startHollowMember(ctx, &r.running, consensus.Config{Name: name, Members: r.members(), Folder: filepath.Join(r.folder, name),
 			Distribution: voterDistribution{node, r.content}}, voterLease)
 		if err != nil {
 			return err
 		}
 		r.hollow = append(r.hollow, member)
 	}
-	entered := func() bool {
+	hasQuorum := func() bool {
 		for _, m := range r.hollow {
-			if !m.entered.Load() {
+			if !m.hasQuorum.Load() {
 				return false
 			}
 		}
-		line, ok := real.lastLine(logQuorumChanged)
+		line, ok := realVoter.lastLine(logQuorumChanged)
 		return ok && logField(line.text, logQuorum) == "true"
 	}
-	if !await(ctx, startTimeout, entered) {
+	if !await(ctx, startTimeout, hasQuorum) {
 		return fmt.Errorf("the voters have no record within %s", startTimeout)
 	}
 	return nil
@@ -198,11 +198,11 @@
 	if err := c.start(r.folder); err != nil {
 		return err
 	}
-	has := func() bool {
+	configured := func() bool {
 		_, ok := c.lastLine(logSnapshotApplied)
 		return ok || c.process.ExitedUnexpectedly()
 	}
-	if awaitClosely(ctx, rolesReadyTimeout, has); c.process.ExitedUnexpectedly() {
+	if awaitClosely(ctx, rolesReadyTimeout, configured); c.process.ExitedUnexpectedly() {
 		return fmt.Errorf("the %s has ended", role)
 	}
 	line, ok := c.lastLine(logSnapshotApplied)
@@ -224,7 +224,7 @@
 
 // close ends all.
 func (r *roleFleet) close() {
-	each(r.children, (*hollowSubscriber).kill)
+	forEachNode(r.children, (*hollowSubscriber).kill)
 	for _, c := range r.processes {
 		c.end()
 	}
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -24,12 +24,12 @@
 
 // Figures of the deployment around the processes.
 const (
-	distributorChildren = maxFanOut - 1 // hollow ones; the controller is one more
-	controllerChildren  = 4             // a controller sends snapshots at a pace of its own, so that more take minutes
-	setAsideMegabytes   = 4096          // that a process on a machine set aside may take
-	rolesReadyTimeout   = 4 * time.Minute
-	statsLogInterval    = 10 * time.Second // a controller logs what the distribution costs it
-	rolesSeed           = 17
+	distributorChildren    = maxFanOut - 1 // hollow ones; the controller is one more
+	controllerChildren     = 4             // a controller sends snapshots at a pace of its own, so that more take minutes
+	dedicatedNodeMegabytes = 4096          // that a process on a machine set aside may take
+	rolesReadyTimeout      = 4 * time.Minute
+	statsLogInterval       = 10 * time.Second // a controller logs what the distribution costs it
+	rolesSeed              = 17
 )
 
 // Describe says what it is.
@@ -85,7 +85,7 @@
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
 	s.Violations = r.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
@@ -107,7 +107,7 @@
 		if err := pauseFor(ctx, rate.pause(random)); err != nil {
 			return err
 		}
-		if err := r.propose(ctx, r.content.draw()); err != nil {
+		if err := r.propose(ctx, r.content.drawChange()); err != nil {
 			return err
 		}
 	}
@@ -125,13 +125,13 @@
 		s.Set(role+"_processor", percent*(usage.processor-before[role].processor).Seconds()/seconds)
 		s.Set(role+"_memory", float64(usage.peak)/megabyte)
 	}
-	last := r.content.last()
+	last := r.content.lastRevision()
 	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(r.children, r.content, last) == 0 })
-	each(r.children, func(child *hollowSubscriber) { child.check(r.content, last) })
+	forEachNode(r.children, func(child *hollowSubscriber) { child.check(r.content, last) })
 	s.Set("distributor_ready", r.ready[distributorRole].Seconds())
 	s.Set("controller_ready", r.ready[controllerRole].Seconds())
-	s.Set("controller_entries", float64(commonEntries+r.content.shape.ofEach))
-	s.Set("most", r.propagation.seconds(r.propagation.each, 100))
+	s.Set("controller_entries", float64(commonEntries+r.content.shape.entriesPerGroup))
+	s.Set("most", r.propagation.seconds(r.propagation.latency, 100))
 	return nil
 }
 
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -68,14 +68,14 @@
 		decisions{byProxies: true},
 		lists{},
 		recovery{},
-		recovery{whole: true},
+		recovery{allBackends: true},
 		recoverySnapshot{},
 		recoveryTree{recoverySubscribers},
 		recoveryDelta{recoverySubscribers},
 		addedTime{},
 		roles{},
 		distributionCost{},
-		distributionCost{whole: true},
+		distributionCost{allEntries: true},
 		distributedFaults{},
 	}
 }
@@ -95,9 +95,9 @@
 // MeasureSizes runs a measurement at each size, and fits what it saw. It refuses what the machine would not bear, with a
 // *RefusedError, before anything starts.
 func MeasureSizes(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
-	about := m.Describe()
+	description := m.Describe()
 	if len(sizes) == 0 {
-		sizes = about.Sizes
+		sizes = description.Sizes
 	}
 	machine, err := thisMachine()
 	if err != nil {
@@ -109,26 +109,26 @@
 		}
 	}
 	run := &results.Run{
-		Name:      about.Name,
-		About:     about.About,
-		Revision:  builtFrom(),
+		Name:      description.Name,
+		About:     description.About,
+		Revision:  buildRevision(),
 		Date:      time.Now().UTC().Format(time.DateTime),
 		Machine:   machine,
-		Transport: about.Transport,
+		Transport: description.Transport,
 		Seed:      options.Seed,
 		Seconds:   options.Duration.Seconds(),
-		SizeUnit:  about.SizeUnit,
-		Targets:   slices.Clone(about.Targets),
-		Metrics:   about.Metrics,
+		SizeUnit:  description.SizeUnit,
+		Targets:   slices.Clone(description.Targets),
+		Metrics:   description.Metrics,
 	}
 	for _, size := range sizes {
-		options.progressf("%s: %d %s", about.Name, size, about.SizeUnit)
-		limited, cancel := context.WithTimeout(ctx, 2*m.Needs(size, options).Time)
+		options.progressf("%s: %d %s", description.Name, size, description.SizeUnit)
+		deadlineCtx, cancel := context.WithTimeout(ctx, 2*m.Needs(size, options).Time)
 		load := currentLoad()
-		sample, err := m.Run(limited, size, options)
+		sample, err := m.Run(deadlineCtx, size, options)
 		cancel()
 		if err != nil {
-			return nil, fmt.Errorf("%s at %d %s: %w", about.Name, size, about.SizeUnit, err)
+			return nil, fmt.Errorf("%s at %d %s: %w", description.Name, size, description.SizeUnit, err)
 		}
 		sample.Size = size
 		sample.Load = load
@@ -138,8 +138,8 @@
 	return run, nil
 }
 
-// builtFrom is the revision that the program was built from, where the build noted it.
-func builtFrom() string {
+// buildRevision is the revision that the program was built from, where the build noted it.
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
--- a/scale/tree_checks.go
+++ b/scale/tree_checks.go
@@ -13,7 +13,7 @@
 func countWaiting(nodes []*hollowSubscriber) (n int) {
 	for _, s := range nodes {
 		s.mutex.Lock()
-		if s.seen == 0 {
+		if s.appliedRevision == 0 {
 			n++
 		}
 		s.mutex.Unlock()
@@ -29,7 +29,7 @@
 	var text []string
 	for _, s := range nodes {
 		s.mutex.Lock()
-		waits := s.seen == 0
+		waits := s.appliedRevision == 0
 		s.mutex.Unlock()
 		if status, ok := s.status(); ok && waits && len(text) < maxNamedWaiting {
 			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
@@ -39,8 +39,8 @@
 	return strings.Join(text, "; ")
 }
 
-// checkSome compares subscribers that are drawn with the content at the revision that each of them is at.
-func (t *tree) checkSome(random *rand.Rand) {
+// checkRandomSubscribers compares subscribers that are drawn with the content at the revision that each of them is at.
+func (t *tree) checkRandomSubscribers(random *rand.Rand) {
 	for range checksAtOnce {
 		t.subscribers[random.IntN(len(t.subscribers))].check(t.content, 0)
 	}
@@ -49,16 +49,16 @@
 // settle gives the last changes the time in which they have to be in force, and compares all nodes with the content at
 // its end.
 func (t *tree) settle(ctx context.Context) error {
-	last := t.content.last()
+	last := t.content.lastRevision()
 	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(t.nodes(), t.content, last) == 0 })
-	each(t.nodes(), func(s *hollowSubscriber) { s.check(t.content, last) })
+	forEachNode(t.nodes(), func(s *hollowSubscriber) { s.check(t.content, last) })
 	return ctx.Err()
 }
 
 // parentsLost counts how often nodes that run have lost or left a parent.
 func (t *tree) parentsLost() int64 {
 	var lost atomic.Int64
-	each(t.nodes(), func(s *hollowSubscriber) {
+	forEachNode(t.nodes(), func(s *hollowSubscriber) {
 		if status, ok := s.status(); ok {
 			lost.Add(int64(status.Counts.ParentsLost))
 		}
@@ -69,7 +69,7 @@
 // needlessSnapshots counts the snapshots that were taken beyond one for each incarnation.
 func (t *tree) needlessSnapshots() int64 {
 	var taken atomic.Int64
-	each(t.nodes(), func(s *hollowSubscriber) {
+	forEachNode(t.nodes(), func(s *hollowSubscriber) {
 		if status, ok := s.status(); ok {
 			taken.Add(int64(status.Counts.SnapshotsInstalled))
 		}
--- a/scale/tree_plan.go
+++ b/scale/tree_plan.go
@@ -4,26 +4,26 @@
 
 // Figures of the tree, by assumption.
 const (
-	regions            = 25
-	targetDistributors = maxMachines - defaultVoters // of the machines set aside, those that do not vote
-	defaultVoters      = 5
-	maxFanOut          = 64 // of a distributor, whose children are of some groups each; with 16, groups find no place at 11,000
-	minFanOut          = 8
-	belowDistributors  = 10       // one controller in so many is right below a distributor, whatever the size
-	setAsidePace       = 16 << 20 // bytes a second of the snapshots from a voter or distributor, on machines set aside
-	minDistributors    = 2
-	knownDistributors  = 3 // that a subscriber is configured with as possible parents
-	knownPeers         = 2 // of its group
-	subscriberMemory   = 120 << 10
-	treeMemory         = 256 << 20
-	entryMemory        = 192 // bytes, about, of one that is kept
-	heapGrowth         = 2   // times what is in use the heap grows to
-	copiesAtVoter      = 3   // of all entries: as raft has them in its log, on the record and for subscribers
-	readyTimeout       = 5 * time.Minute
-	checksAtOnce       = 20 // subscribers compared with the content at a point drawn
-	timeBetweenChecks  = time.Second
-	treeSeed           = 11
-	faultSeed          = 13
+	regions               = 25
+	targetDistributors    = maxMachines - defaultVoters // of the machines set aside, those that do not vote
+	defaultVoters         = 5
+	maxFanOut             = 64 // of a distributor, whose children are of some groups each; with 16, groups find no place at 11,000
+	minFanOut             = 8
+	directChildOneIn      = 10       // one controller in so many is right below a distributor, whatever the size
+	dedicatedSnapshotRate = 16 << 20 // bytes a second of the snapshots from a voter or distributor, on machines set aside
+	minDistributors       = 2
+	knownDistributors     = 3 // that a subscriber is configured with as possible parents
+	knownPeers            = 2 // of its group
+	subscriberMemory      = 120 << 10
+	treeMemory            = 256 << 20
+	entryMemory           = 192 // bytes, about, of one that is kept
+	heapGrowth            = 2   // times what is in use the heap grows to
+	copiesAtVoter         = 3   // of all entries: as raft has them in its log, on the record and for subscribers
+	readyTimeout          = 5 * time.Minute
+	checksAtOnce          = 20 // subscribers compared with the content at a point drawn
+	timeBetweenChecks     = time.Second
+	treeSeed              = 11
+	faultSeed             = 13
 )
 
 // treePlan is the size of a deployment.
@@ -37,7 +37,7 @@
 // scaledTree is a deployment with as much of everything for a subscriber as there will be, but one entry for each service.
 func scaledTree(subscribers int) treePlan {
 	distributors := max(minDistributors, (targetDistributors*subscribers+targetControllers-1)/targetControllers)
-	fanOut := min(max(subscribers/belowDistributors/distributors, minFanOut), maxFanOut)
+	fanOut := min(max(subscribers/directChildOneIn/distributors, minFanOut), maxFanOut)
 	return treePlan{subscribers, scaledContent(subscribers), distributors, fanOut}
 }
 
@@ -49,7 +49,7 @@
 // memory is what the deployment takes before garbage is collected.
 func (p treePlan) memory(o Options) int64 {
 	nodes := int64(p.subscribers)
-	holdAll := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the one that they are compared with
-	entries := nodes*int64(p.content.ofEach) + holdAll*int64(p.content.groups*p.content.ofEach)
+	fullCopies := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the one that they are compared with
+	entries := nodes*int64(p.content.entriesPerGroup) + fullCopies*int64(p.content.groups*p.content.entriesPerGroup)
 	return treeMemory + nodes*subscriberMemory + heapGrowth*entries*entryMemory
 }
