--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -15,20 +15,21 @@
 	"wheelrill/scale/results"
 )
 
-// addedTime measures what a proxy's pick adds to a request by the entries of its table, with the code of the fake
-// proxies: the weighted pick, and the second pick of an ordered retry, which leaves out the previous backend.
+// addedTime measures the time that a proxy adds to a request when it picks a backend, by the number
+// of entries of its table. It runs the code of the fake proxies: the weighted pick, and the second
+// pick of an ordered retry, which excludes the backend of the first attempt.
 type addedTime struct{}
 
-// How much one size plays.
+// Limits of the measurement at one size.
 const (
 	pickRepeats  = 5
 	indexRepeats = 20
-	maxPicks     = 20_000      // in one repeat
-	minPicks     = 100         // for a share of 99 in 100 to mean something
-	maxPickTime  = time.Minute // that a histogram holds
+	maxPicks     = 20_000      // per repeat
+	minPicks     = 100         // per repeat, so that the 99th percentile means something
+	maxPickTime  = time.Minute // longest time that a histogram records
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (addedTime) Describe() Description {
 	return Description{Name: "added-time", SizeUnit: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
@@ -45,17 +46,18 @@
 		}}
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory and time that one size takes.
 func (addedTime) Needs(_ int, o Options) Needs {
 	const bytes = 256 << 20
 	return Needs{Memory: bytes, Time: o.Duration + 2*maxPickTime}
 }
 
-// pickTimes is what one repeat has shown, in nanoseconds.
+// pickTimes holds the times of all picks of one repeat, in nanoseconds.
 type pickTimes struct {
-	firstPick          *hdrhistogram.Histogram // wall time of a pick
-	bothPicks          *hdrhistogram.Histogram // and of that of a retry, together
-	firstPickProcessor *hdrhistogram.Histogram // processor time of the thread, which a busy machine lengthens less
+	firstPick *hdrhistogram.Histogram // wall time of the first pick
+	bothPicks *hdrhistogram.Histogram // wall time of the first pick and the retry's pick together
+	// Processor time of the thread, which a busy machine lengthens less than wall time.
+	firstPickProcessor *hdrhistogram.Histogram
 	bothPicksProcessor *hdrhistogram.Histogram
 	requests           int
 }
@@ -65,7 +67,7 @@
 	return pickTimes{firstPick: empty(), bothPicks: empty(), firstPickProcessor: empty(), bothPicksProcessor: empty()}
 }
 
-// Run plays the repeats over one table, and takes the median of their percentiles.
+// Run repeats the picks over one table, and returns the median of each percentile over the repeats.
 func (addedTime) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	table := weightedTable(size, o.Seed)
 	index := time.Duration(0)
@@ -103,17 +105,20 @@
 		}))
 	}
 	sample.Set("requests", medianOf(all, func(d pickTimes) float64 { return float64(d.requests) }))
-	if fewest := slices.MinFunc(all, func(a, b pickTimes) int { return a.requests - b.requests }).requests; fewest < picksForStableP99 {
+	if fewest := slices.MinFunc(all, func(a, b pickTimes) int {
+		return a.requests - b.requests
+	}).requests; fewest < picksForStableP99 {
 		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", fewest)
 	}
 	return sample, nil
 }
 
-// picksForStableP99 is enough for the slowest of a hundred to be many.
+// picksForStableP99 is the number of picks per repeat from which the slowest hundredth holds enough
+// picks, 10, for a stable 99th percentile.
 const picksForStableP99 = 1000
 
-// measurePicks picks a backend and another one for a while, and notes how long that took. It holds its thread, whose
-// processor time is read.
+// measurePicks times pairs of picks for the given span: at least minPicks and at most maxPicks
+// pairs. It locks the goroutine to its thread, because it reads the processor time of the thread.
 func measurePicks(table *fake.Table, entries int, random *rand.Rand, span time.Duration) (pickTimes, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -128,7 +133,8 @@
 	return times, nil
 }
 
-// measureOne picks a backend and, as an ordered retry does, another one.
+// measureOne times one pick and a second one that excludes the first backend, as in an ordered
+// retry.
 func (t *pickTimes) measureOne(table *fake.Table, entries int, number uint64) error {
 	from := time.Now()
 	fromProcessor := threadTime()
@@ -139,7 +145,8 @@
 	bothPicks := time.Since(from)
 	bothPicksProcessor := threadTime() - fromProcessor
 	if !found || foundOther && second == first || !foundOther && entries > 1 {
-		return fmt.Errorf("drew %q, then %q of %d entries", first, second, entries)
+		return fmt.Errorf("picked %q, then %q from a table of %d entries; want different backends, or one of a single entry",
+			first, second, entries)
 	}
 	return errors.Join(
 		t.firstPick.RecordValue(firstPick.Nanoseconds()),
@@ -148,7 +155,8 @@
 		t.bothPicksProcessor.RecordValue(bothPicksProcessor.Nanoseconds()))
 }
 
-// weightedTable makes a table of so many entries, with weights as rough as discovery's.
+// weightedTable returns a table of the given number of entries, with weights that vary as much as
+// those from discovery.
 func weightedTable(entries int, seed uint64) *fake.Table {
 	random := rand.New(rand.NewPCG(seed, seed))
 	table := fake.NewTable()
--- a/scale/budgets.go
+++ b/scale/budgets.go
@@ -1,20 +1,21 @@
 package scale
 
-// What a controller may spend for control, by the size in two years.
+// Budgets: the most that a controller may spend on control, at the size that the installation is
+// expected to have in two years.
 const (
-	maxBytesPerSecond     = 23_000 // in and out together
+	maxBytesPerSecond     = 23_000 // received and sent together
 	maxProcessorPercent   = 4      // percent of a core
 	maxMegabytes          = 256
-	maxMachines           = 23  // set aside for control, in all
-	maxAddedMilliseconds  = 4.3 // milliseconds added to a request, 99 in 100
-	maxPropagationSeconds = 3   // seconds from a change's acceptance until the last controller acts by it
+	maxMachines           = 23  // dedicated to control, in total
+	maxAddedMilliseconds  = 4.3 // milliseconds added to a request, 99th percentile
+	maxPropagationSeconds = 3   // seconds from the acceptance of a change until the last controller applies it
 
 	targetControllers = 11_000
 	changesPerSecond  = 0.42 // 36,000 a day
-	changeRateFactor  = 10   // what is measured beside the mean
+	changeRateFactor  = 10   // changes are measured at the mean rate and at this multiple of it
 )
 
-// Parts of figures that several measurements have.
+// Unit conversions that several measurements share.
 const (
 	percent  = 100
 	megabyte = 1 << 20
--- a/scale/change.go
+++ b/scale/change.go
@@ -18,19 +18,20 @@
 	"wheelrill/scale/results"
 )
 
-// changeByFile is how long a change takes as it is made today: a file on each machine and a SIGHUP. The change moves
-// discovery to another address, and a controller acts by it once it has connected there.
+// changeByFile measures how long a configuration change takes with the present mechanism: a new
+// file on each machine and a SIGHUP. The change moves discovery to another address, and a
+// controller has applied it once it has connected to that address.
 type changeByFile struct{}
 
 const (
-	discoveryAddressCount = 4 // addresses that a controller is moved around between
+	discoveryAddressCount = 4 // discovery addresses that changes move a controller between
 	settleTimeout         = 10 * time.Second
 	memberCores           = 1
 	memberSockets         = 256
 	memberLimitMB         = 192
 )
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (changeByFile) Describe() Description {
 	d := Description{Name: "change", About: "A change as it is made today, a file for each controller and a SIGHUP, real processes on one machine",
 		SizeUnit: "controllers", Sizes: []int{4, 8, 16, 32}, Targets: []int{targetControllers}, Transport: "loopback"}
@@ -53,13 +54,14 @@
 	return d
 }
 
-// Needs are those of the controllers.
+// Needs returns the memory, the processes and the time that the controllers take.
 func (changeByFile) Needs(size int, o Options) Needs {
 	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
 		Time: startTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
 }
 
-// Run makes changes at each pace, and notes when each controller acted by them.
+// Run makes changes at each rate, and measures how long the last controller takes to apply each
+// change.
 func (changeByFile) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "change-")
 	if err != nil {
@@ -92,22 +94,23 @@
 	return s, nil
 }
 
-// reloadedFleet is controllers that are told of changes by files and signals.
+// reloadedFleet holds controllers that receive changes as a new configuration file and a SIGHUP.
 type reloadedFleet struct {
 	discovery       *fake.Discovery
 	controllers     []*reloadedController
 	folder          string
 	seed            uint64
 	settings        map[string]any
-	changesMade     int // changes so far
-	lastChangeBytes int // bytes of the last change's files
+	changesMade     int // number of changes made so far
+	lastChangeBytes int // total size of the files of the last change
 }
 
-// reloadedController is one of them.
+// reloadedController is a controller process with the discovery addresses that changes move it
+// between.
 type reloadedController struct {
 	process            *process.Controller
-	discoveryAddresses []*watchedAddress // of discovery, which changes move it around between
-	appliedChange      atomic.Int64      // the last change that it acted by
+	discoveryAddresses []*watchedAddress // change n moves the controller to address n modulo their number
+	appliedChange      atomic.Int64      // number of the newest change that the controller applied
 }
 
 func newReloadedFleet(size int, folder string, o Options) (f *reloadedFleet, err error) {
@@ -158,7 +161,8 @@
 	f.discovery.Close()
 }
 
-// write gives controller i its file for a change, in one step as an operator's tool would.
+// write replaces the configuration file of controller i by that of a change, atomically with a
+// rename as an operator's tool would do, and returns the size of the file in bytes.
 func (f *reloadedFleet) write(i int, change int64) (int, error) {
 	c := f.controllers[i]
 	slot := c.discoveryAddresses[change%discoveryAddressCount]
@@ -178,7 +182,7 @@
 	return int(info.Size()), os.Rename(draft, f.path(i))
 }
 
-// start starts all, and waits until each follows discovery.
+// start starts all controllers, and waits until each has connected to discovery.
 func (f *reloadedFleet) start(ctx context.Context) error {
 	f.changesMade = 1
 	for i, c := range f.controllers {
@@ -190,12 +194,13 @@
 		}
 	}
 	if !await(ctx, startTimeout, func() bool { return f.allApplied(1) }) {
-		return fmt.Errorf("not all controllers followed discovery within %s; their logs are in %s", startTimeout, f.folder)
+		return fmt.Errorf("not all controllers connected to discovery within %s; their logs are in %s",
+			startTimeout, f.folder)
 	}
 	return nil
 }
 
-// allApplied tells whether all controllers act by a change, or by a later one.
+// allApplied reports whether all controllers have applied the given change or a later one.
 func (f *reloadedFleet) allApplied(change int64) bool {
 	for _, c := range f.controllers {
 		if c.appliedChange.Load() < change {
@@ -205,18 +210,19 @@
 	return true
 }
 
-// pacedChanges is changes that are made at one pace, and what is seen of them.
+// pacedChanges makes changes at one rate, and collects how long they take to be applied.
 type pacedChanges struct {
 	fleet   *reloadedFleet
 	made    int
-	writing time.Duration // files and signals, in all
+	writing time.Duration // total time spent on writing files and sending signals
 
-	mutex   sync.Mutex              // of all below
-	latency *hdrhistogram.Histogram // µs until the last controller acted by a change
-	late    int                     // changes that some controller did not act by in time
+	mutex   sync.Mutex              // guards the fields below
+	latency *hdrhistogram.Histogram // µs from the start of a change until the last controller applied it
+	late    int                     // changes that some controller did not apply within settleTimeout
 }
 
-// measureChanges makes changes at a pace for a while, and notes what was seen.
+// measureChanges makes changes at one rate for the observed time, and sets the metrics of that
+// rate.
 func (f *reloadedFleet) measureChanges(ctx context.Context, rate changeRate, o Options, s *results.Sample) error {
 	p := &pacedChanges{fleet: f, latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)}
 	before := f.processor()
@@ -238,7 +244,8 @@
 	return nil
 }
 
-// run makes changes, and waits until all have been acted by or are late.
+// run makes changes for the given span, and waits until each change is late or applied by all
+// controllers.
 func (p *pacedChanges) run(ctx context.Context, rate changeRate, span time.Duration) error {
 	random := rand.New(rand.NewPCG(p.fleet.seed, uint64(p.fleet.changesMade)))
 	var observing sync.WaitGroup
@@ -259,7 +266,7 @@
 	return nil
 }
 
-// observe notes when the last controller acts by a change.
+// observe waits until the last controller applies a change, and records how long that took.
 func (p *pacedChanges) observe(ctx context.Context, change int64, accepted time.Time) {
 	inTime := awaitClosely(ctx, settleTimeout, func() bool { return p.fleet.allApplied(change) })
 	elapsed := time.Since(accepted)
@@ -268,10 +275,11 @@
 	if !inTime {
 		p.late++
 	}
-	_ = p.latency.RecordValue(elapsed.Microseconds()) // settleTimeout is within its range
+	_ = p.latency.RecordValue(elapsed.Microseconds()) // cannot fail: settleTimeout is within the range
 }
 
-// writeChange gives each controller its file of the next change, and a signal.
+// writeChange writes the file of the next change for each controller, and sends the controller a
+// SIGHUP.
 func (f *reloadedFleet) writeChange() (change int64, err error) {
 	f.changesMade++
 	f.lastChangeBytes = 0
@@ -282,13 +290,13 @@
 		}
 		f.lastChangeBytes += size
 		if err := c.process.Signal(syscall.SIGHUP); err != nil {
-			return 0, fmt.Errorf("%s: %w", c.process.Name, err)
+			return 0, fmt.Errorf("SIGHUP to controller %s: %w", c.process.Name, err)
 		}
 	}
 	return int64(f.changesMade), nil
 }
 
-// processor is the time that all controllers have taken.
+// processor returns the processor time that all controllers have taken so far.
 func (f *reloadedFleet) processor() (sum time.Duration) {
 	for _, c := range f.controllers {
 		if usage, err := readUsage(c.process.PID()); err == nil {
--- a/scale/change_rate.go
+++ b/scale/change_rate.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// changeRate is one pace of changes.
+// changeRate is a rate at which a measurement makes changes.
 type changeRate struct {
-	perS          float64 // mean
-	suffix, about string  // of metrics
+	perS          float64 // mean changes per second
+	suffix, about string  // name suffix and description of the metrics at this rate
 }
 
-// pause draws the time to the next change: half to one and a half of the mean.
+// pause returns a random time until the next change: 0.5 to 1.5 times the mean interval.
 func (r changeRate) pause(random *rand.Rand) time.Duration {
 	return time.Duration((0.5 + random.Float64()) / r.perS * float64(time.Second))
 }
--- a/scale/content.go
+++ b/scale/content.go
@@ -10,46 +10,52 @@
 	"wheelrill/distribution"
 )
 
-// What is distributed, by assumption: services stand in groups, a controller serves one group and what is common to all.
+// Assumed amount of the distributed configuration. Services form groups, and a controller needs the
+// entries of one group and those that are common to all groups.
 const (
-	servicesPerGroup    = 57  // of 5,700 in 100 groups
-	controllersPerGroup = 110 // of 11,000
+	servicesPerGroup    = 57  // 5,700 services in 100 groups
+	controllersPerGroup = 110 // 11,000 controllers in 100 groups
 	commonEntries       = 20
 	valueBytes          = 48
-	maxEntriesChanged   = 3  // entries that one change has at most
-	commonChangeOneIn   = 10 // one change in so many goes to all
-	drainChangeOneIn    = 5  // one in so many sets or ends a drain, which is an entry that comes and goes
+	maxEntriesChanged   = 3  // largest number of entries of one change
+	commonChangeOneIn   = 10 // one change in 10 concerns common entries, which all controllers receive
+	drainChangeOneIn    = 5  // one changed entry in 5 sets or ends a drain, which is an entry that is added and deleted
 )
 
 const commonScope = "common"
 
 func groupScope(group int) string { return fmt.Sprintf("group/%03d", group) }
 
-// contentShape is how much is distributed.
+// contentShape is the amount of the distributed configuration.
 type contentShape struct {
-	groups          int // of services
-	entriesPerGroup int // entries of each group
+	groups          int // number of service groups
+	entriesPerGroup int
 }
 
-// scaledContent has as many groups as so many controllers serve, and of each service one entry.
+// scaledContent has as many groups as the given number of controllers serves, and one entry for
+// each service.
 func scaledContent(controllers int) contentShape {
-	return contentShape{groups: max(1, (controllers+controllersPerGroup-1)/controllersPerGroup), entriesPerGroup: servicesPerGroup}
+	return contentShape{
+		groups:          max(1, (controllers+controllersPerGroup-1)/controllersPerGroup),
+		entriesPerGroup: servicesPerGroup,
+	}
 }
 
-// fullContent is all that there will be, however many controllers there are.
+// fullContent is the whole configuration that is expected, at any number of controllers.
 func fullContent() contentShape {
 	return contentShape{groups: targetGroups, entriesPerGroup: entriesServed}
 }
 
-// content is the configuration as it was proposed, change by change: what nodes are compared with.
+// content is the configuration as the voters accepted it, change by change. Checks compare the
+// nodes with it.
 type content struct {
-	random *rand.Rand // of whoever draws changes, one at a time
+	random *rand.Rand // only for the goroutine that draws changes; mutex does not guard it
 	shape  contentShape
 
-	mutex      sync.Mutex                      // of all below
-	revision   uint64                          // the newest that was accepted
-	byScope    map[string][]distribution.Entry // as voters accepted them, by revision
-	recordedAt map[uint64]time.Time            // when the first voter had a revision from the record
+	mutex      sync.Mutex                      // guards the fields below
+	revision   uint64                          // newest accepted revision
+	byScope    map[string][]distribution.Entry // accepted entries of each scope, in order of revision
+	recordedAt map[uint64]time.Time            // when the first voter received each revision from the record
 }
 
 func newContent(shape contentShape, seed uint64) *content {
@@ -57,9 +63,10 @@
 		recordedAt: map[uint64]time.Time{}}
 }
 
-const contentSeed = 7 // tells what is drawn here from what is drawn elsewhere by the same seed
+const contentSeed = 7 // separates the random numbers of content from others with the same seed
 
-// initial gives all entries at the start, in proposals.
+// initial returns the entries that exist at the start: one proposal for the common scope, and one
+// for each group.
 func (c *content) initial() (proposals [][]distribution.Entry) {
 	var common []distribution.Entry
 	for i := range commonEntries {
@@ -84,7 +91,8 @@
 	return distribution.Entry{Scope: scope, Name: name, Value: value}
 }
 
-// drawChange gives the entries of the next change: some of one group, or some that go to all.
+// drawChange returns random entries for the next change: 1 to maxEntriesChanged entries of one
+// group, or of the common scope, which goes to all subscribers.
 func (c *content) drawChange() (entries []distribution.Entry) {
 	scope := groupScope(c.random.IntN(c.shape.groups))
 	names := c.shape.entriesPerGroup
@@ -111,7 +119,8 @@
 	return entries
 }
 
-// noteAccepted notes a change as the voters have it.
+// noteAccepted adds a change that a voter received from the record. Changes that another voter has
+// added are ignored.
 func (c *content) noteAccepted(change distribution.Change) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -126,11 +135,13 @@
 	}
 }
 
-// proposalTimeout is how long a proposer waits at most until it is told that its change stands.
+// proposalTimeout is the longest time that a proposer waits for its change to be committed.
 const proposalTimeout = 500 * time.Millisecond
 
-// acceptedAt is when a revision was accepted: as its leader noted it, unless it came to stand only after its proposer had
-// been told that it did not, as where the majority was lost.
+// acceptedAt returns the time at which a revision was accepted: the time that its leader wrote into
+// it. If the first voter received the revision more than proposalTimeout later, that later time
+// counts instead: the proposer had been told that its change failed, as happens while the majority
+// of voters is lost, and the change was committed after all.
 func (c *content) acceptedAt(revision uint64, leaderTime int64) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -141,14 +152,14 @@
 	return at
 }
 
-// lastRevision is the newest revision.
+// lastRevision returns the newest accepted revision.
 func (c *content) lastRevision() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.revision
 }
 
-// newestByScope is the last revision of each scope up to one.
+// newestByScope returns the newest revision of each scope that does not exceed the given one.
 func (c *content) newestByScope(revision uint64) map[string]uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -164,7 +175,7 @@
 	return newest
 }
 
-// stateAt is what some scopes hold at a revision.
+// stateAt returns the entries that the given scopes hold at a revision.
 func (c *content) stateAt(revision uint64, scopes distribution.Scopes) map[distribution.Key]distribution.Entry {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -187,7 +198,8 @@
 	return state
 }
 
-// difference says how a node's entries differ from what they should be at its revision; empty where they do not.
+// difference describes how the entries of a node differ from the expected ones at its revision. It
+// returns "" if they are equal.
 func (c *content) difference(state distribution.State, scopes distribution.Scopes) string {
 	want := c.stateAt(state.Version.Revision, scopes)
 	live := 0
@@ -198,14 +210,15 @@
 		live++
 		switch wanted, ok := want[e.Key()]; {
 		case !ok:
-			return fmt.Sprintf("at revision %d it has %s %s, which is not there", state.Version.Revision, e.Scope, e.Name)
+			return fmt.Sprintf("at revision %d the node has entry %s %s, which does not exist",
+				state.Version.Revision, e.Scope, e.Name)
 		case !slices.Equal(wanted.Value, e.Value) || wanted.Revision != e.Revision:
-			return fmt.Sprintf("at revision %d it has %s %s of revision %d, not of %d", state.Version.Revision, e.Scope, e.Name, e.Revision,
-				wanted.Revision)
+			return fmt.Sprintf("at revision %d the node has entry %s %s of revision %d; want the value of revision %d",
+				state.Version.Revision, e.Scope, e.Name, e.Revision, wanted.Revision)
 		}
 	}
 	if live != len(want) {
-		return fmt.Sprintf("at revision %d it has %d entries, not %d", state.Version.Revision, live, len(want))
+		return fmt.Sprintf("at revision %d the node has %d entries; want %d", state.Version.Revision, live, len(want))
 	}
 	return ""
 }
--- a/scale/controller_log.go
+++ b/scale/controller_log.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// Events and keys of a controller's log that measurements read; controller and consensus write them.
+// Events and keys of a controller's log that measurements read. Packages controller and consensus
+// write them.
 const (
 	logReady              = "ready"               // with logBackends
 	logQuorumChanged      = "quorum_changed"      // with logQuorum
-	logSnapshotApplied    = "snapshot_applied"    // a subscriber has its configuration
+	logSnapshotApplied    = "snapshot_applied"    // a subscriber has received its configuration
 	logDistributionStatus = "distribution_status" // with logInBytes, logOutBytes
 	logRecord             = "record"              // with logEntries, logBytes
 	logLeading            = "leading"             // with logLeads
@@ -20,10 +21,11 @@
 	logLeads    = "leads"
 )
 
-// logEvent is the event of a line.
+// logEvent returns the event of a log line.
 func logEvent(line string) string { return logField(line, "msg") }
 
-// logField gives one value of a line of key=value.
+// logField returns the value of a key in a log line of key=value pairs, or "" if the key is
+// missing.
 func logField(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(rest, " ")
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -6,23 +6,23 @@
 	"wheelrill/balancer"
 )
 
-// countingHost is the balancer.Host of a measured controller: it counts orders, keeps only the last timer, and has acks
-// requested answered by acknowledge. Time is what the measurement sets it to.
+// countingHost is the balancer.Host of a measured controller. It counts orders and keeps only the
+// last timer; acknowledge answers the requested acks. The measurement sets the clock.
 type countingHost struct {
 	control *balancer.Controller
 	now     int64
-	tag     uint64 // of the last timer
+	tag     uint64 // tag of the last timer
 	orders  orderCounts
 
-	tables       [][]int // tables that a proxy is bound to
-	pendingAck   int     // the number of the ack that is requested
+	tables       [][]int // tables assigned to each proxy
+	pendingAck   int     // number of the latest requested ack
 	ackRequested bool
 	toAllProxies bool         // the request for an ack reaches every connected proxy
-	changed      map[int]bool // tables that were changed at this clock time
-	reached      map[int]bool // proxies that were told something beside their tables
+	changed      map[int]bool // tables changed since the last answered request for an ack
+	reached      map[int]bool // proxies with an assigned table, or synced or cleared withdrawals, since then
 }
 
-// orderCounts is how often each order was given.
+// orderCounts holds the number of orders of each kind.
 type orderCounts struct {
 	entries, assignments, withdrawals, syncs, clears, limits, acks int
 }
@@ -36,28 +36,28 @@
 	return &countingHost{now: start, tables: make([][]int, proxies), changed: map[int]bool{}, reached: map[int]bool{}}
 }
 
-// Now is the time that the measurement has set.
+// Now returns the time that the measurement has set, in microseconds.
 func (h *countingHost) Now() int64 { return h.now }
 
-// SetTimer keeps the tag of the one timer that the decisions have.
+// SetTimer keeps the tag of the timer; the balancer has only one.
 func (h *countingHost) SetTimer(_ int64, tag uint64) { h.tag = tag }
 
-// Log drops the line.
+// Log discards the line.
 func (h *countingHost) Log(int, string) {}
 
-// PollEndpoints does nothing: lists are handed in.
+// PollEndpoints does nothing: the measurement passes the endpoint lists in.
 func (h *countingHost) PollEndpoints() {}
 
 // CheckHealth does nothing: health checks are off.
 func (h *countingHost) CheckHealth(int) {}
 
-// PublishEntry counts an entry of a table.
+// PublishEntry counts a published table entry.
 func (h *countingHost) PublishEntry(table, _ int, _ float64) {
 	h.orders.entries++
 	h.changed[table] = true
 }
 
-// AssignTable counts a table that a proxy is given.
+// AssignTable counts the assignment of a table to a proxy.
 func (h *countingHost) AssignTable(table, proxy int, _ uint16) {
 	h.orders.assignments++
 	h.reached[proxy] = true
@@ -66,30 +66,31 @@
 	}
 }
 
-// Withdraw counts a backend that is withdrawn, or let back.
+// Withdraw counts the withdrawal or the restoration of a backend.
 func (h *countingHost) Withdraw(int, bool) { h.orders.withdrawals++ }
 
-// SyncWithdrawals counts a proxy that is told what is withdrawn.
+// SyncWithdrawals counts a sync of withdrawals to a proxy.
 func (h *countingHost) SyncWithdrawals(proxy int, _ float64, _ balancer.RetryPolicy) bool {
 	h.orders.syncs++
 	h.reached[proxy] = true
 	return true
 }
 
-// ClearWithdrawals counts a proxy that is cleared.
+// ClearWithdrawals counts a clearing of the withdrawals of a proxy.
 func (h *countingHost) ClearWithdrawals(proxy int) {
 	h.orders.clears++
 	h.reached[proxy] = true
 }
 
-// SetAdmissionLimit counts a limit.
+// SetAdmissionLimit counts an admission limit.
 func (h *countingHost) SetAdmissionLimit(table int, _ uint16, _ float64, _ balancer.RetryPolicy) {
 	h.orders.limits++
 	h.changed[table] = true
 	h.toAllProxies = h.toAllProxies || table == balancer.AllTables
 }
 
-// RequestAck notes that the proxies reached at this clock time are to answer.
+// RequestAck counts a request for an ack. The proxies that were reached since the last one have to
+// answer it.
 func (h *countingHost) RequestAck(number int, everyone bool) {
 	h.orders.acks++
 	h.pendingAck = number
@@ -97,7 +98,8 @@
 	h.toAllProxies = h.toAllProxies || everyone
 }
 
-// acknowledge has each proxy that was reached answer the request for an ack, until there is no further one.
+// acknowledge sends the requested ack of each proxy that was reached, and repeats this for the
+// requests that the controller makes in response, until none is pending.
 func (h *countingHost) acknowledge() {
 	for h.ackRequested {
 		ack := h.pendingAck
@@ -114,11 +116,12 @@
 				h.control.Acknowledged(proxy, ack)
 			}
 		}
-		h.now++ // orders given while acks come back leave at a later clock time
+		h.now++ // orders in response to the acks get a later clock time
 	}
 }
 
-// advance lets time pass to the next look at waiting work, so often.
+// advance moves the clock ahead by the given number of ticks. At each tick it fires the timer, at
+// which the controller processes waiting work, and sends the requested acks.
 func (h *countingHost) advance(ticks int) {
 	for range ticks {
 		h.now += workTick
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	second   = int64(1_000_000) // microseconds, as decisions count time
-	workTick = second / 4       // between two ticks, at which waiting work is looked at
+	second   = int64(1_000_000) // microseconds, the unit of time of package balancer
+	workTick = second / 4       // interval at which the balancer processes waiting work
 )
 
-// decisions measures what the decisions of one controller cost by the backends that it is told of, or by the proxies that
-// are joined to it, without sockets. The channel bears whatever is ordered, so that all of the work is done at once.
+// decisions measures the processor time and the heap of the decisions of one controller, by the
+// number of listed backends or of connected proxies, without sockets. The push channel accepts
+// every order at once, so that no work is postponed.
 type decisions struct {
 	byProxies bool
 }
 
-// Of one that is measured, where the other figure grows.
+// Number of backends while the number of proxies varies, and of proxies while that of backends
+// varies.
 const (
 	defaultBackends = 1000
 	defaultProxies  = 100
 )
 
-// How much one size plays.
+// Number of steps and longest time of one repeat.
 const (
 	decisionChanges = 8
 	decisionTicks   = 8
-	maxDecisionTime = 90 * time.Second // that one repeat may take
+	maxDecisionTime = 90 * time.Second // longest time of one repeat
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (m decisions) Describe() Description {
-	d := Description{Name: "decisions-backends", SizeUnit: "backends", Sizes: []int{200, 1000, 5000, 20_000, 65_536, 99_000},
+	d := Description{Name: "decisions-backends", SizeUnit: "backends",
+		Sizes:   []int{200, 1000, 5000, 20_000, 65_536, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
 		About: fmt.Sprintf("Processor time and heap of a controller's decisions by backends, %d proxies, without sockets", defaultProxies),
 		Metrics: []results.Metric{
@@ -62,13 +65,13 @@
 	return d
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory and time that one size takes.
 func (m decisions) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
 	return Needs{Memory: bytes, Time: o.Duration + maxDecisionTime}
 }
 
-// Run plays the repeats, each with a controller of its own, and takes the median.
+// Run executes the runs, each with a new controller, and returns the medians.
 func (m decisions) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	run := decisionRun{backends: size, proxies: defaultProxies, changes: decisionChanges, ticks: decisionTicks}
 	if m.byProxies {
@@ -92,7 +95,7 @@
 	return sample, nil
 }
 
-// decisionValues are the medians of several runs.
+// decisionValues returns the medians of several runs.
 func decisionValues(runs []decisionCost) (s results.Sample) {
 	medianFigure := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
 		return medianOf(runs, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
@@ -116,33 +119,34 @@
 }
 
 const (
-	reportInterval       = 2 * second // of the proxies and collectors of the deployments
-	reportLines          = 75.        // a second that a controller is given at most there
+	reportInterval       = 2 * second // interval of the reports of proxies and collectors in the deployments
+	reportLines          = 75.        // most report lines per second that a controller receives in the deployments
 	ticksPerSecond       = float64(second) / float64(workTick)
 	evaluationsPerSecond = float64(second) / float64(reportInterval)
 )
 
-// decisionRun is one run of a controller, from its first list on.
+// decisionRun is one run of a controller, which begins with its first endpoint list.
 type decisionRun struct {
 	backends, proxies int
-	changes           int // of one entry each
-	ticks             int // quiet ones, and as many that evaluate reports
+	changes           int // list changes of one entry each
+	ticks             int // ticks without reports, and as many that evaluate reports
 }
 
-// decisionCost is the processor time that each step of a run took.
+// decisionCost is the processor time of each step of a run, and its heap and orders.
 type decisionCost struct {
-	start        time.Duration // the full list, to a controller that knows nothing
-	repeatedList time.Duration // the same list once more
-	join         time.Duration // all proxies connect
-	change       time.Duration // one entry of the list
+	start        time.Duration // full endpoint list, to a controller without any state
+	repeatedList time.Duration // the same list again
+	join         time.Duration // all proxies connect and get their tables
+	change       time.Duration // change of one list entry, a drain, until all proxies have acknowledged it
 	reportLine   time.Duration // one line of a report
-	quietTick    time.Duration // without reports
-	reportsTick  time.Duration // that evaluates reports
-	heap         int64         // bytes in use at the end
+	quietTick    time.Duration // tick without reports
+	reportsTick  time.Duration // tick that evaluates reports
+	heap         int64         // bytes in use at the end, less those in use before
 	orders       orderCounts
 }
 
-// execute has a controller live from its first list on.
+// execute starts a controller with its first endpoint list, connects proxies, runs ticks, changes
+// the list, and measures each step.
 func (l decisionRun) execute() (cost decisionCost) {
 	entries := l.entries()
 	before := heapInUse()
@@ -157,7 +161,7 @@
 			Admission: balancer.AdmissionByRate,
 		})
 		if err != nil {
-			panic(err) // measuredClasses gives some
+			panic(err) // cannot fail: the configuration is constant and has classes
 		}
 		host.control = control
 		host.control.EndpointsUpdated(true, entries)
@@ -183,7 +187,8 @@
 	return cost
 }
 
-// runTicks plays quiet ticks, and then ticks that evaluate reports about every backend and proxy.
+// runTicks runs ticks without reports, and then as many ticks that evaluate reports about every
+// backend and proxy.
 func (l decisionRun) runTicks(host *countingHost, cost *decisionCost) {
 	cost.quietTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
 	var reports, evaluations time.Duration
@@ -197,7 +202,8 @@
 	cost.reportsTick = evaluations / time.Duration(l.ticks)
 }
 
-// reports tells of good answers of all backends, and of the usual demand at all proxies.
+// sendReports reports successful attempts at all backends and the usual demand at all proxies. It
+// returns the number of report lines.
 func (l decisionRun) sendReports(host *countingHost) (lines int) {
 	const attempts, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
@@ -218,8 +224,8 @@
 	return l.backends + l.proxies*classes
 }
 
-// measureDrains has one backend after the other drain, as the list says, and come back. It gives what a drain takes until
-// all proxies have answered.
+// measureDrains drains one backend after the other through the endpoint list, and makes each ready
+// again. It returns the mean processor time of a drain until all proxies have acknowledged it.
 func (l decisionRun) measureDrains(host *countingHost) time.Duration {
 	sum := time.Duration(0)
 	for i := range l.changes {
@@ -237,8 +243,8 @@
 	return sum / time.Duration(l.changes)
 }
 
-// settlingTicks is how many ticks are played until what was begun is done: new backends begin with a part of their weight
-// for 5 s.
+// settlingTicks is the number of ticks, 8 s, that are run until the effects of a step are over: new
+// backends have a reduced weight for 5 s.
 const settlingTicks = 32
 
 func (l decisionRun) entry(backend int) balancer.Endpoint {
@@ -252,7 +258,7 @@
 	return all
 }
 
-// Of the deployment that is measured: as the shipped sample configuration has it.
+// measuredZones, measuredClasses and measuredLimits are those of the shipped sample configuration.
 const measuredZones = 2
 
 func measuredClasses() []balancer.Class {
@@ -266,7 +272,7 @@
 	return balancer.RuleLimits{DrainGrace: 3 * second, ColdStartShare: 0.16, WarmupTime: 17 * second}
 }
 
-// unlimitedChannel bears whatever is sent.
+// unlimitedChannel returns a push channel that accepts every order at once.
 func unlimitedChannel(proxies int) balancer.PushChannel {
 	const linesPerS, backlogS = 9e9, 50
 	return balancer.PushChannel{LinesPerSecond: linesPerS, MessageOverhead: 4, Backlog: backlogS * linesPerS, MaxLatency: 660_000, Proxies: proxies}
--- a/scale/discovery_listener.go
+++ b/scale/discovery_listener.go
@@ -7,27 +7,27 @@
 	"sync/atomic"
 )
 
-// watchedAddress serves discovery at an address of its own, and tells when a controller connects there.
+// watchedAddress serves discovery at an address of its own, and reports each connection to it.
 type watchedAddress struct {
 	net.Listener
-	change    atomic.Int64 // the change that moves the controller here
+	change    atomic.Int64 // number of the last change that moved the controller to this address
 	connected func(change int64)
 	server    *http.Server
 	running   sync.WaitGroup
 }
 
-// watchAddress begins to serve.
+// watchAddress starts to serve discovery at a free loopback address.
 func watchAddress(discovery http.Handler, connected func(change int64)) (*watchedAddress, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	w := &watchedAddress{Listener: listener, connected: connected, server: &http.Server{Handler: discovery}}
-	w.running.Go(func() { _ = w.server.Serve(w) }) // its error is that it was closed
+	w.running.Go(func() { _ = w.server.Serve(w) }) // returns an error after close
 	return w, nil
 }
 
-// Accept takes a connection in, and notes by which change it came.
+// Accept accepts a connection, and reports it with the change that caused it.
 func (w *watchedAddress) Accept() (net.Conn, error) {
 	conn, err := w.Listener.Accept()
 	if err == nil {
@@ -38,8 +38,8 @@
 
 func (w *watchedAddress) address() string { return w.Listener.Addr().String() }
 
-// close ends it with all its connections.
+// close stops the server, and closes all its connections.
 func (w *watchedAddress) close() {
-	_ = w.server.Close() // the listener is closed, whatever it says
+	_ = w.server.Close() // the listener is closed even when this fails
 	w.running.Wait()
 }
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -9,12 +9,14 @@
 	"wheelrill/scale/results"
 )
 
-// distributionCost is what distribution below the record costs and how fast it is: voters, distributors and subscribers.
+// distributionCost measures the cost and the latency of distribution below the record, with voters,
+// distributors and subscribers.
 type distributionCost struct {
-	allEntries bool // all entries that there will be are distributed, and not one for each service
+	allEntries bool // distribute all expected entries instead of one for each service
 }
 
-// treeRole is a role as figures are given of it.
+// treeRole is a role in the tree that has its own metrics: its part of their names, and its
+// description.
 type treeRole struct{ name, about string }
 
 func treeRoles() []treeRole {
@@ -22,13 +24,14 @@
 		{"distributor", "a distributor"}, {"voter", "a voter, without the record"}}
 }
 
-// recordBytes is the metric of what the record costs voters, beside what distribution does.
+// recordBytes is the metric of the bytes per second that the record costs a voter, in addition to
+// distribution.
 const recordBytes = "voter_record_bytes_per_s"
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (m distributionCost) Describe() Description {
-	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process", SizeUnit: "subscribers",
-		Sizes: []int{110, 350, 1100, 3500}, Targets: []int{targetControllers}, Transport: "memory"}
+	d := Description{Name: "distribution", About: "Distribution below the record, hollow subscribers in one process",
+		SizeUnit: "subscribers", Sizes: []int{110, 350, 1100, 3500}, Targets: []int{targetControllers}, Transport: "memory"}
 	if m.allEntries {
 		d.Name = "distribution-whole"
 		d.Sizes = []int{1100}
@@ -52,9 +55,11 @@
 				results.Metric{Name: role.name + "_bytes_per_s_worst" + rate.suffix, Unit: "bytes/s",
 					About: "in and out at " + role.about + ", worst, " + rate.about, Budget: maxBytesPerSecond, Fit: true},
 				results.Metric{Name: role.name + "_processor" + rate.suffix, Unit: "% of a core",
-					About: "processor time of " + role.about + " by its share of bytes, mean, " + rate.about, Budget: maxProcessorPercent},
+					About:  "processor time of " + role.about + " by its share of bytes, mean, " + rate.about,
+					Budget: maxProcessorPercent},
 				results.Metric{Name: role.name + "_processor_worst" + rate.suffix, Unit: "% of a core",
-					About: "processor time of " + role.about + " by its share of bytes, worst, " + rate.about, Budget: maxProcessorPercent})
+					About:  "processor time of " + role.about + " by its share of bytes, worst, " + rate.about,
+					Budget: maxProcessorPercent})
 		}
 	}
 	for _, rate := range changeRates() {
@@ -73,7 +78,7 @@
 	return d
 }
 
-// plan is the deployment at a size.
+// plan returns the deployment for the given number of subscribers.
 func (m distributionCost) plan(size int) treePlan {
 	if m.allEntries {
 		return fullTree(size)
@@ -81,13 +86,14 @@
 	return scaledTree(size)
 }
 
-// Needs are those of all nodes in our process.
+// Needs returns the time, and the memory of all nodes, which run in this process.
 func (m distributionCost) Needs(size int, o Options) Needs {
 	return Needs{Memory: m.plan(size).memory(o),
 		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
 }
 
-// Run makes changes at each pace, and reads what each node passed on and when it acted.
+// Run makes changes at each rate, and measures the traffic of each node and the propagation of the
+// changes.
 func (m distributionCost) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, m.plan(size), o)
 	if err != nil {
@@ -111,14 +117,14 @@
 	s.Set("distributors_ready", t.distributorsReady.Seconds())
 	s.Set("ready", t.ready.Seconds())
 	if needlessSnapshots := t.needlessSnapshots(); needlessSnapshots > 0 {
-		t.propagation.addViolation("%d snapshots were taken where deltas would have done", needlessSnapshots)
+		t.propagation.addViolation("%d snapshots were installed where deltas would have been enough", needlessSnapshots)
 	}
 	s.Violations = t.propagation.violations
 	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
-// measurePace makes changes at one pace for a while, and notes what that cost.
+// measurePace makes changes at one rate for the observed time, and sets the metrics of that rate.
 func (t *tree) measurePace(ctx context.Context, rate changeRate, s *results.Sample) error {
 	t.propagation.reset()
 	parentsLost := t.parentsLost()
@@ -152,7 +158,8 @@
 	return nil
 }
 
-// setRoles notes what nodes of each role passed over their links, in bytes, and their part of our processor time by it.
+// setRoles sets the metrics of each role from the bytes that each node passed over its links. The
+// processor time of this process is divided among the nodes in proportion to their bytes.
 func (t *tree) setRoles(passed map[string]float64, processor float64, rate changeRate, seconds float64, s *results.Sample) {
 	all := 0.
 	for _, bytes := range passed {
@@ -178,7 +185,8 @@
 	}
 }
 
-// bytes is what each node has passed over its links so far, without what the voters have passed for the record.
+// bytes returns the bytes that each node has passed over its links so far, without those that
+// voters passed for the record.
 func (t *tree) bytes() map[string]int64 {
 	result := map[string]int64{}
 	for _, s := range t.nodes() {
@@ -190,7 +198,7 @@
 	return result
 }
 
-// recordBytes is what each voter has passed for the record so far.
+// recordBytes returns the bytes that each voter has passed for the record so far.
 func (t *tree) recordBytes() map[string]int64 {
 	result := map[string]int64{}
 	for _, v := range t.voters.voters {
@@ -199,7 +207,8 @@
 	return result
 }
 
-// setRecordBytes notes what the record has cost, the leader apart: who passed the most.
+// setRecordBytes sets the metrics of the traffic for the record, separately for the leader. The
+// voter that passed the most bytes is taken for the leader.
 func (t *tree) setRecordBytes(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
 	sum := 0.
 	leader := 0.
@@ -212,7 +221,7 @@
 	s.Set(recordBytes+"_leader"+rate.suffix, leader)
 }
 
-// nodesByRole gives the names of the nodes by the roles that figures are given of.
+// nodesByRole returns the names of the nodes by role, with the roles of treeRoles.
 func (t *tree) nodesByRole() map[string][]string {
 	result := map[string][]string{}
 	for _, s := range t.nodes() {
@@ -230,7 +239,7 @@
 	return result
 }
 
-// depth is the number of nodes from a voter to the deepest subscriber.
+// depth returns the number of nodes from a voter to the deepest subscriber.
 func (t *tree) depth() (deepest int) {
 	for _, s := range t.nodes() {
 		if status, ok := s.status(); ok {
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -9,23 +9,25 @@
 	"wheelrill/scale/results"
 )
 
-// distributedFaults is distribution below the record while things fail.
+// distributedFaults measures distribution below the record under faults.
 type distributedFaults struct{}
 
-// treeFault is one kind of trouble: it plays until its time is over, beside changes at ten times the mean.
+// treeFault is a kind of fault. It is injected for a span while changes are made at ten times the
+// mean rate.
 type treeFault struct {
 	name, about string
-	spanDivisor int // of the time a size is observed, the fault takes one in so many
+	spanDivisor int // span of the fault: the observed time of a size divided by this
 	inject      func(ctx context.Context, t *tree, span time.Duration) error
 }
 
-// Figures of the faults.
+// Times and extent of the faults.
 const (
 	parentKillInterval = 5 * time.Second
 	leaderKillInterval = 15 * time.Second
-	downtime           = 2 * time.Second // a node that was killed
-	restartedOneIn     = 50              // one in so many is killed at once, as 220 of 11,000
-	recoveryTime       = 5 * time.Second // changes go on so long after a fault, for what was missed to be seen
+	downtime           = 2 * time.Second // from the kill of a node until its restart
+	restartedOneIn     = 50              // one subscriber in 50 is killed at once, as 220 of 11,000
+	// Changes continue for this time after a fault, to measure how missed changes arrive.
+	recoveryTime = 5 * time.Second
 )
 
 func treeFaults() []treeFault {
@@ -38,7 +40,7 @@
 	}
 }
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (distributedFaults) Describe() Description {
 	d := Description{Name: "distribution-faults", About: "Distribution below the record under faults, 4.2 changes a second, hollow subscribers in one process",
 		SizeUnit: "subscribers", Sizes: []int{1100}, Transport: "memory"}
@@ -57,13 +59,13 @@
 	return d
 }
 
-// Needs are those of all nodes in our process.
+// Needs returns the time, and the memory of all nodes, which run in this process.
 func (distributedFaults) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(size).memory(o),
 		Time: startTimeout + readyTimeout + time.Duration(len(treeFaults()))*(o.Duration+recoveryTime+settleTimeout)}
 }
 
-// Run plays one fault after the other.
+// Run injects one kind of fault after the other.
 func (distributedFaults) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(size), o)
 	if err != nil {
@@ -82,7 +84,7 @@
 	return s, nil
 }
 
-// measureFault plays a fault beside changes, and notes what came of it.
+// measureFault injects a fault while changes are made, and sets the metrics of that fault.
 func (t *tree) measureFault(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.propagation.reset()
 	span := max(t.options.Duration/time.Duration(f.spanDivisor), downtime)
@@ -119,21 +121,22 @@
 	s.Set(f.name+"_snapshots", float64(t.starts.Load()-starts))
 	s.Set(f.name+"_bytes_per_s_worst", worst)
 	if more := t.needlessSnapshots() - needless; more > 0 {
-		t.propagation.addViolation("%s: %d snapshots were taken where deltas would have done", f.about, more)
+		t.propagation.addViolation("%s: %d snapshots were installed where deltas would have been enough", f.about, more)
 	}
 	return nil
 }
 
-// restart kills a node, and starts it after a while as new.
+// restart kills a node, and starts it as a new incarnation after downtime.
 func (t *tree) restart(ctx context.Context, s *hollowSubscriber) {
 	t.faultHits.Add(1)
 	s.kill()
-	_ = pauseFor(ctx, downtime) // it is started in any case, so that close finds it running
+	_ = pauseFor(ctx, downtime) // start the node even if the context has ended, so that close finds it running
 	t.starts.Add(1)
 	s.start()
 }
 
-// killParents kills a subscriber that has children again and again, now and then a distributor.
+// killParents kills one random node with children in each parentKillInterval: usually a subscriber,
+// sometimes a distributor.
 func killParents(ctx context.Context, t *tree, span time.Duration) error {
 	var restarting sync.WaitGroup
 	defer restarting.Wait()
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// drawParent draws a node that does not vote and has children; nil if there is none.
+// drawParent returns a random node that has children and does not vote, or nil if there is none.
 func (t *tree) drawParent() *hollowSubscriber {
 	nodes := t.nodes()
 	for _, i := range t.faultRandom.Perm(len(nodes)) {
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// restartMany kills one subscriber in fifty at once, and starts them again.
+// restartMany kills one subscriber in fifty at once, and starts all of them again.
 func restartMany(ctx context.Context, t *tree, _ time.Duration) error {
 	var restarting sync.WaitGroup
 	for _, i := range t.faultRandom.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOneIn-1)/restartedOneIn] {
@@ -169,7 +172,7 @@
 	return ctx.Err()
 }
 
-// partitionRegion cuts a region without voters off for as long as the fault lasts.
+// partitionRegion cuts off a region without voters for the span of the fault.
 func partitionRegion(ctx context.Context, t *tree, span time.Duration) error {
 	voters := len(t.voters.voters)
 	region := voters + t.faultRandom.IntN(regions-voters)
@@ -185,7 +188,8 @@
 	return err
 }
 
-// killLeaders kills the voter that leads again and again; it comes back with its log and votes.
+// killLeaders kills the leading voter every leaderKillInterval, and restarts it after downtime with
+// its log and votes.
 func killLeaders(ctx context.Context, t *tree, span time.Duration) error {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		if v := t.voters.leader(); v != nil {
@@ -205,7 +209,8 @@
 	return nil
 }
 
-// loseMajority kills most voters, the leader among them, and starts them again after half of the time.
+// loseMajority kills a majority of the voters, including the leader, and restarts them after half
+// of the span.
 func loseMajority(ctx context.Context, t *tree, span time.Duration) error {
 	majority := slices.Clone(t.voters.voters)
 	slices.SortStableFunc(majority, func(a, b *voter) int {
--- a/scale/doc.go
+++ b/scale/doc.go
@@ -1,11 +1,12 @@
-// Package scale measures what controllers spend as a deployment grows: real controllers as processes beside hollow
-// ones, many to a process, which run the same code without proxies. Package scale/results keeps, fits and shows what was
-// seen.
+// Package scale measures what controllers spend as a deployment grows. Real controllers run as
+// processes of their own. Hollow ones, many in one process, run the same code without proxies.
+// Package scale/results stores the results, fits them over sizes, and writes them as tables.
 //
-// scale.go has what a measurement is and the list of them, budgets.go what may be spent, machine.go what a run may take.
-// A measurement is a file: change.go, record.go, record_hollow.go, decisions.go, lists.go, recovery*.go, added_time.go,
-// roles.go, distribution.go and distribution_faults.go. What they are built of are the hollow_*.go files (members of the
-// record, subscribers, voters, and a tree of all), listed_controller.go and role_fleet.go (processes), counting_host.go,
-// content.go (what is distributed), propagation.go (when it is in force), memory_network.go, discovery_listener.go,
-// median.go and usage.go.
+// scale.go defines what a measurement is and lists all of them; budgets.go has the budgets, and
+// machine.go the limits of a run. Each measurement has a file: change.go, record.go,
+// record_hollow.go, decisions.go, lists.go, recovery*.go, added_time.go, roles.go, distribution.go
+// and distribution_faults.go. They are built from the hollow_*.go files (members of the record,
+// subscribers, voters, and a tree of all), listed_controller.go and role_fleet.go (processes),
+// counting_host.go, content.go (the distributed configuration), propagation.go (when subscribers
+// apply changes), memory_network.go, discovery_listener.go, median.go and usage.go.
 package scale
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -16,16 +16,17 @@
 	"wheelrill/rehearse"
 )
 
-// Terms of hollow members, as real ones have them.
+// Terms of hollow members, the same as those of real ones.
 const (
-	defaultLease       = 1500 * time.Millisecond // of members that share a fleet
+	defaultLease       = 1500 * time.Millisecond // of members that share a fleet of proxies
 	voterLease         = 10 * time.Second        // of members that own no proxies: docs/distributing.md
 	renewsPerLease     = 8
 	guaranteedMessages = 4
 	taskQueueSize      = 1024
 )
 
-// hollowMember takes part in the record with the same code as a real controller, and has no proxies.
+// hollowMember is a member of the record that runs the same code as a real controller, and has no
+// proxies.
 type hollowMember struct {
 	name        string
 	node        *consensus.Node
@@ -34,12 +35,15 @@
 	tasks       chan func()
 	done        chan struct{}
 
-	hasQuorum atomic.Bool // on the record
+	hasQuorum atomic.Bool // the member is on the record and has quorum
 }
 
-// startHollowMember gives a member that takes part until the context ends. The terms follow from the lease.
-func startHollowMember(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
-	m := &hollowMember{name: config.Name, began: time.Now(), tasks: make(chan func(), taskQueueSize), done: make(chan struct{})}
+// startHollowMember starts a member that takes part in the record until the context ends. Its terms
+// follow from the lease.
+func startHollowMember(ctx context.Context, running *sync.WaitGroup, config consensus.Config,
+	lease time.Duration) (*hollowMember, error) {
+	m := &hollowMember{name: config.Name, began: time.Now(), tasks: make(chan func(), taskQueueSize),
+		done: make(chan struct{})}
 	config.Terms = ownership.LeaseTerms{Duration: lease.Microseconds(), RenewInterval: lease.Microseconds() / renewsPerLease,
 		MessageWindow: rehearse.MessageWindow.Microseconds(), MaxMessages: rehearse.MaxMessages, Members: len(config.Members), GuaranteedMessages: guaranteedMessages}
 	var err error
@@ -54,7 +58,7 @@
 
 func (m *hollowMember) now() int64 { return time.Since(m.began).Microseconds() }
 
-// run is the member's event loop; the coordinator is called from nowhere else.
+// run is the event loop of the member. The coordinator is called only from this loop.
 func (m *hollowMember) run(ctx context.Context, tick time.Duration) {
 	defer close(m.done)
 	ticks := time.NewTicker(tick)
@@ -71,7 +75,7 @@
 	}
 }
 
-// post has something done by the event loop, unless that has ended.
+// post passes a task to the event loop, or drops it if the loop has ended.
 func (m *hollowMember) post(task func()) {
 	select {
 	case m.tasks <- task:
@@ -79,7 +83,7 @@
 	}
 }
 
-// hollowEvents hands on to the coordinator what becomes of the record.
+// hollowEvents passes events of the record to the coordinator, through the event loop.
 type hollowEvents struct{ *hollowMember }
 
 func (e hollowEvents) EntryCommitted(entry ownership.Entry) {
@@ -98,7 +102,8 @@
 	e.post(func() { e.coordinator.ProposalFailed(incarnation, seq, e.now()) })
 }
 
-// hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
+// hollowHost is the host of a hollow member's coordinator. It ignores grants and the other calls
+// that concern proxies, because there are no proxies.
 type hollowHost struct{ *hollowMember }
 
 func (h hollowHost) Propose(e ownership.Entry)                             { h.node.Propose(e) }
@@ -109,15 +114,17 @@
 func (h hollowHost) PeerObservationReported(string, ownership.Observation) {}
 func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.hasQuorum.Store(!alone) }
 
-// RandomID draws a number.
+// RandomID returns a random number that is not 0.
 func (h hollowHost) RandomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// startHollowMembers starts hollow members on loopback, and waits until all of them are on the record.
-func startHollowMembers(ctx context.Context, running *sync.WaitGroup, size int, lease time.Duration) ([]*hollowMember, error) {
+// startHollowMembers starts the given number of hollow members on loopback, and waits until all of
+// them are on the record.
+func startHollowMembers(ctx context.Context, running *sync.WaitGroup, size int,
+	lease time.Duration) ([]*hollowMember, error) {
 	addresses, err := process.FreeAddresses(size)
 	if err != nil {
 		return nil, err
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -10,7 +10,7 @@
 	"wheelrill/distribution/transport"
 )
 
-// role is what a node does in the tree.
+// role is the function of a node in the tree.
 type role int
 
 const (
@@ -19,29 +19,30 @@
 	roleVoter
 )
 
-// hollowSubscriber runs the code of a subscriber, and has no proxies. It runs from start to kill, and may be started again
-// as new. Safe for concurrent use.
+// hollowSubscriber runs the code of a subscriber, and has no proxies. It runs from start to kill,
+// and may be started again as a new incarnation. Safe for concurrent use.
 type hollowSubscriber struct {
 	name        string
 	role        role
 	region      int
 	scopes      distribution.Scopes
-	candidates  []string // possible parents, to begin with
-	fanOut      int      // children at most
-	network     *network // nil where it is reached by nobody, and dials as told
+	candidates  []string // configured candidate parents
+	fanOut      int      // most children that the node accepts
+	network     *network // nil for a node that accepts no connections and uses dial
 	dial        func(ctx context.Context, peer string) (net.Conn, error)
-	propagation *propagation // is told what it acts by
-
-	mutex           sync.Mutex           // of all below
-	node            *transport.Transport // of this incarnation
-	stop            context.CancelFunc   // nil while it is down
-	ended           chan struct{}        // closed with the goroutine of this incarnation
-	appliedRevision uint64               // the newest revision that it acts by
-	reachableSince  time.Time            // since when
+	propagation *propagation // records the changes that the node applies
+
+	mutex           sync.Mutex           // guards the fields below
+	node            *transport.Transport // transport of this incarnation
+	stop            context.CancelFunc   // nil while the node is down
+	ended           chan struct{}        // closed when the goroutine of this incarnation ends
+	appliedRevision uint64               // newest applied revision, 0 if there is none
+	reachableSince  time.Time            // start of this incarnation, or end of the last cut
 	earlier         earlierIncarnations
 }
 
-// earlierIncarnations is what earlier incarnations have passed over their links, and taken.
+// earlierIncarnations holds the traffic of a node's earlier incarnations, and the number of
+// snapshots that they installed.
 type earlierIncarnations struct {
 	traffic   transport.Traffic
 	snapshots uint64
@@ -76,7 +77,7 @@
 	}()
 }
 
-// dialParent connects to a possible parent.
+// dialParent connects to a candidate parent.
 func (s *hollowSubscriber) dialParent(ctx context.Context, peer string) (net.Conn, error) {
 	if s.network == nil {
 		return s.dial(ctx, peer)
@@ -84,7 +85,8 @@
 	return s.network.dial(ctx, s.region, peer)
 }
 
-// kill ends it as the end of a process would: all connections are closed, and nothing is kept.
+// kill stops the node as the end of its process would: all connections are closed, and no state is
+// kept.
 func (s *hollowSubscriber) kill() {
 	if s.network != nil {
 		s.network.leave(s.name)
@@ -109,7 +111,8 @@
 	s.earlier.traffic.Out += traffic.Out
 }
 
-// apply is told each change, in order.
+// apply records a change that the node has applied, or a snapshot. Changes are applied in order; a
+// revision that decreases, or a change that repeats one, is a violation.
 func (s *hollowSubscriber) apply(change distribution.Change, snapshot bool) {
 	s.mutex.Lock()
 	appliedRevision := s.appliedRevision
@@ -122,14 +125,14 @@
 	s.propagation.applied(change, appliedRevision, reachableSince)
 }
 
-// markReachable notes that it can be reached from now on, after a cut.
+// markReachable notes that the node is reachable again after a cut.
 func (s *hollowSubscriber) markReachable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.reachableSince = time.Now()
 }
 
-// bytes is what has passed over its links, in all incarnations.
+// bytes returns the bytes that have passed over the node's links, in all incarnations.
 func (s *hollowSubscriber) bytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,14 +143,14 @@
 	return s.earlier.traffic.In + s.earlier.traffic.Out + traffic.In + traffic.Out
 }
 
-// earlierSnapshots counts those that its earlier incarnations have taken.
+// earlierSnapshots returns the number of snapshots that earlier incarnations have installed.
 func (s *hollowSubscriber) earlierSnapshots() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.earlier.snapshots
 }
 
-// status asks the node how it is; false while it is down.
+// status returns the status of the node, or false while the node is down.
 func (s *hollowSubscriber) status() (distribution.Status, bool) {
 	s.mutex.Lock()
 	node := s.node
@@ -159,7 +162,8 @@
 	return node.Status()
 }
 
-// check compares the node with the content: at the revision given, or at its own where that is 0.
+// check compares the entries of the node with the content at the given revision, or at the node's
+// own revision if the given one is 0. A difference is a violation.
 func (s *hollowSubscriber) check(content *content, at uint64) {
 	s.mutex.Lock()
 	node := s.node
@@ -171,7 +175,7 @@
 	}
 	state, ok := node.State()
 	if !ok || at == 0 && appliedRevision == 0 {
-		return // it has just started, and says so to those who ask
+		return // the node has just started, and reports that it has no configuration
 	}
 	if at > 0 {
 		state.Version.Revision = at
@@ -181,7 +185,8 @@
 	}
 }
 
-// isBehind tells whether the node runs, and acts by less than the newest revisions of its scopes; last is that of all of them.
+// isBehind reports whether the node runs and has not applied the newest revisions of its scopes.
+// newest has the newest revision of each scope, and last that of all scopes.
 func (s *hollowSubscriber) isBehind(newest map[string]uint64, last uint64) bool {
 	want := last
 	if !s.scopes.All {
@@ -195,7 +200,8 @@
 	return s.stop != nil && s.appliedRevision < want
 }
 
-// countBehind counts the nodes that act by less than what is in their scopes up to a revision.
+// countBehind counts the running nodes that have not applied all changes in their scopes up to the
+// given revision.
 func countBehind(nodes []*hollowSubscriber, content *content, revision uint64) (n int) {
 	newest := content.newestByScope(revision)
 	for _, s := range nodes {
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -13,10 +13,11 @@
 	"wheelrill/distribution"
 )
 
-// tree is a whole deployment in one process: voters, distributors that have all scopes, and subscribers.
+// tree is an entire deployment in one process: voters, distributors that have all scopes, and
+// subscribers.
 type tree struct {
 	options           Options
-	folder            string // of the voters' records
+	folder            string // holds the voters' records
 	network           *network
 	content           *content
 	propagation       *propagation
@@ -24,11 +25,11 @@
 	distributors      []*hollowSubscriber
 	subscribers       []*hollowSubscriber
 	random            *rand.Rand
-	faultRandom       *rand.Rand    // for what fails, which is drawn beside the changes
-	faultHits         atomic.Int64  // of the fault that is played
-	starts            atomic.Int64  // incarnations that have begun, which need a snapshot each
-	ready             time.Duration // of all subscribers, once the distributors were
-	distributorsReady time.Duration
+	faultRandom       *rand.Rand    // draws the nodes that fail, independently of the changes
+	faultHits         atomic.Int64  // nodes hit by the present fault
+	starts            atomic.Int64  // started incarnations, each of which needs one snapshot
+	ready             time.Duration // time until all subscribers were ready, from when the distributors were
+	distributorsReady time.Duration // time until all distributors were ready
 }
 
 // newTree starts a deployment, and waits until each node has its configuration.
@@ -51,7 +52,8 @@
 	return t, nil
 }
 
-// placeNodes makes the nodes, with their regions, scopes and possible parents.
+// placeNodes creates the distributors and subscribers, with their regions, scopes and candidate
+// parents.
 func (t *tree) placeNodes(plan treePlan) {
 	var voters []string
 	for _, v := range t.voters.voters {
@@ -83,8 +85,8 @@
 	}
 }
 
-// drawCandidates draws the possible parents that a subscriber is configured with: distributors, and peers of its group,
-// who are every so many-th subscriber.
+// drawCandidates returns random candidate parents for a subscriber: distributors, and peers of its
+// group. With n groups, every n-th subscriber belongs to the same group.
 func (t *tree) drawCandidates(group, subscribers int) []string {
 	var candidates []string
 	for _, i := range t.random.Perm(len(t.distributors))[:min(knownDistributors, len(t.distributors))] {
@@ -99,7 +101,7 @@
 	return candidates
 }
 
-// nodes are all that do not vote.
+// nodes returns all nodes that do not vote.
 func (t *tree) nodes() []*hollowSubscriber {
 	return append(append([]*hollowSubscriber{}, t.distributors...), t.subscribers...)
 }
@@ -122,7 +124,7 @@
 	return err
 }
 
-// startAll starts nodes at once, and gives the time until each has its configuration.
+// startAll starts the given nodes at once, and returns the time until each has its configuration.
 func (t *tree) startAll(ctx context.Context, nodes []*hollowSubscriber) (time.Duration, error) {
 	began := time.Now()
 	for _, s := range nodes {
@@ -135,15 +137,15 @@
 	return time.Since(began), nil
 }
 
-// close ends all.
+// close stops all nodes, and deletes the folder of the voters.
 func (t *tree) close() {
 	forEachNode(t.nodes(), (*hollowSubscriber).kill)
 	t.voters.close()
 	t.network.serving.Wait()
-	_ = os.RemoveAll(t.folder) // what is left of a temporary folder harms nobody
+	_ = os.RemoveAll(t.folder) // a temporary folder that remains does no harm
 }
 
-// forEachNode does something with all nodes, some at a time.
+// forEachNode calls action for each node, in as many goroutines as there are processors.
 func forEachNode(nodes []*hollowSubscriber, action func(*hollowSubscriber)) {
 	var working sync.WaitGroup
 	var next atomic.Int64
@@ -157,7 +159,8 @@
 	working.Wait()
 }
 
-// makeChanges makes changes at a pace until a time, and compares some subscribers, drawn by the seed, with the content.
+// makeChanges makes changes at a mean rate until the given time, and returns their number. Once in
+// timeBetweenChecks it compares subscribers, drawn by the seed, with the content.
 func (t *tree) makeChanges(ctx context.Context, perS float64, until time.Time) (made int, err error) {
 	checks := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
 	check := time.Now().Add(timeBetweenChecks)
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -14,7 +14,7 @@
 	"wheelrill/internal/process"
 )
 
-// voterGroup is voters with a record between them over loopback, each handing it out in memory.
+// voterGroup holds voters that share a record over loopback, and distribute it in memory.
 type voterGroup struct {
 	voters        []*voter
 	raftAddresses map[string]string
@@ -23,13 +23,13 @@
 	content       *content
 }
 
-// voter is one of them. What it has on disk outlasts a kill.
+// voter is one voter of a group. Its files remain after a kill.
 type voter struct {
 	hollowSubscriber
 	group              *voterGroup
-	member             *hollowMember // of this incarnation
+	member             *hollowMember // member of the record in this incarnation
 	goroutines         sync.WaitGroup
-	earlierRecordBytes int64 // bytes that earlier incarnations have spent on the record
+	earlierRecordBytes int64 // bytes that the record cost earlier incarnations
 }
 
 func newVoters(n int, folder string, network *network, content *content, propagation *propagation) (*voterGroup, error) {
@@ -55,7 +55,7 @@
 
 func voterName(i int) string { return fmt.Sprint("voter", i) }
 
-// start starts all, which found the record, and waits for a leader.
+// start starts all voters, which create the record, and waits for a leader.
 func (g *voterGroup) start(ctx context.Context) error {
 	for _, v := range g.voters {
 		if err := v.start(); err != nil {
@@ -71,12 +71,12 @@
 		return g.leader() != nil
 	}
 	if !await(ctx, startTimeout, hasQuorum) {
-		return fmt.Errorf("the voters have no record within %s", startTimeout)
+		return fmt.Errorf("not all voters had quorum and a leader within %s", startTimeout)
 	}
 	return nil
 }
 
-// leader is the voter that leads; nil if none does.
+// leader returns the voter that leads, or nil if there is none.
 func (g *voterGroup) leader() *voter {
 	for _, v := range g.voters {
 		if m := v.runningMember(); m != nil && m.node.IsLeader() {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// runningMember is the voter's part in the record; nil while it is down.
+// runningMember returns the voter's member of the record, or nil while the voter is down.
 func (v *voter) runningMember() *hollowMember {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -96,7 +96,8 @@
 	return v.member
 }
 
-// propose has entries accepted as one change, by whoever leads, and waits until they are.
+// propose proposes entries as one change to the leader, again after each failure, until the change
+// is accepted or refused.
 func (g *voterGroup) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		if v := g.leader(); v != nil {
@@ -113,14 +114,14 @@
 	}
 }
 
-// close ends all.
+// close kills all voters.
 func (g *voterGroup) close() {
 	for _, v := range g.voters {
 		v.kill()
 	}
 }
 
-// dedicatedNodeLimits are those of a node on a machine set aside.
+// dedicatedNodeLimits returns the limits of a node on a dedicated machine.
 func dedicatedNodeLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.FanOut = maxFanOut
@@ -128,14 +129,16 @@
 	return limits
 }
 
-// newVoterTransport hands out the configuration of a voter.
+// newVoterTransport returns a transport that distributes the configuration of a voter.
 func newVoterTransport(name string, limits distribution.Limits) *transport.Transport {
 	return transport.New(transport.Config{
 		Node: distribution.Config{Name: name, Voter: true, Limits: limits},
-		Dial: func(context.Context, string) (net.Conn, error) { return nil, errors.New("a voter dials nobody") }})
+		Dial: func(context.Context, string) (net.Conn, error) {
+			return nil, errors.New("a voter has no parent to dial")
+		}})
 }
 
-// start starts a voter, with the log and the votes that it had.
+// start starts the voter with the log and the votes that it has on disk.
 func (v *voter) start() error {
 	limits := dedicatedNodeLimits()
 	limits.FanOut = v.fanOut
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// kill ends it as the end of a process would. What is on disk stays.
+// kill stops the voter as the end of its process would. Its files remain.
 func (v *voter) kill() {
 	member := v.runningMember()
 	if member == nil {
@@ -177,7 +180,7 @@
 	v.earlierRecordBytes += bytes
 }
 
-// recordBytes is what the record has cost, in all incarnations.
+// recordBytes returns the bytes that the record has cost the voter, in all incarnations.
 func (v *voter) recordBytes() int64 {
 	member := v.runningMember()
 	v.mutex.Lock()
@@ -189,19 +192,21 @@
 	return v.earlierRecordBytes + bytes
 }
 
-// voterDistribution hands the record's changes to a voter's node of the tree, and notes them for comparison.
+// voterDistribution passes changes of the record to the voter's node in the tree, and adds them to
+// the content for comparison.
 type voterDistribution struct {
 	*transport.Transport
 	content *content
 }
 
-// Restored tells all of the configuration: at the founding its first change, later what a voter has from its disk.
+// Restored passes on the whole configuration: the first change when the record is created, later
+// the state that a voter has read from its disk.
 func (d voterDistribution) Restored(state distribution.State) {
 	d.content.noteAccepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
 	d.Transport.Restored(state)
 }
 
-// Accepted tells the next change.
+// Accepted passes on the next change.
 func (d voterDistribution) Accepted(change distribution.Change) {
 	d.content.noteAccepted(change)
 	d.Transport.Accepted(change)
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -16,10 +16,10 @@
 	"wheelrill/rehearse"
 )
 
-// listedZones are those of the settings that controllers are started with.
+// listedZones are the zones in the settings of the controllers.
 var listedZones = []string{"a", "b", "c"}
 
-// newDiscovery serves a list of so many backends.
+// newDiscovery starts a discovery service that lists the given number of backends.
 func newDiscovery(backends int) (*fake.Discovery, []*fake.Backend, error) {
 	discovery, err := fake.NewDiscovery(invariant.NewChecker(invariant.Limits{}), func() time.Duration { return 0 })
 	if err != nil {
@@ -33,15 +33,15 @@
 	return discovery, list, nil
 }
 
-// listedController is a real controller's process that follows discovery and has no proxies.
+// listedController is a process of a real controller that follows discovery and has no proxies.
 type listedController struct {
 	process *process.Controller
 	began   time.Time
-	reading sync.WaitGroup // of its log
+	reading sync.WaitGroup // goroutine that reads the log of the process
 
 	mutex         sync.Mutex
-	ready         time.Time          // when it logged that it is, or 0
-	knownBackends string             // backends that it knew then
+	ready         time.Time          // when it logged that it is ready, or zero
+	knownBackends string             // number of backends that it logged then
 	lastLines     map[string]logLine // the last line of each event
 }
 
@@ -51,18 +51,19 @@
 	at   time.Time // when it was read
 }
 
-// listedConfig is what a listed controller is started with.
+// listedConfig holds the parameters of a listed controller.
 type listedConfig struct {
 	name      string
 	listen    string
-	discovery string // address
-	folder    string // for its configuration
-	megabytes int    // of memory that it may take
+	discovery string // address of discovery
+	folder    string // of its configuration file
+	megabytes int    // memory limit
 	seed      uint64
 	program   string
 }
 
-// newListedControllers prepares controllers, each with a file of its own.
+// newListedControllers prepares the given number of controllers, each with a configuration file of
+// its own.
 func newListedControllers(count int, discovery, folder string, o Options) ([]*listedController, error) {
 	listen, err := process.FreeAddresses(count)
 	if err != nil {
@@ -87,16 +88,16 @@
 	return all, nil
 }
 
-// lookupClass is the one class of requests of controllers without proxies.
+// lookupClass is the only class of requests of controllers without proxies.
 var lookupClass = fake.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}
 
-// proxylessSettings are those of controllers without proxies.
+// proxylessSettings returns the settings of controllers without proxies.
 func proxylessSettings() map[string]any {
 	scenario := &rehearse.Scenario{Proxies: recordProxies}
 	return scenario.Settings([]fake.Class{lookupClass})
 }
 
-// newListedController prepares one, with a file of its own.
+// newListedController prepares a controller with a configuration file of its own.
 func newListedController(config listedConfig) (*listedController, error) {
 	path, err := process.WriteConfig(config.folder, config.name+".json", map[string]any{
 		"name":      config.name,
@@ -113,7 +114,7 @@
 		Env: []string{"LB_CONFIG=" + path}}}, nil
 }
 
-// start begins the process, and reads its log until it ends.
+// start starts the process, and reads its log until the log ends.
 func (c *listedController) start(folder string) error {
 	log, err := os.Create(filepath.Join(folder, c.process.Name+".log"))
 	if err != nil {
@@ -130,7 +131,7 @@
 	c.knownBackends = ""
 	c.lastLines = map[string]logLine{}
 	err = c.process.Start()
-	to.Close() // the process has its own
+	to.Close() // the process has its own copy
 	if err != nil {
 		from.Close()
 		log.Close()
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// readLine notes when the controller says that it is ready, and what it says of the rest.
+// readLine keeps a log line as the last one of its event, and notes when the controller is ready.
 func (c *listedController) readLine(line string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// lastLine gives the last line of an event, if there was one.
+// lastLine returns the last line of an event, and whether there is one.
 func (c *listedController) lastLine(event string) (logLine, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -167,26 +168,27 @@
 	return line, ok
 }
 
-// readyAt is when it was ready; 0 while it is not.
+// readyAt returns when the controller logged that it is ready, or the zero time.
 func (c *listedController) readyAt() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.ready
 }
 
-// waitReady waits until it is ready, or has ended, or has been waited for too long.
+// waitReady waits until the controller is ready. It returns an error if the process ends or is not
+// ready within the given time.
 func (c *listedController) waitReady(ctx context.Context, within time.Duration) error {
 	done := func() bool {
 		return !c.readyAt().IsZero() || c.process.ExitedUnexpectedly()
 	}
 	awaitClosely(ctx, within, done)
 	if c.readyAt().IsZero() {
-		return fmt.Errorf("%s is not ready within %s", c.process.Name, within)
+		return fmt.Errorf("controller %s ended or was not ready within %s", c.process.Name, within)
 	}
 	return nil
 }
 
-// end kills the process, and waits for the end of its log.
+// end kills the process, and waits until its log has been read.
 func (c *listedController) end() {
 	if c.process.Up {
 		c.process.Stop(syscall.SIGKILL)
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -11,19 +11,22 @@
 	"wheelrill/scale/results"
 )
 
-// lists measures what discovery's list costs a real controller by its entries: until it is ready after a start, while
-// nothing changes, and at each change of one entry. It has no proxies.
+// lists measures what the list of discovery costs a real controller by the number of entries: from
+// a start until it is ready, while nothing changes, and for each change of one entry. The
+// controller has no proxies.
 type lists struct{}
 
-// How much one size plays.
+// Times and limits of one run.
 const (
 	listReadyTimeout = 150 * time.Second
-	listIdleTime     = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
-	listChanges      = 10
-	maxListBytes     = 16 << 20 // bytes of an answer of discovery that a controller takes
+	// Observed time without changes, and again with changes: at most a quarter of Options.Duration
+	// each.
+	listIdleTime = 3 * time.Second
+	listChanges  = 10
+	maxListBytes = 16 << 20 // largest answer of discovery that a controller accepts, in bytes
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (lists) Describe() Description {
 	return Description{Name: "lists", SizeUnit: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
 		Targets: []int{99_000}, Transport: "loopback",
@@ -42,23 +45,23 @@
 		}}
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory, processes and time that one size takes.
 func (lists) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
 	return Needs{Memory: bytes, Processes: 1, Time: o.Duration + listReadyTimeout}
 }
 
-// listCost is what one run of a controller has shown.
+// listCost holds the figures of one run of a controller.
 type listCost struct {
 	ready, readyProcessor    time.Duration
-	idleShare, changingShare float64 // seconds of processor time a second, while nothing and while entries change
+	idleShare, changingShare float64 // processor seconds per second, without and with changes of entries
 	changeTime               float64 // seconds between two changes
 	listBytes, changeBytes   int64
 	memory                   int64
 	knownBackends            float64
 }
 
-// Run plays the repeats, each with a process of its own.
+// Run repeats the measurement, each time with a new process, and returns the medians.
 func (lists) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "lists-")
 	if err != nil {
@@ -76,7 +79,7 @@
 		return err
 	})
 	if err != nil {
-		return s, fmt.Errorf("%w; its log is in %s", err, folder)
+		return s, fmt.Errorf("%w; the log of the controller is in %s", err, folder)
 	}
 	medianFigure := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
 	s.Set("ready", medianFigure(func(c listCost) float64 { return c.ready.Seconds() }))
@@ -94,7 +97,8 @@
 	return s, nil
 }
 
-// measureList starts a controller, lets it be, and changes one entry after the other.
+// measureList starts a controller, leaves it idle for a while, and then changes one entry of the
+// list after the other.
 func measureList(ctx context.Context, discovery *fake.Discovery, backends []*fake.Backend, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
@@ -118,7 +122,7 @@
 	_, now := discovery.Sent()
 	cost.listBytes = now - sent
 	if cost.knownBackends, err = strconv.ParseFloat(c.knownBackends, 64); err != nil {
-		return cost, fmt.Errorf("backends of msg=ready: %w", err)
+		return cost, fmt.Errorf("number of backends in msg=ready: %w", err)
 	}
 	span := min(listIdleTime, o.Duration/4)
 	if cost.idleShare, err = c.processorShareDuring(func() error { return pauseFor(ctx, span) }); err != nil {
@@ -146,7 +150,8 @@
 	return cost, err
 }
 
-// processorShareDuring is the processor time that the controller takes while something goes on, in seconds a second.
+// processorShareDuring returns the processor time that the controller takes during an activity, in
+// seconds per second.
 func (c *listedController) processorShareDuring(activity func() error) (float64, error) {
 	began := time.Now()
 	before, err := readPreciseUsage(c.process.PID())
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -11,20 +11,21 @@
 	"wheelrill/scale/results"
 )
 
-// What a run may take of the machine.
+// Limits of what a run may take of the machine.
 const (
-	memoryShare  = 2                // one part in so many
-	maxProcesses = 100              // at a time
-	maxTime      = 20 * time.Minute // for one size
+	memoryShare  = 2                // a run may take the memory of the machine divided by this
+	maxProcesses = 100              // processes running at a time
+	maxTime      = 20 * time.Minute // longest time of one size
 )
 
-// RefusedError is why a run was not begun: the machine would not bear it.
+// RefusedError is returned for a run that was not started, because a size cannot be measured or
+// needs more than a run may take of the machine.
 type RefusedError struct{ reason string }
 
-// Error says why, and what would do.
+// Error returns the reason, and what would be accepted.
 func (r *RefusedError) Error() string { return r.reason }
 
-// thisMachine reads what the machine has.
+// thisMachine returns the number of cores and the memory of the machine.
 func thisMachine() (results.Machine, error) {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -37,7 +38,8 @@
 	return results.Machine{Cores: runtime.NumCPU(), Memory: int64(*memory.MemTotalBytes)}, nil
 }
 
-// checkMachine gives a *RefusedError where a size cannot be measured, or needs more than a run may take.
+// checkMachine returns a *RefusedError if a size cannot be measured, or needs more than a run may
+// take.
 func checkMachine(machine results.Machine, size int, needs Needs) error {
 	switch {
 	case needs.Refusal != "":
@@ -46,14 +48,16 @@
 		return &RefusedError{fmt.Sprintf("size %d needs about %d MB, and half of this machine's memory is %d MB; give smaller sizes", size,
 			needs.Memory>>20, machine.Memory/memoryShare>>20)}
 	case needs.Processes > maxProcesses:
-		return &RefusedError{fmt.Sprintf("size %d needs %d processes, %d at most; give smaller sizes", size, needs.Processes, maxProcesses)}
+		return &RefusedError{fmt.Sprintf("size %d needs %d processes, and %d at most are allowed; give smaller sizes", size,
+			needs.Processes, maxProcesses)}
 	case needs.Time > maxTime:
-		return &RefusedError{fmt.Sprintf("size %d takes about %s, %s at most; give a shorter --for", size, needs.Time, maxTime)}
+		return &RefusedError{fmt.Sprintf("size %d takes about %s, and %s at most is allowed; give a shorter --for", size,
+			needs.Time, maxTime)}
 	}
 	return nil
 }
 
-// currentLoad is the load average over the last minute, 0 where it is not known.
+// currentLoad returns the load average of the last minute, or 0 if it is unknown.
 func currentLoad() float64 {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -66,12 +70,13 @@
 	return load.Load1
 }
 
-// delayWatch watches how late this process gets its turns. Where it gets them too late nothing that was timed means anything.
+// delayWatch measures how late this process is scheduled. With delays that are too long, no
+// measured time is valid.
 type delayWatch struct{ monitor *process.DelayMonitor }
 
 func watchDelays() delayWatch { return delayWatch{process.StartDelayMonitor()} }
 
-// inconclusiveReason ends the watch, and says why nothing can be judged; empty where it can.
+// inconclusiveReason ends the watch, and returns why no verdict is possible, or "" if one is.
 func (w delayWatch) inconclusiveReason() string {
 	p99, _ := w.monitor.Stop()
 	if !process.TooBusy(p99) {
--- a/scale/median.go
+++ b/scale/median.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// maxRepeats is how often a size is measured, of which the median is taken.
+// maxRepeats is how often a size is measured. The median of the repeats is reported.
 const maxRepeats = 3
 
-// runRepeats does something maxRepeats times, or as often as begins within a span, and once at least. It says so where it is
-// less.
+// runRepeats calls do maxRepeats times. A repeat begins only within the span, except for the first
+// one, which always runs. If fewer than maxRepeats began, partial says how many.
 func runRepeats(ctx context.Context, span time.Duration, do func() error) (partial string, err error) {
 	began := time.Now()
 	done := 0
@@ -28,10 +28,10 @@
 	return partial, nil
 }
 
-// histogramDigits is the precision of percentiles.
+// histogramDigits is the precision of percentiles, in significant digits.
 const histogramDigits = 3
 
-// median is the middle value, or the mean of the two in the middle; 0 of none.
+// median returns the middle value, or the mean of the two middle values; 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -44,7 +44,7 @@
 	return (sorted[half-1] + sorted[half]) / 2
 }
 
-// medianOf is the median of one figure of several measurements.
+// medianOf returns the median of one figure over several measurements.
 func medianOf[T any](all []T, figure func(T) float64) float64 {
 	var values []float64
 	for _, measurement := range all {
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// network connects nodes of one process by connections in memory. A region can be cut off: what is sent into it or out
-// of it waits, and so do dials and closes, as on a way that loses all packets.
+// network connects the nodes of one process by connections in memory. A region can be cut off: data
+// sent into or out of it waits, and so do dials and closes, as on a path that loses all packets.
 type network struct {
 	mutex     sync.Mutex
 	endpoints map[string]endpoint
-	healed    chan struct{} // closed with the end of a cut; nil while there is none
-	cutRegion int           // the region, while there is a cut
-	closing   []net.Conn    // closed on one side during a cut, which the other side hears of later
+	healed    chan struct{} // closed when the present cut ends; nil without a cut
+	cutRegion int           // the region that is cut off, while there is a cut
+	closing   []net.Conn    // closed at one end during a cut; closed at the other end after it
 	serving   sync.WaitGroup
 }
 
-// endpoint is where a node takes connections in.
+// endpoint is the region of a node, and the function that accepts its connections.
 type endpoint struct {
 	region int
 	accept func(net.Conn)
@@ -28,21 +28,22 @@
 
 func newNetwork() *network { return &network{endpoints: map[string]endpoint{}} }
 
-// listen has a node take connections in under its name.
+// listen registers the function by which a node accepts connections under its name.
 func (n *network) listen(name string, region int, accept func(net.Conn)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.endpoints[name] = endpoint{region, accept}
 }
 
-// leave has dials to a name be refused.
+// leave removes a name. Dials to it are refused from then on.
 func (n *network) leave(name string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.endpoints, name)
 }
 
-// dial connects a node in a region to another by its name.
+// dial connects a node in the given region to the node of the given name. It waits while a cut
+// separates them.
 func (n *network) dial(ctx context.Context, region int, name string) (net.Conn, error) {
 	for {
 		to, healed, err := n.lookUp(region, name)
@@ -62,10 +63,11 @@
 	}
 }
 
-// redialInterval is how long the first packet of a connection is waited for before it is sent again, as TCP has it.
+// redialInterval is the interval at which a dial is repeated during a cut. TCP sends the first
+// packet of a connection again after the same time.
 const redialInterval = time.Second
 
-// lookUp looks a name up; healed is not nil where a cut lies between.
+// lookUp returns the endpoint of a name. healed is not nil if a cut separates it from the region.
 func (n *network) lookUp(region int, name string) (to endpoint, healed chan struct{}, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -76,7 +78,8 @@
 	return to, n.cutBetween(region, to.region), nil
 }
 
-// cutBetween gives what ends with the cut between two regions, nil where there is none.
+// cutBetween returns the channel that is closed when the cut between two regions ends, or nil if no
+// cut separates them.
 func (n *network) cutBetween(a, b int) chan struct{} {
 	if n.healed != nil && (a == n.cutRegion) != (b == n.cutRegion) {
 		return n.healed
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// cutOff cuts a region off until heal.
+// cutOff cuts off a region until heal is called.
 func (n *network) cutOff(region int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -92,7 +95,7 @@
 	n.healed = make(chan struct{})
 }
 
-// heal ends the cut.
+// heal ends the cut, and completes the closes that waited for its end.
 func (n *network) heal() {
 	n.mutex.Lock()
 	closing := n.closing
@@ -105,7 +108,7 @@
 	}
 }
 
-// memoryConn is one end of a connection.
+// memoryConn is one end of a connection in memory.
 type memoryConn struct {
 	net.Conn
 	network  *network
@@ -117,7 +120,8 @@
 	writeDeadline time.Time // zero for none
 }
 
-// SetWriteDeadline bounds writes, also while a cut holds them.
+// SetWriteDeadline limits the time of writes, including the time that they wait for the end of a
+// cut.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	c.mutex.Lock()
 	c.writeDeadline = t
@@ -125,7 +129,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Write sends, once no cut lies between.
+// Write sends data as soon as no cut separates the two ends.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	for {
 		c.network.mutex.Lock()
@@ -140,7 +144,8 @@
 	}
 }
 
-// awaitHealing for the end of a cut, the deadline or the close, whichever comes first.
+// awaitHealing waits for the end of the cut, the write deadline or the close of this end, whichever
+// comes first.
 func (c *memoryConn) awaitHealing(healed <-chan struct{}) error {
 	c.mutex.Lock()
 	deadline := c.writeDeadline
@@ -161,7 +166,7 @@
 	}
 }
 
-// Close ends it here at once, and at the other end once no cut lies between.
+// Close closes this end at once, and the other end as soon as no cut separates them.
 func (c *memoryConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	c.network.mutex.Lock()
@@ -171,7 +176,7 @@
 	}
 	c.network.mutex.Unlock()
 	if isCut {
-		return c.SetDeadline(time.Unix(1, 0)) // ends reads and writes of ours
+		return c.SetDeadline(time.Unix(1, 0)) // fails pending reads and writes at this end
 	}
 	return c.Conn.Close()
 }
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -10,17 +10,21 @@
 	"wheelrill/distribution"
 )
 
-// propagation notes when changes come into force at subscribers, and what must not happen on the way.
+// propagation records how long changes take until subscribers apply them, and collects violations.
 type propagation struct {
 	content *content
 
-	mutex          sync.Mutex              // of all below
-	latency        *hdrhistogram.Histogram // µs from acceptance, of each change at each subscriber that was reachable all the time
-	catchUpLatency *hdrhistogram.Histogram // µs from being reachable again, of what a subscriber had missed
+	mutex sync.Mutex // guards the fields below
+	// From the acceptance of each change until each subscriber applied it, in µs. Changes that a
+	// subscriber missed while it was unreachable are in catchUpLatency.
+	latency *hdrhistogram.Histogram
+	// From the time that a subscriber was reachable again until it applied the changes that it had
+	// missed, in µs.
+	catchUpLatency *hdrhistogram.Histogram
 	violations     []string
 }
 
-// maxViolations is how many violations are kept.
+// maxViolations is the largest number of violations that are stored.
 const maxViolations = 20
 
 func newPropagation(content *content) *propagation {
@@ -28,7 +32,7 @@
 		catchUpLatency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits)}
 }
 
-// reset begins anew to measure; violations stay.
+// reset clears the latencies; violations remain.
 func (p *propagation) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -36,7 +40,7 @@
 	p.catchUpLatency.Reset()
 }
 
-// addViolation notes what must not happen.
+// addViolation stores a violation, unless there are maxViolations already.
 func (p *propagation) addViolation(format string, args ...any) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -45,8 +49,9 @@
 	}
 }
 
-// applied notes that a subscriber, which acted by a revision before, acts by a change. Reachable is since when it could be
-// reached: what it missed before counts from then on.
+// applied records that a subscriber has applied a change. appliedRevision is the revision that it
+// had before. The subscriber has been reachable since reachableSince: the latency of a change that
+// was accepted earlier counts from then.
 func (p *propagation) applied(change distribution.Change, appliedRevision uint64, reachableSince time.Time) {
 	now := time.Now()
 	newest := time.Time{}
@@ -69,10 +74,11 @@
 		elapsed = now.Sub(reachableSince)
 		histogram = p.catchUpLatency
 	}
-	_ = histogram.RecordValue(max(elapsed.Microseconds(), 1)) // an hour is within its range, and no run lasts as long
+	// Cannot fail: the range is an hour, and no run lasts as long.
+	_ = histogram.RecordValue(max(elapsed.Microseconds(), 1))
 }
 
-// seconds reads a quantile of a histogram.
+// seconds returns a quantile of a histogram in seconds, or 0 if the histogram is empty.
 func (p *propagation) seconds(histogram *hdrhistogram.Histogram, quantile float64) float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/scale/record.go
+++ b/scale/record.go
@@ -16,20 +16,21 @@
 	"wheelrill/scale/results"
 )
 
-// recordReal is what the record costs real controllers, as processes with fake proxies around them: all are members.
+// recordReal measures what the record costs real controllers. They run as processes with fake
+// proxies around them, and all of them are members.
 type recordReal struct{}
 
-// Figures of the deployment around the members.
+// The deployment around the members, and estimates of what it takes.
 const (
 	recordProxies   = 30
 	recordBackends  = 12
-	memberMemory    = 64 << 20 // bytes that a real member takes, about
+	memberMemory    = 64 << 20 // approximate bytes of a real member
 	fakesMemory     = 64 << 20
 	startTimeout    = 30 * time.Second
-	costLogInterval = 10 * time.Second // a member logs what the record costs it
+	costLogInterval = 10 * time.Second // interval at which a member logs what the record costs it
 )
 
-// recordMetrics are those of both measurements of the record.
+// recordMetrics returns the metrics that both measurements of the record have.
 func recordMetrics() []results.Metric {
 	return []results.Metric{
 		{Name: "entries_per_s", Unit: "1/s", About: "entries at each member", Fit: true},
@@ -37,9 +38,10 @@
 		{Name: "leader_bytes_per_s", Unit: "bytes/s", About: "in and out at the leader", Budget: maxBytesPerSecond, Fit: true}}
 }
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (recordReal) Describe() Description {
-	return Description{Name: "record", About: "The record, all controllers being members, real processes with 30 proxies in all", SizeUnit: "members",
+	return Description{Name: "record",
+		About: "The record, all controllers being members, real processes with 30 proxies in all", SizeUnit: "members",
 		Sizes: []int{3, 5, 7, 9, 11}, Targets: []int{100, targetControllers}, Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			results.Metric{Name: "follower_processor", Unit: "% of a core",
@@ -49,27 +51,32 @@
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
-// Needs are those of the members and of the fakes in our process.
+// Needs returns what the members and the fakes in this process take, or why the size cannot be
+// measured.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.Duration}
 	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
-		needs.Refusal = fmt.Sprintf("with %d members an owner has none of the %d messages that may go to a proxy within %s; give fewer",
+		needs.Refusal = fmt.Sprintf("with %d members an owner may send none of the %d messages that a proxy may get "+
+			"within %s; give fewer members",
 			size, rehearse.MaxMessages, rehearse.MessageWindow)
 	} else if o.Duration < 2*costLogInterval {
-		needs.Refusal = fmt.Sprintf("--for %s; a member logs its cost each %s, give %s or more", o.Duration, costLogInterval, 2*costLogInterval)
+		needs.Refusal = fmt.Sprintf("--for is %s, but a member logs its cost every %s; give %s or more",
+			o.Duration, costLogInterval, 2*costLogInterval)
 	}
 	return needs
 }
 
-// Run plays a calm scenario, and reads what each member logged of the record and spent.
+// Run runs a scenario without faults, and reads what each member spent, and what it logged about
+// the record.
 func (recordReal) Run(ctx context.Context, size int, o Options) (results.Sample, error) {
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
 		return results.Sample{}, err
 	}
 	usages := &memberUsage{before: map[string]usage{}, after: map[string]usage{}}
-	scenario := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.Duration, FaultInterval: o.Duration, Controllers: size, Proxies: recordProxies,
-		Backends: recordBackends, Seed: o.Seed, Program: o.Program, Folder: folder, Progress: o.Progress, Observe: usages.observe}
+	scenario := rehearse.Scenario{Calm: true, Sharing: true, Duration: o.Duration, FaultInterval: o.Duration,
+		Controllers: size, Proxies: recordProxies, Backends: recordBackends, Seed: o.Seed, Program: o.Program,
+		Folder: folder, Progress: o.Progress, Observe: usages.observe}
 	report, err := scenario.Run(ctx)
 	if err = errors.Join(err, usages.readErr); err != nil {
 		return results.Sample{}, err
@@ -87,14 +94,15 @@
 	return s, nil
 }
 
-// memberUsage is what members took while a rehearsal was played.
+// memberUsage holds the resources that each member had taken at the start and at the end of a
+// rehearsal.
 type memberUsage struct {
 	before, after map[string]usage
 	began, ended  time.Time
 	readErr       error
 }
 
-// observe reads each member's usage as play begins and as it ends.
+// observe reads the usage of each member at the start and at the end of a rehearsal.
 func (s *memberUsage) observe(controllers []*process.Controller, ended bool) {
 	target := s.before
 	if ended {
@@ -110,12 +118,12 @@
 	}
 }
 
-// processor is the share of a core that a member took, in percent.
+// processor returns the share of a core that a member took, in percent.
 func (s *memberUsage) processor(name string) float64 {
 	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
-// sample sums members up, followers apart from the leader.
+// sample returns the figures over all members: the means of the followers, and those of the leader.
 func (s *memberUsage) sample(members map[string]memberCost) (sample results.Sample) {
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
@@ -139,7 +147,7 @@
 	return sample
 }
 
-// memberCost is what the record costs a member a second, by its own log.
+// memberCost is what the record costs a member per second, according to its log.
 type memberCost struct {
 	entries, bytes float64
 	leads          bool
@@ -170,7 +178,7 @@
 		}
 	}
 	if !found {
-		return cost, fmt.Errorf("%s: the member has not logged what the record costs it", path)
+		return cost, fmt.Errorf("%s: the member logged no cost of the record", path)
 	}
 	return cost, nil
 }
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -9,19 +9,22 @@
 	"wheelrill/scale/results"
 )
 
-// recordHollow is what the record costs hollow controllers, all members, in one process: by their number, or by their lease.
+// recordHollow measures what the record costs hollow controllers in one process, which are all
+// members: by their number, or by their lease.
 type recordHollow struct{ byLease bool }
 
-// What a hollow member takes, about: its connections are to every other.
+// Approximate memory in bytes of a hollow member, and of each of its connections. Each member is
+// connected to every other one.
 const (
 	hollowMemberMemory = 2 << 20
 	connectionMemory   = 128 << 10
 )
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (r recordHollow) Describe() Description {
 	d := Description{Name: "record-hollow", About: "The record, all controllers being members, hollow ones without proxies in one process",
-		SizeUnit: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, targetControllers}, Transport: "loopback",
+		SizeUnit: "members", Sizes: []int{3, 5, 7, 9, 15, 25, 35}, Targets: []int{100, targetControllers},
+		Transport: "loopback",
 		Metrics: append(recordMetrics(),
 			results.Metric{Name: "processor", Unit: "% of a core", About: "processor time of a member, mean", Budget: maxProcessorPercent, Fit: true},
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, mean", Budget: maxMegabytes, Fit: true})}
@@ -35,7 +38,7 @@
 	return d
 }
 
-// members is how many there are at a size, and their lease.
+// members returns the number of members at a size, and their lease.
 func (r recordHollow) members(size int, o Options) (members int, lease time.Duration) {
 	if r.byLease {
 		return o.Voters, time.Duration(size) * time.Millisecond
@@ -43,13 +46,15 @@
 	return size, defaultLease
 }
 
-// Needs are those of our own process.
+// Needs returns the memory and time that this process takes.
 func (r recordHollow) Needs(size int, o Options) Needs {
 	size, _ = r.members(size, o)
-	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory), Time: startTimeout + o.Duration}
+	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory),
+		Time: startTimeout + o.Duration}
 }
 
-// Run has members renew their leases, and reads what passed over their connections.
+// Run starts members that renew their leases for the observed time, and measures the traffic
+// between them.
 func (r recordHollow) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	size, lease := r.members(size, o)
 	var running sync.WaitGroup
@@ -81,7 +86,7 @@
 	return s, nil
 }
 
-// hollowCost is what the record has cost a member so far.
+// hollowCost is what the record has cost a member so far, and whether it leads.
 type hollowCost struct {
 	entries uint64
 	bytes   int64
@@ -97,7 +102,8 @@
 	return costs
 }
 
-// setRecordCosts notes what the record cost a second, the leader apart from the others.
+// setRecordCosts sets the cost of the record per second, separately for the leader and the
+// followers.
 func setRecordCosts(before, after []hollowCost, seconds float64, s *results.Sample) {
 	size := float64(len(after))
 	var entries, followers, leader float64
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -10,22 +10,23 @@
 	"wheelrill/scale/results"
 )
 
-// recovery measures what controllers that restart at once cost as they learn the list anew from discovery, each a real
-// process of this machine. A whole list is asked for today, whatever a controller serves.
+// recovery measures what it costs controllers that restart at once to get the list from discovery
+// again. Each is a real process on this machine. At present a controller asks for the whole list,
+// whichever backends it serves.
 type recovery struct {
-	allBackends bool // all backends, and not just those of the services that one serves
+	allBackends bool // list all backends, not only those of the services that one controller serves
 }
 
-// What there is to learn, by assumption: each service has as many backends.
+// Assumed size of the list, in which every service has the same number of backends.
 const (
 	targetBackends   = 99_000
 	targetServices   = 5700
 	backendsServed   = targetBackends / targetServices * servicesPerGroup
-	controllerMemory = 40 << 20 // bytes that a controller takes, and ...
-	backendMemory    = 6 << 10  // ... for each backend, about
+	controllerMemory = 40 << 20 // approximate bytes of a controller without backends
+	backendMemory    = 6 << 10  // approximate bytes for each backend
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (r recovery) Describe() Description {
 	d := Description{Name: "recovery", SizeUnit: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
 		Targets: []int{40, 220, targetControllers}, Transport: "loopback",
@@ -54,19 +55,19 @@
 	return backendsServed
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory, processes and time that one size takes.
 func (r recovery) Needs(size int, o Options) Needs {
 	return Needs{Memory: fakesMemory + int64(size)*int64(controllerMemory+r.backends()*backendMemory), Processes: size,
 		Time: o.Duration + listReadyTimeout}
 }
 
-// recoveryCost is what one restart of all has shown.
+// recoveryCost holds the figures of one restart of all controllers.
 type recoveryCost struct {
-	ready, processor time.Duration // processor: the mean of all
-	bytes, memory    int64         // bytes to all; the most memory of one
+	ready, processor time.Duration // until the last controller was ready; mean processor time
+	bytes, memory    int64         // bytes sent to all controllers; largest memory of one
 }
 
-// Run restarts all as often as there are repeats.
+// Run restarts all controllers in each repeat, and returns the medians.
 func (r recovery) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "recovery-")
 	if err != nil {
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -14,11 +14,12 @@
 	"wheelrill/scale/results"
 )
 
-// recoverySnapshot measures what one subscriber that starts anew is sent by its parent until it has its configuration,
-// by the entries of its scope.
+// recoverySnapshot measures what a parent sends to a subscriber that starts without any state,
+// until the subscriber has its configuration, by the number of entries of its scope.
 type recoverySnapshot struct{}
 
-// What a controller has to learn, by assumption: what belongs to one group of services, or all.
+// Assumed size of the configuration: the entries of one group of services, which a controller
+// needs, and all entries.
 const (
 	targetRoutes  = 29_000
 	targetTenants = 330_000
@@ -29,7 +30,7 @@
 	snapshotTimeout = 2 * time.Minute
 )
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (recoverySnapshot) Describe() Description {
 	return Description{Name: "recovery-snapshot", SizeUnit: "entries of its scope", Sizes: []int{77, 250, 800, 2500},
 		Targets: []int{entriesServed, entriesOfAll}, Transport: "memory",
@@ -43,18 +44,18 @@
 		}}
 }
 
-// Needs are those of both ends.
+// Needs returns the memory and time that the voter and the subscriber take.
 func (recoverySnapshot) Needs(_ int, o Options) Needs {
 	return Needs{Memory: treeMemory, Time: o.Duration + snapshotTimeout}
 }
 
-// snapshotCost is what one start has shown.
+// snapshotCost holds the figures of one start of a subscriber.
 type snapshotCost struct {
 	ready, processor time.Duration
 	bytes            int64
 }
 
-// Run starts a subscriber anew as often as there are repeats.
+// Run starts a new subscriber in each repeat, and returns the medians.
 func (recoverySnapshot) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -90,10 +91,11 @@
 	return s, nil
 }
 
-// currentInterval is how often the voter says that its record is current, as a member of a record does.
+// currentInterval is how often the voter reports that its record is current, as a member of a
+// record does.
 const currentInterval = 200 * time.Millisecond
 
-// startSnapshotSource has a voter by itself hand out entries until the context ends.
+// startSnapshotSource starts a single voter that distributes the entries until the context ends.
 func startSnapshotSource(ctx context.Context, running *sync.WaitGroup, network *network, entries []distribution.Entry) error {
 	change, err := distribution.NewRecord().Apply(distribution.Proposal{AcceptedAt: time.Now().UnixMicro(), Entries: entries,
 		Epoch: distribution.Epoch{Number: 1, Identity: 1}})
@@ -114,7 +116,8 @@
 	return nil
 }
 
-// measureSnapshot has a subscriber live until it has as many entries as its scope has.
+// measureSnapshot runs a subscriber until it has its configuration, which must have the wanted
+// number of entries.
 func measureSnapshot(ctx context.Context, network *network, want int) (cost snapshotCost, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -141,12 +144,13 @@
 	case got := <-has:
 		cost = snapshotCost{time.Since(began), processorTime() - before, subscriber.Traffic().In}
 		if got != want {
-			return cost, fmt.Errorf("it has %d entries where its scope has %d", got, want)
+			return cost, fmt.Errorf("the subscriber has %d entries, but its scope has %d", got, want)
 		}
 		return cost, nil
 	case <-ctx.Done():
 		return cost, ctx.Err()
 	case <-time.After(snapshotTimeout):
-		return cost, fmt.Errorf("a subscriber has not its configuration of %d entries after %s", want, snapshotTimeout)
+		return cost, fmt.Errorf("a subscriber whose scope has %d entries has no configuration after %s", want,
+			snapshotTimeout)
 	}
 }
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -8,22 +8,24 @@
 	"wheelrill/scale/results"
 )
 
-// recoveryTree measures subscribers that restart at once, in a deployment that runs.
+// recoveryTree measures subscribers that restart at once in a running deployment, by their number.
 type recoveryTree struct{ subscribers int }
 
-// recoveryDelta measures a region that was cut off, by the changes that it missed.
+// recoveryDelta measures how a region that was cut off catches up, by the number of changes that it
+// missed.
 type recoveryDelta struct{ subscribers int }
 
-// Of the deployment that both are played in.
+// Size of the deployment of both measurements, and times.
 const (
 	recoverySubscribers = 1100
 	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
 	allProposalsTime    = time.Minute
 )
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (m recoveryTree) Describe() Description {
-	return Description{Name: "recovery-subscribers", SizeUnit: "subscribers that restart at once", Sizes: []int{1, 40, 220, m.subscribers},
+	return Description{Name: "recovery-subscribers", SizeUnit: "subscribers that restart at once",
+		Sizes:   []int{1, 40, 220, m.subscribers},
 		Targets: []int{40, 220, targetControllers}, Transport: "memory",
 		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", m.subscribers,
 			commonEntries+servicesPerGroup),
@@ -36,19 +38,20 @@
 		}}
 }
 
-// Needs are those of all nodes in our process.
+// Needs returns the time, and the memory of all nodes, which run in this process.
 func (m recoveryTree) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(max(size, m.subscribers)).memory(o),
 		Time: o.Duration + startTimeout + 2*readyTimeout}
 }
 
-// restartCost is what one restart has shown.
+// restartCost holds the figures of one restart of subscribers.
 type restartCost struct {
 	ready, processor time.Duration
-	bytes, worst     float64 // worst: a second
+	bytes, worst     float64 // mean received bytes; bytes per second at the busiest node
 }
 
-// Run restarts so many subscribers, drawn by the seed, as often as there are repeats.
+// Run restarts the given number of subscribers, drawn by the seed, in each repeat, and returns the
+// medians.
 func (m recoveryTree) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(max(size, m.subscribers)), o)
 	if err != nil {
@@ -75,7 +78,8 @@
 	return s, nil
 }
 
-// restartSome kills subscribers that are drawn, starts them anew, and waits until all have their configuration.
+// restartSome kills the given number of random subscribers, starts them as new incarnations, and
+// waits until all have their configuration.
 func (t *tree) restartSome(ctx context.Context, count int) (cost restartCost, err error) {
 	var restarted []*hollowSubscriber
 	for _, i := range t.random.Perm(len(t.subscribers))[:count] {
@@ -90,7 +94,8 @@
 		s.start()
 	}
 	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(restarted) == 0 }) {
-		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", countWaiting(restarted), count, readyTimeout)
+		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s",
+			countWaiting(restarted), count, readyTimeout)
 	}
 	cost.ready = time.Since(began)
 	cost.processor = processorTime() - processorBefore
@@ -103,16 +108,17 @@
 	return cost, nil
 }
 
-// received is what it was sent in this incarnation.
+// received returns the bytes that the node has received in this incarnation.
 func (s *hollowSubscriber) received() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.node.Traffic().In
 }
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (m recoveryDelta) Describe() Description {
-	return Description{Name: "recovery-delta", SizeUnit: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
+	return Description{Name: "recovery-delta", SizeUnit: "changes missed", Sizes: []int{10, 40, 160, 640},
+		Targets:   []int{126, 1512},
 		Transport: "memory",
 		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", m.subscribers/regions),
 		Metrics: []results.Metric{
@@ -122,12 +128,13 @@
 		}}
 }
 
-// Needs are those of all nodes in our process.
+// Needs returns the time, and the memory of all nodes, which run in this process.
 func (m recoveryDelta) Needs(_ int, o Options) Needs {
 	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + allProposalsTime}
 }
 
-// Run cuts a region without voters off while so many changes are made.
+// Run cuts off a region without voters while the given number of changes is made, and measures how
+// the region catches up.
 func (m recoveryDelta) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(m.subscribers), o)
 	if err != nil {
@@ -158,7 +165,7 @@
 	t.network.heal()
 	healed := time.Now()
 	if !awaitClosely(ctx, readyTimeout, func() bool { return t.allCurrent(behind) }) {
-		return s, fmt.Errorf("a region is not current %s after the end of its cut", readyTimeout)
+		return s, fmt.Errorf("the region that was cut off is not current %s after the end of the cut", readyTimeout)
 	}
 	ready := time.Since(healed)
 	after := 0.
@@ -174,7 +181,7 @@
 	return s, nil
 }
 
-// allCurrent tells whether all of some nodes are at the newest revision, by their own word.
+// allCurrent reports whether the status of all given nodes has the newest revision.
 func (t *tree) allCurrent(nodes []*hollowSubscriber) bool {
 	last := t.content.lastRevision()
 	for _, node := range nodes {
--- a/scale/results/fit.go
+++ b/scale/results/fit.go
@@ -13,24 +13,25 @@
 	FormLinear = "linear" // intercept + slope * n
 )
 
-// Fit is a metric over sizes n: both forms, and the one that is nearer to what was seen.
+// Fit is a metric fitted over sizes n: the parameters of both forms, and which form was chosen.
 type Fit struct {
-	Metric        string  `json:"metric"`                // its name
-	Form          string  `json:"form"`                  // that is nearer
+	Metric        string  `json:"metric"`                // name of the metric
+	Form          string  `json:"form"`                  // the chosen form
 	Coefficient   float64 `json:"coefficient"`           // of FormPower
 	Exponent      float64 `json:"exponent"`              // of FormPower
 	Intercept     float64 `json:"intercept"`             // of FormLinear
 	Slope         float64 `json:"slope"`                 // of FormLinear
-	Residual      float64 `json:"residual"`              // root of the mean squared relative error, of the form that is taken
-	OtherResidual float64 `json:"residual_of_the_other"` // of the form that is not
-	Sizes         int     `json:"sizes"`                 // different ones it rests on
+	Residual      float64 `json:"residual"`              // root of the mean squared relative error of the chosen form
+	OtherResidual float64 `json:"residual_of_the_other"` // the same error of the other form
+	Sizes         int     `json:"sizes"`                 // number of different sizes that were fitted
 }
 
-// minSizes is the fewest that a fit may rest on.
+// minSizes is the smallest number of different sizes for a fit.
 const minSizes = 3
 
-// FitOver fits a metric over the samples; false where too few sizes have it, or a figure is 0. A line that is below 0 at
-// one of the targets is not taken.
+// FitOver fits a metric over the samples, and chooses the form with the smaller error. A line that
+// is not above 0 at all targets is not chosen. It returns false if fewer than minSizes sizes have a
+// figure above 0.
 func FitOver(samples []Sample, metric string, targets []int) (Fit, bool) {
 	var sizes, values, logSizes, logValues []float64
 	different := map[int]bool{}
@@ -66,7 +67,7 @@
 func (f Fit) power(size float64) float64  { return f.Coefficient * math.Pow(size, f.Exponent) }
 func (f Fit) linear(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// At reads the fit at a size.
+// At returns the fitted figure at a size.
 func (f Fit) At(size int) float64 {
 	if f.Form == FormLinear {
 		return f.linear(float64(size))
@@ -74,7 +75,7 @@
 	return f.power(float64(size))
 }
 
-// relativeError is the root of the mean squared relative error of a curve.
+// relativeError returns the root of the mean squared relative error of a curve.
 func relativeError(sizes, values []float64, curve func(float64) float64) float64 {
 	squares := make([]float64, len(values))
 	for i, value := range values {
--- a/scale/results/markdown.go
+++ b/scale/results/markdown.go
@@ -9,13 +9,14 @@
 	"github.com/dustin/go-humanize"
 )
 
-// shownDigits is how many digits of a figure a table shows.
+// shownDigits is the number of significant digits of a figure in a table.
 const shownDigits = 3
 
-// zeroThreshold is what a table does not take for 0.
+// zeroThreshold is the absolute value below which a table shows 0.
 const zeroThreshold = 1e-9
 
-// FormatFigure writes a figure as tables have it: three digits that count, and commas.
+// FormatFigure formats a figure as tables show it: three significant digits, and commas between
+// thousands.
 func FormatFigure(value float64) string {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return fmt.Sprint(value)
@@ -27,11 +28,12 @@
 	if digits > 0 {
 		return strconv.FormatFloat(value, 'f', digits, 64)
 	}
-	unit := int64(math.Pow10(-digits)) // of the last digit that is shown
+	unit := int64(math.Pow10(-digits)) // value of the last digit that is shown
 	return humanize.Comma(int64(math.Round(value/float64(unit))) * unit)
 }
 
-// Markdown writes a run as the tables of a page: what was measured, what was fitted, and the fits at the sizes to come.
+// Markdown returns the run as the tables of a page: what was measured, the fits, and the fitted
+// figures at the target sizes.
 func (r *Run) Markdown() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s. Run `%s`, text %s, %s UTC, %d cores, %d MB, over %s, seed %d, %s s a size: %s.\n\n", r.About, r.Name, r.Revision,
@@ -55,7 +57,7 @@
 	return b.String()
 }
 
-// writeSamples writes the samples, a row a metric.
+// writeSamples writes the table of the samples, a row per metric.
 func (r *Run) writeSamples(b *strings.Builder) {
 	fmt.Fprintf(b, "| measured, by %s |", r.SizeUnit)
 	for _, s := range r.Samples {
@@ -80,7 +82,7 @@
 	b.WriteString(" - |\n")
 }
 
-// writeFits writes the fits, and what they give at the sizes to come.
+// writeFits writes the table of the fits, with the fitted figures at the target sizes.
 func (r *Run) writeFits(b *strings.Builder) {
 	fmt.Fprintf(b, "| fitted, n %s | form | exponent | residual |", r.SizeUnit)
 	for _, target := range r.Targets {
@@ -101,7 +103,7 @@
 	}
 }
 
-// emphasize writes a figure, in bold where it is over its budget.
+// emphasize formats a figure, in bold if it exceeds its budget.
 func emphasize(value, budget float64) string {
 	if budget > 0 && value > budget {
 		return "**" + FormatFigure(value) + "**"
@@ -125,7 +127,8 @@
 	return Metric{Name: name}
 }
 
-// Figure reads one figure of a run: as measured where a sample has the size, else as fitted.
+// Figure returns one figure of a run: the measured one if there is a sample of the size, otherwise
+// the fitted one.
 func (r *Run) Figure(metric string, size int) (string, error) {
 	for _, s := range r.Samples {
 		if value, ok := s.Get(metric); ok && s.Size == size {
@@ -137,5 +140,5 @@
 			return FormatFigure(f.At(size)), nil
 		}
 	}
-	return "", fmt.Errorf("run %s has no %s at %d, measured or fitted", r.Name, metric, size)
+	return "", fmt.Errorf("run %s has no figure of metric %q at size %d, measured or fitted", r.Name, metric, size)
 }
--- a/scale/results/page.go
+++ b/scale/results/page.go
@@ -8,17 +8,18 @@
 	"strings"
 )
 
-// A page holds a run's tables between two comments, and single figures of runs before a comment that names run, metric
-// and size.
+// A page has the tables of a run between two HTML comments, and single figures before an HTML
+// comment that names the run, the metric and the size.
 var (
 	block  = regexp.MustCompile(`(?s)<!-- scale report (\S+) -->\n(.*?)<!-- end -->`)
 	figure = regexp.MustCompile(`([0-9.,]+)<!-- scale (\S+) (\S+) (\d+) -->`)
 )
 
-// FillPage gives a page with all blocks and figures made anew from runs. A name that no run has is an error.
+// FillPage returns the page with the contents of all blocks and figures replaced by those of the
+// runs. A name that no run has is an error.
 func FillPage(page string, runs []*Run) (string, error) {
 	if strings.Count(page, "<!-- scale report ") != len(block.FindAllString(page, -1)) {
-		return "", errors.New("a block has no <!-- end -->")
+		return "", errors.New("a <!-- scale report --> block has no <!-- end -->")
 	}
 	f := filler{byName: map[string]*Run{}}
 	for _, r := range runs {
@@ -29,17 +30,18 @@
 	return page, errors.Join(f.errs...)
 }
 
-// filler makes parts of a page from runs, and collects what could not be made, which stays as it is.
+// filler creates blocks and figures of a page from runs. It collects errors, and leaves the parts
+// that fail unchanged.
 type filler struct {
 	byName map[string]*Run
 	errs   []error
 }
 
-// run is the one of a name, or nil.
+// run returns the run of the given name. If there is none, it adds an error and returns nil.
 func (f *filler) run(name string) *Run {
 	r := f.byName[name]
 	if r == nil {
-		f.errs = append(f.errs, fmt.Errorf("no run %q is kept", name))
+		f.errs = append(f.errs, fmt.Errorf("run %q does not exist", name))
 	}
 	return r
 }
@@ -72,7 +74,8 @@
 	return fmt.Sprintf("%s<!-- scale %s %s %d -->", value, name, metric, size)
 }
 
-// CheckPage tells whether a page has just the tables and figures that runs give, and which line is the first that differs.
+// CheckPage returns an error that shows the first line in which the page differs from the tables
+// and figures of the runs, or nil if there is no difference.
 func CheckPage(page string, runs []*Run) error {
 	filled, err := FillPage(page, runs)
 	if err != nil {
@@ -82,12 +85,13 @@
 	want := strings.Split(filled, "\n")
 	for i := range min(len(have), len(want)) {
 		if have[i] != want[i] {
-			return fmt.Errorf("line %d is not what the kept runs give:\n  has  %s\n  want %s\nwheelrill scale report --write makes it so", i+1,
-				have[i], want[i])
+			return fmt.Errorf("line %d differs from the kept runs:\n  has  %s\n  want %s\n"+
+				"run wheelrill scale report --write to update it", i+1, have[i], want[i])
 		}
 	}
 	if len(have) != len(want) {
-		return fmt.Errorf("it has %d lines where the kept runs give %d; wheelrill scale report --write makes it so", len(have), len(want))
+		return fmt.Errorf("the page has %d lines, but the kept runs give %d; run wheelrill scale report --write to update it",
+			len(have), len(want))
 	}
 	return nil
 }
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -1,5 +1,5 @@
-// Package results keeps what measurements saw: runs as JSON, fits over sizes, verdicts by budgets, and the tables of
-// docs/CAPACITY.md made of them. It measures nothing; package scale does.
+// Package results stores the results of measurements: runs as JSON, fits over sizes, verdicts by
+// budgets, and the tables of docs/CAPACITY.md. Package scale makes the measurements.
 package results
 
 import (
@@ -15,66 +15,67 @@
 	"wheelrill/rehearse"
 )
 
-// Run is one measurement over its sizes, as it is kept. Its keys as JSON are those of all kept runs.
+// Run holds the results of one measurement over its sizes. All stored runs have the JSON keys of
+// its fields.
 type Run struct {
-	Name      string           `json:"name"`              // that it is kept under
+	Name      string           `json:"name"`              // name under which the run is stored
 	About     string           `json:"about"`             // what was measured, in a sentence
 	Revision  string           `json:"text"`              // the commit that was measured
 	Date      string           `json:"date"`              // UTC
-	Machine   Machine          `json:"machine"`           // that it ran on
+	Machine   Machine          `json:"machine"`           // machine on which the run was made
 	Transport string           `json:"transport"`         // between controllers: loopback, memory or calls
-	Seed      uint64           `json:"seed"`              // of all that was drawn
-	Seconds   float64          `json:"seconds"`           // that each size was observed
-	SizeUnit  string           `json:"size"`              // what sizes count
-	Targets   []int            `json:"targets,omitempty"` // sizes that fits are read at
+	Seed      uint64           `json:"seed"`              // seed of all random numbers
+	Seconds   float64          `json:"seconds"`           // how long each size was observed
+	SizeUnit  string           `json:"size"`              // what a size counts, such as members
+	Targets   []int            `json:"targets,omitempty"` // sizes at which fits are evaluated
 	Metrics   []Metric         `json:"metrics"`           // in the order of the table
-	Samples   []Sample         `json:"samples"`           // by size
-	Fits      []Fit            `json:"fits"`              // of metrics that are fitted
-	Verdict   rehearse.Verdict `json:"verdict"`           // by Evaluate
+	Samples   []Sample         `json:"samples"`           // in the order of sizes
+	Fits      []Fit            `json:"fits"`              // fits of the metrics that have Fit set
+	Verdict   rehearse.Verdict `json:"verdict"`           // set by Evaluate
 }
 
-// Machine is where a run was played.
+// Machine describes the machine that a run was made on.
 type Machine struct {
-	Cores  int   `json:"cores"`        // of the processor
-	Memory int64 `json:"memory_bytes"` // in all
+	Cores  int   `json:"cores"`        // number of processor cores
+	Memory int64 `json:"memory_bytes"` // total memory
 }
 
-// Metric is one figure of a sample.
+// Metric describes one figure of a sample.
 type Metric struct {
-	Name   string  `json:"name"`             // by which samples and fits refer to it
-	Unit   string  `json:"unit"`             // of its values, as tables show it
-	About  string  `json:"about"`            // what it is, as tables show it
-	Budget float64 `json:"budget,omitempty"` // what it may be at most; 0 for no budget
-	Fit    bool    `json:"fit,omitempty"`    // it is fitted over the sizes
+	Name   string  `json:"name"`             // name by which samples and fits refer to the metric
+	Unit   string  `json:"unit"`             // unit of its values, as tables show it
+	About  string  `json:"about"`            // what the metric measures, as tables show it
+	Budget float64 `json:"budget,omitempty"` // largest allowed value; 0 for no budget
+	Fit    bool    `json:"fit,omitempty"`    // whether the metric is fitted over the sizes
 }
 
-// Sample is what was seen at one size.
+// Sample holds the results at one size.
 type Sample struct {
-	Size         int      `json:"size"`               // see Run.Size
-	Load         float64  `json:"load"`               // the machine's load average over a minute, before
-	Values       []Value  `json:"values"`             // by metric
-	Violations   []string `json:"broken,omitempty"`   // what must not happen at any size, as a digest that differs
-	Partial      string   `json:"partial,omitempty"`  // what was left out of it, so that it rests on less
-	Inconclusive string   `json:"unjudged,omitempty"` // why the sample shows nothing, for or against
+	Size         int      `json:"size"`               // in the unit of Run.SizeUnit
+	Load         float64  `json:"load"`               // load average of the machine in the minute before
+	Values       []Value  `json:"values"`             // one for each metric
+	Violations   []string `json:"broken,omitempty"`   // faults that must not happen at any size, such as differing digests
+	Partial      string   `json:"partial,omitempty"`  // what the sample lacks, such as repeats
+	Inconclusive string   `json:"unjudged,omitempty"` // why the sample allows no verdict
 }
 
-// Value is one metric's figure.
+// Value is the figure of one metric.
 type Value struct {
-	Metric string  `json:"metric"` // its name
+	Metric string  `json:"metric"` // name of the metric
 	Value  float64 `json:"value"`  // in the metric's unit
 }
 
-// storedDigits is the precision that figures are kept with.
+// storedDigits is the number of significant digits of stored figures.
 const storedDigits = 5
 
-// Set notes a metric's figure.
+// Set adds the figure of a metric, rounded to storedDigits.
 func (s *Sample) Set(metric string, value float64) {
 	text := strconv.FormatFloat(value, 'g', storedDigits, 64)
-	rounded, _ := strconv.ParseFloat(text, 64) // what was just written can be read
+	rounded, _ := strconv.ParseFloat(text, 64) // cannot fail: text is a formatted number
 	s.Values = append(s.Values, Value{metric, rounded})
 }
 
-// Get gives a metric's figure, if it was seen.
+// Get returns the figure of a metric, or NaN and false if the sample has none.
 func (s Sample) Get(metric string) (float64, bool) {
 	i := slices.IndexFunc(s.Values, func(v Value) bool { return v.Metric == metric })
 	if i < 0 {
@@ -83,27 +84,27 @@
 	return s.Values[i].Value, true
 }
 
-// Verdicts, as those of a rehearsal.
+// Verdicts of a run, the same as those of a rehearsal.
 const (
 	VerdictPassed       = rehearse.VerdictPassed
 	VerdictViolated     = rehearse.VerdictViolated
 	VerdictInconclusive = rehearse.VerdictInconclusive
 )
 
-// Excess is a budget that a sample is over.
+// Excess is a figure of a sample that exceeds its budget.
 type Excess struct {
-	Size   int     // of the sample
-	Metric Metric  // with its budget
-	Value  float64 // above it
+	Size   int     // size of the sample
+	Metric Metric  // metric whose budget is exceeded
+	Value  float64 // measured figure, which is above the budget
 }
 
-// String says it in a sentence.
+// String describes the excess in a sentence.
 func (e Excess) String() string {
-	return fmt.Sprintf("at %d: %s is %s %s, and %s at most is set aside", e.Size, e.Metric.Name, FormatFigure(e.Value), e.Metric.Unit,
-		FormatFigure(e.Metric.Budget))
+	return fmt.Sprintf("at size %d: %s is %s %s, and its budget is %s",
+		e.Size, e.Metric.Name, FormatFigure(e.Value), e.Metric.Unit, FormatFigure(e.Metric.Budget))
 }
 
-// OverBudget gives the budgets that were passed, at sizes that could be judged.
+// OverBudget returns the figures that exceed their budgets, except those of inconclusive samples.
 func (r *Run) OverBudget() []Excess {
 	var all []Excess
 	for _, s := range r.Samples {
@@ -120,7 +121,8 @@
 	return all
 }
 
-// Evaluate fits the samples and gives the verdict, in place of those that it had.
+// Evaluate fits the samples and determines the verdict. It replaces the fits and the verdict that
+// the run had.
 func (r *Run) Evaluate() {
 	r.Fits = nil
 	for _, m := range r.Metrics {
@@ -146,7 +148,7 @@
 	return VerdictPassed
 }
 
-// Save keeps a run in a folder under its name, and gives its path.
+// Save writes the run to a file of its name in a folder, and returns the path.
 func (r *Run) Save(folder string) (string, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", err
@@ -159,7 +161,7 @@
 	return path, os.WriteFile(path, append(body, '\n'), 0o644)
 }
 
-// Load reads the runs that a folder keeps, in the order of their names.
+// Load reads all runs in a folder, in the order of their names.
 func Load(folder string) ([]*Run, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
@@ -187,7 +189,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if name := strings.TrimSuffix(filepath.Base(path), ".json"); name != r.Name {
-		return nil, fmt.Errorf("%s: the run in it is named %q; name the file so", path, r.Name)
+		return nil, fmt.Errorf("%s: the file has to be named after its run, %q", path, r.Name)
 	}
 	return r, nil
 }
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -16,26 +16,26 @@
 	"wheelrill/internal/process"
 )
 
-// roleFleet is a deployment of which three nodes are processes: a voter, a distributor and a controller. One goroutine
-// uses it.
+// roleFleet is a deployment in which a voter, a distributor and a controller are processes of their
+// own, and all other nodes are hollow. Not safe for concurrent use.
 type roleFleet struct {
 	options     Options
-	folder      string // of logs, options files and voters' records
+	folder      string // holds the logs, the options files and the voters' records
 	discovery   *fake.Discovery
 	content     *content
 	propagation *propagation
-	addresses   []string                     // of the voters, the real one last
-	listen      map[string]string            // for children, by role
-	processes   map[string]*listedController // by role
-	hollow      []*hollowMember              // the other voters
-	dialler     *consensus.Subscriber        // of the children
-	children    []*hollowSubscriber          // of the distributor and the controller
-	running     sync.WaitGroup               // goroutines of the hollow voters, which stop ends
+	addresses   []string                     // addresses of the voters, with the real voter last
+	listen      map[string]string            // addresses for children, by role
+	processes   map[string]*listedController // the three real processes, by role
+	hollow      []*hollowMember              // all voters except the real one
+	dialler     *consensus.Subscriber        // connects the children to their parents
+	children    []*hollowSubscriber          // hollow children of the distributor and the controller
+	running     sync.WaitGroup               // goroutines of the hollow voters, which stop terminates
 	stop        context.CancelFunc
 	ready       map[string]time.Duration // from a process's start until it had its configuration, by role
 }
 
-// newRoleFleet prepares one; it starts nothing but discovery.
+// newRoleFleet prepares a deployment with the given total of entries. It starts only discovery.
 func newRoleFleet(size int, folder string, o Options) (r *roleFleet, err error) {
 	shape := contentShape{groups: targetGroups, entriesPerGroup: max(1, size/targetGroups)}
 	r = &roleFleet{options: o, folder: folder, content: newContent(shape, o.Seed), listen: map[string]string{},
@@ -83,7 +83,7 @@
 	return r, nil
 }
 
-// voterNames are the names of the voters; the real one is the last.
+// voterNames returns the names of the voters, with the real voter last.
 func (r *roleFleet) voterNames() (names []string) {
 	for i := range r.addresses {
 		names = append(names, voterName(i))
@@ -91,7 +91,7 @@
 	return names
 }
 
-// members are the addresses of the voters by name.
+// members returns the addresses of the voters by name.
 func (r *roleFleet) members() map[string]string {
 	at := map[string]string{}
 	for i, name := range r.voterNames() {
@@ -100,7 +100,7 @@
 	return at
 }
 
-// optionsOf is the options file of a process.
+// optionsOf returns the text of the options file of a process.
 func (r *roleFleet) optionsOf(role string) string {
 	var members strings.Builder
 	for i, name := range r.voterNames() {
@@ -119,7 +119,8 @@
 		role, commonScope, groupScope(0), r.listen[role], distributorRole, r.listen[distributorRole])
 }
 
-// start starts the voters with all content, then the distributor, the controller and the children of both.
+// start starts the voters with the whole content, then the distributor, the controller and the
+// children of both.
 func (r *roleFleet) start(ctx context.Context) error {
 	if err := r.startVoters(ctx); err != nil {
 		return err
@@ -157,8 +158,8 @@
 	for i, name := range names[:len(names)-1] {
 		node := newVoterTransport(consensus.Peer{Name: name, Address: r.addresses[i]}.String(), dedicatedNodeLimits())
 		r.running.Go(func() { node.Run(ctx) })
-		member, err := startHollowMember(ctx, &r.running, consensus.Config{Name: name, Members: r.members(), Folder: filepath.Join(r.folder, name),
-			Distribution: voterDistribution{node, r.content}}, voterLease)
+		member, err := startHollowMember(ctx, &r.running, consensus.Config{Name: name, Members: r.members(),
+			Folder: filepath.Join(r.folder, name), Distribution: voterDistribution{node, r.content}}, voterLease)
 		if err != nil {
 			return err
 		}
@@ -174,12 +175,13 @@
 		return ok && logField(line.text, logQuorum) == "true"
 	}
 	if !await(ctx, startTimeout, hasQuorum) {
-		return fmt.Errorf("the voters have no record within %s", startTimeout)
+		return fmt.Errorf("not all voters had quorum within %s", startTimeout)
 	}
 	return nil
 }
 
-// propose has entries accepted as one change.
+// propose proposes entries as one change, again after each failure, until the change is accepted or
+// refused.
 func (r *roleFleet) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		_, err := r.hollow[0].node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
@@ -192,7 +194,7 @@
 	}
 }
 
-// startRole starts a process that subscribes, and waits until it has its entries.
+// startRole starts a process that subscribes, and waits until it has its configuration.
 func (r *roleFleet) startRole(ctx context.Context, role string) error {
 	c := r.processes[role]
 	if err := c.start(r.folder); err != nil {
@@ -203,7 +205,7 @@
 		return ok || c.process.ExitedUnexpectedly()
 	}
 	if awaitClosely(ctx, rolesReadyTimeout, configured); c.process.ExitedUnexpectedly() {
-		return fmt.Errorf("the %s has ended", role)
+		return fmt.Errorf("the %s ended before it had its configuration", role)
 	}
 	line, ok := c.lastLine(logSnapshotApplied)
 	if !ok {
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// addChild starts a hollow subscriber below a process.
+// addChild starts a hollow subscriber below the process of a role.
 func (r *roleFleet) addChild(below string, number, group int) {
 	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", below, number), dial: r.dialler.Dial, propagation: r.propagation,
 		scopes:     distribution.SomeScopes(commonScope, groupScope(group)),
@@ -222,7 +224,7 @@
 	s.start()
 }
 
-// close ends all.
+// close stops all nodes and discovery.
 func (r *roleFleet) close() {
 	forEachNode(r.children, (*hollowSubscriber).kill)
 	for _, c := range r.processes {
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -11,31 +11,34 @@
 	"wheelrill/scale/results"
 )
 
-// roles measures a voter, a distributor and a controller that passes on, each a real process of its own, by the entries that
-// are distributed in all. The other voters are hollow ones in this process, and so are the children of both.
+// roles measures a voter, a distributor and a controller that has children, each a real process, by
+// the total number of distributed entries. The other voters, and the children of the distributor
+// and the controller, are hollow ones in this process.
 type roles struct{}
 
-// roleNames are those of the processes.
+// Names of the processes, which are also the prefixes of their metrics.
 const (
 	voterRole       = "voter"
 	distributorRole = "distributor"
 	controllerRole  = "controller"
 )
 
-// Figures of the deployment around the processes.
+// Sizes, limits and times of the deployment around the processes.
 const (
-	distributorChildren    = maxFanOut - 1 // hollow ones; the controller is one more
-	controllerChildren     = 4             // a controller sends snapshots at a pace of its own, so that more take minutes
-	dedicatedNodeMegabytes = 4096          // that a process on a machine set aside may take
+	distributorChildren = maxFanOut - 1 // hollow children; the controller is one more child
+	// The rate at which a controller sends snapshots is limited, so that more children would take
+	// minutes.
+	controllerChildren     = 4
+	dedicatedNodeMegabytes = 4096 // memory limit of a process on a dedicated machine
 	rolesReadyTimeout      = 4 * time.Minute
-	statsLogInterval       = 10 * time.Second // a controller logs what the distribution costs it
+	statsLogInterval       = 10 * time.Second // interval at which a controller logs what distribution costs it
 	rolesSeed              = 17
 )
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (roles) Describe() Description {
-	d := Description{Name: "roles", SizeUnit: "entries in all", Sizes: []int{5700, 50_000, 150_000, entriesOfAll}, Transport: "loopback",
-		Targets: []int{entriesOfAll},
+	d := Description{Name: "roles", SizeUnit: "entries in all", Sizes: []int{5700, 50_000, 150_000, entriesOfAll},
+		Transport: "loopback", Targets: []int{entriesOfAll},
 		About: fmt.Sprintf("A voter, a distributor with %d children and a controller with %d and %d backends, real processes, 4.2 changes a second",
 			maxFanOut, controllerChildren, backendsServed)}
 	for _, role := range []string{voterRole, distributorRole, controllerRole} {
@@ -54,19 +57,21 @@
 	return d
 }
 
-// Needs are those of the processes and of our own.
+// Needs returns what the three processes and this process take, or why the size cannot be measured.
 func (roles) Needs(size int, o Options) Needs {
 	held := int64(o.Voters*copiesAtVoter+2) * int64(size) * entryMemory * heapGrowth
 	children := int64(maxFanOut+controllerChildren) * (subscriberMemory + int64(size/targetGroups)*entryMemory*heapGrowth)
 	needs := Needs{Memory: treeMemory + 3*memberMemory + held + children, Processes: 3,
 		Time: startTimeout + 2*rolesReadyTimeout + o.Duration}
 	if o.Duration < 2*statsLogInterval {
-		needs.Refusal = fmt.Sprintf("--for %s; a controller logs its cost each %s, give %s or more", o.Duration, statsLogInterval, 2*statsLogInterval)
+		needs.Refusal = fmt.Sprintf("--for is %s, but a controller logs its cost every %s; give %s or more",
+			o.Duration, statsLogInterval, 2*statsLogInterval)
 	}
 	return needs
 }
 
-// Run starts all from the voters down, makes changes, and reads what the three processes spent.
+// Run starts the deployment from the voters down, makes changes, and reads what the three processes
+// spent.
 func (roles) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "roles-")
 	if err != nil {
@@ -89,7 +94,7 @@
 	return s, nil
 }
 
-// measure makes changes for as long as is observed, and notes what each process spent meanwhile.
+// measure makes changes for the observed time, and sets the metrics of each process.
 func (r *roleFleet) measure(ctx context.Context, s *results.Sample) error {
 	r.propagation.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
@@ -135,8 +140,9 @@
 	return nil
 }
 
-// bytesPerS is what a process last logged of what it passes: a voter on all connections of the record, on which others
-// subscribe as well, the rest on those of the distribution.
+// bytesPerS returns the bytes per second that a process last logged. The figure of a voter covers
+// all connections of the record, which subscribers use as well; the figures of the other processes
+// cover the connections of distribution.
 func (r *roleFleet) bytesPerS(role string) (sum float64, err error) {
 	event := logDistributionStatus
 	keys := []string{logInBytes, logOutBytes}
@@ -151,7 +157,7 @@
 	for _, key := range keys {
 		value, err := strconv.ParseFloat(logField(line.text, key), 64)
 		if err != nil {
-			return 0, fmt.Errorf("%s of msg=%s: %w", key, event, err)
+			return 0, fmt.Errorf("value of %s in msg=%s: %w", key, event, err)
 		}
 		sum += value
 	}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -11,53 +11,53 @@
 	"wheelrill/scale/results"
 )
 
-// Options are what a run may be asked for.
+// Options are the choices of the caller of a run: duration, seed, voters, executable and folder.
 type Options struct {
 	Duration time.Duration     // how long each size is observed
-	Seed     uint64            // of all that is drawn
-	Voters   int               // raft voters, where the measurement has a number of its own
+	Seed     uint64            // seed of all random numbers
+	Voters   int               // number of raft voters, where the size does not determine it
 	Program  string            // path of the executable that is run as a controller
-	Folder   string            // for logs and configurations of the processes; a temporary one if empty
-	Progress func(text string) // is told what happens; nil for nobody
+	Folder   string            // folder of logs and configurations of the processes; a temporary one if empty
+	Progress func(text string) // receives progress messages; may be nil
 }
 
-// progressf tells who watches.
+// progressf reports progress to Options.Progress.
 func (o Options) progressf(format string, args ...any) {
 	if o.Progress != nil {
 		o.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// Description says what a measurement is.
+// Description describes a measurement.
 type Description struct {
-	Name      string           // of the measurement, also of the file of its runs
+	Name      string           // name of the measurement, and of the file of its runs
 	About     string           // what is measured, in a sentence
-	SizeUnit  string           // what a size counts
+	SizeUnit  string           // what a size counts, such as members
 	Sizes     []int            // default sizes
-	Targets   []int            // sizes that fits are read at, as the one in two years
+	Targets   []int            // sizes at which fits are evaluated, such as the one in two years
 	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
-	Metrics   []results.Metric // of each sample
+	Metrics   []results.Metric // metrics of each sample
 }
 
-// Needs are what one size takes of the machine, estimated before it begins.
+// Needs estimates what one size takes of the machine, before the size is measured.
 type Needs struct {
 	Memory    int64         // bytes
-	Processes int           // beside our own
-	Time      time.Duration // estimate; a size that takes twice as long is ended
-	Refusal   string        // why the size cannot be measured whatever the machine bears; empty where it can
+	Processes int           // processes in addition to this one
+	Time      time.Duration // a size that takes twice as long is aborted
+	Refusal   string        // why the size cannot be measured on any machine; empty if it can
 }
 
-// Measurement observes one thing at a size.
+// Measurement measures one aspect of a deployment at a size.
 type Measurement interface {
-	// Describe says what it is.
+	// Describe returns the name, the sizes and the metrics of the measurement.
 	Describe() Description
-	// Needs estimates what a size takes.
+	// Needs estimates what a size takes of the machine.
 	Needs(size int, options Options) Needs
-	// Run measures a size, until the context ends.
+	// Run measures a size. It returns an error if the context ends before.
 	Run(ctx context.Context, size int, options Options) (results.Sample, error)
 }
 
-// Measurements are all there are, in the order in which they are listed.
+// Measurements returns all measurements, in the order in which they are listed.
 func Measurements() []Measurement {
 	return []Measurement{
 		recordReal{},
@@ -80,7 +80,7 @@
 	}
 }
 
-// Find gives a measurement by its name.
+// Find returns the measurement of the given name.
 func Find(name string) (Measurement, error) {
 	var names []string
 	for _, m := range Measurements() {
@@ -89,11 +89,12 @@
 		}
 		names = append(names, m.Describe().Name)
 	}
-	return nil, fmt.Errorf("there is no measurement %q; there are %s", name, strings.Join(names, ", "))
+	return nil, fmt.Errorf("there is no measurement %q; the measurements are %s", name, strings.Join(names, ", "))
 }
 
-// MeasureSizes runs a measurement at each size, and fits what it saw. It refuses what the machine would not bear, with a
-// *RefusedError, before anything starts.
+// MeasureSizes runs a measurement at each of the sizes, by default those of its description, and
+// fits the results. Before it starts, it returns a *RefusedError if a size needs more than a run
+// may take of the machine.
 func MeasureSizes(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
 	description := m.Describe()
 	if len(sizes) == 0 {
@@ -138,7 +139,8 @@
 	return run, nil
 }
 
-// buildRevision is the revision that the program was built from, where the build noted it.
+// buildRevision returns the commit that the program was built from, or "" if the build did not
+// record it.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -152,4 +154,4 @@
 	return ""
 }
 
-const revisionDigits = 7 // of a commit, as git shows it
+const revisionDigits = 7 // length of an abbreviated commit, as git shows it
--- a/scale/tree_checks.go
+++ b/scale/tree_checks.go
@@ -21,10 +21,11 @@
 	return n
 }
 
-// maxNamedWaiting is how many that wait are named.
+// maxNamedWaiting is the largest number of waiting nodes that an error names.
 const maxNamedWaiting = 8
 
-// describeWaiting names some of the nodes that have no configuration, with what they ask for and what became of it.
+// describeWaiting names some of the nodes that have no configuration, with their scopes, parents,
+// dials and refusals.
 func describeWaiting(nodes []*hollowSubscriber) string {
 	var text []string
 	for _, s := range nodes {
@@ -32,22 +33,22 @@
 		waits := s.appliedRevision == 0
 		s.mutex.Unlock()
 		if status, ok := s.status(); ok && waits && len(text) < maxNamedWaiting {
-			text = append(text, fmt.Sprintf("%s of %v below %q, refused %d times in %d dials", s.name, s.scopes.Names, status.Parent,
-				status.Counts.RefusedByParents, status.Counts.Dials))
+			text = append(text, fmt.Sprintf("%s with scopes %v below parent %q, refused %d times in %d dials",
+				s.name, s.scopes.Names, status.Parent, status.Counts.RefusedByParents, status.Counts.Dials))
 		}
 	}
 	return strings.Join(text, "; ")
 }
 
-// checkRandomSubscribers compares subscribers that are drawn with the content at the revision that each of them is at.
+// checkRandomSubscribers compares random subscribers with the content, each at its own revision.
 func (t *tree) checkRandomSubscribers(random *rand.Rand) {
 	for range checksAtOnce {
 		t.subscribers[random.IntN(len(t.subscribers))].check(t.content, 0)
 	}
 }
 
-// settle gives the last changes the time in which they have to be in force, and compares all nodes with the content at
-// its end.
+// settle waits until all nodes have applied the last change, but not longer than a change may take.
+// Then it compares all nodes with the content.
 func (t *tree) settle(ctx context.Context) error {
 	last := t.content.lastRevision()
 	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(t.nodes(), t.content, last) == 0 })
@@ -55,7 +56,7 @@
 	return ctx.Err()
 }
 
-// parentsLost counts how often nodes that run have lost or left a parent.
+// parentsLost counts how often running nodes have lost or left a parent.
 func (t *tree) parentsLost() int64 {
 	var lost atomic.Int64
 	forEachNode(t.nodes(), func(s *hollowSubscriber) {
@@ -66,7 +67,7 @@
 	return lost.Load()
 }
 
-// needlessSnapshots counts the snapshots that were taken beyond one for each incarnation.
+// needlessSnapshots counts the installed snapshots beyond the one that each incarnation needs.
 func (t *tree) needlessSnapshots() int64 {
 	var taken atomic.Int64
 	forEachNode(t.nodes(), func(s *hollowSubscriber) {
--- a/scale/tree_plan.go
+++ b/scale/tree_plan.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Figures of the tree, by assumption.
+// Assumed sizes and limits of the tree.
 const (
-	regions               = 25
-	targetDistributors    = maxMachines - defaultVoters // of the machines set aside, those that do not vote
-	defaultVoters         = 5
-	maxFanOut             = 64 // of a distributor, whose children are of some groups each; with 16, groups find no place at 11,000
+	regions            = 25
+	targetDistributors = maxMachines - defaultVoters // dedicated machines that have no voter
+	defaultVoters      = 5
+	// Most children of a distributor. Its children belong to several groups; with 16, some groups
+	// find no parent at 11,000 controllers.
+	maxFanOut             = 64
 	minFanOut             = 8
-	directChildOneIn      = 10       // one controller in so many is right below a distributor, whatever the size
-	dedicatedSnapshotRate = 16 << 20 // bytes a second of the snapshots from a voter or distributor, on machines set aside
+	directChildOneIn      = 10       // one controller in 10 is a child of a distributor, at any size
+	dedicatedSnapshotRate = 16 << 20 // snapshot bytes per second of a voter or distributor on a dedicated machine
 	minDistributors       = 2
-	knownDistributors     = 3 // that a subscriber is configured with as possible parents
-	knownPeers            = 2 // of its group
+	knownDistributors     = 3 // number of distributors among the candidate parents of a subscriber
+	knownPeers            = 2 // number of peers of its group among the candidate parents of a subscriber
 	subscriberMemory      = 120 << 10
 	treeMemory            = 256 << 20
-	entryMemory           = 192 // bytes, about, of one that is kept
-	heapGrowth            = 2   // times what is in use the heap grows to
-	copiesAtVoter         = 3   // of all entries: as raft has them in its log, on the record and for subscribers
+	entryMemory           = 192 // approximate bytes of a stored entry
+	heapGrowth            = 2   // the heap grows to this multiple of the memory in use
+	copiesAtVoter         = 3   // copies of all entries: in raft's log, on the record and for subscribers
 	readyTimeout          = 5 * time.Minute
-	checksAtOnce          = 20 // subscribers compared with the content at a point drawn
+	checksAtOnce          = 20 // random subscribers that are compared with the content in one check
 	timeBetweenChecks     = time.Second
 	treeSeed              = 11
 	faultSeed             = 13
@@ -31,25 +33,27 @@
 	subscribers  int
 	content      contentShape
 	distributors int
-	fanOut       int // places at each distributor
+	fanOut       int // most children of each distributor
 }
 
-// scaledTree is a deployment with as much of everything for a subscriber as there will be, but one entry for each service.
+// scaledTree returns a deployment whose distributors and content are in the same proportion to its
+// subscribers as in the expected installation, except that there is one entry for each service.
 func scaledTree(subscribers int) treePlan {
 	distributors := max(minDistributors, (targetDistributors*subscribers+targetControllers-1)/targetControllers)
 	fanOut := min(max(subscribers/directChildOneIn/distributors, minFanOut), maxFanOut)
 	return treePlan{subscribers, scaledContent(subscribers), distributors, fanOut}
 }
 
-// fullTree has all content and all distributors, whatever the number of subscribers.
+// fullTree returns a deployment with the whole content and all distributors, at any number of
+// subscribers.
 func fullTree(subscribers int) treePlan {
 	return treePlan{subscribers, fullContent(), targetDistributors, maxFanOut}
 }
 
-// memory is what the deployment takes before garbage is collected.
+// memory returns the estimated bytes of the deployment before garbage is collected.
 func (p treePlan) memory(o Options) int64 {
 	nodes := int64(p.subscribers)
-	fullCopies := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the one that they are compared with
+	fullCopies := int64(o.Voters*copiesAtVoter + p.distributors + 1) // 1: the content that nodes are compared with
 	entries := nodes*int64(p.content.entriesPerGroup) + fullCopies*int64(p.content.groups*p.content.entriesPerGroup)
 	return treeMemory + nodes*subscriberMemory + heapGrowth*entries*entryMemory
 }
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// processorTime is what this process has spent so far, in user and system mode.
+// processorTime returns the user and system time that this process has taken so far.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -22,7 +22,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// threadTime is what this thread has spent so far; its goroutine has to be locked to it.
+// threadTime returns the processor time that this thread has taken so far. The calling goroutine
+// has to be locked to its thread.
 func threadTime() time.Duration {
 	var clock unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock); err != nil {
@@ -31,30 +32,31 @@
 	return time.Duration(clock.Nano())
 }
 
-// processorTimeOf is the processor time that doing something takes.
+// processorTimeOf returns the processor time that a call of do takes.
 func processorTimeOf(do func()) time.Duration {
 	began := processorTime()
 	do()
 	return processorTime() - began
 }
 
-// heapInUse is the heap in use once garbage has been collected.
+// heapInUse returns the bytes of heap in use after a garbage collection.
 func heapInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // the first one may leave what finalizers hold
+	runtime.GC() // the first one may leave objects that finalizers hold
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
 }
 
-// usage is what a process has taken, as /proc/PID/stat tells it: processor time to a hundredth of a second, which is
-// enough over the seconds that a size is observed. What is shorter takes preciseUsage.
+// usage holds the resources that a process has taken, according to /proc/PID/stat. The processor
+// time is precise to a hundredth of a second, which is enough over the seconds that a size is
+// observed. Shorter spans need preciseUsage.
 type usage struct {
 	processor time.Duration // since its start
 	resident  int64         // resident bytes now
 }
 
-// readUsage reads what a process has taken.
+// readUsage reads the resources that a process has taken.
 func readUsage(pid int) (usage, error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -67,15 +69,15 @@
 	return usage{time.Duration(stat.CPUTime() * float64(time.Second)), int64(stat.ResidentMemory())}, nil
 }
 
-// preciseUsage is what a process has taken, with processor time to the nanosecond and the most memory that it held: for
-// starts, single changes, and wherever the peak of memory counts.
+// preciseUsage holds the resources that a process has taken, with processor time to the nanosecond
+// and peak memory: for starts, single changes, and wherever the peak of memory counts.
 type preciseUsage struct {
 	processor time.Duration
-	resident  int64 // bytes of memory now
-	peak      int64 // the most it ever held
+	resident  int64 // resident bytes now
+	peak      int64 // largest resident bytes so far
 }
 
-// readPreciseUsage reads what a process has spent and holds.
+// readPreciseUsage reads the resources that a process has taken.
 func readPreciseUsage(pid int) (u preciseUsage, err error) {
 	var clock unix.Timespec
 	if err := unix.ClockGettime(processorClock(pid), &clock); err != nil {
@@ -91,13 +93,15 @@
 	return u, nil
 }
 
-// processorClock is the clock of the processor time of another process, as clock_getcpuclockid(3) gives it.
+// processorClock returns the clock of the processor time of another process, as
+// clock_getcpuclockid(3) does.
 func processorClock(pid int) int32 {
 	const scheduled = 2 // user and system mode, to the nanosecond
 	return int32(^pid)<<3 | scheduled
 }
 
-// statusBytes finds a line of /proc/PID/status, and gives its figure in bytes; 0 if it is not there.
+// statusBytes returns the figure of a line of /proc/PID/status in bytes, or 0 if the line is
+// missing.
 func statusBytes(status []byte, key string) int64 {
 	_, rest, _ := bytes.Cut(status, []byte("\n"+key))
 	fields := bytes.Fields(rest)
--- a/scale/wait.go
+++ b/scale/wait.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// How often something that is waited for is polled.
+// Intervals at which await and awaitClosely check their condition.
 const (
 	pollInterval      = 20 * time.Millisecond
-	closePollInterval = time.Millisecond // where the time that it takes is measured
+	closePollInterval = time.Millisecond // for waits whose duration is measured
 )
 
-// pauseFor waits for a time, or with an error for the end of the context.
+// pauseFor waits for the given time. It returns an error if the context ends before.
 func pauseFor(ctx context.Context, pause time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -21,12 +21,12 @@
 	}
 }
 
-// await waits until something holds, for a while at most, and tells whether it does.
+// await waits until the condition holds, at most for the given time, and reports whether it holds.
 func await(ctx context.Context, within time.Duration, holds func() bool) bool {
 	return poll(ctx, within, pollInterval, holds)
 }
 
-// awaitClosely waits as await does, and polls more often.
+// awaitClosely is await with a shorter interval between checks.
 func awaitClosely(ctx context.Context, within time.Duration, holds func() bool) bool {
 	return poll(ctx, within, closePollInterval, holds)
 }
