--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -8,13 +8,15 @@
 	"wheelrill/scale/results"
 )
 
-// smallSizes are sizes that a test bears.
+// smallSizes are sizes small enough for a test.
 var smallSizes = []int{10, 20, 40, 80}
 
-// measureSmall runs a measurement over sizes, keeps it, and reads it back as the report does.
+// measureSmall runs a measurement at small sizes, saves the run, and loads it again as the report
+// does. It fails on violations, and if the report lacks a metric.
 func measureSmall(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := MeasureSizes(t.Context(), m, sizes, Options{Duration: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters})
+	options := Options{Duration: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters}
+	r, err := MeasureSizes(t.Context(), m, sizes, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,34 +24,38 @@
 	if _, err := r.Save(folder); err != nil {
 		t.Fatal(err)
 	}
-	kept, err := results.Load(folder)
-	if err != nil || len(kept) != 1 || len(kept[0].Samples) != len(sizes) {
-		t.Fatalf("kept %+v, %v", kept, err)
+	loaded, err := results.Load(folder)
+	if err != nil || len(loaded) != 1 || len(loaded[0].Samples) != len(sizes) {
+		t.Fatalf("loaded runs %+v, error %v; want one run with %d samples", loaded, err, len(sizes))
 	}
-	text := kept[0].Markdown()
+	text := loaded[0].Markdown()
 	for _, metric := range m.Describe().Metrics {
 		if !strings.Contains(text, "| "+metric.About+", ") {
-			t.Errorf("the report lacks %s:\n%s", metric.Name, text)
+			t.Errorf("the report has no row of metric %s:\n%s", metric.Name, text)
 		}
 	}
-	for _, s := range kept[0].Samples {
-		for _, violations := range s.Violations {
-			t.Errorf("at %d: %s", s.Size, violations)
+	for _, s := range loaded[0].Samples {
+		for _, violation := range s.Violations {
+			t.Errorf("violation at size %d: %s", s.Size, violation)
 		}
 	}
-	return kept[0]
+	return loaded[0]
 }
 
-// checkGrowsLinearly fails unless a metric's fit is a line, or a power of one.
+// checkGrowsLinearly fails unless a metric is fitted by a line, or by a power with an exponent of
+// about 1.
 func checkGrowsLinearly(t *testing.T, r *results.Run, metric string) {
 	t.Helper()
 	fit, ok := results.FitOver(r.Samples, metric, nil)
 	if !ok || fit.Form == results.FormPower && (fit.Exponent < 0.95 || fit.Exponent > 1.05) || fit.Residual > 0.05 {
-		t.Errorf("%s: %v, %+v", metric, ok, fit)
+		t.Errorf("metric %s: fitted %v, %+v; want a line or an exponent of 0.95 to 1.05, and a residual of at most 0.05",
+			metric, ok, fit)
 	}
 }
 
-// TestDecisionsAreMeasuredAtEachSize has what orders cost grow no faster than backends and proxies do.
+// TestDecisionsAreMeasuredAtEachSize guards against a number of orders that grows faster than the
+// number of backends or proxies, as it would if each change were sent again for every backend. Each
+// additional proxy adds one order.
 func TestDecisionsAreMeasuredAtEachSize(t *testing.T) {
 	t.Parallel()
 	checkGrowsLinearly(t, measureSmall(t, decisions{}, smallSizes, time.Second), "orders")
@@ -57,55 +63,67 @@
 	for i, s := range r.Samples[1:] {
 		before, _ := r.Samples[i].Get("orders")
 		if orders, _ := s.Get("orders"); orders != before+float64(s.Size-r.Samples[i].Size) || s.Partial == "" {
-			t.Errorf("%d proxies more cost %v orders more; partial: %q", s.Size-r.Samples[i].Size, orders-before, s.Partial)
+			t.Errorf("%d more proxies add %v orders, partial %q; want an order per proxy, and a partial sample",
+				s.Size-r.Samples[i].Size, orders-before, s.Partial)
 		}
 	}
 }
 
-// TestOrdersOfARunDoNotGrowWithItsSize has a run give each backend one line at the start, each proxy one table, and each change a few orders,
-// however many there are.
+// TestOrdersOfARunDoNotGrowWithItsSize guards against orders that multiply with the size of a run.
+// At any size, each backend gets one table entry at the start, each proxy gets one table, and each
+// change takes a few orders.
 func TestOrdersOfARunDoNotGrowWithItsSize(t *testing.T) {
-	const lineChanges, withdrawals = 3, 2 // of a drain and a return: out, back with a part of its weight, then all of it
+	// In each drain and return, a backend is removed, comes back with a part of its weight, and
+	// then gets all of it.
+	const entryChanges, withdrawals = 3, 2
 	for _, size := range []int{20, 200} {
 		l := decisionRun{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
 		orders := l.execute().orders
-		if orders.entries < size || orders.entries > size+l.changes*lineChanges {
-			t.Errorf("%d backends, %d changes: %d lines", size, l.changes, orders.entries)
+		if orders.entries < size || orders.entries > size+l.changes*entryChanges {
+			t.Errorf("%d backends, %d changes: %d published entries; want %d to %d",
+				size, l.changes, orders.entries, size, size+l.changes*entryChanges)
 		}
 		if orders.assignments != l.proxies || orders.withdrawals > l.changes*withdrawals || orders.limits != 0 {
-			t.Errorf("%d proxies: %+v", l.proxies, orders)
+			t.Errorf("%d proxies: orders %+v; want %d assignments, at most %d withdrawals, and no limits",
+				l.proxies, orders, l.proxies, l.changes*withdrawals)
 		}
-		if orders.acks > 1+l.changes*(lineChanges+withdrawals) {
-			t.Errorf("%d proxies: %d marks", l.proxies, orders.acks)
+		if orders.acks > 1+l.changes*(entryChanges+withdrawals) {
+			t.Errorf("%d proxies: %d acks requested; want at most %d",
+				l.proxies, orders.acks, 1+l.changes*(entryChanges+withdrawals))
 		}
 	}
 }
 
-// TestAddedTimeCountsEachRequestInAllFourWays has each request of a repeat be counted in all four ways.
-func TestAddedTimeCountsEachRequestInAllFourWays(t *testing.T) {
+// TestAddedTimeRecordsBothPicks guards against times that are missing, or that are recorded for the
+// wrong pick: both picks of a request take longer than the first one alone.
+func TestAddedTimeRecordsBothPicks(t *testing.T) {
 	r := measureSmall(t, addedTime{}, smallSizes, 50*time.Millisecond)
 	for _, s := range r.Samples {
-		half, _ := s.Get("retried_half")
-		most, _ := s.Get("retried_p99")
-		one, _ := s.Get("draw_half")
+		bothMedian, _ := s.Get("retried_half")
+		bothP99, _ := s.Get("retried_p99")
+		firstMedian, _ := s.Get("draw_half")
 		requests, _ := s.Get("requests")
-		if one <= 0 || half <= one || most < half || requests < minPicks {
-			t.Errorf("at %d: a draw %v ms, two %v, 99 in 100 %v, requests %v", s.Size, one, half, most, requests)
+		if firstMedian <= 0 || bothMedian <= firstMedian || bothP99 < bothMedian || requests < minPicks {
+			t.Errorf("table of %d entries: median of the first pick %v ms, of both %v ms, 99th percentile of both %v ms, "+
+				"%v requests; want increasing times, and at least %d requests",
+				s.Size, firstMedian, bothMedian, bothP99, requests, minPicks)
 		}
 	}
 }
 
-func TestRepeatsEndWithTheSpanAndSayHowMany(t *testing.T) {
+// TestRepeatsStopAfterTheSpan guards against a measurement that goes on after its span, or that
+// does not report that it had fewer repeats than usual.
+func TestRepeatsStopAfterTheSpan(t *testing.T) {
 	done := 0
 	do := func() error { done++; return nil }
 	if partial, err := runRepeats(t.Context(), time.Hour, do); partial != "" || err != nil || done != 3 {
-		t.Errorf("%d of 3: %q, %v", done, partial, err)
+		t.Errorf("%d repeats within an hour, partial %q, error %v; want 3 and no partial sample", done, partial, err)
 	}
 	done = 0
 	if partial, err := runRepeats(t.Context(), 0, do); partial == "" || err != nil || done != 1 {
-		t.Errorf("%d within no time: %q, %v", done, partial, err)
+		t.Errorf("%d repeats within a span of 0, partial %q, error %v; want 1 and a partial sample", done, partial, err)
 	}
-	if medianFigure := median([]float64{9, 1, 2, 4}); medianFigure != 3 {
-		t.Errorf("the median of four is %v", medianFigure)
+	if got := median([]float64{9, 1, 2, 4}); got != 3 {
+		t.Errorf("the median of 9, 1, 2 and 4 is %v; want 3", got)
 	}
 }
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -12,14 +12,17 @@
 	"wheelrill/scale/results"
 )
 
-// subscribersInCI is how many hollow subscribers CI plays; distributors and voters come beside them.
+// subscribersInCI is the number of hollow subscribers in a run in CI, in addition to distributors
+// and voters.
 const subscribersInCI = 110
 
-// measureInCI runs a measurement at a size and for a time at which CI bears it, and fails when a budget or a digest does.
-// Processor time is left aside where the race detector takes most of it.
+// measureInCI runs a measurement at a size and for a time that CI can bear, and fails on violations
+// and on figures over their budgets. With the race detector, which takes most of the processor
+// time, budgets of processor time are not checked.
 func measureInCI(t *testing.T, m Measurement, span time.Duration) *results.Run {
 	t.Helper()
-	r, err := MeasureSizes(context.Background(), m, []int{subscribersInCI}, Options{Duration: span, Seed: 1, Voters: defaultVoters})
+	options := Options{Duration: span, Seed: 1, Voters: defaultVoters}
+	r, err := MeasureSizes(context.Background(), m, []int{subscribersInCI}, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,29 +40,33 @@
 	return r
 }
 
-// TestDistributionKeepsUpWithChanges has changes be in force everywhere within the budgets.
+// TestDistributionKeepsUpWithChanges guards against changes that take longer to reach all
+// subscribers, or cost more traffic or processor time, than the budgets allow.
 func TestDistributionKeepsUpWithChanges(t *testing.T) {
 	t.Parallel()
 	r := measureInCI(t, distributionCost{}, 3*time.Second)
 	for _, metric := range []string{"half", "most_x10", "subscriber_bytes_per_s", "parent_bytes_per_s_worst", "voter_bytes_per_s_x10"} {
 		if value, ok := r.Samples[0].Get(metric); !ok || value <= 0 {
-			t.Errorf("%s: %v", metric, value)
+			t.Errorf("metric %s is %v; want a figure above 0", metric, value)
 		}
 	}
 }
 
-// TestDistributionRecoversFromEachFault has nobody be at a wrong revision, or behind for long, while things fail.
+// TestDistributionRecoversFromEachFault guards against nodes that stay at a wrong revision, or
+// behind for longer than the budget allows, when parents, subscribers, the leader or the majority
+// of voters are killed, or a region is cut off.
 func TestDistributionRecoversFromEachFault(t *testing.T) {
 	t.Parallel()
 	r := measureInCI(t, distributedFaults{}, 1500*time.Millisecond)
 	for _, f := range treeFaults() {
 		if hits, _ := r.Samples[0].Get(f.name + "_faults"); hits == 0 {
-			t.Errorf("%s hit nobody", f.about)
+			t.Errorf("fault %q hit no node", f.about)
 		}
 	}
 }
 
-// TestContentFindsEachDifference has each way in which a node can be at a wrong or a mixed revision be seen.
+// TestContentFindsEachDifference guards against a comparison that accepts a node at a wrong or
+// mixed revision: such a comparison would hide faults of distribution from all measurements.
 func TestContentFindsEachDifference(t *testing.T) {
 	scopes := distribution.SomeScopes("a", "b")
 	c := newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1)
@@ -77,40 +84,45 @@
 	for name, state := range map[string]distribution.State{"the first": at(1, x1, y1), "the second": at(2, x2),
 		"with a tombstone": at(2, x2, distribution.Entry{Scope: "b", Name: "y", Revision: 2, Deleted: true})} {
 		if text := c.difference(state, scopes); text != "" {
-			t.Errorf("%s: %s", name, text)
+			t.Errorf("state %q has an unexpected difference: %s", name, text)
 		}
 	}
 	for name, state := range map[string]distribution.State{"a mixed revision": at(2, x2, y1), "an older entry": at(2, x1),
 		"a newer entry": at(1, x2, y1), "an entry that is missing": at(1, x1), "another value": at(1, x1,
 			distribution.Entry{Scope: "b", Name: "y", Value: []byte("7"), Revision: 1})} {
 		if text := c.difference(state, scopes); text == "" {
-			t.Errorf("%s was not seen", name)
+			t.Errorf("no difference was found in state %q", name)
 		}
 	}
 }
 
-// TestPropagationSeesAnOlderChange has a subscriber that goes back to an older revision be seen, and late changes be counted as late.
+// TestPropagationSeesAnOlderChange guards against faults that measurements miss: a subscriber that
+// goes back to an older revision or applies a change twice is a violation, a late change counts as
+// late, and a change that was missed during a cut counts from the end of the cut.
 func TestPropagationSeesAnOlderChange(t *testing.T) {
 	f := newPropagation(newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1))
 	s := &hollowSubscriber{name: "s", propagation: f, reachableSince: time.Now().Add(-time.Hour)}
 	late := time.Now().Add(-4 * time.Second).UnixMicro()
 	s.apply(distribution.Change{Revision: 5, Entries: []distribution.Entry{{Scope: "a", Name: "x", Revision: 5, AcceptedAt: late}}}, false)
 	if len(f.violations) != 0 || f.seconds(f.latency, 100) < maxPropagationSeconds {
-		t.Errorf("late: %v, %v s", f.violations, f.seconds(f.latency, 100))
+		t.Errorf("late change: violations %q, applied after %v s; want none, and at least %v s", f.violations,
+			f.seconds(f.latency, 100), maxPropagationSeconds)
 	}
 	s.apply(distribution.Change{Revision: 4}, true)
 	s.apply(distribution.Change{Revision: 5}, false)
 	if len(f.violations) != 2 {
-		t.Errorf("an older snapshot and a change taken twice: %q", f.violations)
+		t.Errorf("an older snapshot and a change applied twice: violations %q; want two", f.violations)
 	}
 	s.reachableSince = time.Now()
 	s.apply(distribution.Change{Revision: 6, Entries: []distribution.Entry{{Scope: "a", Name: "x", Revision: 6, AcceptedAt: late}}}, false)
 	if got := f.seconds(f.catchUpLatency, 100); got > maxPropagationSeconds || f.catchUpLatency.TotalCount() != 1 {
-		t.Errorf("one that was cut off is counted from its end: %v s", got)
+		t.Errorf("change missed during a cut: %d recorded, applied after %v s; want one, at most %v s after the cut",
+			f.catchUpLatency.TotalCount(), got, maxPropagationSeconds)
 	}
 }
 
-// TestPartitionHoldsWritesUntilItHeals has writes, dials and closes wait for the end of a cut, within a region none.
+// TestPartitionHoldsWritesUntilItHeals guards against a simulated cut that lets traffic pass:
+// writes, dials and closes across the cut wait for its end, and those within a region do not wait.
 func TestPartitionHoldsWritesUntilItHeals(t *testing.T) {
 	n := newNetwork()
 	accepted := make(chan net.Conn, 1)
@@ -126,11 +138,11 @@
 	short, stop := context.WithTimeout(ctx, time.Millisecond)
 	defer stop()
 	if _, err := n.dial(short, 1, "far"); err == nil {
-		t.Error("a dial passed the cut")
+		t.Error("a dial across the cut succeeded")
 	}
 	near.SetWriteDeadline(time.Now().Add(time.Millisecond))
 	if _, err := near.Write([]byte("x")); err != os.ErrDeadlineExceeded {
-		t.Errorf("a write across the cut: %v", err)
+		t.Errorf("write across the cut: error %v; want %v", err, os.ErrDeadlineExceeded)
 	}
 	inside, err := n.dial(ctx, 2, "far")
 	if err != nil {
@@ -139,19 +151,19 @@
 	peer := <-accepted
 	go inside.Write([]byte("x"))
 	if _, err := peer.Read(make([]byte, 1)); err != nil {
-		t.Errorf("within the region: %v", err)
+		t.Errorf("read within the region that is cut off: %v", err)
 	}
 	near.Close()
 	far.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := far.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a close passed the cut: %v", err)
+		t.Errorf("read after a close across the cut: error %v; want a timeout", err)
 	}
 	n.heal()
 	far.SetReadDeadline(time.Time{})
 	if _, err := far.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("no close after the cut: %v", err)
+		t.Errorf("read after the end of the cut: error %v; want that of the close", err)
 	}
 	if _, err := n.dial(ctx, 1, "nobody"); err == nil {
-		t.Error("a dial to nobody")
+		t.Error("a dial of an unknown name succeeded")
 	}
 }
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -106,7 +106,8 @@
 	return append(append([]*hollowSubscriber{}, t.distributors...), t.subscribers...)
 }
 
-// start starts the voters with the first content, then the distributors, then all subscribers at once.
+// start starts the voters with the first content, then the distributors, then all subscribers at
+// once.
 func (t *tree) start(ctx context.Context) error {
 	if err := t.voters.start(ctx); err != nil {
 		return err
--- a/scale/race_test.go
+++ b/scale/race_test.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// raceDetected says that the race detector is on.
+// raceDetected reports whether the race detector is on.
 const raceDetected = true
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSnapshotRecoversAScope has a snapshot cost as many bytes for each entry, however many there are, and no more than twice
-// what the entry has.
+// TestSnapshotRecoversAScope guards against snapshots that cost more bytes per entry the more
+// entries they have, or more than twice the encoded size of the entries.
 func TestSnapshotRecoversAScope(t *testing.T) {
 	t.Parallel()
 	r := measureSmall(t, recoverySnapshot{}, []int{20, 40, 80, 160}, 100*time.Millisecond)
@@ -16,41 +16,47 @@
 		bytes, _ := s.Get("bytes")
 		entry, _ := s.Get("entry_bytes")
 		if bytes < entry*float64(s.Size) || bytes > 2*entry*float64(s.Size) {
-			t.Errorf("%d entries of %v bytes: %v bytes were sent", s.Size, entry, bytes)
+			t.Errorf("%d entries of %v bytes: %v bytes were sent; want one to two times their size", s.Size, entry, bytes)
 		}
 	}
 }
 
-// TestSubscribersRestartAtOnce has each subscriber that restarts learn its scopes alone.
+// TestSubscribersRestartAtOnce guards against subscribers that receive more than the entries of
+// their own scopes after a restart.
 func TestSubscribersRestartAtOnce(t *testing.T) {
 	t.Parallel()
-	const entryBytes, subscribers = 200, 12 // entryBytes: by far
+	const entryBytes, subscribers = 200, 12 // entryBytes: far more than an entry takes
 	r := measureSmall(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
 	for _, s := range r.Samples {
 		bytes, _ := s.Get("bytes")
 		if bytes <= 0 || bytes > (commonEntries+servicesPerGroup)*entryBytes {
-			t.Errorf("%d at once: each was sent %v bytes", s.Size, bytes)
+			t.Errorf("%d subscribers restarted at once: %v bytes were sent to each; want at most %d",
+				s.Size, bytes, (commonEntries+servicesPerGroup)*entryBytes)
 		}
 	}
 }
 
-// TestRegionCatchesUpWithoutSnapshots has a region catch up without a snapshot.
+// TestRegionCatchesUpWithoutSnapshots guards against nodes that install whole snapshots after a cut
+// of their region, although the changes that they missed are still available.
 func TestRegionCatchesUpWithoutSnapshots(t *testing.T) {
-	t.Parallel() // with one subscriber in each region
-	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond)
+	t.Parallel()
+	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond) // one subscriber in each region
 	if snapshots, ok := r.Samples[0].Get("snapshots"); !ok || snapshots > 0 {
-		t.Errorf("%v snapshots, %v", snapshots, ok)
+		t.Errorf("%v snapshots were installed (measured: %v); want 0", snapshots, ok)
 	}
 }
 
-// TestPreciseUsageReadsAnotherProcess reads this process's own usage in both ways.
-func TestPreciseUsageReadsAnotherProcess(t *testing.T) {
+// TestPreciseUsageReadsAProcessByID guards against a wrong clock or a misread status file: the
+// processor time of this process by its id is at least what getrusage returned before, and an
+// unknown id is an error.
+func TestPreciseUsageReadsAProcessByID(t *testing.T) {
 	before := processorTime()
 	usage, err := readPreciseUsage(os.Getpid())
 	if err != nil || usage.processor < before || usage.resident <= 0 || usage.peak < usage.resident {
-		t.Errorf("%+v, %v; %s before", usage, err, before)
+		t.Errorf("usage %+v, error %v; want at least %s of processor time, and a peak of at least the resident memory",
+			usage, err, before)
 	}
 	if _, err := readPreciseUsage(1 << 30); err == nil {
-		t.Error("a process that is not there has a usage")
+		t.Error("reading the usage of a process that does not exist succeeded")
 	}
 }
--- a/scale/results/kept_test.go
+++ b/scale/results/kept_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestCapacityPageIsWhatKeptRunsGive has each table and each figure of the capacity page be what the kept runs give.
-func TestCapacityPageIsWhatKeptRunsGive(t *testing.T) {
+// TestCapacityPageMatchesKeptRuns guards against tables and figures of the capacity page that
+// differ from the kept runs, as after an edit by hand or a new run without an update of the page.
+func TestCapacityPageMatchesKeptRuns(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
 		t.Fatal(err)
@@ -21,8 +22,9 @@
 	}
 }
 
-// TestKeptRunsHaveTheFitsOfTheirSamples has the fits and the verdict of each kept run be what its samples give.
-func TestKeptRunsHaveTheFitsOfTheirSamples(t *testing.T) {
+// TestKeptRunsMatchTheirSamples guards against kept runs whose fits or verdict differ from those
+// that their samples give, as after a change of the fit or of a budget.
+func TestKeptRunsMatchTheirSamples(t *testing.T) {
 	runs, err := Load("../../docs/capacity")
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +33,8 @@
 		again := *r
 		again.Evaluate()
 		if r.Verdict != again.Verdict || !slices.Equal(r.Fits, again.Fits) {
-			t.Errorf("%s: kept %s %+v, by its samples %s %+v", r.Name, r.Verdict, r.Fits, again.Verdict, again.Fits)
+			t.Errorf("run %s has verdict %s and fits %+v; its samples give %s and %+v",
+				r.Name, r.Verdict, r.Fits, again.Verdict, again.Fits)
 		}
 	}
 }
--- a/scale/results/results_test.go
+++ b/scale/results/results_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestBothFormsAreFittedAgain has both forms found again from curves of theirs, and none where too little is known.
-func TestBothFormsAreFittedAgain(t *testing.T) {
+// TestFitRecoversBothForms guards against fits that miss the form or the parameters of a known
+// curve, extrapolate it to negative figures, or rest on too few sizes or on figures of 0.
+func TestFitRecoversBothForms(t *testing.T) {
 	curve := func(f func(n float64) float64) (samples []Sample) {
 		for _, size := range []int{3, 5, 7, 9, 30} {
 			s := Sample{Size: size}
@@ -30,16 +31,17 @@
 		t.Errorf("100 - n is fitted as %+v, %v at 11,000", falling, falling.At(11_000))
 	}
 	if _, ok := FitOver(curve(func(n float64) float64 { return n })[:2], "cost", nil); ok {
-		t.Error("two sizes were fitted")
+		t.Error("a fit over two sizes was returned; want none")
 	}
 	if _, ok := FitOver(curve(func(float64) float64 { return 0 }), "cost", nil); ok {
-		t.Error("figures of 0 were fitted")
+		t.Error("a fit over figures of 0 was returned; want none")
 	}
 }
 
-// sample run of three sizes, over its budget at the last.
+// sampleRun returns a run of three sizes that is over its budget at the last one.
 func sampleRun() *Run {
-	r := &Run{Name: "sample", About: "A sample", Revision: "abc1234", Transport: "memory", SizeUnit: "members", Targets: []int{11_000},
+	r := &Run{Name: "sample", About: "A sample", Revision: "abc1234", Transport: "memory",
+		SizeUnit: "members", Targets: []int{11_000},
 		Metrics: []Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes", Budget: 25_000, Fit: true}}}
 	for _, size := range []int{3, 5, 9} {
 		s := Sample{Size: size}
@@ -50,27 +52,31 @@
 	return r
 }
 
+// TestVerdictFollowsBudgetsAndSamples guards against a verdict that hides a figure over its budget,
+// a violation, or a sample that shows nothing.
 func TestVerdictFollowsBudgetsAndSamples(t *testing.T) {
 	r := sampleRun()
 	if all := r.OverBudget(); r.Verdict != VerdictViolated || len(all) != 1 || all[0].Size != 9 {
-		t.Errorf("over a budget: %s, %v", r.Verdict, all)
+		t.Errorf("figure over its budget: verdict %s, excesses %v; want %s, and one at size 9",
+			r.Verdict, all, VerdictViolated)
 	}
 	r.Samples = r.Samples[:2]
 	if r.Evaluate(); r.Verdict != VerdictPassed {
-		t.Errorf("within budgets: %s", r.Verdict)
+		t.Errorf("all figures within budgets: verdict %s; want %s", r.Verdict, VerdictPassed)
 	}
 	r.Samples[0].Inconclusive = "the machine was too busy"
 	if r.Evaluate(); r.Verdict != VerdictInconclusive {
-		t.Errorf("a sample that shows nothing: %s", r.Verdict)
+		t.Errorf("inconclusive sample: verdict %s; want %s", r.Verdict, VerdictInconclusive)
 	}
 	r.Samples[1].Violations = []string{"a digest differs"}
 	if r.Evaluate(); r.Verdict != VerdictViolated {
-		t.Errorf("a digest that differs: %s", r.Verdict)
+		t.Errorf("sample with a violation: verdict %s; want %s", r.Verdict, VerdictViolated)
 	}
 }
 
-// TestRunsAreKept has a run read back as it was written, and written the same each time.
-func TestRunsAreKept(t *testing.T) {
+// TestSavedRunIsLoadedUnchanged guards against fields that are lost or changed when a run is saved
+// and loaded: a loaded run is written with the same bytes.
+func TestSavedRunIsLoadedUnchanged(t *testing.T) {
 	folder := t.TempDir()
 	path, err := sampleRun().Save(folder)
 	if err != nil {
@@ -79,16 +85,18 @@
 	first, _ := os.ReadFile(path)
 	runs, err := Load(folder)
 	if err != nil || len(runs) != 1 {
-		t.Fatal(runs, err)
+		t.Fatalf("loaded runs %v, error %v; want one run", runs, err)
 	}
 	if _, err := runs[0].Save(folder); err != nil {
 		t.Fatal(err)
 	}
 	if again, _ := os.ReadFile(path); string(again) != string(first) {
-		t.Errorf("first\n%s\nthen\n%s", first, again)
+		t.Errorf("first file\n%s\nfile of the loaded run\n%s", first, again)
 	}
 }
 
+// TestPageIsFilledAndChecked guards against a page whose tables or figures are not those of the
+// runs, and against a check that accepts such a page.
 func TestPageIsFilledAndChecked(t *testing.T) {
 	runs := []*Run{sampleRun()}
 	empty := "# Capacity\n\n<!-- scale report sample -->\n<!-- end -->\n\nA member: 0<!-- scale sample bytes 9 -->, at 11,000 0<!-- scale sample bytes 11000 -->.\n"
@@ -99,22 +107,22 @@
 	for _, part := range []string{"| bytes, bytes/s | 9,000 | 15,000 | **27,000** | 25,000 |", "A member: 27,000<!--",
 		"at 11,000 33,000,000<!--"} {
 		if !strings.Contains(page, part) {
-			t.Errorf("no %q in\n%s", part, page)
+			t.Errorf("the filled page does not contain %q:\n%s", part, page)
 		}
 	}
 	if err := CheckPage(page, runs); err != nil {
-		t.Errorf("a page just made: %v", err)
+		t.Errorf("check of the filled page: %v", err)
 	}
 	if err := CheckPage(strings.Replace(page, "| 15,000 |", "| 15,001 |", 1), runs); err == nil {
-		t.Error("a changed table passed")
+		t.Error("a page with a changed table passed the check")
 	}
 	if err := CheckPage(strings.Replace(page, "member: 27,000<", "member: 26,000<", 1), runs); err == nil {
-		t.Error("a changed figure passed")
+		t.Error("a page with a changed figure passed the check")
 	}
 	if err := CheckPage(strings.Replace(page, "<!-- end -->", "", 1), runs); err == nil {
-		t.Error("a block without an end passed")
+		t.Error("a page with a block without an end passed the check")
 	}
 	if err := CheckPage(page, nil); err == nil {
-		t.Error("a block of no run passed")
+		t.Error("a page with a block of an unknown run passed the check")
 	}
 }
