--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -33,7 +33,7 @@
 			for _, m := range scale.Measurements() {
 				description := m.Describe()
 				fmt.Fprintf(c.OutOrStdout(), "%-16s %s; sizes %v, %s\n", description.Name, description.About,
-					description.Sizes, description.Size)
+					description.Sizes, description.SizeUnit)
 			}
 		},
 	}
@@ -73,7 +73,7 @@
 	}
 	f := command.Flags()
 	f.IntSliceVar(&flags.sizes, "sizes", nil, "sizes to measure; by default those that scale list shows")
-	f.DurationVar(&flags.options.For, "for", 20*time.Second, "how long each size is observed")
+	f.DurationVar(&flags.options.Duration, "for", 20*time.Second, "how long each size is observed")
 	f.Uint64Var(&flags.options.Seed, "seed", 1, "seed of all random choices")
 	f.IntVar(&flags.options.Voters, "voters", 5, "number of raft voters, if sizes count something else")
 	f.BoolVar(&flags.asJSON, "json", false, "write the run as JSON")
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	flags.options.Progress = newProgressWriter("")
-	run, err := scale.Play(ctx, m, flags.sizes, flags.options)
+	run, err := scale.MeasureSizes(ctx, m, flags.sizes, flags.options)
 	if err != nil {
 		return nil, err
 	}
@@ -204,7 +204,7 @@
 	if err != nil {
 		return reportInconclusive(err)
 	}
-	if err := results.Check(string(page), runs); err != nil {
+	if err := results.CheckPage(string(page), runs); err != nil {
 		fmt.Fprintf(os.Stderr, "wheelrill: %s: %s\n", path, err)
 		return exitViolated
 	}
@@ -217,7 +217,7 @@
 	if err != nil {
 		return reportInconclusive(err)
 	}
-	updated, err := results.Fill(string(page), runs)
+	updated, err := results.FillPage(string(page), runs)
 	if err != nil {
 		return reportInconclusive(fmt.Errorf("%s: %w", path, err))
 	}
--- a/cmd/wheelrill/scale_test.go
+++ b/cmd/wheelrill/scale_test.go
@@ -70,7 +70,7 @@
 // runs, --write leaving such a page, and unusable arguments that are accepted.
 func TestScaleReportChecksAndWritesPages(t *testing.T) {
 	folder := t.TempDir()
-	run := &results.Run{Name: "one", About: "One", Size: "members",
+	run := &results.Run{Name: "one", About: "One", SizeUnit: "members",
 		Metrics: []results.Metric{{Name: "bytes", Unit: "bytes/s", About: "bytes"}}}
 	s := results.Sample{Size: 3}
 	s.Set("bytes", 1234)
--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -15,22 +15,23 @@
 	"wheelrill/scale/results"
 )
 
-// addedTime measures what a proxy's pick adds to a request by the entries of its table, with the code of the fake
-// proxies: the weighted pick, and the second pick of an ordered retry, which leaves out the previous backend.
+// addedTime measures the time that a proxy adds to a request when it picks a backend, by the number
+// of entries of its table. It runs the code of the fake proxies: the weighted pick, and the second
+// pick of an ordered retry, which excludes the backend of the first attempt.
 type addedTime struct{}
 
-// How much one size plays.
+// Limits of the measurement at one size.
 const (
 	pickRepeats  = 5
 	indexRepeats = 20
-	maxPicks     = 20_000      // in one repeat
-	minPicks     = 100         // for a share of 99 in 100 to mean something
-	maxPickTime  = time.Minute // that a histogram holds
+	maxPicks     = 20_000      // per repeat
+	minPicks     = 100         // per repeat, so that the 99th percentile means something
+	maxPickTime  = time.Minute // longest time that a histogram records
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (addedTime) Describe() Description {
-	return Description{Name: "added-time", Size: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
+	return Description{Name: "added-time", SizeUnit: "lines", Sizes: []int{5, 50, 200, 1000, 5700, 20_000, 99_000},
 		Targets: []int{99_000}, Transport: "calls",
 		About: "Time that a proxy's draw and an ordered retry add to a request by the lines of its table",
 		Metrics: []results.Metric{
@@ -45,27 +46,28 @@
 		}}
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory and time that one size takes.
 func (addedTime) Needs(_ int, o Options) Needs {
 	const bytes = 256 << 20
-	return Needs{Memory: bytes, Time: o.For + 2*maxPickTime}
+	return Needs{Memory: bytes, Time: o.Duration + 2*maxPickTime}
 }
 
-// pickTimes is what one repeat has shown, in nanoseconds.
+// pickTimes holds the times of all picks of one repeat, in nanoseconds.
 type pickTimes struct {
-	once             *hdrhistogram.Histogram // wall time of a pick
-	retried          *hdrhistogram.Histogram // and of that of a retry, together
-	onceProcessor    *hdrhistogram.Histogram // processor time of the thread, which a busy machine lengthens less
-	retriedProcessor *hdrhistogram.Histogram
-	requests         int
+	firstPick *hdrhistogram.Histogram // wall time of the first pick
+	bothPicks *hdrhistogram.Histogram // wall time of the first pick and the retry's pick together
+	// Processor time of the thread, which a busy machine lengthens less than wall time.
+	firstPickProcessor *hdrhistogram.Histogram
+	bothPicksProcessor *hdrhistogram.Histogram
+	requests           int
 }
 
 func newPickTimes() pickTimes {
 	empty := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxPickTime), histogramDigits) }
-	return pickTimes{once: empty(), retried: empty(), onceProcessor: empty(), retriedProcessor: empty()}
+	return pickTimes{firstPick: empty(), bothPicks: empty(), firstPickProcessor: empty(), bothPicksProcessor: empty()}
 }
 
-// Run plays the repeats over one table, and takes the median of their percentiles.
+// Run repeats the picks over one table, and returns the median of each percentile over the repeats.
 func (addedTime) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	table := weightedTable(size, o.Seed)
 	index := time.Duration(0)
@@ -79,41 +81,44 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		one, err := measurePicks(table, size, random, o.For/pickRepeats)
+		repeat, err := measurePicks(table, size, random, o.Duration/pickRepeats)
 		if err != nil {
 			return sample, err
 		}
-		all = append(all, one)
+		all = append(all, repeat)
 	}
 	figures := []struct {
-		metric   string
-		quantile float64
-		of       func(pickTimes) *hdrhistogram.Histogram
+		metric    string
+		quantile  float64
+		histogram func(pickTimes) *hdrhistogram.Histogram
 	}{
-		{"draw_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.once }},
-		{"draw_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.once }},
-		{"retried_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.retried }},
-		{"retried_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.retried }},
-		{"draw_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.onceProcessor }},
-		{"retried_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.retriedProcessor }},
+		{"draw_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.firstPick }},
+		{"draw_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.firstPick }},
+		{"retried_half", 50, func(d pickTimes) *hdrhistogram.Histogram { return d.bothPicks }},
+		{"retried_p99", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.bothPicks }},
+		{"draw_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.firstPickProcessor }},
+		{"retried_processor", 99, func(d pickTimes) *hdrhistogram.Histogram { return d.bothPicksProcessor }},
 	}
 	for _, f := range figures {
 		sample.Set(f.metric, medianOf(all, func(d pickTimes) float64 {
-			return float64(f.of(d).ValueAtQuantile(f.quantile)) / float64(time.Millisecond)
+			return float64(f.histogram(d).ValueAtQuantile(f.quantile)) / float64(time.Millisecond)
 		}))
 	}
 	sample.Set("requests", medianOf(all, func(d pickTimes) float64 { return float64(d.requests) }))
-	if least := slices.MinFunc(all, func(a, b pickTimes) int { return a.requests - b.requests }).requests; least < enoughPicks {
-		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", least)
+	if fewest := slices.MinFunc(all, func(a, b pickTimes) int {
+		return a.requests - b.requests
+	}).requests; fewest < picksForStableP99 {
+		sample.Partial = fmt.Sprintf("%d requests in a repeat, so that 99 in 100 is one of the slowest few", fewest)
 	}
 	return sample, nil
 }
 
-// enoughPicks is enough for the slowest of a hundred to be many.
-const enoughPicks = 1000
+// picksForStableP99 is the number of picks per repeat from which the slowest hundredth holds enough
+// picks, 10, for a stable 99th percentile.
+const picksForStableP99 = 1000
 
-// measurePicks picks a backend and another one for a while, and notes how long that took. It holds its thread, whose
-// processor time is read.
+// measurePicks times pairs of picks for the given span: at least minPicks and at most maxPicks
+// pairs. It locks the goroutine to its thread, because it reads the processor time of the thread.
 func measurePicks(table *fake.Table, entries int, random *rand.Rand, span time.Duration) (pickTimes, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -128,31 +133,34 @@
 	return times, nil
 }
 
-// measureOne picks a backend and, as an ordered retry does, another one.
+// measureOne times one pick and a second one that excludes the first backend, as in an ordered
+// retry.
 func (t *pickTimes) measureOne(table *fake.Table, entries int, number uint64) error {
 	from := time.Now()
 	fromProcessor := threadTime()
 	first, found := table.Pick("", number)
-	once := time.Since(from)
-	onceProcessor := threadTime() - fromProcessor
+	firstPick := time.Since(from)
+	firstPickProcessor := threadTime() - fromProcessor
 	second, foundOther := table.Pick(first, fake.NextRandom(number))
-	retried := time.Since(from)
-	retriedProcessor := threadTime() - fromProcessor
+	bothPicks := time.Since(from)
+	bothPicksProcessor := threadTime() - fromProcessor
 	if !found || foundOther && second == first || !foundOther && entries > 1 {
-		return fmt.Errorf("drew %q, then %q of %d entries", first, second, entries)
+		return fmt.Errorf("picked %q, then %q from a table of %d entries; want different backends, or one of a single entry",
+			first, second, entries)
 	}
 	return errors.Join(
-		t.once.RecordValue(once.Nanoseconds()),
-		t.retried.RecordValue(retried.Nanoseconds()),
-		t.onceProcessor.RecordValue(onceProcessor.Nanoseconds()),
-		t.retriedProcessor.RecordValue(retriedProcessor.Nanoseconds()))
+		t.firstPick.RecordValue(firstPick.Nanoseconds()),
+		t.bothPicks.RecordValue(bothPicks.Nanoseconds()),
+		t.firstPickProcessor.RecordValue(firstPickProcessor.Nanoseconds()),
+		t.bothPicksProcessor.RecordValue(bothPicksProcessor.Nanoseconds()))
 }
 
-// weightedTable makes a table of so many entries, with weights as rough as discovery's.
-func weightedTable(lines int, seed uint64) *fake.Table {
+// weightedTable returns a table of the given number of entries, with weights that vary as much as
+// those from discovery.
+func weightedTable(entries int, seed uint64) *fake.Table {
 	random := rand.New(rand.NewPCG(seed, seed))
 	table := fake.NewTable()
-	for i := range lines {
+	for i := range entries {
 		table.Set(fmt.Sprintf("s-%08x", i), 0.5+1.5*random.Float64())
 	}
 	return table
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -16,30 +16,34 @@
 	"wheelrill/rehearse"
 )
 
-// Terms of hollow members, as real ones have them.
+// Terms of hollow members, the same as those of real ones.
 const (
-	defaultLease       = 1500 * time.Millisecond // of members that share a fleet
+	defaultLease       = 1500 * time.Millisecond // of members that share a fleet of proxies
 	voterLease         = 10 * time.Second        // of members that own no proxies: docs/distributing.md
 	renewsPerLease     = 8
 	guaranteedMessages = 4
-	mailboxSize        = 1024
+	taskQueueSize      = 1024
 )
 
-// hollowMember takes part in the record with the same code as a real controller, and has no proxies.
+// hollowMember is a member of the record that runs the same code as a real controller, and has no
+// proxies.
 type hollowMember struct {
 	name        string
 	node        *consensus.Node
 	coordinator *ownership.Coordinator
 	began       time.Time
-	mail        chan func()
+	tasks       chan func()
 	done        chan struct{}
 
-	entered atomic.Bool // on the record
+	hasQuorum atomic.Bool // the member is on the record and has quorum
 }
 
-// startHollow gives a member that takes part until the context ends. The terms follow from the lease.
-func startHollow(ctx context.Context, running *sync.WaitGroup, config consensus.Config, lease time.Duration) (*hollowMember, error) {
-	m := &hollowMember{name: config.Name, began: time.Now(), mail: make(chan func(), mailboxSize), done: make(chan struct{})}
+// startHollowMember starts a member that takes part in the record until the context ends. Its terms
+// follow from the lease.
+func startHollowMember(ctx context.Context, running *sync.WaitGroup, config consensus.Config,
+	lease time.Duration) (*hollowMember, error) {
+	m := &hollowMember{name: config.Name, began: time.Now(), tasks: make(chan func(), taskQueueSize),
+		done: make(chan struct{})}
 	config.Terms = ownership.LeaseTerms{Duration: lease.Microseconds(), RenewInterval: lease.Microseconds() / renewsPerLease,
 		MessageWindow: rehearse.MessageWindow.Microseconds(), MaxMessages: rehearse.MaxMessages, Members: len(config.Members), GuaranteedMessages: guaranteedMessages}
 	var err error
@@ -54,7 +58,7 @@
 
 func (m *hollowMember) now() int64 { return time.Since(m.began).Microseconds() }
 
-// run is the member's event loop; the coordinator is called from nowhere else.
+// run is the event loop of the member. The coordinator is called only from this loop.
 func (m *hollowMember) run(ctx context.Context, tick time.Duration) {
 	defer close(m.done)
 	ticks := time.NewTicker(tick)
@@ -63,23 +67,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case what := <-m.mail:
-			what()
+		case task := <-m.tasks:
+			task()
 		case <-ticks.C:
 			m.coordinator.Tick(m.now())
 		}
 	}
 }
 
-// post has something done by the event loop, unless that has ended.
-func (m *hollowMember) post(what func()) {
+// post passes a task to the event loop, or drops it if the loop has ended.
+func (m *hollowMember) post(task func()) {
 	select {
-	case m.mail <- what:
+	case m.tasks <- task:
 	case <-m.done:
 	}
 }
 
-// hollowEvents hands on to the coordinator what becomes of the record.
+// hollowEvents passes events of the record to the coordinator, through the event loop.
 type hollowEvents struct{ *hollowMember }
 
 func (e hollowEvents) EntryCommitted(entry ownership.Entry) {
@@ -98,7 +102,8 @@
 	e.post(func() { e.coordinator.ProposalFailed(incarnation, seq, e.now()) })
 }
 
-// hollowHost is the place that a hollow member's coordinator works in: there are no proxies to be granted or written to.
+// hollowHost is the host of a hollow member's coordinator. It ignores grants and the other calls
+// that concern proxies, because there are no proxies.
 type hollowHost struct{ *hollowMember }
 
 func (h hollowHost) Propose(e ownership.Entry)                             { h.node.Propose(e) }
@@ -107,17 +112,19 @@
 func (h hollowHost) MessagesSentByPeers(int, int)                          {}
 func (h hollowHost) ReleaseUpTo(uint64)                                    {}
 func (h hollowHost) PeerObservationReported(string, ownership.Observation) {}
-func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.entered.Store(!alone) }
+func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.hasQuorum.Store(!alone) }
 
-// RandomID draws a number.
+// RandomID returns a random number that is not 0.
 func (h hollowHost) RandomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// startMembers starts hollow members on loopback, and waits until all of them are on the record.
-func startMembers(ctx context.Context, running *sync.WaitGroup, size int, lease time.Duration) ([]*hollowMember, error) {
+// startHollowMembers starts the given number of hollow members on loopback, and waits until all of
+// them are on the record.
+func startHollowMembers(ctx context.Context, running *sync.WaitGroup, size int,
+	lease time.Duration) ([]*hollowMember, error) {
 	addresses, err := process.FreeAddresses(size)
 	if err != nil {
 		return nil, err
@@ -128,21 +135,21 @@
 	}
 	var members []*hollowMember
 	for i := range size {
-		m, err := startHollow(ctx, running, consensus.Config{Name: memberName(i), Members: at}, lease)
+		m, err := startHollowMember(ctx, running, consensus.Config{Name: memberName(i), Members: at}, lease)
 		if err != nil {
 			return nil, err
 		}
 		members = append(members, m)
 	}
-	entered := func() bool {
+	hasQuorum := func() bool {
 		for _, m := range members {
-			if !m.entered.Load() {
+			if !m.hasQuorum.Load() {
 				return false
 			}
 		}
 		return true
 	}
-	if !await(ctx, startTimeout, entered) {
+	if !await(ctx, startTimeout, hasQuorum) {
 		return nil, fmt.Errorf("not all of %d members were on the record within %s", size, startTimeout)
 	}
 	return members, nil
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -11,21 +11,24 @@
 	"wheelrill/scale/results"
 )
 
-// lists measures what discovery's list costs a real controller by its entries: until it is ready after a start, while
-// nothing changes, and at each change of one entry. It has no proxies.
+// lists measures what the list of discovery costs a real controller by the number of entries: from
+// a start until it is ready, while nothing changes, and for each change of one entry. The
+// controller has no proxies.
 type lists struct{}
 
-// How much one size plays.
+// Times and limits of one run.
 const (
 	listReadyTimeout = 150 * time.Second
-	listIdle         = 3 * time.Second // that it is let be, and again that changes take; a quarter of the time if that is shorter
-	listChanges      = 10
-	maxListBytes     = 16 << 20 // bytes of an answer of discovery that a controller takes
+	// Observed time without changes, and again with changes: at most a quarter of Options.Duration
+	// each.
+	listIdleTime = 3 * time.Second
+	listChanges  = 10
+	maxListBytes = 16 << 20 // largest answer of discovery that a controller accepts, in bytes
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (lists) Describe() Description {
-	return Description{Name: "lists", Size: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
+	return Description{Name: "lists", SizeUnit: "backends listed", Sizes: []int{5000, 10_000, 20_000, 40_000, 65_536},
 		Targets: []int{99_000}, Transport: "loopback",
 		About: "What discovery's list costs one real controller without proxies: recovery of one, and each change",
 		Metrics: []results.Metric{
@@ -42,23 +45,23 @@
 		}}
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory, processes and time that one size takes.
 func (lists) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
-	return Needs{Memory: bytes, Processes: 1, Time: o.For + listReadyTimeout}
+	return Needs{Memory: bytes, Processes: 1, Time: o.Duration + listReadyTimeout}
 }
 
-// listCost is what one run of a controller has shown.
+// listCost holds the figures of one run of a controller.
 type listCost struct {
-	ready, readyProcessor  time.Duration
-	idle, changing         float64 // seconds of processor time a second, while nothing and while entries change
-	changeTime             float64 // seconds between two changes
-	listBytes, changeBytes int64
-	memory                 int64
-	known                  float64
+	ready, readyProcessor    time.Duration
+	idleShare, changingShare float64 // processor seconds per second, without and with changes of entries
+	changeTime               float64 // seconds between two changes
+	listBytes, changeBytes   int64
+	memory                   int64
+	knownBackends            float64
 }
 
-// Run plays the repeats, each with a process of its own.
+// Run repeats the measurement, each time with a new process, and returns the medians.
 func (lists) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "lists-")
 	if err != nil {
@@ -70,31 +73,32 @@
 	}
 	defer discovery.Close()
 	var all []listCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		cost, err := measureList(ctx, discovery, backends, folder, o)
 		all = append(all, cost)
 		return err
 	})
 	if err != nil {
-		return s, fmt.Errorf("%w; its log is in %s", err, folder)
+		return s, fmt.Errorf("%w; the log of the controller is in %s", err, folder)
 	}
-	middle := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
-	s.Set("ready", middle(func(c listCost) float64 { return c.ready.Seconds() }))
-	s.Set("ready_processor", middle(func(c listCost) float64 { return c.readyProcessor.Seconds() }))
-	s.Set("list_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) }))
-	s.Set("entry_bytes", middle(func(c listCost) float64 { return float64(c.listBytes) / float64(size) }))
-	s.Set("idle_processor", middle(func(c listCost) float64 { return percent * c.idle }))
-	s.Set("change_processor", middle(func(c listCost) float64 {
-		return max(0, c.changing-c.idle) * c.changeTime * 1000
+	medianFigure := func(figure func(listCost) float64) float64 { return medianOf(all, figure) }
+	s.Set("ready", medianFigure(func(c listCost) float64 { return c.ready.Seconds() }))
+	s.Set("ready_processor", medianFigure(func(c listCost) float64 { return c.readyProcessor.Seconds() }))
+	s.Set("list_bytes", medianFigure(func(c listCost) float64 { return float64(c.listBytes) }))
+	s.Set("entry_bytes", medianFigure(func(c listCost) float64 { return float64(c.listBytes) / float64(size) }))
+	s.Set("idle_processor", medianFigure(func(c listCost) float64 { return percent * c.idleShare }))
+	s.Set("change_processor", medianFigure(func(c listCost) float64 {
+		return max(0, c.changingShare-c.idleShare) * c.changeTime * 1000
 	}))
-	s.Set("change_bytes", middle(func(c listCost) float64 { return float64(c.changeBytes) / listChanges }))
-	s.Set("memory", middle(func(c listCost) float64 { return float64(c.memory) / megabyte }))
-	s.Set("known", middle(func(c listCost) float64 { return c.known }))
+	s.Set("change_bytes", medianFigure(func(c listCost) float64 { return float64(c.changeBytes) / listChanges }))
+	s.Set("memory", medianFigure(func(c listCost) float64 { return float64(c.memory) / megabyte }))
+	s.Set("known", medianFigure(func(c listCost) float64 { return c.knownBackends }))
 	s.Set("repeats", float64(len(all)))
 	return s, nil
 }
 
-// measureList starts a controller, lets it be, and changes one entry after the other.
+// measureList starts a controller, leaves it idle for a while, and then changes one entry of the
+// list after the other.
 func measureList(ctx context.Context, discovery *fake.Discovery, backends []*fake.Backend, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
@@ -117,16 +121,16 @@
 	cost.ready = c.readyAt().Sub(c.began)
 	_, now := discovery.Sent()
 	cost.listBytes = now - sent
-	if cost.known, err = strconv.ParseFloat(c.known, 64); err != nil {
-		return cost, fmt.Errorf("backends of msg=ready: %w", err)
+	if cost.knownBackends, err = strconv.ParseFloat(c.knownBackends, 64); err != nil {
+		return cost, fmt.Errorf("number of backends in msg=ready: %w", err)
 	}
-	span := min(listIdle, o.For/4)
-	if cost.idle, err = c.spends(func() error { return pauseFor(ctx, span) }); err != nil {
+	span := min(listIdleTime, o.Duration/4)
+	if cost.idleShare, err = c.processorShareDuring(func() error { return pauseFor(ctx, span) }); err != nil {
 		return cost, err
 	}
 	_, sent = discovery.Sent()
 	cost.changeTime = span.Seconds() / listChanges
-	cost.changing, err = c.spends(func() error {
+	cost.changingShare, err = c.processorShareDuring(func() error {
 		for i := range listChanges {
 			state := []fake.State{fake.StateDraining, fake.StateUp}[i%2]
 			discovery.Publish(state, backends[i/2*len(backends)/listChanges])
@@ -146,14 +150,15 @@
 	return cost, err
 }
 
-// spends is the processor time that the controller takes while something goes on, in seconds a second.
-func (c *listedController) spends(what func() error) (float64, error) {
+// processorShareDuring returns the processor time that the controller takes during an activity, in
+// seconds per second.
+func (c *listedController) processorShareDuring(activity func() error) (float64, error) {
 	began := time.Now()
 	before, err := readPreciseUsage(c.process.PID())
 	if err != nil {
 		return 0, err
 	}
-	if err := what(); err != nil {
+	if err := activity(); err != nil {
 		return 0, err
 	}
 	after, err := readPreciseUsage(c.process.PID())
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -9,40 +9,41 @@
 	"time"
 )
 
-// network connects nodes of one process by connections in memory. A region can be cut off: what is sent into it or out
-// of it waits, and so do dials and closes, as on a way that loses all packets.
+// network connects the nodes of one process by connections in memory. A region can be cut off: data
+// sent into or out of it waits, and so do dials and closes, as on a path that loses all packets.
 type network struct {
-	mutex   sync.Mutex
-	at      map[string]endpoint
-	healed  chan struct{} // closed with the end of a cut; nil while there is none
-	cut     int           // the region, while there is a cut
-	closing []net.Conn    // closed on one side during a cut, which the other side hears of later
-	serving sync.WaitGroup
+	mutex     sync.Mutex
+	endpoints map[string]endpoint
+	healed    chan struct{} // closed when the present cut ends; nil without a cut
+	cutRegion int           // the region that is cut off, while there is a cut
+	closing   []net.Conn    // closed at one end during a cut; closed at the other end after it
+	serving   sync.WaitGroup
 }
 
-// endpoint is where a node takes connections in.
+// endpoint is the region of a node, and the function that accepts its connections.
 type endpoint struct {
 	region int
 	accept func(net.Conn)
 }
 
-func newNetwork() *network { return &network{at: map[string]endpoint{}} }
+func newNetwork() *network { return &network{endpoints: map[string]endpoint{}} }
 
-// listen has a node take connections in under its name.
+// listen registers the function by which a node accepts connections under its name.
 func (n *network) listen(name string, region int, accept func(net.Conn)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.at[name] = endpoint{region, accept}
+	n.endpoints[name] = endpoint{region, accept}
 }
 
-// leave has dials to a name be refused.
+// leave removes a name. Dials to it are refused from then on.
 func (n *network) leave(name string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.at, name)
+	delete(n.endpoints, name)
 }
 
-// dial connects a node in a region to another by its name.
+// dial connects a node in the given region to the node of the given name. It waits while a cut
+// separates them.
 func (n *network) dial(ctx context.Context, region int, name string) (net.Conn, error) {
 	for {
 		to, healed, err := n.lookUp(region, name)
@@ -52,9 +53,9 @@
 		if healed == nil {
 			near, far := net.Pipe()
 			n.serving.Go(func() {
-				to.accept(&memoryConn{Conn: far, of: n, from: to.region, to: region, closed: make(chan struct{})})
+				to.accept(&memoryConn{Conn: far, network: n, from: to.region, to: region, closed: make(chan struct{})})
 			})
-			return &memoryConn{Conn: near, of: n, from: region, to: to.region, closed: make(chan struct{})}, nil
+			return &memoryConn{Conn: near, network: n, from: region, to: to.region, closed: make(chan struct{})}, nil
 		}
 		if err := pauseFor(ctx, redialInterval); err != nil {
 			return nil, err
@@ -62,37 +63,39 @@
 	}
 }
 
-// redialInterval is how long the first packet of a connection is waited for before it is sent again, as TCP has it.
+// redialInterval is the interval at which a dial is repeated during a cut. TCP sends the first
+// packet of a connection again after the same time.
 const redialInterval = time.Second
 
-// lookUp looks a name up; healed is not nil where a cut lies between.
+// lookUp returns the endpoint of a name. healed is not nil if a cut separates it from the region.
 func (n *network) lookUp(region int, name string) (to endpoint, healed chan struct{}, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	to, ok := n.at[name]
+	to, ok := n.endpoints[name]
 	if !ok {
 		return to, nil, fmt.Errorf("dial %s: connection refused", name)
 	}
 	return to, n.cutBetween(region, to.region), nil
 }
 
-// cutBetween gives what ends with the cut between two regions, nil where there is none.
+// cutBetween returns the channel that is closed when the cut between two regions ends, or nil if no
+// cut separates them.
 func (n *network) cutBetween(a, b int) chan struct{} {
-	if n.healed != nil && (a == n.cut) != (b == n.cut) {
+	if n.healed != nil && (a == n.cutRegion) != (b == n.cutRegion) {
 		return n.healed
 	}
 	return nil
 }
 
-// cutOff cuts a region off until heal.
+// cutOff cuts off a region until heal is called.
 func (n *network) cutOff(region int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = region
+	n.cutRegion = region
 	n.healed = make(chan struct{})
 }
 
-// heal ends the cut.
+// heal ends the cut, and completes the closes that waited for its end.
 func (n *network) heal() {
 	n.mutex.Lock()
 	closing := n.closing
@@ -105,10 +108,10 @@
 	}
 }
 
-// memoryConn is one end of a connection.
+// memoryConn is one end of a connection in memory.
 type memoryConn struct {
 	net.Conn
-	of       *network
+	network  *network
 	from, to int
 	once     sync.Once
 	closed   chan struct{}
@@ -117,7 +120,8 @@
 	writeDeadline time.Time // zero for none
 }
 
-// SetWriteDeadline bounds writes, also while a cut holds them.
+// SetWriteDeadline limits the time of writes, including the time that they wait for the end of a
+// cut.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	c.mutex.Lock()
 	c.writeDeadline = t
@@ -125,12 +129,12 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Write sends, once no cut lies between.
+// Write sends data as soon as no cut separates the two ends.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	for {
-		c.of.mutex.Lock()
-		healed := c.of.cutBetween(c.from, c.to)
-		c.of.mutex.Unlock()
+		c.network.mutex.Lock()
+		healed := c.network.cutBetween(c.from, c.to)
+		c.network.mutex.Unlock()
 		if healed == nil {
 			return c.Conn.Write(b)
 		}
@@ -140,7 +144,8 @@
 	}
 }
 
-// awaitHealing for the end of a cut, the deadline or the close, whichever comes first.
+// awaitHealing waits for the end of the cut, the write deadline or the close of this end, whichever
+// comes first.
 func (c *memoryConn) awaitHealing(healed <-chan struct{}) error {
 	c.mutex.Lock()
 	deadline := c.writeDeadline
@@ -161,17 +166,17 @@
 	}
 }
 
-// Close ends it here at once, and at the other end once no cut lies between.
+// Close closes this end at once, and the other end as soon as no cut separates them.
 func (c *memoryConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.of.mutex.Lock()
-	held := c.of.cutBetween(c.from, c.to) != nil
-	if held {
-		c.of.closing = append(c.of.closing, c.Conn)
+	c.network.mutex.Lock()
+	isCut := c.network.cutBetween(c.from, c.to) != nil
+	if isCut {
+		c.network.closing = append(c.network.closing, c.Conn)
 	}
-	c.of.mutex.Unlock()
-	if held {
-		return c.SetDeadline(time.Unix(1, 0)) // ends reads and writes of ours
+	c.network.mutex.Unlock()
+	if isCut {
+		return c.SetDeadline(time.Unix(1, 0)) // fails pending reads and writes at this end
 	}
 	return c.Conn.Close()
 }
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -10,34 +10,38 @@
 	"wheelrill/distribution"
 )
 
-// propagation notes when changes come into force at subscribers, and what must not happen on the way.
+// propagation records how long changes take until subscribers apply them, and collects violations.
 type propagation struct {
 	content *content
 
-	mutex      sync.Mutex              // of all below
-	each       *hdrhistogram.Histogram // µs from acceptance, of each change at each subscriber that was reachable all the time
-	catchUp    *hdrhistogram.Histogram // µs from being reachable again, of what a subscriber had missed
-	violations []string
+	mutex sync.Mutex // guards the fields below
+	// From the acceptance of each change until each subscriber applied it, in µs. Changes that a
+	// subscriber missed while it was unreachable are in catchUpLatency.
+	latency *hdrhistogram.Histogram
+	// From the time that a subscriber was reachable again until it applied the changes that it had
+	// missed, in µs.
+	catchUpLatency *hdrhistogram.Histogram
+	violations     []string
 }
 
-// maxViolations is how many violations are kept.
+// maxViolations is the largest number of violations that are stored.
 const maxViolations = 20
 
 func newPropagation(content *content) *propagation {
-	return &propagation{content: content, each: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits),
-		catchUp: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits)}
+	return &propagation{content: content, latency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits),
+		catchUpLatency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits)}
 }
 
-// reset begins anew to measure; violations stay.
+// reset clears the latencies; violations remain.
 func (p *propagation) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.each.Reset()
-	p.catchUp.Reset()
+	p.latency.Reset()
+	p.catchUpLatency.Reset()
 }
 
-// violate notes what must not happen.
-func (p *propagation) violate(format string, args ...any) {
+// addViolation stores a violation, unless there are maxViolations already.
+func (p *propagation) addViolation(format string, args ...any) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.violations) < maxViolations {
@@ -45,13 +49,14 @@
 	}
 }
 
-// applied notes that a subscriber, which acted by a revision before, acts by a change. Reachable is since when it could be
-// reached: what it missed before counts from then on.
-func (p *propagation) applied(change distribution.Change, seen uint64, reachable time.Time) {
+// applied records that a subscriber has applied a change. appliedRevision is the revision that it
+// had before. The subscriber has been reachable since reachableSince: the latency of a change that
+// was accepted earlier counts from then.
+func (p *propagation) applied(change distribution.Change, appliedRevision uint64, reachableSince time.Time) {
 	now := time.Now()
 	newest := time.Time{}
 	for _, e := range change.Entries {
-		if e.Revision <= seen {
+		if e.Revision <= appliedRevision {
 			continue
 		}
 		if at := p.content.acceptedAt(e.Revision, e.AcceptedAt); at.After(newest) {
@@ -63,21 +68,22 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	took := now.Sub(newest)
-	histogram := p.each
-	if reachable.After(newest) {
-		took = now.Sub(reachable)
-		histogram = p.catchUp
+	elapsed := now.Sub(newest)
+	histogram := p.latency
+	if reachableSince.After(newest) {
+		elapsed = now.Sub(reachableSince)
+		histogram = p.catchUpLatency
 	}
-	_ = histogram.RecordValue(max(took.Microseconds(), 1)) // an hour is within its range, and no run lasts as long
+	// Cannot fail: the range is an hour, and no run lasts as long.
+	_ = histogram.RecordValue(max(elapsed.Microseconds(), 1))
 }
 
-// seconds reads a quantile of a histogram.
-func (p *propagation) seconds(of *hdrhistogram.Histogram, quantile float64) float64 {
+// seconds returns a quantile of a histogram in seconds, or 0 if the histogram is empty.
+func (p *propagation) seconds(histogram *hdrhistogram.Histogram, quantile float64) float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if of.TotalCount() == 0 {
+	if histogram.TotalCount() == 0 {
 		return 0
 	}
-	return (time.Duration(of.ValueAtQuantile(quantile)) * time.Microsecond).Seconds()
+	return (time.Duration(histogram.ValueAtQuantile(quantile)) * time.Microsecond).Seconds()
 }
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -10,24 +10,25 @@
 	"wheelrill/scale/results"
 )
 
-// recovery measures what controllers that restart at once cost as they learn the list anew from discovery, each a real
-// process of this machine. A whole list is asked for today, whatever a controller serves.
+// recovery measures what it costs controllers that restart at once to get the list from discovery
+// again. Each is a real process on this machine. At present a controller asks for the whole list,
+// whichever backends it serves.
 type recovery struct {
-	whole bool // all backends, and not just those of the services that one serves
+	allBackends bool // list all backends, not only those of the services that one controller serves
 }
 
-// What there is to learn, by assumption: each service has as many backends.
+// Assumed size of the list, in which every service has the same number of backends.
 const (
 	targetBackends   = 99_000
 	targetServices   = 5700
 	backendsServed   = targetBackends / targetServices * servicesPerGroup
-	controllerMemory = 40 << 20 // bytes that a controller takes, and ...
-	backendMemory    = 6 << 10  // ... for each backend, about
+	controllerMemory = 40 << 20 // approximate bytes of a controller without backends
+	backendMemory    = 6 << 10  // approximate bytes for each backend
 )
 
-// Describe tells what is measured.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (r recovery) Describe() Description {
-	d := Description{Name: "recovery", Size: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
+	d := Description{Name: "recovery", SizeUnit: "controllers at once", Sizes: []int{1, 5, 10, 20, 40},
 		Targets: []int{40, 220, targetControllers}, Transport: "loopback",
 		About: fmt.Sprintf("Real controllers that restart at once on one machine, and learn %d backends from discovery: those of %d services",
 			r.backends(), servicesPerGroup),
@@ -39,7 +40,7 @@
 			{Name: "memory", Unit: "MB", About: "resident memory of a controller, the most", Budget: maxMegabytes},
 			{Name: "repeats", Unit: "repeats", About: "that the median is taken of"},
 		}}
-	if r.whole {
+	if r.allBackends {
 		d.Name = "recovery-whole"
 		d.Sizes = []int{1, 2, 4, 8}
 		d.About = fmt.Sprintf("Real controllers that restart at once on one machine, and learn all %d backends from discovery", r.backends())
@@ -48,25 +49,25 @@
 }
 
 func (r recovery) backends() int {
-	if r.whole {
+	if r.allBackends {
 		return targetBackends
 	}
 	return backendsServed
 }
 
-// Needs tells what one size takes at most.
+// Needs returns the most memory, processes and time that one size takes.
 func (r recovery) Needs(size int, o Options) Needs {
 	return Needs{Memory: fakesMemory + int64(size)*int64(controllerMemory+r.backends()*backendMemory), Processes: size,
-		Time: o.For + listReadyTimeout}
+		Time: o.Duration + listReadyTimeout}
 }
 
-// recoveryCost is what one restart of all has shown.
+// recoveryCost holds the figures of one restart of all controllers.
 type recoveryCost struct {
-	ready, processor time.Duration // processor: the mean of all
-	bytes, memory    int64         // bytes to all; the most memory of one
+	ready, processor time.Duration // until the last controller was ready; mean processor time
+	bytes, memory    int64         // bytes sent to all controllers; largest memory of one
 }
 
-// Run restarts all as often as there are repeats.
+// Run restarts all controllers in each repeat, and returns the medians.
 func (r recovery) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "recovery-")
 	if err != nil {
@@ -82,7 +83,7 @@
 		return s, err
 	}
 	var all []recoveryCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		_, before := discovery.Sent()
 		cost, err := restartAll(ctx, controllers, folder)
 		_, after := discovery.Sent()
@@ -93,12 +94,12 @@
 	if err != nil {
 		return s, fmt.Errorf("%w; the logs are in %s", err, folder)
 	}
-	middle := func(figure func(recoveryCost) float64) float64 { return medianOf(all, figure) }
-	s.Set("ready", middle(func(c recoveryCost) float64 { return c.ready.Seconds() }))
-	s.Set("ready_processor", middle(func(c recoveryCost) float64 { return c.processor.Seconds() }))
-	s.Set("all_bytes", middle(func(c recoveryCost) float64 { return float64(c.bytes) }))
-	s.Set("bytes", middle(func(c recoveryCost) float64 { return float64(c.bytes) / float64(size) }))
-	s.Set("memory", middle(func(c recoveryCost) float64 { return float64(c.memory) / megabyte }))
+	medianFigure := func(figure func(recoveryCost) float64) float64 { return medianOf(all, figure) }
+	s.Set("ready", medianFigure(func(c recoveryCost) float64 { return c.ready.Seconds() }))
+	s.Set("ready_processor", medianFigure(func(c recoveryCost) float64 { return c.processor.Seconds() }))
+	s.Set("all_bytes", medianFigure(func(c recoveryCost) float64 { return float64(c.bytes) }))
+	s.Set("bytes", medianFigure(func(c recoveryCost) float64 { return float64(c.bytes) / float64(size) }))
+	s.Set("memory", medianFigure(func(c recoveryCost) float64 { return float64(c.memory) / megabyte }))
 	s.Set("repeats", float64(len(all)))
 	return s, nil
 }
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -8,22 +8,24 @@
 	"wheelrill/scale/results"
 )
 
-// recoveryTree measures subscribers that restart at once, in a deployment that runs.
+// recoveryTree measures subscribers that restart at once in a running deployment, by their number.
 type recoveryTree struct{ subscribers int }
 
-// recoveryDelta measures a region that was cut off, by the changes that it missed.
+// recoveryDelta measures how a region that was cut off catches up, by the number of changes that it
+// missed.
 type recoveryDelta struct{ subscribers int }
 
-// Of the deployment that both are played in.
+// Size of the deployment of both measurements, and times.
 const (
 	recoverySubscribers = 1100
 	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
-	proposeAll          = time.Minute
+	allProposalsTime    = time.Minute
 )
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (m recoveryTree) Describe() Description {
-	return Description{Name: "recovery-subscribers", Size: "subscribers that restart at once", Sizes: []int{1, 40, 220, m.subscribers},
+	return Description{Name: "recovery-subscribers", SizeUnit: "subscribers that restart at once",
+		Sizes:   []int{1, 40, 220, m.subscribers},
 		Targets: []int{40, 220, targetControllers}, Transport: "memory",
 		About: fmt.Sprintf("Of %d hollow subscribers some are killed and start anew at once; each learns %d entries", m.subscribers,
 			commonEntries+servicesPerGroup),
@@ -36,19 +38,20 @@
 		}}
 }
 
-// Needs are those of all nodes in our process.
+// Needs returns the time, and the memory of all nodes, which run in this process.
 func (m recoveryTree) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(max(size, m.subscribers)).memory(o),
-		Time: o.For + startTimeout + 2*readyTimeout}
+		Time: o.Duration + startTimeout + 2*readyTimeout}
 }
 
-// restartCost is what one restart has shown.
+// restartCost holds the figures of one restart of subscribers.
 type restartCost struct {
 	ready, processor time.Duration
-	bytes, worst     float64 // worst: a second
+	bytes, worst     float64 // mean received bytes; bytes per second at the busiest node
 }
 
-// Run restarts so many subscribers, drawn by the seed, as often as there are repeats.
+// Run restarts the given number of subscribers, drawn by the seed, in each repeat, and returns the
+// medians.
 func (m recoveryTree) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(max(size, m.subscribers)), o)
 	if err != nil {
@@ -57,7 +60,7 @@
 	defer t.close()
 	delays := watchDelays()
 	var all []restartCost
-	s.Partial, err = repeats(ctx, o.For, func() error {
+	s.Partial, err = runRepeats(ctx, o.Duration, func() error {
 		cost, err := t.restartSome(ctx, size)
 		all = append(all, cost)
 		return err
@@ -71,48 +74,51 @@
 	s.Set("processor", medianOf(all, func(c restartCost) float64 { return c.processor.Seconds() * 1000 / float64(size) }))
 	s.Set("repeats", float64(len(all)))
 	s.Violations = t.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
-// restartSome kills subscribers that are drawn, starts them anew, and waits until all have their configuration.
-func (t *tree) restartSome(ctx context.Context, many int) (cost restartCost, err error) {
-	var some []*hollowSubscriber
-	for _, i := range t.random.Perm(len(t.subscribers))[:many] {
-		some = append(some, t.subscribers[i])
+// restartSome kills the given number of random subscribers, starts them as new incarnations, and
+// waits until all have their configuration.
+func (t *tree) restartSome(ctx context.Context, count int) (cost restartCost, err error) {
+	var restarted []*hollowSubscriber
+	for _, i := range t.random.Perm(len(t.subscribers))[:count] {
+		restarted = append(restarted, t.subscribers[i])
 	}
-	each(some, (*hollowSubscriber).kill)
+	forEachNode(restarted, (*hollowSubscriber).kill)
 	before := t.bytes()
 	processorBefore := processorTime()
 	began := time.Now()
-	for _, s := range some {
+	for _, s := range restarted {
 		t.starts.Add(1)
 		s.start()
 	}
-	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(some) == 0 }) {
-		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s", countWaiting(some), many, readyTimeout)
+	if !awaitClosely(ctx, readyTimeout, func() bool { return countWaiting(restarted) == 0 }) {
+		return cost, fmt.Errorf("%d of %d subscribers have no configuration after %s",
+			countWaiting(restarted), count, readyTimeout)
 	}
 	cost.ready = time.Since(began)
 	cost.processor = processorTime() - processorBefore
 	for name, bytes := range t.bytes() {
 		cost.worst = max(cost.worst, float64(bytes-before[name])/max(cost.ready, time.Second).Seconds())
 	}
-	for _, s := range some {
-		cost.bytes += float64(s.received()) / float64(many)
+	for _, s := range restarted {
+		cost.bytes += float64(s.received()) / float64(count)
 	}
 	return cost, nil
 }
 
-// received is what it was sent in this incarnation.
+// received returns the bytes that the node has received in this incarnation.
 func (s *hollowSubscriber) received() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.node.Traffic().In
 }
 
-// Describe says what it is.
+// Describe returns the name, the sizes and the metrics of the measurement.
 func (m recoveryDelta) Describe() Description {
-	return Description{Name: "recovery-delta", Size: "changes missed", Sizes: []int{10, 40, 160, 640}, Targets: []int{126, 1512},
+	return Description{Name: "recovery-delta", SizeUnit: "changes missed", Sizes: []int{10, 40, 160, 640},
+		Targets:   []int{126, 1512},
 		Transport: "memory",
 		About:     fmt.Sprintf("A region of %d hollow subscribers is cut off, misses changes and catches up", m.subscribers/regions),
 		Metrics: []results.Metric{
@@ -122,12 +128,13 @@
 		}}
 }
 
-// Needs are those of all nodes in our process.
+// Needs returns the time, and the memory of all nodes, which run in this process.
 func (m recoveryDelta) Needs(_ int, o Options) Needs {
-	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + proposeAll}
+	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + allProposalsTime}
 }
 
-// Run cuts a region without voters off while so many changes are made.
+// Run cuts off a region without voters while the given number of changes is made, and measures how
+// the region catches up.
 func (m recoveryDelta) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(m.subscribers), o)
 	if err != nil {
@@ -139,7 +146,7 @@
 	t.network.cutOff(region)
 	began := time.Now()
 	for range size {
-		if err := t.voters.propose(ctx, t.content.draw()); err != nil {
+		if err := t.voters.propose(ctx, t.content.drawChange()); err != nil {
 			return s, err
 		}
 	}
@@ -152,31 +159,31 @@
 		if node.region == region {
 			behind = append(behind, node)
 			before += float64(node.received())
-			node.reachableNow()
+			node.markReachable()
 		}
 	}
 	t.network.heal()
 	healed := time.Now()
-	if !awaitClosely(ctx, readyTimeout, func() bool { return t.current(behind) }) {
-		return s, fmt.Errorf("a region is not current %s after the end of its cut", readyTimeout)
+	if !awaitClosely(ctx, readyTimeout, func() bool { return t.allCurrent(behind) }) {
+		return s, fmt.Errorf("the region that was cut off is not current %s after the end of the cut", readyTimeout)
 	}
 	ready := time.Since(healed)
 	after := 0.
 	for _, node := range behind {
 		after += float64(node.received())
 	}
-	each(behind, func(node *hollowSubscriber) { node.check(t.content, t.content.last()) })
+	forEachNode(behind, func(node *hollowSubscriber) { node.check(t.content, t.content.lastRevision()) })
 	s.Set("ready", ready.Seconds())
 	s.Set("bytes", (after-before)/float64(len(behind)))
 	s.Set("snapshots", float64(t.needlessSnapshots()))
 	s.Violations = t.propagation.violations
-	s.Inconclusive = delays.tooBusy()
+	s.Inconclusive = delays.inconclusiveReason()
 	return s, nil
 }
 
-// current tells whether all of some nodes are at the newest revision, by their own word.
-func (t *tree) current(nodes []*hollowSubscriber) bool {
-	last := t.content.last()
+// allCurrent reports whether the status of all given nodes has the newest revision.
+func (t *tree) allCurrent(nodes []*hollowSubscriber) bool {
+	last := t.content.lastRevision()
 	for _, node := range nodes {
 		if status, ok := node.status(); !ok || status.Version.Revision < last {
 			return false
