--- a/controller/backend_index.go
+++ b/controller/backend_index.go
@@ -13,8 +13,8 @@
 
 func newBackendIndex() *backendIndex { return &backendIndex{index: map[string]int{}} }
 
-// assign returns the index of a backend, and assigns one to a new backend. It returns false if that
-// takes more than limit indices.
+// assign returns the index of a backend, and assigns one to a new backend. It returns false if no
+// index is free and limit indices are in use.
 func (b *backendIndex) assign(id string, name []byte, limit int) (index int, ok bool) {
 	if index, ok = b.index[id]; ok {
 		return index, true
@@ -32,8 +32,9 @@
 	return index, true
 }
 
-// updateListed records which backends a list names; the value of listed is false if the list names
-// the backend as removed. A full list drops all backends that it does not name.
+// updateListed records which backends are in an endpoint list. listed has an entry for each of its
+// backends, which is false if the list has the backend as removed. A full list drops all backends
+// that it does not contain.
 func (b *backendIndex) updateListed(listed map[int]bool, full bool, now microseconds) {
 	for backend, since := range b.removedAt {
 		present, named := listed[backend]
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -9,15 +9,15 @@
 	"wheelrill/balancer"
 )
 
-// newFleet makes the event loop of a controller for a number of proxies and 200 backends, whose
-// push channel has a rate of lines a second.
+// newFleet makes the event loop of a controller for a number of proxies and 200 backends. lines is
+// the rate of its push channel, in lines a second.
 func newFleet(b *testing.B, proxies int, lines float64) *eventLoop {
 	b.Helper()
-	return newFleetOf(b, proxies, 200, lines)
+	return newFleetWithBackends(b, proxies, 200, lines)
 }
 
-// newFleetOf does the same for a number of backends.
-func newFleetOf(b *testing.B, proxies, backends int, lines float64) *eventLoop {
+// newFleetWithBackends makes the same event loop as newFleet, for a given number of backends.
+func newFleetWithBackends(b *testing.B, proxies, backends int, lines float64) *eventLoop {
 	b.Helper()
 	var entries []string
 	for id := range backends {
@@ -38,8 +38,8 @@
 	return c.loop
 }
 
-// connectFleet connects proxies at one clock time, each on a connection whose outbox takes all
-// messages.
+// connectFleet connects proxies at one clock time. Their connections have no socket: messages stay
+// in the outboxes until acknowledgeAll empties them.
 func connectFleet(loop *eventLoop, proxies int) (conns []*connection) {
 	loop.iterate(func() {
 		for proxy := range proxies {
@@ -144,7 +144,7 @@
 				t.flush(nil, nil, nil)
 			}
 		})
-		loop := newFleetOf(b, proxies, backends, wideRate)
+		loop := newFleetWithBackends(b, proxies, backends, wideRate)
 		conns := connectFleet(loop, proxies)
 		acknowledgeAll(loop, conns)
 		advance(loop, 5*microsPerSecond, func() {})
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -19,17 +19,17 @@
 type parsedConfiguration struct {
 	Identity
 	seed          uint64
-	cachedList    *fastjson.Value // discovery's list when the configuration was written; nil if it has none
+	cachedList    *fastjson.Value // discovery's list when the configuration was written; nil if missing
 	limits        *limits
 	channel       balancer.PushChannel
 	rules         balancer.RuleLimits
 	classes       []balancer.Class
-	classNames    [][]byte       // by class: the name as encoded in messages, a JSON string
+	classNames    [][]byte       // by class: its name as encoded in messages, a JSON string
 	classIndex    map[string]int // class index by name
 	zones         []string
 	telemetry     balancer.Telemetry
 	admissionMode balancer.AdmissionMode
-	restartTexts  map[string]string // JSON text of each of restartKeys that is present
+	restartTexts  map[string]string // by key: JSON text of each of restartKeys that is present
 	warnings      []string          // unusual settings that can still be used
 }
 
@@ -44,11 +44,11 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if key := duplicateKey(root); key != "" {
-		return nil, fmt.Errorf("configuration: %s stands there twice", key)
+		return nil, fmt.Errorf("configuration: key %s occurs twice; it may occur once", key)
 	}
 	values := root.Get("settings")
 	if values == nil || values.Type() != fastjson.TypeObject {
-		return nil, errors.New("configuration: settings is missing")
+		return nil, errors.New("configuration: settings is missing or not an object")
 	}
 	p := newParsedConfiguration(root)
 	given, err := parseResources(root.Get("limits"))
@@ -124,7 +124,7 @@
 		p.warnf("health checks are disabled: they are not supported on sockets")
 	}
 	p.telemetry.HealthChecksAllowed = false
-	p.telemetry.PollingRequired = false // the watcher follows the list all the time
+	p.telemetry.PollingRequired = false // the watcher watches the endpoint list all the time
 	tick := settings.FromMilliseconds(parsed.NumberOr("tick", 0))
 	p.parseClassNames(values, parsed)
 	if err := parsed.Err(); err != nil {
@@ -147,21 +147,23 @@
 		key := fmt.Sprintf("profiles.%d.name", class)
 		value := values.Get("profiles", strconv.Itoa(class), "name")
 		if value == nil || value.Type() != fastjson.TypeString {
-			parsed.Reject(key, "is missing")
+			parsed.Reject(key, "is missing or not a string")
 			return
 		}
 		name := string(value.GetStringBytes())
 		if _, taken := p.classIndex[name]; taken || name == "" {
-			parsed.Reject(key, fmt.Sprintf("is %q, which is empty or the name of another class", name))
+			parsed.Reject(key, fmt.Sprintf("is %q; a name must not be empty, or the name of another class", name))
 		}
 		p.classNames = append(p.classNames, value.MarshalTo(nil))
 		p.classIndex[name] = class
 	}
 }
 
-// newDecisions makes decisions that push over a channel. They have no shards, which are not
-// supported on sockets.
-func (p *parsedConfiguration) newDecisions(host balancer.Host, channel balancer.PushChannel) (*balancer.Controller, error) {
+// newDecisions makes the balancing decisions, which push over a channel. It configures no shards,
+// because they are not supported on sockets.
+func (p *parsedConfiguration) newDecisions(
+	host balancer.Host, channel balancer.PushChannel,
+) (*balancer.Controller, error) {
 	return balancer.New(host, balancer.Config{
 		Seed:      p.seed,
 		Classes:   p.classes,
--- a/controller/configuration_cache.go
+++ b/controller/configuration_cache.go
@@ -23,10 +23,10 @@
 	cachePauseFactor = 100             // least pause after a write, as a multiple of the time that the write took
 )
 
-// configurationCache stores a subscriber's configuration in a file, so that a restart begins with
-// it and accepts nothing older. The file is replaced atomically: after a crash it is complete, and
-// at most as old as the pause between two writes (cacheInterval, or longer where a write is slow).
-// The goroutine of runCache owns the cache.
+// configurationCache stores a subscriber's configuration in a file, so that the subscriber starts
+// with it after a restart and accepts no older version. The file is replaced atomically: after a
+// crash it is complete, and at most as old as the pause between two writes (cacheInterval, or
+// longer where a write is slow). The goroutine of runCache owns the cache.
 type configurationCache struct {
 	path  string
 	saved distribution.Version // version of the configuration in the file
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // removes the temporary file if an error prevented the rename
+	defer func() { _ = os.Remove(file.Name()) }() // has an effect only if an error prevented the rename
 	_, err = file.Write(body.Bytes())
 	if err := errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
--- a/controller/configuration_cache_test.go
+++ b/controller/configuration_cache_test.go
@@ -17,10 +17,11 @@
 		t.Fatal(err)
 	}
 	if state, err := cache.load(); state != nil || err != nil {
-		t.Errorf("a new cache has state %v, error %v", state, err)
+		t.Errorf("load of a new cache returned state %v, error %v; want neither", state, err)
 	}
 	state := distribution.State{Version: distribution.Version{Epoch: distribution.Epoch{Number: 4}, Revision: 7},
-		Covered: distribution.SomeScopes("pricing"), Horizon: 2, Entries: []distribution.Entry{distributedEntry("drain/s-1", "true", 5)}}
+		Covered: distribution.SomeScopes("pricing"), Horizon: 2,
+		Entries: []distribution.Entry{distributedEntry("drain/s-1", "true", 5)}}
 	if err := cache.save(state); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +31,7 @@
 	}
 	if got, err := reopened.load(); err != nil || fmt.Sprint(*got) != fmt.Sprint(state) ||
 		reopened.saved != state.Version {
-		t.Errorf("load returned %+v, error %v", got, err)
+		t.Errorf("load returned %+v, error %v, version %+v; want the saved state %+v", got, err, reopened.saved, state)
 	}
 	if files, err := os.ReadDir(folder); err != nil || len(files) != 1 {
 		t.Errorf("the folder should contain one file, has %v, error %v", files, err)
@@ -39,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if got, err := reopened.load(); err == nil || got != nil || !strings.Contains(err.Error(), cacheFile) {
-		t.Errorf("load returned %+v, error %v", got, err)
+		t.Errorf("load of a damaged file returned %+v, error %v; want an error that names the file", got, err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -52,7 +53,7 @@
 
 // A subscriber that restarts while no parent can be reached has to use its cached configuration.
 // Without it, drains would end with the restart.
-func TestSubscriberBeginsWithItsCacheAfterARestart(t *testing.T) {
+func TestSubscriberUsesItsCacheAfterRestart(t *testing.T) {
 	known := listJSON(1, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
 	members, voters := runVoters(t, known, "n0", "n1")
 	with := DistributionConfig{Parents: members, Folder: t.TempDir()}
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -33,8 +33,8 @@
 		logged := newLogBuffer()
 		unusual := strings.Replace(good, `"weights":"rough"`, `"weights":"guessed"`, 1)
 		c, err := New(Identity{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8"}, []byte(unusual), NewLogger(logged))
-		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" || c.Cores() != 1 ||
-			c.Memory() != 192<<20 {
+		if err != nil || c.configuration.Listen != "127.0.0.1:7" || c.watcher.client.Addr != "127.0.0.1:8" ||
+			c.Cores() != 1 || c.Memory() != 192<<20 {
 			t.Errorf("controller %+v, error %v; want the identity's addresses and the limits of the configuration", c, err)
 		}
 		logged.waitFor(t, "guessed", 1)
@@ -42,10 +42,11 @@
 }
 
 func TestReloadingTheConfiguration(t *testing.T) {
-	t.Run("another address is followed at once, and streams and what is known live on", func(t *testing.T) {
+	t.Run("a new discovery address takes effect at once, connections and the list are kept", func(t *testing.T) {
 		discovery, next := newFakeDiscovery(t), newFakeDiscovery(t)
 		discovery.answers <- "silence"
-		c, address, logged := runController(t, discovery.address, twoEndpoints, func(l *limits) { l.watchMargin = testTimeout })
+		c, address, logged := runController(t, discovery.address, twoEndpoints,
+			func(l *limits) { l.watchMargin = testTimeout })
 		if query := <-discovery.queries; query != "since=1&timeout_ms=50" {
 			t.Errorf("discovery got the query %q", query)
 		}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -3,8 +3,8 @@
 // proxies.
 //
 // The goroutine of the event loop owns the state and calls the decisions. Connections, the endpoint
-// watcher, the record of shared ownership and the distribution of configuration run on goroutines
-// of their own and post events to the loop. Only package consensus and a subscriber's
+// watcher, the consensus node of shared ownership and the distribution of configuration run on
+// goroutines of their own and post events to the loop. Only package consensus and a subscriber's
 // configurationCache store state on disk.
 package controller
 
@@ -25,15 +25,15 @@
 	"wheelrill/balancer"
 )
 
-// Identity is a controller's name and addresses. New takes an empty field from the configuration.
+// Identity is a controller's name and addresses. New fills empty fields from the configuration.
 type Identity struct {
 	Name      string // identifies the controller in the log and among members that share ownership
 	Listen    string // address on which proxies and collectors connect
 	Discovery string // host and port of discovery
 }
 
-// Controller is one controller. New makes it; ShareOwnership and JoinDistribution may follow; Serve
-// runs it once. Reload may be called while it serves.
+// Controller is a controller that New has made. JoinDistribution and ShareOwnership may be called
+// before Serve, which runs it once. Reload may be called while it serves.
 type Controller struct {
 	limits      *limits
 	log         *slog.Logger
@@ -42,7 +42,7 @@
 	distributor *distributor // nil if the controller takes no part in the distribution of configuration
 
 	mutex         sync.Mutex           // guards configuration
-	configuration *parsedConfiguration // read by New or by the last successful Reload
+	configuration *parsedConfiguration // the last one that New or Reload accepted
 }
 
 // New reads a configuration, a JSON object, and makes a controller that logs to logger. An error
@@ -87,7 +87,7 @@
 // checkDiscovery checks that an address has a host and a port.
 func checkDiscovery(address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fmt.Errorf("configuration: discovery: %w", err)
+		return fmt.Errorf("configuration: discovery: %w; a host and a port are required", err)
 	}
 	return nil
 }
@@ -119,12 +119,12 @@
 func (c *Controller) Memory() int64 { return c.limits.memory }
 
 // Reload replaces the configuration in one step. The discovery address and the cached list take
-// effect at once. The address overrides that of New's identity, so it must be present. A voter also
-// proposes the entries that the configuration distributes. All other keys take effect at the next
-// start: Reload logs each of restartKeys that differs from the last configuration read, but not a
-// key that the new configuration lacks. A configuration that cannot be used changes nothing, and
-// the error names the key. Connections, tables and all other state are kept. Any goroutine may call
-// Reload.
+// effect at once. The address also replaces one that was passed to New in the Identity, so the
+// configuration must contain it. A voter also proposes the entries that the configuration
+// distributes. All other keys take effect at the next start: Reload logs each of restartKeys whose
+// value differs from that of the last accepted configuration, but not a key that the new
+// configuration lacks. An unusable configuration changes nothing, and the error names the key.
+// Connections, tables and all other state are kept. Any goroutine may call Reload.
 func (c *Controller) Reload(configuration []byte) error {
 	parsed, err := parseConfiguration(configuration)
 	if err != nil {
@@ -154,10 +154,10 @@
 	return nil
 }
 
-// Serve runs the controller until ctx ends, and returns nil after this planned end. At a planned
-// end the controller first hands its proxies over if ownership is shared, then closes connections,
-// then stops the record and the distribution. Otherwise Serve returns the error that kept it from
-// serving.
+// Serve runs the controller until ctx ends, which is its planned end, and then returns nil. At the
+// planned end the controller first gives up the ownership of its proxies if ownership is shared,
+// then closes connections, and then stops its consensus node and the distribution. If the
+// controller cannot serve, Serve returns the error.
 func (c *Controller) Serve(ctx context.Context) error {
 	if c.distributor != nil && c.distributor.transport == nil {
 		return errors.New(
@@ -175,8 +175,8 @@
 	defer cancel()
 	connections, endConnections := c.connectionsContext(ctx)
 	defer endConnections()
-	// Close the record's address last: other members take an unreachable address as proof that this
-	// controller's connections are closed.
+	// Stop the consensus node only after the connections are closed: other members take its
+	// unreachable address as proof that this controller's connections are closed.
 	recordCtx, stopRecord := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopRecord()
 	defer time.AfterFunc(c.limits.readyTimeout, func() {
@@ -200,7 +200,7 @@
 }
 
 // connectionsContext returns the context of the server. Where ownership is shared, it does not end
-// with ctx: connections have to last until the loop has handed the proxies over.
+// with ctx: connections must stay open until the loop has given up the ownership of the proxies.
 func (c *Controller) connectionsContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if c.loop.ownership != nil {
 		ctx = context.WithoutCancel(ctx)
@@ -216,7 +216,9 @@
 }
 
 // logSettings logs the settings that the decisions use.
-func (c *Controller) logSettings(channel balancer.PushChannel, rules balancer.RuleLimits, telemetry balancer.Telemetry) {
+func (c *Controller) logSettings(
+	channel balancer.PushChannel, rules balancer.RuleLimits, telemetry balancer.Telemetry,
+) {
 	seconds := func(span microseconds, places int) string { return formatDecimal(inSeconds(span), places) }
 	c.log.Info("settings_in_force", "lines_per_s", formatDecimal(channel.LinesPerSecond, 0),
 		"backlog", formatDecimal(channel.Backlog, 0),
--- a/controller/distributed_entries.go
+++ b/controller/distributed_entries.go
@@ -16,8 +16,8 @@
 const distributedKey = "distributed"
 
 // readDistributed reads the entries that a configuration distributes, sorted by their keys. It
-// returns false if the configuration has no such object, in which case nothing changes. An error
-// names the first unusable key, and what is allowed.
+// returns false if the configuration lacks distributedKey, which leaves the distributed entries
+// unchanged. An error names the first unusable key, and what is allowed.
 func readDistributed(root *fastjson.Value) (entries []distribution.Entry, ok bool, err error) {
 	scopes := root.Get(distributedKey)
 	if scopes == nil {
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -19,8 +19,9 @@
 
 // DistributionConfig is the role of a controller in the distribution of configuration.
 type DistributionConfig struct {
-	// Voter is true for a member that shares the record, and distributes the configuration to
-	// subscribers. Of the fields below, only FanOut and SnapshotPace apply to a voter.
+	// Voter is true for a member of shared ownership. Voters vote on changes of the distributed
+	// configuration, and distribute it to subscribers. Of the fields below, only FanOut and
+	// SnapshotPace apply to a voter.
 	Voter bool
 	// Name is the name of a subscriber; empty means the controller's own name.
 	Name string
@@ -31,16 +32,17 @@
 	// AllScopes is true for a controller that receives the entries of all scopes, whatever Scopes
 	// contains.
 	AllScopes bool
-	// Listen is the address on which other subscribers connect, and which they are given to dial;
-	// empty means that the controller passes nothing on.
+	// Listen is the address on which other subscribers connect, and which is announced to them;
+	// empty means that no subscriber can connect to this one.
 	Listen string
-	// Folder is where a subscriber stores its configuration; empty means that a restart begins
-	// without one.
+	// Folder is where a subscriber stores its configuration; empty means that the subscriber has no
+	// configuration after a restart until it connects to a parent.
 	Folder string
-	// FanOut is the maximum number of subscribers that connect here; 0 means the default.
+	// FanOut is the maximum number of subscribers connected to this controller; 0 means the
+	// default.
 	FanOut int
-	// SnapshotPace is the rate, in bytes a second, that all snapshots sent from here share; 0 means
-	// the default.
+	// SnapshotPace is the rate, in bytes a second, at which this controller sends snapshots, all
+	// subscribers together; 0 means the default.
 	SnapshotPace int
 	consensus.Credentials
 
@@ -48,11 +50,11 @@
 }
 
 const (
-	proposeTimeout = 10 * time.Second // time that a proposed change may wait for the record
+	proposeTimeout = 10 * time.Second // longest wait until a proposed change is accepted or refused
 	statusInterval = 10 * time.Second // time between two distribution_status lines of the log
 )
 
-// errNoParent is the error of a voter's dial.
+// errNoParent is returned if the distribution node of a voter dials a parent.
 var errNoParent = errors.New("a voter has no parent")
 
 // distributor is the controller's part in the distribution of configuration. Changes that arrive
@@ -63,9 +65,9 @@
 	log           *slog.Logger
 	limits        distribution.Limits
 	transport     *transport.Transport // this controller's node of the distribution tree, and its connections
-	consensusNode *consensus.Node      // set for a voter
-	listener      *consensus.Listener  // set for a subscriber that listens
-	cache         *configurationCache  // set for a subscriber with a folder
+	consensusNode *consensus.Node      // node that proposes changes; set for a voter
+	listener      *consensus.Listener  // accepts other subscribers; set for a subscriber that listens
+	cache         *configurationCache  // stored configuration; set for a subscriber with a folder
 	arrived       arrivedEntries       // entries that the event loop has not taken yet
 	// proposals holds, at a voter, the newest configuration to propose; a newer one replaces it.
 	proposals chan proposedEntries
@@ -118,7 +120,7 @@
 		return err
 	}
 	if strings.Contains(config.Name, consensus.PeerSeparator) {
-		return fmt.Errorf("name: %q has a %s, which parts names from addresses; leave it out",
+		return fmt.Errorf("name: %q contains %s, which separates names from addresses; leave it out",
 			config.Name, consensus.PeerSeparator)
 	}
 	self := consensus.Peer{Name: config.Name}
@@ -172,7 +174,7 @@
 	return nil
 }
 
-// becomeVoter sets up the node of a voter, which is a member that shares the record.
+// becomeVoter sets up the distribution node of a voter, which has no parent.
 func (d *distributor) becomeVoter(self consensus.Peer) *transport.Transport {
 	d.transport = transport.New(transport.Config{
 		Node:  distribution.Config{Name: self.String(), Voter: true, Limits: d.limits},
@@ -190,7 +192,7 @@
 
 // run distributes configuration until ctx ends. Controller.Serve starts it and waits for its end.
 // run starts the goroutines of its parts and waits for them; the transport ends last, so that the
-// cache is written with everything that has arrived.
+// cache is written with all changes that have arrived.
 func (d *distributor) run(ctx context.Context) {
 	var running sync.WaitGroup
 	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -115,8 +115,8 @@
 	return inSeconds(l.now - entry.AcceptedAt)
 }
 
-// updateOverriddenEndpoints reports backends whose overrides have changed to the decisions, as if
-// discovery had changed them, in the order of ids.
+// updateOverriddenEndpoints passes the endpoints of backends whose overrides have changed to the
+// decisions, as if discovery had changed them, in the order of ids.
 func (l *eventLoop) updateOverriddenEndpoints(changed map[string]bool) {
 	var endpoints []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// updateQuotas gives the decisions the quotas of classes whose limits have changed, in the order of
-// names.
+// updateQuotas sets the quotas of classes whose limits have changed in the decisions, in the order
+// of names.
 func (l *eventLoop) updateQuotas(changed map[string]bool) {
 	for _, class := range slices.Sorted(maps.Keys(changed)) {
 		l.decisions.SetClassQuota(l.classIndex[class], l.overrides.limitOf(class))
--- a/controller/distribution_log.go
+++ b/controller/distribution_log.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// perSecond formats a rate for the log.
+// perSecond formats an amount per interval as a rate per second, for the log.
 func perSecond(amount int64, interval time.Duration) string {
 	return formatDecimal(float64(amount)/interval.Seconds(), 0)
 }
--- a/controller/distribution_propose.go
+++ b/controller/distribution_propose.go
@@ -11,7 +11,7 @@
 )
 
 // distributedEntries reads the entries that a voter's configuration distributes. It returns false
-// if the controller is not a voter, or if the configuration does not say what to distribute.
+// if the controller is not a voter, or if the configuration lacks the key distributedKey.
 func (c *Controller) distributedEntries(configuration []byte) (entries proposedEntries, ok bool, err error) {
 	if c.distributor == nil || c.distributor.consensusNode == nil {
 		return nil, false, nil
@@ -51,7 +51,8 @@
 	}
 }
 
-// propose puts entries on the record as one change, and logs the result.
+// propose proposes to replace all distributed entries by the given ones, as one change, and logs
+// the result.
 func (d *distributor) propose(ctx context.Context, entries proposedEntries) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -22,7 +22,8 @@
 	stop    func()
 }
 
-// startController makes a controller, has it prepared, and serves with it until the test ends.
+// startController makes a controller, calls prepare with it, and runs it until the test ends or
+// stop is called.
 func startController(t *testing.T, name, known string, prepare func(*Controller) error) *runningController {
 	t.Helper()
 	logged := newLogBuffer()
@@ -67,7 +68,8 @@
 // quickLimits are limits with which a lost connection is detected soon.
 func quickLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
-	limits.Heartbeat, limits.Lease, limits.Handshake, limits.MaxStaleness = microsPerSecond/10, microsPerSecond/2, microsPerSecond, 3*microsPerSecond/2
+	limits.Heartbeat, limits.Lease = microsPerSecond/10, microsPerSecond/2
+	limits.Handshake, limits.MaxStaleness = microsPerSecond, 3*microsPerSecond/2
 	return limits
 }
 
@@ -140,14 +142,14 @@
 		}
 	}
 	awaitPicks("of all backends", func(ids []string) bool { return len(ids) == 6 && !fake.inMessage })
-	t.Run("a drain is in force at a controller below another subscriber", func(t *testing.T) {
+	t.Run("a drain reaches a subscriber whose parent is another subscriber", func(t *testing.T) {
 		voters[1].reload(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
 		voters[1].logged.waitFor(t, "msg=change_accepted revision=1", 1)
 		awaitPicks("without the drained backend", func(ids []string) bool {
 			return !slices.Contains(ids, "s-2") && !fake.inMessage
 		})
 		if !slices.Contains(fake.picks(0), "s-3") {
-			t.Error("a drain of a scope without subscription is in force")
+			t.Error("the drain of scope orders is applied, but the controller subscribes only to pricing")
 		}
 		for _, s := range []*runningController{relay, leaf, voters[0], voters[2]} {
 			s.logged.waitFor(t, "msg=configuration_applied revision=1", 1)
@@ -155,7 +157,7 @@
 		leaf.logged.waitFor(t, "msg=snapshot_applied revision=1", 1)
 		leaf.logged.waitFor(t, `msg=subscribed`, 1)
 	})
-	t.Run("the same configuration again is no change, and an unusable one changes nothing", func(t *testing.T) {
+	t.Run("neither an equal configuration nor an unusable one changes the record", func(t *testing.T) {
 		voters[0].reload(t, known, `{"pricing":{"drain":{"s-2":true}},"orders":{"drain":{"s-3":true}}}`)
 		voters[0].logged.waitFor(t, "msg=change_empty revision=1", 1)
 		if err := voters[0].Reload(withDistributed(known, `{"pricing":{"drain":{"s-4":1}}}`)); err == nil {
@@ -191,10 +193,10 @@
 		config DistributionConfig
 		want   string
 	}{
-		"listens everywhere in plain text": {DistributionConfig{Listen: "0.0.0.0:0"}, "loopback"},
-		"address in use":                   {DistributionConfig{Listen: "127.0.0.1:0x"}, "listen"},
-		"a name with a separator":          {DistributionConfig{Name: "s@1"}, "leave it out"},
-		"a missing certificate file":       {DistributionConfig{}, "certificate"},
+		"listens on all interfaces without TLS": {DistributionConfig{Listen: "0.0.0.0:0"}, "loopback"},
+		"an invalid address":                    {DistributionConfig{Listen: "127.0.0.1:0x"}, "listen"},
+		"a name with a separator":               {DistributionConfig{Name: "s@1"}, "leave it out"},
+		"a missing certificate file":            {DistributionConfig{}, "certificate"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := New(Identity{}, configuration("127.0.0.1:9", known), NewLogger(newLogBuffer()))
@@ -226,7 +228,7 @@
 
 // A controller that takes no part in the distribution ignores the distributed key of its
 // configuration, even if the value is unusable.
-func TestWithoutDistributionItsKeyIsNotRead(t *testing.T) {
+func TestDistributedKeyIsIgnoredWithoutDistribution(t *testing.T) {
 	logged := newLogBuffer()
 	c, err := New(Identity{}, withDistributed(listJSON(1, true, endpointJSON(0, "up")), `[]`), NewLogger(logged))
 	if err != nil {
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -12,8 +12,8 @@
 // reads or writes the decisions, tables, sessions, overrides, timers, backend indices and the
 // ownership coordinator; all other goroutines post functions to inbox. Connections also read the
 // fields that New sets and that never change: limits, log, zone and class indices and names, clock,
-// and the channels. All events of one iteration happen at one clock time, and each proxy that they
-// concern is written one message for them. The loop stores nothing on disk: after a restart it
+// and the channels. All events of one iteration share one clock time, and each proxy that they
+// affect gets one message for all of them. The loop stores nothing on disk: after a restart it
 // begins with the cached list of the configuration.
 type eventLoop struct {
 	// tables is embedded so that PublishEntry, AssignTable, Withdraw and the other orders of
@@ -25,15 +25,15 @@
 	decisions *balancer.Controller
 	watcher   *endpointWatcher
 
-	ownership   *ownershipHost // shared ownership of proxies; nil if the controller acts alone
-	distributor *distributor   // distributed configuration; nil if the controller takes no part
+	ownership   *ownershipHost // shared ownership of proxies; nil if ownership is not shared
+	distributor *distributor   // distribution of configuration; nil if the controller takes no part
 	overrides   *overrides     // distributed overrides of backends and classes; nil without distributor
 
 	zoneIndex  map[string]int // zone index by name
 	classIndex map[string]int // class index by name
 	zoneNames  []string
 	backends   *backendIndex
-	sessions   []*session // by proxy; nil if the proxy is not connected
+	sessions   []*session // by proxy: its session; nil if it is not connected
 
 	// inbox holds at most limits.inboxSize events. When it is full, post blocks and tryPost drops
 	// its event.
@@ -41,9 +41,9 @@
 	stopped chan struct{} // closed when run returns; no event is handled after that
 	ready   chan struct{} // closed by becomeReady; connections send no message before that
 
-	clock     func() microseconds // Unix time
+	clock     func() microseconds // returns the Unix time
 	now       microseconds        // clock time of the current iteration
-	stalledAt microseconds        // end of the last pause in which the process did not run
+	stalledAt microseconds        // time at which the process last resumed after a stall
 	timers    []timer             // ordered by due time
 }
 
@@ -76,8 +76,8 @@
 	}
 }
 
-// run handles events until ctx ends, and then hands the proxies over if ownership is shared.
-// Controller.Serve starts it and waits for its end.
+// run handles events until ctx ends, and then gives up the ownership of the proxies if ownership is
+// shared. Controller.Serve starts it and waits for its end.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.stopped)
 	if l.ownership != nil {
@@ -168,8 +168,8 @@
 }
 
 // pushChanges writes each proxy the changes of this iteration that concern it, and registers the
-// acknowledgements that the decisions requested. Where ownership is shared, the changes are put on
-// the record first.
+// acknowledgements that the decisions requested. Where ownership is shared, the changes are
+// proposed to the record first, and messages wait until it contains them.
 func (l *eventLoop) pushChanges() {
 	send, revision := (*connection).send, uint64(0)
 	if l.ownership != nil {
@@ -186,7 +186,8 @@
 }
 
 // forgetRemovedBackends discards the state of backends that were removed longer than
-// limits.forgetAfter ago. No queued event or message refers to a backend by its index.
+// limits.forgetAfter ago. Their indices can be reused, because no queued event or message refers to
+// a backend by its index.
 func (l *eventLoop) forgetRemovedBackends() {
 	forgotten := l.backends.sweep(l.now, l.limits.forgetAfter, func(backend int) bool {
 		discarded := l.forget(backend, func() bool { return l.decisions.ForgetBackend(backend) })
@@ -200,16 +201,16 @@
 	}
 }
 
-// Reasons for becoming ready.
+// Reasons for becoming ready, as logged.
 const (
 	readyListKnown         = "the list is known"
 	readyDiscoveryAnswered = "discovery has answered"
 	readyWithoutList       = "nothing is known, and discovery keeps silent"
 )
 
-// becomeReady lets connections send their messages, the answers to readiness checks among them. A
-// controller that knows no backend issues no orders, so its proxies keep the tables that they have.
-// That is no worse for them than finding no controller to connect to.
+// becomeReady allows connections to send messages, including the answers to readiness checks. A
+// controller that knows no backend gives no orders, so its proxies keep their present tables, as
+// they would if they could not connect to any controller.
 func (l *eventLoop) becomeReady(reason string) {
 	select {
 	case <-l.ready:
@@ -224,8 +225,8 @@
 	l.log.Log(context.Background(), level, "ready", "backends", len(l.backends.index), "reason", reason)
 }
 
-// Log implements balancer.Host: it logs a change of mode, with the id of the backend concerned, by
-// which operators know the backend.
+// Log implements balancer.Host: it logs a decision, with the id of the backend concerned instead of
+// its index, because operators know backends by their ids.
 func (l *eventLoop) Log(backend int, line string) {
 	if backend < 0 {
 		l.log.Info("decision", "text", line)
@@ -234,8 +235,8 @@
 	l.log.Info("decision", "backend", l.backends.ids[backend], "text", line)
 }
 
-// PollEndpoints implements balancer.Host: it ends the watcher's backoff at once. The list is
-// watched all the time, because a watch costs discovery nothing here.
+// PollEndpoints implements balancer.Host: it ends the watcher's backoff at once. No other request
+// is needed: the endpoint list is watched all the time, because a watch costs discovery nothing.
 func (l *eventLoop) PollEndpoints() { l.watcher.wake() }
 
 // CheckHealth implements balancer.Host. It is never called: health checks are not supported on
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -36,10 +36,10 @@
 		changes := fmt.Sprintf("[%s,%s,%s]", endpointJSON(0, "draining"), endpointJSON(1, "removed"), endpointJSON(2, "up"))
 		advance(loop, 5*microsPerSecond, func() { loop.endpointsUpdated(false, 2, parsed(t, changes).GetArray()) })
 		if fake.receive(t, conn); fake.messages != 2 || !slices.Equal(fake.picks(0), []string{"s-2"}) {
-			t.Errorf("want a second message that leaves s-2, got %+v", fake)
+			t.Errorf("want a second message after which s-2 is the only pick, got %+v", fake)
 		}
 	})
-	t.Run("a newer stream takes the place of the old, whose end and acknowledgements say nothing", func(t *testing.T) {
+	t.Run("a newer connection replaces the older one, whose end and acknowledgements are ignored", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		old, fake := connectProxy(t, loop, 1, 0, false), newFakeProxy("read it", "write")
 		fake.receive(t, old)
@@ -54,11 +54,12 @@
 			t.Error("a hello of an older connection replaced the newer connection")
 		}
 		loop.iterate(func() { conn.close(io.EOF); loop.proxyDisconnected(conn) })
-		if text, _ := logged.read(); loop.isCurrent(conn) || !strings.Contains(text, `msg=proxy_disconnected proxy=0 error=EOF`) {
+		if text, _ := logged.read(); loop.isCurrent(conn) ||
+			!strings.Contains(text, `msg=proxy_disconnected proxy=0 error=EOF`) {
 			t.Errorf("the proxy is still connected, or its end is not logged: %s", text)
 		}
 	})
-	t.Run("a stream that says nothing and acknowledges nothing is half-open, a quiet one is not", func(t *testing.T) {
+	t.Run("a silent connection with an outstanding ack is half-open, an idle one is not", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
 		halfOpen, active := connectProxy(t, loop, 1, 0, false), connectProxy(t, loop, 2, 1, false)
 		idle := connectProxy(t, loop, 3, 2, false)
@@ -126,7 +127,7 @@
 			t.Errorf("still connected: half-open %v, active %v", loop.isCurrent(halfOpen), loop.isCurrent(active))
 		}
 	})
-	t.Run("reports are given up when the inbox is full, and the log says so", func(t *testing.T) {
+	t.Run("reports are dropped and logged when the inbox is full", func(t *testing.T) {
 		loop, logged := newIdleLoop(t)
 		for range loop.limits.inboxSize + 5 {
 			loop.tryPost(func() {})
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -27,7 +27,7 @@
 func (g *goldenOrders) assignTable(proxy, table int, classes uint16) {
 	g.tables.AssignTable(table, proxy, classes)
 }
-func (g *goldenOrders) withdraw(backend int, out bool) { g.tables.Withdraw(backend, out) }
+func (g *goldenOrders) withdraw(backend int, withdrawn bool) { g.tables.Withdraw(backend, withdrawn) }
 func (g *goldenOrders) syncWithdrawals(proxy int, limit float64, retry int) {
 	g.tables.SyncWithdrawals(proxy, limit, balancer.RetryPolicy(retry))
 }
@@ -157,7 +157,8 @@
 
 	for proxy, base := range []ownership.KnownTable{
 		{Lines: map[string]float64{`"s-0"`: 2, `"s-2"`: 4, `"s-3"`: 1.0 / 3, `"s-4"`: 2, `"s-5"`: 2, `"s-9"`: 1}},
-		{Lines: map[string]float64{`"s-0"`: 1, `"s-2"`: 4, `"s-8"`: 1, `"s-4"`: 2, `"s-5"`: 2}, Uncertain: map[string]bool{`"s-9"`: true}},
+		{Lines: map[string]float64{`"s-0"`: 1, `"s-2"`: 4, `"s-8"`: 1, `"s-4"`: 2, `"s-5"`: 2},
+			Uncertain: map[string]bool{`"s-9"`: true}},
 		{Lines: map[string]float64{`"s-8"`: 3}},
 	} {
 		g.connect(3+proxy, false)
@@ -169,9 +170,9 @@
 	golden.Compare(t, "orders.golden", g.text.String())
 }
 
-// TestGoldenOrdersByChance compares the bytes of orders in thousands of random combinations with
-// the golden file, by a hash for each seed.
-func TestGoldenOrdersByChance(t *testing.T) {
+// TestGoldenRandomOrders compares the bytes of orders in thousands of random combinations with the
+// golden file, by a hash for each seed.
+func TestGoldenRandomOrders(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(60) {
 		g := newGoldenOrders(t, "a", "b", "c")
@@ -220,9 +221,9 @@
 	golden.Compare(t, "orders-by-chance.golden", text.String())
 }
 
-// recordDay runs a controller on a simulated clock through failures, drains, reconnects and load
-// changes, and records every message that a proxy is written.
-func recordDay(t *testing.T, site deployment) string {
+// recordSimulation runs a controller on a simulated clock through failures, drains, reconnects and
+// load changes, and records every message that a proxy is written.
+func recordSimulation(t *testing.T, site deployment) string {
 	var text strings.Builder
 	loop := site.newLoop(t, 12)
 	random := rand.New(rand.NewPCG(7, 2))
@@ -279,16 +280,18 @@
 	return text.String()
 }
 
-// TestGoldenDay compares the bytes that a whole controller writes to its proxies, zones and classes
-// included, with the golden file.
-func TestGoldenDay(t *testing.T) {
+// TestGoldenSimulation compares the bytes that a whole controller writes to its proxies, zones and
+// classes included, with the golden file.
+func TestGoldenSimulation(t *testing.T) {
 	classes := []classSettings{{"fetch", 1500, 4000, 1, false, false}, {"order", 800, 2000, 3, true, false},
 		{"audit", 3000, 9000, 0.5, false, true}}
 	var text strings.Builder
 	for _, messages := range []int{0, 4, 30} {
-		day := recordDay(t, deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: messages})
-		lines := strings.SplitAfter(day, "\n")
-		fmt.Fprintf(&text, "# %d messages at most: %d messages, sha256 %x\n", messages, len(lines)-1, sha256.Sum256([]byte(day)))
+		site := deployment{classes: classes, zones: []string{"a", "b"}, backend: "s-", maxMessages: messages}
+		recorded := recordSimulation(t, site)
+		lines := strings.SplitAfter(recorded, "\n")
+		fmt.Fprintf(&text, "# %d messages at most: %d messages, sha256 %x\n",
+			messages, len(lines)-1, sha256.Sum256([]byte(recorded)))
 		if messages == 30 {
 			text.WriteString(strings.Join(lines[:min(len(lines), 120)], ""))
 		}
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -17,9 +17,9 @@
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 9))
 		variants := []*tables{newTestTables(2), newTestTables(2)}
-		order := func(give func(to *tables)) {
+		orderAll := func(order func(to *tables)) {
 			for _, to := range variants {
-				give(to)
+				order(to)
 			}
 		}
 		total, written := 0, make([][]byte, len(variants))
@@ -29,26 +29,26 @@
 			flag, weight := random.IntN(2) == 0, float64(random.IntN(3))
 			switch random.IntN(12) {
 			case 0:
-				order(func(to *tables) { connectFakeProxy(to, proxy, flag) })
+				orderAll(func(to *tables) { connectFakeProxy(to, proxy, flag) })
 			case 1, 2:
-				order(func(to *tables) { to.AssignTable(number, proxy, classes) })
+				orderAll(func(to *tables) { to.AssignTable(number, proxy, classes) })
 			case 3, 4, 5:
-				order(func(to *tables) { to.PublishEntry(number, backend, weight) })
+				orderAll(func(to *tables) { to.PublishEntry(number, backend, weight) })
 			case 6, 7:
-				order(func(to *tables) { to.Withdraw(backend, flag) })
+				orderAll(func(to *tables) { to.Withdraw(backend, flag) })
 			case 8:
-				order(func(to *tables) { to.SyncWithdrawals(proxy, 5, balancer.NoRetry) })
+				orderAll(func(to *tables) { to.SyncWithdrawals(proxy, 5, balancer.NoRetry) })
 			case 9:
-				order(func(to *tables) { to.ClearWithdrawals(proxy) })
+				orderAll(func(to *tables) { to.ClearWithdrawals(proxy) })
 			case 10:
-				order(func(to *tables) {
+				orderAll(func(to *tables) {
 					for table := range numbers {
 						to.PublishEntry(table, backend, 0) // the decisions forget only backends without entries
 					}
 				})
-				order(func(to *tables) { to.forget(backend, func() bool { return true }) })
+				orderAll(func(to *tables) { to.forget(backend, func() bool { return true }) })
 			case 11:
-				order(func(to *tables) { to.RequestAck(step, flag) })
+				orderAll(func(to *tables) { to.RequestAck(step, flag) })
 			}
 			if flag {
 				continue // one message contains several orders
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -9,9 +9,12 @@
 	"wheelrill/ownership"
 )
 
-// newKnownTable makes tables of ten entries for two classes, and a proxy that another owner has
-// left with the given entries. base is what the new owner knows of them.
-func newKnownTable(base ownership.KnownTable, entriesBefore map[string]float64) (*tables, *fakeProxy, *connection) {
+// newTablesWithKnownProxy makes table 0 with ten entries for two classes, and a connected proxy
+// that has entriesBefore and limits of its previous owner. base is the table that the new owner
+// knows the proxy to have.
+func newTablesWithKnownProxy(
+	base ownership.KnownTable, entriesBefore map[string]float64,
+) (*tables, *fakeProxy, *connection) {
 	to := newTestTables(2)
 	fake, conn := connectFakeProxy(to, 0, false)
 	for class := range fake.lines {
@@ -39,11 +42,12 @@
 		return encoded
 	}
 	t.Run("known entries are not written again, and limits of another owner are lifted once", func(t *testing.T) {
-		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		tables, fake, conn := newTablesWithKnownProxy(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		tables.AssignTable(0, 0, 0)
 		tables.RequestAck(1, false)
 		tables.flushToOutboxes(t)
-		if fake.receive(t, conn); fake.cost > 3 || !maps.Equal(fake.lines[0], ten) || fake.limits[0][0] < 1e9 || fake.limits[1][0] < 1e9 ||
+		if fake.receive(t, conn); fake.cost > 3 || !maps.Equal(fake.lines[0], ten) ||
+			fake.limits[0][0] < 1e9 || fake.limits[1][0] < 1e9 ||
 			fake.limits[0][1] != float64(balancer.RetryIfNotExecuted) {
 			t.Errorf("want at most 3 lines and lifted limits, got %+v", fake)
 		}
@@ -64,7 +68,7 @@
 		delete(entriesBefore, "s-2")
 		known := quoted(entriesBefore)
 		delete(known, `"s-9"`) // uncertain: the proxy may have any weight, or none
-		tables, fake, conn := newKnownTable(
+		tables, fake, conn := newTablesWithKnownProxy(
 			ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, entriesBefore)
 		tables.AssignTable(0, 0, 0)
 		tables.flushToOutboxes(t)
@@ -73,15 +77,17 @@
 		}
 	})
 	t.Run("if all entries differ, the full table is written", func(t *testing.T) {
-		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
+		tables, fake, conn := newTablesWithKnownProxy(
+			ownership.KnownTable{Lines: map[string]float64{}}, map[string]float64{"s-30": 1})
 		tables.AssignTable(0, 0, 0)
 		tables.flushToOutboxes(t)
-		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || fake.limits[0] != nil || tables.fullTables != 1 || tables.deltaTables != 0 {
+		if fake.receive(t, conn); !maps.Equal(fake.lines[0], ten) || fake.limits[0] != nil ||
+			tables.fullTables != 1 || tables.deltaTables != 0 {
 			t.Errorf("want one full table and no limits, got %+v", fake)
 		}
 	})
 	t.Run("for classes that had different tables, an entry that any of them lacks is written", func(t *testing.T) {
-		tables, fake, conn := newKnownTable(ownership.KnownTable{Lines: quoted(ten)}, ten)
+		tables, fake, conn := newTablesWithKnownProxy(ownership.KnownTable{Lines: quoted(ten)}, ten)
 		delete(fake.lines[1], "s-4")
 		withoutOne := quoted(ten)
 		delete(withoutOne, `"s-4"`)
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -13,13 +13,14 @@
 // backend, class, tenant, route or service that it refers to: an entry of the scope "pricing" that
 // drains the backend s-1 has the name "drain/s-1".
 const (
-	kindDrain  = "drain"  // of a backend
-	kindWeight = "weight" // of a backend
-	// A limit of a class is the requests a second of all proxies. A limit of a tenant is
-	// distributed, but not applied here.
-	kindLimit   = "limit"   // of a class or a tenant
-	kindRoute   = "route"   // by its name
-	kindService = "service" // by its name
+	kindDrain  = "drain"  // drains a backend
+	kindWeight = "weight" // sets the weight of a backend
+	// kindLimit bounds the requests a second of a class or a tenant. The limit of a class applies
+	// to the requests of all proxies together. The limit of a tenant is distributed, but
+	// controllers do not apply it.
+	kindLimit   = "limit"
+	kindRoute   = "route"   // describes a route; distributed, but controllers do not apply it
+	kindService = "service" // describes a service; distributed, but controllers do not apply it
 
 	kindSeparator = "/"
 )
@@ -122,7 +123,7 @@
 	return max(limit, minLimit), err == nil && limit >= 0 && !math.IsInf(limit, 1)
 }
 
-// limitOf returns the lowest limit that an entry sets for a class; 0 if there is none.
+// limitOf returns the lowest limit that an entry sets for a class; 0 if no entry sets a limit.
 func (o *overrides) limitOf(class string) (lowest float64) {
 	for _, limit := range o.classLimits[class] {
 		if lowest == 0 || limit < lowest {
@@ -147,8 +148,9 @@
 	return changed
 }
 
-// weightOf returns the weight that entries set for a backend. Of several scopes, the entry with the
-// newest revision applies, and of several entries of one revision the lowest weight.
+// weightOf returns the weight that entries set for a backend. If entries of several scopes set one,
+// the entry with the newest revision applies, and among entries of the same revision the one with
+// the lowest weight. It returns false if no entry sets a weight.
 func (o *overrides) weightOf(backend string) (weight float64, ok bool) {
 	var newest weightOverride
 	for _, override := range o.weights[backend] {
@@ -161,8 +163,8 @@
 	return newest.weight, ok
 }
 
-// drainedSince returns the time at which the first of the entries that drain a backend was
-// accepted; 0 if no entry has a time.
+// drainedSince returns the earliest time at which an entry that drains a backend was accepted; 0 if
+// no such entry has a time of acceptance.
 func (o *overrides) drainedSince(backend string) (since microseconds) {
 	for _, acceptedAt := range o.drains[backend] {
 		if acceptedAt > 0 && (since == 0 || acceptedAt < since) {
@@ -189,7 +191,7 @@
 	}
 }
 
-// appendMerged appends an endpoint with its overrides applied, as the decisions are given it. A
+// appendMerged appends an endpoint with its overrides applied, as it is passed to the decisions. A
 // drained backend that discovery has removed is appended twice, as draining and then as removed: if
 // it were only removed, proxies might go on using it.
 func (o *overrides) appendMerged(to []balancer.Endpoint, id string, endpoint balancer.Endpoint) []balancer.Endpoint {
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -176,7 +176,8 @@
 		loop.iterate(func() { loop.endpointsUpdated(false, 4, parsed(t, "["+endpointJSON(8, "up")+"]").GetArray()) })
 		advance(loop, 5*microsPerSecond, func() {})
 		next := newFakeProxy("read it", "write")
-		if got := next.receivePicks(t, connectProxy(t, loop, 2, 1, false)); loop.backends.ids[0] != "s-8" || !slices.Contains(got, "s-8") {
+		if got := next.receivePicks(t, connectProxy(t, loop, 2, 1, false)); loop.backends.ids[0] != "s-8" ||
+			!slices.Contains(got, "s-8") {
 			t.Errorf("its index was reused by %q, want s-8; picks %v", loop.backends.ids[0], got)
 		}
 	})
@@ -203,7 +204,8 @@
 		}
 		reportDemand()
 		loop.iterate(func() {
-			loop.applyDistributed([]distribution.Entry{distributedEntry("limit/read it", "8", 1), distributedEntry("limit/tenant-17", "1", 1)}, false)
+			loop.applyDistributed([]distribution.Entry{distributedEntry("limit/read it", "8", 1),
+				distributedEntry("limit/tenant-17", "1", 1)}, false)
 		})
 		reportDemand()
 		if len(fake.limits[0]) == 0 || fake.limits[0][0] <= 0 || fake.limits[0][0] > 8.1 {
@@ -257,7 +259,8 @@
 		`{"pricing":{"route":{"t":1}}}`:    "configuration: distributed.pricing.route.t: is not an object",
 		`{"":{"route":{"t":{}}}}`:          `configuration: distributed: "" is not a valid name`,
 	} {
-		if _, _, err := readDistributed(parsed(t, `{"distributed":`+bad+`}`)); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, _, err := readDistributed(parsed(t, `{"distributed":`+bad+`}`)); err == nil ||
+			!strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %s", bad, err, want)
 		}
 	}
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -8,30 +8,31 @@
 	"wheelrill/ownership"
 )
 
-// OwnershipConfig names the members that share the ownership of proxies. All members agree on all
-// of it, except the name, the folder and the files of the credentials.
+// OwnershipConfig describes the members that share the ownership of proxies. All fields must be the
+// same at all members, except the name, the folder and the files of the credentials.
 type OwnershipConfig struct {
 	// Name is the name of this member; empty means the controller's own name.
 	Name string
 	// Members maps the name of each member, this one included, to the address on which the others
 	// reach it.
 	Members map[string]string
-	// Folder stores the state that must outlast the process. If it is empty nothing does, and the
-	// process joins as a new member after a restart.
+	// Folder is where the member stores the state that has to survive a restart. If it is empty,
+	// nothing is stored, and the process joins as a new member after a restart.
 	Folder string
 	consensus.Credentials
-	// Lease is the time without an answer of the record after which a member acts by itself; 0
-	// means 1.5 s.
+	// Lease is the time after which a member acts on its own if the record has committed none of
+	// its entries; 0 means 1.5 s.
 	Lease ownership.Microseconds
 }
 
-// Values that no setting determines. A lease must fit into the time in which a drain has to reach
-// all proxies, and one or two of the entries that renew it may be lost.
+// Values that no setting determines. A lease must be shorter than the time within which a drain has
+// to reach all proxies, and must not expire if one or two of the entries that renew it are lost.
 const (
 	defaultLease     = 3 * microsPerSecond / 2
-	renewalsPerLease = 8 // entries that are proposed during a lease, at least
-	// reservedMessages is the number of messages that an owner may always write to a proxy: its
-	// first table, what is written before that to a proxy that waits, a drain, and one more.
+	renewalsPerLease = 8 // minimum number of entries that are proposed during a lease, to renew it
+	// reservedMessages is the number of messages that an owner may always write to a proxy: the
+	// message before the first table, to a proxy that waits for it, the first table, a drain, and
+	// one more.
 	reservedMessages = 4
 	// unlimitedMessages is the number of messages that may be written to a proxy if no setting
 	// limits them.
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// leaseTerms returns the terms that all members agree on.
+// leaseTerms returns the terms of the leases, from the settings and config. They must be the same
+// at all members.
 func (c *Controller) leaseTerms(config OwnershipConfig) (ownership.LeaseTerms, error) {
 	channel := c.configuration.channel
 	terms := ownership.LeaseTerms{
@@ -90,8 +92,8 @@
 	return terms, nil
 }
 
-// newConsensusNode makes this member's node of the record. The node of a voter also distributes the
-// configuration.
+// newConsensusNode makes this member's consensus node, which replicates the record. The node of a
+// voter also distributes the configuration.
 func (c *Controller) newConsensusNode(config OwnershipConfig, host *ownershipHost) (*consensus.Node, error) {
 	nodeConfig := consensus.Config{Name: config.Name, Members: config.Members, Folder: config.Folder,
 		Credentials: config.Credentials, Terms: host.terms}
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -17,18 +17,19 @@
 	coordinator *ownership.Coordinator
 	node        *consensus.Node
 	terms       ownership.LeaseTerms
-	evidence    *ownership.Evidence // observations by this member's proxies that are not on the record yet
+	evidence    *ownership.Evidence // observations by this member's proxies that no entry contains yet
 
 	// pending holds the connected proxies that this member does not own yet.
 	pending map[int]pendingProxy
-	// queued holds, in order, the messages that wait for the record. Their number is not bounded,
-	// but the end of the lease releases them.
+	// queued holds, in order, the messages whose table changes are not in the record yet. Their
+	// number is not bounded, but the end of the lease releases them.
 	queued []queuedMessage
 	// released is the revision of this member's tables up to which messages may be sent.
 	released uint64
 }
 
-// pendingProxy holds the facts about a proxy that the decisions are given once this member owns it.
+// pendingProxy holds the properties of a proxy that are passed to the decisions once this member
+// owns the proxy.
 type pendingProxy struct {
 	zone               int
 	requestsPerSecond  float64
@@ -39,7 +40,7 @@
 const coordinatorTimer = 1<<64 - 1
 
 // coordinatorTick runs the coordinator periodically: it renews the lease, reports when each proxy
-// last sent a message, puts evidence on the record, and sets the timer for the next tick.
+// last sent a message, passes it the evidence for the record, and sets the timer for the next tick.
 func (h *ownershipHost) coordinatorTick(now microseconds) {
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
@@ -52,10 +53,10 @@
 }
 
 // handOver gives up the ownership of this member's proxies at a planned end. The loop does not
-// iterate any more, so no push is made. The record confirms the handover before any connection of
-// these proxies ends, if it answers within limits.handOverTimeout. Until then ReleaseUpTo still
-// passes queued messages that the record releases to their connections, and writers send the
-// messages that wait in outboxes.
+// iterate any more, so no new message is created. The record confirms the handover before any
+// connection of these proxies ends, if it answers within limits.handOverTimeout. Until then
+// ReleaseUpTo still passes queued messages that the record releases to their connections, and
+// writers send the messages that wait in outboxes.
 func (h *ownershipHost) handOver() {
 	loop := h.loop
 	loop.now = max(loop.clock(), loop.now+1)
@@ -113,14 +114,14 @@
 	decisions.SeedDemand(grant.Proxy, grant.Demand)
 }
 
-// PeerCapacityReported implements ownership.Host: it gives the decisions the throughput of the
-// backends that another member observed.
+// PeerCapacityReported implements ownership.Host: it passes the throughput of the backends that
+// another member observed to the decisions.
 func (h *ownershipHost) PeerCapacityReported(capacity ownership.Capacity) {
 	h.loop.decisions.SeedThroughput(capacity.Proven, capacity.Saturated)
 }
 
-// PeerObservationReported implements ownership.Host: it gives the decisions the outcomes that
-// another member's proxies had at a backend.
+// PeerObservationReported implements ownership.Host: it passes the outcomes that another member's
+// proxies had at a backend to the decisions.
 func (h *ownershipHost) PeerObservationReported(_ string, observation ownership.Observation) {
 	if backend, ok := h.loop.backends.index[observation.Backend]; ok {
 		h.loop.decisions.PeerOutcomesReported(backend, observation.Attempts, observation.Failed, observation.MeanLatency,
@@ -134,8 +135,8 @@
 	h.loop.decisions.MessagesSentByPeers(proxy, messages)
 }
 
-// QuorumChanged implements ownership.Host: it logs that this member acts without the record, or
-// with it again.
+// QuorumChanged implements ownership.Host: it logs that this member is without a quorum and acts on
+// its own, or has a quorum again.
 func (h *ownershipHost) QuorumChanged(withoutQuorum bool, reason string) {
 	level := slog.LevelInfo
 	if withoutQuorum {
--- a/controller/ownership_queue.go
+++ b/controller/ownership_queue.go
@@ -4,15 +4,15 @@
 	"slices"
 )
 
-// queuedMessage is a message that waits until the table changes in it are on the record.
+// queuedMessage is a message to a proxy that waits until the record contains its table changes.
 type queuedMessage struct {
 	conn     *connection
 	message  []byte
-	revision uint64 // of this member's tables, as the message contains them
+	revision uint64 // revision of this member's tables when the message was created
 }
 
 // ReleaseUpTo implements ownership.Host: it sends the queued messages up to a revision of this
-// member's tables, because their changes are on the record.
+// member's tables. Their changes are in the record, or this member acts without it.
 func (h *ownershipHost) ReleaseUpTo(revision uint64) {
 	h.released = max(h.released, revision)
 	count := 0
--- a/controller/ownership_record.go
+++ b/controller/ownership_record.go
@@ -35,8 +35,8 @@
 	e.loop.post(func() { e.host.coordinator.ProposalFailed(incarnation, sequence, e.loop.now) })
 }
 
-// recordTableChanges puts this iteration's changes of tables on the record, before any of them is
-// written to a proxy.
+// recordTableChanges passes this iteration's table changes to the coordinator, which proposes them
+// to the record, before any of them is written to a proxy.
 func (h *ownershipHost) recordTableChanges() {
 	tables := h.loop.tables
 	var changes []ownership.TableChange
@@ -67,13 +67,14 @@
 	}
 }
 
-// recordLine returns an entry of a table in the form that the record has.
+// recordLine returns a table entry in the form in which the record stores it.
 func (h *ownershipHost) recordLine(backend int, weight float64) ownership.Line {
 	return ownership.Line{Backend: string(h.loop.backendName(backend)), Weight: weight}
 }
 
-// shareEvidence puts on the record the outcomes that this member's proxies observed, the backends
-// that are ejected here, the throughput of the backends, and the demand of each proxy.
+// shareEvidence passes evidence to the coordinator, which proposes it to the record: the outcomes
+// that this member's proxies observed, the backends that this member has ejected, the throughput of
+// the backends, and the demand of each proxy.
 func (h *ownershipHost) shareEvidence(now microseconds) {
 	for backend, id := range h.loop.backends.ids {
 		if id != "" {
@@ -86,7 +87,8 @@
 	h.coordinator.AddEvidence(h.evidence, now)
 }
 
-// Propose implements ownership.Host: it proposes an entry for the record.
+// Propose implements ownership.Host: it proposes an entry to the consensus node, which adds it to
+// the replicated log.
 func (h *ownershipHost) Propose(entry ownership.Entry) { h.node.Propose(entry) }
 
 // RandomID implements ownership.Host: it returns the id of a new incarnation.
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -19,8 +19,8 @@
 	loop    *eventLoop
 }
 
-// awaitAcknowledged waits until the record of a member contains the acknowledgement of a table of
-// owner by a proxy.
+// awaitAcknowledged waits until the record of a member shows owner as the owner of a proxy, and
+// that the proxy has acknowledged a message.
 func (s *runningMember) awaitAcknowledged(t *testing.T, node int, owner string) {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -41,8 +41,8 @@
 	}
 }
 
-// runMembers runs the named controllers. All of them have the same list of members, of which those
-// that are not named do not run.
+// runMembers runs the named controllers as members of a group of the given size. The other members
+// of the group do not run.
 func runMembers(t *testing.T, known string, members int, names ...string) []*runningMember {
 	t.Helper()
 	addresses := map[string]string{}
@@ -110,7 +110,7 @@
 	known := listJSON(1, true, entries...)
 	t.Run("a proxy that changes its owner is written the difference, not the full table again", func(t *testing.T) {
 		all := runMembers(t, known, 3, "n0", "n1", "n2")
-		for _, s := range all { // each member has joined, and its tables are on the record
+		for _, s := range all { // each member has joined, and the record contains its tables
 			s.logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		}
 		fake := newFakeProxy("read it", "write")
@@ -119,7 +119,7 @@
 			t.Fatalf("picks %v, want 12 backends", fake.picks(0))
 		}
 		knownTables := 0
-		for at := 1; knownTables == 0 && at < 6; at++ { // not all tables are confirmed on the record at first
+		for at := 1; knownTables == 0 && at < 6; at++ { // at first the record lacks some confirmations of tables
 			all[at%3].awaitAcknowledged(t, 3, fmt.Sprint("n", (at-1)%3))
 			proxy.Close()
 			proxy = connectProxyAt(t, all[at%3].address, fake, false)
@@ -149,10 +149,11 @@
 		fake := newFakeProxy("read it", "write")
 		began := time.Now()
 		connectProxyAt(t, alone.address, fake, true)
-		if text, _ := alone.logged.read(); len(fake.picks(0)) != 12 || !strings.Contains(text, "msg=quorum_changed quorum=false") {
+		if text, _ := alone.logged.read(); len(fake.picks(0)) != 12 ||
+			!strings.Contains(text, "msg=quorum_changed quorum=false") {
 			t.Errorf("picks %v, want 12 backends; log: %s", fake.picks(0), text)
 		}
-		if waited := time.Since(began); waited > 3*time.Second { // drain grace of these settings
+		if waited := time.Since(began); waited > 3*time.Second { // the drain grace of the settings is 3 s
 			t.Errorf("the proxy waited %s for its tables", waited)
 		}
 	})
@@ -172,11 +173,12 @@
 		}
 		if err := c.ShareOwnership(OwnershipConfig{Members: map[string]string{"n0": "127.0.0.1:0"}}); err == nil ||
 			!strings.Contains(err.Error(), `"n9" is not among them`) {
-			t.Errorf("got error %v", err)
+			t.Errorf("got error %v, want one that names the missing member n9", err)
 		}
-		if err := c.ShareOwnership(OwnershipConfig{Members: map[string]string{"n9": "127.0.0.1:0"}, Lease: 1000}); err == nil ||
+		tooShort := OwnershipConfig{Members: map[string]string{"n9": "127.0.0.1:0"}, Lease: 1000}
+		if err := c.ShareOwnership(tooShort); err == nil ||
 			!strings.Contains(err.Error(), "lease") {
-			t.Errorf("got error %v", err)
+			t.Errorf("got error %v, want one that names the lease", err)
 		}
 	})
 }
--- a/controller/pages_test.go
+++ b/controller/pages_test.go
@@ -9,8 +9,9 @@
 )
 
 // endingsReference matches a reference to a test in docs/endings.md: `folder: TestName/beginning of
-// a case...`. Without a folder it is one of package controller, and if it begins with dots it is a
-// case of the test referenced before.
+// a case...`. A reference without a folder is to a test of package controller, or of the folder
+// referenced before if package controller has no such test. A reference that begins with dots is to
+// another case of the test referenced before.
 var endingsReference = regexp.MustCompile("`(?:([a-z/]+): )?((?:Test|Fuzz|\\.\\.\\./)[^`]*)`")
 
 // TestEndingsPageNamesTestsThatExist guards against references to tests that were renamed or
--- a/controller/push_charge_test.go
+++ b/controller/push_charge_test.go
@@ -12,7 +12,7 @@
 
 // The limit on lines to proxies holds only if the pushes never contain more lines than the
 // decisions charge. A push with uncharged lines would exceed the limit unnoticed.
-func TestPushesAreNeverMoreThanCharged(t *testing.T) {
+func TestPushesNeverExceedChargedLines(t *testing.T) {
 	wide := strings.NewReplacer(`"egressPerS":900`, `"egressPerS":1e6`, `"backlog":900`, `"backlog":1e6`,
 		`"pushDelayMax":600`, `"pushDelayMax":600000`, `"overhead":4`, `"overhead":4,"socketsMin":10`)
 	for seed := range uint64(12) {
@@ -36,7 +36,8 @@
 					for range random.IntN(4) {
 						switch node := random.IntN(40); random.IntN(5) {
 						case 0, 1:
-							conn := newConnection(&readerConn{Reader: strings.NewReader("")}, step, loop, func(*connection) error { return nil })
+							conn := newConnection(&readerConn{Reader: strings.NewReader("")}, step, loop,
+								func(*connection) error { return nil })
 							conn.kind, conn.proxy, conn.zone = kindProxy, node, node%2
 							loop.proxyConnected(conn, 1+float64(random.IntN(20)), random.IntN(2) == 0)
 							fakes[conn] = newFakeProxy("read it", "write")
@@ -60,7 +61,7 @@
 					for len(conn.outbox) > 0 {
 						before := fake.messages
 						if err := fake.apply(<-conn.outbox); err != nil || fake.messages != before+1 {
-							t.Fatalf("error %v, or a part without its message", err)
+							t.Fatalf("error %v, %d messages in an outbox entry, want 1", err, fake.messages-before)
 						}
 						written += 4 + fake.cost
 					}
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -12,29 +12,29 @@
 
 func TestRetryPermissions(t *testing.T) {
 	t.Run("no class may retry executed requests, and a class with a lowered limit none", func(t *testing.T) {
-		// Idempotent and other classes are mixed, in tables of the fleet and of a zone, and
-		// requests may last longer than the windows: the permission must not depend on how long a
-		// window is.
-		c := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
+		// Classes with and without idempotent requests are mixed, in tables of the fleet and of a
+		// zone, and requests may last longer than the interval of a report: the permission must not
+		// depend on how long that interval is.
+		site := deployment{zones: []string{"a", "b"}, backend: "s-", maxMessages: 30, classes: []classSettings{
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
-		loop := c.newLoop(t, 8)
-		fake, conn := newFakeProxy(c.classNames()...), (*connection)(nil)
+		loop := site.newLoop(t, 8)
+		fake, conn := newFakeProxy(site.classNames()...), (*connection)(nil)
 		lowered := 0
 		for turn := range 60 {
 			switch turn % 20 {
 			case 0: // a first or a new connection
 				conn = connectProxy(t, loop, turn+1, 0, turn%40 == 20)
 				if turn%40 == 0 {
-					fake = newFakeProxy(c.classNames()...)
+					fake = newFakeProxy(site.classNames()...)
 				}
 			case 7:
 				loop.iterate(func() {
-					loop.endpointsUpdated(false, 2, parsed(t, "["+c.endpointJSON(1, "draining", 0)+"]").GetArray())
+					loop.endpointsUpdated(false, 2, parsed(t, "["+site.endpointJSON(1, "draining", 0)+"]").GetArray())
 				})
 			case 14:
 				loop.iterate(func() {
-					loop.endpointsUpdated(false, 3, parsed(t, "["+c.endpointJSON(1, "up", loop.now/1000)+"]").GetArray())
+					loop.endpointsUpdated(false, 3, parsed(t, "["+site.endpointJSON(1, "up", loop.now/1000)+"]").GetArray())
 				})
 			}
 			advance(loop, microsPerSecond/2, func() {
@@ -70,7 +70,8 @@
 	t.Run("a retry policy is written for exactly the classes that it was ordered for", func(t *testing.T) {
 		names := [][]byte{[]byte(`"safe"`), []byte(`"once"`), []byte(`"zone"`)}
 		tables := newTables(names, func(b int) []byte { return []byte(fmt.Sprintf(`"s-%d"`, b)) }, 1<<20, 64)
-		here, conn := newFakeProxy("safe", "once", "zone"), &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
+		fake := newFakeProxy("safe", "once", "zone")
+		conn := &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
 		tables.connect(0, conn, false)
 		random := rand.New(rand.NewPCG(3, 4))
 		want := make([]float64, 3)
@@ -95,8 +96,8 @@
 				tables.PublishEntry(random.IntN(2), random.IntN(9), float64(random.IntN(3)))
 			}
 			tables.flush((*connection).send, func(int, error) { t.Fatal("a proxy was dropped") }, func(int, int) {})
-			here.receive(t, conn)
-			for class, l := range here.limits {
+			fake.receive(t, conn)
+			for class, l := range fake.limits {
 				if l == nil || l[1] != want[class] {
 					t.Fatalf("turn %d: class %d has limit and retry policy %v, want retry policy %g", turn, class, l, want[class])
 				}
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -4,36 +4,36 @@
 	"slices"
 )
 
-// session is a proxy's connection with the acknowledgements that it still owes. The event loop owns
-// it.
+// session is a proxy's connection and its outstanding acknowledgements. The event loop owns it.
 type session struct {
 	conn *connection
-	// unacked holds the missing acknowledgements, oldest first. Beyond limits.maxUnacked, the
-	// oldest is dropped.
+	// unacked holds the outstanding acknowledgements, oldest first. If there are more than
+	// limits.maxUnacked, the oldest is dropped.
 	unacked []*pendingAck
 	// firstCompleteAck is the first acknowledgement that was requested while every class had a
 	// table of this controller. It is set only where ownership is shared.
 	firstCompleteAck     *pendingAck
-	completeAcknowledged bool // firstCompleteAck was acknowledged
+	completeAcknowledged bool // whether firstCompleteAck was acknowledged
 }
 
 // pendingAck is an acknowledgement that was requested at one clock time. All proxies that it was
 // requested from share it.
 type pendingAck struct {
 	nonce           int
-	revision        uint64       // of this member's tables at that time, where ownership is shared
+	revision        uint64       // revision of this member's tables at that time; 0 if ownership is not shared
 	sentBy          microseconds // time by which the last push with this request has left the push channel
-	firstAnsweredAt microseconds // time of the first proxy's acknowledgement; 0 before
+	firstAnsweredAt microseconds // time at which the first proxy acknowledged; 0 before
 }
 
-// isCurrent reports whether a connection is its proxy's current one, and was not replaced.
+// isCurrent reports whether a connection is the current one of its proxy: neither replaced by a
+// newer one nor dropped.
 func (l *eventLoop) isCurrent(conn *connection) bool {
 	return conn.proxy < len(l.sessions) && l.sessions[conn.proxy] != nil && l.sessions[conn.proxy].conn == conn
 }
 
 // proxyConnected handles a proxy's connection. A newer connection replaces the older one, whose end
 // is then ignored. requestsPerSecond is the approximate rate of requests at the proxy, 0 if
-// unknown; mayHoldWithdrawals reports whether the proxy may have withdrawals of other controllers.
+// unknown; mayHoldWithdrawals is true if the proxy may have withdrawals of other controllers.
 func (l *eventLoop) proxyConnected(conn *connection, requestsPerSecond float64, mayHoldWithdrawals bool) {
 	for len(l.sessions) <= conn.proxy {
 		l.sessions = append(l.sessions, nil)
@@ -68,7 +68,8 @@
 	}
 }
 
-// dropProxy closes the connection of a proxy that cannot be reached.
+// dropProxy closes the connection of a proxy that is silent or whose message could not be encoded
+// or sent, and discards its session.
 func (l *eventLoop) dropProxy(proxy int, reason error) {
 	if reason != errClosed { // a connection that has ended posts its end itself
 		l.log.Warn("proxy_dropped", "proxy", proxy, "error", reason)
@@ -87,9 +88,9 @@
 	}
 }
 
-// dropSilentProxies closes half-open connections. Only missing acknowledgements distinguish them
-// from idle connections, so a connection is closed if it is silent and an acknowledgement is
-// missing.
+// dropSilentProxies closes half-open connections. Only outstanding acknowledgements distinguish
+// them from idle connections, so a connection is closed if it is silent and an acknowledgement is
+// outstanding.
 func (l *eventLoop) dropSilentProxies() {
 	for proxy, session := range l.sessions {
 		if session != nil && l.isSilent(session) {
@@ -98,11 +99,11 @@
 	}
 }
 
-// isSilent reports whether a proxy has sent nothing for too long, and has left an acknowledgement
-// missing for as long. Pushes leave the channel one by one, so the time counts from when all queued
-// pushes can have left. If another proxy has given the same acknowledgement, the shorter
-// ackLagTimeout applies. The time in which the process stalled does not count, because no message
-// was read then.
+// isSilent reports whether a proxy has sent nothing for limits.silenceTimeout while an
+// acknowledgement was outstanding. Pushes leave the push channel one by one, so an acknowledgement
+// counts as outstanding from the time by which all queued pushes have left. If another proxy has
+// sent the same acknowledgement, the shorter limits.ackLagTimeout applies, from that time on. The
+// time in which the process stalled does not count, because no message was read then.
 func (l *eventLoop) isSilent(session *session) bool {
 	if len(session.unacked) == 0 {
 		return false
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -66,7 +66,7 @@
 // A change of the stored format would make a subscriber ignore the file that it wrote before an
 // update. A folder of an earlier version has to be read completely, and written with the same
 // bytes.
-func TestStoredFolderOfASubscriberIsReadAndWrittenAsBefore(t *testing.T) {
+func TestStoredFolderFormatIsUnchanged(t *testing.T) {
 	want := storedState(t)
 	if golden.Updating() {
 		cache, err := openConfigurationCache(storedFolder)
@@ -108,7 +108,7 @@
 
 // A truncated file must not be read in part, as it would end drains and weights that it lacks. load
 // refuses the complete file, leaves it unchanged, and the next save replaces it.
-func TestStoredFileThatIsCutOffIsRefusedWhole(t *testing.T) {
+func TestTruncatedStoredFileIsRefused(t *testing.T) {
 	folder := storedCopy(t)
 	path := filepath.Join(folder, storedFile)
 	complete, err := os.ReadFile(path)
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -8,25 +8,25 @@
 )
 
 // tables holds the tables, admission limits and withdrawals that the decisions have ordered, and
-// the state that each connected proxy was last written. Orders update it and mark the proxies
+// the state that was last written to each connected proxy. Orders update it and mark the proxies
 // concerned; flush writes each marked proxy one message for all orders of one clock time. The event
 // loop owns it.
 type tables struct {
-	classNames  [][]byte                 // by class: the name as encoded in messages, a JSON string
-	backendName func(backend int) []byte // id of a backend, encoded the same way
-	maxFrame    int                      // bytes of one part of a message, at most
-	maxParts    int                      // parts of a message, at most
+	classNames  [][]byte                 // by class: its name as encoded in messages, a JSON string
+	backendName func(backend int) []byte // returns the id of a backend as a JSON string
+	maxFrame    int                      // maximum number of bytes of one part of a message
+	maxParts    int                      // maximum number of parts of a message
 
 	byNumber              map[int]*table
-	admissionLimitsForAll []admissionLimit // by class: for all tables of all connected proxies
-	withdrawn             []bool           // by backend
-	proxies               []*pushState     // by proxy; nil if the proxy is not connected
+	admissionLimitsForAll []admissionLimit // by class: the limit for all tables of all connected proxies
+	withdrawn             []bool           // by backend: whether it is withdrawn
+	proxies               []*pushState     // by proxy: its state; nil if the proxy is not connected
 
-	// Changes and requests at the current clock time; flush resets them.
-	withdrawalChanges []int // backends that were withdrawn or restored
+	// Orders of the current clock time. flush resets these fields.
+	withdrawalChanges []int // backends that were withdrawn or restored at this clock time
 	ackNonce          int   // nonce of the requested acknowledgement
-	ackRequested      bool  // an acknowledgement is requested
-	ackFromAll        bool  // from all connected proxies, not only those that are written a message
+	ackRequested      bool  // whether the decisions requested an acknowledgement
+	ackFromAll        bool  // whether all connected proxies must acknowledge, not only those with a message due
 
 	// deltaTables counts the tables that were written as the difference from the table that a proxy
 	// already had.
@@ -37,69 +37,74 @@
 
 // table holds the entries and the admission limits of one table number.
 type table struct {
-	weights         []float64        // by backend; 0 means no entry
+	weights         []float64        // by backend: weight of its entry; 0 means no entry
 	changed         []int            // backends whose entries were set at this clock time
-	isChanged       []bool           // by backend: whether changed contains it
-	admissionLimits []admissionLimit // by class
+	isChanged       []bool           // by backend: whether its entry was set at this clock time
+	admissionLimits []admissionLimit // by class: the limit of this table
 }
 
 // admissionLimit is the admission limit of a class, with the retry policy of its requests.
 type admissionLimit struct {
 	set   bool    // false if no limit was ordered
-	limit float64 // a share, or requests a second, depending on the site's admission mode
+	limit float64 // admitted share of the requests, or admitted requests a second, by the admission mode
 	retry balancer.RetryPolicy
 }
 
-// backendState says whether a proxy may use a backend, whatever its tables contain.
+// backendState is the state of a backend at a proxy, which may use the backend only if it is not
+// withdrawn.
 type backendState uint8
 
 const (
-	backendUnknown   backendState = iota // the proxy's state from before it connected
-	backendAllowed                       // the proxy may use the backend
-	backendWithdrawn                     // the proxy was ordered not to use the backend
+	backendUnknown   backendState = iota // may have been withdrawn by another controller
+	backendAllowed                       // not withdrawn: the proxy may use the backend
+	backendWithdrawn                     // withdrawn: the proxy was ordered not to use the backend
 )
 
-// unassigned stands for the table of a class to which this controller has assigned none: the proxy
-// keeps the table that it has.
+// unassigned is the table number of a class to which this controller has assigned no table: the
+// proxy keeps its present table for the class.
 const unassigned = -1
 
-// pushState is the state that a connected proxy should have, and the state that it was last
-// written.
+// pushState is the state that a connected proxy should have, and the state that was last written to
+// it.
 type pushState struct {
 	conn   *connection
 	tables []int // by class: number of the assigned table, or unassigned
 
-	// Changes that the next message contains, and the state as last written.
-	dirty   bool   // a message is due
-	fullDue uint16 // classes whose tables are to be written in full
-	// withdrawalChanges holds the backends that were withdrawn or restored since the last message,
-	// if the change concerns this proxy.
+	// Pending changes for the next message, and the state last written to the proxy.
+	dirty    bool   // whether a message to the proxy is due
+	tableDue uint16 // set of classes whose assigned table was not written to the proxy yet
+	// withdrawalChanges holds the backends that were withdrawn or restored since the last message
+	// and that this proxy may use.
 	withdrawalChanges []int
-	// defaultAdmissionLimit applies to an unassigned class if there is no limit for all tables.
+	// defaultAdmissionLimit applies to an unassigned class if no limit for all tables is set.
 	// SyncWithdrawals sets it.
 	defaultAdmissionLimit admissionLimit
-	// admissionLimits holds, by class, the limit as last written. A limit below 0 stands for an
-	// unknown one.
+	// admissionLimits holds, by class, the limit last written to the proxy. A negative limit means
+	// that the proxy's limit is unknown.
 	admissionLimits []admissionLimit
-	backendStates   []backendState // by backend: as last written; initialState beyond its end
-	cleared         bool           // withdrawals of other controllers are lifted from the backends of its tables
+	// backendStates holds, by backend, the state last written to the proxy. A backend beyond the
+	// end of the slice has initialState.
+	backendStates []backendState
+	// cleared is true after ClearWithdrawals: the proxy may use the backends of its tables that
+	// other controllers have withdrawn from it.
+	cleared bool
 	// reconciled is true if backendStates agrees with all tables of the proxy, except for changes
 	// since its last message.
 	reconciled bool
 
-	// State that the proxy brings from before it connected.
-	mayHoldWithdrawals bool // it may have withdrawals of other controllers
-	// knownTables holds, by class, the table that the proxy surely has, until a table of this
-	// controller is written; nil if that is unknown.
+	// State of the proxy from before it connected.
+	mayHoldWithdrawals bool // whether the proxy may have withdrawals of other controllers
+	// knownTables holds, by class, the table that the proxy is known to have until this controller
+	// writes it a table; nil if the tables are unknown.
 	knownTables []ownership.KnownTable
 
 	// Fields that are used only where ownership is shared.
-	unowned bool // another controller may still own the proxy, so nothing may be written to it
-	// wantsToken is true if the proxy asked for fencing tokens. It then refuses a message with an
-	// older token than it has seen.
+	unowned bool // whether another controller may still own the proxy, so nothing may be written to it
+	// wantsToken is true if the proxy asked for fencing tokens. The proxy then refuses a message
+	// with an older token than it has seen.
 	wantsToken bool
-	// grantToken is the token of the claim by which the proxy was granted; 0 for none. It stays the
-	// same without a quorum, and after the proxy was claimed again.
+	// grantToken is the fencing token of the claim by which this controller was granted the proxy;
+	// 0 for none. It stays the same without a quorum, and after the proxy was claimed again.
 	grantToken uint64
 }
 
@@ -130,7 +135,7 @@
 	return t.proxies[proxy]
 }
 
-// table returns the table with a number, an empty one if no order has named it yet.
+// table returns the table with a number. It adds an empty one if no order has had the number yet.
 func (t *tables) table(number int) *table {
 	if t.byNumber[number] == nil {
 		t.byNumber[number] = &table{admissionLimits: make([]admissionLimit, len(t.classNames))}
@@ -167,8 +172,8 @@
 	t.markDirty(func(proxy *pushState) bool { return slices.Contains(proxy.tables, number) })
 }
 
-// AssignTable implements balancer.Host: for some classes, a proxy is written the complete table,
-// and later the changes of the table.
+// AssignTable implements balancer.Host: it assigns a table to some classes of a proxy. The next
+// message to the proxy makes its table complete, and later messages contain the table's changes.
 func (t *tables) AssignTable(number, proxy int, classes uint16) {
 	state := t.proxy(proxy)
 	if state == nil {
@@ -179,14 +184,14 @@
 	for class := range state.tables {
 		if hasClass(t.classSet(classes), class) {
 			state.tables[class] = number
-			state.fullDue |= 1 << class
+			state.tableDue |= 1 << class
 		}
 	}
 	state.dirty = true
 }
 
-// Withdraw implements balancer.Host: it withdraws a backend from connected proxies, whatever their
-// tables contain, or restores it.
+// Withdraw implements balancer.Host: it withdraws a backend, or restores it. The change is written
+// to connected proxies that have an entry for the backend or an unassigned class.
 func (t *tables) Withdraw(backend int, withdrawn bool) {
 	for len(t.withdrawn) <= backend {
 		t.withdrawn = append(t.withdrawn, false)
@@ -203,9 +208,10 @@
 	})
 }
 
-// SyncWithdrawals implements balancer.Host: a proxy with an unassigned class is written all
-// withdrawn backends, because it may use any of them, and a limit for its unassigned classes that
-// have none. It returns false if the proxy has no unassigned class or is not connected.
+// SyncWithdrawals implements balancer.Host: it makes the next message to a proxy with an unassigned
+// class contain all withdrawn backends, because the proxy may use any of them, and the given limit
+// for unassigned classes if no limit for all tables is set. It returns false if the proxy has no
+// unassigned class or is not connected.
 func (t *tables) SyncWithdrawals(proxy int, limit float64, retry balancer.RetryPolicy) bool {
 	state := t.proxy(proxy)
 	if state == nil || !slices.Contains(state.tables, unassigned) {
@@ -221,8 +227,8 @@
 	return true
 }
 
-// ClearWithdrawals implements balancer.Host: a proxy may use the backends of its tables that other
-// controllers have withdrawn from it.
+// ClearWithdrawals implements balancer.Host: it allows a proxy to use the backends of its tables
+// that other controllers have withdrawn from it.
 func (t *tables) ClearWithdrawals(proxy int) {
 	if state := t.proxy(proxy); state != nil {
 		state.cleared, state.dirty, state.reconciled = true, true, false
@@ -246,8 +252,8 @@
 	t.markDirty(concerned)
 }
 
-// RequestAck implements balancer.Host: the proxies that are written a message at this clock time,
-// or all connected ones, are asked to acknowledge it.
+// RequestAck implements balancer.Host: it requests an acknowledgement from the proxies that are
+// written a message at this clock time, or from all connected proxies.
 func (t *tables) RequestAck(nonce int, fromAll bool) {
 	t.ackNonce, t.ackRequested, t.ackFromAll = nonce, true, t.ackFromAll || fromAll
 }
@@ -262,7 +268,7 @@
 	}
 }
 
-// uses reports whether a table that a proxy is assigned has an entry for a backend.
+// uses reports whether a table that is assigned to a proxy has an entry for a backend.
 func (t *tables) uses(proxy *pushState, backend int) bool {
 	for _, number := range proxy.tables {
 		if number != unassigned && t.weight(number, backend) > 0 {
@@ -301,9 +307,10 @@
 	return own
 }
 
-// forget discards the state of a backend that no table contains, if the decisions can discard
-// theirs. It returns false while a connected proxy has the backend withdrawn: until that connection
-// ends, the backend must stay known, so that it can be restored if it is listed again.
+// forget discards the state of a backend that no table contains, if decisionsForget returns true:
+// it discards the backend's state in the decisions, unless they still need it. forget returns false
+// while the backend is withdrawn from a connected proxy: until that connection ends, the backend
+// must stay known, so that it can be restored if it is listed again.
 func (t *tables) forget(backend int, decisionsForget func() bool) bool {
 	for _, proxy := range t.proxies {
 		if proxy != nil && backend < len(proxy.backendStates) && proxy.backendStates[backend] == backendWithdrawn {
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -8,9 +8,9 @@
 	"wheelrill/ownership"
 )
 
-// flush writes the orders since the last flush: one message for each proxy concerned, in the order
-// of the proxies, is passed to send. A proxy whose message cannot be encoded or sent is passed to
-// drop, and a proxy that is asked for an acknowledgement to expectAck.
+// flush passes to send one message for each proxy that the orders since the last flush concern, in
+// the order of the proxies. A proxy whose message cannot be encoded or sent is passed to drop, and
+// a proxy whose message requests an acknowledgement is passed to expectAck.
 func (t *tables) flush(
 	send func(*connection, []byte) error, drop func(proxy int, err error), expectAck func(proxy, nonce int),
 ) {
@@ -34,12 +34,12 @@
 	t.resetChanges()
 }
 
-// needsMessage reports whether flush writes a proxy a message.
+// needsMessage reports whether flush has to write a message to a proxy.
 func (t *tables) needsMessage(proxy *pushState) bool {
 	return proxy.dirty || t.ackRequested && t.ackFromAll
 }
 
-// resetChanges discards the changes and requests of one clock time.
+// resetChanges discards the changes and the acknowledgement request of one clock time.
 func (t *tables) resetChanges() {
 	for _, table := range t.byNumber {
 		for _, backend := range table.changed {
@@ -58,10 +58,10 @@
 	t.writeTables(proxy, w)
 	t.writeLimits(proxy, w)
 	t.writeWithdrawals(proxy, w)
-	if proxy.fullDue != 0 {
+	if proxy.tableDue != 0 {
 		proxy.knownTables = nil
 	}
-	proxy.fullDue = 0
+	proxy.tableDue = 0
 	if t.ackRequested {
 		w.writeAckRequest(t.ackNonce)
 	}
@@ -69,8 +69,8 @@
 }
 
 // writeTables writes the tables of a proxy in the order of its classes, each table once for all
-// classes that have it. Classes that lack the table are written all of it, or the difference from
-// the table that the proxy already has; the other classes are written its changes.
+// classes that it is assigned to. A class whose table is due gets the full table, or the difference
+// from the table that the proxy is known to have; the other classes get the table's changes.
 func (t *tables) writeTables(proxy *pushState, w *messageWriter) {
 	for class, number := range proxy.tables {
 		if number == unassigned || slices.Contains(proxy.tables[:class], number) {
@@ -87,13 +87,13 @@
 	}
 }
 
-// classesWithTable returns the classes to which a table is assigned: those that it is to be written
-// to in full, and those that have it already.
+// classesWithTable returns the sets of classes to which a table is assigned: those for which the
+// proxy was not written the table yet (due), and those for which it was (upToDate).
 func (p *pushState) classesWithTable(number int) (due, upToDate uint16) {
 	for class, other := range p.tables {
 		switch {
 		case other != number:
-		case hasClass(p.fullDue, class):
+		case hasClass(p.tableDue, class):
 			due |= 1 << class
 		default:
 			upToDate |= 1 << class
@@ -102,7 +102,7 @@
 	return due, upToDate
 }
 
-// writeDueTable writes a table for classes that lack it, as a difference if possible.
+// writeDueTable writes a table for classes for which it is due, as a difference if possible.
 func (t *tables) writeDueTable(proxy *pushState, table *table, due uint16, w *messageWriter) {
 	if delta, ok := t.encodeDelta(proxy, table, due); ok {
 		w.writeTableChange(due, delta)
@@ -131,9 +131,9 @@
 	return entries
 }
 
-// encodeDelta encodes the entries in which a table differs, or may differ, from the table that a
-// proxy surely has. It returns false if that table is unknown, or if the difference is no smaller
-// than the full table.
+// encodeDelta encodes the entries in which a table differs, or may differ, from the tables that a
+// proxy is known to have. It returns false if these are unknown, or if the difference is at least
+// as large as the full table.
 func (t *tables) encodeDelta(proxy *pushState, table *table, due uint16) (entries [][]byte, ok bool) {
 	if proxy.knownTables == nil {
 		return nil, false
@@ -153,21 +153,22 @@
 	}
 	for class := range proxy.admissionLimits {
 		if hasClass(due, class) {
-			proxy.admissionLimits[class] = unknownLimit // only a full table makes the proxy discard limits of others
+			// Only a full table makes the proxy discard the limits of other controllers.
+			proxy.admissionLimits[class] = unknownLimit
 		}
 	}
 	return entries, true
 }
 
-// unknownLimit stands for any limit that another controller may have left at a proxy.
+// unknownLimit is recorded for a class for which a proxy may still have the limit of another
+// controller.
 var unknownLimit = admissionLimit{set: true, limit: -1}
 
-// isUnknown reports whether a limit as last written may be one of another controller.
+// isUnknown reports whether a recorded limit is unknownLimit.
 func (l admissionLimit) isUnknown() bool { return l.limit < 0 }
 
-// unlimited is written for a class without an ordered limit, where the lack of a limit has to be
-// written: no proxy reaches this limit, and its retry policy is the one that proxies use without an
-// order.
+// unlimited replaces the limit that a proxy may have for a class without an ordered limit: no proxy
+// reaches it, and its retry policy is the default of proxies without an ordered policy.
 var unlimited = admissionLimit{true, math.MaxFloat32, balancer.RetryIfNotExecuted}
 
 // writeLimits writes the limits that differ from those last written to the proxy, each once for all
@@ -191,11 +192,11 @@
 
 // updateLimits records the limits that a proxy should have as written, and returns the classes
 // whose limits differ from those that it has. A full table makes the proxy discard its limits. If
-// it may have limits of other controllers, the lack of a limit has to be written.
+// it may have limits of other controllers, classes without an ordered limit are written unlimited.
 func (t *tables) updateLimits(proxy *pushState) (changed uint16) {
 	for class := range t.classNames {
 		limit, unknown := t.limitFor(proxy, class), proxy.admissionLimits[class].isUnknown()
-		if hasClass(proxy.fullDue, class) && !unknown {
+		if hasClass(proxy.tableDue, class) && !unknown {
 			proxy.admissionLimits[class] = admissionLimit{}
 		}
 		if !limit.set && (unknown || proxy.admissionLimits[class] == unlimited) {
@@ -211,9 +212,9 @@
 
 // writeWithdrawals writes which backends are withdrawn, and which are restored. A proxy keeps
 // withdrawals of other controllers, and of an earlier process of this one, while the decisions
-// assume that a cleared proxy has only the withdrawals of this process. So a backend that its
-// tables contain and that it may have withdrawn is restored when the proxy is cleared, or with the
-// first entry for the backend after that.
+// assume that a cleared proxy has only the withdrawals of this process. Therefore a backend that
+// the tables contain, and that may still be withdrawn from the proxy, is restored when the proxy is
+// cleared, or with the first entry for the backend after that.
 func (t *tables) writeWithdrawals(proxy *pushState, w *messageWriter) {
 	var withdrawn, restored [][]byte
 	for _, backend := range t.uncertainBackends(proxy) {
@@ -242,7 +243,7 @@
 	return backend < len(t.withdrawn) && t.withdrawn[backend]
 }
 
-// stateOf returns a pointer to the state of a backend at a proxy, as last written.
+// stateOf returns a pointer to the state of a backend that was last written to a proxy.
 func (p *pushState) stateOf(backend int) *backendState {
 	for len(p.backendStates) <= backend {
 		p.backendStates = append(p.backendStates, p.initialState())
--- a/controller/tables_pushes_test.go
+++ b/controller/tables_pushes_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("limits %v", fake.limits)
 		}
 		tables.SetAdmissionLimit(balancer.AllTables, 2, 0.25, balancer.RetryIfNotExecuted)
-		late, otherConn := connectFakeProxy(tables, 1, true) // it connects now, so its first message has both limits
+		late, otherConn := connectFakeProxy(tables, 1, true) // gets both limits when its table is assigned
 		tables.flushToOutboxes(t)
 		fake.receive(t, conn)
 		late.receive(t, otherConn)
@@ -158,7 +158,7 @@
 			t.Errorf("picks %v at %d lines", fake.picks(0), fake.cost)
 		}
 	})
-	t.Run("a withdrawal reaches proxies with unassigned classes, later ones by SyncWithdrawals", func(t *testing.T) {
+	t.Run("a withdrawal reaches proxies with unassigned classes, later proxies by SyncWithdrawals", func(t *testing.T) {
 		tables := newTestTables(1)
 		fake, conn := connectFakeProxy(tables, 0, false)
 		tables.PublishEntry(0, 0, 1)
@@ -227,7 +227,7 @@
 			t.Errorf("got %+v", fake)
 		}
 	})
-	t.Run("a proxy that does not take its messages is dropped, the others get theirs", func(t *testing.T) {
+	t.Run("a proxy whose outbox is full is dropped, and other proxies get their messages", func(t *testing.T) {
 		tables := newTestTables(1)
 		_, full := connectFakeProxy(tables, 0, false)
 		fake, conn := connectFakeProxy(tables, 1, false)
@@ -243,23 +243,24 @@
 	})
 }
 
-// proxyModel is the state that a proxy should have after orders, by the meaning that they have
-// on the simulator's wire.
+// proxyModel is the state that a proxy should have after orders, as the protocol with the simulator
+// defines them.
 type proxyModel struct {
 	joined    bool
 	tables    []int
 	withdrawn map[int]bool // backends that unassigned classes must not use
 }
 
-// TestPushesMeanWhatWasOrdered gives random orders to tables and to a plain model of their meaning,
-// and compares all proxies after each message: entries, limits and usable backends, whatever state
-// the proxies had when they connected.
+// TestPushesMeanWhatWasOrdered guards against pushes that leave a proxy in another state than the
+// decisions ordered. It gives random orders to tables and to a simple model, and compares all
+// proxies after each message: entries, limits and usable backends, whatever state the proxies had
+// when they connected.
 func TestPushesMeanWhatWasOrdered(t *testing.T) {
 	const classes, proxies, backends, numbers = 3, 4, 6, 3
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		tables := newTestTables(classes)
-		lines, out := [numbers]map[int]float64{}, map[int]bool{}
+		lines, withdrawn := [numbers]map[int]float64{}, map[int]bool{}
 		var limitsForAll [classes]admissionLimit
 		var limits [numbers][classes]admissionLimit
 		for i := range lines {
@@ -270,7 +271,7 @@
 			for range 1 + random.IntN(4) {
 				p, b, table := random.IntN(proxies), random.IntN(backends), random.IntN(numbers)
 				mask := uint16(random.IntN(1 << classes))
-				in := func(class int) bool { return mask == 0 || mask&(1<<class) != 0 }
+				applies := func(class int) bool { return mask == 0 || mask&(1<<class) != 0 }
 				weight := float64(random.IntN(3))
 				switch random.IntN(9) {
 				case 0:
@@ -298,23 +299,23 @@
 					lines[table][b] = weight
 				case 4:
 					tables.Withdraw(b, weight == 0)
-					out[b] = weight == 0
-					for _, w := range expected {
-						if w != nil {
-							w.withdrawn[b] = weight == 0
+					withdrawn[b] = weight == 0
+					for _, model := range expected {
+						if model != nil {
+							model.withdrawn[b] = weight == 0
 						}
 					}
 				case 5:
 					tables.SetAdmissionLimit(table, mask, weight, balancer.RetryPolicy(table))
 					for class := range classes {
-						if in(class) {
+						if applies(class) {
 							limits[table][class] = admissionLimit{true, weight, balancer.RetryPolicy(table)}
 						}
 					}
 				case 6:
 					tables.SetAdmissionLimit(balancer.AllTables, mask, weight+0.5, balancer.NoRetry)
 					for class := range classes {
-						if in(class) {
+						if applies(class) {
 							limitsForAll[class] = admissionLimit{true, weight + 0.5, balancer.NoRetry}
 						}
 					}
@@ -325,7 +326,7 @@
 					}
 				case 8:
 					if expected[p] != nil && tables.SyncWithdrawals(p, 77, balancer.RetryIfNotExecuted) {
-						for b, isWithdrawn := range out {
+						for b, isWithdrawn := range withdrawn {
 							expected[p].withdrawn[b] = expected[p].withdrawn[b] || isWithdrawn
 						}
 					}
@@ -333,17 +334,17 @@
 			}
 			tables.RequestAck(1, false)
 			tables.flushToOutboxes(t)
-			for p, w := range expected {
-				if w == nil {
+			for p, model := range expected {
+				if model == nil {
 					continue
 				}
 				fake := fakes[p]
 				fake.receive(t, conns[p])
-				for class, number := range w.tables {
+				for class, number := range model.tables {
 					picks, limit := []string{}, limitsForAll[class]
 					if number != unassigned {
 						for b, weight := range lines[number] {
-							if weight > 0 && !out[b] {
+							if weight > 0 && !withdrawn[b] {
 								picks = append(picks, fmt.Sprint("s-", b))
 							}
 							if got := fake.lines[class][fmt.Sprint("s-", b)]; got != weight {
@@ -358,7 +359,7 @@
 						}
 					} else {
 						for b := class; b < backends; b += classes {
-							if !w.withdrawn[b] {
+							if !model.withdrawn[b] {
 								picks = append(picks, fmt.Sprint("s-", b))
 							}
 						}
