--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -10,7 +10,7 @@
 		return
 	}
 	if !n.removeUnsubscribed(link) {
-		return // a Subscribe on a link that this node has closed
+		return // this node has closed the link, so the Subscribe is ignored
 	}
 	n.replaceSameName(m.Name, now)
 	if reason := n.refusalReason(m); reason != 0 {
@@ -24,8 +24,8 @@
 	n.admitChild(admitted, m, now)
 }
 
-// handleResubscribe handles a further request of a child, which loses its place if the request
-// violates a rule.
+// handleResubscribe handles a further Subscribe of a child. The child loses its place if the
+// Subscribe violates a rule or states another name.
 func (n *Node) handleResubscribe(c *child, m *Subscribe, now Microseconds) {
 	reason := n.violatedRule(m)
 	if m.Name != c.name {
@@ -39,7 +39,8 @@
 	n.admitChild(c, m, now)
 }
 
-// admitChild grants the lease and starts to send the changes or the snapshot that the child needs.
+// admitChild grants a child a lease, and starts to send the changes or the snapshot that the child
+// needs.
 func (n *Node) admitChild(c *child, m *Subscribe, now Microseconds) {
 	c.scopes = m.Scopes
 	c.fanOut = m.FanOut
@@ -62,9 +63,10 @@
 	n.sendDeltas(c, now)
 }
 
-// needsSnapshot reports whether the child needs a snapshot, because deltas cannot bring it to this
-// node's version. While this node is behind the child, the child gets neither deltas nor a
-// snapshot. The request violates no rule, so its epoch does not conflict with this node's.
+// needsSnapshot reports whether the sender of a Subscribe needs a snapshot because deltas cannot
+// bring it to this node's version. A sender that is ahead of this node gets neither deltas nor a
+// snapshot until this node has caught up. The caller has checked that the Subscribe violates no
+// rule, so its epoch does not conflict with the epoch of this node.
 func (n *Node) needsSnapshot(m *Subscribe) bool {
 	switch {
 	case m.WantSnapshot || n.store.version.Epoch.Newer(m.Version.Epoch):
@@ -75,16 +77,17 @@
 	return n.contentDiffers(m) || !n.store.deltaPossible(m.Version, m.Scopes, n.limits.BatchBytes)
 }
 
-// contentDiffers reports whether the child's entries differ from those that this node had at the
-// child's revision; false if the log no longer reaches back to that revision.
+// contentDiffers reports whether the child's entries differ from the entries that this node had at
+// the child's revision. It returns false if the log no longer reaches back to that revision.
 func (n *Node) contentDiffers(m *Subscribe) bool {
 	digest, known := n.store.digestAt(m.Version.Revision, m.Scopes)
 	return known && digest != m.Digest
 }
 
-// refusalReason returns the reason to refuse a new subscriber a place; zero if it gets one.
-// admitChild, which is called next, evaluates needsSnapshot again, because it also serves children
-// that already have a place, whose requests are not checked here.
+// refusalReason returns the reason to refuse a new subscriber a place, or zero if the subscriber
+// gets a place. admitChild, which is called next, calls needsSnapshot again, because admitChild
+// also handles requests of children that already have a place; refusalReason is not called for such
+// requests.
 func (n *Node) refusalReason(m *Subscribe) RefusalReason {
 	if reason := n.violatedRule(m); reason != 0 {
 		return reason
@@ -99,8 +102,8 @@
 	return 0
 }
 
-// violatedRule returns the reason to refuse a request even if a place is free; zero if the request
-// violates no rule.
+// violatedRule returns the reason to refuse a Subscribe even if a place is free, or zero if the
+// Subscribe violates no rule.
 func (n *Node) violatedRule(m *Subscribe) RefusalReason {
 	path := n.ownPath()
 	switch {
@@ -129,8 +132,8 @@
 
 // childToEvict returns the child that loses its place to a new subscriber if no place is free: the
 // last admitted child that could not serve all subscribers that this node can serve. It returns nil
-// if there is no such child, or if the new subscriber could not serve them either. Without eviction
-// a tree whose upper places are taken by leaves could not grow.
+// if there is no such child, or if the new subscriber itself could not serve all of these
+// subscribers. Without eviction, a tree whose upper places are taken by leaves could not grow.
 func (n *Node) childToEvict(m *Subscribe) *child {
 	if !n.servesAllScopes(m.FanOut, m.Scopes) {
 		return nil
@@ -149,7 +152,8 @@
 	return fanOut > 0 && scopes.Cover(n.store.covered)
 }
 
-// evictFor evicts a child for a subscriber that was not refused, if no place is free.
+// evictFor evicts a child to free a place for a subscriber that was not refused. It does nothing if
+// a place is free.
 func (n *Node) evictFor(m *Subscribe, now Microseconds) {
 	if len(n.children) < n.limits.FanOut {
 		return
@@ -159,7 +163,8 @@
 	n.removeChild(evicted, CloseRefused, now)
 }
 
-// replaceSameName removes a child with this name, whose older link may be half-open.
+// replaceSameName removes the child that has the name of a new subscriber. The older link of that
+// child may be half-open.
 func (n *Node) replaceSameName(name string, now Microseconds) {
 	for _, child := range n.children {
 		if child.name == name {
@@ -178,8 +183,8 @@
 	n.host.Close(link, CloseRefused)
 }
 
-// retryAfter returns the time in µs that a refused subscriber has to wait before it asks again. The
-// jitter keeps subscribers that were refused together from returning together.
+// retryAfter returns the time in µs that a refused subscriber has to wait before it asks again. A
+// random jitter keeps subscribers that were refused together from asking again at the same time.
 func (n *Node) retryAfter(reason RefusalReason) Microseconds {
 	minDelay := n.limits.MaxRetryAfter / 2
 	switch reason {
--- a/distribution/admission_test.go
+++ b/distribution/admission_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// subscribe sends a request on a new link to a member, and returns the answer.
+// subscribe sends a Subscribe to a member on a new link, and returns the answer of the member's
+// node.
 func (c *cluster) subscribe(m *member, request *Subscribe) Message {
 	requester := &member{cluster: c, config: Config{Name: request.Name}, frozen: true}
 	link := m.node.Incoming(c.now)
--- a/distribution/batch.go
+++ b/distribution/batch.go
@@ -4,12 +4,12 @@
 type preparedBatch struct {
 	changes []preparedChange
 	digest  Digest // digest of the store after the batch
-	bytes   int    // bytes of the store's entries after the batch
+	bytes   int    // estimated size in bytes of all entries of the store after the batch
 }
 
 // preparedChange is one change with the effect of each of its entries on the digest.
 type preparedChange struct {
-	entries     []Entry  // with their revisions and times of acceptance filled in
+	entries     []Entry  // entries of the change, with their revisions and times of acceptance filled in
 	differences []Digest // for each entry, its digest minus the digest of the entry that it replaces
 	logged      loggedChange
 }
@@ -56,8 +56,8 @@
 	s.version.Revision = prepared.logged.change.Revision
 }
 
-// withDefaults returns the entries of a change, with the revision and time of the change filled in
-// where they are zero.
+// withDefaults returns the entries of a change. An entry whose revision or time of acceptance is
+// zero gets the revision or time of the change.
 func withDefaults(change Change) []Entry {
 	entries := make([]Entry, len(change.Entries))
 	for i, entry := range change.Entries {
@@ -72,8 +72,8 @@
 	return entries
 }
 
-// withoutDefaults returns a change in its form on the wire: revisions and times of entries that
-// equal those of the change are zero, and the epoch is left out.
+// withoutDefaults returns a change in its form on the wire: the revision and the time of acceptance
+// of an entry are zero if they equal those of the change, and the epoch is omitted.
 func withoutDefaults(change Change) Change {
 	entries := make([]Entry, len(change.Entries))
 	for i, entry := range change.Entries {
--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// candidate is a possible parent.
+// candidate is a peer that may become the parent of this node.
 type candidate struct {
 	name                string
-	configured          bool         // from Config.Candidates, and never removed; of the others the oldest are removed
-	proposed            bool         // named in a refusal and not dialled since
-	avoidUntil          Microseconds // not dialled before this time
+	configured          bool         // named in Config.Candidates; only other candidates are removed, the oldest first
+	proposed            bool         // named by a peer in a refusal, and not dialled since then
+	avoidUntil          Microseconds // time before which the candidate is not dialled
 	consecutiveFailures int
 }
 
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// addCandidate returns the candidate with this name, which it adds if it is unknown. It returns nil
-// if the name is empty, longer than maxNameBytes or the node's own. The pointer is valid until the
-// next call.
+// addCandidate returns the candidate with a name, and adds the candidate if the name is unknown. It
+// returns nil if the name is empty, longer than maxNameBytes, or the name of this node. The pointer
+// is valid until a candidate is added or removed.
 func (n *Node) addCandidate(name string, configured bool) *candidate {
 	if name == "" || len(name) > maxNameBytes || name == n.config.Name {
 		return nil
@@ -119,7 +119,7 @@
 	return n.hasChild(peer)
 }
 
-// avoidUntil prevents dials to a peer before a time.
+// avoidUntil prevents dials to a peer before a given time.
 func (n *Node) avoidUntil(peer string, until Microseconds) {
 	if candidate := n.candidateByName(peer); candidate != nil {
 		candidate.avoidUntil = max(candidate.avoidUntil, until)
--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -7,15 +7,15 @@
 type loggedChange struct {
 	change        Change
 	digestChanges []scopeDigestChange
-	size          int // bytes
-	// merged marks a change that replaces all changes after the revision previous, up to its own
-	// revision.
+	size          int // estimated encoded size of the change, in bytes
+	// merged marks a change that replaces all changes after the revision in previous, up to the
+	// revision of the marked change.
 	merged   bool
 	previous uint64
 }
 
-// scopeDigestChange is the difference that a change makes to the digest of a scope. A change may
-// have several for one scope, which add up.
+// scopeDigestChange is the difference that a change makes to the digest of one scope. If a change
+// has several differences for the same scope, the digest changes by their sum.
 type scopeDigestChange struct {
 	scope      string
 	difference Digest
@@ -35,7 +35,7 @@
 type changeLog struct {
 	floor   uint64 // the log holds every change after this revision
 	changes []loggedChange
-	bytes   int // sum of the sizes of all changes
+	bytes   int // sum of the sizes of all logged changes, in bytes
 }
 
 func (l *changeLog) append(change loggedChange) {
@@ -44,7 +44,7 @@
 }
 
 // enforceLimits drops the oldest changes until the log has at most the given number of changes and
-// bytes. It reports whether it dropped any.
+// bytes. It reports whether it dropped any change.
 func (l *changeLog) enforceLimits(changes, bytes int) bool {
 	dropped := false
 	for len(l.changes) > 0 && (len(l.changes) > changes || l.bytes > bytes) {
@@ -57,11 +57,11 @@
 func (l *changeLog) dropOldest() {
 	l.floor = l.changes[0].change.Revision
 	l.bytes -= l.changes[0].size
-	l.changes[0] = loggedChange{} // the array stays in memory; this releases the entries of the dropped change
+	l.changes[0] = loggedChange{} // the array stays allocated; clearing the change releases its entries
 	l.changes = l.changes[1:]
 }
 
-// indexAfter returns the index of the first change after a revision.
+// indexAfter returns the index in the log of the first change after a revision.
 func (l *changeLog) indexAfter(revision uint64) int {
 	index, _ := slices.BinarySearchFunc(l.changes, revision+1, func(logged loggedChange, revision uint64) int {
 		switch {
@@ -75,9 +75,10 @@
 	return index
 }
 
-// changesAfter returns the changes after a revision in some scopes, up to batchBytes but at least
-// one if there is any, and the revision that a child holds after them: the revision of the last
-// change, or newest if no further change follows.
+// changesAfter returns the changes after a revision, limited to some scopes. Their size is at most
+// batchBytes, unless the first change alone is larger. changesAfter also returns the revision that
+// a child holds after these changes: newest if they include all changes of the scopes, else the
+// revision of the last of them.
 func (l *changeLog) changesAfter(revision uint64, scopes Scopes, batchBytes int, newest uint64) ([]Change, uint64) {
 	var changes []Change
 	size := 0
@@ -95,14 +96,14 @@
 	return changes, newest
 }
 
-// insideMerged reports whether a revision lies within a merged change, so that the state at it
+// insideMerged reports whether a revision lies within a merged change. The state at such a revision
 // cannot be computed.
 func (l *changeLog) insideMerged(revision uint64) bool {
 	index := l.indexAfter(revision)
 	return index < len(l.changes) && l.changes[index].merged && l.changes[index].previous < revision
 }
 
-// digestChangeAfter returns the difference that the changes after a revision made to the digest of
+// digestChangeAfter returns the difference that all changes after a revision made to the digest of
 // some scopes.
 func (l *changeLog) digestChangeAfter(revision uint64, scopes Scopes) Digest {
 	var sum Digest
@@ -116,8 +117,8 @@
 	return sum
 }
 
-// changeInScopes returns the part of a change in some scopes. It reports false if the change has no
-// entries there.
+// changeInScopes returns a change with only its entries in some scopes, and whether there are such
+// entries.
 func changeInScopes(change Change, scopes Scopes) (part Change, found bool) {
 	if scopes.All {
 		return change, len(change.Entries) > 0
--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-// The model check runs every order of events up to a depth: accepted changes, messages that arrive
-// or are lost, cuts, restarts, compaction, new epochs and the passing of time. The nodes are real;
-// the network, the record and the controllers are simulated. After each event the content of every
-// node and of its controller must equal the record at the node's revision, and no version may be
-// lower than an earlier one of the same node.
+// The model check executes the events of a case in every order, up to a maximum number of events.
+// The events are accepted changes, messages that arrive or are lost, cuts, restarts, compaction,
+// new epochs and the passing of time. The nodes are real; the network, the record and the
+// controllers are simulated. After each event the content of every node and of its controller must
+// equal the record at the node's revision, and the version of a node must not be lower than an
+// earlier version of the same node.
 
-// modelStep is the time that passes with one passTime event; the limits below are small multiples
-// of it.
+// modelStep is the time that passes with one passTime event. The times in modelLimits are small
+// multiples of modelStep.
 const modelStep = second
 
-// modelLimits returns limits that are small enough for every one to be reached within a few events.
+// modelLimits returns limits that are so small that each of them can be reached within a few
+// events.
 func modelLimits() Limits {
 	limits := DefaultLimits()
 	limits.Heartbeat = modelStep
@@ -32,7 +34,8 @@
 	return limits
 }
 
-// modelEvent is one event: its kind, and the index of the member that it affects.
+// modelEvent is one event of the model check: its kind, and the index of the member that it
+// affects.
 type modelEvent struct {
 	kind   byte
 	member int
@@ -40,8 +43,8 @@
 
 func (e modelEvent) String() string { return fmt.Sprintf("%c%d", e.kind, e.member) }
 
-// parseEvents parses a list of events, such as "a0 d1": each is the letter of its kind and the
-// index of a member.
+// parseEvents parses a list of events, such as "a0 d1": each event is the letter of its kind and
+// the index of a member.
 func parseEvents(words string) (events []modelEvent) {
 	for _, word := range strings.Fields(words) {
 		events = append(events, modelEvent{word[0], int(word[1] - '0')})
@@ -49,9 +52,9 @@
 	return events
 }
 
-// modelEntries returns the two entries of the nth change. Every change touches scope "a", except
-// each fourth one (revision%4 == 3), which sets entries of scope "b" alone. Each change has two
-// entries so that a partly applied change differs from a whole one.
+// modelEntries returns the two entries of the change with a given revision. Every change touches
+// scope "a", except those with revision%4 == 3, which set entries of scope "b" alone. Each change
+// has two entries so that a partly applied change differs from a whole one.
 func modelEntries(revision int) []Entry {
 	value := strconv.Itoa(revision)
 	switch revision % 4 {
@@ -65,9 +68,10 @@
 	return []Entry{set("b", "y", value), set("b", "z", value)}
 }
 
-// Kinds of events, by their letters in startingState.setup and startingState.events. Most affect
-// one member. A subscriber's first connection is the one that it dialled first; down is towards the
-// subscriber, up towards its parent.
+// Kinds of events, by their letters in startingState.setup and startingState.events. Most kinds
+// affect one member. The first connection of a subscriber is the oldest existing connection that
+// the subscriber has dialled. Down is the direction towards the subscriber, up the direction
+// towards its parent.
 const (
 	acceptChange       = 'a' // a change is accepted; the first voter gets it at once
 	followRecord       = 'f' // a voter that lacks changes gets the next one, or gets the new record
@@ -80,14 +84,14 @@
 	deliverDown2       = 'e' // a message arrives at the subscriber on its second connection
 	deliverUp2         = 'w' // a message arrives at the parent on a subscriber's second connection
 	cutConnection      = 'c' // a subscriber's first connection is cut, and dials of that parent fail
-	healCuts           = 'h' // all dials can succeed again
-	restartWithVersion = 'k' // a subscriber restarts with its version and without its content
+	healCuts           = 'h' // dials succeed again between all members whose connections were cut
+	restartWithVersion = 'k' // a subscriber restarts without its content; its highest version becomes its floor
 	restartWithNothing = 'q' // a subscriber restarts without its version and content
-	restartWithState   = 'p' // a subscriber restarts with its content
+	restartWithState   = 'p' // a subscriber restarts with its version and content
 	compactLog         = 'm' // the member's node drops its log and tombstones
 	changeScopes       = 'z' // a subscriber requests other scopes
 	settleAll          = 's' // all sent messages arrive
-	passTime           = 't' // modelStep passes, and Tick of every node is called
+	passTime           = 't' // the time advances by modelStep, and Tick of every node is called
 )
 
 // play executes one event. It returns false if the event is impossible in this state.
@@ -166,7 +170,7 @@
 }
 
 // followOne passes to a voter the new record, or one more change of its record. It reports whether
-// the voter lacked one.
+// the voter lacked the new record or a change.
 func (c *cluster) followOne(m *member) bool {
 	if !m.config.Voter {
 		return false
@@ -191,10 +195,10 @@
 	return conns
 }
 
-// messageMove selects the message that a delivery or a loss affects.
+// messageMove selects the queue whose first message is delivered or lost.
 type messageMove struct {
-	connection int // index among those that the subscriber dialled
-	side       int // 0 for messages to the subscriber, 1 to its parent
+	connection int // index of the connection among those that the subscriber dialled
+	side       int // 0 for messages to the subscriber, 1 for messages to its parent
 	lose       bool
 }
 
@@ -208,7 +212,7 @@
 }
 
 // moveOne delivers or loses one message on a subscriber's first or second connection. It returns
-// false if there is no message to deliver or to lose.
+// false if there is no such message or connection.
 func (c *cluster) moveOne(m *member, kind byte) bool {
 	move := messageMoves[kind]
 	conns := c.dialled(m)
@@ -224,9 +228,10 @@
 	return moved
 }
 
-// extraDepth returns the number of events by which each case's depth is increased.
+// extraDepth returns the number of events by which the depth of each case of the model check is
+// increased.
 func extraDepth() int {
-	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // with 2 the model check takes minutes
+	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // a value of 2 makes the model check take minutes
 	return extra
 }
 
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -7,7 +7,7 @@
 const maxExtraUnsubscribed = 64
 
 // maxUnconfirmedMessages bounds the messages sent to a child that renews its lease without
-// confirming any.
+// confirming any message.
 const maxUnconfirmedMessages = 4096
 
 // unsubscribedLink is an accepted link on which no Subscribe has arrived yet.
@@ -29,10 +29,10 @@
 	// sentVersion is the child's version once all messages sent to it have arrived.
 	sentVersion       Version
 	awaitsSnapshot    bool              // a snapshot for the child is due and has not begun
-	snapshot          *outgoingSnapshot // the snapshot that is being sent to the child; otherwise nil
+	snapshot          *outgoingSnapshot // the snapshot that is being sent to the child; nil if there is none
 	unconfirmedSizes  []int             // sizes in bytes of unconfirmed messages; at most maxUnconfirmedMessages
-	unconfirmedBytes  int               // sum of unconfirmedSizes
-	confirmedMessages uint64            // messages confirmed since the last Admitted, including it
+	unconfirmedBytes  int               // sum of unconfirmedSizes, in bytes
+	confirmedMessages uint64            // number of confirmed messages since the last Admitted, which counts too
 }
 
 func (n *Node) childByLink(link Link) *child {
@@ -48,23 +48,24 @@
 	return slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name })
 }
 
-// removeUnsubscribed removes a link from the unsubscribed links, and reports whether it was there.
+// removeUnsubscribed removes a link from the unsubscribed links, and reports whether the link was
+// one of them.
 func (n *Node) removeUnsubscribed(link Link) bool {
 	before := len(n.unsubscribedLinks)
 	n.unsubscribedLinks = slices.DeleteFunc(n.unsubscribedLinks, func(l unsubscribedLink) bool { return l.link == link })
 	return len(n.unsubscribedLinks) < before
 }
 
-// removeChild removes a child, whose link is closed already, and starts a snapshot for a child that
-// waits for one.
+// removeChild removes a child whose link is closed already. If the child was receiving a snapshot,
+// the snapshot of a waiting child can start instead.
 func (n *Node) removeChild(c *child, reason CloseReason, now Microseconds) {
 	n.children = slices.DeleteFunc(n.children, func(other *child) bool { return other == c })
 	n.host.Log(Event{Kind: EventChildLost, Peer: c.name, Version: c.sentVersion, CloseReason: reason})
 	n.startSnapshots(now)
 }
 
-// removeUncoveredChildren refuses and removes the children with scopes that this node no longer
-// covers.
+// removeUncoveredChildren refuses and removes each child that subscribes to a scope that this node
+// no longer covers.
 func (n *Node) removeUncoveredChildren(now Microseconds) {
 	for _, child := range slices.Clone(n.children) {
 		if n.store.covered.Cover(child.scopes) {
@@ -75,13 +76,14 @@
 	}
 }
 
-// subscription returns the request that corresponds to the child's current place.
+// subscription returns a Subscribe with the name, the scopes and the version of a child that has a
+// place.
 func (c *child) subscription() *Subscribe {
 	return &Subscribe{Name: c.name, Scopes: c.scopes, Version: c.sentVersion}
 }
 
-// handleRenew renews the lease of a child, removes the messages that the child has received from
-// its unconfirmed ones, and sends further deltas and snapshot pieces.
+// handleRenew renews the lease of a child, removes the messages that the child has confirmed from
+// its unconfirmed messages, and sends further deltas and snapshot pieces.
 func (n *Node) handleRenew(link Link, m *Renew, now Microseconds) {
 	child := n.childByLink(link)
 	if child == nil {
@@ -94,7 +96,7 @@
 		child.confirmedMessages++
 	}
 	n.sendDeltas(child, now)
-	if child.snapshot != nil { // a child can confirm several windows between two calls of Tick
+	if child.snapshot != nil { // pieces do not wait for Tick: a child can confirm several windows between two ticks
 		n.refillSnapshotCredit(now)
 		n.sendSnapshotPieces(now)
 	}
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -23,8 +23,8 @@
 	return !n.contentInDoubt && n.store.covered.Equal(n.config.Scopes)
 }
 
-// reportOlder counts and logs a message, change or state that was refused because it is not newer
-// than the store.
+// reportOlder counts and logs the refusal of a message, change or state that is not newer than the
+// version of the node.
 func (n *Node) reportOlder(peer string, version Version) {
 	n.counts.OlderRefused++
 	n.host.Log(Event{Kind: EventOlderRefused, Peer: peer, Version: version})
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -242,8 +242,8 @@
 }
 
 // A relay that applied a merged change must serve children whose version lies before, within or
-// after that change. The relay cannot compute the digest of a version within it, and must send that
-// child a delta nevertheless, not a snapshot.
+// after that change. The relay cannot compute the digest at a revision within the merged change,
+// and must nevertheless send a child at that revision a delta, not a snapshot.
 func TestMergedChangeReachesChildrenOfChildren(t *testing.T) {
 	limits := DefaultLimits()
 	c := newCluster()
--- a/distribution/controllers_test.go
+++ b/distribution/controllers_test.go
@@ -49,7 +49,8 @@
 	m.highestVersion = version
 }
 
-// verify compares the entries of a node and of its controller with the record.
+// verify compares the entries of a node and of its controller with the record at the node's
+// version.
 func (m *member) verify() {
 	m.checkVersionOrder()
 	c, version := m.cluster, m.node.Version()
@@ -94,7 +95,7 @@
 	return string(a.Value) == string(b.Value) && a.Revision == b.Revision && a.AcceptedAt == b.AcceptedAt
 }
 
-// requireConsistent ends the test if a rule was violated.
+// requireConsistent ends the test if the cluster has recorded a violated rule.
 func (c *cluster) requireConsistent(t *testing.T) {
 	t.Helper()
 	if c.violation != "" {
--- a/distribution/deltas.go
+++ b/distribution/deltas.go
@@ -21,10 +21,11 @@
 	n.startSnapshots(now)
 }
 
-// sendDeltas sends a child the deltas that it lacks, as far as its window allows, and reports
-// whether all are sent. There is no queue per child: its next delta is computed from the log and
-// the entries after the version last sent to it. A child gets a snapshot if the log and the entries
-// no longer cover its version.
+// sendDeltas sends a child the deltas that the child lacks, as far as its window allows, and
+// reports whether it has sent all of them. A child has no queue of deltas: the next delta is
+// computed from the log, or from the entries, after the version that was last sent to the child. A
+// child gets a snapshot if neither the log nor the entries and tombstones reach back to its
+// version, or if the changed entries are larger than one batch.
 func (n *Node) sendDeltas(c *child, now Microseconds) (allSent bool) {
 	for !c.awaitsSnapshot && c.snapshot == nil && !n.isBehind(c.sentVersion) && c.unconfirmedBytes < n.limits.Window {
 		delta, possible := n.store.deltaFrom(c.sentVersion, c.scopes, n.limits.BatchBytes)
@@ -43,7 +44,8 @@
 	return false
 }
 
-// isBehind reports whether this node holds an older version than a child at the given version.
+// isBehind reports whether this node holds an older version than a child that holds the given
+// version.
 func (n *Node) isBehind(version Version) bool { return n.store.version.Before(version) }
 
 // scheduleHeartbeats makes a heartbeat to every child due at the next Tick.
@@ -62,8 +64,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to a child. If all deltas are sent, the heartbeat advances the
-// child to the revision of this node.
+// sendHeartbeat sends a heartbeat to a child. If the child has been sent all deltas, the heartbeat
+// advances the child to the revision of this node.
 func (n *Node) sendHeartbeat(c *child, now Microseconds) {
 	c.nextHeartbeatAt = now + n.limits.Heartbeat
 	heartbeat := &Heartbeat{Source: n.store.version, Path: n.ownPath(), Age: n.sourceAge(now)}
--- a/distribution/digest.go
+++ b/distribution/digest.go
@@ -6,10 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is an incremental sum over the entries of some scopes that are not tombstones, independent
-// of their order: two nodes with the same digest have the same entries, values, revisions and times
-// of acceptance. It guards against faults, not against forgery; members are authenticated by the
-// connections that carry the messages.
+// Digest is a sum of hashes over the entries of some scopes that are not tombstones. The sum can be
+// updated entry by entry and does not depend on the order of the entries: two nodes with the same
+// digest have the same entries, values, revisions and times of acceptance. A digest guards against
+// faults, not against forgery; members are authenticated by the connections that carry the
+// messages.
 type Digest struct {
 	// High is the sum of the hashes of the entries with highSeed.
 	High uint64 `cbor:"1,keyasint,omitempty"`
@@ -46,6 +47,6 @@
 
 func seededHash(framed []byte, seed uint64) uint64 {
 	hash := xxhash.NewWithSeed(seed)
-	_, _ = hash.Write(framed) // Write of a hash never fails
+	_, _ = hash.Write(framed) // Write of a hash never returns an error
 	return hash.Sum64()
 }
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -14,17 +14,17 @@
 
 // Reasons to close a link.
 const (
-	CloseSilent         CloseReason = iota + 1 // no message or Renew for a lease, or too many unconfirmed messages
-	CloseNotChosen                             // another parent admitted first, or the current parent is as good
+	CloseSilent         CloseReason = iota + 1 // no message or Renew within a lease, or too many unconfirmed messages
+	CloseNotChosen                             // another peer admitted this node first, or the current parent is as good
 	CloseReplaced                              // the child subscribed again on another link
-	CloseRefused                               // the place was refused
-	CloseTimedOut                              // no admission, answer or Subscribe within Limits.Handshake
+	CloseRefused                               // the parent refused the child a place, or revoked the place
+	CloseTimedOut                              // no admission, answer or Subscribe arrived within Limits.Handshake
 	CloseOutdatedParent                        // the parent sent an older version, or another parent is more current
 	CloseLoop                                  // the parent is below the node, or the node would be too deep
-	CloseConflict                              // the parent's epoch has the node's number and another identity
+	CloseConflict                              // the parent's epoch has the node's epoch number and another identity
 	CloseNotCovered                            // the parent no longer covers the child's scopes
 	CloseMalformed                             // a message breaks a rule, or recovery failed maxRecoveries times
-	CloseTooLarge                              // the state would exceed Limits.StateBytes
+	CloseTooLarge                              // the received state would exceed Limits.StateBytes
 )
 
 var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "outdated parent",
@@ -39,20 +39,20 @@
 // Kinds of events.
 const (
 	EventAdmitted          EventKind = iota + 1 // this node has a place below Peer
-	EventRefusedBy                              // Peer refused this node a place, for Refusal
-	EventParentLost                             // the link to the parent Peer ended or was closed, for CloseReason
+	EventRefusedBy                              // Peer refused this node a place; Refusal is the reason
+	EventParentLost                             // the link to the parent Peer ended or was closed; see CloseReason
 	EventChildAdmitted                          // Peer has a place below this node
-	EventChildRefused                           // this node refused Peer a place, for Refusal
-	EventChildLost                              // the link to the child Peer ended or was closed, for CloseReason
+	EventChildRefused                           // this node refused Peer a place; Refusal is the reason
+	EventChildLost                              // the link to the child Peer ended or was closed; see CloseReason
 	EventGap                                    // a message from Peer does not follow the version of this node
-	EventWrongDigest                            // the content after a message from Peer would not match its digest
-	EventOlderRefused                           // a message, change or state that is not newer was refused
-	EventEpochConflict                          // Peer's epoch has this node's number and another identity; refused
+	EventWrongDigest                            // the content after a message from Peer would not have the stated digest
+	EventOlderRefused                           // a message, change or state was refused because it is not newer
+	EventEpochConflict                          // Peer's epoch was refused: same number as this node's, other identity
 	EventSnapshotSent                           // the last piece of a snapshot was sent to Peer
 	EventSnapshotInstalled                      // a snapshot from Peer was installed
 	EventCompacted                              // changes up to Version were dropped from the log
 	EventMalformed                              // a message from Peer breaks a rule
-	EventTooLarge                               // a message from Peer would exceed Limits.StateBytes; refused
+	EventTooLarge                               // a message from Peer that would exceed Limits.StateBytes was refused
 	EventSourceStale                            // Status.Age exceeds Limits.MaxStaleness
 	EventSourceCurrent                          // Status.Age is within Limits.MaxStaleness again
 )
@@ -64,11 +64,12 @@
 // String returns the text of the kind that log lines contain.
 func (k EventKind) String() string { return enumName(eventNames[:], int(k)) }
 
-// Event reports an occurrence to the host's log. The controller logs each event with revision= and
-// epoch= (controller/distribution_log.go): EventParentLost as msg=parent_lost with parent= and
-// reason=, the text of the CloseReason or "connection closed"; events about children, and
-// EventCompacted, as msg=distribution_tree, and refused messages as
-// msg=distribution_message_refused, both with peer= and detail=, the text of the EventKind.
+// Event reports an occurrence to the host's log. The controller logs each event with the attributes
+// revision= and epoch= (controller/distribution_log.go). EventParentLost is logged as
+// msg=parent_lost with the attributes parent= and reason=, the text of the CloseReason or
+// "connection closed". Events about children and EventCompacted are logged as
+// msg=distribution_tree, and refused messages as msg=distribution_message_refused; both have the
+// attributes peer= and detail=, the text of the EventKind.
 type Event struct {
 	// Kind determines which of the other fields are set.
 	Kind EventKind
@@ -78,7 +79,7 @@
 	// about a child the version of that child, and for EventCompacted the newest version dropped
 	// from the log.
 	Version Version
-	// Refusal is the reason of a refused place.
+	// Refusal is the reason for which a place was refused.
 	Refusal RefusalReason
 	// CloseReason is the reason for which a child or parent was lost.
 	CloseReason CloseReason
--- a/distribution/explore_test.go
+++ b/distribution/explore_test.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// startingState describes the start of a model check: the members, the events that are executed
+// startingState describes one case of the model check: the members, the events that are executed
 // first, and the events that are then executed in every order.
 type startingState struct {
 	name   string
 	voters int
 	relays int
-	setup  string // events that are executed before every order
-	events string // events to execute, by kind and member index, as in "a0 d2"
+	setup  string // events that are executed once, before the events whose order varies
+	events string // events that are executed in every order, by kind and member index, as in "a0 d2"
 	depth  int
 }
 
@@ -96,9 +96,9 @@
 	path    []modelEvent
 }
 
-// explore executes the events in every order up to a depth. It returns the shortest sequence of
-// events that violates a rule, with the violation, or "" if no rule is violated, and the number of
-// distinct states.
+// explore executes the events in every order, up to depth events. It returns the shortest sequence
+// of events that violates a rule, with the violation, or "" if no order violates a rule. It also
+// returns the number of distinct states.
 func (s startingState) explore(depth int, plant func(*Node)) (violation string, states int) {
 	start := reachedState{cluster: s.begin(plant)}
 	for _, e := range parseEvents(s.setup) {
--- a/distribution/failure_test.go
+++ b/distribution/failure_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// expectCaughtUp fails unless the members have the whole record.
+// expectCaughtUp fails the test unless the members have the whole record.
 func (c *cluster) expectCaughtUp(t *testing.T, members ...*member) {
 	t.Helper()
 	c.requireConsistent(t)
@@ -56,7 +56,7 @@
 	return c, v, first, second, leaf
 }
 
-// oneSecond is the constant second, for functions where the variable second is a member.
+// oneSecond equals the constant second. It is used in functions with a local variable named second.
 const oneSecond = second
 
 func TestChangesPropagateDownTheTreeImmediately(t *testing.T) {
@@ -138,7 +138,7 @@
 	c.cut(ahead, leaf)
 	leaf.node.learnCandidates([]string{"behind"}, false)
 	c.advance(3*oneSecond, tick)
-	c.expectCaughtUp(t, leaf) // the leaf does not go back to the older version of its new parent
+	c.expectCaughtUp(t, leaf) // the leaf keeps its version, which is newer than that of its new parent
 	status := leaf.node.Status(c.now)
 	if status.Parent != "behind" || status.Age < 2*oneSecond {
 		t.Errorf("the parent of the leaf is %q and its age %d µs, want \"behind\" and at least %d",
@@ -159,7 +159,7 @@
 	c.acceptChanges(4)
 	c.advance(oneSecond, tick)
 	v.kill()
-	v.hasLeader = false // the voter gets the changes of the record only once this is set
+	v.hasLeader = false // the voter gets no changes of the record until hasLeader is set
 	v.start(stored)
 	c.advance(3*oneSecond, tick)
 	c.requireConsistent(t)
@@ -221,7 +221,7 @@
 	if status := leaf.node.Status(c.now); status.Parent != "quick" || status.Counts.Dials != 2 {
 		t.Errorf("status %+v, want the parent \"quick\" after 2 dials", status)
 	}
-	slow.frozen = false // the late Admitted of "slow" has to be ignored
+	slow.frozen = false // the Admitted of "slow" arrives late and must be ignored
 	c.acceptChanges(1)
 	c.advance(oneSecond, tick)
 	c.expectCaughtUp(t, leaf)
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -4,8 +4,8 @@
 // does not change until the snapshot is complete.
 type incomingSnapshot struct {
 	store      *store
-	nextIndex  int          // index of the next piece
-	progressAt Microseconds // when the last piece arrived
+	nextIndex  int          // index of the next expected piece
+	progressAt Microseconds // time at which the last piece arrived
 }
 
 // handleSnapshotPiece adds a piece to the incoming snapshot, and installs the snapshot after its
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -39,8 +39,8 @@
 	k.numbers(int64(version.Epoch.Number), int64(version.Epoch.Identity), int64(version.Revision))
 }
 
-// key returns a hash of the state of the model. Times enter relative to the current time, so equal
-// states that are reached at different times have the same key.
+// key returns a hash of the state of the model. Times are hashed relative to the current time, so
+// equal states that are reached at different times have the same key.
 func (c *cluster) key() uint64 {
 	var k keyWriter
 	k.version(Version{c.epoch, uint64(len(c.record))})
@@ -81,8 +81,8 @@
 	return key
 }
 
-// addKey adds the fields that determine the behaviour of a node. Times are relative to now; all
-// past times of eight modelSteps or more count as equal.
+// addKey adds to the key the fields that determine the behaviour of a node. Times are relative to
+// now; all past times of eight modelSteps or more count as equal.
 func (n *Node) addKey(k *keyWriter, now int64) {
 	since := func(at int64) int64 { return min((now-at)/modelStep, 8) }
 	until := func(at int64) int64 { return max(at-now, 0) }
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -31,9 +31,10 @@
 	// MaxDepth is the maximum number of ancestors of a subscriber, including the voter.
 	MaxDepth int
 
-	// LogChanges is the maximum number of changes in the log for deltas.
+	// LogChanges is the maximum number of changes in the log from which deltas are made.
 	LogChanges int
-	// LogBytes is the maximum number of bytes of the changes in the log for deltas.
+	// LogBytes is the maximum total size, in bytes, of the changes in the log from which deltas are
+	// made.
 	LogBytes int
 	// Tombstones is the maximum number of tombstones.
 	Tombstones int
@@ -44,13 +45,15 @@
 	// Window is the number of unconfirmed bytes at which a parent stops sending deltas and snapshot
 	// pieces to a child.
 	Window int
-	// BatchBytes bounds the changes in one delta, unless a single change is larger.
+	// BatchBytes bounds the size in bytes of the changes in one delta, unless a single change is
+	// larger.
 	BatchBytes int
-	// PieceBytes bounds the entries in one piece of a snapshot, unless a single entry is larger.
+	// PieceBytes bounds the size in bytes of the entries in one piece of a snapshot, unless a
+	// single entry is larger.
 	PieceBytes int
 	// MaxSnapshots is the maximum number of snapshots under way to children at the same time.
 	MaxSnapshots int
-	// SnapshotBytesPerSecond is the total rate of all outgoing snapshots.
+	// SnapshotBytesPerSecond is the total rate of all outgoing snapshots, in bytes per second.
 	SnapshotBytesPerSecond int
 
 	// MinBackoff is the upper bound of the random wait before the dial that follows a first
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -26,8 +26,8 @@
 	// FanOut is the number of children that the sender accepts; a sender with zero is not proposed
 	// as a parent.
 	FanOut int `cbor:"6,keyasint,omitempty"`
-	// Request numbers the requests of the child. The answer repeats it, so that the child can match
-	// the two.
+	// Request numbers the requests of the child. The answer repeats the number, so that the child
+	// can match the answer to the request.
 	Request uint64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -64,7 +64,7 @@
 	RefusedTooDeep                             // the tree would be deeper than Limits.MaxDepth
 	RefusedEmpty                               // the parent has no configuration yet
 	RefusedMalformed                           // the name or the scopes of the request are invalid
-	RefusedConflict                            // the child's epoch has the parent's number and another identity
+	RefusedConflict                            // the child's epoch has the parent's epoch number and another identity
 )
 
 var refusalNames = [...]string{"none", "full", "busy", "not covered", "loop", "too deep", "empty", "malformed",
@@ -149,7 +149,7 @@
 type Renew struct {
 	// Version is the version that the child holds.
 	Version Version `cbor:"1,keyasint,omitempty"`
-	// Received counts the messages of the parent on this link from its last Admitted on, including
-	// that one.
+	// Received counts the messages of the parent on this link since its last Admitted, which counts
+	// too.
 	Received uint64 `cbor:"2,keyasint,omitempty"`
 }
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -16,18 +16,18 @@
 	members     []*member
 	conns       []*conn
 	dials       []dial
-	cuts        map[[2]string]bool // by namePair: members whose connections are closed and whose dials fail
-	hung        map[[2]string]bool // by namePair: members between which nothing arrives; they are not notified
-	encode      bool               // encodes and decodes each message between sender and receiver
+	cuts        map[[2]string]bool // by namePair: the members' connections are closed, and dials between them fail
+	hung        map[[2]string]bool // by namePair: nothing arrives between the members, which are not notified
+	encode      bool               // each message is encoded by its sender and decoded for its receiver
 	epoch       Epoch
 	record      []Change                           // accepted changes of the current epoch
-	expected    map[Epoch]map[uint64]map[Key]Entry // the whole configuration at each epoch and revision
+	expected    map[Epoch]map[uint64]map[Key]Entry // the whole expected configuration, by epoch and revision
 	randomState uint64
-	// messageKeys holds, for each message of the model, a key that is computed once.
+	// messageKeys caches the key of each message of the model, which is computed once.
 	messageKeys map[Message]int64
 	random      bool        // makes Random of all members return pseudo-random numbers instead of zero
 	violation   string      // the first violated rule; "" if there is none
-	transcript  *transcript // of all calls of the hosts; nil to record none
+	transcript  *transcript // receives all calls that nodes make to their hosts; nil to record none
 }
 
 // member is a node with the controller that applies its changes.
@@ -43,8 +43,8 @@
 	appliedVersion    Version
 	highestVersion    Version // highest version of the node over all restarts
 	events            []Event
-	sentBytes         int // sum of the sizes of all sent messages
-	applyCount        int // number of calls of Apply
+	sentBytes         int // sum of the sizes in bytes of all messages that the member has sent
+	applyCount        int // number of calls of Apply by the member's node
 	// verifiedVersion and verifiedApplyCount are the node's version and applyCount when advance
 	// last called verify. advance calls verify again only if one of them has changed.
 	verifiedVersion    Version
@@ -58,12 +58,12 @@
 	link Link
 }
 
-// conn is a connection of two members, with the messages that are sent and not delivered yet.
+// conn is a connection of two members, with the messages that were sent and are not delivered yet.
 type conn struct {
 	dialer, acceptor *member
-	links            [2]Link      // as the dialer numbers it, as the acceptor numbers it
-	queues           [2][]Message // messages to the dialer, messages to the acceptor
-	closed           [2]bool      // whether the dialer has closed it, whether the acceptor has
+	links            [2]Link      // the link of the dialer's node, the link of the acceptor's node
+	queues           [2][]Message // queued messages to the dialer, queued messages to the acceptor
+	closed           [2]bool      // the dialer has closed the connection, the acceptor has closed it
 }
 
 func newCluster() *cluster {
@@ -186,7 +186,7 @@
 // accept adds a change to the record; follow passes it to the voters.
 func (c *cluster) accept(entries ...Entry) {
 	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
-	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // different for each change
+	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two changes have the same time
 	c.expectedAt(c.epoch, change.Revision-1)
 	next := maps.Clone(c.expected[c.epoch][change.Revision-1])
 	for _, e := range withDefaults(change) {
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -59,27 +59,27 @@
 
 	// State of this node as the parent of its children.
 	lastLink          Link
-	unsubscribedLinks []unsubscribedLink // links without a Subscribe; at most FanOut+maxExtraUnsubscribed
-	children          []*child           // in the order of their admission; at most FanOut
-	snapshotCredit    int64              // millionths of a byte that snapshots may send now; negative after a larger piece
+	unsubscribedLinks []unsubscribedLink // accepted links without a Subscribe; at most FanOut+maxExtraUnsubscribed
+	children          []*child           // children in the order of their admission; at most Limits.FanOut
+	snapshotCredit    int64              // credit for snapshots in millionths of a byte; a large piece makes it negative
 	creditRefilledAt  Microseconds
 	lastServedChild   int // index of the child that was sent the last snapshot piece
 
 	// State of this node as the child of its parent.
-	parent              *parentLink       // nil without a parent
+	parent              *parentLink       // link to the parent; nil without a parent
 	attempts            []*parentLink     // links to peers that were asked for a place; at most maxAttempts
-	incomingSnapshot    *incomingSnapshot // the snapshot that is being received; otherwise nil
+	incomingSnapshot    *incomingSnapshot // the snapshot that is being received; nil if there is none
 	contentInDoubt      bool              // a digest did not match, so only a complete snapshot is accepted
-	candidates          []candidate       // possible parents, the configured ones first; at most MaxCandidates others
+	candidates          []candidate       // possible parents: the configured ones, then at most MaxCandidates learned ones
 	nextDialAt          Microseconds
 	consecutiveFailures int // failed attempts and lost parents since the source was last known to be current
 	consecutiveRefusals int // refusals since this node last got a place
 
-	sourceCurrentAt   Microseconds // when the source was last known to be current
+	sourceCurrentAt   Microseconds // time at which the source was last known to be current
 	sourceEverCurrent bool
 	loggedStale       bool // EventSourceStale was logged after the last EventSourceCurrent
 
-	faults plantedFaults // zero except in tests
+	faults plantedFaults // deliberate faults; zero except in tests
 }
 
 // New returns a node. A voter has no configuration until Restored or Accepted is called. A
@@ -88,14 +88,14 @@
 	n := &Node{config: config, host: host, limits: config.Limits, creditRefilledAt: now, nextDialAt: now}
 	if config.Voter {
 		n.config.Scopes = AllScopes()
-		n.config.Floor = Version{} // the record's log is replayed from an older state after a restart
+		n.config.Floor = Version{} // a floor would refuse the record's log, which is replayed from an older state
 	}
 	n.snapshotCredit = int64(n.limits.PieceBytes) * microsecondsPerSecond
 	n.store = newStore(Version{}, n.config.Scopes)
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
-	n.nextDialAt += n.jitter(n.limits.MinBackoff) // spreads the dials of nodes that start together
+	n.nextDialAt += n.jitter(n.limits.MinBackoff) // spreads the dials of nodes that start at the same time
 	return n
 }
 
@@ -141,12 +141,12 @@
 }
 
 // Current notes that the record of the voter has a leader backed by a majority at this time, and
-// that the voter has the whole record. No newer change was then accepted anywhere, except within
-// the time that a change takes to reach the voter.
+// that the voter has the whole record. It follows that no newer change has been accepted by any
+// voter, except within the time that a change takes to reach this voter.
 func (n *Node) Current(now Microseconds) { n.noteSourceCurrent(now) }
 
-// Tick advances the node's time and performs what is due. The host calls it about ten times a
-// second.
+// Tick advances the node's time and performs the actions that are due. The host calls Tick about
+// ten times a second.
 func (n *Node) Tick(now Microseconds) {
 	n.checkParent(now)
 	n.checkAttempts(now)
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -1,14 +1,14 @@
 package distribution
 
-// outgoingSnapshot is a snapshot that is being sent to a child. Its entries are those at the time
-// when the snapshot began.
+// outgoingSnapshot is a snapshot that is being sent to a child. It holds the entries that the store
+// had when the snapshot began.
 type outgoingSnapshot struct {
 	version   Version
 	horizon   uint64
 	digest    Digest  // digest of all entries of the snapshot
 	entries   []Entry // entries that are not sent yet
-	nextIndex int     // index of the next piece
-	bytesLeft int     // bytes of the entries that are not sent yet
+	nextIndex int     // index of the next piece to send
+	bytesLeft int     // estimated size in bytes of the entries that are not sent yet
 }
 
 // microsecondsPerSecond converts between bytes and credit, which is counted in millionths of a
@@ -19,8 +19,8 @@
 // 1/creditsPerSecond seconds, or to one piece if that is more.
 const creditsPerSecond = 4
 
-// snapshotsPending counts the snapshots that are under way or due. A waiting child that is ahead of
-// this node does not count.
+// snapshotsPending counts the snapshots that are under way or due. A child that waits for a
+// snapshot does not count while the child is ahead of this node.
 func (n *Node) snapshotsPending() int {
 	pending := 0
 	for _, child := range n.children {
@@ -83,7 +83,7 @@
 func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
-	elapsed := min(now-n.creditRefilledAt, second) // a longer time adds nothing, and could overflow
+	elapsed := min(now-n.creditRefilledAt, second) // more time adds nothing to the bounded credit, and could overflow
 	n.snapshotCredit = min(n.snapshotCredit+elapsed*pace, bound)
 	n.creditRefilledAt = now
 }
@@ -124,8 +124,8 @@
 	}
 }
 
-// finishSnapshot ends a snapshot that was sent completely, sends the child the deltas since, and
-// starts the next snapshot.
+// finishSnapshot ends a snapshot whose last piece was sent, sends the child the deltas that follow
+// the version of the snapshot, and starts the next snapshot.
 func (n *Node) finishSnapshot(c *child, now Microseconds) {
 	c.sentVersion = c.snapshot.version
 	c.snapshot = nil
@@ -135,8 +135,8 @@
 	n.startSnapshots(now)
 }
 
-// splitEntries splits entries into the longest first part of at most maxBytes, but at least one
-// entry, and the rest.
+// splitEntries splits entries into a first part and the rest. The first part is as long as possible
+// with at most maxBytes, but has at least one entry.
 func splitEntries(entries []Entry, maxBytes int) (first, rest []Entry) {
 	size := 0
 	for i, entry := range entries {
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -3,27 +3,27 @@
 import "slices"
 
 // parentLink is the link to this node's parent, or to a peer that this node asks for a place as its
-// child. A parameter is named parent if it holds Node.parent, attempt if it holds one of
-// Node.attempts, and place if it may hold either.
+// child. A parameter is named parent if it holds Node.parent, attempt if it holds an element of
+// Node.attempts, and place if it may hold the parent or an attempt.
 type parentLink struct {
 	link           Link
 	peer           string
 	dialedAt       Microseconds
 	connected      bool
-	lastReceivedAt Microseconds // arrival of the last message; until then, time of the dial
+	lastReceivedAt Microseconds // time at which the last message arrived; before the first message, time of the dial
 
-	subscribing      bool   // a Subscribe is unanswered; messages until its answer belong to an earlier one
-	lastRequest      uint64 // Request of the last Subscribe on this link
+	subscribing      bool   // a Subscribe is unanswered; messages before its answer belong to an earlier Subscribe
+	lastRequest      uint64 // request number of the last Subscribe on this link
 	subscribeSentAt  Microseconds
-	recoveryRequests int // requests after a gap or a wrong digest, since a message was last applied
+	recoveryRequests int // requests because of a gap or a wrong digest, since a message was last applied
 
 	admittedAt       Microseconds
-	lease            Microseconds // granted by the parent, in µs
+	lease            Microseconds // time of the lease in µs, as granted by the parent
 	path             []string     // names of the nodes from the voter down to the parent
 	behind           bool         // the parent's version is older than this node's
-	behindSince      Microseconds // when behind became true; used only while it is true
-	receivedMessages uint64       // messages received since the last Admitted, including it
-	unconfirmedBytes int          // bytes received since the last Renew
+	behindSince      Microseconds // time at which behind became true; used only while behind is true
+	receivedMessages uint64       // number of messages received since the last Admitted, which counts too
+	unconfirmedBytes int          // number of bytes received since the last Renew was sent
 }
 
 func (n *Node) attemptByLink(link Link) *parentLink {
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// parentOrAttempt returns the parent or the attempt with this link, nil if there is neither.
+// parentOrAttempt returns the parent or the attempt with a given link, or nil if no parent and no
+// attempt has this link.
 func (n *Node) parentOrAttempt(link Link) *parentLink {
 	if n.parent != nil && n.parent.link == link {
 		return n.parent
@@ -72,7 +73,7 @@
 func (n *Node) handleAdmitted(place *parentLink, m *Admitted, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if m.Request != place.lastRequest {
-		return // answers an earlier request; the messages that follow may have other scopes
+		return // this Admitted answers an earlier Subscribe; messages after it may have other scopes
 	}
 	place.subscribing = false
 	place.receivedMessages = 1
@@ -98,9 +99,9 @@
 }
 
 // isBetterPlace reports whether a granted place is better than the current one. The new parent must
-// not be behind this node and must have known its source to be current. It is better if the current
-// parent is behind, if this node has never known its source to be current, or if the new parent's
-// age is less than half of this node's.
+// not be behind this node and must have known its source to be current. The place is better if the
+// current parent is behind, if this node has never known its source to be current, or if the age of
+// the new parent's configuration is less than half of the age of this node's configuration.
 func (n *Node) isBetterPlace(m *Admitted, now Microseconds) bool {
 	if n.isOlder(m.Version) || m.Age == NeverCurrent {
 		return false
@@ -133,8 +134,8 @@
 	return len(path) > 0 && len(path) <= n.limits.MaxDepth && !slices.Contains(path, n.config.Name)
 }
 
-// setPath stores the parent's path. If the path has changed, the children get a heartbeat with it
-// at the next Tick.
+// setPath stores the parent's path. If the path has changed, a heartbeat with the new path to each
+// child becomes due at the next Tick.
 func (n *Node) setPath(parent *parentLink, path []string, now Microseconds) {
 	if slices.Equal(parent.path, path) {
 		return
--- a/distribution/planted_faults.go
+++ b/distribution/planted_faults.go
@@ -7,26 +7,27 @@
 // on a planted fault is in this file: each method returns its unchanged argument unless the fault
 // is planted.
 type plantedFaults struct {
-	acceptGaps  bool // applies deltas that do not follow the node's version
-	acceptOlder bool // applies an older version from a parent
-	applyHalf   bool // applies only the first entry of a change
+	acceptGaps  bool // the node applies deltas that do not follow its version, and ignores wrong digests
+	acceptOlder bool // the node applies an older version from a parent
+	applyHalf   bool // the node applies only the first entry of a change
 }
 
-// acceptsDigest reports whether a digest is accepted: only one that matches, or any with
-// acceptGaps.
+// acceptsDigest reports whether a digest is accepted. Without the fault acceptGaps only a matching
+// digest is accepted, with acceptGaps any digest.
 func (f plantedFaults) acceptsDigest(matches bool) bool { return matches || f.acceptGaps }
 
-// acceptsMessage reports whether a message is accepted: with acceptGaps also one that does not
-// follow the node's version, if it has the node's epoch.
+// acceptsMessage reports whether a message is accepted. Without the fault acceptGaps the message
+// must follow the node's version; with acceptGaps the epoch of the node suffices.
 func (f plantedFaults) acceptsMessage(follows, sameEpoch bool) bool {
 	return follows || f.acceptGaps && sameEpoch
 }
 
-// refusesOlder reports whether an older version is refused: with acceptOlder never.
+// refusesOlder reports whether a version is refused because it is older than the node's version.
+// With the fault acceptOlder no version is refused.
 func (f plantedFaults) refusesOlder(older bool) bool { return older && !f.acceptOlder }
 
-// requestedVersion returns the version for a Subscribe: with acceptOlder zero, so that an older
-// parent sends its content.
+// requestedVersion returns the version that a Subscribe states. With the fault acceptOlder this is
+// the zero version, so that a parent with an older version sends its content.
 func (f plantedFaults) requestedVersion(version Version) Version {
 	if f.acceptOlder {
 		return Version{}
@@ -34,7 +35,8 @@
 	return version
 }
 
-// appliedEntries returns the entries of a change to apply: with applyHalf only the first.
+// appliedEntries returns the entries of a change that the node applies. With the fault applyHalf
+// this is only the first entry.
 func (f plantedFaults) appliedEntries(entries []Entry) []Entry {
 	if f.applyHalf {
 		return entries[:1]
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -43,7 +43,7 @@
 		isHeartbeat = true
 		n.handleHeartbeat(parent, m, now)
 	}
-	hasPlace := parent == n.parent && !parent.subscribing // the calls above may have ended the place
+	hasPlace := parent == n.parent && !parent.subscribing // a handler above may have left the parent or subscribed again
 	renewDue := parent.unconfirmedBytes >= n.limits.Window/renewsPerWindow
 	if hasPlace && (isHeartbeat || renewDue) {
 		n.host.Send(parent.link, &Renew{Version: n.store.version, Received: parent.receivedMessages})
@@ -92,8 +92,9 @@
 	return n.faults.acceptsMessage(follows, epoch == n.store.version.Epoch)
 }
 
-// deltaWellFormed reports whether a delta has changes, in ascending order of their revisions, each
-// with at least one entry and with entries of this node's scopes alone.
+// deltaWellFormed reports whether a delta has at least one change, its changes are in ascending
+// order of their revisions, and each change has at least one entry and only entries in the scopes
+// of this node.
 func (n *Node) deltaWellFormed(m *Delta) bool {
 	last := m.Previous
 	for _, change := range m.Changes {
@@ -109,7 +110,7 @@
 	return len(m.Changes) > 0
 }
 
-// entriesValid reports whether all entries are in this node's scopes and none is newer than a
+// entriesValid reports whether all entries are in this node's scopes and have at most the given
 // revision.
 func (n *Node) entriesValid(entries []Entry, revision uint64) bool {
 	for _, entry := range entries {
@@ -171,8 +172,7 @@
 	}
 }
 
-// handleGap handles a message that does not follow this node's version, by a request for the
-// missing changes.
+// handleGap requests the missing changes after a message that does not follow this node's version.
 func (n *Node) handleGap(parent *parentLink, now Microseconds) {
 	n.counts.GapsSeen++
 	n.host.Log(Event{Kind: EventGap, Peer: parent.peer, Version: n.store.version})
@@ -189,8 +189,8 @@
 	n.requestRecovery(parent, now)
 }
 
-// requestRecovery subscribes again at the parent, or leaves the parent after maxRecoveries
-// consecutive requests without success.
+// requestRecovery sends the parent a new Subscribe. After maxRecoveries consecutive requests
+// without success it leaves the parent instead.
 func (n *Node) requestRecovery(parent *parentLink, now Microseconds) {
 	parent.recoveryRequests++
 	if parent.recoveryRequests > maxRecoveries {
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -44,7 +44,7 @@
 // voter decides by itself whether a proposal is accepted.
 const (
 	MaxChangeBytes = 512 * kibibyte
-	MaxKeyBytes    = 512 // for a scope, and for a name
+	MaxKeyBytes    = 512 // maximum size of a scope, and of a name
 	MaxStateBytes  = DefaultStateBytes
 )
 
@@ -137,7 +137,7 @@
 }
 
 // Difference returns the conditional proposal that changes the record to contain exactly the wanted
-// entries. It has no entries if the record already does.
+// entries. The proposal has no entries if the record already contains exactly these.
 func (r *Record) Difference(wanted []Entry) Proposal {
 	proposal := Proposal{Conditional: true, Base: r.store.version}
 	wantedKeys := make(map[Key]bool, len(wanted))
--- a/distribution/record_test.go
+++ b/distribution/record_test.go
@@ -19,7 +19,8 @@
 
 var epoch = Epoch{Number: 7, Identity: 1}
 
-// mustApply applies a proposal with the time 5, and fails the test if it is refused.
+// mustApply applies a proposal with AcceptedAt 5, and fails the test if the record refuses the
+// proposal.
 func mustApply(t *testing.T, r *Record, entries ...Entry) Change {
 	t.Helper()
 	change, err := r.Apply(Proposal{Epoch: epoch, AcceptedAt: 5, Entries: entries})
@@ -155,8 +156,8 @@
 	}
 }
 
-// A record keeps at most DefaultTombstones tombstones. Its horizon is the revision of the last one
-// that it dropped, so no later one is missing.
+// A record keeps at most DefaultTombstones tombstones. Its horizon is the revision of the last
+// tombstone that it dropped, so no tombstone after the horizon is missing.
 func TestRecordBoundsItsTombstones(t *testing.T) {
 	r := newRecordWithEpoch(t)
 	const excess = 5
--- a/distribution/size.go
+++ b/distribution/size.go
@@ -1,13 +1,13 @@
 package distribution
 
-// Estimates of encoded sizes in bytes, without the bytes of the texts and values themselves. They
-// only have to be close enough for the bounds on memory and on unconfirmed bytes.
+// Estimates of encoded sizes in bytes, without the bytes of the texts and values themselves. The
+// estimates only have to be close enough for the bounds on memory and on unconfirmed bytes.
 const (
-	fixedSize   = 16 // a message or a change without its lists
-	entrySize   = 24 // an entry without its texts and its value
+	fixedSize   = 16 // size of a message or a change without its lists
+	entrySize   = 24 // size of an entry without its texts and its value
 	versionSize = 24
 	digestSize  = 20
-	textSize    = 2 // a text without its characters
+	textSize    = 2 // size of a text without its characters
 )
 
 func textsSize(texts []string) int {
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -18,7 +18,8 @@
 	RefusedByParents uint64
 	// GapsSeen counts the messages that did not follow the version of this node.
 	GapsSeen uint64
-	// WrongDigests counts the messages that would have resulted in another digest than they state.
+	// WrongDigests counts the messages whose digest differs from the digest of the content that
+	// they would have resulted in.
 	WrongDigests uint64
 	// OlderRefused counts the messages, changes and states that were refused because they are not
 	// newer.
@@ -86,7 +87,7 @@
 }
 
 // noteSourceCurrent records that this node held everything that its source, the record of the
-// voters, held at a time. The call has no effect if a later time is recorded already.
+// voters, held at the given time. The call has no effect if a later time is recorded already.
 func (n *Node) noteSourceCurrent(at Microseconds) {
 	if n.sourceEverCurrent && at <= n.sourceCurrentAt {
 		return
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -13,16 +13,16 @@
 	version     Version
 	covered     Scopes // the scopes for which the entries are complete
 	scopes      map[string]*scopeState
-	digest      Digest // digest of all scopes
+	digest      Digest // digest of the entries of all scopes
 	liveEntries int    // number of entries that are not tombstones
-	bytes       int    // bytes of all entries, including tombstones
+	bytes       int    // estimated size in bytes of all entries, including tombstones
 	tombstones  tombstoneQueue
 	log         changeLog
 }
 
 // scopeState holds the entries of one scope. It is removed with the last entry of the scope.
 type scopeState struct {
-	entries []Entry // sorted by name, including tombstones
+	entries []Entry // entries of the scope, sorted by name, including tombstones
 	digest  Digest
 }
 
@@ -45,8 +45,8 @@
 
 func compareName(entry Entry, name string) int { return strings.Compare(entry.Name, name) }
 
-// lookup returns the entry of a key, which may be a tombstone; if there is none, it returns a new
-// tombstone and false.
+// lookup returns the entry of a key, which may be a tombstone. If the store has no entry for the
+// key, lookup returns a new tombstone and false.
 func (s *store) lookup(key Key) (Entry, bool) {
 	if scope := s.scopes[key.Scope]; scope != nil {
 		if index, found := slices.BinarySearchFunc(scope.entries, key.Name, compareName); found {
@@ -56,7 +56,8 @@
 	return Entry{Scope: key.Scope, Name: key.Name, Deleted: true}, false
 }
 
-// putWithDigest sets an entry, and adds difference to the digests of its scope and of the store.
+// putWithDigest sets an entry, and adds the given difference to the digests of its scope and of the
+// store.
 func (s *store) putWithDigest(entry Entry, difference Digest) {
 	scope := s.scopes[entry.Scope]
 	if scope == nil {
@@ -66,7 +67,7 @@
 	index, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
 	if found {
 		old := scope.entries[index]
-		entry.Scope, entry.Name = old.Scope, old.Name // shares the texts of the replaced entry
+		entry.Scope, entry.Name = old.Scope, old.Name // the new entry shares the texts of the replaced one
 		s.addToTotals(old, -1)
 		scope.entries[index] = entry
 	} else {
@@ -89,7 +90,7 @@
 	s.putWithDigest(entry, entryDigest(entry).subtract(entryDigest(old)))
 }
 
-// addToTotals adds an entry to the totals for the sign 1, and subtracts it for -1.
+// addToTotals adds an entry to the totals if sign is 1, and subtracts the entry if sign is -1.
 func (s *store) addToTotals(entry Entry, sign int) {
 	s.bytes += sign * entry.size()
 	if !entry.Deleted {
@@ -123,8 +124,8 @@
 	return sum
 }
 
-// digestAt returns the digest of some scopes at an earlier revision. It reports false if the log
-// does not cover it.
+// digestAt returns the digest of some scopes at an earlier revision. It returns false if the log
+// does not cover that revision.
 func (s *store) digestAt(revision uint64, scopes Scopes) (Digest, bool) {
 	if revision < s.log.floor || revision > s.version.Revision || s.log.insideMerged(revision) {
 		return Digest{}, false
@@ -132,8 +133,8 @@
 	return s.digestFor(scopes).subtract(s.log.digestChangeAfter(revision, scopes)), true
 }
 
-// forEach calls each for the entries of some scopes, including tombstones, sorted by scope and
-// name, until each returns false.
+// forEach calls the given function for the entries of some scopes, including tombstones, sorted by
+// scope and name, until the function returns false.
 func (s *store) forEach(scopes Scopes, each func(Entry) bool) {
 	names := scopes.Names
 	if scopes.All {
@@ -180,13 +181,13 @@
 	return change, size <= maxBytes
 }
 
-// deltaSource is the source from which a delta after some version can be computed.
+// deltaSource states how a delta that follows some version can be computed.
 type deltaSource uint8
 
 const (
-	noDelta          deltaSource = iota // none from another epoch, a later revision, or one before log and tombstones
-	deltaFromLog                        // the changes in the log
-	deltaFromEntries                    // one merged change of all entries set since; it may exceed the batch size
+	noDelta          deltaSource = iota // no delta from another epoch, a later revision, or one before log and tombstones
+	deltaFromLog                        // the delta holds changes of the log
+	deltaFromEntries                    // one merged change of all later entries; no delta if over the batch size
 )
 
 func (s *store) deltaSourceFor(from Version) deltaSource {
@@ -201,8 +202,8 @@
 	return noDelta
 }
 
-// deltaPossible reports whether deltaFrom can return a delta. If that takes a merged change, the
-// change is computed only for its size.
+// deltaPossible reports whether deltaFrom can return a delta. If the delta would be a merged
+// change, the change is computed only for its size.
 func (s *store) deltaPossible(from Version, scopes Scopes, batchBytes int) bool {
 	switch s.deltaSourceFor(from) {
 	case deltaFromLog:
@@ -215,9 +216,10 @@
 }
 
 // deltaFrom returns a delta that advances a child from a version, of at most batchBytes unless a
-// single change of the log is larger; nil if nothing changed in its scopes. No delta is possible
-// from another epoch, from a revision later than that of the store, or from a revision that neither
-// the log nor the tombstones cover.
+// single change of the log is larger. The delta is nil if nothing changed in the child's scopes. No
+// delta is possible from another epoch, from a revision later than that of the store, from a
+// revision that neither the log nor the tombstones cover, or if a merged change would be larger
+// than batchBytes.
 func (s *store) deltaFrom(from Version, scopes Scopes, batchBytes int) (delta *Delta, possible bool) {
 	delta = &Delta{Epoch: s.version.Epoch, Previous: from.Revision, Revision: s.version.Revision}
 	switch s.deltaSourceFor(from) {
@@ -252,7 +254,7 @@
 }
 
 // dropTombstone takes the oldest tombstone off the queue, and removes its entry unless the key was
-// set again since.
+// set again after that deletion.
 func (s *store) dropTombstone() {
 	oldest := s.tombstones.pop()
 	if entry, found := s.lookup(oldest.key); found && entry.Deleted && entry.Revision == oldest.revision {
--- a/distribution/tombstones.go
+++ b/distribution/tombstones.go
@@ -26,7 +26,7 @@
 // pop removes the oldest tombstone from the queue, and raises the horizon to its revision.
 func (t *tombstoneQueue) pop() tombstone {
 	oldest := t.queue[0]
-	t.queue[0] = tombstone{} // the array stays in memory; this releases the key of the dropped tombstone
+	t.queue[0] = tombstone{} // the array stays allocated; clearing the tombstone releases its key
 	t.queue = t.queue[1:]
 	t.horizon = max(t.horizon, oldest.revision)
 	return oldest
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// transcript hashes all calls of nodes to their hosts. Enumerated values enter as numbers and
+// transcript hashes all calls of nodes to their hosts. Enumerated values are hashed as numbers and
 // messages as bytes, so that the hash does not depend on names and texts of this package.
 type transcript struct{ sum *xxhash.Digest }
 
@@ -31,7 +31,7 @@
 func mustEncode(value any) []byte {
 	bytes, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // not possible for the types of messages
+		panic(err) // cannot happen: all types of messages can be encoded
 	}
 	return bytes
 }
@@ -113,7 +113,7 @@
 		m.start(State{})
 	case 10:
 		v := u.randomMember(u.voters)
-		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // older than the record
+		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // this change is older than the record
 		v.hasLeader = false
 		v.kill()
 		v.start(State{})
@@ -145,7 +145,7 @@
 }
 
 // damageQueues loses the first message of some queues, and sets a wrong digest in the first message
-// of others.
+// of other queues.
 func (u *randomFaults) damageQueues() {
 	for _, conn := range slices.Clone(u.conns) {
 		for side := range conn.queues {
@@ -183,7 +183,7 @@
 }
 
 // All calls of nodes to their hosts, under random changes and failures, must stay the same as when
-// the golden file was written. They include each node's random choices, messages, refusals and
+// the golden file was written. The calls include each node's random choices, messages, refusals and
 // events, and the changes passed to its controller. The test fails if a change that should only
 // restructure the code alters behaviour.
 func TestHostCallsMatchGoldenTranscript(t *testing.T) {
--- a/distribution/transport/config.go
+++ b/distribution/transport/config.go
@@ -35,8 +35,8 @@
 	WriteTimeout time.Duration
 	// CloseTimeout replaces WriteTimeout for a link that is being closed.
 	CloseTimeout time.Duration
-	// Mailbox is the number of events that can wait for the event loop; beyond it, readers and
-	// goroutines that call methods wait.
+	// Mailbox is the number of events that can wait for the event loop. While the mailbox is full,
+	// readers and goroutines that call methods wait.
 	Mailbox int
 	// QueueCount is the number of messages that can wait for a peer; the link is closed if one more
 	// is sent.
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	readBufferBytes     = 512     // per connection
-	maxIdleBufferBytes  = 4 << 10 // a read buffer that has grown larger is freed after the message
+	readBufferBytes     = 512     // size in bytes of the read buffer of each connection
+	maxIdleBufferBytes  = 4 << 10 // size in bytes; a read buffer that has grown larger is freed after the message
 	maxPooledBatchBytes = 64 << 10
 )
 
@@ -22,16 +22,16 @@
 // while messages wait to be written, so that an idle link costs one goroutine.
 type link struct {
 	transport *Transport
-	id        distribution.Link      // accessed on the event loop alone
-	allowed   func(name string) bool // whether the peer may subscribe under a name; nil allows all names
+	id        distribution.Link      // used only on the event loop
+	allowed   func(name string) bool // reports whether the peer may subscribe under a name; nil allows all names
 	cancel    context.CancelFunc     // cancels the dial of the link; nil for an accepted link
 
 	mutex       sync.Mutex             // guards the fields below
-	conn        net.Conn               // nil until the dial has succeeded; set once
-	queue       []distribution.Message // at most Bounds.QueueCount
+	conn        net.Conn               // connection to the peer; nil until the dial has succeeded; set once
+	queue       []distribution.Message // messages that wait for the writer; at most Bounds.QueueCount
 	queuedBytes int                    // estimated sizes of messages queued or being written; at most Bounds.QueueBytes
-	writing     bool                   // a writer runs
-	closing     bool                   // send drops messages, and the connection is closed once the queue is empty
+	writing     bool                   // a writer goroutine runs
+	closing     bool                   // send drops messages; the connection is closed once the queue is empty
 }
 
 // attach sets the connection of a dialled link. It returns false if the link was closed before.
@@ -50,7 +50,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closing || l.conn == nil {
-		return true // dropped; the event loop has closed the link or will get its eventClosed
+		return true // the message is dropped; the event loop has closed the link or will get its eventClosed
 	}
 	bounds := l.transport.bounds
 	size := m.Size()
@@ -114,7 +114,7 @@
 			return
 		}
 		if !l.writeBatch(batch, messages) {
-			l.abort() // the reader then fails and posts eventClosed
+			l.abort() // the reader then gets an error and posts eventClosed
 			return
 		}
 	}
--- a/distribution/transport/methods.go
+++ b/distribution/transport/methods.go
@@ -17,14 +17,15 @@
 // has the whole record.
 func (t *Transport) Current() { t.postCall(t.node.Current) }
 
-// Status returns the status of the node, for which it waits; false once Run has ended.
+// Status waits for the event loop and returns the status of the node. It returns false once Run has
+// ended.
 func (t *Transport) Status() (status distribution.Status, ok bool) {
 	ok = t.postCallAndWait(func(now distribution.Microseconds) { status = t.node.Status(now) })
 	return status, ok
 }
 
-// State returns the whole content of the node, for which it waits; false once Run has ended. The
-// state must not be modified.
+// State waits for the event loop and returns the whole content of the node. It returns false once
+// Run has ended. The state must not be modified.
 func (t *Transport) State() (state distribution.State, ok bool) {
 	ok = t.postCallAndWait(func(distribution.Microseconds) { state = t.node.State() })
 	return state, ok
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -14,7 +14,7 @@
 	"wheelrill/distribution"
 )
 
-const waitTimeout = 30 * time.Second // bounds each wait of a test
+const waitTimeout = 30 * time.Second // maximum time of each wait of a test
 
 // waitFor polls until a condition is met, and fails the test after waitTimeout.
 func waitFor(t testing.TB, condition string, isMet func() bool) {
@@ -115,7 +115,7 @@
 	return p
 }
 
-// run runs the transport, and other parts of the peer, until the peer is stopped or the test ends.
+// run runs the transport and the given functions until the peer is stopped or the test ends.
 func (p *peer) run(t testing.TB, others ...func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -17,25 +17,25 @@
 	config    Config
 	bounds    Bounds
 	startedAt time.Time
-	mailbox   chan event    // events for Run; capacity Bounds.Mailbox; never closed
+	mailbox   chan event    // events that Run handles; capacity Bounds.Mailbox; never closed
 	ended     chan struct{} // closed by Run when it ends
 
-	bytesIn   atomic.Int64 // received bytes
-	bytesOut  atomic.Int64 // sent bytes
-	overflows atomic.Int64 // links closed because their queue was full
+	bytesIn   atomic.Int64 // number of received bytes
+	bytesOut  atomic.Int64 // number of sent bytes
+	overflows atomic.Int64 // number of links closed because their queue was full
 
-	// Accessed only on the event loop.
+	// The four fields below are accessed only on the event loop.
 	node            *distribution.Node
 	links           map[distribution.Link]*link
-	overflowedLinks []*link // aborted as their queue was full; Run calls the node's Closed for each
+	overflowedLinks []*link // links aborted because their queue was full; Run calls the node's Closed for each
 	ctx             context.Context
 
 	mutex               sync.Mutex         // guards the three fields below
 	openLinks           map[*link]struct{} // links with a connection, which closeAll aborts
 	closed              bool               // Run has ended, and register adds no further links to openLinks
-	acceptedConnections int                // open accepted connections; at most Bounds.AcceptedConnections
+	acceptedConnections int                // number of open accepted connections; at most Bounds.AcceptedConnections
 
-	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for them
+	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for all of them
 }
 
 // event is an input of the event loop. Its kind determines which of the other fields are set.
@@ -49,7 +49,7 @@
 type eventKind uint8
 
 const (
-	eventCall       eventKind = iota // run a function on the event loop
+	eventCall       eventKind = iota // a function is to run on the event loop
 	eventAccepted                    // a connection was accepted
 	eventConnected                   // a dial succeeded
 	eventDialFailed                  // a dial failed
@@ -57,7 +57,7 @@
 	eventClosed                      // the connection has ended
 )
 
-// New returns a transport. It starts no goroutine before Run.
+// New returns a transport. The transport starts no goroutine before Run.
 func New(config Config) *Transport {
 	bounds := config.Bounds.withDefaults()
 	t := &Transport{
@@ -73,7 +73,7 @@
 	return t
 }
 
-// now returns the µs since New, on a monotonic clock.
+// now returns the time in µs since New, on a monotonic clock.
 func (t *Transport) now() distribution.Microseconds { return time.Since(t.startedAt).Microseconds() }
 
 // Run is the event loop. It returns once the context has ended and all dials and writers have
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -21,7 +21,7 @@
 	for i := range 3 {
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 4, "v0", "v1", "v2"))
 	}
-	for i := 3; i < 8; i++ { // these have other subscribers as parents
+	for i := 3; i < 8; i++ { // s3 to s7 are configured with s0 and s1 as possible parents
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 0, "s0", "s1"))
 	}
 	waitForAll := func(want string) {
@@ -185,7 +185,7 @@
 func TestSubscriberThatReadsNothingIsClosedAndDelaysNoOther(t *testing.T) {
 	n := newNetwork()
 	limits := fastLimits(4)
-	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // so that the node itself does not close the link
+	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // a lease and a window so large that the node keeps the link
 	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: limits},
 		Bounds{QueueCount: 16, QueueBytes: 64 << 10, WriteTimeout: time.Hour})
 	r := newRecord(v)
@@ -307,7 +307,7 @@
 	if _, err := clientEnd.Read(make([]byte, 1)); err == nil {
 		t.Error("Accept serves a connection after Run has ended")
 	}
-	s.Current() // must not block after Run has ended
+	s.Current() // Current must not block after Run has ended
 	for range 2 * DefaultMailbox {
 		s.Current()
 	}
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -22,7 +22,7 @@
 type wireMessage struct {
 	name    string
 	message distribution.Message
-	full    bool // whether every field is set
+	full    bool // every field of the message is set
 }
 
 // refusalsOnTheWire lists the refusal reasons in the order of their numbers on the wire.
@@ -118,7 +118,7 @@
 	if !l.send(m) {
 		t.Fatal("the queue of a new link is full")
 	}
-	l.close() // closes the connection once the message is written
+	l.close() // the link closes the connection once the message is written
 	bytes, err := io.ReadAll(readEnd)
 	if err != nil {
 		t.Fatal(err)
--- a/fake/backend.go
+++ b/fake/backend.go
@@ -12,10 +12,10 @@
 
 // Modes of a backend.
 const (
-	ModeHealthy  Mode = iota // serves requests as fast as its cores allow
-	ModeHang                 // accepts every request and answers none
-	ModeFailFast             // answers with a failure after a part of the service time
-	ModeRefuse               // rejects every request, which proves that the request did not run
+	ModeHealthy  Mode = iota // the backend serves requests as fast as its cores allow
+	ModeHang                 // the backend accepts every request and answers none
+	ModeFailFast             // the backend answers with a failure after a part of the service time
+	ModeRefuse               // the backend rejects every request, which proves that the request did not run
 )
 
 // Outcome is the result of an attempt.
@@ -32,9 +32,9 @@
 // Backend serves up to Cores requests at once, each for ServiceTime, and queues the others. Safe
 // for concurrent use.
 type Backend struct {
-	ID          string        // name on the wire
-	Zone        string        // name of the zone
-	Weight      float64       // as published by discovery
+	ID          string        // name of the backend on the wire
+	Zone        string        // zone of the backend
+	Weight      float64       // weight that discovery publishes
 	Cores       int           // number of requests served at once
 	ServiceTime time.Duration // time for which a request occupies a core
 
@@ -43,7 +43,7 @@
 
 	mutex     sync.Mutex // guards the fields below
 	mode      Mode
-	startedAt time.Time     // zero if the backend started long ago
+	startedAt time.Time     // time of the start; zero if the backend started long ago
 	warmup    time.Duration // time after startedAt for which the backend is cold
 	busyCores int
 	queue     []*queuedRequest
@@ -109,8 +109,9 @@
 }
 
 // Handle accepts a request. It calls done once, on a separate goroutine, with the outcome and the
-// time that the attempt took. It never calls done if the backend hangs, or if timeout ends before a
-// core is free. A cold backend whose queue gets too long is overloaded, and hangs from then on.
+// time that the attempt took. It never calls done if the backend hangs, or if timeout has passed
+// before a core is free. A cold backend whose queue gets too long is overloaded, and hangs from
+// then on.
 func (b *Backend) Handle(key string, timeout time.Duration, done func(Outcome, time.Duration)) {
 	switch b.enqueue(key, timeout, done) {
 	case ModeHealthy:
--- a/fake/collector.go
+++ b/fake/collector.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// collector reports to one controller the outcomes that proxies of one zone observe while their
-// streams go to that controller.
+// collector reports outcomes to one controller. The outcomes are those that the proxies of one zone
+// observe while their streams go to that controller.
 type collector struct {
 	fleet      *Fleet
 	zone       string
 	controller int
 
 	mutex    sync.Mutex
-	outcomes map[string]*outcomeCounts // by backend, since the last report
+	outcomes map[string]*outcomeCounts // outcomes since the last report, by backend ID
 }
 
 type outcomeCounts struct {
 	attempts   int
 	failed     int
-	latencySum time.Duration // of the successful attempts
+	latencySum time.Duration // sum of the latencies of the successful attempts
 }
 
 func newCollector(fleet *Fleet, zone string, controller int) *collector {
--- a/fake/counts.go
+++ b/fake/counts.go
@@ -2,11 +2,11 @@
 
 // Counts holds the numbers of requests, attempts and pushes at proxies.
 type Counts struct {
-	Requests int // received by the proxies
-	Served   int // answered within the latency objective
-	Late     int // answered after the latency objective
-	Lost     int // admitted by a proxy, but ended without a successful answer
-	Rejected int // not admitted by a proxy
+	Requests int // requests received by the proxies
+	Served   int // requests answered within the latency objective
+	Late     int // requests answered after the latency objective
+	Lost     int // requests admitted by a proxy that ended without a successful answer
+	Rejected int // requests that the admission limit of a proxy rejected
 
 	OfferedValue float64 // sum of the priority weights of all requests
 	ServedValue  float64 // sum of the priority weights of the served requests
@@ -14,10 +14,10 @@
 	Attempts         int // attempts sent to backends
 	AttemptsIntoHang int // attempts sent to a backend that hung at that time
 
-	Streams             int // streams on which a controller sent at least one message
+	Streams             int // streams on which a controller has sent at least one message
 	Pushes              int // pushes applied by the proxies
 	Lines               int // lines of the applied pushes
-	LinesAtConnect      int // lines of pushes applied within connectWindow of the start of a stream
+	LinesAtConnect      int // lines of pushes applied within connectWindow after the start of a stream
 	StalePushesRejected int // pushes rejected because they had the fencing token of an older owner
 }
 
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -16,18 +16,18 @@
 type Discovery struct {
 	server  *http.Server
 	address string
-	checker *invariant.Checker // may be nil if Publish is never called
+	checker *invariant.Checker // receives the published states; may be nil if Publish is never called
 	clock   func() time.Duration
-	closed  chan struct{}  // closed by Close
-	running sync.WaitGroup // the goroutine of the server, which Close ends
+	closed  chan struct{}  // channel that Close closes, which ends open polls
+	running sync.WaitGroup // the goroutine of the server; Close waits for its end
 
 	mutex     sync.Mutex // guards the fields below
 	version   int
 	entries   []discoveryEntry
-	indexByID map[string]int // positions in entries, by backend ID
+	indexByID map[string]int // index of each backend in entries, by backend ID
 	fullBody  []byte         // the encoded full list; nil from a change until the list is encoded again
-	changed   chan struct{}  // closed and replaced at each change
-	silent    bool           // polls are not answered
+	changed   chan struct{}  // channel that is closed and replaced at each change of the list or of silent
+	silent    bool           // the server withholds all answers
 	answers   int
 	bytesSent int64
 }
@@ -47,7 +47,7 @@
 		changed:   make(chan struct{}),
 	}
 	d.server = &http.Server{Handler: d}
-	d.running.Go(func() { _ = d.server.Serve(listener) }) // the only error is that the server was closed
+	d.running.Go(func() { _ = d.server.Serve(listener) }) // Serve returns an error only because the server was closed
 	return d, nil
 }
 
@@ -57,11 +57,11 @@
 // Close stops the server and its open polls. It must be called only once.
 func (d *Discovery) Close() {
 	close(d.closed)
-	_ = d.server.Close() // the listener is closed even if there is an error
+	_ = d.server.Close() // the listener is closed even if Close returns an error
 	d.running.Wait()
 }
 
-// SetSilent makes the server withhold all answers, or answer again.
+// SetSilent sets whether the server withholds all answers.
 func (d *Discovery) SetSilent(silent bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -102,11 +102,11 @@
 	return d.answers, d.bytesSent
 }
 
-// snapshot is the answer to a poll at one moment.
+// snapshot is the answer that a poll gets at one moment.
 type snapshot struct {
 	body    []byte
 	version int
-	changed chan struct{} // closed at the next change of the list or of silent
+	changed chan struct{} // channel that is closed at the next change of the list or of silent
 	silent  bool
 }
 
@@ -141,12 +141,13 @@
 // withholds answers. Usually SetSilent wakes the poll earlier.
 const silentRecheck = time.Hour
 
-// ServeHTTP answers at once with the full list. If the query has since=, it answers with the
-// entries that changed after that version, as soon as there are any or when timeout_ms= has passed.
+// ServeHTTP answers at once with the full list. If the query has since=, ServeHTTP answers with the
+// entries that changed after that version, as soon as an entry has changed or timeout_ms= has
+// passed.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.Atoi(r.URL.Query().Get("since"))
 	full := err != nil
-	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")) // 0 if timeout_ms is missing
+	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")) // wait is 0 if timeout_ms is missing
 	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timeout.Stop()
 	for {
@@ -177,5 +178,5 @@
 	d.bytesSent += int64(len(body))
 	d.mutex.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // an error means that the client is gone; it polls again
+	_, _ = w.Write(body) // a failed write means that the client has closed the connection; the client polls again
 }
--- a/fake/fake_test.go
+++ b/fake/fake_test.go
@@ -17,7 +17,7 @@
 	"wheelrill/invariant"
 )
 
-const testTimeout = 20 * time.Second // for each condition or message that a test waits for
+const testTimeout = 20 * time.Second // maximum time of the wait for each condition or message
 
 // eventually waits until a condition holds, and fails the test after testTimeout.
 func eventually(t *testing.T, description string, condition func() bool) {
@@ -153,8 +153,8 @@
 	in *bufio.Reader
 }
 
-// acceptProxy accepts connections until one is from a proxy. It reads from the others, but does not
-// answer them.
+// acceptProxy accepts connections until one is from a proxy. It reads from the other connections,
+// but does not answer on them.
 func acceptProxy(t *testing.T, l net.Listener) *controllerEnd {
 	t.Helper()
 	for {
@@ -223,7 +223,7 @@
 		c.receiveType("ack")
 		awaitUsers("w-01", 0)
 		awaitUsers("w-02", 1)
-		awaitUsers("w-00", 1) // for the class write
+		awaitUsers("w-00", 1) // w-00 is still in the table of the class write
 	})
 	t.Run("a push with an older token is rejected, but acknowledged", func(t *testing.T) {
 		c.send(`{"msg":"push","token":4,"back":["w-01"],"ticket":9}`)
@@ -311,8 +311,8 @@
 	}
 }
 
-// TestColdBackendIsOverloadedByALongQueue guards against a cold backend that takes any load: rule 4
-// could then never be violated in a rehearsal.
+// TestColdBackendIsOverloadedByALongQueue guards against a cold backend that takes any load. No
+// rehearsal could then find a violation of rule 4: a cold backend is not overloaded.
 func TestColdBackendIsOverloadedByALongQueue(t *testing.T) {
 	fleet, l := newTestFleet(t)
 	defer l.Close()
--- a/fake/faulty_link.go
+++ b/fake/faulty_link.go
@@ -10,10 +10,10 @@
 
 // Fault describes how a link disturbs connections. The zero value disturbs nothing.
 type Fault struct {
-	Delay             time.Duration // added to each new connection and to each chunk of bytes
-	DropOutgoing      bool          // bytes from the caller wait for the end of the fault; no side gets an error
-	DropIncoming      bool          // bytes to the caller wait for the end of the fault; no side gets an error
-	RefuseConnections bool          // new connections are reset at once, and so are open ones
+	Delay             time.Duration // delay added to each new connection and to each chunk of bytes
+	DropOutgoing      bool          // bytes from the caller wait for the end of the fault; neither side gets an error
+	DropIncoming      bool          // bytes to the caller wait for the end of the fault; neither side gets an error
+	RefuseConnections bool          // new connections and open connections are reset at once
 }
 
 // Partition is the fault of a link that delivers no bytes in either direction.
@@ -22,19 +22,19 @@
 // FaultyLink forwards connections to an address and injects faults into them. Callers dial the link
 // instead of the address. Safe for concurrent use.
 type FaultyLink struct {
-	target   string // address that connections are forwarded to
+	target   string // address to which the link forwards connections
 	listener net.Listener
-	running  sync.WaitGroup // goroutines that accept connections and copy bytes, which Close ends
+	running  sync.WaitGroup // goroutines that accept connections and copy bytes; Close waits for their end
 
 	mutex   sync.Mutex // guards the fields below
 	fault   Fault
-	changed chan struct{}     // closed and replaced at each change of the fault and by Close
-	conns   map[net.Conn]bool // open connections, those of callers and those to the target
+	changed chan struct{}     // channel that is closed and replaced at each change of the fault and by Close
+	conns   map[net.Conn]bool // open connections of callers, and open connections to the target
 	closed  bool
 }
 
 const (
-	linkBufferSize  = 32 << 10 // bytes
+	linkBufferSize  = 32 << 10 // size in bytes of the buffer for one direction of a connection
 	linkDialTimeout = time.Second
 )
 
@@ -52,8 +52,8 @@
 // Address returns the address that callers dial.
 func (l *FaultyLink) Address() string { return l.listener.Addr().String() }
 
-// SetFault replaces the fault of the link, which affects open connections as well. Fault{} removes
-// it.
+// SetFault replaces the fault of the link, which affects open connections as well.
+// SetFault(Fault{}) removes the fault.
 func (l *FaultyLink) SetFault(fault Fault) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -214,6 +214,6 @@
 		return
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // an error means that the connection is closed already
+		_ = tcp.CloseWrite() // a CloseWrite error means that the connection is closed already
 	}
 }
--- a/fake/fleet.go
+++ b/fake/fleet.go
@@ -12,12 +12,12 @@
 
 // FleetConfig sets the size and the properties of a fleet.
 type FleetConfig struct {
-	Zones          []string      // names; backends and proxies are spread evenly over them
+	Zones          []string      // names of the zones; backends and proxies are spread evenly over the zones
 	Backends       int           // number of backends
-	Cores          int           // per backend
+	Cores          int           // number of cores per backend
 	ServiceTime    time.Duration // time for which a request occupies a core
 	Proxies        int           // number of proxies
-	Fenced         bool          // proxies ask for fencing tokens
+	Fenced         bool          // the proxies ask for fencing tokens
 	Classes        []Class       // classes of requests; every proxy receives requests of each class
 	ReportInterval time.Duration // time between two reports of a collector
 	Seed           uint64        // seed of all random choices
@@ -27,20 +27,20 @@
 // the links to the controllers. Safe for concurrent use, except for Start and Close.
 type Fleet struct {
 	Discovery *Discovery // serves the list of backends to the controllers
-	Backends  []*Backend // w-00, w-01 and so on
+	Backends  []*Backend // the backends w-00, w-01 and so on
 
 	checker        *invariant.Checker
 	classes        []Class
 	reportInterval time.Duration
 	startedAt      time.Time
-	links          []*FaultyLink           // to the controllers, by controller
-	pushChannels   []*pushChannel          // by controller
-	proxies        []*Proxy                // by number
-	collectors     map[string][]*collector // by zone, then by controller
+	links          []*FaultyLink           // links to the controllers, by index of the controller
+	pushChannels   []*pushChannel          // push channels, by index of the controller
+	proxies        []*Proxy                // proxies, by number of the proxy
+	collectors     map[string][]*collector // collectors, by zone and then by index of the controller
 	seed           uint64
 	backendsByID   map[string]*Backend
-	running        sync.WaitGroup     // goroutines of proxies and collectors, which end on stop
-	stop           context.CancelFunc // nil before Start
+	running        sync.WaitGroup     // goroutines of proxies and collectors; stop ends them
+	stop           context.CancelFunc // ends the goroutines of the fleet; nil before Start
 }
 
 // NewFleet creates a fleet for the controllers at the given addresses, starts its links to them,
@@ -97,8 +97,8 @@
 	f.Discovery.Publish(StateUp, f.Backends...)
 }
 
-// Clock returns the time since the fleet was created. It is the clock of all times that the checker
-// gets.
+// Clock returns the time since the fleet was created. All times that the checker gets are on this
+// clock.
 func (f *Fleet) Clock() time.Duration { return time.Since(f.startedAt) }
 
 // ControllerRestarted records that a controller runs as a new process from now on, with a new,
--- a/fake/protocol.go
+++ b/fake/protocol.go
@@ -10,14 +10,14 @@
 
 // Types of messages, the values of the key "msg".
 const (
-	msgHello    = "hello"    // a proxy's first message
-	msgAgent    = "agent"    // a collector's first message
-	msgProbe    = "probe"    // asks for an alive message
-	msgAlive    = "alive"    // the answer to a probe
-	msgPush     = "push"     // one part of a push
-	msgAck      = "ack"      // acknowledges a push with a nonce
-	msgDemand   = "demand"   // number of requests that a proxy received
-	msgOutcomes = "outcomes" // outcomes of attempts at a backend
+	msgHello    = "hello"    // first message of a proxy on a stream
+	msgAgent    = "agent"    // first message of a collector on a connection
+	msgProbe    = "probe"    // request of a proxy to a controller for an alive message
+	msgAlive    = "alive"    // answer of a controller to a probe
+	msgPush     = "push"     // one part of a push to a proxy
+	msgAck      = "ack"      // acknowledgement of a push with a nonce
+	msgDemand   = "demand"   // report of the number of requests that a proxy received
+	msgOutcomes = "outcomes" // report of the outcomes of attempts at a backend
 )
 
 // probe asks a controller for an alive message.
@@ -37,16 +37,16 @@
 	Proxy int     `json:"node"`
 	Zone  string  `json:"locality"`
 	Rate  float64 `json:"w"`               // requests a second that the proxy normally receives
-	Cold  bool    `json:"cold"`            // the proxy has applied no push
+	Cold  bool    `json:"cold"`            // the proxy has not applied a push yet
 	Fence bool    `json:"fence,omitempty"` // the proxy asks for the fencing tokens of owners
 }
 
-// ack acknowledges a push with a nonce: the proxy has handled it.
+// ack acknowledges a push with a nonce, once the proxy has handled the push.
 type ack struct {
 	Msg     string  `json:"msg"`
 	Proxy   int     `json:"node"`
 	Nonce   int     `json:"nonce"`
-	Latency float64 `json:"latency"` // ms
+	Latency float64 `json:"latency"` // reported latency, in ms
 }
 
 // demandReport reports how many requests of a class a proxy received in an interval.
@@ -56,7 +56,7 @@
 	Class    string  `json:"route"`
 	Total    int     `json:"total"`
 	Errors   int     `json:"errors"`
-	Interval float64 `json:"interval"` // ms
+	Interval float64 `json:"interval"` // length of the interval, in ms
 }
 
 // outcomeReport reports the outcomes of the attempts that the proxies of a zone sent to a backend
@@ -67,30 +67,30 @@
 	Backend  string  `json:"endpoint"`
 	Total    int     `json:"total"`
 	Errors   int     `json:"errors"`
-	Latency  float64 `json:"rtt"`      // mean of the successful attempts, ms
-	Interval float64 `json:"interval"` // ms
+	Latency  float64 `json:"rtt"`      // mean latency of the successful attempts, in ms
+	Interval float64 `json:"interval"` // length of the interval, in ms
 }
 
 // pushPart is one message of a push. A push may have several messages; More is set in all except
 // the last.
 type pushPart struct {
 	Msg       string   `json:"msg"`
-	Token     uint64   `json:"token"`   // fencing token of the owner; 0 for none
-	Classes   []string `json:"classes"` // classes that Full, Entries and Limit apply to; nil for all
-	Full      bool     `json:"whole"`   // replaces the tables and the admission limits
-	Entries   [][2]any `json:"lines"`   // backend and weight; a weight of 0 removes the entry
-	Limit     *float64 `json:"level"`   // admission limit, requests a second; nil for no change
-	Retry     int      `json:"retry"`   // retry policy that comes with a limit
-	Withdrawn []string `json:"out"`     // backends that must not be used any more
-	Restored  []string `json:"back"`    // withdrawn backends that may be used again
-	Nonce     *int     `json:"ticket"`  // asks for an acknowledgement; nil for none
+	Token     uint64   `json:"token"`   // fencing token of the owner; 0 for a push without a token
+	Classes   []string `json:"classes"` // classes that Full, Entries and Limit apply to; nil for all classes
+	Full      bool     `json:"whole"`   // the part removes all earlier entries and admission limits of its classes
+	Entries   [][2]any `json:"lines"`   // pairs of backend and weight; a weight of 0 removes the entry
+	Limit     *float64 `json:"level"`   // admission limit in requests a second; nil to leave the limit unchanged
+	Retry     int      `json:"retry"`   // retry policy; applied only together with Limit
+	Withdrawn []string `json:"out"`     // backends that the proxy must not use any more
+	Restored  []string `json:"back"`    // withdrawn backends that the proxy may use again
+	Nonce     *int     `json:"ticket"`  // nonce that requests an acknowledgement; nil to request none
 	More      bool     `json:"more"`    // further parts of the same push follow
 }
 
 // Retry policies in a push. A push may also have 0, for no retries.
 const (
-	retryIfNotExecuted = 1 // retry after proof that the attempt did not run; the default without a limit
-	retryOnFailure     = 2 // also retry after any other failure, if the class has no writes
+	retryIfNotExecuted = 1 // retry only if the attempt surely did not run; the default without an admission limit
+	retryOnFailure     = 2 // also retry after any other failure, unless the requests of the class are writes
 )
 
 // lines returns the cost of the part in a push channel, in lines, without MessageOverhead.
@@ -109,8 +109,8 @@
 }
 
 const (
-	frameHeaderSize = 4       // bytes of the length of the body, big-endian
-	maxFrameSize    = 1 << 20 // bytes
+	frameHeaderSize = 4       // size in bytes of the header, which is the length of the body, big-endian
+	maxFrameSize    = 1 << 20 // maximum size of a body, in bytes
 )
 
 var errInvalidPush = errors.New("fake: push with an unknown class or backend, or a weight that is not a number >= 0")
@@ -148,7 +148,7 @@
 	Cell    int     `json:"cell"`
 	State   State   `json:"state"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time in ms; 0 if the backend started long ago
+	Started int64   `json:"started_ms"` // start of the backend as Unix time in ms; 0 if the backend started long ago
 
 	version int // version of the list in which the entry last changed
 }
@@ -156,7 +156,7 @@
 // discoveryAnswer is the body of an answer of discovery.
 type discoveryAnswer struct {
 	Version int              `json:"version"`
-	Full    bool             `json:"full"` // Servers has all entries; otherwise only the changed ones
+	Full    bool             `json:"full"` // Servers has all entries; if false, only the changed entries
 	Servers []discoveryEntry `json:"servers"`
 }
 
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -10,11 +10,11 @@
 
 // Class describes one class of requests and its traffic.
 type Class struct {
-	Name             string        // name on the wire
+	Name             string        // name of the class on the wire
 	LatencyObjective time.Duration // an answer within this time counts as served
 	Deadline         time.Duration // a request without an answer within this time is lost
-	PriorityWeight   float64       // value of a served request
-	Writes           bool          // running a request twice would have two effects
+	PriorityWeight   float64       // value of one served request
+	Writes           bool          // a request that runs twice has two effects
 	Rate             float64       // requests a second that each proxy receives
 }
 
@@ -24,17 +24,17 @@
 	fleet  *Fleet
 	number int
 	zone   string
-	fenced bool       // asks for fencing tokens, and rejects pushes with a token below highestToken
-	random *rand.Rand // used by run only
+	fenced bool       // the proxy asks for fencing tokens, and rejects pushes with a token below highestToken
+	random *rand.Rand // source of random numbers, used only by run
 
 	mutex        sync.Mutex       // guards the fields below
 	controller   int              // index of the controller that the proxy is connected to; -1 for none
-	cold         bool             // no push has been applied
-	tables       []*Table         // by class
-	limits       []admissionLimit // by class
-	withdrawn    map[string]bool  // by backend ID
+	cold         bool             // the proxy has not applied a push yet
+	tables       []*Table         // tables, by index of the class
+	limits       []admissionLimit // admission limits, by index of the class
+	withdrawn    map[string]bool  // withdrawn backends, by backend ID
 	highestToken uint64           // highest fencing token of the applied pushes
-	demand       []int            // requests by class since the last demand report
+	demand       []int            // number of requests since the last demand report, by index of the class
 	counts       Counts
 }
 
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// MessageOverhead is the cost of a message in a push channel, in lines, in addition to its own
-// lines.
+// MessageOverhead is the cost of a message in a push channel, in lines, in addition to the lines of
+// the message.
 const MessageOverhead = 4
 
 // pushChannel models the channel from one controller to all proxies. It sends linesPerSecond, one
@@ -15,11 +15,11 @@
 type pushChannel struct {
 	fleet          *Fleet
 	controller     int
-	linesPerSecond float64 // 0 for no limit
+	linesPerSecond float64 // rate of the channel in lines per second; 0 for no limit
 
 	mutex       sync.Mutex    // guards the fields below
-	incarnation int           // counts the controller's processes; each has a channel of its own
-	idleFrom    time.Duration // when all queued messages have been sent
+	incarnation int           // number of the controller's current process; each process has its own channel
+	idleFrom    time.Duration // time at which the channel has sent all queued messages
 }
 
 // enqueue adds a message to the channel and returns the time until the channel has sent it.
--- a/fake/request.go
+++ b/fake/request.go
@@ -11,11 +11,11 @@
 // request is a request that a proxy received, with the data of its current attempt.
 type request struct {
 	class     int
-	key       string // unique to the request
+	key       string // unique key of the request
 	arrivedAt time.Time
 	retries   int    // number of earlier attempts
 	previous  string // backend of the previous attempt
-	random    uint64 // random number that the backend is picked with
+	random    uint64 // random number that determines the picked backend
 }
 
 // generateRequests passes requests of a class to handleRequest, at exponentially distributed
@@ -68,7 +68,7 @@
 		p.counts.AttemptsIntoHang++
 	}
 	controller := p.controller
-	var once sync.Once // only the first of the backend's answer and the timeout counts
+	var once sync.Once // only the first of the backend's answer and the timeout takes effect
 	finish := func(outcome Outcome, latency time.Duration) {
 		once.Do(func() {
 			p.fleet.reportOutcome(p.zone, controller, id, outcome, latency)
@@ -78,7 +78,7 @@
 	timer := time.AfterFunc(timeout, func() { finish(OutcomeTimedOut, timeout) })
 	effect := r.key
 	if !class.Writes {
-		effect = fmt.Sprint(r.key, "#", r.retries) // may run twice: each attempt has its own effect key
+		effect = fmt.Sprint(r.key, "#", r.retries) // the request may run twice, so each attempt has its own effect key
 	}
 	backend.Handle(effect, timeout, func(outcome Outcome, latency time.Duration) {
 		timer.Stop()
@@ -122,10 +122,10 @@
 // admissionLimit is the token bucket that limits the admitted requests of a class, and the retry
 // policy of that class.
 type admissionLimit struct {
-	set        bool    // if not, every request is admitted
-	rate       float64 // admitted requests a second
+	set        bool    // the limit applies; otherwise every request is admitted
+	rate       float64 // admitted requests per second
 	retry      int     // retry policy of the class
-	tokens     float64 // requests that may be admitted at once
+	tokens     float64 // number of requests that may be admitted at once
 	refilledAt time.Time
 }
 
--- a/fake/table.go
+++ b/fake/table.go
@@ -5,9 +5,9 @@
 // Table is the table of a proxy for one class, from which it picks backends. Set changes entries;
 // Index makes the changes effective for Has, Empty and Pick. Not safe for concurrent use.
 type Table struct {
-	weights    map[string]float64 // by backend
-	ids        []string           // of the backends that may be picked, sorted
-	prefixSums []float64          // by index in ids: sum of the weights up to and including that backend
+	weights    map[string]float64 // weights of the backends, by backend ID
+	ids        []string           // IDs of the backends that may be picked, sorted
+	prefixSums []float64          // sum of the weights up to and including each backend, by index in ids
 }
 
 // NewTable returns a table without entries.
@@ -68,7 +68,7 @@
 		point += to - from
 	}
 	entry := t.indexAt(point)
-	if entry == skipped { // possible only by a rounding error
+	if entry == skipped { // possible only because of a rounding error
 		entry = (skipped + 1) % len(t.ids)
 	}
 	return t.ids[entry], true
@@ -86,7 +86,7 @@
 func (t *Table) indexAt(point float64) int {
 	entry, exact := slices.BinarySearch(t.prefixSums, point)
 	if exact {
-		entry++ // the interval of an entry excludes its upper end
+		entry++ // the interval of an entry excludes its upper end, so the point belongs to the next entry
 	}
 	return min(entry, len(t.prefixSums)-1)
 }
@@ -95,6 +95,6 @@
 func unitInterval(random uint64) float64 { return float64(random>>11) / (1 << 53) }
 
 // NextRandom returns the random number of a request's next attempt, computed from the number of the
-// previous attempt by one step of a linear congruential generator. The measurement of the time
-// for a pick and a retry uses it, too.
+// previous attempt by one step of a linear congruential generator. The measurement of the time for
+// a pick and a retry calls NextRandom, too.
 func NextRandom(random uint64) uint64 { return random*6364136223846793005 + 1442695040888963407 }
--- a/fake/table_test.go
+++ b/fake/table_test.go
@@ -32,7 +32,7 @@
 // backend.
 func TestTablePicksByWeightAndSkipsThePreviousBackend(t *testing.T) {
 	weights := map[string]float64{"a": 1, "b": 2, "c": 0.5, "d": 4, "e": 0.25, "f": 3}
-	ids := []string{"a", "b", "d", "e", "f"} // c is withdrawn, g is removed
+	ids := []string{"a", "b", "d", "e", "f"} // c is withdrawn, and the entry of g is removed
 	table := NewTable()
 	for id, weight := range weights {
 		table.Set(id, weight)
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame writes and reads messages on a stream. Each message is a header, the length of the
-// body in four bytes with the highest first (big-endian), and a body in CBOR. The functions may be
-// called concurrently on different streams.
+// Package frame writes and reads messages on a stream. Each message is a header and a body in CBOR.
+// The header is the length of the body in four bytes, the most significant byte first (big-endian).
+// The functions may be called concurrently on different streams.
 package frame
 
 import (
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -4,9 +4,10 @@
 // controllers decide.
 //
 // A Checker receives the events of a run and checks most rules at each event; each rule has a file
-// of its own. Rule 1 is checked when a time without an entry ends, and by Verdict for the times
-// that still last. A violation of rule 4 is detected by fake.Backend, which reports it when a cold
-// backend is overloaded. All times are on one clock that starts at 0.
+// of its own. Rule 1 is checked at the end of each time in which a proxy has no entry for a class,
+// and by Verdict for the times that have not ended yet. A violation of rule 4 is detected by
+// fake.Backend, which reports it when a cold backend is overloaded. All times are on one clock that
+// starts at 0.
 package invariant
 
 import (
@@ -41,9 +42,9 @@
 	// MaxMessages limits the messages to one proxy within MessageWindow, from all controllers
 	// together; 0 for no limit.
 	MaxMessages    int
-	MessageWindow  time.Duration // period that MaxMessages applies to
-	LinesPerSecond float64       // lines that leave the push channel of one controller; 0 for no limit
-	Backlog        float64       // lines that may wait in the push channel of one controller
+	MessageWindow  time.Duration // length of the period to which MaxMessages applies
+	LinesPerSecond float64       // rate at which lines leave the push channel of one controller; 0 for no limit
+	Backlog        float64       // maximum number of lines that wait in the push channel of one controller
 	// Margin is added to MaxEmptyTable and DrainGrace, for the delays that a busy machine adds to
 	// measured times.
 	Margin time.Duration
@@ -51,10 +52,10 @@
 
 // Violation is one violation of a rule.
 type Violation struct {
-	Rule    Rule          `json:"Rule"`  // violated rule
+	Rule    Rule          `json:"Rule"`  // number of the violated rule
 	At      time.Duration `json:"At"`    // time since the start of the run
-	Subject string        `json:"Whose"` // the proxy, the backend, the controller process or the key of the effect
-	Text    string        `json:"Text"`  // what violated the rule
+	Subject string        `json:"Whose"` // proxy, backend, controller process or effect key that the violation is about
+	Text    string        `json:"Text"`  // description of the violation
 }
 
 // maxViolations is the number of violations that a verdict lists; further ones are only counted.
@@ -69,8 +70,8 @@
 	counts     map[string]int // number of violations, by "rule N"
 	proxies    map[int]*proxy
 	backends   map[string]*backend
-	effects    map[string]time.Duration   // time at which each request took effect, by key
-	backlogs   map[string]*channelBacklog // by controller process
+	effects    map[string]time.Duration   // time at which each request took effect, by effect key
+	backlogs   map[string]*channelBacklog // lines in the push channels, by controller process
 
 	longestEmptyTable time.Duration
 	peakMessages      int // maximum number of messages to one proxy within MessageWindow
@@ -79,19 +80,19 @@
 // proxy is the state of one proxy, as known from the events.
 type proxy struct {
 	connected           bool
-	connectionChangedAt time.Duration            // time of the last ProxyConnected
-	emptySince          map[string]time.Duration // by class, for classes without an entry while connected
+	connectionChangedAt time.Duration            // time of the last call of ProxyConnected
+	emptySince          map[string]time.Duration // start of the time without an entry, by class; only while connected
 	emptyReported       map[string]bool          // classes whose current lack of an entry is recorded as a violation
 	messageTimes        []time.Duration          // times of the messages within MessageWindow
-	overLimit           bool                     // messageTimes has more than MaxMessages items; recorded as a violation
-	highestToken        uint64                   // highest fencing token of the applied pushes; 0 if no push had one
+	overLimit           bool                     // messageTimes is longer than MaxMessages; recorded as a violation
+	highestToken        uint64                   // highest fencing token of the applied pushes; 0 if no push had a token
 }
 
 // backend is the state of one backend, as known from the events.
 type backend struct {
 	ready         bool
 	warm          bool
-	drainDeadline time.Duration // 0 while the backend may be sent requests
+	drainDeadline time.Duration // end of the drain grace and the margin; 0 while the backend may be sent requests
 	overloaded    bool
 }
 
@@ -131,8 +132,8 @@
 
 func proxyName(id int) string { return fmt.Sprint("proxy ", id) }
 
-// ProxyConnected records whether pushes of some controller can reach a proxy from now on. empty
-// lists the classes for which the proxy has no entry.
+// ProxyConnected records whether, from now on, pushes of any controller can reach a proxy. The
+// parameter empty lists the classes for which the proxy has no entry.
 func (c *Checker) ProxyConnected(id int, connected bool, empty []string, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -172,15 +173,15 @@
 
 // Verdict is the result of the checks of a run.
 type Verdict struct {
-	Violations        []Violation    // sorted by time; only the first 100 that were recorded
+	Violations        []Violation    // violations sorted by time; only the first 100 that were recorded
 	Counts            map[string]int // number of violations, listed or not, by "rule N"
-	Effects           int            // number of distinct keys that took effect
-	LongestEmptyTable time.Duration  // longest time for which a connected proxy lacked an entry
+	Effects           int            // number of distinct effect keys of the requests that took effect
+	LongestEmptyTable time.Duration  // longest time for which a connected proxy lacked an entry for a class
 	PeakMessages      int            // maximum number of messages to one proxy within MessageWindow
 }
 
-// Verdict checks the times without an entry that still last, and returns the result of all checks.
-// It must be called only once, at the end of the run.
+// Verdict checks the times without an entry that have not ended yet, and returns the result of all
+// checks. It must be called only once, at the end of the run.
 func (c *Checker) Verdict(at time.Duration) Verdict {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/invariant/drain_grace.go
+++ b/invariant/drain_grace.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Rule 3: a backend that drains or is removed is sent nothing once the drain grace and the margin
-// are over. Both periods start when discovery publishes the state, or when the proxy connects if
-// that is later.
+// are over. The drain grace and the margin start when discovery publishes the state, or when the
+// proxy connects if that is later.
 
 // AttemptSent records that a proxy sends a backend an attempt, as its table says. A proxy that is
 // not connected is not checked, because no controller can withdraw the backend from its table.
--- a/invariant/empty_table.go
+++ b/invariant/empty_table.go
@@ -6,7 +6,7 @@
 // longer than MaxEmptyTable and the margin. Time without a connection does not count, because no
 // controller can send the proxy an entry then.
 
-// TableChanged records whether a proxy has an entry that it can pick for a class from now on.
+// TableChanged records whether, from now on, a proxy has an entry that it can pick for a class.
 func (c *Checker) TableChanged(id int, class string, hasEntry bool, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -22,7 +22,8 @@
 	}
 }
 
-// checkEmptyTable checks a time without an entry, from since to at. The caller holds the mutex.
+// checkEmptyTable checks a time in which a proxy has no entry for a class, from since to at. The
+// caller holds the mutex.
 func (c *Checker) checkEmptyTable(id int, class string, since, at time.Duration) {
 	if !c.hasReadyWarmBackend() {
 		return
--- a/invariant/push_budget.go
+++ b/invariant/push_budget.go
@@ -10,7 +10,7 @@
 
 // channelBacklog is the number of lines that wait in the push channel of a controller process.
 type channelBacklog struct {
-	updatedAt   time.Duration // when queuedLines was computed
+	updatedAt   time.Duration // time at which queuedLines was computed
 	queuedLines float64
 }
 
@@ -26,8 +26,8 @@
 	c.checkBacklog(controller, lines, at)
 }
 
-// checkMessages checks the number of messages to a proxy, with one more message. Each period above
-// the limit counts as one violation. The caller holds the mutex.
+// checkMessages adds one message to the messages of a proxy, and checks their number within
+// MessageWindow. Each period above the limit counts as one violation. The caller holds the mutex.
 func (c *Checker) checkMessages(proxyID int, at time.Duration) {
 	p := c.proxy(proxyID)
 	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(sent time.Duration) bool {
@@ -43,7 +43,7 @@
 	p.overLimit = over
 }
 
-// checkBacklog checks the backlog of a push channel, with the lines that enter it. After a
+// checkBacklog adds lines to the backlog of a push channel, and checks the backlog. After a
 // violation the backlog restarts at 0, so that the same lines count only once. The caller holds the
 // mutex.
 func (c *Checker) checkBacklog(controller string, lines int, at time.Duration) {
