--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -69,12 +69,12 @@
 	}
 }
 
-// TestOrdersOfARunDoNotGrowWithItsSize guards against orders that multiply with the size of a run.
-// At any size, each backend gets one table entry at the start, each proxy gets one table, and each
-// change takes a few orders.
-func TestOrdersOfARunDoNotGrowWithItsSize(t *testing.T) {
-	// In each drain and return, a backend is removed, comes back with a part of its weight, and
-	// then gets all of it.
+// TestOrdersPerBackendProxyAndChangeAreConstant guards against orders that grow faster than the
+// size of a run. At any size, each backend gets one table entry at the start, each proxy gets one
+// table, and each change takes a few orders.
+func TestOrdersPerBackendProxyAndChangeAreConstant(t *testing.T) {
+	// In each drain and return, a backend is removed from the table, added with a part of its
+	// weight, and then gets its full weight.
 	const entryChanges, withdrawals = 3, 2
 	for _, size := range []int{20, 200} {
 		l := decisionRun{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestRepeatsStopAfterTheSpan guards against a measurement that goes on after its span, or that
-// does not report that it had fewer repeats than usual.
+// TestRepeatsStopAfterTheSpan guards against a measurement that begins repeats after its span, or
+// that does not report a number of repeats below maxRepeats.
 func TestRepeatsStopAfterTheSpan(t *testing.T) {
 	done := 0
 	do := func() error { done++; return nil }
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -16,9 +16,9 @@
 // and voters.
 const subscribersInCI = 110
 
-// measureInCI runs a measurement at a size and for a time that CI can bear, and fails on violations
-// and on figures over their budgets. With the race detector, which takes most of the processor
-// time, budgets of processor time are not checked.
+// measureInCI runs a measurement at a size and for a time that are small enough for CI, and fails
+// on violations and on figures over their budgets. With the race detector, which takes most of the
+// processor time, budgets of processor time are not checked.
 func measureInCI(t *testing.T, m Measurement, span time.Duration) *results.Run {
 	t.Helper()
 	options := Options{Duration: span, Seed: 1, Voters: defaultVoters}
@@ -96,10 +96,11 @@
 	}
 }
 
-// TestPropagationSeesAnOlderChange guards against faults that measurements miss: a subscriber that
-// goes back to an older revision or applies a change twice is a violation, a late change counts as
-// late, and a change that was missed during a cut counts from the end of the cut.
-func TestPropagationSeesAnOlderChange(t *testing.T) {
+// TestPropagationDetectsOlderAndLateChanges guards against faults that measurements miss: a
+// subscriber that returns to an older revision or applies a change twice is a violation, a late
+// change has its full latency, and the latency of a change that was missed during a cut counts from
+// the end of the cut.
+func TestPropagationDetectsOlderAndLateChanges(t *testing.T) {
 	f := newPropagation(newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1))
 	s := &hollowSubscriber{name: "s", propagation: f, reachableSince: time.Now().Add(-time.Hour)}
 	late := time.Now().Add(-4 * time.Second).UnixMicro()
@@ -161,7 +162,7 @@
 	n.heal()
 	far.SetReadDeadline(time.Time{})
 	if _, err := far.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("read after the end of the cut: error %v; want that of the close", err)
+		t.Errorf("read after the end of the cut: error %v; want the error of a closed connection", err)
 	}
 	if _, err := n.dial(ctx, 1, "nobody"); err == nil {
 		t.Error("a dial of an unknown name succeeded")
--- a/scale/machine_test.go
+++ b/scale/machine_test.go
@@ -7,9 +7,9 @@
 	"wheelrill/scale/results"
 )
 
-// TestSizesThatTheMachineCannotBearAreRefused guards against runs that start although they need
+// TestSizesAboveTheLimitsOfARunAreRefused guards against runs that start although they need
 // more memory, processes or time than a run may take of the machine.
-func TestSizesThatTheMachineCannotBearAreRefused(t *testing.T) {
+func TestSizesAboveTheLimitsOfARunAreRefused(t *testing.T) {
 	machine := results.Machine{Cores: 8, Memory: 8 << 30}
 	var refused *RefusedError
 	for _, needs := range []Needs{{Memory: 5 << 30}, {Processes: 101}, {Time: maxTime + 1}} {
@@ -18,6 +18,6 @@
 		}
 	}
 	if err := checkMachine(machine, 7, Needs{Memory: 3 << 30, Processes: 100, Time: maxTime}); err != nil {
-		t.Errorf("needs at the limits: %v", err)
+		t.Errorf("needs at the limits: error %v; want the run to be accepted", err)
 	}
 }
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -25,7 +25,7 @@
 // their own scopes after a restart.
 func TestSubscribersRestartAtOnce(t *testing.T) {
 	t.Parallel()
-	const entryBytes, subscribers = 200, 12 // entryBytes: far more than an entry takes
+	const entryBytes, subscribers = 200, 12 // entryBytes is far more than an encoded entry has
 	r := measureSmall(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
 	for _, s := range r.Samples {
 		bytes, _ := s.Get("bytes")
--- a/scale/results/results_test.go
+++ b/scale/results/results_test.go
@@ -20,15 +20,15 @@
 	}
 	square, ok := FitOver(curve(func(n float64) float64 { return 4 * n * n }), "cost", nil)
 	if !ok || square.Form != FormPower || math.Abs(square.Exponent-2) > 1e-6 || math.Abs(square.At(100)-40_000) > 1 {
-		t.Errorf("4n^2 is fitted as %+v", square)
+		t.Errorf("4n^2 is fitted as %+v; want a power with exponent 2, and 40,000 at 100", square)
 	}
 	line, ok := FitOver(curve(func(n float64) float64 { return 1000 + 3*n }), "cost", nil)
 	if !ok || line.Form != FormLinear || math.Abs(line.At(100)-1300) > 1 || line.Residual > 1e-3 {
-		t.Errorf("1000 + 3n is fitted as %+v", line)
+		t.Errorf("1000 + 3n is fitted as %+v; want a line, 1300 at 100, and no residual", line)
 	}
 	falling, ok := FitOver(curve(func(n float64) float64 { return 100 - n }), "cost", []int{11_000})
 	if !ok || falling.Form != FormPower || falling.At(11_000) <= 0 {
-		t.Errorf("100 - n is fitted as %+v, %v at 11,000", falling, falling.At(11_000))
+		t.Errorf("100 - n is fitted as %+v, %v at 11,000; want a power, and a figure above 0", falling, falling.At(11_000))
 	}
 	if _, ok := FitOver(curve(func(n float64) float64 { return n })[:2], "cost", nil); ok {
 		t.Error("a fit over two sizes was returned; want none")
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	if again, _ := os.ReadFile(path); string(again) != string(first) {
-		t.Errorf("first file\n%s\nfile of the loaded run\n%s", first, again)
+		t.Errorf("the file of the loaded run is\n%s\nwant that of the first run\n%s", again, first)
 	}
 }
 
