--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -24,8 +24,8 @@
 const (
 	pickRepeats  = 5
 	indexRepeats = 20
-	maxPicks     = 20_000      // per repeat
-	minPicks     = 100         // per repeat, so that the 99th percentile means something
+	maxPicks     = 20_000      // requests per repeat
+	minPicks     = 100         // requests per repeat; a 99th percentile needs at least 100 values
 	maxPickTime  = time.Minute // longest time that a histogram records
 )
 
@@ -56,7 +56,8 @@
 type pickTimes struct {
 	firstPick *hdrhistogram.Histogram // wall time of the first pick
 	bothPicks *hdrhistogram.Histogram // wall time of the first pick and the retry's pick together
-	// Processor time of the thread, which a busy machine lengthens less than wall time.
+	// Processor time of the thread for the first pick, and for both picks together. A busy machine
+	// lengthens it less than wall time.
 	firstPickProcessor *hdrhistogram.Histogram
 	bothPicksProcessor *hdrhistogram.Histogram
 	requests           int
@@ -113,12 +114,13 @@
 	return sample, nil
 }
 
-// picksForStableP99 is the number of picks per repeat from which the slowest hundredth holds enough
-// picks, 10, for a stable 99th percentile.
+// picksForStableP99 is the smallest number of requests per repeat whose 99th percentile is stable:
+// the slowest hundredth of them has 10 requests.
 const picksForStableP99 = 1000
 
-// measurePicks times pairs of picks for the given span: at least minPicks and at most maxPicks
-// pairs. It locks the goroutine to its thread, because it reads the processor time of the thread.
+// measurePicks times requests for the given span: at least minPicks and at most maxPicks requests.
+// Each request picks a backend, and another one for a retry. The goroutine is locked to its thread
+// for the measurement of the thread's processor time.
 func measurePicks(table *fake.Table, entries int, random *rand.Rand, span time.Duration) (pickTimes, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -145,7 +147,8 @@
 	bothPicks := time.Since(from)
 	bothPicksProcessor := threadTime() - fromProcessor
 	if !found || foundOther && second == first || !foundOther && entries > 1 {
-		return fmt.Errorf("picked %q, then %q from a table of %d entries; want different backends, or one of a single entry",
+		return fmt.Errorf("picked %q, then %q from a table of %d entries; "+
+			"want two different backends, or one backend if there is one entry",
 			first, second, entries)
 	}
 	return errors.Join(
--- a/scale/budgets.go
+++ b/scale/budgets.go
@@ -1,7 +1,7 @@
 package scale
 
-// Budgets: the most that a controller may spend on control, at the size that the installation is
-// expected to have in two years.
+// Budgets: the largest allowed cost of control at a controller, in an installation of the size that
+// is expected in two years.
 const (
 	maxBytesPerSecond     = 23_000 // received and sent together
 	maxProcessorPercent   = 4      // percent of a core
--- a/scale/change.go
+++ b/scale/change.go
@@ -24,7 +24,7 @@
 type changeByFile struct{}
 
 const (
-	discoveryAddressCount = 4 // discovery addresses that changes move a controller between
+	discoveryAddressCount = 4 // discovery addresses of a controller; each change moves it to the next one
 	settleTimeout         = 10 * time.Second
 	memberCores           = 1
 	memberSockets         = 256
@@ -54,7 +54,7 @@
 	return d
 }
 
-// Needs returns the memory, the processes and the time that the controllers take.
+// Needs returns the memory, processes and time that one size takes.
 func (changeByFile) Needs(size int, o Options) Needs {
 	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
 		Time: startTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
@@ -105,8 +105,8 @@
 	lastChangeBytes int // total size of the files of the last change
 }
 
-// reloadedController is a controller process with the discovery addresses that changes move it
-// between.
+// reloadedController is a controller process with its discovery addresses. Each change moves the
+// controller to the next address.
 type reloadedController struct {
 	process            *process.Controller
 	discoveryAddresses []*watchedAddress // change n moves the controller to address n modulo their number
@@ -127,12 +127,14 @@
 		c := &reloadedController{}
 		f.controllers = append(f.controllers, c)
 		for range discoveryAddressCount {
-			slot, err := watchAddress(f.discovery, func(change int64) { c.appliedChange.Store(max(c.appliedChange.Load(), change)) })
+			watched, err := watchAddress(f.discovery, func(change int64) {
+				c.appliedChange.Store(max(c.appliedChange.Load(), change))
+			})
 			if err != nil {
 				f.close()
 				return nil, err
 			}
-			c.discoveryAddresses = append(c.discoveryAddresses, slot)
+			c.discoveryAddresses = append(c.discoveryAddresses, watched)
 		}
 		c.process = &process.Controller{Name: memberName(i), Program: o.Program, Listen: listen[i],
 			Env: []string{"LB_CONFIG=" + f.path(i)}}
@@ -154,22 +156,23 @@
 		if c.process != nil && c.process.Log != nil {
 			c.process.Log.Close()
 		}
-		for _, slot := range c.discoveryAddresses {
-			slot.close()
+		for _, watched := range c.discoveryAddresses {
+			watched.close()
 		}
 	}
 	f.discovery.Close()
 }
 
-// write replaces the configuration file of controller i by that of a change, atomically with a
-// rename as an operator's tool would do, and returns the size of the file in bytes.
+// write replaces the configuration file of controller i by the file that makes the given change. It
+// renames the new file, which is atomic and what an operator's tool would do, and returns the size
+// of the file in bytes.
 func (f *reloadedFleet) write(i int, change int64) (int, error) {
 	c := f.controllers[i]
-	slot := c.discoveryAddresses[change%discoveryAddressCount]
-	slot.change.Store(change)
+	watched := c.discoveryAddresses[change%discoveryAddressCount]
+	watched.change.Store(change)
 	name := memberName(i)
 	draft, err := process.WriteConfig(f.folder, name+".draft", map[string]any{"name": name, "listen": c.process.Listen,
-		"discovery": slot.address(), "seed": fmt.Sprintf("%x", f.seed+uint64(i)+1),
+		"discovery": watched.address(), "seed": fmt.Sprintf("%x", f.seed+uint64(i)+1),
 		"limits":   map[string]any{"cores": memberCores, "memory_mb": memberLimitMB, "sockets": memberSockets},
 		"settings": f.settings})
 	if err != nil {
@@ -213,12 +216,12 @@
 // pacedChanges makes changes at one rate, and collects how long they take to be applied.
 type pacedChanges struct {
 	fleet   *reloadedFleet
-	made    int
+	made    int           // number of changes made
 	writing time.Duration // total time spent on writing files and sending signals
 
 	mutex   sync.Mutex              // guards the fields below
 	latency *hdrhistogram.Histogram // µs from the start of a change until the last controller applied it
-	late    int                     // changes that some controller did not apply within settleTimeout
+	late    int                     // changes that at least one controller did not apply within settleTimeout
 }
 
 // measureChanges makes changes at one rate for the observed time, and sets the metrics of that
--- a/scale/content.go
+++ b/scale/content.go
@@ -10,8 +10,8 @@
 	"wheelrill/distribution"
 )
 
-// Assumed amount of the distributed configuration. Services form groups, and a controller needs the
-// entries of one group and those that are common to all groups.
+// Assumed size of the distributed configuration. Services form groups, and a controller needs the
+// entries of one group and the entries that are common to all groups.
 const (
 	servicesPerGroup    = 57  // 5,700 services in 100 groups
 	controllersPerGroup = 110 // 11,000 controllers in 100 groups
@@ -19,21 +19,21 @@
 	valueBytes          = 48
 	maxEntriesChanged   = 3  // largest number of entries of one change
 	commonChangeOneIn   = 10 // one change in 10 concerns common entries, which all controllers receive
-	drainChangeOneIn    = 5  // one changed entry in 5 sets or ends a drain, which is an entry that is added and deleted
+	drainChangeOneIn    = 5  // one changed entry in 5 starts or ends a drain: it adds or deletes a drain entry
 )
 
 const commonScope = "common"
 
 func groupScope(group int) string { return fmt.Sprintf("group/%03d", group) }
 
-// contentShape is the amount of the distributed configuration.
+// contentShape is the size of the distributed configuration.
 type contentShape struct {
 	groups          int // number of service groups
-	entriesPerGroup int
+	entriesPerGroup int // number of entries in the scope of each group
 }
 
-// scaledContent has as many groups as the given number of controllers serves, and one entry for
-// each service.
+// scaledContent returns a configuration with as many groups as the given number of controllers
+// forms, and with one entry for each service.
 func scaledContent(controllers int) contentShape {
 	return contentShape{
 		groups:          max(1, (controllers+controllersPerGroup-1)/controllersPerGroup),
@@ -41,7 +41,8 @@
 	}
 }
 
-// fullContent is the whole configuration that is expected, at any number of controllers.
+// fullContent returns the whole configuration of the expected installation, whatever the number of
+// controllers is.
 func fullContent() contentShape {
 	return contentShape{groups: targetGroups, entriesPerGroup: entriesServed}
 }
@@ -53,9 +54,9 @@
 	shape  contentShape
 
 	mutex      sync.Mutex                      // guards the fields below
-	revision   uint64                          // newest accepted revision
+	revision   uint64                          // newest revision that the voters accepted
 	byScope    map[string][]distribution.Entry // accepted entries of each scope, in order of revision
-	recordedAt map[uint64]time.Time            // when the first voter received each revision from the record
+	recordedAt map[uint64]time.Time            // when the first of the voters received each revision
 }
 
 func newContent(shape contentShape, seed uint64) *content {
@@ -63,7 +64,7 @@
 		recordedAt: map[uint64]time.Time{}}
 }
 
-const contentSeed = 7 // separates the random numbers of content from others with the same seed
+const contentSeed = 7 // makes the random numbers of content differ from others with the same seed
 
 // initial returns the entries that exist at the start: one proposal for the common scope, and one
 // for each group.
@@ -119,8 +120,8 @@
 	return entries
 }
 
-// noteAccepted adds a change that a voter received from the record. Changes that another voter has
-// added are ignored.
+// noteAccepted adds a change to the content. Every voter passes in each change that it receives
+// from the record; a revision that is already in the content is ignored.
 func (c *content) noteAccepted(change distribution.Change) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -140,8 +141,8 @@
 
 // acceptedAt returns the time at which a revision was accepted: the time that its leader wrote into
 // it. If the first voter received the revision more than proposalTimeout later, that later time
-// counts instead: the proposer had been told that its change failed, as happens while the majority
-// of voters is lost, and the change was committed after all.
+// counts instead: the proposer already had an error for its change, as while the majority of voters
+// is lost, and the change was committed after all.
 func (c *content) acceptedAt(revision uint64, leaderTime int64) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/scale/controller_log.go
+++ b/scale/controller_log.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// Events and keys of a controller's log that measurements read. Packages controller and consensus
-// write them.
+// Events of a controller's log that measurements read, and the keys of their lines. Packages
+// controller and consensus write them.
 const (
-	logReady              = "ready"               // with logBackends
-	logQuorumChanged      = "quorum_changed"      // with logQuorum
+	logReady              = "ready"               // a controller is ready; has logBackends
+	logQuorumChanged      = "quorum_changed"      // a member gained or lost quorum; has logQuorum
 	logSnapshotApplied    = "snapshot_applied"    // a subscriber has received its configuration
-	logDistributionStatus = "distribution_status" // with logInBytes, logOutBytes
-	logRecord             = "record"              // with logEntries, logBytes
-	logLeading            = "leading"             // with logLeads
+	logDistributionStatus = "distribution_status" // periodic traffic of distribution; has logInBytes and logOutBytes
+	logRecord             = "record"              // periodic cost of the record; has logEntries and logBytes
+	logLeading            = "leading"             // a member began or ceased to lead; has logLeads
 
 	logBackends = "backends"
 	logQuorum   = "quorum"
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -19,7 +19,9 @@
 	ackRequested bool
 	toAllProxies bool         // the request for an ack reaches every connected proxy
 	changed      map[int]bool // tables changed since the last answered request for an ack
-	reached      map[int]bool // proxies with an assigned table, or synced or cleared withdrawals, since then
+	// Proxies that were assigned a table, or had their withdrawals synced or cleared, since the
+	// last answered request for an ack.
+	reached map[int]bool
 }
 
 // orderCounts holds the number of orders of each kind.
@@ -89,8 +91,8 @@
 	h.toAllProxies = h.toAllProxies || table == balancer.AllTables
 }
 
-// RequestAck counts a request for an ack. The proxies that were reached since the last one have to
-// answer it.
+// RequestAck counts a request for an ack. acknowledge answers it for the proxies that received
+// orders since the last request, or for all proxies.
 func (h *countingHost) RequestAck(number int, everyone bool) {
 	h.orders.acks++
 	h.pendingAck = number
@@ -98,8 +100,8 @@
 	h.toAllProxies = h.toAllProxies || everyone
 }
 
-// acknowledge sends the requested ack of each proxy that was reached, and repeats this for the
-// requests that the controller makes in response, until none is pending.
+// acknowledge sends the requested ack of each proxy that received orders, and repeats this for the
+// requests that the controller makes in response, until no request is pending.
 func (h *countingHost) acknowledge() {
 	for h.ackRequested {
 		ack := h.pendingAck
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -19,20 +19,19 @@
 // number of listed backends or of connected proxies, without sockets. The push channel accepts
 // every order at once, so that no work is postponed.
 type decisions struct {
-	byProxies bool
+	byProxies bool // vary the number of proxies instead of the number of backends
 }
 
-// Number of backends while the number of proxies varies, and of proxies while that of backends
-// varies.
+// Numbers of proxies and backends that a measurement does not vary.
 const (
-	defaultBackends = 1000
-	defaultProxies  = 100
+	defaultBackends = 1000 // number of backends while the number of proxies varies
+	defaultProxies  = 100  // number of proxies while the number of backends varies
 )
 
-// Number of steps and longest time of one repeat.
+// Steps and longest time of one repeat.
 const (
-	decisionChanges = 8
-	decisionTicks   = 8
+	decisionChanges = 8                // drained backends
+	decisionTicks   = 8                // ticks without reports, and as many that evaluate reports
 	maxDecisionTime = 90 * time.Second // longest time of one repeat
 )
 
@@ -103,7 +102,8 @@
 	line := medianFigure(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
 	quiet := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
 	evaluation := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.reportsTick })
-	perSecond := (ticksPerSecond-evaluationsPerSecond)*quiet*1000 + evaluationsPerSecond*evaluation*1000 + reportLines*line // µs
+	// Processor time per second of operation, in µs.
+	perSecond := (ticksPerSecond-evaluationsPerSecond)*quiet*1000 + evaluationsPerSecond*evaluation*1000 + reportLines*line
 	s.Set("start", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
 	s.Set("again", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.repeatedList }))
 	s.Set("join", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.join }))
@@ -134,14 +134,14 @@
 
 // decisionCost is the processor time of each step of a run, and its heap and orders.
 type decisionCost struct {
-	start        time.Duration // full endpoint list, to a controller without any state
-	repeatedList time.Duration // the same list again
+	start        time.Duration // creation of the controller, and its first endpoint list, with all backends
+	repeatedList time.Duration // the first endpoint list, received once more at the end
 	join         time.Duration // all proxies connect and get their tables
-	change       time.Duration // change of one list entry, a drain, until all proxies have acknowledged it
-	reportLine   time.Duration // one line of a report
+	change       time.Duration // drain of one backend by the endpoint list, until all proxies have acknowledged it
+	reportLine   time.Duration // report of one line, with the outcomes of a backend or the demand at a proxy
 	quietTick    time.Duration // tick without reports
 	reportsTick  time.Duration // tick that evaluates reports
-	heap         int64         // bytes in use at the end, less those in use before
+	heap         int64         // heap bytes in use at the end, minus the heap bytes in use before the run
 	orders       orderCounts
 }
 
@@ -243,7 +243,7 @@
 	return sum / time.Duration(l.changes)
 }
 
-// settlingTicks is the number of ticks, 8 s, that are run until the effects of a step are over: new
+// settlingTicks is the number of ticks, 8 s in all, after which the effects of a step are over: new
 // backends have a reduced weight for 5 s.
 const settlingTicks = 32
 
@@ -258,7 +258,8 @@
 	return all
 }
 
-// measuredZones, measuredClasses and measuredLimits are those of the shipped sample configuration.
+// measuredZones, measuredClasses and measuredLimits have the values of the shipped sample
+// configuration.
 const measuredZones = 2
 
 func measuredClasses() []balancer.Class {
--- a/scale/discovery_listener.go
+++ b/scale/discovery_listener.go
@@ -10,8 +10,8 @@
 // watchedAddress serves discovery at an address of its own, and reports each connection to it.
 type watchedAddress struct {
 	net.Listener
-	change    atomic.Int64 // number of the last change that moved the controller to this address
-	connected func(change int64)
+	change    atomic.Int64       // number of the last change that moved the controller to this address
+	connected func(change int64) // called at each connection, with the value of change
 	server    *http.Server
 	running   sync.WaitGroup
 }
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -9,14 +9,14 @@
 	"wheelrill/scale/results"
 )
 
-// distributionCost measures the cost and the latency of distribution below the record, with voters,
-// distributors and subscribers.
+// distributionCost measures the cost and the latency of distributing the changes of the record from
+// the voters, through distributors, to subscribers.
 type distributionCost struct {
 	allEntries bool // distribute all expected entries instead of one for each service
 }
 
-// treeRole is a role in the tree that has its own metrics: its part of their names, and its
-// description.
+// treeRole is a role in the tree that has its own metrics. Their names begin with its name, and
+// their descriptions contain its description.
 type treeRole struct{ name, about string }
 
 func treeRoles() []treeRole {
@@ -86,7 +86,8 @@
 	return scaledTree(size)
 }
 
-// Needs returns the time, and the memory of all nodes, which run in this process.
+// Needs returns the time that one size takes, and the memory of all nodes, which run in this
+// process.
 func (m distributionCost) Needs(size int, o Options) Needs {
 	return Needs{Memory: m.plan(size).memory(o),
 		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
@@ -103,7 +104,7 @@
 	delays := watchDelays()
 	for _, rate := range changeRates() {
 		o.progressf("%d subscribers, ready after %.1f s, %s", size, t.ready.Seconds(), rate.about)
-		if err := t.measurePace(ctx, rate, &s); err != nil {
+		if err := t.measureRate(ctx, rate, &s); err != nil {
 			return s, err
 		}
 	}
@@ -124,8 +125,8 @@
 	return s, nil
 }
 
-// measurePace makes changes at one rate for the observed time, and sets the metrics of that rate.
-func (t *tree) measurePace(ctx context.Context, rate changeRate, s *results.Sample) error {
+// measureRate makes changes at one rate for the observed time, and sets the metrics of that rate.
+func (t *tree) measureRate(ctx context.Context, rate changeRate, s *results.Sample) error {
 	t.propagation.reset()
 	parentsLost := t.parentsLost()
 	before := t.bytes()
@@ -150,20 +151,21 @@
 	if made == 0 {
 		return fmt.Errorf("no change was made within %s; give a longer --for", t.options.Duration)
 	}
-	passed := map[string]float64{}
+	bytesByNode := map[string]float64{}
 	for name := range after {
-		passed[name] = float64(after[name] - before[name])
+		bytesByNode[name] = float64(after[name] - before[name])
 	}
-	t.setRoles(passed, processor.Seconds(), rate, seconds, s)
+	t.setRoleMetrics(bytesByNode, processor.Seconds(), rate, seconds, s)
 	return nil
 }
 
-// setRoles sets the metrics of each role from the bytes that each node passed over its links. The
+// setRoleMetrics sets the metrics of each role from the bytes that each node sent and received. The
 // processor time of this process is divided among the nodes in proportion to their bytes.
-func (t *tree) setRoles(passed map[string]float64, processor float64, rate changeRate, seconds float64, s *results.Sample) {
-	all := 0.
-	for _, bytes := range passed {
-		all += bytes
+func (t *tree) setRoleMetrics(bytesByNode map[string]float64, processor float64, rate changeRate, seconds float64,
+	s *results.Sample) {
+	total := 0.
+	for _, bytes := range bytesByNode {
+		total += bytes
 	}
 	nodes := t.nodesByRole()
 	for _, role := range treeRoles() {
@@ -174,19 +176,19 @@
 		sum := 0.
 		worst := 0.
 		for _, name := range names {
-			sum += passed[name]
-			worst = max(worst, passed[name])
+			sum += bytesByNode[name]
+			worst = max(worst, bytesByNode[name])
 		}
 		mean := sum / float64(len(names))
 		s.Set(role.name+"_bytes_per_s"+rate.suffix, mean/seconds)
 		s.Set(role.name+"_bytes_per_s_worst"+rate.suffix, worst/seconds)
-		s.Set(role.name+"_processor"+rate.suffix, percent*processor/seconds*mean/all)
-		s.Set(role.name+"_processor_worst"+rate.suffix, percent*processor/seconds*worst/all)
+		s.Set(role.name+"_processor"+rate.suffix, percent*processor/seconds*mean/total)
+		s.Set(role.name+"_processor_worst"+rate.suffix, percent*processor/seconds*worst/total)
 	}
 }
 
-// bytes returns the bytes that each node has passed over its links so far, without those that
-// voters passed for the record.
+// bytes returns the bytes that each node has sent and received so far, by name. It excludes the
+// traffic between voters for the record.
 func (t *tree) bytes() map[string]int64 {
 	result := map[string]int64{}
 	for _, s := range t.nodes() {
@@ -198,7 +200,8 @@
 	return result
 }
 
-// recordBytes returns the bytes that each voter has passed for the record so far.
+// recordBytes returns the bytes that each voter has sent and received for the record so far, by
+// name.
 func (t *tree) recordBytes() map[string]int64 {
 	result := map[string]int64{}
 	for _, v := range t.voters.voters {
@@ -208,20 +211,20 @@
 }
 
 // setRecordBytes sets the metrics of the traffic for the record, separately for the leader. The
-// voter that passed the most bytes is taken for the leader.
+// voter with the most bytes is assumed to be the leader.
 func (t *tree) setRecordBytes(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
 	sum := 0.
 	leader := 0.
 	for name := range after {
-		passed := float64(after[name]-before[name]) / seconds
-		sum += passed
-		leader = max(leader, passed)
+		bytesPerS := float64(after[name]-before[name]) / seconds
+		sum += bytesPerS
+		leader = max(leader, bytesPerS)
 	}
 	s.Set(recordBytes+rate.suffix, (sum-leader)/float64(max(len(after)-1, 1)))
 	s.Set(recordBytes+"_leader"+rate.suffix, leader)
 }
 
-// nodesByRole returns the names of the nodes by role, with the roles of treeRoles.
+// nodesByRole returns the names of all nodes, by the name of their role in treeRoles.
 func (t *tree) nodesByRole() map[string][]string {
 	result := map[string][]string{}
 	for _, s := range t.nodes() {
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -9,7 +9,8 @@
 	"wheelrill/scale/results"
 )
 
-// distributedFaults measures distribution below the record under faults.
+// distributedFaults measures how long changes of the record take to reach subscribers during
+// faults.
 type distributedFaults struct{}
 
 // treeFault is a kind of fault. It is injected for a span while changes are made at ten times the
@@ -25,8 +26,8 @@
 	parentKillInterval = 5 * time.Second
 	leaderKillInterval = 15 * time.Second
 	downtime           = 2 * time.Second // from the kill of a node until its restart
-	restartedOneIn     = 50              // one subscriber in 50 is killed at once, as 220 of 11,000
-	// Changes continue for this time after a fault, to measure how missed changes arrive.
+	restartedOneIn     = 50              // one subscriber in 50 is killed, all at the same time: 220 of 11,000
+	// Changes continue for this time after a fault, to measure how long missed changes take.
 	recoveryTime = 5 * time.Second
 )
 
@@ -59,7 +60,8 @@
 	return d
 }
 
-// Needs returns the time, and the memory of all nodes, which run in this process.
+// Needs returns the time that one size takes, and the memory of all nodes, which run in this
+// process.
 func (distributedFaults) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(size).memory(o),
 		Time: startTimeout + readyTimeout + time.Duration(len(treeFaults()))*(o.Duration+recoveryTime+settleTimeout)}
@@ -88,16 +90,16 @@
 func (t *tree) measureFault(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.propagation.reset()
 	span := max(t.options.Duration/time.Duration(f.spanDivisor), downtime)
-	starts := t.starts.Load()
-	needless := t.needlessSnapshots()
+	startsBefore := t.starts.Load()
+	needlessBefore := t.needlessSnapshots()
 	before := t.bytes()
 	began := time.Now()
 	t.faultHits.Store(0)
-	var playing sync.WaitGroup
+	var injecting sync.WaitGroup
 	var faultErr error
-	playing.Go(func() { faultErr = f.inject(ctx, t, span) })
+	injecting.Go(func() { faultErr = f.inject(ctx, t, span) })
 	_, err := t.makeChanges(ctx, changesPerSecond*changeRateFactor, began.Add(span+min(recoveryTime, t.options.Duration)))
-	playing.Wait()
+	injecting.Wait()
 	if err == nil {
 		err = faultErr
 	}
@@ -118,10 +120,10 @@
 	s.Set(f.name+"_most", t.propagation.seconds(t.propagation.latency, 100))
 	s.Set(f.name+"_back", t.propagation.seconds(t.propagation.catchUpLatency, 100))
 	s.Set(f.name+"_faults", float64(t.faultHits.Load()))
-	s.Set(f.name+"_snapshots", float64(t.starts.Load()-starts))
+	s.Set(f.name+"_snapshots", float64(t.starts.Load()-startsBefore))
 	s.Set(f.name+"_bytes_per_s_worst", worst)
-	if more := t.needlessSnapshots() - needless; more > 0 {
-		t.propagation.addViolation("%s: %d snapshots were installed where deltas would have been enough", f.about, more)
+	if needless := t.needlessSnapshots() - needlessBefore; needless > 0 {
+		t.propagation.addViolation("%s: %d snapshots were installed where deltas would have been enough", f.about, needless)
 	}
 	return nil
 }
@@ -151,7 +153,8 @@
 	return nil
 }
 
-// drawParent returns a random node that has children and does not vote, or nil if there is none.
+// drawParent returns a random distributor or subscriber that has children, or nil if all of them
+// are without children.
 func (t *tree) drawParent() *hollowSubscriber {
 	nodes := t.nodes()
 	for _, i := range t.faultRandom.Perm(len(nodes)) {
@@ -162,7 +165,8 @@
 	return nil
 }
 
-// restartMany kills one subscriber in fifty at once, and starts all of them again.
+// restartMany kills one subscriber in fifty, all at the same time, and starts them again after
+// downtime.
 func restartMany(ctx context.Context, t *tree, _ time.Duration) error {
 	var restarting sync.WaitGroup
 	for _, i := range t.faultRandom.Perm(len(t.subscribers))[:(len(t.subscribers)+restartedOneIn-1)/restartedOneIn] {
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -18,8 +18,8 @@
 
 // Terms of hollow members, the same as those of real ones.
 const (
-	defaultLease       = 1500 * time.Millisecond // of members that share a fleet of proxies
-	voterLease         = 10 * time.Second        // of members that own no proxies: docs/distributing.md
+	defaultLease       = 1500 * time.Millisecond // lease of members that share a fleet of proxies
+	voterLease         = 10 * time.Second        // lease of members that own no proxies; see docs/distributing.md
 	renewsPerLease     = 8
 	guaranteedMessages = 4
 	taskQueueSize      = 1024
@@ -35,7 +35,7 @@
 	tasks       chan func()
 	done        chan struct{}
 
-	hasQuorum atomic.Bool // the member is on the record and has quorum
+	hasQuorum atomic.Bool // whether the member is on the record and has quorum
 }
 
 // startHollowMember starts a member that takes part in the record until the context ends. Its terms
@@ -121,21 +121,21 @@
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// startHollowMembers starts the given number of hollow members on loopback, and waits until all of
-// them are on the record.
+// startHollowMembers starts the given number of hollow members on loopback, and waits until each is
+// on the record and has quorum.
 func startHollowMembers(ctx context.Context, running *sync.WaitGroup, size int,
 	lease time.Duration) ([]*hollowMember, error) {
 	addresses, err := process.FreeAddresses(size)
 	if err != nil {
 		return nil, err
 	}
-	at := map[string]string{}
+	addressOf := map[string]string{}
 	for i, address := range addresses {
-		at[memberName(i)] = address
+		addressOf[memberName(i)] = address
 	}
 	var members []*hollowMember
 	for i := range size {
-		m, err := startHollowMember(ctx, running, consensus.Config{Name: memberName(i), Members: at}, lease)
+		m, err := startHollowMember(ctx, running, consensus.Config{Name: memberName(i), Members: addressOf}, lease)
 		if err != nil {
 			return nil, err
 		}
@@ -150,7 +150,7 @@
 		return true
 	}
 	if !await(ctx, startTimeout, hasQuorum) {
-		return nil, fmt.Errorf("not all of %d members were on the record within %s", size, startTimeout)
+		return nil, fmt.Errorf("not all of %d members had quorum within %s", size, startTimeout)
 	}
 	return members, nil
 }
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -22,13 +22,16 @@
 // hollowSubscriber runs the code of a subscriber, and has no proxies. It runs from start to kill,
 // and may be started again as a new incarnation. Safe for concurrent use.
 type hollowSubscriber struct {
-	name        string
-	role        role
-	region      int
-	scopes      distribution.Scopes
-	candidates  []string // configured candidate parents
-	fanOut      int      // most children that the node accepts
-	network     *network // nil for a node that accepts no connections and uses dial
+	name       string
+	role       role
+	region     int
+	scopes     distribution.Scopes
+	candidates []string // configured candidate parents
+	fanOut     int      // largest number of children that the node accepts
+	// Connects the node to its parent and its children; nil for a node that connects by dial and has
+	// no children.
+	network *network
+	// Connects to a parent if network is nil.
 	dial        func(ctx context.Context, peer string) (net.Conn, error)
 	propagation *propagation // records the changes that the node applies
 
@@ -36,7 +39,7 @@
 	node            *transport.Transport // transport of this incarnation
 	stop            context.CancelFunc   // nil while the node is down
 	ended           chan struct{}        // closed when the goroutine of this incarnation ends
-	appliedRevision uint64               // newest applied revision, 0 if there is none
+	appliedRevision uint64               // newest revision that this incarnation applied; 0 before the first one
 	reachableSince  time.Time            // start of this incarnation, or end of the last cut
 	earlier         earlierIncarnations
 }
@@ -111,8 +114,8 @@
 	s.earlier.traffic.Out += traffic.Out
 }
 
-// apply records a change that the node has applied, or a snapshot. Changes are applied in order; a
-// revision that decreases, or a change that repeats one, is a violation.
+// apply records that the node has applied a change or a snapshot. Changes are applied in order: a
+// revision older than the node's own, or a change with the same revision, is a violation.
 func (s *hollowSubscriber) apply(change distribution.Change, snapshot bool) {
 	s.mutex.Lock()
 	appliedRevision := s.appliedRevision
@@ -132,7 +135,7 @@
 	s.reachableSince = time.Now()
 }
 
-// bytes returns the bytes that have passed over the node's links, in all incarnations.
+// bytes returns the bytes that the node has sent and received, in all incarnations.
 func (s *hollowSubscriber) bytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -186,7 +189,7 @@
 }
 
 // isBehind reports whether the node runs and has not applied the newest revisions of its scopes.
-// newest has the newest revision of each scope, and last that of all scopes.
+// newest holds the newest revision of each scope, and last the newest revision of all scopes.
 func (s *hollowSubscriber) isBehind(newest map[string]uint64, last uint64) bool {
 	want := last
 	if !s.scopes.All {
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -28,8 +28,8 @@
 	faultRandom       *rand.Rand    // draws the nodes that fail, independently of the changes
 	faultHits         atomic.Int64  // nodes hit by the present fault
 	starts            atomic.Int64  // started incarnations, each of which needs one snapshot
-	ready             time.Duration // time until all subscribers were ready, from when the distributors were
-	distributorsReady time.Duration // time until all distributors were ready
+	ready             time.Duration // time from the start of all subscribers until each was ready
+	distributorsReady time.Duration // time from the start of all distributors until each was ready
 }
 
 // newTree starts a deployment, and waits until each node has its configuration.
@@ -101,7 +101,7 @@
 	return candidates
 }
 
-// nodes returns all nodes that do not vote.
+// nodes returns all distributors and subscribers.
 func (t *tree) nodes() []*hollowSubscriber {
 	return append(append([]*hollowSubscriber{}, t.distributors...), t.subscribers...)
 }
@@ -160,15 +160,16 @@
 	working.Wait()
 }
 
-// makeChanges makes changes at a mean rate until the given time, and returns their number. Once in
-// timeBetweenChecks it compares subscribers, drawn by the seed, with the content.
+// makeChanges makes changes at a mean rate until the given time, and returns their number. Every
+// timeBetweenChecks it compares random subscribers with the content; the run's seed determines
+// which subscribers.
 func (t *tree) makeChanges(ctx context.Context, perS float64, until time.Time) (made int, err error) {
-	checks := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
-	check := time.Now().Add(timeBetweenChecks)
+	checkRandom := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
+	nextCheck := time.Now().Add(timeBetweenChecks)
 	for {
 		pause := changeRate{perS: perS}.pause(t.random)
-		if left := time.Until(until); left < pause {
-			return made, pauseFor(ctx, left)
+		if remaining := time.Until(until); remaining < pause {
+			return made, pauseFor(ctx, remaining)
 		}
 		if err := pauseFor(ctx, pause); err != nil {
 			return made, err
@@ -184,9 +185,9 @@
 		case deadlineCtx.Err() == nil:
 			return made, err
 		}
-		if time.Now().After(check) {
-			check = time.Now().Add(timeBetweenChecks)
-			t.checkRandomSubscribers(checks)
+		if time.Now().After(nextCheck) {
+			nextCheck = time.Now().Add(timeBetweenChecks)
+			t.checkRandomSubscribers(checkRandom)
 		}
 	}
 }
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -29,7 +29,7 @@
 	group              *voterGroup
 	member             *hollowMember // member of the record in this incarnation
 	goroutines         sync.WaitGroup
-	earlierRecordBytes int64 // bytes that the record cost earlier incarnations
+	earlierRecordBytes int64 // bytes that earlier incarnations sent and received for the record
 }
 
 func newVoters(n int, folder string, network *network, content *content, propagation *propagation) (*voterGroup, error) {
@@ -71,12 +71,12 @@
 		return g.leader() != nil
 	}
 	if !await(ctx, startTimeout, hasQuorum) {
-		return fmt.Errorf("not all voters had quorum and a leader within %s", startTimeout)
+		return fmt.Errorf("not all voters had quorum, or no voter led, within %s", startTimeout)
 	}
 	return nil
 }
 
-// leader returns the voter that leads, or nil if there is none.
+// leader returns the voter that leads, or nil if no voter leads.
 func (g *voterGroup) leader() *voter {
 	for _, v := range g.voters {
 		if m := v.runningMember(); m != nil && m.node.IsLeader() {
@@ -129,7 +129,7 @@
 	return limits
 }
 
-// newVoterTransport returns a transport that distributes the configuration of a voter.
+// newVoterTransport returns the transport by which a voter distributes the configuration.
 func newVoterTransport(name string, limits distribution.Limits) *transport.Transport {
 	return transport.New(transport.Config{
 		Node: distribution.Config{Name: name, Voter: true, Limits: limits},
@@ -180,7 +180,8 @@
 	v.earlierRecordBytes += bytes
 }
 
-// recordBytes returns the bytes that the record has cost the voter, in all incarnations.
+// recordBytes returns the bytes that the voter has sent and received for the record, in all
+// incarnations.
 func (v *voter) recordBytes() int64 {
 	member := v.runningMember()
 	v.mutex.Lock()
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -40,15 +40,15 @@
 	reading sync.WaitGroup // goroutine that reads the log of the process
 
 	mutex         sync.Mutex
-	ready         time.Time          // when it logged that it is ready, or zero
-	knownBackends string             // number of backends that it logged then
-	lastLines     map[string]logLine // the last line of each event
+	ready         time.Time          // when the controller logged that it is ready; zero before that
+	knownBackends string             // number of backends in the log line msg=ready
+	lastLines     map[string]logLine // last log line of each event
 }
 
 // logLine is a line of a controller's log.
 type logLine struct {
 	text string
-	at   time.Time // when it was read
+	at   time.Time // when the line was read
 }
 
 // listedConfig holds the parameters of a listed controller.
@@ -56,8 +56,8 @@
 	name      string
 	listen    string
 	discovery string // address of discovery
-	folder    string // of its configuration file
-	megabytes int    // memory limit
+	folder    string // folder of the configuration file
+	megabytes int    // memory limit of the process
 	seed      uint64
 	program   string
 }
@@ -131,7 +131,7 @@
 	c.knownBackends = ""
 	c.lastLines = map[string]logLine{}
 	err = c.process.Start()
-	to.Close() // the process has its own copy
+	to.Close() // the process has its own copy of this end
 	if err != nil {
 		from.Close()
 		log.Close()
@@ -168,7 +168,7 @@
 	return line, ok
 }
 
-// readyAt returns when the controller logged that it is ready, or the zero time.
+// readyAt returns when the controller logged that it is ready, or the zero time if it has not.
 func (c *listedController) readyAt() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -11,16 +11,16 @@
 	"wheelrill/scale/results"
 )
 
-// lists measures what the list of discovery costs a real controller by the number of entries: from
-// a start until it is ready, while nothing changes, and for each change of one entry. The
-// controller has no proxies.
+// lists measures the time, bytes and memory that the endpoint list of discovery costs a real
+// controller, by the number of entries: from the start of the controller until it is ready, while
+// nothing changes, and for each change of one entry. The controller has no proxies.
 type lists struct{}
 
 // Times and limits of one run.
 const (
 	listReadyTimeout = 150 * time.Second
-	// Observed time without changes, and again with changes: at most a quarter of Options.Duration
-	// each.
+	// Observed time without changes, and after it the same time with changes. Each is at most a
+	// quarter of Options.Duration.
 	listIdleTime = 3 * time.Second
 	listChanges  = 10
 	maxListBytes = 16 << 20 // largest answer of discovery that a controller accepts, in bytes
@@ -105,7 +105,7 @@
 		return cost, err
 	}
 	c := controllers[0]
-	_, sent := discovery.Sent()
+	_, sentBefore := discovery.Sent()
 	if err := c.start(folder); err != nil {
 		return cost, err
 	}
@@ -119,16 +119,16 @@
 	}
 	cost.readyProcessor = usage.processor
 	cost.ready = c.readyAt().Sub(c.began)
-	_, now := discovery.Sent()
-	cost.listBytes = now - sent
+	_, sentAfter := discovery.Sent()
+	cost.listBytes = sentAfter - sentBefore
 	if cost.knownBackends, err = strconv.ParseFloat(c.knownBackends, 64); err != nil {
-		return cost, fmt.Errorf("number of backends in msg=ready: %w", err)
+		return cost, fmt.Errorf("number of backends in the log line msg=ready: %w", err)
 	}
 	span := min(listIdleTime, o.Duration/4)
 	if cost.idleShare, err = c.processorShareDuring(func() error { return pauseFor(ctx, span) }); err != nil {
 		return cost, err
 	}
-	_, sent = discovery.Sent()
+	_, sentBefore = discovery.Sent()
 	cost.changeTime = span.Seconds() / listChanges
 	cost.changingShare, err = c.processorShareDuring(func() error {
 		for i := range listChanges {
@@ -143,8 +143,8 @@
 	if err != nil {
 		return cost, err
 	}
-	_, now = discovery.Sent()
-	cost.changeBytes = now - sent
+	_, sentAfter = discovery.Sent()
+	cost.changeBytes = sentAfter - sentBefore
 	usage, err = readPreciseUsage(c.process.PID())
 	cost.memory = usage.peak
 	return cost, err
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -14,12 +14,12 @@
 // Limits of what a run may take of the machine.
 const (
 	memoryShare  = 2                // a run may take the memory of the machine divided by this
-	maxProcesses = 100              // processes running at a time
+	maxProcesses = 100              // largest number of processes that run at a time
 	maxTime      = 20 * time.Minute // longest time of one size
 )
 
 // RefusedError is returned for a run that was not started, because a size cannot be measured or
-// needs more than a run may take of the machine.
+// needs more memory, processes or time than a run may take.
 type RefusedError struct{ reason string }
 
 // Error returns the reason, and what would be accepted.
@@ -76,7 +76,8 @@
 
 func watchDelays() delayWatch { return delayWatch{process.StartDelayMonitor()} }
 
-// inconclusiveReason ends the watch, and returns why no verdict is possible, or "" if one is.
+// inconclusiveReason ends the watch, and returns why no verdict is possible, or "" if a verdict is
+// possible.
 func (w delayWatch) inconclusiveReason() string {
 	p99, _ := w.monitor.Stop()
 	if !process.TooBusy(p99) {
--- a/scale/median.go
+++ b/scale/median.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// maxRepeats is how often a size is measured. The median of the repeats is reported.
+// maxRepeats is the largest number of times that a size is measured. The median of the repeats is
+// reported.
 const maxRepeats = 3
 
 // runRepeats calls do maxRepeats times. A repeat begins only within the span, except for the first
-// one, which always runs. If fewer than maxRepeats began, partial says how many.
+// one, which always runs. If fewer than maxRepeats began, partial states how many.
 func runRepeats(ctx context.Context, span time.Duration, do func() error) (partial string, err error) {
 	began := time.Now()
 	done := 0
@@ -31,7 +32,7 @@
 // histogramDigits is the precision of percentiles, in significant digits.
 const histogramDigits = 3
 
-// median returns the middle value, or the mean of the two middle values; 0 if there are none.
+// median returns the middle value, or the mean of the two middle values; 0 for no values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -14,10 +14,10 @@
 type network struct {
 	mutex     sync.Mutex
 	endpoints map[string]endpoint
-	healed    chan struct{} // closed when the present cut ends; nil without a cut
-	cutRegion int           // the region that is cut off, while there is a cut
-	closing   []net.Conn    // closed at one end during a cut; closed at the other end after it
-	serving   sync.WaitGroup
+	healed    chan struct{}  // closed when the present cut ends; nil without a cut
+	cutRegion int            // the region that is cut off, while there is a cut
+	closing   []net.Conn     // connections that were closed during the cut; heal completes the close
+	serving   sync.WaitGroup // goroutines that accept connections
 }
 
 // endpoint is the region of a node, and the function that accepts its connections.
@@ -112,16 +112,16 @@
 type memoryConn struct {
 	net.Conn
 	network  *network
-	from, to int
-	once     sync.Once
-	closed   chan struct{}
+	from, to int           // regions of this end and of the other end
+	once     sync.Once     // guards the close of closed
+	closed   chan struct{} // closed by Close
 
 	mutex         sync.Mutex
-	writeDeadline time.Time // zero for none
+	writeDeadline time.Time // zero if no deadline is set
 }
 
-// SetWriteDeadline limits the time of writes, including the time that they wait for the end of a
-// cut.
+// SetWriteDeadline sets the deadline of writes, which includes the time that a write waits for the
+// end of a cut.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	c.mutex.Lock()
 	c.writeDeadline = t
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -15,11 +15,11 @@
 	content *content
 
 	mutex sync.Mutex // guards the fields below
-	// From the acceptance of each change until each subscriber applied it, in µs. Changes that a
-	// subscriber missed while it was unreachable are in catchUpLatency.
+	// Times from the acceptance of a change until a subscriber applied it, in µs. Changes that a
+	// subscriber missed while it was unreachable are in catchUpLatency instead.
 	latency *hdrhistogram.Histogram
-	// From the time that a subscriber was reachable again until it applied the changes that it had
-	// missed, in µs.
+	// Times from the moment that a subscriber was reachable again until it applied a change that it
+	// had missed, in µs.
 	catchUpLatency *hdrhistogram.Histogram
 	violations     []string
 }
@@ -49,9 +49,9 @@
 	}
 }
 
-// applied records that a subscriber has applied a change. appliedRevision is the revision that it
-// had before. The subscriber has been reachable since reachableSince: the latency of a change that
-// was accepted earlier counts from then.
+// applied records that a subscriber has applied a change. appliedRevision is the revision that the
+// subscriber had before. The subscriber has been reachable since reachableSince: if the change was
+// accepted earlier, its latency counts from reachableSince.
 func (p *propagation) applied(change distribution.Change, appliedRevision uint64, reachableSince time.Time) {
 	now := time.Now()
 	newest := time.Time{}
@@ -74,7 +74,7 @@
 		elapsed = now.Sub(reachableSince)
 		histogram = p.catchUpLatency
 	}
-	// Cannot fail: the range is an hour, and no run lasts as long.
+	// Cannot fail: the range is an hour, and every run is shorter.
 	_ = histogram.RecordValue(max(elapsed.Microseconds(), 1))
 }
 
--- a/scale/record.go
+++ b/scale/record.go
@@ -16,21 +16,21 @@
 	"wheelrill/scale/results"
 )
 
-// recordReal measures what the record costs real controllers. They run as processes with fake
-// proxies around them, and all of them are members.
+// recordReal measures the traffic, processor time and memory that the record costs real
+// controllers. They run as processes with fake proxies around them, and all of them are members.
 type recordReal struct{}
 
-// The deployment around the members, and estimates of what it takes.
+// Proxies and backends of the deployment, estimates of its memory, and times.
 const (
 	recordProxies   = 30
 	recordBackends  = 12
 	memberMemory    = 64 << 20 // approximate bytes of a real member
-	fakesMemory     = 64 << 20
+	fakesMemory     = 64 << 20 // approximate bytes of all fakes in this process
 	startTimeout    = 30 * time.Second
-	costLogInterval = 10 * time.Second // interval at which a member logs what the record costs it
+	costLogInterval = 10 * time.Second // interval at which a member logs the cost of the record
 )
 
-// recordMetrics returns the metrics that both measurements of the record have.
+// recordMetrics returns the metrics that recordReal and recordHollow have in common.
 func recordMetrics() []results.Metric {
 	return []results.Metric{
 		{Name: "entries_per_s", Unit: "1/s", About: "entries at each member", Fit: true},
@@ -51,13 +51,13 @@
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
-// Needs returns what the members and the fakes in this process take, or why the size cannot be
-// measured.
+// Needs returns the memory, processes and time that the members and the fakes in this process take,
+// or why the size cannot be measured.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.Duration}
 	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
-		needs.Refusal = fmt.Sprintf("with %d members an owner may send none of the %d messages that a proxy may get "+
-			"within %s; give fewer members",
+		needs.Refusal = fmt.Sprintf("with %d members the quota of an owner is less than 1 of the %d messages "+
+			"that a proxy may get within %s; give fewer members",
 			size, rehearse.MaxMessages, rehearse.MessageWindow)
 	} else if o.Duration < 2*costLogInterval {
 		needs.Refusal = fmt.Sprintf("--for is %s, but a member logs its cost every %s; give %s or more",
@@ -66,8 +66,8 @@
 	return needs
 }
 
-// Run runs a scenario without faults, and reads what each member spent, and what it logged about
-// the record.
+// Run runs a scenario without faults, and reads the processor time and memory of each member, and
+// the cost of the record from its log.
 func (recordReal) Run(ctx context.Context, size int, o Options) (results.Sample, error) {
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
@@ -123,7 +123,8 @@
 	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
-// sample returns the figures over all members: the means of the followers, and those of the leader.
+// sample returns the metrics: means over all members or all followers, the figures of the leader,
+// and the largest memory of a member.
 func (s *memberUsage) sample(members map[string]memberCost) (sample results.Sample) {
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
@@ -147,13 +148,15 @@
 	return sample
 }
 
-// memberCost is what the record costs a member per second, according to its log.
+// memberCost holds the entries and bytes per second that the record costs a member, and whether the
+// member leads, according to its log.
 type memberCost struct {
 	entries, bytes float64
 	leads          bool
 }
 
-// readLoggedCost reads the last cost that a member logged, and whether it leads at the end.
+// readLoggedCost reads from a member's log the last cost of the record, and whether the member
+// leads at the end.
 func readLoggedCost(path string) (cost memberCost, err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -9,8 +9,9 @@
 	"wheelrill/scale/results"
 )
 
-// recordHollow measures what the record costs hollow controllers in one process, which are all
-// members: by their number, or by their lease.
+// recordHollow measures the traffic, processor time and memory that the record costs hollow
+// controllers in one process, all of which are members. The sizes are numbers of members, or with
+// byLease durations of their lease.
 type recordHollow struct{ byLease bool }
 
 // Approximate memory in bytes of a hollow member, and of each of its connections. Each member is
@@ -46,7 +47,7 @@
 	return size, defaultLease
 }
 
-// Needs returns the memory and time that this process takes.
+// Needs returns the memory and time that one size takes, in this process.
 func (r recordHollow) Needs(size int, o Options) Needs {
 	size, _ = r.members(size, o)
 	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory),
@@ -86,7 +87,8 @@
 	return s, nil
 }
 
-// hollowCost is what the record has cost a member so far, and whether it leads.
+// hollowCost holds the entries and bytes of the record at a member so far, and whether the member
+// leads.
 type hollowCost struct {
 	entries uint64
 	bytes   int64
@@ -102,8 +104,8 @@
 	return costs
 }
 
-// setRecordCosts sets the cost of the record per second, separately for the leader and the
-// followers.
+// setRecordCosts sets the metrics of the record's entries and bytes per second, with separate ones
+// for the bytes of the leader and of the followers.
 func setRecordCosts(before, after []hollowCost, seconds float64, s *results.Sample) {
 	size := float64(len(after))
 	var entries, followers, leader float64
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -10,9 +10,9 @@
 	"wheelrill/scale/results"
 )
 
-// recovery measures what it costs controllers that restart at once to get the list from discovery
-// again. Each is a real process on this machine. At present a controller asks for the whole list,
-// whichever backends it serves.
+// recovery measures the time, bytes and memory that controllers need to get the endpoint list from
+// discovery again when all of them restart at once. Each is a real process on this machine. At
+// present a controller requests the whole list, whichever backends it serves.
 type recovery struct {
 	allBackends bool // list all backends, not only those of the services that one controller serves
 }
@@ -63,8 +63,10 @@
 
 // recoveryCost holds the figures of one restart of all controllers.
 type recoveryCost struct {
-	ready, processor time.Duration // until the last controller was ready; mean processor time
-	bytes, memory    int64         // bytes sent to all controllers; largest memory of one
+	ready     time.Duration // time until the last controller was ready
+	processor time.Duration // mean processor time of a controller until it was ready
+	bytes     int64         // bytes that discovery sent to all controllers
+	memory    int64         // largest resident memory of a controller, in bytes
 }
 
 // Run restarts all controllers in each repeat, and returns the medians.
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -14,18 +14,17 @@
 	"wheelrill/scale/results"
 )
 
-// recoverySnapshot measures what a parent sends to a subscriber that starts without any state,
-// until the subscriber has its configuration, by the number of entries of its scope.
+// recoverySnapshot measures the time and the bytes that a subscriber without any state needs to get
+// its configuration from a parent, by the number of entries of its scope.
 type recoverySnapshot struct{}
 
-// Assumed size of the configuration: the entries of one group of services, which a controller
-// needs, and all entries.
+// Assumed size of the whole configuration.
 const (
 	targetRoutes  = 29_000
 	targetTenants = 330_000
 	targetGroups  = targetServices / servicesPerGroup
 	entriesOfAll  = targetBackends + targetRoutes + targetTenants
-	entriesServed = entriesOfAll / targetGroups
+	entriesServed = entriesOfAll / targetGroups // entries of one group of services, which a controller needs
 
 	snapshotTimeout = 2 * time.Minute
 )
@@ -122,14 +121,14 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ended := make(chan struct{})
-	has := make(chan int, 1)
+	entryCount := make(chan int, 1)
 	subscriber := transport.New(transport.Config{
 		Node: distribution.Config{Name: "subscriber", Scopes: distribution.SomeScopes(groupScope(0)), Candidates: []string{voterName(0)},
 			Limits: distribution.DefaultLimits()},
 		Dial: func(ctx context.Context, peer string) (net.Conn, error) { return network.dial(ctx, 0, peer) },
 		Apply: func(change distribution.Change, _ bool) {
 			select {
-			case has <- len(change.Entries):
+			case entryCount <- len(change.Entries):
 			default:
 			}
 		}})
@@ -141,7 +140,7 @@
 	}()
 	defer func() { stop(); <-ended }()
 	select {
-	case got := <-has:
+	case got := <-entryCount:
 		cost = snapshotCost{time.Since(began), processorTime() - before, subscriber.Traffic().In}
 		if got != want {
 			return cost, fmt.Errorf("the subscriber has %d entries, but its scope has %d", got, want)
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -15,11 +15,11 @@
 // missed.
 type recoveryDelta struct{ subscribers int }
 
-// Size of the deployment of both measurements, and times.
+// Size and times of recoveryTree and recoveryDelta.
 const (
-	recoverySubscribers = 1100
+	recoverySubscribers = 1100            // subscribers of the deployment
 	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
-	allProposalsTime    = time.Minute
+	allProposalsTime    = time.Minute     // estimated time until all changes are accepted
 )
 
 // Describe returns the name, the sizes and the metrics of the measurement.
@@ -38,7 +38,8 @@
 		}}
 }
 
-// Needs returns the time, and the memory of all nodes, which run in this process.
+// Needs returns the time that one size takes, and the memory of all nodes, which run in this
+// process.
 func (m recoveryTree) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(max(size, m.subscribers)).memory(o),
 		Time: o.Duration + startTimeout + 2*readyTimeout}
@@ -46,8 +47,10 @@
 
 // restartCost holds the figures of one restart of subscribers.
 type restartCost struct {
-	ready, processor time.Duration
-	bytes, worst     float64 // mean received bytes; bytes per second at the busiest node
+	ready     time.Duration // time until all restarted subscribers had their configuration
+	processor time.Duration // processor time of the whole deployment in that time
+	bytes     float64       // mean number of bytes that a restarted subscriber received
+	worst     float64       // bytes per second, sent and received, at the busiest node
 }
 
 // Run restarts the given number of subscribers, drawn by the seed, in each repeat, and returns the
@@ -128,7 +131,8 @@
 		}}
 }
 
-// Needs returns the time, and the memory of all nodes, which run in this process.
+// Needs returns the time that one size takes, and the memory of all nodes, which run in this
+// process.
 func (m recoveryDelta) Needs(_ int, o Options) Needs {
 	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + allProposalsTime}
 }
@@ -165,7 +169,8 @@
 	t.network.heal()
 	healed := time.Now()
 	if !awaitClosely(ctx, readyTimeout, func() bool { return t.allCurrent(behind) }) {
-		return s, fmt.Errorf("the region that was cut off is not current %s after the end of the cut", readyTimeout)
+		return s, fmt.Errorf("%s after the end of the cut, not all nodes of the region have the newest revision",
+			readyTimeout)
 	}
 	ready := time.Since(healed)
 	after := 0.
--- a/scale/results/fit.go
+++ b/scale/results/fit.go
@@ -16,22 +16,22 @@
 // Fit is a metric fitted over sizes n: the parameters of both forms, and which form was chosen.
 type Fit struct {
 	Metric        string  `json:"metric"`                // name of the metric
-	Form          string  `json:"form"`                  // the chosen form
-	Coefficient   float64 `json:"coefficient"`           // of FormPower
-	Exponent      float64 `json:"exponent"`              // of FormPower
-	Intercept     float64 `json:"intercept"`             // of FormLinear
-	Slope         float64 `json:"slope"`                 // of FormLinear
+	Form          string  `json:"form"`                  // chosen form of the curve: FormPower or FormLinear
+	Coefficient   float64 `json:"coefficient"`           // coefficient of FormPower
+	Exponent      float64 `json:"exponent"`              // exponent of FormPower
+	Intercept     float64 `json:"intercept"`             // intercept of FormLinear
+	Slope         float64 `json:"slope"`                 // slope of FormLinear
 	Residual      float64 `json:"residual"`              // root of the mean squared relative error of the chosen form
-	OtherResidual float64 `json:"residual_of_the_other"` // the same error of the other form
+	OtherResidual float64 `json:"residual_of_the_other"` // root of the mean squared relative error of the other form
 	Sizes         int     `json:"sizes"`                 // number of different sizes that were fitted
 }
 
 // minSizes is the smallest number of different sizes for a fit.
 const minSizes = 3
 
-// FitOver fits a metric over the samples, and chooses the form with the smaller error. A line that
-// is not above 0 at all targets is not chosen. It returns false if fewer than minSizes sizes have a
-// figure above 0.
+// FitOver fits a metric over the sizes of the samples, and chooses the form with the smaller error.
+// FormLinear is not chosen if its figure at one of the target sizes is 0 or less. FitOver returns
+// false if fewer than minSizes sizes have a figure above 0.
 func FitOver(samples []Sample, metric string, targets []int) (Fit, bool) {
 	var sizes, values, logSizes, logValues []float64
 	different := map[int]bool{}
--- a/scale/results/page.go
+++ b/scale/results/page.go
@@ -37,7 +37,7 @@
 	errs   []error
 }
 
-// run returns the run of the given name. If there is none, it adds an error and returns nil.
+// run returns the run of the given name. If the name is unknown, it adds an error and returns nil.
 func (f *filler) run(name string) *Run {
 	r := f.byName[name]
 	if r == nil {
@@ -75,7 +75,7 @@
 }
 
 // CheckPage returns an error that shows the first line in which the page differs from the tables
-// and figures of the runs, or nil if there is no difference.
+// and figures of the runs, or nil if they are equal.
 func CheckPage(page string, runs []*Run) error {
 	filled, err := FillPage(page, runs)
 	if err != nil {
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -21,15 +21,15 @@
 	Name      string           `json:"name"`              // name under which the run is stored
 	About     string           `json:"about"`             // what was measured, in a sentence
 	Revision  string           `json:"text"`              // the commit that was measured
-	Date      string           `json:"date"`              // UTC
+	Date      string           `json:"date"`              // date and time of the start, in UTC
 	Machine   Machine          `json:"machine"`           // machine on which the run was made
-	Transport string           `json:"transport"`         // between controllers: loopback, memory or calls
+	Transport string           `json:"transport"`         // how controllers reach each other: loopback, memory or calls
 	Seed      uint64           `json:"seed"`              // seed of all random numbers
 	Seconds   float64          `json:"seconds"`           // how long each size was observed
-	SizeUnit  string           `json:"size"`              // what a size counts, such as members
+	SizeUnit  string           `json:"size"`              // unit of the sizes, such as members
 	Targets   []int            `json:"targets,omitempty"` // sizes at which fits are evaluated
-	Metrics   []Metric         `json:"metrics"`           // in the order of the table
-	Samples   []Sample         `json:"samples"`           // in the order of sizes
+	Metrics   []Metric         `json:"metrics"`           // metrics of the samples, in the order of the table
+	Samples   []Sample         `json:"samples"`           // results in the order in which the sizes were measured
 	Fits      []Fit            `json:"fits"`              // fits of the metrics that have Fit set
 	Verdict   rehearse.Verdict `json:"verdict"`           // set by Evaluate
 }
@@ -45,15 +45,15 @@
 	Name   string  `json:"name"`             // name by which samples and fits refer to the metric
 	Unit   string  `json:"unit"`             // unit of its values, as tables show it
 	About  string  `json:"about"`            // what the metric measures, as tables show it
-	Budget float64 `json:"budget,omitempty"` // largest allowed value; 0 for no budget
+	Budget float64 `json:"budget,omitempty"` // largest allowed value; 0 if the metric has no budget
 	Fit    bool    `json:"fit,omitempty"`    // whether the metric is fitted over the sizes
 }
 
 // Sample holds the results at one size.
 type Sample struct {
-	Size         int      `json:"size"`               // in the unit of Run.SizeUnit
-	Load         float64  `json:"load"`               // load average of the machine in the minute before
-	Values       []Value  `json:"values"`             // one for each metric
+	Size         int      `json:"size"`               // measured size, in the unit of Run.SizeUnit
+	Load         float64  `json:"load"`               // load average of the machine in the minute before the measurement
+	Values       []Value  `json:"values"`             // figures, one for each metric
 	Violations   []string `json:"broken,omitempty"`   // faults that must not happen at any size, such as differing digests
 	Partial      string   `json:"partial,omitempty"`  // what the sample lacks, such as repeats
 	Inconclusive string   `json:"unjudged,omitempty"` // why the sample allows no verdict
@@ -62,7 +62,7 @@
 // Value is the figure of one metric.
 type Value struct {
 	Metric string  `json:"metric"` // name of the metric
-	Value  float64 `json:"value"`  // in the metric's unit
+	Value  float64 `json:"value"`  // figure in the unit of the metric
 }
 
 // storedDigits is the number of significant digits of stored figures.
@@ -189,7 +189,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if name := strings.TrimSuffix(filepath.Base(path), ".json"); name != r.Name {
-		return nil, fmt.Errorf("%s: the file has to be named after its run, %q", path, r.Name)
+		return nil, fmt.Errorf("%s: the file holds run %q; a file has to be named after its run", path, r.Name)
 	}
 	return r, nil
 }
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -25,11 +25,11 @@
 	content     *content
 	propagation *propagation
 	addresses   []string                     // addresses of the voters, with the real voter last
-	listen      map[string]string            // addresses for children, by role
+	listen      map[string]string            // addresses at which a process accepts children, by role
 	processes   map[string]*listedController // the three real processes, by role
 	hollow      []*hollowMember              // all voters except the real one
 	dialler     *consensus.Subscriber        // connects the children to their parents
-	children    []*hollowSubscriber          // hollow children of the distributor and the controller
+	children    []*hollowSubscriber          // hollow subscribers, each below the distributor or the controller
 	running     sync.WaitGroup               // goroutines of the hollow voters, which stop terminates
 	stop        context.CancelFunc
 	ready       map[string]time.Duration // from a process's start until it had its configuration, by role
@@ -93,11 +93,11 @@
 
 // members returns the addresses of the voters by name.
 func (r *roleFleet) members() map[string]string {
-	at := map[string]string{}
+	addressOf := map[string]string{}
 	for i, name := range r.voterNames() {
-		at[name] = r.addresses[i]
+		addressOf[name] = r.addresses[i]
 	}
-	return at
+	return addressOf
 }
 
 // optionsOf returns the text of the options file of a process.
@@ -106,14 +106,15 @@
 	for i, name := range r.voterNames() {
 		fmt.Fprintf(&members, "    %s: %s\n", name, r.addresses[i])
 	}
-	pace := fmt.Sprintf("  snapshot_bytes_per_s: %d\n", dedicatedSnapshotRate)
+	snapshotRate := fmt.Sprintf("  snapshot_bytes_per_s: %d\n", dedicatedSnapshotRate)
 	switch role {
 	case voterRole:
 		return fmt.Sprintf("sharing:\n  plain: true\n  name: %s\n  lease: %s\n  folder: %s\n  members:\n%sdistribution:\n  role: voter\n  fan_out: %d\n%s",
-			voterName(len(r.addresses)-1), voterLease, filepath.Join(r.folder, "voter"), members.String(), maxFanOut, pace)
+			voterName(len(r.addresses)-1), voterLease, filepath.Join(r.folder, "voter"), members.String(),
+			maxFanOut, snapshotRate)
 	case distributorRole:
 		return fmt.Sprintf("distribution:\n  role: subscriber\n  name: %s\n  plain: true\n  scopes: [\"*\"]\n  listen: %s\n  fan_out: %d\n%s  parents:\n%s",
-			role, r.listen[role], maxFanOut, pace, members.String())
+			role, r.listen[role], maxFanOut, snapshotRate, members.String())
 	}
 	return fmt.Sprintf("distribution:\n  role: subscriber\n  name: %s\n  plain: true\n  scopes: [%s, %s]\n  listen: %s\n  parents:\n    %s: %s\n",
 		role, commonScope, groupScope(0), r.listen[role], distributorRole, r.listen[distributorRole])
@@ -142,12 +143,13 @@
 		r.addChild(controllerRole, i, 0)
 	}
 	if !await(ctx, rolesReadyTimeout, func() bool { return countWaiting(r.children) == 0 }) {
-		return fmt.Errorf("%d children have no configuration within %s: %s", countWaiting(r.children), rolesReadyTimeout, describeWaiting(r.children))
+		return fmt.Errorf("%d children have no configuration after %s: %s",
+			countWaiting(r.children), rolesReadyTimeout, describeWaiting(r.children))
 	}
 	return nil
 }
 
-// startVoters starts the hollow voters and the real one, and waits until all are on the record.
+// startVoters starts the hollow voters and the real one, and waits until all of them have quorum.
 func (r *roleFleet) startVoters(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	realVoter := r.processes[voterRole]
@@ -194,7 +196,8 @@
 	}
 }
 
-// startRole starts a process that subscribes, and waits until it has its configuration.
+// startRole starts the distributor or the controller, and waits until the process has its
+// configuration.
 func (r *roleFleet) startRole(ctx context.Context, role string) error {
 	c := r.processes[role]
 	if err := c.start(r.folder); err != nil {
@@ -205,21 +208,22 @@
 		return ok || c.process.ExitedUnexpectedly()
 	}
 	if awaitClosely(ctx, rolesReadyTimeout, configured); c.process.ExitedUnexpectedly() {
-		return fmt.Errorf("the %s ended before it had its configuration", role)
+		return fmt.Errorf("the process of the %s ended before it had its configuration", role)
 	}
 	line, ok := c.lastLine(logSnapshotApplied)
 	if !ok {
-		return fmt.Errorf("the %s has no configuration within %s", role, rolesReadyTimeout)
+		return fmt.Errorf("the process of the %s has no configuration after %s", role, rolesReadyTimeout)
 	}
 	r.ready[role] = line.at.Sub(c.began)
 	return nil
 }
 
-// addChild starts a hollow subscriber below the process of a role.
-func (r *roleFleet) addChild(below string, number, group int) {
-	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", below, number), dial: r.dialler.Dial, propagation: r.propagation,
-		scopes:     distribution.SomeScopes(commonScope, groupScope(group)),
-		candidates: []string{consensus.Peer{Name: below, Address: r.listen[below]}.String()}}
+// addChild starts a hollow subscriber whose only candidate parent is the process of a role.
+func (r *roleFleet) addChild(parent string, number, group int) {
+	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", parent, number), dial: r.dialler.Dial,
+		propagation: r.propagation,
+		scopes:      distribution.SomeScopes(commonScope, groupScope(group)),
+		candidates:  []string{consensus.Peer{Name: parent, Address: r.listen[parent]}.String()}}
 	r.children = append(r.children, s)
 	s.start()
 }
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -25,13 +25,13 @@
 
 // Sizes, limits and times of the deployment around the processes.
 const (
-	distributorChildren = maxFanOut - 1 // hollow children; the controller is one more child
-	// The rate at which a controller sends snapshots is limited, so that more children would take
-	// minutes.
+	distributorChildren = maxFanOut - 1 // hollow children of the distributor, in addition to the controller
+	// Hollow children of the controller. The rate at which a controller sends snapshots is limited,
+	// so that more children would take minutes to get their configuration.
 	controllerChildren     = 4
 	dedicatedNodeMegabytes = 4096 // memory limit of a process on a dedicated machine
 	rolesReadyTimeout      = 4 * time.Minute
-	statsLogInterval       = 10 * time.Second // interval at which a controller logs what distribution costs it
+	statsLogInterval       = 10 * time.Second // interval at which a controller logs its distribution status
 	rolesSeed              = 17
 )
 
@@ -57,7 +57,8 @@
 	return d
 }
 
-// Needs returns what the three processes and this process take, or why the size cannot be measured.
+// Needs returns the memory, processes and time that the three processes and this process take, or
+// why the size cannot be measured.
 func (roles) Needs(size int, o Options) Needs {
 	held := int64(o.Voters*copiesAtVoter+2) * int64(size) * entryMemory * heapGrowth
 	children := int64(maxFanOut+controllerChildren) * (subscriberMemory + int64(size/targetGroups)*entryMemory*heapGrowth)
@@ -70,8 +71,8 @@
 	return needs
 }
 
-// Run starts the deployment from the voters down, makes changes, and reads what the three processes
-// spent.
+// Run starts the deployment from the voters down, makes changes, and reads the traffic, the
+// processor time and the memory of the three processes.
 func (roles) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "roles-")
 	if err != nil {
@@ -152,12 +153,12 @@
 	}
 	line, ok := r.processes[role].lastLine(event)
 	if !ok {
-		return 0, fmt.Errorf("the %s has not logged its cost", role)
+		return 0, fmt.Errorf("the log of the %s has no line msg=%s, which gives its bytes per second", role, event)
 	}
 	for _, key := range keys {
 		value, err := strconv.ParseFloat(logField(line.text, key), 64)
 		if err != nil {
-			return 0, fmt.Errorf("value of %s in msg=%s: %w", key, event, err)
+			return 0, fmt.Errorf("value of %s in the log line msg=%s: %w", key, event, err)
 		}
 		sum += value
 	}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -11,7 +11,7 @@
 	"wheelrill/scale/results"
 )
 
-// Options are the choices of the caller of a run: duration, seed, voters, executable and folder.
+// Options holds the parameters of a run that the caller sets.
 type Options struct {
 	Duration time.Duration     // how long each size is observed
 	Seed     uint64            // seed of all random numbers
@@ -32,28 +32,30 @@
 type Description struct {
 	Name      string           // name of the measurement, and of the file of its runs
 	About     string           // what is measured, in a sentence
-	SizeUnit  string           // what a size counts, such as members
+	SizeUnit  string           // unit of the sizes, such as members
 	Sizes     []int            // default sizes
-	Targets   []int            // sizes at which fits are evaluated, such as the one in two years
+	Targets   []int            // sizes at which fits are evaluated, such as the size expected in two years
 	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
 	Metrics   []results.Metric // metrics of each sample
 }
 
-// Needs estimates what one size takes of the machine, before the size is measured.
+// Needs holds the estimated memory, processes and time that a measurement of one size takes.
 type Needs struct {
-	Memory    int64         // bytes
+	Memory    int64         // in bytes
 	Processes int           // processes in addition to this one
-	Time      time.Duration // a size that takes twice as long is aborted
-	Refusal   string        // why the size cannot be measured on any machine; empty if it can
+	Time      time.Duration // expected duration; a size that takes twice as long is aborted
+	// Why the size cannot be measured with the given options on any machine; empty if it can be
+	// measured.
+	Refusal string
 }
 
 // Measurement measures one aspect of a deployment at a size.
 type Measurement interface {
 	// Describe returns the name, the sizes and the metrics of the measurement.
 	Describe() Description
-	// Needs estimates what a size takes of the machine.
+	// Needs estimates the memory, processes and time that a size takes.
 	Needs(size int, options Options) Needs
-	// Run measures a size. It returns an error if the context ends before.
+	// Run measures a size. It returns an error if the context ends before the measurement does.
 	Run(ctx context.Context, size int, options Options) (results.Sample, error)
 }
 
@@ -93,8 +95,8 @@
 }
 
 // MeasureSizes runs a measurement at each of the sizes, by default those of its description, and
-// fits the results. Before it starts, it returns a *RefusedError if a size needs more than a run
-// may take of the machine.
+// fits the results. Before it starts, it returns a *RefusedError if a size cannot be measured, or
+// needs more memory, processes or time than a run may take.
 func MeasureSizes(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
 	description := m.Describe()
 	if len(sizes) == 0 {
--- a/scale/tree_checks.go
+++ b/scale/tree_checks.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// settle waits until all nodes have applied the last change, but not longer than a change may take.
+// settle waits until all nodes have applied the last change, for at most maxPropagationSeconds.
 // Then it compares all nodes with the content.
 func (t *tree) settle(ctx context.Context) error {
 	last := t.content.lastRevision()
--- a/scale/tree_plan.go
+++ b/scale/tree_plan.go
@@ -4,23 +4,25 @@
 
 // Assumed sizes and limits of the tree.
 const (
-	regions            = 25
-	targetDistributors = maxMachines - defaultVoters // dedicated machines that have no voter
+	regions = 25
+	// Number of distributors of the expected installation: one on each dedicated machine without a
+	// voter.
+	targetDistributors = maxMachines - defaultVoters
 	defaultVoters      = 5
-	// Most children of a distributor. Its children belong to several groups; with 16, some groups
-	// find no parent at 11,000 controllers.
+	// Largest number of children of a voter or distributor. The children of a distributor belong to
+	// several groups; with a limit of 16, some groups find no parent at 11,000 controllers.
 	maxFanOut             = 64
 	minFanOut             = 8
 	directChildOneIn      = 10       // one controller in 10 is a child of a distributor, at any size
 	dedicatedSnapshotRate = 16 << 20 // snapshot bytes per second of a voter or distributor on a dedicated machine
 	minDistributors       = 2
-	knownDistributors     = 3 // number of distributors among the candidate parents of a subscriber
-	knownPeers            = 2 // number of peers of its group among the candidate parents of a subscriber
-	subscriberMemory      = 120 << 10
-	treeMemory            = 256 << 20
-	entryMemory           = 192 // approximate bytes of a stored entry
-	heapGrowth            = 2   // the heap grows to this multiple of the memory in use
-	copiesAtVoter         = 3   // copies of all entries: in raft's log, on the record and for subscribers
+	knownDistributors     = 3         // number of distributors among the candidate parents of a subscriber
+	knownPeers            = 2         // number of peers of its group among the candidate parents of a subscriber
+	subscriberMemory      = 120 << 10 // approximate bytes of a hollow subscriber without its entries
+	treeMemory            = 256 << 20 // approximate bytes of a deployment without its subscribers and entries
+	entryMemory           = 192       // approximate bytes of a stored entry
+	heapGrowth            = 2         // the heap grows to this multiple of the memory in use
+	copiesAtVoter         = 3         // copies of all entries at a voter: in raft's log, on the record and for subscribers
 	readyTimeout          = 5 * time.Minute
 	checksAtOnce          = 20 // random subscribers that are compared with the content in one check
 	timeBetweenChecks     = time.Second
@@ -33,7 +35,7 @@
 	subscribers  int
 	content      contentShape
 	distributors int
-	fanOut       int // most children of each distributor
+	fanOut       int // largest number of children of each distributor
 }
 
 // scaledTree returns a deployment whose distributors and content are in the same proportion to its
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -52,11 +52,11 @@
 // time is precise to a hundredth of a second, which is enough over the seconds that a size is
 // observed. Shorter spans need preciseUsage.
 type usage struct {
-	processor time.Duration // since its start
-	resident  int64         // resident bytes now
+	processor time.Duration // processor time since the start of the process
+	resident  int64         // resident memory when it was read, in bytes
 }
 
-// readUsage reads the resources that a process has taken.
+// readUsage reads the resources that a process has taken from /proc/PID/stat.
 func readUsage(pid int) (usage, error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -70,14 +70,15 @@
 }
 
 // preciseUsage holds the resources that a process has taken, with processor time to the nanosecond
-// and peak memory: for starts, single changes, and wherever the peak of memory counts.
+// and peak memory. It serves measurements of starts, of single changes, and of peak memory.
 type preciseUsage struct {
-	processor time.Duration
-	resident  int64 // resident bytes now
-	peak      int64 // largest resident bytes so far
+	processor time.Duration // processor time since the start of the process
+	resident  int64         // resident memory when it was read, in bytes
+	peak      int64         // largest resident memory so far, in bytes
 }
 
-// readPreciseUsage reads the resources that a process has taken.
+// readPreciseUsage reads the resources that a process has taken from its processor clock and from
+// /proc/PID/status.
 func readPreciseUsage(pid int) (u preciseUsage, err error) {
 	var clock unix.Timespec
 	if err := unix.ClockGettime(processorClock(pid), &clock); err != nil {
@@ -96,12 +97,12 @@
 // processorClock returns the clock of the processor time of another process, as
 // clock_getcpuclockid(3) does.
 func processorClock(pid int) int32 {
-	const scheduled = 2 // user and system mode, to the nanosecond
+	const scheduled = 2 // CPUCLOCK_SCHED of the kernel: time in user and system mode, to the nanosecond
 	return int32(^pid)<<3 | scheduled
 }
 
-// statusBytes returns the figure of a line of /proc/PID/status in bytes, or 0 if the line is
-// missing.
+// statusBytes returns the figure of a line of /proc/PID/status, which is in kilobytes, as bytes. It
+// returns 0 if the line is missing.
 func statusBytes(status []byte, key string) int64 {
 	_, rest, _ := bytes.Cut(status, []byte("\n"+key))
 	fields := bytes.Fields(rest)
--- a/scale/wait.go
+++ b/scale/wait.go
@@ -11,7 +11,7 @@
 	closePollInterval = time.Millisecond // for waits whose duration is measured
 )
 
-// pauseFor waits for the given time. It returns an error if the context ends before.
+// pauseFor waits for the given time. It returns an error if the context ends earlier.
 func pauseFor(ctx context.Context, pause time.Duration) error {
 	select {
 	case <-ctx.Done():
