--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -15,7 +15,7 @@
 	"wheelrill/internal/simwire"
 )
 
-const bufferSize = 1 << 20 // bytes, of each of the input and output buffers
+const bufferSize = 1 << 20 // size of the input buffer, and of the output buffer, in bytes
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout, os.Stderr); err != nil {
--- a/cmd/wheelrill/ending_test.go
+++ b/cmd/wheelrill/ending_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const testTimeout = 20 * time.Second // limit of each wait in a test
+const testTimeout = 20 * time.Second // maximum time of each wait in a test
 
 // process is a child process that runs this program. log receives the lines of its standard error.
 type process struct {
@@ -28,7 +28,8 @@
 		t.Fatal(err)
 	}
 	p := &process{exec.Command(program, arguments...), make(chan string, 1024)}
-	// By default, the race detector delays the exit of a process by a second.
+	// atexit_sleep_ms=0 removes the second by which the race detector delays the exit of a process
+	// by default.
 	p.Env = append(os.Environ(), runAsProgramEnv+"=yes", "GORACE=atexit_sleep_ms=0", "LB_CONFIG="+configuration,
 		"LB_DISCOVERY=127.0.0.1:7", "LB_LISTEN=127.0.0.1:0")
 	stderr, err := p.StderrPipe()
@@ -71,7 +72,7 @@
 // ms of the signal, before the platform kills it.
 func (p *process) awaitExit(t *testing.T, since time.Time) {
 	t.Helper()
-	for range p.log { // until the process closes its log
+	for range p.log { // discard log lines until the process closes its standard error
 	}
 	if err := p.Wait(); err != nil {
 		t.Errorf("the process exited with %v, want exit code 0", err)
@@ -81,16 +82,15 @@
 	}
 }
 
-// makeFIFO creates a FIFO, from which every read blocks. The function that it returns waits until
-// the process has opened the FIFO for reading, and keeps it open for writing without writing
-// anything.
+// makeFIFO creates a FIFO, from which every read blocks. The returned function waits until the
+// process has opened the FIFO for reading. It keeps the FIFO open for writing, but writes nothing.
 func makeFIFO(t *testing.T, path string) (openWriter func()) {
 	t.Helper()
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return func() {
-		// Opening blocks until the process opens the FIFO for reading.
+		// OpenFile blocks until the process opens the FIFO for reading.
 		file, err := os.OpenFile(path, os.O_WRONLY, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/wheelrill/main.go
+++ b/cmd/wheelrill/main.go
@@ -30,7 +30,8 @@
 func (e exitCode) Error() string { return fmt.Sprintf("ended with code %d", int(e)) }
 
 func main() {
-	// Signals are caught before anything else: the default action of each is to kill the process.
+	// Signals are caught before anything else, because the default action of each of these signals
+	// is to kill the process.
 	ctx, hangUps := terminationContext(), notifyHangUps()
 	err := newRootCommand(ctx, hangUps).Execute()
 	if err == nil {
@@ -45,7 +46,7 @@
 }
 
 // terminationContext returns a context that is canceled by the first SIGTERM or interrupt. Further
-// ones are ignored until the process exits.
+// signals of these kinds are ignored until the process exits.
 func terminationContext() context.Context {
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	return ctx
--- a/cmd/wheelrill/rehearse.go
+++ b/cmd/wheelrill/rehearse.go
@@ -70,7 +70,7 @@
 	return command
 }
 
-// rehearseScenario runs the named scenario. This executable is the program of its controllers.
+// rehearseScenario runs the named scenario. The controllers of the scenario run this executable.
 func rehearseScenario(ctx context.Context, scenario *rehearse.Scenario, name, sharing string,
 ) (*rehearse.Report, error) {
 	switch name {
--- a/cmd/wheelrill/rehearse_test.go
+++ b/cmd/wheelrill/rehearse_test.go
@@ -15,7 +15,8 @@
 	"wheelrill/rehearse"
 )
 
-// runAsProgramEnv makes the test binary run main, for tests that start the program.
+// runAsProgramEnv is an environment variable that makes the test binary run main, for tests that
+// start the program.
 const runAsProgramEnv = "WHEELRILL_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -14,7 +14,7 @@
 	"wheelrill/scale/results"
 )
 
-// runsFolder is the default folder of saved runs, in a checkout.
+// runsFolder is the default folder of saved runs, relative to the root of a checkout.
 const runsFolder = "docs/capacity"
 
 func newScaleCommand(ctx context.Context) *cobra.Command {
@@ -84,8 +84,8 @@
 	return command
 }
 
-// measure runs the named measurement, and saves the run if a folder is given. This executable is
-// the program of the measured processes.
+// measure runs the named measurement, and saves the run if a folder is given. The measured
+// processes run this executable.
 func measure(ctx context.Context, name string, flags *scaleRunFlags) (*results.Run, error) {
 	m, err := scale.Find(name)
 	if err != nil {
@@ -198,7 +198,7 @@
 }
 
 // checkPage compares a page with the runs. It prints the first difference and returns exitViolated
-// if they differ.
+// if the page differs from the runs.
 func checkPage(path string, runs []*results.Run) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/wheelrill/scale_lists_test.go
+++ b/cmd/wheelrill/scale_lists_test.go
@@ -7,8 +7,8 @@
 	"wheelrill/scale/results"
 )
 
-// runMeasurement runs a measurement through the command line and returns the saved run. This test
-// binary is the program of the measured processes.
+// runMeasurement runs a measurement through the command line and returns the saved run. The
+// measured processes run this test binary.
 func runMeasurement(t *testing.T, name string, flags ...string) *results.Run {
 	t.Helper()
 	t.Setenv(runAsProgramEnv, "yes")
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, b := range r.OverBudget() {
-		if b.Metric.Unit != "% of a core" { // the race detector uses most of the CPU time
+		if b.Metric.Unit != "% of a core" { // CPU budgets are skipped: the race detector uses most of the CPU time
 			t.Error(b)
 		}
 	}
--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -18,8 +18,8 @@
 	"wheelrill/options"
 )
 
-// Environment variables of a controller. Name, listen and discovery override the same settings in
-// the configuration.
+// Environment variables of a controller. LB_NAME, LB_LISTEN and LB_DISCOVERY override the settings
+// of the same names in the configuration.
 const (
 	envConfig    = "LB_CONFIG" // path of the configuration file
 	envName      = "LB_NAME"
@@ -92,7 +92,7 @@
 }
 
 // distributionConfig converts the section distribution of the options file. A new key of the
-// section has to be added here, too.
+// section has to be added to this function, too.
 func distributionConfig(d *options.Distribution) controller.DistributionConfig {
 	return controller.DistributionConfig{
 		Voter:        d.Role == options.Voter,
@@ -109,7 +109,7 @@
 }
 
 // ownershipConfig converts the section sharing of the options file. A new key of the section has to
-// be added here, too.
+// be added to this function, too.
 func ownershipConfig(s *options.Sharing) controller.OwnershipConfig {
 	return controller.OwnershipConfig{
 		Name:        s.Name,
@@ -129,8 +129,8 @@
 	}
 }
 
-// serveWithReloads serves until the context is canceled. A goroutine reloads the configuration; it
-// ends before the function returns.
+// serveWithReloads serves until the context is canceled. A goroutine reloads the configuration on
+// each hang-up; serveWithReloads returns only when this goroutine has ended.
 func serveWithReloads(ctx context.Context, c *controller.Controller, hangUps <-chan os.Signal, log *slog.Logger) error {
 	ctx, stop := context.WithCancel(ctx)
 	var reloads sync.WaitGroup
@@ -149,8 +149,8 @@
 	return c.Serve(ctx)
 }
 
-// reload reads the configuration again and applies it; if that fails, it logs why and changes
-// nothing.
+// reload reads the configuration again and applies it. If reading or applying fails, it logs the
+// error and changes nothing.
 func reload(ctx context.Context, c *controller.Controller, log *slog.Logger) {
 	configuration, err := readConfiguration(ctx)
 	if ctx.Err() != nil {
@@ -166,7 +166,7 @@
 
 // readConfiguration reads the configuration file, and returns early if the context is canceled.
 // Opening or reading a file may block forever, for example a pipe without a writer; the goroutine
-// then ends only with the process.
+// that reads the file then ends only with the process.
 func readConfiguration(ctx context.Context) ([]byte, error) {
 	path := os.Getenv(envConfig)
 	if path == "" {
--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -12,8 +12,8 @@
 	"wheelrill/ownership"
 )
 
-// applyTimeout bounds the time that raft takes to queue an entry, or a change of its list of
-// members.
+// applyTimeout is the maximum time that raft may take to queue a log entry, or a change of its list
+// of members.
 const applyTimeout = 500 * time.Millisecond
 
 // serve answers the calls on one connection in sequence, until the connection ends. A caller that
@@ -41,8 +41,8 @@
 }
 
 // handle answers a call. The kind of the call is the first of these fields that is set: Subscribe,
-// Status, Change, Entry, ID. A call of an unknown kind gets the same refusal as a call made in the
-// name of another member.
+// Status, Change, Entry, ID. A call of an unknown kind is refused with reasonOtherMember, as is a
+// call in the name of another member.
 func (n *Node) handle(request memberRequest, from caller, connection int) memberResponse {
 	switch {
 	case request.Subscribe:
@@ -93,8 +93,8 @@
 }
 
 // stampEntry sets the fields of an entry that only the leader knows: Stamp, the time at which the
-// entry arrived, and FullyRecorded, the incarnations that have certainly written nothing without a
-// quorum.
+// entry arrived, and FullyRecorded, the incarnations that have certainly written nothing to proxies
+// without a quorum.
 func (n *Node) stampEntry(machine *stateMachine, entry *ownership.Entry, connection int) {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -15,13 +15,13 @@
 // raft's goroutine, Current on a goroutine of the Node, and Accept on one goroutine for each
 // connection. The methods may block, but must not wait for a call to the Node.
 type Distribution interface {
-	// Restored passes the whole distributed configuration, which replaces all earlier states and
+	// Restored passes on the whole distributed configuration, which replaces all earlier states and
 	// changes.
 	Restored(state distribution.State)
-	// Accepted passes the next change.
+	// Accepted passes on the next change of the distributed configuration.
 	Accepted(change distribution.Change)
-	// Current reports that the record has a leader with a majority, as of this call, and that this
-	// member has every change that was committed more than a heartbeat ago.
+	// Current reports that, at the time of the call, the record has a leader with a majority, and
+	// this member has every change that was committed more than a heartbeat earlier.
 	Current()
 	// Accept serves the connection of a subscriber until the connection ends, and closes it. The
 	// subscriber may subscribe only under names for which allowed returns true.
@@ -48,14 +48,15 @@
 // isConfigurationEntry reports whether an entry of raft's log encodes a configurationEntry.
 func isConfigurationEntry(data []byte) bool { return len(data) > 0 && data[0]>>5 == cborArray }
 
-// configurationRecord is the part of the state machine that holds the configuration record, which
-// is the distributed configuration. This is neither the Config that the operator sets nor raft's
-// list of voters. Every member holds the record, whether or not it serves subscribers.
+// configurationRecord is the part of the state machine that holds the configuration record, whose
+// content is the distributed configuration. The distributed configuration is neither the Config
+// that the operator sets nor raft's list of voters. Every member holds the record, whether or not
+// it serves subscribers.
 type configurationRecord struct {
-	distribution Distribution             // nil if this member serves no subscribers
-	onEpoch      func(distribution.Epoch) // called for each accepted change and restored snapshot
+	distribution Distribution             // receives the changes; nil if this member serves no subscribers
+	onEpoch      func(distribution.Epoch) // called with the epoch of each accepted change and restored snapshot
 
-	mutex  sync.Mutex // protects record
+	mutex  sync.Mutex // protects the field record
 	record *distribution.Record
 }
 
@@ -70,12 +71,12 @@
 
 // changeResult is the outcome of applying a proposal.
 type changeResult struct {
-	version distribution.Version // of the record after the change
-	err     error                // an error of distribution.Record.Apply, or of decoding the entry
+	version distribution.Version // version of the configuration record after the change
+	err     error                // nil, or an error of distribution.Record.Apply or of decoding the log entry
 }
 
 // apply applies an entry of the log completely or not at all. An entry that cannot be decoded
-// changes nothing; every member treats it the same way.
+// changes nothing; every member treats such an entry the same way.
 func (c *configurationRecord) apply(data []byte, onUnreadable func(error)) changeResult {
 	var entry configurationEntry
 	err := cbor.Unmarshal(data, &entry)
@@ -90,8 +91,9 @@
 	return c.accept(entry.Proposal)
 }
 
-// accept makes a proposal the next change, or refuses it. It passes the first change of a record to
-// the distribution as a whole state, and each later one as a change.
+// accept applies a proposal as the next change of the record, or refuses the proposal. It passes
+// the first change of a record to the distribution as a whole state, and each later one as a
+// change.
 func (c *configurationRecord) accept(proposal distribution.Proposal) changeResult {
 	c.mutex.Lock()
 	first := c.record.Empty()
@@ -143,7 +145,7 @@
 	}
 }
 
-// view calls read with the record while it holds the lock.
+// view calls read with the record while it holds the mutex.
 func (c *configurationRecord) view(read func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/consensus/configuration_test.go
+++ b/consensus/configuration_test.go
@@ -15,7 +15,8 @@
 
 // A change that a member proposes has to reach every member once, whether or not that member leads.
 // The configuration has to survive the loss of one member's data, and a record that is bootstrapped
-// again needs a newer epoch, as versions of an older epoch rank before all versions of the last one.
+// again needs a newer epoch, as the versions of an older epoch rank before all versions of a newer
+// epoch.
 func TestConfigurationChangeIsAppliedOnceAtEveryMember(t *testing.T) {
 	addresses := freeAddresses(t, "a", "b", "c")
 	var members []*runningMember
@@ -40,7 +41,7 @@
 		}
 	}
 	var last distribution.Version
-	for i, m := range members { // the leader and the followers
+	for i, m := range members { // each member, leader or follower, proposes one change
 		version, differing := configure(t, m, entry("x", fmt.Sprint(i)), entry("y", "1"))
 		if waitForVersion(version); version.Revision != uint64(i+1) || differing != 2-min(i, 1) {
 			t.Errorf("change %d: got version %v with %d differing entries, want revision %d with %d",
@@ -95,7 +96,7 @@
 		for i, name := range []string{"a", "b", "c"} {
 			receivers[i] = &fakeDistribution{}
 			members[i] = startMember(t, Config{Name: name, Members: addresses, Distribution: receivers[i]})
-			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than the Unix time of any clock
+			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // an epoch number above the Unix time in seconds
 		}
 		members[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		for i, receiver := range receivers {
@@ -120,8 +121,8 @@
 	}
 }
 
-// With a folder, a restarted member restores the configuration from the snapshot and the log
-// entries after it.
+// With a folder, a restarted member restores the configuration from its snapshot and from the log
+// entries after the snapshot.
 func TestConfigurationOnDiskSurvivesARestart(t *testing.T) {
 	config := Config{Name: "a", Members: freeAddresses(t, "a"), Folder: t.TempDir(), Distribution: &fakeDistribution{}}
 	a := startMember(t, config)
--- a/consensus/cost.go
+++ b/consensus/cost.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// costInterval is the time between two log lines about the load that the record causes.
+// costInterval is the time between two log lines about the load that replicating the record causes.
 const costInterval = 10 * time.Second
 
-// costSample holds the counters of the record's load at one time.
+// costSample holds, for one time, the counters of the load that replicating the record causes.
 type costSample struct {
 	at    time.Time
-	bytes int64  // number of bytes sent and received so far
-	index uint64 // index of the last entry that was applied
+	bytes int64  // number of bytes that the transport has sent and received so far
+	index uint64 // index of the last log entry that raft has applied
 }
 
 // logCost logs the record's entries and bytes per second and its snapshot size, once per
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -32,16 +32,16 @@
 // Error returns the key, followed by the reason.
 func (e *ConfigError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns Err, the reason for which the value is refused.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 // CallRefusedError means that a member answered a call by refusing it.
 type CallRefusedError struct {
-	// Reason is the text from the member's answer.
+	// Reason is the reason for the refusal, as the member's answer states it.
 	Reason string
 }
 
-// Error returns a message that ends with the member's reason.
+// Error returns a message that ends with Reason.
 func (e *CallRefusedError) Error() string {
 	return "consensus: the member refuses the call: " + e.Reason
 }
--- a/consensus/forward.go
+++ b/consensus/forward.go
@@ -9,12 +9,15 @@
 )
 
 const (
-	forwardRetryPause = 50 * time.Millisecond // pause between a failed attempt and ProposalFailed
-	localConnection   = 0                     // the connection number of the leader's own entries
+	// forwardRetryPause is the pause between a failed attempt to append an entry and the call of
+	// ProposalFailed.
+	forwardRetryPause = 50 * time.Millisecond
+	// localConnection is the connection number for entries that the leader itself proposes.
+	localConnection = 0
 )
 
-// Propose queues an entry, which is appended to the record next. It never blocks. It drops an entry
-// that is still queued, as that belongs to an incarnation that has ended.
+// Propose queues an entry, to be appended to the record next. It never blocks. It drops an entry
+// that is still queued, because the queued entry belongs to an incarnation that has ended.
 func (n *Node) Propose(entry ownership.Entry) {
 	for {
 		select {
--- a/consensus/freshness.go
+++ b/consensus/freshness.go
@@ -9,17 +9,18 @@
 // progress is the state of a member's raft instance, as far as freshness depends on it.
 type progress struct {
 	isLeader  bool
-	inContact bool   // a follower received a message from the leader within a heartbeat timeout
+	inContact bool   // the follower received a message from the leader less than a heartbeat timeout ago
 	applied   uint64 // index of the last entry that this member has applied
 	committed uint64 // index of the last entry that this member knows to be committed
-	lastIndex uint64 // index of the last entry in the log
+	lastIndex uint64 // index of the last entry in this member's log
 }
 
 // freshness determines whether this member has every change that was committed more than a
 // heartbeat ago.
 type freshness struct {
-	// leadershipIndex is lastIndex when observe first saw this member as leader; 0 while another
-	// member leads.
+	// leadershipIndex is the index of the last log entry, or 1 if that index is 0, at the first
+	// call of observe after this member became leader. It is 0 before this call, and while this
+	// member is not leader.
 	leadershipIndex uint64
 }
 
@@ -36,7 +37,7 @@
 		return seen.inContact
 	}
 	if f.leadershipIndex == 0 {
-		// The previous leader may have committed entries up to this index.
+		// The previous leader may have committed entries up to seen.lastIndex.
 		f.leadershipIndex = max(seen.lastIndex, 1)
 	}
 	return seen.applied >= f.leadershipIndex
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -182,7 +182,7 @@
 		{"an entry where nobody leads", "a101a501626e3002010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
 		{"a change where nobody leads", "a106a10405"},
 	} {
-		// The purpose byte for calls, then a frame.
+		// The body is the purpose byte for calls, followed by a frame that contains one call.
 		body, err := hex.DecodeString(fmt.Sprintf("%02x%08x", 'c', len(c.sent)/2) + c.sent)
 		if err != nil {
 			t.Fatal(err)
@@ -249,7 +249,8 @@
 	return text.String()
 }
 
-// writeVoter runs a member on a folder until the folder has a snapshot, and log entries after it.
+// writeVoter runs a member on a folder until the folder has a snapshot, and log entries after the
+// snapshot.
 func writeVoter(t *testing.T, folder string, configured bool) {
 	t.Helper()
 	config := Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder}
@@ -275,8 +276,8 @@
 	m.stop()
 }
 
-// A voter has to read a folder that an earlier release wrote, with a snapshot and log entries after
-// it.
+// A voter has to read a folder that an earlier release wrote, with a snapshot and with log entries
+// after the snapshot.
 func TestStoredFolderIsRead(t *testing.T) {
 	for _, name := range []string{"record", "configuration"} {
 		t.Run(name, func(t *testing.T) {
@@ -295,7 +296,7 @@
 				t.Fatal(err)
 			}
 			m := startMember(t, Config{Name: "n0", Members: freeAddresses(t, "n0"), Folder: folder})
-			m.waitFor(t, "entry committed n0 5 2") // this entry is in the log after the snapshot
+			m.waitFor(t, "entry committed n0 5 2") // this entry follows the snapshot in the stored log
 			if restored, _ := m.has("snapshot restored"); !restored {
 				t.Error("the member did not restore the snapshot")
 			}
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -30,7 +30,7 @@
 // eventLog records the events of a member as texts, and lets tests wait for them.
 type eventLog struct {
 	mutex   sync.Mutex
-	changed chan struct{} // closed and replaced at each event
+	changed chan struct{} // this channel is closed and replaced at each event
 	events  []string
 }
 
@@ -254,7 +254,8 @@
 	return distribution.Entry{Scope: "pricing", Name: name, Value: []byte(value)}
 }
 
-// configure replaces the distributed configuration by the wanted entries, through a member.
+// configure replaces the distributed configuration by the wanted entries. The given member proposes
+// the change.
 func configure(t testing.TB, m *runningMember, wanted ...distribution.Entry) (distribution.Version, int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -14,11 +14,19 @@
 
 // Sizes and times of a raft instance that do not depend on the lease, unlike raftTimings.
 const (
-	snapshotThreshold = 4096            // number of entries after a snapshot at which the next is due
-	snapshotInterval  = 5 * time.Second // time between two checks whether a snapshot is due
-	trailingLogs      = 1024            // entries kept after a snapshot; a member that lags by fewer needs no snapshot
-	maxAppendEntries  = 32              // entries in one raft message; each may have the maximum size
-	connectionPool    = 2               // connections that raft keeps to each member
+	// snapshotThreshold is the number of log entries since the last snapshot at which the next
+	// snapshot is due.
+	snapshotThreshold = 4096
+	// snapshotInterval is the time between two checks whether a snapshot is due.
+	snapshotInterval = 5 * time.Second
+	// trailingLogs is the number of log entries that are kept after a snapshot. A member that lags
+	// by fewer entries needs no snapshot.
+	trailingLogs = 1024
+	// maxAppendEntries is the maximum number of log entries in one raft message; each entry may
+	// have the maximum size.
+	maxAppendEntries = 32
+	// connectionPool is the number of connections that raft keeps to each member.
+	connectionPool = 2
 )
 
 // instance is a raft instance under one ID. A member that starts over gets a new instance.
@@ -26,7 +34,7 @@
 	raft    *raft.Raft
 	machine *stateMachine
 	id      string
-	close   func() // ends raft's goroutines, then closes the storage
+	close   func() // shuts down raft's goroutines, then closes the storage
 }
 
 // current returns the present raft instance.
@@ -55,13 +63,14 @@
 	})
 	machine := n.newStateMachine()
 
-	// Locked until the new instance is in place, so that no other goroutine uses the previous one.
+	// The mutex stays locked until n.instance is the new instance, so that no other goroutine uses
+	// the previous one.
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.newHaltingStore(store.stable),
 		store.snapshots, raftTransport)
 	if err != nil {
-		_ = raftTransport.Close() // only the error of NewRaft is returned
+		_ = raftTransport.Close() // openInstance returns the error of NewRaft, not that of Close
 		store.close()
 		return fmt.Errorf("consensus: start raft: %w", err)
 	}
@@ -70,8 +79,8 @@
 		machine: machine,
 		id:      store.id,
 		close: func() {
-			_ = r.Shutdown().Error()  // the error is always nil
-			_ = raftTransport.Close() // transport.close closes the connections
+			_ = r.Shutdown().Error()  // the error of Shutdown is always nil
+			_ = raftTransport.Close() // transport.close closes raft's connections
 			store.close()
 		},
 	}
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -17,9 +17,11 @@
 // membershipLoop is the state of maintainMembership. No other goroutine uses it.
 type membershipLoop struct {
 	*Node
-	leaderlessPolls int // successive polls without a leader, or without membership in the record
+	// leaderlessPolls is the number of successive polls at which this member knew no leader, or was
+	// not a member of the record.
+	leaderlessPolls int
 	freshness       freshness
-	cost            costSample // counters at the last log line
+	cost            costSample // load counters at the last log line of logCost
 }
 
 // maintainMembership makes this member part of the record, and restores its membership when it is
@@ -44,7 +46,8 @@
 	}
 }
 
-// poll checks this member's membership once. An error ends this member's part in the record.
+// poll checks this member's membership once. If poll returns an error, this member takes no further
+// part in the record.
 func (l *membershipLoop) poll(ctx context.Context) error {
 	current := l.current()
 	l.logCost(current)
@@ -126,8 +129,8 @@
 	return nil
 }
 
-// servers returns the members of the record with their IDs; the list is empty if this instance is
-// part of no record.
+// servers returns the members of the record with their IDs; the list is empty if this raft instance
+// is part of no record.
 func (i *instance) servers() ([]raft.Server, error) {
 	future := i.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -136,14 +139,14 @@
 	return future.Configuration().Servers, nil
 }
 
-// isMember reports whether the record has this instance's ID as a member.
+// isMember reports whether this raft instance's ID is among the members of the record.
 func (i *instance) isMember() bool {
 	servers, err := i.servers()
 	return err == nil && slices.ContainsFunc(servers, func(server raft.Server) bool { return string(server.ID) == i.id })
 }
 
 // admit adds a member to the record under a new ID, because the member has lost its votes or never
-// had any. It first removes the member's old IDs.
+// had any. Before that, admit removes the member's old IDs from the record.
 func (n *Node) admit(name, id string) memberResponse {
 	current := n.current()
 	if current.raft.State() != raft.Leader {
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -14,10 +14,11 @@
 type connPurpose byte
 
 const (
-	// connRaft is for raft's own messages. Before them the caller sends the ID of the member that
-	// it calls, because a process that has lost its votes has a new ID.
+	// connRaft is for raft's own messages. Before these messages, the caller sends the ID of the
+	// member that it calls, because a process that has lost its votes has a new ID.
 	connRaft connPurpose = 'r'
-	// connCalls is for calls: a sequence of memberRequest and memberResponse follows.
+	// connCalls is for calls: the caller sends memberRequests, and receives a memberResponse to
+	// each.
 	connCalls connPurpose = 'c'
 )
 
@@ -28,35 +29,42 @@
 // Name are set together. Key numbers must never be changed or reused.
 type memberRequest struct {
 	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // the entry to append to the record
-	Status bool             `cbor:"2,keyasint,omitempty"` // requests ID, HasRecord and Leader
-	// Name and ID ask for the admission of the member Name under ID.
+	Status bool             `cbor:"2,keyasint,omitempty"` // requests a response with ID, HasRecord and Leader
+	// Name and ID request that the member Name is admitted to the record under ID.
 	Name string `cbor:"3,keyasint,omitempty"`
 	ID   string `cbor:"4,keyasint,omitempty"`
 	// Subscribe requests a subscription: after the response, messages of package distribution
 	// follow in both directions until the connection ends.
 	Subscribe bool                   `cbor:"5,keyasint,omitempty"`
-	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // the change to accept
+	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // the change of the configuration record to accept
 }
 
 // memberResponse is the answer to a memberRequest.
 type memberResponse struct {
 	Accepted  bool   `cbor:"1,keyasint,omitempty"`
-	Reason    string `cbor:"2,keyasint,omitempty"` // why the call is not accepted
+	Reason    string `cbor:"2,keyasint,omitempty"` // why the call is refused; empty if the call is accepted
 	ID        string `cbor:"3,keyasint,omitempty"`
-	HasRecord bool   `cbor:"4,keyasint,omitempty"` // the member is part of a record
-	Leader    string `cbor:"5,keyasint,omitempty"` // name of the leader; empty if unknown
+	HasRecord bool   `cbor:"4,keyasint,omitempty"` // the answering member is part of a record
+	Leader    string `cbor:"5,keyasint,omitempty"` // name of the leader; empty if the answering member knows no leader
 
-	Version *distribution.Version `cbor:"6,keyasint,omitempty"` // version after an accepted change
-	Refusal refusal               `cbor:"7,keyasint,omitempty"` // class of Reason for a refused Change; otherwise 0
+	// Version is the version of the configuration record after an accepted Change.
+	Version *distribution.Version `cbor:"6,keyasint,omitempty"`
+	// Refusal is the class of Reason if a Change is refused, and otherwise 0.
+	Refusal refusal `cbor:"7,keyasint,omitempty"`
 }
 
 // refusal is the class of reasons for which a change is not accepted.
 type refusal uint8
 
 const (
-	refusedRetry           refusal = iota + 1 // may be proposed again: not the leader, or the outcome is unknown
-	refusedVersionMismatch                    // the record is not at the base of the proposal
-	refusedPermanently                        // the record would refuse the change again
+	// refusedRetry means that the change may be proposed again: the answering member is not the
+	// leader, or the outcome is unknown.
+	refusedRetry refusal = iota + 1
+	// refusedVersionMismatch means that the configuration record is not at the base version of the
+	// proposal.
+	refusedVersionMismatch
+	// refusedPermanently means that the configuration record would refuse the same change again.
+	refusedPermanently
 )
 
 // Reasons on the wire for refusing a call.
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -21,15 +21,16 @@
 // of proposals. Its methods are called on several goroutines. They may block, but must not wait for
 // a call to the Node.
 type Events interface {
-	// EntryCommitted passes the next entry of the record, which may be from any member.
+	// EntryCommitted passes on the next entry of the ownership record, which any member may have
+	// proposed.
 	EntryCommitted(ownership.Entry)
-	// SnapshotRestored passes the whole record, which replaces all earlier entries. The receiver
-	// owns the record.
+	// SnapshotRestored passes on the whole ownership record, which replaces all earlier entries.
+	// The receiver owns the record.
 	SnapshotRestored(*ownership.Record)
-	// ProposalCommitted reports that an entry passed to Propose is on the record.
+	// ProposalCommitted reports that an entry passed to Propose is committed to the record.
 	ProposalCommitted(incarnation, seq uint64)
-	// ProposalFailed reports that it is unknown whether an entry passed to Propose is on the
-	// record. The entry may be proposed again.
+	// ProposalFailed reports that it is unknown whether an entry passed to Propose is committed to
+	// the record. The entry may be proposed again.
 	ProposalFailed(incarnation, seq uint64)
 }
 
@@ -39,41 +40,43 @@
 	Name string
 	// Members has the address (host:port) of each member by name, including this member.
 	Members map[string]string
-	// Folder holds the data that must survive the process; if empty, all data is in memory.
+	// Folder is the path of the folder for data that must survive the process; if Folder is empty,
+	// all data is in memory.
 	Folder string
 	Credentials
-	// Terms have to be the same at all members.
+	// Terms are the terms of the leases, which have to be the same at all members.
 	Terms ownership.LeaseTerms
 	// Distribution receives the distributed configuration, and serves its subscribers; nil if this
 	// member serves no subscribers.
 	Distribution Distribution
 }
 
-// Node is a member of the record. Its methods are safe for concurrent use.
+// Node is a member that takes part in replicating the record. Its methods are safe for concurrent
+// use.
 type Node struct {
 	config    Config
 	events    Events
 	log       *slog.Logger
 	transport *transport
-	clock     func() ownership.Microseconds // returns the time since New
+	clock     func() ownership.Microseconds // returns the time since New, in microseconds
 	timings   raftTimings
 
 	// proposals holds at most the one entry to forward next, as a member has only one entry in
 	// flight.
 	proposals chan ownership.Entry
 
-	mutex    sync.Mutex // protects instance
+	mutex    sync.Mutex // protects the field instance
 	instance *instance
 
-	halted    atomic.Bool                             // a write of raft's term or vote has failed
-	wrapStore func(raft.StableStore) raft.StableStore // injects write errors in tests; else nil
+	halted    atomic.Bool                             // set once a write of raft's term or vote has failed
+	wrapStore func(raft.StableStore) raft.StableStore // in tests, wraps the store to inject write errors; otherwise nil
 
 	// leaderMutex protects the fields below. They hold state that this process has collected as
 	// leader. The state stays valid over several leaderships, as it depends only on the clock of
-	// this process, and is lost when the process ends.
+	// this process. It is lost when the process ends.
 	leaderMutex sync.Mutex
 	leases      *ownership.LeaseTracker
-	clockID     uint64             // identifies this process's clock in stamps
+	clockID     uint64             // identifies this process's clock in the stamps of entries
 	newestEpoch distribution.Epoch // newest epoch of all configuration records that this process has held
 }
 
@@ -149,7 +152,9 @@
 	loops.Go(func() { n.maintainMembership(ctx) })
 	<-ctx.Done()
 	if n.halted.Load() {
-		n.transport.close() // closed before raft, as this releases the goroutine that haltingStore blocks
+		// The transport must be closed before raft, because that releases the goroutine that
+		// haltingStore blocks.
+		n.transport.close()
 	} else if r := n.current().raft; r.State() == raft.Leader {
 		_ = r.LeadershipTransfer().Error() // if the transfer fails, the other members elect a leader a little later
 	}
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -103,15 +103,16 @@
 // the reasons on the wire do not contain this prefix.
 func refusalReason(err error) string { return strings.TrimPrefix(err.Error(), "distribution: ") }
 
-// nextEpoch returns the epoch for a configuration record that has none yet. It is newer than every
-// epoch that this process has seen.
+// nextEpoch returns the epoch for a configuration record that has no epoch yet. The epoch is newer
+// than every epoch that this process has seen.
 func (n *Node) nextEpoch() distribution.Epoch {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
 	return distribution.NextEpoch(n.newestEpoch, uint64(time.Now().Unix()), randomID())
 }
 
-// noteEpoch updates newestEpoch, which covers all records that this process has held.
+// noteEpoch sets newestEpoch to the given epoch if the given epoch is newer. It is called for the
+// epochs of all configuration records that this process has held.
 func (n *Node) noteEpoch(epoch distribution.Epoch) {
 	n.leaderMutex.Lock()
 	defer n.leaderMutex.Unlock()
--- a/consensus/raft_layer.go
+++ b/consensus/raft_layer.go
@@ -13,15 +13,15 @@
 // Separators in the IDs and addresses by which raft identifies members. Raft stores both, so these
 // must never change.
 const (
-	idSeparator      = "/" // in an ID, between the member's name and the random part
-	addressSeparator = "#" // in an address, between the member's name and its ID
+	idSeparator      = "/" // separates the member's name from the random part in an ID
+	addressSeparator = "#" // separates the member's name from its ID in an address
 )
 
 // streamLayer is the raft.StreamLayer of one raft instance, on top of the transport.
 type streamLayer struct {
 	*transport
 	address raft.ServerAddress
-	closed  chan struct{} // closed by Close
+	closed  chan struct{} // this channel is closed by streamLayer.Close
 }
 
 // Accept waits for a raft connection to the ID of this member.
@@ -45,14 +45,14 @@
 // Addr returns the address of this instance in the form that raft stores: the member's name and ID.
 func (l *streamLayer) Addr() net.Addr { return memberAddr(l.address) }
 
-// memberAddr implements net.Addr for a member.
+// memberAddr implements net.Addr for the raft address of a member.
 type memberAddr raft.ServerAddress
 
 func (a memberAddr) Network() string { return "member" }
 func (a memberAddr) String() string  { return string(a) }
 
-// Dial opens a raft connection to a member, and sends the ID under which it expects the member. It
-// uses dialTimeout instead of the timeout that raft passes.
+// Dial opens a raft connection to a member, and sends the ID that the address contains, under which
+// the member is expected. Dial uses dialTimeout instead of the timeout that raft passes.
 func (l *streamLayer) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	name, id, ok := strings.Cut(string(address), addressSeparator)
 	if !ok {
@@ -71,7 +71,7 @@
 	return conn, nil
 }
 
-// addressOf returns the raft address of the member with a name and an ID.
+// addressOf returns the raft address of the member with the given name and ID.
 func addressOf(name, id string) raft.ServerAddress {
 	return raft.ServerAddress(name + addressSeparator + id)
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -16,14 +16,14 @@
 type snapshot struct {
 	record        []byte              // the encoded ownership record
 	configuration *distribution.State // the configuration record; nil if it is empty
-	bytes         *atomic.Int64       // receives the number of bytes that Persist has written
+	bytes         *atomic.Int64       // set to the number of bytes that Persist has written
 }
 
 // Persist writes the snapshot to a sink.
 func (s *snapshot) Persist(to raft.SnapshotSink) error {
 	counted := &countingWriter{to: to}
 	if err := s.write(counted); err != nil {
-		_ = to.Cancel() // only the error of the write is returned
+		_ = to.Cancel() // Persist returns the error of the write, not that of Cancel
 		return err
 	}
 	s.bytes.Store(counted.bytes)
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -18,15 +18,15 @@
 	events       Events
 	onUnreadable func(err error)
 
-	mutex  sync.Mutex // protects record; configuration has its own lock
+	mutex  sync.Mutex // protects the field record; the field configuration has its own lock
 	record *ownership.Record
 
 	configuration *configurationRecord
-	snapshotBytes atomic.Int64 // size of the last snapshot written or restored
+	snapshotBytes atomic.Int64 // size in bytes of the last snapshot that was written or restored
 }
 
 // Apply applies one entry of the log. An entry that cannot be decoded changes nothing; every member
-// treats it the same way. The result is a changeResult for a change of the distributed
+// treats such an entry the same way. The result is a changeResult for a change of the distributed
 // configuration, and nil otherwise.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	if isConfigurationEntry(entry.Data) {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// withRecord calls use with the ownership record while it holds the lock.
+// withRecord calls use with the ownership record while it holds the mutex.
 func (m *stateMachine) withRecord(use func(*ownership.Record)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -68,7 +68,7 @@
 	if _, err := cbor.UnmarshalFirst(body, record); err != nil {
 		return err
 	}
-	copied := ownership.NewRecord() // for Events, whose receiver owns the record that it gets
+	copied := ownership.NewRecord() // passed to SnapshotRestored, whose receiver owns the record
 	rest, err := cbor.UnmarshalFirst(body, copied)
 	if err != nil {
 		return err
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -20,8 +20,10 @@
 	storeFile         = "record.db"
 	idKey             = "id"
 	retainedSnapshots = 2
-	folderMode        = os.FileMode(0o700) // other users of the machine could otherwise vote in the name of this member
-	lockTimeout       = time.Second        // time until opening a folder that is in use fails
+	// folderMode excludes other users of the machine, who could otherwise vote in the name of this
+	// member.
+	folderMode  = os.FileMode(0o700)
+	lockTimeout = time.Second // time after which opening a folder fails if another process uses it
 )
 
 // storage holds the stores of a raft instance, in memory or in a folder.
@@ -106,7 +108,7 @@
 type haltingStore struct {
 	raft.StableStore
 	onHalt func(error)
-	ended  <-chan struct{} // closed when the transport is closed
+	ended  <-chan struct{} // this channel is closed when the transport is closed
 }
 
 // newHaltingStore wraps a store so that a write error halts the Node.
@@ -124,12 +126,14 @@
 	n.halted.Store(true)
 }
 
-// Set writes bytes. If that fails, it blocks the caller.
+// Set stores bytes under a key. If the write fails, Set blocks the caller until the transport is
+// closed.
 func (s haltingStore) Set(key, value []byte) error {
 	return s.haltOnError(s.StableStore.Set(key, value))
 }
 
-// SetUint64 writes a number. If that fails, it blocks the caller.
+// SetUint64 stores a number under a key. If the write fails, SetUint64 blocks the caller until the
+// transport is closed.
 func (s haltingStore) SetUint64(key []byte, value uint64) error {
 	return s.haltOnError(s.StableStore.SetUint64(key, value))
 }
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Subscriber opens and accepts connections for subscriptions to the distributed configuration. It
-// uses the same calls and kind of credentials as the members, but is not a member. Its methods are
-// safe for concurrent use.
+// Subscriber opens and accepts connections for subscriptions to the distributed configuration. A
+// Subscriber uses the same calls and kind of credentials as the members, but is not a member. Its
+// methods are safe for concurrent use.
 type Subscriber struct {
-	tlsConfig *tls.Config // nil for plain text
+	tlsConfig *tls.Config // nil if connections are plain text
 }
 
-// NewSubscriber reads the credentials. If they are empty, connections are plain text, on loopback
-// only.
+// NewSubscriber reads the credentials. If the credentials are empty, connections are plain text,
+// which is allowed on loopback only.
 func NewSubscriber(credentials Credentials) (*Subscriber, error) {
 	tlsConfig, err := credentials.tlsConfig()
 	return &Subscriber{tlsConfig}, err
@@ -48,7 +48,7 @@
 }
 
 // subscribe performs the TLS handshake and the call to subscribe on a connection. It returns the
-// connection to use from then on.
+// connection to use after the handshake.
 func (s *Subscriber) subscribe(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	if s.tlsConfig != nil {
 		secured := tls.Client(conn, withServerName(s.tlsConfig, name))
--- a/consensus/timings.go
+++ b/consensus/timings.go
@@ -4,9 +4,9 @@
 
 // raftTimings are the timeouts of raft that follow from the lease.
 type raftTimings struct {
-	heartbeat   time.Duration // raft's heartbeat and election timeouts
+	heartbeat   time.Duration // raft's heartbeat timeout, and its election timeout
 	leaderLease time.Duration // a leader that reaches no majority for this time steps down
-	commit      time.Duration // time until the leader sends its commit index without a further entry
+	commit      time.Duration // time after which the leader sends its commit index even if no further entry follows
 }
 
 // Bounds of the timings, and their ratios to the lease. A leader whose process ends is replaced
@@ -26,7 +26,7 @@
 	leaseDivisor        = 15
 	heartbeatMultiplier = 4
 
-	leaderLeaseDivisor = 4  // the leader lease is shorter than the heartbeat timeout by 1/leaderLeaseDivisor
+	leaderLeaseDivisor = 4  // the leader lease is 1/leaderLeaseDivisor shorter than the heartbeat timeout
 	commitDivisor      = 30 // commit timeout = lease / commitDivisor
 )
 
--- a/consensus/timings_test.go
+++ b/consensus/timings_test.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// The timings increase in proportion to the lease within their bounds, and raft accepts them for
-// every lease.
+// Raft must accept the timings for every lease. Within their bounds, the timings increase in
+// proportion to the lease.
 func TestRaftTimingsFollowTheLease(t *testing.T) {
 	const defaultLease = 1500 * time.Millisecond
 	defaultTimings := raftTimings{400 * time.Millisecond, 300 * time.Millisecond, 50 * time.Millisecond}
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -17,34 +17,34 @@
 const (
 	dialTimeout      = 500 * time.Millisecond // time limit for opening a connection and identifying its caller
 	callTimeout      = time.Second            // time limit for a call and its response
-	acceptRetryPause = 10 * time.Millisecond  // pause after an error of the listener
+	acceptRetryPause = 10 * time.Millisecond  // pause after an error of the listener before the next call of Accept
 )
 
 // transport opens and accepts the connections between members, both raft connections and
 // connections for calls.
 type transport struct {
-	members   map[string]string // addresses by member name
-	tlsConfig *tls.Config       // nil for plain text
+	members   map[string]string // addresses of the members by name
+	tlsConfig *tls.Config       // nil if connections are plain text
 
-	// How acceptLoop treats connections. These fields are set before it starts.
+	// The next fields state how acceptLoop treats connections. They are set before acceptLoop starts.
 	listener         net.Listener
-	id               func() string // returns this member's ID, which raft connections have to name
+	id               func() string // returns this member's ID, which the caller of a raft connection has to send
 	serve            func(conn net.Conn, from caller, connection int)
 	onRefused        func(from net.Addr, reason error)
-	allowSubscribers bool // accept callers that are not members, which may only subscribe
+	allowSubscribers bool // also accept callers that are not members; these callers may only subscribe
 
 	// raftConns has no buffer: a connection waits in its goroutine until raft accepts it, or the
 	// transport is closed.
 	raftConns chan net.Conn
-	ended     chan struct{} // closed by close
+	ended     chan struct{} // this channel is closed by transport.close
 	endOnce   sync.Once
-	handlers  sync.WaitGroup // goroutines of accepted connections
+	handlers  sync.WaitGroup // goroutines that serve accepted connections
 
-	mutex     sync.Mutex        // protects conns and connCount
-	conns     map[net.Conn]bool // open connections, which close closes
-	connCount int               // number of connections for calls accepted so far, which numbers them
+	mutex     sync.Mutex        // protects the fields conns and connCount
+	conns     map[net.Conn]bool // open connections, which transport.close closes
+	connCount int               // number of accepted connections for calls; the last connection has this number
 
-	bytes atomic.Int64 // number of bytes sent and received
+	bytes atomic.Int64 // number of bytes sent and received on all connections
 }
 
 func newTransport(members map[string]string, tlsConfig *tls.Config) *transport {
@@ -66,7 +66,7 @@
 			if t.isClosedAfter(acceptRetryPause) || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a temporary error, for example no free file descriptor
+			continue // the error of Accept is temporary, for example no free file descriptor
 		}
 		t.handlers.Go(func() {
 			tracked := t.track(conn)
@@ -148,14 +148,14 @@
 
 // caller is the authenticated identity of the process that opened a connection.
 type caller struct {
-	members []string // members in whose name it may make calls; empty if it is not a member
-	// hasName reports whether the caller's certificate is valid for a name; nil for plain text,
-	// where any name is allowed.
+	members []string // members in whose name the caller may make calls; empty if the caller is not a member
+	// hasName reports whether the caller's certificate is valid for a name. It is nil for a
+	// plain-text connection, on which any name is allowed.
 	hasName func(name string) bool
 }
 
-// identify authenticates the caller, by a TLS handshake unless connections are plain text. It
-// returns the connection to use from then on.
+// identify authenticates the caller by a TLS handshake, unless connections are plain text. It
+// returns the connection that has to be used after the handshake.
 func (t *transport) identify(conn net.Conn) (net.Conn, caller, error) {
 	if t.tlsConfig == nil {
 		return conn, caller{members: slices.Collect(maps.Keys(t.members))}, nil
@@ -234,8 +234,8 @@
 	return trackedConn{conn, t}
 }
 
-// trackedConn counts the bytes that pass over a connection. Close removes the connection from the
-// transport.
+// trackedConn counts the bytes that pass over a connection. Closing it also removes the connection
+// from the open connections of the transport.
 type trackedConn struct {
 	net.Conn
 	transport *transport
--- a/consensus/wire_test.go
+++ b/consensus/wire_test.go
@@ -11,7 +11,7 @@
 )
 
 // The encoding of calls must not change: during an upgrade, a member of the previous release has to
-// understand the calls of a member of this one.
+// understand the calls of a member of this release.
 func TestEncodedCalls(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// update is for intended changes of a format; CI never sets it.
+// update is the flag -update, for intended changes of a format; CI never sets it.
 var update = flag.Bool("update", false, "overwrite the golden files with the current output")
 
 // Compare compares a text with the file testdata/name, and fails the test with the first line that
--- a/internal/process/controller.go
+++ b/internal/process/controller.go
@@ -17,21 +17,21 @@
 // before Start, and clears Up while it suspends the process. It is not safe for concurrent use: a
 // single caller starts and stops it.
 type Controller struct {
-	Name    string   // for error messages
+	Name    string   // name of the controller in error messages
 	Program string   // path of the executable
-	Listen  string   // address on which it serves, used by Responds
-	Env     []string // in addition to the environment of this process
-	Args    []string // arguments of the program
-	Log     *os.File // receives its standard output and error; closed by the caller
-	Up      bool     // the process is meant to run; set by Start, cleared by Stop
+	Listen  string   // address on which the controller serves, and to which Responds connects
+	Env     []string // environment variables that are added to those of this process
+	Args    []string // command-line arguments of the program
+	Log     *os.File // file that receives the controller's standard output and error; the caller closes it
+	Up      bool     // true while the process is meant to run; set by Start, cleared by Stop
 
 	cmd   *exec.Cmd
-	ended chan struct{} // closed when Wait has returned
+	ended chan struct{} // this channel is closed when cmd.Wait has returned
 }
 
 // Time limits of Stop and Responds.
 const (
-	stopTimeout  = 3 * time.Second // a controller that has not exited by then is killed
+	stopTimeout  = 3 * time.Second // Stop kills a controller that has not exited within this time
 	dialTimeout  = 200 * time.Millisecond
 	replyTimeout = 500 * time.Millisecond
 )
@@ -42,7 +42,7 @@
 	c.cmd.Env = append(os.Environ(), c.Env...)
 	c.cmd.Stdout = c.Log
 	c.cmd.Stderr = c.Log
-	// No child is left running when this process is killed.
+	// Pdeathsig ensures that no child is left running when this process is killed.
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", c.Name, err)
@@ -51,7 +51,7 @@
 	c.ended = make(chan struct{})
 	// This goroutine ends when the process exits.
 	go func(cmd *exec.Cmd, ended chan struct{}) {
-		_ = cmd.Wait() // the exit code is not specified; the log has the cause
+		_ = cmd.Wait() // the exit code is not specified; the controller's log has the cause
 		close(ended)
 	}(c.cmd, c.ended)
 	return nil
@@ -66,7 +66,7 @@
 // Stop sends SIGTERM or SIGKILL to the process and waits until it exits. A process that does not
 // exit within stopTimeout is killed.
 func (c *Controller) Stop(s syscall.Signal) {
-	_ = c.Signal(s) // an error means that the process has already exited
+	_ = c.Signal(s) // an error of Signal means that the process has already exited
 	select {
 	case <-c.ended:
 	case <-time.After(stopTimeout):
@@ -102,7 +102,7 @@
 	if _, err := conn.Write(framed); err != nil {
 		return false
 	}
-	header := make([]byte, 4) // the length of the answer; its content does not matter
+	header := make([]byte, 4) // header is the length of the answer, whose content does not matter
 	_, err = io.ReadFull(conn, header)
 	return err == nil
 }
--- a/internal/process/delay.go
+++ b/internal/process/delay.go
@@ -8,9 +8,9 @@
 // DelayMonitor measures by how much the scheduling of this process is delayed. Results from a
 // machine that is too busy are evidence neither for nor against a controller.
 type DelayMonitor struct {
-	stop   chan struct{}   // closed by Stop
-	done   chan struct{}   // closed when the goroutine ends
-	delays []time.Duration // used only by the goroutine until done is closed, then only by Stop
+	stop   chan struct{}   // this channel is closed by Stop
+	done   chan struct{}   // this channel is closed when the goroutine ends
+	delays []time.Duration // measured delays; used only by the goroutine until done is closed, then only by Stop
 }
 
 const sampleInterval = 10 * time.Millisecond
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Sharding reads how data is partitioned into shards. Its other settings are read only if the
-// number of shards is above 0; the write lease and the settle time are then required.
+// Sharding reads how data is partitioned into shards. If the number of shards is above 0, it also
+// reads the other settings of sharding, of which the write lease and the settle time are required.
 func (s *Settings) Sharding() balancer.Sharding {
 	sharding := balancer.Sharding{Count: s.countUpTo("familyInfo.partitionsN", math.MaxUint16)}
 	if sharding.Count > 0 {
@@ -103,7 +103,8 @@
 // has to poll.
 var pollingRequired = map[string]bool{"automatic": false, "subscribe": true}
 
-// admissionModes maps the wire's words for the unit of an admission limit.
+// admissionModes maps the wire's words for the unit of an admission limit to the balancer's
+// AdmissionMode.
 var admissionModes = map[string]balancer.AdmissionMode{
 	"silent":     balancer.AdmissionUnsupported,
 	"fraction":   balancer.AdmissionByShare,
@@ -111,8 +112,8 @@
 }
 
 // Telemetry reads which reports and health checks a controller can use, and how it gets the
-// endpoint list. The maximum poll interval is required if the controller has to poll that list;
-// otherwise it is not read.
+// endpoint list. The maximum poll interval is required if the controller has to poll the endpoint
+// list; otherwise the setting is not read.
 func (s *Settings) Telemetry() balancer.Telemetry {
 	telemetry := balancer.Telemetry{
 		ReportInterval:       s.positiveMicroseconds("familyInfo.reportEvery"),
@@ -127,7 +128,8 @@
 	return telemetry
 }
 
-// AdmissionMode reads the unit of admission limits; without the setting they are unsupported.
+// AdmissionMode reads the unit of admission limits; without this setting, admission limits are
+// unsupported.
 func (s *Settings) AdmissionMode() balancer.AdmissionMode {
 	return wordOf(s, "familyInfo.admission", balancer.AdmissionUnsupported, admissionModes)
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -143,9 +143,9 @@
 func misspell(key string) string { return strings.ToUpper(key[:1]) + "_" + key[1:] }
 
 // TestEveryKeyIsReadAndRefusedAsInGoldenFiles guards against a key that is no longer read, or whose
-// values are accepted, defaulted or refused differently. It removes each key, misspells it and sets
-// it to values of each kind; the golden files contain the lines of readAll that differ
-// from those of the unchanged settings.
+// values are accepted, defaulted or refused differently. It removes each key, misspells each key,
+// and sets each key to values of each kind; the golden files contain the lines of readAll that
+// differ from the lines of the unchanged settings.
 func TestEveryKeyIsReadAndRefusedAsInGoldenFiles(t *testing.T) {
 	parse := func() any {
 		var root any
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,8 +3,9 @@
 // forms have the same keys.
 //
 // An unusable setting does not stop the reading: its reader returns a zero value, and Settings.Err
-// returns the error of the first unusable setting; check it once all settings have been read. The
-// keys are words of the simulator's protocol; only this package maps them to the balancer's terms.
+// returns the error of the first unusable setting; callers check Err once all settings have been
+// read. The keys are words of the simulator's protocol; only this package maps them to the
+// balancer's terms.
 package settings
 
 import (
@@ -31,8 +32,8 @@
 // Settings holds the values of all settings by path. It is not safe for concurrent use.
 type Settings struct {
 	values map[string]string
-	lists  map[string][]string // list items by path; JSON only
-	err    *KeyError           // error of the first rejected setting
+	lists  map[string][]string // items of each list by its path; only ParseJSON fills this map
+	err    *KeyError           // error of the first rejected setting; nil if no setting is rejected
 	warn   WarnFunc
 }
 
@@ -49,7 +50,8 @@
 }
 
 // ParseJSON reads settings from a JSON object and flattens it to the paths that ParseLines reads.
-// List items may contain commas; ParseLines cannot have such items, because commas separate them.
+// List items may contain commas; ParseLines cannot read such items, because commas separate the
+// items in its lists.
 func ParseJSON(object *fastjson.Value, warn WarnFunc) *Settings {
 	s := &Settings{values: map[string]string{}, lists: map[string][]string{}, warn: warn}
 	s.flatten("", object)
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -11,7 +11,7 @@
 
 const (
 	microsecondsPerMillisecond = 1000
-	maxMicroseconds            = float64(1 << 53) // above it, float64 cannot represent every integer
+	maxMicroseconds            = float64(1 << 53) // above 2^53, float64 cannot represent every integer
 )
 
 // FromMilliseconds converts milliseconds to microseconds, rounded to an integer of at most 2^53. A
@@ -21,8 +21,8 @@
 	return int64(min(rounded, maxMicroseconds))
 }
 
-// Sanitize returns x, or 0 if x is negative, infinite or not a number. A 0 stands for an absent
-// value.
+// Sanitize returns x, or 0 if x is negative, infinite or not a number. The result 0 stands for an
+// absent value.
 func Sanitize(x float64) float64 {
 	if !usable(x) {
 		return 0
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -12,19 +12,19 @@
 type instance struct {
 	server     *Server
 	id         uint16
-	balancer   *balancer.Controller // nil after an abort
-	loadFields []string             // names of the values in a load report, in order
-	classes    int                  // number of classes
-	zones      int                  // number of zones
-	shards     int                  // number of shards
-	backends   index                // by backend id
-	proxies    index                // by proxy id
+	balancer   *balancer.Controller // nil after the instance has aborted
+	loadFields []string             // names of the values in a load report, in their order in the report
+	classes    int                  // number of request classes in the settings
+	zones      int                  // number of zones in the settings
+	shards     int                  // number of shards in the settings
+	backends   index                // numbers of the backends by id
+	proxies    index                // numbers of the proxies by id
 }
 
 // index assigns consecutive numbers to ids, in the order in which the ids first occur.
 type index struct {
 	numbers map[uint32]int
-	ids     []uint32 // by number
+	ids     []uint32 // ids by their number
 }
 
 // numberOf returns the number of an id, and assigns the next free number to a new id.
@@ -52,7 +52,8 @@
 	call()
 }
 
-// instanceID returns the id of the controller that an event is for; eventEndpointList has none.
+// instanceID returns the id of the controller that an event is for. It must not be called for an
+// eventEndpointList, which is for no controller.
 func (r record) instanceID() uint16 { return r.u16(instanceAt) }
 
 // eventHandlers maps the events of an instance to their handlers; Server.handleEvent handles the
@@ -175,8 +176,8 @@
 	return in.knownID(&in.proxies, uint32(r.u16(proxyAt)), "proxy")
 }
 
-// existingShard returns the number of an event's shard. It warns and returns false if there is no
-// such shard.
+// existingShard returns the number of an event's shard. It warns and returns false if the settings
+// have no shard with this number.
 func (in *instance) existingShard(r record) (int, bool) {
 	shard := int(r.u16(shardAt))
 	return shard, in.exists(shard, in.shards, wordShard)
@@ -271,8 +272,8 @@
 	return balancer.HealthCheckUnknown
 }
 
-// loadReport reads a list of load values: the number of values at a position, and the values behind
-// it. A load value that the report lacks becomes -1.
+// loadReport reads a list of load values: the number of values, which is at the given position, and
+// the values, which follow. A load value that the report lacks becomes -1.
 func (in *instance) loadReport(r record, at int) balancer.BackendLoad {
 	load := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 	valueCount := min(int(r.u8(at)), len(in.loadFields), maxLoadValues)
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -25,7 +25,7 @@
 type Frame struct {
 	Clock   float64 // simulated time in milliseconds
 	Number  uint32  // the frame's number, which its reply repeats
-	records []byte  // events of eventSize bytes
+	records []byte  // events, each of eventSize bytes
 	tail    []byte  // texts and lists that the events refer to
 }
 
@@ -77,7 +77,7 @@
 // layout.go.
 type record struct {
 	raw  []byte
-	tail []byte // tail of the frame; nil in an entry of an endpoint list
+	tail []byte // tail of the frame; nil if the record is an entry of an endpoint list
 }
 
 func (r record) code() eventCode   { return eventCode(r.raw[codeAt]) }
@@ -100,7 +100,7 @@
 func (r record) microseconds(at int) int64 { return settings.FromMilliseconds(r.f64(at)) }
 
 // tailOf returns the part of the tail that the text or list field at this position refers to. The
-// size in the field counts items of itemSize bytes.
+// size in the field is a number of items, each of itemSize bytes.
 func (r record) tailOf(at, itemSize int) ([]byte, error) {
 	from := uint64(r.u32(at))
 	size := uint64(r.u32(at+textSizeAt)) * uint64(itemSize)
@@ -113,8 +113,8 @@
 
 // Reply is the list of actions in answer to one frame.
 type Reply struct {
-	number  uint32 // number of the frame
-	records []byte // actions of actionSize bytes
+	number  uint32 // number of the frame that the reply answers
+	records []byte // actions, each of actionSize bytes
 	tail    []byte // texts that the actions refer to
 }
 
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -109,7 +109,7 @@
 }
 
 type scriptedFrame struct {
-	clock   float64 // in milliseconds
+	clock   float64 // clock time of the frame in milliseconds
 	tail    []byte
 	records [][]byte
 }
@@ -120,7 +120,7 @@
 
 // timer is a timer that an instance has set.
 type timer struct {
-	due      float64 // clock time in milliseconds
+	due      float64 // clock time at which the timer fires, in milliseconds
 	instance uint16
 	tag      uint64
 }
@@ -322,7 +322,7 @@
 	}
 	text += "complaints\n"
 	for line := range strings.Lines(log.String()) {
-		_, warning, _ := strings.Cut(line, ": ") // removes the program's name
+		_, warning, _ := strings.Cut(line, ": ") // cuts off the program's name at the start of the line
 		text += warning
 	}
 	golden.Compare(t, "replies.golden", text)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -6,7 +6,7 @@
 	"wheelrill/balancer"
 )
 
-// The methods of balancer.Host. Each action is appended to the current reply.
+// The methods below implement balancer.Host. They append each action to the current reply.
 
 // Now returns the simulated time of the current frame, in microseconds.
 func (in *instance) Now() int64 { return in.server.now }
@@ -18,8 +18,8 @@
 	a.putU64(timerTagAt, tag)
 }
 
-// Log writes a line to the simulator's log; a line about a backend starts with its id, and -1
-// stands for no backend.
+// Log writes a line to the simulator's log; a line about a backend starts with the backend's id. If
+// backend is -1, the line is about no backend.
 func (in *instance) Log(backend int, line string) {
 	if backend >= 0 {
 		line = fmt.Sprintf("backend %d %s", in.backends.ids[backend], line)
@@ -61,16 +61,16 @@
 	a.putBool(withdrawFlagAt, withdrawn)
 }
 
-// SyncWithdrawals returns false: this protocol has no such action, as a withdrawal reaches all
-// connected proxies.
+// SyncWithdrawals returns false: this protocol has no action to sync withdrawals, as a withdrawal
+// reaches all connected proxies.
 func (in *instance) SyncWithdrawals(int, float64, balancer.RetryPolicy) bool { return false }
 
-// ClearWithdrawals does nothing: this protocol has no such action, as a proxy observes only the
-// withdrawals of its own instance.
+// ClearWithdrawals does nothing: this protocol has no action to clear withdrawals, as a proxy
+// observes only the withdrawals of its own instance.
 func (in *instance) ClearWithdrawals(int) {}
 
-// SetAdmissionLimit sets how much of a set of classes (bit i is class i) the proxies of a table
-// admit, and their retry policy.
+// SetAdmissionLimit sets how many requests of a set of classes (bit i is class i) the proxies that
+// use a table admit, and the retry policy that accompanies the limit.
 func (in *instance) SetAdmissionLimit(table int, classes uint16, limit float64, retry balancer.RetryPolicy) {
 	a := in.newAction(actionSetAdmissionLimit)
 	a.putU16(limitTableAt, uint16(table))
--- a/internal/simwire/layout.go
+++ b/internal/simwire/layout.go
@@ -1,158 +1,159 @@
 package simwire
 
-// Byte positions of fields in records. Fields that this package neither reads nor writes are left
-// out. The comment behind a position has the field's type. Numbers are little endian, and times are
-// milliseconds as f64. A text or a list is a pair of u32: its offset in the frame's tail, and its
-// size (of a text in bytes, of a list in entries).
+// The constants below are the byte positions of fields in records. Fields that this package neither
+// reads nor writes are left out. The comment behind a position has the field's type and meaning.
+// Numbers are little endian, and times are milliseconds as f64. A text or a list is a pair of u32:
+// its offset in the frame's tail, and its size (of a text in bytes, of a list in entries).
 
 // microsecondsPerMillisecond converts the protocol's unit of time to the balancer's. Times in
 // events are converted by settings.FromMilliseconds instead, which also rounds them and replaces
 // invalid times by 0.
 const microsecondsPerMillisecond = 1000
 
-// Header of a frame of events.
+// Fields in the header of a frame of events.
 const (
-	frameLengthAt = 0  // u32, bytes after the header
-	frameClockAt  = 4  // f64, milliseconds
-	frameCountAt  = 12 // u32, events
-	frameNumberAt = 16 // u32
+	frameLengthAt = 0  // u32: number of bytes after the header
+	frameClockAt  = 4  // f64: simulated time of the frame in milliseconds
+	frameCountAt  = 12 // u32: number of events
+	frameNumberAt = 16 // u32: number of the frame
 )
 
-// Header of a reply.
+// Fields in the header of a reply.
 const (
-	replyCountAt  = 0 // u32, actions
-	replyLengthAt = 4 // u32, bytes after the header
-	replyNumberAt = 8 // u32
+	replyCountAt  = 0 // u32: number of actions
+	replyLengthAt = 4 // u32: number of bytes after the header
+	replyNumberAt = 8 // u32: number of the frame that the reply answers
 )
 
-// textSizeAt is the position of the size in the field of a text or a list, relative to the field.
+// textSizeAt is the position of the size in a field that refers to a text or a list, relative to
+// the start of the field.
 const textSizeAt = 4
 
 // Fields of every event and action.
 const (
-	codeAt     = 0 // u8
-	instanceAt = 1 // u16; eventEndpointList has none
+	codeAt     = 0 // u8: code of the event or action
+	instanceAt = 1 // u16: id of the instance; an eventEndpointList has no instance
 )
 
 // Fields of eventCreate.
 const (
-	createSeedAt     = 3  // u64
-	createSettingsAt = 11 // text
+	createSeedAt     = 3  // u64: seed of the instance's balancer
+	createSettingsAt = 11 // text: settings of the instance
 )
 
 // Fields of eventEndpointList, and of its entries, which have endpointSize bytes.
 const (
-	listNumberAt  = 1 // u32
-	listEntriesAt = 5 // list
+	listNumberAt  = 1 // u32: number of the list
+	listEntriesAt = 5 // list: entries of the endpoint list
 
-	endpointStartedAt = 0  // time
-	endpointStateAt   = 10 // u8
-	endpointWeightAt  = 11 // f32
-	endpointZoneAt    = 17 // u8
-	endpointBackendAt = 18 // u32
+	endpointStartedAt = 0  // time: start time of the backend
+	endpointStateAt   = 10 // u8: state of the backend
+	endpointWeightAt  = 11 // f32: weight of the backend
+	endpointZoneAt    = 17 // u8: zone of the backend
+	endpointBackendAt = 18 // u32: id of the backend
 )
 
 // Fields of eventEndpointsUpdated.
 const (
-	updateListAt = 3 // u32, number of an eventEndpointList
-	updateKindAt = 7 // u8
+	updateListAt = 3 // u32: number of an eventEndpointList
+	updateKindAt = 7 // u8: kind of the update, such as updateDelta
 )
 
 // firedTagAt is the position of the tag in eventTimerFired.
-const firedTagAt = 3 // u64
+const firedTagAt = 3 // u64: tag that actionSetTimer passed
 
 // Fields of eventHealthCheckCompleted.
 const (
-	checkedBackendAt = 3 // u32
-	checkedResultAt  = 7 // u16
+	checkedBackendAt = 3 // u32: id of the checked backend
+	checkedResultAt  = 7 // u16: result of the health check, such as checkPassed
 )
 
 // Fields of eventOutcomesReported.
 const (
-	outcomesZoneAt     = 3  // u8, zone of the proxies that reported
-	outcomesBackendAt  = 4  // u32
-	outcomesAttemptsAt = 8  // u32
-	outcomesFailuresAt = 12 // u32
-	outcomesMeanAt     = 16 // time, mean answer time
-	outcomesSpanAt     = 24 // time, length of the interval that the report covers
-	outcomesLoadAt     = 32 // u8, number of load values; the values follow, f32 each
-	loadValuesAt       = 1  // relative to outcomesLoadAt
-	loadValueSize      = 4
+	outcomesZoneAt     = 3  // u8: zone of the proxies that reported
+	outcomesBackendAt  = 4  // u32: id of the backend
+	outcomesAttemptsAt = 8  // u32: number of attempts
+	outcomesFailuresAt = 12 // u32: number of failed attempts
+	outcomesMeanAt     = 16 // time: mean answer time
+	outcomesSpanAt     = 24 // time: length of the interval that the report covers
+	outcomesLoadAt     = 32 // u8: number of load values; the values follow this field, each an f32
+	loadValuesAt       = 1  // position of the first load value, relative to outcomesLoadAt
+	loadValueSize      = 4  // size of a load value in bytes
 )
 
 // Fields of eventProxyConnected.
 const (
-	connectedRateAt  = 4 // f32, baseline demand in requests per second
-	connectedZoneAt  = 8 // u8
-	connectedProxyAt = 9 // u16
+	connectedRateAt  = 4 // f32: baseline demand of the proxy in requests per second
+	connectedZoneAt  = 8 // u8: zone of the proxy
+	connectedProxyAt = 9 // u16: id of the proxy
 )
 
 // Fields of eventProxyDisconnected, eventAcknowledged and eventDemandReported.
 const (
-	proxyAt     = 3 // u16
-	ackNumberAt = 5 // u64; only in eventAcknowledged
+	proxyAt     = 3 // u16: id of the proxy
+	ackNumberAt = 5 // u64: number of the requested ack; only in eventAcknowledged
 )
 
 // Fields of eventDemandReported and eventShardDemandReported.
 const (
-	demandClassAt = 5  // u8
-	demandCountAt = 6  // u32
-	demandSpanAt  = 14 // time, length of the interval that the report covers
+	demandClassAt = 5  // u8: class of the requests
+	demandCountAt = 6  // u32: number of requests
+	demandSpanAt  = 14 // time: length of the interval that the report covers
 )
 
 // Fields of eventShardDemandReported, eventShardOwnership and eventShardOwnerStored.
 const (
-	shardAt         = 3 // u16
-	shardAssignedAt = 5 // u8, a flag; only in eventShardOwnership
-	shardOwnerAt    = 5 // u32, a backend; only in eventShardOwnerStored
-	shardWeightAt   = 9 // f32; only in eventShardOwnerStored
+	shardAt         = 3 // u16: number of the shard
+	shardAssignedAt = 5 // u8, a flag: the shard is assigned, not revoked; only in eventShardOwnership
+	shardOwnerAt    = 5 // u32: id of the backend that owns the shard; only in eventShardOwnerStored
+	shardWeightAt   = 9 // f32: weight of the owner; only in eventShardOwnerStored
 )
 
 // textAt is the position of the text in actionLog and actionAbort.
-const textAt = 3 // text
+const textAt = 3 // text: logged line, or reason of the abort
 
 // Fields of actionSetTimer.
 const (
-	timerWaitAt = 3  // time
-	timerTagAt  = 11 // u64
+	timerWaitAt = 3  // time: wait until the timer fires
+	timerTagAt  = 11 // u64: tag that eventTimerFired returns
 )
 
 // pollFollowAt is the position of the follow flag in actionPollEndpoints.
-const pollFollowAt = 3 // u8, a flag: changes are requested from now on
+const pollFollowAt = 3 // u8, a flag: changes of the endpoint list are requested from now on
 
 // checkBackendAt is the position of the backend in actionCheckHealth.
-const checkBackendAt = 3 // u32
+const checkBackendAt = 3 // u32: id of the backend to check
 
 // Fields of actionPublishEntry.
 const (
-	publishTableAt   = 3 // u16
-	publishBackendAt = 5 // u32
-	publishWeightAt  = 9 // f32
+	publishTableAt   = 3 // u16: number of the table
+	publishBackendAt = 5 // u32: id of the backend
+	publishWeightAt  = 9 // f32: weight of the backend; 0 removes the table entry
 )
 
 // Fields of actionWithdraw.
 const (
-	withdrawBackendAt = 3 // u32
-	withdrawFlagAt    = 7 // u8, a flag: withdrawn
+	withdrawBackendAt = 3 // u32: id of the backend
+	withdrawFlagAt    = 7 // u8, a flag: the backend is withdrawn, not restored
 )
 
 // Fields of actionAssignTable.
 const (
-	assignTableAt   = 3 // u16
-	assignProxyAt   = 5 // u16
-	assignClassesAt = 7 // u16, a bit per class
+	assignTableAt   = 3 // u16: number of the table
+	assignProxyAt   = 5 // u16: id of the proxy
+	assignClassesAt = 7 // u16: set of classes, with bit i for class i
 )
 
 // Fields of actionSetAdmissionLimit.
 const (
-	limitTableAt   = 3  // u16
-	limitClassesAt = 5  // u16, a bit per class
-	limitAt        = 7  // f32
-	limitRetryAt   = 11 // u8, a balancer.RetryPolicy
+	limitTableAt   = 3  // u16: number of the table
+	limitClassesAt = 5  // u16: set of classes, with bit i for class i
+	limitAt        = 7  // f32: admission limit, a share or a rate
+	limitRetryAt   = 11 // u8: retry policy, a balancer.RetryPolicy
 )
 
 // Fields of actionRequestAck.
 const (
-	requestNumberAt       = 3  // u64
-	requestAllConnectedAt = 11 // u8, a flag: all connected proxies
+	requestNumberAt       = 3  // u64: number of the requested ack
+	requestAllConnectedAt = 11 // u8, a flag: all connected proxies have to send the ack
 )
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -18,8 +18,8 @@
 
 const (
 	maxEndpointLists = 16
-	// maxWarnings limits the number of different warnings; further ones are dropped. Input that
-	// causes so many is not this protocol.
+	// maxWarnings limits the number of different warnings; further warnings are dropped. Input that
+	// causes more warnings does not follow this protocol.
 	maxWarnings = 200
 )
 
@@ -27,9 +27,9 @@
 // one frame at a time.
 type Server struct {
 	log           io.Writer
-	warned        map[string]bool // texts of all warnings so far
+	warned        map[string]bool // texts of all warnings written so far
 	instances     map[uint16]*instance
-	endpointLists [maxEndpointLists][]byte // entries as received, by list number
+	endpointLists [maxEndpointLists][]byte // entries of the endpoint lists as received, by list number
 	now           int64                    // simulated time of the current frame, in microseconds
 	reply         Reply
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	s.warned[line] = true
-	fmt.Fprintln(s.log, "simadapter:", line) // the server continues if the write fails
+	fmt.Fprintln(s.log, "simadapter:", line) // if the write of a warning fails, the server continues
 }
 
 // Handle handles the events of one frame. The reply is valid until the next call. An error means
@@ -98,7 +98,7 @@
 		s.warn("list number %d is not known", number)
 		return nil
 	}
-	s.endpointLists[number] = append([]byte(nil), entries...) // copied, as the buffer is reused
+	s.endpointLists[number] = append([]byte(nil), entries...) // copied, as the next frame reuses the buffer
 	return nil
 }
 
@@ -121,7 +121,7 @@
 		Telemetry: instanceSettings.Telemetry(),
 		Admission: instanceSettings.AdmissionMode(),
 	}
-	// In this protocol, each message to a proxy repeats the limits of all tables.
+	// In this protocol, each message to a proxy repeats the admission limits of all tables.
 	config.Channel.LimitLines = float64(len(config.Classes))
 	in.loadFields = instanceSettings.LoadFields()
 	in.classes = len(config.Classes)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// frame returns the bytes of frame 9, at a clock time of 247 ms. A record is its code and the bytes
-// after it, and is padded with zeros.
+// frame returns the bytes of frame 9, at a clock time of 247 ms. Each record has the code and the
+// bytes after the code, and is padded with zeros.
 func frame(tail []byte, records ...[]byte) []byte {
 	var out []byte
 	for _, r := range records {
@@ -41,11 +41,12 @@
 rules.stopSendingWithin=3000
 `
 
-// createEvent returns an eventCreate with the seed 7 and settings at the start of the tail.
+// createEvent returns an eventCreate with the seed 7, and with settings of the given size at the
+// start of the tail.
 func createEvent(instance uint16, size int) []byte {
 	r := make([]byte, 19)
 	binary.LittleEndian.PutUint16(r[1:], instance)
-	r[3] = 7 // the seed
+	r[3] = 7 // sets the seed to 7
 	binary.LittleEndian.PutUint32(r[15:], uint32(size))
 	return r
 }
--- a/internal/testcert/authority.go
+++ b/internal/testcert/authority.go
@@ -29,11 +29,11 @@
 // Files has the paths of a certificate for a name, of its key, and of its authority's certificate,
 // all in PEM.
 type Files struct {
-	// Certificate is valid for TLS servers and TLS clients.
+	// Certificate is the path of a certificate that is valid for TLS servers and TLS clients.
 	Certificate string
-	// Key is the private key of Certificate.
+	// Key is the path of the private key of Certificate.
 	Key string
-	// Authority is the certificate of the authority that issued Certificate.
+	// Authority is the path of the certificate of the authority that issued Certificate.
 	Authority string
 }
 
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -10,26 +10,28 @@
 // votes on changes, or subscribes to them. A voter has only Role, FanOut and
 // SnapshotBytesPerSecond; the other fields are for subscribers.
 type Distribution struct {
-	Role        string            `yaml:"role"`        // Voter or Subscriber
-	Name        string            `yaml:"name"`        // name of the subscriber; if empty, LB_NAME is used
-	Parents     map[string]string `yaml:"parents"`     // addresses of the parents to try first, by name
-	Scopes      []string          `yaml:"scopes"`      // scopes that it subscribes to, or only AllScopes
-	Listen      string            `yaml:"listen"`      // address at which it accepts subscribers; empty to accept none
-	Folder      string            `yaml:"folder"`      // folder that keeps configuration across restarts; empty for none
-	Certificate string            `yaml:"certificate"` // path of the PEM certificate, issued to the subscriber's name
-	Key         string            `yaml:"key"`         // path of the PEM private key of Certificate
-	Authority   string            `yaml:"authority"`   // path of the PEM certificate that signs all nodes' certificates
-	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, on loopback only
-	FanOut      int               `yaml:"fan_out"`     // maximum number of direct subscribers; 0 for the default
-	// SnapshotBytesPerSecond limits the total rate of all snapshots to subscribers; 0 for the
-	// default.
+	Role    string            `yaml:"role"`    // role of the controller: Voter or Subscriber
+	Name    string            `yaml:"name"`    // name of the subscriber; if empty, LB_NAME is used
+	Parents map[string]string `yaml:"parents"` // addresses of the parents to try first, by name
+	Scopes  []string          `yaml:"scopes"`  // scopes that the subscriber subscribes to, or only AllScopes
+	// Listen is the address at which the subscriber accepts other subscribers; empty to accept
+	// none.
+	Listen      string `yaml:"listen"`
+	Folder      string `yaml:"folder"`      // folder that keeps configuration across restarts; empty for none
+	Certificate string `yaml:"certificate"` // path of the PEM certificate, issued to the subscriber's name
+	Key         string `yaml:"key"`         // path of the PEM private key of Certificate
+	Authority   string `yaml:"authority"`   // path of the PEM certificate that signs all nodes' certificates
+	Plain       bool   `yaml:"plain"`       // plain text instead of TLS, which is allowed on loopback only
+	FanOut      int    `yaml:"fan_out"`     // maximum number of direct subscribers; 0 for the default
+	// SnapshotBytesPerSecond limits the total rate at which snapshots are sent to all subscribers;
+	// 0 for the default.
 	SnapshotBytesPerSecond int `yaml:"snapshot_bytes_per_s"`
 }
 
 // Values of Distribution.Role.
 const (
-	Voter      = "voter"      // a member of the replicated record, accepts changes
-	Subscriber = "subscriber" // receives the changes that the voters accepted
+	Voter      = "voter"      // a voter is a member of the replicated record, and accepts changes
+	Subscriber = "subscriber" // a subscriber receives the changes that the voters accepted
 )
 
 // AllScopes stands for all scopes. It is valid only as the single item of Distribution.Scopes.
@@ -38,15 +40,15 @@
 // Limits of the values in the section distribution.
 const (
 	maxFanOut       = 256
-	minSnapshotRate = 1 << 10 // bytes a second
-	maxSnapshotRate = 1 << 30 // bytes a second
+	minSnapshotRate = 1 << 10 // minimum of SnapshotBytesPerSecond, in bytes per second
+	maxSnapshotRate = 1 << 30 // maximum of SnapshotBytesPerSecond, in bytes per second
 	maxScopes       = 4096
-	maxScopeSize    = 256 // bytes of the name of a scope
-	maxNameSize     = 192 // bytes of the name of a subscriber
+	maxScopeSize    = 256 // maximum length of the name of a scope, in bytes
+	maxNameSize     = 192 // maximum length of the name of a subscriber, in bytes
 
 	// peerSeparator separates the name and the address of a node in the text that identifies the
-	// node to others. It equals consensus.PeerSeparator; package controller checks names for it
-	// again.
+	// node to others. It equals consensus.PeerSeparator. Package controller also checks that no
+	// name contains the separator.
 	peerSeparator = "@"
 )
 
@@ -70,8 +72,8 @@
 }
 
 // checkVoter rejects keys that are only for subscribers: a voter takes these values from the
-// section sharing. Add each new key for subscribers to the table below; a key that is missing there
-// would be accepted at a voter without any effect.
+// section sharing. Add each new key for subscribers to the table below; a key that is missing in
+// the table would be accepted at a voter without any effect.
 func (d *Distribution) checkVoter(loc locator, sharing *Sharing) error {
 	if sharing == nil {
 		return loc.keyError("distribution.role",
@@ -149,8 +151,8 @@
 	return nil
 }
 
-// checkListen rejects an address that other nodes cannot dial and, without an address, the options
-// for its subscribers.
+// checkListen rejects an address that other nodes cannot dial. If the address is empty, it rejects
+// FanOut and SnapshotBytesPerSecond, which concern nodes that accept subscribers.
 func (d *Distribution) checkListen(loc locator) error {
 	switch {
 	case d.Listen != "":
@@ -168,7 +170,7 @@
 	if err := checkAddress(loc, "distribution.listen", d.Listen, d.Plain); err != nil {
 		return err
 	}
-	host, _, _ := net.SplitHostPort(d.Listen) // checkAddress has checked it
+	host, _, _ := net.SplitHostPort(d.Listen) // the error is nil, because checkAddress has accepted d.Listen
 	ip := net.ParseIP(host)
 	if host == "" || ip != nil && ip.IsUnspecified() {
 		return loc.keyError("distribution.listen",
--- a/options/error.go
+++ b/options/error.go
@@ -10,10 +10,10 @@
 
 // FileError reports why an options file is unusable.
 type FileError struct {
-	File   string // path of the file
-	Line   int    // line at fault, counted from 1; 0 if unknown
+	File   string // path of the options file
+	Line   int    // number of the line at fault, counted from 1; 0 if unknown
 	Key    string // key at fault with its sections, such as sharing.name; may be empty
-	Reason string // what is wrong, and the values that are allowed
+	Reason string // what is wrong with the file or the key, and the values that are allowed
 }
 
 // Error returns file, line, key and reason in one line.
@@ -46,7 +46,7 @@
 // locator finds the lines of keys in an options file.
 type locator struct {
 	path string
-	tree *ast.File // nil if the text cannot be parsed; errors then have no line
+	tree *ast.File // syntax tree of the file; nil if the text cannot be parsed, so that errors have no line
 }
 
 // keyError returns a FileError for a key, with the key's line if the file contains the key.
@@ -54,7 +54,7 @@
 	return &FileError{File: l.path, Line: l.line(key), Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// line returns the line of a key, or 0 if the file does not contain it.
+// line returns the line of a key, or 0 if the file does not contain the key.
 func (l locator) line(key string) int {
 	path, err := yaml.PathString("$." + key)
 	if err != nil || l.tree == nil {
--- a/options/file.go
+++ b/options/file.go
@@ -17,10 +17,13 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// File is the content of an options file. The feature of a missing section is disabled.
+// File is the content of an options file. Each section enables a feature; without the section, the
+// feature is disabled.
 type File struct {
-	Sharing      *Sharing      `yaml:"sharing"`      // shares the ownership of proxies with other controllers
-	Distribution *Distribution `yaml:"distribution"` // distributes configuration to controllers
+	// Sharing is the section that enables sharing the ownership of proxies with other controllers.
+	Sharing *Sharing `yaml:"sharing"`
+	// Distribution is the section that enables the distribution of configuration to controllers.
+	Distribution *Distribution `yaml:"distribution"`
 }
 
 // Read reads an options file. All its errors are *FileError.
@@ -42,7 +45,7 @@
 		return nil, decodeError(path, err)
 	}
 	loc := locator{path: path}
-	loc.tree, _ = parser.ParseBytes(text, 0) // if it fails, the tree is nil and errors have no line
+	loc.tree, _ = parser.ParseBytes(text, 0) // if parsing fails, the tree is nil and errors have no line
 	if file.Sharing != nil {
 		if err := file.Sharing.check(loc); err != nil {
 			return nil, err
--- a/options/golden_test.go
+++ b/options/golden_test.go
@@ -9,7 +9,8 @@
 	"wheelrill/internal/golden"
 )
 
-// Options files with every key that a member, a voter or a subscriber may have, one key per line.
+// The options files below have every key that a member, a voter or a subscriber may have, one key
+// per line.
 const (
 	sharingKeys = `sharing:
   name: n0
@@ -81,8 +82,8 @@
 
 // TestEveryKeyIsReadAndRefusedAsInGoldenFiles guards against a key that is no longer read, or whose
 // values are accepted or refused differently. It removes and duplicates each line of each file,
-// misspells its key and replaces its value; the golden files have the resulting values, or the
-// error with line and key.
+// misspells the key of each line, and replaces the value of each key; the golden files have the
+// resulting values, or the error with line and key.
 func TestEveryKeyIsReadAndRefusedAsInGoldenFiles(t *testing.T) {
 	values := []string{"word", `""`, "-1", "0", "1", "257", "1023", "1073741825", "3.5", "true",
 		"[]", "[a]", "[a, a]", `[a, "*"]`, "{}", "{a: b}", "{a: 127.0.0.1:1, b: 127.0.0.1:1}", "null", "[",
@@ -101,8 +102,8 @@
 				key, _, _ := strings.Cut(line, ":")
 				title := fmt.Sprintf("line %d, %s, ", i+1, strings.TrimSpace(key))
 				leftOut := parseResult(replaceLine(""))
-				// Without a section, several keys are unknown, and the error is about an arbitrary
-				// one.
+				// If the line that starts a section is left out, several keys are unknown, and the
+				// error names an arbitrary one of these keys.
 				if !strings.HasPrefix(line, " ") {
 					leftOut = unknownFieldError.ReplaceAllString(leftOut, "w.yaml: KEY: unknown field;")
 				}
--- a/options/sharing.go
+++ b/options/sharing.go
@@ -8,20 +8,23 @@
 
 // Sharing configures the controllers (members) that share the ownership of proxies.
 type Sharing struct {
-	Name        string            `yaml:"name"`        // name of this controller in Members; if empty, LB_NAME is used
-	Members     map[string]string `yaml:"members"`     // addresses by name, this controller's included; at least two
+	Name string `yaml:"name"` // name of this controller in Members; if empty, LB_NAME is used
+	// Members has the address of each member by name, including this controller. At least two
+	// members are required.
+	Members     map[string]string `yaml:"members"`
 	Folder      string            `yaml:"folder"`      // folder that keeps state across restarts; empty for none
 	Certificate string            `yaml:"certificate"` // path of the PEM certificate, issued to the member's name
 	Key         string            `yaml:"key"`         // path of the PEM private key of Certificate
 	Authority   string            `yaml:"authority"`   // path of the PEM certificate that signs all members' certificates
-	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, on loopback only
-	Lease       string            `yaml:"lease"`       // a duration, see LeaseTime; empty for the default
+	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, which is allowed on loopback only
+	// Lease is a duration as text, such as 1500ms, see LeaseTime; empty for the default.
+	Lease string `yaml:"lease"`
 
-	lease time.Duration // parsed from Lease
+	lease time.Duration // the duration that Lease contains
 }
 
-// LeaseTime returns how long a member waits for the replicated record before it continues without
-// it; 0 for the default.
+// LeaseTime returns how long a member waits for the replicated record before the member continues
+// without the record; 0 for the default.
 func (s *Sharing) LeaseTime() time.Duration { return s.lease }
 
 const minMembers = 2
