--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -7,15 +7,16 @@
 )
 
 // Admission: under overload (overload.go) an admission limit bounds the demand that proxies admit,
-// in units per second.
+// in units per second. A request counts as many units as its latency objective has seconds.
 //
 //   - Lower: when queues stand at nearly all backends, the throughput answered during that time is
 //     taken as what the fleet can do (saturated throughput). The limit is set so that the queues at
 //     the backends are cleared within backendQueueClearTime, but not below minLimitShare of the
 //     saturated throughput: requests that wait too long are dropped.
-//   - Hold: the limit then returns to sustainableShare of the saturated throughput, less half of
-//     the queueing time that is still reported, as a share of backendQueueClearTime, but not below
-//     minLimitShare. It does not wait for reports of the lowered limit, which come late.
+//   - Hold: the limit then returns to sustainableShare of the saturated throughput. This share is
+//     lowered by half of the queueing time that is still reported, divided by
+//     backendQueueClearTime, but not below minLimitShare. The limit does not wait for reports that
+//     show the effect of the lowered limit, since these come late.
 //   - Raise: while the limit holds back demand and the latency ratio is below overloadedRatio (or
 //     most backends report themselves idle and are believed, see overload.go), the limit is raised
 //     by raiseStep. If most backends have no queue, the step is from one to three times
@@ -26,7 +27,7 @@
 //     times the highest demand that was admitted without a queue (proven throughput).
 //
 // The limit is divided by priority: classes with the highest PriorityWeight over LatencyObjective
-// are served first, and the last class in that order is shed first. If a class is admitted less
+// are admitted first, and the last class in that order is shed first. If a class is admitted less
 // than its demand, it is limited as the AdmissionMode specifies:
 //   - by rate: no proxy admits more than a rate that is the same for all proxies. Only proxies with
 //     more demand than that are limited, and repeats of refused requests at these proxies do not
@@ -51,8 +52,9 @@
 	// the queue is only an estimate, and requests that wait too long are dropped.
 	minLimitShare = 0.3
 	// backendQueueClearTime is the time within which a queue at the backends is cleared. It is not
-	// shorter because changes keep their interval (minPublishInterval). It is unrelated to
-	// maxQueueTime, which bounds the push queue.
+	// shorter because ordinary changes, such as the limit that follows once the queue is cleared,
+	// are published at least minPublishInterval apart. It is unrelated to maxQueueTime, which
+	// bounds the push queue.
 	backendQueueClearTime = 2 * minPublishInterval
 	// maxHeadroom bounds a raised limit to this multiple of the current demand: a limit further
 	// above the demand would not take effect when it is needed. Measured throughput is bounded to
@@ -61,8 +63,9 @@
 	// raiseStep is the relative step by which a limit is raised while the latency ratio is below
 	// overloadedRatio.
 	raiseStep = 0.08
-	// fastRaiseStep is the relative step while most backends have no queue. The step grows to three
-	// times this as the latency ratio falls to queueFreeRatio, where no backend has a queue.
+	// fastRaiseStep is the relative step by which a limit is raised while most backends have no
+	// queue. The step grows to three times fastRaiseStep as the latency ratio falls to
+	// queueFreeRatio, where no backend has a queue.
 	fastRaiseStep = 0.1
 	// answerTimeAllowance is the time allowed from a request to its answer. Reports show the effect
 	// of a limit only after this time in addition to the delay of the reports.
@@ -72,8 +75,8 @@
 	assumedHeadroom = 1.3
 	// minAdmittedShare is the share of its demand that each class keeps under any limit.
 	minAdmittedShare = 0.05
-	// limitTolerance is the relative difference below which two limits count as equal: reports are
-	// no more precise.
+	// limitTolerance is the relative difference below which two limits count as equal: the reports
+	// that limits are computed from are no more precise.
 	limitTolerance = 0.05
 	// noLimit is the value of an admission limit that means unlimited, see Host.SetAdmissionLimit.
 	noLimit = 1_000_000
@@ -105,16 +108,23 @@
 	latencyRatio float64 // latency ratio at the last evaluation
 
 	backendQueueClearAt Microseconds // deadline for clearing the queue that the limit was last lowered for
-	holdUntil           Microseconds // when reports show that this queue is cleared, so that the limit may change
-	overloadedSince     Microseconds // when evaluations began to show queues nearly everywhere; 0 while they do not
-	raisedAt            Microseconds // when the limit was last raised, or set by assumedHeadroom
+	// holdUntil is the time from which reports can show the cleared queue. Until then, only
+	// holdLimit changes the limit.
+	holdUntil Microseconds
+	// overloadedSince is the time at which evaluations began to show queues at nearly all backends;
+	// 0 without such queues.
+	overloadedSince Microseconds
+	raisedAt        Microseconds // time at which the limit was last raised, or set by assumedHeadroom
 
-	targetLimits     []float64           // limits to be published, by class: a share or a rate; 0 means no limit
-	publishedLimits  []float64           // limits that were last published, by class
-	limitsSent       bool                // a limit of some class was published at least once
-	quota            []RequestsPerSecond // requests per second that the fleet may be sent, by class; 0 means any number
-	countedRequests  []float64           // requests that proxies counted since the last evaluation, by class
-	demandCorrection []float64           // counted requests over the sum of the proxies' rates, by class, smoothed
+	targetLimits    []float64 // limits to be published, by class: a share or a rate; 0 means no limit
+	publishedLimits []float64 // limits that were last published, by class
+	limitsSent      bool      // a limit of some class was published at least once
+	// quota holds the requests per second that the fleet may be sent, by class; 0 means unlimited.
+	quota           []RequestsPerSecond
+	countedRequests []float64 // requests that proxies counted since the last evaluation, by class
+	// demandCorrection holds the smoothed ratio of the counted requests to the sum of the proxies'
+	// rates, by class.
+	demandCorrection []float64
 }
 
 func newAdmissionState(mode AdmissionMode, classes []Class) admissionState {
@@ -150,7 +160,8 @@
 	idle := load.latencyRatio < implausiblyIdleRatio && c.backendsIdle(load.latencyRatio*a.meanObjective)
 	overloaded := c.queueOutlastsReports(load, idle, now)
 	reportLag := c.telemetry.ReportInterval + c.pushQueue.MaxLatency + answerTimeAllowance
-	raiseDue := now-a.raisedAt >= reportLag // further steps before the last one is reported would overshoot
+	// Further raises, before reports show the effect of the last raise, would overshoot.
+	raiseDue := now-a.raisedAt >= reportLag
 	switch {
 	case now < a.holdUntil:
 		a.holdLimit(load, now)
@@ -188,8 +199,9 @@
 	return max(0, load.latencyRatio-queueFreeRatio) * a.meanObjective
 }
 
-// holdLimit sets the limit to what the fleet can sustain once the queue for which the limit was
-// lowered must be cleared. If that queue has grown, it lowers the limit further at once.
+// holdLimit sets the limit to what the fleet can sustain. Until backendQueueClearAt, the deadline
+// for clearing the queue for which the limit was lowered, holdLimit only lowers the limit further,
+// if that queue has grown.
 func (a *admissionState) holdLimit(load loadSummary, now Microseconds) {
 	// Reports are late: half of the queue that they show may already be cleared.
 	queue := a.backendQueueTime(load) / 2
@@ -209,10 +221,11 @@
 	if a.saturatedThroughput == 0 {
 		a.saturatedThroughput = throughput
 	}
-	// The throughput known from before this overload no longer holds in full.
+	// The saturated throughput from before this overload may be outdated, so its mean with the
+	// present throughput is used.
 	a.saturatedThroughput = min((a.saturatedThroughput+throughput)/2, maxSaturatedGrowth*throughput)
-	// Excess demand that was admitted before reports showed the queue has joined it, for half of
-	// the report lag on average.
+	// Excess demand that was admitted before reports showed the queue has lengthened the queue, for
+	// half of the report lag on average.
 	answering := a.saturatedThroughput * (load.publishedCapacity - load.deadCapacity)
 	queue := a.backendQueueTime(load)
 	queue += max(0, load.admitted/answering-1) * float64(reportLag/2)
@@ -244,10 +257,11 @@
 }
 
 // limitOnCapacityLoss lowers the limit by the share of the published weight that the endpoint list
-// took away, because reports show a queue only once it stands. If no queue was ever seen, only the
-// demand admitted without a queue is known, and the limit rests on an assumption. Where reports are
-// old, they take long to show that such a limit is too low, so it is set only if some requests
-// already waited. Both weights are unreduced weights.
+// took away, because reports show a queue only after the queue has formed. If no queue was ever
+// seen, only the demand admitted without a queue is known, and the limit rests on an assumption
+// (assumedHeadroom). Old reports (reportsAreOld) take long to show that such a limit is too low, so
+// with old reports it is set only if some requests already waited. The weight before the loss and
+// the lost weight are unreduced weights.
 func (c *Controller) limitOnCapacityLoss(now Microseconds, weight, lostWeight float64) {
 	a := &c.admission
 	if a.mode == AdmissionUnsupported || lostWeight == 0 || lostWeight >= weight {
@@ -275,7 +289,8 @@
 }
 
 // distributeLimit divides the limit among the classes by priority. A quota applies to the whole
-// fleet: this controller's part of it is the share of all proxies that are connected to it.
+// fleet: this controller's part of a quota is the share of all proxies that are connected to this
+// controller.
 func (c *Controller) distributeLimit() {
 	a := &c.admission
 	connected := c.connectedCount()
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -113,8 +113,8 @@
 		}
 	})
 	t.Run("proxies that just connected do not lower the measured throughput", func(t *testing.T) {
-		// The throughput answered for the connected proxies was taken as all that the fleet could
-		// do for twice as many proxies. Seen in runs with many reloads.
+		// When three more proxies connected, the throughput answered for the first three was taken
+		// as all that the fleet could do for all six. Seen in runs with many reloads.
 		host := startController(t, defaultSettings(), 8, 3)
 		host.run(6, func() { host.reportHealthy() })
 		for p := range 3 {
@@ -125,7 +125,7 @@
 				host.reportOutcomes(b, 10, 0, 600_000)
 			}
 		})
-		// Three proxies got answers to 80 requests per second.
+		// Before the new proxies connected, the first three got answers to 80 requests per second.
 		if throughput := host.controller.admission.saturatedThroughput * 8 * 2 * 30; throughput < 80 {
 			t.Errorf("saturated throughput of %.1f units/s for three proxies, want at least 80", throughput)
 		}
@@ -243,7 +243,8 @@
 		if limit := host.limits["65535 1"]; limit <= 0 || limit >= 50 {
 			t.Errorf("limits %v before the new proxies reported, want one below 50 for class 0", host.limits)
 		}
-		if host.controller.admission.limit < 5*limitBefore { // the new proxies bring ten times the traffic
+		// The new proxies bring ten times the traffic of the first proxies.
+		if host.controller.admission.limit < 5*limitBefore {
 			t.Errorf("limit %.1f units/s after %.1f, want it to grow with the traffic of this controller",
 				host.controller.admission.limit, limitBefore)
 		}
@@ -261,8 +262,9 @@
 
 func TestLimitIsRaisedInSteps(t *testing.T) {
 	t.Run("a limit is raised while nothing waits, although rate limits admit less than their sum", func(t *testing.T) {
-		// Rate limits refuse the bursts of small proxies, so the answered throughput stays below the
-		// limit. A raise must not require that it reaches the limit. Seen in large scenarios.
+		// Rate limits refuse the bursts of small proxies, so the answered throughput stays below
+		// the limit. A raise must not require that the answered throughput reaches the limit. Seen
+		// in large scenarios.
 		host := startController(t, defaultSettings(), 8, 3)
 		host.run(4, reportOverload(host))
 		low := host.limits["65535 1"]
@@ -326,7 +328,7 @@
 	t.Run("a class quota applies in proportion to this controller's share of the proxies", func(t *testing.T) {
 		for name, testCase := range map[string]struct {
 			mode  AdmissionMode
-			fleet int // proxies at all controllers, 3 of them at this one
+			fleet int // number of proxies at all controllers together, 3 of them at this controller
 			quota float64
 			want  float64 // limit of class 0, whose demand is 20 requests per second at each proxy
 		}{
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -18,18 +18,30 @@
 	seenDraining bool         // the backend was listed as draining since it was last listed as ready
 	drainDelay   Microseconds // time from the order of the drain to the last list that reported the drain
 
-	published float64      // weight of the backend in this controller's tables; 0 if it has no entry
-	withdrawn bool         // proxies were notified not to use the backend, whatever tables they hold
-	enteredAt Microseconds // when the backend last became new or was readmitted; 0 if it was on the first list
-
-	ownOutcomes         []outcomeSample // reported by this controller's proxies within the score window
-	peerOutcomes        []outcomeSample // reported by other controllers; counts only while ownOutcomes is empty
-	reportedByPeersOnly bool            // peerOutcomes counts, because ownOutcomes is empty
-	attempts, failures  int             // attempts and failures of the outcome samples that count
-	meanAnswerTime      float64         // mean of the answered attempts that count, in microseconds; 0 if there are none
-	load                BackendLoad     // load that the backend reported last
-
-	lastAnswerAt Microseconds // when an answer of the backend was last reported, or its outcomes were reset
+	published float64 // weight of the backend in this controller's tables; 0 if it has no entry
+	withdrawn bool    // proxies were notified not to use the backend, whatever tables they hold
+	// enteredAt is the time at which the backend last became new or was readmitted; 0 if the
+	// backend was on the first list.
+	enteredAt Microseconds
+
+	// ownOutcomes holds the outcomes that this controller's proxies reported within the score
+	// window.
+	ownOutcomes []outcomeSample
+	// peerOutcomes holds the outcomes that other controllers reported within the score window. They
+	// count only while ownOutcomes is empty.
+	peerOutcomes        []outcomeSample
+	reportedByPeersOnly bool // peerOutcomes counts, because ownOutcomes is empty
+	// attempts and failures count the attempts, and the failures among them, in the outcome samples
+	// that count.
+	attempts, failures int
+	// meanAnswerTime is the mean answer time of the answered attempts that count, in microseconds;
+	// 0 if there are none.
+	meanAnswerTime float64
+	load           BackendLoad // load that the backend reported last
+
+	// lastAnswerAt is the time at which an answer of the backend was last reported, or at which its
+	// outcomes were reset.
+	lastAnswerAt Microseconds
 	// consecutiveFailures is the number of attempts reported since lastAnswerAt; all of them failed.
 	consecutiveFailures int
 	// score is the backend's mean answer time over the median backend's. It is 1 if either is
@@ -40,28 +52,34 @@
 	// ejectedByPeerReport is set if the ejection rests on peer reports alone. It is then not
 	// reported back to peers: controllers would otherwise prolong each other's ejections forever.
 	ejectedByPeerReport bool
-	readmitAt           Microseconds // end of the ejection
+	readmitAt           Microseconds // time at which the ejection ends
 	// backoff is the duration of the last ejection. It is 0 if the backend was never ejected since it
 	// was new or restarted.
-	backoff         Microseconds
-	healthCheckedAt Microseconds // when the last health check started, or the backend was ejected
-	reducedShare    float64      // remaining share of the listed weight; 0 if the weight is not reduced
-	weightReducedAt Microseconds // outcomes from before this time do not reflect the reduced weight
-	raiseWeightAt   Microseconds // when the reduced weight is due to be raised by the next step
+	backoff Microseconds
+	// healthCheckedAt is the time at which the last health check started, or at which the backend
+	// was ejected.
+	healthCheckedAt Microseconds
+	reducedShare    float64 // remaining share of the listed weight; 0 if the weight is not reduced
+	// weightReducedAt is the time of the last weight reduction. Earlier outcomes do not reflect the
+	// reduced weight.
+	weightReducedAt Microseconds
+	raiseWeightAt   Microseconds // time at which the reduced weight is next raised by a step
 }
 
 // outcomeSample is one report line about a backend.
 type outcomeSample struct {
 	receivedAt Microseconds
-	coversFrom Microseconds // start of the time that the line covers, plus up to one report interval (reportCoverage)
+	// coversFrom is the start of the time that the line covers, plus up to one report interval, see
+	// reportCoverage.
+	coversFrom Microseconds
 	answerTime Microseconds // sum of the answer times of the answered attempts
 	attempts   int
 	failures   int
 }
 
-// updateEndpoint applies an entry of the endpoint list. fleetKnown is set if an earlier complete
-// list has named the fleet that a new backend joins; loadDependent is set if listed weights fall
-// with load.
+// updateEndpoint applies an entry of the endpoint list. fleetKnown is set if a complete list that
+// was not empty arrived before this list, so that a new backend joins a known fleet. loadDependent
+// is set if listed weights fall as the load of a backend rises.
 func (b *backendState) updateEndpoint(endpoint Endpoint, now Microseconds, fleetKnown, loadDependent bool) {
 	restarted := b.listed && endpoint.StartedAt > b.StartedAt
 	// A backend that kept its table entry while a wrong endpoint list omitted it is neither new nor
@@ -154,14 +172,15 @@
 // usable reports whether the endpoint list allows a backend to have an entry. A removed backend
 // stays usable only while it may be used further, has an entry and is not ejected.
 func (c *Controller) usable(backend *backendState) bool {
-	if backend.State == Removed { // with OnlyDrainingMustLeave, it keeps its entry until its attempts fail
+	// With OnlyDrainingMustLeave, a removed backend keeps its entry until its attempts fail.
+	if backend.State == Removed {
 		return !c.mustLeave(backend) && !backend.ejected && backend.published > 0
 	}
 	return backend.listed && backend.State == Ready
 }
 
-// median sorts values and returns the middle one (the upper one if their number is even), or
-// fallback if there are none.
+// median sorts values and returns the middle one (the upper one of the two middle values if their
+// number is even), or fallback if there are no values.
 func median(values []float64, fallback float64) float64 {
 	if len(values) == 0 {
 		return fallback
--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -17,7 +17,7 @@
 			t.Fatalf("limiting %v, limits %v; want a limit for class 0 only",
 				host.controller.admission.limiting, host.limits)
 		}
-		// The demand was 138 units/s at 14 entries, of which 8 are left.
+		// The demand was 138 units/s with 14 table entries, of which 8 are left.
 		if limit := host.controller.admission.limit; limit < 0.7*138 || limit > 0.78*138 {
 			t.Errorf("limit %.1f units/s, want 70%% to 78%% of 138", limit)
 		}
@@ -30,9 +30,9 @@
 		})
 	})
 	t.Run("with old reports, a release is limited only if requests waited before it", func(t *testing.T) {
-		// Four requests in ten were refused for 12 s although answers stayed as fast as before,
-		// because it took that long until reports showed that the fleet could do more than it had
-		// admitted before. Seen in a large run with releases.
+		// Four requests in ten were refused for 12 s although answers stayed as fast as before: it
+		// took 12 s until reports showed that the fleet could do more than it had admitted before.
+		// Seen in a large run with releases.
 		for mean, wantLimit := range map[int64]bool{250_000: false, 420_000: true} {
 			host := startController(t, defaultSettings(), 16, 3)
 			host.run(60, func() {
@@ -104,7 +104,7 @@
 		settings.limits.DrainGrace = 5300, 240, 63, 7300_000
 	replaceBackends := func(t *testing.T, groups int) *fakeHost {
 		host := startController(t, settings, 200, 48)
-		for evaluation := range 8 { // each evaluation gets reports of the next group of backends
+		for evaluation := range 8 { // in each evaluation, only the next group of backends is reported
 			host.runChannel(1)
 			for b := evaluation % groups; b < 200; b += groups {
 				host.reportOutcomes(b, 10, 0, 250_000)
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Units of the package.
+// Types that state the unit of a time, a rate or a cost.
 type (
 	// Microseconds is a point in time, counted from the Host's epoch, or a duration.
 	Microseconds = int64
@@ -32,8 +32,8 @@
 // Config holds the settings of a Controller. They do not change while it runs.
 type Config struct {
 	// Seed determines all random choices, and is the tag of the controller's timers
-	// (Host.SetTimer). Each incarnation needs a different seed, so that it ignores the timers of
-	// earlier ones.
+	// (Host.SetTimer). Each incarnation of a controller needs a different seed, so that it ignores
+	// the timers of earlier incarnations.
 	Seed uint64
 	// Classes lists the classes of requests, from 1 to 16.
 	Classes []Class
@@ -89,8 +89,9 @@
 	AdmissionByRate
 )
 
-// PushChannel describes the channel from a controller to its proxies. Its unit is a line: a table
-// entry, or a part of a message that takes as long to send.
+// PushChannel describes the channel from a controller to its proxies. Its capacity and the costs of
+// messages are counted in lines. A line is a table entry, or a part of a message that takes as long
+// to send as a table entry.
 type PushChannel struct {
 	// LinesPerSecond is the number of lines that the channel sends per second.
 	LinesPerSecond float64
@@ -142,7 +143,7 @@
 
 // Telemetry describes which observations a controller gets, and how often.
 type Telemetry struct {
-	// ReportInterval is the time that an ordinary report covers.
+	// ReportInterval is the time that a report covers if it is not delayed.
 	ReportInterval Microseconds
 	// ReportLinesPerSecond is the highest number of report lines that a controller receives per
 	// second; 0 means that it is unknown.
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -61,11 +61,18 @@
 	zoneLocalClasses uint16 // set of the zone-local classes: bit i is class i
 
 	// State of the publication of changes.
-	publishedAt    Microseconds // time of the last round that published a change; 0 if it left some entries unpublished
-	changedAt      Microseconds // time at which any change was last sent to several proxies
-	graceAtListing Microseconds // drain grace that pending drains had left when last listed, see computeGraceAtListing
-	queueCongested bool         // changes wait for the push channel, so tables for proxies wait as well
-	syncQueue      []int        // proxies that wait for tables, and then for withdrawals to be cleared
+
+	// publishedAt is the time of the last round that published a change; 0 if that round left some
+	// entries unpublished.
+	publishedAt Microseconds
+	changedAt   Microseconds // time at which any change was last sent to several proxies
+	// graceAtListing is the least drain grace that a pending drain had left when it was listed, see
+	// computeGraceAtListing.
+	graceAtListing Microseconds
+	// queueCongested is set while changes wait for capacity in the push channel, so that tables for
+	// proxies wait as well.
+	queueCongested bool
+	syncQueue      []int // proxies that wait for tables, and then for withdrawals to be cleared
 
 	randomDraws uint64 // number of random fractions drawn so far
 }
@@ -147,11 +154,13 @@
 	c.publishChanges(now, false)
 }
 
-// updateBackends stores listed states, and returns which backends the list names, by index. A new
-// backend is added to the lightest subset.
+// updateBackends stores the listed state of each endpoint, and returns which backends the list
+// names, by index. A new backend is added to the lightest subset.
 func (c *Controller) updateBackends(endpoints []Endpoint, now Microseconds) (named []bool) {
 	named = make([]bool, len(c.backends))
-	var weights *subsetWeights // nil until a new backend is found, since computing it visits all backends
+	// The weights are nil until the list names a new backend, since adding them up visits all
+	// backends.
+	var weights *subsetWeights
 	for _, endpoint := range endpoints {
 		for len(c.backends) <= endpoint.Backend {
 			c.backends = append(c.backends, &backendState{})
@@ -274,8 +283,8 @@
 
 // ProxyConnected handles a new connection of a proxy, with the baseline rate of requests per second
 // that reaches the proxy on ordinary days. The proxy uses stale tables until this controller sends
-// its own, as soon as there is capacity. mayHoldForeignWithdrawals states that the proxy may hold
-// withdrawals of other controllers.
+// its own tables, as soon as the push channel has capacity. mayHoldForeignWithdrawals states that
+// the proxy may hold withdrawals of other controllers.
 func (c *Controller) ProxyConnected(id, zone int, baseline RequestsPerSecond, mayHoldForeignWithdrawals bool) {
 	for len(c.proxies) <= id {
 		c.proxies = append(c.proxies, &proxyState{})
@@ -284,12 +293,13 @@
 	previous := c.proxies[id]
 	classCount := len(c.classes)
 	c.proxies[id] = &proxyState{
-		connected:                 true,
-		connectedAt:               now,
-		zone:                      zone,
-		subset:                    id % c.subsetCount,
-		baselineRate:              max(baseline, 1),
-		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount), // until reported
+		connected:    true,
+		connectedAt:  now,
+		zone:         zone,
+		subset:       id % c.subsetCount,
+		baselineRate: max(baseline, 1),
+		// The demand is assumed until the first report.
+		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount),
 		tablesAssigned:            c.sharding.enabled(),
 		mayHoldForeignWithdrawals: mayHoldForeignWithdrawals,
 		messageTimes:              previous.peerMessageTimes,
@@ -306,8 +316,8 @@
 	c.proxies[id] = &proxyState{disconnectedAt: c.host.Now()}
 }
 
-// Acknowledged handles a proxy's answer to Host.RequestAck: the proxy has received that message,
-// and all messages sent before it.
+// Acknowledged handles a proxy's answer to Host.RequestAck: the proxy has received the message with
+// the request, and all messages sent before that message.
 func (c *Controller) Acknowledged(id, number int) {
 	proxy := c.proxies[id]
 	proxy.acknowledged = c.pushQueue.acknowledge(number, proxy)
@@ -376,8 +386,8 @@
 // incarnation has its own seed.
 func (c *Controller) timerTag() uint64 { return c.seed }
 
-// QueueDelay returns the time until all queued lines have left the push channel. The last of them
-// cannot be acknowledged before that.
+// QueueDelay returns the time until all queued lines have left the push channel. The last queued
+// line cannot be acknowledged sooner.
 func (c *Controller) QueueDelay() Microseconds { return c.pushQueue.delay() }
 
 // randomFraction returns a random number from 0 to 1, determined by the seed and the number of
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -23,8 +23,8 @@
 	*rate += (float64(count)*float64(second) - *rate*float64(span)) / float64(c.telemetry.ReportInterval+span)
 }
 
-// updateReportSpan updates the mean time that recent report lines cover. It stands for the age of
-// the requests that a line describes.
+// updateReportSpan updates the mean time that recent report lines cover. This mean serves as the
+// age of the requests that a report line describes.
 func (c *Controller) updateReportSpan(span Microseconds) {
 	c.reportSpan += (float64(span) - c.reportSpan) / reportSpanSmoothing
 }
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -2,14 +2,14 @@
 
 // Drain: proxies must stop using a draining backend within RuleLimits.DrainGrace. The same holds
 // for a removed backend, unless RuleLimits.OnlyDrainingMustLeave is set and the backend has not
-// been draining since it was last ready. Such a change is required; publish.go states when it is
-// published and in which order, with withdrawals for proxies that may hold tables of other
-// controllers.
+// been draining since it was last ready. The removal of the entries of a backend that proxies must
+// stop using is a required change. publish.go states when and in which order required changes are
+// published, together with withdrawals for proxies that may hold tables of other controllers.
 //
 // The grace starts when the drain was ordered if the list has that time (Endpoint.DrainingSince),
 // otherwise with the list that reports the drain. This package does not detect late drains. In
-// recorded runs invariant/drain_grace.go does, but there the grace starts when discovery reported
-// the drain, or when the proxy connected, if that was later.
+// recorded runs invariant/drain_grace.go detects them, but counts the grace from the time at which
+// discovery reported the drain, or at which the proxy connected, if the proxy connected later.
 //
 // Inputs are the listed state and Endpoint.DrainingSince (microseconds).
 
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -96,7 +96,7 @@
 		// overhead, and the last piece was late.
 		host := startController(t, defaultSettings(), 50, 20)
 		host.run(3, func() { host.reportHealthy() })
-		host.now += second // without any ack
+		host.now += second // no proxy sends an ack in this time
 		host.updateEndpoints(0, 5, Draining, 0)
 		leftAfterFirst := len(host.tables[0])
 		host.now += second
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -24,7 +24,9 @@
 	polls        int
 	healthChecks []int
 	effects      []string
-	unsentLines  map[int64]float64 // lines that have not left the channel of runChannel, by batch number
+	// unsentLines is the number of lines that have not left the channel of runChannel yet, by batch
+	// number.
+	unsentLines map[int64]float64
 }
 
 func (host *fakeHost) Now() int64      { return host.now }
@@ -143,8 +145,8 @@
 	return c
 }
 
-// run advances the clock by a number of seconds. Every second it calls the function each, unless
-// that is nil. At each step of the clock all connected proxies answer the last ack request.
+// run advances the clock by a number of seconds. Every second it calls the function each, if each
+// is not nil. At each step of the clock all connected proxies answer the last ack request.
 func (host *fakeHost) run(seconds float64, each func()) {
 	end := host.now + int64(seconds*float64(second))
 	next := host.now + second
@@ -178,7 +180,8 @@
 		MeanAnswerTime: meanAnswerTime, Span: second, Load: noLoad})
 }
 
-// updateEndpoints lists the backends with indices in [from, to) in one list.
+// updateEndpoints delivers an endpoint list with the backends whose indices are in [from, to), all
+// in the same state.
 func (host *fakeHost) updateEndpoints(from, to int, state EndpointState, started int64) {
 	var endpoints []Endpoint
 	for b := from; b < to; b++ {
@@ -187,8 +190,8 @@
 	host.controller.EndpointsUpdated(false, endpoints)
 }
 
-// reportHealthy reports quick answers of all backends, without the given ones, and ordinary demand
-// at each proxy.
+// reportHealthy reports quick answers of all backends except the given ones, and ordinary demand at
+// each proxy.
 func (host *fakeHost) reportHealthy(except ...int) {
 	for b := range host.controller.backends {
 		if !slices.Contains(except, b) {
@@ -225,7 +228,7 @@
 	}
 }
 
-// noLoad is the load of a backend that reports none.
+// noLoad is the load report of a backend that gives no load figure.
 var noLoad = BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 
 // reportOverload returns a function that reports late answers at all backends, and raised demand.
@@ -257,7 +260,7 @@
 }
 
 // runChannel advances the clock by a number of seconds, with a channel that sends 900 lines per
-// second. It returns the most lines that were queued.
+// second. It returns the highest number of queued lines.
 func (host *fakeHost) runChannel(seconds float64) (maxQueued float64) {
 	for range int(seconds * 4) {
 		host.now += tickInterval
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -32,14 +32,14 @@
 	Withdraw(backend int, withdrawn bool)
 
 	// SyncWithdrawals sends all withdrawals and admission limits in force to one proxy that
-	// connected after they were first sent. The limit and retry policy passed apply to classes
-	// without a limit: a limit that means unlimited, as for SetAdmissionLimit, and the default
-	// policy. It returns false if the Host does not support this message.
+	// connected after they were first sent. For classes without a limit in force, it sends the
+	// limit and retry policy passed: a limit that means unlimited, as for SetAdmissionLimit, and
+	// the default policy. SyncWithdrawals returns false if the Host does not support this message.
 	SyncWithdrawals(proxy int, limit float64, retry RetryPolicy) bool
 
-	// ClearWithdrawals allows a proxy to use all backends in its tables, whatever other controllers
-	// withdrew: at once the backends that have an entry now, and later each backend with its first
-	// entry.
+	// ClearWithdrawals lifts the withdrawals of other controllers at a proxy. The proxy may at
+	// once use each backend that has an entry in its tables. It may use any other backend from the
+	// time at which the backend first gets an entry in its tables.
 	ClearWithdrawals(proxy int)
 
 	// SetAdmissionLimit sets how many requests of a set of classes proxies admit at a table (or
@@ -47,10 +47,10 @@
 	// accompanies it. A limit of 1,000,000 means unlimited, in either mode.
 	SetAdmissionLimit(table int, classes uint16, limit float64, retry RetryPolicy)
 
-	// RequestAck requests a call of Acknowledged with this number for each proxy that the effects of
-	// this clock time reach, or, with allConnected, for each connected proxy. A Controller always
-	// passes false for allConnected; the parameter exists because the protocol with the simulator
-	// has it.
+	// RequestAck requests an ack of the effects ordered at this clock time: the Host calls
+	// Acknowledged with the given number for each proxy that these effects reach or, with
+	// allConnected, for each connected proxy. A Controller always passes false for allConnected;
+	// the parameter exists because the protocol with the simulator has it.
 	RequestAck(number int, allConnected bool)
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,8 +7,8 @@
 //     lines: one answer in a line resets the count to 0;
 //   - failing: at least minAttemptsToEject attempts in the window, and a success rate below
 //     failingShareOfMedian of the median backend's (a rate of exactly that share is not below it);
-//   - lagging while its weight is already at the minimum: weight.go describes the effect of lagging
-//     alone.
+//   - lagging (see below) while its weight is already at the minimum. A lagging backend with a
+//     higher weight is not ejected: its weight is reduced (weight.go).
 //
 // A backend is lagging if its mean answer time is at least laggingScore times the median backend's
 // and at least overloadedRatio (overload.go) times the mean latency objective, over at least
@@ -54,18 +54,19 @@
 	healthySuccessRate = 0.8
 	// failingShareOfMedian is the share of the median success rate below which a backend is failing.
 	failingShareOfMedian = 0.5
-	// maxEjectedShare is the highest share of the listed weight that may be ejected. A network
-	// partition may make the backends of all zones except one unreachable.
+	// maxEjectedShare is the highest share of the listed weight that may be ejected. It allows for
+	// a network partition that makes the backends of all zones except one unreachable.
 	maxEjectedShare = 0.75
 
 	// minAttemptsToLag is the lowest number of attempts that can show that a backend is lagging.
 	minAttemptsToLag = 10
-	// laggingScore is the lowest score of a lagging backend: its mean answer time over the median. If
-	// its answers are late as well, such a score is no coincidence.
+	// laggingScore is the lowest score of a lagging backend: its mean answer time over the median
+	// backend's. If the answers are also late for the latency objective, such a score is no
+	// coincidence.
 	laggingScore = 2.0
 
 	baseEjectionTime = 10 * second // backoff of the first ejection of a backend
-	maxEjectionTime  = 60 * second // longest backoff
+	maxEjectionTime  = 60 * second // longest backoff of an ejection
 	// healthChecksPerBackoff is the number of health checks in one backoff. A shallow check shows
 	// only that the process runs, so checks are rarer the longer the backoff is.
 	healthChecksPerBackoff = 3
@@ -77,11 +78,12 @@
 	return c.newAttempts > 0 && now-c.evaluatedAt >= c.telemetry.ReportInterval
 }
 
-// reportCoverage returns the start of the time that a report covers, plus up to one report
-// interval, and whether its outcomes count. If reports are not old (reportsAreOld), the start is
-// taken to be now and the outcomes count. If reports are old, a report whose start is before the
-// start of the backend's process, or before the backend entered, does not count: it describes
-// another process, or the time in which the backend was ejected.
+// reportCoverage returns the time from which attempts in a report count as covered, and reports
+// whether the outcomes of the report count. If reports are not old (reportsAreOld), that time is
+// now and the outcomes count. If reports are old, that time is the start of the report's span plus
+// one report interval, but not later than now. The outcomes then do not count if that time is
+// before the start of the backend's process, or before the backend entered: they describe another
+// process, or the time in which the backend was ejected.
 func (c *Controller) reportCoverage(backend *backendState, span, now Microseconds) (from Microseconds, counts bool) {
 	if !c.reportsAreOld() {
 		return now, true
@@ -90,16 +92,17 @@
 	return from, from >= max(backend.StartedAt, backend.enteredAt)
 }
 
-// countsPeerFailures reports whether attempts reported by another controller count as consecutive
-// attempts: if this controller's proxies had no attempts within the window, or if neither the
-// peer's report nor this controller's latest report contains an answer.
+// countsPeerFailures reports whether attempts reported by another controller are added to the
+// backend's consecutive failures. They are added if this controller's proxies had no attempts
+// within the window, or if neither the peer's report nor this controller's latest report contains
+// an answer.
 func (b *backendState) countsPeerFailures(attempts, failures int) bool {
 	anyAnswered := b.consecutiveFailures == 0 || failures < attempts
 	return b.reportedByPeersOnly || !anyAnswered
 }
 
 // adoptPeerBackoff makes the next ejection last as long as the ejection at another controller. It
-// sets half of that backoff, because eject doubles it.
+// stores half of the other controller's backoff, because eject doubles the stored backoff.
 func (b *backendState) adoptPeerBackoff(backoff Microseconds) { b.backoff = max(b.backoff, backoff/2) }
 
 // fleetOutcomes holds the figures that a backend is compared with.
@@ -124,7 +127,7 @@
 		switch {
 		case fleet.dead(backend), lagging && atMinimumWeight:
 			c.eject(id, now, &fleet)
-		case lagging: // it answers late because of a queue, while other backends are far faster
+		case lagging: // the backend answers late because it has a queue, while other backends are far faster
 			c.reduceWeight(id, now)
 		case fleet.failing(backend):
 			c.eject(id, now, &fleet)
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -14,10 +14,10 @@
 //
 // Inputs are the outcomes of this controller's own proxies since the last evaluation, their demand
 // (requests per second), their baseline demand, and the loads that backends report. Demand,
-// throughput and limits are in units per second: a request counts its latency objective in seconds,
-// because nothing reports how much work it takes. Capacity is published weight times the baseline
-// demand of this controller's proxies, so that the proxies of a lost controller bring its share of
-// the capacity.
+// throughput and limits are in units per second: a request counts as many units as its latency
+// objective has seconds, because no report shows how much work a request takes. Capacity is
+// published weight times the baseline demand of this controller's proxies, so that proxies that
+// come from a lost controller add the share of the capacity that the lost controller had.
 
 const (
 	// overloadedRatio is the latency ratio above which queues stand at nearly all backends: the
@@ -46,15 +46,19 @@
 
 	offered  float64 // demand at the connected proxies, in units per second
 	admitted float64 // part of the offered demand that the published limits admit
-	answered float64 // units per second answered by backends that keep up
+	answered float64 // units per second answered by backends with an entry and a score below laggingScore
 
 	// A capacity is unreduced published weight times baseline demand. In reportedCapacity and
 	// recentCapacity, only the baseline demand of proxies that can have reported counts
 	// (reportingDemand).
 	publishedCapacity float64 // capacity of all backends with an entry
-	reportedCapacity  float64 // capacity that reports cover, of backends that keep up
-	recentCapacity    float64 // capacity that reports cover, of backends with own reports within the score window
-	deadCapacity      float64 // capacity of backends whose attempts since the last evaluation all failed
+	// reportedCapacity is the capacity of backends with answers since the last evaluation and a
+	// score below laggingScore.
+	reportedCapacity float64
+	// recentCapacity is the capacity of backends with reports of this controller's proxies within
+	// the score window.
+	recentCapacity float64
+	deadCapacity   float64 // capacity of backends whose attempts since the last evaluation all failed
 }
 
 // summarizeLoad sums up the reports since the last evaluation, and updates the mean latency
@@ -77,8 +81,10 @@
 
 // outcomeTotals holds the sums of the outcomes since the last evaluation over all backends.
 type outcomeTotals struct {
-	attempts        int       // number of attempts that were answered, or timed out in the queue of a backend
-	answers         int       // answers of backends that keep up, plus failures not caused by a queue
+	attempts int // number of attempts that were answered, or timed out in the queue of a backend
+	// answers is the number of answers of backends that keep up (see keepsUp in sumFleetOutcomes),
+	// plus failures not caused by a queue.
+	answers         int
 	answerTime      float64   // sum of the answer times of attempts, in microseconds
 	meanAnswerTimes []float64 // mean answer time of each backend that answered, in microseconds
 }
@@ -91,7 +97,9 @@
 		weight := backend.unreducedWeight()
 		load.publishedCapacity += weight * baseline
 		reportedRecently := backend.attempts > 0 && !backend.reportedByPeersOnly
-		if reportedRecently { // with few reports, those of one evaluation cover only some backends
+		// The score window is used because, with few reports, one evaluation covers only some
+		// backends.
+		if reportedRecently {
 			load.recentCapacity += weight * reporting
 		}
 		answered, failures, answerTime := backend.outcomesSince(c.evaluatedAt)
@@ -105,8 +113,8 @@
 		sum.meanAnswerTimes = append(sum.meanAnswerTimes, mean)
 		sum.attempts += answered
 		sum.answerTime += answerTime
-		// The answers of a backend that lags far behind the median show how slow the fleet is, but
-		// not the throughput that a weight allows.
+		// The answers of a backend that lags far behind the median count towards the latency ratio
+		// of the fleet, but do not show the throughput that the weight of the backend allows.
 		keepsUp := backend.published > 0 && backend.score < laggingScore
 		if keepsUp {
 			sum.answers += answered
@@ -126,7 +134,9 @@
 }
 
 // reportingDemand returns the baseline demand of this controller's proxies as far as they can have
-// reported since the last evaluation: proxies that have just connected have yet to report.
+// reported since the last evaluation. A proxy can report from one report interval after it has
+// connected, so its baseline demand is multiplied by the share of the time since the last
+// evaluation that follows this moment.
 func (c *Controller) reportingDemand(now Microseconds) RequestsPerSecond {
 	total := 0.
 	for _, proxy := range c.proxies {
@@ -197,7 +207,7 @@
 }
 
 // hasQueueFigures reports whether a load report has a figure that shows a queue. A report without
-// one does not replace the previous load.
+// such a figure does not replace the previous load of the backend.
 func (load BackendLoad) hasQueueFigures() bool {
 	return load.CPUUtilization >= 0 || load.QueueLength >= 0
 }
--- a/balancer/proxy.go
+++ b/balancer/proxy.go
@@ -4,7 +4,7 @@
 type proxyState struct {
 	connected      bool
 	connectedAt    Microseconds
-	disconnectedAt Microseconds // 0 if the proxy has never disconnected, or is connected again
+	disconnectedAt Microseconds // time of the last disconnection; 0 if the proxy is connected, or was never connected
 	zone, subset   int          // indices of the proxy's zone and subset
 	baselineRate   float64      // requests per second that reach the proxy on ordinary days, at least 1
 	demand         []float64    // requests per second that reach the proxy now, by class
@@ -18,11 +18,12 @@
 	// withdrawalsSynced is set once the proxy was sent a withdrawals message, before its tables, see
 	// sync.go.
 	withdrawalsSynced bool
-	// withdrawalsCleared is set once the withdrawals of other controllers were cleared at the proxy.
-	// The first entry of each backend then lifts its withdrawal, which costs one more line.
+	// withdrawalsCleared is set once the withdrawals of other controllers were cleared at the
+	// proxy. From then on, the first entry of each backend lifts the backend's withdrawal at the
+	// proxy, which costs one more line.
 	withdrawalsCleared bool
-	// heldWithdrawals is the number of withdrawals that this controller sent to the proxy before its
-	// tables. A first entry that lifts one of them costs one more line too.
+	// heldWithdrawals is the number of withdrawals that this controller sent to the proxy before
+	// its tables. A first entry that lifts one of these withdrawals costs one more line too.
 	heldWithdrawals float64
 
 	// acknowledged is the number of the latest push batch that the proxy has acknowledged. The proxy
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -11,12 +11,12 @@
 //
 // Required changes are the entries of backends that proxies must stop using (drain.go), withdrawals
 // of these backends, lower weights of backends that are warming up, the first entries of empty
-// tables, backends for a short subset (subset.go), and a lowered admission limit (admission.go).
+// tables, moves to a short subset (subset.go), and a lowered admission limit (admission.go).
 // All other changes are ordinary.
 //
 // A round is due with each endpoint list and each tick if a required change is pending. It is also
 // due with a tick once minPublishInterval has passed since the last round that published anything,
-// or if that round left some of its entries over. An ack does not trigger a round. A round that is
+// or if that round left some entries unpublished. An ack does not trigger a round. A round that is
 // due starts (mayPublish) only if
 //   - enough time has passed since any change of an earlier clock time was sent to several proxies,
 //     if the settings limit messages. The time is the drain grace that was left at listing
@@ -24,7 +24,7 @@
 //     publicationsPerGrace, or the message window divided by PushChannel.MaxMessages if that is
 //     shorter;
 //   - no more than nearlyEmptyShare of the push queue's capacity is queued, or all required changes
-//     fit into it;
+//     fit into the rest of the capacity;
 //   - each proxy with assigned tables may be sent one more message (mayPush).
 //
 // The round then sends, in this order and as far as the push queue has capacity (pushqueue.go):
@@ -58,23 +58,25 @@
 	tablesEmpty bool  // no backend has an entry in any table
 
 	connected           float64   // number of connected proxies
-	withdrawalReceivers float64   // number of connected proxies with receivesWithdrawals
+	withdrawalReceivers float64   // number of connected proxies for which receivesWithdrawals is true
 	proxiesBySubset     []float64 // number of proxies with assigned tables, by subset
-	// liftingProxiesBySubset is the number of proxies with assigned tables and with
-	// firstEntryLiftsWithdrawal, by subset. The first entry of a backend costs one more line at each.
+	// liftingProxiesBySubset is the number of proxies with assigned tables for which
+	// firstEntryLiftsWithdrawal is true, by subset. The first entry of a backend costs one more
+	// line at each such proxy.
 	liftingProxiesBySubset []float64
 
 	targetBySubset []float64 // target weight of each subset
 	fairWeight     float64   // mean target weight of a subset
-	// messageCharged is set, by subset, once another change covers the overhead of the messages to
-	// the proxies of the subset.
+	// messageCharged is set for a subset once the cost of some change includes the overhead of the
+	// messages to the proxies of the subset. Further changes of the subset share these messages.
 	messageCharged []bool
 
 	changesDue     bool    // some entry or limit differs from its target
 	requiredLines  Lines   // cost of all required changes
 	withdrawalsDue float64 // number of backends that are to be withdrawn or restored
-	// tablesReplaceWithdrawals is set if complete tables for all withdrawal receivers arrive in time
-	// and cost so little that withdrawals are not sent, see the method of this name.
+	// tablesReplaceWithdrawals is set if complete tables for all withdrawal receivers arrive in
+	// time and cost so little that withdrawals are not sent, see
+	// Controller.tablesReplaceWithdrawals.
 	tablesReplaceWithdrawals bool
 }
 
@@ -127,7 +129,8 @@
 	if plan.withdrawalsDue > 0 && !plan.tablesReplaceWithdrawals {
 		plan.requiredLines += plan.withdrawalsDue + plan.withdrawalReceivers*withdrawalCost
 	}
-	if c.admission.limitLowered { // all requests admitted until the limit arrives add to a queue
+	// A lowered limit is required: requests that are admitted until it arrives lengthen the queues.
+	if c.admission.limitLowered {
 		plan.requiredLines += (plan.overhead + 1) * plan.connected
 	}
 	return plan
@@ -218,7 +221,7 @@
 	limited := c.publishLimits()
 	if limited || moved || entries.published {
 		c.publishedAt = plan.now
-		if entries.leftOver { // send the rest as soon as there is capacity
+		if entries.leftOver { // 0 makes a round due at the next tick, for the entries left over
 			c.publishedAt = 0
 		}
 	}
@@ -228,7 +231,7 @@
 type entryChanges struct {
 	published  bool    // some changes of entries were published
 	leftOver   bool    // some changes of entries wait for capacity in the push queue
-	lostWeight float64 // published weight, unreduced, that endpoint lists took away, for limitOnCapacityLoss
+	lostWeight float64 // unreduced published weight that endpoint lists took away; input of limitOnCapacityLoss
 }
 
 // publishEntries publishes required entry changes, then ordinary ones, as far as the push queue has
@@ -312,14 +315,15 @@
 	})
 }
 
-// publishWithdrawals withdraws backends that proxies must stop using, or restores them, at the
-// proxies with receivesWithdrawals. A backend is withdrawn only once it has no entry: before that,
-// the withdrawal would cost each proxy with assigned tables a line too.
+// publishWithdrawals withdraws backends that proxies must stop using, or restores backends, at the
+// proxies for which receivesWithdrawals is true. A backend is withdrawn only once it has no entry:
+// before that, the withdrawal would cost each proxy with assigned tables a line too.
 func (c *Controller) publishWithdrawals(plan *publication) {
 	if plan.tablesReplaceWithdrawals {
 		return
 	}
-	messageCost := plan.overhead + float64(len(c.classes)) // counted with the first withdrawal of the round only
+	// The overhead is charged only with the first withdrawal of the round.
+	messageCost := plan.overhead + float64(len(c.classes))
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
 		if withdrawn == backend.withdrawn || !c.pushQueue.hasCapacity(plan.withdrawalReceivers*(1+messageCost), true) {
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -9,8 +9,8 @@
 //
 //   - Required changes may fill the capacity: as many lines as the backlog takes, but no more than
 //     leave within maxQueueTime. The capacity is the same however short the drain grace is. A
-//     change that is held back here, not in the channel, is decided again on later reports, and
-//     shares messages with other changes.
+//     change that waits in the controller, and not in the channel, is decided again on later
+//     reports, and shares messages with other changes.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of the capacity, so that
 //     required changes never wait behind more lines than that.
 //   - publish.go states when a round of changes may start, and in which order it is sent.
@@ -18,7 +18,7 @@
 //     half. At a proxy for which other controllers reported the messages that they sent
 //     (proxyState.peersReportedMessages), ordinary messages use all except messagesForRequired. The
 //     rest is kept for required messages. Messages that hold only withdrawals (sync.go) count as
-//     required, here and in the capacity.
+//     required, both in this division of the messages and in the capacity.
 //
 // Inputs are PushChannel, the drain grace (microseconds) and the costs of the pushes (lines).
 
@@ -44,9 +44,11 @@
 // pushQueue is the account of the push channel.
 type pushQueue struct {
 	PushChannel
-	batches     []pushBatch // batches with an ack missing, and without any ack for a later batch, oldest first
-	queuedLines Lines       // sum of the lines of all batches
-	lastNumber  int64       // number of the last batch
+	// batches holds the batches of which an ack is missing, oldest first. An ack of a batch
+	// discards all earlier batches. A timeout (expire) discards the oldest batch.
+	batches     []pushBatch
+	queuedLines Lines // sum of the lines of all batches
+	lastNumber  int64 // number of the last batch
 
 	// reservedLines is the cost of the tables of waiting proxies, see reserveForTables.
 	reservedLines Lines
@@ -59,21 +61,22 @@
 type pushBatch struct {
 	number int64
 	sentAt Microseconds
-	lines  Lines // sum of linesTo
+	lines  Lines // number of lines in linesTo, for all proxies together
 	// linesTo holds the lines for each proxy that has not acknowledged the batch. They are counted by
 	// proxy because complete tables cost many times as much as an entry.
 	linesTo map[*proxyState]Lines
 }
 
-// charge adds lines for a proxy to the current batch. With the first lines at this clock time it
-// also adds the overhead of the message and of its ack request.
+// charge adds lines for a proxy to the current batch. With the first lines for the proxy at this
+// clock time it also adds the overhead of the message and of its ack request.
 func (c *Controller) charge(proxy *proxyState, lines Lines) {
 	now := c.host.Now()
 	batch := c.currentBatch(now)
 	if n := len(proxy.messageTimes); n == 0 || proxy.messageTimes[n-1] != now {
 		proxy.messageTimes = append(proxy.messageTimes, now)
 		message := c.pushQueue.messageOverhead()
-		if !proxy.tablesAssigned { // the proxy has no limits yet, so the message carries all of them
+		// The proxy has no limits yet, so the message carries the limits of all classes.
+		if !proxy.tablesAssigned {
 			message += c.tableLimitLines() - c.pushQueue.LimitLines
 		}
 		lines += message
@@ -111,7 +114,8 @@
 	c.chargeEach(lines, func(*proxyState) bool { return true })
 }
 
-// acknowledge handles a proxy's ack, and returns the full number of the acknowledged batch.
+// acknowledge handles a proxy's ack, and returns the full number of the acknowledged batch. The ack
+// carries only the lowest 16 bits of this number.
 func (q *pushQueue) acknowledge(ackNumber int, proxy *proxyState) (number int64) {
 	number = q.lastNumber - (q.lastNumber-int64(ackNumber))&batchNumberMask
 	for i := range q.batches {
@@ -121,7 +125,7 @@
 		}
 		batch.lines -= batch.linesTo[proxy]
 		delete(batch.linesTo, proxy)
-		sentBatches := i // all earlier batches have left the channel
+		sentBatches := i // all batches before the acknowledged batch have left the channel
 		if len(batch.linesTo) == 0 {
 			sentBatches++
 		}
--- a/balancer/pushqueue_test.go
+++ b/balancer/pushqueue_test.go
@@ -4,15 +4,17 @@
 
 func TestPushQueueAccounting(t *testing.T) {
 	t.Run("an ack of a short message discards nothing of a long one in the same batch", func(t *testing.T) {
-		// When many proxies joined at once (kigali-pricing, join+mass, --nodes 30, seed 11), an ack
-		// discarded the mean of both messages, and 62 lines more than the channel may hold were queued.
+		// When many proxies joined at once (kigali-pricing, join+mass, --nodes 30, seed 11), the
+		// ack of a short message removed the mean of the lines of a short and a long message from
+		// the account, and 62 lines more than the channel may hold were queued.
 		host := startController(t, defaultSettings(), 100, 8)
 		host.run(5, nil)
 		if len(host.controller.pushQueue.batches) > 0 {
 			t.Fatalf("%d batches are queued before the test begins, want none", len(host.controller.pushQueue.batches))
 		}
 		host.now++
-		// A batch with a few lines for each of eight proxies, and complete tables for a ninth.
+		// The new batch has a few lines for each of eight proxies, and complete tables for a ninth
+		// proxy.
 		host.updateEndpoints(0, 1, Draining, 0)
 		host.controller.ProxyConnected(8, 0, 10, false)
 		if !host.controller.proxies[8].tablesAssigned {
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -15,14 +15,15 @@
 // Sharding.WriteLease and SettleTime (microseconds).
 
 const (
-	// fencePending is the fence of a shard whose writes are to be stopped, or to be stopped again.
+	// fencePending is the value of shardState.fence while writes to the shard have yet to be
+	// stopped, or to be stopped again.
 	fencePending = -1
 	// ownerChangeLines is the cost of a change of owner for each proxy, in lines.
 	ownerChangeLines Lines = 2
-	// shardReserveShare is the share of the backlog that must be free for an owner to change,
-	// unless the push queue is nearly empty (mayPublish).
+	// shardReserveShare is the share of the backlog that must be free for a change of a shard's
+	// owner, unless the push queue is nearly empty (mayPublish).
 	shardReserveShare = 1. / 4
-	// noOwner stands for no backend.
+	// noOwner is used instead of a backend's index where a shard has no owner.
 	noOwner = -1
 )
 
@@ -36,11 +37,13 @@
 // shardState holds the state of one shard, which is zero unless the shard is assigned to this
 // controller.
 type shardState struct {
-	assigned  bool         // the shard is assigned to this controller
-	owner     int          // index of the backend that owns the shard, or noOwner
-	demand    []float64    // requests per second for the shard, by class
-	fence     int64        // number of the push batch that stopped writes; 0 if writes are allowed, or fencePending
-	settledAt Microseconds // when the former owner's writes have settled; 0 while a proxy may still send it writes
+	assigned bool      // the shard is assigned to this controller
+	owner    int       // index of the backend that owns the shard, or noOwner
+	demand   []float64 // requests per second for the shard, by class
+	fence    int64     // number of the push batch that stopped writes; 0 if writes are allowed, or fencePending
+	// settledAt is the time at which the former owner's writes have settled; 0 while a proxy may
+	// still send writes to the former owner.
+	settledAt Microseconds
 }
 
 func newShardingState(config Sharding, classes []Class) shardingState {
@@ -55,8 +58,9 @@
 
 func (s *shardingState) enabled() bool { return len(s.shards) > 0 }
 
-// repeatFences fences all fenced shards again after a proxy has connected: the proxy reads owners
-// from the store, but no fences, and has to be notified of them.
+// repeatFences makes all fenced shards be fenced again after a proxy has connected. The proxy reads
+// owners from the store of shards, which has no fences, so the proxy has to be notified of the
+// fences.
 func (s *shardingState) repeatFences() {
 	for id := range s.shards {
 		if s.shards[id].fence > 0 {
@@ -81,7 +85,7 @@
 func (c *Controller) ShardRevoked(id int) { c.sharding.shards[id] = shardState{} }
 
 // ShardOwnerStored handles an owner of a shard that was read from the store of shards. Proxies read
-// the same owner from there within moments.
+// the same owner from the store within moments.
 func (c *Controller) ShardOwnerStored(id, backend int, weight float64) {
 	shard := &c.sharding.shards[id]
 	if shard.assigned && weight > 0 {
@@ -117,8 +121,8 @@
 	}
 }
 
-// changeOwner moves a shard to a backend. It stops writes to the shard if no two backends may be
-// sent them.
+// changeOwner moves a shard to a backend. With Sharding.SingleOwner it stops writes to the shard,
+// so that no two backends are sent writes, unless the shard had no owner and no fence is pending.
 func (c *Controller) changeOwner(id, owner int) {
 	shard := &c.sharding.shards[id]
 	former := shard.owner
--- a/balancer/shard_test.go
+++ b/balancer/shard_test.go
@@ -36,9 +36,10 @@
 			t.Fatalf("limits are %v, retry policies %v, tables %v; want shard 3 at backend 0, without writes or retries",
 				host.limits, host.retries, host.tables)
 		}
-		host.controller.ProxyDisconnected(1) // the proxy goes on writing for a while
+		// The disconnected proxy goes on writing for the time of the write lease.
+		host.controller.ProxyDisconnected(1)
 		host.run(2, nil)
-		host.controller.ProxyConnected(1, 1, 10, false) // and is notified of the fence again
+		host.controller.ProxyConnected(1, 1, 10, false) // the proxy is notified of the fence again
 		host.run(1.5, nil)
 		if host.limits["3 2"] != 0 {
 			t.Error("writes to shard 3 are allowed while writes of the disconnected proxy may be in progress")
@@ -66,8 +67,8 @@
 		}
 	})
 	t.Run("fences are repeated once, however many proxies connect", func(t *testing.T) {
-		// With each proxy that connected, every fence was sent to all proxies again, and the channel
-		// overflowed.
+		// With each new connection of a proxy, every fence was sent to all proxies again, and the
+		// channel overflowed.
 		host := start(t, true, AdmissionByShare)
 		host.controller.EndpointsUpdated(false, removal)
 		before := len(host.effects)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -13,13 +13,13 @@
 // if
 //   - proxies outnumber the connections that the smallest backend accepts: as many subsets as that
 //     requires;
-//   - the tables of all proxies, connected to one controller, would not leave the channel within
-//     tablesShareOfGrace of the drain grace: as many subsets as make them fit, or, if connections
-//     require subsets as well, as many as leave half of that time for drains.
+//   - the tables of all proxies, if all connect to one controller, would not leave the channel
+//     within tablesShareOfGrace of the drain grace: as many subsets as make them fit, or, if
+//     connections require subsets as well, as many as leave half of that time for drains.
 //
 // A subset that falls short of its share of the weight is given backends of the heaviest subset,
-// since its proxies would overload the few backends left in it. That counts as required
-// (publish.go).
+// since its proxies would overload the few backends left in it. The move of a backend to a short
+// subset counts as a required change (publish.go).
 //
 // Inputs are PushChannel.Proxies, MinBackendConnections and LinesPerSecond (lines),
 // RuleLimits.DrainGrace (microseconds) and listed weights. The number of subsets is decided once,
@@ -35,16 +35,17 @@
 	// tableShareWithSubsets is the share of tablesShareOfGrace (sync.go) that tables may take if
 	// connections require subsets as well.
 	tableShareWithSubsets = 1. / 2
-	// shortSubsetShare is the share of its fair weight below which a subset is short and given
-	// backends of the heaviest subset, until it has restoredSubsetShare.
+	// shortSubsetShare is the share of its fair weight below which a subset is short. A short
+	// subset is given backends of the heaviest subset until it has restoredSubsetShare of its fair
+	// weight.
 	shortSubsetShare = 0.5
 	// restoredSubsetShare is the share of its fair weight at which a short subset is given no
 	// further backends.
 	restoredSubsetShare = 0.8
 )
 
-// chooseSubsetCount decides the number of subsets, and assigns the proxies that connected before
-// the list to them.
+// chooseSubsetCount decides the number of subsets, and assigns subsets to the proxies that
+// connected before the endpoint list arrived.
 func (c *Controller) chooseSubsetCount(backends int) {
 	proxies := float64(c.pushQueue.Proxies)
 	subsets, tableShare := 1., 1.
@@ -62,7 +63,8 @@
 		tableSize := tableShare*sendable/proxies - overhead
 		subsets = math.Ceil(float64(backends) / max(1, tableSize))
 	}
-	// The backends of a subset without a proxy would receive no requests.
+	// There are no more subsets than proxies: the backends of a subset without a proxy would
+	// receive no requests.
 	c.subsetCount = max(1, min(int(subsets), backends/minSubsetSize, c.pushQueue.Proxies))
 
 	for id, proxy := range c.proxies {
@@ -74,7 +76,7 @@
 // methods add and remove do nothing on a nil pointer.
 type subsetWeights struct {
 	all    []float64         // weight of each subset
-	byZone map[int][]float64 // by zone: weight of each subset in the zone
+	byZone map[int][]float64 // weight of each subset in a zone, by zone
 }
 
 // listedSubsetWeights sums the listed weights of the ready backends.
@@ -89,7 +91,8 @@
 func (w *subsetWeights) add(backend *backendState)    { w.adjust(backend, backend.Weight) }
 func (w *subsetWeights) remove(backend *backendState) { w.adjust(backend, -backend.Weight) }
 
-// adjust adds a weight for a backend if the backend is listed and ready.
+// adjust adds a weight to the totals of a backend's subset and zone, if the backend is listed and
+// ready.
 func (w *subsetWeights) adjust(backend *backendState, weight float64) {
 	if w == nil || !backend.listed || backend.State != Ready {
 		return
@@ -121,8 +124,8 @@
 	return w.all[subset]
 }
 
-// subsetTargetWeights returns the sum of target weights by subset, and its mean, the fair weight of
-// a subset.
+// subsetTargetWeights returns the sum of target weights by subset, and the mean of these sums,
+// which is the fair weight of a subset.
 func (c *Controller) subsetTargetWeights(now Microseconds) (weights []float64, fair float64) {
 	weights = make([]float64, c.subsetCount)
 	for _, backend := range c.backends {
@@ -133,8 +136,8 @@
 	return weights, fair
 }
 
-// rebalanceSubsets moves backends from the heaviest subset to short ones, as far as there is
-// capacity. It reports whether it moved any.
+// rebalanceSubsets moves backends from the heaviest subset to short subsets, as far as there is
+// capacity. It reports whether it moved any backend.
 func (c *Controller) rebalanceSubsets(plan *publication) (moved bool) {
 	for to := range plan.targetBySubset {
 		if plan.targetBySubset[to] >= shortSubsetShare*plan.fairWeight {
@@ -148,8 +151,8 @@
 }
 
 // moveToSubset moves one backend of the heaviest subset, and reports whether it did. It never moves
-// a backend that is warming up, or whose entry is due to change: such a backend would be new to
-// twice as many proxies.
+// a backend that is warming up, or whose entry is due to change: with the move, the backend would
+// be new to the proxies of two subsets, which are twice as many.
 func (c *Controller) moveToSubset(to int, plan *publication) bool {
 	from := slices.Index(plan.targetBySubset, slices.Max(plan.targetBySubset))
 	id := slices.IndexFunc(c.backends, func(backend *backendState) bool {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,11 +7,12 @@
 )
 
 func TestSubsets(t *testing.T) {
-	// In scenarios with 150 proxies, each proxy opened a connection to all backends, but the smallest
-	// backends accept 80 connections.
+	// In scenarios with 150 proxies, each proxy opened a connection to every backend, but the
+	// smallest backends accept only 80 connections.
 	settings := defaultSettings()
 	settings.channel.Proxies, settings.channel.MinBackendConnections, settings.channel.Backlog = 150, 80, 3300
-	settings.channel.LinesPerSecond = 2400 // sends complete tables to all proxies within the grace
+	// The channel is fast enough to send complete tables to all proxies within the drain grace.
+	settings.channel.LinesPerSecond = 2400
 	entriesIn := func(host *fakeHost, subset int) (entries int) {
 		for b := range host.tables[subset] {
 			entries += toInt(host.tables[subset][b] > 0)
@@ -65,7 +66,7 @@
 	})
 	t.Run("a list gives the same subsets as its endpoints listed one by one", func(t *testing.T) {
 		settings := settings
-		settings.limits.WarmupTime = 1 << 50 // backends that are warming up are never moved
+		settings.limits.WarmupTime = 1 << 50 // backends that are warming up are never moved between subsets
 		whole, single := startController(t, settings, 0, 10), startController(t, settings, 0, 10)
 		for _, host := range []*fakeHost{whole, single} {
 			host.controller.EndpointsUpdated(true, []Endpoint{{Backend: 59, State: Ready, Weight: 1, StartedAt: 1}})
@@ -158,7 +159,7 @@
 		if host.controller.subsetCount != c.subsets {
 			t.Errorf("%s: %d subsets, want %d", c.name, host.controller.subsetCount, c.subsets)
 		}
-		allTables := 0. // lines of the tables of all proxies
+		allTables := 0. // number of lines of the tables of all proxies
 		for p := range c.channel.Proxies {
 			allTables += host.controller.pushQueue.messageOverhead() + float64(len(host.tables[p%host.controller.subsetCount]))
 		}
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -14,18 +14,19 @@
 // Order of tables: first the proxies that have waited for half the drain grace; then, if the
 // channel may need long for all tables, the proxies with the most baseline demand; then the proxies
 // that connected first. Changes that wait for the channel are sent before tables, unless tables
-// would then arrive later than tablesShareOfGrace of the grace.
+// would then arrive later than tablesShareOfGrace of the drain grace after the connection.
 //
 // A proxy whose tables cannot be sent yet gets a withdrawals message, once, only if
-//   - one of its tables is empty, so that they cannot be sent, or they cost at least
-//     tableCostWorthMessage times the message;
-//   - it has waited for half the grace; or no changes wait for the channel, since these are sent
-//     first, and tables do not arrive soon enough. Tables arrive soon enough if the tables of all
-//     waiting proxies leave within tablesShareOfGrace of the grace that was left at listing, and
-//     each costs at most tableCostPerMessage times the message;
+//   - one of its tables is empty, so that its tables cannot be sent, or its tables cost at least
+//     tableCostWorthMessage times as much as the message;
+//   - the proxy has waited for half the drain grace; or no changes wait for the channel, since such
+//     changes are sent first, and the tables do not arrive soon enough. Tables arrive soon
+//     enough if the tables of all waiting proxies leave within tablesShareOfGrace of the grace that
+//     was left at listing, and the tables of each proxy cost at most tableCostPerMessage times as
+//     much as the message;
 //   - a backend is withdrawn, or the proxy may hold withdrawals of other controllers;
-//   - the push queue has capacity for the message and syncReserveShare more, which stays free for
-//     changes that cannot wait;
+//   - the push queue has capacity for the message and a further syncReserveShare of its capacity,
+//     which stays free for changes that cannot wait;
 //   - the proxy may be sent one more message (mayPush), and the Host supports the message
 //     (Host.SyncWithdrawals).
 //
@@ -38,13 +39,14 @@
 	// tablesShareOfGrace is the share of the drain grace within which the tables of all waiting
 	// proxies must leave the channel.
 	tablesShareOfGrace = 3. / 4
-	// syncReserveShare is the share of the push queue's capacity that is kept free.
+	// syncReserveShare is the share of the push queue's capacity that withdrawals messages, and the
+	// clearing of withdrawals, leave free for changes that cannot wait.
 	syncReserveShare = 1. / 4
-	// tableCostPerMessage is the most that tables may cost, as a multiple of the withdrawals
-	// message, to be sent instead of it.
+	// tableCostPerMessage is the highest ratio of the cost of a proxy's tables to the cost of a
+	// withdrawals message at which the tables are sent instead of the message.
 	tableCostPerMessage = 3
-	// tableCostWorthMessage is the least that tables must cost, as a multiple of the withdrawals
-	// message, for the message to be sent.
+	// tableCostWorthMessage is the lowest ratio of the cost of a proxy's tables to the cost of a
+	// withdrawals message at which the message is sent.
 	tableCostWorthMessage = 2
 )
 
@@ -59,14 +61,16 @@
 	tableSizes     map[int]float64 // number of entries by table, for the tables counted so far
 }
 
-// enqueueForSync adds a proxy to the proxies that wait for tables, at its position in the order.
+// enqueueForSync adds a proxy to the proxies that wait for tables, at its position in the order of
+// tables, which the header of this file describes.
 func (c *Controller) enqueueForSync(id int) {
 	c.syncQueue = slices.DeleteFunc(c.syncQueue, func(other int) bool { return other == id })
 	position := len(c.syncQueue)
 	mayTakeLong := c.pushQueue.capacity() < c.pushQueue.Backlog
 	if mayTakeLong {
 		position, _ = slices.BinarySearchFunc(c.syncQueue, c.proxies[id].baselineRate, func(other int, rate float64) int {
-			// In decreasing order of baseline demand, behind proxies with the same demand.
+			// The queue is in decreasing order of baseline demand. A proxy is inserted behind
+			// proxies with the same demand.
 			return cmp.Or(cmp.Compare(rate, c.proxies[other].baselineRate), -1)
 		})
 	}
@@ -84,7 +88,7 @@
 	tableFits := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
 	messageFits := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
 	if !tableFits && !messageFits {
-		return // without a pass over all waiting proxies: there may be thousands, and each ack leads here
+		return // skip the pass over all waiting proxies: there may be thousands, and each ack causes a call
 	}
 	round.waiting = c.countWaitingForTables()
 	c.reserveForTables(now, round.tableSizes)
@@ -101,7 +105,7 @@
 		return !proxy.connected || complete
 	})
 	if round.assigned > 0 && round.waiting == round.assigned {
-		c.syncProxies(now) // withdrawals can be cleared in the same messages
+		c.syncProxies(now) // a second pass can clear withdrawals in the messages of this pass
 	}
 }
 
@@ -143,9 +147,9 @@
 	}
 }
 
-// tablesSendable reports whether a proxy may be sent its tables now, or a message that clears
-// withdrawals, which is taken to cost as much. Changes that wait for the channel are sent first,
-// unless the proxy's tables would be late.
+// tablesSendable reports whether a proxy may now be sent its tables, or a message that clears
+// withdrawals; the cost of that message is taken to be the cost of the tables. Changes that wait
+// for the channel are sent first, unless the proxy's tables would be late.
 func (c *Controller) tablesSendable(proxy *proxyState, tables fullTables, now Microseconds) bool {
 	wouldBeLate := !proxy.tablesAssigned && c.pushQueue.wouldDelayTables(0)
 	mayPrecedeChanges := !c.queueCongested || wouldBeLate
@@ -183,7 +187,8 @@
 }
 
 // syncWithdrawals sends a proxy all withdrawals and limits, if there is capacity and the Host
-// supports the message. The limit passed is for classes without a limit, see Host.SyncWithdrawals.
+// supports the message. The limit noLimit that it passes applies to classes without a limit, see
+// Host.SyncWithdrawals.
 func (c *Controller) syncWithdrawals(id int, round *syncRound) {
 	proxy := c.proxies[id]
 	anyWithdrawals := proxy.mayHoldForeignWithdrawals || round.withdrawals > 0
@@ -220,7 +225,7 @@
 // fullTables summarizes the complete tables of a proxy.
 type fullTables struct {
 	entries  float64 // number of entries of all the tables
-	cost     Lines   // cost of the tables, including their message and limits
+	cost     Lines   // cost of the tables, including the overhead of their message and the limits
 	anyEmpty bool    // one of the tables has no entry
 }
 
@@ -236,7 +241,7 @@
 		}
 		tables.entries += size
 		tables.cost += size
-		tables.cost++ // for the assignment of the table
+		tables.cost++ // the assignment of the table costs one line
 		tables.anyEmpty = tables.anyEmpty || size == 0
 	})
 	return tables
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -15,7 +15,7 @@
 			tableLines := host.controller.pushQueue.queuedLines
 			host.controller.Acknowledged(0, host.ackRequest)
 			host.now += 3 * second
-			host.updateEndpoints(5, 7, Ready, 0) // two backends are added, and one is removed below
+			host.updateEndpoints(5, 7, Ready, 0) // two backends are added, and the next list removes one
 			host.controller.EndpointsUpdated(false, []Endpoint{{Backend: 0, State: Removed, Weight: 2}})
 			host.run(2.2, nil)
 			host.controller.ProxyDisconnected(0)
@@ -86,7 +86,8 @@
 	// unrelated to the indices.
 	baseline := func(p int) float64 { return 0.3 + float64(p*7919%1000)/1000 }
 	t.Run("if all proxies connect to one controller, the busiest get tables first", func(t *testing.T) {
-		// When four of five controllers failed, 36,000 lines were queued, which take the channel 40 s.
+		// When four of five controllers failed, 36,000 lines were queued, which the channel takes
+		// 40 s to send.
 		host := startController(t, wholeFleetSettings(), 200, 0)
 		for p := range 2000 {
 			host.controller.ProxyConnected(p, p%2, baseline(p), true)
@@ -100,7 +101,9 @@
 				served, lowestServed = served+1, min(lowestServed, baseline(p))
 			}
 		}
-		// The tables of the first second are sent to the proxies that have connected first.
+		// In the first second, tables are sent to the proxies that connected first, whatever their
+		// rate. So the test checks that none of the busiest proxies is without tables, not the
+		// lowest rate that has tables.
 		busiestWaiting := 0
 		for p := range 2000 {
 			busiestWaiting += toInt(!host.controller.proxies[p].tablesAssigned && baseline(p) > 1.15)
@@ -163,8 +166,8 @@
 	})
 	t.Run("a small fleet that connects to one controller gets its tables within the grace", func(t *testing.T) {
 		// When four of five controllers were killed during a release (santiago-enlace, herd+mass,
-		// --nodes 30, seed 11), three subsets of 67 backends cost 17,000 lines for 240 proxies. These
-		// take the channel 21 s, with a grace of 8.3 s.
+		// --nodes 30, seed 11), three subsets of 67 backends cost 17,000 lines for 240 proxies. The
+		// channel takes 21 s to send so many lines, but the drain grace was 8.3 s.
 		settings := wholeFleetSettings()
 		settings.channel.LinesPerSecond, settings.channel.Backlog, settings.channel.MaxLatency = 800, 5300, 890_000
 		settings.channel.Proxies, settings.channel.MinBackendConnections, settings.limits.DrainGrace = 240, 85, 8300_000
@@ -192,8 +195,8 @@
 		}
 	})
 	t.Run("waiting proxies do not get messages with 100 withdrawals each instead of tables", func(t *testing.T) {
-		// When four of five controllers failed, withdrawals messages of 100 lines, sent to proxies whose
-		// tables have 10, kept the channel full from then on.
+		// When four of five controllers failed, withdrawals messages of 100 lines were sent to
+		// proxies whose tables have 10 lines, and kept the channel full from then on.
 		host := startController(t, wholeFleetSettings(), 200, 0)
 		host.updateEndpoints(0, 100, Removed, 0)
 		host.run(3, nil)
--- a/balancer/transcript_test.go
+++ b/balancer/transcript_test.go
@@ -25,8 +25,8 @@
 var writeTranscripts = flag.String("write-transcripts", "", "write complete transcripts into this `directory`")
 
 const (
-	transcriptHead  = 250  // lines at the start of a transcript that a golden file holds in full
-	transcriptChunk = 1000 // further lines per hash
+	transcriptHead  = 250  // number of lines at the start of a transcript that a golden file holds in full
+	transcriptChunk = 1000 // number of further lines that one hash in a golden file covers
 	logMarker       = "# log "
 )
 
@@ -35,8 +35,8 @@
 	name              string
 	backends, proxies int
 	seconds           int
-	reportSpan        int64 // time that a report line covers
-	loads             bool  // backends report their load
+	reportSpan        int64 // time that a report line covers, in microseconds
+	loads             bool  // the backends report their load
 	noSyncMessage     bool  // the host does not support Host.SyncWithdrawals
 	change            func(settings *testSettings)
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// play runs the case with the seed of its number, and returns the transcript.
+// play runs the case with a random seed that depends on its number, and returns the transcript.
 func (testCase transcriptCase) play(t *testing.T, number int) []string {
 	settings := defaultSettings()
 	if testCase.change != nil {
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// transcriptHost is the host of one case, and makes its calls.
+// transcriptHost is the host of the controller in one transcriptCase, and makes the calls of the
+// case.
 type transcriptHost struct {
 	*rand.Rand
 	controller    *Controller
@@ -17,12 +18,12 @@
 	lines         []string
 	timers        []transcriptTimer
 	requestedAcks []int   // batch numbers of acks that were requested and not yet given
-	ackTimes      []int64 // times at which these acks are given
+	ackTimes      []int64 // times at which the acks of requestedAcks are given, in microseconds
 	connected     []bool
 	endpoints     []Endpoint
-	listedCount   int // backends below this index have been listed
-	condition     int // condition of the fleet, see reportAll
-	affected      int // some conditions affect only the backends below this index
+	listedCount   int // number of backends that have been listed; their indices are the lowest ones
+	condition     int // number of the condition of the fleet, see reportAll
+	affected      int // number of backends that some conditions affect; their indices are the lowest ones
 }
 
 type transcriptTimer struct {
@@ -99,7 +100,7 @@
 		attempts, failures, mean := host.IntN(14), 0, 150_000+host.Int64N(120_000)
 		isAffected := i < host.affected
 		switch {
-		case host.condition == 1: // overload
+		case host.condition == 1: // overload of all backends
 			failures, mean = attempts/10, 700_000+host.Int64N(500_000)
 		case host.condition == 2 && isAffected: // some backends are dead
 			failures, mean = attempts, 0
@@ -107,13 +108,13 @@
 			failures, mean = attempts/4, 1200_000+host.Int64N(800_000)
 		case host.condition == 4 && isAffected: // some backends fail fast
 			failures = attempts * 3 / 4
-		case host.condition == 5: // few attempts
+		case host.condition == 5: // at most one attempt at each backend
 			attempts = host.IntN(2)
-		case host.condition == 6: // all attempts fail
+		case host.condition == 6: // all attempts at all backends fail
 			failures, mean = attempts, 0
 		case host.condition == 8: // late answers of lightly loaded backends
 			mean = 450_000 + host.Int64N(300_000)
-		case host.condition == 7: // short queues and high demand
+		case host.condition == 7: // short queues at all backends, and high demand
 			mean = 300_000 + host.Int64N(200_000)
 		}
 		load := BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
@@ -155,7 +156,7 @@
 	var entries []Endpoint
 	for range 1 + host.IntN(3) {
 		i := host.IntN(len(host.endpoints))
-		if host.IntN(12) == 0 && len(host.endpoints) < host.testCase.backends+6 { // add a backend
+		if host.IntN(12) == 0 && len(host.endpoints) < host.testCase.backends+6 { // add a new backend
 			i = len(host.endpoints)
 			host.endpoints = append(host.endpoints,
 				Endpoint{Backend: i, Weight: float64(1 + host.IntN(4)), Zone: i % 3 % 2, StartedAt: host.now})
@@ -201,7 +202,8 @@
 	host.updateEndpoints(false, slices.Clone(host.endpoints))
 }
 
-// makeRandomCall makes a random call of one of the other methods.
+// makeRandomCall makes a random call of one of the Controller methods that reportAll and
+// changeRandomEndpoints do not call.
 func (host *transcriptHost) makeRandomCall() {
 	proxy, backend := host.IntN(host.testCase.proxies), host.IntN(len(host.endpoints))
 	class := host.IntN(len(host.settings.classes))
@@ -213,7 +215,7 @@
 			host.connect(proxy)
 		}
 	case 3:
-		for i := range host.connected { // many proxies at once
+		for i := range host.connected { // connect many proxies at once
 			if !host.connected[i] || host.IntN(3) == 0 {
 				host.connect(i)
 			}
--- a/balancer/weight.go
+++ b/balancer/weight.go
@@ -28,15 +28,15 @@
 // and its score.
 
 const (
-	slowStartShare = 0.25       // share of its listed weight for a backend in its slow start
+	slowStartShare = 0.25       // share of the listed weight that a backend has during its slow start
 	slowStartTime  = 5 * second // duration of a slow start
 
 	// warmupStepsPerWeight is the number of steps from no weight to the full weight of a backend
 	// that is warming up.
 	warmupStepsPerWeight = 4
 
-	weightReductionFactor = 0.75        // factor of one step by which the weight of a lagging backend is reduced
-	minReducedShare       = 0.25        // lowest share of its listed weight for a lagging backend
+	weightReductionFactor = 0.75        // factor by which each step reduces the weight of a lagging backend
+	minReducedShare       = 0.25        // lowest share of the listed weight that a lagging backend keeps
 	weightRaiseInterval   = 20 * second // time between two steps that raise a reduced weight
 	// fullWeightTolerance is the distance from the full weight within which a raised share counts
 	// as the full weight.
@@ -66,8 +66,8 @@
 	return share
 }
 
-// warmShare returns the share of its weight that a backend of the given age can certainly carry, in
-// steps.
+// warmShare returns the share of its weight that a backend of the given age can certainly carry,
+// rounded down to a multiple of 1/warmupStepsPerWeight, but at least RuleLimits.ColdStartShare.
 func (c *Controller) warmShare(age Microseconds) float64 {
 	coldShare := c.rules.ColdStartShare
 	certainShare := coldShare + (1-coldShare)*float64(age)/float64(c.rules.WarmupTime)
--- a/balancer/weight_test.go
+++ b/balancer/weight_test.go
@@ -77,8 +77,8 @@
 		}
 	})
 	t.Run("a few backends that become slow lose weight, are ejected, and cause no limit", func(t *testing.T) {
-		// A third of the fleet became slow and kept a quarter of its weight each, and half of the
-		// requests were refused. Seen in large scenarios.
+		// A third of the fleet became slow, each slow backend kept a quarter of its weight, and
+		// half of the requests were refused. Seen in large scenarios.
 		host := startController(t, defaultSettings(), 12, 3)
 		reportSlow := func() {
 			host.reportHealthy(0, 1, 2, 3)
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -20,13 +20,13 @@
 	// To is the ownership after the claim.
 	To Ownership
 	// Known reports whether the record determines what the proxy holds. It is false if the last
-	// owner, or any member since, may have written something that is not on the record. It is also
-	// false if the proxy has acknowledged nothing to the last owner, or only a revision that is too
-	// old.
+	// owner, or any member since the last claim, may have written something that is not on the
+	// record. It is also false if the proxy has acknowledged nothing to the last owner, or only a
+	// revision from before a table's last compaction.
 	Known bool
 	// Base is the content of the proxy's tables, by class; nil unless Known.
 	Base []KnownTable
-	// NoWithdrawals reports whether the proxy is also known to hold no withdrawal.
+	// NoWithdrawals reports whether, in addition to Known, the proxy certainly holds no withdrawal.
 	NoWithdrawals bool
 	// Demand is the last reported rate of client requests to the proxy, in requests per second, by
 	// class; nil if no member has reported it.
@@ -46,7 +46,7 @@
 // number of moves that a rule distinguishes, which is maxMovesWithReserve.
 const maxStampedMoves = maxMovesWithReserve + 1
 
-// claim moves a proxy to the member of an entry, under the next fencing token.
+// claim moves a proxy to the member that proposed an entry, under the next fencing token.
 func (r *Record) claim(proxy int, e Entry, kind claimKind) Move {
 	from := r.Proxies[proxy]
 	r.Token++
@@ -71,8 +71,8 @@
 }
 
 // allWritesRecorded reports whether the record has everything that may have been written to a proxy
-// since its last owner claimed it, by this owner or by any other member. The other members count
-// because a member without quorum serves every proxy that connects and cannot record what it
+// since its last owner claimed it, by the last owner or by any other member. The other members
+// count because a member without quorum serves every proxy that connects and cannot record what it
 // writes.
 func (r *Record) allWritesRecorded(from Ownership, e Entry) bool {
 	lastIncarnation := r.Incarnations[from.Incarnation]
@@ -92,9 +92,9 @@
 }
 
 // knownTables returns the content of a proxy's tables, by class, as far as it follows from an
-// incarnation's tables. It is not known if the proxy has acknowledged nothing, or only a revision
-// from before a table's last compaction. A line that was set after the acknowledged revision is
-// uncertain: it may have been written to the proxy or not.
+// incarnation's tables. The content is not known if the proxy has acknowledged nothing, or only a
+// revision from before a table's last compaction. A line that was set after the acknowledged
+// revision is uncertain: it may have been written to the proxy or not.
 func (i *Incarnation) knownTables(owned Ownership) (byClass []KnownTable, known bool) {
 	if owned.Revision == 0 || len(owned.Tables) == 0 {
 		return nil, false
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -10,8 +10,8 @@
 // one exception: ReleaseUpTo may call Coordinator.ProxyDisconnected for a proxy to which a message
 // could not be sent.
 type Host interface {
-	// Propose proposes an entry for the record. Exactly one call of ProposalCommitted or
-	// ProposalFailed has to follow.
+	// Propose proposes an entry for the record. The Host must answer each proposal by exactly one
+	// call of ProposalCommitted or ProposalFailed.
 	Propose(Entry)
 	// ProxyGranted permits writing to a connected proxy from now on.
 	ProxyGranted(Grant)
@@ -42,7 +42,7 @@
 	// Base is the content of the proxy's table for each class; nil if it is not known, so that
 	// complete tables have to be written.
 	Base []KnownTable
-	// NoWithdrawals reports whether the proxy is also known to hold no withdrawal.
+	// NoWithdrawals reports whether, in addition to Base, the proxy is known to hold no withdrawal.
 	NoWithdrawals bool
 	// Demand is the last reported rate of client requests to the proxy, in requests per second, by
 	// class; nil if no member has reported it.
@@ -62,8 +62,10 @@
 	record *Record // the record after the entries applied so far
 
 	// State of the present incarnation and of its entries.
-	incarnation    uint64
-	seq            uint64       // number of the last committed entry; 0 before the incarnation has entered
+	incarnation uint64
+	// seq is the number of the incarnation's last committed entry; 0 until the incarnation has
+	// entered the record.
+	seq            uint64
 	inFlight       *Entry       // the proposed entry that is not answered yet; nil if no entry is in flight
 	proposedAt     Microseconds // time at which inFlight was first proposed
 	pending        Entry        // collects the content of the entry after inFlight
@@ -93,12 +95,12 @@
 type claimState struct {
 	granted     bool
 	windowStart Microseconds // start of the message window: the time of the grant, or the end of the last window
-	owned       bool         // this incarnation or the previous one owns the proxy on the record
+	owned       bool         // the record has this incarnation or the previous one as the owner of the proxy
 	// claimToken is the fencing token of this incarnation's claim; 0 for none. Messages carry the
 	// token of the grant instead.
 	claimToken uint64
 	// staleClaims counts the claims by this member that were in flight when the proxy's stream
-	// began: they were for an older stream.
+	// began. These claims were made for an older stream.
 	staleClaims int
 	// unclaimedSince is the time at which the proxy was lost, or this incarnation began without a
 	// claim of the proxy. The proxy is claimed again once it was active more than
@@ -106,7 +108,7 @@
 	// proxy.
 	unclaimedSince Microseconds
 
-	// Last acknowledgement by the proxy, with the fields of a Confirmation.
+	// The last acknowledgement by the proxy. The fields are those of a Confirmation.
 	acknowledgedRevision uint64
 	acknowledgedTables   []int
 	withdrawalsKnown     bool
@@ -150,8 +152,9 @@
 
 // Tick does the work that is due by time: it continues without quorum if the lease has ended,
 // starts the next message window of proxies that the member does not own, forgets grants from
-// before the window, and proposes an entry if one is due, at the latest to renew the lease. It has
-// to be called several times within LeaseTerms.RenewInterval.
+// before the window, and proposes an entry if one is due. An entry that only renews the lease is
+// due one LeaseTerms.RenewInterval after the last entry. Tick has to be called several times within
+// LeaseTerms.RenewInterval.
 func (c *Coordinator) Tick(now Microseconds) {
 	if !c.withoutQuorum && now-c.leaseStart >= c.terms.Duration {
 		c.goWithoutQuorum(now)
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	host := newFakeHost()
 	coordinator := New(host, "n0", terms, 0)
-	coordinator.startedAt = -terms.MessageWindow // before the message window
+	coordinator.startedAt = -terms.MessageWindow // the member has started before the message window
 	coordinator.Tick(0)
 	host.commitLast(coordinator, 0)
 	for i, name := range []string{"n1", "n2"} {
@@ -111,7 +111,8 @@
 		if coordinator.ProxyConnected(3, 1200); host.granted[3] != fmt.Sprint("0 false ", terms.OwnerQuota()) {
 			t.Errorf("granted %v, want no token, no base and the owner quota counted as sent", host.granted)
 		}
-		coordinator.Tick(1200 + terms.MessageWindow) // in the next window, only the unowned quota remains
+		// From the next window on, the member may write only the unowned quota.
+		coordinator.Tick(1200 + terms.MessageWindow)
 		if host.sentByPeers[3] != terms.OwnerQuota() {
 			t.Errorf("messages counted as sent by peers: %v", host.sentByPeers)
 		}
@@ -131,7 +132,7 @@
 		coordinator.ProxyActiveAt(4, 1000) // activity from before the new incarnation does not count
 		host.commitLast(coordinator, 1300)
 		coordinator.ProxyActiveAt(4, 1350)
-		host.commitLast(coordinator, 1400) // the entry that was in flight
+		host.commitLast(coordinator, 1400) // commit the entry that was in flight when the proxy was active
 		if reclaiming := host.commitLast(coordinator, 1410); !slices.Equal(reclaiming.Reclaims, []int{4}) ||
 			coordinator.OwnedProxies() != 1 || len(coordinator.record.Proxies[4].Moves) > 0 {
 			t.Errorf("reclaimed with %+v, owns %d proxies, moves %v", reclaiming, coordinator.OwnedProxies(),
@@ -168,7 +169,7 @@
 			t.Errorf("granted %v after three moves within the window, want the owner quota counted as sent",
 				host.granted)
 		}
-		for i := range maxMovesWithReserve { // beyond these moves, an owner has no GuaranteedMessages
+		for i := range maxMovesWithReserve { // after more moves than this, an owner has no GuaranteedMessages
 			coordinator.ProxyDisconnected(5)
 			coordinator.EntryApplied(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1),
 				Seq: coordinator.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -24,16 +24,16 @@
 //
 // # Losing a proxy
 //
-// A member that sees another member's claim of a proxy that it owned does not close its stream: the
-// proxy may still be reading this stream, because a claim can arrive late. Coordinator.loseProxy
-// takes the owner quota away, so that the member may continue to write within its unowned quota. A
-// proxy that is active more than LeaseTerms.RenewInterval after the loss is claimed again. A proxy
-// that has requested fencing tokens rejects a message whose token is older than the greatest token
-// that it has seen. It accepts a message with an equal token or without a token. A member writes
-// without a token to a proxy that it granted without quorum. Messages to a proxy that was granted
-// before keep the token of this grant, also while the member is without quorum and after the proxy
-// was claimed again. The protocol has no message for a rejection: the member that wrote a rejected
-// message is not notified.
+// A member that sees another member's claim of a proxy that it owned does not close its stream to
+// the proxy: the proxy may still be reading this stream, because a claim can arrive late.
+// Coordinator.loseProxy takes the owner quota away, so that the member may continue to write within
+// its unowned quota. A proxy that is active more than LeaseTerms.RenewInterval after the loss is
+// claimed again. A proxy that has requested fencing tokens rejects a message whose token is older
+// than the greatest token that it has seen. It accepts a message with an equal token or without a
+// token. A member writes without a token to a proxy that it granted without quorum. Messages to a
+// proxy that was granted before keep the token of this grant, also while the member is without
+// quorum and after the proxy was claimed again. The protocol has no message for a rejection: the
+// member that wrote a rejected message is not notified.
 //
 // # The leader
 //
@@ -50,13 +50,13 @@
 //
 // # Membership
 //
-// NextStep decides how a member becomes part of a record. A record is founded only by the member
+// NextStep decides how a member becomes part of a record. A record is started only by the member
 // whose name sorts first, and only if every member was reached and none is part of a record:
 // otherwise two records could exist at the same time, for example after a split in which one side
 // has lost its state. A member that has lost its votes returns under another ID and asks to be
 // admitted. If all other members have returned as new, no member is left that could elect a leader
-// together with the remaining one, so the remaining member starts over as new, too. It does not if
-// its part of the record is on a disk: this part is not given up automatically.
+// together with the remaining one, so the remaining member starts over as new, too. It does not
+// start over if its part of the record is on a disk: such a part is not given up automatically.
 //
 // # Messages
 //
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -7,48 +7,54 @@
 
 // Evidence collects observations by a member's proxies for the other members: outcomes by backend
 // since the last report, the backends that this member has withdrawn, the demand at each proxy, and
-// the fleet's capacity. It is reported at most once in a reportInterval, and at once when a backend
-// is withdrawn or restored. It is not safe for concurrent use.
+// the fleet's capacity. A report is due at most once in a reportInterval, and at once when a
+// backend is withdrawn or restored. An Evidence is not safe for concurrent use.
 type Evidence struct {
-	interval   Microseconds // reportInterval, or less in tests
+	interval   Microseconds // minimum time between two reports: reportInterval, or less in tests
 	reportedAt Microseconds
 
-	observed      map[string]Observation // outcomes since the last report, by backend
-	withdrawn     map[string]Observation // outcomes for which this member has withdrawn a backend, by backend
-	lastWithdrawn map[string]Observation // the map withdrawn as of the last report
+	observed map[string]Observation // outcomes since the last report, by backend
+	// withdrawn holds the outcomes because of which this member has withdrawn a backend, by
+	// backend.
+	withdrawn     map[string]Observation
+	lastWithdrawn map[string]Observation // copy of the map withdrawn from the time of the last report
 
-	demand        map[int][]rate    // average rates of requests, by proxy and class
-	changedDemand map[int]bool      // proxies whose demand differs from the last reported
-	lastDemand    map[int][]float64 // rates as last reported, by proxy and class
+	demand        map[int][]rate    // average requests per second, by proxy and class
+	changedDemand map[int]bool      // proxies whose demand differs from the last reported demand
+	lastDemand    map[int][]float64 // requests per second as last reported, by proxy and class
 
 	capacity     Capacity
 	lastCapacity Capacity // the capacity as last reported
 }
 
-// Report holds what is due for the other members; it is empty if nothing is due.
+// Report holds the evidence that is due to be sent to the other members; it is empty if nothing is
+// due.
 type Report struct {
 	// Observations are sorted by backend ID.
 	Observations []Observation
-	// Demands are sorted by proxy, at most maxDemands; further ones are due with the next report.
+	// Demands are sorted by proxy, at most maxDemands; further demands are due with the next
+	// report.
 	Demands []Demand
 	// Capacity is the zero value if it has not changed.
 	Capacity Capacity
 }
 
-// Limits on what is reported, and when.
+// Limits on the content of reports, and on the times of reports.
 const (
 	maxDemands        = 64  // maximum number of proxies in a report
-	demandTolerance   = 0.2 // a relative change of demand by less is not reported
-	capacityTolerance = 0.1 // a relative change of capacity by less is not reported
+	demandTolerance   = 0.2 // a smaller relative change of a proxy's demand is not reported
+	capacityTolerance = 0.1 // a smaller relative change of the capacity is not reported
 
-	demandWindow   = Microseconds(5_000_000) // span over which demand is averaged
-	reportInterval = Microseconds(1_000_000) // minimum time between two reports, unless withdrawals change
+	demandWindow = Microseconds(5_000_000) // span over which demand is averaged, in microseconds
+	// reportInterval is the minimum time between two reports, in microseconds, unless withdrawals
+	// change.
+	reportInterval = Microseconds(1_000_000)
 )
 
 // rate is an average of requests per second.
 type rate struct {
 	perSecond float64
-	window    Microseconds // span that was averaged so far
+	window    Microseconds // sum of the spans that were averaged so far
 }
 
 // add includes further requests, which arrived within a span of time.
@@ -169,8 +175,8 @@
 
 // takeObservations returns the observations since the last report. A backend that was withdrawn
 // since then is reported with the reason for the withdrawal instead. A backend that is still
-// withdrawn is not reported. A backend that was restored is reported with its observations, even if
-// there are none.
+// withdrawn is not reported. A backend that was restored is reported with its outcomes since the
+// last report, even if there are none.
 func (v *Evidence) takeObservations() (observations []Observation) {
 	for backend := range v.lastWithdrawn {
 		if _, stillWithdrawn := v.withdrawn[backend]; !stillWithdrawn {
--- a/ownership/evidence_test.go
+++ b/ownership/evidence_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("reported %v, want one demand, of proxy 7, of at least 20 requests per second", demands)
 		}
 		evidence.ForgetProxy(7)
-		evidence.AddDemand(7, 0, 1, 0) // an empty span is ignored
+		evidence.AddDemand(7, 0, 1, 0) // a count over a span of 0 is ignored
 		if demands := evidence.TakeDue(5_000_000).Demands; demands != nil || len(evidence.demand) != 99 {
 			t.Errorf("reported %v, demands of %d proxies are remembered", demands, len(evidence.demand))
 		}
--- a/ownership/exchange_evidence.go
+++ b/ownership/exchange_evidence.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// AddEvidence adds the report that is due of this member's evidence to the next entry.
+// AddEvidence adds the report of this member's evidence to the next entry, if a report is due.
 func (c *Coordinator) AddEvidence(evidence *Evidence, now Microseconds) {
 	report := evidence.TakeDue(now)
 	c.pending.Observations = append(c.pending.Observations, report.Observations...)
--- a/ownership/leader_clock.go
+++ b/ownership/leader_clock.go
@@ -8,8 +8,8 @@
 // leaderClock relates a leader's clock to the local clock: the greatest stamp that was received
 // from the leader, and the time at which it was received.
 type leaderClock struct {
-	stampedAt  Microseconds // greatest stamp, by the leader's clock
-	receivedAt Microseconds // time at which that stamp was received, by the local clock
+	stampedAt  Microseconds // greatest stamp that was received, by the leader's clock
+	receivedAt Microseconds // time at which the greatest stamp was received, by the local clock
 }
 
 // observeStamp records the stamp of an entry or of a move in a snapshot.
@@ -30,8 +30,8 @@
 	delete(c.leaderClocks, oldest)
 }
 
-// stampAge returns a lower bound of the time since a stamp was given. A stamp by an unknown leader
-// counts as older than the message window.
+// stampAge returns a lower bound of the time since a leader gave a stamp. A stamp by an unknown
+// leader counts as older than the message window.
 func (c *Coordinator) stampAge(stamp Stamp, now Microseconds) Microseconds {
 	clock, known := c.leaderClocks[stamp.Leader]
 	if !known {
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -5,20 +5,22 @@
 // reasons. A tracker is kept over several leaderships of one process, and is lost when the process
 // ends. It is not safe for concurrent use.
 type LeaseTracker struct {
-	lease     Microseconds
-	members   int                      // number of members
-	arrivals  map[uint64]entryArrivals // by incarnation
-	stoppedAt map[string]Microseconds  // last time at which a member was seen not to run, by name
+	lease    Microseconds
+	members  int                      // number of members that share the record
+	arrivals map[uint64]entryArrivals // arrivals of the last entries, by incarnation
+	// stoppedAt holds the last time at which a member's process was found not running, by name of
+	// the member.
+	stoppedAt map[string]Microseconds
 }
 
 // entryArrivals holds the arrival times of the last entries of an incarnation that arrived in
 // sequence on one connection.
 type entryArrivals struct {
-	connection         int          // number of the connection
+	connection         int          // number of the connection on which the entries arrived
 	seq                uint64       // number of the last entry that arrived
-	arrivedAt          Microseconds // arrival of the entry with seq
-	previousAt         Microseconds // arrival of the entry before it, or notArrived
-	earliestLeaseStart Microseconds // earliest possible start of the lease, or notArrived
+	arrivedAt          Microseconds // arrival time of the entry with the number seq
+	previousAt         Microseconds // arrival time of the entry before seq, or notArrived
+	earliestLeaseStart Microseconds // earliest possible start of the member's lease, or notArrived
 }
 
 // notArrived stands for a missing time in entryArrivals.
@@ -55,10 +57,12 @@
 //
 //  1. A member is without quorum no sooner than one lease after it proposed the last of its
 //     entries whose commit was answered.
-//  2. It proposes entry n+1 after the answer to n. So when n+1 arrives on the same connection, n
-//     was answered.
-//  3. It proposed n after the answer to n-1, which was sent after n-1 had arrived at this leader.
-//  4. So its lease starts at the arrival of n-1 at the earliest, however late messages are.
+//  2. The member proposes entry n+1 after the answer to entry n. So when entry n+1 arrives on the
+//     same connection, entry n was answered.
+//  3. The member proposed entry n after the answer to entry n-1, which was sent after entry n-1 had
+//     arrived at this leader.
+//  4. So the member's lease starts at the arrival of entry n-1 at the earliest, however late
+//     messages are.
 func (t *LeaseTracker) Observe(incarnation, seq uint64, connection int, now Microseconds) {
 	arrivals, known := t.arrivals[incarnation]
 	if !known {
@@ -66,7 +70,7 @@
 	}
 	sameConnection := known && arrivals.connection == connection
 	switch {
-	case sameConnection && seq == arrivals.seq: // repeated entry: the first arrival counts
+	case sameConnection && seq == arrivals.seq: // a repeated entry changes nothing, as its first arrival counts
 	case sameConnection && seq == arrivals.seq+1:
 		if arrivals.previousAt != notArrived {
 			arrivals.earliestLeaseStart = max(arrivals.earliestLeaseStart, arrivals.previousAt)
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -10,7 +10,9 @@
 
 // PeerStatus is the answer of another member to a status request.
 type PeerStatus struct {
-	ID        string // the peer's name and a random part, which stays the same as long as its votes are stored
+	// ID is the peer's name and a random part, which stays the same as long as the peer's votes are
+	// stored.
+	ID        string
 	HasRecord bool   // the peer is part of a record
 	Leader    string // name of the leader that the peer knows; empty if it knows none
 }
@@ -23,13 +25,13 @@
 	IsMember        bool   // the record lists this ID as a member
 	HasLeader       bool   // the record has a leader
 	Durable         bool   // the member's part of the record survives a restart of the process
-	LeaderlessPolls int    // consecutive polls without a leader
+	LeaderlessPolls int    // number of consecutive polls at which the record had no leader
 }
 
 // Step is the next action of a member towards being part of a record.
 type Step struct {
-	Action  Action            // the kind of the step
-	JoinVia string            // for Join: name of the member to ask
+	Action  Action            // what the member has to do
+	JoinVia string            // for Join: name of the member to ask for admission
 	IDs     map[string]string // for Bootstrap: IDs of all members, by name
 }
 
@@ -40,7 +42,7 @@
 const (
 	Wait      Action = iota // do nothing for now
 	Join                    // ask another member for admission under this member's ID
-	Bootstrap               // found a record of all members
+	Bootstrap               // start a new record with all members
 	StartOver               // drop this member's part of the record, and return as a new member
 )
 
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -23,7 +23,7 @@
 	eventChangeTable eventKind = 'o' // the member changes its table
 	eventAcknowledge eventKind = 'c' // the proxy acknowledges everything that was written to it
 	eventCutOff      eventKind = 'x' // the member is cut off from the record
-	eventLoseAnswers eventKind = 'l' // the entries of the member arrive, the answers are lost
+	eventLoseAnswers eventKind = 'l' // the entries of the member arrive, but the answers are lost
 	eventHeal        eventKind = 'h' // the connection between the member and the record works again
 	eventKill        eventKind = 'k' // the member's process is killed
 	eventClose       eventKind = 'q' // the member closes its incarnation, then its process ends
@@ -43,8 +43,8 @@
 	streamSerial int                // number of the proxy's stream
 	proxyLines   map[string]float64 // weights that the proxy holds, by backend
 	proxyToken   uint64             // greatest fencing token that the proxy has seen
-	messageTimes []int64            // times of the messages to the proxy
-	violation    string             // first violation; empty without one
+	messageTimes []int64            // times of the messages to the proxy, within the message window
+	violation    string             // description of the first violation; empty if there is none
 	lastRandomID uint64
 }
 
@@ -53,19 +53,19 @@
 	state             *modelState
 	index             int
 	coordinator       *Coordinator
-	running, cutOff   bool     // cutOff: from the record
-	answersLost       bool     // the entries arrive, the answers are lost
+	running, cutOff   bool     // cutOff: the member is cut off from the record
+	answersLost       bool     // the entries of the member arrive, but the answers are lost
 	connection        int      // number of the connection to the leader
 	applied           int      // number of log entries that the member has applied
 	proposals         []Entry  // entries that are not delivered to the leader yet
-	knownStream       int      // serial of the last stream that began at this member
-	grantedStream     int      // serial of the granted stream
-	token             uint64   // fencing token of the grant
+	knownStream       int      // serial number of the last stream that began at this member
+	grantedStream     int      // serial number of the stream for which the proxy was granted
+	token             uint64   // fencing token of the last grant
 	weight            float64  // weight of backend a in the member's table; 0 for no line
 	lastRevision      uint64   // revision of the last table change
-	lastWrittenStream int      // serial of the last stream on which the member wrote
-	unreleased        []uint64 // revisions that wait for their release
-	countedMessages   []int64  // times of the messages that count against the quota
+	lastWrittenStream int      // serial number of the last stream on which the member wrote
+	unreleased        []uint64 // revisions that wait for their release by ReleaseUpTo
+	countedMessages   []int64  // times of the messages that count against the member's quota
 }
 
 func (member *modelMember) Propose(e Entry) { member.proposals = append(member.proposals, e) }
@@ -85,7 +85,7 @@
 	member.grantedStream, member.token, member.countedMessages = member.knownStream, grant.Token, nil
 	member.MessagesSentByPeers(0, grant.SentMessages)
 	if member.state.streamMember != member.index || member.state.streamSerial != member.knownStream {
-		return // the stream has already ended
+		return // the stream for which the proxy is granted has already ended
 	}
 	for _, known := range grant.Base {
 		for backend, weight := range member.state.proxyLines {
@@ -224,7 +224,7 @@
 	case eventTick:
 		state.now++
 		for _, member := range state.members {
-			if !member.running { // the leader finds that the process is not running
+			if !member.running { // the leader finds that the member's process is not running
 				state.leases.MarkStopped(fmt.Sprint("n", member.index), state.now)
 			}
 		}
--- a/ownership/proposals.go
+++ b/ownership/proposals.go
@@ -40,8 +40,8 @@
 	return sinceLastProposal >= c.terms.RenewInterval
 }
 
-// urgent reports whether a claim, a table change or the planned end of the member waits for the
-// entry.
+// urgent reports whether the entry has content that must not wait: a claim, a table change or the
+// planned end of the member.
 func (e *Entry) urgent() bool {
 	return len(e.Claims) > 0 || len(e.Reclaims) > 0 || len(e.TableChanges) > 0 || e.Closing
 }
@@ -69,7 +69,7 @@
 	c.inFlight = nil
 	c.seq = seq
 	c.leaseStart = c.proposedAt
-	if now-c.leaseStart >= c.terms.Duration { // the lease has already ended; Tick handles it
+	if now-c.leaseStart >= c.terms.Duration { // the lease has already ended, which Tick handles
 		c.proposePending(now)
 		return
 	}
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -33,7 +33,8 @@
 
 // ProxyActiveAt handles a report of the time at which a proxy was last active on its stream. A
 // connected proxy that this member lost, or has not claimed since its incarnation began, is claimed
-// again if it was active more than LeaseTerms.RenewInterval after the loss or that beginning.
+// again if it was active more than LeaseTerms.RenewInterval after the loss or after the beginning
+// of the incarnation.
 func (c *Coordinator) ProxyActiveAt(proxy int, at Microseconds) {
 	state := c.proxies[proxy]
 	if state != nil && state.unclaimedSince > 0 && at > state.unclaimedSince+c.terms.RenewInterval {
@@ -55,9 +56,9 @@
 }
 
 // ProxyAcknowledged records that a proxy has applied everything that this member wrote to it up to
-// a revision, and to which tables its classes are bound, -1 for none. An acknowledgement with a
-// class that is bound to no table is ignored. If withdrawalsKnown is set, the proxy holds the
-// withdrawals that this member ordered, and none by an earlier owner.
+// a revision, and the number of the table to which each of the proxy's classes is bound, -1 for
+// none. An acknowledgement with a class that is bound to no table is ignored. If withdrawalsKnown
+// is set, the proxy holds the withdrawals that this member ordered, and none by an earlier owner.
 func (c *Coordinator) ProxyAcknowledged(proxy int, revision uint64, tables []int, withdrawalsKnown bool) {
 	state := c.proxies[proxy]
 	if state == nil || revision < state.acknowledgedRevision || slices.Contains(tables, -1) {
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -82,9 +82,9 @@
 
 // Bounds on the number of removed lines and past incarnations in the record.
 const (
-	maxRemovedLines             = 256 // removed lines of a table beyond which it is compacted
-	removedLinesAfterCompaction = 128 // removed lines that a compaction leaves in a table
-	maxPastIncarnations         = 16  // past incarnations that are remembered for each member
+	maxRemovedLines             = 256 // number of removed lines above which a table is compacted
+	removedLinesAfterCompaction = 128 // number of removed lines that a compaction leaves in a table
+	maxPastIncarnations         = 16  // number of past incarnations that are remembered for each member
 )
 
 // NewRecord returns an empty record.
@@ -144,7 +144,7 @@
 	}
 	r.Members[e.Member] = e.Incarnation
 	r.Incarnations[e.Incarnation] = &Incarnation{Member: e.Member, Tables: map[int]*Table{}}
-	r.clearWithdrawn(e.Member) // the new incarnation does not know the withdrawals of the last one
+	r.clearWithdrawn(e.Member) // the new incarnation does not know the withdrawals of the previous incarnation
 }
 
 // accepts reports whether an entry is the next one of its member's present incarnation.
@@ -164,7 +164,7 @@
 			table = &Table{Lines: map[string]VersionedWeight{}}
 			i.Tables[change.Table] = table
 		}
-		if e.Seq == 1 { // an incarnation's first entry has complete tables, without earlier removals
+		if e.Seq == 1 { // an incarnation's first entry has complete tables, without lines removed earlier
 			table.CompactedAt = e.Revision
 		}
 		for _, line := range change.Lines {
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -19,15 +19,17 @@
 	Members int
 	// GuaranteedMessages is the number of messages that an owner may always write to a proxy,
 	// unless the proxy has moved more than maxMovesWithReserve times within MessageWindow. A proxy
-	// has one owner at a time, which paces its changes. The changes of a whole window and the
+	// has one owner at a time, which spaces out its changes. The changes of a whole window and the
 	// messages that each takeover needs therefore stay within MaxMessages for up to
 	// maxMovesWithReserve moves.
 	GuaranteedMessages int
 }
 
-// Rules by which the messages to a proxy are divided.
+// Limits for the division of the messages to a proxy.
 const (
-	previousOwnersCounted = 2 // number of previous owners within MessageWindow whose quotas fit into MaxMessages
+	// previousOwnersCounted is the number of previous owners within MessageWindow whose quotas fit
+	// into MaxMessages.
+	previousOwnersCounted = 2
 	maxMovesWithReserve   = 4 // moves within MessageWindow up to which an owner has GuaranteedMessages
 )
 
