--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -330,7 +330,7 @@
 			mode  AdmissionMode
 			fleet int // number of proxies at all controllers together, 3 of them at this controller
 			quota float64
-			want  float64 // limit of class 0, whose demand is 20 requests per second at each proxy
+			want  float64 // wanted limit of class 0, whose demand is 20 requests per second at each proxy
 		}{
 			"all proxies at this controller":         {AdmissionByRate, 0, 30, 10},
 			"half of the proxies at this controller": {AdmissionByRate, 6, 30, 5},
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -44,7 +44,7 @@
 
 	// State of the endpoint list.
 	pollAt         Microseconds // time of the next poll of the endpoint list, if polling is required
-	pollBackoff    Microseconds // pause before the next poll if the last one fails, before randomization
+	pollBackoff    Microseconds // pause after a failed poll of the endpoint list, before it is randomized
 	endpointsKnown bool         // a complete endpoint list with at least one endpoint has been received
 	warmEverListed bool         // some listed backend was once ready and warm, even if it is no longer listed
 
@@ -72,7 +72,7 @@
 	// queueCongested is set while changes wait for capacity in the push channel, so that tables for
 	// proxies wait as well.
 	queueCongested bool
-	syncQueue      []int // proxies that wait for tables, and then for withdrawals to be cleared
+	syncQueue      []int // indices of the proxies that wait for tables, or for withdrawals to be cleared
 
 	randomDraws uint64 // number of random fractions drawn so far
 }
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -19,7 +19,7 @@
 	assigned     map[string]bool
 	limits       map[string]float64
 	retries      map[string]RetryPolicy
-	messages     []int64 // times at which acks were requested
+	messages     []int64 // times of the ack requests, one for each clock time at which messages were sent
 	ackRequest   int
 	polls        int
 	healthChecks []int
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -7,7 +7,8 @@
 	// Now returns the current time. It may stay the same during an event, and never decreases.
 	Now() Microseconds
 
-	// SetTimer requests a call of Controller.TimerFired with the tag after a wait.
+	// SetTimer requests a call of Controller.TimerFired with the given tag once the given time has
+	// passed.
 	SetTimer(wait Microseconds, tag uint64)
 
 	// Log records a decision about a backend; -1 stands for a decision about no single backend.
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -34,8 +34,8 @@
 	writeClasses uint16 // set of the classes with Class.Writes: bit i is class i
 }
 
-// shardState holds the state of one shard, which is zero unless the shard is assigned to this
-// controller.
+// shardState holds the state of one shard. It is the zero value unless the shard is assigned to
+// this controller.
 type shardState struct {
 	assigned bool      // the shard is assigned to this controller
 	owner    int       // index of the backend that owns the shard, or noOwner
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -131,7 +131,7 @@
 			for range int(4 * seconds) {
 				host.runChannel(0.25)
 				for p, proxy := range host.controller.proxies {
-					// The tables arrive after all lines that are queued now.
+					// The tables arrive after all lines that are queued now have left the channel.
 					if _, known := tableDelays[p]; proxy.tablesAssigned && !known {
 						tableDelays[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
 					}
@@ -145,7 +145,8 @@
 		}
 		connect(0, 35)
 		runChannel(1.5)
-		host.updateEndpoints(160, 260, Ready, 0) // 100 new backends, whose entries also need the channel
+		// The entries of these 100 new backends are sent on the same channel as the tables.
+		host.updateEndpoints(160, 260, Ready, 0)
 		connect(35, 50)
 		runChannel(0.5)
 		connect(50, 75)
--- a/ownership/apply.go
+++ b/ownership/apply.go
@@ -17,7 +17,8 @@
 	switch {
 	case e.Incarnation == c.incarnation && e.Seq == 1:
 		c.reportRecordedEvidence()
-	case e.Member != c.name && c.hasEntered(): // reports from before this member entered are outdated
+	case e.Member != c.name && c.hasEntered():
+		// Observations reported before this member entered the record are outdated.
 		c.reportEvidence(e)
 	}
 }
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -68,7 +68,7 @@
 	seq            uint64
 	inFlight       *Entry       // the proposed entry that is not answered yet; nil if no entry is in flight
 	proposedAt     Microseconds // time at which inFlight was first proposed
-	pending        Entry        // collects the content of the entry after inFlight
+	pending        Entry        // content of the next entry, collected until no entry is in flight
 	leaseStart     Microseconds // time at which the last committed entry was proposed
 	lastProposedAt Microseconds // time at which the last entry was first proposed
 	lastEnteredAt  Microseconds // time at which an incarnation's first entry was last proposed
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -102,8 +102,8 @@
 	// Window is the length of the observed span of time. If outcomes of several spans are summed,
 	// it is the length of the longest.
 	Window Microseconds `cbor:"5,keyasint"`
-	// Withdrawn reports whether the member has withdrawn the backend, because of the attempts given
-	// here.
+	// Withdrawn reports whether the member has withdrawn the backend because of the attempts and
+	// failures of this observation.
 	Withdrawn bool `cbor:"6,keyasint,omitempty"`
 	// Backoff is the time for which the backend is withdrawn.
 	Backoff Microseconds `cbor:"7,keyasint,omitempty"`
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -51,7 +51,7 @@
 	return len(recentGrants) > 0 || !windowPassed(c.startedAt)
 }
 
-// recentMoves counts the moves within the message window.
+// recentMoves counts the moves of a proxy whose stamps are within the message window.
 func (c *Coordinator) recentMoves(moves []Stamp, now Microseconds) (count int) {
 	for _, stamp := range moves {
 		if c.stampAge(stamp, now) < c.terms.MessageWindow {
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -37,7 +37,7 @@
 	now          int64
 	log          []Entry
 	leases       *LeaseTracker
-	record       *Record // the record at the leader
+	record       *Record // record that results from the entries that the leader has applied
 	members      []*modelMember
 	streamMember int                // index of the member to which the proxy is connected
 	streamSerial int                // number of the proxy's stream
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -45,8 +45,8 @@
 
 // Table is one of a member's tables.
 type Table struct {
-	// Lines are the lines by backend. A removed line stays with a weight of 0 until it is
-	// compacted.
+	// Lines holds the lines of the table, by backend. A removed line stays with a weight of 0 until
+	// it is compacted.
 	Lines map[string]VersionedWeight `cbor:"1,keyasint"`
 	// CompactedAt is the revision before which removed lines are not known any more.
 	CompactedAt uint64 `cbor:"2,keyasint"`
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -15,7 +15,7 @@
 	// MaxMessages is the number of messages that all members together may write to a proxy within
 	// MessageWindow.
 	MaxMessages int
-	// Members is the number of members.
+	// Members is the number of members that share the record.
 	Members int
 	// GuaranteedMessages is the number of messages that an owner may always write to a proxy,
 	// unless the proxy has moved more than maxMovesWithReserve times within MessageWindow. A proxy
@@ -30,7 +30,9 @@
 	// previousOwnersCounted is the number of previous owners within MessageWindow whose quotas fit
 	// into MaxMessages.
 	previousOwnersCounted = 2
-	maxMovesWithReserve   = 4 // moves within MessageWindow up to which an owner has GuaranteedMessages
+	// maxMovesWithReserve is the number of moves of a proxy within MessageWindow up to which an
+	// owner has GuaranteedMessages.
+	maxMovesWithReserve = 4
 )
 
 // UnownedQuota returns the number of messages that a member may write to a proxy within
