--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -42,8 +42,8 @@
 }
 
 // forgotUnownedMessages reports whether this member may have written messages to a proxy within the
-// message window of which it has no count, because it has started within the window, or was already
-// granted the proxy within the window. It drops the times of older grants.
+// message window that it no longer counts, because the member has started within the window, or was
+// already granted the proxy within the window. It drops the times of older grants.
 func (c *Coordinator) forgotUnownedMessages(proxy int, now Microseconds) bool {
 	windowPassed := func(at Microseconds) bool { return now-at >= c.terms.MessageWindow }
 	recentGrants := slices.DeleteFunc(c.grantTimes[proxy], windowPassed)
@@ -51,7 +51,7 @@
 	return len(recentGrants) > 0 || !windowPassed(c.startedAt)
 }
 
-// recentMoves counts the moves within the message window.
+// recentMoves counts the moves of a proxy whose stamps are within the message window.
 func (c *Coordinator) recentMoves(moves []Stamp, now Microseconds) (count int) {
 	for _, stamp := range moves {
 		if c.stampAge(stamp, now) < c.terms.MessageWindow {
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -15,20 +15,24 @@
 	// MaxMessages is the number of messages that all members together may write to a proxy within
 	// MessageWindow.
 	MaxMessages int
-	// Members is the number of members.
+	// Members is the number of members that share the record.
 	Members int
 	// GuaranteedMessages is the number of messages that an owner may always write to a proxy,
 	// unless the proxy has moved more than maxMovesWithReserve times within MessageWindow. A proxy
-	// has one owner at a time, which paces its changes. The changes of a whole window and the
+	// has one owner at a time, which spaces out its changes. The changes of a whole window and the
 	// messages that each takeover needs therefore stay within MaxMessages for up to
 	// maxMovesWithReserve moves.
 	GuaranteedMessages int
 }
 
-// Rules by which the messages to a proxy are divided.
+// Limits for the division of the messages to a proxy.
 const (
-	previousOwnersCounted = 2 // number of previous owners within MessageWindow whose quotas fit into MaxMessages
-	maxMovesWithReserve   = 4 // moves within MessageWindow up to which an owner has GuaranteedMessages
+	// previousOwnersCounted is the number of previous owners within MessageWindow whose quotas fit
+	// into MaxMessages.
+	previousOwnersCounted = 2
+	// maxMovesWithReserve is the number of moves of a proxy within MessageWindow up to which an
+	// owner has GuaranteedMessages.
+	maxMovesWithReserve = 4
 )
 
 // UnownedQuota returns the number of messages that a member may write to a proxy within
