--- a/controller/backend_index.go
+++ b/controller/backend_index.go
@@ -1,20 +1,23 @@
 package controller
 
-// backendIndex assigns a small index to each listed backend. Some time after the list has dropped
-// the backend, the index is free again for another one. The event loop owns it.
+// backendIndex assigns a small index to each backend of the endpoint list. Some time after the list
+// has dropped a backend, sweep frees the index for another backend. The event loop owns the
+// backendIndex.
 type backendIndex struct {
-	index     map[string]int // by backend id
-	ids       []string       // by index: the backend id; empty if the index is free
-	names     [][]byte       // by index: the id as encoded in messages, a JSON string
-	removedAt []microseconds // by index: time at which the list dropped the backend; 0 while it is listed
-	free      []int          // free indices
-	sweptAt   microseconds   // time of the last sweep
+	index map[string]int // index of each backend, by backend id
+	ids   []string       // backend id of each index; empty if the index is free
+	names [][]byte       // backend id of each index as encoded in messages, a JSON string
+	// removedAt holds the time at which the endpoint list dropped the backend of each index; 0
+	// while the backend is listed.
+	removedAt []microseconds
+	free      []int        // indices that no backend has
+	sweptAt   microseconds // time of the last call of sweep that looked for indices to free
 }
 
 func newBackendIndex() *backendIndex { return &backendIndex{index: map[string]int{}} }
 
-// assign returns the index of a backend, and assigns one to a new backend. It returns false if no
-// index is free and limit indices are in use.
+// assign returns the index of a backend, and assigns one to a new backend. limit is the maximum
+// number of indices. assign returns false if all of them are in use.
 func (b *backendIndex) assign(id string, name []byte, limit int) (index int, ok bool) {
 	if index, ok = b.index[id]; ok {
 		return index, true
@@ -32,9 +35,9 @@
 	return index, true
 }
 
-// updateListed records which backends are in an endpoint list. listed has an entry for each of its
-// backends, which is false if the list has the backend as removed. A full list drops all backends
-// that it does not contain.
+// updateListed records which backends are in an endpoint list. listed has an entry for each backend
+// in the list, which is false if the list marks the backend as removed. A full list also drops all
+// backends that it does not contain.
 func (b *backendIndex) updateListed(listed map[int]bool, full bool, now microseconds) {
 	for backend, since := range b.removedAt {
 		present, named := listed[backend]
@@ -47,8 +50,10 @@
 	}
 }
 
-// sweep frees the indices of backends that were dropped at least keep ago, if forget has discarded
-// their state. Calls within a tenth of keep after the last sweep do nothing.
+// sweep frees the indices of the backends that the endpoint list dropped at least the time keep
+// ago. It calls forget for each of these indices, and frees the index only if forget returns true,
+// which means that the state of the backend is discarded. A call within a tenth of keep after the
+// last sweep does nothing. sweep returns the number of indices that it freed.
 func (b *backendIndex) sweep(now, keep microseconds, forget func(index int) bool) (forgotten int) {
 	if now-b.sweptAt < keep/10 {
 		return 0
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -72,9 +72,9 @@
 // measured; at narrowRate most proxies wait.
 const wideRate, narrowRate = 9e9, 900
 
-// BenchmarkFleet measures events of a controller by its number of proxies: a takeover (all proxies
-// connect at once), a report, a change of a backend that reaches all proxies (order), and an
-// iteration without events (beat).
+// BenchmarkFleet measures how long a controller with a given number of proxies takes for an event.
+// Case takeover: all proxies connect at once. Case report: a load report. Case order: a change of a
+// backend that reaches all proxies. Case beat: an iteration without events.
 func BenchmarkFleet(b *testing.B) {
 	for _, proxies := range []int{10, 100, 1000, 2400} {
 		for name, lines := range map[string]float64{"takeover": wideRate, "takeover_narrow": narrowRate} {
@@ -126,8 +126,9 @@
 	}
 }
 
-// BenchmarkList measures an endpoint list by its number of backends: the full list at the start,
-// without proxies (lines), and a change of one backend, which reaches 100 proxies (change).
+// BenchmarkList measures how long a controller takes for an endpoint list with a given number of
+// backends. Case lines: the full list at the start, without proxies. Case change: a change of one
+// backend, which reaches 100 proxies.
 func BenchmarkList(b *testing.B) {
 	const proxies = 100
 	for _, backends := range []int{200, 1000, 5000, 20_000} {
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// closeWriting closes the sending side of a connection. The caller can still read.
+// closeWriting closes the sending side of a connection. The client can still read.
 func (caller *client) closeWriting() {
 	caller.Helper()
 	if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil {
@@ -57,7 +57,8 @@
 		prober.closeWriting()
 		silent := dial(t, address)
 		silent.closeWriting()
-		logged.waitFor(t, "msg=unidentified_closed", 1) // of the silent connection, to which no answer is queued
+		// The silent connection is closed, as no answer to it is queued.
+		logged.waitFor(t, "msg=unidentified_closed", 1)
 		discovery.answers <- twoEndpoints
 		if texts, err := prober.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
 			t.Errorf("got %q, error %v, want %q", texts, err, aliveReply)
@@ -90,7 +91,8 @@
 			t.Fatalf("error %v, nonces %v, want one nonce", err, fake.nonces)
 		}
 		ack := fmt.Sprintf(`{"msg":"ack","node":3,"nonce":%d}`, fake.nonces[0])
-		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil)) // the repeated ack is logged as unknown
+		// the controller logs the repeated ack as unknown
+		proxy.Write(bytes.Join([][]byte{frame(ack), frame(ack), frame(probe)}, nil))
 		proxy.closeWriting()
 		texts, err := proxy.readRest()
 		if err != nil || len(texts) == 0 || texts[len(texts)-1] != aliveReply {
@@ -128,7 +130,8 @@
 	})
 	t.Run("a proxy whose stream ends within a message is disconnected, and the message is ignored", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
-		// A complete report of another proxy would be logged as skipped.
+		// The report names proxy 9, not its sender. The controller would log it as skipped if it
+		// handled the truncated report as a complete one.
 		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1)
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			proxy := dial(t, address)
@@ -192,7 +195,8 @@
 		ended := make(chan error, 1)
 		go func() { ended <- conn.readMessages() }()
 		remote.Write(frame(hello))
-		remote.Write(frame(demandReport)) // is read, as the deadline of an unidentified connection no longer applies
+		// The reader still reads this report, as the deadline for identification no longer applies.
+		remote.Write(frame(demandReport))
 		remote.Close()
 		if err := <-ended; err != io.EOF || conn.kind != kindProxy {
 			t.Errorf("readMessages returned %v on a connection of kind %v, want EOF and proxy", err, conn.kind)
@@ -200,7 +204,7 @@
 	})
 	t.Run("a write whose deadline passes while the process stalls continues where it stopped", func(t *testing.T) {
 		loop, _ := newIdleLoop(t)
-		// The write deadline passes before the first byte.
+		// The write deadline is 1 ns, so it passes before the first byte is written.
 		loop.limits.writeTimeout, loop.limits.finalReadTimeout = time.Nanosecond, testTimeout
 		local, remote := net.Pipe()
 		conn := newConnection(local, 1, loop, func(*connection) error { return nil })
@@ -263,7 +267,9 @@
 			case 0:
 				caller.Write(frame(hello)[:1])
 			case 1:
-				caller.Write([]byte{0, 0, 64, 0}) // the largest length that an unidentified connection may announce, without a body
+				// The prefix announces 16 KiB, the largest length allowed before identification,
+				// but no body follows.
+				caller.Write([]byte{0, 0, 64, 0})
 			case 2:
 				caller.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 			}
@@ -303,7 +309,7 @@
 					}
 					conn, err := net.DialTimeout("tcp", address, testTimeout)
 					if err != nil {
-						return // refused, as the listener is closed already
+						return // the connection is refused, as the listener is closed already
 					}
 					defer conn.Close()
 					conn.Write(frame(helloOf(i)))
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -19,18 +19,18 @@
 type parsedConfiguration struct {
 	Identity
 	seed          uint64
-	cachedList    *fastjson.Value // discovery's list when the configuration was written; nil if missing
+	cachedList    *fastjson.Value // endpoint list of discovery when the configuration was written; nil if missing
 	limits        *limits
 	channel       balancer.PushChannel
 	rules         balancer.RuleLimits
 	classes       []balancer.Class
-	classNames    [][]byte       // by class: its name as encoded in messages, a JSON string
-	classIndex    map[string]int // class index by name
+	classNames    [][]byte       // name of each class as encoded in messages, a JSON string
+	classIndex    map[string]int // index of each class, by class name
 	zones         []string
 	telemetry     balancer.Telemetry
 	admissionMode balancer.AdmissionMode
-	restartTexts  map[string]string // by key: JSON text of each of restartKeys that is present
-	warnings      []string          // unusual settings that can still be used
+	restartTexts  map[string]string // JSON text of the value of each of restartKeys that is present, by key
+	warnings      []string          // texts about unusual settings that can still be used
 }
 
 // resources are the limits of the process as the configuration gives them.
@@ -87,7 +87,7 @@
 		return seed
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write(text) // a hash never returns an error
+	_, _ = hash.Write(text) // Write of a hash never returns an error
 	return hash.Sum64()
 }
 
@@ -124,7 +124,8 @@
 		p.warnf("health checks are disabled: they are not supported on sockets")
 	}
 	p.telemetry.HealthChecksAllowed = false
-	p.telemetry.PollingRequired = false // the watcher watches the endpoint list all the time
+	// Polling is not required, as the watcher watches the endpoint list all the time.
+	p.telemetry.PollingRequired = false
 	tick := settings.FromMilliseconds(parsed.NumberOr("tick", 0))
 	p.parseClassNames(values, parsed)
 	if err := parsed.Err(); err != nil {
@@ -174,7 +175,7 @@
 	})
 }
 
-// indexByName returns the index of each name.
+// indexByName maps each name to its index in names.
 func indexByName(names []string) map[string]int {
 	index := map[string]int{}
 	for i, name := range names {
--- a/controller/configuration_cache.go
+++ b/controller/configuration_cache.go
@@ -19,8 +19,8 @@
 	cacheFile       = "configuration.cbor"
 	cacheFolderMode = os.FileMode(0o700)
 
-	cacheInterval    = 5 * time.Second // least time between two writes of the file
-	cachePauseFactor = 100             // least pause after a write, as a multiple of the time that the write took
+	cacheInterval    = 5 * time.Second // minimum time between two writes of the file
+	cachePauseFactor = 100             // minimum pause after a write, as a multiple of the time that the write took
 )
 
 // configurationCache stores a subscriber's configuration in a file, so that the subscriber starts
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("folder: %w; a folder that can be written to is required", err)
 	}
-	_ = probe.Close() // nothing was written to it
+	_ = probe.Close() // an error of Close is ignored, as nothing was written to the file
 	return &configurationCache{path: filepath.Join(folder, cacheFile)}, os.Remove(probe.Name())
 }
 
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // has an effect only if an error prevented the rename
+	defer func() { _ = os.Remove(file.Name()) }() // removes the temporary file if an error prevented the rename
 	_, err = file.Write(body.Bytes())
 	if err := errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
--- a/controller/configuration_cache_test.go
+++ b/controller/configuration_cache_test.go
@@ -52,7 +52,7 @@
 }
 
 // A subscriber that restarts while no parent can be reached has to use its cached configuration.
-// Without it, drains would end with the restart.
+// Without the cache, drains would end with the restart.
 func TestSubscriberUsesItsCacheAfterRestart(t *testing.T) {
 	known := listJSON(1, true, endpointJSON(0, "up"), endpointJSON(1, "up"))
 	members, voters := runVoters(t, known, "n0", "n1")
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -39,29 +39,31 @@
 	limits   *limits
 	loop     *eventLoop
 	log      *slog.Logger
-	register func(*connection) error // called when the connection identifies itself; an error refuses it
+	register func(*connection) error // called when the peer identifies itself; an error refuses the connection
 	sequence int                     // position in the order in which connections were accepted
 
 	// Owned by the reader. Other goroutines may read a field that the reader sets before it calls
 	// register or posts the connection to the loop.
-	body             *bytes.Buffer // the message being read
+	body             *bytes.Buffer // the message that the reader is reading or handling
 	kind             connectionKind
-	wantsToken       bool // the proxy asked for fencing tokens in its pushes
+	wantsToken       bool // whether the proxy asked for a fencing token in each push
 	zone             int
 	proxy            int
 	acceptedAt       time.Time
-	finalReadStarted bool // the read deadline has passed, and the final read is under way or done
+	finalReadStarted bool // whether the read deadline has passed, and the final read after it has begun
 
-	evicted       atomic.Bool  // evict was called
-	lastMessageAt atomic.Int64 // clock time of the last complete message, µs
+	evicted       atomic.Bool  // whether evict was called
+	lastMessageAt atomic.Int64 // time at which the last complete message was read, Unix time in µs
 
-	outbox      chan []byte   // queued messages; send fails when limits.outboxSize messages wait
-	readDone    chan struct{} // closed when the reader has ended; no answers are put into outbox after that
-	awaitsReady bool          // whether the writer may wait for readiness after readDone; set before that
+	outbox   chan []byte   // messages to the peer; send fails if limits.outboxSize messages wait here
+	readDone chan struct{} // closed when the reader has ended; after that no answers are put into outbox
+	// awaitsReady is true if the writer may wait until the controller is ready, even after readDone
+	// is closed. endReading sets it before it closes readDone.
+	awaitsReady bool
 
-	closed      chan struct{} // closed by close
+	closed      chan struct{} // closed by the first call of close, which ends the connection
 	closeOnce   sync.Once
-	closeReason error // set before closed is closed
+	closeReason error // reason of the first call of close; set before the channel closed is closed
 }
 
 // newConnection returns a connection for an accepted socket; run serves it.
@@ -73,17 +75,19 @@
 		readDone: make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
-	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout)) // the only read deadline until the peer has identified itself
+	// Messages do not extend this read deadline, which applies until the peer has identified
+	// itself.
+	c.readUntil(c.acceptedAt.Add(c.limits.identifyTimeout))
 	return c
 }
 
-// run serves the connection; the server calls it in a goroutine. close ends every state at once,
-// together with both goroutines. The states are:
+// run serves the connection; the server calls it in a goroutine. A call of close ends any state at
+// once, together with both goroutines. The states are:
 //
 // Reading: lasts until readMessages returns.
 //
-// Draining: begins with endReading; the queued answers are sent. An identified connection whose
-// reading failed skips this state.
+// Draining: begins with endReading; the writer sends the queued answers. An identified connection
+// whose reading failed skips this state.
 //
 // Refusing: only for an unidentified connection whose reading failed; the reason is sent, and
 // further input is discarded.
@@ -110,7 +114,7 @@
 	c.closeOnce.Do(func() {
 		c.closeReason = reason
 		close(c.closed)
-		_ = c.socket.Close() // a failed close needs no handling
+		_ = c.socket.Close() // an error of Close is ignored, as the socket is not used again
 	})
 }
 
@@ -121,7 +125,7 @@
 	c.evicted.Store(true)
 	c.readUntil(c.acceptedAt)
 	select {
-	case <-c.readDone: // the reader has ended, but the writer may wait for readiness
+	case <-c.readDone: // the reader has ended, but the writer may still wait until the controller is ready
 		time.AfterFunc(c.limits.finalReadTimeout, func() { c.close(errIdentifyTimeout) })
 	default:
 	}
@@ -139,7 +143,7 @@
 	return nil
 }
 
-// readUntil sets the read deadline; the zero time removes it.
+// readUntil sets the read deadline; the zero time removes the deadline.
 func (c *connection) readUntil(deadline time.Time) {
 	// SetReadDeadline fails only on a closed connection, and then the next read fails too.
 	_ = c.socket.SetReadDeadline(deadline)
@@ -165,7 +169,7 @@
 
 // readMessages reads and dispatches messages until the connection ends, and returns the reason;
 // io.EOF is a regular end. A message that is not a JSON object ends the connection. So does an
-// error of dispatch. Other invalid messages are skipped.
+// error that dispatch returns. Other invalid messages are skipped.
 func (c *connection) readMessages() error {
 	in, parser := bufio.NewReader(c), &fastjson.Parser{}
 	c.body = &bytes.Buffer{}
--- a/controller/connection_writer.go
+++ b/controller/connection_writer.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// awaitReady waits until the loop is ready, so that messages may be sent. It returns false if the
-// connection ends without a message from the controller.
+// awaitReady waits until the loop is ready, so that the writer may send messages. It returns false
+// if the connection is closed before that. It also returns false if the reader ends before that,
+// and the outbox is empty or awaitsReady is false.
 func (c *connection) awaitReady() bool {
 	select {
 	case <-c.loop.ready:
@@ -82,7 +83,7 @@
 // any bytes in the final write, the full limits.writeTimeout starts again; otherwise the write has
 // failed.
 func (c *connection) deliver(message []byte) error {
-	finalWrite := false // the deadline has passed, and this is the short write after it
+	finalWrite := false // whether the write deadline has passed, and this write is the short final one
 	for {
 		timeout := c.limits.writeTimeout
 		if finalWrite {
@@ -103,8 +104,8 @@
 
 // endReading signals the end of the reader to the writer, and waits until the writer has sent the
 // messages in the outbox. If the writer is not done in time, endReading closes the connection: at
-// limits.identifyTimeout after the accept, or after limits.finalReadTimeout if that is later. This
-// time also applies to identified connections. For an evicted connection it is
+// limits.identifyTimeout after the accept, or after limits.finalReadTimeout if that is later. The
+// writer of an identified connection has the same time. The writer of an evicted connection has
 // limits.finalReadTimeout.
 func (c *connection) endReading(writer *sync.WaitGroup, reason error, awaitReady bool) {
 	c.awaitsReady = awaitReady
@@ -131,6 +132,7 @@
 	}
 	if halfCloser, ok := c.socket.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
 		c.readUntil(time.Now().Add(linger))
-		_, _ = io.CopyN(io.Discard, c.socket, int64(c.limits.maxFrame)) // input after the refusal is ignored
+		// Errors and input after the refusal are ignored.
+		_, _ = io.CopyN(io.Discard, c.socket, int64(c.limits.maxFrame))
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -39,10 +39,10 @@
 	log         *slog.Logger
 	loop        *eventLoop
 	watcher     *endpointWatcher
-	distributor *distributor // nil if the controller takes no part in the distribution of configuration
+	distributor *distributor // distribution of configuration; nil if the controller takes no part in it
 
-	mutex         sync.Mutex           // guards configuration
-	configuration *parsedConfiguration // the last one that New or Reload accepted
+	mutex         sync.Mutex           // guards the field configuration
+	configuration *parsedConfiguration // the last configuration that New or Reload accepted
 }
 
 // New reads a configuration, a JSON object, and makes a controller that logs to logger. An error
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -7,11 +7,11 @@
 	"wheelrill/internal/settings"
 )
 
-// dispatch handles a message according to its kind and the kind of the connection. An error ends
-// the connection; only an unidentified connection gets one. An identified connection logs and skips
-// invalid messages.
+// dispatch handles a message according to its kind and the kind of the connection. An error that
+// dispatch returns ends the connection. dispatch returns errors only for unidentified connections;
+// for an identified connection it logs and skips invalid messages.
 func (c *connection) dispatch(message *fastjson.Value) error {
-	if duplicateKey(message) != "" { // it is ambiguous which of the two values applies
+	if duplicateKey(message) != "" { // a duplicate key makes it ambiguous which of its values applies
 		c.skipMessage("duplicate key")
 		if c.kind == kindUnidentified {
 			return errUnacceptable
@@ -62,7 +62,7 @@
 // skipMessage logs that the message being read is skipped, with the beginning of its text. There
 // are only a few different reasons, as the log lines are rate limited by reason.
 func (c *connection) skipMessage(reason string) {
-	const maxShown = 160 // bytes
+	const maxShown = 160 // maximum number of bytes of the message in the log line
 	text := c.body.Bytes()
 	c.log.Warn("message_skipped", "remote", c.socket.RemoteAddr(), "kind", c.kind, "reason", reason,
 		"message", string(text[:min(len(text), maxShown)]))
@@ -99,8 +99,8 @@
 // handleProxyHello handles the message with which a proxy identifies itself.
 func (c *connection) handleProxyHello(message *fastjson.Value) error {
 	if c.kind != kindUnidentified {
-		// A second hello is skipped. It does not end the connection, as the end of a connected
-		// proxy's stream would not mean that the proxy has left.
+		// A second hello is skipped and does not end the connection: an end would be handled as the
+		// disconnection of a proxy that has not left.
 		c.skipMessage("the connection has already identified itself")
 		return nil
 	}
@@ -112,9 +112,9 @@
 	}
 	requestsPerSecond, ok := numberAt(message, keyRate)
 	if !ok || requestsPerSecond > c.limits.maxProxyRate {
-		requestsPerSecond = 0 // the rate is unknown; the proxy is served nevertheless
+		requestsPerSecond = 0 // 0 means that the rate is unknown; the proxy is served nevertheless
 	}
-	mayHoldWithdrawals := !message.GetBool(keyCold) // also if the hello lacks keyCold
+	mayHoldWithdrawals := !message.GetBool(keyCold) // true also if the hello lacks keyCold
 	c.wantsToken = message.GetBool(keyFence)
 	if err := c.identifyAs(kindProxy, proxy, zone); err != nil {
 		return err
@@ -159,7 +159,7 @@
 	backend := string(message.GetStringBytes(keyBackend))
 
 	countsOK := attemptsOK && failedOK && failed <= attempts
-	// The latency is not needed if all attempts failed.
+	// A report in which all attempts failed needs no latency.
 	latencyOK := failed >= attempts || latencyKnown && meanLatency <= c.limits.maxResponseTime
 	if !countsOK || !latencyOK || !intervalOK || !loadOK || !zoneKnown || backend == "" {
 		return outcomeReport{}, false
@@ -168,10 +168,10 @@
 }
 
 // decodeLoad reads the load figures that a backend reports about itself. A missing figure is
-// negative. ok is false if a figure is invalid.
+// negative. ok is false if any figure is invalid.
 func (c *connection) decodeLoad(metrics *fastjson.Value) (load balancer.BackendLoad, ok bool) {
 	invalid := metrics != nil && metrics.Type() != fastjson.TypeObject
-	maxServiceTime := float64(c.limits.maxResponseTime) / 1000 // ms
+	maxServiceTime := float64(c.limits.maxResponseTime) / 1000 // maximum service time in ms, the unit of the report
 	load = balancer.BackendLoad{
 		CPUUtilization: numberAtEither(metrics, keyUtilization, keyCPU, c.limits.maxUtilization, &invalid),
 		QueueLength:    numberAtEither(metrics, keyQueue, keyWaiting, c.limits.maxQueueLength, &invalid),
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -60,8 +60,8 @@
 	return names
 }
 
-// newLoop makes a controller of the deployment with some backends, and returns its event loop,
-// which the test iterates.
+// newLoop makes a controller of the deployment with the given number of backends, and returns its
+// event loop, which the test iterates.
 func (c deployment) newLoop(t *testing.T, backends int) *eventLoop {
 	t.Helper()
 	var all []string
@@ -86,7 +86,8 @@
 func (c deployment) simulate(t *testing.T, order []int) (states []string) {
 	loop := c.newLoop(t, 12)
 	random := rand.New(rand.NewPCG(1, 2))
-	noLoad := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1} // all figures are missing
+	// -1 means that the backend does not report the figure
+	noLoad := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 	conns, proxies := map[int]*connection{}, map[int]*fakeProxy{}
 	backendNumbers := map[string]int{}
 	for b := range 40 {
@@ -117,7 +118,9 @@
 				}
 			}
 			for node := range 8 {
-				for at, class := range order { // the order of reports does not depend on the settings
+				// The reports have the same order in all deployments, however the settings order
+				// the classes.
+				for at, class := range order {
 					loop.demandReported(node, class, 20+10*at, microsPerSecond)
 				}
 			}
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -36,15 +36,15 @@
 	mutex             sync.Mutex // guards the fields below
 	address           string     // address of discovery, which the next call uses
 	pendingRelocation *relocation
-	conn              net.Conn // connection to discovery, kept to cancel a call
+	conn              net.Conn // connection to discovery; abortCall closes it to cancel the running call
 	cancelDial        func()   // cancels the latest dial to discovery
-	stopped           bool     // cancelCall was called; all later calls fail
+	stopped           bool     // whether cancelCall was called, after which all calls fail
 }
 
 // relocation is a request to use another discovery address from the next call on.
 type relocation struct {
 	address string
-	cached  *fastjson.Value // endpoint list to use if no list is known yet; may be nil
+	cached  *fastjson.Value // endpoint list of the configuration, used if no list is known yet; may be nil
 }
 
 func newEndpointWatcher(address string, limits *limits, log *slog.Logger, onEndpoints func(bool, int64, []*fastjson.Value),
@@ -147,7 +147,7 @@
 	if w.addressChanged(w.client.Addr) {
 		return errAddressChanged
 	}
-	w.unusableAnswers++ // accept resets it
+	w.unusableAnswers++ // accept sets the counter back to 0 when it accepts the answer
 	answer, err := decodeAnswer(response)
 	if err != nil {
 		return err
@@ -276,6 +276,6 @@
 func (w *endpointWatcher) abortCall() {
 	w.cancelDial()
 	if w.conn != nil {
-		_ = w.conn.Close() // the call fails even if Close returns an error
+		_ = w.conn.Close() // an error of Close is ignored, as the call fails in any case
 	}
 }
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -17,8 +17,10 @@
 // answers is empty, a watch ends at its timeout without changes.
 type fakeDiscovery struct {
 	address string
-	answers chan string // bodies of answers, or failures: status 500, silence, reset, half with a body
-	queries chan string // the query string of each call
+	// answers holds bodies of answers, or failures: "status 500", "silence", "reset", or "half"
+	// followed by a truncated body.
+	answers chan string
+	queries chan string // query strings of the calls
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -33,7 +35,8 @@
 		case discovery.queries <- string(call.URI().QueryString()):
 		default:
 		}
-		wait := make(<-chan time.Time) // a call for the full list waits for an answer of the test
+		// This channel never fires: a call for the full list waits until the test gives an answer.
+		wait := make(<-chan time.Time)
 		if call.QueryArgs().Has("timeout_ms") {
 			wait = time.After(time.Duration(call.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond)
 		}
@@ -82,7 +85,7 @@
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
 			t.Errorf("error %v, got %+v, want two picks", err, fake)
 		}
-		// The watcher has requested the full list by now.
+		// The watcher has requested the full list by now, so this answer is accepted.
 		discovery.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up"))
 		for len(fake.picks(0)) != 3 {
 			if err := fake.apply(proxy.receive()); err != nil {
--- a/controller/distributed_entries.go
+++ b/controller/distributed_entries.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// visit calls member for each member of an object.
+// visit calls the function member for each key and value of an object. It rejects a value that is
+// not an object, and keys that are no valid names.
 func (r *distributedReader) visit(
 	object *fastjson.Value, path string, member func(key, path string, value *fastjson.Value),
 ) {
@@ -69,7 +70,8 @@
 	})
 }
 
-// add checks an entry and adds it to the entries.
+// add appends an entry to the collected entries. If the value is unusable, it also records an
+// error.
 func (r *distributedReader) add(scope, kind, name, path string, value *fastjson.Value) {
 	text := string(value.MarshalTo(nil))
 	if problem := checkEntry(kind, text, value); problem != "" {
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -46,7 +46,9 @@
 	SnapshotPace int
 	consensus.Credentials
 
-	limits distribution.Limits // limits of the node; the default if zero
+	// limits are the limits of this controller's node of the distribution tree; the zero value
+	// means the default.
+	limits distribution.Limits
 }
 
 const (
@@ -65,15 +67,19 @@
 	log           *slog.Logger
 	limits        distribution.Limits
 	transport     *transport.Transport // this controller's node of the distribution tree, and its connections
-	consensusNode *consensus.Node      // node that proposes changes; set for a voter
-	listener      *consensus.Listener  // accepts other subscribers; set for a subscriber that listens
-	cache         *configurationCache  // stored configuration; set for a subscriber with a folder
-	arrived       arrivedEntries       // entries that the event loop has not taken yet
-	// proposals holds, at a voter, the newest configuration to propose; a newer one replaces it.
+	consensusNode *consensus.Node      // consensus node that proposes changes; set only for a voter
+	// listener accepts connections of other subscribers. It is set only for a subscriber that
+	// listens.
+	listener *consensus.Listener
+	cache    *configurationCache // file with the configuration; set only for a subscriber with a folder
+	arrived  arrivedEntries      // distributed entries that the event loop has not taken yet
+	// proposals holds, at a voter, the newest entries to propose. Newer entries replace entries
+	// that still wait here.
 	proposals chan proposedEntries
 }
 
-// proposedEntries are all entries that the record has after their proposal is accepted.
+// proposedEntries are the complete distributed entries that a voter proposes: once the proposal is
+// accepted, they replace all entries of the record.
 type proposedEntries []distribution.Entry
 
 // JoinDistribution makes the controller take part in the distribution of configuration while it
@@ -113,7 +119,7 @@
 	return limits
 }
 
-// subscribe sets up a subscriber: its listener, its node of the tree and its cache.
+// subscribe sets up a subscriber: its listener, its node of the distribution tree and its cache.
 func (d *distributor) subscribe(config DistributionConfig) error {
 	subscriber, err := consensus.NewSubscriber(config.Credentials)
 	if err != nil {
@@ -143,7 +149,8 @@
 	return d.restore(config.Folder)
 }
 
-// candidates returns the parents in the form that the node uses, in the order of their names.
+// candidates returns the names and addresses of the possible parents as texts, as the distribution
+// node expects them, in the order of the names.
 func (c DistributionConfig) candidates() (candidates []string) {
 	for _, name := range slices.Sorted(maps.Keys(c.Parents)) {
 		candidates = append(candidates, consensus.Peer{Name: name, Address: c.Parents[name]}.String())
@@ -163,7 +170,8 @@
 	}
 	state, err := d.cache.load()
 	if err != nil {
-		d.log.Warn("cache_unusable", "error", err) // begin without a configuration; a parent sends all of it
+		// The subscriber begins without a configuration, and a parent sends the complete one.
+		d.log.Warn("cache_unusable", "error", err)
 		return nil
 	}
 	if state != nil {
--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -13,12 +13,13 @@
 // arrivedEntries holds the distributed entries that the event loop has not taken yet. It keeps the
 // newest entry of each key, so the number of entries is bounded by the number of keys.
 type arrivedEntries struct {
-	mutex sync.Mutex // guards all fields
+	mutex sync.Mutex // guards all fields of arrivedEntries
 	byKey map[distribution.Key]distribution.Entry
-	full  bool // the entries are a complete configuration
+	full  bool // whether the entries are a complete configuration
 }
 
-// add merges a change; a full change replaces all waiting entries.
+// add merges the entries of a change into the waiting entries. If full is true, the change is a
+// complete configuration and replaces all waiting entries.
 func (a *arrivedEntries) add(entries []distribution.Entry, full bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -59,8 +60,8 @@
 
 // changedSubjects are the backends and classes whose overrides have changed.
 type changedSubjects struct {
-	backends map[string]bool // by id
-	classes  map[string]bool // by name; only classes of this controller's settings
+	backends map[string]bool // ids of the backends whose overrides have changed
+	classes  map[string]bool // names of the changed classes, only those in this controller's settings
 }
 
 // add adds a subject. It returns false if the subject is neither a backend nor a class of this
@@ -86,7 +87,7 @@
 			changed.add(subject, l.classIndex)
 		}
 	}
-	var newest distribution.Entry // the entries are in the order of their revisions
+	var newest distribution.Entry // entry with the newest revision, as the entries are in the order of revisions
 	for _, entry := range entries {
 		subject, ok := l.overrides.apply(entry)
 		if !ok {
@@ -116,7 +117,7 @@
 }
 
 // updateOverriddenEndpoints passes the endpoints of backends whose overrides have changed to the
-// decisions, as if discovery had changed them, in the order of ids.
+// decisions, as if discovery had changed the endpoints, in the order of backend ids.
 func (l *eventLoop) updateOverriddenEndpoints(changed map[string]bool) {
 	var endpoints []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
@@ -129,8 +130,8 @@
 	}
 }
 
-// updateQuotas sets the quotas of classes whose limits have changed in the decisions, in the order
-// of names.
+// updateQuotas passes the limits of the classes whose limits have changed to the decisions, as
+// class quotas, in the order of class names.
 func (l *eventLoop) updateQuotas(changed map[string]bool) {
 	for _, class := range slices.Sorted(maps.Keys(changed)) {
 		l.decisions.SetClassQuota(l.classIndex[class], l.overrides.limitOf(class))
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -132,7 +132,8 @@
 	awaitPicks := func(what string, done func(ids []string) bool) {
 		t.Helper()
 		for !done(fake.picks(0)) {
-			if err := fake.apply(proxy.receive()); err != nil { // fails after a timeout
+			// Without a further message, receive fails the test after a timeout.
+			if err := fake.apply(proxy.receive()); err != nil {
 				t.Fatalf("waiting for picks %s: %v, picks %v", what, err, fake.picks(0))
 			}
 			for len(fake.nonces) > 0 && !fake.inMessage {
@@ -169,7 +170,8 @@
 	t.Run("a subscriber that loses its parent and the voters' majority keeps its configuration", func(t *testing.T) {
 		relay.stop()
 		leaf.logged.waitFor(t, "msg=parent_lost", 1)
-		leaf.logged.waitFor(t, "msg=subscribed", 2) // at a parent that it learned from the lost one
+		// The subscriber subscribes again, at a parent that it learned of from the lost parent.
+		leaf.logged.waitFor(t, "msg=subscribed", 2)
 		voters[2].reload(t, known, `{"pricing":{"drain":{"s-4":true}}}`)
 		voters[2].logged.waitFor(t, "msg=change_accepted revision=2", 1)
 		awaitPicks("with the second change", func(ids []string) bool {
--- a/controller/encode.go
+++ b/controller/encode.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// messageWriter encodes one message to a proxy as a sequence of parts. Each part is a frame. It
-// applies to one set of classes, and all parts except the last have keyMore. The open part is the
-// part that is being written.
+// messageWriter encodes one message to a proxy as a sequence of parts. Each part is a frame and
+// applies to one set of classes. All parts except the last have keyMore. The open part is the part
+// that is being written.
 type messageWriter struct {
 	classNames [][]byte // names of the classes as JSON strings, by class index
-	maxFrame   int      // maximum bytes of a part, excluding its length prefix
+	maxFrame   int      // maximum number of bytes of a part, excluding its length prefix
 	maxParts   int
-	token      uint64 // fencing token of the proxy's owner, if the proxy asked for it; 0 for none
+	token      uint64 // fencing token of the proxy's owner; 0 if the proxy asked for no tokens
 
 	raw         []byte
-	partStart   int    // offset of the open part in raw
+	partStart   int    // offset in raw at which the open part begins
 	parts       int    // number of parts of the message so far, including the open part
-	partClasses uint16 // bit set of the classes that the open part applies to; 0 if it names none
+	partClasses uint16 // bit set of the classes that the open part applies to; 0 if the part names no classes
 	hasLimit    bool   // whether the open part already has an admission limit
 }
 
--- a/controller/errors.go
+++ b/controller/errors.go
@@ -17,7 +17,7 @@
 	// errUnacceptable: before identification, a message has a duplicate key, or an unknown proxy or
 	// zone.
 	errUnacceptable = errors.New("it cannot be taken")
-	// errNoRoom: limits.maxIdentified connections exist already.
+	// errNoRoom: limits.maxIdentified identified connections exist already.
 	errNoRoom = errors.New("no socket is left for it")
 	// errSuperseded: the proxy has already identified itself on a newer connection.
 	errSuperseded = errors.New("a newer connection came before it spoke")
@@ -27,10 +27,11 @@
 
 // Reasons for closing a connection.
 var (
-	// errOutboxFull: limits.outboxSize messages wait. An unidentified connection receives this text
-	// as the reason of an error message, so it is part of the wire protocol too.
+	// errOutboxFull: limits.outboxSize messages wait in the connection's outbox. An unidentified
+	// connection receives this text as the reason of an error message, so it is part of the wire
+	// protocol too.
 	errOutboxFull = errors.New("too many messages wait for it")
-	// errClosed: send was called after close.
+	// errClosed: send was called on a connection that is closed already.
 	errClosed = errors.New("the connection is closed")
 	// errReplaced: the proxy has a newer connection, or newer collectors have filled the
 	// limits.collectorsPerZone connections of the zone.
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -26,29 +26,31 @@
 	watcher   *endpointWatcher
 
 	ownership   *ownershipHost // shared ownership of proxies; nil if ownership is not shared
-	distributor *distributor   // distribution of configuration; nil if the controller takes no part
-	overrides   *overrides     // distributed overrides of backends and classes; nil without distributor
+	distributor *distributor   // distribution of configuration; nil if the controller takes no part in it
+	// overrides holds the overrides of backends and classes by distributed entries; nil if
+	// distributor is nil.
+	overrides *overrides
 
-	zoneIndex  map[string]int // zone index by name
-	classIndex map[string]int // class index by name
+	zoneIndex  map[string]int // index of each zone, by zone name
+	classIndex map[string]int // index of each class, by class name
 	zoneNames  []string
 	backends   *backendIndex
-	sessions   []*session // by proxy: its session; nil if it is not connected
+	sessions   []*session // session of each proxy, by proxy number; nil if the proxy is not connected
 
 	// inbox holds at most limits.inboxSize events. When it is full, post blocks and tryPost drops
 	// its event.
 	inbox   chan func()
 	stopped chan struct{} // closed when run returns; no event is handled after that
-	ready   chan struct{} // closed by becomeReady; connections send no message before that
+	ready   chan struct{} // closed by becomeReady; until then connections send no message
 
-	clock     func() microseconds // returns the Unix time
+	clock     func() microseconds // returns the current Unix time
 	now       microseconds        // clock time of the current iteration
 	stalledAt microseconds        // time at which the process last resumed after a stall
-	timers    []timer             // ordered by due time
+	timers    []timer             // pending timers, ordered by the time at which they are due
 }
 
 // post queues an event that must not be lost, and blocks while the inbox is full. Once the loop has
-// stopped, the event is dropped. Any goroutine but the loop's may call it.
+// stopped, the event is dropped. Any goroutine except the loop's own may call post.
 func (l *eventLoop) post(event func()) {
 	select {
 	case l.inbox <- event:
@@ -56,9 +58,9 @@
 	}
 }
 
-// tryPost queues an event that may be lost. With a full inbox the event is dropped: the reader must
-// not block, and the thousands of queued reports carry almost the same information. Any goroutine
-// may call it.
+// tryPost queues an event that may be lost. If the inbox is full, the event is dropped: the reader
+// of a connection must not block, and the thousands of queued load reports carry almost the same
+// information. Any goroutine may call tryPost.
 func (l *eventLoop) tryPost(event func()) {
 	select {
 	case l.inbox <- event:
@@ -67,8 +69,9 @@
 	}
 }
 
-// wake makes the loop iterate. A full inbox already makes it iterate, so nothing is queued then.
-// Any goroutine may call it.
+// wake makes the loop run an iteration, by queueing an event that does nothing. If the inbox is
+// full, wake queues nothing, as the queued events make the loop iterate anyway. Any goroutine may
+// call wake.
 func (l *eventLoop) wake() {
 	select {
 	case l.inbox <- func() {}:
@@ -176,7 +179,7 @@
 		l.ownership.recordTableChanges()
 		send, revision = l.ownership.send, l.ownership.coordinator.Revision()
 	}
-	var ack *pendingAck // shared by all proxies of this iteration
+	var ack *pendingAck // one pendingAck, which all proxies of this iteration share
 	l.flush(send, l.dropProxy, func(proxy, nonce int) {
 		if ack == nil {
 			ack = &pendingAck{nonce: nonce, revision: revision, sentBy: l.now + l.decisions.QueueDelay()}
@@ -185,7 +188,7 @@
 	})
 }
 
-// forgetRemovedBackends discards the state of backends that were removed longer than
+// forgetRemovedBackends discards the state of backends that the endpoint list dropped at least
 // limits.forgetAfter ago. Their indices can be reused, because no queued event or message refers to
 // a backend by its index.
 func (l *eventLoop) forgetRemovedBackends() {
@@ -201,7 +204,7 @@
 	}
 }
 
-// Reasons for becoming ready, as logged.
+// Reasons for which the controller becomes ready, as logged.
 const (
 	readyListKnown         = "the list is known"
 	readyDiscoveryAnswered = "discovery has answered"
@@ -239,8 +242,8 @@
 // is needed: the endpoint list is watched all the time, because a watch costs discovery nothing.
 func (l *eventLoop) PollEndpoints() { l.watcher.wake() }
 
-// CheckHealth implements balancer.Host. It is never called: health checks are not supported on
-// sockets, so parseSettings disables them for the decisions.
+// CheckHealth implements balancer.Host. It is never called: a controller on sockets does not
+// support health checks, so parseSettings disables them for the decisions.
 func (l *eventLoop) CheckHealth(int) {}
 
 // zoneName returns the name of a zone, or an empty string if the index is out of range.
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -16,8 +16,10 @@
 		for node, mayHold := range []bool{false, true} {
 			conn, fake := connectProxy(t, loop, 1, node, mayHold), newFakeProxy("read it", "write")
 			fake.withdrawn["s-1"] = mayHold
-			// Charged, without headers: an ack request, a limit for each class, an assignment and
-			// its two lines, and as many lines again if the proxy may hold withdrawals.
+			// maxCost is the number of lines that the decisions charge, without message headers:
+			// one for an ack request, one for the limit of each class, one for an assignment, and
+			// two for the entries of its table. If the proxy may hold withdrawals, two more lines
+			// are charged.
 			maxCost := 1 + 2 + 1 + 2
 			if mayHold {
 				maxCost += 2
@@ -68,7 +70,8 @@
 		loop.iterate(func() { loop.acknowledged(idle, fake.nonces[0]) })
 		advance(loop, loop.limits.silenceTimeout-microsPerSecond/2, func() {
 			active.lastMessageAt.Store(loop.now)
-			loop.demandReported(0, 0, 4, microsPerSecond) // from a collector, which does not show that the connection works
+			// a collector's report, which does not show that the proxy's connection works
+			loop.demandReported(0, 0, 4, microsPerSecond)
 		})
 		if !loop.isCurrent(halfOpen) || !loop.isCurrent(active) {
 			t.Error("a connection was dropped before the silence timeout")
@@ -83,7 +86,8 @@
 		loop, _ := newIdleLoop(t)
 		conn := connectProxy(t, loop, 1, 0, false)
 		delayed := *loop.sessions[0].unacked[0]
-		delayed.sentBy += 30 * microsPerSecond // as when thousands of proxies connect at once
+		// The push waits 30 s in the push channel, as when thousands of proxies connect at once.
+		delayed.sentBy += 30 * microsPerSecond
 		loop.sessions[0].unacked[0] = &delayed
 		advance(loop, 20*microsPerSecond, func() {})
 		if !loop.isCurrent(conn) {
@@ -146,7 +150,7 @@
 	loop, _ := newIdleLoop(t)
 	conn, fake := connectProxy(t, loop, 1, 0, true), newFakeProxy("read it", "write")
 	first := loop.backends.index["s-0"]
-	for version := 2; version < 60; version++ { // each backend is replaced by one with a new id
+	for version := 2; version < 60; version++ { // each version removes a backend and adds one with a new id
 		fake.receive(t, conn)
 		if n := len(fake.nonces); n > 0 {
 			loop.acknowledged(conn, fake.nonces[n-1])
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -25,13 +25,13 @@
 // same way as the push channel.
 type fakeProxy struct {
 	classes   []string
-	lines     []map[string]float64 // table entries by class: weights by backend id
-	limits    [][]float64          // by class: admission limit and retry policy; nil if the class has no limit
+	lines     []map[string]float64 // table entries of each class: weights by backend id
+	limits    [][]float64          // admission limit and retry policy of each class; nil if the class has no limit
 	withdrawn map[string]bool
 	nonces    []int
 	cost      int  // cost of the last message, in lines of the push channel
 	messages  int  // number of messages received
-	inMessage bool // the last part had More set, so the next part belongs to the same message
+	inMessage bool // whether the last part had keyMore, so that the next part belongs to the same message
 	parts     int  // number of parts of the current message
 }
 
@@ -161,7 +161,7 @@
 type logBuffer struct {
 	mutex   sync.Mutex
 	text    strings.Builder
-	changed chan struct{} // closed by the next write
+	changed chan struct{} // closed by the next write to the log
 }
 
 func (d *logBuffer) Write(line []byte) (int, error) {
@@ -274,7 +274,7 @@
 	return conn
 }
 
-// client is the end of a proxy or collector of a connection to a controller.
+// client is the proxy's or collector's end of a connection to a controller.
 type client struct {
 	*testing.T
 	net.Conn
--- a/controller/frame.go
+++ b/controller/frame.go
@@ -57,7 +57,7 @@
 	return raw
 }
 
-// aliveMessage is the answer to a probe.
+// aliveMessage is the encoded answer to a probe.
 var aliveMessage = func() []byte {
 	raw := append(appendMessageStart(nil, messageAlive), '}')
 	putFrameLength(raw, 0)
--- a/controller/golden_wire_test.go
+++ b/controller/golden_wire_test.go
@@ -64,7 +64,8 @@
 	record("an acknowledgement before it joined", f(`{"msg":"ack","node":3,"nonce":1}`))
 	record("an order", f(`{"msg":"push","out":["s-0"]}`))
 	record("no kind", f(`{}`))
-	prober := dial(t, address) // waits for the answer, as a refusal does not wait for queued answers
+	// The answer is read before the report is sent, as a refusal does not wait for queued answers.
+	prober := dial(t, address)
 	prober.send(probe)
 	fmt.Fprintf(&text, "a probe, then a report: %q", prober.receive())
 	prober.send(outcomesReport)
@@ -149,7 +150,7 @@
 		fmt.Fprintf(text, "%q\n", strings.ReplaceAll(raw.String(), address, "HOST"))
 		raw.Reset()
 		if answers[0] == "" {
-			return answers[1:] // closes without an answer
+			return answers[1:] // the connection is closed without an answer to this request
 		}
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answers[0]), answers[0])
 		answers = answers[1:]
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -43,7 +43,9 @@
 			case 10:
 				orderAll(func(to *tables) {
 					for table := range numbers {
-						to.PublishEntry(table, backend, 0) // the decisions forget only backends without entries
+						// The entries are removed first, as the decisions forget only backends
+						// without entries.
+						to.PublishEntry(table, backend, 0)
 					}
 				})
 				orderAll(func(to *tables) { to.forget(backend, func() bool { return true }) })
@@ -51,7 +53,7 @@
 				orderAll(func(to *tables) { to.RequestAck(step, flag) })
 			}
 			if flag {
-				continue // one message contains several orders
+				continue // the next message contains the orders of several steps
 			}
 			for i, to := range variants {
 				written[i] = written[i][:0]
@@ -76,8 +78,8 @@
 	}
 }
 
-// BenchmarkChangedEntry measures a change of one entry by the number of proxies and backends,
-// without decisions.
+// BenchmarkChangedEntry measures how long a change of one table entry takes, by the number of
+// proxies and backends, without decisions.
 func BenchmarkChangedEntry(b *testing.B) {
 	for _, proxies := range []int{100, 400, 1200, 2400} {
 		for _, backends := range []int{1000, 5000, 20_000} {
--- a/controller/json.go
+++ b/controller/json.go
@@ -41,8 +41,9 @@
 	return int(number), ok && number < float64(below) && number == float64(int(number))
 }
 
-// countAt reads a number of requests. ok is false unless it is an integer of at most perSecond
-// times seconds; an interval below one second counts as one second.
+// countAt reads a number of requests or attempts in an interval. ok is false unless the number is
+// an integer that is at least 0 and at most perSecond times seconds. An interval below one second
+// counts as one second.
 func countAt(object *fastjson.Value, key string, perSecond, seconds float64) (count int, ok bool) {
 	return indexAt(object, key, int(perSecond*max(seconds, 1))+1)
 }
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -33,7 +33,7 @@
 	for b := range 10 {
 		ten[fmt.Sprint("s-", b)] = 1
 	}
-	// quoted returns a table in the form of the record, whose names are JSON strings.
+	// quoted returns table entries as the record stores them, with backend ids as JSON strings.
 	quoted := func(lines map[string]float64) map[string]float64 {
 		encoded := map[string]float64{}
 		for id, weight := range lines {
@@ -67,7 +67,7 @@
 		entriesBefore["s-1"], entriesBefore["s-9"], entriesBefore["s-20"] = 0.25, 0.5, 3
 		delete(entriesBefore, "s-2")
 		known := quoted(entriesBefore)
-		delete(known, `"s-9"`) // uncertain: the proxy may have any weight, or none
+		delete(known, `"s-9"`) // s-9 is uncertain: the proxy may have an entry for s-9 with any weight, or no entry
 		tables, fake, conn := newTablesWithKnownProxy(
 			ownership.KnownTable{Lines: known, Uncertain: map[string]bool{`"s-9"`: true}}, entriesBefore)
 		tables.AssignTable(0, 0, 0)
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -25,7 +25,7 @@
 	// proxies is the number of proxies in the fleet.
 	proxies int
 
-	// Connections.
+	// Bounds on the number of connections.
 
 	// maxConnections bounds the total number of connections. At the bound, the oldest unidentified
 	// connections are evicted and new ones wait in the listener's backlog.
@@ -40,7 +40,7 @@
 	// replaces the oldest.
 	collectorsPerZone int
 
-	// Backends.
+	// Bounds on backends.
 
 	// maxBackends bounds the number of known backends; endpoints beyond it are skipped.
 	maxBackends int
@@ -49,14 +49,14 @@
 	// forgetAfter is how long a backend's state is kept after the endpoint list has dropped it.
 	forgetAfter microseconds
 
-	// Messages in both directions, and queues.
+	// Bounds on messages in both directions, and on queues.
 
 	// maxFrame bounds the bytes of a frame, which holds a message or one part of a message to a
 	// proxy.
 	maxFrame int
 	// maxFirstFrame bounds the bytes of a message that an unidentified connection sends.
 	maxFirstFrame int
-	// maxParts bounds the parts of a message to a proxy.
+	// maxParts bounds the number of parts of a message to a proxy.
 	maxParts int
 	// maxIdleBuffer is the size in bytes above which a reader releases its buffer after a message.
 	maxIdleBuffer int
@@ -70,8 +70,8 @@
 	// drops a proxy that it was pushing to, an unidentified connection ends, and an identified
 	// connection gets no answer to its probe.
 	outboxSize int
-	// maxUnacked bounds the outstanding acknowledgements of one proxy; at the bound, the oldest is
-	// forgotten.
+	// maxUnacked bounds the outstanding acknowledgements of one proxy; at the bound, the oldest one
+	// is forgotten.
 	maxUnacked int
 	// maxResponseBody bounds the bytes of a discovery response.
 	maxResponseBody int
@@ -93,7 +93,7 @@
 	// maxQueueLength is the largest plausible number of requests queued at a backend.
 	maxQueueLength float64
 
-	// Times of the event loop.
+	// Times of the event loop, of readiness and shutdown, and of silent proxies.
 
 	// tick is the minimum time between two iterations that events trigger.
 	tick time.Duration
@@ -114,7 +114,7 @@
 	// acknowledgement is outstanding. It counts from the acknowledgement of the other proxy on.
 	ackLagTimeout microseconds
 
-	// Times of connections.
+	// Times of connections from proxies and collectors.
 
 	// identifyTimeout is the time after accept within which a connection has to identify itself.
 	identifyTimeout time.Duration
@@ -132,29 +132,30 @@
 	// process may have stalled.
 	writeTimeout time.Duration
 
-	// Times of discovery.
+	// Times and retries of calls to discovery.
 
 	// dialTimeout bounds connecting to discovery, and writing a request to it.
 	dialTimeout time.Duration
 	// watchWait is how long discovery may wait for a change before it answers a watch.
 	watchWait time.Duration
-	// watchMargin is the additional time after watchWait at which a call counts as failed.
+	// watchMargin is the time that a call to discovery may take in addition to watchWait before the
+	// call counts as failed.
 	watchMargin time.Duration
 	// minBackoff is the wait, before jitter, after a failed call or after a watch that ended early
 	// without a change; each further failure doubles it.
 	minBackoff time.Duration
-	// maxBackoff bounds the doubled wait, before jitter.
+	// maxBackoff bounds the wait that doubles with each failed call, before jitter.
 	maxBackoff time.Duration
 	// maxUnusableAnswers is the number of consecutive unusable answers of discovery after which the
 	// watcher requests the full list. It is also the number of consecutive answers with an older
 	// version than the known list after which the watcher accepts a full list of an older version.
 	maxUnusableAnswers int
 
-	// The log.
+	// Limits on repeated log lines.
 
 	// logRepeatInterval is the minimum time between two lines of the same rate-limited kind.
 	logRepeatInterval time.Duration
-	// maxLogKinds bounds the kinds of lines that are counted separately.
+	// maxLogKinds bounds the number of kinds of log lines that are counted separately.
 	maxLogKinds int
 }
 
@@ -184,8 +185,9 @@
 		maxUtilization: 100,
 		maxQueueLength: 1e6,
 
-		stallThreshold:  microsPerSecond,
-		readyTimeout:    5 * time.Second, // the platform waits ten seconds for a restarted process
+		stallThreshold: microsPerSecond,
+		// The platform waits ten seconds for a restarted process, so readyTimeout is shorter.
+		readyTimeout:    5 * time.Second,
 		handOverTimeout: 400 * time.Millisecond,
 
 		identifyTimeout:  1500 * time.Millisecond,
@@ -222,13 +224,17 @@
 // fitFleet sets the limits that follow from the number of proxies and zones. It needs the result of
 // fitResources.
 func (l *limits) fitFleet(proxies, zones int) {
-	const reservedSockets = 24        // descriptors for the runtime, the standard streams, the listener and discovery
-	const reservedForUnidentified = 8 // always left for unidentified connections, as every connection starts as one
+	// reservedSockets counts the file descriptors of the runtime, the standard streams, the
+	// listener and discovery.
+	const reservedSockets = 24
+	// reservedForUnidentified is the number of connections that are always left for unidentified
+	// peers, as every connection starts unidentified.
+	const reservedForUnidentified = 8
 	const minUnidentified = 256
 	l.proxies = proxies
 	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
-	// Two connections per proxy, as a proxy may reconnect before the end of its old connection is
-	// detected.
+	// The number of expected connections has two per proxy, as a proxy may reconnect before the end
+	// of its old connection is detected.
 	expected := 2*proxies + (l.collectorsPerZone+1)*zones
 	l.maxIdentified = min(expected, l.maxConnections-reservedForUnidentified)
 	// After a restart, all proxies and collectors reconnect at once.
@@ -252,10 +258,12 @@
 // fitReports sets the bounds on load reports from the number of proxies, the report interval and
 // the classes. It needs the result of fitFleet.
 func (l *limits) fitReports(telemetry balancer.Telemetry, classes []balancer.Class) {
-	const minReportInterval = 60 * microsPerSecond // a delayed report covers many report intervals
+	const minReportInterval = 60 * microsPerSecond // a delayed load report covers many report intervals
 	l.maxFleetRate = l.maxProxyRate * float64(max(l.proxies, 1))
 	l.maxReportInterval = max(minReportInterval, 30*telemetry.ReportInterval)
 	for _, class := range classes {
-		l.maxResponseTime = max(l.maxResponseTime, 2*class.Deadline) // a proxy abandons a request at its deadline
+		// A response time above twice the deadline is implausible, as a proxy abandons a request at
+		// its deadline.
+		l.maxResponseTime = max(l.maxResponseTime, 2*class.Deadline)
 	}
 }
--- a/controller/load_reports_test.go
+++ b/controller/load_reports_test.go
@@ -25,8 +25,11 @@
 	ack := `{"msg":"ack","node":3,"nonce":1,"latency":3.5}`
 	for name, test := range map[string]struct {
 		first, valid string
-		invalid      []string // pairs: text in valid, and a replacement that makes the message invalid
-		ignored      []string // pairs: text in valid, and a replacement in a field that is not read
+		// invalid holds pairs of a text in valid and a replacement that makes the message invalid.
+		invalid []string
+		// ignored holds pairs of a text in valid and a replacement that is ignored, as its field is
+		// not read.
+		ignored []string
 	}{
 		"outcomes": {agent, full, []string{`"total":9`, `"total":9.5`, `"total":9`, `"total":null`, `"total":9`, `"was":9`, `"total":9`,
 			`"total":1e8`, `"total":9`, `"total":-9`, `"errors":1`, `"errors":10`, `"errors":1`, `"errors":"1"`, `"errors":1`, `"was":1`,
@@ -67,7 +70,7 @@
 			raw := frame(strings.Replace(hello, `"w":12.5,"cold":true`, fields, 1))
 			conn := newConnection(&readerConn{Reader: bytes.NewReader(raw)}, 1, loop,
 				func(*connection) error { return nil })
-			_ = conn.readMessages() // returns at the end of the input
+			_ = conn.readMessages() // readMessages ends with the input, so its error is not checked
 			if loop.iterate(func() {}); !loop.isCurrent(conn) {
 				t.Fatalf("%s: the proxy is not connected", fields)
 			}
--- a/controller/log.go
+++ b/controller/log.go
@@ -61,8 +61,8 @@
 // rate-limited event that repeats within limits.logRepeatInterval. It is safe for concurrent use.
 type rateLimitHandler struct {
 	slog.Handler
-	limits  *limits       // logRepeatInterval and maxLogKinds are used
-	repeats *repeatCounts // shared with the handlers derived from this one
+	limits  *limits       // the handler uses logRepeatInterval and maxLogKinds
+	repeats *repeatCounts // counts that this handler shares with all handlers derived from it
 }
 
 // repeatCounts counts the suppressed lines by kind. A kind is an event together with the value of
@@ -72,7 +72,7 @@
 	byKind map[string]*repeatCount
 }
 
-// repeatCount is the state of one kind of line.
+// repeatCount counts the suppressed lines of one kind.
 type repeatCount struct {
 	lastWritten time.Time
 	suppressed  int // number of lines suppressed since lastWritten
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -13,22 +13,23 @@
 // backend, class, tenant, route or service that it refers to: an entry of the scope "pricing" that
 // drains the backend s-1 has the name "drain/s-1".
 const (
-	kindDrain  = "drain"  // drains a backend
-	kindWeight = "weight" // sets the weight of a backend
-	// kindLimit bounds the requests a second of a class or a tenant. The limit of a class applies
-	// to the requests of all proxies together. The limit of a tenant is distributed, but
-	// controllers do not apply it.
+	kindDrain  = "drain"  // the entry drains a backend
+	kindWeight = "weight" // the entry sets the weight of a backend
+	// kindLimit: the entry limits the requests per second of a class or a tenant. The limit of a
+	// class applies to the requests of all proxies together. The limit of a tenant is distributed,
+	// but controllers do not apply it.
 	kindLimit   = "limit"
-	kindRoute   = "route"   // describes a route; distributed, but controllers do not apply it
-	kindService = "service" // describes a service; distributed, but controllers do not apply it
+	kindRoute   = "route"   // the entry describes a route; it is distributed, but controllers do not apply it
+	kindService = "service" // the entry describes a service; it is distributed, but controllers do not apply it
 
 	kindSeparator = "/"
 )
 
-// drainValue is the only valid value of a drain.
+// drainValue is the only valid value of an entry that drains a backend.
 const drainValue = "true"
 
-// maxWeight is larger than any meaningful weight in an endpoint list.
+// maxWeight is the largest weight that an entry may set. It is larger than any meaningful weight in
+// an endpoint list.
 const maxWeight = 1e6
 
 // minLimit replaces a limit of 0, because the decisions take a quota of 0 as no quota at all. With
@@ -38,17 +39,23 @@
 
 // overrides holds the values that distributed entries set for backends, where they take precedence
 // over discovery, and for classes. A backend or class may have entries of several scopes. The event
-// loop owns it; after a restart, the distribution fills it again.
+// loop owns the overrides. After a restart, they are empty until the distribution delivers the
+// entries again.
 type overrides struct {
-	classLimits map[string]map[distribution.Key]float64        // by class, requests a second
-	drains      map[string]map[distribution.Key]microseconds   // by backend id: time at which the entry was accepted
-	weights     map[string]map[distribution.Key]weightOverride // by backend id
+	// classLimits holds the limits that entries set for classes, in requests per second, by class
+	// name and key of the entry.
+	classLimits map[string]map[distribution.Key]float64
+	// drains holds the times at which the entries that drain backends were accepted, by backend id
+	// and key of the entry.
+	drains map[string]map[distribution.Key]microseconds
+	// weights holds the weights that entries set for backends, by backend id and key of the entry.
+	weights map[string]map[distribution.Key]weightOverride
 	// listed holds, by backend index, the endpoint as discovery lists it. When an index is assigned
 	// again, the listing of its new backend replaces the endpoint.
 	listed []balancer.Endpoint
 }
 
-// weightOverride is a weight and the revision that set it.
+// weightOverride is the weight that an entry sets for a backend, and the revision of the entry.
 type weightOverride struct {
 	weight   float64
 	revision uint64
@@ -67,7 +74,8 @@
 	o.weights = map[string]map[distribution.Key]weightOverride{}
 }
 
-// subject is the backend or the class that an entry refers to. Entries of other kinds have neither.
+// subject is the backend or the class that an entry refers to. Entries of other kinds refer to
+// neither, and have an empty subject.
 type subject struct{ backend, class string }
 
 // apply stores or deletes the value of an entry, and returns the subject for which the decisions
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -42,7 +42,7 @@
 	other := distributedEntry("weight/s-3", "1.5", 2)
 	other.Scope = "orders"
 	apply(other, true)
-	expectMerged(ready, fmt.Sprint(balancer.Ready, 1.5)) // the weight of the newest revision
+	expectMerged(ready, fmt.Sprint(balancer.Ready, 1.5)) // the weight with the newest revision applies
 	apply(distributedEntry("drain/s-3", "true", 3), true)
 	expectMerged(ready, fmt.Sprint(balancer.Draining, 1.5))
 	first := distributedEntry("drain/s-3", "true", 2)
@@ -69,7 +69,7 @@
 	removed := ready
 	removed.State = balancer.Removed
 	expectMerged(removed, fmt.Sprintf("%v 1.5, %v 1.5", balancer.Draining, balancer.Removed))
-	for _, unusable := range []string{"false", "", "1"} { // counts as a deleted entry
+	for _, unusable := range []string{"false", "", "1"} { // an entry with an unusable value counts as deleted
 		apply(distributedEntry("drain/s-3", unusable, 4), false)
 		expectMerged(ready, fmt.Sprint(balancer.Ready, 1.5))
 	}
@@ -148,7 +148,7 @@
 		loop, fake, conn := newLoop(t)
 		loop.iterate(func() { loop.applyDistributed(drainOf("s-0", 1, false), false) })
 		expectWithout(t, loop, fake, conn, "s-0")
-		loop.iterate(func() { // discovery does not override the drain
+		loop.iterate(func() { // a full list from discovery does not end the drain
 			loop.endpointsUpdated(true, 3, parsed(t, "["+endpointJSON(0, "up")+","+endpointJSON(1, "up")+"]").GetArray())
 		})
 		expectWithout(t, loop, fake, conn, "s-0")
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -29,10 +29,10 @@
 // to reach all proxies, and must not expire if one or two of the entries that renew it are lost.
 const (
 	defaultLease     = 3 * microsPerSecond / 2
-	renewalsPerLease = 8 // minimum number of entries that are proposed during a lease, to renew it
-	// reservedMessages is the number of messages that an owner may always write to a proxy: the
-	// message before the first table, to a proxy that waits for it, the first table, a drain, and
-	// one more.
+	renewalsPerLease = 8 // number of entries that are proposed during one lease to renew it
+	// reservedMessages is the number of messages that an owner may always write to a proxy: one
+	// message before the first table, while the proxy waits for that table, one with the first
+	// table, one for a drain, and one more.
 	reservedMessages = 4
 	// unlimitedMessages is the number of messages that may be written to a proxy if no setting
 	// limits them.
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -17,12 +17,12 @@
 	coordinator *ownership.Coordinator
 	node        *consensus.Node
 	terms       ownership.LeaseTerms
-	evidence    *ownership.Evidence // observations by this member's proxies that no entry contains yet
+	evidence    *ownership.Evidence // observations by this member's proxies that no proposed entry contains yet
 
 	// pending holds the connected proxies that this member does not own yet.
 	pending map[int]pendingProxy
-	// queued holds, in order, the messages whose table changes are not in the record yet. Their
-	// number is not bounded, but the end of the lease releases them.
+	// queued holds, in order, the messages whose table changes are not in the record yet. The
+	// number of queued messages is not bounded, but the end of the lease releases all of them.
 	queued []queuedMessage
 	// released is the revision of this member's tables up to which messages may be sent.
 	released uint64
@@ -39,8 +39,9 @@
 // coordinatorTimer is the tag of the coordinator's timer; no timer of the decisions has this tag.
 const coordinatorTimer = 1<<64 - 1
 
-// coordinatorTick runs the coordinator periodically: it renews the lease, reports when each proxy
-// last sent a message, passes it the evidence for the record, and sets the timer for the next tick.
+// coordinatorTick runs the coordinator periodically: the coordinator renews the lease, and gets the
+// time at which each proxy last sent a message and the evidence for the record. coordinatorTick
+// then sets the timer for the next tick.
 func (h *ownershipHost) coordinatorTick(now microseconds) {
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
@@ -90,8 +91,8 @@
 	return !pending
 }
 
-// ProxyGranted implements ownership.Host: this member owns a proxy from now on, and passes it to
-// the decisions.
+// ProxyGranted implements ownership.Host: it handles that this member owns a proxy from now on, by
+// reporting the proxy to the decisions as connected.
 func (h *ownershipHost) ProxyGranted(grant ownership.Grant) {
 	pending, ok := h.pending[grant.Proxy]
 	if !ok {
@@ -129,8 +130,8 @@
 	}
 }
 
-// MessagesSentByPeers implements ownership.Host: it reduces the messages that the decisions may
-// write to a proxy by those that other members sent.
+// MessagesSentByPeers implements ownership.Host: it reduces the number of messages that the
+// decisions may write to a proxy by the number that other members sent to the proxy.
 func (h *ownershipHost) MessagesSentByPeers(proxy, messages int) {
 	h.loop.decisions.MessagesSentByPeers(proxy, messages)
 }
--- a/controller/ownership_queue.go
+++ b/controller/ownership_queue.go
@@ -12,7 +12,8 @@
 }
 
 // ReleaseUpTo implements ownership.Host: it sends the queued messages up to a revision of this
-// member's tables. Their changes are in the record, or this member acts without it.
+// member's tables. The table changes of these messages are in the record, or this member acts
+// without the record.
 func (h *ownershipHost) ReleaseUpTo(revision uint64) {
 	h.released = max(h.released, revision)
 	count := 0
@@ -30,7 +31,7 @@
 }
 
 // send sends a message, or queues it if its table changes are not released yet or if other messages
-// are queued.
+// are queued already, so that the messages keep their order.
 func (h *ownershipHost) send(conn *connection, message []byte) error {
 	revision := h.coordinator.Revision()
 	if len(h.queued) > 0 || revision > h.released {
--- a/controller/ownership_record.go
+++ b/controller/ownership_record.go
@@ -15,28 +15,30 @@
 	host *ownershipHost
 }
 
-// EntryCommitted implements consensus.Events.
+// EntryCommitted implements consensus.Events: it posts a committed entry of the replicated log.
 func (e consensusEvents) EntryCommitted(entry ownership.Entry) {
 	e.loop.post(func() { e.host.coordinator.EntryApplied(entry, e.loop.now) })
 }
 
-// SnapshotRestored implements consensus.Events.
+// SnapshotRestored implements consensus.Events: it posts the record that a snapshot contained.
 func (e consensusEvents) SnapshotRestored(record *ownership.Record) {
 	e.loop.post(func() { e.host.coordinator.SnapshotRestored(record, e.loop.now) })
 }
 
-// ProposalCommitted implements consensus.Events.
+// ProposalCommitted implements consensus.Events: it posts that a proposal of an incarnation was
+// committed.
 func (e consensusEvents) ProposalCommitted(incarnation, sequence uint64) {
 	e.loop.post(func() { e.host.coordinator.ProposalCommitted(incarnation, sequence, e.loop.now) })
 }
 
-// ProposalFailed implements consensus.Events.
+// ProposalFailed implements consensus.Events: it posts that a proposal of an incarnation has
+// failed.
 func (e consensusEvents) ProposalFailed(incarnation, sequence uint64) {
 	e.loop.post(func() { e.host.coordinator.ProposalFailed(incarnation, sequence, e.loop.now) })
 }
 
 // recordTableChanges passes this iteration's table changes to the coordinator, which proposes them
-// to the record, before any of them is written to a proxy.
+// to the record, before any of the changes is written to a proxy.
 func (h *ownershipHost) recordTableChanges() {
 	tables := h.loop.tables
 	var changes []ownership.TableChange
--- a/controller/pages_test.go
+++ b/controller/pages_test.go
@@ -9,9 +9,9 @@
 )
 
 // endingsReference matches a reference to a test in docs/endings.md: `folder: TestName/beginning of
-// a case...`. A reference without a folder is to a test of package controller, or of the folder
-// referenced before if package controller has no such test. A reference that begins with dots is to
-// another case of the test referenced before.
+// a case...`. A reference without a folder is to a test of package controller, or of the folder of
+// the previous reference if package controller has no such test. A reference that begins with dots
+// is to another case of the test in the previous reference.
 var endingsReference = regexp.MustCompile("`(?:([a-z/]+): )?((?:Test|Fuzz|\\.\\.\\./)[^`]*)`")
 
 // TestEndingsPageNamesTestsThatExist guards against references to tests that were renamed or
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sources := map[string]string{} // by folder: the text of its test files
+	sources := map[string]string{} // text of all test files of each folder, by folder
 	last, lastFolder, count := "", "", 0
 	for _, reference := range endingsReference.FindAllStringSubmatch(string(page), -1) {
 		folder, name := reference[1], reference[2]
@@ -31,7 +31,7 @@
 		case sameTest:
 			folder, test, part = lastFolder, last, name
 		case folder == "" && sources["controller"] != "" && !strings.Contains(sources["controller"], "func "+test+"("):
-			folder = lastFolder // a test of the folder referenced before
+			folder = lastFolder // the test is in the folder of the previous reference
 		case folder == "":
 			folder = "controller"
 		}
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -20,8 +20,8 @@
 	for _, test := range []struct {
 		name, known string // known is the endpoint list in the configuration
 		answers     []string
-		refuses     bool   // discovery refuses connections
-		reason      string // why the controller becomes ready
+		refuses     bool   // whether discovery refuses connections
+		reason      string // logged reason for which the controller becomes ready
 		picks       int    // number of backends in the table that a proxy receives; -1 if it does not matter
 	}{
 		{"discovery answers, a list is configured", twoEndpoints,
@@ -60,7 +60,7 @@
 				}
 			})
 			caller, proxy, fake := dial(t, controllerAddress), dial(t, controllerAddress), newFakeProxy("read it", "write")
-			caller.send(probe) // sent before readiness; the answer waits for readiness
+			caller.send(probe) // the controller may not be ready yet; it answers the probe once it is ready
 			if got := string(caller.receive()[lengthSize:]); got != aliveReply {
 				t.Errorf("probe answered with %q, want %q", got, aliveReply)
 			}
@@ -69,7 +69,7 @@
 				t.Errorf("ready for another reason than %q: %s", test.reason, text)
 			}
 			proxy.send(hello)
-			if test.picks == 0 { // no table is pushed, but the proxy is served
+			if test.picks == 0 { // the controller pushes no table, but answers a probe of the proxy
 				proxy.send(probe)
 				if got := string(proxy.receive()[lengthSize:]); got != aliveReply {
 					t.Errorf("probe answered with %q, want %q", got, aliveReply)
@@ -201,7 +201,8 @@
 		for range 5 {
 			discovery.answers <- "status 500"
 		}
-		discovery.answers <- listJSON(9, false, endpointJSON(7, "up")) // changes of a list that the watcher does not know
+		// This answer is unusable, as the watcher has requested the full list by now.
+		discovery.answers <- listJSON(9, false, endpointJSON(7, "up"))
 		discovery.answers <- listJSON(9, true, endpointJSON(1, "up"), endpointJSON(7, "up"))
 		proxy, fake, logged := connect(t, discovery, twoEndpoints)
 		receiveUntil(t, proxy, fake, "s-1", "s-7")
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -5,11 +5,11 @@
 // outcomeReport is a load report: the outcomes of the attempts that the proxies of a zone made at a
 // backend.
 type outcomeReport struct {
-	backend     string       // id of the backend
-	attempts    int          // number of attempts
-	failed      int          // number of failed attempts
+	backend     string       // id of the backend that the report is about
+	attempts    int          // number of attempts at the backend
+	failed      int          // number of failed attempts, which are included in attempts
 	meanLatency microseconds // mean latency of the successful attempts
-	interval    microseconds // time that the report covers
+	interval    microseconds // length of the interval that the report covers
 	load        balancer.BackendLoad
 }
 
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -12,9 +12,9 @@
 
 func TestRetryPermissions(t *testing.T) {
 	t.Run("no class may retry executed requests, and a class with a lowered limit none", func(t *testing.T) {
-		// Classes with and without idempotent requests are mixed, in tables of the fleet and of a
-		// zone, and requests may last longer than the interval of a report: the permission must not
-		// depend on how long that interval is.
+		// The retry permission must not depend on the length of the report interval, so requests
+		// may last longer than that interval. The deployment mixes classes with and without
+		// idempotent requests, and tables of the whole fleet and of one zone.
 		site := deployment{zones: []string{"a", "b"}, backendPrefix: "s-", maxMessages: 30, classes: []classSettings{
 			{"safe", 1500, 4000, 1, false, false}, {"once", 800, 2000, 3, true, false}, {"here", 500, 1000, 2, true, true},
 			{"rare", 3000, 9000, 0.1, false, true}}}
@@ -23,7 +23,7 @@
 		lowered := 0
 		for turn := range 60 {
 			switch turn % 20 {
-			case 0: // a first or a new connection
+			case 0: // the proxy connects for the first time, or connects again
 				conn = connectProxy(t, loop, turn+1, 0, turn%40 == 20)
 				if turn%40 == 0 {
 					fake = newFakeProxy(site.classNames()...)
@@ -40,7 +40,8 @@
 			advance(loop, microsPerSecond/2, func() {
 				conn.lastMessageAt.Store(loop.now)
 				for b := range 8 {
-					mean := int64(math.Abs(float64(turn%20-10))) * 300_000 // high, low, and high again
+					// mean latency in µs: falls from 3 s and rises again within 20 turns
+					mean := int64(math.Abs(float64(turn%20-10))) * 300_000
 					loop.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2,
 						balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
 				}
@@ -89,7 +90,7 @@
 			}
 			switch random.IntN(4) {
 			case 0:
-				tables.AssignTable(0, 0, 0b011) // a full table discards limits
+				tables.AssignTable(0, 0, 0b011) // writes a full table, at which the proxy discards its limits
 			case 1:
 				tables.AssignTable(1, 0, 0b100)
 			case 2:
--- a/controller/server.go
+++ b/controller/server.go
@@ -23,11 +23,11 @@
 	log    *slog.Logger
 
 	accepted int            // number of connections accepted so far; owned by run's goroutine
-	running  sync.WaitGroup // goroutines that serve connections
+	running  sync.WaitGroup // counts the goroutines that serve connections
 
 	mutex        sync.Mutex    // guards the fields below
-	unidentified []*connection // oldest first
-	identified   []*connection // oldest identification first
+	unidentified []*connection // unidentified connections, oldest first
+	identified   []*connection // identified connections, in the order of their identification
 }
 
 // run accepts connections until the context ends, and then closes all of them. It returns an error
@@ -42,12 +42,12 @@
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				_ = socket.Close() // the peer will dial another controller
+				_ = socket.Close() // the controller is shutting down; the peer has to connect to another controller
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err)
-		case err != nil: // the peer has disconnected again, or the process is out of file descriptors
+		case err != nil: // the peer disconnected before the accept, or the process has no free file descriptor
 			s.log.Warn("accept_failed", "error", err)
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				s.evict(1)
@@ -73,20 +73,20 @@
 	})
 }
 
-// interrupt ends a blocked Accept. It leaves a TCP listener open, so that drainBacklog can use it,
-// and closes any other.
+// interrupt ends a blocked Accept. It leaves a TCP listener open, so that drainBacklog can use the
+// listener. It closes a listener of any other type.
 func interrupt(listener net.Listener) {
 	if tcp, ok := listener.(*net.TCPListener); ok && tcp.SetDeadline(time.Now()) == nil {
 		return
 	}
-	_ = listener.Close() // the error does not matter, as Accept returns in any case
+	_ = listener.Close() // an error of Close is ignored, as Accept returns in any case
 }
 
 // drainBacklog accepts and closes the connections in the listener's backlog, for
 // limits.finalReadTimeout, and then closes the listener. Some kernels don't close the connections
 // in the backlog with the listener, and their peers would wait forever.
 func (s *server) drainBacklog(listener net.Listener) {
-	defer func() { _ = listener.Close() }() // the result does not matter, as the listener is not used again
+	defer func() { _ = listener.Close() }() // an error of Close is ignored, as the listener is not used again
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok || tcp.SetDeadline(time.Now().Add(s.limits.finalReadTimeout)) != nil {
 		return
@@ -96,7 +96,7 @@
 		if err != nil {
 			return
 		}
-		_ = socket.Close() // the peer will dial another controller
+		_ = socket.Close() // the controller is shutting down; the peer has to connect to another controller
 	}
 }
 
@@ -109,7 +109,7 @@
 }
 
 // waitForRoom waits until one more connection fits into the limits; it returns false if the context
-// ends before. New connections wait in the listener's backlog during that time.
+// ends first. New connections wait in the listener's backlog during that time.
 func (s *server) waitForRoom(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		excess := s.excess()
@@ -155,14 +155,14 @@
 func (s *server) identify(c *connection) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	groupSize := 1 // number of connections of the same proxy, or of collectors of the same zone
+	groupSize := 1 // number of connections of the same proxy, or of collectors of the same zone, including c
 	for _, other := range slices.Backward(slices.Clone(s.identified)) {
 		if !c.inSameGroup(other) {
 			continue
 		}
 		groupSize++
 		if c.kind == kindProxy && other.sequence > c.sequence {
-			return errSuperseded // its hello arrived after that of a newer connection
+			return errSuperseded // this hello was handled after the hello on a newer connection of the proxy
 		}
 		if c.kind == kindProxy || groupSize > s.limits.collectorsPerZone {
 			s.identified = without(s.identified, other)
--- a/controller/server_bounds_test.go
+++ b/controller/server_bounds_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// countingListener counts the connections that are open, and their maximum.
+// countingListener is a listener that counts its open connections, and records the maximum of that
+// count.
 type countingListener struct {
 	*net.TCPListener
 	open, maxOpen atomic.Int64
@@ -83,7 +84,7 @@
 	if maxOpen := listener.maxOpen.Load(); maxOpen != limit {
 		t.Errorf("at most %d connections were open at once, want exactly the limit of %d", maxOpen, limit)
 	}
-	for _, proxy := range proxies { // the proxies were not evicted
+	for _, proxy := range proxies { // the proxies were not evicted, so each gets an answer
 		proxy.send(probe)
 		proxy.receive()
 	}
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("an unidentified connection's probe is answered with %q", got)
 		}
 		proxy, fake := dial(t, address), newFakeProxy("read it", "write")
-		for _, b := range frame(hello) { // one byte per write
+		for _, b := range frame(hello) { // the hello is sent one byte per write
 			proxy.Write([]byte{b})
 		}
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(1)) != 2 {
@@ -145,11 +145,13 @@
 			t.Errorf("more than 10 log lines about unidentified connections: %s", text)
 		}
 		if spent := time.Since(began); spent > 2*time.Second {
-			// Only connections with an incomplete message wait for the deadline.
+			// Only connections with an incomplete message stay open until the deadline for
+			// identification.
 			t.Errorf("took %v, want at most 2s", spent)
 		}
 		prober, trickle := dial(t, address), dial(t, address)
-		for range time.Tick(time.Millisecond) { // neither a probe nor a further byte extends the deadline
+		// Neither a probe nor a further byte extends the deadline for identification.
+		for range time.Tick(time.Millisecond) {
 			_, probeErr := prober.Write(frame(probe))
 			if _, trickleErr := trickle.Write([]byte(hello)[:1]); probeErr != nil && trickleErr != nil {
 				break
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -7,22 +7,24 @@
 // session is a proxy's connection and its outstanding acknowledgements. The event loop owns it.
 type session struct {
 	conn *connection
-	// unacked holds the outstanding acknowledgements, oldest first. If there are more than
-	// limits.maxUnacked, the oldest is dropped.
+	// unacked holds the outstanding acknowledgements, oldest first. At more than limits.maxUnacked,
+	// the oldest one is dropped.
 	unacked []*pendingAck
 	// firstCompleteAck is the first acknowledgement that was requested while every class had a
 	// table of this controller. It is set only where ownership is shared.
 	firstCompleteAck     *pendingAck
-	completeAcknowledged bool // whether firstCompleteAck was acknowledged
+	completeAcknowledged bool // whether the proxy has sent firstCompleteAck, or a later acknowledgement
 }
 
-// pendingAck is an acknowledgement that was requested at one clock time. All proxies that it was
-// requested from share it.
+// pendingAck is an acknowledgement that the decisions requested at one clock time. All proxies from
+// which they requested it share one pendingAck.
 type pendingAck struct {
-	nonce           int
-	revision        uint64       // revision of this member's tables at that time; 0 if ownership is not shared
-	sentBy          microseconds // time by which the last push with this request has left the push channel
-	firstAnsweredAt microseconds // time at which the first proxy acknowledged; 0 before
+	nonce int
+	// revision is the revision of this member's tables when the push with the request was encoded;
+	// 0 if ownership is not shared.
+	revision        uint64
+	sentBy          microseconds // time by which the last push that contains the request has left the push channel
+	firstAnsweredAt microseconds // time at which the first proxy acknowledged; 0 until then
 }
 
 // isCurrent reports whether a connection is the current one of its proxy: neither replaced by a
@@ -31,16 +33,17 @@
 	return conn.proxy < len(l.sessions) && l.sessions[conn.proxy] != nil && l.sessions[conn.proxy].conn == conn
 }
 
-// proxyConnected handles a proxy's connection. A newer connection replaces the older one, whose end
-// is then ignored. requestsPerSecond is the approximate rate of requests at the proxy, 0 if
-// unknown; mayHoldWithdrawals is true if the proxy may have withdrawals of other controllers.
+// proxyConnected handles a proxy's connection. A newer connection of a proxy replaces the older
+// one, and the end of the older connection is then ignored. requestsPerSecond is the approximate
+// rate of requests at the proxy, 0 if unknown; mayHoldWithdrawals is true if the proxy may have
+// withdrawals of other controllers.
 func (l *eventLoop) proxyConnected(conn *connection, requestsPerSecond float64, mayHoldWithdrawals bool) {
 	for len(l.sessions) <= conn.proxy {
 		l.sessions = append(l.sessions, nil)
 	}
 	if older := l.sessions[conn.proxy]; older != nil {
 		if older.conn.sequence > conn.sequence {
-			conn.close(errSuperseded) // its hello arrived after that of a newer connection
+			conn.close(errSuperseded) // this hello was handled after the hello on a newer connection of the proxy
 			return
 		}
 		l.removeSession(conn.proxy)
@@ -71,15 +74,15 @@
 // dropProxy closes the connection of a proxy that is silent or whose message could not be encoded
 // or sent, and discards its session.
 func (l *eventLoop) dropProxy(proxy int, reason error) {
-	if reason != errClosed { // a connection that has ended posts its end itself
+	if reason != errClosed { // errClosed: the connection is closed already, and its method run posts its end
 		l.log.Warn("proxy_dropped", "proxy", proxy, "error", reason)
 		l.sessions[proxy].conn.close(reason)
 	}
 	l.removeSession(proxy)
 }
 
-// removeSession discards the state of a proxy's connection, and reports the end to the decisions if
-// they know the proxy.
+// removeSession discards the state of a proxy's connection, and reports the disconnection to the
+// decisions if they know the proxy.
 func (l *eventLoop) removeSession(proxy int) {
 	l.sessions[proxy] = nil
 	l.disconnect(proxy)
@@ -125,12 +128,13 @@
 	}
 	session.unacked = append(session.unacked, ack)
 	if len(session.unacked) > l.limits.maxUnacked {
-		session.unacked = session.unacked[1:] // the proxy may send other messages, but acknowledges nothing
+		// The proxy does not acknowledge its pushes, although it may send other messages.
+		session.unacked = session.unacked[1:]
 	}
 }
 
-// acknowledged handles an acknowledgement, which covers all earlier ones. An acknowledgement from a
-// replaced connection is ignored.
+// acknowledged handles a proxy's acknowledgement of a push, which also acknowledges all earlier
+// pushes. An acknowledgement from a replaced connection is ignored.
 func (l *eventLoop) acknowledged(conn *connection, nonce int) {
 	if !l.isCurrent(conn) {
 		return
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -27,7 +27,8 @@
 		}
 	})
 	t.Run("a discovery server that accepts no connection does not delay the shutdown", func(t *testing.T) {
-		// serve shuts down at the end of the test.
+		// serve shuts the controller down at the end of the test, and fails the test if that takes
+		// too long.
 		serve(t, newUnresponsiveAddress(t), twoEndpoints, func(l *limits) { l.dialTimeout = testTimeout })
 	})
 	t.Run("a peer that reads nothing does not delay the shutdown, and gets no further bytes", func(t *testing.T) {
@@ -40,7 +41,7 @@
 		go func() { defer close(ran); loop.run(ctx) }()
 		go func() { ended <- s.run(ctx, listener) }()
 		remote.Write(frame(hello))
-		first := make([]byte, 1) // the push is being written, and blocks after this byte
+		first := make([]byte, 1) // the write of the push has begun, and blocks after this byte
 		remote.Read(first)
 		stop()
 		if err := <-ended; err != nil {
@@ -71,7 +72,9 @@
 				dial(t, address)
 			}
 			running := controllerGoroutines()
-			for _, function := range goroutineFunctions[:5] { // without distributor, as no configuration is distributed here
+			// The last function is left out: without distribution of configuration, its goroutine
+			// does not run.
+			for _, function := range goroutineFunctions[:5] {
 				if !strings.Contains(running, functionName(function)+"(") {
 					t.Errorf("%s is not found among the running goroutines", functionName(function))
 				}
@@ -80,7 +83,7 @@
 				t.Fatal(err)
 			}
 		})
-		if remaining := controllerGoroutines(); remaining != "" { // Serve has returned
+		if remaining := controllerGoroutines(); remaining != "" { // Serve has returned, so none may remain
 			t.Errorf("goroutines are left after Serve:\n%s", remaining)
 		}
 	})
@@ -128,7 +131,7 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", socketAddress.(*syscall.SockaddrInet4).Port)
-	for { // until the backlog is full
+	for { // connect until the listener's backlog is full
 		conn, err := net.DialTimeout("tcp", address, 50*time.Millisecond)
 		if err != nil {
 			return address
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -7,26 +7,30 @@
 	"wheelrill/ownership"
 )
 
-// tables holds the tables, admission limits and withdrawals that the decisions have ordered, and
-// the state that was last written to each connected proxy. Orders update it and mark the proxies
-// concerned; flush writes each marked proxy one message for all orders of one clock time. The event
-// loop owns it.
+// tables holds the tables, admission limits and withdrawals that the decisions have ordered through
+// the methods of balancer.Host, and the state that was last written to each connected proxy. Orders
+// update it and mark the proxies concerned; flush writes each marked proxy one message for all
+// orders of one clock time. The event loop owns it.
 type tables struct {
-	classNames  [][]byte                 // by class: its name as encoded in messages, a JSON string
+	classNames  [][]byte                 // name of each class as encoded in messages, a JSON string
 	backendName func(backend int) []byte // returns the id of a backend as a JSON string
 	maxFrame    int                      // maximum number of bytes of one part of a message
 	maxParts    int                      // maximum number of parts of a message
 
 	byNumber              map[int]*table
-	admissionLimitsForAll []admissionLimit // by class: the limit for all tables of all connected proxies
-	withdrawn             []bool           // by backend: whether it is withdrawn
-	proxies               []*pushState     // by proxy: its state; nil if the proxy is not connected
-
-	// Orders of the current clock time. flush resets these fields.
-	withdrawalChanges []int // backends that were withdrawn or restored at this clock time
+	admissionLimitsForAll []admissionLimit // limit of each class for all tables of all connected proxies
+	withdrawn             []bool           // whether each backend is withdrawn, by backend index
+	// proxies holds the state of each proxy, by proxy number; nil if the proxy is not connected.
+	proxies []*pushState
+
+	// Changes and acknowledgement request that were ordered at the current clock time. flush resets
+	// these fields.
+	withdrawalChanges []int // backends that were withdrawn or restored at the current clock time
 	ackNonce          int   // nonce of the requested acknowledgement
 	ackRequested      bool  // whether the decisions requested an acknowledgement
-	ackFromAll        bool  // whether all connected proxies must acknowledge, not only those with a message due
+	// ackFromAll is true if all connected proxies must acknowledge, not only the proxies with a
+	// message due.
+	ackFromAll bool
 
 	// deltaTables counts the tables that were written as the difference from the table that a proxy
 	// already had.
@@ -35,18 +39,20 @@
 	fullTables int
 }
 
-// table holds the entries and the admission limits of one table number.
+// table holds the entries and the admission limits of the table with one number.
 type table struct {
-	weights         []float64        // by backend: weight of its entry; 0 means no entry
-	changed         []int            // backends whose entries were set at this clock time
-	isChanged       []bool           // by backend: whether its entry was set at this clock time
-	admissionLimits []admissionLimit // by class: the limit of this table
+	weights []float64 // weight of the entry of each backend, by backend index; 0 means no entry
+	changed []int     // backends whose entries were set at the current clock time
+	// isChanged holds, by backend index, whether the entry of the backend was set at the current
+	// clock time.
+	isChanged       []bool
+	admissionLimits []admissionLimit // admission limit of each class in this table, by class index
 }
 
 // admissionLimit is the admission limit of a class, with the retry policy of its requests.
 type admissionLimit struct {
-	set   bool    // false if no limit was ordered
-	limit float64 // admitted share of the requests, or admitted requests a second, by the admission mode
+	set   bool    // whether the class has an admission limit
+	limit float64 // admitted share of the requests or admitted requests per second, depending on the admission mode
 	retry balancer.RetryPolicy
 }
 
@@ -55,9 +61,9 @@
 type backendState uint8
 
 const (
-	backendUnknown   backendState = iota // may have been withdrawn by another controller
-	backendAllowed                       // not withdrawn: the proxy may use the backend
-	backendWithdrawn                     // withdrawn: the proxy was ordered not to use the backend
+	backendUnknown   backendState = iota // another controller may have withdrawn the backend from the proxy
+	backendAllowed                       // the backend is not withdrawn: the proxy may use it
+	backendWithdrawn                     // the backend is withdrawn: the proxy must not use it
 )
 
 // unassigned is the table number of a class to which this controller has assigned no table: the
@@ -68,11 +74,11 @@
 // it.
 type pushState struct {
 	conn   *connection
-	tables []int // by class: number of the assigned table, or unassigned
+	tables []int // number of the table assigned to each class, or unassigned
 
 	// Pending changes for the next message, and the state last written to the proxy.
 	dirty    bool   // whether a message to the proxy is due
-	tableDue uint16 // set of classes whose assigned table was not written to the proxy yet
+	tableDue uint16 // bit set of the classes whose assigned table was not written to the proxy yet
 	// withdrawalChanges holds the backends that were withdrawn or restored since the last message
 	// and that this proxy may use.
 	withdrawalChanges []int
@@ -92,19 +98,20 @@
 	// since its last message.
 	reconciled bool
 
-	// State of the proxy from before it connected.
-	mayHoldWithdrawals bool // whether the proxy may have withdrawals of other controllers
+	// State that the proxy had before it connected.
+	mayHoldWithdrawals bool // whether other controllers may have withdrawn backends from the proxy
 	// knownTables holds, by class, the table that the proxy is known to have until this controller
-	// writes it a table; nil if the tables are unknown.
+	// writes a table to the proxy; nil if the tables are unknown.
 	knownTables []ownership.KnownTable
 
 	// Fields that are used only where ownership is shared.
-	unowned bool // whether another controller may still own the proxy, so nothing may be written to it
-	// wantsToken is true if the proxy asked for fencing tokens. The proxy then refuses a message
-	// with an older token than it has seen.
+	unowned bool // whether another controller may still own the proxy, so that this controller must not write to it
+	// wantsToken is true if the proxy asked for fencing tokens. Such a proxy refuses a message
+	// whose token is older than a token that it has seen.
 	wantsToken bool
 	// grantToken is the fencing token of the claim by which this controller was granted the proxy;
-	// 0 for none. It stays the same without a quorum, and after the proxy was claimed again.
+	// 0 if the proxy asked for no tokens or there is no claim. The token stays the same while this
+	// controller is without quorum, and after the proxy was claimed again.
 	grantToken uint64
 }
 
@@ -135,7 +142,8 @@
 	return t.proxies[proxy]
 }
 
-// table returns the table with a number. It adds an empty one if no order has had the number yet.
+// table returns the table with a number. It adds an empty table if no order has used the number
+// yet.
 func (t *tables) table(number int) *table {
 	if t.byNumber[number] == nil {
 		t.byNumber[number] = &table{admissionLimits: make([]admissionLimit, len(t.classNames))}
@@ -173,11 +181,12 @@
 }
 
 // AssignTable implements balancer.Host: it assigns a table to some classes of a proxy. The next
-// message to the proxy makes its table complete, and later messages contain the table's changes.
+// message to the proxy completes the proxy's table, and later messages contain the changes of the
+// table.
 func (t *tables) AssignTable(number, proxy int, classes uint16) {
 	state := t.proxy(proxy)
 	if state == nil {
-		return // it has disconnected
+		return // the proxy has disconnected
 	}
 	t.table(number)
 	state.reconciled = false
@@ -208,10 +217,10 @@
 	})
 }
 
-// SyncWithdrawals implements balancer.Host: it makes the next message to a proxy with an unassigned
-// class contain all withdrawn backends, because the proxy may use any of them, and the given limit
-// for unassigned classes if no limit for all tables is set. It returns false if the proxy has no
-// unassigned class or is not connected.
+// SyncWithdrawals implements balancer.Host. It makes the next message to a proxy with an unassigned
+// class contain all withdrawn backends, because the proxy may use any backend for that class. It
+// also sets the limit of the unassigned classes at this proxy, which applies if no limit for all
+// tables is set. It returns false if the proxy has no unassigned class or is not connected.
 func (t *tables) SyncWithdrawals(proxy int, limit float64, retry balancer.RetryPolicy) bool {
 	state := t.proxy(proxy)
 	if state == nil || !slices.Contains(state.tables, unassigned) {
@@ -253,7 +262,7 @@
 }
 
 // RequestAck implements balancer.Host: it requests an acknowledgement from the proxies that are
-// written a message at this clock time, or from all connected proxies.
+// written a message at this clock time or, if fromAll is true, from all connected proxies.
 func (t *tables) RequestAck(nonce int, fromAll bool) {
 	t.ackNonce, t.ackRequested, t.ackFromAll = nonce, true, t.ackFromAll || fromAll
 }
@@ -278,7 +287,7 @@
 	return false
 }
 
-// weight returns the weight of a backend in a table; 0 if it has no entry.
+// weight returns the weight of a backend in a table; 0 if the table has no entry for the backend.
 func (t *tables) weight(number, backend int) float64 {
 	if weights := t.byNumber[number].weights; backend < len(weights) {
 		return weights[backend]
@@ -307,10 +316,11 @@
 	return own
 }
 
-// forget discards the state of a backend that no table contains, if decisionsForget returns true:
-// it discards the backend's state in the decisions, unless they still need it. forget returns false
-// while the backend is withdrawn from a connected proxy: until that connection ends, the backend
-// must stay known, so that it can be restored if it is listed again.
+// forget discards the state of a backend that no table contains, and returns true, if
+// decisionsForget returns true. decisionsForget discards the backend's state in the decisions, and
+// returns false if the decisions still need that state. forget also returns false while the backend
+// is withdrawn from a connected proxy: until that connection ends, the backend must stay known, so
+// that it can be restored if it is listed again.
 func (t *tables) forget(backend int, decisionsForget func() bool) bool {
 	for _, proxy := range t.proxies {
 		if proxy != nil && backend < len(proxy.backendStates) && proxy.backendStates[backend] == backendWithdrawn {
@@ -331,7 +341,8 @@
 	return true
 }
 
-// initialState returns the state of a backend before the proxy is written anything about it.
+// initialState returns the state of a backend at a proxy before the first message to the proxy that
+// refers to the backend.
 func (p *pushState) initialState() backendState {
 	if p.mayHoldWithdrawals {
 		return backendUnknown
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -74,7 +74,7 @@
 func (t *tables) writeTables(proxy *pushState, w *messageWriter) {
 	for class, number := range proxy.tables {
 		if number == unassigned || slices.Contains(proxy.tables[:class], number) {
-			continue // not assigned, or written with an earlier class
+			continue // the class has no assigned table, or the table was written with an earlier class
 		}
 		table := t.byNumber[number]
 		due, upToDate := proxy.classesWithTable(number)
@@ -87,8 +87,9 @@
 	}
 }
 
-// classesWithTable returns the sets of classes to which a table is assigned: those for which the
-// proxy was not written the table yet (due), and those for which it was (upToDate).
+// classesWithTable returns two sets of classes to which a table is assigned: due contains the
+// classes for which the table was not written to the proxy yet, and upToDate the classes for which
+// the table was written.
 func (p *pushState) classesWithTable(number int) (due, upToDate uint16) {
 	for class, other := range p.tables {
 		switch {
@@ -132,8 +133,8 @@
 }
 
 // encodeDelta encodes the entries in which a table differs, or may differ, from the tables that a
-// proxy is known to have. It returns false if these are unknown, or if the difference is at least
-// as large as the full table.
+// proxy is known to have. It returns false if those tables are unknown, or if the difference is at
+// least as large as the full table.
 func (t *tables) encodeDelta(proxy *pushState, table *table, due uint16) (entries [][]byte, ok bool) {
 	if proxy.knownTables == nil {
 		return nil, false
@@ -153,22 +154,23 @@
 	}
 	for class := range proxy.admissionLimits {
 		if hasClass(due, class) {
-			// Only a full table makes the proxy discard the limits of other controllers.
+			// The proxy may still have limits of other controllers, as only a full table makes it
+			// discard them.
 			proxy.admissionLimits[class] = unknownLimit
 		}
 	}
 	return entries, true
 }
 
-// unknownLimit is recorded for a class for which a proxy may still have the limit of another
-// controller.
+// unknownLimit is recorded as the last written limit of a class if the proxy may still have a limit
+// of another controller for the class.
 var unknownLimit = admissionLimit{set: true, limit: -1}
 
 // isUnknown reports whether a recorded limit is unknownLimit.
 func (l admissionLimit) isUnknown() bool { return l.limit < 0 }
 
-// unlimited replaces the limit that a proxy may have for a class without an ordered limit: no proxy
-// reaches it, and its retry policy is the default of proxies without an ordered policy.
+// unlimited replaces the limit that a proxy may have for a class without an ordered limit. No proxy
+// reaches this limit, and its retry policy is the default of proxies without an ordered policy.
 var unlimited = admissionLimit{true, math.MaxFloat32, balancer.RetryIfNotExecuted}
 
 // writeLimits writes the limits that differ from those last written to the proxy, each once for all
@@ -191,8 +193,9 @@
 }
 
 // updateLimits records the limits that a proxy should have as written, and returns the classes
-// whose limits differ from those that it has. A full table makes the proxy discard its limits. If
-// it may have limits of other controllers, classes without an ordered limit are written unlimited.
+// whose limits differ from the limits that the proxy has. A full table makes the proxy discard its
+// limits. If the proxy may have limits of other controllers, classes without an ordered limit are
+// written unlimited.
 func (t *tables) updateLimits(proxy *pushState) (changed uint16) {
 	for class := range t.classNames {
 		limit, unknown := t.limitFor(proxy, class), proxy.admissionLimits[class].isUnknown()
--- a/controller/tables_pushes_test.go
+++ b/controller/tables_pushes_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("got %+v", fake)
 		}
 		tables.PublishEntry(0, 1, 0)
-		tables.AssignTable(0, 9, 0) // never connected
+		tables.AssignTable(0, 9, 0) // proxy 9 has never connected
 		tables.RequestAck(4, false)
 		tables.flushToOutboxes(t)
 		fake.receive(t, conn)
@@ -92,7 +92,8 @@
 			t.Errorf("limits %v", fake.limits)
 		}
 		tables.SetAdmissionLimit(balancer.AllTables, 2, 0.25, balancer.RetryIfNotExecuted)
-		late, otherConn := connectFakeProxy(tables, 1, true) // gets both limits when its table is assigned
+		// No limit is written to this proxy before a table is assigned to it.
+		late, otherConn := connectFakeProxy(tables, 1, true)
 		tables.flushToOutboxes(t)
 		fake.receive(t, conn)
 		late.receive(t, otherConn)
@@ -175,7 +176,7 @@
 		if third.receive(t, thirdConn); third.withdrawn["s-7"] || third.limits[0][0] != 3 {
 			t.Errorf("got %+v", third)
 		}
-		for range 2 { // a repeated call adds nothing
+		for range 2 { // the second call has no further effect
 			if !tables.SyncWithdrawals(2, 77, balancer.RetryIfNotExecuted) {
 				t.Error("SyncWithdrawals returned false for a proxy with an unassigned class")
 			}
@@ -248,7 +249,7 @@
 type proxyModel struct {
 	joined    bool
 	tables    []int
-	withdrawn map[int]bool // backends that unassigned classes must not use
+	withdrawn map[int]bool // backends that the proxy must not use for unassigned classes
 }
 
 // TestPushesMeanWhatWasOrdered guards against pushes that leave a proxy in another state than the
@@ -287,7 +288,7 @@
 					}
 				case 1:
 					if expected[p] != nil {
-						for class := range classes { // all classes, to one table or several
+						for class := range classes { // assigns each class, all to one table or to several tables
 							number := (table + class*random.IntN(2)) % numbers
 							tables.AssignTable(number, p, 1<<class)
 							expected[p].tables[class] = number
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -8,7 +8,7 @@
 // microseconds is a Unix time or a duration, in the unit that package balancer uses.
 type microseconds = int64
 
-// microsPerSecond converts seconds to microseconds.
+// microsPerSecond is the number of microseconds in a second.
 const microsPerSecond microseconds = 1_000_000
 
 // inSeconds converts a duration to seconds.
--- a/controller/unusable_messages_test.go
+++ b/controller/unusable_messages_test.go
@@ -91,7 +91,7 @@
 				proxy.Write(test.then)
 			}
 			if !test.accepted {
-				_, _ = proxy.readRest() // until the connection ends
+				_, _ = proxy.readRest() // read until the connection ends
 				if test.then != nil {
 					logged.waitFor(t, fmt.Sprintf("msg=proxy_disconnected proxy=%d", node), 1)
 				}
