--- a/rehearse/backends.go
+++ b/rehearse/backends.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	drainTime              = 6 * time.Second // until a draining backend is replaced by a new process
+	drainTime              = 6 * time.Second // time from the start of a backend's drain until a new process replaces it
 	hangTime               = 8 * time.Second
 	hangPollInterval       = 50 * time.Millisecond
 	abandonedUseDivisor    = 10 // a backend counts as abandoned once at most one proxy in ten uses it
-	minUndisturbedBackends = 2  // so that at least one continues to serve
+	minUndisturbedBackends = 2  // a hang or a replacement needs this many, so that at least one continues to serve
 )
 
 // pickUndisturbedBackend returns a random backend that is warm and neither hangs nor is being
@@ -57,7 +57,7 @@
 type hang struct {
 	backend  *fake.Backend
 	began    time.Time
-	detected bool // the backend has been abandoned
+	detected bool // nearly all proxies have abandoned the backend
 }
 
 // hangBackend makes a backend hang for hangTime, and records how long it takes until nearly all
@@ -75,7 +75,7 @@
 	r.pollHangAfter(0, h)
 }
 
-// pollHangAfter schedules the next pollHang.
+// pollHangAfter schedules a call of pollHang after the given wait.
 func (r *run) pollHangAfter(wait time.Duration, h *hang) {
 	r.scheduleAfter(wait, func() error {
 		r.pollHang(h)
@@ -84,7 +84,8 @@
 }
 
 // pollHang checks whether nearly all proxies have abandoned the backend, and ends the hang after
-// hangTime. A backend that has not been abandoned by then counts with the whole time.
+// hangTime. If the backend has not been abandoned by then, the whole duration of the hang is
+// recorded as its detection time.
 func (r *run) pollHang(h *hang) {
 	elapsed := time.Since(h.began)
 	abandoned := r.fleet.ProxiesUsing(h.backend.ID) <= r.Proxies/abandonedUseDivisor
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -14,19 +14,19 @@
 // faultKind is one kind of fault that a scenario injects.
 type faultKind struct {
 	name         string // value of --faults that selects the fault
-	needsLinks   bool   // members have to be connected through links
-	stopsProcess bool   // the process of a controller is ended or frozen
+	needsLinks   bool   // the fault needs links between the members, because it acts on the links
+	stopsProcess bool   // the fault ends or freezes the process of a controller
 	inject       func(r *run, t faultTargets)
 }
 
-// faultTargets are the controllers that were chosen for a fault, by index.
+// faultTargets holds the controllers that were chosen for a fault, as indices into run.controllers.
 type faultTargets struct {
 	first int
-	next  int // the controller after first among those that are up
+	next  int // the controller that follows first among the controllers that are up
 	up    int // number of controllers that are up
 }
 
-// faultKinds lists all kinds of faults, in the order in which help and errors list their names.
+// faultKinds lists all kinds of faults. Help texts and errors list their names in this order.
 var faultKinds = []faultKind{
 	{name: "kill", stopsProcess: true, inject: (*run).injectKill},
 	{name: "leave", stopsProcess: true, inject: (*run).injectLeave},
@@ -85,7 +85,8 @@
 }
 
 // injectFault injects a random fault of the scenario into a random controller that is up. It
-// injects none while fewer than two controllers are up, so that one continues to serve.
+// injects no fault while fewer than two controllers are up, so that one controller continues to
+// serve.
 func (r *run) injectFault() error {
 	var up []int
 	for i, c := range r.controllers {
@@ -116,8 +117,8 @@
 // injectLeave ends a controller with SIGTERM.
 func (r *run) injectLeave(t faultTargets) { r.stopController(t.first, syscall.SIGTERM) }
 
-// injectPair kills a controller and, if at least three are up, a second one within the same
-// election.
+// injectPair kills a controller and, if at least three are up, immediately a second one, so that
+// both are lost within the same election.
 func (r *run) injectPair(t faultTargets) {
 	r.stopController(t.first, syscall.SIGKILL)
 	if t.up > 2 {
@@ -131,7 +132,7 @@
 // injectReload makes a controller reload its configuration with SIGHUP and kills another one, so
 // that the reload may fall into an election.
 func (r *run) injectReload(t faultTargets) {
-	// An error means that the process has ended, which the main loop detects.
+	// An error of Signal means that the process has ended; the main loop detects the end.
 	_ = r.controllers[t.first].Signal(syscall.SIGHUP)
 	r.stopController(t.next, syscall.SIGKILL)
 }
@@ -160,8 +161,8 @@
 	})
 }
 
-// faultLinks sets a fault on the selected links between members, for linkFaultTime or half the
-// fault interval, whichever is shorter.
+// faultLinks sets a fault on the selected links between members, and removes it after linkFaultTime
+// or half the fault interval, whichever is shorter.
 func (r *run) faultLinks(fault fake.Fault, selected func(memberPair) bool) {
 	for pair, link := range r.links {
 		if !selected(pair) {
@@ -191,12 +192,12 @@
 }
 
 // freezeController freezes the process of a controller, for freezeTime or half the fault interval,
-// whichever is shorter. The controller does not count as up in that time, so that no other fault is
+// whichever is shorter. A frozen controller does not count as up, so that no other fault is
 // injected into it.
 func (r *run) freezeController(i int) {
 	c := r.controllers[i]
 	c.Up = false
-	// An error means that the process has ended, which the main loop detects.
+	// An error of Signal means that the process has ended; the main loop detects the end.
 	_ = c.Signal(syscall.SIGSTOP)
 	r.fleet.ControllerFrozen(i, true)
 	r.scheduleAfter(min(freezeTime, r.FaultInterval/2), func() error {
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -16,39 +16,39 @@
 	Sharing     bool           `json:"sharing"`   // the controllers shared the ownership of proxies
 	Controllers int            `json:"instances"` // number of controllers
 	Proxies     int            `json:"relays"`    // number of proxies
-	Seconds     float64        `json:"seconds"`   // duration of the run
+	Seconds     float64        `json:"seconds"`   // duration of the run in seconds
 	Faults      map[string]int `json:"faults"`    // number of faults injected into controllers, by kind
 
-	Verdict    Verdict               `json:"verdict"`       // overall result
+	Verdict    Verdict               `json:"verdict"`       // overall result of the run
 	Reason     string                `json:"why,omitempty"` // why the verdict is inconclusive
-	Violations []invariant.Violation `json:"breaches"`      // the first 100 violations
-	// ViolationCounts has the numbers of all violations by rule, including those that are not
-	// listed.
+	Violations []invariant.Violation `json:"breaches"`      // the first 100 violations of the rules
+	// ViolationCounts has the number of violations of each rule, including the violations that
+	// Violations does not list.
 	ViolationCounts map[string]int `json:"broken"`
 
-	Effects           int     `json:"effects"`                  // requests that took effect
-	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // seconds
+	Effects           int     `json:"effects"`                  // number of distinct requests that took effect
+	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // longest time that a class had no table entry, s
 	PeakMessages      int     `json:"most_messages_to_a_relay"` // maximum messages to one proxy within MessageWindow
 	ServedValue       float64 `json:"value_served"`             // value served in time, as a share of all requests' value
-	Lost              int     `json:"lost"`                     // requests admitted, but not answered successfully
-	Rejected          int     `json:"refused"`                  // requests that were not admitted
-	Requests          int     `json:"came"`                     // all requests that proxies received
+	Lost              int     `json:"lost"`                     // number of admitted requests without a successful answer
+	Rejected          int     `json:"refused"`                  // number of requests that were not admitted
+	Requests          int     `json:"came"`                     // number of all requests that proxies received
 
-	StreamsOpened       int     `json:"streams_begun"`                         // streams from proxies to controllers
-	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean number of lines, over all streams
-	Lines               int     `json:"lines"`                                 // lines of all applied pushes
-	Pushes              int     `json:"orders"`                                // pushes applied by proxies
+	StreamsOpened       int     `json:"streams_begun"`                         // number of streams opened by proxies
+	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean lines in a stream's first second
+	Lines               int     `json:"lines"`                                 // number of lines in all applied pushes
+	Pushes              int     `json:"orders"`                                // number of pushes that proxies applied
 	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // pushes with an older owner's token
 
-	Hangs             int     `json:"hangs"`                           // hangs of backends
-	BackendsReplaced  int     `json:"workers_replaced"`                // backends drained and replaced by a new process
+	Hangs             int     `json:"hangs"`                           // number of hangs of backends
+	BackendsReplaced  int     `json:"workers_replaced"`                // number of backends replaced by a new process
 	MeanHangDetection float64 `json:"left_a_hung_worker_after_s_mean"` // mean time until a hung backend is abandoned, s
 	MaxHangDetection  float64 `json:"left_a_hung_worker_after_s_most"` // maximum time until a hung backend is abandoned, s
-	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // attempts sent to backends that hung at that time
+	AttemptsIntoHang  int     `json:"tries_into_a_hang"`               // number of attempts sent to hanging backends
 
-	SchedulingDelayP99 float64 `json:"turn_late_ms_of_one_in_a_hundred"` // 99th percentile for this process
-	SchedulingDelayMax float64 `json:"turn_late_ms_most"`                // maximum for this process
-	Folder             string  `json:"folder"`                           // folder with logs and configurations
+	SchedulingDelayP99 float64 `json:"turn_late_ms_of_one_in_a_hundred"` // this process's scheduling delay, p99, ms
+	SchedulingDelayMax float64 `json:"turn_late_ms_most"`                // this process's scheduling delay, maximum, ms
+	Folder             string  `json:"folder"`                           // folder with the run's logs and configurations
 }
 
 // Verdict is the overall result of a run.
@@ -61,8 +61,9 @@
 	VerdictInconclusive Verdict = "could not be judged"
 )
 
-// summarize writes into the report the results of the checker, the counts of the fleet between
-// before and after, and the times until hanging backends were abandoned.
+// summarize writes three things into the report: the results of the checker, the differences
+// between the counts of the fleet at the end (after) and at the start (before), and the mean and
+// maximum time until a hanging backend was abandoned.
 func (r *run) summarize(v invariant.Verdict, before, after fake.Counts) {
 	report := r.report
 	report.Faults = r.faultCounts
@@ -93,7 +94,8 @@
 	report := r.report
 	report.SchedulingDelayP99 = milliseconds(delayP99)
 	report.SchedulingDelayMax = milliseconds(delayMax)
-	// Faults of the links between controllers alone move no proxy, so they require no new stream.
+	// Faults of links between controllers do not make proxies change their controller. So a new
+	// stream is only required of a run in which a fault stopped a controller.
 	takeoverAsExpected := report.StreamsOpened > 0 || !r.stoppedAny()
 	switch {
 	case process.TooBusy(delayP99):
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -13,7 +13,7 @@
 	"wheelrill/internal/process"
 )
 
-// Intervals of hangs and of replacements of backends, and of the main loop.
+// Intervals between hangs, between replacements of backends, and between steps of the main loop.
 const (
 	hangInterval      = 18 * time.Second
 	replaceInterval   = 13 * time.Second
@@ -29,18 +29,18 @@
 	*Scenario
 	fleet             *fake.Fleet
 	controllers       []*process.Controller
-	links             map[memberPair]*fake.FaultyLink // between members
+	links             map[memberPair]*fake.FaultyLink // links by which members reach each other
 	folder            string
-	events            *os.File // log of faults and of changes of backends, apart from the controllers' logs
+	events            *os.File // log of faults and of state changes of backends; the controllers have their own logs
 	random            *rand.Rand
 	faultCounts       map[string]int         // number of injected faults, by kind
 	disturbedBackends map[*fake.Backend]bool // backends that hang or are being replaced
-	hangDetections    []time.Duration        // time until the backend was abandoned or the hang ended, by hang
+	hangDetections    []time.Duration        // for each hang, the time until the backend was abandoned or the hang ended
 	report            *Report
 	timers            []timer
 }
 
-// timer is a call that is due at a later time.
+// timer is a callback that is due at a given time.
 type timer struct {
 	at       time.Time
 	callback func() error
@@ -71,7 +71,7 @@
 	r.events.Close()
 	for _, c := range r.controllers {
 		if c.Up {
-			_ = c.Signal(syscall.SIGCONT) // a frozen process would not end
+			_ = c.Signal(syscall.SIGCONT) // continues a frozen process, which would not end otherwise
 			c.Stop(syscall.SIGKILL)
 		}
 		c.Log.Close()
@@ -81,7 +81,7 @@
 	}
 }
 
-// scheduleAfter adds a timer that is due after a wait.
+// scheduleAfter adds a timer whose callback is due after the given wait.
 func (r *run) scheduleAfter(wait time.Duration, callback func() error) {
 	r.timers = append(r.timers, timer{time.Now().Add(wait), callback})
 }
@@ -174,14 +174,14 @@
 	return nil
 }
 
-// notifyObserver calls Observe, if it is set.
+// notifyObserver calls Scenario.Observe, if it is set.
 func (r *run) notifyObserver(ended bool) {
 	if r.Observe != nil {
 		r.Observe(r.controllers, ended)
 	}
 }
 
-// log writes an event to the event log, and passes its text to Progress.
+// log writes an event to the event log, and passes its text to Scenario.Progress.
 func (r *run) log(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	fmt.Fprintf(r.events, "time=%s msg=rehearsal text=%q\n", time.Now().UTC().Format("15:04:05.000000"), text)
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -23,20 +23,20 @@
 	Backends      int           // number of backends
 	Seed          uint64        // seed of all random choices
 	Sharing       bool          // the controllers share the ownership of proxies
-	Fenced        bool          // proxies ask for fencing tokens, and reject pushes with an older one
-	Faults        string        // names of faults to choose from, separated by commas; kill if empty
-	Calm          bool          // no faults, hangs or replacements
+	Fenced        bool          // proxies ask for fencing tokens, and reject a push whose token is older than a known one
+	Faults        string        // names of the faults to choose from, separated by commas; kill if empty
+	Calm          bool          // the run has no faults, hangs or replacements of backends
 	Disk          bool          // members keep the record on disk, and have the same identity after a restart
 	Program       string        // path of the executable that is started as a controller
-	Folder        string        // folder for logs and configurations; if empty, a temporary one is created
+	Folder        string        // folder for logs and configurations; if empty, a temporary folder is created
 
-	// Progress is called with the text of each event when it happens; may be nil.
+	// Progress is called with the text of each event when the event happens; it may be nil.
 	Progress func(text string)
-	// Observe is called with the controllers at the start and at the end of the run; may be nil.
+	// Observe is called with the controllers at the start and at the end of the run; it may be nil.
 	Observe func(controllers []*process.Controller, ended bool)
 }
 
-// Limit on the messages to one proxy: MaxMessages within MessageWindow.
+// Limit on the messages to one proxy: at most MaxMessages within MessageWindow.
 const (
 	MaxMessages   = 30
 	MessageWindow = 10 * time.Second
@@ -48,13 +48,13 @@
 	serviceTime     = 20 * time.Millisecond
 	reportInterval  = time.Second
 	warmupTime      = 17 * time.Second // time for which a new backend is cold
-	coldShare       = 0.16             // share of its normal load that a cold backend may be sent
+	coldShare       = 0.16             // share of its normal load that a backend may be sent while it is cold
 
 	drainGrace       = 3000 * time.Millisecond
-	socketAllowance  = 300 * time.Millisecond // added to drainGrace in the limits, for delays of real sockets
-	schedulingMargin = 500 * time.Millisecond // added for the delays that a busy machine adds to measured times
+	socketAllowance  = 300 * time.Millisecond // the checker's limits exceed drainGrace by this, for delays of real sockets
+	schedulingMargin = 500 * time.Millisecond // the checker's margin beyond its limits, for delays of a busy machine
 
-	minLinesPerSecond      = 900 // minimum rate of a controller's push channel
+	minLinesPerSecond      = 900 // minimum rate of a controller's push channel, in lines per second
 	minBacklog             = 900 // minimum capacity of a controller's push queue, in lines
 	linesPerSecondPerProxy = 6
 	backlogPerProxy        = 12
@@ -77,16 +77,16 @@
 	},
 }
 
-// Names of scenarios.
+// Names of the scenarios.
 const (
-	ScenarioCalm     = "calm"     // Scenario.Calm is true
-	ScenarioTakeover = "takeover" // Scenario.Calm is false
+	ScenarioCalm     = "calm"     // scenario in which Scenario.Calm is true
+	ScenarioTakeover = "takeover" // scenario in which Scenario.Calm is false
 )
 
 // ScenarioDescription describes a scenario in the list of scenarios.
 type ScenarioDescription struct {
-	Name    string // name that selects the scenario
-	Summary string // summary in one line
+	Name    string // name by which the scenario is selected
+	Summary string // summary of the scenario in one line
 }
 
 // Scenarios returns the descriptions of all scenarios.
@@ -104,14 +104,15 @@
 	return ScenarioTakeover
 }
 
-// pushChannel returns the rate and the backlog limit of the push channel of a controller. One line
-// to every proxy, with the overhead of its message, has to fit even if all proxies are connected to
-// one controller.
+// pushChannel returns the rate of a controller's push channel, in lines per second, and the limit
+// of its backlog, in lines. The push channel has to carry one line to every proxy, with the
+// overhead of each message, even if all proxies are connected to one controller.
 func (s *Scenario) pushChannel() (linesPerSecond, backlog int) {
 	return max(minLinesPerSecond, linesPerSecondPerProxy*s.Proxies), max(minBacklog, backlogPerProxy*s.Proxies)
 }
 
-// Settings returns the settings of every controller, with the keys of the simulator's protocol.
+// Settings returns the settings that every controller gets, with the keys of the simulator's
+// protocol.
 func (s *Scenario) Settings(classes []fake.Class) map[string]any {
 	var profiles []map[string]any
 	var writes, zoneLocal []bool
@@ -156,8 +157,8 @@
 	}
 }
 
-// Run runs the scenario. An error means that the run could not be started or completed; otherwise
-// the verdict of the report is the result.
+// Run starts the controllers and the fleet, and runs the scenario. It returns an error if the run
+// could not be started or completed. Without an error, the verdict of the report is the result.
 func (s *Scenario) Run(ctx context.Context) (*Report, error) {
 	if s.Controllers < 1 || s.Proxies < 1 || s.Sharing && s.Controllers < minMembers {
 		return nil, fmt.Errorf(
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -66,8 +66,8 @@
 	return connected == r.Proxies && r.fleet.ProxiesUsing(r.fleet.Backends[0].ID) == r.Proxies
 }
 
-// pollUntil polls a condition until it holds. It returns false if the context ends or the timeout
-// passes first.
+// pollUntil checks a condition repeatedly, and returns true once the condition holds. It returns
+// false if the context ends or the timeout passes first.
 func pollUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	timer := time.After(timeout)
 	for !condition() {
@@ -130,8 +130,9 @@
 	return path, os.WriteFile(path, body, 0o600)
 }
 
-// memberAddresses returns the addresses at which a member reaches all members. If the scenario has
-// faults of links, the member reaches each other member through a link and gets its address.
+// memberAddresses returns, by name, the addresses at which the member with index from reaches all
+// members. If the scenario has faults of links, the address of each other member is that of a link
+// to it.
 func (r *run) memberAddresses(from int, members []string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for to, address := range members {
--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -16,17 +16,17 @@
 )
 
 // addedTime measures the time that a proxy adds to a request when it picks a backend, by the number
-// of entries of its table. It runs the code of the fake proxies: the weighted pick, and the second
-// pick of an ordered retry, which excludes the backend of the first attempt.
+// of entries of the proxy's table. It runs the code of the fake proxies: the weighted pick, and the
+// second pick of an ordered retry, which excludes the backend of the first attempt.
 type addedTime struct{}
 
 // Limits of the measurement at one size.
 const (
 	pickRepeats  = 5
 	indexRepeats = 20
-	maxPicks     = 20_000      // requests per repeat
-	minPicks     = 100         // requests per repeat; a 99th percentile needs at least 100 values
-	maxPickTime  = time.Minute // longest time that a histogram records
+	maxPicks     = 20_000      // largest number of requests in a repeat
+	minPicks     = 100         // smallest number of requests in a repeat: a 99th percentile needs at least 100 values
+	maxPickTime  = time.Minute // longest time of a request's picks that a histogram records
 )
 
 // Describe returns the name, the sizes and the metrics of the measurement.
@@ -46,7 +46,7 @@
 		}}
 }
 
-// Needs returns the most memory and time that one size takes.
+// Needs returns the largest memory and time that the measurement of one size takes.
 func (addedTime) Needs(_ int, o Options) Needs {
 	const bytes = 256 << 20
 	return Needs{Memory: bytes, Time: o.Duration + 2*maxPickTime}
@@ -56,8 +56,8 @@
 type pickTimes struct {
 	firstPick *hdrhistogram.Histogram // wall time of the first pick
 	bothPicks *hdrhistogram.Histogram // wall time of the first pick and the retry's pick together
-	// Processor time of the thread for the first pick, and for both picks together. A busy machine
-	// lengthens it less than wall time.
+	// Processor time of the thread for the first pick, and for the first pick and the retry's pick
+	// together. A busy machine lengthens processor time less than wall time.
 	firstPickProcessor *hdrhistogram.Histogram
 	bothPicksProcessor *hdrhistogram.Histogram
 	requests           int
@@ -115,7 +115,7 @@
 }
 
 // picksForStableP99 is the smallest number of requests per repeat whose 99th percentile is stable:
-// the slowest hundredth of them has 10 requests.
+// the slowest hundredth of 1000 requests has 10 requests.
 const picksForStableP99 = 1000
 
 // measurePicks times requests for the given span: at least minPicks and at most maxPicks requests.
@@ -135,8 +135,8 @@
 	return times, nil
 }
 
-// measureOne times one pick and a second one that excludes the first backend, as in an ordered
-// retry.
+// measureOne records the times of one request: a first pick, and a second pick that excludes the
+// backend of the first one, as in an ordered retry.
 func (t *pickTimes) measureOne(table *fake.Table, entries int, number uint64) error {
 	from := time.Now()
 	fromProcessor := threadTime()
--- a/scale/budgets.go
+++ b/scale/budgets.go
@@ -1,18 +1,19 @@
 package scale
 
 // Budgets: the largest allowed cost of control at a controller, in an installation of the size that
-// is expected in two years.
+// is expected in two years. The constants after the budgets are the number of controllers in this
+// installation and its rates of changes.
 const (
-	maxBytesPerSecond     = 23_000 // received and sent together
-	maxProcessorPercent   = 4      // percent of a core
+	maxBytesPerSecond     = 23_000 // bytes per second that a controller receives and sends together
+	maxProcessorPercent   = 4      // processor time of a controller in percent of a core
 	maxMegabytes          = 256
-	maxMachines           = 23  // dedicated to control, in total
-	maxAddedMilliseconds  = 4.3 // milliseconds added to a request, 99th percentile
+	maxMachines           = 23  // total number of machines that are dedicated to control
+	maxAddedMilliseconds  = 4.3 // milliseconds that a proxy adds to a request, 99th percentile
 	maxPropagationSeconds = 3   // seconds from the acceptance of a change until the last controller applies it
 
 	targetControllers = 11_000
-	changesPerSecond  = 0.42 // 36,000 a day
-	changeRateFactor  = 10   // changes are measured at the mean rate and at this multiple of it
+	changesPerSecond  = 0.42 // mean rate of changes: 36,000 a day
+	changeRateFactor  = 10   // multiple of the mean rate at which changes are measured too
 )
 
 // Unit conversions that several measurements share.
--- a/scale/change.go
+++ b/scale/change.go
@@ -24,7 +24,7 @@
 type changeByFile struct{}
 
 const (
-	discoveryAddressCount = 4 // discovery addresses of a controller; each change moves it to the next one
+	discoveryAddressCount = 4 // discovery addresses of a controller; each change moves the controller to the next one
 	settleTimeout         = 10 * time.Second
 	memberCores           = 1
 	memberSockets         = 256
@@ -54,7 +54,7 @@
 	return d
 }
 
-// Needs returns the memory, processes and time that one size takes.
+// Needs returns the memory, number of processes and time that the measurement of one size takes.
 func (changeByFile) Needs(size int, o Options) Needs {
 	return Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size,
 		Time: startTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
@@ -102,14 +102,14 @@
 	seed            uint64
 	settings        map[string]any
 	changesMade     int // number of changes made so far
-	lastChangeBytes int // total size of the files of the last change
+	lastChangeBytes int // total size in bytes of the files that the last change wrote
 }
 
 // reloadedController is a controller process with its discovery addresses. Each change moves the
 // controller to the next address.
 type reloadedController struct {
 	process            *process.Controller
-	discoveryAddresses []*watchedAddress // change n moves the controller to address n modulo their number
+	discoveryAddresses []*watchedAddress // change n moves the controller to address n modulo the number of addresses
 	appliedChange      atomic.Int64      // number of the newest change that the controller applied
 }
 
@@ -164,8 +164,8 @@
 }
 
 // write replaces the configuration file of controller i by the file that makes the given change. It
-// renames the new file, which is atomic and what an operator's tool would do, and returns the size
-// of the file in bytes.
+// writes a draft and renames the draft to the final name, as an operator's tool would do, because a
+// rename is atomic. It returns the size of the file in bytes.
 func (f *reloadedFleet) write(i int, change int64) (int, error) {
 	c := f.controllers[i]
 	watched := c.discoveryAddresses[change%discoveryAddressCount]
@@ -185,7 +185,7 @@
 	return int(info.Size()), os.Rename(draft, f.path(i))
 }
 
-// start starts all controllers, and waits until each has connected to discovery.
+// start starts all controllers, and waits until each controller has connected to discovery.
 func (f *reloadedFleet) start(ctx context.Context) error {
 	f.changesMade = 1
 	for i, c := range f.controllers {
@@ -213,19 +213,19 @@
 	return true
 }
 
-// pacedChanges makes changes at one rate, and collects how long they take to be applied.
+// pacedChanges makes changes at one rate, and collects how long the controllers take to apply each
+// change.
 type pacedChanges struct {
 	fleet   *reloadedFleet
-	made    int           // number of changes made
+	made    int           // number of changes made so far at this rate
 	writing time.Duration // total time spent on writing files and sending signals
 
-	mutex   sync.Mutex              // guards the fields below
-	latency *hdrhistogram.Histogram // µs from the start of a change until the last controller applied it
-	late    int                     // changes that at least one controller did not apply within settleTimeout
+	mutex   sync.Mutex              // guards all fields that follow in the struct
+	latency *hdrhistogram.Histogram // time in µs from the start of a change until the last controller applied it
+	late    int                     // number of changes that at least one controller did not apply within settleTimeout
 }
 
-// measureChanges makes changes at one rate for the observed time, and sets the metrics of that
-// rate.
+// measureChanges makes changes at one rate for Options.Duration, and sets the metrics of that rate.
 func (f *reloadedFleet) measureChanges(ctx context.Context, rate changeRate, o Options, s *results.Sample) error {
 	p := &pacedChanges{fleet: f, latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), histogramDigits)}
 	before := f.processor()
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// run makes changes for the given span, and waits until each change is late or applied by all
-// controllers.
+// run makes changes for the given span. For each change, it waits until all controllers have
+// applied the change or settleTimeout has passed.
 func (p *pacedChanges) run(ctx context.Context, rate changeRate, span time.Duration) error {
 	random := rand.New(rand.NewPCG(p.fleet.seed, uint64(p.fleet.changesMade)))
 	var observing sync.WaitGroup
@@ -269,7 +269,8 @@
 	return nil
 }
 
-// observe waits until the last controller applies a change, and records how long that took.
+// observe waits until the last controller applies a change, for at most settleTimeout, and records
+// how long that took.
 func (p *pacedChanges) observe(ctx context.Context, change int64, accepted time.Time) {
 	inTime := awaitClosely(ctx, settleTimeout, func() bool { return p.fleet.allApplied(change) })
 	elapsed := time.Since(accepted)
@@ -278,7 +279,7 @@
 	if !inTime {
 		p.late++
 	}
-	_ = p.latency.RecordValue(elapsed.Microseconds()) // cannot fail: settleTimeout is within the range
+	_ = p.latency.RecordValue(elapsed.Microseconds()) // cannot fail: settleTimeout is within the range of the histogram
 }
 
 // writeChange writes the file of the next change for each controller, and sends the controller a
@@ -299,7 +300,7 @@
 	return int64(f.changesMade), nil
 }
 
-// processor returns the processor time that all controllers have taken so far.
+// processor returns the total processor time that all controllers have taken so far.
 func (f *reloadedFleet) processor() (sum time.Duration) {
 	for _, c := range f.controllers {
 		if usage, err := readUsage(c.process.PID()); err == nil {
--- a/scale/content.go
+++ b/scale/content.go
@@ -10,23 +10,24 @@
 	"wheelrill/distribution"
 )
 
-// Assumed size of the distributed configuration. Services form groups, and a controller needs the
-// entries of one group and the entries that are common to all groups.
+// Assumed size of the distributed configuration, and shares of the kinds of changes. Services form
+// groups, and a controller needs the entries of one group and the entries that are common to all
+// groups.
 const (
-	servicesPerGroup    = 57  // 5,700 services in 100 groups
-	controllersPerGroup = 110 // 11,000 controllers in 100 groups
+	servicesPerGroup    = 57  // services in a group: 5,700 services form 100 groups
+	controllersPerGroup = 110 // controllers in a group: 11,000 controllers form 100 groups
 	commonEntries       = 20
 	valueBytes          = 48
-	maxEntriesChanged   = 3  // largest number of entries of one change
-	commonChangeOneIn   = 10 // one change in 10 concerns common entries, which all controllers receive
-	drainChangeOneIn    = 5  // one changed entry in 5 starts or ends a drain: it adds or deletes a drain entry
+	maxEntriesChanged   = 3  // largest number of entries in one change
+	commonChangeOneIn   = 10 // one change in 10 changes common entries, which all controllers receive
+	drainChangeOneIn    = 5  // one changed entry in 5 is a drain entry, which starts or ends a drain
 )
 
 const commonScope = "common"
 
 func groupScope(group int) string { return fmt.Sprintf("group/%03d", group) }
 
-// contentShape is the size of the distributed configuration.
+// contentShape is the size of a distributed configuration.
 type contentShape struct {
 	groups          int // number of service groups
 	entriesPerGroup int // number of entries in the scope of each group
@@ -47,16 +48,16 @@
 	return contentShape{groups: targetGroups, entriesPerGroup: entriesServed}
 }
 
-// content is the configuration as the voters accepted it, change by change. Checks compare the
-// nodes with it.
+// content is the configuration that the voters have accepted, with the revision of each change.
+// Checks compare the entries of the nodes with it.
 type content struct {
-	random *rand.Rand // only for the goroutine that draws changes; mutex does not guard it
+	random *rand.Rand // source of random changes; not guarded by mutex, so only one goroutine draws changes
 	shape  contentShape
 
-	mutex      sync.Mutex                      // guards the fields below
-	revision   uint64                          // newest revision that the voters accepted
-	byScope    map[string][]distribution.Entry // accepted entries of each scope, in order of revision
-	recordedAt map[uint64]time.Time            // when the first of the voters received each revision
+	mutex      sync.Mutex                      // guards all fields that follow in the struct
+	revision   uint64                          // newest revision that the voters have accepted
+	byScope    map[string][]distribution.Entry // accepted entries of each scope, in the order of their revisions
+	recordedAt map[uint64]time.Time            // time at which the first voter received each revision
 }
 
 func newContent(shape contentShape, seed uint64) *content {
@@ -64,10 +65,10 @@
 		recordedAt: map[uint64]time.Time{}}
 }
 
-const contentSeed = 7 // makes the random numbers of content differ from others with the same seed
+const contentSeed = 7 // second seed word: content draws other random numbers than other users of the run's seed
 
-// initial returns the entries that exist at the start: one proposal for the common scope, and one
-// for each group.
+// initial returns the entries that exist at the start of a run, as one proposal with the entries of
+// the common scope and one proposal with the entries of each group.
 func (c *content) initial() (proposals [][]distribution.Entry) {
 	var common []distribution.Entry
 	for i := range commonEntries {
@@ -93,7 +94,7 @@
 }
 
 // drawChange returns random entries for the next change: 1 to maxEntriesChanged entries of one
-// group, or of the common scope, which goes to all subscribers.
+// group, or of the common scope, which all subscribers receive.
 func (c *content) drawChange() (entries []distribution.Entry) {
 	scope := groupScope(c.random.IntN(c.shape.groups))
 	names := c.shape.entriesPerGroup
@@ -120,8 +121,8 @@
 	return entries
 }
 
-// noteAccepted adds a change to the content. Every voter passes in each change that it receives
-// from the record; a revision that is already in the content is ignored.
+// noteAccepted adds a change to the content. Every voter calls it with each change that it receives
+// from the record, so a revision that the content already has is ignored.
 func (c *content) noteAccepted(change distribution.Change) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -139,10 +140,10 @@
 // proposalTimeout is the longest time that a proposer waits for its change to be committed.
 const proposalTimeout = 500 * time.Millisecond
 
-// acceptedAt returns the time at which a revision was accepted: the time that its leader wrote into
-// it. If the first voter received the revision more than proposalTimeout later, that later time
-// counts instead: the proposer already had an error for its change, as while the majority of voters
-// is lost, and the change was committed after all.
+// acceptedAt returns the time at which a revision was accepted: the time that the leader wrote into
+// the revision. If the first voter received the revision more than proposalTimeout after that time,
+// acceptedAt returns the time of receipt instead. In that case the proposer already got an error,
+// for example while the majority of voters was lost, and the change was committed nevertheless.
 func (c *content) acceptedAt(revision uint64, leaderTime int64) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -160,7 +161,7 @@
 	return c.revision
 }
 
-// newestByScope returns the newest revision of each scope that does not exceed the given one.
+// newestByScope returns, for each scope, its newest revision up to and including the given one.
 func (c *content) newestByScope(revision uint64) map[string]uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -199,7 +200,7 @@
 	return state
 }
 
-// difference describes how the entries of a node differ from the expected ones at its revision. It
+// difference describes how the entries of a node differ from the content at the node's revision. It
 // returns "" if they are equal.
 func (c *content) difference(state distribution.State, scopes distribution.Scopes) string {
 	want := c.stateAt(state.Version.Revision, scopes)
--- a/scale/controller_log.go
+++ b/scale/controller_log.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// Events of a controller's log that measurements read, and the keys of their lines. Packages
-// controller and consensus write them.
+// Events in a controller's log that measurements read, and the keys of the fields of these log
+// lines. Packages controller and consensus write the lines.
 const (
-	logReady              = "ready"               // a controller is ready; has logBackends
-	logQuorumChanged      = "quorum_changed"      // a member gained or lost quorum; has logQuorum
+	logReady              = "ready"               // a controller is ready; the line has logBackends
+	logQuorumChanged      = "quorum_changed"      // a member gained or lost quorum; the line has logQuorum
 	logSnapshotApplied    = "snapshot_applied"    // a subscriber has received its configuration
-	logDistributionStatus = "distribution_status" // periodic traffic of distribution; has logInBytes and logOutBytes
-	logRecord             = "record"              // periodic cost of the record; has logEntries and logBytes
-	logLeading            = "leading"             // a member began or ceased to lead; has logLeads
+	logDistributionStatus = "distribution_status" // periodic traffic of distribution, in logInBytes and logOutBytes
+	logRecord             = "record"              // periodic cost of the record, in logEntries and logBytes
+	logLeading            = "leading"             // a member began or ceased to lead; the line has logLeads
 
 	logBackends = "backends"
 	logQuorum   = "quorum"
@@ -21,7 +21,7 @@
 	logLeads    = "leads"
 )
 
-// logEvent returns the event of a log line.
+// logEvent returns the name of the event of a log line.
 func logEvent(line string) string { return logField(line, "msg") }
 
 // logField returns the value of a key in a log line of key=value pairs, or "" if the key is
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -6,25 +6,26 @@
 	"wheelrill/balancer"
 )
 
-// countingHost is the balancer.Host of a measured controller. It counts orders and keeps only the
-// last timer; acknowledge answers the requested acks. The measurement sets the clock.
+// countingHost is the balancer.Host of a measured controller. It counts the controller's orders,
+// and keeps only the tag of the last timer. acknowledge sends the acks that the controller
+// requested. The measurement sets the clock.
 type countingHost struct {
 	control *balancer.Controller
 	now     int64
-	tag     uint64 // tag of the last timer
+	tag     uint64 // tag of the last timer that the controller set
 	orders  orderCounts
 
 	tables       [][]int // tables assigned to each proxy
-	pendingAck   int     // number of the latest requested ack
+	pendingAck   int     // number of the latest ack that the controller requested
 	ackRequested bool
-	toAllProxies bool         // the request for an ack reaches every connected proxy
-	changed      map[int]bool // tables changed since the last answered request for an ack
+	toAllProxies bool         // every connected proxy acks, not only the proxies that received orders
+	changed      map[int]bool // tables that changed since the last ack request that was answered
 	// Proxies that were assigned a table, or had their withdrawals synced or cleared, since the
-	// last answered request for an ack.
+	// last ack request that was answered.
 	reached map[int]bool
 }
 
-// orderCounts holds the number of orders of each kind.
+// orderCounts holds the number of the controller's orders of each kind.
 type orderCounts struct {
 	entries, assignments, withdrawals, syncs, clears, limits, acks int
 }
@@ -41,16 +42,17 @@
 // Now returns the time that the measurement has set, in microseconds.
 func (h *countingHost) Now() int64 { return h.now }
 
-// SetTimer keeps the tag of the timer; the balancer has only one.
+// SetTimer keeps the tag of the timer. One tag is enough, because the balancer has only one timer.
 func (h *countingHost) SetTimer(_ int64, tag uint64) { h.tag = tag }
 
-// Log discards the line.
+// Log discards the log line.
 func (h *countingHost) Log(int, string) {}
 
-// PollEndpoints does nothing: the measurement passes the endpoint lists in.
+// PollEndpoints does nothing, because the measurement passes endpoint lists to the controller
+// itself.
 func (h *countingHost) PollEndpoints() {}
 
-// CheckHealth does nothing: health checks are off.
+// CheckHealth does nothing, because health checks are off in measurements.
 func (h *countingHost) CheckHealth(int) {}
 
 // PublishEntry counts a published table entry.
@@ -91,8 +93,9 @@
 	h.toAllProxies = h.toAllProxies || table == balancer.AllTables
 }
 
-// RequestAck counts a request for an ack. acknowledge answers it for the proxies that received
-// orders since the last request, or for all proxies.
+// RequestAck counts a request for an ack. When acknowledge answers the request, it acks for the
+// proxies that received orders since the last answered request, or for all proxies if everyone is
+// set.
 func (h *countingHost) RequestAck(number int, everyone bool) {
 	h.orders.acks++
 	h.pendingAck = number
@@ -100,8 +103,9 @@
 	h.toAllProxies = h.toAllProxies || everyone
 }
 
-// acknowledge sends the requested ack of each proxy that received orders, and repeats this for the
-// requests that the controller makes in response, until no request is pending.
+// acknowledge acks on behalf of each proxy that received orders, or of all proxies if the
+// controller requested that. The controller may respond with further ack requests, so acknowledge
+// repeats this until no request is pending.
 func (h *countingHost) acknowledge() {
 	for h.ackRequested {
 		ack := h.pendingAck
@@ -118,12 +122,12 @@
 				h.control.Acknowledged(proxy, ack)
 			}
 		}
-		h.now++ // orders in response to the acks get a later clock time
+		h.now++ // orders that respond to the acks get a later clock time than the acks
 	}
 }
 
-// advance moves the clock ahead by the given number of ticks. At each tick it fires the timer, at
-// which the controller processes waiting work, and sends the requested acks.
+// advance moves the clock ahead by the given number of ticks. At each tick it fires the timer,
+// which makes the controller process its waiting work, and answers the requested acks.
 func (h *countingHost) advance(ticks int) {
 	for range ticks {
 		h.now += workTick
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	second   = int64(1_000_000) // microseconds, the unit of time of package balancer
+	second   = int64(1_000_000) // one second in microseconds, the unit of time of package balancer
 	workTick = second / 4       // interval at which the balancer processes waiting work
 )
 
-// decisions measures the processor time and the heap of the decisions of one controller, by the
-// number of listed backends or of connected proxies, without sockets. The push channel accepts
-// every order at once, so that no work is postponed.
+// decisions measures the processor time and the heap that the decisions of one controller take, by
+// the number of listed backends or by the number of connected proxies. No sockets are involved. The
+// push channel accepts every order at once, so that no work is postponed.
 type decisions struct {
-	byProxies bool // vary the number of proxies instead of the number of backends
+	byProxies bool // the sizes are numbers of proxies instead of numbers of backends
 }
 
-// Numbers of proxies and backends that a measurement does not vary.
+// Number of backends or proxies for measurements whose sizes are numbers of the other kind.
 const (
-	defaultBackends = 1000 // number of backends while the number of proxies varies
-	defaultProxies  = 100  // number of proxies while the number of backends varies
+	defaultBackends = 1000 // number of backends if the sizes are numbers of proxies
+	defaultProxies  = 100  // number of proxies if the sizes are numbers of backends
 )
 
-// Steps and longest time of one repeat.
+// Numbers of steps in one repeat, and its longest time.
 const (
-	decisionChanges = 8                // drained backends
-	decisionTicks   = 8                // ticks without reports, and as many that evaluate reports
+	decisionChanges = 8                // number of backends that a repeat drains
+	decisionTicks   = 8                // number of ticks without reports, and of ticks that evaluate reports
 	maxDecisionTime = 90 * time.Second // longest time of one repeat
 )
 
@@ -64,13 +64,13 @@
 	return d
 }
 
-// Needs returns the most memory and time that one size takes.
+// Needs returns the largest memory and time that the measurement of one size takes.
 func (m decisions) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
 	return Needs{Memory: bytes, Time: o.Duration + maxDecisionTime}
 }
 
-// Run executes the runs, each with a new controller, and returns the medians.
+// Run makes the repeats, each with a new controller, and returns the medians.
 func (m decisions) Run(ctx context.Context, size int, o Options) (sample results.Sample, err error) {
 	run := decisionRun{backends: size, proxies: defaultProxies, changes: decisionChanges, ticks: decisionTicks}
 	if m.byProxies {
@@ -94,7 +94,7 @@
 	return sample, nil
 }
 
-// decisionValues returns the medians of several runs.
+// decisionValues returns the median of each figure over several runs.
 func decisionValues(runs []decisionCost) (s results.Sample) {
 	medianFigure := func(unit time.Duration, figure func(decisionCost) time.Duration) float64 {
 		return medianOf(runs, func(c decisionCost) float64 { return float64(figure(c)) / float64(unit) })
@@ -102,7 +102,8 @@
 	line := medianFigure(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
 	quiet := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
 	evaluation := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.reportsTick })
-	// Processor time per second of operation, in µs.
+	// Processor time in µs that the controller takes per second: quiet ticks, evaluations and
+	// report lines at the rates of the deployments.
 	perSecond := (ticksPerSecond-evaluationsPerSecond)*quiet*1000 + evaluationsPerSecond*evaluation*1000 + reportLines*line
 	s.Set("start", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
 	s.Set("again", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.repeatedList }))
@@ -119,34 +120,36 @@
 }
 
 const (
-	reportInterval       = 2 * second // interval of the reports of proxies and collectors in the deployments
-	reportLines          = 75.        // most report lines per second that a controller receives in the deployments
+	reportInterval       = 2 * second // interval between reports of a proxy or collector in the deployments
+	reportLines          = 75.        // highest rate of report lines at a controller in the deployments, lines per second
 	ticksPerSecond       = float64(second) / float64(workTick)
 	evaluationsPerSecond = float64(second) / float64(reportInterval)
 )
 
-// decisionRun is one run of a controller, which begins with its first endpoint list.
+// decisionRun holds the parameters of one run of a controller. A run begins with the first endpoint
+// list that the controller gets.
 type decisionRun struct {
 	backends, proxies int
-	changes           int // list changes of one entry each
-	ticks             int // ticks without reports, and as many that evaluate reports
+	changes           int // number of drains, each of which changes one entry of the endpoint list
+	ticks             int // number of ticks without reports, and of ticks that evaluate reports
 }
 
-// decisionCost is the processor time of each step of a run, and its heap and orders.
+// decisionCost holds the processor time of each step of a run, and the heap and the orders of the
+// whole run.
 type decisionCost struct {
-	start        time.Duration // creation of the controller, and its first endpoint list, with all backends
-	repeatedList time.Duration // the first endpoint list, received once more at the end
-	join         time.Duration // all proxies connect and get their tables
-	change       time.Duration // drain of one backend by the endpoint list, until all proxies have acknowledged it
-	reportLine   time.Duration // report of one line, with the outcomes of a backend or the demand at a proxy
-	quietTick    time.Duration // tick without reports
-	reportsTick  time.Duration // tick that evaluates reports
-	heap         int64         // heap bytes in use at the end, minus the heap bytes in use before the run
+	start        time.Duration // creating the controller and processing its first endpoint list, with all backends
+	repeatedList time.Duration // processing the first endpoint list once more at the end of the run
+	join         time.Duration // connecting all proxies and assigning their tables
+	change       time.Duration // draining one backend by the endpoint list, until all proxies have acknowledged it
+	reportLine   time.Duration // processing one line of a report: the outcomes of a backend or the demand at a proxy
+	quietTick    time.Duration // a tick without reports to evaluate
+	reportsTick  time.Duration // a tick that evaluates reports
+	heap         int64         // heap bytes in use at the end of the run, minus the heap bytes in use before the run
 	orders       orderCounts
 }
 
-// execute starts a controller with its first endpoint list, connects proxies, runs ticks, changes
-// the list, and measures each step.
+// execute starts a controller with its first endpoint list, connects proxies, runs ticks, drains
+// backends by changes of the list, and measures each of these steps.
 func (l decisionRun) execute() (cost decisionCost) {
 	entries := l.entries()
 	before := heapInUse()
@@ -161,7 +164,7 @@
 			Admission: balancer.AdmissionByRate,
 		})
 		if err != nil {
-			panic(err) // cannot fail: the configuration is constant and has classes
+			panic(err) // cannot fail: the configuration is constant, and has classes of requests
 		}
 		host.control = control
 		host.control.EndpointsUpdated(true, entries)
@@ -187,8 +190,8 @@
 	return cost
 }
 
-// runTicks runs ticks without reports, and then as many ticks that evaluate reports about every
-// backend and proxy.
+// runTicks runs l.ticks ticks without reports, and then as many ticks that evaluate reports about
+// every backend and proxy.
 func (l decisionRun) runTicks(host *countingHost, cost *decisionCost) {
 	cost.quietTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
 	var reports, evaluations time.Duration
@@ -224,8 +227,9 @@
 	return l.backends + l.proxies*classes
 }
 
-// measureDrains drains one backend after the other through the endpoint list, and makes each ready
-// again. It returns the mean processor time of a drain until all proxies have acknowledged it.
+// measureDrains drains one backend after the other through the endpoint list, and makes each
+// backend ready again. It returns the mean processor time from the start of a drain until all
+// proxies have acknowledged it.
 func (l decisionRun) measureDrains(host *countingHost) time.Duration {
 	sum := time.Duration(0)
 	for i := range l.changes {
@@ -243,8 +247,8 @@
 	return sum / time.Duration(l.changes)
 }
 
-// settlingTicks is the number of ticks, 8 s in all, after which the effects of a step are over: new
-// backends have a reduced weight for 5 s.
+// settlingTicks is the number of ticks, 8 s in all, that a run waits until the effects of a step
+// are over: a new backend has a reduced weight for 5 s.
 const settlingTicks = 32
 
 func (l decisionRun) entry(backend int) balancer.Endpoint {
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -8,11 +8,11 @@
 	"wheelrill/scale/results"
 )
 
-// smallSizes are sizes small enough for a test.
+// smallSizes are sizes that a test can measure in a short time.
 var smallSizes = []int{10, 20, 40, 80}
 
 // measureSmall runs a measurement at small sizes, saves the run, and loads it again as the report
-// does. It fails on violations, and if the report lacks a metric.
+// does. It fails the test if there are violations, or if the report lacks a metric.
 func measureSmall(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
 	t.Helper()
 	options := Options{Duration: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters}
@@ -42,7 +42,7 @@
 	return loaded[0]
 }
 
-// checkGrowsLinearly fails unless a metric is fitted by a line, or by a power with an exponent of
+// checkGrowsLinearly fails the test unless a line fits the metric, or a power with an exponent of
 // about 1.
 func checkGrowsLinearly(t *testing.T, r *results.Run, metric string) {
 	t.Helper()
@@ -54,8 +54,8 @@
 }
 
 // TestDecisionsAreMeasuredAtEachSize guards against a number of orders that grows faster than the
-// number of backends or proxies, as it would if each change were sent again for every backend. Each
-// additional proxy adds one order.
+// number of backends or proxies, which would be the case if the controller sent each change again
+// for every backend. Each additional proxy adds exactly one order.
 func TestDecisionsAreMeasuredAtEachSize(t *testing.T) {
 	t.Parallel()
 	checkGrowsLinearly(t, measureSmall(t, decisions{}, smallSizes, time.Second), "orders")
@@ -69,12 +69,13 @@
 	}
 }
 
-// TestOrdersPerBackendProxyAndChangeAreConstant guards against orders that grow faster than the
-// size of a run. At any size, each backend gets one table entry at the start, each proxy gets one
-// table, and each change takes a few orders.
+// TestOrdersPerBackendProxyAndChangeAreConstant guards against a number of orders that grows faster
+// than the number of backends, proxies and changes. At any size, the controller publishes one table
+// entry for each backend at the start, assigns one table to each proxy, and sends a few orders for
+// each change.
 func TestOrdersPerBackendProxyAndChangeAreConstant(t *testing.T) {
-	// In each drain and return, a backend is removed from the table, added with a part of its
-	// weight, and then gets its full weight.
+	// When a backend is drained and made ready again, its entry is removed from the table, added
+	// with a part of its weight, and then published with its full weight.
 	const entryChanges, withdrawals = 3, 2
 	for _, size := range []int{20, 200} {
 		l := decisionRun{backends: size, proxies: 2 * size, changes: 4, ticks: 2}
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestRepeatsStopAfterTheSpan guards against a measurement that begins repeats after its span, or
-// that does not report a number of repeats below maxRepeats.
+// TestRepeatsStopAfterTheSpan guards against a measurement that begins further repeats after its
+// span, or that does not report that it made fewer repeats than maxRepeats.
 func TestRepeatsStopAfterTheSpan(t *testing.T) {
 	done := 0
 	do := func() error { done++; return nil }
--- a/scale/discovery_listener.go
+++ b/scale/discovery_listener.go
@@ -7,11 +7,12 @@
 	"sync/atomic"
 )
 
-// watchedAddress serves discovery at an address of its own, and reports each connection to it.
+// watchedAddress serves discovery at an address of its own, and calls a function at each connection
+// to this address.
 type watchedAddress struct {
 	net.Listener
 	change    atomic.Int64       // number of the last change that moved the controller to this address
-	connected func(change int64) // called at each connection, with the value of change
+	connected func(change int64) // called at each connection with the number in the field change
 	server    *http.Server
 	running   sync.WaitGroup
 }
@@ -23,11 +24,11 @@
 		return nil, err
 	}
 	w := &watchedAddress{Listener: listener, connected: connected, server: &http.Server{Handler: discovery}}
-	w.running.Go(func() { _ = w.server.Serve(w) }) // returns an error after close
+	w.running.Go(func() { _ = w.server.Serve(w) }) // Serve returns an error once the server is closed
 	return w, nil
 }
 
-// Accept accepts a connection, and reports it with the change that caused it.
+// Accept accepts a connection, and reports the change that moved the controller to this address.
 func (w *watchedAddress) Accept() (net.Conn, error) {
 	conn, err := w.Listener.Accept()
 	if err == nil {
@@ -40,6 +41,6 @@
 
 // close stops the server, and closes all its connections.
 func (w *watchedAddress) close() {
-	_ = w.server.Close() // the listener is closed even when this fails
+	_ = w.server.Close() // the server closes its listener even if Close returns an error
 	w.running.Wait()
 }
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -12,11 +12,11 @@
 // distributionCost measures the cost and the latency of distributing the changes of the record from
 // the voters, through distributors, to subscribers.
 type distributionCost struct {
-	allEntries bool // distribute all expected entries instead of one for each service
+	allEntries bool // distribute all entries of the expected installation, instead of one entry for each service
 }
 
-// treeRole is a role in the tree that has its own metrics. Their names begin with its name, and
-// their descriptions contain its description.
+// treeRole is a role in the tree that has its own metrics. The names of these metrics begin with
+// the name of the role, and their descriptions contain the description of the role.
 type treeRole struct{ name, about string }
 
 func treeRoles() []treeRole {
@@ -24,8 +24,8 @@
 		{"distributor", "a distributor"}, {"voter", "a voter, without the record"}}
 }
 
-// recordBytes is the metric of the bytes per second that the record costs a voter, in addition to
-// distribution.
+// recordBytes is the name of the metric for the bytes per second that a voter exchanges for the
+// record, in addition to the bytes of distribution.
 const recordBytes = "voter_record_bytes_per_s"
 
 // Describe returns the name, the sizes and the metrics of the measurement.
@@ -86,15 +86,15 @@
 	return scaledTree(size)
 }
 
-// Needs returns the time that one size takes, and the memory of all nodes, which run in this
-// process.
+// Needs returns the time that the measurement of one size takes, and the memory of all nodes, which
+// run in this process.
 func (m distributionCost) Needs(size int, o Options) Needs {
 	return Needs{Memory: m.plan(size).memory(o),
 		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
 }
 
-// Run makes changes at each rate, and measures the traffic of each node and the propagation of the
-// changes.
+// Run makes changes at each rate, and measures the traffic of each node and the time that
+// subscribers take to apply the changes.
 func (m distributionCost) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, m.plan(size), o)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return s, nil
 }
 
-// measureRate makes changes at one rate for the observed time, and sets the metrics of that rate.
+// measureRate makes changes at one rate for Options.Duration, and sets the metrics of that rate.
 func (t *tree) measureRate(ctx context.Context, rate changeRate, s *results.Sample) error {
 	t.propagation.reset()
 	parentsLost := t.parentsLost()
@@ -159,8 +159,9 @@
 	return nil
 }
 
-// setRoleMetrics sets the metrics of each role from the bytes that each node sent and received. The
-// processor time of this process is divided among the nodes in proportion to their bytes.
+// setRoleMetrics sets the metrics of each role from the bytes that each node sent and received. All
+// nodes run in this process, so its processor time is divided among them in proportion to their
+// bytes.
 func (t *tree) setRoleMetrics(bytesByNode map[string]float64, processor float64, rate changeRate, seconds float64,
 	s *results.Sample) {
 	total := 0.
@@ -187,8 +188,8 @@
 	}
 }
 
-// bytes returns the bytes that each node has sent and received so far, by name. It excludes the
-// traffic between voters for the record.
+// bytes returns the bytes that each node has sent and received so far, by the name of the node. It
+// excludes the traffic between voters for the record.
 func (t *tree) bytes() map[string]int64 {
 	result := map[string]int64{}
 	for _, s := range t.nodes() {
@@ -200,8 +201,8 @@
 	return result
 }
 
-// recordBytes returns the bytes that each voter has sent and received for the record so far, by
-// name.
+// recordBytes returns the bytes that each voter has sent and received for the record so far, by the
+// name of the voter.
 func (t *tree) recordBytes() map[string]int64 {
 	result := map[string]int64{}
 	for _, v := range t.voters.voters {
@@ -210,8 +211,8 @@
 	return result
 }
 
-// setRecordBytes sets the metrics of the traffic for the record, separately for the leader. The
-// voter with the most bytes is assumed to be the leader.
+// setRecordBytes sets the metrics of the traffic for the record: the mean over the followers, and
+// the figure of the leader. The voter with the most bytes is assumed to be the leader.
 func (t *tree) setRecordBytes(before, after map[string]int64, rate changeRate, seconds float64, s *results.Sample) {
 	sum := 0.
 	leader := 0.
@@ -242,7 +243,7 @@
 	return result
 }
 
-// depth returns the number of nodes from a voter to the deepest subscriber.
+// depth returns the largest number of nodes on the path from a voter to a subscriber.
 func (t *tree) depth() (deepest int) {
 	for _, s := range t.nodes() {
 		if status, ok := s.status(); ok {
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -13,11 +13,11 @@
 // faults.
 type distributedFaults struct{}
 
-// treeFault is a kind of fault. It is injected for a span while changes are made at ten times the
-// mean rate.
+// treeFault is a kind of fault in the tree. The measurement injects it for a span of time, while
+// changes are made at ten times the mean rate.
 type treeFault struct {
 	name, about string
-	spanDivisor int // span of the fault: the observed time of a size divided by this
+	spanDivisor int // the span of the fault is Options.Duration divided by this number
 	inject      func(ctx context.Context, t *tree, span time.Duration) error
 }
 
@@ -25,9 +25,10 @@
 const (
 	parentKillInterval = 5 * time.Second
 	leaderKillInterval = 15 * time.Second
-	downtime           = 2 * time.Second // from the kill of a node until its restart
+	downtime           = 2 * time.Second // time from the kill of a node until its restart
 	restartedOneIn     = 50              // one subscriber in 50 is killed, all at the same time: 220 of 11,000
-	// Changes continue for this time after a fault, to measure how long missed changes take.
+	// Changes continue for this time after a fault, to measure how long nodes take to apply the
+	// changes that they missed.
 	recoveryTime = 5 * time.Second
 )
 
@@ -60,14 +61,14 @@
 	return d
 }
 
-// Needs returns the time that one size takes, and the memory of all nodes, which run in this
-// process.
+// Needs returns the time that the measurement of one size takes, and the memory of all nodes, which
+// run in this process.
 func (distributedFaults) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(size).memory(o),
 		Time: startTimeout + readyTimeout + time.Duration(len(treeFaults()))*(o.Duration+recoveryTime+settleTimeout)}
 }
 
-// Run injects one kind of fault after the other.
+// Run injects the kinds of faults one after the other, and measures each of them.
 func (distributedFaults) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(size), o)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return s, nil
 }
 
-// measureFault injects a fault while changes are made, and sets the metrics of that fault.
+// measureFault injects a fault while changes are made, and sets the metrics of that kind of fault.
 func (t *tree) measureFault(ctx context.Context, f treeFault, s *results.Sample) error {
 	t.propagation.reset()
 	span := max(t.options.Duration/time.Duration(f.spanDivisor), downtime)
@@ -128,17 +129,17 @@
 	return nil
 }
 
-// restart kills a node, and starts it as a new incarnation after downtime.
+// restart kills a node, and starts it as a new incarnation after the downtime.
 func (t *tree) restart(ctx context.Context, s *hollowSubscriber) {
 	t.faultHits.Add(1)
 	s.kill()
-	_ = pauseFor(ctx, downtime) // start the node even if the context has ended, so that close finds it running
+	_ = pauseFor(ctx, downtime) // ignore the end of the context: the node must start, so that close finds it running
 	t.starts.Add(1)
 	s.start()
 }
 
-// killParents kills one random node with children in each parentKillInterval: usually a subscriber,
-// sometimes a distributor.
+// killParents kills one random node with children in each parentKillInterval, and restarts the node
+// after the downtime. The node is usually a subscriber, and sometimes a distributor.
 func killParents(ctx context.Context, t *tree, span time.Duration) error {
 	var restarting sync.WaitGroup
 	defer restarting.Wait()
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// drawParent returns a random distributor or subscriber that has children, or nil if all of them
-// are without children.
+// drawParent returns a random distributor or subscriber that has children, or nil if no distributor
+// or subscriber has children.
 func (t *tree) drawParent() *hollowSubscriber {
 	nodes := t.nodes()
 	for _, i := range t.faultRandom.Perm(len(nodes)) {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// restartMany kills one subscriber in fifty, all at the same time, and starts them again after
+// restartMany kills one subscriber in fifty, all at the same time, and starts them again after the
 // downtime.
 func restartMany(ctx context.Context, t *tree, _ time.Duration) error {
 	var restarting sync.WaitGroup
@@ -176,7 +177,7 @@
 	return ctx.Err()
 }
 
-// partitionRegion cuts off a region without voters for the span of the fault.
+// partitionRegion cuts off a random region that has no voters, for the span of the fault.
 func partitionRegion(ctx context.Context, t *tree, span time.Duration) error {
 	voters := len(t.voters.voters)
 	region := voters + t.faultRandom.IntN(regions-voters)
@@ -192,8 +193,8 @@
 	return err
 }
 
-// killLeaders kills the leading voter every leaderKillInterval, and restarts it after downtime with
-// its log and votes.
+// killLeaders kills the leading voter every leaderKillInterval, and restarts the voter after the
+// downtime with the log and votes that it has on disk.
 func killLeaders(ctx context.Context, t *tree, span time.Duration) error {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		if v := t.voters.leader(); v != nil {
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -12,13 +12,14 @@
 	"wheelrill/scale/results"
 )
 
-// subscribersInCI is the number of hollow subscribers in a run in CI, in addition to distributors
-// and voters.
+// subscribersInCI is the number of hollow subscribers of a measurement in CI. Distributors and
+// voters come in addition.
 const subscribersInCI = 110
 
-// measureInCI runs a measurement at a size and for a time that are small enough for CI, and fails
-// on violations and on figures over their budgets. With the race detector, which takes most of the
-// processor time, budgets of processor time are not checked.
+// measureInCI runs a measurement with subscribersInCI subscribers for the given span, which is
+// short enough for CI. It fails the test if there are violations or figures over their budgets. The
+// race detector takes most of the processor time, so budgets of processor time are not checked with
+// it.
 func measureInCI(t *testing.T, m Measurement, span time.Duration) *results.Run {
 	t.Helper()
 	options := Options{Duration: span, Seed: 1, Voters: defaultVoters}
@@ -52,9 +53,9 @@
 	}
 }
 
-// TestDistributionRecoversFromEachFault guards against nodes that stay at a wrong revision, or
-// behind for longer than the budget allows, when parents, subscribers, the leader or the majority
-// of voters are killed, or a region is cut off.
+// TestDistributionRecoversFromEachFault guards against nodes that have a wrong configuration, or
+// that lack changes for longer than the budget allows, after a fault. The faults kill parents,
+// subscribers, the leader or the majority of voters, or cut off a region.
 func TestDistributionRecoversFromEachFault(t *testing.T) {
 	t.Parallel()
 	r := measureInCI(t, distributedFaults{}, 1500*time.Millisecond)
@@ -65,8 +66,9 @@
 	}
 }
 
-// TestContentFindsEachDifference guards against a comparison that accepts a node at a wrong or
-// mixed revision: such a comparison would hide faults of distribution from all measurements.
+// TestContentFindsEachDifference guards against a comparison that accepts a node whose entries are
+// those of a wrong revision or of different revisions. Such a comparison would hide faults of
+// distribution from all measurements.
 func TestContentFindsEachDifference(t *testing.T) {
 	scopes := distribution.SomeScopes("a", "b")
 	c := newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1)
@@ -96,10 +98,10 @@
 	}
 }
 
-// TestPropagationDetectsOlderAndLateChanges guards against faults that measurements miss: a
-// subscriber that returns to an older revision or applies a change twice is a violation, a late
-// change has its full latency, and the latency of a change that was missed during a cut counts from
-// the end of the cut.
+// TestPropagationDetectsOlderAndLateChanges guards against faults that measurements would miss. If
+// a subscriber returns to an older revision or applies a change twice, there must be a violation. A
+// change that is applied late must be recorded with its full latency. If a subscriber missed a
+// change during a cut, the latency of the change must count from the end of the cut.
 func TestPropagationDetectsOlderAndLateChanges(t *testing.T) {
 	f := newPropagation(newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1))
 	s := &hollowSubscriber{name: "s", propagation: f, reachableSince: time.Now().Add(-time.Hour)}
@@ -122,8 +124,9 @@
 	}
 }
 
-// TestPartitionHoldsWritesUntilItHeals guards against a simulated cut that lets traffic pass:
-// writes, dials and closes across the cut wait for its end, and those within a region do not wait.
+// TestPartitionHoldsWritesUntilItHeals guards against a simulated cut that lets traffic pass.
+// Writes, dials and closes between the region that is cut off and other regions must wait for the
+// end of the cut, and those within the region must not wait.
 func TestPartitionHoldsWritesUntilItHeals(t *testing.T) {
 	n := newNetwork()
 	accepted := make(chan net.Conn, 1)
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -16,7 +16,7 @@
 	"wheelrill/rehearse"
 )
 
-// Terms of hollow members, the same as those of real ones.
+// Terms of hollow members, the same as the terms of real members, and the size of their task queue.
 const (
 	defaultLease       = 1500 * time.Millisecond // lease of members that share a fleet of proxies
 	voterLease         = 10 * time.Second        // lease of members that own no proxies; see docs/distributing.md
@@ -35,11 +35,11 @@
 	tasks       chan func()
 	done        chan struct{}
 
-	hasQuorum atomic.Bool // whether the member is on the record and has quorum
+	hasQuorum atomic.Bool // reports whether the member is on the record and has quorum
 }
 
-// startHollowMember starts a member that takes part in the record until the context ends. Its terms
-// follow from the lease.
+// startHollowMember starts a member that takes part in the record until the context ends. The lease
+// determines the other terms of the member.
 func startHollowMember(ctx context.Context, running *sync.WaitGroup, config consensus.Config,
 	lease time.Duration) (*hollowMember, error) {
 	m := &hollowMember{name: config.Name, began: time.Now(), tasks: make(chan func(), taskQueueSize),
@@ -83,7 +83,8 @@
 	}
 }
 
-// hollowEvents passes events of the record to the coordinator, through the event loop.
+// hollowEvents passes the events of the consensus node to the member's coordinator, through the
+// event loop of the member.
 type hollowEvents struct{ *hollowMember }
 
 func (e hollowEvents) EntryCommitted(entry ownership.Entry) {
@@ -102,8 +103,8 @@
 	e.post(func() { e.coordinator.ProposalFailed(incarnation, seq, e.now()) })
 }
 
-// hollowHost is the host of a hollow member's coordinator. It ignores grants and the other calls
-// that concern proxies, because there are no proxies.
+// hollowHost is the host of a hollow member's coordinator. It ignores grants and all other calls
+// that concern proxies, because a hollow member has no proxies.
 type hollowHost struct{ *hollowMember }
 
 func (h hollowHost) Propose(e ownership.Entry)                             { h.node.Propose(e) }
@@ -114,15 +115,15 @@
 func (h hollowHost) PeerObservationReported(string, ownership.Observation) {}
 func (h hollowHost) QuorumChanged(alone bool, _ string)                    { h.hasQuorum.Store(!alone) }
 
-// RandomID returns a random number that is not 0.
+// RandomID returns a random number other than 0.
 func (h hollowHost) RandomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// startHollowMembers starts the given number of hollow members on loopback, and waits until each is
-// on the record and has quorum.
+// startHollowMembers starts the given number of hollow members on loopback addresses, and waits
+// until each member is on the record and has quorum.
 func startHollowMembers(ctx context.Context, running *sync.WaitGroup, size int,
 	lease time.Duration) ([]*hollowMember, error) {
 	addresses, err := process.FreeAddresses(size)
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -19,39 +19,40 @@
 	roleVoter
 )
 
-// hollowSubscriber runs the code of a subscriber, and has no proxies. It runs from start to kill,
-// and may be started again as a new incarnation. Safe for concurrent use.
+// hollowSubscriber is a node in the tree that runs the code of a real subscriber, and has no
+// proxies. It runs from start to kill, and may be started again as a new incarnation. Safe for
+// concurrent use.
 type hollowSubscriber struct {
 	name       string
 	role       role
 	region     int
 	scopes     distribution.Scopes
-	candidates []string // configured candidate parents
+	candidates []string // names of the nodes that are configured as candidate parents
 	fanOut     int      // largest number of children that the node accepts
-	// Connects the node to its parent and its children; nil for a node that connects by dial and has
-	// no children.
+	// network connects the node to its parent and its children. It is nil if the node uses dial;
+	// such a node has no children.
 	network *network
-	// Connects to a parent if network is nil.
+	// dial connects the node to a parent if network is nil.
 	dial        func(ctx context.Context, peer string) (net.Conn, error)
 	propagation *propagation // records the changes that the node applies
 
-	mutex           sync.Mutex           // guards the fields below
-	node            *transport.Transport // transport of this incarnation
-	stop            context.CancelFunc   // nil while the node is down
-	ended           chan struct{}        // closed when the goroutine of this incarnation ends
-	appliedRevision uint64               // newest revision that this incarnation applied; 0 before the first one
-	reachableSince  time.Time            // start of this incarnation, or end of the last cut
+	mutex           sync.Mutex           // guards all fields that follow in the struct
+	node            *transport.Transport // transport of the present incarnation
+	stop            context.CancelFunc   // ends the present incarnation; nil while the node is down
+	ended           chan struct{}        // closed when the goroutine of the present incarnation ends
+	appliedRevision uint64               // newest revision that the present incarnation applied; 0 before its first one
+	reachableSince  time.Time            // start of the present incarnation, or end of the last cut if later
 	earlier         earlierIncarnations
 }
 
 // earlierIncarnations holds the traffic of a node's earlier incarnations, and the number of
-// snapshots that they installed.
+// snapshots that these incarnations installed.
 type earlierIncarnations struct {
 	traffic   transport.Traffic
 	snapshots uint64
 }
 
-// start starts a new incarnation.
+// start starts a new incarnation of the node.
 func (s *hollowSubscriber) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	limits := distribution.DefaultLimits()
@@ -88,8 +89,8 @@
 	return s.network.dial(ctx, s.region, peer)
 }
 
-// kill stops the node as the end of its process would: all connections are closed, and no state is
-// kept.
+// kill stops the node as the end of its process would: all connections are closed, and the node
+// loses its configuration.
 func (s *hollowSubscriber) kill() {
 	if s.network != nil {
 		s.network.leave(s.name)
@@ -114,8 +115,9 @@
 	s.earlier.traffic.Out += traffic.Out
 }
 
-// apply records that the node has applied a change or a snapshot. Changes are applied in order: a
-// revision older than the node's own, or a change with the same revision, is a violation.
+// apply records that the node has applied a change or a snapshot. The revisions must increase: an
+// older revision than the node's own is a violation, and so is a change with the node's own
+// revision.
 func (s *hollowSubscriber) apply(change distribution.Change, snapshot bool) {
 	s.mutex.Lock()
 	appliedRevision := s.appliedRevision
@@ -128,14 +130,14 @@
 	s.propagation.applied(change, appliedRevision, reachableSince)
 }
 
-// markReachable notes that the node is reachable again after a cut.
+// markReachable records that the node is reachable again after a cut.
 func (s *hollowSubscriber) markReachable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.reachableSince = time.Now()
 }
 
-// bytes returns the bytes that the node has sent and received, in all incarnations.
+// bytes returns the number of bytes that the node has sent and received in all its incarnations.
 func (s *hollowSubscriber) bytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,7 +148,8 @@
 	return s.earlier.traffic.In + s.earlier.traffic.Out + traffic.In + traffic.Out
 }
 
-// earlierSnapshots returns the number of snapshots that earlier incarnations have installed.
+// earlierSnapshots returns the number of snapshots that earlier incarnations of the node have
+// installed.
 func (s *hollowSubscriber) earlierSnapshots() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -166,7 +169,7 @@
 }
 
 // check compares the entries of the node with the content at the given revision, or at the node's
-// own revision if the given one is 0. A difference is a violation.
+// own revision if at is 0. Each difference is recorded as a violation.
 func (s *hollowSubscriber) check(content *content, at uint64) {
 	s.mutex.Lock()
 	node := s.node
@@ -178,7 +181,7 @@
 	}
 	state, ok := node.State()
 	if !ok || at == 0 && appliedRevision == 0 {
-		return // the node has just started, and reports that it has no configuration
+		return // the node has no configuration yet, because it has just started
 	}
 	if at > 0 {
 		state.Version.Revision = at
@@ -188,8 +191,8 @@
 	}
 }
 
-// isBehind reports whether the node runs and has not applied the newest revisions of its scopes.
-// newest holds the newest revision of each scope, and last the newest revision of all scopes.
+// isBehind reports whether the node runs and lacks a change in its scopes. newest holds the newest
+// revision of each scope, and last is the newest revision of all scopes.
 func (s *hollowSubscriber) isBehind(newest map[string]uint64, last uint64) bool {
 	want := last
 	if !s.scopes.All {
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -13,11 +13,11 @@
 	"wheelrill/distribution"
 )
 
-// tree is an entire deployment in one process: voters, distributors that have all scopes, and
+// tree is an entire deployment in one process: voters, distributors that receive all scopes, and
 // subscribers.
 type tree struct {
 	options           Options
-	folder            string // holds the voters' records
+	folder            string // temporary folder with the files of the voters
 	network           *network
 	content           *content
 	propagation       *propagation
@@ -25,14 +25,14 @@
 	distributors      []*hollowSubscriber
 	subscribers       []*hollowSubscriber
 	random            *rand.Rand
-	faultRandom       *rand.Rand    // draws the nodes that fail, independently of the changes
-	faultHits         atomic.Int64  // nodes hit by the present fault
-	starts            atomic.Int64  // started incarnations, each of which needs one snapshot
-	ready             time.Duration // time from the start of all subscribers until each was ready
-	distributorsReady time.Duration // time from the start of all distributors until each was ready
+	faultRandom       *rand.Rand    // draws the nodes that faults hit, independently of the drawn changes
+	faultHits         atomic.Int64  // number of times that the present fault has hit a node
+	starts            atomic.Int64  // number of started incarnations of nodes; each incarnation needs one snapshot
+	ready             time.Duration // time from the start of all subscribers until each had its configuration
+	distributorsReady time.Duration // time from the start of all distributors until each had its configuration
 }
 
-// newTree starts a deployment, and waits until each node has its configuration.
+// newTree starts a deployment, and waits until each of its nodes has its configuration.
 func newTree(ctx context.Context, plan treePlan, o Options) (*tree, error) {
 	t := &tree{options: o, network: newNetwork(), content: newContent(plan.content, o.Seed), random: rand.New(rand.NewPCG(o.Seed, treeSeed)),
 		faultRandom: rand.New(rand.NewPCG(o.Seed, faultSeed))}
@@ -85,8 +85,8 @@
 	}
 }
 
-// drawCandidates returns random candidate parents for a subscriber: distributors, and peers of its
-// group. With n groups, every n-th subscriber belongs to the same group.
+// drawCandidates returns random candidate parents for a subscriber: some distributors, and some
+// subscribers of the same group. With n groups, every n-th subscriber belongs to the same group.
 func (t *tree) drawCandidates(group, subscribers int) []string {
 	var candidates []string
 	for _, i := range t.random.Perm(len(t.distributors))[:min(knownDistributors, len(t.distributors))] {
@@ -101,13 +101,13 @@
 	return candidates
 }
 
-// nodes returns all distributors and subscribers.
+// nodes returns all distributors and subscribers, without the voters.
 func (t *tree) nodes() []*hollowSubscriber {
 	return append(append([]*hollowSubscriber{}, t.distributors...), t.subscribers...)
 }
 
-// start starts the voters with the first content, then the distributors, then all subscribers at
-// once.
+// start starts the voters, proposes the initial content, and then starts all distributors at once
+// and, when these have their configuration, all subscribers at once.
 func (t *tree) start(ctx context.Context) error {
 	if err := t.voters.start(ctx); err != nil {
 		return err
@@ -125,7 +125,8 @@
 	return err
 }
 
-// startAll starts the given nodes at once, and returns the time until each has its configuration.
+// startAll starts the given nodes at once, and returns the time until each node has its
+// configuration.
 func (t *tree) startAll(ctx context.Context, nodes []*hollowSubscriber) (time.Duration, error) {
 	began := time.Now()
 	for _, s := range nodes {
@@ -138,15 +139,15 @@
 	return time.Since(began), nil
 }
 
-// close stops all nodes, and deletes the folder of the voters.
+// close stops all nodes, and deletes the folder with the files of the voters.
 func (t *tree) close() {
 	forEachNode(t.nodes(), (*hollowSubscriber).kill)
 	t.voters.close()
 	t.network.serving.Wait()
-	_ = os.RemoveAll(t.folder) // a temporary folder that remains does no harm
+	_ = os.RemoveAll(t.folder) // a temporary folder that is not deleted does no harm
 }
 
-// forEachNode calls action for each node, in as many goroutines as there are processors.
+// forEachNode calls action for each node. The calls run concurrently, at most GOMAXPROCS at a time.
 func forEachNode(nodes []*hollowSubscriber, action func(*hollowSubscriber)) {
 	var working sync.WaitGroup
 	var next atomic.Int64
@@ -160,9 +161,9 @@
 	working.Wait()
 }
 
-// makeChanges makes changes at a mean rate until the given time, and returns their number. Every
-// timeBetweenChecks it compares random subscribers with the content; the run's seed determines
-// which subscribers.
+// makeChanges makes changes at a mean rate until the given time, and returns the number of changes.
+// Every timeBetweenChecks it compares random subscribers with the content; the seed of the run
+// determines which subscribers.
 func (t *tree) makeChanges(ctx context.Context, perS float64, until time.Time) (made int, err error) {
 	checkRandom := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
 	nextCheck := time.Now().Add(timeBetweenChecks)
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -14,7 +14,8 @@
 	"wheelrill/internal/process"
 )
 
-// voterGroup holds voters that share a record over loopback, and distribute it in memory.
+// voterGroup holds voters that keep a record through raft over loopback, and distribute its changes
+// through the network in memory.
 type voterGroup struct {
 	voters        []*voter
 	raftAddresses map[string]string
@@ -23,13 +24,14 @@
 	content       *content
 }
 
-// voter is one voter of a group. Its files remain after a kill.
+// voter is one voter of a group. The files of the voter remain after a kill, so that a restart
+// continues with them.
 type voter struct {
 	hollowSubscriber
 	group              *voterGroup
-	member             *hollowMember // member of the record in this incarnation
+	member             *hollowMember // takes part in the record for the present incarnation of the voter
 	goroutines         sync.WaitGroup
-	earlierRecordBytes int64 // bytes that earlier incarnations sent and received for the record
+	earlierRecordBytes int64 // bytes that earlier incarnations of the voter sent and received for the record
 }
 
 func newVoters(n int, folder string, network *network, content *content, propagation *propagation) (*voterGroup, error) {
@@ -96,8 +98,8 @@
 	return v.member
 }
 
-// propose proposes entries as one change to the leader, again after each failure, until the change
-// is accepted or refused.
+// propose proposes entries as one change to the leader. After each failure it proposes them again,
+// until the change is accepted or refused.
 func (g *voterGroup) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		if v := g.leader(); v != nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// dedicatedNodeLimits returns the limits of a node on a dedicated machine.
+// dedicatedNodeLimits returns the limits of a distribution node on a dedicated machine.
 func dedicatedNodeLimits() distribution.Limits {
 	limits := distribution.DefaultLimits()
 	limits.FanOut = maxFanOut
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// kill stops the voter as the end of its process would. Its files remain.
+// kill stops the voter as the end of its process would. The files of the voter remain.
 func (v *voter) kill() {
 	member := v.runningMember()
 	if member == nil {
@@ -180,7 +182,7 @@
 	v.earlierRecordBytes += bytes
 }
 
-// recordBytes returns the bytes that the voter has sent and received for the record, in all
+// recordBytes returns the bytes that the voter has sent and received for the record, in all its
 // incarnations.
 func (v *voter) recordBytes() int64 {
 	member := v.runningMember()
@@ -194,20 +196,20 @@
 }
 
 // voterDistribution passes changes of the record to the voter's node in the tree, and adds them to
-// the content for comparison.
+// the content, with which nodes are compared.
 type voterDistribution struct {
 	*transport.Transport
 	content *content
 }
 
-// Restored passes on the whole configuration: the first change when the record is created, later
-// the state that a voter has read from its disk.
+// Restored passes on a whole configuration: the first state of a new record, or the state that a
+// restarted voter has read from its disk.
 func (d voterDistribution) Restored(state distribution.State) {
 	d.content.noteAccepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
 	d.Transport.Restored(state)
 }
 
-// Accepted passes on the next change.
+// Accepted passes on the next change of the record.
 func (d voterDistribution) Accepted(change distribution.Change) {
 	d.content.noteAccepted(change)
 	d.Transport.Accepted(change)
--- a/scale/listed_controller.go
+++ b/scale/listed_controller.go
@@ -19,7 +19,7 @@
 // listedZones are the zones in the settings of the controllers.
 var listedZones = []string{"a", "b", "c"}
 
-// newDiscovery starts a discovery service that lists the given number of backends.
+// newDiscovery starts a discovery service whose list has the given number of backends.
 func newDiscovery(backends int) (*fake.Discovery, []*fake.Backend, error) {
 	discovery, err := fake.NewDiscovery(invariant.NewChecker(invariant.Limits{}), func() time.Duration { return 0 })
 	if err != nil {
@@ -33,31 +33,32 @@
 	return discovery, list, nil
 }
 
-// listedController is a process of a real controller that follows discovery and has no proxies.
+// listedController is the process of a real controller that gets its endpoint list from discovery
+// and has no proxies.
 type listedController struct {
 	process *process.Controller
 	began   time.Time
-	reading sync.WaitGroup // goroutine that reads the log of the process
+	reading sync.WaitGroup // waits for the goroutine that reads the log of the process
 
 	mutex         sync.Mutex
-	ready         time.Time          // when the controller logged that it is ready; zero before that
-	knownBackends string             // number of backends in the log line msg=ready
-	lastLines     map[string]logLine // last log line of each event
+	ready         time.Time          // time at which the controller logged that it is ready, or the zero time
+	knownBackends string             // number of backends in the log line with msg=ready
+	lastLines     map[string]logLine // last log line of each event, by the name of the event
 }
 
 // logLine is a line of a controller's log.
 type logLine struct {
 	text string
-	at   time.Time // when the line was read
+	at   time.Time // time at which the line was read
 }
 
-// listedConfig holds the parameters of a listed controller.
+// listedConfig holds the parameters of a listedController.
 type listedConfig struct {
 	name      string
 	listen    string
-	discovery string // address of discovery
-	folder    string // folder of the configuration file
-	megabytes int    // memory limit of the process
+	discovery string // address of the discovery service
+	folder    string // folder in which the configuration file is written
+	megabytes int    // memory limit of the process in MB
 	seed      uint64
 	program   string
 }
@@ -88,7 +89,7 @@
 	return all, nil
 }
 
-// lookupClass is the only class of requests of controllers without proxies.
+// lookupClass is the only class of requests in the settings of controllers without proxies.
 var lookupClass = fake.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}
 
 // proxylessSettings returns the settings of controllers without proxies.
@@ -131,7 +132,7 @@
 	c.knownBackends = ""
 	c.lastLines = map[string]logLine{}
 	err = c.process.Start()
-	to.Close() // the process has its own copy of this end
+	to.Close() // closes only this process's copy: the started process has its own copy of the write end of the pipe
 	if err != nil {
 		from.Close()
 		log.Close()
@@ -148,7 +149,8 @@
 	return nil
 }
 
-// readLine keeps a log line as the last one of its event, and notes when the controller is ready.
+// readLine stores a log line as the last line of its event, and records when the controller is
+// ready.
 func (c *listedController) readLine(line string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// lastLine returns the last line of an event, and whether there is one.
+// lastLine returns the last log line of an event, and whether the log has such a line.
 func (c *listedController) lastLine(event string) (logLine, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -168,7 +170,8 @@
 	return line, ok
 }
 
-// readyAt returns when the controller logged that it is ready, or the zero time if it has not.
+// readyAt returns the time at which the controller logged that it is ready, or the zero time if it
+// has not logged that.
 func (c *listedController) readyAt() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// end kills the process, and waits until its log has been read.
+// end kills the process, and waits until the whole log of the process has been read.
 func (c *listedController) end() {
 	if c.process.Up {
 		c.process.Stop(syscall.SIGKILL)
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -12,18 +12,19 @@
 )
 
 // lists measures the time, bytes and memory that the endpoint list of discovery costs a real
-// controller, by the number of entries: from the start of the controller until it is ready, while
-// nothing changes, and for each change of one entry. The controller has no proxies.
+// controller, by the number of entries. It measures the cost from the start of the controller until
+// it is ready, the cost while the list does not change, and the cost of each change of one entry.
+// The controller has no proxies.
 type lists struct{}
 
 // Times and limits of one run.
 const (
 	listReadyTimeout = 150 * time.Second
-	// Observed time without changes, and after it the same time with changes. Each is at most a
-	// quarter of Options.Duration.
+	// Time for which the controller is observed without changes of the list, and then with changes.
+	// Each of the two periods takes at most a quarter of Options.Duration.
 	listIdleTime = 3 * time.Second
 	listChanges  = 10
-	maxListBytes = 16 << 20 // largest answer of discovery that a controller accepts, in bytes
+	maxListBytes = 16 << 20 // size in bytes of the largest answer of discovery that a controller accepts
 )
 
 // Describe returns the name, the sizes and the metrics of the measurement.
@@ -45,17 +46,18 @@
 		}}
 }
 
-// Needs returns the most memory, processes and time that one size takes.
+// Needs returns the largest memory, number of processes and time that the measurement of one size
+// takes.
 func (lists) Needs(_ int, o Options) Needs {
 	const bytes = 1 << 30
 	return Needs{Memory: bytes, Processes: 1, Time: o.Duration + listReadyTimeout}
 }
 
-// listCost holds the figures of one run of a controller.
+// listCost holds the figures of one run of a controller with one endpoint list.
 type listCost struct {
 	ready, readyProcessor    time.Duration
-	idleShare, changingShare float64 // processor seconds per second, without and with changes of entries
-	changeTime               float64 // seconds between two changes
+	idleShare, changingShare float64 // processor seconds per second without and with changes of the list
+	changeTime               float64 // seconds between two changes of the list
 	listBytes, changeBytes   int64
 	memory                   int64
 	knownBackends            float64
@@ -97,8 +99,8 @@
 	return s, nil
 }
 
-// measureList starts a controller, leaves it idle for a while, and then changes one entry of the
-// list after the other.
+// measureList starts a controller, observes it while the list does not change, and then changes one
+// entry of the list after the other.
 func measureList(ctx context.Context, discovery *fake.Discovery, backends []*fake.Backend, folder string, o Options) (cost listCost, err error) {
 	controllers, err := newListedControllers(1, discovery.Address(), folder, o)
 	if err != nil {
@@ -150,8 +152,8 @@
 	return cost, err
 }
 
-// processorShareDuring returns the processor time that the controller takes during an activity, in
-// seconds per second.
+// processorShareDuring returns the processor time that the controller takes while activity runs, in
+// processor seconds per second.
 func (c *listedController) processorShareDuring(activity func() error) (float64, error) {
 	began := time.Now()
 	before, err := readPreciseUsage(c.process.PID())
--- a/scale/machine.go
+++ b/scale/machine.go
@@ -11,18 +11,18 @@
 	"wheelrill/scale/results"
 )
 
-// Limits of what a run may take of the machine.
+// Limits of the memory, processes and time that a run may take on this machine.
 const (
-	memoryShare  = 2                // a run may take the memory of the machine divided by this
-	maxProcesses = 100              // largest number of processes that run at a time
-	maxTime      = 20 * time.Minute // longest time of one size
+	memoryShare  = 2                // a run may take the memory of the machine divided by this number
+	maxProcesses = 100              // largest number of processes that a run may start at a time
+	maxTime      = 20 * time.Minute // longest time that the measurement of one size may take
 )
 
-// RefusedError is returned for a run that was not started, because a size cannot be measured or
+// RefusedError is returned for a run that was not started: one of its sizes cannot be measured, or
 // needs more memory, processes or time than a run may take.
 type RefusedError struct{ reason string }
 
-// Error returns the reason, and what would be accepted.
+// Error returns the reason of the refusal, and what would be accepted instead.
 func (r *RefusedError) Error() string { return r.reason }
 
 // thisMachine returns the number of cores and the memory of the machine.
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// currentLoad returns the load average of the last minute, or 0 if it is unknown.
+// currentLoad returns the load average of the machine over the last minute, or 0 if it is unknown.
 func currentLoad() float64 {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -70,14 +70,14 @@
 	return load.Load1
 }
 
-// delayWatch measures how late this process is scheduled. With delays that are too long, no
-// measured time is valid.
+// delayWatch measures how late this process is scheduled. If the scheduling delays are too long,
+// the measured times are not valid.
 type delayWatch struct{ monitor *process.DelayMonitor }
 
 func watchDelays() delayWatch { return delayWatch{process.StartDelayMonitor()} }
 
-// inconclusiveReason ends the watch, and returns why no verdict is possible, or "" if a verdict is
-// possible.
+// inconclusiveReason ends the watch. If the scheduling delays were too long for a verdict, it
+// returns a text that says so, otherwise "".
 func (w delayWatch) inconclusiveReason() string {
 	p99, _ := w.monitor.Stop()
 	if !process.TooBusy(p99) {
--- a/scale/median.go
+++ b/scale/median.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxRepeats is the largest number of times that a size is measured. The median of the repeats is
-// reported.
+// maxRepeats is the largest number of times that a size is measured. Samples have the median of the
+// repeats.
 const maxRepeats = 3
 
-// runRepeats calls do maxRepeats times. A repeat begins only within the span, except for the first
-// one, which always runs. If fewer than maxRepeats began, partial states how many.
+// runRepeats calls do up to maxRepeats times. The first repeat always runs, and each further repeat
+// begins only within the span. If fewer than maxRepeats repeats began, partial states how many did.
 func runRepeats(ctx context.Context, span time.Duration, do func() error) (partial string, err error) {
 	began := time.Now()
 	done := 0
@@ -29,10 +29,11 @@
 	return partial, nil
 }
 
-// histogramDigits is the precision of percentiles, in significant digits.
+// histogramDigits is the number of significant digits of the values in histograms.
 const histogramDigits = 3
 
-// median returns the middle value, or the mean of the two middle values; 0 for no values.
+// median returns the middle value, or the mean of the two middle values. It returns 0 if there are
+// no values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// network connects the nodes of one process by connections in memory. A region can be cut off: data
-// sent into or out of it waits, and so do dials and closes, as on a path that loses all packets.
+// network connects the nodes of one process by connections in memory. It can cut off a region: data
+// sent into or out of the region waits until the cut ends, and so do dials and closes, as on a path
+// that loses all packets.
 type network struct {
 	mutex     sync.Mutex
 	endpoints map[string]endpoint
-	healed    chan struct{}  // closed when the present cut ends; nil without a cut
-	cutRegion int            // the region that is cut off, while there is a cut
-	closing   []net.Conn     // connections that were closed during the cut; heal completes the close
-	serving   sync.WaitGroup // goroutines that accept connections
+	healed    chan struct{}  // closed when the present cut ends; nil while there is no cut
+	cutRegion int            // the region that is cut off; only valid while there is a cut
+	closing   []net.Conn     // connections that were closed during the cut; heal completes their close
+	serving   sync.WaitGroup // waits for the goroutines that accept connections
 }
 
 // endpoint is the region of a node, and the function that accepts its connections.
@@ -35,15 +36,15 @@
 	n.endpoints[name] = endpoint{region, accept}
 }
 
-// leave removes a name. Dials to it are refused from then on.
+// leave removes the endpoint of a name. Later dials to the name are refused.
 func (n *network) leave(name string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.endpoints, name)
 }
 
-// dial connects a node in the given region to the node of the given name. It waits while a cut
-// separates them.
+// dial connects a node in the given region to the node of the given name. While a cut separates the
+// two nodes, it waits.
 func (n *network) dial(ctx context.Context, region int, name string) (net.Conn, error) {
 	for {
 		to, healed, err := n.lookUp(region, name)
@@ -63,11 +64,12 @@
 	}
 }
 
-// redialInterval is the interval at which a dial is repeated during a cut. TCP sends the first
-// packet of a connection again after the same time.
+// redialInterval is the interval at which a dial is repeated during a cut. TCP waits for the same
+// time before it sends the first packet of a connection again.
 const redialInterval = time.Second
 
-// lookUp returns the endpoint of a name. healed is not nil if a cut separates it from the region.
+// lookUp returns the endpoint of a name. If a cut separates the endpoint from the given region,
+// healed is the channel that is closed when the cut ends, otherwise nil.
 func (n *network) lookUp(region int, name string) (to endpoint, healed chan struct{}, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -95,7 +97,7 @@
 	n.healed = make(chan struct{})
 }
 
-// heal ends the cut, and completes the closes that waited for its end.
+// heal ends the cut, and completes the closes that waited for the end of the cut.
 func (n *network) heal() {
 	n.mutex.Lock()
 	closing := n.closing
@@ -112,16 +114,16 @@
 type memoryConn struct {
 	net.Conn
 	network  *network
-	from, to int           // regions of this end and of the other end
-	once     sync.Once     // guards the close of closed
-	closed   chan struct{} // closed by Close
+	from, to int           // region of this end of the connection, and region of the other end
+	once     sync.Once     // ensures that the channel closed is closed only once
+	closed   chan struct{} // closed when Close is called
 
 	mutex         sync.Mutex
 	writeDeadline time.Time // zero if no deadline is set
 }
 
-// SetWriteDeadline sets the deadline of writes, which includes the time that a write waits for the
-// end of a cut.
+// SetWriteDeadline sets the deadline of writes. The time that a write waits for the end of a cut
+// counts towards the deadline.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	c.mutex.Lock()
 	c.writeDeadline = t
@@ -129,7 +131,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Write sends data as soon as no cut separates the two ends.
+// Write sends data to the other end. While a cut separates the two ends, it waits.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	for {
 		c.network.mutex.Lock()
@@ -144,8 +146,8 @@
 	}
 }
 
-// awaitHealing waits for the end of the cut, the write deadline or the close of this end, whichever
-// comes first.
+// awaitHealing waits for the end of the cut, and returns an error if the write deadline passes or
+// this end is closed first.
 func (c *memoryConn) awaitHealing(healed <-chan struct{}) error {
 	c.mutex.Lock()
 	deadline := c.writeDeadline
@@ -176,7 +178,7 @@
 	}
 	c.network.mutex.Unlock()
 	if isCut {
-		return c.SetDeadline(time.Unix(1, 0)) // fails pending reads and writes at this end
+		return c.SetDeadline(time.Unix(1, 0)) // makes pending reads and writes at this end fail
 	}
 	return c.Conn.Close()
 }
--- a/scale/propagation.go
+++ b/scale/propagation.go
@@ -10,16 +10,16 @@
 	"wheelrill/distribution"
 )
 
-// propagation records how long changes take until subscribers apply them, and collects violations.
+// propagation records how long subscribers take to apply changes, and collects violations.
 type propagation struct {
 	content *content
 
-	mutex sync.Mutex // guards the fields below
-	// Times from the acceptance of a change until a subscriber applied it, in µs. Changes that a
+	mutex sync.Mutex // guards all fields that follow in the struct
+	// Times in µs from the acceptance of a change until a subscriber applied it. Changes that a
 	// subscriber missed while it was unreachable are in catchUpLatency instead.
 	latency *hdrhistogram.Histogram
-	// Times from the moment that a subscriber was reachable again until it applied a change that it
-	// had missed, in µs.
+	// Times in µs from the moment that a subscriber was reachable again until it applied a change
+	// that it had missed.
 	catchUpLatency *hdrhistogram.Histogram
 	violations     []string
 }
@@ -32,7 +32,7 @@
 		catchUpLatency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), histogramDigits)}
 }
 
-// reset clears the latencies; violations remain.
+// reset clears the recorded latencies. The violations remain.
 func (p *propagation) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -40,7 +40,7 @@
 	p.catchUpLatency.Reset()
 }
 
-// addViolation stores a violation, unless there are maxViolations already.
+// addViolation stores a violation, unless maxViolations are stored already.
 func (p *propagation) addViolation(format string, args ...any) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,7 +74,7 @@
 		elapsed = now.Sub(reachableSince)
 		histogram = p.catchUpLatency
 	}
-	// Cannot fail: the range is an hour, and every run is shorter.
+	// RecordValue cannot fail: the range of the histogram is an hour, and every run is shorter.
 	_ = histogram.RecordValue(max(elapsed.Microseconds(), 1))
 }
 
--- a/scale/record.go
+++ b/scale/record.go
@@ -17,15 +17,16 @@
 )
 
 // recordReal measures the traffic, processor time and memory that the record costs real
-// controllers. They run as processes with fake proxies around them, and all of them are members.
+// controllers. The controllers run as processes with fake proxies around them, and all of them are
+// members of the record.
 type recordReal struct{}
 
-// Proxies and backends of the deployment, estimates of its memory, and times.
+// Numbers of proxies and backends in the deployment, estimates of its memory, and times.
 const (
 	recordProxies   = 30
 	recordBackends  = 12
-	memberMemory    = 64 << 20 // approximate bytes of a real member
-	fakesMemory     = 64 << 20 // approximate bytes of all fakes in this process
+	memberMemory    = 64 << 20 // approximate bytes of memory of a real member
+	fakesMemory     = 64 << 20 // approximate bytes of memory of all fakes, which run in this process
 	startTimeout    = 30 * time.Second
 	costLogInterval = 10 * time.Second // interval at which a member logs the cost of the record
 )
@@ -52,7 +53,7 @@
 }
 
 // Needs returns the memory, processes and time that the members and the fakes in this process take,
-// or why the size cannot be measured.
+// or the reason why the size cannot be measured.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.Duration}
 	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
@@ -94,8 +95,8 @@
 	return s, nil
 }
 
-// memberUsage holds the resources that each member had taken at the start and at the end of a
-// rehearsal.
+// memberUsage holds the processor time and memory that each member had taken at the start and at
+// the end of a rehearsal.
 type memberUsage struct {
 	before, after map[string]usage
 	began, ended  time.Time
@@ -123,8 +124,9 @@
 	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
-// sample returns the metrics: means over all members or all followers, the figures of the leader,
-// and the largest memory of a member.
+// sample returns the metrics of the record: entries as a mean over all members, bytes and processor
+// time as means over the followers and as figures of the leader, and the largest memory of a
+// member.
 func (s *memberUsage) sample(members map[string]memberCost) (sample results.Sample) {
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
@@ -148,15 +150,15 @@
 	return sample
 }
 
-// memberCost holds the entries and bytes per second that the record costs a member, and whether the
-// member leads, according to its log.
+// memberCost holds what a member's log states: the entries and bytes per second that the record
+// costs the member, and whether the member leads.
 type memberCost struct {
 	entries, bytes float64
 	leads          bool
 }
 
-// readLoggedCost reads from a member's log the last cost of the record, and whether the member
-// leads at the end.
+// readLoggedCost reads from a member's log the last logged cost of the record, and whether the
+// member leads at the end of the log.
 func readLoggedCost(path string) (cost memberCost, err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -10,8 +10,8 @@
 )
 
 // recordHollow measures the traffic, processor time and memory that the record costs hollow
-// controllers in one process, all of which are members. The sizes are numbers of members, or with
-// byLease durations of their lease.
+// controllers in one process. All of the controllers are members of the record. The sizes are
+// numbers of members or, with byLease, durations of their lease in milliseconds.
 type recordHollow struct{ byLease bool }
 
 // Approximate memory in bytes of a hollow member, and of each of its connections. Each member is
@@ -39,7 +39,7 @@
 	return d
 }
 
-// members returns the number of members at a size, and their lease.
+// members returns the number of members at the given size, and the duration of their lease.
 func (r recordHollow) members(size int, o Options) (members int, lease time.Duration) {
 	if r.byLease {
 		return o.Voters, time.Duration(size) * time.Millisecond
@@ -47,15 +47,15 @@
 	return size, defaultLease
 }
 
-// Needs returns the memory and time that one size takes, in this process.
+// Needs returns the memory that the measurement of one size takes in this process, and its time.
 func (r recordHollow) Needs(size int, o Options) Needs {
 	size, _ = r.members(size, o)
 	return Needs{Memory: int64(size) * (hollowMemberMemory + int64(size)*connectionMemory),
 		Time: startTimeout + o.Duration}
 }
 
-// Run starts members that renew their leases for the observed time, and measures the traffic
-// between them.
+// Run starts members that renew their leases for Options.Duration, and measures the traffic between
+// the members.
 func (r recordHollow) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	size, lease := r.members(size, o)
 	var running sync.WaitGroup
@@ -87,8 +87,8 @@
 	return s, nil
 }
 
-// hollowCost holds the entries and bytes of the record at a member so far, and whether the member
-// leads.
+// hollowCost holds the number of entries and bytes of the record at a member so far, and whether
+// the member leads.
 type hollowCost struct {
 	entries uint64
 	bytes   int64
@@ -104,8 +104,8 @@
 	return costs
 }
 
-// setRecordCosts sets the metrics of the record's entries and bytes per second, with separate ones
-// for the bytes of the leader and of the followers.
+// setRecordCosts sets the metrics of the record's entries and bytes per second. The bytes of the
+// leader and of the followers are separate metrics.
 func setRecordCosts(before, after []hollowCost, seconds float64, s *results.Sample) {
 	size := float64(len(after))
 	var entries, followers, leader float64
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -11,19 +11,20 @@
 )
 
 // recovery measures the time, bytes and memory that controllers need to get the endpoint list from
-// discovery again when all of them restart at once. Each is a real process on this machine. At
-// present a controller requests the whole list, whichever backends it serves.
+// discovery again when all controllers restart at once. Each controller is a real process on this
+// machine. At present a controller requests the whole list, whichever backends it serves.
 type recovery struct {
-	allBackends bool // list all backends, not only those of the services that one controller serves
+	allBackends bool // list all backends, instead of only those of the services that one controller serves
 }
 
-// Assumed size of the list, in which every service has the same number of backends.
+// Assumed size of the endpoint list, in which every service has the same number of backends, and
+// estimates of a controller's memory.
 const (
 	targetBackends   = 99_000
 	targetServices   = 5700
 	backendsServed   = targetBackends / targetServices * servicesPerGroup
-	controllerMemory = 40 << 20 // approximate bytes of a controller without backends
-	backendMemory    = 6 << 10  // approximate bytes for each backend
+	controllerMemory = 40 << 20 // approximate bytes of memory of a controller without backends
+	backendMemory    = 6 << 10  // approximate bytes of memory that each backend adds to a controller
 )
 
 // Describe returns the name, the sizes and the metrics of the measurement.
@@ -55,7 +56,8 @@
 	return backendsServed
 }
 
-// Needs returns the most memory, processes and time that one size takes.
+// Needs returns the largest memory, number of processes and time that the measurement of one size
+// takes.
 func (r recovery) Needs(size int, o Options) Needs {
 	return Needs{Memory: fakesMemory + int64(size)*int64(controllerMemory+r.backends()*backendMemory), Processes: size,
 		Time: o.Duration + listReadyTimeout}
@@ -63,8 +65,8 @@
 
 // recoveryCost holds the figures of one restart of all controllers.
 type recoveryCost struct {
-	ready     time.Duration // time until the last controller was ready
-	processor time.Duration // mean processor time of a controller until it was ready
+	ready     time.Duration // time from the start until the last controller was ready
+	processor time.Duration // mean processor time that a controller took until it was ready
 	bytes     int64         // bytes that discovery sent to all controllers
 	memory    int64         // largest resident memory of a controller, in bytes
 }
@@ -106,7 +108,8 @@
 	return s, nil
 }
 
-// restartAll starts all controllers at once, waits until each is ready, and ends them.
+// restartAll starts all controllers at once, waits until each controller is ready, and then ends
+// all of them.
 func restartAll(ctx context.Context, controllers []*listedController, folder string) (cost recoveryCost, err error) {
 	defer func() {
 		for _, c := range controllers {
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -24,7 +24,7 @@
 	targetTenants = 330_000
 	targetGroups  = targetServices / servicesPerGroup
 	entriesOfAll  = targetBackends + targetRoutes + targetTenants
-	entriesServed = entriesOfAll / targetGroups // entries of one group of services, which a controller needs
+	entriesServed = entriesOfAll / targetGroups // entries of one group of services, as a controller needs them
 
 	snapshotTimeout = 2 * time.Minute
 )
@@ -43,12 +43,12 @@
 		}}
 }
 
-// Needs returns the memory and time that the voter and the subscriber take.
+// Needs returns the memory that the voter and the subscriber take, and the time of the measurement.
 func (recoverySnapshot) Needs(_ int, o Options) Needs {
 	return Needs{Memory: treeMemory, Time: o.Duration + snapshotTimeout}
 }
 
-// snapshotCost holds the figures of one start of a subscriber.
+// snapshotCost holds the figures of one snapshot that a new subscriber receives.
 type snapshotCost struct {
 	ready, processor time.Duration
 	bytes            int64
@@ -90,8 +90,8 @@
 	return s, nil
 }
 
-// currentInterval is how often the voter reports that its record is current, as a member of a
-// record does.
+// currentInterval is the interval at which the single voter reports to its transport that its
+// record is current. A member of a real record reports this too.
 const currentInterval = 200 * time.Millisecond
 
 // startSnapshotSource starts a single voter that distributes the entries until the context ends.
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSnapshotRecoversAScope guards against snapshots that cost more bytes per entry the more
-// entries they have, or more than twice the encoded size of the entries.
+// TestSnapshotRecoversAScope guards against snapshots whose bytes per entry grow with the number of
+// entries, or exceed twice the encoded size of an entry.
 func TestSnapshotRecoversAScope(t *testing.T) {
 	t.Parallel()
 	r := measureSmall(t, recoverySnapshot{}, []int{20, 40, 80, 160}, 100*time.Millisecond)
@@ -21,11 +21,11 @@
 	}
 }
 
-// TestSubscribersRestartAtOnce guards against subscribers that receive more than the entries of
-// their own scopes after a restart.
+// TestSubscribersRestartAtOnce guards against subscribers that receive the entries of other scopes
+// than their own when they restart.
 func TestSubscribersRestartAtOnce(t *testing.T) {
 	t.Parallel()
-	const entryBytes, subscribers = 200, 12 // entryBytes is far more than an encoded entry has
+	const entryBytes, subscribers = 200, 12 // entryBytes is far more than the size of an encoded entry
 	r := measureSmall(t, recoveryTree{subscribers}, []int{1, 4, subscribers}, time.Millisecond)
 	for _, s := range r.Samples {
 		bytes, _ := s.Get("bytes")
@@ -36,19 +36,19 @@
 	}
 }
 
-// TestRegionCatchesUpWithoutSnapshots guards against nodes that install whole snapshots after a cut
-// of their region, although the changes that they missed are still available.
+// TestRegionCatchesUpWithoutSnapshots guards against nodes that install whole snapshots after their
+// region was cut off, although the changes that they missed are still available.
 func TestRegionCatchesUpWithoutSnapshots(t *testing.T) {
 	t.Parallel()
-	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond) // one subscriber in each region
+	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond) // as many subscribers as regions
 	if snapshots, ok := r.Samples[0].Get("snapshots"); !ok || snapshots > 0 {
 		t.Errorf("%v snapshots were installed (measured: %v); want 0", snapshots, ok)
 	}
 }
 
-// TestPreciseUsageReadsAProcessByID guards against a wrong clock or a misread status file: the
-// processor time of this process by its id is at least what getrusage returned before, and an
-// unknown id is an error.
+// TestPreciseUsageReadsAProcessByID guards against a wrong clock or a misread status file. The
+// processor time that is read for the id of this process must be at least the time that getrusage
+// returned before, and an unknown process id must be an error.
 func TestPreciseUsageReadsAProcessByID(t *testing.T) {
 	before := processorTime()
 	usage, err := readPreciseUsage(os.Getpid())
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -8,18 +8,19 @@
 	"wheelrill/scale/results"
 )
 
-// recoveryTree measures subscribers that restart at once in a running deployment, by their number.
+// recoveryTree measures what it costs when subscribers of a running deployment restart at the same
+// time, by the number of subscribers that restart.
 type recoveryTree struct{ subscribers int }
 
-// recoveryDelta measures how a region that was cut off catches up, by the number of changes that it
-// missed.
+// recoveryDelta measures the time and bytes that a region needs to catch up after it was cut off,
+// by the number of changes that the region missed.
 type recoveryDelta struct{ subscribers int }
 
-// Size and times of recoveryTree and recoveryDelta.
+// Size and times of the deployment of recoveryTree and recoveryDelta.
 const (
-	recoverySubscribers = 1100            // subscribers of the deployment
-	minCutTime          = 4 * time.Second // longer than a lease, so that each subscriber has lost its parent
-	allProposalsTime    = time.Minute     // estimated time until all changes are accepted
+	recoverySubscribers = 1100            // number of subscribers of the deployment
+	minCutTime          = 4 * time.Second // shortest cut: longer than a lease, so that each subscriber has lost its parent
+	allProposalsTime    = time.Minute     // estimated time until all proposed changes are accepted
 )
 
 // Describe returns the name, the sizes and the metrics of the measurement.
@@ -38,23 +39,23 @@
 		}}
 }
 
-// Needs returns the time that one size takes, and the memory of all nodes, which run in this
-// process.
+// Needs returns the time that the measurement of one size takes, and the memory of all nodes, which
+// run in this process.
 func (m recoveryTree) Needs(size int, o Options) Needs {
 	return Needs{Memory: scaledTree(max(size, m.subscribers)).memory(o),
 		Time: o.Duration + startTimeout + 2*readyTimeout}
 }
 
-// restartCost holds the figures of one restart of subscribers.
+// restartCost holds the figures of one restart of some subscribers.
 type restartCost struct {
-	ready     time.Duration // time until all restarted subscribers had their configuration
-	processor time.Duration // processor time of the whole deployment in that time
+	ready     time.Duration // time from the restart until all restarted subscribers had their configuration
+	processor time.Duration // processor time that the whole deployment took while subscribers restarted
 	bytes     float64       // mean number of bytes that a restarted subscriber received
-	worst     float64       // bytes per second, sent and received, at the busiest node
+	worst     float64       // bytes per second that the busiest node sent and received
 }
 
-// Run restarts the given number of subscribers, drawn by the seed, in each repeat, and returns the
-// medians.
+// Run restarts the given number of random subscribers in each repeat, and returns the medians. The
+// seed of the run determines which subscribers.
 func (m recoveryTree) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(max(size, m.subscribers)), o)
 	if err != nil {
@@ -82,7 +83,7 @@
 }
 
 // restartSome kills the given number of random subscribers, starts them as new incarnations, and
-// waits until all have their configuration.
+// waits until all of them have their configuration.
 func (t *tree) restartSome(ctx context.Context, count int) (cost restartCost, err error) {
 	var restarted []*hollowSubscriber
 	for _, i := range t.random.Perm(len(t.subscribers))[:count] {
@@ -111,7 +112,7 @@
 	return cost, nil
 }
 
-// received returns the bytes that the node has received in this incarnation.
+// received returns the number of bytes that the present incarnation of the node has received.
 func (s *hollowSubscriber) received() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -131,14 +132,14 @@
 		}}
 }
 
-// Needs returns the time that one size takes, and the memory of all nodes, which run in this
-// process.
+// Needs returns the time that the measurement of one size takes, and the memory of all nodes, which
+// run in this process.
 func (m recoveryDelta) Needs(_ int, o Options) Needs {
 	return Needs{Memory: scaledTree(m.subscribers).memory(o), Time: startTimeout + 2*readyTimeout + allProposalsTime}
 }
 
-// Run cuts off a region without voters while the given number of changes is made, and measures how
-// the region catches up.
+// Run cuts off a region without voters, makes the given number of changes, ends the cut, and
+// measures how the region catches up.
 func (m recoveryDelta) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, scaledTree(m.subscribers), o)
 	if err != nil {
@@ -186,7 +187,7 @@
 	return s, nil
 }
 
-// allCurrent reports whether the status of all given nodes has the newest revision.
+// allCurrent reports whether all given nodes have the newest revision, according to their status.
 func (t *tree) allCurrent(nodes []*hollowSubscriber) bool {
 	last := t.content.lastRevision()
 	for _, node := range nodes {
--- a/scale/results/fit.go
+++ b/scale/results/fit.go
@@ -7,30 +7,31 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Forms of a fit.
+// Forms of the curve that is fitted over sizes n.
 const (
-	FormPower  = "power"  // coefficient * n^exponent
-	FormLinear = "linear" // intercept + slope * n
+	FormPower  = "power"  // curve coefficient * n^exponent, where n is the size
+	FormLinear = "linear" // curve intercept + slope * n, where n is the size
 )
 
-// Fit is a metric fitted over sizes n: the parameters of both forms, and which form was chosen.
+// Fit is a curve that is fitted to a metric over sizes n. It has the parameters of both forms, and
+// the form that was chosen.
 type Fit struct {
 	Metric        string  `json:"metric"`                // name of the metric
 	Form          string  `json:"form"`                  // chosen form of the curve: FormPower or FormLinear
-	Coefficient   float64 `json:"coefficient"`           // coefficient of FormPower
-	Exponent      float64 `json:"exponent"`              // exponent of FormPower
-	Intercept     float64 `json:"intercept"`             // intercept of FormLinear
-	Slope         float64 `json:"slope"`                 // slope of FormLinear
+	Coefficient   float64 `json:"coefficient"`           // coefficient of the curve of FormPower
+	Exponent      float64 `json:"exponent"`              // exponent of the curve of FormPower
+	Intercept     float64 `json:"intercept"`             // intercept of the curve of FormLinear
+	Slope         float64 `json:"slope"`                 // slope of the curve of FormLinear
 	Residual      float64 `json:"residual"`              // root of the mean squared relative error of the chosen form
-	OtherResidual float64 `json:"residual_of_the_other"` // root of the mean squared relative error of the other form
+	OtherResidual float64 `json:"residual_of_the_other"` // root of the mean squared relative error of the rejected form
 	Sizes         int     `json:"sizes"`                 // number of different sizes that were fitted
 }
 
-// minSizes is the smallest number of different sizes for a fit.
+// minSizes is the smallest number of different sizes that a fit needs.
 const minSizes = 3
 
 // FitOver fits a metric over the sizes of the samples, and chooses the form with the smaller error.
-// FormLinear is not chosen if its figure at one of the target sizes is 0 or less. FitOver returns
+// It does not choose FormLinear if the line is at 0 or below at one of the target sizes. It returns
 // false if fewer than minSizes sizes have a figure above 0.
 func FitOver(samples []Sample, metric string, targets []int) (Fit, bool) {
 	var sizes, values, logSizes, logValues []float64
--- a/scale/results/kept_test.go
+++ b/scale/results/kept_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestCapacityPageMatchesKeptRuns guards against tables and figures of the capacity page that
-// differ from the kept runs, as after an edit by hand or a new run without an update of the page.
+// TestCapacityPageMatchesKeptRuns guards against a capacity page whose tables and figures differ
+// from the kept runs. That happens after an edit of the page by hand, or after a new run without an
+// update of the page.
 func TestCapacityPageMatchesKeptRuns(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
@@ -23,7 +24,7 @@
 }
 
 // TestKeptRunsMatchTheirSamples guards against kept runs whose fits or verdict differ from those
-// that their samples give, as after a change of the fit or of a budget.
+// that their samples give. That happens after a change of the fit or of a budget.
 func TestKeptRunsMatchTheirSamples(t *testing.T) {
 	runs, err := Load("../../docs/capacity")
 	if err != nil {
--- a/scale/results/markdown.go
+++ b/scale/results/markdown.go
@@ -12,7 +12,7 @@
 // shownDigits is the number of significant digits of a figure in a table.
 const shownDigits = 3
 
-// zeroThreshold is the absolute value below which a table shows 0.
+// zeroThreshold is the absolute value below which a table shows a figure as 0.
 const zeroThreshold = 1e-9
 
 // FormatFigure formats a figure as tables show it: three significant digits, and commas between
@@ -28,7 +28,7 @@
 	if digits > 0 {
 		return strconv.FormatFloat(value, 'f', digits, 64)
 	}
-	unit := int64(math.Pow10(-digits)) // value of the last digit that is shown
+	unit := int64(math.Pow10(-digits)) // value of one unit in the last digit that is shown
 	return humanize.Comma(int64(math.Round(value/float64(unit))) * unit)
 }
 
--- a/scale/results/page.go
+++ b/scale/results/page.go
@@ -8,15 +8,16 @@
 	"strings"
 )
 
-// A page has the tables of a run between two HTML comments, and single figures before an HTML
-// comment that names the run, the metric and the size.
+// Patterns of the parts of a page that are filled from runs. A block has the tables of a run
+// between two HTML comments. A figure is a number before an HTML comment that names the run, the
+// metric and the size.
 var (
 	block  = regexp.MustCompile(`(?s)<!-- scale report (\S+) -->\n(.*?)<!-- end -->`)
 	figure = regexp.MustCompile(`([0-9.,]+)<!-- scale (\S+) (\S+) (\d+) -->`)
 )
 
-// FillPage returns the page with the contents of all blocks and figures replaced by those of the
-// runs. A name that no run has is an error.
+// FillPage returns the page with the contents of all blocks and figures replaced by the values of
+// the runs. It returns an error if a block or figure names a run that is not in runs.
 func FillPage(page string, runs []*Run) (string, error) {
 	if strings.Count(page, "<!-- scale report ") != len(block.FindAllString(page, -1)) {
 		return "", errors.New("a <!-- scale report --> block has no <!-- end -->")
@@ -30,8 +31,8 @@
 	return page, errors.Join(f.errs...)
 }
 
-// filler creates blocks and figures of a page from runs. It collects errors, and leaves the parts
-// that fail unchanged.
+// filler creates the blocks and figures of a page from runs. It collects errors, and leaves the
+// blocks and figures that fail unchanged.
 type filler struct {
 	byName map[string]*Run
 	errs   []error
@@ -74,8 +75,8 @@
 	return fmt.Sprintf("%s<!-- scale %s %s %d -->", value, name, metric, size)
 }
 
-// CheckPage returns an error that shows the first line in which the page differs from the tables
-// and figures of the runs, or nil if they are equal.
+// CheckPage checks whether the page has the tables and figures of the runs. If not, it returns an
+// error that shows the first line that differs.
 func CheckPage(page string, runs []*Run) error {
 	filled, err := FillPage(page, runs)
 	if err != nil {
--- a/scale/results/results_test.go
+++ b/scale/results/results_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestFitRecoversBothForms guards against fits that miss the form or the parameters of a known
-// curve, extrapolate it to negative figures, or rest on too few sizes or on figures of 0.
+// TestFitRecoversBothForms guards against fits that do not find the form or the parameters of a
+// known curve, that extrapolate a curve to negative figures, or that use too few sizes or figures
+// of 0.
 func TestFitRecoversBothForms(t *testing.T) {
 	curve := func(f func(n float64) float64) (samples []Sample) {
 		for _, size := range []int{3, 5, 7, 9, 30} {
@@ -38,7 +39,7 @@
 	}
 }
 
-// sampleRun returns a run of three sizes that is over its budget at the last one.
+// sampleRun returns a run with three sizes, whose figure at the last size is over its budget.
 func sampleRun() *Run {
 	r := &Run{Name: "sample", About: "A sample", Revision: "abc1234", Transport: "memory",
 		SizeUnit: "members", Targets: []int{11_000},
@@ -53,7 +54,7 @@
 }
 
 // TestVerdictFollowsBudgetsAndSamples guards against a verdict that hides a figure over its budget,
-// a violation, or a sample that shows nothing.
+// a violation, or an inconclusive sample.
 func TestVerdictFollowsBudgetsAndSamples(t *testing.T) {
 	r := sampleRun()
 	if all := r.OverBudget(); r.Verdict != VerdictViolated || len(all) != 1 || all[0].Size != 9 {
@@ -75,7 +76,7 @@
 }
 
 // TestSavedRunIsLoadedUnchanged guards against fields that are lost or changed when a run is saved
-// and loaded: a loaded run is written with the same bytes.
+// and loaded. If a loaded run is saved again, its file must have the same bytes.
 func TestSavedRunIsLoadedUnchanged(t *testing.T) {
 	folder := t.TempDir()
 	path, err := sampleRun().Save(folder)
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestPageIsFilledAndChecked guards against a page whose tables or figures are not those of the
-// runs, and against a check that accepts such a page.
+// TestPageIsFilledAndChecked guards against a page whose tables or figures differ from the runs,
+// and against a check that accepts such a page.
 func TestPageIsFilledAndChecked(t *testing.T) {
 	runs := []*Run{sampleRun()}
 	empty := "# Capacity\n\n<!-- scale report sample -->\n<!-- end -->\n\nA member: 0<!-- scale sample bytes 9 -->, at 11,000 0<!-- scale sample bytes 11000 -->.\n"
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -1,5 +1,6 @@
-// Package results stores the results of measurements: runs as JSON, fits over sizes, verdicts by
-// budgets, and the tables of docs/CAPACITY.md. Package scale makes the measurements.
+// Package results stores the results of measurements: runs as JSON files, fits over sizes, verdicts
+// that follow from budgets, and the tables of docs/CAPACITY.md. Package scale makes the
+// measurements.
 package results
 
 import (
@@ -15,35 +16,35 @@
 	"wheelrill/rehearse"
 )
 
-// Run holds the results of one measurement over its sizes. All stored runs have the JSON keys of
-// its fields.
+// Run holds the results of one measurement over its sizes. Stored runs have the JSON keys of its
+// fields, so the keys must not change.
 type Run struct {
 	Name      string           `json:"name"`              // name under which the run is stored
 	About     string           `json:"about"`             // what was measured, in a sentence
-	Revision  string           `json:"text"`              // the commit that was measured
-	Date      string           `json:"date"`              // date and time of the start, in UTC
+	Revision  string           `json:"text"`              // abbreviated hash of the commit that was measured
+	Date      string           `json:"date"`              // date and time of the start of the run, in UTC
 	Machine   Machine          `json:"machine"`           // machine on which the run was made
 	Transport string           `json:"transport"`         // how controllers reach each other: loopback, memory or calls
 	Seed      uint64           `json:"seed"`              // seed of all random numbers
-	Seconds   float64          `json:"seconds"`           // how long each size was observed
+	Seconds   float64          `json:"seconds"`           // seconds for which each size was observed
 	SizeUnit  string           `json:"size"`              // unit of the sizes, such as members
 	Targets   []int            `json:"targets,omitempty"` // sizes at which fits are evaluated
-	Metrics   []Metric         `json:"metrics"`           // metrics of the samples, in the order of the table
+	Metrics   []Metric         `json:"metrics"`           // metrics of the samples, in the order of the table's rows
 	Samples   []Sample         `json:"samples"`           // results in the order in which the sizes were measured
-	Fits      []Fit            `json:"fits"`              // fits of the metrics that have Fit set
-	Verdict   rehearse.Verdict `json:"verdict"`           // set by Evaluate
+	Fits      []Fit            `json:"fits"`              // fits of the metrics whose field Fit is true
+	Verdict   rehearse.Verdict `json:"verdict"`           // overall result of the run; set by Evaluate
 }
 
 // Machine describes the machine that a run was made on.
 type Machine struct {
 	Cores  int   `json:"cores"`        // number of processor cores
-	Memory int64 `json:"memory_bytes"` // total memory
+	Memory int64 `json:"memory_bytes"` // total memory in bytes
 }
 
 // Metric describes one figure of a sample.
 type Metric struct {
 	Name   string  `json:"name"`             // name by which samples and fits refer to the metric
-	Unit   string  `json:"unit"`             // unit of its values, as tables show it
+	Unit   string  `json:"unit"`             // unit of the metric's values, as tables show it
 	About  string  `json:"about"`            // what the metric measures, as tables show it
 	Budget float64 `json:"budget,omitempty"` // largest allowed value; 0 if the metric has no budget
 	Fit    bool    `json:"fit,omitempty"`    // whether the metric is fitted over the sizes
@@ -54,9 +55,9 @@
 	Size         int      `json:"size"`               // measured size, in the unit of Run.SizeUnit
 	Load         float64  `json:"load"`               // load average of the machine in the minute before the measurement
 	Values       []Value  `json:"values"`             // figures, one for each metric
-	Violations   []string `json:"broken,omitempty"`   // faults that must not happen at any size, such as differing digests
-	Partial      string   `json:"partial,omitempty"`  // what the sample lacks, such as repeats
-	Inconclusive string   `json:"unjudged,omitempty"` // why the sample allows no verdict
+	Violations   []string `json:"broken,omitempty"`   // violations, which no size may have, such as differing digests
+	Partial      string   `json:"partial,omitempty"`  // what the sample lacks, such as repeats; "" if nothing
+	Inconclusive string   `json:"unjudged,omitempty"` // why the sample allows no verdict; "" if it allows one
 }
 
 // Value is the figure of one metric.
@@ -71,7 +72,7 @@
 // Set adds the figure of a metric, rounded to storedDigits.
 func (s *Sample) Set(metric string, value float64) {
 	text := strconv.FormatFloat(value, 'g', storedDigits, 64)
-	rounded, _ := strconv.ParseFloat(text, 64) // cannot fail: text is a formatted number
+	rounded, _ := strconv.ParseFloat(text, 64) // ParseFloat cannot fail: text is a formatted number
 	s.Values = append(s.Values, Value{metric, rounded})
 }
 
@@ -84,7 +85,7 @@
 	return s.Values[i].Value, true
 }
 
-// Verdicts of a run, the same as those of a rehearsal.
+// Verdicts of a run, which are the same as those of package rehearse.
 const (
 	VerdictPassed       = rehearse.VerdictPassed
 	VerdictViolated     = rehearse.VerdictViolated
@@ -121,8 +122,8 @@
 	return all
 }
 
-// Evaluate fits the samples and determines the verdict. It replaces the fits and the verdict that
-// the run had.
+// Evaluate fits the metrics and determines the verdict. It replaces the previous fits and the
+// previous verdict of the run.
 func (r *Run) Evaluate() {
 	r.Fits = nil
 	for _, m := range r.Metrics {
@@ -148,7 +149,8 @@
 	return VerdictPassed
 }
 
-// Save writes the run to a file of its name in a folder, and returns the path.
+// Save writes the run to a JSON file in a folder, under the name of the run. It returns the path of
+// the file.
 func (r *Run) Save(folder string) (string, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", err
@@ -161,7 +163,7 @@
 	return path, os.WriteFile(path, append(body, '\n'), 0o644)
 }
 
-// Load reads all runs in a folder, in the order of their names.
+// Load reads all runs in a folder, and returns them in the order of their file names.
 func Load(folder string) ([]*Run, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -16,26 +16,27 @@
 	"wheelrill/internal/process"
 )
 
-// roleFleet is a deployment in which a voter, a distributor and a controller are processes of their
-// own, and all other nodes are hollow. Not safe for concurrent use.
+// roleFleet is a deployment in which one voter, one distributor and one controller are real
+// processes, and all other nodes are hollow. Not safe for concurrent use.
 type roleFleet struct {
 	options     Options
-	folder      string // holds the logs, the options files and the voters' records
+	folder      string // folder of the logs, the options files and the voters' records
 	discovery   *fake.Discovery
 	content     *content
 	propagation *propagation
-	addresses   []string                     // addresses of the voters, with the real voter last
-	listen      map[string]string            // addresses at which a process accepts children, by role
+	addresses   []string                     // addresses of the voters; the real voter is the last one
+	listen      map[string]string            // address at which the process of each role accepts children, by role
 	processes   map[string]*listedController // the three real processes, by role
-	hollow      []*hollowMember              // all voters except the real one
-	dialler     *consensus.Subscriber        // connects the children to their parents
-	children    []*hollowSubscriber          // hollow subscribers, each below the distributor or the controller
-	running     sync.WaitGroup               // goroutines of the hollow voters, which stop terminates
+	hollow      []*hollowMember              // members of the record for all voters except the real one
+	dialler     *consensus.Subscriber        // connects the hollow children to the real parents
+	children    []*hollowSubscriber          // hollow subscribers below the real distributor and controller
+	running     sync.WaitGroup               // waits for the goroutines of the hollow voters, which stop terminates
 	stop        context.CancelFunc
-	ready       map[string]time.Duration // from a process's start until it had its configuration, by role
+	ready       map[string]time.Duration // time from the start of a process until it had its configuration, by role
 }
 
-// newRoleFleet prepares a deployment with the given total of entries. It starts only discovery.
+// newRoleFleet prepares a deployment whose content has about the given total number of entries. It
+// starts only discovery.
 func newRoleFleet(size int, folder string, o Options) (r *roleFleet, err error) {
 	shape := contentShape{groups: targetGroups, entriesPerGroup: max(1, size/targetGroups)}
 	r = &roleFleet{options: o, folder: folder, content: newContent(shape, o.Seed), listen: map[string]string{},
@@ -83,7 +84,7 @@
 	return r, nil
 }
 
-// voterNames returns the names of the voters, with the real voter last.
+// voterNames returns the names of all voters. The real voter is the last one.
 func (r *roleFleet) voterNames() (names []string) {
 	for i := range r.addresses {
 		names = append(names, voterName(i))
@@ -91,7 +92,7 @@
 	return names
 }
 
-// members returns the addresses of the voters by name.
+// members returns the addresses of all voters, by the name of the voter.
 func (r *roleFleet) members() map[string]string {
 	addressOf := map[string]string{}
 	for i, name := range r.voterNames() {
@@ -100,7 +101,7 @@
 	return addressOf
 }
 
-// optionsOf returns the text of the options file of a process.
+// optionsOf returns the text of the options file for the process of a role.
 func (r *roleFleet) optionsOf(role string) string {
 	var members strings.Builder
 	for i, name := range r.voterNames() {
@@ -120,8 +121,8 @@
 		role, commonScope, groupScope(0), r.listen[role], distributorRole, r.listen[distributorRole])
 }
 
-// start starts the voters with the whole content, then the distributor, the controller and the
-// children of both.
+// start starts the voters, proposes the whole content, and then starts the distributor, the
+// controller, and the hollow children of both.
 func (r *roleFleet) start(ctx context.Context) error {
 	if err := r.startVoters(ctx); err != nil {
 		return err
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// startVoters starts the hollow voters and the real one, and waits until all of them have quorum.
+// startVoters starts the hollow voters and the real voter, and waits until all of them have quorum.
 func (r *roleFleet) startVoters(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	realVoter := r.processes[voterRole]
@@ -182,8 +183,8 @@
 	return nil
 }
 
-// propose proposes entries as one change, again after each failure, until the change is accepted or
-// refused.
+// propose proposes entries as one change. After each failure it proposes them again, until the
+// change is accepted or refused.
 func (r *roleFleet) propose(ctx context.Context, entries []distribution.Entry) error {
 	for {
 		_, err := r.hollow[0].node.ProposeChange(ctx, distribution.Proposal{Entries: entries})
@@ -218,7 +219,8 @@
 	return nil
 }
 
-// addChild starts a hollow subscriber whose only candidate parent is the process of a role.
+// addChild starts a hollow subscriber that has the process of the given role as its only candidate
+// parent.
 func (r *roleFleet) addChild(parent string, number, group int) {
 	s := &hollowSubscriber{name: fmt.Sprintf("%s/child%d", parent, number), dial: r.dialler.Dial,
 		propagation: r.propagation,
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -11,25 +11,25 @@
 	"wheelrill/scale/results"
 )
 
-// roles measures a voter, a distributor and a controller that has children, each a real process, by
-// the total number of distributed entries. The other voters, and the children of the distributor
-// and the controller, are hollow ones in this process.
+// roles measures one voter, one distributor and one controller that has children, each as a real
+// process, by the total number of distributed entries. The other voters, and the children of the
+// distributor and the controller, are hollow nodes in this process.
 type roles struct{}
 
-// Names of the processes, which are also the prefixes of their metrics.
+// Names of the real processes, which are also the prefixes of the names of their metrics.
 const (
 	voterRole       = "voter"
 	distributorRole = "distributor"
 	controllerRole  = "controller"
 )
 
-// Sizes, limits and times of the deployment around the processes.
+// Numbers of children, limits and times of the deployment around the real processes.
 const (
-	distributorChildren = maxFanOut - 1 // hollow children of the distributor, in addition to the controller
-	// Hollow children of the controller. The rate at which a controller sends snapshots is limited,
-	// so that more children would take minutes to get their configuration.
+	distributorChildren = maxFanOut - 1 // hollow children of the distributor, which also has the controller as a child
+	// Number of hollow children of the controller. The rate at which a controller sends snapshots
+	// is limited, so with more children it would take minutes until all have their configuration.
 	controllerChildren     = 4
-	dedicatedNodeMegabytes = 4096 // memory limit of a process on a dedicated machine
+	dedicatedNodeMegabytes = 4096 // memory limit in MB of a process on a dedicated machine
 	rolesReadyTimeout      = 4 * time.Minute
 	statsLogInterval       = 10 * time.Second // interval at which a controller logs its distribution status
 	rolesSeed              = 17
@@ -57,8 +57,8 @@
 	return d
 }
 
-// Needs returns the memory, processes and time that the three processes and this process take, or
-// why the size cannot be measured.
+// Needs returns the memory, processes and time that the three real processes and this process take,
+// or the reason why the size cannot be measured.
 func (roles) Needs(size int, o Options) Needs {
 	held := int64(o.Voters*copiesAtVoter+2) * int64(size) * entryMemory * heapGrowth
 	children := int64(maxFanOut+controllerChildren) * (subscriberMemory + int64(size/targetGroups)*entryMemory*heapGrowth)
@@ -71,8 +71,8 @@
 	return needs
 }
 
-// Run starts the deployment from the voters down, makes changes, and reads the traffic, the
-// processor time and the memory of the three processes.
+// Run starts the voters, then the nodes below them, makes changes, and reads the traffic, the
+// processor time and the memory of the three real processes.
 func (roles) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	folder, err := os.MkdirTemp(o.Folder, "roles-")
 	if err != nil {
@@ -95,7 +95,7 @@
 	return s, nil
 }
 
-// measure makes changes for the observed time, and sets the metrics of each process.
+// measure makes changes for Options.Duration, and sets the metrics of each real process.
 func (r *roleFleet) measure(ctx context.Context, s *results.Sample) error {
 	r.propagation.reset()
 	random := rand.New(rand.NewPCG(r.options.Seed, rolesSeed))
@@ -141,9 +141,9 @@
 	return nil
 }
 
-// bytesPerS returns the bytes per second that a process last logged. The figure of a voter covers
-// all connections of the record, which subscribers use as well; the figures of the other processes
-// cover the connections of distribution.
+// bytesPerS returns the bytes per second that a process last logged. For a voter, they are the
+// bytes on all connections of the record, which subscribers use as well. For the other processes,
+// they are the bytes on the connections of distribution.
 func (r *roleFleet) bytesPerS(role string) (sum float64, err error) {
 	event := logDistributionStatus
 	keys := []string{logInBytes, logOutBytes}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -11,17 +11,17 @@
 	"wheelrill/scale/results"
 )
 
-// Options holds the parameters of a run that the caller sets.
+// Options holds the parameters of a run that its caller sets.
 type Options struct {
-	Duration time.Duration     // how long each size is observed
+	Duration time.Duration     // time for which each size is observed
 	Seed     uint64            // seed of all random numbers
-	Voters   int               // number of raft voters, where the size does not determine it
+	Voters   int               // number of raft voters, for measurements whose size does not determine it
 	Program  string            // path of the executable that is run as a controller
-	Folder   string            // folder of logs and configurations of the processes; a temporary one if empty
-	Progress func(text string) // receives progress messages; may be nil
+	Folder   string            // folder for logs and configurations of the processes; if empty, a temporary one
+	Progress func(text string) // called with the text of each progress message; may be nil
 }
 
-// progressf reports progress to Options.Progress.
+// progressf formats a progress message, and passes it to Options.Progress if that is set.
 func (o Options) progressf(format string, args ...any) {
 	if o.Progress != nil {
 		o.Progress(fmt.Sprintf(format, args...))
@@ -30,10 +30,10 @@
 
 // Description describes a measurement.
 type Description struct {
-	Name      string           // name of the measurement, and of the file of its runs
+	Name      string           // name of the measurement, and of the file in which its run is stored
 	About     string           // what is measured, in a sentence
 	SizeUnit  string           // unit of the sizes, such as members
-	Sizes     []int            // default sizes
+	Sizes     []int            // sizes that are measured by default
 	Targets   []int            // sizes at which fits are evaluated, such as the size expected in two years
 	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
 	Metrics   []results.Metric // metrics of each sample
@@ -41,25 +41,26 @@
 
 // Needs holds the estimated memory, processes and time that a measurement of one size takes.
 type Needs struct {
-	Memory    int64         // in bytes
-	Processes int           // processes in addition to this one
-	Time      time.Duration // expected duration; a size that takes twice as long is aborted
-	// Why the size cannot be measured with the given options on any machine; empty if it can be
-	// measured.
+	Memory    int64         // estimated bytes of memory
+	Processes int           // number of processes that run in addition to this one
+	Time      time.Duration // expected duration; a measurement of the size that takes twice as long is aborted
+	// Refusal is the reason why the size cannot be measured on any machine with the given options.
+	// It is empty if the size can be measured.
 	Refusal string
 }
 
-// Measurement measures one aspect of a deployment at a size.
+// Measurement measures one aspect of a deployment, at one size at a time.
 type Measurement interface {
 	// Describe returns the name, the sizes and the metrics of the measurement.
 	Describe() Description
-	// Needs estimates the memory, processes and time that a size takes.
+	// Needs estimates the memory, processes and time that the measurement of a size takes.
 	Needs(size int, options Options) Needs
-	// Run measures a size. It returns an error if the context ends before the measurement does.
+	// Run measures one size. It returns an error if the context ends before the measurement is
+	// complete.
 	Run(ctx context.Context, size int, options Options) (results.Sample, error)
 }
 
-// Measurements returns all measurements, in the order in which they are listed.
+// Measurements returns all measurements, in the order in which users see them listed.
 func Measurements() []Measurement {
 	return []Measurement{
 		recordReal{},
@@ -94,9 +95,10 @@
 	return nil, fmt.Errorf("there is no measurement %q; the measurements are %s", name, strings.Join(names, ", "))
 }
 
-// MeasureSizes runs a measurement at each of the sizes, by default those of its description, and
-// fits the results. Before it starts, it returns a *RefusedError if a size cannot be measured, or
-// needs more memory, processes or time than a run may take.
+// MeasureSizes runs a measurement at each of the given sizes, and fits the results. Without given
+// sizes, it uses the sizes of the measurement's description. It starts nothing and returns a
+// *RefusedError if a size cannot be measured, or needs more memory, processes or time than a run
+// may take.
 func MeasureSizes(ctx context.Context, m Measurement, sizes []int, options Options) (*results.Run, error) {
 	description := m.Describe()
 	if len(sizes) == 0 {
@@ -141,8 +143,8 @@
 	return run, nil
 }
 
-// buildRevision returns the commit that the program was built from, or "" if the build did not
-// record it.
+// buildRevision returns the abbreviated hash of the commit that the program was built from, or ""
+// if the build did not record the commit.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -156,4 +158,4 @@
 	return ""
 }
 
-const revisionDigits = 7 // length of an abbreviated commit, as git shows it
+const revisionDigits = 7 // number of digits of an abbreviated commit hash, the same as in git's output
--- a/scale/tree_checks.go
+++ b/scale/tree_checks.go
@@ -24,8 +24,8 @@
 // maxNamedWaiting is the largest number of waiting nodes that an error names.
 const maxNamedWaiting = 8
 
-// describeWaiting names some of the nodes that have no configuration, with their scopes, parents,
-// dials and refusals.
+// describeWaiting describes up to maxNamedWaiting of the nodes that have no configuration: their
+// scopes, their parents, and how often they dialed a parent and were refused.
 func describeWaiting(nodes []*hollowSubscriber) string {
 	var text []string
 	for _, s := range nodes {
@@ -40,15 +40,16 @@
 	return strings.Join(text, "; ")
 }
 
-// checkRandomSubscribers compares random subscribers with the content, each at its own revision.
+// checkRandomSubscribers compares random subscribers with the content, each at the subscriber's own
+// revision.
 func (t *tree) checkRandomSubscribers(random *rand.Rand) {
 	for range checksAtOnce {
 		t.subscribers[random.IntN(len(t.subscribers))].check(t.content, 0)
 	}
 }
 
-// settle waits until all nodes have applied the last change, for at most maxPropagationSeconds.
-// Then it compares all nodes with the content.
+// settle waits for at most maxPropagationSeconds until all nodes have applied the last change.
+// After the wait it compares all nodes with the content.
 func (t *tree) settle(ctx context.Context) error {
 	last := t.content.lastRevision()
 	await(ctx, maxPropagationSeconds*time.Second, func() bool { return countBehind(t.nodes(), t.content, last) == 0 })
@@ -56,7 +57,8 @@
 	return ctx.Err()
 }
 
-// parentsLost counts how often running nodes have lost or left a parent.
+// parentsLost returns how often the links of running nodes to their parents have ended or been
+// closed.
 func (t *tree) parentsLost() int64 {
 	var lost atomic.Int64
 	forEachNode(t.nodes(), func(s *hollowSubscriber) {
@@ -67,7 +69,9 @@
 	return lost.Load()
 }
 
-// needlessSnapshots counts the installed snapshots beyond the one that each incarnation needs.
+// needlessSnapshots returns the number of installed snapshots minus the number of started
+// incarnations, because each incarnation needs one snapshot. It returns 0 if the difference is
+// negative.
 func (t *tree) needlessSnapshots() int64 {
 	var taken atomic.Int64
 	forEachNode(t.nodes(), func(s *hollowSubscriber) {
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -17,17 +17,17 @@
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // only a wrong argument makes it fail
+		panic(err) // Getrusage fails only if it is called with a wrong argument
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// threadTime returns the processor time that this thread has taken so far. The calling goroutine
-// has to be locked to its thread.
+// threadTime returns the processor time that the present thread has taken so far. The calling
+// goroutine has to be locked to its thread.
 func threadTime() time.Duration {
 	var clock unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock); err != nil {
-		panic(err) // only a wrong argument makes it fail
+		panic(err) // ClockGettime fails only if it is called with a wrong argument
 	}
 	return time.Duration(clock.Nano())
 }
@@ -39,21 +39,21 @@
 	return processorTime() - began
 }
 
-// heapInUse returns the bytes of heap in use after a garbage collection.
+// heapInUse returns the number of heap bytes in use after two garbage collections.
 func heapInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // the first one may leave objects that finalizers hold
+	runtime.GC() // the first collection may leave objects that finalizers still hold
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
 }
 
 // usage holds the resources that a process has taken, according to /proc/PID/stat. The processor
-// time is precise to a hundredth of a second, which is enough over the seconds that a size is
-// observed. Shorter spans need preciseUsage.
+// time is precise to a hundredth of a second, which is enough for the seconds that a size is
+// observed. Measurements of shorter spans need preciseUsage.
 type usage struct {
 	processor time.Duration // processor time since the start of the process
-	resident  int64         // resident memory when it was read, in bytes
+	resident  int64         // resident memory in bytes at the time of reading
 }
 
 // readUsage reads the resources that a process has taken from /proc/PID/stat.
@@ -70,11 +70,11 @@
 }
 
 // preciseUsage holds the resources that a process has taken, with processor time to the nanosecond
-// and peak memory. It serves measurements of starts, of single changes, and of peak memory.
+// and with peak memory. Measurements of starts, of single changes and of peak memory use it.
 type preciseUsage struct {
 	processor time.Duration // processor time since the start of the process
-	resident  int64         // resident memory when it was read, in bytes
-	peak      int64         // largest resident memory so far, in bytes
+	resident  int64         // resident memory in bytes at the time of reading
+	peak      int64         // largest resident memory of the process so far, in bytes
 }
 
 // readPreciseUsage reads the resources that a process has taken from its processor clock and from
@@ -94,15 +94,15 @@
 	return u, nil
 }
 
-// processorClock returns the clock of the processor time of another process, as
-// clock_getcpuclockid(3) does.
+// processorClock returns the id of the clock that counts the processor time of a process. It
+// computes the id as clock_getcpuclockid(3) does.
 func processorClock(pid int) int32 {
-	const scheduled = 2 // CPUCLOCK_SCHED of the kernel: time in user and system mode, to the nanosecond
+	const scheduled = 2 // value of the kernel's CPUCLOCK_SCHED: time in user and system mode, precise to the nanosecond
 	return int32(^pid)<<3 | scheduled
 }
 
-// statusBytes returns the figure of a line of /proc/PID/status, which is in kilobytes, as bytes. It
-// returns 0 if the line is missing.
+// statusBytes returns a figure of /proc/PID/status in bytes. The file gives the figure in
+// kilobytes, in the line that begins with key. It returns 0 if the line is missing.
 func statusBytes(status []byte, key string) int64 {
 	_, rest, _ := bytes.Cut(status, []byte("\n"+key))
 	fields := bytes.Fields(rest)
--- a/scale/wait.go
+++ b/scale/wait.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Intervals at which await and awaitClosely check their condition.
+// Intervals at which await and awaitClosely check their conditions.
 const (
 	pollInterval      = 20 * time.Millisecond
-	closePollInterval = time.Millisecond // for waits whose duration is measured
+	closePollInterval = time.Millisecond // interval of awaitClosely, for waits whose duration is measured
 )
 
 // pauseFor waits for the given time. It returns an error if the context ends earlier.
@@ -21,12 +21,13 @@
 	}
 }
 
-// await waits until the condition holds, at most for the given time, and reports whether it holds.
+// await waits until the condition holds, for at most the given time, and reports whether the
+// condition holds.
 func await(ctx context.Context, within time.Duration, holds func() bool) bool {
 	return poll(ctx, within, pollInterval, holds)
 }
 
-// awaitClosely is await with a shorter interval between checks.
+// awaitClosely is like await, but checks the condition at a shorter interval.
 func awaitClosely(ctx context.Context, within time.Duration, holds func() bool) bool {
 	return poll(ctx, within, closePollInterval, holds)
 }
