--- a/distribution/changelog.go
+++ b/distribution/changelog.go
@@ -33,7 +33,7 @@
 // changeLog holds the latest changes, sorted by revision, from which deltas are made. Its owner
 // calls enforceLimits to bound it.
 type changeLog struct {
-	floor   uint64 // the log holds every change after this revision
+	floor   uint64 // the log holds every change that is newer than this revision
 	changes []loggedChange
 	bytes   int // sum of the sizes of all logged changes, in bytes
 }
@@ -57,7 +57,7 @@
 func (l *changeLog) dropOldest() {
 	l.floor = l.changes[0].change.Revision
 	l.bytes -= l.changes[0].size
-	l.changes[0] = loggedChange{} // the array stays allocated; clearing the change releases its entries
+	l.changes[0] = loggedChange{} // clearing the element releases its entries, as the array stays allocated
 	l.changes = l.changes[1:]
 }
 
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// changeInScopes returns a change with only its entries in some scopes, and whether there are such
-// entries.
+// changeInScopes returns a copy of a change that holds only the entries in the given scopes, and
+// reports whether the copy holds any entry.
 func changeInScopes(change Change, scopes Scopes) (part Change, found bool) {
 	if scopes.All {
 		return change, len(change.Entries) > 0
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -32,7 +32,7 @@
 	snapshot          *outgoingSnapshot // the snapshot that is being sent to the child; nil if there is none
 	unconfirmedSizes  []int             // sizes in bytes of unconfirmed messages; at most maxUnconfirmedMessages
 	unconfirmedBytes  int               // sum of unconfirmedSizes, in bytes
-	confirmedMessages uint64            // number of confirmed messages since the last Admitted, which counts too
+	confirmedMessages uint64            // messages confirmed since the last Admitted, including that Admitted
 }
 
 func (n *Node) childByLink(link Link) *child {
@@ -96,7 +96,9 @@
 		child.confirmedMessages++
 	}
 	n.sendDeltas(child, now)
-	if child.snapshot != nil { // pieces do not wait for Tick: a child can confirm several windows between two ticks
+	if child.snapshot != nil {
+		// The next snapshot pieces are sent without waiting for Tick, because a child can confirm
+		// several windows of bytes between two ticks.
 		n.refillSnapshotCredit(now)
 		n.sendSnapshotPieces(now)
 	}
--- a/distribution/content.go
+++ b/distribution/content.go
@@ -17,8 +17,8 @@
 	return false
 }
 
-// contentComplete reports whether the content of the store is not in doubt, and covers exactly the
-// scopes to which the node subscribes now.
+// contentComplete reports whether the store covers exactly the scopes to which the node subscribes
+// now, and no wrong digest has put its content in doubt.
 func (n *Node) contentComplete() bool {
 	return !n.contentInDoubt && n.store.covered.Equal(n.config.Scopes)
 }
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// onlyConn returns the connection of a member that has dialled one, and fails the test if it has
-// dialled none.
+// onlyConn returns the oldest connection that a member has dialled, and fails the test if there is
+// none. Its callers expect a single connection.
 func (c *cluster) onlyConn(t *testing.T, m *member) *conn {
 	t.Helper()
 	for _, conn := range c.conns {
@@ -174,7 +174,7 @@
 }
 
 // A rate of more than one window per Tick must be reached: a Renew that confirms pieces makes the
-// parent send the next ones at once. Otherwise the parent would send at most one window per Tick.
+// parent send the next pieces at once. Otherwise the parent would send at most one window per Tick.
 func TestHighSnapshotRateIsReachedBetweenTicks(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 16 * mebibyte
--- a/distribution/entry.go
+++ b/distribution/entry.go
@@ -21,7 +21,7 @@
 	// revision of the change.
 	Revision uint64 `cbor:"4,keyasint,omitempty"`
 	// Deleted marks a tombstone, which is kept until compaction so that the deletion reaches
-	// children that were disconnected when it was made.
+	// children that were disconnected when the entry was deleted.
 	Deleted bool `cbor:"5,keyasint,omitempty"`
 	// AcceptedAt is the wall time in microseconds at which a voter accepted the change that set the
 	// entry; the time since a drain began is measured from it. Within a Change, zero stands for the
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -15,7 +15,7 @@
 // Reasons to close a link.
 const (
 	CloseSilent         CloseReason = iota + 1 // no message or Renew within a lease, or too many unconfirmed messages
-	CloseNotChosen                             // another peer admitted this node first, or the current parent is as good
+	CloseNotChosen                             // another peer admitted this node first, or the place is not better
 	CloseReplaced                              // the child subscribed again on another link
 	CloseRefused                               // the parent refused the child a place, or revoked the place
 	CloseTimedOut                              // no admission, answer or Subscribe arrived within Limits.Handshake
@@ -24,13 +24,13 @@
 	CloseConflict                              // the parent's epoch has the node's epoch number and another identity
 	CloseNotCovered                            // the parent no longer covers the child's scopes
 	CloseMalformed                             // a message breaks a rule, or recovery failed maxRecoveries times
-	CloseTooLarge                              // the received state would exceed Limits.StateBytes
+	CloseTooLarge                              // a message would make the state exceed Limits.StateBytes
 )
 
 var closeNames = [...]string{"none", "silent", "not chosen", "replaced", "refused", "timed out", "outdated parent",
 	"loop", "conflict", "not covered", "malformed", "too large"}
 
-// String returns the text of the reason that log lines contain.
+// String returns the text that stands for the reason in log lines.
 func (r CloseReason) String() string { return enumName(closeNames[:], int(r)) }
 
 // EventKind identifies the occurrence that an Event reports, such as a lost parent.
@@ -61,7 +61,7 @@
 	"child lost", "gap", "wrong digest", "older refused", "epoch conflict", "snapshot sent",
 	"snapshot installed", "compacted", "malformed", "too large", "source stale", "source current"}
 
-// String returns the text of the kind that log lines contain.
+// String returns the text that stands for the kind in log lines.
 func (k EventKind) String() string { return enumName(eventNames[:], int(k)) }
 
 // Event reports an occurrence to the host's log. The controller logs each event with the attributes
--- a/distribution/incoming_snapshot.go
+++ b/distribution/incoming_snapshot.go
@@ -5,7 +5,7 @@
 type incomingSnapshot struct {
 	store      *store
 	nextIndex  int          // index of the next expected piece
-	progressAt Microseconds // time at which the last piece arrived
+	progressAt Microseconds // time at which the most recent piece arrived
 }
 
 // handleSnapshotPiece adds a piece to the incoming snapshot, and installs the snapshot after its
--- a/distribution/key_test.go
+++ b/distribution/key_test.go
@@ -82,7 +82,7 @@
 }
 
 // addKey adds to the key the fields that determine the behaviour of a node. Times are relative to
-// now; all past times of eight modelSteps or more count as equal.
+// now; all times that lie eight modelSteps or more in the past count as equal.
 func (n *Node) addKey(k *keyWriter, now int64) {
 	since := func(at int64) int64 { return min((now-at)/modelStep, 8) }
 	until := func(at int64) int64 { return max(at-now, 0) }
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -80,7 +80,8 @@
 // Defaults of the limits: times in microseconds, sizes in bytes.
 const (
 	DefaultHeartbeat = second
-	// With this lease, the children of a silent parent get changes from another parent within 3 s.
+	// With this DefaultLease, the children of a silent parent get changes from another parent within
+	// 3 s.
 	DefaultLease        = 1800 * millisecond
 	DefaultHandshake    = 3 * second
 	DefaultMaxStaleness = 5 * second
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -57,8 +57,8 @@
 
 // Reasons of a refusal.
 const (
-	RefusedFull       RefusalReason = iota + 1 // Limits.FanOut children have a place already
-	RefusedBusy                                // Limits.MaxSnapshots snapshots are under way or due
+	RefusedFull       RefusalReason = iota + 1 // the parent already has Limits.FanOut children
+	RefusedBusy                                // the parent already has Limits.MaxSnapshots snapshots under way or due
 	RefusedNotCovered                          // the parent does not cover all requested scopes
 	RefusedLoop                                // the child is an ancestor of the parent, or the parent itself
 	RefusedTooDeep                             // the tree would be deeper than Limits.MaxDepth
@@ -70,7 +70,7 @@
 var refusalNames = [...]string{"none", "full", "busy", "not covered", "loop", "too deep", "empty", "malformed",
 	"epoch conflict"}
 
-// String returns the text of the reason that log lines contain.
+// String returns the text that stands for the reason in log lines.
 func (r RefusalReason) String() string { return enumName(refusalNames[:], int(r)) }
 
 // Refused denies the receiver a place, or revokes the place that it has.
@@ -149,7 +149,7 @@
 type Renew struct {
 	// Version is the version that the child holds.
 	Version Version `cbor:"1,keyasint,omitempty"`
-	// Received counts the messages of the parent on this link since its last Admitted, which counts
-	// too.
+	// Received is the number of messages that the child has received from the parent on this link
+	// since the parent's last Admitted, including that Admitted.
 	Received uint64 `cbor:"2,keyasint,omitempty"`
 }
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -17,10 +17,10 @@
 	conns       []*conn
 	dials       []dial
 	cuts        map[[2]string]bool // by namePair: the members' connections are closed, and dials between them fail
-	hung        map[[2]string]bool // by namePair: nothing arrives between the members, which are not notified
+	hung        map[[2]string]bool // by namePair: nothing arrives between the members, and neither gets an error
 	encode      bool               // each message is encoded by its sender and decoded for its receiver
 	epoch       Epoch
-	record      []Change                           // accepted changes of the current epoch
+	record      []Change                           // changes of the simulated record in the current epoch
 	expected    map[Epoch]map[uint64]map[Key]Entry // the whole expected configuration, by epoch and revision
 	randomState uint64
 	// messageKeys caches the key of each message of the model, which is computed once.
@@ -61,9 +61,9 @@
 // conn is a connection of two members, with the messages that were sent and are not delivered yet.
 type conn struct {
 	dialer, acceptor *member
-	links            [2]Link      // the link of the dialer's node, the link of the acceptor's node
-	queues           [2][]Message // queued messages to the dialer, queued messages to the acceptor
-	closed           [2]bool      // the dialer has closed the connection, the acceptor has closed it
+	links            [2]Link      // at index 0 the link of the dialer's node, at 1 the link of the acceptor's node
+	queues           [2][]Message // at index 0 the messages to the dialer, at 1 the messages to the acceptor
+	closed           [2]bool      // at index 0: the dialer has closed the connection; at 1: the acceptor has
 }
 
 func newCluster() *cluster {
@@ -186,7 +186,7 @@
 // accept adds a change to the record; follow passes it to the voters.
 func (c *cluster) accept(entries ...Entry) {
 	change := Change{Epoch: c.epoch, Revision: uint64(len(c.record) + 1), Entries: entries}
-	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two changes have the same time
+	change.AcceptedAt = int64(change.Revision)*second + int64(c.epoch.Number) // no two changes have the same AcceptedAt
 	c.expectedAt(c.epoch, change.Revision-1)
 	next := maps.Clone(c.expected[c.epoch][change.Revision-1])
 	for _, e := range withDefaults(change) {
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -57,7 +57,7 @@
 	store  *store
 	counts Counts
 
-	// State of this node as the parent of its children.
+	// The fields up to lastServedChild hold the state of this node as the parent of its children.
 	lastLink          Link
 	unsubscribedLinks []unsubscribedLink // accepted links without a Subscribe; at most FanOut+maxExtraUnsubscribed
 	children          []*child           // children in the order of their admission; at most Limits.FanOut
@@ -65,17 +65,17 @@
 	creditRefilledAt  Microseconds
 	lastServedChild   int // index of the child that was sent the last snapshot piece
 
-	// State of this node as the child of its parent.
+	// The fields up to consecutiveRefusals hold the state of this node as the child of its parent.
 	parent              *parentLink       // link to the parent; nil without a parent
 	attempts            []*parentLink     // links to peers that were asked for a place; at most maxAttempts
 	incomingSnapshot    *incomingSnapshot // the snapshot that is being received; nil if there is none
 	contentInDoubt      bool              // a digest did not match, so only a complete snapshot is accepted
 	candidates          []candidate       // possible parents: the configured ones, then at most MaxCandidates learned ones
 	nextDialAt          Microseconds
-	consecutiveFailures int // failed attempts and lost parents since the source was last known to be current
-	consecutiveRefusals int // refusals since this node last got a place
+	consecutiveFailures int // number of failed attempts and lost parents since the source was last known to be current
+	consecutiveRefusals int // number of refusals since this node last got a place
 
-	sourceCurrentAt   Microseconds // time at which the source was last known to be current
+	sourceCurrentAt   Microseconds // last time at which this node held all that the voters' record held
 	sourceEverCurrent bool
 	loggedStale       bool // EventSourceStale was logged after the last EventSourceCurrent
 
@@ -88,14 +88,16 @@
 	n := &Node{config: config, host: host, limits: config.Limits, creditRefilledAt: now, nextDialAt: now}
 	if config.Voter {
 		n.config.Scopes = AllScopes()
-		n.config.Floor = Version{} // a floor would refuse the record's log, which is replayed from an older state
+		// With a floor, a voter would refuse the changes of the record's log, which is replayed from
+		// an older state at a restart.
+		n.config.Floor = Version{}
 	}
 	n.snapshotCredit = int64(n.limits.PieceBytes) * microsecondsPerSecond
 	n.store = newStore(Version{}, n.config.Scopes)
 	for _, peer := range config.Candidates {
 		n.addCandidate(peer, true)
 	}
-	n.nextDialAt += n.jitter(n.limits.MinBackoff) // spreads the dials of nodes that start at the same time
+	n.nextDialAt += n.jitter(n.limits.MinBackoff) // the jitter spreads the dials of nodes that start together
 	return n
 }
 
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -15,8 +15,8 @@
 // byte: a rate of one byte per second adds one unit of credit per microsecond.
 const microsecondsPerSecond = second
 
-// creditsPerSecond bounds the unused credit to the bytes that the rate permits in
-// 1/creditsPerSecond seconds, or to one piece if that is more.
+// creditsPerSecond bounds the unused credit: it is at most the bytes that the rate permits in
+// 1/creditsPerSecond seconds or the size of one piece, whichever is more.
 const creditsPerSecond = 4
 
 // snapshotsPending counts the snapshots that are under way or due. A child that waits for a
@@ -78,12 +78,15 @@
 	return int64(bytesLeft) * microsecondsPerSecond / int64(max(n.limits.SnapshotBytesPerSecond, 1))
 }
 
-// refillSnapshotCredit adds the credit for the time since the last refill, up to the size of one
-// piece, or to the bytes that the rate permits in 1/creditsPerSecond seconds if that is more.
+// refillSnapshotCredit adds the credit for the time since the last refill. The resulting credit is
+// at most the size of one piece or the bytes that the rate permits in 1/creditsPerSecond seconds,
+// whichever is more.
 func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
-	elapsed := min(now-n.creditRefilledAt, second) // more time adds nothing to the bounded credit, and could overflow
+	// A longer time would add little or nothing, as the credit is bounded, and its product with the
+	// rate could overflow.
+	elapsed := min(now-n.creditRefilledAt, second)
 	n.snapshotCredit = min(n.snapshotCredit+elapsed*pace, bound)
 	n.creditRefilledAt = now
 }
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -10,20 +10,20 @@
 	peer           string
 	dialedAt       Microseconds
 	connected      bool
-	lastReceivedAt Microseconds // time at which the last message arrived; before the first message, time of the dial
+	lastReceivedAt Microseconds // time of the most recent message; before the first message, time of the dial
 
 	subscribing      bool   // a Subscribe is unanswered; messages before its answer belong to an earlier Subscribe
 	lastRequest      uint64 // request number of the last Subscribe on this link
 	subscribeSentAt  Microseconds
-	recoveryRequests int // requests because of a gap or a wrong digest, since a message was last applied
+	recoveryRequests int // recovery requests after a gap or a wrong digest, since a message was last applied
 
 	admittedAt       Microseconds
-	lease            Microseconds // time of the lease in µs, as granted by the parent
+	lease            Microseconds // duration of the lease in µs, as granted by the parent
 	path             []string     // names of the nodes from the voter down to the parent
 	behind           bool         // the parent's version is older than this node's
 	behindSince      Microseconds // time at which behind became true; used only while behind is true
-	receivedMessages uint64       // number of messages received since the last Admitted, which counts too
-	unconfirmedBytes int          // number of bytes received since the last Renew was sent
+	receivedMessages uint64       // messages from the parent since its last Admitted, including that Admitted
+	unconfirmedBytes int          // bytes received from the parent since this node's last Renew
 }
 
 func (n *Node) attemptByLink(link Link) *parentLink {
@@ -73,7 +73,7 @@
 func (n *Node) handleAdmitted(place *parentLink, m *Admitted, now Microseconds) {
 	n.learnCandidates(m.Candidates, false)
 	if m.Request != place.lastRequest {
-		return // this Admitted answers an earlier Subscribe; messages after it may have other scopes
+		return // this Admitted answers an earlier Subscribe; the messages that follow may be for other scopes
 	}
 	place.subscribing = false
 	place.receivedMessages = 1
--- a/distribution/parent_search.go
+++ b/distribution/parent_search.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// attemptFailed removes an attempt, whose link is closed already, and delays the next dial to this
-// peer and the next dial to any peer.
+// attemptFailed removes a failed attempt to get a place at a peer, whose link is closed already, and
+// delays the next dial to that peer and the next dial to any peer.
 func (n *Node) attemptFailed(attempt *parentLink, now Microseconds) {
 	n.removeAttempt(attempt)
 	n.recordFailure(attempt.peer, now)
@@ -84,8 +84,8 @@
 	n.attempts = slices.DeleteFunc(n.attempts, func(other *parentLink) bool { return other == attempt })
 }
 
-// declinePlace closes the link of a granted place that is unusable or not better than the current
-// one, and delays the next dial.
+// declinePlace closes the link of a granted place that is unusable or not better than the place at
+// the current parent, and delays the next dial.
 func (n *Node) declinePlace(place *parentLink, reason CloseReason, now Microseconds) {
 	if place == n.parent {
 		n.leaveParent(reason, now)
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -43,7 +43,8 @@
 		isHeartbeat = true
 		n.handleHeartbeat(parent, m, now)
 	}
-	hasPlace := parent == n.parent && !parent.subscribing // a handler above may have left the parent or subscribed again
+	// The call that handled the message may have left the parent or sent it another Subscribe.
+	hasPlace := parent == n.parent && !parent.subscribing
 	renewDue := parent.unconfirmedBytes >= n.limits.Window/renewsPerWindow
 	if hasPlace && (isHeartbeat || renewDue) {
 		n.host.Send(parent.link, &Renew{Version: n.store.version, Received: parent.receivedMessages})
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -44,7 +44,7 @@
 // voter decides by itself whether a proposal is accepted.
 const (
 	MaxChangeBytes = 512 * kibibyte
-	MaxKeyBytes    = 512 // maximum size of a scope, and of a name
+	MaxKeyBytes    = 512 // maximum size in bytes of a scope, and of a name
 	MaxStateBytes  = DefaultStateBytes
 )
 
@@ -88,7 +88,7 @@
 	r.store.version.Epoch = version.Epoch
 	r.store.commit(batch.changes[0])
 	limits := DefaultLimits()
-	limits.LogChanges = 0 // deltas are made from the log of the voter's Node, not of its Record
+	limits.LogChanges = 0 // a Record needs no log: the voter's Node makes deltas from its own log
 	r.store.compact(limits)
 	return change, nil
 }
--- a/distribution/size.go
+++ b/distribution/size.go
@@ -1,13 +1,14 @@
 package distribution
 
-// Estimates of encoded sizes in bytes, without the bytes of the texts and values themselves. The
-// estimates only have to be close enough for the bounds on memory and on unconfirmed bytes.
+// Estimated numbers of bytes that the parts of a message take on the wire, apart from the contents
+// of strings and values. The estimates only have to be close enough for the bounds on memory and on
+// unconfirmed bytes.
 const (
-	fixedSize   = 16 // size of a message or a change without its lists
-	entrySize   = 24 // size of an entry without its texts and its value
+	fixedSize   = 16 // bytes for a message or a change without its lists, names, versions and digest
+	entrySize   = 24 // bytes for an entry, in addition to its scope, name and value
 	versionSize = 24
 	digestSize  = 20
-	textSize    = 2 // size of a text without its characters
+	textSize    = 2 // bytes for the length header of a string in a list
 )
 
 func textsSize(texts []string) int {
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -16,7 +16,8 @@
 	Refusals uint64
 	// RefusedByParents counts the Refused messages received from parents.
 	RefusedByParents uint64
-	// GapsSeen counts the messages that did not follow the version of this node.
+	// GapsSeen counts the messages that could not be applied because they required another version
+	// than this node held.
 	GapsSeen uint64
 	// WrongDigests counts the messages whose digest differs from the digest of the content that
 	// they would have resulted in.
@@ -26,7 +27,7 @@
 	OlderRefused uint64
 	// ParentsLost counts the parents whose link ended or was closed.
 	ParentsLost uint64
-	// Dials counts the dials of possible parents.
+	// Dials counts this node's dials to possible parents.
 	Dials uint64
 }
 
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -67,7 +67,7 @@
 	index, found := slices.BinarySearchFunc(scope.entries, entry.Name, compareName)
 	if found {
 		old := scope.entries[index]
-		entry.Scope, entry.Name = old.Scope, old.Name // the new entry shares the texts of the replaced one
+		entry.Scope, entry.Name = old.Scope, old.Name // the new entry shares the strings of the replaced entry
 		s.addToTotals(old, -1)
 		scope.entries[index] = entry
 	} else {
@@ -90,7 +90,8 @@
 	s.putWithDigest(entry, entryDigest(entry).subtract(entryDigest(old)))
 }
 
-// addToTotals adds an entry to the totals if sign is 1, and subtracts the entry if sign is -1.
+// addToTotals adds an entry to the total size and to the number of entries that are not tombstones
+// if sign is 1, and subtracts the entry from both if sign is -1.
 func (s *store) addToTotals(entry Entry, sign int) {
 	s.bytes += sign * entry.size()
 	if !entry.Deleted {
@@ -185,9 +186,9 @@
 type deltaSource uint8
 
 const (
-	noDelta          deltaSource = iota // no delta from another epoch, a later revision, or one before log and tombstones
-	deltaFromLog                        // the delta holds changes of the log
-	deltaFromEntries                    // one merged change of all later entries; no delta if over the batch size
+	noDelta          deltaSource = iota // the version has another epoch, is later, or precedes log and tombstones
+	deltaFromLog                        // the delta holds the later changes of the log
+	deltaFromEntries                    // the delta is one merged change of all later entries, if that fits one batch
 )
 
 func (s *store) deltaSourceFor(from Version) deltaSource {
@@ -243,8 +244,8 @@
 	return delta, true
 }
 
-// compact drops the oldest changes of the log and the oldest tombstones over the limits. It reports
-// whether it dropped any change of the log.
+// compact drops the oldest changes of the log and the oldest tombstones until both are within the
+// limits. It reports whether it dropped any change of the log.
 func (s *store) compact(limits Limits) bool {
 	dropped := s.log.enforceLimits(limits.LogChanges, limits.LogBytes)
 	for len(s.tombstones.queue) > limits.Tombstones {
--- a/distribution/tombstones.go
+++ b/distribution/tombstones.go
@@ -4,7 +4,7 @@
 
 // tombstoneQueue lists the deleted entries, sorted by revision.
 type tombstoneQueue struct {
-	horizon uint64 // no tombstone after this revision is missing
+	horizon uint64 // the queue holds every tombstone that is newer than this revision
 	queue   []tombstone
 }
 
@@ -26,7 +26,7 @@
 // pop removes the oldest tombstone from the queue, and raises the horizon to its revision.
 func (t *tombstoneQueue) pop() tombstone {
 	oldest := t.queue[0]
-	t.queue[0] = tombstone{} // the array stays allocated; clearing the tombstone releases its key
+	t.queue[0] = tombstone{} // clearing the element releases its key, as the array stays allocated
 	t.queue = t.queue[1:]
 	t.horizon = max(t.horizon, oldest.revision)
 	return oldest
--- a/distribution/transcript_test.go
+++ b/distribution/transcript_test.go
@@ -19,7 +19,8 @@
 
 func newTranscript() *transcript { return &transcript{xxhash.New()} }
 
-// note adds a call to the host of a member. A nil transcript records nothing.
+// note adds to the transcript a call that the node of a member makes to its host. A nil transcript
+// records nothing.
 func (t *transcript) note(m *member, format string, args ...any) {
 	if t != nil {
 		fmt.Fprintf(t.sum, "%d %s ", m.cluster.now, m.config.Name)
@@ -109,11 +110,13 @@
 		}
 	case 9:
 		m.kill()
-		m.config.Floor = Version{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1} // conflicts with the record's epoch
+		// The epoch of this floor conflicts with the epoch of the record.
+		m.config.Floor = Version{Epoch{u.epoch.Number, u.epoch.Identity + 1000}, 1}
 		m.start(State{})
 	case 10:
 		v := u.randomMember(u.voters)
-		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now) // this change is older than the record
+		// The voter refuses this change, which is older than the record.
+		v.node.Accepted(Change{Epoch: Epoch{1, 1}, Revision: 1}, u.now)
 		v.hasLeader = false
 		v.kill()
 		v.start(State{})
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -22,16 +22,18 @@
 // while messages wait to be written, so that an idle link costs one goroutine.
 type link struct {
 	transport *Transport
-	id        distribution.Link      // used only on the event loop
+	id        distribution.Link      // identifier by which the node knows the link; used only on the event loop
 	allowed   func(name string) bool // reports whether the peer may subscribe under a name; nil allows all names
 	cancel    context.CancelFunc     // cancels the dial of the link; nil for an accepted link
 
 	mutex       sync.Mutex             // guards the fields below
 	conn        net.Conn               // connection to the peer; nil until the dial has succeeded; set once
 	queue       []distribution.Message // messages that wait for the writer; at most Bounds.QueueCount
-	queuedBytes int                    // estimated sizes of messages queued or being written; at most Bounds.QueueBytes
+	queuedBytes int                    // estimated bytes of messages queued or being written; at most Bounds.QueueBytes
 	writing     bool                   // a writer goroutine runs
-	closing     bool                   // send drops messages; the connection is closed once the queue is empty
+	// closing is set by close and abort: send then drops messages, and the connection is closed once
+	// the queue is empty.
+	closing bool
 }
 
 // attach sets the connection of a dialled link. It returns false if the link was closed before.
@@ -114,7 +116,7 @@
 			return
 		}
 		if !l.writeBatch(batch, messages) {
-			l.abort() // the reader then gets an error and posts eventClosed
+			l.abort() // closes the connection, so that the reader fails and posts eventClosed
 			return
 		}
 	}
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -103,7 +103,7 @@
 	mutex           sync.Mutex
 	values          map[distribution.Key]string
 	events          []distribution.Event
-	completeChanges int // number of applied changes that hold the whole configuration
+	completeChanges int // number of calls of Apply with complete set
 }
 
 // newPeer returns a peer that stores its changes and events. Its transport does not run yet.
@@ -141,7 +141,9 @@
 		stopRunning()
 		stopListening()
 	})
-	t.Cleanup(p.stop) // runs before the cleanup of listen, which waits for connections that the transport ends
+	// This cleanup runs before the cleanup of listen, which waits for the end of connections: the
+	// transport ends these connections when it stops.
+	t.Cleanup(p.stop)
 	return p
 }
 
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -18,10 +18,10 @@
 	bounds    Bounds
 	startedAt time.Time
 	mailbox   chan event    // events that Run handles; capacity Bounds.Mailbox; never closed
-	ended     chan struct{} // closed by Run when it ends
+	ended     chan struct{} // channel that Run closes when Run ends
 
-	bytesIn   atomic.Int64 // number of received bytes
-	bytesOut  atomic.Int64 // number of sent bytes
+	bytesIn   atomic.Int64 // number of bytes received on all links
+	bytesOut  atomic.Int64 // number of bytes sent on all links
 	overflows atomic.Int64 // number of links closed because their queue was full
 
 	// The four fields below are accessed only on the event loop.
@@ -31,11 +31,11 @@
 	ctx             context.Context
 
 	mutex               sync.Mutex         // guards the three fields below
-	openLinks           map[*link]struct{} // links with a connection, which closeAll aborts
+	openLinks           map[*link]struct{} // the links that have a connection; closeAll aborts them
 	closed              bool               // Run has ended, and register adds no further links to openLinks
 	acceptedConnections int                // number of open accepted connections; at most Bounds.AcceptedConnections
 
-	goroutines sync.WaitGroup // dials with their readers, and writers; Run waits for all of them
+	goroutines sync.WaitGroup // one goroutine per dial, which also reads, and one per writer; Run waits for all
 }
 
 // event is an input of the event loop. Its kind determines which of the other fields are set.
@@ -53,7 +53,7 @@
 	eventAccepted                    // a connection was accepted
 	eventConnected                   // a dial succeeded
 	eventDialFailed                  // a dial failed
-	eventReceived                    // a message was read
+	eventReceived                    // a message from the peer was read
 	eventClosed                      // the connection has ended
 )
 
@@ -82,7 +82,8 @@
 	t.ctx = ctx
 	defer t.goroutines.Wait()
 	defer t.closeAll()
-	tick := time.NewTimer(rand.N(t.bounds.Tick)) // spreads the ticks of many transports in one process
+	// The random first interval spreads the ticks of many transports in one process.
+	tick := time.NewTimer(rand.N(t.bounds.Tick))
 	defer tick.Stop()
 	for {
 		select {
@@ -140,7 +141,8 @@
 // reportOverflowedLinks calls the node's Closed for the links that were aborted because their queue
 // was full.
 func (t *Transport) reportOverflowedLinks() {
-	for len(t.overflowedLinks) > 0 { // the node's Closed can overflow further links
+	// Closed of the node can send messages that overflow the queues of further links.
+	for len(t.overflowedLinks) > 0 {
 		overflowed := t.overflowedLinks[0]
 		t.overflowedLinks = t.overflowedLinks[1:]
 		if t.links[overflowed.id] == overflowed {
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -103,10 +103,12 @@
 	r := newRecord(v)
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
-	voterAddress := n.remove("v0") // otherwise the subscriber would learn v0 from its parent's path and dial it
+	// The subscriber learns the name v0 from its parent's path. Without an address for v0 it cannot
+	// dial the voter directly.
+	voterAddress := n.remove("v0")
 	var mutex sync.Mutex
 	frozen := make(chan struct{})
-	n.listen(t, "m", func(conn net.Conn) { // "m" forwards all bytes between the subscriber and the voter
+	n.listen(t, "m", func(conn net.Conn) { // peer "m" forwards all bytes between the subscriber and the voter
 		defer conn.Close()
 		to, err := net.Dial("tcp", voterAddress)
 		if err != nil {
@@ -181,7 +183,7 @@
 }
 
 // Guards against an unbounded queue, or delays for other subscribers, when one subscriber reads
-// nothing. Its link has to be closed once the queue is full.
+// nothing. The link of that subscriber has to be closed once its queue is full.
 func TestSubscriberThatReadsNothingIsClosedAndDelaysNoOther(t *testing.T) {
 	n := newNetwork()
 	limits := fastLimits(4)
@@ -192,7 +194,7 @@
 	r.keepCurrent(t)
 	r.accept(t, map[string]string{"a": "1"})
 	s := n.subscriber(t, "s", 0, "v0")
-	clientEnd, serverEnd := net.Pipe() // a pipe has no kernel buffer for unread bytes
+	clientEnd, serverEnd := net.Pipe() // net.Pipe has no buffer: a write blocks until the peer reads
 	defer clientEnd.Close()
 	var serving sync.WaitGroup
 	serving.Go(func() { v.Accept(serverEnd, nil) })
--- a/distribution/transport/wire_test.go
+++ b/distribution/transport/wire_test.go
@@ -18,7 +18,8 @@
 	"wheelrill/internal/golden"
 )
 
-// wireMessage is a message whose encoding is in the golden file, with its name there.
+// wireMessage is a message whose encoding is in the golden file, and the name of its line in that
+// file.
 type wireMessage struct {
 	name    string
 	message distribution.Message
--- a/fake/backend.go
+++ b/fake/backend.go
@@ -24,9 +24,9 @@
 // Outcomes of an attempt.
 const (
 	OutcomeSucceeded Outcome = iota
-	OutcomeFailed            // the request may have run
-	OutcomeRejected          // the request did not run
-	OutcomeTimedOut          // the request may have run, or may still run
+	OutcomeFailed            // the backend answered with a failure; the request may have run
+	OutcomeRejected          // the backend rejected the request, which did not run
+	OutcomeTimedOut          // no answer before the timeout; the request may have run or may still run
 )
 
 // Backend serves up to Cores requests at once, each for ServiceTime, and queues the others. Safe
@@ -43,7 +43,7 @@
 
 	mutex     sync.Mutex // guards the fields below
 	mode      Mode
-	startedAt time.Time     // time of the start; zero if the backend started long ago
+	startedAt time.Time     // time at which the backend started; zero if long ago
 	warmup    time.Duration // time after startedAt for which the backend is cold
 	busyCores int
 	queue     []*queuedRequest
--- a/fake/counts.go
+++ b/fake/counts.go
@@ -2,23 +2,23 @@
 
 // Counts holds the numbers of requests, attempts and pushes at proxies.
 type Counts struct {
-	Requests int // requests received by the proxies
-	Served   int // requests answered within the latency objective
-	Late     int // requests answered after the latency objective
-	Lost     int // requests admitted by a proxy that ended without a successful answer
-	Rejected int // requests that the admission limit of a proxy rejected
+	Requests int // number of requests received by the proxies
+	Served   int // number of requests answered within the latency objective
+	Late     int // number of requests answered after the latency objective
+	Lost     int // number of requests admitted by a proxy that ended without a successful answer
+	Rejected int // number of requests that the admission limit of a proxy rejected
 
 	OfferedValue float64 // sum of the priority weights of all requests
 	ServedValue  float64 // sum of the priority weights of the served requests
 
-	Attempts         int // attempts sent to backends
-	AttemptsIntoHang int // attempts sent to a backend that hung at that time
+	Attempts         int // number of attempts sent to backends
+	AttemptsIntoHang int // number of attempts sent to a backend that hung at that time
 
-	Streams             int // streams on which a controller has sent at least one message
-	Pushes              int // pushes applied by the proxies
-	Lines               int // lines of the applied pushes
-	LinesAtConnect      int // lines of pushes applied within connectWindow after the start of a stream
-	StalePushesRejected int // pushes rejected because they had the fencing token of an older owner
+	Streams             int // number of streams on which a controller has sent at least one message
+	Pushes              int // number of pushes applied by the proxies
+	Lines               int // number of lines of the applied pushes
+	LinesAtConnect      int // number of lines of pushes applied within connectWindow after the start of a stream
+	StalePushesRejected int // number of pushes rejected because they had the fencing token of an older owner
 }
 
 func (c *Counts) add(other Counts) {
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -19,7 +19,7 @@
 	checker *invariant.Checker // receives the published states; may be nil if Publish is never called
 	clock   func() time.Duration
 	closed  chan struct{}  // channel that Close closes, which ends open polls
-	running sync.WaitGroup // the goroutine of the server; Close waits for its end
+	running sync.WaitGroup // counts the goroutine of the server; Close waits for its end
 
 	mutex     sync.Mutex // guards the fields below
 	version   int
--- a/fake/protocol.go
+++ b/fake/protocol.go
@@ -46,7 +46,7 @@
 	Msg     string  `json:"msg"`
 	Proxy   int     `json:"node"`
 	Nonce   int     `json:"nonce"`
-	Latency float64 `json:"latency"` // reported latency, in ms
+	Latency float64 `json:"latency"` // latency that the proxy reports for the push, in ms
 }
 
 // demandReport reports how many requests of a class a proxy received in an interval.
@@ -56,7 +56,7 @@
 	Class    string  `json:"route"`
 	Total    int     `json:"total"`
 	Errors   int     `json:"errors"`
-	Interval float64 `json:"interval"` // length of the interval, in ms
+	Interval float64 `json:"interval"` // length of the reported interval, in ms
 }
 
 // outcomeReport reports the outcomes of the attempts that the proxies of a zone sent to a backend
@@ -68,7 +68,7 @@
 	Total    int     `json:"total"`
 	Errors   int     `json:"errors"`
 	Latency  float64 `json:"rtt"`      // mean latency of the successful attempts, in ms
-	Interval float64 `json:"interval"` // length of the interval, in ms
+	Interval float64 `json:"interval"` // length of the reported interval, in ms
 }
 
 // pushPart is one message of a push. A push may have several messages; More is set in all except
@@ -90,7 +90,7 @@
 // Retry policies in a push. A push may also have 0, for no retries.
 const (
 	retryIfNotExecuted = 1 // retry only if the attempt surely did not run; the default without an admission limit
-	retryOnFailure     = 2 // also retry after any other failure, unless the requests of the class are writes
+	retryOnFailure     = 2 // retry after any failure, but a write only if the attempt surely did not run
 )
 
 // lines returns the cost of the part in a push channel, in lines, without MessageOverhead.
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -13,8 +13,8 @@
 	Name             string        // name of the class on the wire
 	LatencyObjective time.Duration // an answer within this time counts as served
 	Deadline         time.Duration // a request without an answer within this time is lost
-	PriorityWeight   float64       // value of one served request
-	Writes           bool          // a request that runs twice has two effects
+	PriorityWeight   float64       // value of one served request in OfferedValue and ServedValue of Counts
+	Writes           bool          // a second run of a request has a second effect, which violates rule 2
 	Rate             float64       // requests a second that each proxy receives
 }
 
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -10,8 +10,8 @@
 // the message.
 const MessageOverhead = 4
 
-// pushChannel models the channel from one controller to all proxies. It sends linesPerSecond, one
-// message after the other.
+// pushChannel models the push channel from one controller to all proxies, which transmits one
+// message after the other at a rate of linesPerSecond.
 type pushChannel struct {
 	fleet          *Fleet
 	controller     int
--- a/fake/request.go
+++ b/fake/request.go
@@ -13,7 +13,7 @@
 	class     int
 	key       string // unique key of the request
 	arrivedAt time.Time
-	retries   int    // number of earlier attempts
+	retries   int    // number of earlier attempts of the request
 	previous  string // backend of the previous attempt
 	random    uint64 // random number that determines the picked backend
 }
@@ -68,7 +68,7 @@
 		p.counts.AttemptsIntoHang++
 	}
 	controller := p.controller
-	var once sync.Once // only the first of the backend's answer and the timeout takes effect
+	var once sync.Once // whichever comes first, the backend's answer or the timeout, ends the attempt
 	finish := func(outcome Outcome, latency time.Duration) {
 		once.Do(func() {
 			p.fleet.reportOutcome(p.zone, controller, id, outcome, latency)
@@ -125,7 +125,7 @@
 	set        bool    // the limit applies; otherwise every request is admitted
 	rate       float64 // admitted requests per second
 	retry      int     // retry policy of the class
-	tokens     float64 // number of requests that may be admitted at once
+	tokens     float64 // number of requests that could be admitted at refilledAt
 	refilledAt time.Time
 }
 
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -56,8 +56,8 @@
 }
 
 // Read reads one message of at most maxBytes, without the header. The error is io.EOF if the stream
-// ends before a header or before a body, io.ErrUnexpectedEOF if it ends within one, and
-// TooLargeError if the message exceeds maxBytes.
+// ends directly before a header or directly before a body, io.ErrUnexpectedEOF if the stream ends
+// within a header or a body, and TooLargeError if the message exceeds maxBytes.
 func Read(from io.Reader, maxBytes int, into any) error {
 	_, err := ReadWith(from, nil, maxBytes, into)
 	return err
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -4,8 +4,8 @@
 // controllers decide.
 //
 // A Checker receives the events of a run and checks most rules at each event; each rule has a file
-// of its own. Rule 1 is checked at the end of each time in which a proxy has no entry for a class,
-// and by Verdict for the times that have not ended yet. A violation of rule 4 is detected by
+// of its own. Rule 1 is checked at the end of each period in which a proxy has no entry for a class,
+// and by Verdict for the periods that have not ended yet. A violation of rule 4 is detected by
 // fake.Backend, which reports it when a cold backend is overloaded. All times are on one clock that
 // starts at 0.
 package invariant
@@ -25,7 +25,7 @@
 const (
 	RuleEmptyTable      Rule = 1 // a connected proxy has an entry for each class while a ready, warm backend is listed
 	RuleDuplicateEffect Rule = 2 // no request takes effect twice
-	RuleDrainGrace      Rule = 3 // a draining or removed backend is sent nothing after the drain grace
+	RuleDrainGrace      Rule = 3 // a draining or removed backend is sent no request after the drain grace
 	RuleColdStart       Rule = 4 // a cold backend is not overloaded
 	RulePushBudget      Rule = 5 // messages to a proxy and lines in a push channel stay within their limits
 	RuleOwnerOrder      Rule = 6 // a proxy applies no push of a former owner
@@ -67,24 +67,24 @@
 
 	mutex      sync.Mutex // guards the fields below
 	violations []Violation
-	counts     map[string]int // number of violations, by "rule N"
+	counts     map[string]int // number of violations, by rule, such as "rule 1"
 	proxies    map[int]*proxy
 	backends   map[string]*backend
 	effects    map[string]time.Duration   // time at which each request took effect, by effect key
-	backlogs   map[string]*channelBacklog // lines in the push channels, by controller process
+	backlogs   map[string]*channelBacklog // lines that wait in the push channels, by controller process
 
 	longestEmptyTable time.Duration
-	peakMessages      int // maximum number of messages to one proxy within MessageWindow
+	peakMessages      int // highest number of messages that any proxy was sent within MessageWindow
 }
 
 // proxy is the state of one proxy, as known from the events.
 type proxy struct {
 	connected           bool
 	connectionChangedAt time.Duration            // time of the last call of ProxyConnected
-	emptySince          map[string]time.Duration // start of the time without an entry, by class; only while connected
+	emptySince          map[string]time.Duration // start of the lack of an entry, by class; empty if disconnected
 	emptyReported       map[string]bool          // classes whose current lack of an entry is recorded as a violation
 	messageTimes        []time.Duration          // times of the messages within MessageWindow
-	overLimit           bool                     // messageTimes is longer than MaxMessages; recorded as a violation
+	overLimit           bool                     // the proxy now exceeds MaxMessages; the violation is recorded
 	highestToken        uint64                   // highest fencing token of the applied pushes; 0 if no push had a token
 }
 
@@ -92,7 +92,7 @@
 type backend struct {
 	ready         bool
 	warm          bool
-	drainDeadline time.Duration // end of the drain grace and the margin; 0 while the backend may be sent requests
+	drainDeadline time.Duration // end of the drain grace and the margin; 0 while the backend is ready
 	overloaded    bool
 }
 
@@ -174,14 +174,14 @@
 // Verdict is the result of the checks of a run.
 type Verdict struct {
 	Violations        []Violation    // violations sorted by time; only the first 100 that were recorded
-	Counts            map[string]int // number of violations, listed or not, by "rule N"
+	Counts            map[string]int // number of violations, listed or not, by rule, such as "rule 1"
 	Effects           int            // number of distinct effect keys of the requests that took effect
 	LongestEmptyTable time.Duration  // longest time for which a connected proxy lacked an entry for a class
-	PeakMessages      int            // maximum number of messages to one proxy within MessageWindow
+	PeakMessages      int            // highest number of messages that any proxy was sent within MessageWindow
 }
 
-// Verdict checks the times without an entry that have not ended yet, and returns the result of all
-// checks. It must be called only once, at the end of the run.
+// Verdict checks rule 1 for the proxies that still lack an entry for a class, and returns the result
+// of all checks. It must be called only once, at the end of the run.
 func (c *Checker) Verdict(at time.Duration) Verdict {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/invariant/drain_grace.go
+++ b/invariant/drain_grace.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Rule 3: a backend that drains or is removed is sent nothing once the drain grace and the margin
+// Rule 3: a backend that drains or is removed is sent no request once the drain grace and the margin
 // are over. The drain grace and the margin start when discovery publishes the state, or when the
 // proxy connects if that is later.
 
--- a/invariant/empty_table.go
+++ b/invariant/empty_table.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Rule 1: while a ready, warm backend is listed, a connected proxy lacks an entry for a class no
-// longer than MaxEmptyTable and the margin. Time without a connection does not count, because no
-// controller can send the proxy an entry then.
+// Rule 1: while a ready, warm backend is listed, a connected proxy may lack an entry for a class for
+// at most MaxEmptyTable plus Margin. Time without a connection does not count, because no controller
+// can send the proxy an entry then.
 
 // TableChanged records whether, from now on, a proxy has an entry that it can pick for a class.
 func (c *Checker) TableChanged(id int, class string, hasEntry bool, at time.Duration) {
@@ -22,8 +22,8 @@
 	}
 }
 
-// checkEmptyTable checks a time in which a proxy has no entry for a class, from since to at. The
-// caller holds the mutex.
+// checkEmptyTable checks rule 1 for the period from since to at, during which a proxy had no entry
+// for a class. The caller holds the mutex.
 func (c *Checker) checkEmptyTable(id int, class string, since, at time.Duration) {
 	if !c.hasReadyWarmBackend() {
 		return
--- a/invariant/push_budget.go
+++ b/invariant/push_budget.go
@@ -6,7 +6,7 @@
 )
 
 // Rule 5: a proxy is sent at most MaxMessages within MessageWindow, and at most Backlog lines wait
-// in the push channel of a controller, which sends LinesPerSecond.
+// in the push channel of a controller, which transmits LinesPerSecond lines per second.
 
 // channelBacklog is the number of lines that wait in the push channel of a controller process.
 type channelBacklog struct {
@@ -27,7 +27,8 @@
 }
 
 // checkMessages adds one message to the messages of a proxy, and checks their number within
-// MessageWindow. Each period above the limit counts as one violation. The caller holds the mutex.
+// MessageWindow. An uninterrupted excess over the limit counts as one violation. The caller holds
+// the mutex.
 func (c *Checker) checkMessages(proxyID int, at time.Duration) {
 	p := c.proxy(proxyID)
 	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(sent time.Duration) bool {
