--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -48,8 +48,9 @@
 	// sustainableShare is the share of the saturated throughput that fixed weights can spread over
 	// the backends without queues.
 	sustainableShare = 0.85
-	// minLimitShare is the lowest share of the saturated throughput that a lowered limit leaves:
-	// the queue is only an estimate, and requests that wait too long are dropped.
+	// minLimitShare is the lowest share of the saturated throughput to which the limit is lowered:
+	// the length of the queues at the backends is only an estimate, and requests that wait too long
+	// are dropped.
 	minLimitShare = 0.3
 	// backendQueueClearTime is the time within which a queue at the backends is cleared. It is not
 	// shorter because ordinary changes, such as the limit that follows once the queue is cleared,
@@ -94,11 +95,11 @@
 	// before the first evaluation.
 	meanObjective float64
 
-	// provenThroughput is the highest number of units per second that was admitted without a queue,
-	// per published capacity; 0 if unknown.
+	// provenThroughput is the highest number of units per second that was admitted without a queue
+	// at the backends, divided by the published capacity; 0 if unknown.
 	provenThroughput float64
-	// saturatedThroughput is the number of units per second that was answered with a queue, per
-	// reported capacity; 0 if unknown.
+	// saturatedThroughput is the number of units per second that was answered while queues stood at
+	// nearly all backends, divided by the reported capacity; 0 if unknown.
 	saturatedThroughput float64
 
 	limitShare   float64 // limit as a share of the saturated throughput; 0 until a limit is needed
@@ -107,7 +108,9 @@
 	limitLowered bool    // a lowered limit has yet to be published
 	latencyRatio float64 // latency ratio at the last evaluation
 
-	backendQueueClearAt Microseconds // deadline for clearing the queue that the limit was last lowered for
+	// backendQueueClearAt is the time by which the queue at the backends is to be cleared. It is
+	// set when lowerLimit lowers the limit because of a queue.
+	backendQueueClearAt Microseconds
 	// holdUntil is the time from which reports can show the cleared queue. Until then, only
 	// holdLimit changes the limit.
 	holdUntil Microseconds
@@ -199,9 +202,9 @@
 	return max(0, load.latencyRatio-queueFreeRatio) * a.meanObjective
 }
 
-// holdLimit sets the limit to what the fleet can sustain. Until backendQueueClearAt, the deadline
-// for clearing the queue for which the limit was lowered, holdLimit only lowers the limit further,
-// if that queue has grown.
+// holdLimit sets the limit to what the fleet can sustain. The limit was lowered because of a queue
+// at the backends, which is to be cleared by backendQueueClearAt. Until this time, holdLimit only
+// lowers the limit further, if the queue has grown.
 func (a *admissionState) holdLimit(load loadSummary, now Microseconds) {
 	// Reports are late: half of the queue that they show may already be cleared.
 	queue := a.backendQueueTime(load) / 2
@@ -352,7 +355,7 @@
 }
 
 // publishLimits publishes limits that have changed, with their retry policies, and reports whether
-// there were any.
+// it published any limit.
 func (c *Controller) publishLimits() (published bool) {
 	a := &c.admission
 	for class := range c.classes {
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -69,8 +69,9 @@
 // outcomeSample is one report line about a backend.
 type outcomeSample struct {
 	receivedAt Microseconds
-	// coversFrom is the start of the time that the line covers, plus up to one report interval, see
-	// reportCoverage.
+	// coversFrom is the time from which the attempts in the line count as covered, as
+	// reportCoverage computes it: the time at which the line was received or, if reports are old,
+	// the start of the span of the line plus one report interval, but not later than the receipt.
 	coversFrom Microseconds
 	answerTime Microseconds // sum of the answer times of the answered attempts
 	attempts   int
--- a/balancer/capacity_loss_test.go
+++ b/balancer/capacity_loss_test.go
@@ -64,8 +64,8 @@
 	})
 	t.Run("backends that only this controller's proxies cannot reach do not count as lost capacity", func(t *testing.T) {
 		// A network partition cut off a zone, and its backends were ejected. The proxies in that zone
-		// in turn sent less to the backends that kept their entries here, so no capacity was lost.
-		// Seen in a scaled-up Muscat scenario.
+		// in turn sent less to the backends that kept their entries in this controller's tables, so
+		// no capacity was lost. Seen in a scaled-up Muscat scenario.
 		host := startController(t, defaultSettings(), 16, 3)
 		host.run(6, func() { host.reportHealthy() })
 		host.run(2, func() {
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -102,7 +102,8 @@
 	LimitLines Lines
 	// Backlog is the number of lines that may wait in the channel.
 	Backlog Lines
-	// MaxLatency is the longest time that a message takes from the end of the channel to a proxy.
+	// MaxLatency is the longest time from the sending of a message by the channel to the arrival of
+	// the message at a proxy.
 	MaxLatency Microseconds
 	// MaxMessages is the number of messages that a proxy may be sent within MessageWindow; 0 means
 	// no limit.
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -46,7 +46,7 @@
 	pollAt         Microseconds // time of the next poll of the endpoint list, if polling is required
 	pollBackoff    Microseconds // pause after a failed poll of the endpoint list, before it is randomized
 	endpointsKnown bool         // a complete endpoint list with at least one endpoint has been received
-	warmEverListed bool         // some listed backend was once ready and warm, even if it is no longer listed
+	warmEverListed bool         // some endpoint list so far had a backend that was ready and warm
 
 	// State of the evaluation of reports.
 	evaluatedAt Microseconds // time of the last evaluation of reports
@@ -158,8 +158,8 @@
 // names, by index. A new backend is added to the lightest subset.
 func (c *Controller) updateBackends(endpoints []Endpoint, now Microseconds) (named []bool) {
 	named = make([]bool, len(c.backends))
-	// The weights are nil until the list names a new backend, since adding them up visits all
-	// backends.
+	// The sums of listed weights by subset are nil until the list names a new backend, since
+	// computing the sums visits all backends.
 	var weights *subsetWeights
 	for _, endpoint := range endpoints {
 		for len(c.backends) <= endpoint.Backend {
@@ -298,7 +298,8 @@
 		zone:         zone,
 		subset:       id % c.subsetCount,
 		baselineRate: max(baseline, 1),
-		// The demand is assumed until the first report.
+		// Until the first report, the demand is assumed to be the baseline, in equal parts for the
+		// classes.
 		demand:                    slices.Repeat([]float64{baseline / float64(classCount)}, classCount),
 		tablesAssigned:            c.sharding.enabled(),
 		mayHoldForeignWithdrawals: mayHoldForeignWithdrawals,
@@ -332,8 +333,9 @@
 		c.proxies = append(c.proxies, &proxyState{})
 	}
 	proxy := c.proxies[id]
-	// With the current time, charge would conclude that this controller has already sent the proxy a
-	// message now, and would not charge the overhead of that message.
+	// The messages of other controllers are dated 1 microsecond back. If proxyState.messageTimes
+	// held the current time, charge would conclude that this controller has already sent the proxy
+	// a message now, and would not charge the overhead of that message.
 	at := c.host.Now() - 1
 	times := slices.Repeat([]Microseconds{at}, messages)
 	if proxy.connected {
@@ -386,7 +388,7 @@
 // incarnation has its own seed.
 func (c *Controller) timerTag() uint64 { return c.seed }
 
-// QueueDelay returns the time until all queued lines have left the push channel. The last queued
+// QueueDelay returns the time that the push channel takes to send all queued lines. The last queued
 // line cannot be acknowledged sooner.
 func (c *Controller) QueueDelay() Microseconds { return c.pushQueue.delay() }
 
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -9,7 +9,7 @@
 //	subset.go     the number of subsets, and the subset of each backend
 //	publish.go    which table entries are published, and when
 //	sync.go       when a proxy that connects gets complete tables, or withdrawals until then
-//	pushqueue.go  how many lines may be queued in the push channel, and messages per proxy
+//	pushqueue.go  how many lines may be queued for sending, and how many messages a proxy may get
 //	overload.go   the summary of load reports over the whole fleet
 //	admission.go  the limit on admitted requests under overload, and its division among classes
 //	retry.go      the retry policy that accompanies a limit
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -23,7 +23,9 @@
 		}
 	})
 	t.Run("backends that are removed one by one do not use up the allowed messages", func(t *testing.T) {
-		// Incident: seven removals took a message each, and the eighth waited beyond the drain grace.
+		// Incident: the removals of seven backends were sent in one message each, which used up the
+		// messages allowed to a proxy. The removal of the eighth backend waited beyond the drain
+		// grace.
 		settings := defaultSettings()
 		settings.channel.MaxMessages, settings.limits.DrainGrace = 12, 1500_000
 		host := startController(t, settings, 24, 3)
@@ -105,8 +107,8 @@
 				leftAfterFirst, len(host.tables[0]))
 		}
 		messagesBefore := len(host.messages)
-		// In another scenario, assignments of tables kept the queue from becoming nearly empty, so
-		// that the waiting drains were not sent.
+		// Seen in a scenario: assignments of tables kept the push queue from becoming nearly empty,
+		// so that the waiting drains were not sent.
 		if host.controller.ProxyConnected(20, 0, 10, false); host.assigned["20 0 3"] {
 			t.Error("proxy 20 was assigned tables while drains wait for capacity")
 		}
@@ -116,8 +118,8 @@
 		}
 	})
 	t.Run("removal of most backends, with many proxies without tables, does not fill the channel", func(t *testing.T) {
-		// In a large scenario, 47 withdrawals were sent to 40 proxies that had just connected, in one
-		// message each.
+		// In a large scenario, each of 40 proxies that had just connected was sent one message with
+		// 47 withdrawals.
 		host := startController(t, defaultSettings(), 40, 0)
 		for p := range 30 {
 			host.controller.ProxyConnected(p, 0, 10, false)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -47,7 +47,8 @@
 type OutcomeReport struct {
 	// Backend is the index of the backend.
 	Backend int
-	// Attempts is the number of attempts that ended at the backend.
+	// Attempts is the number of attempts at the backend, answered or failed, that the report
+	// covers.
 	Attempts int
 	// Failures is the number of attempts, out of Attempts, that timed out, were refused, or were
 	// answered with an error.
--- a/balancer/fakehost_test.go
+++ b/balancer/fakehost_test.go
@@ -24,8 +24,8 @@
 	polls        int
 	healthChecks []int
 	effects      []string
-	// unsentLines is the number of lines that have not left the channel of runChannel yet, by batch
-	// number.
+	// unsentLines is the number of lines that the push channel of runChannel has not sent yet, by
+	// batch number.
 	unsentLines map[int64]float64
 }
 
@@ -277,7 +277,8 @@
 			if host.unsentLines[batch.number] -= take; host.unsentLines[batch.number] > 0 {
 				break
 			}
-			// Lines for proxies that have disconnected since the batch was sent leave the channel too.
+			// The channel also sends the lines for proxies that have disconnected since the batch
+			// was queued.
 			for _, p := range slices.Collect(maps.Keys(batch.linesTo)) {
 				host.controller.pushQueue.acknowledge(int(batch.number&0xffff), p)
 			}
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -1,8 +1,9 @@
 package balancer
 
-// Host carries out the decisions of a Controller. All effects ordered at one clock time (Now) leave
-// as a single message to each proxy concerned. A Controller calls its Host only while it handles an
-// event, in the goroutine of that event; during such a call the Host must not call the Controller.
+// Host carries out the decisions of a Controller. All effects ordered at one clock time (Now) are
+// sent to each proxy concerned as a single message. A Controller calls its Host only while it
+// handles an event, in the goroutine of that event; during such a call the Host must not call the
+// Controller.
 type Host interface {
 	// Now returns the current time. It may stay the same during an event, and never decreases.
 	Now() Microseconds
@@ -32,10 +33,11 @@
 	// them to use it again.
 	Withdraw(backend int, withdrawn bool)
 
-	// SyncWithdrawals sends all withdrawals and admission limits in force to one proxy that
-	// connected after they were first sent. For classes without a limit in force, it sends the
-	// limit and retry policy passed: a limit that means unlimited, as for SetAdmissionLimit, and
-	// the default policy. SyncWithdrawals returns false if the Host does not support this message.
+	// SyncWithdrawals sends all withdrawals and admission limits in force to one proxy, which
+	// connected after other proxies were sent these withdrawals and limits. For classes without a
+	// limit in force, it sends the limit and retry policy passed: a limit that means unlimited, as
+	// for SetAdmissionLimit, and the default policy. SyncWithdrawals returns false if the Host does
+	// not support this message.
 	SyncWithdrawals(proxy int, limit float64, retry RetryPolicy) bool
 
 	// ClearWithdrawals lifts the withdrawals of other controllers at a proxy. The proxy may at
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -82,8 +82,9 @@
 // whether the outcomes of the report count. If reports are not old (reportsAreOld), that time is
 // now and the outcomes count. If reports are old, that time is the start of the report's span plus
 // one report interval, but not later than now. The outcomes then do not count if that time is
-// before the start of the backend's process, or before the backend entered: they describe another
-// process, or the time in which the backend was ejected.
+// before the start of the backend's process, or before the backend last became new or was
+// readmitted (backendState.enteredAt): they describe another process, or the time in which the
+// backend was ejected.
 func (c *Controller) reportCoverage(backend *backendState, span, now Microseconds) (from Microseconds, counts bool) {
 	if !c.reportsAreOld() {
 		return now, true
@@ -107,8 +108,8 @@
 
 // fleetOutcomes holds the figures that a backend is compared with.
 type fleetOutcomes struct {
-	medianSuccessRate float64 // median over the backends with answers; 1 (healthy) if no backend has any
-	medianAnswerTime  float64 // median over the backends with answers, in microseconds; 0 if no backend has any
+	medianSuccessRate float64 // median success rate of the backends with answers; 1 (healthy) if no backend has answers
+	medianAnswerTime  float64 // median of the backends' mean answer times, in microseconds; 0 if no backend has answers
 	listedWeight      float64 // sum of the listed weights of all usable backends
 	ejectedWeight     float64 // sum of the listed weights of the usable backends that are ejected
 }
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -21,7 +21,7 @@
 
 const (
 	// overloadedRatio is the latency ratio above which queues stand at nearly all backends: the
-	// tail of the answer times misses the objective.
+	// slowest answers then miss the latency objective.
 	overloadedRatio = 0.4
 	// unloadedRatio is the latency ratio below which hardly any requests wait.
 	unloadedRatio = 0.3
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -27,7 +27,7 @@
 		host.run(3, func() { host.reportHealthy() })
 		host.reportOutcomes(2, 2, 2, 0)
 		host.controller.PeerOutcomesReported(2, 2, 2, 0, 0)
-		// Answers at peers do not reset the count of consecutive failures.
+		// Answers that other controllers report do not reset the count of consecutive failures.
 		host.controller.PeerOutcomesReported(2, 9, 0, 40_000, 0)
 		host.run(3, func() { host.reportHealthy(2) })
 		host.expectWeight(2, 2, "after four consecutive failures in total")
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -19,10 +19,10 @@
 // or if that round left some entries unpublished. An ack does not trigger a round. A round that is
 // due starts (mayPublish) only if
 //   - enough time has passed since any change of an earlier clock time was sent to several proxies,
-//     if the settings limit messages. The time is the drain grace that was left at listing
-//     (computeGraceAtListing), less PushChannel.MaxLatency and a tick, divided by
-//     publicationsPerGrace, or the message window divided by PushChannel.MaxMessages if that is
-//     shorter;
+//     if the settings limit messages. The time that has to pass is the drain grace that was left
+//     when the drain was listed (computeGraceAtListing), less PushChannel.MaxLatency and a tick,
+//     divided by publicationsPerGrace. If the message window divided by PushChannel.MaxMessages is
+//     shorter, that quotient is the time that has to pass;
 //   - no more than nearlyEmptyShare of the push queue's capacity is queued, or all required changes
 //     fit into the rest of the capacity;
 //   - each proxy with assigned tables may be sent one more message (mayPush).
@@ -30,8 +30,9 @@
 // The round then sends, in this order and as far as the push queue has capacity (pushqueue.go):
 //  1. required entries, subset by subset: first the subset that changes most, and within it the
 //     largest change first;
-//  2. ordinary entries in the same order, since they share these messages, up to ordinaryShare of
-//     the capacity, and none that would make the tables of waiting proxies late (sync.go);
+//  2. ordinary entries in the same order, since they share messages with the required entries, up
+//     to ordinaryShare of the capacity, except entries that would make the tables of waiting
+//     proxies late (sync.go);
 //  3. entries of backends that move to a short subset;
 //  4. withdrawals, for proxies that may use backends which the tables of this controller do not
 //     give them;
@@ -54,7 +55,7 @@
 // of publishChanges.
 type publication struct {
 	now         Microseconds
-	overhead    Lines // cost of a message without its changes
+	overhead    Lines // cost in lines of a message to one proxy, apart from the changes in the message
 	tablesEmpty bool  // no backend has an entry in any table
 
 	connected           float64   // number of connected proxies
@@ -221,7 +222,7 @@
 	limited := c.publishLimits()
 	if limited || moved || entries.published {
 		c.publishedAt = plan.now
-		if entries.leftOver { // 0 makes a round due at the next tick, for the entries left over
+		if entries.leftOver { // a publishedAt of 0 makes a round due at the next tick, for the entries left over
 			c.publishedAt = 0
 		}
 	}
@@ -229,7 +230,7 @@
 
 // entryChanges summarizes the entry changes of a round.
 type entryChanges struct {
-	published  bool    // some changes of entries were published
+	published  bool    // some changes of entries were published in this round
 	leftOver   bool    // some changes of entries wait for capacity in the push queue
 	lostWeight float64 // unreduced published weight that endpoint lists took away; input of limitOnCapacityLoss
 }
@@ -322,7 +323,8 @@
 	if plan.tablesReplaceWithdrawals {
 		return
 	}
-	// The overhead is charged only with the first withdrawal of the round.
+	// The withdrawals of a round share one message to each proxy, so only the first withdrawal has
+	// to pay for the overhead of the message.
 	messageCost := plan.overhead + float64(len(c.classes))
 	for id, backend := range c.backends {
 		withdrawn := c.mustLeave(backend) && backend.published == 0
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -4,33 +4,34 @@
 
 // Push queue: an account of the lines that wait in the push channel to the proxies. A line counts
 // as queued until an ack for its batch, or for a later one, comes back, so that the account also
-// holds when the channel is slow. The account is too high by the lines that have left the channel
+// holds when the channel is slow. The account is too high by the lines that the channel has sent
 // and whose ack is still on its way.
 //
-//   - Required changes may fill the capacity: as many lines as the backlog takes, but no more than
-//     leave within maxQueueTime. The capacity is the same however short the drain grace is. A
-//     change that waits in the controller, and not in the channel, is decided again on later
-//     reports, and shares messages with other changes.
+//   - Required changes may fill the capacity: PushChannel.Backlog or, if it is less, the number of
+//     lines that the channel sends within maxQueueTime. The capacity is the same however short the
+//     drain grace is. A change that waits in the controller, and not in the channel, is decided
+//     again on later reports, and shares messages with other changes.
 //   - Ordinary changes, and complete tables, may fill ordinaryShare of the capacity, so that
-//     required changes never wait behind more lines than that.
+//     required changes never wait behind more ordinary lines than this share.
 //   - publish.go states when a round of changes may start, and in which order it is sent.
 //   - Of the messages that a proxy may be sent within the message window, ordinary messages use
 //     half. At a proxy for which other controllers reported the messages that they sent
 //     (proxyState.peersReportedMessages), ordinary messages use all except messagesForRequired. The
-//     rest is kept for required messages. Messages that hold only withdrawals (sync.go) count as
-//     required, both in this division of the messages and in the capacity.
+//     messages that ordinary messages may not use are kept for required messages. Messages that
+//     hold only withdrawals (sync.go) count as required, both in this division of the messages and
+//     in the capacity.
 //
 // Inputs are PushChannel, the drain grace (microseconds) and the costs of the pushes (lines).
 
 const (
-	// maxQueueTime is the longest time within which a full queue leaves the channel.
+	// maxQueueTime is the longest time that the push channel takes to send a full queue.
 	maxQueueTime = 2 * minPublishInterval
 	// ordinaryShare is the share of the capacity that ordinary changes and complete tables may fill.
 	ordinaryShare = 1. / 2
 	// nearlyEmptyShare is the share of the capacity up to which the queue counts as nearly empty.
 	nearlyEmptyShare = 1. / 8
 	// messagesForRequired is the number of messages per proxy and message window that are kept for
-	// required messages, at a proxy with peersReportedMessages.
+	// required messages, at a proxy for which proxyState.peersReportedMessages is set.
 	messagesForRequired = 2
 
 	// A batch times out if its ack has not arrived within the sum of PushChannel.MaxLatency,
@@ -41,13 +42,13 @@
 	batchNumberMask = 0xffff // selects the lowest 16 bits of a batch number, which are sent to proxies
 )
 
-// pushQueue is the account of the push channel.
+// pushQueue accounts for the lines that wait in the push channel to the proxies.
 type pushQueue struct {
 	PushChannel
 	// batches holds the batches of which an ack is missing, oldest first. An ack of a batch
 	// discards all earlier batches. A timeout (expire) discards the oldest batch.
 	batches     []pushBatch
-	queuedLines Lines // sum of the lines of all batches
+	queuedLines Lines // number of lines in all batches together
 	lastNumber  int64 // number of the last batch
 
 	// reservedLines is the cost of the tables of waiting proxies, see reserveForTables.
@@ -99,7 +100,7 @@
 	return &queue.batches[len(queue.batches)-1]
 }
 
-// chargeEach adds lines for each connected proxy that a change affects.
+// chargeEach adds lines to the current batch, for each connected proxy that a change affects.
 func (c *Controller) chargeEach(lines Lines, affected func(proxy *proxyState) bool) {
 	c.changedAt = c.host.Now()
 	for _, proxy := range c.proxies {
@@ -109,7 +110,7 @@
 	}
 }
 
-// chargeAll adds lines for each connected proxy.
+// chargeAll adds lines to the current batch, for each connected proxy.
 func (c *Controller) chargeAll(lines Lines) {
 	c.chargeEach(lines, func(*proxyState) bool { return true })
 }
@@ -125,7 +126,7 @@
 		}
 		batch.lines -= batch.linesTo[proxy]
 		delete(batch.linesTo, proxy)
-		sentBatches := i // all batches before the acknowledged batch have left the channel
+		sentBatches := i // the channel has sent all batches before the acknowledged batch
 		if len(batch.linesTo) == 0 {
 			sentBatches++
 		}
@@ -156,19 +157,20 @@
 	}
 }
 
-// messageOverhead returns the cost of each message without its changes: its own overhead, the ack
-// request, and limits if they accompany every message.
+// messageOverhead returns the cost in lines of a message to one proxy, apart from the changes in
+// the message: PushChannel.MessageOverhead, one line for the ack request, and
+// PushChannel.LimitLines if limits accompany every message.
 func (q *pushQueue) messageOverhead() Lines { return q.MessageOverhead + 1 + q.LimitLines }
 
 // capacity returns how many lines may be queued.
 func (q *pushQueue) capacity() Lines { return min(q.Backlog, q.linesSentIn(maxQueueTime)) }
 
-// linesSentIn returns how many lines leave the channel within a time.
+// linesSentIn returns how many lines the push channel sends within a time.
 func (q *pushQueue) linesSentIn(time Microseconds) Lines {
 	return max(q.LinesPerSecond, 1) * float64(time) / float64(second)
 }
 
-// delay returns the time that the queued lines take to leave the channel.
+// delay returns the time that the push channel takes to send the queued lines.
 func (q *pushQueue) delay() Microseconds {
 	return int64(q.queuedLines / max(q.LinesPerSecond, 1) * float64(second))
 }
@@ -189,7 +191,8 @@
 	return q.reservedLines > 0 && q.queuedLines+cost+q.reservedLines > q.maxQueuedBeforeTables
 }
 
-// mayPush reports whether a proxy may be sent one more message.
+// mayPush reports whether the limit on messages within the message window allows one more message
+// to a proxy, or whether the proxy is sent a message at this clock time anyway.
 func (q *pushQueue) mayPush(proxy *proxyState, now Microseconds, required bool) bool {
 	proxy.messageTimes = slices.DeleteFunc(proxy.messageTimes, func(at Microseconds) bool {
 		return at <= now-q.MessageWindow-q.MaxLatency
--- a/balancer/shard.go
+++ b/balancer/shard.go
@@ -6,10 +6,10 @@
 // Its successor is the backend with the least load relative to its weight.
 //
 // If shards have a single owner (Sharding.SingleOwner), writes to a shard are stopped (fenced)
-// while it moves. They continue once each proxy has acknowledged the fence, or has been
-// disconnected for as long as it goes on writing (Sharding.WriteLease), and the writes that proxies
-// sent before have settled (Sharding.SettleTime). Reads continue at the new owner if proxies
-// support limits.
+// while the shard moves. Writes continue once each proxy has acknowledged the fence, or has been
+// disconnected for as long as a disconnected proxy goes on writing (Sharding.WriteLease), and the
+// writes that proxies sent before have settled (Sharding.SettleTime). Reads continue at the new
+// owner if proxies support limits.
 //
 // Inputs are target weights (weight.go), demand by shard (requests per second), acks, and
 // Sharding.WriteLease and SettleTime (microseconds).
@@ -18,7 +18,8 @@
 	// fencePending is the value of shardState.fence while writes to the shard have yet to be
 	// stopped, or to be stopped again.
 	fencePending = -1
-	// ownerChangeLines is the cost of a change of owner for each proxy, in lines.
+	// ownerChangeLines is the cost at each proxy, in lines of the push channel, of notifying the
+	// proxy of a change of a shard's owner, of a fence, or of the end of a fence.
 	ownerChangeLines Lines = 2
 	// shardReserveShare is the share of the backlog that must be free for a change of a shard's
 	// owner, unless the push queue is nearly empty (mayPublish).
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -11,11 +11,13 @@
 //
 // One subset, with one table for all proxies, is best where it is possible. There are more subsets
 // if
-//   - proxies outnumber the connections that the smallest backend accepts: as many subsets as that
-//     requires;
-//   - the tables of all proxies, if all connect to one controller, would not leave the channel
-//     within tablesShareOfGrace of the drain grace: as many subsets as make them fit, or, if
-//     connections require subsets as well, as many as leave half of that time for drains.
+//   - the number of proxies is more than maxProxiesPerConnection times the number of connections
+//     that the smallest backend accepts: as many subsets as let the smallest backend accept a
+//     connection from each proxy of its subset;
+//   - one controller, if all proxies connect to it, could not send the tables of all proxies within
+//     tablesShareOfGrace of the drain grace: as many subsets as make the tables small enough to be
+//     sent within this share of the drain grace or, if connections require subsets as well, within
+//     tableShareWithSubsets (half) of this share, so that the rest is left for drains.
 //
 // A subset that falls short of its share of the weight is given backends of the heaviest subset,
 // since its proxies would overload the few backends left in it. The move of a backend to a short
@@ -26,14 +28,14 @@
 // with the first complete list that is not empty.
 
 const (
-	// maxProxiesPerConnection is the highest ratio of proxies to the connections that the smallest
-	// backend accepts at which connections require no subsets: up to this ratio, many of the proxies
-	// are quiet.
+	// maxProxiesPerConnection is the ratio of the number of proxies to the number of connections
+	// that the smallest backend accepts above which connections require subsets. Up to this ratio
+	// they require no subsets, because many of the proxies have little traffic.
 	maxProxiesPerConnection = 1.6
 	// minSubsetSize is the least number of backends per subset.
 	minSubsetSize = 5
-	// tableShareWithSubsets is the share of tablesShareOfGrace (sync.go) that tables may take if
-	// connections require subsets as well.
+	// tableShareWithSubsets is the share of the time allowed by tablesShareOfGrace (sync.go) within
+	// which the tables of all proxies must be sent if connections require subsets as well.
 	tableShareWithSubsets = 1. / 2
 	// shortSubsetShare is the share of its fair weight below which a subset is short. A short
 	// subset is given backends of the heaviest subset until it has restoredSubsetShare of its fair
@@ -75,8 +77,8 @@
 // subsetWeights holds the listed weight of the ready backends by subset, in total and by zone. Its
 // methods add and remove do nothing on a nil pointer.
 type subsetWeights struct {
-	all    []float64         // weight of each subset
-	byZone map[int][]float64 // weight of each subset in a zone, by zone
+	all    []float64         // listed weight of the ready backends, by subset
+	byZone map[int][]float64 // listed weight of the ready backends in a zone, by zone and then by subset
 }
 
 // listedSubsetWeights sums the listed weights of the ready backends.
@@ -152,7 +154,7 @@
 
 // moveToSubset moves one backend of the heaviest subset, and reports whether it did. It never moves
 // a backend that is warming up, or whose entry is due to change: with the move, the backend would
-// be new to the proxies of two subsets, which are twice as many.
+// be new to the proxies of two subsets, which are twice as many proxies as without the move.
 func (c *Controller) moveToSubset(to int, plan *publication) bool {
 	from := slices.Index(plan.targetBySubset, slices.Max(plan.targetBySubset))
 	id := slices.IndexFunc(c.backends, func(backend *backendState) bool {
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -11,19 +11,20 @@
 // withdrawals message may notify it of the withdrawals and limits in force, since the rules apply
 // whatever tables the proxy holds.
 //
-// Order of tables: first the proxies that have waited for half the drain grace; then, if the
-// channel may need long for all tables, the proxies with the most baseline demand; then the proxies
-// that connected first. Changes that wait for the channel are sent before tables, unless tables
-// would then arrive later than tablesShareOfGrace of the drain grace after the connection.
+// Order in which proxies are sent their tables: first the proxies that have waited for half the
+// drain grace; then, if the channel may need long for all tables, the proxies with the most
+// baseline demand; then the proxies that connected first. Changes that wait for the channel are
+// sent before tables, unless tables would then arrive later than tablesShareOfGrace of the drain
+// grace after the connection.
 //
 // A proxy whose tables cannot be sent yet gets a withdrawals message, once, only if
 //   - one of its tables is empty, so that its tables cannot be sent, or its tables cost at least
 //     tableCostWorthMessage times as much as the message;
 //   - the proxy has waited for half the drain grace; or no changes wait for the channel, since such
-//     changes are sent first, and the tables do not arrive soon enough. Tables arrive soon
-//     enough if the tables of all waiting proxies leave within tablesShareOfGrace of the grace that
-//     was left at listing, and the tables of each proxy cost at most tableCostPerMessage times as
-//     much as the message;
+//     changes are sent first, and the tables do not arrive soon enough. Tables arrive soon enough
+//     if the channel sends the tables of all waiting proxies within tablesShareOfGrace of the drain
+//     grace that was left when the drain was listed (Controller.graceAtListing), and the tables of
+//     each proxy cost at most tableCostPerMessage times as much as the message;
 //   - a backend is withdrawn, or the proxy may hold withdrawals of other controllers;
 //   - the push queue has capacity for the message and a further syncReserveShare of its capacity,
 //     which stays free for changes that cannot wait;
@@ -36,8 +37,8 @@
 // Inputs are costs in lines (pushqueue.go), the drain grace and waiting times (microseconds).
 
 const (
-	// tablesShareOfGrace is the share of the drain grace within which the tables of all waiting
-	// proxies must leave the channel.
+	// tablesShareOfGrace is the share of the drain grace within which the push channel must send
+	// the tables of all waiting proxies.
 	tablesShareOfGrace = 3. / 4
 	// syncReserveShare is the share of the push queue's capacity that withdrawals messages, and the
 	// clearing of withdrawals, leave free for changes that cannot wait.
@@ -88,7 +89,7 @@
 	tableFits := c.pushQueue.hasCapacity(c.pushQueue.messageOverhead(), false)
 	messageFits := c.pushQueue.hasCapacity(round.withdrawalCost+round.reserve, true)
 	if !tableFits && !messageFits {
-		return // skip the pass over all waiting proxies: there may be thousands, and each ack causes a call
+		return // skip the pass over all waiting proxies: there may be thousands, and each ack calls syncProxies
 	}
 	round.waiting = c.countWaitingForTables()
 	c.reserveForTables(now, round.tableSizes)
@@ -105,7 +106,7 @@
 		return !proxy.connected || complete
 	})
 	if round.assigned > 0 && round.waiting == round.assigned {
-		c.syncProxies(now) // a second pass can clear withdrawals in the messages of this pass
+		c.syncProxies(now) // a second pass can clear withdrawals in the messages that carry the tables
 	}
 }
 
@@ -129,7 +130,8 @@
 	return waiting
 }
 
-// syncProxy takes the next step of the sync of one proxy, if there is capacity for it.
+// syncProxy takes at most one of these steps for one waiting proxy, if there is capacity: it
+// assigns tables, clears the withdrawals of other controllers, or sends a withdrawals message.
 func (c *Controller) syncProxy(id int, round *syncRound, overdue bool) {
 	proxy := c.proxies[id]
 	tables := c.fullTablesOf(proxy, round.tableSizes)
@@ -205,7 +207,7 @@
 }
 
 // tablesReplaceWithdrawals reports whether waiting proxies need no withdrawals messages, as their
-// tables cost little more than such messages and leave the channel in time.
+// tables cost little more than such messages and are sent in time.
 func (c *Controller) tablesReplaceWithdrawals(table, message Lines, waiting int) bool {
 	inTime := table*float64(waiting) <= tablesShareOfGrace*c.pushQueue.linesSentIn(c.graceAtListing)
 	return table <= tableCostPerMessage*message && inTime
--- a/balancer/sync_test.go
+++ b/balancer/sync_test.go
@@ -131,7 +131,7 @@
 			for range int(4 * seconds) {
 				host.runChannel(0.25)
 				for p, proxy := range host.controller.proxies {
-					// The tables arrive after all lines that are queued now have left the channel.
+					// The tables arrive once the channel has sent all lines that are queued now.
 					if _, known := tableDelays[p]; proxy.tablesAssigned && !known {
 						tableDelays[p] = host.now + host.controller.QueueDelay() + settings.channel.MaxLatency - proxy.connectedAt
 					}
@@ -145,7 +145,8 @@
 		}
 		connect(0, 35)
 		runChannel(1.5)
-		// The entries of these 100 new backends are sent on the same channel as the tables.
+		// The entries of the 100 new backends in this endpoint list are sent on the same channel as
+		// the tables of the proxies.
 		host.updateEndpoints(160, 260, Ready, 0)
 		connect(35, 50)
 		runChannel(0.5)
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -23,7 +23,7 @@
 	endpoints     []Endpoint
 	listedCount   int // number of backends that have been listed; their indices are the lowest ones
 	condition     int // number of the condition of the fleet, see reportAll
-	affected      int // number of backends that some conditions affect; their indices are the lowest ones
+	affected      int // number of backends that conditions 2 to 4 affect; their indices are the lowest ones
 }
 
 type transcriptTimer struct {
--- a/balancer/weight_test.go
+++ b/balancer/weight_test.go
@@ -62,8 +62,8 @@
 		host.expectWeight(1, 2, "90 s after it was slow")
 	})
 	t.Run("a late backend that reports itself idle keeps its weight", func(t *testing.T) {
-		// Among hundreds of backends some are always late, and moving load costs lines. Seen in
-		// large scenarios without faults.
+		// Among hundreds of backends some always answer late, and each change of a weight costs
+		// lines of the push channel. Seen in large scenarios without faults.
 		host := startController(t, defaultSettings(), 6, 2)
 		host.run(12, func() {
 			host.reportHealthy(1, 2)
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -69,15 +69,15 @@
 	inFlight       *Entry       // the proposed entry that is not answered yet; nil if no entry is in flight
 	proposedAt     Microseconds // time at which inFlight was first proposed
 	pending        Entry        // content of the next entry, collected until no entry is in flight
-	leaseStart     Microseconds // time at which the last committed entry was proposed
-	lastProposedAt Microseconds // time at which the last entry was first proposed
+	leaseStart     Microseconds // time at which this member's last committed entry was proposed
+	lastProposedAt Microseconds // time at which this member's last entry was first proposed
 	lastEnteredAt  Microseconds // time at which an incarnation's first entry was last proposed
 	withoutQuorum  bool         // the quorum was lost, and this member has not entered the record since
 	closing        bool
 	startedAt      Microseconds
 
 	revision     uint64                     // revision of this member's tables
-	tables       map[int]map[string]float64 // weights by table and backend
+	tables       map[int]map[string]float64 // weights in this member's tables, by table and backend
 	proxies      map[int]*claimState        // state of each proxy that is connected to this member
 	grantTimes   map[int][]Microseconds     // times of the grants within the message window, by proxy
 	leaderClocks map[uint64]leaderClock
@@ -108,7 +108,8 @@
 	// proxy.
 	unclaimedSince Microseconds
 
-	// The last acknowledgement by the proxy. The fields are those of a Confirmation.
+	// The last acknowledgement by the proxy. These three fields have the meaning of the fields
+	// Revision, Tables and WithdrawalsKnown of a Confirmation.
 	acknowledgedRevision uint64
 	acknowledgedTables   []int
 	withdrawalsKnown     bool
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -237,7 +237,7 @@
 			t.Errorf("owns %d proxies, messages counted as sent by peers: %v", coordinator.OwnedProxies(),
 				host.sentByPeers)
 		}
-		coordinator.ProxyActiveAt(4, 60) // activity from before the loss does not count
+		coordinator.ProxyActiveAt(4, 60) // does not count: proxy 4 was lost at 70
 		coordinator.ProxyActiveAt(5, 300)
 		coordinator.Tick(300)
 		host.commitLast(coordinator, 310)
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -18,7 +18,7 @@
 	// Claims are the proxies that the member claims because they have connected to it.
 	Claims []int `cbor:"6,keyasint,omitempty"`
 	// Reclaims are the proxies that the member claims again while their streams to it stay open.
-	// This field was added after the fields below: its key is the first that was free.
+	// This field was added after the fields below, so its encoding key is the first that was free.
 	Reclaims []int `cbor:"15,keyasint,omitempty"`
 	// Revision is the revision of the member's tables after TableChanges.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
@@ -30,15 +30,17 @@
 	// Observations are the outcomes that the member's proxies observed at backends since the
 	// member's last report.
 	Observations []Observation `cbor:"10,keyasint,omitempty"`
-	// Demands are the demands of the proxies whose demand has changed.
+	// Demands are the demands of the proxies whose demand has changed since the member last
+	// reported it.
 	Demands []Demand `cbor:"13,keyasint,omitempty"`
 	// Capacity is the fleet capacity that the member has observed; the zero value if it has not
-	// changed.
+	// changed since the member last reported it.
 	Capacity Capacity `cbor:"14,keyasint,omitempty"`
 	// FullyRecorded is set by the leader: the incarnations that had certainly written nothing
-	// without quorum when this entry arrived. It is empty until all members have entered.
+	// without quorum when this entry arrived at the leader. It is empty until all members have
+	// entered the record.
 	FullyRecorded []uint64 `cbor:"11,keyasint,omitempty"`
-	// Stamp is set by the leader: the time at which the entry arrived.
+	// Stamp is set by the leader: the time at which the entry arrived at the leader.
 	Stamp Stamp `cbor:"12,keyasint,omitempty"`
 }
 
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -35,7 +35,8 @@
 	// Demands are sorted by proxy, at most maxDemands; further demands are due with the next
 	// report.
 	Demands []Demand
-	// Capacity is the zero value if it has not changed.
+	// Capacity is the zero value if the capacity differs by no more than capacityTolerance from the
+	// last reported capacity.
 	Capacity Capacity
 }
 
@@ -54,10 +55,10 @@
 // rate is an average of requests per second.
 type rate struct {
 	perSecond float64
-	window    Microseconds // sum of the spans that were averaged so far
+	window    Microseconds // sum of the spans of all calls of add so far
 }
 
-// add includes further requests, which arrived within a span of time.
+// add updates the average with requests that arrived within a further span of time.
 func (r *rate) add(requests int, span Microseconds) {
 	r.perSecond += (float64(requests)*1e6 - r.perSecond*float64(span)) / float64(min(r.window, demandWindow)+span)
 	r.window += span
@@ -200,7 +201,8 @@
 	return observations
 }
 
-// takeDemands returns the demands of proxies whose demand has changed, at most maxDemands.
+// takeDemands returns the demands of proxies whose demand differs from the last reported demand, at
+// most maxDemands.
 func (v *Evidence) takeDemands() (demands []Demand) {
 	changed := slices.Sorted(maps.Keys(v.changedDemand))
 	for _, proxy := range changed[:min(len(changed), maxDemands)] {
@@ -215,7 +217,8 @@
 	return demands
 }
 
-// takeCapacity returns the capacity if it has changed, and otherwise the zero value.
+// takeCapacity returns the capacity if it differs by more than capacityTolerance from the last
+// reported capacity, and otherwise the zero value.
 func (v *Evidence) takeCapacity() Capacity {
 	provenDiffers := differs(v.capacity.Proven, v.lastCapacity.Proven, capacityTolerance)
 	saturatedDiffers := differs(v.capacity.Saturated, v.lastCapacity.Saturated, capacityTolerance)
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -19,7 +19,7 @@
 	connection         int          // number of the connection on which the entries arrived
 	seq                uint64       // number of the last entry that arrived
 	arrivedAt          Microseconds // arrival time of the entry with the number seq
-	previousAt         Microseconds // arrival time of the entry before seq, or notArrived
+	previousAt         Microseconds // arrival time of the entry with the number seq-1, or notArrived
 	earliestLeaseStart Microseconds // earliest possible start of the member's lease, or notArrived
 }
 
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -31,8 +31,8 @@
 // Step is the next action of a member towards being part of a record.
 type Step struct {
 	Action  Action            // what the member has to do
-	JoinVia string            // for Join: name of the member to ask for admission
-	IDs     map[string]string // for Bootstrap: IDs of all members, by name
+	JoinVia string            // if Action is Join: name of the member to ask for admission
+	IDs     map[string]string // if Action is Bootstrap: IDs of all members, by name
 }
 
 // Action is a kind of Step.
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -181,7 +181,7 @@
 					Stamp{1, state.now}
 				state.log = append(state.log, entry)
 				state.record.Apply(entry)
-				if member.answersLost { // the entry is repeated on a new connection
+				if member.answersLost { // the entry is repeated on a new connection to the leader
 					member.connection++
 					member.proposals, resent[member] = append(member.proposals, entry), true
 					break
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // ProxyConnected handles the start of a proxy's stream. The proxy is granted once its claim is on
-// the record, or at once without quorum. Until then the caller must not write to the proxy: the
-// record would not show a later owner what was written.
+// the record, or at once if this member is without quorum. Until then the caller must not write to
+// the proxy: the record would not show a later owner what was written.
 func (c *Coordinator) ProxyConnected(proxy int, now Microseconds) {
 	state := &claimState{}
 	if c.inFlight != nil {
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -66,7 +66,7 @@
 	Owner string `cbor:"1,keyasint"`
 	// Incarnation is the incarnation of the owner that claimed the proxy.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Token is the fencing token of the claim.
+	// Token is the fencing token of the claim by which the owner owns the proxy.
 	Token uint64 `cbor:"3,keyasint"`
 	// Revision is the revision of the owner's tables that the proxy has acknowledged; 0 for none.
 	Revision uint64 `cbor:"4,keyasint"`
