--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -10,7 +10,8 @@
 )
 
 // newFleet makes the event loop of a controller for a number of proxies and 200 backends. lines is
-// the rate of its push channel, in lines a second.
+// the rate of its push channel to the proxies, in lines a second; a line is the unit of a message's
+// cost, and a table entry costs one line.
 func newFleet(b *testing.B, proxies int, lines float64) *eventLoop {
 	b.Helper()
 	return newFleetWithBackends(b, proxies, 200, lines)
@@ -54,7 +55,7 @@
 	return conns
 }
 
-// acknowledgeAll empties the outbox of every proxy, and acknowledges the last ack request of each.
+// acknowledgeAll empties the outbox of every proxy, and acknowledges the last ack request to each proxy.
 func acknowledgeAll(loop *eventLoop, conns []*connection) {
 	loop.iterate(func() {
 		for _, conn := range conns {
@@ -68,8 +69,9 @@
 	})
 }
 
-// Rates of the push channel, in lines a second. At wideRate no push ever waits, so that all work is
-// measured; at narrowRate most proxies wait.
+// Rates of the push channel to the proxies, in lines (units of message cost) a second. At wideRate
+// no push waits in the push queue, so that a benchmark measures all work; at narrowRate the pushes
+// to most proxies wait.
 const wideRate, narrowRate = 9e9, 900
 
 // BenchmarkFleet measures how long a controller with a given number of proxies takes for an event.
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -57,7 +57,8 @@
 		prober.closeWriting()
 		silent := dial(t, address)
 		silent.closeWriting()
-		// The silent connection is closed, as no answer to it is queued.
+		// The controller is not ready yet and closes the silent connection, because no answer waits
+		// in the connection's outbox.
 		logged.waitFor(t, "msg=unidentified_closed", 1)
 		discovery.answers <- twoEndpoints
 		if texts, err := prober.readRest(); err != nil || len(texts) != 1 || texts[0] != aliveReply {
@@ -130,8 +131,9 @@
 	})
 	t.Run("a proxy whose stream ends within a message is disconnected, and the message is ignored", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
-		// The report names proxy 9, not its sender. The controller would log it as skipped if it
-		// handled the truncated report as a complete one.
+		// The report names proxy 9, while proxies with other numbers send its beginnings. If the
+		// controller handled a truncated report as a complete one, it would log the report as
+		// skipped.
 		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1)
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			proxy := dial(t, address)
@@ -174,7 +176,7 @@
 					t.Error("the old connection stays open after the new one has identified itself")
 				}
 			}
-			// The push of this change arrives on the new connection.
+			// The push that drains this backend arrives on the proxy's new connection.
 			discovery.answers <- listJSON(2+version, false, endpointJSON(version, "draining"))
 			for len(fake.picks(0)) > 4-version {
 				if err := fake.apply(proxy.receive()); err != nil {
@@ -195,7 +197,8 @@
 		ended := make(chan error, 1)
 		go func() { ended <- conn.readMessages() }()
 		remote.Write(frame(hello))
-		// The reader still reads this report, as the deadline for identification no longer applies.
+		// The reader still reads this report, although evict has moved the read deadline to the
+		// past: the hello, which identifies the proxy, has removed the read deadline.
 		remote.Write(frame(demandReport))
 		remote.Close()
 		if err := <-ended; err != io.EOF || conn.kind != kindProxy {
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -19,7 +19,7 @@
 type parsedConfiguration struct {
 	Identity
 	seed          uint64
-	cachedList    *fastjson.Value // endpoint list of discovery when the configuration was written; nil if missing
+	cachedList    *fastjson.Value // endpoint list of discovery at the writing of the configuration; nil if missing
 	limits        *limits
 	channel       balancer.PushChannel
 	rules         balancer.RuleLimits
@@ -33,7 +33,8 @@
 	warnings      []string          // texts about unusual settings that can still be used
 }
 
-// resources are the limits of the process as the configuration gives them.
+// resources holds the CPU cores, megabytes of memory and file descriptors (sockets) of the process,
+// as the configuration gives them.
 type resources struct{ cores, memoryMB, sockets float64 }
 
 // parseConfiguration reads a whole configuration. An error names the key that is missing or
@@ -91,7 +92,8 @@
 	return hash.Sum64()
 }
 
-// parseResources reads the limits of the process. Each must be present and above 0.
+// parseResources reads the cores, memory and file descriptors of the process. Each must be present
+// and above 0.
 func parseResources(values *fastjson.Value) (given resources, err error) {
 	for _, resource := range []struct {
 		key   string
@@ -106,8 +108,9 @@
 	return given, nil
 }
 
-// parseSettings reads the settings and fits the limits to them. Unusual settings go to warnings; an
-// error names the key.
+// parseSettings reads the settings, and sets the limits that follow from them. It collects a
+// warning for each unusual setting that can still be used; an error names the key of an unusable
+// setting.
 func (p *parsedConfiguration) parseSettings(values *fastjson.Value) error {
 	parsed := settings.ParseJSON(values, p.warnf)
 	p.channel, p.rules, p.classes = parsed.PushChannel(), parsed.RuleLimits(), parsed.Classes()
@@ -124,7 +127,8 @@
 		p.warnf("health checks are disabled: they are not supported on sockets")
 	}
 	p.telemetry.HealthChecksAllowed = false
-	// Polling is not required, as the watcher watches the endpoint list all the time.
+	// balancer.Controller does not have to poll the endpoint list, as the endpointWatcher watches
+	// it all the time.
 	p.telemetry.PollingRequired = false
 	tick := settings.FromMilliseconds(parsed.NumberOr("tick", 0))
 	p.parseClassNames(values, parsed)
@@ -160,8 +164,8 @@
 	}
 }
 
-// newDecisions makes the balancing decisions, which push over a channel. It configures no shards,
-// because they are not supported on sockets.
+// newDecisions makes the balancer.Controller, which paces its pushes to the proxies by the settings
+// of the given push channel. It configures no shards, because shards are not supported on sockets.
 func (p *parsedConfiguration) newDecisions(
 	host balancer.Host, channel balancer.PushChannel,
 ) (*balancer.Controller, error) {
--- a/controller/configuration_cache.go
+++ b/controller/configuration_cache.go
@@ -19,7 +19,7 @@
 	cacheFile       = "configuration.cbor"
 	cacheFolderMode = os.FileMode(0o700)
 
-	cacheInterval    = 5 * time.Second // minimum time between two writes of the file
+	cacheInterval    = 5 * time.Second // minimum time between two writes of the cache file
 	cachePauseFactor = 100             // minimum pause after a write, as a multiple of the time that the write took
 )
 
@@ -67,7 +67,7 @@
 }
 
 // update saves the configuration of a node of the distribution tree, if its version differs from
-// that of the file.
+// the version in the cache file.
 func (c *configurationCache) update(node *transport.Transport) error {
 	status, ok := node.Status()
 	if !ok || status.Version == c.saved || !status.Version.Epoch.Known() {
--- a/controller/connection.go
+++ b/controller/connection.go
@@ -42,8 +42,8 @@
 	register func(*connection) error // called when the peer identifies itself; an error refuses the connection
 	sequence int                     // position in the order in which connections were accepted
 
-	// Owned by the reader. Other goroutines may read a field that the reader sets before it calls
-	// register or posts the connection to the loop.
+	// Fields owned by the reader's goroutine. Other goroutines may read a field if the reader sets
+	// it before it calls register or posts the connection to the loop.
 	body             *bytes.Buffer // the message that the reader is reading or handling
 	kind             connectionKind
 	wantsToken       bool // whether the proxy asked for a fencing token in each push
--- a/controller/connection_writer.go
+++ b/controller/connection_writer.go
@@ -78,12 +78,14 @@
 	}
 }
 
-// deliver writes a message. As this process itself may have stalled past the write deadline, a
-// timeout is followed by a short final write with limits.finalReadTimeout. If the socket accepts
-// any bytes in the final write, the full limits.writeTimeout starts again; otherwise the write has
-// failed.
+// deliver writes a message, with the deadline limits.writeTimeout. As this process itself may have
+// stalled past the deadline, a timeout is followed by one final write of the rest, with the short
+// deadline limits.finalReadTimeout. If the final write times out too, but the socket has accepted
+// some bytes in it, deliver starts again with the rest and the full limits.writeTimeout. If the
+// socket has accepted no bytes in the final write, deliver returns the timeout. Any other error is
+// returned at once.
 func (c *connection) deliver(message []byte) error {
-	finalWrite := false // whether the write deadline has passed, and this write is the short final one
+	finalWrite := false // whether the next write is the final one, with finalReadTimeout
 	for {
 		timeout := c.limits.writeTimeout
 		if finalWrite {
@@ -103,10 +105,10 @@
 }
 
 // endReading signals the end of the reader to the writer, and waits until the writer has sent the
-// messages in the outbox. If the writer is not done in time, endReading closes the connection: at
-// limits.identifyTimeout after the accept, or after limits.finalReadTimeout if that is later. The
-// writer of an identified connection has the same time. The writer of an evicted connection has
-// limits.finalReadTimeout.
+// messages in the outbox. If the writer is not done at a time limit, endReading closes the
+// connection. For an evicted connection, the time limit is limits.finalReadTimeout after the call
+// of endReading. For any other connection, identified or not, it is limits.identifyTimeout after
+// the accept, or limits.finalReadTimeout after the call if that is later.
 func (c *connection) endReading(writer *sync.WaitGroup, reason error, awaitReady bool) {
 	c.awaitsReady = awaitReady
 	close(c.readDone)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,11 +1,11 @@
-// Package controller runs the decisions of package balancer as a controller on sockets: proxies and
-// collectors connect to it, it follows the endpoint list of discovery, and it pushes tables to the
-// proxies.
+// Package controller runs balancer.Controller, which makes the balancing decisions, on sockets:
+// proxies and collectors connect to the controller, which follows the endpoint list of discovery
+// and pushes tables to the proxies.
 //
-// The goroutine of the event loop owns the state and calls the decisions. Connections, the endpoint
-// watcher, the consensus node of shared ownership and the distribution of configuration run on
-// goroutines of their own and post events to the loop. Only package consensus and a subscriber's
-// configurationCache store state on disk.
+// The goroutine of the event loop owns the state and calls balancer.Controller. Connections, the
+// endpoint watcher, the consensus node of shared ownership and the distribution of configuration
+// run on goroutines of their own and post events to the loop. Only package consensus and a
+// subscriber's configurationCache store state on disk.
 package controller
 
 import (
@@ -68,8 +68,8 @@
 	for _, text := range parsed.warnings {
 		c.log.Warn("setting_unusual", "text", text)
 	}
-	// The loop, the decisions and the watcher refer to each other, so the references are set one by
-	// one.
+	// The loop, its balancer.Controller and the endpoint watcher refer to each other, so the
+	// references are set one by one.
 	c.loop = newEventLoop(parsed, c.log)
 	if c.loop.decisions, err = parsed.newDecisions(c.loop, parsed.channel); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// newEventLoop makes the loop without its decisions and its watcher, which New sets.
+// newEventLoop makes the loop without its balancer.Controller and its endpoint watcher, which New
+// sets.
 func newEventLoop(parsed *parsedConfiguration, log *slog.Logger) *eventLoop {
 	loop := &eventLoop{
 		limits:     parsed.limits,
@@ -215,7 +216,7 @@
 	c.logSettings(configuration.channel, configuration.rules, configuration.telemetry)
 }
 
-// logSettings logs the settings that the decisions use.
+// logSettings logs the settings that balancer.Controller uses.
 func (c *Controller) logSettings(
 	channel balancer.PushChannel, rules balancer.RuleLimits, telemetry balancer.Telemetry,
 ) {
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -13,7 +13,7 @@
 	"wheelrill/balancer"
 )
 
-// deployment describes the settings of a deployment.
+// deployment holds the settings in which the deployments of a test differ.
 type deployment struct {
 	classes       []classSettings
 	zones         []string
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -26,7 +26,7 @@
 	onAnswer    func()        // called once, at the first accepted answer of discovery
 	wakeups     chan struct{} // buffers one request to skip the pause before the next call
 
-	// Owned by the goroutine of run, and by loadCached before run begins.
+	// Fields owned by the goroutine of run, and by loadCached before run begins.
 	client          *fasthttp.HostClient
 	version         int64 // version of the known endpoint list
 	hasVersion      bool  // whether an endpoint list is known
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -35,7 +35,8 @@
 		case discovery.queries <- string(call.URI().QueryString()):
 		default:
 		}
-		// This channel never fires: a call for the full list waits until the test gives an answer.
+		// A call for the full list waits until the test gives an answer, as this channel never
+		// fires. A watch ends at the timeout that its query gives.
 		wait := make(<-chan time.Time)
 		if call.QueryArgs().Has("timeout_ms") {
 			wait = time.After(time.Duration(call.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond)
@@ -85,7 +86,8 @@
 		if err := fake.apply(proxy.receive()); err != nil || len(fake.picks(0)) != 2 {
 			t.Errorf("error %v, got %+v, want two picks", err, fake)
 		}
-		// The watcher has requested the full list by now, so this answer is accepted.
+		// After the unusable answers above, the watcher requests the full list. It accepts
+		// this full list.
 		discovery.answers <- listJSON(2, true, endpointJSON(0, "up"), endpointJSON(1, "up"), endpointJSON(5, "up"))
 		for len(fake.picks(0)) != 3 {
 			if err := fake.apply(proxy.receive()); err != nil {
--- a/controller/distribution.go
+++ b/controller/distribution.go
@@ -79,7 +79,7 @@
 }
 
 // proposedEntries are the complete distributed entries that a voter proposes: once the proposal is
-// accepted, they replace all entries of the record.
+// accepted, they replace all entries of the distribution.Record.
 type proposedEntries []distribution.Entry
 
 // JoinDistribution makes the controller take part in the distribution of configuration while it
--- a/controller/distribution_apply.go
+++ b/controller/distribution_apply.go
@@ -78,8 +78,8 @@
 	return false
 }
 
-// applyDistributed passes entries that have arrived to the decisions, as changes of the endpoint
-// list and quotas of classes.
+// applyDistributed passes entries that have arrived to balancer.Controller, as changes of the
+// endpoint list and quotas of classes.
 func (l *eventLoop) applyDistributed(entries []distribution.Entry, full bool) {
 	changed := changedSubjects{backends: map[string]bool{}, classes: map[string]bool{}}
 	if full {
@@ -116,8 +116,8 @@
 	return inSeconds(l.now - entry.AcceptedAt)
 }
 
-// updateOverriddenEndpoints passes the endpoints of backends whose overrides have changed to the
-// decisions, as if discovery had changed the endpoints, in the order of backend ids.
+// updateOverriddenEndpoints passes the endpoints of backends whose overrides have changed to
+// balancer.Controller, as if discovery had changed the endpoints, in the order of backend ids.
 func (l *eventLoop) updateOverriddenEndpoints(changed map[string]bool) {
 	var endpoints []balancer.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
@@ -130,8 +130,8 @@
 	}
 }
 
-// updateQuotas passes the limits of the classes whose limits have changed to the decisions, as
-// class quotas, in the order of class names.
+// updateQuotas passes the limits of the classes whose limits have changed to balancer.Controller,
+// as class quotas, in the order of class names.
 func (l *eventLoop) updateQuotas(changed map[string]bool) {
 	for _, class := range slices.Sorted(maps.Keys(changed)) {
 		l.decisions.SetClassQuota(l.classIndex[class], l.overrides.limitOf(class))
--- a/controller/distribution_test.go
+++ b/controller/distribution_test.go
@@ -73,8 +73,8 @@
 	return limits
 }
 
-// runVoters runs controllers that share the record and vote on the distributed configuration. It
-// returns the members' addresses by name, and the controllers.
+// runVoters runs controllers that are members of one consensus group and vote on the distributed
+// configuration. It returns the members' addresses by name, and the controllers.
 func runVoters(t *testing.T, known string, names ...string) (map[string]string, []*runningController) {
 	t.Helper()
 	members := map[string]string{}
@@ -170,7 +170,7 @@
 	t.Run("a subscriber that loses its parent and the voters' majority keeps its configuration", func(t *testing.T) {
 		relay.stop()
 		leaf.logged.waitFor(t, "msg=parent_lost", 1)
-		// The subscriber subscribes again, at a parent that it learned of from the lost parent.
+		// The subscriber subscribes at another parent, whose address it got from the lost parent.
 		leaf.logged.waitFor(t, "msg=subscribed", 2)
 		voters[2].reload(t, known, `{"pricing":{"drain":{"s-4":true}}}`)
 		voters[2].logged.waitFor(t, "msg=change_accepted revision=2", 1)
--- a/controller/eventloop.go
+++ b/controller/eventloop.go
@@ -8,13 +8,13 @@
 	"wheelrill/balancer"
 )
 
-// eventLoop owns the controller's state and is the host of the decisions. Only the goroutine of run
-// reads or writes the decisions, tables, sessions, overrides, timers, backend indices and the
-// ownership coordinator; all other goroutines post functions to inbox. Connections also read the
-// fields that New sets and that never change: limits, log, zone and class indices and names, clock,
-// and the channels. All events of one iteration share one clock time, and each proxy that they
-// affect gets one message for all of them. The loop stores nothing on disk: after a restart it
-// begins with the cached list of the configuration.
+// eventLoop owns the controller's state, and implements balancer.Host for its balancer.Controller.
+// Only the goroutine of run reads or writes the balancer.Controller, tables, sessions, overrides,
+// timers, backend indices and the ownership coordinator; all other goroutines post functions to
+// inbox. Connections also read the fields that New sets and that never change: limits, log, zone
+// and class indices and names, clock, and the channels. All events of one iteration share one clock
+// time, and each proxy that they affect gets one message for all of them. The loop stores nothing
+// on disk: after a restart it begins with the endpoint list that the configuration contains.
 type eventLoop struct {
 	// tables is embedded so that PublishEntry, AssignTable, Withdraw and the other orders of
 	// balancer.Host are methods of the loop. The loop's methods connect, disconnect, proxy, flush
@@ -43,7 +43,7 @@
 	stopped chan struct{} // closed when run returns; no event is handled after that
 	ready   chan struct{} // closed by becomeReady; until then connections send no message
 
-	clock     func() microseconds // returns the current Unix time
+	clock     func() microseconds // returns the current Unix time in µs
 	now       microseconds        // clock time of the current iteration
 	stalledAt microseconds        // time at which the process last resumed after a stall
 	timers    []timer             // pending timers, ordered by the time at which they are due
@@ -171,8 +171,9 @@
 }
 
 // pushChanges writes each proxy the changes of this iteration that concern it, and registers the
-// acknowledgements that the decisions requested. Where ownership is shared, the changes are
-// proposed to the record first, and messages wait until it contains them.
+// acknowledgements that balancer.Controller requested. Where ownership is shared, pushChanges first
+// proposes the changes to the replicated record. A message then waits until the record contains its
+// changes, or this member acts without the record.
 func (l *eventLoop) pushChanges() {
 	send, revision := (*connection).send, uint64(0)
 	if l.ownership != nil {
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -16,7 +16,8 @@
 		for node, mayHold := range []bool{false, true} {
 			conn, fake := connectProxy(t, loop, 1, node, mayHold), newFakeProxy("read it", "write")
 			fake.withdrawn["s-1"] = mayHold
-			// maxCost is the number of lines that the decisions charge, without message headers:
+			// maxCost is the number of lines (units of message cost) that balancer.Controller
+			// charges to the push channel for the proxy's first message, without message headers:
 			// one for an ack request, one for the limit of each class, one for an assignment, and
 			// two for the entries of its table. If the proxy may hold withdrawals, two more lines
 			// are charged.
--- a/controller/fake_test.go
+++ b/controller/fake_test.go
@@ -142,7 +142,7 @@
 	return ids
 }
 
-// receive applies the messages in a connection's outbox.
+// receive applies the messages in a connection's outbox to the fake proxy.
 func (fake *fakeProxy) receive(t *testing.T, conn *connection) {
 	t.Helper()
 	for {
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -13,8 +13,8 @@
 	"wheelrill/ownership"
 )
 
-// goldenOrders gives orders to tables as the decisions do, and records every message that each
-// proxy is written.
+// goldenOrders gives orders to tables through the methods of balancer.Host, as balancer.Controller
+// does, and records every message that each proxy is written.
 type goldenOrders struct {
 	t      *testing.T
 	tables *tables
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -43,8 +43,8 @@
 			case 10:
 				orderAll(func(to *tables) {
 					for table := range numbers {
-						// The entries are removed first, as the decisions forget only backends
-						// without entries.
+						// The entries are removed first, as balancer.Controller forgets only
+						// backends without entries.
 						to.PublishEntry(table, backend, 0)
 					}
 				})
@@ -78,8 +78,8 @@
 	}
 }
 
-// BenchmarkChangedEntry measures how long a change of one table entry takes, by the number of
-// proxies and backends, without decisions.
+// BenchmarkChangedEntry measures how long tables take to change one table entry and to encode the
+// pushes of the change, by the number of proxies and backends. No balancer.Controller takes part.
 func BenchmarkChangedEntry(b *testing.B) {
 	for _, proxies := range []int{100, 400, 1200, 2400} {
 		for _, backends := range []int{1000, 5000, 20_000} {
--- a/controller/known_table_test.go
+++ b/controller/known_table_test.go
@@ -10,8 +10,8 @@
 )
 
 // newTablesWithKnownProxy makes table 0 with ten entries for two classes, and a connected proxy
-// that has entriesBefore and limits of its previous owner. base is the table that the new owner
-// knows the proxy to have.
+// that has the table entries entriesBefore, and admission limits that its previous owner set. base
+// is the table that, as far as the new owner knows, the proxy has.
 func newTablesWithKnownProxy(
 	base ownership.KnownTable, entriesBefore map[string]float64,
 ) (*tables, *fakeProxy, *connection) {
@@ -33,7 +33,8 @@
 	for b := range 10 {
 		ten[fmt.Sprint("s-", b)] = 1
 	}
-	// quoted returns table entries as the record stores them, with backend ids as JSON strings.
+	// quoted returns table entries as the replicated ownership record stores them, with backend ids
+	// as JSON strings.
 	quoted := func(lines map[string]float64) map[string]float64 {
 		encoded := map[string]float64{}
 		for id, weight := range lines {
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -6,13 +6,14 @@
 	"wheelrill/balancer"
 )
 
-// limits holds the sizes, counts and timeouts of the controller, apart from those of the balancing
-// decisions. New sets them. They are read-only afterwards, so any goroutine may read them.
+// limits holds the sizes, counts and timeouts of the controller, apart from those that
+// balancer.Controller applies to its decisions. New sets them. They are read-only afterwards, so
+// any goroutine may read them.
 //
 // Other parts define their own limits: the distributed configuration in distribution/limits.go
 // (distribution.Limits), its connections in distribution/transport/config.go (transport.Bounds),
-// the shared record in constants of package consensus next to the code that uses them (its times
-// are in timings.go), and leases in ownership.go.
+// the replicated ownership record in constants of package consensus next to the code that uses them
+// (its times are in timings.go), and leases in ownership.go.
 type limits struct {
 	// Resources of the process and size of the fleet.
 
@@ -98,20 +99,22 @@
 	// tick is the minimum time between two iterations that events trigger.
 	tick time.Duration
 	// stallThreshold is the time between two iterations above which the process counts as stalled.
-	// An idle loop has no such gaps, as the timers of the decisions cause several iterations a
-	// second.
+	// An idle loop has no such gaps, as the timers that balancer.Controller sets cause several
+	// iterations a second.
 	stallThreshold microseconds
 	// readyTimeout is the time after the start at which the controller becomes ready even without
 	// an endpoint list.
 	readyTimeout time.Duration
-	// handOverTimeout bounds the wait at shutdown until the shared record confirms that this
-	// controller's proxies are released.
+	// handOverTimeout bounds the wait at shutdown until the replicated ownership record confirms
+	// that this controller's proxies are released.
 	handOverTimeout time.Duration
-	// silenceTimeout is the time without a message, and with an acknowledgement outstanding for as
-	// long, after which a connection counts as half-open.
+	// silenceTimeout bounds the silence of a proxy: its connection counts as half-open if, for
+	// longer than silenceTimeout, no message has arrived and an acknowledgement has been
+	// outstanding.
 	silenceTimeout microseconds
-	// ackLagTimeout replaces silenceTimeout if another proxy has already acknowledged the push whose
-	// acknowledgement is outstanding. It counts from the acknowledgement of the other proxy on.
+	// ackLagTimeout applies in addition to silenceTimeout if another proxy has already
+	// acknowledged the push whose acknowledgement is outstanding. It counts from the time of that
+	// other proxy's acknowledgement.
 	ackLagTimeout microseconds
 
 	// Times of connections from proxies and collectors.
@@ -245,8 +248,9 @@
 // interval.
 func (l *limits) fitTimes(tick microseconds, channel balancer.PushChannel, telemetry balancer.Telemetry) {
 	l.tick = max(time.Duration(tick)*time.Microsecond, time.Millisecond)
-	// A running proxy reports once per interval. The timeouts allow for a proxy that stalls for two
-	// seconds and for a full push channel.
+	// A running proxy sends one load report per report interval. The timeouts allow for a proxy
+	// that stalls for two seconds, and for pushes that wait because the push channel to the proxies
+	// is full.
 	const proxyStall = 2 * microsPerSecond
 	l.silenceTimeout = 2*channel.MaxLatency + 3*telemetry.ReportInterval + proxyStall
 	l.ackLagTimeout = channel.MaxLatency + proxyStall
--- a/controller/load_reports_test.go
+++ b/controller/load_reports_test.go
@@ -8,7 +8,8 @@
 )
 
 func TestLoadReports(t *testing.T) {
-	// accepted returns how many messages after the first one reach the loop's inbox.
+	// accepted sends first, which identifies the peer, and then texts on one connection. It returns
+	// how many messages after first reach the loop's inbox.
 	accepted := func(t *testing.T, first string, texts ...string) int {
 		loop, _ := newIdleLoop(t)
 		raw := frame(first)
@@ -25,10 +26,11 @@
 	ack := `{"msg":"ack","node":3,"nonce":1,"latency":3.5}`
 	for name, test := range map[string]struct {
 		first, valid string
-		// invalid holds pairs of a text in valid and a replacement that makes the message invalid.
+		// invalid holds pairs: a part of the message valid, and a replacement of that part which
+		// makes the message invalid.
 		invalid []string
-		// ignored holds pairs of a text in valid and a replacement that is ignored, as its field is
-		// not read.
+		// ignored holds pairs: a part of the message valid, and a replacement of that part which
+		// changes nothing, as the controller does not read the field.
 		ignored []string
 	}{
 		"outcomes": {agent, full, []string{`"total":9`, `"total":9.5`, `"total":9`, `"total":null`, `"total":9`, `"was":9`, `"total":9`,
--- a/controller/log.go
+++ b/controller/log.go
@@ -19,7 +19,7 @@
 	return slog.New(slog.NewTextHandler(to, &slog.HandlerOptions{ReplaceAttr: formatTime}))
 }
 
-// formatTime replaces the timestamp of a record by its time of day in UTC.
+// formatTime replaces the timestamp of a log record by its time of day in UTC.
 func formatTime(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.TimeKey {
 		return slog.String(attr.Key, attr.Value.Time().UTC().Format(timeFormat))
@@ -131,8 +131,8 @@
 	return suppressed, true
 }
 
-// attrText returns the value of a record's key as text. For an error it returns the text of the
-// root cause, as the wrapping errors may contain numbers that differ each time.
+// attrText returns the value of a key of a log record as text. For an error it returns the text of
+// the root cause, as the wrapping errors may contain numbers that differ each time.
 func attrText(record slog.Record, key string) (text string) {
 	record.Attrs(func(attr slog.Attr) bool {
 		if attr.Key != key {
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -32,9 +32,9 @@
 // an endpoint list.
 const maxWeight = 1e6
 
-// minLimit replaces a limit of 0, because the decisions take a quota of 0 as no quota at all. With
-// minLimit they still admit a small share of the requests, so that load reports of the class
-// continue.
+// minLimit replaces a limit of 0, because balancer.Controller takes a quota of 0 as no quota at
+// all. With minLimit, proxies still admit a small share of the requests, so that load reports of
+// the class continue.
 const minLimit = 1e-9
 
 // overrides holds the values that distributed entries set for backends, where they take precedence
@@ -78,8 +78,9 @@
 // neither, and have an empty subject.
 type subject struct{ backend, class string }
 
-// apply stores or deletes the value of an entry, and returns the subject for which the decisions
-// have to be updated. It returns false if the value is unusable; the entry then counts as deleted.
+// apply stores or deletes the value of an entry, and returns the subject whose values have to be
+// updated in balancer.Controller. It returns false if the value is unusable; the entry then counts
+// as deleted.
 func (o *overrides) apply(entry distribution.Entry) (changed subject, ok bool) {
 	kind, target, _ := strings.Cut(entry.Name, kindSeparator)
 	switch kind {
@@ -199,9 +200,9 @@
 	}
 }
 
-// appendMerged appends an endpoint with its overrides applied, as it is passed to the decisions. A
-// drained backend that discovery has removed is appended twice, as draining and then as removed: if
-// it were only removed, proxies might go on using it.
+// appendMerged appends an endpoint with its overrides applied, as it is passed to
+// balancer.Controller. A drained backend that discovery has removed is appended twice, as draining
+// and then as removed: if it were only removed, proxies might go on using it.
 func (o *overrides) appendMerged(to []balancer.Endpoint, id string, endpoint balancer.Endpoint) []balancer.Endpoint {
 	if weight, ok := o.weightOf(id); ok {
 		endpoint.Weight = weight
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -20,8 +20,8 @@
 	// nothing is stored, and the process joins as a new member after a restart.
 	Folder string
 	consensus.Credentials
-	// Lease is the time after which a member acts on its own if the record has committed none of
-	// its entries; 0 means 1.5 s.
+	// Lease is the time after which a member acts on its own if none of the member's entries was
+	// committed to the replicated log; 0 means 1.5 s.
 	Lease ownership.Microseconds
 }
 
@@ -55,8 +55,9 @@
 	if host.node, err = c.newConsensusNode(config, host); err != nil {
 		return err
 	}
-	// The decisions that New made assume that no other controller writes to the proxies. Replace
-	// them and their timers by decisions that have this member's share of the messages.
+	// The balancer.Controller that New made assumes that no other controller writes to the proxies.
+	// Replace it and its timers by a balancer.Controller that has this member's share of the
+	// messages.
 	loop.timers = nil
 	if loop.decisions, err = c.configuration.newDecisions(loop, c.memberChannel(terms)); err != nil {
 		return err
@@ -92,8 +93,8 @@
 	return terms, nil
 }
 
-// newConsensusNode makes this member's consensus node, which replicates the record. The node of a
-// voter also distributes the configuration.
+// newConsensusNode makes this member's consensus node, which replicates the ownership record. The
+// node of a voter also distributes the configuration.
 func (c *Controller) newConsensusNode(config OwnershipConfig, host *ownershipHost) (*consensus.Node, error) {
 	nodeConfig := consensus.Config{Name: config.Name, Members: config.Members, Folder: config.Folder,
 		Credentials: config.Credentials, Terms: host.terms}
@@ -109,8 +110,8 @@
 	return node, err
 }
 
-// memberChannel returns the push channel with this member's share of the messages that may be
-// written to a proxy.
+// memberChannel returns the settings of the push channel with this member's share of the messages
+// that may be written to a proxy.
 func (c *Controller) memberChannel(terms ownership.LeaseTerms) balancer.PushChannel {
 	channel := c.configuration.channel
 	if channel.MaxMessages > 0 {
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -9,9 +9,9 @@
 	"wheelrill/ownership"
 )
 
-// ownershipHost is the host of the coordinator: it connects the shared ownership of proxies with
-// the decisions, the tables and the connections. The event loop owns it; only node has goroutines
-// of its own, which Controller.Serve starts and waits for.
+// ownershipHost is the host of the ownership coordinator: it connects the shared ownership of
+// proxies with balancer.Controller, the tables and the connections. The event loop owns it; only
+// node has goroutines of its own, which Controller.Serve starts and waits for.
 type ownershipHost struct {
 	loop        *eventLoop
 	coordinator *ownership.Coordinator
@@ -21,27 +21,29 @@
 
 	// pending holds the connected proxies that this member does not own yet.
 	pending map[int]pendingProxy
-	// queued holds, in order, the messages whose table changes are not in the record yet. The
-	// number of queued messages is not bounded, but the end of the lease releases all of them.
+	// queued holds, in order, the messages whose table changes are not in the replicated record
+	// yet. The number of queued messages is not bounded, but the end of the lease releases all of
+	// them.
 	queued []queuedMessage
 	// released is the revision of this member's tables up to which messages may be sent.
 	released uint64
 }
 
-// pendingProxy holds the properties of a proxy that are passed to the decisions once this member
-// owns the proxy.
+// pendingProxy holds the properties of a proxy that are passed to balancer.Controller once this
+// member owns the proxy.
 type pendingProxy struct {
 	zone               int
 	requestsPerSecond  float64
 	mayHoldWithdrawals bool
 }
 
-// coordinatorTimer is the tag of the coordinator's timer; no timer of the decisions has this tag.
+// coordinatorTimer is the tag of the coordinator's timer; no timer of balancer.Controller has this
+// tag.
 const coordinatorTimer = 1<<64 - 1
 
 // coordinatorTick runs the coordinator periodically: the coordinator renews the lease, and gets the
-// time at which each proxy last sent a message and the evidence for the record. coordinatorTick
-// then sets the timer for the next tick.
+// time at which each proxy last sent a message, and the evidence to propose to the replicated
+// record. coordinatorTick then sets the timer for the next tick.
 func (h *ownershipHost) coordinatorTick(now microseconds) {
 	h.coordinator.Tick(now)
 	for proxy, session := range h.loop.sessions {
@@ -54,9 +56,9 @@
 }
 
 // handOver gives up the ownership of this member's proxies at a planned end. The loop does not
-// iterate any more, so no new message is created. The record confirms the handover before any
-// connection of these proxies ends, if it answers within limits.handOverTimeout. Until then
-// ReleaseUpTo still passes queued messages that the record releases to their connections, and
+// iterate any more, so no new message is created. The replicated record confirms the handover
+// before any connection of these proxies ends, if it answers within limits.handOverTimeout. Until
+// then ReleaseUpTo still passes queued messages that the record releases to their connections, and
 // writers send the messages that wait in outboxes.
 func (h *ownershipHost) handOver() {
 	loop := h.loop
@@ -82,7 +84,7 @@
 	h.coordinator.ProxyConnected(proxy, h.loop.now)
 }
 
-// removeProxy discards a proxy, and reports whether the decisions know it.
+// removeProxy discards a proxy, and reports whether it was known to balancer.Controller.
 func (h *ownershipHost) removeProxy(proxy int) (known bool) {
 	_, pending := h.pending[proxy]
 	delete(h.pending, proxy)
@@ -92,7 +94,7 @@
 }
 
 // ProxyGranted implements ownership.Host: it handles that this member owns a proxy from now on, by
-// reporting the proxy to the decisions as connected.
+// reporting the proxy to balancer.Controller as connected.
 func (h *ownershipHost) ProxyGranted(grant ownership.Grant) {
 	pending, ok := h.pending[grant.Proxy]
 	if !ok {
@@ -116,13 +118,13 @@
 }
 
 // PeerCapacityReported implements ownership.Host: it passes the throughput of the backends that
-// another member observed to the decisions.
+// another member observed to balancer.Controller.
 func (h *ownershipHost) PeerCapacityReported(capacity ownership.Capacity) {
 	h.loop.decisions.SeedThroughput(capacity.Proven, capacity.Saturated)
 }
 
 // PeerObservationReported implements ownership.Host: it passes the outcomes that another member's
-// proxies had at a backend to the decisions.
+// proxies had at a backend to balancer.Controller.
 func (h *ownershipHost) PeerObservationReported(_ string, observation ownership.Observation) {
 	if backend, ok := h.loop.backends.index[observation.Backend]; ok {
 		h.loop.decisions.PeerOutcomesReported(backend, observation.Attempts, observation.Failed, observation.MeanLatency,
@@ -130,8 +132,8 @@
 	}
 }
 
-// MessagesSentByPeers implements ownership.Host: it reduces the number of messages that the
-// decisions may write to a proxy by the number that other members sent to the proxy.
+// MessagesSentByPeers implements ownership.Host: it reduces the number of messages that
+// balancer.Controller may write to a proxy by the number that other members sent to the proxy.
 func (h *ownershipHost) MessagesSentByPeers(proxy, messages int) {
 	h.loop.decisions.MessagesSentByPeers(proxy, messages)
 }
--- a/controller/ownership_queue.go
+++ b/controller/ownership_queue.go
@@ -4,7 +4,8 @@
 	"slices"
 )
 
-// queuedMessage is a message to a proxy that waits until the record contains its table changes.
+// queuedMessage is a message to a proxy that waits until the replicated record contains its table
+// changes, or until this member acts without the record.
 type queuedMessage struct {
 	conn     *connection
 	message  []byte
@@ -12,8 +13,8 @@
 }
 
 // ReleaseUpTo implements ownership.Host: it sends the queued messages up to a revision of this
-// member's tables. The table changes of these messages are in the record, or this member acts
-// without the record.
+// member's tables. The table changes of these messages are in the replicated record, or this member
+// acts without the record.
 func (h *ownershipHost) ReleaseUpTo(revision uint64) {
 	h.released = max(h.released, revision)
 	count := 0
--- a/controller/ownership_record.go
+++ b/controller/ownership_record.go
@@ -7,9 +7,10 @@
 	"wheelrill/ownership"
 )
 
-// consensusEvents passes the events of the record to the event loop. Goroutines of the consensus
-// node call its methods, so the methods only post. The posted functions run on the goroutine of the
-// loop, where loop.now is the clock time at which the event is handled.
+// consensusEvents passes the events of the consensus node, which replicates the ownership record,
+// to the event loop. Goroutines of the consensus node call its methods, so the methods only post.
+// The posted functions run on the goroutine of the loop, where loop.now is the clock time at which
+// the event is handled.
 type consensusEvents struct {
 	loop *eventLoop
 	host *ownershipHost
@@ -20,7 +21,8 @@
 	e.loop.post(func() { e.host.coordinator.EntryApplied(entry, e.loop.now) })
 }
 
-// SnapshotRestored implements consensus.Events: it posts the record that a snapshot contained.
+// SnapshotRestored implements consensus.Events: it posts the ownership record that a snapshot
+// contained.
 func (e consensusEvents) SnapshotRestored(record *ownership.Record) {
 	e.loop.post(func() { e.host.coordinator.SnapshotRestored(record, e.loop.now) })
 }
@@ -38,7 +40,7 @@
 }
 
 // recordTableChanges passes this iteration's table changes to the coordinator, which proposes them
-// to the record, before any of the changes is written to a proxy.
+// to the replicated record, before any of the changes is written to a proxy.
 func (h *ownershipHost) recordTableChanges() {
 	tables := h.loop.tables
 	var changes []ownership.TableChange
@@ -69,14 +71,14 @@
 	}
 }
 
-// recordLine returns a table entry in the form in which the record stores it.
+// recordLine returns a table entry in the form in which the replicated record stores it.
 func (h *ownershipHost) recordLine(backend int, weight float64) ownership.Line {
 	return ownership.Line{Backend: string(h.loop.backendName(backend)), Weight: weight}
 }
 
-// shareEvidence passes evidence to the coordinator, which proposes it to the record: the outcomes
-// that this member's proxies observed, the backends that this member has ejected, the throughput of
-// the backends, and the demand of each proxy.
+// shareEvidence passes evidence to the coordinator, which proposes it to the replicated record: the
+// outcomes that this member's proxies observed, the backends that this member has ejected, the
+// throughput of the backends, and the demand of each proxy.
 func (h *ownershipHost) shareEvidence(now microseconds) {
 	for backend, id := range h.loop.backends.ids {
 		if id != "" {
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -19,8 +19,8 @@
 	loop    *eventLoop
 }
 
-// awaitAcknowledged waits until the record of a member shows owner as the owner of a proxy, and
-// that the proxy has acknowledged a message.
+// awaitAcknowledged waits until the member's copy of the replicated record shows owner as the owner
+// of a proxy, and that the proxy has acknowledged a message.
 func (s *runningMember) awaitAcknowledged(t *testing.T, node int, owner string) {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -110,7 +110,7 @@
 	known := listJSON(1, true, entries...)
 	t.Run("a proxy that changes its owner is written the difference, not the full table again", func(t *testing.T) {
 		all := runMembers(t, known, 3, "n0", "n1", "n2")
-		for _, s := range all { // wait until each member has joined, and the record contains its tables
+		for _, s := range all { // wait until each member has joined, and the replicated record contains its tables
 			s.logged.waitFor(t, "msg=quorum_changed quorum=true", 1)
 		}
 		fake := newFakeProxy("read it", "write")
@@ -119,8 +119,8 @@
 			t.Fatalf("picks %v, want 12 backends", fake.picks(0))
 		}
 		knownTables := 0
-		// The change of owner is repeated, as the record may lack some confirmations of tables at
-		// first.
+		// The proxy changes its owner several times, as the replicated record may lack some
+		// confirmations of its tables at first.
 		for at := 1; knownTables == 0 && at < 6; at++ {
 			all[at%3].awaitAcknowledged(t, 3, fmt.Sprint("n", (at-1)%3))
 			proxy.Close()
--- a/controller/push_charge_test.go
+++ b/controller/push_charge_test.go
@@ -10,9 +10,9 @@
 	"wheelrill/balancer"
 )
 
-// The limit of the push channel on lines to proxies holds only if pushes never contain more lines
-// than the decisions charge to the channel. A push with uncharged lines would exceed the limit
-// unnoticed.
+// The push channel keeps its limit on lines (units of message cost) to proxies only if a push never
+// contains more lines than balancer.Controller charges to the channel. A push with uncharged lines
+// would exceed the limit unnoticed.
 func TestPushesNeverExceedChargedLines(t *testing.T) {
 	wide := strings.NewReplacer(`"egressPerS":900`, `"egressPerS":1e6`, `"backlog":900`, `"backlog":1e6`,
 		`"pushDelayMax":600`, `"pushDelayMax":600000`, `"overhead":4`, `"overhead":4,"socketsMin":10`)
@@ -45,7 +45,7 @@
 						case 2:
 							state := []string{"up", "draining", "removed"}[random.IntN(3)]
 							loop.endpointsUpdated(false, int64(step), parsed(t, "["+endpointJSON(random.IntN(22), state)+"]").GetArray())
-						default: // latency is 0.2 s for 40 steps, then 1.1 s for 40 steps
+						default: // the backends' latency is 0.2 s for 40 steps, then 1.1 s for 40 steps
 							for id := range 20 {
 								loop.outcomesReported(outcomeReport{fmt.Sprint("s-", id), 20, 0,
 									200_000 + int64(step/40%2)*900_000, microsPerSecond,
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -201,7 +201,8 @@
 		for range 5 {
 			discovery.answers <- "status 500"
 		}
-		// This answer is unusable, as the watcher has requested the full list by now.
+		// This answer is unusable, as it lists only changes, and the watcher has requested the full
+		// list after the failed calls.
 		discovery.answers <- listJSON(9, false, endpointJSON(7, "up"))
 		discovery.answers <- listJSON(9, true, endpointJSON(1, "up"), endpointJSON(7, "up"))
 		proxy, fake, logged := connect(t, discovery, twoEndpoints)
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -8,13 +8,13 @@
 	backend     string       // id of the backend that the report is about
 	attempts    int          // number of attempts at the backend
 	failed      int          // number of failed attempts, which are included in attempts
-	meanLatency microseconds // mean latency of the successful attempts
-	interval    microseconds // length of the interval that the report covers
+	meanLatency microseconds // mean latency of the successful attempts, in µs
+	interval    microseconds // length of the interval that the report covers, in µs
 	load        balancer.BackendLoad
 }
 
-// outcomesReported passes a load report about a backend to the decisions. It drops a report about
-// an unknown backend.
+// outcomesReported passes a load report about a backend to balancer.Controller. It drops a report
+// about an unknown backend.
 func (l *eventLoop) outcomesReported(report outcomeReport) {
 	backend, ok := l.backends.index[report.backend]
 	if !ok {
@@ -35,9 +35,9 @@
 	}
 }
 
-// demandReported passes a load report about a proxy to the decisions: the number of requests of a
-// class that arrived at the proxy in an interval. It drops the report unless the proxy is connected
-// and this controller owns it.
+// demandReported passes a load report about a proxy to balancer.Controller: the number of requests
+// of a class that arrived at the proxy in an interval. It drops the report unless the proxy is
+// connected and this controller owns it.
 func (l *eventLoop) demandReported(proxy, class, count int, interval microseconds) {
 	if proxy >= len(l.sessions) || l.sessions[proxy] == nil || l.proxy(proxy).unowned {
 		return
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -16,14 +16,14 @@
 	completeAcknowledged bool // whether the proxy has sent firstCompleteAck, or a later acknowledgement
 }
 
-// pendingAck is an acknowledgement that the decisions requested at one clock time. All proxies from
-// which they requested it share one pendingAck.
+// pendingAck is an acknowledgement that balancer.Controller requested at one clock time. All
+// proxies from which it was requested share one pendingAck.
 type pendingAck struct {
 	nonce int
 	// revision is the revision of this member's tables when the push with the request was encoded;
 	// 0 if ownership is not shared.
 	revision        uint64
-	sentBy          microseconds // time by which the last push that contains the request has left the push channel
+	sentBy          microseconds // time by which the push channel has sent the last push with the request
 	firstAnsweredAt microseconds // time at which the first proxy acknowledged; 0 until then
 }
 
@@ -81,8 +81,8 @@
 	l.removeSession(proxy)
 }
 
-// removeSession discards the state of a proxy's connection, and reports the disconnection to the
-// decisions if they know the proxy.
+// removeSession discards the state of a proxy's connection, and reports the disconnection to
+// balancer.Controller if the proxy is known there.
 func (l *eventLoop) removeSession(proxy int) {
 	l.sessions[proxy] = nil
 	l.disconnect(proxy)
@@ -102,11 +102,12 @@
 	}
 }
 
-// isSilent reports whether a proxy has sent nothing for limits.silenceTimeout while an
-// acknowledgement was outstanding. Pushes leave the push channel one by one, so an acknowledgement
-// counts as outstanding from the time by which all queued pushes have left. If another proxy has
-// sent the same acknowledgement, the shorter limits.ackLagTimeout applies, from that time on. The
-// time in which the process stalled does not count, because no message was read then.
+// isSilent reports whether a proxy has sent nothing for longer than limits.silenceTimeout while an
+// acknowledgement was outstanding. The push channel sends queued pushes one by one, so an
+// acknowledgement counts as outstanding from the time by which the channel has sent all queued
+// pushes. If another proxy has sent the same acknowledgement, the shorter limits.ackLagTimeout
+// applies too, from the time of the other proxy's acknowledgement on. The time in which the process
+// stalled does not count, because no message was read then.
 func (l *eventLoop) isSilent(session *session) bool {
 	if len(session.unacked) == 0 {
 		return false
--- a/controller/shutdown_test.go
+++ b/controller/shutdown_test.go
@@ -72,8 +72,8 @@
 				dial(t, address)
 			}
 			running := controllerGoroutines()
-			// The last function is left out: without distribution of configuration, its goroutine
-			// does not run.
+			// The last of goroutineFunctions is left out: without distribution of configuration,
+			// its goroutine does not run.
 			for _, function := range goroutineFunctions[:5] {
 				if !strings.Contains(running, functionName(function)+"(") {
 					t.Errorf("%s is not found among the running goroutines", functionName(function))
@@ -83,7 +83,7 @@
 				t.Fatal(err)
 			}
 		})
-		if remaining := controllerGoroutines(); remaining != "" { // Serve has returned, so none may remain
+		if remaining := controllerGoroutines(); remaining != "" { // no goroutine may remain after Serve
 			t.Errorf("goroutines are left after Serve:\n%s", remaining)
 		}
 	})
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -7,10 +7,10 @@
 	"wheelrill/ownership"
 )
 
-// tables holds the tables, admission limits and withdrawals that the decisions have ordered through
-// the methods of balancer.Host, and the state that was last written to each connected proxy. Orders
-// update it and mark the proxies concerned; flush writes each marked proxy one message for all
-// orders of one clock time. The event loop owns it.
+// tables holds the tables, admission limits and withdrawals that balancer.Controller has ordered
+// through the methods of balancer.Host, and the state that was last written to each connected
+// proxy. Orders update it and mark the proxies concerned; flush writes each marked proxy one
+// message for all orders of one clock time. The event loop owns it.
 type tables struct {
 	classNames  [][]byte                 // name of each class as encoded in messages, a JSON string
 	backendName func(backend int) []byte // returns the id of a backend as a JSON string
@@ -27,7 +27,7 @@
 	// these fields.
 	withdrawalChanges []int // backends that were withdrawn or restored at the current clock time
 	ackNonce          int   // nonce of the requested acknowledgement
-	ackRequested      bool  // whether the decisions requested an acknowledgement
+	ackRequested      bool  // whether balancer.Controller requested an acknowledgement
 	// ackFromAll is true if all connected proxies must acknowledge, not only the proxies with a
 	// message due.
 	ackFromAll bool
@@ -39,7 +39,8 @@
 	fullTables int
 }
 
-// table holds the entries and the admission limits of the table with one number.
+// table holds the entries and the admission limits of one table, which orders refer to by its
+// number.
 type table struct {
 	weights []float64 // weight of the entry of each backend, by backend index; 0 means no entry
 	changed []int     // backends whose entries were set at the current clock time
@@ -181,8 +182,8 @@
 }
 
 // AssignTable implements balancer.Host: it assigns a table to some classes of a proxy. The next
-// message to the proxy completes the proxy's table, and later messages contain the changes of the
-// table.
+// message to the proxy makes the proxy's table for these classes equal to the assigned table, and
+// later messages contain only the changes of the assigned table.
 func (t *tables) AssignTable(number, proxy int, classes uint16) {
 	state := t.proxy(proxy)
 	if state == nil {
@@ -317,10 +318,10 @@
 }
 
 // forget discards the state of a backend that no table contains, and returns true, if
-// decisionsForget returns true. decisionsForget discards the backend's state in the decisions, and
-// returns false if the decisions still need that state. forget also returns false while the backend
-// is withdrawn from a connected proxy: until that connection ends, the backend must stay known, so
-// that it can be restored if it is listed again.
+// decisionsForget returns true. decisionsForget discards the backend's state in
+// balancer.Controller, and returns false if balancer.Controller still needs that state. forget also
+// returns false while the backend is withdrawn from a connected proxy: until that connection ends,
+// the backend must stay known, so that it can be restored if it is listed again.
 func (t *tables) forget(backend int, decisionsForget func() bool) bool {
 	for _, proxy := range t.proxies {
 		if proxy != nil && backend < len(proxy.backendStates) && proxy.backendStates[backend] == backendWithdrawn {
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -214,10 +214,10 @@
 }
 
 // writeWithdrawals writes which backends are withdrawn, and which are restored. A proxy keeps
-// withdrawals of other controllers, and of an earlier process of this one, while the decisions
-// assume that a cleared proxy has only the withdrawals of this process. Therefore a backend that
-// the tables contain, and that may still be withdrawn from the proxy, is restored when the proxy is
-// cleared, or with the first entry for the backend after that.
+// withdrawals of other controllers, and of an earlier process of this one, while
+// balancer.Controller assumes that a cleared proxy has only the withdrawals of this process.
+// Therefore a backend that the tables contain, and that may still be withdrawn from the proxy, is
+// restored when the proxy is cleared, or with the first entry for the backend after that.
 func (t *tables) writeWithdrawals(proxy *pushState, w *messageWriter) {
 	var withdrawn, restored [][]byte
 	for _, backend := range t.uncertainBackends(proxy) {
--- a/controller/tables_pushes_test.go
+++ b/controller/tables_pushes_test.go
@@ -252,10 +252,10 @@
 	withdrawn map[int]bool // backends that the proxy must not use for unassigned classes
 }
 
-// TestPushesMeanWhatWasOrdered guards against pushes that leave a proxy in another state than the
-// decisions ordered. It gives random orders to tables and to a simple model, and compares all
-// proxies after each message: entries, limits and usable backends, whatever state the proxies had
-// when they connected.
+// TestPushesMeanWhatWasOrdered guards against pushes that leave a proxy in another state than was
+// ordered through balancer.Host. It gives random orders to tables and to a simple model, and
+// compares all proxies after each message: entries, limits and usable backends, whatever state the
+// proxies had when they connected.
 func TestPushesMeanWhatWasOrdered(t *testing.T) {
 	const classes, proxies, backends, numbers = 3, 4, 6, 3
 	for seed := range uint64(200) {
@@ -288,7 +288,7 @@
 					}
 				case 1:
 					if expected[p] != nil {
-						for class := range classes { // assigns each class, all to one table or to several tables
+						for class := range classes { // assigns a table to each class: one for all, or several
 							number := (table + class*random.IntN(2)) % numbers
 							tables.AssignTable(number, p, 1<<class)
 							expected[p].tables[class] = number
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -14,10 +14,10 @@
 // inSeconds converts a duration to seconds.
 func inSeconds(duration microseconds) float64 { return float64(duration) / float64(microsPerSecond) }
 
-// timer is a pending timer of the decisions or of the ownership coordinator. The event loop owns
-// it.
+// timer is a pending timer, set by balancer.Controller or by the ownership coordinator. The event
+// loop owns it.
 type timer struct {
-	at  microseconds // clock time at which the timer is due
+	at  microseconds // clock time at which the timer is due, Unix time in µs
 	tag uint64
 }
 
