--- a/cmd/wheelrill/output.go
+++ b/cmd/wheelrill/output.go
@@ -23,7 +23,7 @@
 	return exitInconclusive
 }
 
-// verdictError returns the exit code of a verdict, or nil if it is passed.
+// verdictError returns the exit code of a verdict as an error, or nil for rehearse.VerdictPassed.
 func verdictError(verdict rehearse.Verdict) error {
 	switch verdict {
 	case rehearse.VerdictPassed:
@@ -41,8 +41,8 @@
 }
 
 // newProgressWriter returns a function that writes a line of progress to standard error: the
-// seconds since the call of newProgressWriter, the suffix, and a text. It returns nil if standard
-// error is not a terminal.
+// seconds since the call of newProgressWriter, the given suffix, and the text that is passed to the
+// function. newProgressWriter returns nil if standard error is not a terminal.
 func newProgressWriter(suffix string) func(text string) {
 	if !onTerminal() {
 		return nil
--- a/cmd/wheelrill/scale.go
+++ b/cmd/wheelrill/scale.go
@@ -159,8 +159,8 @@
 	return command
 }
 
-// reportRuns prints the saved runs, fits them again, or checks or updates a page, as the flags
-// select.
+// reportRuns prints the saved runs, computes their fits and verdicts again, or checks or updates a
+// page, as the flags select.
 func reportRuns(w io.Writer, flags *scaleReportFlags) error {
 	runs, err := results.Load(flags.folder)
 	switch {
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// checkPage compares a page with the runs. It prints the first difference and returns exitViolated
-// if the page differs from the runs.
+// checkPage compares the generated blocks and figures in a page with the saved runs. It prints the
+// first difference and returns exitViolated if the page differs from the runs.
 func checkPage(path string, runs []*results.Run) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -211,7 +211,8 @@
 	return nil
 }
 
-// writePage updates the blocks and figures in a page from the runs.
+// writePage replaces the generated blocks and figures in a page by those that follow from the saved
+// runs.
 func writePage(path string, runs []*results.Run) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/wheelrill/serve.go
+++ b/cmd/wheelrill/serve.go
@@ -19,7 +19,7 @@
 )
 
 // Environment variables of a controller. LB_NAME, LB_LISTEN and LB_DISCOVERY override the settings
-// of the same names in the configuration.
+// name, listen and discovery in the configuration.
 const (
 	envConfig    = "LB_CONFIG" // path of the configuration file
 	envName      = "LB_NAME"
--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -15,7 +15,7 @@
 // to which two other members appended entries for an hour: 16 entries per second in total, from two
 // members that own 400 proxies together.
 func BenchmarkCatchUp(b *testing.B) {
-	const entries, proxies = 16 * 3600, 400 // an hour of 16 entries per second; 400 proxies in total
+	const entries, proxies = 16 * 3600, 400 // 16 entries per second for an hour; both members own 400 proxies in total
 	addresses := freeAddresses(b, "a", "b", "c")
 	memberA := startMember(b, Config{Name: "a", Members: addresses})
 	memberB := startMember(b, Config{Name: "b", Members: addresses})
--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -74,8 +74,9 @@
 	return response
 }
 
-// appendEntry appends an entry to the record if this member is the leader, and waits until the
-// entry is committed. The connection number identifies the connection on which the entry arrived.
+// appendEntry appends an ownership entry to raft's log if this member is the leader, and waits
+// until the entry is committed. The connection number identifies the connection on which the entry
+// arrived.
 func (n *Node) appendEntry(entry ownership.Entry, connection int) memberResponse {
 	current := n.current()
 	if current.raft.State() != raft.Leader {
--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -20,15 +20,16 @@
 	Restored(state distribution.State)
 	// Accepted passes on the next change of the distributed configuration.
 	Accepted(change distribution.Change)
-	// Current reports that, at the time of the call, the record has a leader with a majority, and
-	// this member has every change that was committed more than a heartbeat earlier.
+	// Current reports that, at the time of the call, the replicated record has a leader with a
+	// majority, and this member has every change of the distributed configuration that was
+	// committed more than a heartbeat timeout earlier.
 	Current()
 	// Accept serves the connection of a subscriber until the connection ends, and closes it. The
 	// subscriber may subscribe only under names for which allowed returns true.
 	Accept(conn net.Conn, allowed func(name string) bool)
 }
 
-// entryKind is the kind of a configurationEntry.
+// entryKind states what a configurationEntry contains. The only kind is kindProposal.
 type entryKind uint8
 
 const kindProposal entryKind = 1
@@ -69,7 +70,7 @@
 	return &configurationRecord{distribution: receiver, onEpoch: onEpoch, record: distribution.NewRecord()}
 }
 
-// changeResult is the outcome of applying a proposal.
+// changeResult is the outcome of applying a proposal to the configuration record.
 type changeResult struct {
 	version distribution.Version // version of the configuration record after the change
 	err     error                // nil, or an error of distribution.Record.Apply or of decoding the log entry
@@ -91,9 +92,9 @@
 	return c.accept(entry.Proposal)
 }
 
-// accept applies a proposal as the next change of the record, or refuses the proposal. It passes
-// the first change of a record to the distribution as a whole state, and each later one as a
-// change.
+// accept applies a proposal to the configuration record, or refuses the proposal. It passes the
+// first change of an empty record to Distribution.Restored, as a whole state, and each later change
+// to Distribution.Accepted.
 func (c *configurationRecord) accept(proposal distribution.Proposal) changeResult {
 	c.mutex.Lock()
 	first := c.record.Empty()
@@ -118,7 +119,7 @@
 	return changeResult{version: version}
 }
 
-// state returns the content of the record for a snapshot; nil if the record is empty.
+// state returns the content of the configuration record for a snapshot; nil if the record is empty.
 func (c *configurationRecord) state() *distribution.State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -129,8 +130,8 @@
 	return &state
 }
 
-// restore replaces the content of the record by that of a snapshot; state is nil if the snapshot
-// holds no configuration.
+// restore replaces the content of the configuration record by the state from a snapshot; state is
+// nil if the snapshot holds no configuration.
 func (c *configurationRecord) restore(state *distribution.State) {
 	record := distribution.NewRecord()
 	if state != nil {
@@ -145,14 +146,14 @@
 	}
 }
 
-// view calls read with the record while it holds the mutex.
+// view calls read with the configuration record while it holds the mutex.
 func (c *configurationRecord) view(read func(*distribution.Record)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	read(c.record)
 }
 
-// empty reports whether the record has not accepted any change yet.
+// empty reports whether the configuration record contains no accepted change.
 func (c *configurationRecord) empty() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/consensus/configuration_test.go
+++ b/consensus/configuration_test.go
@@ -14,9 +14,8 @@
 )
 
 // A change that a member proposes has to reach every member once, whether or not that member leads.
-// The configuration has to survive the loss of one member's data, and a record that is bootstrapped
-// again needs a newer epoch, as the versions of an older epoch rank before all versions of a newer
-// epoch.
+// The configuration has to survive the loss of one member's data. A record that is bootstrapped
+// again needs a newer epoch, so that its versions rank after all versions of the lost record.
 func TestConfigurationChangeIsAppliedOnceAtEveryMember(t *testing.T) {
 	addresses := freeAddresses(t, "a", "b", "c")
 	var members []*runningMember
@@ -96,7 +95,7 @@
 		for i, name := range []string{"a", "b", "c"} {
 			receivers[i] = &fakeDistribution{}
 			members[i] = startMember(t, Config{Name: name, Members: addresses, Distribution: receivers[i]})
-			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // an epoch number above the Unix time in seconds
+			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than the current Unix time in seconds
 		}
 		members[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		for i, receiver := range receivers {
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -5,11 +5,11 @@
 // Reasons for which ProposeChange and ReplaceConfiguration fail, in addition to
 // distribution.ErrVersionMismatch.
 var (
-	// ErrUnanswered means that it is unknown whether the change is or will be accepted; it may be
-	// proposed again.
+	// ErrUnanswered means that it is unknown whether the proposed change has been or will be
+	// accepted; the caller may propose the change again.
 	ErrUnanswered = errors.New("consensus: no leader of the record has confirmed the change")
-	// ErrChangeRefused means that the configuration record refuses the change, and would refuse it
-	// again.
+	// ErrChangeRefused means that the configuration record refuses the change, and would refuse the
+	// same change again.
 	ErrChangeRefused = errors.New("consensus: the record refuses the change")
 )
 
--- a/consensus/forward.go
+++ b/consensus/forward.go
@@ -12,7 +12,8 @@
 	// forwardRetryPause is the pause between a failed attempt to append an entry and the call of
 	// ProposalFailed.
 	forwardRetryPause = 50 * time.Millisecond
-	// localConnection is the connection number for entries that the leader itself proposes.
+	// localConnection is the connection number for entries that the leader itself proposes, which
+	// arrive on no connection. The numbers of connections start at 1.
 	localConnection = 0
 )
 
@@ -54,8 +55,8 @@
 	}
 }
 
-// appendAtLeader makes the leader append an entry, and reports whether it is committed. If the
-// result is false, the entry may be committed or not.
+// appendAtLeader makes the leader append an entry to its log, and reports whether the entry is
+// committed. If the result is false, it is unknown whether the entry is committed.
 func (n *Node) appendAtLeader(ctx context.Context, conn *leaderConn, entry ownership.Entry) (committed bool) {
 	switch leader := n.leaderName(); leader {
 	case "":
@@ -104,7 +105,7 @@
 	l.conn = nil
 }
 
-// sleep waits for the pause. It returns false if the context ends first.
+// sleep waits for the given time. It returns false if the context ends first.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/consensus/freshness.go
+++ b/consensus/freshness.go
@@ -6,7 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// progress is the state of a member's raft instance, as far as freshness depends on it.
+// progress holds the properties of a member's raft instance that determine whether the member is
+// fresh.
 type progress struct {
 	isLeader  bool
 	inContact bool   // the follower received a message from the leader less than a heartbeat timeout ago
@@ -15,8 +16,8 @@
 	lastIndex uint64 // index of the last entry in this member's log
 }
 
-// freshness determines whether this member has every change that was committed more than a
-// heartbeat ago.
+// freshness determines whether this member is fresh: whether it has every change that was committed
+// more than a heartbeat timeout ago.
 type freshness struct {
 	// leadershipIndex is the index of the last log entry, or 1 if that index is 0, at the first
 	// call of observe after this member became leader. It is 0 before this call, and while this
@@ -24,10 +25,12 @@
 	leadershipIndex uint64
 }
 
-// observe reports whether the member is fresh at the given progress. It has to be called repeatedly
+// observe reports whether a member with the given progress is fresh. It has to be called repeatedly
 // during a leadership, and reset has to be called when the leadership changes. A follower is fresh
 // if it is in contact with a leader and has applied every entry that it knows to be committed. A
-// leader is fresh once it has applied every entry that its log contained when it became leader.
+// leader is fresh once it has applied every entry that its log contained at the first call of
+// observe after it became leader, and while it has applied every entry that it knows to be
+// committed.
 func (f *freshness) observe(seen progress) (fresh bool) {
 	if seen.applied < seen.committed {
 		return false
@@ -43,7 +46,8 @@
 	return seen.applied >= f.leadershipIndex
 }
 
-// reset discards the state of the last leadership. It has to be called when the leadership changes.
+// reset discards the leadershipIndex of the last leadership. It has to be called when this member
+// becomes leader or stops being leader.
 func (f *freshness) reset() { f.leadershipIndex = 0 }
 
 // reportCurrent calls Distribution.Current if this member is fresh and its configuration record is
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// runningMember is a Node whose Run is active until stop is called.
+// runningMember is a Node whose method Run is executing until stop is called.
 type runningMember struct {
 	*Node
 	*eventLog
@@ -136,7 +136,7 @@
 	return m
 }
 
-// commit proposes an entry until it is committed.
+// commit proposes an entry again and again until the entry is committed.
 func (m *runningMember) commit(t testing.TB, e ownership.Entry) {
 	t.Helper()
 	timeout := time.After(testTimeout)
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -22,14 +22,15 @@
 	// trailingLogs is the number of log entries that are kept after a snapshot. A member that lags
 	// by fewer entries needs no snapshot.
 	trailingLogs = 1024
-	// maxAppendEntries is the maximum number of log entries in one raft message; each entry may
-	// have the maximum size.
+	// maxAppendEntries is the maximum number of log entries in one raft message. The limit bounds
+	// the size of the message, as each entry in it may have the maximum size.
 	maxAppendEntries = 32
-	// connectionPool is the number of connections that raft keeps to each member.
+	// connectionPool is the maximum number of idle connections that raft keeps to each member.
 	connectionPool = 2
 )
 
-// instance is a raft instance under one ID. A member that starts over gets a new instance.
+// instance is a raft instance under one ID. A member that starts over under a new ID gets a new
+// instance.
 type instance struct {
 	raft    *raft.Raft
 	machine *stateMachine
@@ -64,13 +65,13 @@
 	machine := n.newStateMachine()
 
 	// The mutex stays locked until n.instance is the new instance, so that no other goroutine uses
-	// the previous one.
+	// the previous instance.
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	r, err := raft.NewRaft(n.raftConfig(store.id), machine, store.log, n.newHaltingStore(store.stable),
 		store.snapshots, raftTransport)
 	if err != nil {
-		_ = raftTransport.Close() // openInstance returns the error of NewRaft, not that of Close
+		_ = raftTransport.Close() // openInstance returns the error of NewRaft, not the error of Close
 		store.close()
 		return fmt.Errorf("consensus: start raft: %w", err)
 	}
--- a/consensus/liveness.go
+++ b/consensus/liveness.go
@@ -8,10 +8,10 @@
 	"wheelrill/ownership"
 )
 
-// probeSilentMembers finds members whose process does not run, and marks them in the lease tracker:
-// members that have sent no entry lately and whose address refuses a connection. A connection
-// attempt that times out proves nothing: the member may be cut off by the network, or its process
-// may be stalled.
+// probeSilentMembers finds members whose process does not run, and marks them as stopped in the
+// lease tracker. A member counts as stopped if it has sent no entry for longer than two renew
+// intervals and its address refuses a connection. A connection attempt that times out proves
+// nothing: the member may be cut off by the network, or its process may be stalled.
 func (n *Node) probeSilentMembers(ctx context.Context) {
 	for _, name := range n.silentMembers() {
 		probedAt := n.clock()
@@ -28,7 +28,8 @@
 	}
 }
 
-// silentMembers returns the other members from which no entry has arrived for two renew intervals.
+// silentMembers returns the names of the other members from which no entry has arrived at this
+// leader for longer than two renew intervals.
 func (n *Node) silentMembers() (silent []string) {
 	machine := n.current().machine
 	n.leaderMutex.Lock()
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -24,8 +24,8 @@
 	cost            costSample // load counters at the last log line of logCost
 }
 
-// maintainMembership makes this member part of the record, and restores its membership when it is
-// lost, until the context ends.
+// maintainMembership makes this member part of the replicated record, and restores the membership
+// if it is lost, until the context ends.
 func (n *Node) maintainMembership(ctx context.Context) {
 	loop := &membershipLoop{Node: n, cost: costSample{at: time.Now(), bytes: n.transport.bytes.Load()}}
 	poll := time.NewTicker(pollInterval)
@@ -47,7 +47,7 @@
 }
 
 // poll checks this member's membership once. If poll returns an error, this member takes no further
-// part in the record.
+// part in the replicated record.
 func (l *membershipLoop) poll(ctx context.Context) error {
 	current := l.current()
 	l.logCost(current)
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// nextStep requests the status of all other members, and returns the next step towards being part
-// of a record.
+// nextStep requests the status of all other members, and returns the step that this member has to
+// take next in order to be part of a replicated record.
 func (l *membershipLoop) nextStep(ctx context.Context, current *instance) ownership.Step {
 	others := map[string]ownership.PeerStatus{}
 	for name := range l.config.Members {
@@ -115,7 +115,8 @@
 	}
 }
 
-// startOver drops this member's record, and opens an empty raft instance under a new ID.
+// startOver drops this member's copy of the replicated record, and opens an empty raft instance
+// under a new ID.
 func (l *membershipLoop) startOver(current *instance) error {
 	l.log.Warn("record_restarted", "text", "all other members are reachable and belong to no record; "+
 		"this member drops its record and starts under a new ID")
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -28,15 +28,15 @@
 // memberRequest is a call to a member. The field that is set gives the kind of the call; ID and
 // Name are set together. Key numbers must never be changed or reused.
 type memberRequest struct {
-	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // the entry to append to the record
+	Entry  *ownership.Entry `cbor:"1,keyasint,omitempty"` // the ownership entry to append to raft's log
 	Status bool             `cbor:"2,keyasint,omitempty"` // requests a response with ID, HasRecord and Leader
-	// Name and ID request that the member Name is admitted to the record under ID.
+	// Name and ID request that the member Name is admitted to the replicated record under ID.
 	Name string `cbor:"3,keyasint,omitempty"`
 	ID   string `cbor:"4,keyasint,omitempty"`
 	// Subscribe requests a subscription: after the response, messages of package distribution
 	// follow in both directions until the connection ends.
 	Subscribe bool                   `cbor:"5,keyasint,omitempty"`
-	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // the change of the configuration record to accept
+	Change    *distribution.Proposal `cbor:"6,keyasint,omitempty"` // the proposed change of the configuration record
 }
 
 // memberResponse is the answer to a memberRequest.
@@ -44,7 +44,7 @@
 	Accepted  bool   `cbor:"1,keyasint,omitempty"`
 	Reason    string `cbor:"2,keyasint,omitempty"` // why the call is refused; empty if the call is accepted
 	ID        string `cbor:"3,keyasint,omitempty"`
-	HasRecord bool   `cbor:"4,keyasint,omitempty"` // the answering member is part of a record
+	HasRecord bool   `cbor:"4,keyasint,omitempty"` // the answering member is part of a replicated record
 	Leader    string `cbor:"5,keyasint,omitempty"` // name of the leader; empty if the answering member knows no leader
 
 	// Version is the version of the configuration record after an accepted Change.
@@ -63,11 +63,12 @@
 	// refusedVersionMismatch means that the configuration record is not at the base version of the
 	// proposal.
 	refusedVersionMismatch
-	// refusedPermanently means that the configuration record would refuse the same change again.
+	// refusedPermanently means that the configuration record refuses the change, and would refuse
+	// the same change again.
 	refusedPermanently
 )
 
-// Reasons on the wire for refusing a call.
+// Values of memberResponse.Reason for refused calls. They are sent on the wire.
 const (
 	reasonNotLeader     = "not the leader"
 	reasonNotMember     = "its certificate names no member"
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -24,8 +24,8 @@
 	// EntryCommitted passes on the next entry of the ownership record, which any member may have
 	// proposed.
 	EntryCommitted(ownership.Entry)
-	// SnapshotRestored passes on the whole ownership record, which replaces all earlier entries.
-	// The receiver owns the record.
+	// SnapshotRestored passes on a whole ownership record, which replaces the record that resulted
+	// from all earlier entries. The receiver may keep and modify the passed record.
 	SnapshotRestored(*ownership.Record)
 	// ProposalCommitted reports that an entry passed to Propose is committed to the record.
 	ProposalCommitted(incarnation, seq uint64)
@@ -44,25 +44,26 @@
 	// all data is in memory.
 	Folder string
 	Credentials
-	// Terms are the terms of the leases, which have to be the same at all members.
+	// Terms are the lease terms, such as the duration of a lease. All members must have the same
+	// terms.
 	Terms ownership.LeaseTerms
 	// Distribution receives the distributed configuration, and serves its subscribers; nil if this
 	// member serves no subscribers.
 	Distribution Distribution
 }
 
-// Node is a member that takes part in replicating the record. Its methods are safe for concurrent
-// use.
+// Node is a member that takes part in replicating the ownership record and the configuration
+// record. Its methods are safe for concurrent use.
 type Node struct {
 	config    Config
 	events    Events
 	log       *slog.Logger
 	transport *transport
-	clock     func() ownership.Microseconds // returns the time since New, in microseconds
+	clock     func() ownership.Microseconds // returns the time since the call of New, in microseconds
 	timings   raftTimings
 
-	// proposals holds at most the one entry to forward next, as a member has only one entry in
-	// flight.
+	// proposals holds the entry that forwardProposals sends to the leader next. It has space for
+	// one entry only, because a member has at most one entry in flight.
 	proposals chan ownership.Entry
 
 	mutex    sync.Mutex // protects the field instance
@@ -76,7 +77,7 @@
 	// this process. It is lost when the process ends.
 	leaderMutex sync.Mutex
 	leases      *ownership.LeaseTracker
-	clockID     uint64             // identifies this process's clock in the stamps of entries
+	clockID     uint64             // random ID of this process's clock, for the stamps of entries
 	newestEpoch distribution.Epoch // newest epoch of all configuration records that this process has held
 }
 
@@ -152,8 +153,8 @@
 	loops.Go(func() { n.maintainMembership(ctx) })
 	<-ctx.Done()
 	if n.halted.Load() {
-		// The transport must be closed before raft, because that releases the goroutine that
-		// haltingStore blocks.
+		// The transport must be closed before raft, because closing the transport releases the
+		// goroutine that haltingStore blocks.
 		n.transport.close()
 	} else if r := n.current().raft; r.State() == raft.Leader {
 		_ = r.LeadershipTransfer().Error() // if the transfer fails, the other members elect a leader a little later
@@ -168,8 +169,9 @@
 // as the member's votes are stored.
 func (n *Node) ID() string { return n.current().id }
 
-// Cost returns the load that the record has caused in this process so far: the number of entries
-// applied (raft's applied index), and the number of bytes sent and received.
+// Cost returns the load that replicating the record has caused in this process since the call of
+// New: the number of entries applied (raft's applied index), and the number of bytes sent and
+// received.
 func (n *Node) Cost() (entries uint64, bytes int64) {
 	return n.current().raft.AppliedIndex(), n.transport.bytes.Load()
 }
--- a/consensus/propose_change.go
+++ b/consensus/propose_change.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// acceptChange appends a change to the record if this member is the leader, and waits until it is
-// committed and applied.
+// acceptChange appends a change of the configuration record to raft's log if this member is the
+// leader, and waits until the change is committed and applied.
 func (n *Node) acceptChange(proposal distribution.Proposal) memberResponse {
 	r := n.current().raft
 	if r.State() != raft.Leader {
--- a/consensus/raft_layer.go
+++ b/consensus/raft_layer.go
@@ -51,8 +51,9 @@
 func (a memberAddr) Network() string { return "member" }
 func (a memberAddr) String() string  { return string(a) }
 
-// Dial opens a raft connection to a member, and sends the ID that the address contains, under which
-// the member is expected. Dial uses dialTimeout instead of the timeout that raft passes.
+// Dial opens a raft connection to the member with the given raft address, which contains the
+// member's name and ID. It sends the ID, and the member refuses the connection if the member has
+// another ID now. Dial uses dialTimeout instead of the timeout that raft passes.
 func (l *streamLayer) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	name, id, ok := strings.Cut(string(address), addressSeparator)
 	if !ok {
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -11,19 +11,19 @@
 	"wheelrill/distribution"
 )
 
-// snapshot holds the content of a snapshot: the encoded ownership record, and the configuration
-// record if there is one.
+// snapshot is the raft.FSMSnapshot of a stateMachine: it holds the encoded ownership record, and
+// the content of the configuration record unless the configuration record is empty.
 type snapshot struct {
 	record        []byte              // the encoded ownership record
 	configuration *distribution.State // the configuration record; nil if it is empty
-	bytes         *atomic.Int64       // set to the number of bytes that Persist has written
+	bytes         *atomic.Int64       // Persist sets this counter to the number of bytes that it has written
 }
 
 // Persist writes the snapshot to a sink.
 func (s *snapshot) Persist(to raft.SnapshotSink) error {
 	counted := &countingWriter{to: to}
 	if err := s.write(counted); err != nil {
-		_ = to.Cancel() // Persist returns the error of the write, not that of Cancel
+		_ = to.Cancel() // Persist returns the error of the write, not the error of Cancel
 		return err
 	}
 	s.bytes.Store(counted.bytes)
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -49,7 +49,8 @@
 	use(m.record)
 }
 
-// Snapshot returns a copy of the present state, which raft writes later.
+// Snapshot returns a copy of the ownership record and the configuration record, which raft writes
+// to a snapshot file later.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -57,7 +58,8 @@
 	return &snapshot{record: body, configuration: m.configuration.state(), bytes: &m.snapshotBytes}, err
 }
 
-// Restore replaces the state by a snapshot. A damaged snapshot changes nothing.
+// Restore replaces the ownership record and the configuration record by those in a snapshot. If the
+// snapshot cannot be read or decoded, Restore returns an error and changes nothing.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	body, err := io.ReadAll(from)
@@ -68,7 +70,7 @@
 	if _, err := cbor.UnmarshalFirst(body, record); err != nil {
 		return err
 	}
-	copied := ownership.NewRecord() // passed to SnapshotRestored, whose receiver owns the record
+	copied := ownership.NewRecord() // passed to SnapshotRestored, whose receiver may modify the record
 	rest, err := cbor.UnmarshalFirst(body, copied)
 	if err != nil {
 		return err
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -35,8 +35,8 @@
 	close     func()
 }
 
-// openStorage opens the storage in a folder, or in memory if folder is empty. newID becomes the ID
-// of the storage unless the folder has one already.
+// openStorage opens the storage in a folder, or in memory if folder is empty. newID becomes the
+// raft ID of the storage unless the folder already contains an ID.
 func openStorage(folder, newID string, logger hclog.Logger) (*storage, error) {
 	if folder == "" {
 		memory := raft.NewInmemStore()
@@ -67,7 +67,7 @@
 	return &storage{id: id, log: store, stable: store, snapshots: snapshots, close: closeStore}, nil
 }
 
-// loadID returns the ID in a store. If there is none, it stores and returns newID.
+// loadID returns the raft ID in a store. If the store has no ID, loadID stores and returns newID.
 func loadID(store raft.StableStore, newID string) (string, error) {
 	if id, err := store.Get([]byte(idKey)); err == nil && len(id) > 0 {
 		return string(id), nil
@@ -119,7 +119,8 @@
 	return haltingStore{StableStore: stable, onHalt: n.halt, ended: n.transport.ended}
 }
 
-// halt records that this member takes no further part in the record, because of a write error.
+// halt records that this member takes no further part in the replicated record, because raft's term
+// or vote cannot be stored.
 func (n *Node) halt(err error) {
 	n.log.Error("record_halted", "error", err.Error(), "text", "raft's term and vote cannot be stored, "+
 		"so this member takes no further part in the record; repair the disk and restart")
--- a/consensus/storage_test.go
+++ b/consensus/storage_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("the leadership transfer and the halt took %s, want at most %s together", elapsed, testTimeout)
 	}
 	a.Propose(ownership.Entry{Member: "a", Incarnation: 1, Seq: 3})
-	a.waitFor(t, "proposal failed 1 3") // the proposal fails, but the process continues without the record
+	a.waitFor(t, "proposal failed 1 3") // the proposal fails because member a is halted; the process continues
 	a.stop()
 }
 
--- a/consensus/subscription.go
+++ b/consensus/subscription.go
@@ -78,17 +78,18 @@
 	return memberResponse{Accepted: true}
 }
 
-// Listener accepts the connections of subscribers, for a subscriber that passes the distributed
-// configuration on. It refuses all other connections and calls.
+// Listener accepts the connections of subscribers. A subscriber uses a Listener to pass the
+// distributed configuration on to further subscribers. The Listener refuses all other connections
+// and calls.
 type Listener struct {
 	transport *transport
 }
 
-// Listen listens on an address. It passes each connection on which a call to subscribe was accepted
-// to serve, with a function that reports whether the caller may subscribe under a name; serve has
-// to return when the connection has ended. It passes the address of each refused caller and the
-// reason to onRefused. Both functions are called on one goroutine for each connection. The error is
-// a ConfigError.
+// Listen listens on an address. If it accepts the call to subscribe on a connection, it calls serve
+// with the connection and with a function that reports whether the caller may subscribe under a
+// name; serve has to return when the connection has ended. For each refused connection, it calls
+// onRefused with the caller's address and the reason. Both functions are called on one goroutine
+// for each connection. The error is a ConfigError.
 func (s *Subscriber) Listen(address string, serve func(conn net.Conn, allowed func(name string) bool),
 	onRefused func(from net.Addr, reason error)) (*Listener, error) {
 	if s.tlsConfig == nil {
@@ -130,7 +131,8 @@
 // Address returns the address on which the Listener listens, as host:port.
 func (l *Listener) Address() string { return l.transport.listener.Addr().String() }
 
-// Run accepts connections until the context ends, and returns when all of them are closed.
+// Run accepts connections until the context ends, and returns when all accepted connections are
+// closed.
 func (l *Listener) Run(ctx context.Context) {
 	var accepting sync.WaitGroup
 	accepting.Go(l.transport.acceptLoop)
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -16,7 +16,7 @@
 
 const (
 	dialTimeout      = 500 * time.Millisecond // time limit for opening a connection and identifying its caller
-	callTimeout      = time.Second            // time limit for a call and its response
+	callTimeout      = time.Second            // time limit for sending a call and receiving its response
 	acceptRetryPause = 10 * time.Millisecond  // pause after an error of the listener before the next call of Accept
 )
 
@@ -44,7 +44,7 @@
 	conns     map[net.Conn]bool // open connections, which transport.close closes
 	connCount int               // number of accepted connections for calls; the last connection has this number
 
-	bytes atomic.Int64 // number of bytes sent and received on all connections
+	bytes atomic.Int64 // number of bytes sent and received on all connections since the call of newTransport
 }
 
 func newTransport(members map[string]string, tlsConfig *tls.Config) *transport {
@@ -207,7 +207,7 @@
 	return named
 }
 
-// close closes the listener and all connections. Further calls have no effect.
+// close closes the listener and all connections. Further calls of close have no effect.
 func (t *transport) close() {
 	t.endOnce.Do(func() {
 		close(t.ended)
--- a/internal/process/controller.go
+++ b/internal/process/controller.go
@@ -29,14 +29,15 @@
 	ended chan struct{} // this channel is closed when cmd.Wait has returned
 }
 
-// Time limits of Stop and Responds.
+// Time limits of Stop (stopTimeout) and of Responds (dialTimeout and replyTimeout).
 const (
 	stopTimeout  = 3 * time.Second // Stop kills a controller that has not exited within this time
 	dialTimeout  = 200 * time.Millisecond
 	replyTimeout = 500 * time.Millisecond
 )
 
-// Start starts the process. The system kills it when this process exits.
+// Start starts the controller as a child process. The system kills the child process when this
+// process exits.
 func (c *Controller) Start() error {
 	c.cmd = exec.Command(c.Program, c.Args...)
 	c.cmd.Env = append(os.Environ(), c.Env...)
@@ -51,13 +52,13 @@
 	c.ended = make(chan struct{})
 	// This goroutine ends when the process exits.
 	go func(cmd *exec.Cmd, ended chan struct{}) {
-		_ = cmd.Wait() // the exit code is not specified; the controller's log has the cause
+		_ = cmd.Wait() // the error is ignored: no exit code is specified, and the controller's log has the cause
 		close(ended)
 	}(c.cmd, c.ended)
 	return nil
 }
 
-// PID returns the id of the process. It must not be called before Start.
+// PID returns the id of the controller's process. It must not be called before Start.
 func (c *Controller) PID() int { return c.cmd.Process.Pid }
 
 // Signal sends a signal to the process and does not wait for its effect.
--- a/internal/process/delay.go
+++ b/internal/process/delay.go
@@ -22,7 +22,7 @@
 // TooBusy reports whether the machine was too busy, given the 99th percentile of the delays.
 func TooBusy(p99 time.Duration) bool { return p99 > MaxDelay }
 
-// StartDelayMonitor starts to measure in a goroutine, until Stop is called.
+// StartDelayMonitor starts a goroutine that measures the delays until Stop is called.
 func StartDelayMonitor() *DelayMonitor {
 	m := &DelayMonitor{stop: make(chan struct{}), done: make(chan struct{})}
 	go m.run()
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -12,7 +12,7 @@
 // bits.
 const maxClasses = 16
 
-// Classes reads the request classes in the order in which the wire numbers them.
+// Classes reads the request classes in the order of their numbers in the simulator's protocol.
 func (s *Settings) Classes() []balancer.Class {
 	const (
 		writesKey    = "familyInfo.classWrites"
@@ -51,7 +51,8 @@
 	}
 }
 
-// flagAt reports whether the item of a class is "true"; a class without an item gets the default.
+// flagAt reports whether the item of a class in a list of per-class values is "true"; a class
+// without an item gets the default.
 func flagAt(list []string, class int, defaultFlag bool) bool {
 	if class >= len(list) {
 		return defaultFlag
@@ -95,16 +96,16 @@
 	return sharding
 }
 
-// loadDependentWeights maps the wire's words for the weights in endpoint lists to whether these
-// weights follow a backend's load.
+// loadDependentWeights maps the value of the setting "weights", a word of the simulator's protocol,
+// to whether the weights in endpoint lists follow a backend's load.
 var loadDependentWeights = map[string]bool{"silent": false, "nominal": false, "rough": false, "live": true}
 
-// pollingRequired maps the wire's words for how a controller gets the endpoint list to whether it
-// has to poll.
+// pollingRequired maps the value of the setting "membershipMode", a word of the simulator's
+// protocol, to whether a controller has to poll in order to get the endpoint list.
 var pollingRequired = map[string]bool{"automatic": false, "subscribe": true}
 
-// admissionModes maps the wire's words for the unit of an admission limit to the balancer's
-// AdmissionMode.
+// admissionModes maps the value of the setting "familyInfo.admission", a word of the simulator's
+// protocol for the unit of admission limits, to the balancer's AdmissionMode.
 var admissionModes = map[string]balancer.AdmissionMode{
 	"silent":     balancer.AdmissionUnsupported,
 	"fraction":   balancer.AdmissionByShare,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,10 +2,10 @@
 // sends them as lines of path=value, a controller's configuration has them as nested JSON; both
 // forms have the same keys.
 //
-// An unusable setting does not stop the reading: its reader returns a zero value, and Settings.Err
-// returns the error of the first unusable setting; callers check Err once all settings have been
-// read. The keys are words of the simulator's protocol; only this package maps them to the
-// balancer's terms.
+// An unusable setting does not stop the reading: the method that reads the setting returns a zero
+// value, and Settings.Err returns the error of the first unusable setting; callers check Err once
+// all settings have been read. The keys are words of the simulator's protocol; only this package
+// maps them to the balancer's terms.
 package settings
 
 import (
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -65,7 +65,7 @@
 }
 
 // Count reads a required number of items, truncated to an integer. It rejects a number above
-// 65,535, because the items are allocated in memory.
+// 65,535, because memory is allocated for each item.
 func (s *Settings) Count(key string) int {
 	x := s.number(key)
 	if x > math.MaxUint16 {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -56,8 +56,8 @@
 // eventEndpointList, which is for no controller.
 func (r record) instanceID() uint16 { return r.u16(instanceAt) }
 
-// eventHandlers maps the events of an instance to their handlers; Server.handleEvent handles the
-// other events.
+// eventHandlers maps the codes of events for one instance to the handlers of these events;
+// Server.handleEvent handles the events with other codes.
 var eventHandlers = map[eventCode]func(*instance, record){
 	eventEndpointsUpdated:     (*instance).endpointsUpdated,
 	eventTimerFired:           (*instance).timerFired,
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -99,8 +99,8 @@
 // microseconds reads a time in milliseconds and returns it in microseconds.
 func (r record) microseconds(at int) int64 { return settings.FromMilliseconds(r.f64(at)) }
 
-// tailOf returns the part of the tail that the text or list field at this position refers to. The
-// size in the field is a number of items, each of itemSize bytes.
+// tailOf returns the part of the frame's tail that the text or list field at this position refers
+// to. The size in the field is a number of items, each of itemSize bytes.
 func (r record) tailOf(at, itemSize int) ([]byte, error) {
 	from := uint64(r.u32(at))
 	size := uint64(r.u32(at+textSizeAt)) * uint64(itemSize)
@@ -135,7 +135,7 @@
 	return a
 }
 
-// addText appends an action whose only field is a text in the tail.
+// addText appends an action whose only field is a text in the reply's tail.
 func (p *Reply) addText(code actionCode, instance uint16, text string) {
 	a := p.add(code, instance)
 	a.putU32(textAt, uint32(len(p.tail)))
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -58,7 +58,7 @@
 	return raw
 }
 
-// hexDump returns a reply as text: header and actions in hex, and the tail as a quoted string.
+// hexDump returns a reply as text: its header and actions in hex, and its tail as a quoted string.
 func hexDump(reply []byte) string {
 	text := "  head " + hex.EncodeToString(reply[:replyHeaderSize]) + "\n"
 	rest := reply[replyHeaderSize:]
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -66,7 +66,7 @@
 func (in *instance) SyncWithdrawals(int, float64, balancer.RetryPolicy) bool { return false }
 
 // ClearWithdrawals does nothing: this protocol has no action to clear withdrawals, as a proxy
-// observes only the withdrawals of its own instance.
+// observes only the withdrawals of the instance that the proxy is connected to.
 func (in *instance) ClearWithdrawals(int) {}
 
 // SetAdmissionLimit sets how many requests of a set of classes (bit i is class i) the proxies that
--- a/internal/simwire/layout.go
+++ b/internal/simwire/layout.go
@@ -15,7 +15,7 @@
 	frameLengthAt = 0  // u32: number of bytes after the header
 	frameClockAt  = 4  // f64: simulated time of the frame in milliseconds
 	frameCountAt  = 12 // u32: number of events
-	frameNumberAt = 16 // u32: number of the frame
+	frameNumberAt = 16 // u32: number of the frame, which the reply repeats
 )
 
 // Fields in the header of a reply.
@@ -43,7 +43,7 @@
 
 // Fields of eventEndpointList, and of its entries, which have endpointSize bytes.
 const (
-	listNumberAt  = 1 // u32: number of the list
+	listNumberAt  = 1 // u32: number of the endpoint list
 	listEntriesAt = 5 // list: entries of the endpoint list
 
 	endpointStartedAt = 0  // time: start time of the backend
@@ -55,7 +55,7 @@
 
 // Fields of eventEndpointsUpdated.
 const (
-	updateListAt = 3 // u32: number of an eventEndpointList
+	updateListAt = 3 // u32: number of the endpoint list that the event refers to
 	updateKindAt = 7 // u8: kind of the update, such as updateDelta
 )
 
@@ -71,10 +71,10 @@
 // Fields of eventOutcomesReported.
 const (
 	outcomesZoneAt     = 3  // u8: zone of the proxies that reported
-	outcomesBackendAt  = 4  // u32: id of the backend
-	outcomesAttemptsAt = 8  // u32: number of attempts
-	outcomesFailuresAt = 12 // u32: number of failed attempts
-	outcomesMeanAt     = 16 // time: mean answer time
+	outcomesBackendAt  = 4  // u32: id of the backend that the report is about
+	outcomesAttemptsAt = 8  // u32: number of attempts at the backend in the interval
+	outcomesFailuresAt = 12 // u32: number of failed attempts at the backend in the interval
+	outcomesMeanAt     = 16 // time: mean answer time of the attempts
 	outcomesSpanAt     = 24 // time: length of the interval that the report covers
 	outcomesLoadAt     = 32 // u8: number of load values; the values follow this field, each an f32
 	loadValuesAt       = 1  // position of the first load value, relative to outcomesLoadAt
@@ -97,16 +97,16 @@
 // Fields of eventDemandReported and eventShardDemandReported.
 const (
 	demandClassAt = 5  // u8: class of the requests
-	demandCountAt = 6  // u32: number of requests
+	demandCountAt = 6  // u32: number of requests in the interval
 	demandSpanAt  = 14 // time: length of the interval that the report covers
 )
 
 // Fields of eventShardDemandReported, eventShardOwnership and eventShardOwnerStored.
 const (
 	shardAt         = 3 // u16: number of the shard
-	shardAssignedAt = 5 // u8, a flag: the shard is assigned, not revoked; only in eventShardOwnership
+	shardAssignedAt = 5 // u8: 0 if the shard is revoked, else the shard is assigned; only in eventShardOwnership
 	shardOwnerAt    = 5 // u32: id of the backend that owns the shard; only in eventShardOwnerStored
-	shardWeightAt   = 9 // f32: weight of the owner; only in eventShardOwnerStored
+	shardWeightAt   = 9 // f32: weight of the backend that owns the shard; only in eventShardOwnerStored
 )
 
 // textAt is the position of the text in actionLog and actionAbort.
@@ -126,34 +126,34 @@
 
 // Fields of actionPublishEntry.
 const (
-	publishTableAt   = 3 // u16: number of the table
+	publishTableAt   = 3 // u16: number of the table that contains the entry
 	publishBackendAt = 5 // u32: id of the backend
-	publishWeightAt  = 9 // f32: weight of the backend; 0 removes the table entry
+	publishWeightAt  = 9 // f32: weight of the backend in the table; 0 removes the table entry
 )
 
 // Fields of actionWithdraw.
 const (
-	withdrawBackendAt = 3 // u32: id of the backend
-	withdrawFlagAt    = 7 // u8, a flag: the backend is withdrawn, not restored
+	withdrawBackendAt = 3 // u32: id of the backend to withdraw or restore
+	withdrawFlagAt    = 7 // u8: 1 to withdraw the backend, 0 to restore it
 )
 
 // Fields of actionAssignTable.
 const (
-	assignTableAt   = 3 // u16: number of the table
-	assignProxyAt   = 5 // u16: id of the proxy
-	assignClassesAt = 7 // u16: set of classes, with bit i for class i
+	assignTableAt   = 3 // u16: number of the table to assign
+	assignProxyAt   = 5 // u16: id of the proxy that has to use the table
+	assignClassesAt = 7 // u16: set of classes for which the proxy has to use the table; bit i is class i
 )
 
 // Fields of actionSetAdmissionLimit.
 const (
-	limitTableAt   = 3  // u16: number of the table
-	limitClassesAt = 5  // u16: set of classes, with bit i for class i
-	limitAt        = 7  // f32: admission limit, a share or a rate
+	limitTableAt   = 3  // u16: number of the table whose proxies apply the limit
+	limitClassesAt = 5  // u16: set of classes that the limit is for; bit i is class i
+	limitAt        = 7  // f32: admission limit, a share of the requests or a rate in requests per second
 	limitRetryAt   = 11 // u8: retry policy, a balancer.RetryPolicy
 )
 
 // Fields of actionRequestAck.
 const (
 	requestNumberAt       = 3  // u64: number of the requested ack
-	requestAllConnectedAt = 11 // u8, a flag: all connected proxies have to send the ack
+	requestAllConnectedAt = 11 // u8: 1 if all connected proxies send the ack, 0 if only those that the reply reaches
 )
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -62,9 +62,9 @@
 	return &s.reply, nil
 }
 
-// handleEvent handles the events that concern the server itself, and passes all others to their
-// instances. Only an event that refers to bytes outside its frame is an error; other unusable
-// events are skipped with a warning.
+// handleEvent handles the events that create or end an instance or contain an endpoint list, and
+// passes all other events to their instances. Only an event that refers to bytes outside its frame
+// is an error; other unusable events are skipped with a warning.
 func (s *Server) handleEvent(r record) error {
 	switch code := r.code(); {
 	case code > lastEvent:
@@ -98,7 +98,7 @@
 		s.warn("list number %d is not known", number)
 		return nil
 	}
-	s.endpointLists[number] = append([]byte(nil), entries...) // copied, as the next frame reuses the buffer
+	s.endpointLists[number] = append([]byte(nil), entries...) // copied, as the next frame overwrites the buffer
 	return nil
 }
 
@@ -121,7 +121,8 @@
 		Telemetry: instanceSettings.Telemetry(),
 		Admission: instanceSettings.AdmissionMode(),
 	}
-	// In this protocol, each message to a proxy repeats the admission limits of all tables.
+	// In this protocol, each message to a proxy repeats the admission limits of all tables, which
+	// costs one line (the unit of cost in the push channel) for each class.
 	config.Channel.LimitLines = float64(len(config.Classes))
 	in.loadFields = instanceSettings.LoadFields()
 	in.classes = len(config.Classes)
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -11,7 +11,7 @@
 // SnapshotBytesPerSecond; the other fields are for subscribers.
 type Distribution struct {
 	Role    string            `yaml:"role"`    // role of the controller: Voter or Subscriber
-	Name    string            `yaml:"name"`    // name of the subscriber; if empty, LB_NAME is used
+	Name    string            `yaml:"name"`    // name of the subscriber; if empty, the value of LB_NAME is used
 	Parents map[string]string `yaml:"parents"` // addresses of the parents to try first, by name
 	Scopes  []string          `yaml:"scopes"`  // scopes that the subscriber subscribes to, or only AllScopes
 	// Listen is the address at which the subscriber accepts other subscribers; empty to accept
@@ -21,7 +21,7 @@
 	Certificate string `yaml:"certificate"` // path of the PEM certificate, issued to the subscriber's name
 	Key         string `yaml:"key"`         // path of the PEM private key of Certificate
 	Authority   string `yaml:"authority"`   // path of the PEM certificate that signs all nodes' certificates
-	Plain       bool   `yaml:"plain"`       // plain text instead of TLS, which is allowed on loopback only
+	Plain       bool   `yaml:"plain"`       // plain text instead of TLS; allowed on loopback addresses only
 	FanOut      int    `yaml:"fan_out"`     // maximum number of direct subscribers; 0 for the default
 	// SnapshotBytesPerSecond limits the total rate at which snapshots are sent to all subscribers;
 	// 0 for the default.
--- a/options/sharing.go
+++ b/options/sharing.go
@@ -8,7 +8,7 @@
 
 // Sharing configures the controllers (members) that share the ownership of proxies.
 type Sharing struct {
-	Name string `yaml:"name"` // name of this controller in Members; if empty, LB_NAME is used
+	Name string `yaml:"name"` // name of this controller in Members; if empty, the value of LB_NAME is used
 	// Members has the address of each member by name, including this controller. At least two
 	// members are required.
 	Members     map[string]string `yaml:"members"`
@@ -16,7 +16,7 @@
 	Certificate string            `yaml:"certificate"` // path of the PEM certificate, issued to the member's name
 	Key         string            `yaml:"key"`         // path of the PEM private key of Certificate
 	Authority   string            `yaml:"authority"`   // path of the PEM certificate that signs all members' certificates
-	Plain       bool              `yaml:"plain"`       // plain text instead of TLS, which is allowed on loopback only
+	Plain       bool              `yaml:"plain"`       // plain text instead of TLS; allowed on loopback addresses only
 	// Lease is a duration as text, such as 1500ms, see LeaseTime; empty for the default.
 	Lease string `yaml:"lease"`
 
