--- a/rehearse/backends.go
+++ b/rehearse/backends.go
@@ -11,7 +11,7 @@
 	hangTime               = 8 * time.Second
 	hangPollInterval       = 50 * time.Millisecond
 	abandonedUseDivisor    = 10 // a backend counts as abandoned once at most one proxy in ten uses it
-	minUndisturbedBackends = 2  // a hang or a replacement needs this many, so that at least one continues to serve
+	minUndisturbedBackends = 2  // hangs and replacements need this many undisturbed backends, so at least one still serves
 )
 
 // pickUndisturbedBackend returns a random backend that is warm and neither hangs nor is being
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -22,7 +22,7 @@
 // faultTargets holds the controllers that were chosen for a fault, as indices into run.controllers.
 type faultTargets struct {
 	first int
-	next  int // the controller that follows first among the controllers that are up
+	next  int // index of the next controller after first, among the controllers that are up
 	up    int // number of controllers that are up
 }
 
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -38,7 +38,7 @@
 	LinesAtConnect      float64 `json:"lines_in_the_first_second_of_a_stream"` // mean lines in a stream's first second
 	Lines               int     `json:"lines"`                                 // number of lines in all applied pushes
 	Pushes              int     `json:"orders"`                                // number of pushes that proxies applied
-	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // pushes with an older owner's token
+	StalePushesRejected int     `json:"orders_refused_as_of_an_older_owner"`   // rejected pushes with an old owner's token
 
 	Hangs             int     `json:"hangs"`                           // number of hangs of backends
 	BackendsReplaced  int     `json:"workers_replaced"`                // number of backends replaced by a new process
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -51,8 +51,8 @@
 	coldShare       = 0.16             // share of its normal load that a backend may be sent while it is cold
 
 	drainGrace       = 3000 * time.Millisecond
-	socketAllowance  = 300 * time.Millisecond // the checker's limits exceed drainGrace by this, for delays of real sockets
-	schedulingMargin = 500 * time.Millisecond // the checker's margin beyond its limits, for delays of a busy machine
+	socketAllowance  = 300 * time.Millisecond // added to drainGrace in the checker's limits, because sockets cause delays
+	schedulingMargin = 500 * time.Millisecond // added to the checker's limits, because a busy machine causes delays
 
 	minLinesPerSecond      = 900 // minimum rate of a controller's push channel, in lines per second
 	minBacklog             = 900 // minimum capacity of a controller's push queue, in lines
--- a/scale/budgets.go
+++ b/scale/budgets.go
@@ -13,7 +13,7 @@
 
 	targetControllers = 11_000
 	changesPerSecond  = 0.42 // mean rate of changes: 36,000 a day
-	changeRateFactor  = 10   // multiple of the mean rate at which changes are measured too
+	changeRateFactor  = 10   // changes are also measured at the mean rate multiplied by this factor
 )
 
 // Unit conversions that several measurements share.
--- a/scale/change.go
+++ b/scale/change.go
@@ -19,12 +19,13 @@
 )
 
 // changeByFile measures how long a configuration change takes with the present mechanism: a new
-// file on each machine and a SIGHUP. The change moves discovery to another address, and a
-// controller has applied it once it has connected to that address.
+// configuration file on each machine and a SIGHUP to its controller. Each measured change names
+// another address of discovery, and a controller has applied the change once it has connected to
+// that address.
 type changeByFile struct{}
 
 const (
-	discoveryAddressCount = 4 // discovery addresses of a controller; each change moves the controller to the next one
+	discoveryAddressCount = 4 // number of a controller's discovery addresses; each change moves the controller to the next
 	settleTimeout         = 10 * time.Second
 	memberCores           = 1
 	memberSockets         = 256
@@ -101,7 +102,7 @@
 	folder          string
 	seed            uint64
 	settings        map[string]any
-	changesMade     int // number of changes made so far
+	changesMade     int // number of configuration changes made so far, at all rates
 	lastChangeBytes int // total size in bytes of the files that the last change wrote
 }
 
@@ -213,12 +214,12 @@
 	return true
 }
 
-// pacedChanges makes changes at one rate, and collects how long the controllers take to apply each
-// change.
+// pacedChanges makes configuration changes at one mean rate, and collects for each change the time
+// until the last controller has applied it.
 type pacedChanges struct {
 	fleet   *reloadedFleet
-	made    int           // number of changes made so far at this rate
-	writing time.Duration // total time spent on writing files and sending signals
+	made    int           // number of configuration changes made so far at this rate
+	writing time.Duration // total time spent on writing configuration files and sending SIGHUPs
 
 	mutex   sync.Mutex              // guards all fields that follow in the struct
 	latency *hdrhistogram.Histogram // time in µs from the start of a change until the last controller applied it
@@ -247,8 +248,9 @@
 	return nil
 }
 
-// run makes changes for the given span. For each change, it waits until all controllers have
-// applied the change or settleTimeout has passed.
+// run makes changes for the given span, with a random pause before each change. For each change, a
+// goroutine waits until all controllers have applied the change or settleTimeout has passed. run
+// returns after all these goroutines have ended.
 func (p *pacedChanges) run(ctx context.Context, rate changeRate, span time.Duration) error {
 	random := rand.New(rand.NewPCG(p.fleet.seed, uint64(p.fleet.changesMade)))
 	var observing sync.WaitGroup
@@ -279,7 +281,7 @@
 	if !inTime {
 		p.late++
 	}
-	_ = p.latency.RecordValue(elapsed.Microseconds()) // cannot fail: settleTimeout is within the range of the histogram
+	_ = p.latency.RecordValue(elapsed.Microseconds()) // RecordValue cannot fail: settleTimeout is in the histogram's range
 }
 
 // writeChange writes the file of the next change for each controller, and sends the controller a
--- a/scale/controller_log.go
+++ b/scale/controller_log.go
@@ -5,12 +5,12 @@
 // Events in a controller's log that measurements read, and the keys of the fields of these log
 // lines. Packages controller and consensus write the lines.
 const (
-	logReady              = "ready"               // a controller is ready; the line has logBackends
-	logQuorumChanged      = "quorum_changed"      // a member gained or lost quorum; the line has logQuorum
-	logSnapshotApplied    = "snapshot_applied"    // a subscriber has received its configuration
-	logDistributionStatus = "distribution_status" // periodic traffic of distribution, in logInBytes and logOutBytes
-	logRecord             = "record"              // periodic cost of the record, in logEntries and logBytes
-	logLeading            = "leading"             // a member began or ceased to lead; the line has logLeads
+	logReady              = "ready"               // logged when a controller is ready, with the field logBackends
+	logQuorumChanged      = "quorum_changed"      // logged when a member gains or loses quorum, with the field logQuorum
+	logSnapshotApplied    = "snapshot_applied"    // logged when a subscriber has received its configuration
+	logDistributionStatus = "distribution_status" // logged periodically: distribution traffic in logInBytes, logOutBytes
+	logRecord             = "record"              // logged periodically: cost of the record in logEntries, logBytes
+	logLeading            = "leading"             // logged when a member begins or ceases to lead, with field logLeads
 
 	logBackends = "backends"
 	logQuorum   = "quorum"
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -18,8 +18,8 @@
 	tables       [][]int // tables assigned to each proxy
 	pendingAck   int     // number of the latest ack that the controller requested
 	ackRequested bool
-	toAllProxies bool         // every connected proxy acks, not only the proxies that received orders
-	changed      map[int]bool // tables that changed since the last ack request that was answered
+	toAllProxies bool         // the next answer acks for all proxies, not only for those that received orders
+	changed      map[int]bool // tables changed by orders since the last ack request that was answered
 	// Proxies that were assigned a table, or had their withdrawals synced or cleared, since the
 	// last ack request that was answered.
 	reached map[int]bool
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -22,16 +22,17 @@
 	byProxies bool // the sizes are numbers of proxies instead of numbers of backends
 }
 
-// Number of backends or proxies for measurements whose sizes are numbers of the other kind.
+// Number of backends if the sizes of the measurement are numbers of proxies, and number of proxies
+// if the sizes are numbers of backends.
 const (
 	defaultBackends = 1000 // number of backends if the sizes are numbers of proxies
 	defaultProxies  = 100  // number of proxies if the sizes are numbers of backends
 )
 
-// Numbers of steps in one repeat, and its longest time.
+// Numbers of steps in one repeat of the measurement, and the longest time of a repeat.
 const (
 	decisionChanges = 8                // number of backends that a repeat drains
-	decisionTicks   = 8                // number of ticks without reports, and of ticks that evaluate reports
+	decisionTicks   = 8                // number of ticks without reports, and equal number of ticks that evaluate reports
 	maxDecisionTime = 90 * time.Second // longest time of one repeat
 )
 
@@ -102,8 +103,9 @@
 	line := medianFigure(time.Microsecond, func(c decisionCost) time.Duration { return c.reportLine })
 	quiet := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.quietTick })
 	evaluation := medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.reportsTick })
-	// Processor time in µs that the controller takes per second: quiet ticks, evaluations and
-	// report lines at the rates of the deployments.
+	// Processor time in µs that the controller takes per second for ticks without reports, for
+	// ticks that evaluate reports, and for report lines, at the rates that these have in the
+	// deployments.
 	perSecond := (ticksPerSecond-evaluationsPerSecond)*quiet*1000 + evaluationsPerSecond*evaluation*1000 + reportLines*line
 	s.Set("start", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.start }))
 	s.Set("again", medianFigure(time.Millisecond, func(c decisionCost) time.Duration { return c.repeatedList }))
@@ -131,19 +133,19 @@
 type decisionRun struct {
 	backends, proxies int
 	changes           int // number of drains, each of which changes one entry of the endpoint list
-	ticks             int // number of ticks without reports, and of ticks that evaluate reports
+	ticks             int // number of ticks without reports, and equal number of ticks that evaluate reports
 }
 
-// decisionCost holds the processor time of each step of a run, and the heap and the orders of the
-// whole run.
+// decisionCost holds the processor time of each step of a run, and the heap bytes and the numbers
+// of orders of the whole run.
 type decisionCost struct {
-	start        time.Duration // creating the controller and processing its first endpoint list, with all backends
-	repeatedList time.Duration // processing the first endpoint list once more at the end of the run
-	join         time.Duration // connecting all proxies and assigning their tables
-	change       time.Duration // draining one backend by the endpoint list, until all proxies have acknowledged it
-	reportLine   time.Duration // processing one line of a report: the outcomes of a backend or the demand at a proxy
-	quietTick    time.Duration // a tick without reports to evaluate
-	reportsTick  time.Duration // a tick that evaluates reports
+	start        time.Duration // processor time to create a controller and process its first endpoint list (all backends)
+	repeatedList time.Duration // processor time to process the first endpoint list again at the end of the run
+	join         time.Duration // processor time to connect all proxies and assign their tables
+	change       time.Duration // processor time from the drain of a backend by the endpoint list to the ack of all proxies
+	reportLine   time.Duration // processor time per report line: the outcomes of a backend or the demand at a proxy
+	quietTick    time.Duration // processor time of a tick without reports to evaluate
+	reportsTick  time.Duration // processor time of a tick that evaluates reports
 	heap         int64         // heap bytes in use at the end of the run, minus the heap bytes in use before the run
 	orders       orderCounts
 }
@@ -164,7 +166,7 @@
 			Admission: balancer.AdmissionByRate,
 		})
 		if err != nil {
-			panic(err) // cannot fail: the configuration is constant, and has classes of requests
+			panic(err) // balancer.New cannot fail: the configuration is constant, and has classes of requests
 		}
 		host.control = control
 		host.control.EndpointsUpdated(true, entries)
@@ -190,8 +192,9 @@
 	return cost
 }
 
-// runTicks runs l.ticks ticks without reports, and then as many ticks that evaluate reports about
-// every backend and proxy.
+// runTicks runs l.ticks ticks without reports, and then l.ticks ticks that each evaluate reports
+// about every backend and proxy. It sets the processor times of these ticks and of a report line in
+// cost.
 func (l decisionRun) runTicks(host *countingHost, cost *decisionCost) {
 	cost.quietTick = processorTimeOf(func() { host.advance(l.ticks) }) / time.Duration(l.ticks)
 	var reports, evaluations time.Duration
@@ -205,8 +208,8 @@
 	cost.reportsTick = evaluations / time.Duration(l.ticks)
 }
 
-// sendReports reports successful attempts at all backends and the usual demand at all proxies. It
-// returns the number of report lines.
+// sendReports passes to the controller one report of successful attempts for each backend, and one
+// report of the usual demand for each proxy and class. It returns the number of report lines.
 func (l decisionRun) sendReports(host *countingHost) (lines int) {
 	const attempts, mean, requests = 10, 200_000, 2
 	for backend := range l.backends {
--- a/scale/decisions_test.go
+++ b/scale/decisions_test.go
@@ -11,8 +11,9 @@
 // smallSizes are sizes that a test can measure in a short time.
 var smallSizes = []int{10, 20, 40, 80}
 
-// measureSmall runs a measurement at small sizes, saves the run, and loads it again as the report
-// does. It fails the test if there are violations, or if the report lacks a metric.
+// measureSmall runs a measurement at small sizes, saves the run, and loads the saved run, from
+// which the report is written. It fails the test if there are violations, or if the report lacks a
+// metric.
 func measureSmall(t *testing.T, m Measurement, sizes []int, span time.Duration) *results.Run {
 	t.Helper()
 	options := Options{Duration: span, Seed: 1, Folder: t.TempDir(), Voters: defaultVoters}
@@ -42,8 +43,8 @@
 	return loaded[0]
 }
 
-// checkGrowsLinearly fails the test unless a line fits the metric, or a power with an exponent of
-// about 1.
+// checkGrowsLinearly fails the test unless the fit of the metric over the sizes is a line, or a
+// power with an exponent of 0.95 to 1.05, and has a relative error of at most 0.05.
 func checkGrowsLinearly(t *testing.T, r *results.Run, metric string) {
 	t.Helper()
 	fit, ok := results.FitOver(r.Samples, metric, nil)
--- a/scale/distribution_faults.go
+++ b/scale/distribution_faults.go
@@ -215,7 +215,7 @@
 }
 
 // loseMajority kills a majority of the voters, including the leader, and restarts them after half
-// of the span.
+// of the fault's span.
 func loseMajority(ctx context.Context, t *tree, span time.Duration) error {
 	majority := slices.Clone(t.voters.voters)
 	slices.SortStableFunc(majority, func(a, b *voter) int {
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -98,10 +98,11 @@
 	}
 }
 
-// TestPropagationDetectsOlderAndLateChanges guards against faults that measurements would miss. If
-// a subscriber returns to an older revision or applies a change twice, there must be a violation. A
-// change that is applied late must be recorded with its full latency. If a subscriber missed a
-// change during a cut, the latency of the change must count from the end of the cut.
+// TestPropagationDetectsOlderAndLateChanges guards against violations and latencies that are
+// not recorded, so that no measurement would show these faults of distribution. If a subscriber
+// returns to an older revision or applies a change twice, there must be a violation. A change that
+// is applied late must be recorded with its full latency. If a subscriber missed a change during a
+// cut, the latency of the change must count from the end of the cut.
 func TestPropagationDetectsOlderAndLateChanges(t *testing.T) {
 	f := newPropagation(newContent(contentShape{groups: 1, entriesPerGroup: servicesPerGroup}, 1))
 	s := &hollowSubscriber{name: "s", propagation: f, reachableSince: time.Now().Add(-time.Hour)}
--- a/scale/hollow_member.go
+++ b/scale/hollow_member.go
@@ -16,7 +16,8 @@
 	"wheelrill/rehearse"
 )
 
-// Terms of hollow members, the same as the terms of real members, and the size of their task queue.
+// Lease terms of hollow members, the same as the lease terms of real members, and the size of a
+// hollow member's task queue.
 const (
 	defaultLease       = 1500 * time.Millisecond // lease of members that share a fleet of proxies
 	voterLease         = 10 * time.Second        // lease of members that own no proxies; see docs/distributing.md
--- a/scale/hollow_subscriber.go
+++ b/scale/hollow_subscriber.go
@@ -37,11 +37,11 @@
 	propagation *propagation // records the changes that the node applies
 
 	mutex           sync.Mutex           // guards all fields that follow in the struct
-	node            *transport.Transport // transport of the present incarnation
+	node            *transport.Transport // transport of the node's present incarnation
 	stop            context.CancelFunc   // ends the present incarnation; nil while the node is down
 	ended           chan struct{}        // closed when the goroutine of the present incarnation ends
-	appliedRevision uint64               // newest revision that the present incarnation applied; 0 before its first one
-	reachableSince  time.Time            // start of the present incarnation, or end of the last cut if later
+	appliedRevision uint64               // newest revision that the present incarnation applied; 0 until it applies one
+	reachableSince  time.Time            // start of the incarnation, or end of its region's last cut, if that was later
 	earlier         earlierIncarnations
 }
 
--- a/scale/hollow_tree.go
+++ b/scale/hollow_tree.go
@@ -25,7 +25,7 @@
 	distributors      []*hollowSubscriber
 	subscribers       []*hollowSubscriber
 	random            *rand.Rand
-	faultRandom       *rand.Rand    // draws the nodes that faults hit, independently of the drawn changes
+	faultRandom       *rand.Rand    // source of the nodes that faults hit; separate from the source of random changes
 	faultHits         atomic.Int64  // number of times that the present fault has hit a node
 	starts            atomic.Int64  // number of started incarnations of nodes; each incarnation needs one snapshot
 	ready             time.Duration // time from the start of all subscribers until each had its configuration
@@ -161,9 +161,9 @@
 	working.Wait()
 }
 
-// makeChanges makes changes at a mean rate until the given time, and returns the number of changes.
-// Every timeBetweenChecks it compares random subscribers with the content; the seed of the run
-// determines which subscribers.
+// makeChanges proposes random changes of the content to the voters, at the given mean rate until
+// the given time, and returns the number of accepted changes. Every timeBetweenChecks it compares
+// random subscribers with the content; the seed of the run determines which subscribers.
 func (t *tree) makeChanges(ctx context.Context, perS float64, until time.Time) (made int, err error) {
 	checkRandom := rand.New(rand.NewPCG(t.options.Seed, uint64(made)+treeSeed))
 	nextCheck := time.Now().Add(timeBetweenChecks)
--- a/scale/hollow_voters.go
+++ b/scale/hollow_voters.go
@@ -14,8 +14,8 @@
 	"wheelrill/internal/process"
 )
 
-// voterGroup holds voters that keep a record through raft over loopback, and distribute its changes
-// through the network in memory.
+// voterGroup holds the voters of a deployment. The voters keep one record through raft over
+// loopback connections, and distribute the changes of the record through the in-memory network.
 type voterGroup struct {
 	voters        []*voter
 	raftAddresses map[string]string
@@ -29,7 +29,7 @@
 type voter struct {
 	hollowSubscriber
 	group              *voterGroup
-	member             *hollowMember // takes part in the record for the present incarnation of the voter
+	member             *hollowMember // member of the record that the present incarnation of the voter runs
 	goroutines         sync.WaitGroup
 	earlierRecordBytes int64 // bytes that earlier incarnations of the voter sent and received for the record
 }
@@ -202,14 +202,14 @@
 	content *content
 }
 
-// Restored passes on a whole configuration: the first state of a new record, or the state that a
-// restarted voter has read from its disk.
+// Restored passes a whole configuration to the content and to the voter's transport: the first
+// state of a new record, or the state that a restarted voter has read from its disk.
 func (d voterDistribution) Restored(state distribution.State) {
 	d.content.noteAccepted(distribution.Change{Epoch: state.Version.Epoch, Revision: state.Version.Revision, Entries: state.Entries})
 	d.Transport.Restored(state)
 }
 
-// Accepted passes on the next change of the record.
+// Accepted passes the next change of the record to the content and to the voter's transport.
 func (d voterDistribution) Accepted(change distribution.Change) {
 	d.content.noteAccepted(change)
 	d.Transport.Accepted(change)
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -17,7 +17,7 @@
 // The controller has no proxies.
 type lists struct{}
 
-// Times and limits of one run.
+// Times and limits of one run of the controller.
 const (
 	listReadyTimeout = 150 * time.Second
 	// Time for which the controller is observed without changes of the list, and then with changes.
@@ -56,7 +56,7 @@
 // listCost holds the figures of one run of a controller with one endpoint list.
 type listCost struct {
 	ready, readyProcessor    time.Duration
-	idleShare, changingShare float64 // processor seconds per second without and with changes of the list
+	idleShare, changingShare float64 // processor seconds per second while the list does not change, and while it changes
 	changeTime               float64 // seconds between two changes of the list
 	listBytes, changeBytes   int64
 	memory                   int64
--- a/scale/memory_network.go
+++ b/scale/memory_network.go
@@ -44,7 +44,7 @@
 }
 
 // dial connects a node in the given region to the node of the given name. While a cut separates the
-// two nodes, it waits.
+// two nodes, dial waits.
 func (n *network) dial(ctx context.Context, region int, name string) (net.Conn, error) {
 	for {
 		to, healed, err := n.lookUp(region, name)
@@ -119,7 +119,7 @@
 	closed   chan struct{} // closed when Close is called
 
 	mutex         sync.Mutex
-	writeDeadline time.Time // zero if no deadline is set
+	writeDeadline time.Time // deadline of writes; the zero time if no deadline is set
 }
 
 // SetWriteDeadline sets the deadline of writes. The time that a write waits for the end of a cut
@@ -131,7 +131,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Write sends data to the other end. While a cut separates the two ends, it waits.
+// Write sends data to the other end. While a cut separates the two ends, Write waits.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	for {
 		c.network.mutex.Lock()
@@ -146,8 +146,8 @@
 	}
 }
 
-// awaitHealing waits for the end of the cut, and returns an error if the write deadline passes or
-// this end is closed first.
+// awaitHealing waits for the end of the cut. It returns an error if the write deadline passes or
+// this end of the connection is closed first.
 func (c *memoryConn) awaitHealing(healed <-chan struct{}) error {
 	c.mutex.Lock()
 	deadline := c.writeDeadline
@@ -168,7 +168,8 @@
 	}
 }
 
-// Close closes this end at once, and the other end as soon as no cut separates them.
+// Close closes this end of the connection at once, and the other end as soon as no cut separates
+// the two ends.
 func (c *memoryConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	c.network.mutex.Lock()
--- a/scale/record.go
+++ b/scale/record.go
@@ -21,12 +21,13 @@
 // members of the record.
 type recordReal struct{}
 
-// Numbers of proxies and backends in the deployment, estimates of its memory, and times.
+// Numbers of proxies and backends in the measured deployment, estimates of the memory that the
+// deployment takes, and times.
 const (
 	recordProxies   = 30
 	recordBackends  = 12
 	memberMemory    = 64 << 20 // approximate bytes of memory of a real member
-	fakesMemory     = 64 << 20 // approximate bytes of memory of all fakes, which run in this process
+	fakesMemory     = 64 << 20 // approximate bytes of memory of all fake proxies and backends, which run in this process
 	startTimeout    = 30 * time.Second
 	costLogInterval = 10 * time.Second // interval at which a member logs the cost of the record
 )
@@ -52,8 +53,8 @@
 			results.Metric{Name: "memory", Unit: "MB", About: "resident memory of a member, most", Budget: maxMegabytes, Fit: true})}
 }
 
-// Needs returns the memory, processes and time that the members and the fakes in this process take,
-// or the reason why the size cannot be measured.
+// Needs returns the memory, processes and time that the member processes, and the fake proxies and
+// backends in this process, take. If the size cannot be measured, Needs returns the reason.
 func (recordReal) Needs(size int, o Options) Needs {
 	needs := Needs{Memory: int64(size)*memberMemory + fakesMemory, Processes: size, Time: 2*startTimeout + o.Duration}
 	if terms := (ownership.LeaseTerms{MaxMessages: rehearse.MaxMessages, Members: size}); terms.OwnerQuota() < 1 {
@@ -67,8 +68,8 @@
 	return needs
 }
 
-// Run runs a scenario without faults, and reads the processor time and memory of each member, and
-// the cost of the record from its log.
+// Run runs a scenario without faults. It reads the processor time and memory of each member
+// process, and reads the cost of the record from the log of each member.
 func (recordReal) Run(ctx context.Context, size int, o Options) (results.Sample, error) {
 	folder, err := os.MkdirTemp(o.Folder, "record-")
 	if err != nil {
@@ -119,14 +120,14 @@
 	}
 }
 
-// processor returns the share of a core that a member took, in percent.
+// processor returns the mean processor time of a member during the rehearsal, in percent of a core.
 func (s *memberUsage) processor(name string) float64 {
 	return percent * (s.after[name].processor - s.before[name].processor).Seconds() / s.ended.Sub(s.began).Seconds()
 }
 
-// sample returns the metrics of the record: entries as a mean over all members, bytes and processor
-// time as means over the followers and as figures of the leader, and the largest memory of a
-// member.
+// sample returns the metrics of the record: the entries per second as a mean over all members, the
+// bytes per second and the processor time as means over the followers and as figures of the leader,
+// and the largest memory of a member.
 func (s *memberUsage) sample(members map[string]memberCost) (sample results.Sample) {
 	var entries, bytes, processor, leaderBytes, leaderProcessor, memory float64
 	followers := float64(len(members) - 1)
--- a/scale/record_hollow.go
+++ b/scale/record_hollow.go
@@ -55,7 +55,7 @@
 }
 
 // Run starts members that renew their leases for Options.Duration, and measures the traffic between
-// the members.
+// the members, and their processor time and memory.
 func (r recordHollow) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	size, lease := r.members(size, o)
 	var running sync.WaitGroup
@@ -87,8 +87,8 @@
 	return s, nil
 }
 
-// hollowCost holds the number of entries and bytes of the record at a member so far, and whether
-// the member leads.
+// hollowCost holds the number of entries and bytes that the record has cost a member since its
+// start, and whether the member leads at present.
 type hollowCost struct {
 	entries uint64
 	bytes   int64
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -14,7 +14,7 @@
 // discovery again when all controllers restart at once. Each controller is a real process on this
 // machine. At present a controller requests the whole list, whichever backends it serves.
 type recovery struct {
-	allBackends bool // list all backends, instead of only those of the services that one controller serves
+	allBackends bool // the endpoint list has all backends, not only those of the services that one controller serves
 }
 
 // Assumed size of the endpoint list, in which every service has the same number of backends, and
@@ -65,9 +65,9 @@
 
 // recoveryCost holds the figures of one restart of all controllers.
 type recoveryCost struct {
-	ready     time.Duration // time from the start until the last controller was ready
+	ready     time.Duration // time from the restart of all controllers until the last one was ready
 	processor time.Duration // mean processor time that a controller took until it was ready
-	bytes     int64         // bytes that discovery sent to all controllers
+	bytes     int64         // bytes that discovery sent to all controllers together
 	memory    int64         // largest resident memory of a controller, in bytes
 }
 
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -24,7 +24,7 @@
 	targetTenants = 330_000
 	targetGroups  = targetServices / servicesPerGroup
 	entriesOfAll  = targetBackends + targetRoutes + targetTenants
-	entriesServed = entriesOfAll / targetGroups // entries of one group of services, as a controller needs them
+	entriesServed = entriesOfAll / targetGroups // number of entries of one group of services; a controller needs one group
 
 	snapshotTimeout = 2 * time.Minute
 )
--- a/scale/recovery_test.go
+++ b/scale/recovery_test.go
@@ -40,7 +40,7 @@
 // region was cut off, although the changes that they missed are still available.
 func TestRegionCatchesUpWithoutSnapshots(t *testing.T) {
 	t.Parallel()
-	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond) // as many subscribers as regions
+	r := measureSmall(t, recoveryDelta{regions}, []int{20}, 100*time.Millisecond) // one subscriber per region
 	if snapshots, ok := r.Samples[0].Get("snapshots"); !ok || snapshots > 0 {
 		t.Errorf("%v snapshots were installed (measured: %v); want 0", snapshots, ok)
 	}
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -19,7 +19,7 @@
 // Size and times of the deployment of recoveryTree and recoveryDelta.
 const (
 	recoverySubscribers = 1100            // number of subscribers of the deployment
-	minCutTime          = 4 * time.Second // shortest cut: longer than a lease, so that each subscriber has lost its parent
+	minCutTime          = 4 * time.Second // shortest cut: longer than a parent's lease, so subscribers lose their parents
 	allProposalsTime    = time.Minute     // estimated time until all proposed changes are accepted
 )
 
--- a/scale/results/kept_test.go
+++ b/scale/results/kept_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestKeptRunsMatchTheirSamples guards against kept runs whose fits or verdict differ from those
-// that their samples give. That happens after a change of the fit or of a budget.
+// TestKeptRunsMatchTheirSamples guards against kept runs whose stored fits or verdict differ from
+// those that result from the stored samples. That happens after a change of the fit or of a budget.
 func TestKeptRunsMatchTheirSamples(t *testing.T) {
 	runs, err := Load("../../docs/capacity")
 	if err != nil {
--- a/scale/results/markdown.go
+++ b/scale/results/markdown.go
@@ -32,8 +32,9 @@
 	return humanize.Comma(int64(math.Round(value/float64(unit))) * unit)
 }
 
-// Markdown returns the run as the tables of a page: what was measured, the fits, and the fitted
-// figures at the target sizes.
+// Markdown returns the run as the part of a page that shows it: what was measured, the table of the
+// samples, their violations and gaps, and the table of the fits with the fitted figures at the
+// target sizes.
 func (r *Run) Markdown() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s. Run `%s`, text %s, %s UTC, %d cores, %d MB, over %s, seed %d, %s s a size: %s.\n\n", r.About, r.Name, r.Revision,
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -16,8 +16,8 @@
 	"wheelrill/rehearse"
 )
 
-// Run holds the results of one measurement over its sizes. Stored runs have the JSON keys of its
-// fields, so the keys must not change.
+// Run holds the results of one measurement over its sizes. The JSON keys of the fields occur in
+// stored runs, so the keys must not change.
 type Run struct {
 	Name      string           `json:"name"`              // name under which the run is stored
 	About     string           `json:"about"`             // what was measured, in a sentence
@@ -94,7 +94,7 @@
 
 // Excess is a figure of a sample that exceeds its budget.
 type Excess struct {
-	Size   int     // size of the sample
+	Size   int     // measured size of the sample, in the unit of Run.SizeUnit
 	Metric Metric  // metric whose budget is exceeded
 	Value  float64 // measured figure, which is above the budget
 }
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -30,7 +30,7 @@
 	hollow      []*hollowMember              // members of the record for all voters except the real one
 	dialler     *consensus.Subscriber        // connects the hollow children to the real parents
 	children    []*hollowSubscriber          // hollow subscribers below the real distributor and controller
-	running     sync.WaitGroup               // waits for the goroutines of the hollow voters, which stop terminates
+	running     sync.WaitGroup               // waits for the goroutines of the hollow voters; stop ends these goroutines
 	stop        context.CancelFunc
 	ready       map[string]time.Duration // time from the start of a process until it had its configuration, by role
 }
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -25,7 +25,7 @@
 
 // Numbers of children, limits and times of the deployment around the real processes.
 const (
-	distributorChildren = maxFanOut - 1 // hollow children of the distributor, which also has the controller as a child
+	distributorChildren = maxFanOut - 1 // number of hollow children of the distributor; the controller is its child too
 	// Number of hollow children of the controller. The rate at which a controller sends snapshots
 	// is limited, so with more children it would take minutes until all have their configuration.
 	controllerChildren     = 4
--- a/scale/tree_checks.go
+++ b/scale/tree_checks.go
@@ -58,7 +58,7 @@
 }
 
 // parentsLost returns how often the links of running nodes to their parents have ended or been
-// closed.
+// closed, in the present incarnations of these nodes.
 func (t *tree) parentsLost() int64 {
 	var lost atomic.Int64
 	forEachNode(t.nodes(), func(s *hollowSubscriber) {
--- a/scale/tree_plan.go
+++ b/scale/tree_plan.go
@@ -22,7 +22,7 @@
 	treeMemory            = 256 << 20 // approximate bytes of memory of a deployment without its subscribers and entries
 	entryMemory           = 192       // approximate bytes of memory of a stored entry
 	heapGrowth            = 2         // the heap grows to this multiple of the memory that entries need
-	copiesAtVoter         = 3         // copies of all entries at a voter: in raft's log, on the record, for subscribers
+	copiesAtVoter         = 3         // copies of all entries at a voter: in raft's log, in the record, for distribution
 	readyTimeout          = 5 * time.Minute
 	checksAtOnce          = 20 // number of random subscribers that one check compares with the content
 	timeBetweenChecks     = time.Second
@@ -39,8 +39,8 @@
 }
 
 // scaledTree returns a smaller deployment with the same proportions as the expected installation:
-// the numbers of distributors and of groups are in proportion to the number of subscribers. Other
-// than in the expected installation, a group has only one entry for each service.
+// the numbers of distributors and of groups are in proportion to the number of subscribers. Unlike
+// in the expected installation, a group has only one entry for each service.
 func scaledTree(subscribers int) treePlan {
 	distributors := max(minDistributors, (targetDistributors*subscribers+targetControllers-1)/targetControllers)
 	fanOut := min(max(subscribers/directChildOneIn/distributors, minFanOut), maxFanOut)
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -22,8 +22,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// threadTime returns the processor time that the present thread has taken so far. The calling
-// goroutine has to be locked to its thread.
+// threadTime returns the processor time that the operating system thread of the calling goroutine
+// has taken so far. The goroutine has to be locked to this thread.
 func threadTime() time.Duration {
 	var clock unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock); err != nil {
@@ -49,8 +49,8 @@
 }
 
 // usage holds the resources that a process has taken, according to /proc/PID/stat. The processor
-// time is precise to a hundredth of a second, which is enough for the seconds that a size is
-// observed. Measurements of shorter spans need preciseUsage.
+// time is precise to a hundredth of a second, which is enough for measurements that observe a size
+// for some seconds. Measurements of shorter spans need preciseUsage.
 type usage struct {
 	processor time.Duration // processor time since the start of the process
 	resident  int64         // resident memory in bytes at the time of reading
@@ -102,7 +102,8 @@
 }
 
 // statusBytes returns a figure of /proc/PID/status in bytes. The file gives the figure in
-// kilobytes, in the line that begins with key. It returns 0 if the line is missing.
+// kilobytes, in the line that begins with key. statusBytes returns 0 if the line is missing or has
+// no number.
 func statusBytes(status []byte, key string) int64 {
 	_, rest, _ := bytes.Cut(status, []byte("\n"+key))
 	fields := bytes.Fields(rest)
