--- a/cmd/wheelrill/main.go
+++ b/cmd/wheelrill/main.go
@@ -30,8 +30,8 @@
 func (e exitCode) Error() string { return fmt.Sprintf("ended with code %d", int(e)) }
 
 func main() {
-	// Signals are caught before anything else, because the default action of each of these signals
-	// is to kill the process.
+	// SIGTERM, SIGINT and SIGHUP are caught before anything else, because the default action of each
+	// of them is to kill the process.
 	ctx, hangUps := terminationContext(), notifyHangUps()
 	err := newRootCommand(ctx, hangUps).Execute()
 	if err == nil {
--- a/consensus/configuration_test.go
+++ b/consensus/configuration_test.go
@@ -95,7 +95,7 @@
 		for i, name := range []string{"a", "b", "c"} {
 			receivers[i] = &fakeDistribution{}
 			members[i] = startMember(t, Config{Name: name, Members: addresses, Distribution: receivers[i]})
-			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // greater than the current Unix time in seconds
+			members[i].noteEpoch(distribution.Epoch{Number: 1 << 40}) // an epoch number above the current Unix time in seconds
 		}
 		members[0].commit(t, ownership.Entry{Member: "a", Incarnation: 1, Seq: 1})
 		for i, receiver := range receivers {
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -182,7 +182,7 @@
 		{"an entry where nobody leads", "a101a501626e3002010302" + "0ea201fb000000000000000002fb0000000000000000" + "0ca201000200"},
 		{"a change where nobody leads", "a106a10405"},
 	} {
-		// The body is the purpose byte for calls, followed by a frame that contains one call.
+		// The caller sends the purpose byte for calls, followed by a frame that contains one call.
 		body, err := hex.DecodeString(fmt.Sprintf("%02x%08x", 'c', len(c.sent)/2) + c.sent)
 		if err != nil {
 			t.Fatal(err)
@@ -309,7 +309,7 @@
 			}
 			machine := m.current().machine
 			golden.Compare(t, "voter-"+name+".txt", "id "+m.ID()+"\n"+describe(machine))
-			// The member must be able to append entries to the record that it read.
+			// The member must be able to append entries to the record that it read from the folder.
 			m.commit(t, ownership.Entry{Member: "n0", Incarnation: 5, Seq: 3, Claims: []int{3}})
 		})
 	}
--- a/consensus/helpers_test.go
+++ b/consensus/helpers_test.go
@@ -227,7 +227,8 @@
 	d.onAccept(conn, allowed)
 }
 
-// digestAt reports whether the stored state has exactly the given version, and returns its digest.
+// digestAt reports whether the stored state of the distributed configuration has exactly the given
+// version, and returns the digest of the state.
 func (d *fakeDistribution) digestAt(version distribution.Version) (distribution.Digest, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/consensus/instance.go
+++ b/consensus/instance.go
@@ -81,7 +81,7 @@
 		id:      store.id,
 		close: func() {
 			_ = r.Shutdown().Error()  // the error of Shutdown is always nil
-			_ = raftTransport.Close() // transport.close closes raft's connections
+			_ = raftTransport.Close() // raft's connections stay open until transport.close closes them
 			store.close()
 		},
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -77,7 +77,7 @@
 	// this process. It is lost when the process ends.
 	leaderMutex sync.Mutex
 	leases      *ownership.LeaseTracker
-	clockID     uint64             // random ID of this process's clock, for the stamps of entries
+	clockID     uint64             // random ID of this process's clock, which stamped entries have as Stamp.Leader
 	newestEpoch distribution.Epoch // newest epoch of all configuration records that this process has held
 }
 
@@ -87,7 +87,7 @@
 	return newNode(config, events, log, nil)
 }
 
-// newNode is New with a wrapper around the store for raft's term and vote, which tests use.
+// newNode does the work of New, and lets tests wrap the store for raft's term and vote.
 func newNode(config Config, events Events, log *slog.Logger,
 	wrapStore func(raft.StableStore) raft.StableStore) (*Node, error) {
 	address, ok := config.Members[config.Name]
--- a/consensus/state_machine.go
+++ b/consensus/state_machine.go
@@ -70,7 +70,7 @@
 	if _, err := cbor.UnmarshalFirst(body, record); err != nil {
 		return err
 	}
-	copied := ownership.NewRecord() // passed to SnapshotRestored, whose receiver may modify the record
+	copied := ownership.NewRecord() // second copy, for SnapshotRestored, whose receiver may modify its copy
 	rest, err := cbor.UnmarshalFirst(body, copied)
 	if err != nil {
 		return err
--- a/consensus/timings.go
+++ b/consensus/timings.go
@@ -16,7 +16,8 @@
 	// 1.5 s.
 	minHeartbeat = 400 * time.Millisecond
 	// maxHeartbeat, the upper bound of the heartbeat timeout, is low enough that a change reaches
-	// subscribers within 3 s even if the leader's process ends just after the leader accepted it.
+	// subscribers within 3 s even if the leader's process ends just after the leader accepted the
+	// change.
 	maxHeartbeat = 1200 * time.Millisecond
 
 	minCommitTimeout = 50 * time.Millisecond
--- a/internal/process/config.go
+++ b/internal/process/config.go
@@ -19,7 +19,7 @@
 
 // FreeAddresses returns n different loopback addresses on which no process listens now.
 func FreeAddresses(n int) (addresses []string, err error) {
-	var listeners []net.Listener // kept open until all addresses are found, so that no address is found twice
+	var listeners []net.Listener // listeners stay open until FreeAddresses returns, so that no address is found twice
 	defer func() {
 		for _, l := range listeners {
 			l.Close()
--- a/internal/process/delay.go
+++ b/internal/process/delay.go
@@ -9,8 +9,8 @@
 // machine that is too busy are evidence neither for nor against a controller.
 type DelayMonitor struct {
 	stop   chan struct{}   // this channel is closed by Stop
-	done   chan struct{}   // this channel is closed when the goroutine ends
-	delays []time.Duration // measured delays; used only by the goroutine until done is closed, then only by Stop
+	done   chan struct{}   // this channel is closed when method run returns
+	delays []time.Duration // measured delays; only method run uses them until done is closed, then only Stop
 }
 
 const sampleInterval = 10 * time.Millisecond
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -9,21 +9,21 @@
 
 // Codes of events. Each comment quotes the protocol's word for the event, and states what happened.
 const (
-	eventCreate               eventCode = 0  // the protocol's "create": a controller started, with its settings
-	eventEndpointsUpdated     eventCode = 1  // the protocol's "fleet": an endpoint list, its change, or a failed poll
-	eventTimerFired           eventCode = 2  // the protocol's "elapsed": a timer of the controller fired
-	eventHealthCheckCompleted eventCode = 3  // the protocol's "checked": a health check completed
-	eventPeerMessage          eventCode = 4  // the protocol's "from peer": unexpected, as no message to a peer is sent
-	eventKilled               eventCode = 5  // the protocol's "killed": a controller ended
-	eventProxyConnected       eventCode = 6  // the protocol's "enrolled": a proxy connected
-	eventProxyDisconnected    eventCode = 7  // the protocol's "lost stream": a proxy disconnected
-	eventAcknowledged         eventCode = 8  // the protocol's "acked": a proxy sent a requested ack
-	eventOutcomesReported     eventCode = 9  // the protocol's "upstream stats": a report of the outcomes at a backend
-	eventDemandReported       eventCode = 10 // the protocol's "arrivals": a report of the demand at a proxy
-	eventShardDemandReported  eventCode = 11 // the protocol's "pressure": a report of the demand for a shard
-	eventShardOwnership       eventCode = 12 // the protocol's "tenure": a shard was assigned or revoked
-	eventShardOwnerStored     eventCode = 13 // the protocol's "on record": the owner of a shard was stored
-	eventEndpointList         eventCode = 14 // the protocol's "roster": an endpoint list, with a number to refer to it
+	eventCreate               eventCode = 0  // simulator protocol event "create": a controller started, with its settings
+	eventEndpointsUpdated     eventCode = 1  // simulator protocol event "fleet": endpoint list, its change or failed poll
+	eventTimerFired           eventCode = 2  // simulator protocol event "elapsed": a timer of the controller fired
+	eventHealthCheckCompleted eventCode = 3  // simulator protocol event "checked": a health check completed
+	eventPeerMessage          eventCode = 4  // simulator protocol event "from peer": unexpected, as peers send no messages
+	eventKilled               eventCode = 5  // simulator protocol event "killed": a controller ended
+	eventProxyConnected       eventCode = 6  // simulator protocol event "enrolled": a proxy connected
+	eventProxyDisconnected    eventCode = 7  // simulator protocol event "lost stream": a proxy disconnected
+	eventAcknowledged         eventCode = 8  // simulator protocol event "acked": a proxy sent a requested ack
+	eventOutcomesReported     eventCode = 9  // simulator protocol event "upstream stats": report of outcomes at a backend
+	eventDemandReported       eventCode = 10 // simulator protocol event "arrivals": report of the demand at a proxy
+	eventShardDemandReported  eventCode = 11 // simulator protocol event "pressure": report of the demand for a shard
+	eventShardOwnership       eventCode = 12 // simulator protocol event "tenure": a shard was assigned or revoked
+	eventShardOwnerStored     eventCode = 13 // simulator protocol event "on record": owner of a shard was stored
+	eventEndpointList         eventCode = 14 // simulator protocol event "roster": endpoint list with its reference number
 
 	lastEvent = eventEndpointList
 )
@@ -36,25 +36,25 @@
 // message to a peer), 70 ("get list": request the endpoint list once) and 72 ("drop lines": remove
 // all entries of a table).
 const (
-	actionSetTimer          actionCode = 64 // the protocol's "sleep": set a timer
-	actionCheckHealth       actionCode = 65 // the protocol's "health check": check the health of a backend
-	actionLog               actionCode = 67 // the protocol's "emit": log a line
-	actionAbort             actionCode = 68 // the protocol's "bail out": the controller cannot continue
-	actionPollEndpoints     actionCode = 69 // the protocol's "listen": poll the endpoint list
-	actionPublishEntry      actionCode = 71 // the protocol's "set weight": publish a table entry
-	actionWithdraw          actionCode = 73 // the protocol's "suspend": withdraw or restore a backend
-	actionAssignTable       actionCode = 74 // the protocol's "pin": assign a table to a proxy
-	actionSetAdmissionLimit actionCode = 75 // the protocol's "level": set an admission limit
-	actionRequestAck        actionCode = 76 // the protocol's "seal": request an ack
+	actionSetTimer          actionCode = 64 // simulator protocol action "sleep": set a timer
+	actionCheckHealth       actionCode = 65 // simulator protocol action "health check": check the health of a backend
+	actionLog               actionCode = 67 // simulator protocol action "emit": log a line
+	actionAbort             actionCode = 68 // simulator protocol action "bail out": the controller cannot continue
+	actionPollEndpoints     actionCode = 69 // simulator protocol action "listen": poll the endpoint list
+	actionPublishEntry      actionCode = 71 // simulator protocol action "set weight": publish a table entry
+	actionWithdraw          actionCode = 73 // simulator protocol action "suspend": withdraw or restore a backend
+	actionAssignTable       actionCode = 74 // simulator protocol action "pin": assign a table to a proxy
+	actionSetAdmissionLimit actionCode = 75 // simulator protocol action "level": set an admission limit
+	actionRequestAck        actionCode = 76 // simulator protocol action "seal": request an ack
 )
 
 // Kinds of eventEndpointsUpdated. Each comment quotes the protocol's word for the kind, and states
 // what the event has.
 const (
-	updateDelta  = 0 // the protocol's "delta": the event has only the changed entries
-	updateFull   = 1 // the protocol's "full": the event has the full list
-	updateCached = 2 // the protocol's "cached": the event has the full list as the controller last received it
-	updateFailed = 3 // the protocol's "failed": a poll failed, so the event has no list
+	updateDelta  = 0 // simulator protocol update kind "delta": the event has only the changed entries
+	updateFull   = 1 // simulator protocol update kind "full": the event has the full list
+	updateCached = 2 // simulator protocol update kind "cached": full list as the controller last received it
+	updateFailed = 3 // simulator protocol update kind "failed": a poll failed, so the event has no list
 )
 
 // States of a backend in an endpoint list. Warnings use the protocol's word "condition" for a
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -12,7 +12,7 @@
 type instance struct {
 	server     *Server
 	id         uint16
-	balancer   *balancer.Controller // nil after the instance has aborted
+	balancer   *balancer.Controller // balancer of this controller; nil after the instance has aborted
 	loadFields []string             // names of the values in a load report, in their order in the report
 	classes    int                  // number of request classes in the settings
 	zones      int                  // number of zones in the settings
@@ -252,7 +252,7 @@
 	return balancer.Draining
 }
 
-// healthCheckResult converts the result of a health check, and warns if it is unknown.
+// healthCheckResult converts the result code of a health check, and warns if the code is unknown.
 func (in *instance) healthCheckResult(code uint16) balancer.HealthCheckResult {
 	switch code {
 	case checkPassed:
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -322,7 +322,7 @@
 	}
 	text += "complaints\n"
 	for line := range strings.Lines(log.String()) {
-		_, warning, _ := strings.Cut(line, ": ") // cuts off the program's name at the start of the line
+		_, warning, _ := strings.Cut(line, ": ") // without the program's name, which begins each log line
 		text += warning
 	}
 	golden.Compare(t, "replies.golden", text)
--- a/internal/simwire/layout.go
+++ b/internal/simwire/layout.go
@@ -155,5 +155,5 @@
 // Fields of actionRequestAck.
 const (
 	requestNumberAt       = 3  // u64: number of the requested ack
-	requestAllConnectedAt = 11 // u8: 1 if all connected proxies send the ack, 0 if only those that the reply reaches
+	requestAllConnectedAt = 11 // u8: 1 requests the ack from all connected proxies, 0 from proxies that the reply affects
 )
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -98,7 +98,7 @@
 		s.warn("list number %d is not known", number)
 		return nil
 	}
-	s.endpointLists[number] = append([]byte(nil), entries...) // copied, as the next frame overwrites the buffer
+	s.endpointLists[number] = append([]byte(nil), entries...) // a copy: the next frame overwrites the buffer of entries
 	return nil
 }
 
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -46,7 +46,7 @@
 func createEvent(instance uint16, size int) []byte {
 	r := make([]byte, 19)
 	binary.LittleEndian.PutUint16(r[1:], instance)
-	r[3] = 7 // sets the seed to 7
+	r[3] = 7 // lowest byte of the seed, so that the seed is 7
 	binary.LittleEndian.PutUint32(r[15:], uint32(size))
 	return r
 }
--- a/options/distribution.go
+++ b/options/distribution.go
@@ -14,14 +14,14 @@
 	Name    string            `yaml:"name"`    // name of the subscriber; if empty, the value of LB_NAME is used
 	Parents map[string]string `yaml:"parents"` // addresses of the parents to try first, by name
 	Scopes  []string          `yaml:"scopes"`  // scopes that the subscriber subscribes to, or only AllScopes
-	// Listen is the address at which the subscriber accepts other subscribers; empty to accept
-	// none.
+	// Listen is the address at which the subscriber accepts other subscribers; if Listen is
+	// empty, the subscriber accepts no other subscribers.
 	Listen      string `yaml:"listen"`
-	Folder      string `yaml:"folder"`      // folder that keeps configuration across restarts; empty for none
+	Folder      string `yaml:"folder"`      // folder for configuration that survives restarts; if empty, none survives
 	Certificate string `yaml:"certificate"` // path of the PEM certificate, issued to the subscriber's name
 	Key         string `yaml:"key"`         // path of the PEM private key of Certificate
 	Authority   string `yaml:"authority"`   // path of the PEM certificate that signs all nodes' certificates
-	Plain       bool   `yaml:"plain"`       // plain text instead of TLS; allowed on loopback addresses only
+	Plain       bool   `yaml:"plain"`       // use plain text instead of TLS; only for loopback addresses
 	FanOut      int    `yaml:"fan_out"`     // maximum number of direct subscribers; 0 for the default
 	// SnapshotBytesPerSecond limits the total rate at which snapshots are sent to all subscribers;
 	// 0 for the default.
--- a/options/sharing.go
+++ b/options/sharing.go
@@ -12,25 +12,26 @@
 	// Members has the address of each member by name, including this controller. At least two
 	// members are required.
 	Members     map[string]string `yaml:"members"`
-	Folder      string            `yaml:"folder"`      // folder that keeps state across restarts; empty for none
+	Folder      string            `yaml:"folder"`      // folder for state that survives restarts; if empty, none survives
 	Certificate string            `yaml:"certificate"` // path of the PEM certificate, issued to the member's name
 	Key         string            `yaml:"key"`         // path of the PEM private key of Certificate
 	Authority   string            `yaml:"authority"`   // path of the PEM certificate that signs all members' certificates
-	Plain       bool              `yaml:"plain"`       // plain text instead of TLS; allowed on loopback addresses only
-	// Lease is a duration as text, such as 1500ms, see LeaseTime; empty for the default.
+	Plain       bool              `yaml:"plain"`       // use plain text instead of TLS; only for loopback addresses
+	// Lease is a duration as text, such as 1500ms, see LeaseTime; if Lease is empty, the default
+	// applies.
 	Lease string `yaml:"lease"`
 
 	lease time.Duration // the duration that Lease contains
 }
 
 // LeaseTime returns how long a member waits for the replicated record before the member continues
-// without the record; 0 for the default.
+// without the record; the result 0 stands for the default.
 func (s *Sharing) LeaseTime() time.Duration { return s.lease }
 
 const minMembers = 2
 
-// Limits of a lease. With a shorter lease, a slow answer is mistaken for a network partition; with
-// a longer lease, drains wait too long during a partition.
+// Limits of a lease. With a lease below minLease, a slow answer is mistaken for a network
+// partition; with a lease above maxLease, drains wait too long during a partition.
 const (
 	minLease = 500 * time.Millisecond
 	maxLease = 10 * time.Second
