--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -12,7 +12,7 @@
 //   - Lower: when queues stand at nearly all backends, the throughput answered during that time is
 //     taken as what the fleet can do (saturated throughput). The limit is set so that the queues at
 //     the backends are cleared within backendQueueClearTime, but not below minLimitShare of the
-//     saturated throughput: requests that wait too long are dropped.
+//     saturated throughput: the queues also shrink because requests that wait too long are dropped.
 //   - Hold: the limit then returns to sustainableShare of the saturated throughput. This share is
 //     lowered by half of the queueing time that is still reported, divided by
 //     backendQueueClearTime, but not below minLimitShare. The limit does not wait for reports that
@@ -48,9 +48,9 @@
 	// sustainableShare is the share of the saturated throughput that fixed weights can spread over
 	// the backends without queues.
 	sustainableShare = 0.85
-	// minLimitShare is the lowest share of the saturated throughput to which the limit is lowered:
-	// the length of the queues at the backends is only an estimate, and requests that wait too long
-	// are dropped.
+	// minLimitShare is the lowest share of the saturated throughput to which the limit is lowered.
+	// A lower limit would refuse more than needed: the length of the queues at the backends is only
+	// an estimate, and the queues also shrink because requests that wait too long are dropped.
 	minLimitShare = 0.3
 	// backendQueueClearTime is the time within which a queue at the backends is cleared. It is not
 	// shorter because ordinary changes, such as the limit that follows once the queue is cleared,
@@ -58,8 +58,8 @@
 	// bounds the push queue.
 	backendQueueClearTime = 2 * minPublishInterval
 	// maxHeadroom bounds a raised limit to this multiple of the current demand: a limit further
-	// above the demand would not take effect when it is needed. Measured throughput is bounded to
-	// the same multiple of the admitted demand.
+	// above the demand would not take effect when a rise of the demand makes it needed. Measured
+	// throughput is bounded to the same multiple of the admitted demand.
 	maxHeadroom = 1.15
 	// raiseStep is the relative step by which a limit is raised while the latency ratio is below
 	// overloadedRatio.
@@ -121,7 +121,7 @@
 
 	targetLimits    []float64 // limits to be published, by class: a share or a rate; 0 means no limit
 	publishedLimits []float64 // limits that were last published, by class
-	limitsSent      bool      // a limit of some class was published at least once
+	limitsSent      bool      // a limit was published at least once, for any class
 	// quota holds the requests per second that the fleet may be sent, by class; 0 means unlimited.
 	quota           []RequestsPerSecond
 	countedRequests []float64 // requests that proxies counted since the last evaluation, by class
@@ -163,7 +163,7 @@
 	idle := load.latencyRatio < implausiblyIdleRatio && c.backendsIdle(load.latencyRatio*a.meanObjective)
 	overloaded := c.queueOutlastsReports(load, idle, now)
 	reportLag := c.telemetry.ReportInterval + c.pushQueue.MaxLatency + answerTimeAllowance
-	// Further raises, before reports show the effect of the last raise, would overshoot.
+	// A raise before reports show the effect of the last raise would set the limit too high.
 	raiseDue := now-a.raisedAt >= reportLag
 	switch {
 	case now < a.holdUntil:
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -44,8 +44,8 @@
 	lastAnswerAt Microseconds
 	// consecutiveFailures is the number of attempts reported since lastAnswerAt; all of them failed.
 	consecutiveFailures int
-	// score is the backend's mean answer time over the median backend's. It is 1 if either is
-	// unknown, and -1 once an ejection of the backend was due.
+	// score is the backend's mean answer time divided by that of the median backend. It is 1 if
+	// either time is unknown, and -1 once an ejection of the backend was due.
 	score float64
 
 	ejected bool
--- a/balancer/controller.go
+++ b/balancer/controller.go
@@ -44,9 +44,9 @@
 
 	// State of the endpoint list.
 	pollAt         Microseconds // time of the next poll of the endpoint list, if polling is required
-	pollBackoff    Microseconds // pause after a failed poll of the endpoint list, before it is randomized
+	pollBackoff    Microseconds // pause after a failed poll of the endpoint list, before the pause is randomized
 	endpointsKnown bool         // a complete endpoint list with at least one endpoint has been received
-	warmEverListed bool         // some endpoint list so far had a backend that was ready and warm
+	warmEverListed bool         // at least one endpoint list so far had a backend that was ready and warm
 
 	// State of the evaluation of reports.
 	evaluatedAt Microseconds // time of the last evaluation of reports
@@ -401,7 +401,7 @@
 	return float64(hash.Sum64()>>11) / (1 << 53)
 }
 
-// logf records a decision about a backend; -1 stands for a decision about no single backend.
+// logf records a decision about a backend, or, with -1 as the backend, about no single backend.
 func (c *Controller) logf(backend int, format string, args ...any) {
 	c.host.Log(backend, fmt.Sprintf(format, args...))
 }
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -13,8 +13,8 @@
 //
 // Inputs are the listed state and Endpoint.DrainingSince (microseconds).
 
-// noteDrain records, for a backend that is listed as not ready, whether it drains and how late the
-// list reports that.
+// noteDrain records, for a backend that is listed as not ready, whether it drains, and how long
+// after the order of the drain the list reports the drain.
 func (b *backendState) noteDrain(now Microseconds) {
 	if b.State != Draining {
 		return
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -12,7 +12,7 @@
 	// passed.
 	SetTimer(wait Microseconds, tag uint64)
 
-	// Log records a decision about a backend; -1 stands for a decision about no single backend.
+	// Log records a decision about a backend, or, with -1 as the backend, about no single backend.
 	Log(backend int, text string)
 
 	// PollEndpoints requests the endpoint list. The answer is a call of EndpointsUpdated or
@@ -35,9 +35,9 @@
 
 	// SyncWithdrawals sends all withdrawals and admission limits in force to one proxy, which
 	// connected after other proxies were sent these withdrawals and limits. For classes without a
-	// limit in force, it sends the limit and retry policy passed: a limit that means unlimited, as
-	// for SetAdmissionLimit, and the default policy. SyncWithdrawals returns false if the Host does
-	// not support this message.
+	// limit in force, it sends its arguments: a limit that means unlimited, as defined at
+	// SetAdmissionLimit, and the default retry policy. SyncWithdrawals returns false if the Host
+	// does not support this message.
 	SyncWithdrawals(proxy int, limit float64, retry RetryPolicy) bool
 
 	// ClearWithdrawals lifts the withdrawals of other controllers at a proxy. The proxy may at
@@ -53,7 +53,7 @@
 	// RequestAck requests an ack of the effects ordered at this clock time: the Host calls
 	// Acknowledged with the given number for each proxy that these effects reach or, with
 	// allConnected, for each connected proxy. A Controller always passes false for allConnected;
-	// the parameter exists because the protocol with the simulator has it.
+	// the parameter exists because the simulator's protocol has such a flag.
 	RequestAck(number int, allConnected bool)
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -60,9 +60,9 @@
 
 	// minAttemptsToLag is the lowest number of attempts that can show that a backend is lagging.
 	minAttemptsToLag = 10
-	// laggingScore is the lowest score of a lagging backend: its mean answer time over the median
-	// backend's. If the answers are also late for the latency objective, such a score is no
-	// coincidence.
+	// laggingScore is the lowest score of a lagging backend: its mean answer time divided by that
+	// of the median backend. If the answers are also late for the latency objective, such a score
+	// is no coincidence.
 	laggingScore = 2.0
 
 	baseEjectionTime = 10 * second // backoff of the first ejection of a backend
@@ -136,7 +136,8 @@
 	}
 }
 
-// score returns a backend's mean answer time over the median, or 1 if either is unknown.
+// score returns a backend's mean answer time divided by that of the median backend, or 1 if either
+// time is unknown.
 func (f *fleetOutcomes) score(backend *backendState) float64 {
 	if backend.meanAnswerTime <= 0 || f.medianAnswerTime <= 0 {
 		return 1
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -68,11 +68,12 @@
 
 	targetBySubset []float64 // target weight of each subset
 	fairWeight     float64   // mean target weight of a subset
-	// messageCharged is set for a subset once the cost of some change includes the overhead of the
-	// messages to the proxies of the subset. Further changes of the subset share these messages.
+	// messageCharged is set for a subset once the cost of one of its changes includes the overhead
+	// of the messages to the proxies of the subset. Further changes of the subset share these
+	// messages.
 	messageCharged []bool
 
-	changesDue     bool    // some entry or limit differs from its target
+	changesDue     bool    // at least one entry or limit differs from its target
 	requiredLines  Lines   // cost of all required changes
 	withdrawalsDue float64 // number of backends that are to be withdrawn or restored
 	// tablesReplaceWithdrawals is set if complete tables for all withdrawal receivers arrive in
@@ -230,8 +231,8 @@
 
 // entryChanges summarizes the entry changes of a round.
 type entryChanges struct {
-	published  bool    // some changes of entries were published in this round
-	leftOver   bool    // some changes of entries wait for capacity in the push queue
+	published  bool    // at least one change of an entry was published in this round
+	leftOver   bool    // at least one change of an entry waits for capacity in the push queue
 	lostWeight float64 // unreduced published weight that endpoint lists took away; input of limitOnCapacityLoss
 }
 
--- a/balancer/pushqueue.go
+++ b/balancer/pushqueue.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // Push queue: an account of the lines that wait in the push channel to the proxies. A line counts
-// as queued until an ack for its batch, or for a later one, comes back, so that the account also
-// holds when the channel is slow. The account is too high by the lines that the channel has sent
-// and whose ack is still on its way.
+// as queued until an ack for its batch, or for a later one, comes back, so that the account is
+// also correct when the channel is slow. The account is too high by the lines that the channel has
+// sent and whose ack is still on its way.
 //
 //   - Required changes may fill the capacity: PushChannel.Backlog or, if it is less, the number of
 //     lines that the channel sends within maxQueueTime. The capacity is the same however short the
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -44,10 +44,11 @@
 	// clearing of withdrawals, leave free for changes that cannot wait.
 	syncReserveShare = 1. / 4
 	// tableCostPerMessage is the highest ratio of the cost of a proxy's tables to the cost of a
-	// withdrawals message at which the tables are sent instead of the message.
+	// withdrawals message at which the proxy gets no message if its tables arrive in time.
 	tableCostPerMessage = 3
 	// tableCostWorthMessage is the lowest ratio of the cost of a proxy's tables to the cost of a
-	// withdrawals message at which the message is sent.
+	// withdrawals message at which the message may be sent. Below this ratio the proxy gets no
+	// message, however late its tables are, unless one of the tables is empty.
 	tableCostWorthMessage = 2
 )
 
--- a/balancer/transcripthost_test.go
+++ b/balancer/transcripthost_test.go
@@ -100,19 +100,19 @@
 		attempts, failures, mean := host.IntN(14), 0, 150_000+host.Int64N(120_000)
 		isAffected := i < host.affected
 		switch {
-		case host.condition == 1: // overload of all backends
+		case host.condition == 1: // all backends answer late, and fail a tenth of their attempts
 			failures, mean = attempts/10, 700_000+host.Int64N(500_000)
-		case host.condition == 2 && isAffected: // some backends are dead
+		case host.condition == 2 && isAffected: // all attempts at the affected backends fail
 			failures, mean = attempts, 0
-		case host.condition == 3 && isAffected: // some backends are slow
+		case host.condition == 3 && isAffected: // affected backends answer late, and fail a quarter of their attempts
 			failures, mean = attempts/4, 1200_000+host.Int64N(800_000)
-		case host.condition == 4 && isAffected: // some backends fail fast
+		case host.condition == 4 && isAffected: // affected backends answer fast, but fail three quarters of attempts
 			failures = attempts * 3 / 4
 		case host.condition == 5: // at most one attempt at each backend
 			attempts = host.IntN(2)
 		case host.condition == 6: // all attempts at all backends fail
 			failures, mean = attempts, 0
-		case host.condition == 8: // late answers of lightly loaded backends
+		case host.condition == 8: // all backends answer late, although they are lightly loaded
 			mean = 450_000 + host.Int64N(300_000)
 		case host.condition == 7: // short queues at all backends, and high demand
 			mean = 300_000 + host.Int64N(200_000)
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -109,7 +109,8 @@
 	return byClass, true
 }
 
-// knownAt returns the content of the table at a proxy that has acknowledged a revision.
+// knownAt returns the known content of the table at a proxy that has acknowledged a revision of the
+// owner's tables.
 func (t *Table) knownAt(revision uint64) KnownTable {
 	known := KnownTable{Lines: map[string]float64{}, Uncertain: map[string]bool{}}
 	for backend, line := range t.Lines {
--- a/ownership/coordinator.go
+++ b/ownership/coordinator.go
@@ -96,8 +96,8 @@
 	granted     bool
 	windowStart Microseconds // start of the message window: the time of the grant, or the end of the last window
 	owned       bool         // the record has this incarnation or the previous one as the owner of the proxy
-	// claimToken is the fencing token of this incarnation's claim; 0 for none. Messages carry the
-	// token of the grant instead.
+	// claimToken is the fencing token of this incarnation's claim; 0 if this incarnation does not
+	// own the proxy. Messages carry the token of the grant instead.
 	claimToken uint64
 	// staleClaims counts the claims by this member that were in flight when the proxy's stream
 	// began. These claims were made for an older stream.
--- a/ownership/coordinator_test.go
+++ b/ownership/coordinator_test.go
@@ -169,7 +169,7 @@
 			t.Errorf("granted %v after three moves within the window, want the owner quota counted as sent",
 				host.granted)
 		}
-		for i := range maxMovesWithReserve { // after more moves than this, an owner has no GuaranteedMessages
+		for i := range maxMovesWithReserve { // with more moves than this number, an owner has no GuaranteedMessages
 			coordinator.ProxyDisconnected(5)
 			coordinator.EntryApplied(Entry{Member: []string{"n1", "n2"}[i%2], Incarnation: uint64(i%2 + 1),
 				Seq: coordinator.record.Incarnations[uint64(i%2+1)].Seq + 1, Claims: []int{5},
--- a/ownership/entry.go
+++ b/ownership/entry.go
@@ -30,11 +30,11 @@
 	// Observations are the outcomes that the member's proxies observed at backends since the
 	// member's last report.
 	Observations []Observation `cbor:"10,keyasint,omitempty"`
-	// Demands are the demands of the proxies whose demand has changed since the member last
-	// reported it.
+	// Demands are the demands of the proxies whose demand differs by more than demandTolerance from
+	// the one that the member last reported.
 	Demands []Demand `cbor:"13,keyasint,omitempty"`
-	// Capacity is the fleet capacity that the member has observed; the zero value if it has not
-	// changed since the member last reported it.
+	// Capacity is the fleet capacity that the member has observed; the zero value if the capacity
+	// differs by no more than capacityTolerance from the one that the member last reported.
 	Capacity Capacity `cbor:"14,keyasint,omitempty"`
 	// FullyRecorded is set by the leader: the incarnations that had certainly written nothing
 	// without quorum when this entry arrived at the leader. It is empty until all members have
--- a/ownership/every_order_test.go
+++ b/ownership/every_order_test.go
@@ -75,8 +75,8 @@
 }
 
 // TestEveryOrderOfEventsKeepsTheInvariants guards against rare orders of events after which a proxy
-// holds other lines than the base of its grant, or gets more than MaxMessages within the message
-// window. The second half injects faults and checks that explore detects them.
+// holds other lines than its grant states (Grant.Base), or gets more than MaxMessages within the
+// message window. The second half injects faults and checks that explore detects them.
 func TestEveryOrderOfEventsKeepsTheInvariants(t *testing.T) {
 	depth := 4
 	if parsed, err := strconv.Atoi(os.Getenv("SHARE_DEPTH")); err == nil {
--- a/ownership/evidence.go
+++ b/ownership/evidence.go
@@ -17,7 +17,7 @@
 	// withdrawn holds the outcomes because of which this member has withdrawn a backend, by
 	// backend.
 	withdrawn     map[string]Observation
-	lastWithdrawn map[string]Observation // copy of the map withdrawn from the time of the last report
+	lastWithdrawn map[string]Observation // content of the field withdrawn at the last report
 
 	demand        map[int][]rate    // average requests per second, by proxy and class
 	changedDemand map[int]bool      // proxies whose demand differs from the last reported demand
@@ -42,7 +42,7 @@
 
 // Limits on the content of reports, and on the times of reports.
 const (
-	maxDemands        = 64  // maximum number of proxies in a report
+	maxDemands        = 64  // maximum number of proxies whose demand is in one report
 	demandTolerance   = 0.2 // a smaller relative change of a proxy's demand is not reported
 	capacityTolerance = 0.1 // a smaller relative change of the capacity is not reported
 
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -42,8 +42,9 @@
 }
 
 // forgotUnownedMessages reports whether this member may have written messages to a proxy within the
-// message window that it no longer counts, because the member has started within the window, or was
-// already granted the proxy within the window. It drops the times of older grants.
+// message window of which it has no count any more: the member has started within the window, or
+// was already granted the proxy within the window. The method drops the times of grants from before
+// the window.
 func (c *Coordinator) forgotUnownedMessages(proxy int, now Microseconds) bool {
 	windowPassed := func(at Microseconds) bool { return now-at >= c.terms.MessageWindow }
 	recentGrants := slices.DeleteFunc(c.grantTimes[proxy], windowPassed)
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -20,7 +20,7 @@
 	seq                uint64       // number of the last entry that arrived
 	arrivedAt          Microseconds // arrival time of the entry with the number seq
 	previousAt         Microseconds // arrival time of the entry with the number seq-1, or notArrived
-	earliestLeaseStart Microseconds // earliest possible start of the member's lease, or notArrived
+	earliestLeaseStart Microseconds // earliest possible start of the member's lease, or notArrived if it is not known
 }
 
 // notArrived stands for a missing time in entryArrivals.
@@ -121,8 +121,8 @@
 	return incarnation.Closed && known && now-arrivals.arrivedAt < t.lease
 }
 
-// stoppedWithinLease reports whether a member was seen not to run less than a lease ago, and no
-// entry of its incarnation has arrived since.
+// stoppedWithinLease reports whether a member's process was found not running less than a lease
+// ago, and no entry of the member's incarnation has arrived since that time.
 func (t *LeaseTracker) stoppedWithinLease(id uint64, incarnation *Incarnation, now Microseconds) bool {
 	stoppedAt, stopped := t.stoppedAt[incarnation.Member]
 	arrivals, known := t.arrivals[id]
--- a/ownership/membership.go
+++ b/ownership/membership.go
@@ -30,7 +30,7 @@
 
 // Step is the next action of a member towards being part of a record.
 type Step struct {
-	Action  Action            // what the member has to do
+	Action  Action            // kind of this step
 	JoinVia string            // if Action is Join: name of the member to ask for admission
 	IDs     map[string]string // if Action is Bootstrap: IDs of all members, by name
 }
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -23,7 +23,7 @@
 	eventChangeTable eventKind = 'o' // the member changes its table
 	eventAcknowledge eventKind = 'c' // the proxy acknowledges everything that was written to it
 	eventCutOff      eventKind = 'x' // the member is cut off from the record
-	eventLoseAnswers eventKind = 'l' // the entries of the member arrive, but the answers are lost
+	eventLoseAnswers eventKind = 'l' // the member's entries arrive at the leader, but the leader's answers are lost
 	eventHeal        eventKind = 'h' // the connection between the member and the record works again
 	eventKill        eventKind = 'k' // the member's process is killed
 	eventClose       eventKind = 'q' // the member closes its incarnation, then its process ends
@@ -40,7 +40,7 @@
 	record       *Record // record that results from the entries that the leader has applied
 	members      []*modelMember
 	streamMember int                // index of the member to which the proxy is connected
-	streamSerial int                // number of the proxy's stream
+	streamSerial int                // serial number of the proxy's present stream
 	proxyLines   map[string]float64 // weights that the proxy holds, by backend
 	proxyToken   uint64             // greatest fencing token that the proxy has seen
 	messageTimes []int64            // times of the messages to the proxy, within the message window
@@ -54,7 +54,7 @@
 	index             int
 	coordinator       *Coordinator
 	running, cutOff   bool     // cutOff: the member is cut off from the record
-	answersLost       bool     // the entries of the member arrive, but the answers are lost
+	answersLost       bool     // the member's entries arrive at the leader, but the leader's answers are lost
 	connection        int      // number of the connection to the leader
 	applied           int      // number of log entries that the member has applied
 	proposals         []Entry  // entries that are not delivered to the leader yet
@@ -62,10 +62,10 @@
 	grantedStream     int      // serial number of the stream for which the proxy was granted
 	token             uint64   // fencing token of the last grant
 	weight            float64  // weight of backend a in the member's table; 0 for no line
-	lastRevision      uint64   // revision of the last table change
+	lastRevision      uint64   // revision of the member's last table change
 	lastWrittenStream int      // serial number of the last stream on which the member wrote
 	unreleased        []uint64 // revisions that wait for their release by ReleaseUpTo
-	countedMessages   []int64  // times of the messages that count against the member's quota
+	countedMessages   []int64  // times of the member's messages to the proxy that count against the member's quota
 }
 
 func (member *modelMember) Propose(e Entry) { member.proposals = append(member.proposals, e) }
--- a/ownership/proxies.go
+++ b/ownership/proxies.go
@@ -56,9 +56,10 @@
 }
 
 // ProxyAcknowledged records that a proxy has applied everything that this member wrote to it up to
-// a revision, and the number of the table to which each of the proxy's classes is bound, -1 for
-// none. An acknowledgement with a class that is bound to no table is ignored. If withdrawalsKnown
-// is set, the proxy holds the withdrawals that this member ordered, and none by an earlier owner.
+// a revision, and the number of the table to which each of the proxy's classes is bound. A table
+// number of -1 marks a class that is bound to no table; an acknowledgement with such a class is
+// ignored. If withdrawalsKnown is set, the proxy holds the withdrawals that this member ordered, and
+// none by an earlier owner.
 func (c *Coordinator) ProxyAcknowledged(proxy int, revision uint64, tables []int, withdrawalsKnown bool) {
 	state := c.proxies[proxy]
 	if state == nil || revision < state.acknowledgedRevision || slices.Contains(tables, -1) {
--- a/ownership/record.go
+++ b/ownership/record.go
@@ -68,7 +68,8 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Token is the fencing token of the claim by which the owner owns the proxy.
 	Token uint64 `cbor:"3,keyasint"`
-	// Revision is the revision of the owner's tables that the proxy has acknowledged; 0 for none.
+	// Revision is the revision of the owner's tables that the proxy has acknowledged; 0 if
+	// it has acknowledged none to this owner.
 	Revision uint64 `cbor:"4,keyasint"`
 	// Tables are the numbers of the tables to which the proxy's classes are bound, by class.
 	Tables []int `cbor:"5,keyasint"`
--- a/ownership/terms.go
+++ b/ownership/terms.go
@@ -5,8 +5,8 @@
 
 // LeaseTerms are the settings on which all members have to agree.
 type LeaseTerms struct {
-	// Duration is the length of a lease: a member whose entries have not been committed for so long
-	// is without quorum.
+	// Duration is the length of a lease: a member is without quorum once none of its entries has
+	// been committed for this time.
 	Duration Microseconds
 	// RenewInterval is the longest time between two entries of a member.
 	RenewInterval Microseconds
--- a/ownership/transcript_test.go
+++ b/ownership/transcript_test.go
@@ -105,7 +105,8 @@
 	m.coordinator.ChangeTables([]TableChange{{0, []Line{{"a", 1}, {"b", 1}}}}, m.now)
 }
 
-// deliver puts the oldest proposal on the record; the answer is lost unless answered is set.
+// deliver puts the member's oldest proposal on the record. The answer to the member is lost unless
+// answered is set.
 func (m *transcriptMember) deliver(answered bool) {
 	if len(m.proposed) == 0 {
 		return
