--- a/distribution/check_test.go
+++ b/distribution/check_test.go
@@ -198,7 +198,7 @@
 // messageMove selects the queue whose first message is delivered or lost.
 type messageMove struct {
 	connection int // index of the connection among those that the subscriber dialled
-	side       int // 0 for messages to the subscriber, 1 for messages to its parent
+	side       int // direction of the message: 0 to the subscriber, 1 to its parent
 	lose       bool
 }
 
@@ -231,7 +231,7 @@
 // extraDepth returns the number of events by which the depth of each case of the model check is
 // increased.
 func extraDepth() int {
-	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // a value of 2 makes the model check take minutes
+	extra, _ := strconv.Atoi(os.Getenv("DISTRIBUTION_DEEPER")) // at 2 extra events the model check takes minutes
 	return extra
 }
 
--- a/distribution/children.go
+++ b/distribution/children.go
@@ -32,7 +32,7 @@
 	snapshot          *outgoingSnapshot // the snapshot that is being sent to the child; nil if there is none
 	unconfirmedSizes  []int             // sizes in bytes of unconfirmed messages; at most maxUnconfirmedMessages
 	unconfirmedBytes  int               // sum of unconfirmedSizes, in bytes
-	confirmedMessages uint64            // messages confirmed since the last Admitted, including that Admitted
+	confirmedMessages uint64            // messages confirmed by the child since its last Admitted, including that Admitted
 }
 
 func (n *Node) childByLink(link Link) *child {
--- a/distribution/content_test.go
+++ b/distribution/content_test.go
@@ -173,8 +173,9 @@
 	}
 }
 
-// A rate of more than one window per Tick must be reached: a Renew that confirms pieces makes the
-// parent send the next pieces at once. Otherwise the parent would send at most one window per Tick.
+// Snapshots must reach a rate of more than one window per Tick: a Renew that confirms pieces makes
+// the parent send the next pieces at once. Otherwise the parent would send at most one window per
+// Tick.
 func TestHighSnapshotRateIsReachedBetweenTicks(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 16 * mebibyte
@@ -192,8 +193,8 @@
 	}
 }
 
-// A pause of hours, for example of a suspended machine, must not give more credit than one second,
-// and must not overflow the computation of the credit.
+// A pause of hours, for example of a suspended machine, must not add more snapshot credit than a
+// pause of one second, and must not overflow the computation of the credit.
 func TestSnapshotCreditIsBoundedAfterAPause(t *testing.T) {
 	limits := DefaultLimits()
 	limits.SnapshotBytesPerSecond = 1 << 30
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -15,7 +15,7 @@
 // Reasons to close a link.
 const (
 	CloseSilent         CloseReason = iota + 1 // no message or Renew within a lease, or too many unconfirmed messages
-	CloseNotChosen                             // another peer admitted this node first, or the place is not better
+	CloseNotChosen                             // another peer admitted first, or the place is no better than the current
 	CloseReplaced                              // the child subscribed again on another link
 	CloseRefused                               // the parent refused the child a place, or revoked the place
 	CloseTimedOut                              // no admission, answer or Subscribe arrived within Limits.Handshake
@@ -46,7 +46,7 @@
 	EventChildLost                              // the link to the child Peer ended or was closed; see CloseReason
 	EventGap                                    // a message from Peer does not follow the version of this node
 	EventWrongDigest                            // the content after a message from Peer would not have the stated digest
-	EventOlderRefused                           // a message, change or state was refused because it is not newer
+	EventOlderRefused                           // a message, change or state no newer than the node's version was refused
 	EventEpochConflict                          // Peer's epoch was refused: same number as this node's, other identity
 	EventSnapshotSent                           // the last piece of a snapshot was sent to Peer
 	EventSnapshotInstalled                      // a snapshot from Peer was installed
--- a/distribution/message.go
+++ b/distribution/message.go
@@ -95,7 +95,7 @@
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
 	// Changes have revisions after Previous, up to Revision.
 	Changes []Change `cbor:"4,keyasint,omitempty"`
-	// Digest is the digest of the child's scopes at Revision.
+	// Digest is the digest of the entries in the child's scopes at Revision.
 	Digest Digest `cbor:"5,keyasint,omitempty"`
 }
 
@@ -123,13 +123,13 @@
 // in its scopes. A heartbeat with a zero epoch does not advance the child: deltas or a snapshot are
 // still due, or the parent is behind the child.
 type Heartbeat struct {
-	// Epoch is the epoch of Previous and Revision, or zero.
+	// Epoch is the epoch of Previous and Revision; zero if the heartbeat does not advance the child.
 	Epoch Epoch `cbor:"1,keyasint,omitempty"`
 	// Previous is the revision that the child must hold for the heartbeat to advance it.
 	Previous uint64 `cbor:"2,keyasint,omitempty"`
 	// Revision is the revision to which the heartbeat advances the child.
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
-	// Digest is the digest of the child's scopes at Revision.
+	// Digest is the digest of the entries in the child's scopes at Revision.
 	Digest Digest `cbor:"4,keyasint,omitempty"`
 	// Path holds the names of the nodes from the voter down to the parent, which is the last.
 	Path []string `cbor:"5,keyasint,omitempty"`
--- a/distribution/network_test.go
+++ b/distribution/network_test.go
@@ -16,14 +16,15 @@
 	members     []*member
 	conns       []*conn
 	dials       []dial
-	cuts        map[[2]string]bool // by namePair: the members' connections are closed, and dials between them fail
-	hung        map[[2]string]bool // by namePair: nothing arrives between the members, and neither gets an error
+	cuts        map[[2]string]bool // by namePair of two members: connections between them are closed, and dials fail
+	hung        map[[2]string]bool // by namePair of two members: nothing arrives between them, and neither gets an error
 	encode      bool               // each message is encoded by its sender and decoded for its receiver
 	epoch       Epoch
 	record      []Change                           // changes of the simulated record in the current epoch
-	expected    map[Epoch]map[uint64]map[Key]Entry // the whole expected configuration, by epoch and revision
+	expected    map[Epoch]map[uint64]map[Key]Entry // entries expected at a node with all scopes, by epoch and revision
 	randomState uint64
-	// messageKeys caches the key of each message of the model, which is computed once.
+	// messageKeys holds the hash of each message of the model, so that messageKey computes each hash
+	// only once.
 	messageKeys map[Message]int64
 	random      bool        // makes Random of all members return pseudo-random numbers instead of zero
 	violation   string      // the first violated rule; "" if there is none
--- a/distribution/node.go
+++ b/distribution/node.go
@@ -61,15 +61,17 @@
 	lastLink          Link
 	unsubscribedLinks []unsubscribedLink // accepted links without a Subscribe; at most FanOut+maxExtraUnsubscribed
 	children          []*child           // children in the order of their admission; at most Limits.FanOut
-	snapshotCredit    int64              // credit for snapshots in millionths of a byte; a large piece makes it negative
-	creditRefilledAt  Microseconds
-	lastServedChild   int // index of the child that was sent the last snapshot piece
+	// snapshotCredit is the amount of snapshot data that may be sent now, in millionths of a byte. A
+	// large piece makes it negative.
+	snapshotCredit   int64
+	creditRefilledAt Microseconds
+	lastServedChild  int // index of the child that was sent the last snapshot piece
 
 	// The fields up to consecutiveRefusals hold the state of this node as the child of its parent.
 	parent              *parentLink       // link to the parent; nil without a parent
 	attempts            []*parentLink     // links to peers that were asked for a place; at most maxAttempts
 	incomingSnapshot    *incomingSnapshot // the snapshot that is being received; nil if there is none
-	contentInDoubt      bool              // a digest did not match, so only a complete snapshot is accepted
+	contentInDoubt      bool              // a parent's digest did not match, so only a complete snapshot is accepted
 	candidates          []candidate       // possible parents: the configured ones, then at most MaxCandidates learned ones
 	nextDialAt          Microseconds
 	consecutiveFailures int // number of failed attempts and lost parents since the source was last known to be current
@@ -79,7 +81,7 @@
 	sourceEverCurrent bool
 	loggedStale       bool // EventSourceStale was logged after the last EventSourceCurrent
 
-	faults plantedFaults // deliberate faults; zero except in tests
+	faults plantedFaults // deliberate faults that the model check plants; zero outside of tests
 }
 
 // New returns a node. A voter has no configuration until Restored or Accepted is called. A
--- a/distribution/outgoing_snapshot.go
+++ b/distribution/outgoing_snapshot.go
@@ -84,8 +84,8 @@
 func (n *Node) refillSnapshotCredit(now Microseconds) {
 	pace := int64(n.limits.SnapshotBytesPerSecond)
 	bound := max(int64(n.limits.PieceBytes), pace/creditsPerSecond) * microsecondsPerSecond
-	// A longer time would add little or nothing, as the credit is bounded, and its product with the
-	// rate could overflow.
+	// More than one second would add little or no credit, as the credit is bounded, and the product
+	// of a longer time and the rate could overflow.
 	elapsed := min(now-n.creditRefilledAt, second)
 	n.snapshotCredit = min(n.snapshotCredit+elapsed*pace, bound)
 	n.creditRefilledAt = now
--- a/distribution/parent.go
+++ b/distribution/parent.go
@@ -12,10 +12,10 @@
 	connected      bool
 	lastReceivedAt Microseconds // time of the most recent message; before the first message, time of the dial
 
-	subscribing      bool   // a Subscribe is unanswered; messages before its answer belong to an earlier Subscribe
+	subscribing      bool   // the last Subscribe is unanswered; messages before its answer belong to an older Subscribe
 	lastRequest      uint64 // request number of the last Subscribe on this link
 	subscribeSentAt  Microseconds
-	recoveryRequests int // recovery requests after a gap or a wrong digest, since a message was last applied
+	recoveryRequests int // requests to recover from a gap or a wrong digest, since a message was last applied
 
 	admittedAt       Microseconds
 	lease            Microseconds // duration of the lease in µs, as granted by the parent
--- a/distribution/planted_faults.go
+++ b/distribution/planted_faults.go
@@ -17,7 +17,7 @@
 func (f plantedFaults) acceptsDigest(matches bool) bool { return matches || f.acceptGaps }
 
 // acceptsMessage reports whether a message is accepted. Without the fault acceptGaps the message
-// must follow the node's version; with acceptGaps the epoch of the node suffices.
+// must follow the node's version; with acceptGaps it only has to have the epoch of the node.
 func (f plantedFaults) acceptsMessage(follows, sameEpoch bool) bool {
 	return follows || f.acceptGaps && sameEpoch
 }
--- a/distribution/receive.go
+++ b/distribution/receive.go
@@ -43,7 +43,7 @@
 		isHeartbeat = true
 		n.handleHeartbeat(parent, m, now)
 	}
-	// The call that handled the message may have left the parent or sent it another Subscribe.
+	// The handler of the message may have left the parent, or sent the parent another Subscribe.
 	hasPlace := parent == n.parent && !parent.subscribing
 	renewDue := parent.unconfirmedBytes >= n.limits.Window/renewsPerWindow
 	if hasPlace && (isHeartbeat || renewDue) {
--- a/distribution/record.go
+++ b/distribution/record.go
@@ -63,8 +63,9 @@
 // RestoreRecord returns the record whose snapshot holds the given state.
 func RestoreRecord(state State) *Record { return &Record{storeFrom(state, AllScopes())} }
 
-// Apply accepts a proposal as the next revision, or refuses all of it with one of the errors above.
-// The result depends only on the record and the proposal.
+// Apply accepts a proposal as the next revision, or refuses all of it with ErrNoEpoch,
+// ErrVersionMismatch, ErrNoChange, ErrMalformed, ErrTooLarge or ErrFull. The result depends
+// only on the record and the proposal.
 func (r *Record) Apply(p Proposal) (Change, error) {
 	version := r.store.version
 	if p.Conditional && p.Base != version {
--- a/distribution/status.go
+++ b/distribution/status.go
@@ -23,7 +23,7 @@
 	// they would have resulted in.
 	WrongDigests uint64
 	// OlderRefused counts the messages, changes and states that were refused because they are not
-	// newer.
+	// newer than the version of the node.
 	OlderRefused uint64
 	// ParentsLost counts the parents whose link ended or was closed.
 	ParentsLost uint64
--- a/distribution/store.go
+++ b/distribution/store.go
@@ -186,9 +186,9 @@
 type deltaSource uint8
 
 const (
-	noDelta          deltaSource = iota // the version has another epoch, is later, or precedes log and tombstones
-	deltaFromLog                        // the delta holds the later changes of the log
-	deltaFromEntries                    // the delta is one merged change of all later entries, if that fits one batch
+	noDelta          deltaSource = iota // the version is of another epoch, after the store's, or before log and tombstones
+	deltaFromLog                        // the delta holds the changes of the log after the version
+	deltaFromEntries                    // one change merged from all entries after the version, if it fits one batch
 )
 
 func (s *store) deltaSourceFor(from Version) deltaSource {
--- a/distribution/transport/config.go
+++ b/distribution/transport/config.go
@@ -33,7 +33,8 @@
 	DialTimeout time.Duration
 	// WriteTimeout bounds the time to write the messages that are queued for a peer.
 	WriteTimeout time.Duration
-	// CloseTimeout replaces WriteTimeout for a link that is being closed.
+	// CloseTimeout bounds, instead of WriteTimeout, the time to write the messages that are queued on
+	// a link that is to be closed.
 	CloseTimeout time.Duration
 	// Mailbox is the number of events that can wait for the event loop. While the mailbox is full,
 	// readers and goroutines that call methods wait.
--- a/distribution/transport/link.go
+++ b/distribution/transport/link.go
@@ -14,7 +14,7 @@
 
 const (
 	readBufferBytes     = 512     // size in bytes of the read buffer of each connection
-	maxIdleBufferBytes  = 4 << 10 // size in bytes; a read buffer that has grown larger is freed after the message
+	maxIdleBufferBytes  = 4 << 10 // size in bytes; a read buffer larger than this is freed once its message is read
 	maxPooledBatchBytes = 64 << 10
 )
 
@@ -30,7 +30,7 @@
 	conn        net.Conn               // connection to the peer; nil until the dial has succeeded; set once
 	queue       []distribution.Message // messages that wait for the writer; at most Bounds.QueueCount
 	queuedBytes int                    // estimated bytes of messages queued or being written; at most Bounds.QueueBytes
-	writing     bool                   // a writer goroutine runs
+	writing     bool                   // the goroutine that writes queued messages to the connection runs
 	// closing is set by close and abort: send then drops messages, and the connection is closed once
 	// the queue is empty.
 	closing bool
--- a/distribution/transport/network_test.go
+++ b/distribution/transport/network_test.go
@@ -103,7 +103,7 @@
 	mutex           sync.Mutex
 	values          map[distribution.Key]string
 	events          []distribution.Event
-	completeChanges int // number of calls of Apply with complete set
+	completeChanges int // number of calls of Apply whose argument complete is true
 }
 
 // newPeer returns a peer that stores its changes and events. Its transport does not run yet.
--- a/distribution/transport/transport.go
+++ b/distribution/transport/transport.go
@@ -35,7 +35,7 @@
 	closed              bool               // Run has ended, and register adds no further links to openLinks
 	acceptedConnections int                // number of open accepted connections; at most Bounds.AcceptedConnections
 
-	goroutines sync.WaitGroup // one goroutine per dial, which also reads, and one per writer; Run waits for all
+	goroutines sync.WaitGroup // a goroutine per dial, which then reads the link, and one per writer; Run waits for all
 }
 
 // event is an input of the event loop. Its kind determines which of the other fields are set.
@@ -141,7 +141,7 @@
 // reportOverflowedLinks calls the node's Closed for the links that were aborted because their queue
 // was full.
 func (t *Transport) reportOverflowedLinks() {
-	// Closed of the node can send messages that overflow the queues of further links.
+	// The node's method Closed can send messages, which can overflow the queues of further links.
 	for len(t.overflowedLinks) > 0 {
 		overflowed := t.overflowedLinks[0]
 		t.overflowedLinks = t.overflowedLinks[1:]
--- a/distribution/transport/transport_test.go
+++ b/distribution/transport/transport_test.go
@@ -21,7 +21,7 @@
 	for i := range 3 {
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 4, "v0", "v1", "v2"))
 	}
-	for i := 3; i < 8; i++ { // s3 to s7 are configured with s0 and s1 as possible parents
+	for i := 3; i < 8; i++ { // the subscribers s3 to s7 are configured with s0 and s1 as possible parents
 		all = append(all, n.subscriber(t, fmt.Sprint("s", i), 0, "s0", "s1"))
 	}
 	waitForAll := func(want string) {
@@ -187,7 +187,7 @@
 func TestSubscriberThatReadsNothingIsClosedAndDelaysNoOther(t *testing.T) {
 	n := newNetwork()
 	limits := fastLimits(4)
-	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // a lease and a window so large that the node keeps the link
+	limits.Lease, limits.Window = 3_600_000_000, 1<<30 // lease and window so large that the node closes no link
 	v := n.start(t, distribution.Config{Name: "v0", Voter: true, Limits: limits},
 		Bounds{QueueCount: 16, QueueBytes: 64 << 10, WriteTimeout: time.Hour})
 	r := newRecord(v)
@@ -288,8 +288,8 @@
 	}
 }
 
-// Guards against connections that remain open or counted once Run has returned, and against methods
-// that block after that.
+// Guards against connections that remain open, or are still counted as open, once Run has returned,
+// and against methods of the transport that block once Run has returned.
 func TestRunClosesAllConnectionsAtItsEnd(t *testing.T) {
 	n := newNetwork()
 	v := n.voter(t, "v0", 4)
--- a/fake/backend.go
+++ b/fake/backend.go
@@ -14,7 +14,7 @@
 const (
 	ModeHealthy  Mode = iota // the backend serves requests as fast as its cores allow
 	ModeHang                 // the backend accepts every request and answers none
-	ModeFailFast             // the backend answers with a failure after a part of the service time
+	ModeFailFast             // the backend answers with a failure after 1/failFastDivisor of the service time
 	ModeRefuse               // the backend rejects every request, which proves that the request did not run
 )
 
@@ -43,7 +43,7 @@
 
 	mutex     sync.Mutex // guards the fields below
 	mode      Mode
-	startedAt time.Time     // time at which the backend started; zero if long ago
+	startedAt time.Time     // time at which the backend started; zero if it started long ago and is warm
 	warmup    time.Duration // time after startedAt for which the backend is cold
 	busyCores int
 	queue     []*queuedRequest
--- a/fake/discovery.go
+++ b/fake/discovery.go
@@ -142,8 +142,8 @@
 const silentRecheck = time.Hour
 
 // ServeHTTP answers at once with the full list. If the query has since=, ServeHTTP answers with the
-// entries that changed after that version, as soon as an entry has changed or timeout_ms= has
-// passed.
+// entries that changed after that version, as soon as an entry has changed or the time in
+// timeout_ms= has passed.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.Atoi(r.URL.Query().Get("since"))
 	full := err != nil
--- a/fake/protocol.go
+++ b/fake/protocol.go
@@ -156,7 +156,7 @@
 // discoveryAnswer is the body of an answer of discovery.
 type discoveryAnswer struct {
 	Version int              `json:"version"`
-	Full    bool             `json:"full"` // Servers has all entries; if false, only the changed entries
+	Full    bool             `json:"full"` // true if Servers holds the full list, false if only the changed entries
 	Servers []discoveryEntry `json:"servers"`
 }
 
--- a/fake/proxy.go
+++ b/fake/proxy.go
@@ -11,7 +11,7 @@
 // Class describes one class of requests and its traffic.
 type Class struct {
 	Name             string        // name of the class on the wire
-	LatencyObjective time.Duration // an answer within this time counts as served
+	LatencyObjective time.Duration // a request answered within this time counts as served
 	Deadline         time.Duration // a request without an answer within this time is lost
 	PriorityWeight   float64       // value of one served request in OfferedValue and ServedValue of Counts
 	Writes           bool          // a second run of a request has a second effect, which violates rule 2
@@ -28,7 +28,7 @@
 	random *rand.Rand // source of random numbers, used only by run
 
 	mutex        sync.Mutex       // guards the fields below
-	controller   int              // index of the controller that the proxy is connected to; -1 for none
+	controller   int              // index of the controller that the proxy is connected to; -1 if it is not connected
 	cold         bool             // the proxy has not applied a push yet
 	tables       []*Table         // tables, by index of the class
 	limits       []admissionLimit // admission limits, by index of the class
--- a/fake/push_channel.go
+++ b/fake/push_channel.go
@@ -15,14 +15,15 @@
 type pushChannel struct {
 	fleet          *Fleet
 	controller     int
-	linesPerSecond float64 // rate of the channel in lines per second; 0 for no limit
+	linesPerSecond float64 // rate of the push channel in lines per second; 0 for no limit
 
 	mutex       sync.Mutex    // guards the fields below
-	incarnation int           // number of the controller's current process; each process has its own channel
-	idleFrom    time.Duration // time at which the channel has sent all queued messages
+	incarnation int           // number of the controller's current process; each process has its own push channel
+	idleFrom    time.Duration // time at which the push channel has sent all queued messages
 }
 
-// enqueue adds a message to the channel and returns the time until the channel has sent it.
+// enqueue adds a message to the push channel and returns the time until the channel has sent the
+// message.
 func (c *pushChannel) enqueue(proxy, lines int) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -37,7 +38,7 @@
 	return c.idleFrom - now
 }
 
-// restart empties the channel, because the controller runs as a new process.
+// restart empties the push channel, because the controller runs as a new process.
 func (c *pushChannel) restart() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/fake/request.go
+++ b/fake/request.go
@@ -78,7 +78,7 @@
 	timer := time.AfterFunc(timeout, func() { finish(OutcomeTimedOut, timeout) })
 	effect := r.key
 	if !class.Writes {
-		effect = fmt.Sprint(r.key, "#", r.retries) // the request may run twice, so each attempt has its own effect key
+		effect = fmt.Sprint(r.key, "#", r.retries) // requests of this class may run twice: an effect key for each attempt
 	}
 	backend.Handle(effect, timeout, func(outcome Outcome, latency time.Duration) {
 		timer.Stop()
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -15,7 +15,7 @@
 	probeInterval    = time.Second
 	idleTimeout      = 3 * time.Second        // a stream is closed if no message arrives for this long
 	applyTimePerLine = 100 * time.Microsecond // time that a proxy takes to apply one line of a push
-	connectWindow    = time.Second            // lines applied this soon after a stream starts count as LinesAtConnect
+	connectWindow    = time.Second            // lines applied within this time of a stream's start count as LinesAtConnect
 	minRedialDelay   = 20                     // minimum delay before the next dial, in ms
 	redialJitter     = 130                    // upper bound of the random part of the delay before the next dial, in ms
 	ackLatency       = 1                      // latency that every acknowledgement reports, in ms
--- a/fake/table.go
+++ b/fake/table.go
@@ -68,7 +68,7 @@
 		point += to - from
 	}
 	entry := t.indexAt(point)
-	if entry == skipped { // only rounding errors in the sums can yield the skipped entry
+	if entry == skipped { // only rounding errors in the sums of weights can yield the entry of the previous backend
 		entry = (skipped + 1) % len(t.ids)
 	}
 	return t.ids[entry], true
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -17,8 +17,8 @@
 
 const initialBufferBytes = 256
 
-// TooLargeError is the error for a message over the reader's bound. The stream cannot be read any
-// further.
+// TooLargeError is the error for a message that is longer than the reader allows. The stream cannot
+// be read any further.
 type TooLargeError struct {
 	// Size is the number of bytes of the message, without the header.
 	Size int
@@ -26,7 +26,7 @@
 	Max int
 }
 
-// Error returns a text with both sizes.
+// Error returns a text with Size and Max.
 func (e TooLargeError) Error() string {
 	return fmt.Sprintf("frame: message of %d bytes exceeds the bound of %d bytes", e.Size, e.Max)
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 	}
-	for i, m := range sent { // reading the later messages must not change the earlier ones
+	for i, m := range sent { // reading a message into the same buffer must not change earlier decoded messages
 		if got[i].Name != m.Name || !bytes.Equal(got[i].Body, m.Body) {
 			t.Errorf("message %d was read as %+v, want %+v", i, got[i], m)
 		}
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -53,7 +53,7 @@
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule          `json:"Rule"`  // number of the violated rule
-	At      time.Duration `json:"At"`    // time since the start of the run
+	At      time.Duration `json:"At"`    // time of the violation, since the start of the run
 	Subject string        `json:"Whose"` // proxy, backend, controller process or effect key that the violation is about
 	Text    string        `json:"Text"`  // description of the violation
 }
@@ -81,7 +81,7 @@
 type proxy struct {
 	connected           bool
 	connectionChangedAt time.Duration            // time of the last call of ProxyConnected
-	emptySince          map[string]time.Duration // start of the lack of an entry, by class; empty if disconnected
+	emptySince          map[string]time.Duration // since when the proxy lacks an entry, by class; empty if disconnected
 	emptyReported       map[string]bool          // classes whose current lack of an entry is recorded as a violation
 	messageTimes        []time.Duration          // times of the messages within MessageWindow
 	overLimit           bool                     // the proxy now exceeds MaxMessages; the violation is recorded
