--- a/rehearse/backends.go
+++ b/rehearse/backends.go
@@ -44,7 +44,7 @@
 		b.Restart(warmupTime)
 		r.fleet.Discovery.Publish(fake.StateUp, b)
 		r.scheduleAfter(warmupTime, func() error {
-			// Publishes the same state again, so that the checker records the backend as warm.
+			// Publishes StateUp again: the checker records that a backend is warm only at a publication.
 			r.fleet.Discovery.Publish(fake.StateUp, b)
 			delete(r.disturbedBackends, b)
 			return nil
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -27,9 +27,9 @@
 	ViolationCounts map[string]int `json:"broken"`
 
 	Effects           int     `json:"effects"`                  // number of distinct requests that took effect
-	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // longest time that a class had no table entry, s
+	LongestEmptyTable float64 `json:"longest_without_a_line_s"` // longest time a proxy lacked an entry for a class, s
 	PeakMessages      int     `json:"most_messages_to_a_relay"` // maximum messages to one proxy within MessageWindow
-	ServedValue       float64 `json:"value_served"`             // value served in time, as a share of all requests' value
+	ServedValue       float64 `json:"value_served"`             // share of all requests' priority weight served in time
 	Lost              int     `json:"lost"`                     // number of admitted requests without a successful answer
 	Rejected          int     `json:"refused"`                  // number of requests that were not admitted
 	Requests          int     `json:"came"`                     // number of all requests that proxies received
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -23,7 +23,7 @@
 	Backends      int           // number of backends
 	Seed          uint64        // seed of all random choices
 	Sharing       bool          // the controllers share the ownership of proxies
-	Fenced        bool          // proxies ask for fencing tokens, and reject a push whose token is older than a known one
+	Fenced        bool          // proxies ask for fencing tokens, and reject a push with a token below their highest
 	Faults        string        // names of the faults to choose from, separated by commas; kill if empty
 	Calm          bool          // the run has no faults, hangs or replacements of backends
 	Disk          bool          // members keep the record on disk, and have the same identity after a restart
@@ -48,11 +48,11 @@
 	serviceTime     = 20 * time.Millisecond
 	reportInterval  = time.Second
 	warmupTime      = 17 * time.Second // time for which a new backend is cold
-	coldShare       = 0.16             // share of its normal load that a backend may be sent while it is cold
+	coldShare       = 0.16             // maximum load of a cold backend, as a share of its normal load
 
 	drainGrace       = 3000 * time.Millisecond
 	socketAllowance  = 300 * time.Millisecond // added to drainGrace in the checker's limits, because sockets cause delays
-	schedulingMargin = 500 * time.Millisecond // added to the checker's limits, because a busy machine causes delays
+	schedulingMargin = 500 * time.Millisecond // extra time the checker allows, because a busy machine causes delays
 
 	minLinesPerSecond      = 900 // minimum rate of a controller's push channel, in lines per second
 	minBacklog             = 900 // minimum capacity of a controller's push queue, in lines
@@ -105,8 +105,9 @@
 }
 
 // pushChannel returns the rate of a controller's push channel, in lines per second, and the limit
-// of its backlog, in lines. The push channel has to carry one line to every proxy, with the
-// overhead of each message, even if all proxies are connected to one controller.
+// of its backlog, in lines. Both grow with the number of proxies, so that the channel can carry a
+// message with one line to every proxy, even if all proxies are connected to one controller. The
+// overhead of each message counts as lines too.
 func (s *Scenario) pushChannel() (linesPerSecond, backlog int) {
 	return max(minLinesPerSecond, linesPerSecondPerProxy*s.Proxies), max(minBacklog, backlogPerProxy*s.Proxies)
 }
--- a/rehearse/start.go
+++ b/rehearse/start.go
@@ -131,8 +131,8 @@
 }
 
 // memberAddresses returns, by name, the addresses at which the member with index from reaches all
-// members. If the scenario has faults of links, the address of each other member is that of a link
-// to it.
+// members. If the scenario has faults of links, the address of each other member is replaced by the
+// address of a link to that member.
 func (r *run) memberAddresses(from int, members []string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for to, address := range members {
--- a/scale/added_time.go
+++ b/scale/added_time.go
@@ -15,9 +15,9 @@
 	"wheelrill/scale/results"
 )
 
-// addedTime measures the time that a proxy adds to a request when it picks a backend, by the number
-// of entries of the proxy's table. It runs the code of the fake proxies: the weighted pick, and the
-// second pick of an ordered retry, which excludes the backend of the first attempt.
+// addedTime measures the time that a proxy adds to a request when it picks a backend, as a function
+// of the number of entries of the proxy's table. It runs the code of the fake proxies: the weighted
+// pick, and the second pick of an ordered retry, which excludes the backend of the first attempt.
 type addedTime struct{}
 
 // Limits of the measurement at one size.
@@ -115,7 +115,8 @@
 }
 
 // picksForStableP99 is the smallest number of requests per repeat whose 99th percentile is stable:
-// the slowest hundredth of 1000 requests has 10 requests.
+// the slowest hundredth of 1000 requests has 10 requests, so one slow request hardly changes the
+// percentile.
 const picksForStableP99 = 1000
 
 // measurePicks times requests for the given span: at least minPicks and at most maxPicks requests.
--- a/scale/change_rate.go
+++ b/scale/change_rate.go
@@ -8,7 +8,7 @@
 // changeRate is a rate at which a measurement makes changes.
 type changeRate struct {
 	perS          float64 // mean changes per second
-	suffix, about string  // suffix of the names, and part of the descriptions, of the metrics at this rate
+	suffix, about string  // suffix of the names of metrics at this rate, and text in the descriptions of these metrics
 }
 
 // pause returns a random time until the next change: 0.5 to 1.5 times the mean interval.
--- a/scale/content.go
+++ b/scale/content.go
@@ -65,7 +65,7 @@
 		recordedAt: map[uint64]time.Time{}}
 }
 
-const contentSeed = 7 // second seed word, so that changes are drawn independently of other users of the run's seed
+const contentSeed = 7 // second seed of the source of changes, so that it differs from the run's other random sources
 
 // initial returns the entries that exist at the start of a run, as one proposal with the entries of
 // the common scope and one proposal with the entries of each group.
--- a/scale/counting_host.go
+++ b/scale/counting_host.go
@@ -18,7 +18,7 @@
 	tables       [][]int // tables assigned to each proxy
 	pendingAck   int     // number of the latest ack that the controller requested
 	ackRequested bool
-	toAllProxies bool         // the next answer acks for all proxies, not only for those that received orders
+	toAllProxies bool         // the next ack covers all proxies, not only the proxies that received orders
 	changed      map[int]bool // tables changed by orders since the last ack request that was answered
 	// Proxies that were assigned a table, or had their withdrawals synced or cleared, since the
 	// last ack request that was answered.
--- a/scale/decisions.go
+++ b/scale/decisions.go
@@ -15,9 +15,9 @@
 	workTick = second / 4       // interval at which the balancer processes waiting work
 )
 
-// decisions measures the processor time and the heap that the decisions of one controller take, by
-// the number of listed backends or by the number of connected proxies. No sockets are involved. The
-// push channel accepts every order at once, so that no work is postponed.
+// decisions measures the processor time and the heap that the decisions of one controller take, as
+// a function of the number of listed backends or of the number of connected proxies. No sockets are
+// involved. The push channel accepts every order at once, so that no work is postponed.
 type decisions struct {
 	byProxies bool // the sizes are numbers of proxies instead of numbers of backends
 }
@@ -32,7 +32,7 @@
 // Numbers of steps in one repeat of the measurement, and the longest time of a repeat.
 const (
 	decisionChanges = 8                // number of backends that a repeat drains
-	decisionTicks   = 8                // number of ticks without reports, and equal number of ticks that evaluate reports
+	decisionTicks   = 8                // number of ticks in each of two series: without reports, then with reports
 	maxDecisionTime = 90 * time.Second // longest time of one repeat
 )
 
@@ -133,7 +133,7 @@
 type decisionRun struct {
 	backends, proxies int
 	changes           int // number of drains, each of which changes one entry of the endpoint list
-	ticks             int // number of ticks without reports, and equal number of ticks that evaluate reports
+	ticks             int // number of ticks in each of two series: without reports, then with reports
 }
 
 // decisionCost holds the processor time of each step of a run, and the heap bytes and the numbers
--- a/scale/discovery_listener.go
+++ b/scale/discovery_listener.go
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	w := &watchedAddress{Listener: listener, connected: connected, server: &http.Server{Handler: discovery}}
-	w.running.Go(func() { _ = w.server.Serve(w) }) // Serve returns an error once the server is closed
+	w.running.Go(func() { _ = w.server.Serve(w) }) // Serve returns an error even after a regular Close
 	return w, nil
 }
 
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -24,8 +24,8 @@
 		{"distributor", "a distributor"}, {"voter", "a voter, without the record"}}
 }
 
-// recordBytes is the name of the metric for the bytes per second that a voter exchanges for the
-// record, in addition to the bytes of distribution.
+// recordBytes is the name of the metric for the bytes per second that a voter sends and receives
+// for the record. The metric excludes the bytes of the distribution to other nodes.
 const recordBytes = "voter_record_bytes_per_s"
 
 // Describe returns the name, the sizes and the metrics of the measurement.
--- a/scale/distribution_test.go
+++ b/scale/distribution_test.go
@@ -12,8 +12,8 @@
 	"wheelrill/scale/results"
 )
 
-// subscribersInCI is the number of hollow subscribers of a measurement in CI. Distributors and
-// voters come in addition.
+// subscribersInCI is the number of hollow subscribers of a measurement in CI. The number does
+// not include distributors and voters.
 const subscribersInCI = 110
 
 // measureInCI runs a measurement with subscribersInCI subscribers for the given span, which is
--- a/scale/lists.go
+++ b/scale/lists.go
@@ -12,9 +12,9 @@
 )
 
 // lists measures the time, bytes and memory that the endpoint list of discovery costs a real
-// controller, by the number of entries. It measures the cost from the start of the controller until
-// it is ready, the cost while the list does not change, and the cost of each change of one entry.
-// The controller has no proxies.
+// controller, as a function of the number of entries. It measures the cost from the start of the
+// controller until it is ready, the cost while the list does not change, and the cost of each change
+// of one entry. The controller has no proxies.
 type lists struct{}
 
 // Times and limits of one run of the controller.
--- a/scale/recovery.go
+++ b/scale/recovery.go
@@ -14,7 +14,7 @@
 // discovery again when all controllers restart at once. Each controller is a real process on this
 // machine. At present a controller requests the whole list, whichever backends it serves.
 type recovery struct {
-	allBackends bool // the endpoint list has all backends, not only those of the services that one controller serves
+	allBackends bool // the endpoint list has the backends of all services, not only of the services of one controller
 }
 
 // Assumed size of the endpoint list, in which every service has the same number of backends, and
--- a/scale/recovery_snapshot.go
+++ b/scale/recovery_snapshot.go
@@ -15,7 +15,7 @@
 )
 
 // recoverySnapshot measures the time and the bytes that a subscriber without any state needs to get
-// its configuration from a parent, by the number of entries of its scope.
+// its configuration from a parent, as a function of the number of entries of its scope.
 type recoverySnapshot struct{}
 
 // Assumed size of the whole configuration.
@@ -90,8 +90,8 @@
 	return s, nil
 }
 
-// currentInterval is the interval at which the single voter reports to its transport that its
-// record is current. A member of a real record reports this too.
+// currentInterval is the interval at which the single voter reports to its transport that the
+// voter's copy of the record is current. The members of a real record make the same report.
 const currentInterval = 200 * time.Millisecond
 
 // startSnapshotSource starts a single voter that distributes the entries until the context ends.
--- a/scale/recovery_tree.go
+++ b/scale/recovery_tree.go
@@ -9,11 +9,11 @@
 )
 
 // recoveryTree measures what it costs when subscribers of a running deployment restart at the same
-// time, by the number of subscribers that restart.
+// time, as a function of the number of subscribers that restart.
 type recoveryTree struct{ subscribers int }
 
 // recoveryDelta measures the time and bytes that a region needs to catch up after it was cut off,
-// by the number of changes that the region missed.
+// as a function of the number of changes that the region missed.
 type recoveryDelta struct{ subscribers int }
 
 // Size and times of the deployment of recoveryTree and recoveryDelta.
--- a/scale/results/run.go
+++ b/scale/results/run.go
@@ -24,7 +24,7 @@
 	Revision  string           `json:"text"`              // abbreviated hash of the commit that was measured
 	Date      string           `json:"date"`              // date and time of the start of the run, in UTC
 	Machine   Machine          `json:"machine"`           // machine on which the run was made
-	Transport string           `json:"transport"`         // how controllers reach each other: loopback, memory or calls
+	Transport string           `json:"transport"`         // scale.Description.Transport: loopback, memory or calls
 	Seed      uint64           `json:"seed"`              // seed of all random numbers
 	Seconds   float64          `json:"seconds"`           // seconds for which each size was observed
 	SizeUnit  string           `json:"size"`              // unit of the sizes, such as members
@@ -55,7 +55,7 @@
 	Size         int      `json:"size"`               // measured size, in the unit of Run.SizeUnit
 	Load         float64  `json:"load"`               // load average of the machine in the minute before the measurement
 	Values       []Value  `json:"values"`             // figures, one for each metric
-	Violations   []string `json:"broken,omitempty"`   // violations, which no size may have, such as differing digests
+	Violations   []string `json:"broken,omitempty"`   // violations, such as wrong entries; none if the run passes
 	Partial      string   `json:"partial,omitempty"`  // what the sample lacks, such as repeats; "" if nothing
 	Inconclusive string   `json:"unjudged,omitempty"` // why the sample allows no verdict; "" if it allows one
 }
--- a/scale/role_fleet.go
+++ b/scale/role_fleet.go
@@ -27,7 +27,7 @@
 	addresses   []string                     // addresses of the voters; the real voter is the last one
 	listen      map[string]string            // address at which the process of each role accepts children, by role
 	processes   map[string]*listedController // the three real processes, by role
-	hollow      []*hollowMember              // members of the record for all voters except the real one
+	hollow      []*hollowMember              // members of the record, one for each hollow voter
 	dialler     *consensus.Subscriber        // connects the hollow children to the real parents
 	children    []*hollowSubscriber          // hollow subscribers below the real distributor and controller
 	running     sync.WaitGroup               // waits for the goroutines of the hollow voters; stop ends these goroutines
@@ -35,8 +35,8 @@
 	ready       map[string]time.Duration // time from the start of a process until it had its configuration, by role
 }
 
-// newRoleFleet prepares a deployment whose content has about the given total number of entries. It
-// starts only discovery.
+// newRoleFleet prepares a deployment whose content has about the given total number of entries.
+// newRoleFleet starts discovery, and no other part of the deployment.
 func newRoleFleet(size int, folder string, o Options) (r *roleFleet, err error) {
 	shape := contentShape{groups: targetGroups, entriesPerGroup: max(1, size/targetGroups)}
 	r = &roleFleet{options: o, folder: folder, content: newContent(shape, o.Seed), listen: map[string]string{},
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -12,8 +12,8 @@
 )
 
 // roles measures one voter, one distributor and one controller that has children, each as a real
-// process, by the total number of distributed entries. The other voters, and the children of the
-// distributor and the controller, are hollow nodes in this process.
+// process, as a function of the total number of distributed entries. The other voters, and the
+// children of the distributor and the controller, are hollow nodes in this process.
 type roles struct{}
 
 // Names of the real processes, which are also the prefixes of the names of their metrics.
@@ -142,8 +142,9 @@
 }
 
 // bytesPerS returns the bytes per second that a process last logged. For a voter, they are the
-// bytes on all connections of the record, which subscribers use as well. For the other processes,
-// they are the bytes on the connections of distribution.
+// bytes on all connections of the record, including the bytes that the voter exchanges with
+// subscribers on these connections. For the other processes, they are the bytes on the connections
+// of distribution.
 func (r *roleFleet) bytesPerS(role string) (sum float64, err error) {
 	event := logDistributionStatus
 	keys := []string{logInBytes, logOutBytes}
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -30,12 +30,14 @@
 
 // Description describes a measurement.
 type Description struct {
-	Name      string           // name of the measurement, and of the file in which its run is stored
-	About     string           // what is measured, in a sentence
-	SizeUnit  string           // unit of the sizes, such as members
-	Sizes     []int            // sizes that are measured by default
-	Targets   []int            // sizes at which fits are evaluated, such as the size expected in two years
-	Transport string           // how controllers reach each other: "loopback", "memory" or "calls"
+	Name     string // name of the measurement, and of the file in which its run is stored
+	About    string // what is measured, in a sentence
+	SizeUnit string // unit of the sizes, such as members
+	Sizes    []int  // sizes that are measured by default
+	Targets  []int  // sizes at which fits are evaluated, such as the size expected in two years
+	// Transport states how the nodes are connected: "loopback" for sockets, "memory" for connections
+	// in memory, or "calls" for function calls without connections.
+	Transport string
 	Metrics   []results.Metric // metrics of each sample
 }
 
--- a/scale/tree_plan.go
+++ b/scale/tree_plan.go
@@ -57,7 +57,9 @@
 // not collected yet.
 func (p treePlan) memory(o Options) int64 {
 	nodes := int64(p.subscribers)
-	fullCopies := int64(o.Voters*copiesAtVoter + p.distributors + 1) // the 1 is the copy that checks compare nodes with
+	// Each voter has copiesAtVoter copies of all entries, and each distributor has one copy. Another
+	// copy is the content with which checks compare the nodes.
+	fullCopies := int64(o.Voters*copiesAtVoter + p.distributors + 1)
 	entries := nodes*int64(p.content.entriesPerGroup) + fullCopies*int64(p.content.groups*p.content.entriesPerGroup)
 	return treeMemory + nodes*subscriberMemory + heapGrowth*entries*entryMemory
 }
