--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -131,9 +131,9 @@
 	})
 	t.Run("a proxy whose stream ends within a message is disconnected, and the message is ignored", func(t *testing.T) {
 		address, logged := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) { l.logRepeatInterval = 0 })
-		// The report names proxy 9, while proxies with other numbers send its beginnings. If the
-		// controller handled a truncated report as a complete one, it would log the report as
-		// skipped.
+		// Proxies 0 to 6 each send only the beginning of a report about proxy 9. The controller skips
+		// and logs a complete report about another proxy, so the log would show if it handled a
+		// truncated report as a complete one.
 		text := strings.Replace(demandReport, `"node":3`, `"node":9`, 1)
 		for node, cut := range []int{1, 3, 4, 5, 20, 40, len(text) + lengthSize - 1} {
 			proxy := dial(t, address)
@@ -243,8 +243,8 @@
 		}
 	})
 	t.Run("a flood of silent unidentified connections is evicted as fast as it arrives", func(t *testing.T) {
-		// Evicting one connection after the other would take 200 final reads, which is the whole
-		// testTimeout.
+		// If the controller evicted the 200 connections one after the other, each would wait for
+		// finalReadTimeout, which is testTimeout/200: the test would reach testTimeout and fail.
 		address, _ := serve(t, newFakeDiscovery(t).address, twoEndpoints, func(l *limits) {
 			l.maxUnidentified, l.identifyTimeout, l.minEvictAge, l.finalReadTimeout = 40, testTimeout, time.Millisecond, testTimeout/200
 		})
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -19,7 +19,7 @@
 type parsedConfiguration struct {
 	Identity
 	seed          uint64
-	cachedList    *fastjson.Value // endpoint list of discovery at the writing of the configuration; nil if missing
+	cachedList    *fastjson.Value // endpoint list that discovery had when the configuration was written; nil if missing
 	limits        *limits
 	channel       balancer.PushChannel
 	rules         balancer.RuleLimits
--- a/controller/decode.go
+++ b/controller/decode.go
@@ -114,7 +114,7 @@
 	if !ok || requestsPerSecond > c.limits.maxProxyRate {
 		requestsPerSecond = 0 // 0 means that the rate is unknown; the proxy is served nevertheless
 	}
-	mayHoldWithdrawals := !message.GetBool(keyCold) // also true if the hello lacks keyCold
+	mayHoldWithdrawals := !message.GetBool(keyCold) // mayHoldWithdrawals is also true if the hello lacks keyCold
 	c.wantsToken = message.GetBool(keyFence)
 	if err := c.identifyAs(kindProxy, proxy, zone); err != nil {
 		return err
--- a/controller/deployments_test.go
+++ b/controller/deployments_test.go
@@ -86,7 +86,7 @@
 func (c deployment) simulate(t *testing.T, order []int) (states []string) {
 	loop := c.newLoop(t, 12)
 	random := rand.New(rand.NewPCG(1, 2))
-	// -1 means that the backend does not report the figure
+	// a load figure of -1 means that the backend does not report the figure
 	noLoad := balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}
 	conns, proxies := map[int]*connection{}, map[int]*fakeProxy{}
 	backendNumbers := map[string]int{}
--- a/controller/discovery_test.go
+++ b/controller/discovery_test.go
@@ -35,8 +35,8 @@
 		case discovery.queries <- string(call.URI().QueryString()):
 		default:
 		}
-		// A call for the full list waits until the test gives an answer, as this channel never
-		// fires. A watch ends at the timeout that its query gives.
+		// A call for the full list has no timeout: its channel wait never receives, so the call waits
+		// until the test gives an answer. A watch ends at the timeout that its query gives.
 		wait := make(<-chan time.Time)
 		if call.QueryArgs().Has("timeout_ms") {
 			wait = time.After(time.Duration(call.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond)
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -11,7 +11,7 @@
 // ones.
 func (l *eventLoop) endpointsUpdated(full bool, version int64, servers []*fastjson.Value) {
 	endpoints := make([]balancer.Endpoint, 0, len(servers))
-	listed := map[int]bool{} // by backend index: true, or false if the list has the endpoint as removed
+	listed := map[int]bool{} // by backend index; false if the list marks the backend as removed
 	for _, server := range servers {
 		if endpoint, ok := l.decodeEndpoint(server); ok {
 			endpoints = l.withOverrides(endpoints, endpoint)
--- a/controller/eventloop_test.go
+++ b/controller/eventloop_test.go
@@ -151,7 +151,7 @@
 	loop, _ := newIdleLoop(t)
 	conn, fake := connectProxy(t, loop, 1, 0, true), newFakeProxy("read it", "write")
 	first := loop.backends.index["s-0"]
-	for version := 2; version < 60; version++ { // each version removes a backend and adds one with a new id
+	for version := 2; version < 60; version++ { // each list version replaces a backend by one with a new id
 		fake.receive(t, conn)
 		if n := len(fake.nonces); n > 0 {
 			loop.acknowledged(conn, fake.nonces[n-1])
--- a/controller/golden_pushes_test.go
+++ b/controller/golden_pushes_test.go
@@ -14,7 +14,7 @@
 )
 
 // goldenOrders gives orders to tables through the methods of balancer.Host, as balancer.Controller
-// does, and records every message that each proxy is written.
+// does, and records every message that is written to a proxy.
 type goldenOrders struct {
 	t      *testing.T
 	tables *tables
@@ -222,7 +222,7 @@
 }
 
 // recordSimulation runs a controller on a simulated clock through failures, drains, reconnects and
-// load changes, and records every message that a proxy is written.
+// load changes, and records every message that is written to a proxy.
 func recordSimulation(t *testing.T, site deployment) string {
 	var text strings.Builder
 	loop := site.newLoop(t, 12)
--- a/controller/incremental_test.go
+++ b/controller/incremental_test.go
@@ -53,7 +53,7 @@
 				orderAll(func(to *tables) { to.RequestAck(step, flag) })
 			}
 			if flag {
-				continue // the next message contains the orders of several steps
+				continue // without a flush in this step, the next message contains the orders of several steps
 			}
 			for i, to := range variants {
 				written[i] = written[i][:0]
@@ -79,7 +79,7 @@
 }
 
 // BenchmarkChangedEntry measures how long tables take to change one table entry and to encode the
-// pushes of the change, by the number of proxies and backends. No balancer.Controller takes part.
+// pushes of the change, for several numbers of proxies and of backends, without balancer.Controller.
 func BenchmarkChangedEntry(b *testing.B) {
 	for _, proxies := range []int{100, 400, 1200, 2400} {
 		for _, backends := range []int{1000, 5000, 20_000} {
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -112,9 +112,9 @@
 	// longer than silenceTimeout, no message has arrived and an acknowledgement has been
 	// outstanding.
 	silenceTimeout microseconds
-	// ackLagTimeout applies in addition to silenceTimeout if another proxy has already
-	// acknowledged the push whose acknowledgement is outstanding. It counts from the time of that
-	// other proxy's acknowledgement.
+	// ackLagTimeout is a second bound on the silence of a proxy. It applies once another proxy has
+	// acknowledged the push whose acknowledgement is outstanding: the connection counts as half-open
+	// if no message has arrived for longer than ackLagTimeout after that acknowledgement.
 	ackLagTimeout microseconds
 
 	// Times of connections from proxies and collectors.
@@ -126,8 +126,8 @@
 	minEvictAge time.Duration
 	// finalReadTimeout is the extra time granted after a deadline, as this process itself may have
 	// stalled past it: for one more read from a connection, for one more write to it, and for
-	// draining the listener's backlog. It is also the time in which an evicted connection has to
-	// finish.
+	// draining the listener's backlog. It also bounds writing the reason to a refused connection, and
+	// each remaining step of an evicted one: last read, queued answers, discarding of input.
 	finalReadTimeout time.Duration
 	// lingerTimeout is how long input from a refused connection is read and discarded.
 	lingerTimeout time.Duration
@@ -236,8 +236,8 @@
 	const minUnidentified = 256
 	l.proxies = proxies
 	l.maxConnections = max(l.sockets-reservedSockets, reservedForUnidentified+1)
-	// The number of expected connections has two per proxy, as a proxy may reconnect before the end
-	// of its old connection is detected.
+	// Two connections per proxy are expected, as a proxy may reconnect before the controller detects
+	// the end of its old connection.
 	expected := 2*proxies + (l.collectorsPerZone+1)*zones
 	l.maxIdentified = min(expected, l.maxConnections-reservedForUnidentified)
 	// After a restart, all proxies and collectors reconnect at once.
--- a/controller/load_reports_test.go
+++ b/controller/load_reports_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestLoadReports(t *testing.T) {
-	// accepted sends first, which identifies the peer, and then texts on one connection. It returns
-	// how many messages after first reach the loop's inbox.
+	// accepted lets a connection read the message first, which identifies the peer, and then the
+	// messages texts. It returns how many of the messages texts reach the loop's inbox.
 	accepted := func(t *testing.T, first string, texts ...string) int {
 		loop, _ := newIdleLoop(t)
 		raw := frame(first)
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -32,7 +32,7 @@
 	renewalsPerLease = 8 // number of entries that are proposed during one lease to renew it
 	// reservedMessages is the number of messages that an owner may always write to a proxy: one
 	// message before the first table, while the proxy waits for that table, one with the first
-	// table, one for a drain, and one more.
+	// table, one for a drain, and one in reserve.
 	reservedMessages = 4
 	// unlimitedMessages is the number of messages that may be written to a proxy if no setting
 	// limits them.
--- a/controller/ownership_host.go
+++ b/controller/ownership_host.go
@@ -10,8 +10,8 @@
 )
 
 // ownershipHost is the host of the ownership coordinator: it connects the shared ownership of
-// proxies with balancer.Controller, the tables and the connections. The event loop owns it; only
-// node has goroutines of its own, which Controller.Serve starts and waits for.
+// proxies with balancer.Controller, the tables and the connections. The event loop owns it. Only
+// the consensus node has goroutines of its own, which Controller.Serve starts and waits for.
 type ownershipHost struct {
 	loop        *eventLoop
 	coordinator *ownership.Coordinator
@@ -56,10 +56,10 @@
 }
 
 // handOver gives up the ownership of this member's proxies at a planned end. The loop does not
-// iterate any more, so no new message is created. The replicated record confirms the handover
-// before any connection of these proxies ends, if it answers within limits.handOverTimeout. Until
-// then ReleaseUpTo still passes queued messages that the record releases to their connections, and
-// writers send the messages that wait in outboxes.
+// iterate any more, so no new message is created. handOver waits until the replicated record
+// confirms the handover, for at most limits.handOverTimeout; connections of these proxies end only
+// after the wait. During the wait, ReleaseUpTo still passes queued messages that the record releases
+// to their connections, and writers send the messages that wait in outboxes.
 func (h *ownershipHost) handOver() {
 	loop := h.loop
 	loop.now = max(loop.clock(), loop.now+1)
--- a/controller/readiness_test.go
+++ b/controller/readiness_test.go
@@ -22,7 +22,7 @@
 		answers     []string
 		refuses     bool   // whether discovery refuses connections
 		reason      string // logged reason for which the controller becomes ready
-		picks       int    // number of backends in the table that a proxy receives; -1 if it does not matter
+		picks       int    // number of backends in the proxy's first table; 0 for no table, -1 for any number
 	}{
 		{"discovery answers, a list is configured", twoEndpoints,
 			[]string{listJSON(2, true, endpointJSON(0, "up"))}, false, listKnown, -1},
--- a/controller/retry_test.go
+++ b/controller/retry_test.go
@@ -40,7 +40,7 @@
 			advance(loop, microsPerSecond/2, func() {
 				conn.lastMessageAt.Store(loop.now)
 				for b := range 8 {
-					// mean latency in µs: falls from 3 s and rises again within 20 turns
+					// mean latency in µs: in 20 turns, falls from 3 s to 0 (reported as 0.1 s) and rises
 					mean := int64(math.Abs(float64(turn%20-10))) * 300_000
 					loop.outcomesReported(outcomeReport{fmt.Sprint("s-", b), 20, 2, cmp.Or(mean, 100_000), microsPerSecond / 2,
 						balancer.BackendLoad{CPUUtilization: -1, QueueLength: -1, ServiceTime: -1}})
--- a/controller/server.go
+++ b/controller/server.go
@@ -132,8 +132,8 @@
 }
 
 // evict evicts the given number of unidentified connections, the oldest first, as far as they are
-// older than limits.minEvictAge. Connections that are already evicted and about to end do not count
-// towards the number, so a faster flood of connections evicts more of them at once.
+// older than limits.minEvictAge. Connections that an earlier call evicted, but that have not ended
+// yet, do not count towards the number, so a faster flood of connections evicts more of them at once.
 func (s *server) evict(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/controller/serving_connections_test.go
+++ b/controller/serving_connections_test.go
@@ -135,7 +135,7 @@
 				t.Errorf("%s: the connection was not refused", name)
 			}
 		}
-		for size := range 40 { // each connection ends after another number of bytes, but all cause one kind of log line
+		for size := range 40 { // each connection ends after a different number of bytes; all cause one kind of log line
 			caller := dial(t, address)
 			caller.Write(frame(hello)[:5+size])
 			caller.Close()
--- a/controller/stored_test.go
+++ b/controller/stored_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A truncated file must not be read in part, as the entries that it lacks would end drains and
-// weights. load refuses the file as a whole and leaves it unchanged; the next save replaces it.
+// A truncated file must not be read in part, as the drains and weights of the entries that it lacks
+// would end. load refuses the file as a whole and leaves it unchanged; the next save replaces it.
 func TestTruncatedStoredFileIsRefused(t *testing.T) {
 	folder := storedCopy(t)
 	path := filepath.Join(folder, storedFile)
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -80,8 +80,8 @@
 	// Pending changes for the next message, and the state last written to the proxy.
 	dirty    bool   // whether a message to the proxy is due
 	tableDue uint16 // bit set of the classes whose assigned table was not written to the proxy yet
-	// withdrawalChanges holds the backends that were withdrawn or restored since the last message
-	// and that this proxy may use.
+	// withdrawalChanges holds the backends whose withdrawal or restoration concerns the proxy and was
+	// ordered since its last message. SyncWithdrawals adds all withdrawn backends.
 	withdrawalChanges []int
 	// defaultAdmissionLimit applies to an unassigned class if no limit for all tables is set.
 	// SyncWithdrawals sets it.
--- a/controller/tables_encode.go
+++ b/controller/tables_encode.go
@@ -215,9 +215,9 @@
 
 // writeWithdrawals writes which backends are withdrawn, and which are restored. A proxy keeps
 // withdrawals of other controllers, and of an earlier process of this one, while
-// balancer.Controller assumes that a cleared proxy has only the withdrawals of this process.
-// Therefore a backend that the tables contain, and that may still be withdrawn from the proxy, is
-// restored when the proxy is cleared, or with the first entry for the backend after that.
+// balancer.Controller assumes that ClearWithdrawals leaves only the withdrawals of this process.
+// Therefore, after ClearWithdrawals for a proxy, each backend that its tables contain and that may
+// still be withdrawn from it is restored: in its next message, or with a later entry for the backend.
 func (t *tables) writeWithdrawals(proxy *pushState, w *messageWriter) {
 	var withdrawn, restored [][]byte
 	for _, backend := range t.uncertainBackends(proxy) {
--- a/controller/tables_pushes_test.go
+++ b/controller/tables_pushes_test.go
@@ -24,8 +24,8 @@
 	return newTables(names, backendName, 1<<20, 64)
 }
 
-// connectFakeProxy connects a proxy to tables, and returns it with the connection that gets its
-// messages.
+// connectFakeProxy connects a proxy to tables. It returns the fake proxy, and the connection whose
+// outbox receives the messages that tables write to the proxy.
 func connectFakeProxy(t *tables, proxy int, mayHoldWithdrawals bool) (*fakeProxy, *connection) {
 	conn := &connection{outbox: make(chan []byte, 64), closed: make(chan struct{})}
 	t.connect(proxy, conn, mayHoldWithdrawals)
@@ -176,7 +176,7 @@
 		if third.receive(t, thirdConn); third.withdrawn["s-7"] || third.limits[0][0] != 3 {
 			t.Errorf("got %+v", third)
 		}
-		for range 2 { // the second call has no further effect
+		for range 2 { // the second call of SyncWithdrawals has no further effect
 			if !tables.SyncWithdrawals(2, 77, balancer.RetryIfNotExecuted) {
 				t.Error("SyncWithdrawals returned false for a proxy with an unassigned class")
 			}
@@ -253,9 +253,9 @@
 }
 
 // TestPushesMeanWhatWasOrdered guards against pushes that leave a proxy in another state than was
-// ordered through balancer.Host. It gives random orders to tables and to a simple model, and
-// compares all proxies after each message: entries, limits and usable backends, whatever state the
-// proxies had when they connected.
+// ordered through balancer.Host. It gives random orders to tables, and records in a proxyModel and
+// in local variables what they mean. After each flush it compares each proxy with that: entries,
+// limits and usable backends, whatever state the proxy had when it connected.
 func TestPushesMeanWhatWasOrdered(t *testing.T) {
 	const classes, proxies, backends, numbers = 3, 4, 6, 3
 	for seed := range uint64(200) {
@@ -288,7 +288,7 @@
 					}
 				case 1:
 					if expected[p] != nil {
-						for class := range classes { // assigns a table to each class: one for all, or several
+						for class := range classes { // assigns a table to each class: the same table to all, or several tables
 							number := (table + class*random.IntN(2)) % numbers
 							tables.AssignTable(number, p, 1<<class)
 							expected[p].tables[class] = number
--- a/controller/wire.go
+++ b/controller/wire.go
@@ -44,8 +44,8 @@
 const (
 	keyToken   = "token"   // fencing token of the proxy's owner, if the proxy asked for tokens
 	keyClasses = "classes" // names of the classes that the push applies to; if missing, all classes
-	// keyFull is true if the entries replace the whole table. The proxy then discards its admission
-	// limit too.
+	// keyFull is true if the entries replace the whole table of the classes that the push applies to.
+	// The proxy then discards its admission limits of these classes too.
 	keyFull     = "whole"
 	keyEntries  = "lines"  // table entries, each a backend and its weight; weight 0 removes the entry
 	keyLimit    = "level"  // admission limit of the classes
@@ -61,7 +61,7 @@
 // Discovery: the request path, the parameters of a watch, and the keys and values of a response.
 const (
 	discoveryPath = "/api/targets"
-	paramSince    = "since"      // known list version; the response contains the changes after it
+	paramSince    = "since"      // list version that the watcher knows; the response contains the changes since then
 	paramTimeout  = "timeout_ms" // time in ms for which the watch may wait for a change
 
 	keyVersion   = "version"
