--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -50,8 +50,9 @@
 		}
 	})
 	t.Run("a drain does not wait for proxies that connect one by one", func(t *testing.T) {
-		// A controller restarted in a large scenario. Its proxies connected over four seconds, each
-		// assignment of tables delayed all other changes, and the drain grace passed.
+		// After a controller restarted in a large scenario, its proxies connected over four
+		// seconds, and each assignment of tables delayed all other changes. The drain grace passed
+		// before the drain was sent, so proxies still used the draining backend after the grace.
 		host := startController(t, defaultSettings(), 6, 3)
 		host.run(3, func() { host.reportHealthy() })
 		for p := range 12 {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -94,9 +94,10 @@
 }
 
 // countsPeerFailures reports whether attempts reported by another controller are added to the
-// backend's consecutive failures. They are added if this controller's proxies had no attempts
-// within the window, or if neither the peer's report nor this controller's latest report contains
-// an answer.
+// backend's consecutive failures. They are added if this controller's proxies reported no attempts
+// at the backend within the score window. They are also added if the backend answered no attempt in
+// the other controller's report, and consecutiveFailures is above 0, as the backend answered no
+// attempt in the last report that counted either.
 func (b *backendState) countsPeerFailures(attempts, failures int) bool {
 	anyAnswered := b.consecutiveFailures == 0 || failures < attempts
 	return b.reportedByPeersOnly || !anyAnswered
--- a/balancer/pushqueue_test.go
+++ b/balancer/pushqueue_test.go
@@ -4,9 +4,12 @@
 
 func TestPushQueueAccounting(t *testing.T) {
 	t.Run("an ack of a short message discards nothing of a long one in the same batch", func(t *testing.T) {
-		// When many proxies joined at once (kigali-pricing, join+mass, --nodes 30, seed 11), the
-		// ack of a short message removed the mean of the lines of a short and a long message from
-		// the account, and 62 lines more than the channel may hold were queued.
+		// Guards against an ack that discards more lines than its message had. When many proxies
+		// joined at once (kigali-pricing, join+mass, --nodes 30, seed 11), a batch held short
+		// messages with a few lines and long messages with complete tables. The ack of a short
+		// message lowered the count of queued lines by the mean of the lines of a short and a long
+		// message. The count was then too low, and 62 lines more than the push channel may hold
+		// were queued.
 		host := startController(t, defaultSettings(), 100, 8)
 		host.run(5, nil)
 		if len(host.controller.pushQueue.batches) > 0 {
--- a/balancer/sync.go
+++ b/balancer/sync.go
@@ -225,7 +225,8 @@
 	return withdrawals, c.pushQueue.messageOverhead() + withdrawals + float64(len(c.classes))
 }
 
-// fullTables summarizes the complete tables of a proxy.
+// fullTables holds the total number of entries and the total cost of a proxy's complete tables, and
+// whether any of these tables is empty.
 type fullTables struct {
 	entries  float64 // number of entries of all the tables
 	cost     Lines   // cost of the tables, including the overhead of their message and the limits
--- a/controller/json.go
+++ b/controller/json.go
@@ -20,9 +20,10 @@
 	return number, number >= 0 && settings.Sanitize(number) == number
 }
 
-// numberAtEither reads a number of at most limit from one of two alternative keys. It returns -1 if
-// neither key has a valid number, and sets invalid if a key before the first valid number has an
-// invalid value.
+// numberAtEither reads a number from key or, if key has no valid number, from otherKey. A number
+// above limit is not valid. It returns -1 if neither key has a valid number. It sets invalid if the
+// value of key is present and not valid, or if otherKey was read and its value is present and not
+// valid.
 func numberAtEither(object *fastjson.Value, key, otherKey string, limit float64, invalid *bool) float64 {
 	for _, key := range []string{key, otherKey} {
 		if number, ok := numberAt(object, key); ok && number <= limit {
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -75,9 +75,10 @@
 // it.
 type pushState struct {
 	conn   *connection
-	tables []int // number of the table assigned to each class, or unassigned
+	tables []int // by class: the number that identifies the table assigned to the class, or unassigned
 
-	// Pending changes for the next message, and the state last written to the proxy.
+	// Changes that the next message to the proxy is to carry, and the admission limits and backend
+	// states that were last written to the proxy.
 	dirty    bool   // whether a message to the proxy is due
 	tableDue uint16 // bit set of the classes whose assigned table was not written to the proxy yet
 	// withdrawalChanges holds the backends whose withdrawal or restoration concerns the proxy and was
--- a/distribution/event.go
+++ b/distribution/event.go
@@ -22,7 +22,7 @@
 	CloseOutdatedParent                        // the parent sent an older version, or another parent is more current
 	CloseLoop                                  // the parent is below the node, or the node would be too deep
 	CloseConflict                              // the parent's epoch has the node's epoch number and another identity
-	CloseNotCovered                            // the parent no longer covers the child's scopes
+	CloseNotCovered                            // this node no longer covers a scope to which its child subscribes
 	CloseMalformed                             // a message breaks a rule, or recovery failed maxRecoveries times
 	CloseTooLarge                              // a message would make the state exceed Limits.StateBytes
 )
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -79,8 +79,9 @@
 	a[limitRetryAt] = byte(retry)
 }
 
-// RequestAck requests an eventAcknowledged with this number for each proxy that the actions of this
-// reply affect or, with allConnected, for each connected proxy.
+// RequestAck requests an ack from each proxy that the actions of this reply affect or, with
+// allConnected, from each connected proxy. For each ack the simulator sends an eventAcknowledged
+// that carries the number passed to RequestAck.
 func (in *instance) RequestAck(number int, allConnected bool) {
 	a := in.newAction(actionRequestAck)
 	a.putU64(requestNumberAt, uint64(number))
--- a/ownership/lease_tracker.go
+++ b/ownership/lease_tracker.go
@@ -5,9 +5,11 @@
 // reasons. A tracker is kept over several leaderships of one process, and is lost when the process
 // ends. It is not safe for concurrent use.
 type LeaseTracker struct {
-	lease    Microseconds
-	members  int                      // number of members that share the record
-	arrivals map[uint64]entryArrivals // arrivals of the last entries, by incarnation
+	lease   Microseconds
+	members int // number of members that share the record
+	// arrivals holds, by incarnation, the arrival times at this leader of the last entry that the
+	// incarnation proposed and, if it arrived on the same connection, of the entry before it.
+	arrivals map[uint64]entryArrivals
 	// stoppedAt holds the last time at which a member's process was found not running, by name of
 	// the member.
 	stoppedAt map[string]Microseconds
--- a/ownership/model_test.go
+++ b/ownership/model_test.go
@@ -59,7 +59,7 @@
 	applied           int      // number of log entries that the member has applied
 	proposals         []Entry  // entries that are not delivered to the leader yet
 	knownStream       int      // serial number of the last stream that began at this member
-	grantedStream     int      // serial number of the stream for which the proxy was granted
+	grantedStream     int      // serial number of the proxy's stream for which the proxy was granted to this member
 	token             uint64   // fencing token of the last grant
 	weight            float64  // weight of backend a in the member's table; 0 for no line
 	lastRevision      uint64   // revision of the member's last table change
--- a/scale/distribution.go
+++ b/scale/distribution.go
@@ -93,8 +93,9 @@
 		Time: startTimeout + readyTimeout + time.Duration(len(changeRates()))*(o.Duration+settleTimeout)}
 }
 
-// Run makes changes at each rate, and measures the traffic of each node and the time that
-// subscribers take to apply the changes.
+// Run makes changes to the configuration at each rate of changeRates (0.42 and 4.2 changes a
+// second), one rate after the other. At each rate it measures the traffic of each node and the time
+// that subscribers take to apply the changes.
 func (m distributionCost) Run(ctx context.Context, size int, o Options) (s results.Sample, err error) {
 	t, err := newTree(ctx, m.plan(size), o)
 	if err != nil {
